--- /dev/null
+++ b/internal/members/golden_test.go
@@ -0,0 +1,141 @@
+package members
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"silvercove/internal/standin/golden"
+	"silvercove/internal/tick"
+)
+
+// goldenSeeds is how many runs each golden trace has.
+const goldenSeeds = 24
+
+func refusal(err error) string {
+	for _, known := range []struct {
+		err  error
+		name string
+	}{{nil, "taken"}, {ErrUnknown, "unknown"}, {ErrOldCopy, "old copy"}, {ErrOld, "old"}, {ErrBad, "bad"}} {
+		if errors.Is(err, known.err) {
+			return known.name
+		}
+	}
+	return "another error"
+}
+
+func logMember(trace *golden.Trace, m Member) {
+	trace.Logf("member %s role %s zone %s run %d fresh %t state %s since %d heard %d trip %d", m.Name, m.Role, m.Zone, m.Run,
+		m.Fresh, m.State, m.Since, m.Heard, m.Trip)
+	for i := range 4 {
+		if data, ok := m.News[fmt.Sprint("kind-", i)]; ok {
+			trace.Logf("news %d %q", i, data)
+		}
+	}
+}
+
+// TestGolden_Tables records what one table decides by a seeded script of records, answers and signs.
+func TestGolden_Tables(t *testing.T) {
+	golden.Seeds(t, "tables.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		draw := rand.New(rand.NewPCG(seed, 29))
+		names := []string{"a", "b", "c", "d", "e", "f"}[:1+seed%6]
+		tab := table(names...)
+		now := tick.Tick(0)
+		for range 1500 {
+			now += tick.Tick(draw.IntN(int(400 * ms)))
+			tableStep(trace, draw, tab, now, append(names, "me", "z"))
+			if draw.IntN(200) == 0 {
+				tab.Leave()
+			}
+		}
+		for _, m := range tab.All(now) {
+			logMember(trace, m)
+		}
+		for _, raw := range tab.Records() {
+			trace.Logf("record %s", raw)
+		}
+	})
+}
+
+func tableStep(trace *golden.Trace, draw *rand.Rand, tab *Table, now tick.Tick, names []string) {
+	member := names[draw.IntN(len(names))]
+	switch draw.IntN(12) {
+	case 0, 1:
+		raw := rec(member, uint64(draw.IntN(8)), uint64(1+draw.IntN(9)), fmt.Sprint(draw.IntN(3)))
+		trace.Logf("record of %s %s", member, refusal(tab.Told(now, raw)))
+	case 2, 3:
+		raw := rec(member, 9, uint64(now), "x")
+		trace.Logf("new record of %s %s", member, refusal(tab.Told(now, raw)))
+	case 4, 5:
+		tab.Heard(now, member, tick.Tick(draw.IntN(int(300*ms))))
+	case 6, 7:
+		tab.Missed(now, member)
+	case 8:
+		tab.Down(now, member, draw.IntN(10) == 0)
+	case 9:
+		tab.Up(now, member)
+	case 10:
+		kind := fmt.Sprint("kind-", draw.IntN(12))
+		trace.Logf("tells %s: %t", kind, tab.Tell(kind, make([]byte, draw.IntN(550))) == nil)
+	case 11:
+		tab.Pass(now)
+		trace.Logf("beat %t, asks %q, outrun %t", tab.Beat(now), tab.Ask(), tab.Outrun())
+	}
+	for _, m := range tab.Changes() {
+		trace.Logf("at %d", now)
+		logMember(trace, m)
+	}
+	if m, ok := tab.Of(member); ok {
+		logMember(trace, m)
+	}
+}
+
+// TestGolden_Worlds records how some tables agree in simulated time, with links that are cut and processes that stop,
+// leave and start again.
+func TestGolden_Worlds(t *testing.T) {
+	golden.Seeds(t, "worlds.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		w := newWorld(seed, 2+int(seed%7))
+		draw := rand.New(rand.NewPCG(seed, 31))
+		for range 60 * round {
+			switch i, j := draw.IntN(len(w.nodes)), draw.IntN(len(w.nodes)); draw.IntN(60) {
+			case 0:
+				w.cut[[2]int{i, j}] = true
+			case 1:
+				clear(w.cut)
+			case 2:
+				w.nodes[i].down = true
+			case 3, 4:
+				if w.nodes[i].down {
+					w.start(i)
+				}
+			case 5:
+				w.nodes[i].Tell("kind-0", []byte(fmt.Sprint(draw.IntN(100))))
+			}
+			w.turn()
+			for _, n := range w.nodes {
+				trace.Logf("at %d %s down %t", w.now, n.name, n.down)
+				for _, m := range n.Changes() {
+					logMember(trace, m)
+				}
+			}
+		}
+		for _, n := range w.nodes {
+			for _, m := range n.All(w.now) {
+				logMember(trace, m)
+			}
+			trace.Logf("record %s", n.Own())
+		}
+	})
+}
+
+// TestGolden_Rejoins records how many exchanges of whole states are made.
+func TestGolden_Rejoins(t *testing.T) {
+	golden.Seeds(t, "rejoins.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		draw := rand.New(rand.NewPCG(seed, 37))
+		for range 200 {
+			alive, gone, drawn := draw.IntN(300), draw.IntN(300), draw.Float64()
+			trace.Logf("%d %d %.9g: %d", alive, gone, drawn, Rejoins(alive, gone, drawn))
+		}
+	})
+}
--- /dev/null
+++ b/internal/overload/golden_test.go
@@ -0,0 +1,223 @@
+package overload
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"silvercove/internal/standin/golden"
+	"silvercove/internal/tick"
+)
+
+// goldenSeeds is how many runs each golden trace has.
+const goldenSeeds = 24
+
+// recorder drives some relays by a seeded script and records what each decides.
+type recorder struct {
+	*golden.Trace
+	*crowd
+	draw     *rand.Rand
+	down     []bool
+	degraded map[string]float64 // share of deliveries that a unit fails
+	failures float64            // the same of all other units
+	pressure float64
+}
+
+// TestGolden_Decisions records all decisions of fleets of 1 to 9 relays, whose messages are lost, late, repeated and
+// out of order, and which restart, die and are cut off from each other, under changing load and failing units.
+func TestGolden_Decisions(t *testing.T) {
+	golden.Seeds(t, "decisions.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		n := 1 + int(seed%9)
+		r := &recorder{
+			Trace:    trace,
+			crowd:    newCrowd(n, map[string]float64{"ramp": float64(seed % 5)}),
+			draw:     rand.New(rand.NewPCG(seed, 17)),
+			down:     make([]bool, n),
+			degraded: map[string]float64{},
+		}
+		for step := range 400 {
+			r.now += tick.Tick(r.draw.IntN(int(tick.Second / 5)))
+			r.change(step)
+			for i := range n {
+				if !r.down[i] {
+					r.events(i)
+				}
+			}
+			r.messages()
+		}
+	})
+}
+
+// change draws what happens to the fleet as a whole.
+func (r *recorder) change(step int) {
+	n := len(r.relays)
+	switch i := r.draw.IntN(n); r.draw.IntN(40) {
+	case 0:
+		r.down[i] = !r.down[i]
+	case 1:
+		r.run[i]++
+		r.relays[i] = New(r.now, r.draw.Uint64(), name(i), settings(float64(n), nil))
+	case 2:
+		r.degraded[unitName(r.draw.IntN(12))] = 0.5 + r.draw.Float64()/2
+	case 3:
+		clear(r.degraded)
+	case 4:
+		r.failures = r.draw.Float64() * 0.6
+	case 5, 6:
+		r.failures = 0.02
+	case 7, 8, 9:
+		r.pressure = r.draw.Float64() * 2
+	case 10:
+		side := 1 + r.draw.IntN(3)
+		r.pass = func(from, to int) bool { return from%side == to%side }
+	case 11, 12:
+		r.pass = func(int, int) bool { return true }
+	case 13:
+		r.now += tick.Tick(r.draw.IntN(int(80 * tick.Second))) // long enough for all to be forgotten
+	case 14:
+		for unit := range 300 { // more than can be in question
+			r.relays[i].Outcome(r.now, unitName(100+unit), false)
+		}
+	}
+	r.Logf("step %d at %d", step, r.now)
+}
+
+func unitName(i int) string { return fmt.Sprint("unit-", i) }
+
+// events draws what happens at one relay, and records what it decides.
+func (r *recorder) events(i int) {
+	f := r.relays[i]
+	f.Pressure(r.now, Pressure{
+		Loop:   tick.Tick(r.draw.IntN(int(bearable))),
+		CPU:    r.draw.Float64() * 0.9,
+		Memory: r.draw.Float64() / 2,
+		Places: r.pressure,
+	})
+	r.Logf("relay %d admits %.9g", i, f.Admits())
+	for range 1 + r.draw.IntN(8) {
+		class := r.draw.IntN(5)
+		if r.draw.IntN(100) == 0 {
+			class = 70 // of too many
+		}
+		ok, back := f.Take(r.now, class, float64(1+class%3), fmt.Sprint("customer-", r.draw.IntN(50)))
+		r.Logf("take %d: %t %d", class, ok, back)
+		if !ok {
+			continue
+		}
+		f.First(r.now)
+		r.deliver(i, class)
+	}
+	switch r.draw.IntN(6) {
+	case 0:
+		r.Logf("back %d", f.Back(r.now, tick.Second/4, tick.Second))
+	case 1:
+		r.Logf("wait %d %d %d", f.Wait(r.now, Start), f.Wait(r.now, List), f.Wait(r.now, Connect))
+	}
+}
+
+// deliver plays one delivery: a unit is chosen, may be avoided or probed, and its outcome is drawn.
+func (r *recorder) deliver(i, class int) {
+	f := r.relays[i]
+	unit := unitName(r.draw.IntN(12))
+	avoids := f.Avoids(r.now, unit)
+	r.Logf("unit %s avoided %t", unit, avoids)
+	if avoids || r.draw.IntN(6) == 0 {
+		probes := f.Probes(r.now, unit)
+		r.Logf("probes %t", probes)
+		if !probes {
+			return
+		}
+	}
+	share, degraded := r.degraded[unit]
+	if !degraded {
+		share = r.failures
+	}
+	good := r.draw.Float64() >= share
+	f.Outcome(r.now, unit, good)
+	if good {
+		f.Worked(r.now, class, tick.Tick(1+r.draw.IntN(int(tick.Second/10))))
+		return
+	}
+	r.Logf("again %t", f.Again(r.now, r.draw.IntN(5) == 0))
+}
+
+// messages has each relay tell the others, from time to time; some messages come late, twice or not at all.
+func (r *recorder) messages() {
+	states := []string{"alive", "alive", "alive", "alive", "slow", "cut", "dead", "left"}
+	for from, f := range r.relays {
+		if r.down[from] || r.draw.IntN(3) > 0 {
+			continue
+		}
+		told := f.Tell(r.now)
+		r.message(told)
+		told, err := Decode(told.Encode())
+		if err != nil {
+			r.Logf("not read: %t", err != nil)
+			continue
+		}
+		if r.draw.IntN(4) == 0 {
+			told.Signs = nil // of an earlier version
+		}
+		for to, other := range r.relays {
+			if from == to || r.down[to] || !r.pass(from, to) || r.draw.IntN(10) == 0 {
+				continue
+			}
+			state := "alive"
+			if r.draw.IntN(30) == 0 {
+				state = states[r.draw.IntN(len(states))]
+			}
+			for range 1 + r.draw.IntN(8)/7 {
+				other.Peer(r.now, name(from), r.run[from], "", told, tick.Tick(r.draw.IntN(int(tick.Second))), state)
+			}
+		}
+	}
+}
+
+func (r *recorder) message(told Told) {
+	r.Logf("tells up %d, own %.9g, shared %.9g, done %.9g, firsts %.9g, credit %.9g, spilled %.9g", told.Up, told.Own,
+		told.Shared, told.Done, told.Firsts, told.Credit, told.Spilled)
+	for i, work := range told.Work {
+		r.Logf("work %d %.9g", i, work)
+	}
+	for _, v := range told.Units {
+		r.Logf("verdict %x %t %d", v.Unit, v.Well, v.Age)
+	}
+	for _, s := range told.Signs {
+		r.Logf("sign %x %d %d %d", s.Unit, s.Bad, s.Good, s.Age)
+	}
+}
+
+// TestGolden_Messages records the bytes of messages, as other versions read them.
+func TestGolden_Messages(t *testing.T) {
+	golden.Seeds(t, "messages.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		draw := rand.New(rand.NewPCG(seed, 23))
+		for range 50 {
+			told := Told{Up: tick.Tick(draw.IntN(1 << 40)), Own: draw.Float64(), Shared: draw.Float64(), Done: draw.Float64() * 9,
+				Firsts: draw.Float64() * 99, Credit: draw.Float64() * 9, Spilled: draw.Float64() * 1e6}
+			for range draw.IntN(mostWork + 1) {
+				told.Work = append(told.Work, draw.Float64())
+			}
+			for range draw.IntN(mostUnits + 1) {
+				told.Units = append(told.Units, Verdict{draw.Uint64(), draw.IntN(2) == 0, tick.Tick(draw.IntN(1 << 19))})
+			}
+			for range draw.IntN(mostSigns + 1) {
+				told.Signs = append(told.Signs, Sign{draw.Uint64(), draw.IntN(2), draw.IntN(2), tick.Tick(draw.IntN(1 << 17))})
+			}
+			b := told.Encode()
+			trace.Logf("%x", b)
+			b[draw.IntN(len(b))] ^= byte(1 << draw.IntN(8))
+			again, err := Decode(b)
+			trace.Logf("%t %x", err == nil, again.Encode())
+		}
+	})
+}
+
+// TestGolden_Shares records how a front divides its places.
+func TestGolden_Shares(t *testing.T) {
+	golden.Seeds(t, "shares.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		for places := range 100 {
+			s := Shares(places * int(seed+1))
+			trace.Logf("%d %d %d %d %d %d %d", s.Places, s.Spare, s.Idle, s.Commands, s.Owed, s.Keep, s.Brief)
+		}
+	})
+}
--- /dev/null
+++ b/internal/strength/golden_test.go
@@ -0,0 +1,230 @@
+package strength_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"silvercove/internal/standin/golden"
+	"silvercove/internal/strength"
+	"silvercove/internal/tick"
+)
+
+// goldenSeeds is how many runs each golden trace has.
+const goldenSeeds = 24
+
+func logReport(trace *golden.Trace, r strength.Report) {
+	trace.Logf("version %d state %s share %.9g danger %.9g room %d serves %d empty %d hot %d offered %d need %d ends %t tired %t",
+		r.V, r.State, r.Share, r.Danger, r.Room, r.Serves, r.Empty, r.Hot, r.Offered, r.Need, r.Ends, r.Tired())
+	trace.Logf("reasons %s; unknown %s", strings.Join(r.Reasons, "|"), strings.Join(r.Unknown, "|"))
+	s := r.Shown
+	for i, v := range []*float64{s.Charge, s.Full, s.Draw, s.Temp, s.Limit} {
+		if v != nil {
+			trace.Logf("reading %d is %.9g", i, *v)
+		}
+	}
+	if s.Mains != nil {
+		trace.Logf("mains %t", *s.Mains)
+	}
+}
+
+// machine draws the readings of one edge unit: values that walk, and readings that fail, jump, freeze and come late.
+type machine struct {
+	draw    *rand.Rand
+	bias    float64 // from 0 to 1: the higher, the more values fall
+	value   map[string]float64
+	frozen  map[string]bool
+	missing map[string]bool
+	sources []source
+}
+
+type source struct {
+	name        string
+	kind        strength.Kind
+	first, step float64
+	least, most float64
+	limit       float64
+}
+
+func newMachine(seed uint64) *machine {
+	m := &machine{draw: rand.New(rand.NewPCG(seed, 41)), bias: 0.5, value: map[string]float64{}, frozen: map[string]bool{},
+		missing: map[string]bool{}}
+	m.sources = []source{
+		{"BAT0", strength.Charge, 0.2 + m.draw.Float64()*0.8, -0.0004 * m.draw.Float64(), 0, 1, 0},
+		{"BAT0", strength.Full, 216000, 0, 216000, 216000, 0},
+		{"BAT0", strength.Draw, 8, 2, -10, 30, 0},
+		{"AC", strength.Mains, 0, 0, 0, 1, 0},
+		{"cpu", strength.Temp, 50, 1.5, 20, 98, 95},
+		{"board", strength.Temp, 45, 1, 20, 90, 0},
+		{"BAT0", strength.Cell, 30, 0.5, 10, 62, 0},
+		{"cpu", strength.Throttle, 0, 0.02, 0, 0.5, 0},
+		{"lid", strength.Lid, 1, 0, 0, 1, 0},
+		{"wlan", strength.Radio, 1, 0, 0, 1, 0},
+		{"gauge", strength.Kind("of a later version"), 1, 1, 0, 9, 0},
+	}
+	for i, s := range m.sources {
+		m.value[key(i)] = s.first
+	}
+	if seed%4 == 0 {
+		m.sources = m.sources[3:] // without a battery
+	}
+	return m
+}
+
+func key(i int) string { return fmt.Sprint(i) }
+
+func (m *machine) readings() (all []strength.Reading) {
+	for i, s := range m.sources {
+		k := key(i)
+		m.disturb(i)
+		if !m.frozen[k] {
+			m.value[k] += s.step * (m.draw.Float64() - m.bias)
+			m.value[k] = min(max(m.value[k], s.least), s.most)
+		}
+		r := strength.Reading{Name: s.name, Kind: s.kind, Value: m.value[k], Limit: s.limit, OK: true,
+			Age: tick.Tick(m.draw.IntN(int(tick.Second / 4)))}
+		switch {
+		case m.missing[k]:
+			r.OK, r.Why = false, []string{"", "no such file"}[i%2]
+		case m.draw.IntN(2000) == 0:
+			r.Value *= -40
+		}
+		all = append(all, r)
+	}
+	return all
+}
+
+// disturb draws what happens to one reading: it freezes, fails, or takes another value, and is well again after a while.
+func (m *machine) disturb(i int) {
+	k, s := key(i), m.sources[i]
+	switch m.draw.IntN(4000) {
+	case 0:
+		m.frozen[k] = true
+	case 1:
+		m.missing[k] = true
+	case 2:
+		m.value[k] = s.least + m.draw.Float64()*(s.most-s.least)
+	case 3, 4:
+		m.value[k] = s.most - m.value[k] // a switch is turned
+	}
+	if m.draw.IntN(700) == 0 {
+		m.frozen[k] = false
+	}
+	if m.draw.IntN(30) == 0 {
+		m.missing[k] = false
+	}
+}
+
+// TestGolden_Unit records the reports of a unit by a seeded script of readings, load, instances and outcomes.
+func TestGolden_Unit(t *testing.T) {
+	golden.Seeds(t, "golden unit.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		m := newMachine(seed)
+		set := map[string]any{}
+		if seed%3 == 0 {
+			set = map[string]any{"fleet.reserve": 20.0, "fleet.hot": 80.0, "fleet.places": 5.0, "fleet.moves.unit": 2.0, "fleet.empty": 0.1}
+		}
+		u := strength.New(0, seed, set)
+		failures := 0.02
+		for s := 1; s <= 1800; s++ {
+			now := tick.Tick(s) * tick.Second
+			for _, r := range m.readings() {
+				u.Read(now, r)
+			}
+			if m.draw.IntN(60) == 0 {
+				u.Load(now, m.draw.Float64(), m.draw.Float64()*1.5)
+			}
+			if m.draw.IntN(60) == 0 {
+				u.Holds(now, m.draw.IntN(9), m.draw.IntN(8<<20))
+			}
+			if m.draw.IntN(200) == 0 {
+				failures = []float64{0.02, 0.02, 0.7}[m.draw.IntN(3)]
+			}
+			if m.draw.IntN(300) == 0 {
+				m.bias = 0.2 + 0.7*m.draw.Float64()
+			}
+			for range m.draw.IntN(4) {
+				u.Outcome(now, m.draw.Float64() >= failures)
+			}
+			if s == 1700 && seed%5 == 0 {
+				u.End(now)
+			}
+			logReport(trace, u.Alarm(now))
+		}
+	})
+}
+
+// TestGolden_Believer records what counts of the reports of two zones, some of whose units claim more or less than they
+// show, fail, move and go.
+func TestGolden_Believer(t *testing.T) {
+	golden.Seeds(t, "golden believer.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		draw := rand.New(rand.NewPCG(seed, 43))
+		b := strength.NewBeliever(0, nil)
+		n := 1 + int(seed%8)
+		failures := make([]float64, n)
+		states := make([]string, n)
+		temps := make([]float64, n)
+		charges := make([]float64, n)
+		for i := range n {
+			failures[i], states[i], temps[i], charges[i] = 0.02, strength.Accepts, 60, 0.9
+		}
+		all := []string{strength.Accepts, strength.Trickle, strength.Keeps, strength.HandsOn, strength.Leaves}
+		for s := 1; s <= 1500; s++ {
+			now := tick.Tick(s) * tick.Second
+			for i := range n {
+				unit := fmt.Sprint("unit-", i)
+				switch draw.IntN(150) {
+				case 0:
+					states[i] = all[draw.IntN(len(all))]
+				case 1:
+					failures[i] = []float64{0.02, 0.02, 0.6}[draw.IntN(3)]
+				case 2:
+					b.Gone(now, unit)
+				case 3:
+					temps[i], charges[i] = 40+draw.Float64()*50, draw.Float64()
+				}
+				temps[i] += draw.Float64() - 0.45
+				charges[i] = max(0, charges[i]-draw.Float64()/1000)
+				r := claim(states[i])
+				r.Ends = states[i] == strength.Leaves && draw.IntN(20) == 0
+				if (i+int(seed))%3 > 0 {
+					full, out, limit := 216000.0, 5+draw.Float64()*20, 85.0
+					charge, temp := charges[i], temps[i]
+					r.Shown = strength.Shown{Charge: &charge, Full: &full, Draw: &out, Temp: &temp, Limit: &limit}
+					r.Hot = tick.Tick(draw.IntN(400)) * tick.Second
+				}
+				logReport(trace, b.Report(now, unit, fmt.Sprint("zone-", (i+s/700)%2), r))
+				for range draw.IntN(4) {
+					b.Outcome(now, unit, draw.Float64() >= failures[i])
+				}
+				if counts, ok := b.Counts(now, unit); ok && draw.IntN(3) == 0 {
+					logReport(trace, counts)
+				}
+			}
+		}
+	})
+}
+
+// TestGolden_Floor records who serves what on when all units of a zone are tired.
+func TestGolden_Floor(t *testing.T) {
+	golden.Seeds(t, "golden floor.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
+		draw := rand.New(rand.NewPCG(seed, 47))
+		all := []string{strength.Accepts, strength.Keeps, strength.HandsOn, strength.HandsOn, strength.Leaves}
+		for range 100 {
+			reports := map[string]strength.Report{}
+			for i := range draw.IntN(6) {
+				reports[fmt.Sprint("unit-", i)] = strength.Report{State: all[draw.IntN(len(all))],
+					Danger: float64(draw.IntN(4)) / 4, Serves: draw.IntN(4)}
+			}
+			var instances []strength.Served
+			for i := range draw.IntN(15) {
+				instances = append(instances, strength.Served{Name: fmt.Sprint("camera-", i), Unit: fmt.Sprint("unit-", draw.IntN(7)),
+					Weight: float64(1 + draw.IntN(5))})
+			}
+			trace.Logf("all tired %t", strength.AllTired(reports))
+			for _, s := range strength.Floor(reports, instances) {
+				trace.Logf("%s at %q weight %.9g", s.Name, s.Unit, s.Weight)
+			}
+		}
+	})
+}
