--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,109 @@
+package lab
+
+import (
+	"flag"
+	"fmt"
+	"sync"
+	"testing"
+
+	"silvercove/choice"
+	"silvercove/internal/standin/goldentrace"
+)
+
+var update = flag.Bool("update", false, "record the decisions anew instead of comparing them")
+
+const (
+	goldenSeeds = 20
+	goldenPath  = "testdata/golden_decisions.txt"
+)
+
+// goldenDayNames name the days in the recorded file, in the order of Days and those that goldenRuns adds.
+var goldenDayNames = []string{"calm", "rolling-restart", "relays-killed", "zone-lost", "partition", "pauses-and-errors",
+	"uneven-traffic", "release", "all-cold"}
+
+// goldenRun is one run that is held against its recorded trace.
+type goldenRun struct {
+	name string
+	play func(wrap hostWrapper)
+}
+
+// TestGoldenDecisions plays the lab's days, rollouts and overloads with smaller fleets, and holds every decision of each
+// relay against the recorded ones. Where a change is meant to change one, run it with -update and say in the commit what
+// changes.
+func TestGoldenDecisions(t *testing.T) {
+	traces := map[string]*goldentrace.Trace{}
+	var mu sync.Mutex
+	t.Run("play", func(t *testing.T) {
+		for _, run := range goldenRuns(t) {
+			t.Run(run.name, func(t *testing.T) {
+				t.Parallel()
+				trace := goldentrace.New()
+				run.play(func(host choice.Host, relay int, now func() choice.Tick) choice.Host {
+					return trace.Host(host, relay, now)
+				})
+				mu.Lock()
+				defer mu.Unlock()
+				traces[run.name] = trace
+			})
+		}
+	})
+	goldentrace.Compare(t, goldenPath, *update, traces)
+}
+
+func goldenRuns(t *testing.T) (runs []goldenRun) {
+	t.Helper()
+	days := append(append([]Day(nil), Days...), Whole, Release, Day{Name: "cold: all units start anew at once", plan: func(f *fleetDay) {
+		for i := range f.units {
+			f.in(8, func() { f.restart(i, 0.1) })
+		}
+		f.in(8.2, func() { f.kill(f.relays[0]) })
+	}})
+	for i, d := range days {
+		d.relays, d.units = 12, 10
+		if d.Name == Whole.Name || d.Name == Release.Name {
+			d.relays = 16
+		}
+		name := goldenDayNames[i]
+		for seed := range uint64(goldenSeeds) {
+			runs = append(runs, goldenRun{fmt.Sprintf("day-%s/%d", name, seed), func(wrap hostWrapper) {
+				d := d
+				d.wrapHost = wrap
+				d.Run(seed)
+			}})
+		}
+	}
+	runs = append(runs, goldenRollouts(t, "rollouts", 150)...)
+	runs = append(runs, goldenRollouts(t, "thin", 150)...)
+	for seed := range uint64(goldenSeeds) {
+		o := smallDay(AllParts)
+		o.Relays, o.Units, o.From, o.For, o.Span, o.Seed = 6, 4, 2, 3, 8, seed
+		if seed%2 == 1 {
+			o.Sick, o.Onset, o.Times, o.Kill, o.Errors = true, 2, 1, 0, 0.2
+		}
+		runs = append(runs, goldenRun{fmt.Sprintf("overload/%d", seed), func(wrap hostWrapper) {
+			o.wrapHost = wrap
+			o.Run()
+		}})
+	}
+	return runs
+}
+
+// goldenRollouts are the packages and conditions of a shipped experiment, each pair with one seed, at so many requests a
+// second and with an end after some seconds.
+func goldenRollouts(t *testing.T, name string, rate float64) (runs []goldenRun) {
+	t.Helper()
+	e, err := ReadExperiment("../../deploy/"+name+".conf", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	e.Rollouts = 1
+	for i, r := range e.all() {
+		r.Rate, r.Longest, r.Watch, r.Seed = rate, 12, 2, uint64(i+1)
+		r.Relays, r.Units = min(r.Relays, 20), min(r.Units, 20)
+		runs = append(runs, goldenRun{fmt.Sprintf("%s-%s-%s/%d", name, r.Package.Name, r.Condition.Name, r.Seed), func(wrap hostWrapper) {
+			r.wrapHost = wrap
+			r.Run()
+		}})
+	}
+	return runs
+}
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -70,6 +70,18 @@
 	Before               []Package // that are offered first, one after the other
 	Condition            Condition
 	Seed                 uint64
+
+	wrapHost hostWrapper
+}
+
+// hostWrapper puts a recorder between one relay and its host; nil for none. Only tests set one.
+type hostWrapper func(host choice.Host, relay int, now func() choice.Tick) choice.Host
+
+func (wrap hostWrapper) apply(host choice.Host, relay int, now func() choice.Tick) choice.Host {
+	if wrap == nil {
+		return host
+	}
+	return wrap(host, relay, now)
 }
 
 // Result is how one rollout went.
@@ -268,7 +280,8 @@
 	n.life++
 	n.out = map[*choice.Delivery]bool{}
 	n.units = make([]*choice.Unit, len(n.model.units))
-	n.relay = choice.New(n, n.now, n.Seed<<8^uint64(n.no)<<1^uint64(n.life), n.set)
+	host := n.wrapHost.apply(n, n.no, func() choice.Tick { return n.model.now })
+	n.relay = choice.New(host, n.now, n.Seed<<8^uint64(n.no)<<1^uint64(n.life), n.set)
 	for i, u := range n.model.units {
 		n.units[i] = &choice.Unit{Door: uint32(i)}
 		n.list(u)
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -41,6 +41,8 @@
 	Old           float64 // seconds by which news are old
 	OneSided      float64 // share of the relays that hear nothing, and are heard
 	Seed          uint64
+
+	wrapHost hostWrapper
 }
 
 // Parts are what of the fleet's module acts.
@@ -341,7 +343,8 @@
 
 func (n *crowdRelay) serve() {
 	n.known = nil
-	n.Relay = choice.New(n, n.m.now, n.m.rand.Uint64(), n.m.set)
+	host := n.m.wrapHost.apply(n, n.no, func() choice.Tick { return n.m.now })
+	n.Relay = choice.New(host, n.m.now, n.m.rand.Uint64(), n.m.set)
 	for i := range n.m.units {
 		n.known = append(n.known, &choice.Unit{Door: uint32(i)})
 		n.UnitListed(n.m.now, n.known[i], choice.Listing{Zone: i % 3, State: choice.Ready, Build: earlier})
--- /dev/null
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -0,0 +1,299 @@
+// Package goldentrace records what the balancer asks of its host, so that a test can hold a later version of the code
+// against an earlier one. A trace is a hash of every call with all of its arguments. Log lines are left out, as their
+// wording is no decision. Only tests import it.
+package goldentrace
+
+import (
+	"bufio"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"silvercove/choice"
+)
+
+// checkpointEvery is how many calls lie between two intermediate hashes of a trace.
+const checkpointEvery = 1000
+
+// The kinds of calls. Their numbers are part of the recorded hashes.
+const (
+	callDeliver = 1 + iota
+	callNack
+	callFail
+	callCancel
+	callWakeAt
+	callProbe
+	callCloseIdle
+	callTell
+	callWatch
+	callFetch
+	callVote
+	callMayRepeat
+	callAvoids
+	callMayProbe
+	callNote
+)
+
+// Trace is the record of one run, of any number of balancers. It is not safe for concurrent use.
+type Trace struct {
+	hash        uint64
+	calls       int
+	checkpoints []uint32
+	requests    map[*choice.Command]uint64
+}
+
+// New makes an empty trace.
+func New() *Trace {
+	return &Trace{hash: 14695981039346656037, requests: map[*choice.Command]uint64{}}
+}
+
+// Note adds what a balancer answered its caller, such as the result of Begin.
+func (t *Trace) Note(balancer int, values ...uint64) { t.add(callNote, balancer, values...) }
+
+func (t *Trace) add(kind, balancer int, values ...uint64) {
+	t.mix(uint64(kind))
+	t.mix(uint64(balancer))
+	for _, v := range values {
+		t.mix(v)
+	}
+	if t.calls++; t.calls%checkpointEvery == 0 {
+		t.checkpoints = append(t.checkpoints, uint32(t.hash^t.hash>>32))
+	}
+}
+
+// mix adds one value (FNV-1a, a whole word at a time, then a shift so that high bits reach low ones).
+func (t *Trace) mix(v uint64) {
+	t.hash = (t.hash ^ v) * 1099511628211
+	t.hash ^= t.hash >> 29
+}
+
+// request numbers requests in the order in which a balancer first speaks of them.
+func (t *Trace) request(c *choice.Command) uint64 {
+	n, known := t.requests[c]
+	if !known {
+		n = uint64(len(t.requests) + 1)
+		t.requests[c] = n
+	}
+	return n
+}
+
+// fleet is what a host of a fleet offers beside.
+type fleet interface {
+	MayRepeat(cmd *choice.Command) bool
+	Avoids(u *choice.Unit) bool
+	MayProbe(u *choice.Unit) bool
+}
+
+// Host wraps the host of one balancer. What the wrapped host offers beside choice.Host, the wrapper offers too.
+func (t *Trace) Host(host choice.Host, balancer int, now func() choice.Tick) choice.Host {
+	r := &recorder{host: host, trace: t, balancer: balancer, now: now}
+	if f, ok := host.(fleet); ok {
+		return &fleetRecorder{recorder: r, fleet: f}
+	}
+	return r
+}
+
+type recorder struct {
+	host     choice.Host
+	trace    *Trace
+	balancer int
+	now      func() choice.Tick
+}
+
+func (r *recorder) add(kind int, values ...uint64) {
+	r.trace.add(kind, r.balancer, append(values, uint64(r.now()))...)
+}
+
+func (r *recorder) Deliver(d *choice.Delivery, stopAt choice.Tick) {
+	c := d.Cmd
+	r.add(callDeliver, r.trace.request(c), c.Door, uint64(c.OpType), uint64(c.Customer), c.Key, uint64(c.NotAfter),
+		uint64(d.No), uint64(d.To.Door), uint64(d.To.Build), uint64(d.To.Start), uint64(stopAt))
+	r.host.Deliver(d, stopAt)
+}
+
+func (r *recorder) Nack(c *choice.Command, comeBack choice.Tick) {
+	r.add(callNack, r.trace.request(c), c.Door, uint64(comeBack))
+	r.host.Nack(c, comeBack)
+}
+
+func (r *recorder) Fail(c *choice.Command) {
+	r.add(callFail, r.trace.request(c), c.Door)
+	r.host.Fail(c)
+}
+
+func (r *recorder) Cancel(d *choice.Delivery) {
+	r.add(callCancel, r.trace.request(d.Cmd), d.Cmd.Door, uint64(d.No), uint64(d.To.Door))
+	r.host.Cancel(d)
+}
+
+func (r *recorder) WakeAt(at choice.Tick, tag uint32) {
+	r.add(callWakeAt, uint64(at), uint64(tag))
+	r.host.WakeAt(at, tag)
+}
+
+func (r *recorder) Probe(u *choice.Unit) {
+	r.add(callProbe, uint64(u.Door))
+	r.host.Probe(u)
+}
+
+func (r *recorder) CloseIdle(u *choice.Unit) {
+	r.add(callCloseIdle, uint64(u.Door))
+	r.host.CloseIdle(u)
+}
+
+func (r *recorder) Tell(peer uint32, data []byte) {
+	sum := fnv.New64a()
+	sum.Write(data)
+	r.add(callTell, uint64(peer), uint64(len(data)), sum.Sum64())
+	r.host.Tell(peer, data)
+}
+
+func (r *recorder) Log(text string) { r.host.Log(text) }
+
+func (r *recorder) Watch(on bool) {
+	r.add(callWatch, bit(on))
+	r.host.Watch(on)
+}
+
+func (r *recorder) Fetch() {
+	r.add(callFetch)
+	r.host.Fetch()
+}
+
+func (r *recorder) Vote(build uint16, stage int, verdict choice.Verdict) {
+	r.add(callVote, uint64(build), uint64(stage), uint64(verdict))
+	r.host.Vote(build, stage, verdict)
+}
+
+type fleetRecorder struct {
+	*recorder
+	fleet fleet
+}
+
+func (r *fleetRecorder) MayRepeat(c *choice.Command) bool {
+	may := r.fleet.MayRepeat(c)
+	r.add(callMayRepeat, r.trace.request(c), c.Door, bit(may))
+	return may
+}
+
+func (r *fleetRecorder) Avoids(u *choice.Unit) bool {
+	avoids := r.fleet.Avoids(u)
+	r.add(callAvoids, uint64(u.Door), bit(avoids))
+	return avoids
+}
+
+func (r *fleetRecorder) MayProbe(u *choice.Unit) bool {
+	may := r.fleet.MayProbe(u)
+	r.add(callMayProbe, uint64(u.Door), bit(may))
+	return may
+}
+
+func bit(set bool) uint64 {
+	if set {
+		return 1
+	}
+	return 0
+}
+
+// Float is the bits of a number, for Note.
+func Float(v float64) uint64 { return math.Float64bits(v) }
+
+func (t *Trace) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d %016x", t.calls, t.hash)
+	for _, c := range t.checkpoints {
+		fmt.Fprintf(&b, " %08x", c)
+	}
+	return b.String()
+}
+
+// Compare holds traces by name against those of a file, or writes the file anew. Each line of it is a name without
+// spaces, the number of calls, the hash of all, and a shorter hash after each thousand of them.
+func Compare(t testing.TB, path string, update bool, traces map[string]*Trace) {
+	t.Helper()
+	if update {
+		write(t, path, traces)
+		return
+	}
+	recorded := read(t, path)
+	for name := range traces {
+		if _, ok := recorded[name]; !ok {
+			t.Errorf("%s: not recorded in %s", name, path)
+		}
+	}
+	for name, want := range recorded {
+		got, ok := traces[name]
+		if !ok {
+			t.Errorf("%s: recorded in %s, but not played", name, path)
+			continue
+		}
+		if fields := strings.Fields(got.String()); !slices.Equal(fields, want) {
+			t.Errorf("%s: the decisions differ: %s", name, difference(fields, want))
+		}
+	}
+}
+
+// difference says where two traces begin to differ. The first two fields are the number of calls and the hash.
+func difference(got, want []string) string {
+	for i := 2; i < min(len(got), len(want)); i++ {
+		if got[i] != want[i] {
+			return fmt.Sprintf("first within calls %d to %d", (i-2)*checkpointEvery+1, (i-1)*checkpointEvery)
+		}
+	}
+	return fmt.Sprintf("first after call %d; %s calls, recorded %s", (min(len(got), len(want))-2)*checkpointEvery, got[0], want[0])
+}
+
+func write(t testing.TB, path string, traces map[string]*Trace) {
+	t.Helper()
+	var b strings.Builder
+	b.WriteString("# Recorded decisions: name, calls, hash, and a shorter hash after each thousand calls.\n")
+	names := make([]string, 0, len(traces))
+	for name := range traces {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		fmt.Fprintf(&b, "%s %s\n", name, traces[name])
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func read(t testing.TB, path string) map[string][]string {
+	t.Helper()
+	file, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	recorded := map[string][]string{}
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, 1<<20)
+	for lines.Scan() {
+		fields := strings.Fields(lines.Text())
+		if len(fields) == 0 || fields[0] == "#" {
+			continue
+		}
+		if len(fields) < 3 {
+			t.Fatalf("%s: a line of %d fields", path, len(fields))
+		}
+		if _, err := strconv.Atoi(fields[1]); err != nil {
+			t.Fatalf("%s: %v", path, err)
+		}
+		recorded[fields[0]] = fields[1:]
+	}
+	if err := lines.Err(); err != nil {
+		t.Fatal(err)
+	}
+	return recorded
+}
