--- /dev/null
+++ b/internal/info/golden_test.go
@@ -0,0 +1,348 @@
+package info
+
+import (
+	"encoding/json"
+	goflag "flag"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"silvercove/choice"
+)
+
+// The golden trace holds what made-up documents of settings come to, for each setting that anything reads, as its readers
+// take it; and the errors of those that are refused. Settings that pass through and are read by nobody are not in it:
+// TestUnknownNamesShadowNothing and TestUnknownSettingsChangeNoDecision hold those.
+
+var update = goflag.Bool("update", false, "write the golden trace instead of comparing with it")
+
+const (
+	goldenFile  = "testdata/settings.golden"
+	goldenSeeds = 150
+)
+
+// canonical writes each setting that is read on a line of its own, sorted.
+func canonical(set map[string]any) []string {
+	var lines []string
+	say := func(path, format string, values ...any) {
+		lines = append(lines, path+" = "+fmt.Sprintf(format, values...))
+	}
+	number := func(v any) float64 { f, _ := v.(float64); return f }
+	ticks := func(path string, v any) { say(path, "%d ticks", choice.Tick(number(v)*float64(choice.Second))) }
+	nanoseconds := func(path string, v any) {
+		say(path, "%d ns", int64(time.Duration(number(v)*float64(time.Second))))
+	}
+	names := func(path string, v any) {
+		for i, name := range namesOf(v) {
+			say(fmt.Sprintf("%s[%d]", path, i), "%q", brief(name))
+		}
+	}
+	numbers := func(path string, v any) {
+		list, _ := v.([]any)
+		say(path, "%d stages", max(1, len(list)))
+		for i, one := range list {
+			say(fmt.Sprintf("%s[%d]", path, i), "%v", number(one))
+		}
+	}
+	flagged := func(path string, v any) { say(path, "%v", v == true) }
+
+	say("balancers", "%v", number(set["relays"]))
+	say("discovery", "on demand: %v", set["discovery"] == "subscribe")
+	names("kinds", set["kinds"])
+	names("load_info.columns", set["load.figures"])
+	names("parties", set["customers"])
+	names("zones", set["zones"])
+
+	nanoseconds("limits.connect_timeout", set["limits.connect_timeout"])
+	ticks("limits.idle_close", set["limits.idle_close"])
+	nanoseconds("limits.idle_close", set["limits.idle_close"])
+	ticks("limits.max_retry_after", set["limits.max_come_back"])
+	nanoseconds("limits.max_retry_after", set["limits.max_come_back"])
+	flagged("limits.may_cancel", set["limits.may_cancel"])
+	flagged("limits.peers", set["limits.peers"])
+	flagged("limits.retry_after", set["limits.come_back"])
+	say("limits.send_cap", "%d", int(number(set["limits.max_deliveries"])))
+
+	ticks("rules.ask_every", set["rules.ask_every"])
+	ticks("rules.cold", set["rules.cold"])
+	say("rules.cold_from", "%v", number(set["rules.cold_from"]))
+	ticks("rules.drain_grace", set["rules.drain_grace"])
+	nanoseconds("rules.drain_grace", set["rules.drain_grace"])
+	say("rules.fall_multiple", "%v", number(set["rules.fall_multiple"]))
+	ticks("rules.tip_after", set["rules.tip_after"])
+
+	say("family_info.control", "by the clock: %v", set["rollout.control"] == "clocked")
+	say("family_info.counted_by", "a count a class: %v", set["rollout.exposure_by"] == "op_type")
+	ticks("family_info.counted_over", set["rollout.exposure_window"])
+	flagged("family_info.forward_only", set["rollout.forward_only"])
+	say("family_info.found_share", "%v", number(set["rollout.found_share"]))
+	say("family_info.guarded_stages", "%d", int(number(set["rollout.guarded_stages"])))
+	ticks("family_info.metrics_period", set["rollout.metrics_period"])
+	numbers("family_info.most_shares", set["rollout.caps"])
+	numbers("family_info.shares", set["rollout.stage_shares"])
+	say("family_info.uncounted", "%v", number(set["rollout.exposure_free"]))
+	ticks("family_info.ballot_ttl", set["rollout.vote_life"])
+	ticks("family_info.vote_wait", set["rollout.vote_wait"])
+	nanoseconds("family_info.vote_wait", set["rollout.vote_wait"])
+	say("family_info.votes_per_s", "%v", number(set["rollout.votes_per_s"]))
+	ticks("(the operator's evidence wait)", set["rollout.evidence_wait"])
+	ticks("(the operator's report time)", set["rollout.report_within"])
+
+	types, _ := set["op_types"].([]map[string]any)
+	for i, class := range types {
+		at := func(name string) string { return fmt.Sprintf("grades[%d].%s", i, name) }
+		name, _ := class["name"].(string)
+		say(at("name"), "%q", brief(name))
+		say(at("worth"), "%v", number(class["importance"]))
+		ticks(at("on_time"), class["service_target"])
+		nanoseconds(at("deadline"), class["command_timeout"])
+		ticks(at("window"), class["repeat_window"])
+		say(at("semantics"), "%s", map[any]string{"redeliverable": "idempotent", "deduplicated": "idempotent with a key",
+			"at_most_once": "at most once"}[class["repeats"]])
+		scope := map[any]string{"all": "everywhere", "zone": "zone", "cell": "cell"}[class["repeat_group"]]
+		if scope == "" {
+			scope = "nowhere"
+		}
+		say(at("dedup_scope"), "%s", scope)
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// namesOf are the names of a list of names, or of objects that have one.
+func namesOf(v any) (names []string) {
+	switch list := v.(type) {
+	case []any:
+		for _, one := range list {
+			name, _ := one.(string)
+			names = append(names, name)
+		}
+	case []map[string]any:
+		for _, one := range list {
+			name, _ := one["name"].(string)
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// brief keeps the trace small: of a long name its beginning and its length.
+func brief(name string) string {
+	const most = 60
+	if len(name) <= most {
+		return name
+	}
+	return fmt.Sprintf("%s... (%d bytes)", name[:most], len(name))
+}
+
+// goldenPaths are the settings that the wire's page names, and a few that it does not. In a list of objects the first one
+// is meant.
+var goldenPaths = []string{
+	"balancers", "blend", "blend/whole", "clients", "clients/marks_retry", "discovery", "family", "family_info",
+	"family_info/ayes_needed", "family_info/ballot_ttl", "family_info/behind_price", "family_info/control",
+	"family_info/counted_by", "family_info/counted_over", "family_info/forward_only", "family_info/found_share",
+	"family_info/guarded_stages", "family_info/harm_price", "family_info/metrics_period", "family_info/most_shares",
+	"family_info/moves_after", "family_info/noes_needed", "family_info/repeat_every", "family_info/replace_mode",
+	"family_info/shares", "family_info/soak", "family_info/tally_sample", "family_info/to_pause", "family_info/uncounted",
+	"family_info/vote_wait", "family_info/votes_per_s", "family_info/warm_keys", "family_info/unheard_of",
+	"grades", "grades/aim_stretch", "grades/deadline", "grades/dedup_scope", "grades/late_worth", "grades/name",
+	"grades/on_time", "grades/semantics", "grades/stream", "grades/unheard_of", "grades/window", "grades/worth", "kinds",
+	"limits", "limits/connect_timeout", "limits/cpu_us_per_request", "limits/cpu_us_per_s", "limits/idle_close",
+	"limits/max_open", "limits/max_retry_after", "limits/may_cancel", "limits/may_duplicate", "limits/peers",
+	"limits/probing", "limits/retry_after", "limits/send_cap", "limits/streams_per_conn", "limits/unheard_of",
+	"load_info", "load_info/columns", "load_info/source", "me", "over_share_worth", "parties", "parties/fraction",
+	"parties/name", "parties/quota_per_s", "prices", "prices/waste", "rules", "rules/answer_slack", "rules/ask_every",
+	"rules/cold", "rules/cold_from", "rules/drain_grace", "rules/fall_multiple", "rules/tip_after", "stage", "tick", "tiers",
+	"unheard_of", "weights", "worth_by", "zone", "zones",
+}
+
+// goldenValues are what each of them is put to, as JSON; "" is no such setting.
+var goldenValues = []string{
+	"", "null", "0", "-0.0", "-1", "-1e-9", "0.00029", "0.29", "0.5", "1", "1.0000001", "3", "32.5", "33", "1001", "1e7", "360000", "360001",
+	"1e300", "1e999", "true", "false", `""`, `"3"`, `"subscribe"`, `"clocked"`, `"all"`, `"per_lane"`, `"zone"`, `"cell"`,
+	`"read_like"`, `"idempotency_key"`, `"non_idempotent"`, `"redeliverable"`, `"two"`, `"sell"`, `"east"`,
+	"[]", "{}", "[null]", "[1]", "[-1]", "[0.25,0.5]", "[0.25,2]", `["a"]`, `["a","a"]`, `["a",1]`, `[{}]`, `[{"name":"a"}]`,
+	`[{"name":"a"},{"name":"a"}]`, `[{"name":"a"},"b"]`, `[{"name":"","on_time":1}]`, `[{"name":"a","on_time":0.0001}]`,
+	`[{"name":"a","deadline":0.7},{"name":"b","on_time":5,"semantics":"read_like"}]`, `{"name":1}`, `{"unheard_of":{"a":1,"b":[{}]}}`,
+}
+
+// goldenTexts are whole documents.
+var goldenTexts = []string{
+	"", " ", "{", "}", "null", "[]", "3", `"text"`, "{}", `{"grades":[]}`, `{"grades":null}`, `{"grades":[null]}`, `{"grades":[1]}`,
+	`{"grades":{"a":1}}`, `{"grades":[{"name":"a","on_time":1}]}`, `{"grades":[{"name":"a","on_time":1}]} `,
+	`{"grades":[{"name":"a","on_time":1}]} x`, `{"grades":[{"name":"a","on_time":1}],}`,
+	`{"grades":[{"name":"a","on_time":1}],"grades":[{"name":"a","on_time":1}]}`,
+	`{"grades":[{"name":"a","on_time":1,"on_time":2}]}`, `{"grades":[{"name":"a","on_time":1}],"rules":{"cold":1,"cold":1}}`,
+	`{"grades":[{"name":"a","on_time":1}],"x":[{"y":{"z":1,"z":1}}]}`, `{"grades":[{"name":"a","on_time":1}],"x":[[[{"y":1,"y":1}]]]}`,
+	`{"grades":[{"name":"a","on_time":1}],"a.b":1,"a":{"b":1}}`, `{"Grades":[{"name":"a","on_time":1}]}`,
+	`{"grades":[{"name":"a"}]}`, `{"grades":[{"name":"a","on_time":0,"deadline":0}]}`, `{"grades":[{"name":"a","on_time":null,"deadline":0}]}`,
+	`{"grades":[{"name":"a","on_time":1},{"name":"b"}]}`, `{"grades":[{"name":"a","on_time":1},{"name":"a","on_time":1}]}`,
+	`{"grades":[{"name":"a","on_time":1}],"limits.send_cap":5,"limits":{"max_deliveries":7}}`,
+	`{"grades":[{"name":"a","on_time":1,"service_target":9,"repeats":"redeliverable"}],"rollout":{"caps":[1]},"op_types":3}`,
+	`{"grades":[{"name":"a","on_time":1}],"rollout.evidence_wait":4,"rollout":{"report_within":4},"family_info":{"evidence_wait":4,"report_within":3}}`,
+	`{"grades":[{"name":"a","on_time":1}],"rules":{"cold":2}}`, `{"grades":[{"name":"a","on_time":1}],"rules":{"cold":2,"tip_after":0}}`,
+	`{"grades":[{"name":"a","on_time":1}],"family_info":{"uncounted":5}}`, `{"grades":[{"name":"a","on_time":1}],"family_info":{"uncounted":5,"counted_over":0.00001}}`,
+	`{"grades":[{"name":"a","on_time":1},{"name":"b","deadline":9}],"limits":{}}`,
+	`{"grades":[{"name":"\u0000\"\\é写真","on_time":1}],"zones":["\u202e",""],"kinds":["","",""],"parties":[{"name":""}]}`,
+	"{\"grades\":[{\"name\":\"\xff\",\"on_time\":1}]}", `{"grades":[{"name":"` + strings.Repeat("long", 50) + `"}]}`,
+	`{"grades":[{"name":"` + strings.Repeat("写", 70) + `"}]}`, `{"grades":"` + strings.Repeat("long ", 50) + `"}`,
+	`{"grades":[{"name":"a","on_time":1}],"` + strings.Repeat("n", 100) + `":{"x":1,"x":2}}`, ordinary,
+}
+
+// valid are values that each path takes, for documents made at random.
+var valid = map[string][]string{
+	"balancers": {"0", "1", "2.5", "300", "1e9", "-4"}, "discovery": {`"automatic"`, `"subscribe"`, `"other"`},
+	"family_info/ballot_ttl": {"0", "0.29", "1e9"}, "family_info/control": {`"single"`, `"clocked"`, `"majority"`, `""`},
+	"family_info/counted_by": {`"all"`, `"per_lane"`}, "family_info/counted_over": {"0", "0.29", "1.00009"},
+	"family_info/forward_only": {"true", "false"}, "family_info/found_share": {"0", "0.5", "1"},
+	"family_info/guarded_stages": {"0", "2", "5000"}, "family_info/metrics_period": {"0", "1.7"},
+	"family_info/most_shares": {"[]", "[0]", "[0.1,0.7,1]"}, "family_info/shares": {"[]", "[0.3]", "[0.1,0.7,1]"},
+	"family_info/uncounted": {"0", "0.5", "1e6"}, "family_info/vote_wait": {"0", "0.4999", "1e9"},
+	"family_info/votes_per_s": {"0", "0.01", "75"}, "grades/deadline": {"0", "0.57", "2.3", "1e9"},
+	"grades/dedup_scope": {`"all"`, `"zone"`, `"cell"`, `"rack"`}, "grades/name": {`"a.b"`, `"grades"`, `" "`},
+	"grades/semantics": {`"read_like"`, `"idempotency_key"`, `"non_idempotent"`, `"other"`}, "grades/window": {"0", "0.00019", "7"},
+	"grades/worth": {"0", "0.25", "1e12"}, "kinds": {"[]", `["x","x"]`, `[{"name":"x","y":1}]`},
+	"limits/connect_timeout": {"0", "0.1999", "1e9"}, "limits/idle_close": {"0", "0.29"}, "limits/max_retry_after": {"0", "0.29", "1e9"},
+	"limits/may_cancel": {"true", "false"}, "limits/peers": {"true", "false"}, "limits/retry_after": {"true", "false"},
+	"limits/send_cap": {"1", "2", "32", "1e9"}, "load_info/columns": {"[]", `["queue"]`, `["util","util"]`},
+	"parties": {"[]", `[{"name":"x"}]`, `[{"name":""},{"name":"z"}]`}, "rules/ask_every": {"0", "9.99999"}, "rules/cold": {"0", "4.29"},
+	"rules/cold_from": {"0", "0.37", "1"}, "rules/drain_grace": {"0", "0.29"}, "rules/fall_multiple": {"0", "2.5"},
+	"rules/tip_after": {"0", "1.5"}, "zones": {"[]", `["x","y","z"]`, `[{"name":"x"}]`},
+}
+
+// changed keeps of a document's lines those that the ordinary document does not have, and names those that it lacks.
+func changed(lines, usual []string) []string {
+	var out []string
+	for _, line := range lines {
+		if !slices.Contains(usual, line) {
+			out = append(out, "\t"+line)
+		}
+	}
+	path := func(line string) string { before, _, _ := strings.Cut(line, " = "); return before }
+	for _, line := range usual {
+		if !slices.ContainsFunc(lines, func(one string) bool { return path(one) == path(line) }) {
+			out = append(out, "\t"+path(line)+" is not there")
+		}
+	}
+	return out
+}
+
+func TestReadMatchesGoldenTrace(t *testing.T) {
+	usual, err := Read([]byte(ordinary))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var trace []string
+	take := func(title string, text []byte, against []string) {
+		trace = append(trace, title)
+		set, err := Read(text)
+		if err != nil {
+			trace = append(trace, "\terror: "+err.Error())
+			return
+		}
+		trace = append(trace, changed(canonical(set), against)...)
+	}
+	take("the ordinary document", []byte(ordinary), nil)
+	for i, text := range goldenTexts {
+		take(fmt.Sprintf("document %d: %s", i, strconv.Quote(brief(text))), []byte(text), nil)
+	}
+	for _, path := range goldenPaths {
+		for _, value := range goldenValues {
+			title := path + " : " + value
+			if value == "" {
+				title = path + " is missing"
+			}
+			take(title, with(t, path, value), canonical(usual))
+		}
+	}
+	paths := make([]string, 0, len(valid))
+	for path := range valid {
+		paths = append(paths, path)
+	}
+	slices.Sort(paths)
+	for seed := range uint64(goldenSeeds) {
+		random := rand.New(rand.NewPCG(seed, 0x601d))
+		text := []byte(ordinary)
+		for _, path := range paths {
+			if all := valid[path]; random.IntN(2) == 0 {
+				text = put(t, text, path, all[random.IntN(len(all))])
+			}
+		}
+		take(fmt.Sprintf("seed %d", seed), text, canonical(usual))
+	}
+	compare(t, trace)
+}
+
+// put sets a member of a document, as with does with the ordinary one.
+func put(t *testing.T, text []byte, path, value string) []byte {
+	t.Helper()
+	var doc map[string]any
+	if err := json.Unmarshal(text, &doc); err != nil {
+		t.Fatal(err)
+	}
+	at := doc
+	steps := strings.Split(path, "/")
+	for _, step := range steps[:len(steps)-1] {
+		switch v := at[step].(type) {
+		case map[string]any:
+			at = v
+		case []any:
+			at = v[0].(map[string]any)
+		}
+	}
+	at[steps[len(steps)-1]] = json.RawMessage(value)
+	out, err := json.Marshal(doc)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+func compare(t *testing.T, trace []string) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(goldenFile, []byte(strings.Join(trace, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(want) != len(trace) {
+		t.Errorf("%d lines, the trace has %d", len(trace), len(want))
+	}
+	shown, title := 0, ""
+	for i := range min(len(trace), len(want)) {
+		if !strings.HasPrefix(want[i], "\t") {
+			title = want[i]
+		}
+		if trace[i] != want[i] {
+			t.Errorf("line %d, under %q:\ngot  %s\nwant %s", i+1, title, trace[i], want[i])
+			if shown++; shown == 10 {
+				t.Fatal("and perhaps more")
+			}
+		}
+	}
+}
+
+// TestGoldenSpansReachFarEnough guards the trace itself: its spans reach from less than a tick to the longest.
+func TestGoldenSpansReachFarEnough(t *testing.T) {
+	least, most := math.Inf(1), 0.0
+	for _, value := range goldenValues {
+		if f, err := strconv.ParseFloat(value, 64); err == nil && f > 0 {
+			least, most = min(least, f), max(most, f)
+		}
+	}
+	if least >= 0.001 || most < 360_000 {
+		t.Errorf("spans from %v to %v s", least, most)
+	}
+}
