--- /dev/null
+++ b/internal/lab/fleetsim/golden_test.go
@@ -0,0 +1,285 @@
+package fleetsim
+
+import (
+	"bytes"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+
+	"silvercove/internal/standin/crew"
+	"silvercove/internal/tick"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden_events.txt anew")
+
+const (
+	goldenFile = "testdata/golden_events.txt"
+
+	// goldenCheckpoint is how many timeline events lie between two hashes of a trace.
+	goldenCheckpoint = 200
+
+	// goldenDrawn is how many drawn schedules are traced, by seed from 1; the seeds of TestRulesAreSeen are among them.
+	goldenDrawn = 240
+)
+
+// recordedAs maps a word of the timeline to the one it had when the golden traces were recorded. An entry is added where
+// a word is renamed, so that the traces need not be written anew for it.
+var recordedAs = map[string]string{}
+
+// goldenWord is a timeline word as it is hashed.
+func goldenWord(word string) string {
+	if was, renamed := recordedAs[word]; renamed {
+		return was
+	}
+	return word
+}
+
+// goldenTrace hashes what a fleet does: the moment of each event that is played, and each line of the timeline by time,
+// node and kind. Reasons, which are text for people, are left out.
+type goldenTrace struct {
+	hash        *xxhash.Digest
+	lines       int // timeline events so far
+	checkpoints []uint64
+	times       []tick.Tick // of the checkpoints
+}
+
+func (g *goldenTrace) number(n uint64) {
+	var b [8]byte
+	binary.LittleEndian.PutUint64(b[:], n)
+	g.hash.Write(b[:])
+}
+
+func (g *goldenTrace) word(text string) {
+	g.number(uint64(len(text)))
+	g.hash.WriteString(text)
+}
+
+func (g *goldenTrace) line(now tick.Tick, e crew.Event) {
+	g.number(uint64(now))
+	for _, text := range []string{e.Node, goldenWord(e.Name), e.Instance, e.From, e.To, goldenWord(e.State)} {
+		g.word(text)
+	}
+	g.number(e.Epoch)
+	if e.Script {
+		g.number(1)
+	}
+	if g.lines++; g.lines%goldenCheckpoint == 0 {
+		g.checkpoints = append(g.checkpoints, g.hash.Sum64())
+		g.times = append(g.times, now)
+	}
+}
+
+// run plays a fleet up to a moment, one event after the other.
+func (g *goldenTrace) run(f *Fleet, until tick.Tick) {
+	seen := len(f.lines)
+	for f.check.broken == "" {
+		e, any := f.queue.next(until)
+		if !any {
+			break
+		}
+		f.now = e.at
+		f.Events++
+		e.do()
+		g.number(uint64(f.now))
+		for ; seen < len(f.lines); seen++ {
+			g.line(f.now, f.lines[seen])
+		}
+	}
+	if f.check.broken == "" {
+		f.now = until
+	}
+}
+
+// end hashes how the run ended: the table, the counts and the state of the random source.
+func (g *goldenTrace) end(f *Fleet) {
+	g.hash.Write(f.keep.table.Snapshot())
+	k := &f.check
+	for _, n := range []int{k.Commands, k.Acked, k.Nacked, k.Unknown, k.Shed, k.Repeats, k.Moves, k.Falls, k.Lost, k.MostMoves,
+		k.Doubts, k.Backs, k.Unseen} {
+		g.number(uint64(n))
+	}
+	g.number(f.Events)
+	g.number(f.rng.Uint64())
+	if k.broken != "" {
+		g.number(1)
+	}
+	g.checkpoints = append(g.checkpoints, g.hash.Sum64())
+	g.times = append(g.times, f.now)
+}
+
+// goldenCase is one traced run.
+type goldenCase struct {
+	name   string
+	seed   uint64
+	size   Size
+	script string
+	until  tick.Tick
+}
+
+func (c goldenCase) play() *goldenTrace {
+	c.size.Lines = true
+	f := New(c.seed, c.size)
+	f.Play(mustScript(c.script))
+	g := &goldenTrace{hash: xxhash.New()}
+	g.run(f, c.until)
+	g.end(f)
+	return g
+}
+
+// goldenSchedule is a schedule as the search plays it, up to when all should be quiet.
+func goldenSchedule(name string, s Schedule) goldenCase {
+	last := tick.Tick(0)
+	for _, x := range s.Script {
+		last = max(last, x.At+x.Span)
+	}
+	return goldenCase{name: name, seed: s.Seed, size: s.size(), script: s.Script.String(), until: last + calmFor}
+}
+
+// twofoldSize is the fleet that Twofold.play makes.
+func twofoldSize(w Twofold) Size {
+	return Size{Relays: max(2, w.Relays), Units: w.Units, Zones: 2, Instances: max(1, w.Cams), Keepers: 3, Lease: 1, Dwell: 0,
+		Restart: 1, Copies: 1, Commands: max(20, w.Commands), News: tick.Second, Radio: 1e6, First: true, Believes: true}
+}
+
+// goldenCases are the seeds and scripts of this package's tests, and drawn schedules.
+func goldenCases(t testing.TB) (all []goldenCase) {
+	t.Helper()
+	one := Small()
+	one.Instances = 3
+	all = append(all, goldenCase{"one-handover", 1, one, "8000 swarm zone-1 zone-2 for 9000 by 1", 15 * tick.Second})
+	faults := "5000 crash edge-1 for 3000\n6000 leader all for 2000\n7000 swarm zone-2 zone-3 for 5000 by 1\n" +
+		"8000 loss edge-2 for 9000 by 0.3\n9000 tiredzone zone-3 for 4000"
+	for _, seed := range []uint64{7, 8} {
+		all = append(all, goldenCase{fmt.Sprintf("same-seed-%d", seed), seed, Small(), faults, 30 * tick.Second})
+	}
+	all = append(all,
+		goldenCase{"unknown-step", 3, Small(), "10000 later edge-1 for 3000", 20 * tick.Second},
+		goldenCase{"later-keeper", 11, Small(), "5000 laterkeeper keeper-1 for 30000\n10000 later edge-1 for 3000", 40 * tick.Second})
+	middle := fleetOf(20, 4, 400)
+	for name, script := range map[string]string{
+		"clock":     "20000 clock all by 1",
+		"slow-disk": "5000 slowdisk keeper-1 for 60000 by 0.5\n12000 swarm zone-1 zone-2 for 20000 by 0.5",
+		"poison":    "10000 poison cam-1 for 30000",
+		"twin":      "10000 twin edge-1 for 30000\n11000 twin edge-1 for 20000\n30000 crash edge-1 for 10000",
+		"swarm":     "10000 swarm zone-1 zone-2 for 30000 by 1\n10000 radio zone-2 for 30000 by 0.01\n9000 tiredzone zone-2 for 20000",
+		"split":     "10000 split zone-1 for 30000",
+		"roll":      "10000 laterkeeper keeper-2 for 30000\n12000 roll all for 30000\n20000 later edge-4 for 5000",
+	} {
+		all = append(all, goldenCase{"hard-" + name, 11, middle, script, 50 * tick.Second})
+	}
+	away := fleetOf(12, 3, 120)
+	away.Away = 1
+	all = append(all, goldenCase{"hard-away", 11, away,
+		"10000 split zone-1 for 20000\n12000 swarm zone-2 zone-1 for 20000 by 0.3\n35000 split zone-1 for 10000", 60 * tick.Second})
+	all = append(all, goldenCase{"members", 5, circleSize(20), "10000 crash edge-2 for 5000\n12000 alone edge-5 for 8000\n15000 split zone-1 for 5000",
+		40 * tick.Second})
+	for _, w := range Twofolds {
+		all = append(all, goldenCase{"twofold-" + w.Test, twofoldSeed, twofoldSize(w), w.Script, 30 * tick.Second})
+	}
+	files, err := filepath.Glob("testdata/found/*.txt")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%v: %d schedules that were found", err, len(files))
+	}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, err := ParseSchedule(string(text))
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		all = append(all, goldenSchedule("found-"+strings.TrimSuffix(filepath.Base(file), ".txt"), s))
+	}
+	for seed := uint64(1); seed <= goldenDrawn; seed++ {
+		all = append(all, goldenSchedule(fmt.Sprintf("drawn-%d", seed), drawn(seed)))
+	}
+	slices.SortFunc(all, func(a, b goldenCase) int { return strings.Compare(a.name, b.name) })
+	return all
+}
+
+// text is a trace as the golden file keeps it: its name, its number of timeline events, and the hashes.
+func (g *goldenTrace) text(name string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %d", name, g.lines)
+	for _, sum := range g.checkpoints {
+		fmt.Fprintf(&b, " %08x", uint32(sum))
+	}
+	return b.String()
+}
+
+// Every simulated fleet plays the events that were recorded, at the same moments. A change that is meant to leave
+// decisions as they are must leave this file as it is.
+func TestGoldenEvents(t *testing.T) {
+	cases := goldenCases(t)
+	traces := make([]*goldenTrace, len(cases))
+	next := make(chan int)
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Go(func() {
+			for i := range next {
+				traces[i] = cases[i].play()
+			}
+		})
+	}
+	for i := range cases {
+		next <- i
+	}
+	close(next)
+	workers.Wait()
+
+	if *updateGolden {
+		var file bytes.Buffer
+		for i, c := range cases {
+			fmt.Fprintln(&file, traces[i].text(c.name))
+		}
+		if err := os.WriteFile(goldenFile, file.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	file, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := map[string]string{}
+	for line := range strings.Lines(string(file)) {
+		line = strings.TrimSpace(line)
+		name, _, _ := strings.Cut(line, " ")
+		recorded[name] = line
+	}
+	if len(recorded) != len(cases) {
+		t.Errorf("%d traces are recorded, %d were played", len(recorded), len(cases))
+	}
+	for i, c := range cases {
+		if got, want := traces[i].text(c.name), recorded[c.name]; got != want {
+			t.Errorf("%s: %s", c.name, traces[i].differs(want))
+		}
+	}
+}
+
+// differs says where a trace first differs from what was recorded.
+func (g *goldenTrace) differs(want string) string {
+	words := strings.Fields(want)
+	if len(words) < 2 {
+		return "is not recorded"
+	}
+	words = words[2:]
+	from := tick.Tick(0)
+	for i, sum := range g.checkpoints {
+		if i >= len(words) || words[i] != fmt.Sprintf("%08x", uint32(sum)) {
+			return fmt.Sprintf("differs from the recorded trace after timeline event %d, between %d and %d ms", i*goldenCheckpoint,
+				from/milli, g.times[i]/milli)
+		}
+		from = g.times[i]
+	}
+	return fmt.Sprintf("ends at %d ms, and the recorded trace goes on", from/milli)
+}
