--- /dev/null
+++ b/internal/conf/stored_test.go
@@ -0,0 +1,85 @@
+package conf_test
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"silvercove/internal/conf"
+	"silvercove/internal/lab"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+// Files of operators come out as they always did, each directive among them; so do the examples that are shipped.
+func TestStoredFilesAreReadAsBefore(t *testing.T) {
+	stored := filepath.Join("testdata", "stored")
+	given := map[string]bool{} // directives, by path
+	for _, f := range []struct {
+		name, path string
+		table      *conf.Table
+	}{
+		{"metadata-waves", filepath.Join(stored, "metadata-waves.conf"), &conf.Operators},
+		{"metadata-platform", filepath.Join(stored, "metadata-platform.conf"), &conf.Operators},
+		{"fleet", filepath.Join(stored, "fleet.conf"), &conf.Operators},
+		{"fleet-keeper", filepath.Join(stored, "fleet-keeper.conf"), &conf.Operators},
+		{"deploy-metadata", filepath.Join("..", "..", "deploy", "metadata.conf"), &conf.Operators},
+		{"deploy-garbage", filepath.Join("..", "..", "deploy", "garbage.conf"), &lab.Experiments},
+		{"deploy-loopback", filepath.Join("..", "..", "deploy", "loopback.conf"), &lab.Experiments},
+		{"deploy-rollouts", filepath.Join("..", "..", "deploy", "rollouts.conf"), &lab.Experiments},
+		{"deploy-thin", filepath.Join("..", "..", "deploy", "thin.conf"), &lab.Experiments},
+	} {
+		t.Run(f.name, func(t *testing.T) {
+			all, err := f.table.Read(f.path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := json.MarshalIndent(all, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden := filepath.Join(stored, f.name+".json")
+			if *updateStored {
+				if err := os.WriteFile(golden, append(got, '\n'), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(golden)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(got)+"\n" != string(want) {
+				t.Errorf("it is read as\n%s\nwanted\n%s", got, want)
+			}
+			if f.table == &conf.Operators {
+				note(given, "", all)
+			}
+		})
+	}
+	for _, d := range conf.Operators.Directives {
+		if path := strings.TrimPrefix(d.In+"."+d.Name, "."); !given[path] {
+			t.Errorf("%s is in none of the files", path)
+		}
+	}
+}
+
+// note takes the paths of what a file has into those that are given.
+func note(given map[string]bool, in string, all map[string]any) {
+	for name, value := range all {
+		path := strings.TrimPrefix(in+"."+name, ".")
+		given[path] = true
+		switch value := value.(type) {
+		case map[string]any:
+			note(given, path, value)
+		case []any:
+			for _, one := range value {
+				if block, ok := one.(map[string]any); ok {
+					note(given, path, block)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/director/stored_test.go
@@ -0,0 +1,172 @@
+package director
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"silvercove/internal/keys"
+	"silvercove/internal/standin/repository"
+	"silvercove/internal/trust"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+// storedState is what the stored file is known to have.
+type storedState struct {
+	Released uint16                 `json:"released"`
+	Passed   trust.Tick             `json:"passed"`
+	Servers  map[string]storedIssue `json:"servers"`
+}
+
+// storedIssue is the last issue to one server.
+type storedIssue struct {
+	Version int64      `json:"version"`
+	Build   uint16     `json:"build"`
+	Before  uint16     `json:"before"`
+	End     trust.Tick `json:"end"`
+	Until   trust.Tick `json:"until"`
+}
+
+// stateOf is what a house's file has now.
+func stateOf(h *house) storedState {
+	is := storedState{Passed: h.Passed(), Servers: map[string]storedIssue{}}
+	released, _ := h.Seen("director/released")
+	is.Released = uint16(released)
+	for i := range 10 {
+		name := fmt.Sprint("s", i)
+		version, sum := h.Seen("issued/" + name)
+		was := unpack(sum)
+		is.Servers[name] = storedIssue{version, was.build, was.before, was.end, was.until}
+	}
+	return is
+}
+
+// What an earlier program kept is read; the next issue to each server follows it, and what was released stays so.
+func TestStoredStateIsReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	text, err := os.ReadFile(filepath.Join(stored, "state.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want storedState
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	h := storedHouse(t, stored)
+	if got, _ := json.MarshalIndent(stateOf(h), "", "  "); string(got)+"\n" != string(text) {
+		t.Errorf("the file is read as\n%s\nwanted\n%s", got, text)
+	}
+	if h.released != want.Released {
+		t.Errorf("version %d counts as released, wanted %d", h.released, want.Released)
+	}
+	h.wave(2, "live", 1)
+	for name, was := range want.Servers {
+		version, build := h.told(name)
+		if version != was.Version+1 || build != was.Build {
+			t.Errorf("%s is told %d by issue %d, after %d by issue %d", name, build, version, was.Build, was.Version)
+		}
+	}
+	h.start() // and a restart finds what was issued now
+	for name, is := range stateOf(h).Servers {
+		if is.Version != want.Servers[name].Version+1 {
+			t.Errorf("%s: issue %d after %d", name, is.Version, want.Servers[name].Version)
+		}
+	}
+	if h.released != want.Released {
+		t.Errorf("after a restart version %d counts as released, wanted %d", h.released, want.Released)
+	}
+}
+
+// storedHouse is a Director with a copy of what was stored, a minute later.
+func storedHouse(t *testing.T, stored string) *house {
+	t.Helper()
+	h := &house{T: t, clock: repository.NewClock(false), path: filepath.Join(t.TempDir(), "floor"), chain: map[string][]byte{},
+		before: func() error { return nil }}
+	h.clock.Jump(time.Minute)
+	h.image = func(path string) (*trust.Target, *trust.Refusal) {
+		return &trust.Target{Path: path, Length: 5}, nil
+	}
+	content, err := os.ReadFile(filepath.Join(stored, "state.floor"))
+	if err == nil {
+		err = os.WriteFile(h.path, content, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if h.chain["1.root.json"], err = os.ReadFile(filepath.Join(stored, "1.root.json")); err != nil {
+		t.Fatal(err)
+	}
+	for _, role := range []string{"targets-0", "targets-1", "targets-2", "snapshot-0", "timestamp-0"} {
+		text, err := os.ReadFile(filepath.Join(stored, role+keys.Suffix))
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(t.TempDir(), role+keys.Suffix)
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		k, err := keys.Load(path, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		h.online = append(h.online, k)
+	}
+	h.start()
+	t.Cleanup(func() { h.disk.Close() })
+	return h
+}
+
+// writeStored stores what a Director kept of a rollout to ten servers that ended in a release.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	h := newHouse(t)
+	h.second()
+	h.wave(2, "testing", 0.3)
+	h.second()
+	for i := range 2 {
+		if err := h.Reported(&trust.Report{Server: fmt.Sprint("s", i), Build: 2, Installed: "ok", Tried: "app/2"}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	h.second()
+	h.wave(2, "live", 1)
+	h.second()
+	h.wave(3, "testing", 0.1) // version 2 is kept as released
+	state, err := json.MarshalIndent(stateOf(h), "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := h.disk.Close(); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(h.path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.RemoveAll(stored); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(stored, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string][]byte{"state.json": append(state, '\n'), "state.floor": content,
+		"1.root.json": h.chain["1.root.json"]} {
+		if err := os.WriteFile(filepath.Join(stored, name), text, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i, k := range h.online {
+		role := []string{"targets-0", "targets-1", "targets-2", "snapshot-0", "timestamp-0"}[i]
+		if err := k.Save(filepath.Join(stored, role+keys.Suffix), nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/floor/stored_test.go
@@ -0,0 +1,87 @@
+package floor
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"silvercove/internal/trust"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+// storedVersions are what the stored file has, as an earlier program wrote it.
+var storedVersions = []struct {
+	key     string
+	version int64
+	content string
+}{
+	{"image/root", 3, "root 3"},
+	{"image/timestamp", 41, "timestamp 41"},
+	{"issued/server-1", 7, "issue 7"},
+}
+
+const storedTime = trust.Tick(987654321)
+
+// A file that an earlier program wrote is read, is written on, and keeps what it had.
+func TestStoredFileIsReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored", "versions.floor")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	content, err := os.ReadFile(stored)
+	must(t, err)
+	path := filepath.Join(t.TempDir(), "floor")
+	must(t, os.WriteFile(path, content, 0o600))
+	f := open(t, path)
+	if f.Fresh || f.Cut != 0 {
+		t.Errorf("the file counts as fresh: %v; %d bytes were cut off", f.Fresh, f.Cut)
+	}
+	checkStored(t, f, len(storedVersions))
+	must(t, f.Raise("image/timestamp", 42, sum("timestamp 42")))
+	must(t, f.Raise("new", 1, sum("new 1")))
+	must(t, f.Pass(storedTime+1))
+	must(t, f.Close())
+
+	again := open(t, path)
+	checkStored(t, again, len(storedVersions)+1)
+	if version, s := again.Seen("image/timestamp"); version != 42 || s != sum("timestamp 42") {
+		t.Errorf("the raised version is %d", version)
+	}
+	if again.Passed() != storedTime+1 {
+		t.Errorf("the time is %d", again.Passed())
+	}
+}
+
+// checkStored checks that everything that was stored is there, or what was raised since.
+func checkStored(t *testing.T, f *Floor, entries int) {
+	t.Helper()
+	if f.Len() != entries || f.Passed() < storedTime {
+		t.Errorf("%d entries and the time %d, wanted %d and at least %d", f.Len(), f.Passed(), entries, storedTime)
+	}
+	for _, s := range storedVersions {
+		version, content := f.Seen(s.key)
+		if version < s.version || version == s.version && content != sum(s.content) {
+			t.Errorf("%s has version %d, wanted %d", s.key, version, s.version)
+		}
+	}
+}
+
+// writeStored writes the records after each other, some of them replaced, and leaves the file as appended.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "floor")
+	f := open(t, path)
+	must(t, f.Raise("image/root", 2, sum("root 2")))
+	must(t, f.Pass(storedTime-1))
+	for _, s := range storedVersions {
+		must(t, f.Raise(s.key, s.version, sum(s.content)))
+	}
+	must(t, f.Pass(storedTime))
+	must(t, f.Close())
+	content, err := os.ReadFile(path)
+	must(t, err)
+	must(t, os.MkdirAll(filepath.Dir(stored), 0o755))
+	must(t, os.WriteFile(stored, content, 0o644))
+}
--- /dev/null
+++ b/internal/handover/planner_trace_test.go
@@ -0,0 +1,442 @@
+package handover_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	. "silvercove/internal/handover"
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+var plannerTraces = flag.String("planner-traces", "", "folder that gets each planner trace in full, for comparing two programs")
+
+// plannerSeeds is how many seeds each scenario of a planner's golden trace is run with.
+const plannerSeeds = 24
+
+// plannerTrace is what a planner decided: each entry that it proposed, as JSON, and when it wanted to be called next.
+type plannerTrace struct {
+	sum     hash.Hash
+	out     io.Writer
+	entries int
+}
+
+func newPlannerTrace(t testing.TB, name string) *plannerTrace {
+	t.Helper()
+	trace := &plannerTrace{sum: sha256.New()}
+	trace.out = trace.sum
+	if *plannerTraces == "" {
+		return trace
+	}
+	file, err := os.Create(filepath.Join(*plannerTraces, name+".txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { file.Close() })
+	trace.out = io.MultiWriter(trace.sum, file)
+	return trace
+}
+
+func (p *plannerTrace) line(format string, args ...any) {
+	if p != nil {
+		fmt.Fprintf(p.out, format+"\n", args...)
+	}
+}
+
+func (p *plannerTrace) proposed(now tick.Tick, e Entry) {
+	if p == nil {
+		return
+	}
+	text, err := json.Marshal(e)
+	if err != nil {
+		panic(err)
+	}
+	p.entries++
+	p.line("%d %s", now, text)
+}
+
+func (p *plannerTrace) alarm(now, next tick.Tick) { p.line("%d alarm %d", now, next) }
+
+// comparePlannerTraces runs a scenario with each seed and compares what came of it with the golden file of its name.
+func comparePlannerTraces(t *testing.T, scenario string, run func(t *testing.T, seed uint64, trace *plannerTrace)) {
+	t.Helper()
+	var got strings.Builder
+	for seed := range uint64(plannerSeeds) {
+		trace := newPlannerTrace(t, fmt.Sprintf("%s_%d", scenario, seed))
+		run(t, seed, trace)
+		fmt.Fprintf(&got, "seed %d: %d entries, sha256 %s\n", seed, trace.entries, hex.EncodeToString(trace.sum.Sum(nil)))
+		if trace.entries == 0 {
+			t.Errorf("seed %d: nothing was proposed", seed)
+		}
+	}
+	path := filepath.Join("testdata", "planner_"+scenario+".txt")
+	if *update {
+		if err := os.WriteFile(path, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
+	for i, line := range gotLines {
+		if i < len(wantLines) && line != wantLines[i] {
+			t.Errorf("%s: came\n%s\nexpected\n%s", scenario, line, wantLines[i])
+		}
+	}
+	if len(gotLines) != len(wantLines) {
+		t.Errorf("%s: %d lines came, %d were expected", scenario, len(gotLines), len(wantLines))
+	}
+}
+
+// tracedWorld is a fleet whose planners' decisions are traced from its beginning.
+func tracedWorld(t *testing.T, seed uint64, zones string, set map[string]any, trace *plannerTrace) *world {
+	w := made(t, seed, zones, set)
+	w.trace = trace
+	return w
+}
+
+// Devices cross between three zones, some of them again and again, while links between zones are full.
+func TestPlannerTrace_DevicesCross(t *testing.T) {
+	comparePlannerTraces(t, "devices", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		w := tracedWorld(t, seed, "north a b c; south d e; west f", map[string]any{"fleet.copies": float64(seed % 3),
+			"fleet.away": float64(seed % 2), "fleet.moves.link": float64(1 + seed%4)}, trace)
+		zones := []string{"north", "south", "west", "east"}
+		for i := range 24 {
+			w.create(fmt.Sprint("cam-", i), w.names[i%len(w.names)], zones[i%3], float64(1+w.r.IntN(100)))
+		}
+		w.run(2 * second)
+		for range 60 {
+			w.device(fmt.Sprint("cam-", w.r.IntN(24)), zones[w.r.IntN(3+int(seed%2))])
+			w.run(tick.Tick(w.r.IntN(int(2 * second))))
+		}
+		w.run(60 * second)
+	})
+}
+
+// Units fall and come back, alone and with their whole zone; one instance fells each unit that runs it.
+func TestPlannerTrace_UnitsFall(t *testing.T) {
+	comparePlannerTraces(t, "falls", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		w := tracedWorld(t, seed, "north a b c d; south e f g", map[string]any{"fleet.copies": float64(seed % 3),
+			"fleet.away": float64(seed / 3 % 2), "fleet.falls": float64(2 + seed%3)}, trace)
+		for i := range 20 {
+			w.create(fmt.Sprint("cam-", i), w.names[i%len(w.names)], "north", float64(1+w.r.IntN(100)))
+		}
+		w.run(2 * second)
+		for range 12 {
+			down := []*edge{w.edges[w.names[w.r.IntN(len(w.names))]]}
+			switch p := w.place("cam-0"); {
+			case seed%2 == 0 && p.State == Runs:
+				down[0] = w.edges[p.Owner]
+			case w.r.IntN(4) == 0:
+				for _, name := range w.names {
+					if e := w.edges[name]; e.Zone == down[0].Zone {
+						down = append(down, e)
+					}
+				}
+			}
+			for _, e := range down {
+				e.down = true
+			}
+			w.run(tick.Tick(w.r.IntN(int(6 * second))))
+			for _, e := range down {
+				e.down = false
+			}
+			w.run(tick.Tick(w.r.IntN(int(4 * second))))
+		}
+		w.run(60 * second)
+	})
+}
+
+// Units tire, drain, run a version that is rolled back, warm up, and have more than their room.
+func TestPlannerTrace_UnitsTire(t *testing.T) {
+	comparePlannerTraces(t, "tired", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		w := tracedWorld(t, seed, "north a b c; south d e f", map[string]any{"fleet.copies": float64(seed % 2),
+			"fleet.moves.unit": float64(1 + seed%5), "fleet.moves.all": float64(4 + seed%9)}, trace)
+		for i := range 24 {
+			w.create(fmt.Sprint("cam-", i), w.names[i%len(w.names)], []string{"north", "south"}[i%2], float64(1+w.r.IntN(100)))
+		}
+		w.run(2 * second)
+		for range 40 {
+			e := w.edges[w.names[w.r.IntN(len(w.names))]]
+			e.HandsOn, e.Draining, e.GoingBack, e.Leaves, e.Trickle = false, false, false, false, false
+			e.Accepts, e.Room, e.Danger = true, 20, w.r.Float64()
+			switch w.r.IntN(9) {
+			case 0:
+				e.HandsOn, e.Accepts = true, false
+			case 1:
+				e.Draining = true
+			case 2:
+				e.GoingBack = true
+			case 3:
+				e.Leaves, e.Accepts = true, false
+			case 4:
+				e.Trickle = true
+			case 5:
+				e.Accepts, e.Room = false, -1-w.r.IntN(4)
+			case 6:
+				e.Cold, e.Room = true, w.r.IntN(3)
+			case 7:
+				e.Accepts = false
+			}
+			w.run(tick.Tick(w.r.IntN(int(3 * second))))
+		}
+		w.run(20 * second)
+	})
+}
+
+// Holders are kept in other zones, which are cut off for a while or never reached.
+func TestPlannerTrace_ZonesAreCutOff(t *testing.T) {
+	comparePlannerTraces(t, "zones", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		copies := 1 + seed%3
+		w := tracedWorld(t, seed, "north a b; south c d; west e f", map[string]any{"fleet.copies": float64(copies),
+			"fleet.away": float64(1 + seed%copies), "fleet.moves.link": float64(2 + seed%6)}, trace)
+		for i := range 18 {
+			w.create(fmt.Sprint("cam-", i), w.names[i%len(w.names)], []string{"north", "south", "west"}[i%3], 5)
+		}
+		w.run(3 * second)
+		for range 5 {
+			zone := w.edges[w.names[w.r.IntN(len(w.names))]].Zone
+			away := func(name string) bool { return w.edges[name].Zone == zone }
+			w.cut = func(from, to string) bool { return away(from) != away(to) }
+			deaf := w.r.IntN(2) == 0
+			for _, name := range w.names {
+				w.edges[name].deaf = deaf && away(name)
+			}
+			w.run(tick.Tick(w.r.IntN(int(30 * second))))
+			for _, name := range w.names {
+				w.edges[name].deaf = false
+			}
+			w.cut = nil
+			w.run(tick.Tick(w.r.IntN(int(30 * second))))
+		}
+		w.run(60 * second)
+	})
+}
+
+// Everything at once: falls, cuts, tired units, crossings, lost entries and changes of leader.
+func TestPlannerTrace_AllFaults(t *testing.T) {
+	comparePlannerTraces(t, "faults", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		w := busyWorld(t, seed, 3+int(seed%13), 5+int(seed*7%50))
+		w.trace = trace
+		w.run(80 * second)
+	})
+}
+
+// factScript tells a planner facts in an order that no fleet may have, and answers what it proposes at once, late, with a
+// refusal or never.
+type factScript struct {
+	chance  *rand.Rand
+	trace   *plannerTrace
+	table   *placement.Table
+	planner *Planner
+	now     tick.Tick
+	units   []Unit
+	created int
+	asked   []Entry // proposed and not answered yet
+}
+
+func (s *factScript) Log(string) {}
+
+func (s *factScript) Step(e Entry) {
+	s.trace.proposed(s.now, e)
+	s.asked = append(s.asked, e)
+}
+
+func (s *factScript) unit() *Unit { return &s.units[s.chance.IntN(len(s.units))] }
+
+func (s *factScript) place() (Place, bool) {
+	all := s.table.All()
+	if len(all) == 0 {
+		return Place{}, false
+	}
+	return all[s.chance.IntN(len(all))], true
+}
+
+// agree applies an entry of an owner or an operator.
+func (s *factScript) agree(e Entry) {
+	e.V = 1
+	if p, err := s.table.Apply(e); err == nil {
+		s.planner.Placed(s.now, p)
+	}
+}
+
+// answer tells what became of one of the entries that were proposed.
+func (s *factScript) answer() {
+	if len(s.asked) == 0 {
+		return
+	}
+	i := s.chance.IntN(len(s.asked))
+	e := s.asked[i]
+	s.asked = append(s.asked[:i:i], s.asked[i+1:]...)
+	switch s.chance.IntN(12) {
+	case 0: // it is lost
+	case 1:
+		s.planner.Refused(s.now, e, ErrState)
+	default:
+		p, err := s.table.Apply(e)
+		if err != nil {
+			s.planner.Refused(s.now, e, err)
+			return
+		}
+		s.planner.Placed(s.now, p)
+	}
+}
+
+// change changes what is known of a unit.
+func (s *factScript) change(u *Unit) {
+	switch s.chance.IntN(14) {
+	case 0:
+		u.Accepts = !u.Accepts
+	case 1:
+		u.Trickle = !u.Trickle
+	case 2:
+		u.HandsOn = !u.HandsOn
+	case 3:
+		u.Leaves = !u.Leaves
+	case 4:
+		u.Draining = !u.Draining
+	case 5:
+		u.GoingBack = !u.GoingBack
+	case 6:
+		u.Room = s.chance.IntN(14) - 3
+	case 7, 8:
+		u.Danger = s.chance.Float64()
+	case 9:
+		u.Run++
+		u.Fresh = s.chance.IntN(2) == 0
+	case 10:
+		u.Zone = fmt.Sprint("z", s.chance.IntN(4))
+	case 11:
+		*u = Unit{Name: u.Name, Zone: u.Zone, Run: u.Run, Accepts: true, Danger: s.chance.Float64(), Room: 12}
+	}
+	u.Until = s.now + tick.Tick(s.chance.IntN(int(2*lease)))
+	if s.chance.IntN(5) == 0 {
+		u.Until = 0
+	}
+}
+
+// owner does what an owner may do about one of its instances.
+func (s *factScript) owner() {
+	p, ok := s.place()
+	if !ok {
+		return
+	}
+	e := Entry{Name: p.Name, Epoch: p.Epoch, By: p.Owner, To: p.To, Seq: p.Seq + 1}
+	switch s.chance.IntN(8) {
+	case 0, 1, 2:
+		e.Kind, e.Size = Synced, s.chance.IntN(1<<21)
+	case 3, 4:
+		e.Kind = Switch
+	case 5:
+		e.Kind = Begin
+	case 6, 7:
+		if len(p.Holders) == 0 {
+			return
+		}
+		e.Kind, e.To = Drop, p.Holders[s.chance.IntN(len(p.Holders))]
+		if s.chance.IntN(3) == 0 {
+			e.Kind, e.By, e.To = Lacks, e.To, ""
+		}
+	}
+	s.agree(e)
+}
+
+// fact tells one fact.
+func (s *factScript) fact() {
+	switch s.chance.IntN(16) {
+	case 0, 1, 2, 3:
+		s.answer()
+	case 4, 5:
+		u := s.unit()
+		s.change(u)
+		s.planner.Unit(s.now, *u)
+	case 6:
+		name := s.unit().Name
+		s.trace.line("%s fails: %v", name, s.planner.Failing(name))
+		s.planner.LeaseOver(s.now, name)
+	case 7, 8, 9:
+		s.owner()
+	case 10:
+		if p, ok := s.place(); ok {
+			s.planner.Device(s.now, p.Name, fmt.Sprint("z", s.chance.IntN(4)))
+		}
+	case 11, 12:
+		if s.created >= 40 {
+			return
+		}
+		s.created++
+		name, zone := fmt.Sprint("cam-", s.created), fmt.Sprint("z", s.chance.IntN(4))
+		to := s.planner.Choose(s.now, name, zone)
+		s.trace.line("%s begins at %q", name, to)
+		if to == "" {
+			to = s.unit().Name
+		}
+		s.agree(Entry{Kind: Create, Name: name, To: to, Zone: zone, Weight: float64(1 + s.chance.IntN(9))})
+	case 13:
+		s.oddFact()
+	default:
+		s.now += tick.Tick(s.chance.IntN(int(lease)))
+		s.trace.alarm(s.now, s.planner.Alarm(s.now))
+	}
+}
+
+// oddFact is a fact of the rarer kinds.
+func (s *factScript) oddFact() {
+	p, ok := s.place()
+	if !ok {
+		return
+	}
+	switch s.chance.IntN(8) {
+	case 0:
+		s.planner.Follows(s.now)
+	case 1, 2:
+		s.planner.Led(s.now)
+	case 3:
+		s.agree(Entry{Kind: Forget, Name: p.Name, Epoch: p.Epoch, By: p.Owner})
+	case 4:
+		s.agree(Entry{Kind: Release, Name: p.Name, Epoch: p.Epoch, To: s.unit().Name})
+	case 5:
+		s.planner.Placed(s.now, p) // once more
+	case 6:
+		s.planner.Refused(s.now, Entry{V: 1, Kind: Copy, Name: p.Name, Epoch: p.Epoch, To: p.To}, errors.New("no majority"))
+	case 7:
+		s.now += 20 * lease
+		s.trace.alarm(s.now, s.planner.Alarm(s.now))
+	}
+}
+
+// Facts and answers come in any order.
+func TestPlannerTrace_FactsInAnyOrder(t *testing.T) {
+	comparePlannerTraces(t, "facts", func(t *testing.T, seed uint64, trace *plannerTrace) {
+		s := &factScript{chance: rand.New(rand.NewPCG(seed, 11)), trace: trace, table: placement.New(), now: 1}
+		s.planner = NewPlanner(s, s.now, seed, map[string]any{"fleet.lease": 1.0, "fleet.copies": float64(seed % 4),
+			"fleet.away": float64(seed / 4 % 3), "fleet.falls": float64(2 + seed%3), "fleet.dwell": float64(seed % 7),
+			"fleet.restart_after": float64(2 + seed%9), "fleet.moves.unit": float64(1 + seed%8),
+			"fleet.moves.link": float64(1 + seed/2%4), "fleet.moves.all": float64(4 + seed%40)})
+		s.planner.Led(s.now)
+		for i := range 6 + int(seed%20) {
+			s.units = append(s.units, Unit{Name: fmt.Sprintf("u%02d", i), Zone: fmt.Sprint("z", i%4), Run: 1, Accepts: true,
+				Danger: s.chance.Float64() / 2, Room: 12})
+			s.planner.Unit(s.now, s.units[i])
+		}
+		for range 3000 {
+			s.fact()
+		}
+	})
+}
--- a/internal/handover/world_test.go
+++ b/internal/handover/world_test.go
@@ -44,6 +44,7 @@
 	lines []string
 	cells map[string]string
 	steps int
+	trace *plannerTrace // nil: none is kept
 }
 
 // edge is an edge unit.
@@ -134,6 +135,7 @@
 	w.alarm++
 	mine := w.alarm
 	next := w.plan.Alarm(w.now)
+	w.trace.alarm(w.now, next)
 	if next <= w.now {
 		w.t.Fatalf("Alarm at %d wants to be called at %d", w.now, next)
 	}
@@ -164,6 +166,7 @@
 func (h host) Log(string) {}
 func (h host) Step(e Entry) {
 	w := h.w
+	w.trace.proposed(w.now, e)
 	if w.steps++; e.Kind == Copy || e.Kind == Restart {
 		u := w.edges[e.To]
 		p, _ := w.table.Get(e.Name)
--- /dev/null
+++ b/internal/instances/stored_test.go
@@ -0,0 +1,122 @@
+package instances
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"silvercove/internal/handover"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+const storedNote = `{"note":"of the program that stored it"}`
+
+// storedSettled is the count that the stored file was settled with.
+const storedSettled = 5000
+
+// A file that an earlier program wrote is read, takes the next records, and keeps what it had.
+func TestStoredRecordsAreReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored", "instances.log")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	text, err := os.ReadFile(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "instances.log"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, records, end := open(t, folder)
+	checkStored(t, records)
+	if s.Count() <= storedSettled {
+		t.Errorf("it counts %d records after being settled at %d", s.Count(), storedSettled)
+	}
+	count := s.Count()
+	if err := wait(func(d func(error)) { s.Settle(count, d) }); err != nil {
+		t.Fatal(err)
+	}
+	m := &made{s: s, rec: records[0]}
+	if err := m.add("more", "after it was stored"); err != nil {
+		t.Fatal(err)
+	}
+	end()
+
+	again, records, end := open(t, folder)
+	checkStored(t, records)
+	if n := len(records[0].Effects); n != 4 || string(records[0].Effects[3].Body) != "after it was stored" {
+		t.Errorf("%+v", records[0])
+	}
+	if again.Count() <= count {
+		t.Errorf("it counts %d records after %d", again.Count(), count)
+	}
+	end()
+	last, _, note, err := Open(folder, func(string) {})
+	if err != nil || string(note) != storedNote {
+		t.Fatalf("the note is %q, %v", note, err)
+	}
+	stop := make(chan struct{})
+	close(stop)
+	last.Run(stop)
+}
+
+// checkStored checks that everything that was stored is there.
+func checkStored(t *testing.T, records []handover.Record) {
+	t.Helper()
+	if len(records) != 2 || records[0].Name != "camera-7" || records[1].Name != "camera-9" {
+		t.Fatalf("%+v", records)
+	}
+	for i, want := range []string{"command-0 body 0", "command-1 body 1", "command-2 "} {
+		if i >= len(records[0].Effects) {
+			t.Fatalf("camera-7 has %d effects", len(records[0].Effects))
+		}
+		e := records[0].Effects[i]
+		if got := e.ID + " " + string(e.Body); got != want || e.Seq != uint64(i+1) || e.Epoch != 3 || e.Unit != "edge-a" {
+			t.Errorf("effect %d is %+v", i+1, e)
+		}
+	}
+	if r := records[1]; r.Base != 12 || r.BaseSum != 0xfeedface || r.Seq() != 12 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// writeStored stores a file with a record of each kind.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	folder := t.TempDir()
+	s, _, end := open(t, folder)
+	m := &made{s: s, rec: handover.Record{Name: "camera-7"}}
+	ask := func(ask func(done func(error))) {
+		t.Helper()
+		if err := wait(ask); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ask(func(d func(error)) { s.Settle(storedSettled, d) })
+	ask(func(d func(error)) { s.Begin("camera-7", 0, 0, d) })
+	for i, body := range []string{"body 0", "body 1", "", "cut off again"} {
+		if err := m.add(fmt.Sprint("command-", i), body); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ask(func(d func(error)) { s.Cut("camera-7", 3, d) })
+	ask(func(d func(error)) { s.Begin("camera-8", 0, 0, d) })
+	ask(func(d func(error)) { s.Forget("camera-8", d) })
+	ask(func(d func(error)) { s.Begin("camera-9", 12, 0xfeedface, d) })
+	ask(func(d func(error)) { s.Note([]byte(storedNote), d) })
+	end()
+	text, err := os.ReadFile(filepath.Join(folder, "instances.log"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(stored), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(stored, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/keeper/stored_test.go
@@ -0,0 +1,198 @@
+package keeper
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"silvercove/internal/handover"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+// storedOrders are agreed before the stored snapshot, storedLater after it: they are read from the log. Each kind of entry
+// is in them.
+var (
+	storedOrders = []string{
+		`{"v":1,"unit":"edge-a","run":5}`,
+		`{"v":1,"unit":"edge-b","run":8}`,
+		`{"v":1,"kept":{"edge-a":77,"edge-b":12}}`,
+		`{"v":1,"steps":[{"v":1,"kind":"create","name":"camera-1","to":"edge-a","zone":"north","weight":3,"size":10,"seq":2},` +
+			`{"v":1,"kind":"create","name":"camera-2","to":"edge-a","zone":"north","weight":5},` +
+			`{"v":1,"kind":"create","name":"camera-3","to":"edge-b"},{"v":1,"kind":"create","name":"camera-4","to":"edge-b"},` +
+			`{"v":1,"kind":"create","name":"camera-5","to":"edge-b"}]}`,
+		`{"v":1,"steps":[{"v":1,"kind":"begin","name":"camera-1","epoch":1,"by":"edge-a"},` +
+			`{"v":1,"kind":"copy","name":"camera-1","epoch":1,"change":2,"to":"edge-b","switch":true,"reason":"its device is in south"},` +
+			`{"v":1,"kind":"synced","name":"camera-1","epoch":1,"by":"edge-a","to":"edge-b","seq":6,"size":1234},` +
+			`{"v":1,"kind":"switch","name":"camera-1","epoch":1,"by":"edge-a","to":"edge-b","seq":7}]}`,
+		`{"v":1,"steps":[{"v":1,"kind":"copy","name":"camera-2","epoch":1,"to":"edge-b"},` +
+			`{"v":1,"kind":"synced","name":"camera-2","epoch":1,"by":"edge-a","to":"edge-b","seq":4},` +
+			`{"v":1,"kind":"fail","name":"camera-2","epoch":1,"by":"edge-a","to":"edge-b","reason":"edge-a fell"},` +
+			`{"v":1,"kind":"forget","name":"camera-5","epoch":1,"by":"edge-b"}]}`,
+		`{"v":1,"doubts":[{"name":"camera-2","epoch":2,"seq":4,"why":"its disk may be behind"}]}`,
+	}
+	storedLater = []string{
+		`{"v":1,"unit":"edge-b","run":9}`,
+		`{"v":1,"kept":{"edge-a":80,"edge-b":0}}`,
+		`{"v":1,"steps":[{"v":1,"kind":"cross","name":"camera-1","zone":"west"},` +
+			`{"v":1,"kind":"drop","name":"camera-1","epoch":2,"by":"edge-b","to":"edge-a","seq":9},` +
+			`{"v":1,"kind":"copy","name":"camera-1","epoch":2,"to":"edge-a","switch":true}]}`,
+		`{"v":1,"steps":[{"v":1,"kind":"copy","name":"camera-2","epoch":2,"to":"edge-a"},` +
+			`{"v":1,"kind":"back","name":"camera-2","epoch":2,"to":"edge-a"},` +
+			`{"v":1,"kind":"steady","name":"camera-2","epoch":2}]}`,
+		`{"v":1,"steps":[{"v":1,"kind":"fail","name":"camera-3","epoch":1,"by":"edge-b"},` +
+			`{"v":1,"kind":"restart","name":"camera-3","epoch":1,"to":"edge-a","seq":0},` +
+			`{"v":1,"kind":"copy","name":"camera-3","epoch":2,"to":"edge-b"},` +
+			`{"v":1,"kind":"synced","name":"camera-3","epoch":2,"by":"edge-a","to":"edge-b"},` +
+			`{"v":1,"kind":"lacks","name":"camera-3","epoch":2,"by":"edge-a","to":"edge-b"},` +
+			`{"v":1,"kind":"quarantine","name":"camera-4","epoch":1,"by":"edge-b"},` +
+			`{"v":1,"kind":"release","name":"camera-4","epoch":1,"to":"edge-b"},` +
+			`{"v":1,"kind":"quarantine","name":"camera-4","epoch":2,"by":"edge-b"}]}`,
+		`{"v":1,"doubts":[{"name":"camera-3","epoch":3,"seq":0,"why":"another doubt"}]}`,
+	}
+)
+
+// A keeper's folder that an earlier program wrote is read, snapshot and log, and is written on.
+func TestStoredFolderIsReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	want, err := os.ReadFile(filepath.Join(stored, "agreed.snapshot"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := storedCrew(t)
+	if err := os.CopyFS(filepath.Join(c.dir, "keeper-1"), os.DirFS(filepath.Join(stored, "keeper-1"))); err != nil {
+		t.Fatal(err)
+	}
+	c.start()
+	c.leader()
+	if got := agreed(t, c); !bytes.Equal(got, want) {
+		t.Errorf("it is read as\n%s\nwanted\n%s", got, want)
+	}
+	marker, err := os.ReadFile(filepath.Join(stored, "keeper-1", fileMarker))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := os.ReadFile(filepath.Join(c.dir, "keeper-1", fileMarker)); err != nil || !bytes.Equal(got, marker) {
+		t.Errorf("%v: its marker is %s, was %s", err, got, marker)
+	}
+	known := c.all["keeper-1"].keeper.disk.now()
+	if len(known.more) > 0 {
+		t.Errorf("of its marker it does not know %v", known.more)
+	}
+	if got, err := json.Marshal(known); err != nil || !bytes.Equal(got, marker) {
+		t.Errorf("%v: its marker is read as %s, was %s", err, got, marker)
+	}
+	c.create("edge-a", "camera-9", "edge-a")
+	if err := c.all["keeper-1"].keeper.raft.Load().Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	c.create("edge-a", "camera-10", "edge-a")
+	if err := c.stop("keeper-1"); err != nil {
+		t.Fatal(err)
+	}
+	c.start("keeper-1")
+	c.has("keeper-1", "camera-9")
+	c.has("keeper-1", "camera-10")
+	before := placesByName(t, want)
+	after := placesByName(t, agreed(t, c))
+	for name, place := range before {
+		if after[name] != place {
+			t.Errorf("%s was\n%s\nand is\n%s", name, place, after[name])
+		}
+	}
+	if len(after) != len(before)+2 {
+		t.Errorf("%d instances after %d and two new ones", len(after), len(before))
+	}
+}
+
+// storedCrew is one keeper whose planner does nothing.
+func storedCrew(t *testing.T) *crew {
+	t.Helper()
+	c := begin(t, time.Second, 1, 2)
+	c.plan = func(h Host) Planner { return &idle{falls{h, map[string]handover.Place{}, map[string]handover.Unit{}}} }
+	return c
+}
+
+// agreed is everything that the keeper has carried out, as it would stand in a snapshot, but for the number of the last
+// entry of the log, which a start raises.
+func agreed(t *testing.T, c *crew) []byte {
+	t.Helper()
+	var buf bytes.Buffer
+	frozen := c.all["keeper-1"].keeper.machine.freeze()
+	frozen.head.Applied = 0
+	if _, err := frozen.WriteTo(&buf); err != nil {
+		t.Fatal(err)
+	}
+	return buf.Bytes()
+}
+
+// placesByName is each instance's line of a snapshot.
+func placesByName(t *testing.T, snapshot []byte) map[string]string {
+	t.Helper()
+	all := map[string]string{}
+	lines := strings.Split(strings.TrimSpace(string(snapshot)), "\n")
+	for _, line := range lines[2:] { // after the keeper's head and the table's
+		var place struct{ Name string }
+		if err := json.Unmarshal([]byte(line), &place); err != nil {
+			t.Fatal(err)
+		}
+		all[place.Name] = line
+	}
+	return all
+}
+
+// writeStored stores the folder of a keeper that has written a snapshot and agreed on more since.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	c := storedCrew(t)
+	c.start()
+	c.leader()
+	agree := func(orders []string) {
+		t.Helper()
+		for _, text := range orders {
+			f := c.all["keeper-1"].keeper.raft.Load().Apply([]byte(text), 10*time.Second)
+			if err := f.Error(); err != nil {
+				t.Fatalf("%s: %v", text, err)
+			}
+			switch all := f.Response().(type) {
+			case error:
+				t.Fatalf("%s: %v", text, all)
+			case []result:
+				for i, r := range all {
+					if r.err != nil {
+						t.Fatalf("%s: step %d: %v", text, i, r.err)
+					}
+				}
+			}
+		}
+	}
+	agree(storedOrders)
+	if err := c.all["keeper-1"].keeper.raft.Load().Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	agree(storedLater)
+	state := agreed(t, c)
+	if err := c.stop("keeper-1"); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.RemoveAll(stored); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(stored, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(stored, "agreed.snapshot"), state, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.CopyFS(filepath.Join(stored, "keeper-1"), os.DirFS(filepath.Join(c.dir, "keeper-1"))); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/keys/stored_test.go
@@ -0,0 +1,105 @@
+package keys
+
+import (
+	"crypto"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+var storedKeys = []struct{ name, kind, phrase string }{
+	{"ed25519-plain", "ed25519", ""},
+	{"ed25519-sealed", "ed25519", "pass phrase of the stored key"},
+	{"ecdsa-plain", "ecdsa", ""},
+	{"ecdsa-sealed", "ecdsa", "pass phrase of the stored key"},
+}
+
+// Key files that an earlier program wrote are read, listed, sign, and are written anew as keys of the same identifier.
+func TestStoredKeysAreReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(stored)); err != nil {
+		t.Fatal(err)
+	}
+	for _, s := range storedKeys { // a working copy of the repository has them with a mode that is refused
+		if err := os.Chmod(filepath.Join(dir, s.name+Suffix), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	listed, err := List(dir)
+	if err != nil || len(listed) != len(storedKeys) {
+		t.Fatalf("%+v, %v", listed, err)
+	}
+	byPath := map[string]Listed{}
+	for _, l := range listed {
+		byPath[l.Path] = l
+	}
+	for _, s := range storedKeys {
+		t.Run(s.name, func(t *testing.T) {
+			path := filepath.Join(dir, s.name+Suffix)
+			k, err := Load(path, phrase(s.phrase))
+			if err != nil {
+				t.Fatal(err)
+			}
+			public, id, err := Public(path)
+			if err != nil || id != k.ID {
+				t.Errorf("the public part has the identifier %s, the key %s; %v", id, k.ID, err)
+			}
+			if l := byPath[path]; l.ID != k.ID || l.Type != public.Type || l.Encrypted != (s.phrase != "") || l.Fault != "" {
+				t.Errorf("it is listed as %+v", l)
+			}
+			checkSigns(t, k)
+			other := filepath.Join(t.TempDir(), "again"+Suffix)
+			if err := k.Save(other, []byte(s.phrase)); err != nil {
+				t.Fatal(err)
+			}
+			if again, err := Load(other, phrase(s.phrase)); err != nil || again.ID != k.ID {
+				t.Errorf("written anew: %v", err)
+			}
+		})
+	}
+}
+
+func checkSigns(t *testing.T, k *Key) {
+	t.Helper()
+	signer, err := k.Signer()
+	if err != nil {
+		t.Fatal(err)
+	}
+	public, err := signer.PublicKey()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if own, ok := k.Private.Public().(interface{ Equal(crypto.PublicKey) bool }); !ok || !own.Equal(public) {
+		t.Error("it signs as another key")
+	}
+}
+
+// writeStored stores keys that were made for this test alone.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	if err := os.MkdirAll(stored, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	for _, s := range storedKeys {
+		path := filepath.Join(stored, s.name+Suffix)
+		for _, old := range []string{path, PublicPath(path)} {
+			if err := os.Remove(old); err != nil && !os.IsNotExist(err) {
+				t.Fatal(err)
+			}
+		}
+		k, err := Generate(s.kind)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := k.Save(path, []byte(s.phrase)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/ledger/stored_test.go
@@ -0,0 +1,89 @@
+package ledger
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+// A snapshot that an earlier program wrote is read, is written back byte for byte, and goes on.
+func TestStoredSnapshotIsReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored", "evidence")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	text, err := os.ReadFile(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := New([]string{"read", "sell"})
+	if l.Load(stored); l.Lost != "" {
+		t.Fatal(l.Lost)
+	}
+	if got := l.Snapshot(); !bytes.Equal(got, text) {
+		t.Errorf("it is written back as\n%s\nwanted\n%s", got, text)
+	}
+	if known := l.Known(7); len(known) != 2 || known[0].N != 21 || known[0].Bad != 5 || known[1].N != 20 || known[1].Bad != 0 {
+		t.Errorf("%+v", known)
+	}
+	before := l.Known(7)[0]
+	l.Outcome(40*s, 7, 0, 0, true)
+	path := filepath.Join(t.TempDir(), "evidence")
+	if err := Save(path, l.Snapshot()); err != nil {
+		t.Fatal(err)
+	}
+	again := New([]string{"read", "sell"})
+	if again.Load(path); again.Lost != "" {
+		t.Fatal(again.Lost)
+	}
+	if known := again.Known(7)[0]; known.N != before.N+1 || known.Bad != before.Bad+1 {
+		t.Errorf("%g of %g outcomes failed, after one more than %g of %g", known.Bad, known.N, before.Bad, before.N)
+	}
+	want := body(t, text)
+	first := want["builds"].([]any)[0].(map[string]any)
+	first["last"] = float64(40 * s)
+	cell := first["cells"].(map[string]any)["0/0/0"].(map[string]any)
+	cell["n"], cell["bad"] = cell["n"].(float64)+1, cell["bad"].(float64)+1
+	if got := body(t, again.Snapshot()); !reflect.DeepEqual(got, want) {
+		t.Errorf("after one more outcome it is\n%v\nwanted\n%v", got, want)
+	}
+}
+
+// body is the JSON of a snapshot by its stored names.
+func body(t *testing.T, snapshot []byte) (all map[string]any) {
+	t.Helper()
+	_, text, _ := bytes.Cut(snapshot, []byte("\n"))
+	if err := json.Unmarshal(text, &all); err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// writeStored stores a snapshot in which every field of the form has a value.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	l := filled()
+	l.Offered(20*s, 7, "recalling")
+	l.Flag(30*s, 7, 0, 1, 15*s)
+	l.Offered(31*s, 9, "testing")
+	l.Outcome(32*s, 9, 1, 0, false)
+	l.Outcome(33*s, 8, 0, 0, false) // of a version that is not kept
+	for range mostVotes {
+		l.Voted(34*s, 9, 2, "hold", "too little evidence")
+	}
+	l.Voted(35*s, 9, 2, "go back", "evidence") // the first vote is dropped for it
+	b := l.find(9)
+	b.Votes = b.Votes[len(b.Votes)-2:] // keeps the file small
+	if err := os.MkdirAll(filepath.Dir(stored), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(stored, l.Snapshot(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/repo/stored_test.go
@@ -0,0 +1,122 @@
+package repo_test
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"silvercove/internal/floor"
+	"silvercove/internal/keys"
+	"silvercove/internal/repo"
+	"silvercove/internal/standin/repository"
+	"silvercove/internal/trust"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+var storedRoles = []string{"root", "targets", "snapshot", "timestamp"}
+
+// A repository that an earlier program made is read, publishes on, and vouches for what it had.
+func TestStoredRepositoryIsReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	dir := filepath.Join(t.TempDir(), "r")
+	must(t, os.CopyFS(dir, os.DirFS(filepath.Join(stored, "repository"))))
+	clock := repository.NewClock(false)
+	clock.Jump(time.Minute)
+	byRole := storedSigners(t, filepath.Join(stored, "keys"))
+	before, _, err := repo.Files(dir)
+	must(t, err)
+	checkVouched(t, dir, clock, "app/1.tar", "one")
+
+	r, err := repo.Open(dir)
+	must(t, err)
+	defer r.Close()
+	r.Now = clock.Now
+	must(t, r.Sign("targets", byRole["targets"][1])) // what was staged is signed by one key of the two that it needs
+	must(t, r.Publish(append(byRole["snapshot"], byRole["timestamp"]...)))
+	checkVouched(t, dir, clock, "app/1.tar", "one")
+	checkVouched(t, dir, clock, "app/2.tar", "two")
+
+	file := filepath.Join(t.TempDir(), "three")
+	must(t, os.WriteFile(file, []byte("three"), 0o600))
+	must(t, r.Add("targets", file, "app/3.tar", 3, nil))
+	for _, k := range byRole["targets"][:2] {
+		must(t, r.Sign("targets", k))
+	}
+	must(t, r.Publish(append(byRole["snapshot"], byRole["timestamp"]...)))
+	checkVouched(t, dir, clock, "app/1.tar", "one")
+	checkVouched(t, dir, clock, "app/3.tar", "three")
+
+	after, _, err := repo.Files(dir)
+	must(t, err)
+	for name, text := range before {
+		if name != "timestamp.json" && !bytes.Equal(after[name], text) {
+			t.Errorf("%s was published before and is another now", name)
+		}
+	}
+	if after["4.targets.json"] == nil || after["4.snapshot.json"] == nil {
+		t.Error("the next version numbers do not follow those that were issued")
+	}
+}
+
+func storedSigners(t *testing.T, dir string) map[string][]*keys.Key {
+	t.Helper()
+	byRole := map[string][]*keys.Key{}
+	for _, role := range storedRoles {
+		paths, err := filepath.Glob(filepath.Join(dir, role+"-*"+keys.Suffix))
+		must(t, err)
+		for _, path := range paths {
+			text, err := os.ReadFile(path)
+			must(t, err)
+			private := filepath.Join(t.TempDir(), filepath.Base(path))
+			must(t, os.WriteFile(private, text, 0o600))
+			k, err := keys.Load(private, nil)
+			must(t, err)
+			byRole[role] = append(byRole[role], k)
+		}
+	}
+	return byRole
+}
+
+// checkVouched updates as a client would, and looks a target up.
+func checkVouched(t *testing.T, dir string, clock *repository.Clock, path, content string) {
+	t.Helper()
+	now := trust.Of(clock.Now())
+	files, _, err := repo.Files(dir)
+	must(t, err)
+	client, err := trust.New("r", floor.InMemory(100, func(string) {}), now, files["1.root.json"])
+	must(t, err)
+	get := func(f trust.File) ([]byte, error) { return files[f.String()], nil }
+	must(t, client.Walk(now, get))
+	target, err := client.LookUp(now, path, get)
+	must(t, err)
+	if target.Length != int64(len(content)) {
+		t.Errorf("%s has %d bytes, wanted %d", path, target.Length, len(content))
+	}
+}
+
+// writeStored stores a repository that has published one package and staged another, which one key of two has signed.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	must(t, os.RemoveAll(stored))
+	k := keeper(t, true)
+	must(t, k.Add("app/1.tar", 1, []byte("one"), "large"))
+	must(t, k.Stage("app/2.tar", 2, []byte("two")))
+	must(t, k.Repo.Sign("targets", k.Keys["targets"][0]))
+	must(t, k.Repo.Close())
+	must(t, os.Remove(filepath.Join(k.Dir, "incoming")))
+	must(t, os.Remove(filepath.Join(k.Dir, "issued.floor.lock")))
+	must(t, os.MkdirAll(filepath.Join(stored, "keys"), 0o755))
+	must(t, os.CopyFS(filepath.Join(stored, "repository"), os.DirFS(k.Dir)))
+	for role, all := range k.Keys {
+		for i, one := range all {
+			must(t, one.Save(filepath.Join(stored, "keys", role+"-"+string(rune('1'+i))+keys.Suffix), nil))
+		}
+	}
+}
