--- a/cmd/covectl/fleet_ask.go
+++ b/cmd/covectl/fleet_ask.go
@@ -54,8 +54,8 @@
 	if err != nil {
 		return "", fmt.Errorf("%w: %w", errRefused, err)
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(wait + time.Second))
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(wait + time.Second))
 	var in []byte
 	say := func(message []byte) (a pgwire.Answer, err error) {
 		if _, err = conn.Write(message); err != nil {
--- a/cmd/covectl/fleet_keeper.go
+++ b/cmd/covectl/fleet_keeper.go
@@ -92,18 +92,18 @@
 	return c.with(func(ctx context.Context, k *keepers.Client, f *fleet.File, net *peers.Net) error {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		if c.Keepers {
-			fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
+			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
 			for _, name := range k.Keepers() {
 				s, err := k.Status(ctx, name)
 				if err != nil {
-					fmt.Fprintf(w, "%s\tsilent\t\t\t\t\t\t\t%v\n", name, err)
+					_, _ = fmt.Fprintf(w, "%s\tsilent\t\t\t\t\t\t\t%v\n", name, err)
 					continue
 				}
 				disk := ""
 				if s.Disk != nil {
 					disk = s.Disk.String()
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", name, s.Role, s.Leader, s.Term, s.Applied, s.Places,
+				_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%s\n", name, s.Role, s.Leader, s.Term, s.Applied, s.Places,
 					s.Moves, disk, s.Why)
 			}
 			return w.Flush()
@@ -116,12 +116,12 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(w, "unit\tzone\tlease\tstate\tshare\troom\twhy")
+		_, _ = fmt.Fprintln(w, "unit\tzone\tlease\tstate\tshare\troom\twhy")
 		for _, u := range u.Units {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", u.Name, u.Zone, map[bool]string{true: "held", false: "-"}[u.Held],
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.2f\t%d\t%s\n", u.Name, u.Zone, map[bool]string{true: "held", false: "-"}[u.Held],
 				u.State, u.Share, u.Room, strings.Join(u.Reasons, "; "))
 		}
-		fmt.Fprintln(w, "\t\t\t\t\t\t\ninstance\tzone\towner\tepoch\tstate\tholders\tto\twhy")
+		_, _ = fmt.Fprintln(w, "\t\t\t\t\t\t\ninstance\tzone\towner\tepoch\tstate\tholders\tto\twhy")
 		for _, p := range p.Places {
 			why := []string{p.Reason}
 			if p.Missing > 0 {
@@ -130,7 +130,7 @@
 			if p.Doubts != "" {
 				why = append(why, p.Doubts)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", p.Name, p.Zone, p.Owner, p.Epoch, p.State,
+			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", p.Name, p.Zone, p.Owner, p.Epoch, p.State,
 				strings.Join(p.Holders, ","), p.To, strings.Join(why, "; "))
 		}
 		floor, err := k.Floor(ctx)
@@ -138,9 +138,9 @@
 			return err
 		}
 		for _, z := range floor.Zones {
-			fmt.Fprintf(w, "\t\t\t\t\t\t\nall units of zone %s are tired; served on, the most important first:\n", z.Zone)
+			_, _ = fmt.Fprintf(w, "\t\t\t\t\t\t\nall units of zone %s are tired; served on, the most important first:\n", z.Zone)
 			for _, i := range z.Instances {
-				fmt.Fprintf(w, "%s\t\t%s\n", i.Name, cmp.Or(i.Unit, "by none"))
+				_, _ = fmt.Fprintf(w, "%s\t\t%s\n", i.Name, cmp.Or(i.Unit, "by none"))
 			}
 		}
 		return w.Flush()
--- a/cmd/covectl/fleet_process.go
+++ b/cmd/covectl/fleet_process.go
@@ -76,7 +76,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, MaxHeaderBytes: 8 << 10}
-	defer context.AfterFunc(ctx, func() { server.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = server.Close() })()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/cmd/covectl/keys.go
+++ b/cmd/covectl/keys.go
@@ -68,7 +68,7 @@
 	bad := 0
 	for _, k := range all {
 		if k.Fault != "" {
-			fmt.Fprintf(w, "%s\trefused\t%s\n", k.Path, k.Fault)
+			_, _ = fmt.Fprintf(w, "%s\trefused\t%s\n", k.Path, k.Fault)
 			bad++
 			continue
 		}
@@ -76,9 +76,9 @@
 		if k.Encrypted {
 			kept = "encrypted"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", k.Path, k.Type, kept, k.ID)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", k.Path, k.Type, kept, k.ID)
 	}
-	w.Flush()
+	_ = w.Flush()
 	if bad > 0 {
 		return fmt.Errorf("%d of %d keys are refused", bad, len(all))
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	in, err := publics(c.In)
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	r.Life = l.life()
 	return full(step(r))
 }
@@ -197,7 +197,7 @@
 	if err != nil {
 		return full(err)
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	fmt.Printf("%s: staged root 1 and targets 1: sign both, then publish\n", c.Repo)
 	return nil
 }
@@ -323,13 +323,13 @@
 			return err
 		}
 		w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "role\tversion\tsigned\texpires\tstate\ttargets")
+		_, _ = fmt.Fprintln(w, "role\tversion\tsigned\texpires\tstate\ttargets")
 		for _, s := range all {
 			state := "published"
 			if s.Staged {
 				state = "staged"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d of %d\t%s\t%s\t%s\n", s.Role, s.Version, s.Signed, s.Threshold,
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%d of %d\t%s\t%s\t%s\n", s.Role, s.Version, s.Signed, s.Threshold,
 				s.Expires.Format(time.RFC3339), state, strings.Join(s.Targets, " "))
 		}
 		return w.Flush()
--- a/cmd/covectl/metadata.go
+++ b/cmd/covectl/metadata.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
 		return fmt.Errorf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
@@ -206,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	answer, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(answer)))
@@ -243,7 +243,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	fmt.Printf("time %s\n", f.Passed().Time().Format(time.RFC3339))
 	for _, e := range f.Entries() {
 		fmt.Printf("%s %d %x\n", e.Key, e.Version, e.Sum[:8])
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	was, now := f.Passed(), trust.Of(time.Now())
 	if was <= now {
 		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", was.Time().Format(time.RFC3339))
--- a/cmd/covectl/rollouts.go
+++ b/cmd/covectl/rollouts.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	began, seen := time.Now(), time.Now()
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
 	all, err := e.Run(ctx, out, func(done, of int) {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	all, err := lab.ReadResults(in)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -172,7 +172,7 @@
 		return err
 	}
 	if err := write(out); err != nil {
-		out.Close()
+		_ = out.Close()
 		return full(err)
 	}
 	return full(out.Close())
--- a/cmd/covectl/standin.go
+++ b/cmd/covectl/standin.go
@@ -49,7 +49,7 @@
 	server := &http.Server{Addr: c.Address, Handler: files, ReadHeaderTimeout: 5 * time.Second}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	context.AfterFunc(ctx, func() { server.Close() })
+	context.AfterFunc(ctx, func() { _ = server.Close() })
 	if err := server.ListenAndServe(); err != http.ErrServerClosed {
 		return err
 	}
--- a/cmd/covectl/verdict.go
+++ b/cmd/covectl/verdict.go
@@ -57,19 +57,19 @@
 	fmt.Printf("%.0f outcomes at the least, about %.0f at a base of %.3g, for each op type at one relay\n", math.Ceil(least),
 		math.Ceil(middle), c.Base)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprint(w, "op type\ta second\t")
+	_, _ = fmt.Fprint(w, "op type\ta second\t")
 	for i := range c.Caps {
-		fmt.Fprintf(w, "wave %d\t", i+1)
+		_, _ = fmt.Fprintf(w, "wave %d\t", i+1)
 	}
-	fmt.Fprintln(w)
+	_, _ = fmt.Fprintln(w)
 	for _, name := range slices.Sorted(maps.Keys(c.Rates)) {
 		rate := c.Rates[name]
-		fmt.Fprintf(w, "%s\t%g\t", name, rate)
+		_, _ = fmt.Fprintf(w, "%s\t%g\t", name, rate)
 		for _, cap := range c.Caps {
 			took := middle / (rate * cap * 0.9 / float64(c.Relays))
-			fmt.Fprintf(w, "%s\t", time.Duration(min(took, 1e7)*float64(time.Second)).Round(100*time.Millisecond))
+			_, _ = fmt.Fprintf(w, "%s\t", time.Duration(min(took, 1e7)*float64(time.Second)).Round(100*time.Millisecond))
 		}
-		fmt.Fprintln(w)
+		_, _ = fmt.Fprintln(w)
 	}
 	return w.Flush()
 }
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -137,7 +137,7 @@
 		last, done := context.WithTimeout(context.Background(), longest)
 		defer done()
 		if server.Shutdown(last) != nil {
-			server.Close()
+			_ = server.Close()
 		}
 		cancel() // mirrors are needed as long as there are requests
 		return nil
@@ -338,7 +338,7 @@
 		}
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	fmt.Fprintln(w, a.Text)
+	_, _ = fmt.Fprintln(w, a.Text)
 }
 
 func (c *Carrier) explain(w http.ResponseWriter, server string) {
@@ -348,7 +348,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	fmt.Fprintln(w, strings.Join(lines, "\n"))
+	_, _ = fmt.Fprintln(w, strings.Join(lines, "\n"))
 }
 
 // Status is what the front tells of itself.
@@ -382,7 +382,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	enc.Encode(c.Status())
+	_ = enc.Encode(c.Status())
 }
 
 // span turns a Range header into a first and a last byte; whole: it names none that can be given alone.
@@ -510,7 +510,7 @@
 		return nil
 	}
 	c.begin()
-	c.control.SetWriteDeadline(time.Now().Add(spanOf(exchange.ClientPatience)))
+	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(exchange.ClientPatience)))
 	n, err := c.w.Write(p[first:last])
 	c.counts.Bytes.Add(int64(n))
 	if err != nil {
--- a/internal/carrier/repo.go
+++ b/internal/carrier/repo.go
@@ -191,7 +191,7 @@
 		kept := r.kept
 		r.mu.Unlock()
 		for _, path := range kept {
-			r.Find(path)
+			_, _ = r.Find(path)
 		}
 		select {
 		case <-ctx.Done():
@@ -250,7 +250,7 @@
 				return nil
 			})
 		}
-		group.Wait()
+		_ = group.Wait()
 		r.mu.Lock()
 		done = r.survey.Done
 		next := r.refresh.ComeBack(r.tick())
@@ -305,7 +305,7 @@
 	if !due {
 		return
 	}
-	r.once.Do("set", func() (any, error) {
+	_, _, _ = r.once.Do("set", func() (any, error) {
 		r.mu.Lock()
 		now := r.tick()
 		_, _, lacking := r.trust.Wanted(now)
@@ -423,7 +423,7 @@
 		r.mu.Unlock()
 		for _, other := range others {
 			if other != role {
-				r.one(other)
+				_ = r.one(other)
 			}
 		}
 		return r.one(role), nil
@@ -624,7 +624,7 @@
 	} else if err != nil {
 		return 0, ended(ctx, err, sent.Load())
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	p.Reader = resp.Body
 	end = read(resp.StatusCode, resp.ContentLength, p)
 	if p.slow.Load() {
--- a/internal/clients/clients.go
+++ b/internal/clients/clients.go
@@ -84,7 +84,7 @@
 // deadline what the kernel has accepted is still taken in: a closed listener resets it, and requests may have come there.
 func (f *Front) Serve(listener net.Listener) error {
 	var group errgroup.Group
-	defer group.Wait()
+	defer func() { _ = group.Wait() }()
 	var last time.Time // when the deadline has passed, to the end of the looks
 	for {
 		conn, err := listener.Accept()
@@ -93,10 +93,10 @@
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && ok && last.IsZero():
 			last = time.Now().Add(f.parts.Brief)
-			l.SetDeadline(time.Now().Add(lastLook)) // past its deadline it would not be looked
+			_ = l.SetDeadline(time.Now().Add(lastLook)) // past its deadline it would not be looked
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			listener.Close()
+			_ = listener.Close()
 			return nil
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
 			errors.Is(err, syscall.ENOMEM):
@@ -304,9 +304,9 @@
 			return nil
 		})
 	}
-	s.commands.Wait()
+	_ = s.commands.Wait()
 	s.StopReading()
-	watch.Wait()
+	_ = watch.Wait()
 	s.settle()
 }
 
--- a/internal/edge/commands.go
+++ b/internal/edge/commands.go
@@ -28,16 +28,16 @@
 func (e *Edge) serve(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
-	stop := context.AfterFunc(ctx, func() { e.commands.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = e.commands.Close() })
 	defer stop()
-	defer e.commands.Close() // by now, not when the other one gets to it
+	defer func() { _ = e.commands.Close() }() // by now, not when the other one gets to it
 	places := make(chan struct{}, mostConns)
 	for {
 		conn, err := e.commands.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				conn.Close()
+				_ = conn.Close()
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
@@ -50,16 +50,16 @@
 		select {
 		case places <- struct{}{}:
 		default:
-			conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
-			conn.Write(pgwire.Problem("FATAL", pgwire.NoRoom, "too many connections", ""))
-			conn.Close()
+			_ = conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
+			_, _ = conn.Write(pgwire.Problem("FATAL", pgwire.NoRoom, "too many connections", ""))
+			_ = conn.Close()
 			continue
 		}
 		all.Go(func() {
 			defer func() { <-places }()
-			end := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
+			end := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) })
 			defer end()
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			e.session(ctx, conn)
 		})
 	}
@@ -70,7 +70,7 @@
 	var buf []byte
 	in := make([]byte, 4<<10)
 	more := func(limit time.Duration) bool {
-		conn.SetReadDeadline(time.Now().Add(limit))
+		_ = conn.SetReadDeadline(time.Now().Add(limit))
 		if ctx.Err() != nil {
 			return false
 		}
@@ -79,7 +79,7 @@
 		return n > 0 || err == nil
 	}
 	say := func(b []byte) bool {
-		conn.SetWriteDeadline(time.Now().Add(writeTime))
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTime))
 		_, err := conn.Write(b)
 		return err == nil
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -145,7 +145,7 @@
 	defer func() { close(stop); <-stored }()
 	defer e.client.Close()
 	if err := e.writeNote(ctx, note{Run: e.run, Line: e.noted}); err != nil {
-		e.commands.Close()
+		_ = e.commands.Close()
 		if errors.Is(err, syscall.ENOSPC) {
 			return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
 		}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	text, err = io.ReadAll(io.LimitReader(answer.Body, mostMessage))
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 				http.Error(w, "too many calls", http.StatusServiceUnavailable)
 			}
 		})}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(e.o.Net.Listener(peers.HTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -123,7 +123,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	w.Write(text)
+	_, _ = w.Write(text)
 }
 
 // heard answers a message of another unit once all that it brought is safe.
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -189,7 +189,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, ErrInUse
 	}
 	return lock, nil
@@ -197,7 +197,7 @@
 
 func (f *Floor) unlock() {
 	for _, l := range f.locks {
-		l.Close()
+		_ = l.Close()
 	}
 	f.locks = nil
 }
@@ -239,7 +239,7 @@
 		b = f.marks[key].record(b, key)
 	}
 	for _, old := range f.files {
-		old.Close()
+		_ = old.Close()
 	}
 	f.files = nil
 	for _, path := range f.paths {
@@ -265,7 +265,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
 
--- a/internal/guide/strain.go
+++ b/internal/guide/strain.go
@@ -65,7 +65,7 @@
 func NewStrain(board Board, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *Strain {
 	s := &Strain{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
 		fleet: overload.New(board.Now(), seed, self, set), outcomes: map[string]*keepers.Outcome{}}
-	syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
 	return s
 }
 
@@ -257,7 +257,7 @@
 // measure takes the relay's own load since the last time.
 func (s *Strain) measure(g *gate.Gate, late time.Duration) overload.Pressure {
 	var use syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	now := time.Now()
 	spent := use.Utime.Nano() + use.Stime.Nano() - s.before.Utime.Nano() - s.before.Stime.Nano()
 	cpu := float64(spent) / (float64(now.Sub(s.at)) * s.cores)
--- a/internal/handover/owner.go
+++ b/internal/handover/owner.go
@@ -47,10 +47,10 @@
 	binary.LittleEndian.PutUint32(b[24:], uint32(len(e.Unit)))
 	binary.LittleEndian.PutUint32(b[28:], uint32(len(e.ID)))
 	d := xxhash.New()
-	d.Write(b[:])
-	d.WriteString(e.Unit)
-	d.WriteString(e.ID)
-	d.Write(e.Body)
+	_, _ = d.Write(b[:])
+	_, _ = d.WriteString(e.Unit)
+	_, _ = d.WriteString(e.ID)
+	_, _ = d.Write(e.Body)
 	return d.Sum64()
 }
 
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -124,7 +124,7 @@
 		return nil, nil, nil, err
 	}
 	fail := func(err error) (*Store, []handover.Record, []byte, error) {
-		s.lock.Close()
+		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
 	}
 	if unix.Flock(int(s.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil {
@@ -148,7 +148,7 @@
 	s.file = file
 	s.told.Store(s.took.n)
 	if err := s.settle(int64(good)); err != nil {
-		file.Close()
+		_ = file.Close()
 		return fail(err)
 	}
 	for _, r := range s.all {
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
 
@@ -307,8 +307,8 @@
 		}
 		if over {
 			if s.path != "" {
-				s.file.Close()
-				s.lock.Close()
+				_ = s.file.Close()
+				_ = s.lock.Close()
 			}
 			return
 		}
@@ -451,7 +451,7 @@
 		s.dead = fmt.Errorf("%w: %w", ErrBroken, err)
 		return
 	}
-	s.file.Close()
+	_ = s.file.Close()
 	s.file, s.size, s.next = file, int64(len(out)), 2*s.live+spare
 }
 
--- a/internal/keeper/birth.go
+++ b/internal/keeper/birth.go
@@ -254,7 +254,7 @@
 		}
 		if c, ok := conn.(*peers.Conn); !ok || !slices.Contains(s.k.peers, c.From) {
 			s.k.Log.Warn().Str("event", "refused").Msg("a connection for the agreed log from a process that is no keeper")
-			conn.Close()
+			_ = conn.Close()
 			continue
 		}
 		return conn, nil
--- a/internal/keeper/machine.go
+++ b/internal/keeper/machine.go
@@ -79,7 +79,7 @@
 	var o order
 	if err := json.Unmarshal(l.Data, &o); err != nil {
 		var v struct{ V int }
-		if json.Unmarshal(l.Data, &v); v.V <= orderVersion {
+		if _ = json.Unmarshal(l.Data, &v); v.V <= orderVersion {
 			m.end(fmt.Errorf("entry %d of the agreed log can't be read: %w", l.Index, err))
 			return err
 		}
@@ -199,7 +199,7 @@
 // Persist writes it to where raft wants it.
 func (f *frozen) Persist(to raft.SnapshotSink) error {
 	if _, err := f.WriteTo(to); err != nil {
-		to.Cancel()
+		_ = to.Cancel()
 		return err
 	}
 	return to.Close()
--- a/internal/keeper/rebuild.go
+++ b/internal/keeper/rebuild.go
@@ -89,7 +89,7 @@
 			return nil
 		})
 	}
-	group.Wait()
+	_ = group.Wait()
 	for i, p := range units {
 		holds := all[i]
 		if err := errs[i]; err != nil {
--- a/internal/keeper/serve.go
+++ b/internal/keeper/serve.go
@@ -72,7 +72,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(code)
-		json.NewEncoder(w).Encode(answer) // a caller that went away needs nothing
+		_ = json.NewEncoder(w).Encode(answer) // a caller that went away needs nothing
 	}
 }
 
@@ -96,7 +96,7 @@
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, fromKey{}, conn.(*peers.Conn).From)
 		}}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := k.Net.Listener(peers.HTTP)
 	listener.Admit(k.crowd.admit)
@@ -743,5 +743,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	k.machine.freeze().WriteTo(w) // a caller that went away needs nothing
+	_, _ = k.machine.freeze().WriteTo(w) // a caller that went away needs nothing
 }
--- a/internal/keeper/store.go
+++ b/internal/keeper/store.go
@@ -96,7 +96,7 @@
 	switch {
 	case err == nil:
 		var v struct{ V int }
-		if json.Unmarshal(text, &v); v.V > storeVersion { // whatever else it says
+		if _ = json.Unmarshal(text, &v); v.V > storeVersion { // whatever else it says
 			return nil, fmt.Errorf("%w: %s has version %d, this program reads %d", ErrLater, d.path(fileMarker), v.V, storeVersion)
 		}
 		if d.mark.more, err = placement.ReadMore(text, &d.mark); err != nil || d.mark.V < 1 || d.mark.Store == "" {
@@ -205,7 +205,7 @@
 			if err == nil {
 				err = readable(r) // raft would go on from an earlier one, behind what was confirmed
 			}
-			r.Close()
+			_ = r.Close()
 		}
 		if errors.Is(err, ErrLater) {
 			return nil, last, fmt.Errorf("%s: snapshot %s: %w", d.dir, m.ID, err)
@@ -339,7 +339,7 @@
 		return h, err
 	}
 	var v struct{ V int }
-	if json.Unmarshal(text, &v); v.V > storeVersion {
+	if _ = json.Unmarshal(text, &v); v.V > storeVersion {
 		return h, fmt.Errorf("%w: version %d, this program reads %d", ErrLater, v.V, storeVersion)
 	}
 	h.more, err = placement.ReadMore(text, &h)
@@ -353,7 +353,7 @@
 		return err
 	}
 	var v struct{ V int }
-	if json.Unmarshal(text, &v); v.V > handover.Version {
+	if _ = json.Unmarshal(text, &v); v.V > handover.Version {
 		return fmt.Errorf("%w: places of version %d, this program reads %d", ErrLater, v.V, handover.Version)
 	}
 	return nil
--- a/internal/keepers/client.go
+++ b/internal/keepers/client.go
@@ -335,7 +335,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	from := json.NewDecoder(io.LimitReader(answer.Body, mostAnswer))
 	if answer.StatusCode == http.StatusOK {
 		if err := from.Decode(out); err != nil {
@@ -395,10 +395,10 @@
 		}
 		if answer.StatusCode == http.StatusOK {
 			_, err = io.Copy(w, answer.Body)
-			answer.Body.Close()
+			_ = answer.Body.Close()
 			return err
 		}
-		answer.Body.Close()
+		_ = answer.Body.Close()
 	}
 	return fmt.Errorf("no keeper that leads: %w", last)
 }
--- a/internal/keepers/words.go
+++ b/internal/keepers/words.go
@@ -261,6 +261,6 @@
 // Now is this machine's time since its start, its sleep included, by which leases are counted.
 func Now() tick.Tick {
 	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // it can't fail with a clock that Linux has had since 2.6.39
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // it can't fail with a clock that Linux has had since 2.6.39
 	return tick.Of(time.Duration(t.Nano()))
 }
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -205,7 +205,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	info, err := in.Stat()
 	if err != nil {
 		return nil, err
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -25,7 +25,7 @@
 func (r *results) record(e testEvent) {
 	if e.Package == "" {
 		// The compiler's output has no package.
-		fmt.Fprint(r.out, e.Output)
+		_, _ = fmt.Fprint(r.out, e.Output)
 		return
 	}
 	p := r.running[e.Package]
@@ -55,7 +55,7 @@
 	if e.Action != actionFail {
 		for _, o := range p.output {
 			if strings.HasPrefix(o.Output, linePassed) || strings.HasPrefix(o.Output, lineNoTests) {
-				fmt.Fprint(r.out, o.Output)
+				_, _ = fmt.Fprint(r.out, o.Output)
 			}
 		}
 		return
@@ -75,18 +75,18 @@
 func (r *results) printFailedPackage(importPath string, p *packageRun) (known int) {
 	for _, o := range p.output {
 		if !o.isResultLine() && !strings.HasPrefix(o.Output, lineProgress) {
-			fmt.Fprint(r.out, o.Output)
+			_, _ = fmt.Fprint(r.out, o.Output)
 		}
 	}
 	for _, f := range r.listed {
 		if f.test.importPath == importPath && slices.Contains(p.failed, f.test.name) {
-			fmt.Fprintf(r.out, "known red: %s\n", f)
+			_, _ = fmt.Fprintf(r.out, "known red: %s\n", f)
 			known++
 		}
 	}
 	for _, o := range p.output {
 		if o.isResultLine() {
-			fmt.Fprint(r.out, o.Output)
+			_, _ = fmt.Fprint(r.out, o.Output)
 		}
 	}
 	return known
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -405,7 +405,7 @@
 		if !x.is.Held(x.declared) {
 			word = "NOT HELD"
 		}
-		fmt.Fprintf(to, "%s over all: %s; declared %.1f%%: %s\n", x.what, x.is, 100*x.declared, word)
+		_, _ = fmt.Fprintf(to, "%s over all: %s; declared %.1f%%: %s\n", x.what, x.is, 100*x.declared, word)
 	}
 }
 
--- a/internal/lab/fleetsim/keepers.go
+++ b/internal/lab/fleetsim/keepers.go
@@ -231,7 +231,7 @@
 		c.late = f.now
 	}
 	for _, o := range c.inflight {
-		c.apply(o, false)
+		_, _ = c.apply(o, false)
 		o.done(nil, errOver) // whoever asked does not know
 	}
 	c.inflight = nil
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -79,19 +79,19 @@
 
 // CalmTable writes how long fleets of several sizes take to be quiet after each trouble, with so many holders away.
 func CalmTable(w io.Writer, seed uint64, units []int, away int) {
-	fmt.Fprintf(w, "| trouble | units | quiet after, s | longest without an owner, s | moves at once | steps agreed | lost |\n")
-	fmt.Fprintf(w, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |\n")
+	_, _ = fmt.Fprintf(w, "| trouble | units | quiet after, s | longest without an owner, s | moves at once | steps agreed | lost |\n")
+	_, _ = fmt.Fprintf(w, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 	for _, t := range Troubles {
 		for _, n := range units {
 			s := Large(n)
 			s.Away = away
 			c := Settle(seed, s, t)
-			fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %d | %d | %d |", t.Name, n, seconds(c.Quiet),
+			_, _ = fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %d | %d | %d |", t.Name, n, seconds(c.Quiet),
 				seconds(c.Idle), c.Moves, c.Steps, c.Lost)
 			if c.Broken != "" {
-				fmt.Fprintf(w, " %s", c.Broken)
+				_, _ = fmt.Fprintf(w, " %s", c.Broken)
 			}
-			fmt.Fprintln(w)
+			_, _ = fmt.Fprintln(w)
 		}
 	}
 }
@@ -124,14 +124,14 @@
 	f.Run(span)
 	k := &f.check
 	since, quiet := f.Quiet()
-	fmt.Fprintf(w, "%d relays, %d units in %d zones, %d instances, %d keepers, %.0f s: %.0f s of processor, %.0f s on the clock, %d events\n",
+	_, _ = fmt.Fprintf(w, "%d relays, %d units in %d zones, %d instances, %d keepers, %.0f s: %.0f s of processor, %.0f s on the clock, %d events\n",
 		s.Relays, s.Units, s.Zones, s.Instances, s.Keepers, seconds(span), (used() - before).Seconds(), time.Since(began).Seconds(), f.Events)
-	fmt.Fprintf(w, "%d commands of a sample: %d acked, %d nacked, %d unknown; %d handed over, %d moves at once at the most, %d falls, %d lost; ",
+	_, _ = fmt.Fprintf(w, "%d commands of a sample: %d acked, %d nacked, %d unknown; %d handed over, %d moves at once at the most, %d falls, %d lost; ",
 		k.Commands, k.Acked, k.Nacked, k.Unknown, k.Moves, k.MostMoves, k.Falls, k.Lost)
-	fmt.Fprintf(w, "%d steps in %d entries; quiet: %v since %.0f s; digest of the timeline %016x\n",
+	_, _ = fmt.Fprintf(w, "%d steps in %d entries; quiet: %v since %.0f s; digest of the timeline %016x\n",
 		f.keep.Steps, f.keep.Orders, quiet, seconds(since), f.Digest())
 	if f.Broken() != "" {
-		fmt.Fprintf(w, "BROKEN: %s\n", f.Broken())
+		_, _ = fmt.Fprintf(w, "BROKEN: %s\n", f.Broken())
 	}
 }
 
@@ -149,11 +149,11 @@
 	quiet := slices.Clone(s.Quiet)
 	slices.Sort(quiet)
 	at := func(part float64) float64 { return seconds(quiet[int(part*float64(len(quiet)-1))]) }
-	fmt.Fprintf(w, "%d schedules, %d situations, %d pairs of decisions, %d losses told; quiet after the last fault: half within %.1f s, 99%% within %.1f s, all within %.1f s\n",
+	_, _ = fmt.Fprintf(w, "%d schedules, %d situations, %d pairs of decisions, %d losses told; quiet after the last fault: half within %.1f s, 99%% within %.1f s, all within %.1f s\n",
 		s.Played, s.Reached, len(s.Pairs), s.Told, at(0.5), at(0.99), at(1))
 	s.pairTable(w)
 	for _, p := range s.Broken {
-		fmt.Fprintf(w, "\n%s\n", p.Text())
+		_, _ = fmt.Fprintf(w, "\n%s\n", p.Text())
 	}
 }
 
@@ -164,14 +164,14 @@
 		first, second, _ := strings.Cut(pair, ">")
 		after[first] = append(after[first], second)
 	}
-	fmt.Fprintf(w, "\n| decision | of %d | right after it |\n| --- | ---: | --- |\n", len(decisions)-1)
+	_, _ = fmt.Fprintf(w, "\n| decision | of %d | right after it |\n| --- | ---: | --- |\n", len(decisions)-1)
 	for _, first := range decisions {
 		if some := after[first]; len(some) > 0 {
 			name := first
 			if name == "" {
 				name = "the beginning"
 			}
-			fmt.Fprintf(w, "| %s | %d | %s |\n", name, len(some), strings.Join(some, ", "))
+			_, _ = fmt.Fprintf(w, "| %s | %d | %s |\n", name, len(some), strings.Join(some, ", "))
 		}
 	}
 }
--- a/internal/lab/fleetsim/sights.go
+++ b/internal/lab/fleetsim/sights.go
@@ -160,17 +160,17 @@
 
 // SightTable writes what members of fleets of several sizes see and send.
 func SightTable(w io.Writer, seed uint64, sizes []int) {
-	fmt.Fprintln(w, "| members | calm: messages, bytes a member and second | worst second after a zone is back | most bytes of one member in a second | dead: half, all, s | slow | started again | without memory | cut off | old copy | zone seen by all again |")
-	fmt.Fprintln(w, "| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
+	_, _ = fmt.Fprintln(w, "| members | calm: messages, bytes a member and second | worst second after a zone is back | most bytes of one member in a second | dead: half, all, s | slow | started again | without memory | cut off | old copy | zone seen by all again |")
+	_, _ = fmt.Fprintln(w, "| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
 	two := func(t [2]tick.Tick) string { return fmt.Sprintf("%.1f, %.1f", seconds(t[0]), seconds(t[1])) }
 	for _, n := range sizes {
 		s := See(seed, n)
-		fmt.Fprintf(w, "| %d | %.0f, %.0f | %.0f, %.0f | %d | %s | %s | %s | %s | %.1f | %.1f | %.1f |", s.Members, s.Calm.Messages, s.Calm.Bytes,
+		_, _ = fmt.Fprintf(w, "| %d | %.0f, %.0f | %.0f, %.0f | %d | %s | %s | %s | %s | %.1f | %.1f | %.1f |", s.Members, s.Calm.Messages, s.Calm.Bytes,
 			s.Storm.Messages, s.Storm.Bytes, s.Storm.One, two(s.Dead), two(s.Slow), two(s.Again), two(s.Fresh), seconds(s.Cut), seconds(s.Outrun),
 			seconds(s.Whole))
 		if s.Fault != "" {
-			fmt.Fprintf(w, " %s", s.Fault)
+			_, _ = fmt.Fprintf(w, " %s", s.Fault)
 		}
-		fmt.Fprintln(w)
+		_, _ = fmt.Fprintln(w)
 	}
 }
--- a/internal/lab/fleetsim/twofold.go
+++ b/internal/lab/fleetsim/twofold.go
@@ -245,8 +245,8 @@
 
 // CompareTable writes both.
 func CompareTable(w io.Writer, dir string) {
-	fmt.Fprintln(w, "| script | order of | moves: model, processes | longest without an owner, ms: model, processes | within the margin |")
-	fmt.Fprintln(w, "| --- | --- | ---: | ---: | --- |")
+	_, _ = fmt.Fprintln(w, "| script | order of | moves: model, processes | longest without an owner, ms: model, processes | within the margin |")
+	_, _ = fmt.Fprintln(w, "| --- | --- | ---: | ---: | --- |")
 	for _, c := range Compare(dir) {
 		how := "yes"
 		switch {
@@ -255,7 +255,7 @@
 		case c.Unplayed:
 			how = "no play of processes is there"
 		}
-		fmt.Fprintf(w, "| %s | %d events | %d, %d | %d, %d | %s |\n", c.Name, len(c.Order), c.Model.Moves, c.Processes.Moves,
+		_, _ = fmt.Fprintf(w, "| %s | %d events | %d, %d | %d, %d | %s |\n", c.Name, len(c.Order), c.Model.Moves, c.Processes.Moves,
 			c.Model.Idle.Milliseconds(), c.Processes.Idle.Milliseconds(), how)
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -52,14 +52,14 @@
 
 // Print writes a table in plain text.
 func (t *Table) Print(to io.Writer) {
-	fmt.Fprintln(to, t.Title)
+	_, _ = fmt.Fprintln(to, t.Title)
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "  "+strings.Join(t.Head, "\t"))
+	_, _ = fmt.Fprintln(w, "  "+strings.Join(t.Head, "\t"))
 	for _, row := range t.Rows {
-		fmt.Fprintln(w, "  "+strings.Join(row, "\t"))
+		_, _ = fmt.Fprintln(w, "  "+strings.Join(row, "\t"))
 	}
-	w.Flush()
-	fmt.Fprintln(to)
+	_ = w.Flush()
+	_, _ = fmt.Fprintln(to)
 }
 
 // Series is one line of a plot.
@@ -96,7 +96,7 @@
 
 func newLatencies() latencies { return latencies{hdrhistogram.New(1, 600_000_000, 3)} }
 
-func (l latencies) add(d time.Duration) { l.RecordValue(max(1, d.Microseconds())) }
+func (l latencies) add(d time.Duration) { _ = l.RecordValue(max(1, d.Microseconds())) }
 
 func (l latencies) at(percent float64) time.Duration {
 	return time.Duration(l.ValueAtPercentile(percent)) * time.Microsecond
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -74,7 +74,7 @@
 		n, err := r.node(i, plat)
 		if err != nil {
 			stop()
-			group.Wait()
+			_ = group.Wait()
 			return result, err
 		}
 		group.Go(func() error { return n.run(inner) })
@@ -152,7 +152,7 @@
 		n.front.Wind()
 		return n.listener.Close()
 	})
-	group.Wait() // its front ends with the listener
+	_ = group.Wait() // its front ends with the listener
 	return nil
 }
 
@@ -193,7 +193,7 @@
 			var c net.Conn
 			defer func() {
 				if c != nil {
-					c.Close()
+					_ = c.Close()
 				}
 			}()
 			n := 0
@@ -208,7 +208,7 @@
 					id := fmt.Sprintf("%x-%x-%x", no, s, n)
 					var ok bool
 					if fine, ok = query(c, r.Ops[op].Name, id); !ok {
-						c.Close()
+						_ = c.Close()
 						c = nil
 					}
 				}
@@ -229,11 +229,11 @@
 		return nil
 	}
 	if _, err := c.Write(pgwire.Hail()); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil
 	}
 	if _, ok := answered(c); !ok {
-		c.Close()
+		_ = c.Close()
 		return nil
 	}
 	return c
@@ -250,7 +250,7 @@
 
 // answered reads messages up to readiness; fine: none of them was an error.
 func answered(c net.Conn) (fine, ok bool) {
-	c.SetReadDeadline(time.Now().Add(3 * time.Second))
+	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	fine = true
 	head := make([]byte, 5)
 	for {
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -37,7 +37,7 @@
 
 // Run measures and prints.
 func (m Metadata) Run(ctx context.Context, to io.Writer) error {
-	fmt.Fprintf(to, "Stand-in repositories, mirrors and servers on loopback; %d cores, %s.\n\n", runtime.NumCPU(),
+	_, _ = fmt.Fprintf(to, "Stand-in repositories, mirrors and servers on loopback; %d cores, %s.\n\n", runtime.NumCPU(),
 		runtime.Version())
 	rates := &Table{Title: "Requests through the front", Head: []string{"servers", "what", "requests", "a second", "p50",
 		"p99", "not 200"}}
@@ -84,7 +84,7 @@
 		return nil
 	}
 	path := filepath.Join(m.Out, "metadata.svg")
-	fmt.Fprintf(to, "plot: %s\n", path)
+	_, _ = fmt.Fprintf(to, "plot: %s\n", path)
 	return Plot(path, "Metadata front (stand-ins)", "servers", "milliseconds", held, through, last)
 }
 
@@ -104,7 +104,7 @@
 	if w.stop != nil {
 		w.stop()
 	}
-	os.RemoveAll(w.dir)
+	_ = os.RemoveAll(w.dir)
 }
 
 func (m Metadata) world(n int) (w *world, err error) {
@@ -182,7 +182,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		w.front.Run(ctx)
+		_ = w.front.Run(ctx)
 	}()
 	w.stop = func() {
 		cancel()
@@ -194,7 +194,7 @@
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + w.front.Address() + "/r/image/metadata/timestamp.json")
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return w, nil
 			}
@@ -245,7 +245,7 @@
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if read(resp.Body) != nil {
 		return 0
 	}
@@ -385,7 +385,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	clock := repository.NewClock(false)
 	k, err := repository.NewKeeper(dir, clock, repo.Life{}, true)
 	if err != nil {
@@ -428,7 +428,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "floor")
 	before := live()
 	f, err := floor.Open([]string{path}, m.Entries+1, func(string) {})
@@ -467,7 +467,7 @@
 		return err
 	}
 	took := time.Since(began)
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	t := &Table{Title: "The floor", Head: []string{"entries", "memory", "file", "taken a second", "syncs", "recovery"}}
 	t.Add(f.Len(), fmt.Sprintf("%d MB", used>>20), fmt.Sprintf("%d MB", info.Size()>>20),
 		float64(m.Entries)/wrote.Seconds(), synced, took)
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -647,7 +647,7 @@
 			return nil
 		})
 	}
-	group.Wait()
+	_ = group.Wait()
 	return results
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -437,7 +437,7 @@
 	var s struct {
 		Ops []string `json:"ops"`
 	}
-	json.Unmarshal(body, &s) // what is wrong with it is told by Read
+	_ = json.Unmarshal(body, &s) // what is wrong with it is told by Read
 	l := New(s.Ops)
 	return l, l.Read(text)
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -93,7 +93,7 @@
 	l.Release()
 	l.gone = ctx
 	at, _ := ctx.Deadline()
-	l.conn.SetDeadline(at)
+	_ = l.conn.SetDeadline(at)
 	l.stop = context.AfterFunc(ctx, l.Interrupt)
 }
 
@@ -103,25 +103,25 @@
 	whole = l.stop == nil || l.stop()
 	l.gone, l.stop = context.Background(), nil
 	if whole {
-		l.conn.SetDeadline(time.Time{})
+		_ = l.conn.SetDeadline(time.Time{})
 	}
 	return whole
 }
 
 // Interrupt ends a blocked read or write.
-func (l *Link) Interrupt() { l.conn.SetDeadline(past) }
+func (l *Link) Interrupt() { _ = l.conn.SetDeadline(past) }
 
 var past = time.Unix(1, 0)
 
 // ReadBy sets a time limit for reading, WriteBy one for writing.
-func (l *Link) ReadBy(at time.Time)  { l.conn.SetReadDeadline(at) }
-func (l *Link) WriteBy(at time.Time) { l.conn.SetWriteDeadline(at) }
+func (l *Link) ReadBy(at time.Time)  { _ = l.conn.SetReadDeadline(at) }
+func (l *Link) WriteBy(at time.Time) { _ = l.conn.SetWriteDeadline(at) }
 
 // StopReading ends a blocked read.
-func (l *Link) StopReading() { l.conn.SetReadDeadline(past) }
+func (l *Link) StopReading() { _ = l.conn.SetReadDeadline(past) }
 
 // Until sets a time limit of its own.
-func (l *Link) Until(at time.Time) { l.conn.SetDeadline(at) }
+func (l *Link) Until(at time.Time) { _ = l.conn.SetDeadline(at) }
 
 // Fill waits for more bytes. The ring has space for at least want bytes then.
 func (l *Link) Fill(want int) End {
@@ -210,7 +210,7 @@
 // info is what the kernel tells of the connection, nil for nothing.
 func (l *Link) info() (info *unix.TCPInfo) {
 	if raw, err := l.conn.(syscall.Conn).SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) {
+		_ = raw.Control(func(fd uintptr) {
 			if i, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 				info = i
 			}
@@ -268,7 +268,7 @@
 	if l.stop != nil {
 		l.stop()
 	}
-	l.conn.Close()
+	_ = l.conn.Close()
 	l.in.free()
 	l.out.free()
 }
--- a/internal/members/board.go
+++ b/internal/members/board.go
@@ -133,7 +133,7 @@
 func (b *Board) Run(ctx context.Context) error {
 	var group errgroup.Group
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer func() { stop(); b.library.Close(); group.Wait() }()
+	defer func() { stop(); b.library.Close(); _ = group.Wait() }()
 	var names []string
 	for _, p := range b.net.Peers("") {
 		names = append(names, p.Name)
--- a/internal/members/library.go
+++ b/internal/members/library.go
@@ -54,7 +54,7 @@
 	set.Delegate, set.Events, set.Logger = l, l, quietLog()
 	list, err := memberlist.Create(set)
 	if err != nil {
-		l.lines.Shutdown()
+		_ = l.lines.Shutdown()
 		return nil, err
 	}
 	l.list = list
@@ -74,14 +74,14 @@
 
 func nameOf(raw []byte) string {
 	var r struct{ Name string }
-	json.Unmarshal(raw, &r)
+	_ = json.Unmarshal(raw, &r)
 	return r.Name
 }
 
 func (l *library) Spread(name string, raw []byte) { l.queue.QueueBroadcast(word{name, raw}) }
 func (l *library) Renew(name string)              { l.lines.renew(name) }
-func (l *library) Leave(within time.Duration)     { l.list.Leave(within) }
-func (l *library) Close()                         { l.list.Shutdown() }
+func (l *library) Leave(within time.Duration)     { _ = l.list.Leave(within) }
+func (l *library) Close()                         { _ = l.list.Shutdown() }
 
 func (l *library) Ping(name string) (time.Duration, error) { return l.list.Ping(name, named(name)) }
 
@@ -89,7 +89,7 @@
 // hold to be alive, as it does not look for them itself, and a split would never heal.
 func (l *library) Sync(ctx context.Context, names []string, every time.Duration) {
 	var group errgroup.Group
-	defer group.Wait()
+	defer func() { _ = group.Wait() }()
 	group.SetLimit(joining)
 	join := func(name string) error {
 		_, err := l.list.Join([]string{name + "/[" + address(name).String() + "]:1"})
@@ -123,7 +123,7 @@
 			if next++; alive[name] {
 				continue
 			}
-			if left--; !group.TryGo(func() error { join(name); return nil }) {
+			if left--; !group.TryGo(func() error { _ = join(name); return nil }) {
 				break // as many are under way as may be
 			}
 		}
@@ -227,7 +227,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() != nil {
-		c.Close()
+		_ = c.Close()
 		return false
 	}
 	t.open[c] = true
@@ -244,29 +244,29 @@
 // take reads what a connection that came in is for, and its packets.
 func (t *transport) take(c net.Conn) {
 	var first [1]byte
-	c.SetDeadline(time.Now().Add(t.silence + time.Second))
+	_ = c.SetDeadline(time.Now().Add(t.silence + time.Second))
 	if _, err := io.ReadFull(c, first[:]); err != nil || first[0] != packets && first[0] != stream {
-		t.drop(c)
+		_ = t.drop(c)
 		return
 	}
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	if first[0] == stream {
 		timer := time.NewTimer(t.silence)
 		defer timer.Stop()
 		select {
 		case t.streams <- &kept{c, t}:
 		case <-t.ctx.Done():
-			t.drop(c)
+			_ = t.drop(c)
 		case <-timer.C: // the library is busy
-			t.drop(c)
+			_ = t.drop(c)
 		}
 		return
 	}
-	defer t.drop(c)
+	defer func() { _ = t.drop(c) }()
 	from := c.(*peers.Conn).From
 	t.mu.Lock()
 	if old := t.from[from]; old != nil {
-		old.Close()
+		_ = old.Close()
 	}
 	t.from[from] = c
 	t.mu.Unlock()
@@ -315,7 +315,7 @@
 		s.conn = nil
 		t.mu.Unlock()
 		if c != nil {
-			t.drop(c)
+			_ = t.drop(c)
 		}
 	}
 	defer close()
@@ -350,7 +350,7 @@
 			s.conn = c
 			t.mu.Unlock()
 		}
-		c.SetWriteDeadline(time.Now().Add(t.silence))
+		_ = c.SetWriteDeadline(time.Now().Add(t.silence))
 		if _, err := c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)); err != nil {
 			close()
 		}
@@ -367,12 +367,12 @@
 	if !t.keep(c) {
 		return nil, net.ErrClosed
 	}
-	c.SetWriteDeadline(time.Now().Add(within))
+	_ = c.SetWriteDeadline(time.Now().Add(within))
 	if _, err := c.Write([]byte{what}); err != nil {
-		t.drop(c)
+		_ = t.drop(c)
 		return nil, err
 	}
-	c.SetWriteDeadline(time.Time{})
+	_ = c.SetWriteDeadline(time.Time{})
 	return c, nil
 }
 
@@ -382,7 +382,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.to[name]; s != nil && s.conn != nil {
-		s.conn.Close()
+		_ = s.conn.Close()
 	}
 }
 
@@ -444,10 +444,10 @@
 	t.mu.Lock()
 	t.stop()
 	for c := range t.open {
-		c.Close()
+		_ = c.Close()
 	}
 	t.mu.Unlock()
-	t.net.Listener(peers.Members).Close()
+	_ = t.net.Listener(peers.Members).Close()
 	t.done.Wait()
 	return nil
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -130,14 +130,14 @@
 // Run takes connections in until the context ends, then closes all listeners and waits for its goroutines.
 func (n *Net) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		n.main.Close()
+		_ = n.main.Close()
 		for _, l := range n.in {
-			l.Close()
+			_ = l.Close()
 		}
 	})
 	defer stop()
 	var group errgroup.Group
-	defer group.Wait()
+	defer func() { _ = group.Wait() }()
 	for {
 		conn, err := n.main.Accept()
 		switch {
@@ -156,7 +156,7 @@
 		select {
 		case n.young <- struct{}{}:
 		default:
-			conn.Close() // as many hellos are awaited as may be
+			_ = conn.Close() // as many hellos are awaited as may be
 			continue
 		}
 		group.Go(func() error {
@@ -169,7 +169,7 @@
 
 // take reads a hello and hands the connection on, or says why not.
 func (n *Net) take(ctx context.Context, conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(helloTime))
+	_ = conn.SetDeadline(time.Now().Add(helloTime))
 	var h hello
 	text, err := line(conn)
 	if err == nil {
@@ -180,7 +180,7 @@
 	why, quiet := "", false // quiet: a crowd would fill the log
 	switch {
 	case err != nil:
-		conn.Close()
+		_ = conn.Close()
 		return
 	case h.V != Version:
 		why = fmt.Sprintf("version %d is not spoken here, %d is", h.V, Version)
@@ -205,10 +205,10 @@
 		if why != "" && !quiet {
 			n.log("peers: turned away " + h.From + ": " + why)
 		}
-		taken.Close()
+		_ = taken.Close()
 		return
 	}
-	conn.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{})
 	l.put(ctx, taken)
 }
 
@@ -259,8 +259,8 @@
 		return nil, err
 	}
 	until, _ := ctx.Deadline()
-	conn.SetDeadline(until)
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	_ = conn.SetDeadline(until)
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	h, _ := json.Marshal(hello{Version, kind, n.fleet, n.self.Name, name})
 	var why string
 	if _, err = conn.Write(append(h, '\n')); err == nil {
@@ -276,10 +276,10 @@
 		err = ctx.Err()
 	}
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
-	conn.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{})
 	return conn, nil
 }
 
@@ -334,7 +334,7 @@
 	case <-ctx.Done():
 	case <-timer.C: // nobody takes it
 	}
-	conn.Close()
+	_ = conn.Close()
 }
 
 // Accept waits for a connection.
--- a/internal/placement/rebuild.go
+++ b/internal/placement/rebuild.go
@@ -10,9 +10,9 @@
 // sense.
 func Of(places []handover.Place) (*Table, error) {
 	var buf bytes.Buffer
-	write(&buf, head{V: handover.Version, Version: uint64(len(places)), Places: len(places)}, nil)
+	_ = write(&buf, head{V: handover.Version, Version: uint64(len(places)), Places: len(places)}, nil)
 	for i, p := range places {
-		write(&buf, line{At: uint64(i + 1), Place: p}, nil)
+		_ = write(&buf, line{At: uint64(i + 1), Place: p}, nil)
 	}
 	t := New()
 	return t, t.Restore(buf.Bytes())
--- a/internal/power/power.go
+++ b/internal/power/power.go
@@ -340,7 +340,7 @@
 	if err != nil {
 		return "", short(file, err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
 		return "", fmt.Errorf("%s: no regular file", file)
 	}
@@ -373,7 +373,7 @@
 	if err != nil {
 		return nil, short(dir, err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	all, err := f.Readdirnames(mostEntries)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, short(dir, err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -109,12 +109,12 @@
 	listener, err := r.open(ctx, t, pushed)
 	if err != nil {
 		cancel()
-		group.Wait()
+		_ = group.Wait()
 		return err
 	}
 	if listener != nil {
 		if listening <- listener; ctx.Err() != nil { // ended as it began to listen: nobody has been taken in
-			listener.Close()
+			_ = listener.Close()
 		}
 		group.Go(func() error {
 			defer cancel() // the rest is needed as long as there are sessions
@@ -158,11 +158,11 @@
 		default:
 		}
 		if listener != nil {
-			listener.Close()
+			_ = listener.Close()
 		}
 	}()
 	var next <-chan time.Time
-	steps := []func(){r.front.Wind, func() { listener.(*net.TCPListener).SetDeadline(time.Now()) }}
+	steps := []func(){r.front.Wind, func() { _ = listener.(*net.TCPListener).SetDeadline(time.Now()) }}
 	for stopping := false; ; {
 		select {
 		case listener = <-listening:
@@ -199,7 +199,7 @@
 // with the connections, each doubling holds up the process for tens of milliseconds.
 func growTable(sockets int) {
 	if fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, sockets-1); err == nil {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 	}
 }
 
@@ -277,7 +277,7 @@
 	set, held := r.room.InUse()
 	open, idle := r.pools.InUse()
 	var use syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	r.log.Info().Str("gate", fmt.Sprintf("%+v", c)).
 		Int64("room_set_aside", set).Int64("room_held", held).Int("unit_connections", open).Int("idle", idle).
 		Int64("opened", r.pools.Opened.Load()).Int64("reused", r.pools.Reused.Load()).Int64("connect_failed", r.pools.Failed.Load()).Int64("unasked", r.pools.Unasked.Load()).
--- a/internal/repo/repo.go
+++ b/internal/repo/repo.go
@@ -86,12 +86,12 @@
 	for _, name := range metadata.TOP_LEVEL_ROLE_NAMES {
 		role := roles[name]
 		if role.Threshold < 1 || len(role.Keys) < role.Threshold {
-			r.Close()
+			_ = r.Close()
 			return nil, fmt.Errorf("role %s: %d keys for a threshold of %d", name, len(role.Keys), role.Threshold)
 		}
 		for _, k := range role.Keys {
 			if err := root.Signed.AddKey(k, name); err != nil {
-				r.Close()
+				_ = r.Close()
 				return nil, err
 			}
 		}
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	t, err := describe(in, as, build, kinds)
 	if err != nil {
 		return err
@@ -304,7 +304,7 @@
 		if err == nil {
 			err = out.CloseAtomicallyReplace()
 		}
-		out.Cleanup()
+		_ = out.Cleanup()
 		if err != nil {
 			return err
 		}
--- a/internal/service/assign.go
+++ b/internal/service/assign.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		text, err := io.ReadAll(io.LimitReader(resp.Body, trust.MostTargets+1))
 		switch {
 		case err != nil:
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -77,11 +77,11 @@
 	m := &Metadata{path: path, log: log, env: env, now: now, all: block, repos: map[string]*carrier.Repo{},
 		close: func() error { return nil }, room: link.NewRoom(64 << 20)}
 	if err := m.build(); err != nil {
-		m.close()
+		_ = m.close()
 		return nil, err
 	}
 	if m.listener, err = net.Listen("tcp", block["listen"].(string)); err != nil {
-		m.close()
+		_ = m.close()
 		return nil, err
 	}
 	return m, nil
--- a/internal/standin/crew/binary.go
+++ b/internal/standin/crew/binary.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return "", err
 	}
--- a/internal/standin/crew/client.go
+++ b/internal/standin/crew/client.go
@@ -77,7 +77,7 @@
 
 func (k *Client) drop(i int) {
 	if k.conns[i] != nil {
-		k.conns[i].Close()
+		_ = k.conns[i].Close()
 		k.conns[i] = nil
 	}
 }
@@ -166,7 +166,7 @@
 		text = "INSERT INTO kv (name, content) VALUES ('" + m.Instance + `', '\x` + fmt.Sprintf("%x", m.ID) +
 			"') RETURNING content " + tail
 	}
-	conn.SetDeadline(until)
+	_ = conn.SetDeadline(until)
 	m.Sends++
 	if _, err := conn.Write(pgwire.Simple(text)); err != nil {
 		return Unknown, err.Error()
@@ -220,7 +220,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.SetDeadline(until)
+	_ = conn.SetDeadline(until)
 	if _, err = conn.Write(pgwire.Hail()); err == nil {
 		var a *pgwire.Answer
 		if a, _, err = answer(conn); err == nil && a.State != "" {
@@ -228,7 +228,7 @@
 		}
 	}
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
 	return conn, nil
--- a/internal/standin/crew/course.go
+++ b/internal/standin/crew/course.go
@@ -58,7 +58,7 @@
 // WriteEvents writes what was caused, one event a line, so that ReadEvents has it again. head is a remark.
 func WriteEvents(w io.Writer, head string, began time.Time, events []Event) error {
 	b := bufio.NewWriter(w)
-	fmt.Fprintf(b, "# %s\n", head)
+	_, _ = fmt.Fprintf(b, "# %s\n", head)
 	last := map[string]bool{}
 	for _, e := range events {
 		if !slices.Contains(caused, e.Name) {
@@ -70,7 +70,7 @@
 			continue
 		}
 		last[said] = true
-		fmt.Fprintf(b, "%d\t%s\n", e.At.Sub(began).Milliseconds(), said)
+		_, _ = fmt.Fprintf(b, "%d\t%s\n", e.At.Sub(began).Milliseconds(), said)
 	}
 	return b.Flush()
 }
--- a/internal/standin/crew/crew.go
+++ b/internal/standin/crew/crew.go
@@ -43,7 +43,7 @@
 func pace() float64 {
 	var load float64
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		fmt.Sscan(string(text), &load) // of the last minute
+		_, _ = fmt.Sscan(string(text), &load) // of the last minute
 	}
 	return min(4, max(1, load/float64(2*runtime.NumCPU())))
 }
@@ -143,9 +143,9 @@
 		if err != nil {
 			continue
 		}
-		l.Close()
+		_ = l.Close()
 		if l, err = net.Listen("tcp", ip+":"+commandPort); err == nil {
-			l.Close()
+			_ = l.Close()
 			return ip, nil
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 	c.keepers = keepers.New(c.desk, map[string]any{"fleet.lease": Pace}, seed)
 	ctx, stop := context.WithCancel(context.Background())
-	c.done.Go(func() { c.desk.Run(ctx) })
+	c.done.Go(func() { _ = c.desk.Run(ctx) })
 	c.done.Go(func() { c.watch(ctx) })
 	t.Cleanup(func() {
 		c.close()
@@ -191,7 +191,7 @@
 		}
 		if dir := os.Getenv("CREW_TIMELINES"); dir != "" {
 			if n, ok := t.(interface{ Name() string }); ok {
-				os.WriteFile(filepath.Join(dir, strings.ReplaceAll(n.Name(), "/", "-")+".txt"), []byte(c.Timeline()), 0o600)
+				_ = os.WriteFile(filepath.Join(dir, strings.ReplaceAll(n.Name(), "/", "-")+".txt"), []byte(c.Timeline()), 0o600)
 			}
 		}
 		if t.Failed() {
@@ -431,7 +431,7 @@
 			c.fault(p.Name + ": " + text)
 		}
 	}
-	io.Copy(io.Discard, out) // an overlong line
+	_, _ = io.Copy(io.Discard, out) // an overlong line
 }
 
 func (c *Crew) fault(text string) {
@@ -546,8 +546,8 @@
 			c.mu.Lock()
 			p.meant = true
 			c.mu.Unlock()
-			p.cmd.Process.Signal(syscall.SIGCONT)
-			p.cmd.Process.Signal(syscall.SIGTERM)
+			_ = p.cmd.Process.Signal(syscall.SIGCONT)
+			_ = p.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
 	end, again := time.After(ending), time.NewTicker(ending/20)
@@ -560,12 +560,12 @@
 			case <-again.C: // an edge unit waits for others to take its instances, and ends at a second one
 				for _, q := range c.nodes {
 					if q.cmd != nil && q.Role == "edge" {
-						q.cmd.Process.Signal(syscall.SIGTERM)
+						_ = q.cmd.Process.Signal(syscall.SIGTERM)
 					}
 				}
 			case <-end:
 				c.fault(p.Name + " does not end on SIGTERM")
-				p.cmd.Process.Kill()
+				_ = p.cmd.Process.Kill()
 				<-p.ended
 				p.cmd, end = nil, time.After(0)
 			}
--- a/internal/standin/crew/script.go
+++ b/internal/standin/crew/script.go
@@ -68,13 +68,13 @@
 		c.mu.Unlock()
 		if verb == "kill" {
 			c.add(note)
-			p.cmd.Process.Kill()
+			_ = p.cmd.Process.Kill()
 			<-p.ended
 			p.cmd = nil
 			return nil
 		}
 		c.add(note)
-		p.cmd.Process.Signal(syscall.SIGTERM)
+		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.ended:
 		case <-time.After(waiting): // an edge unit has ten leases for having its instances handed on
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -50,7 +50,7 @@
 			u.mu.Lock()
 			if u.ended || u.state != "up" {
 				u.mu.Unlock()
-				c.Close()
+				_ = c.Close()
 				continue
 			}
 			u.conns[c] = true
@@ -67,13 +67,13 @@
 	u.ended = true
 	u.drop()
 	u.mu.Unlock()
-	u.listener.Close()
+	_ = u.listener.Close()
 	u.done.Wait()
 }
 
 func (u *Unit) drop() {
 	for c := range u.conns {
-		c.Close()
+		_ = c.Close()
 	}
 	clear(u.conns)
 }
@@ -111,7 +111,7 @@
 
 func (u *Unit) serve(c net.Conn) {
 	defer func() {
-		c.Close()
+		_ = c.Close()
 		u.mu.Lock()
 		delete(u.conns, c)
 		u.mu.Unlock()
@@ -154,7 +154,7 @@
 		buf = buf[size:]
 		q, fault := pgwire.ParseQuery([]byte(text))
 		if fault != nil {
-			c.Write(append(pgwire.Problem("ERROR", fault.Code, fault.Text, ""), pgwire.Ready()...))
+			_, _ = c.Write(append(pgwire.Problem("ERROR", fault.Code, fault.Text, ""), pgwire.Ready()...))
 			continue
 		}
 		u.mu.Lock()
@@ -205,7 +205,7 @@
 	p := &Platform{Units: units, Waves: waves, Bake: bake, listener: l, seq: 1, changed: make(chan struct{}), Build: build,
 		state: "live"}
 	p.server = &http.Server{Handler: p}
-	p.done.Go(func() { p.server.Serve(l) })
+	p.done.Go(func() { _ = p.server.Serve(l) })
 	return p, nil
 }
 
@@ -214,7 +214,7 @@
 
 // Close ends it.
 func (p *Platform) Close() {
-	p.server.Close()
+	_ = p.server.Close()
 	p.done.Wait()
 }
 
@@ -306,7 +306,7 @@
 		}
 		text := p.page()
 		p.mu.Unlock()
-		io.WriteString(w, text)
+		_, _ = io.WriteString(w, text)
 	case "/changes":
 		for flush := http.NewResponseController(w); ; {
 			p.mu.Lock()
@@ -342,7 +342,7 @@
 		if !counts {
 			w.WriteHeader(http.StatusConflict)
 		}
-		io.WriteString(w, text)
+		_, _ = io.WriteString(w, text)
 	default:
 		http.NotFound(w, req)
 	}
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -275,7 +275,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	recorded := map[string][]string{}
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, 1<<20)
--- a/internal/standin/links/links.go
+++ b/internal/standin/links/links.go
@@ -101,7 +101,7 @@
 	n.stop()
 	n.mu.Lock()
 	for _, l := range n.links {
-		l.listener.Close()
+		_ = l.listener.Close()
 	}
 	n.mu.Unlock()
 	n.done.Wait()
@@ -225,7 +225,7 @@
 func (c *conn) reset() {
 	for _, s := range []net.Conn{c.near, c.far} {
 		if t, ok := s.(*net.TCPConn); ok {
-			t.SetLinger(0)
+			_ = t.SetLinger(0)
 		}
 	}
 	c.stop()
@@ -237,7 +237,7 @@
 		switch {
 		case l.net.ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			if err == nil {
-				near.Close()
+				_ = near.Close()
 			}
 			return
 		case err != nil: // such as too many descriptors
@@ -253,7 +253,7 @@
 
 // carry passes one connection until either end has closed or it is reset.
 func (l *Link) carry(near net.Conn) {
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	l.mu.Lock()
 	l.opened++
 	target, refuse := l.target, l.refuse
@@ -264,10 +264,10 @@
 		far, err = (&net.Dialer{Timeout: patient}).DialContext(l.net.ctx, "tcp", target)
 	}
 	if refuse || target == "" || err != nil {
-		near.(*net.TCPConn).SetLinger(0)
+		_ = near.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	ctx, stop := context.WithCancel(l.net.ctx)
 	c := &conn{near: near, far: far, stop: stop}
 	l.mu.Lock()
@@ -281,7 +281,7 @@
 	var both sync.WaitGroup
 	both.Go(func() { l.pass(ctx, c, Forth, near, far) })
 	both.Go(func() { l.pass(ctx, c, Back, far, near) })
-	closer := context.AfterFunc(ctx, func() { near.Close(); far.Close() })
+	closer := context.AfterFunc(ctx, func() { _ = near.Close(); far.Close() })
 	both.Wait()
 	stop()
 	closer()
@@ -355,7 +355,7 @@
 	}
 	if l.release(ctx, way, 0) {
 		if t, ok := to.(*net.TCPConn); ok {
-			t.CloseWrite()
+			_ = t.CloseWrite()
 		}
 	}
 }
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -86,7 +86,7 @@
 	m.done.Add(1)
 	go func() {
 		defer m.done.Done()
-		m.server.Serve(l)
+		_ = m.server.Serve(l)
 	}()
 	return m, nil
 }
@@ -103,7 +103,7 @@
 		close(m.quit)
 	}
 	m.mu.Unlock()
-	m.server.Close()
+	_ = m.server.Close()
 	m.done.Wait()
 }
 
@@ -197,7 +197,7 @@
 		for i := range junk {
 			junk[i] = byte(i)
 		}
-		w.Write(data)
+		_, _ = w.Write(data)
 		for range 4096 { // 128 MB at the most
 			if _, err := w.Write(junk); err != nil {
 				return
@@ -210,7 +210,7 @@
 			if _, err := w.Write(data[i : i+1]); err != nil {
 				return
 			}
-			flush.Flush()
+			_ = flush.Flush()
 			select {
 			case <-time.After(time.Duration(f.N) * time.Millisecond):
 			case <-req.Context().Done():
@@ -221,7 +221,7 @@
 		}
 	case "length":
 		w.Header().Set("Content-Length", strconv.Itoa(len(data)+7))
-		w.Write(data)
+		_, _ = w.Write(data)
 		panic(http.ErrAbortHandler)
 	case "half":
 		part := f.N
@@ -238,7 +238,7 @@
 		if from > 0 {
 			w.WriteHeader(http.StatusPartialContent)
 		}
-		w.Write(rest[:len(rest)*part/100])
+		_, _ = w.Write(rest[:len(rest)*part/100])
 		panic(http.ErrAbortHandler)
 	case "flip":
 		bad := append([]byte(nil), data...)
@@ -247,7 +247,7 @@
 		}
 		http.ServeContent(w, req, "", time.Time{}, strings.NewReader(string(bad)))
 	default: // of an older set, mixed or foreign
-		w.Write(data)
+		_, _ = w.Write(data)
 	}
 }
 
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	body, err := io.ReadAll(resp.Body)
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	resp.Body = io.NopCloser(bytes.NewReader(body))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return nil, &metadata.ErrDownloadHTTP{StatusCode: resp.StatusCode, URL: url}
 	}
@@ -259,7 +259,7 @@
 	for p, is := range told {
 		var custom trust.Custom
 		if is.Custom != nil {
-			json.Unmarshal(*is.Custom, &custom)
+			_ = json.Unmarshal(*is.Custom, &custom)
 		}
 		if custom.ECUs[s.Name] == s.Kind {
 			path, t = p, is
@@ -277,7 +277,7 @@
 		return fmt.Errorf("image: %w", err)
 	}
 	if is.Length != t.Length || !is.Hashes.Equal(t.Hashes) {
-		s.report("", "", "the repositories differ on "+path)
+		_ = s.report("", "", "the repositories differ on "+path)
 		return fmt.Errorf("%s: %w: the repositories differ", path, ErrAttack)
 	}
 	if s.Decline {
@@ -295,7 +295,7 @@
 		return s.report("failed", path, "")
 	}
 	var custom trust.Custom
-	json.Unmarshal(*t.Custom, &custom)
+	_ = json.Unmarshal(*t.Custom, &custom)
 	s.Running, s.Build = path, custom.Build
 	return s.report("ok", path, "")
 }
@@ -325,7 +325,7 @@
 	if err != nil {
 		return 0, err
 	}
-	io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close()
 	return resp.StatusCode, nil
 }
--- a/internal/trust/current.go
+++ b/internal/trust/current.go
@@ -336,7 +336,7 @@
 	t := &Target{Path: path, Length: is.Length, Role: role}
 	copy(t.Sum[:], is.Hashes["sha256"])
 	if is.Custom != nil {
-		json.Unmarshal(*is.Custom, &t.Custom) // another's custom field leaves it empty
+		_ = json.Unmarshal(*is.Custom, &t.Custom) // another's custom field leaves it empty
 	}
 	return t
 }
