--- a/choice/choice.go
+++ b/balancer/choice.go
@@ -13,7 +13,7 @@
 //  5. a test for each op type, one for wrong answers and one for what the platform counts, fed by peers where they
 //     may talk, and their duals, which rule a failure share out before a vote to go on
 //  6. lateness against the earlier build, scored as the time-out of a delivery
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"math"
--- a/choice/host.go
+++ b/balancer/host.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Tick is a point or a span of time in whole tenths of a millisecond.
 type Tick int64
--- a/cmd/silvercove/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -1,5 +1,5 @@
 // Command silvercove is one relay: it takes commands from clients, has the decision module choose
-// what becomes of each, and speaks with units, the list of units and the platform. "silvercove check FILE"
+// what becomes of each, and speaks with units, the list of units and the platform. "silvercove-relay check FILE"
 // checks an operator's file.
 package main
 
@@ -7,9 +7,9 @@
 	"fmt"
 	"os"
 
-	"silvercove/internal/conf"
+	_ "silvercove/internal/fdtable" // large before there are threads
+	"silvercove/internal/operatorconfig"
 	"silvercove/internal/relay"
-	_ "silvercove/internal/table" // large before there are threads
 )
 
 func main() {
@@ -25,10 +25,10 @@
 // other is what the program does with arguments: check an operator's file. Without any it is a relay.
 func other(args []string) (code int) {
 	if len(args) != 2 || args[0] != "check" {
-		fmt.Fprintln(os.Stderr, "usage: silvercove, or silvercove check FILE")
+		fmt.Fprintln(os.Stderr, "usage: silvercove, or silvercove-relay check FILE")
 		return 2
 	}
-	if _, err := conf.Operators.Read(args[1]); err != nil {
+	if _, err := operatorconfig.Operators.Read(args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
--- a/cmd/covectl/fleet_edge.go
+++ b/cmd/silvercovectl/fleet_edge.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"silvercove/internal/edge"
+	"silvercove/internal/edgenode"
 )
 
 type fleetEdgeCmd struct {
@@ -26,7 +26,7 @@
 }
 
 func (c *fleetEdgeCmd) serve(p *fleetProcess, alive context.Context) error {
-	e, err := edge.Open(edge.Options{File: p.file, Net: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
+	e, err := edgenode.Open(edgenode.Options{File: p.file, Net: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return full(err)
 	}
--- a/cmd/covectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -13,16 +13,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"silvercove/internal/fleet"
-	"silvercove/internal/members"
-	"silvercove/internal/peers"
+	"silvercove/internal/membership"
+	"silvercove/internal/peertransport"
 )
 
 // fleetProcess is what each process of a fleet has: its file, its log, its connections and its members' board.
 type fleetProcess struct {
 	file  *fleet.File
 	log   zerolog.Logger
-	net   *peers.Net
-	board *members.Board
+	net   *peertransport.Net
+	board *membership.Board
 
 	measures net.Listener // nil: metrics are served nowhere
 }
@@ -35,7 +35,7 @@
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00"
 	p := &fleetProcess{file: f, log: logger(f.Level).With().Str("node", f.Self.Name).Logger()}
-	if p.net, err = peers.Open(f.Fleet, f.Self, f.Peers, func(text string) { p.log.Warn().Msg(text) }); err != nil {
+	if p.net, err = peertransport.Open(f.Fleet, f.Self, f.Peers, func(text string) { p.log.Warn().Msg(text) }); err != nil {
 		return nil, err
 	}
 	if f.Metrics != "" {
@@ -43,11 +43,11 @@
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	run, fresh, err := members.Run(f.Data, time.Now())
+	run, fresh, err := membership.Run(f.Data, time.Now())
 	if err != nil {
 		return nil, full(err)
 	}
-	p.board, err = members.Open(p.net, run, fresh, f.Set, func(m members.Member) {
+	p.board, err = membership.Open(p.net, run, fresh, f.Set, func(m membership.Member) {
 		p.log.Info().Str("event", "member").Str("from", m.Name).Str("why", string(m.State)).Uint64("run", m.Run).Send()
 	})
 	if err == nil && p.measures != nil {
@@ -58,7 +58,7 @@
 
 // gauges are those that every process has.
 func (p *fleetProcess) gauges() {
-	for _, state := range []members.State{members.Alive, members.Suspect, members.Cut, members.Slow, members.Dead, members.Left} {
+	for _, state := range []membership.State{membership.Alive, membership.Suspect, membership.Cut, membership.Slow, membership.Dead, membership.Left} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
 			n := 0.0
 			for _, m := range p.board.All() {
--- a/cmd/covectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -10,10 +10,10 @@
 
 	"github.com/google/renameio/v2"
 
+	"silvercove/internal/controller"
+	"silvercove/internal/controllerclient"
 	"silvercove/internal/fleet"
-	"silvercove/internal/keeper"
-	"silvercove/internal/keepers"
-	"silvercove/internal/peers"
+	"silvercove/internal/peertransport"
 )
 
 type fleetBackupCmd struct {
@@ -23,12 +23,12 @@
 
 // Run writes what the keepers agreed to a file, whole or not at all.
 func (c *fleetBackupCmd) Run() error {
-	return c.with(func(ctx context.Context, k *keepers.Client, _ *fleet.File, _ *peers.Net) error {
+	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Net) error {
 		var b bytes.Buffer
 		if err := k.Backup(ctx, &b); err != nil {
 			return err
 		}
-		n, err := keeper.CheckBackup(bytes.NewReader(b.Bytes()))
+		n, err := controller.CheckBackup(bytes.NewReader(b.Bytes()))
 		if err != nil {
 			return fmt.Errorf("it came cut short, and nothing was written: %w", err)
 		}
@@ -42,7 +42,7 @@
 
 type fleetRebuildCmd struct {
 	fleetCall
-	Backup  string   `type:"existingfile" help:"What covectl fleet backup wrote: importance, zones and what no unit has come from it."`
+	Backup  string   `type:"existingfile" help:"What silvercovectl fleet backup wrote: importance, zones and what no unit has come from it."`
 	Without []string `help:"Edge units to go on without, where they are silent."`
 }
 
@@ -58,7 +58,7 @@
 		}
 		backup = bytes.NewReader(text)
 	}
-	return c.with(func(ctx context.Context, k *keepers.Client, f *fleet.File, net *peers.Net) error {
+	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Net) error {
 		if f.Self.Role != "keeper" {
 			return fmt.Errorf("%s: %s is a process of role %s; give the file of the keeper that is to begin", c.File, f.Self.Name,
 				f.Self.Role)
@@ -66,7 +66,7 @@
 		if s, err := k.Status(ctx, f.Self.Name); err == nil {
 			return fmt.Errorf("%s runs (%s): stop it first", f.Self.Name, s.Role)
 		}
-		return full(keeper.Rebuild(ctx, keeper.Rebuilding{Net: net, Data: f.Data, Set: f.Set, Client: k, Backup: backup,
+		return full(controller.Rebuild(ctx, controller.Rebuilding{Net: net, Data: f.Data, Set: f.Set, Client: k, Backup: backup,
 			Without: c.Without, Say: func(text string) { fmt.Println(text) }}))
 	})
 }
--- a/cmd/covectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -6,12 +6,12 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/fleet"
-	"silvercove/internal/gate"
-	"silvercove/internal/guide"
-	"silvercove/internal/keepers"
 	"silvercove/internal/overload"
 	"silvercove/internal/relay"
+	"silvercove/internal/routing"
 )
 
 type fleetRelayCmd struct {
@@ -30,19 +30,19 @@
 		return err
 	}
 	cores, memory := told.Limits()
-	strain := guide.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
+	strain := routing.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
 	told.Shed, told.Staged = strain, strain.Staged
 	told.Turn = func(ctx context.Context) { strain.Wait(ctx, overload.Start) }
-	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *gate.Gate) error {
+	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Gate) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
 		group.Go(func() error { return strain.Run(ctx, g) })
-		client := keepers.New(p.net, f.Set, told.Seed())
+		client := controllerclient.New(p.net, f.Set, told.Seed())
 		defer client.Close()
 		group.Go(func() error { return strain.Report(ctx, client) })
 		group.Go(func() error {
 			strain.Wait(ctx, overload.List)
-			return guide.New(client, p.net, log).Run(ctx, g)
+			return routing.New(client, p.net, log).Run(ctx, g)
 		})
 		return group.Wait()
 	})
--- a/cmd/covectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -11,7 +11,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 
 	"silvercove/internal/keys"
-	"silvercove/internal/repo"
+	"silvercove/internal/tufrepo"
 )
 
 type keysCmd struct {
@@ -95,7 +95,7 @@
 
 // Run stages a root.
 func (c *keysRotateCmd) Run() error {
-	r, err := repo.Open(c.Repo)
+	r, err := tufrepo.Open(c.Repo)
 	if err != nil {
 		return err
 	}
@@ -152,13 +152,13 @@
 	TimestampLife time.Duration `default:"24h" help:"How long timestamps last."`
 }
 
-func (l lives) life() repo.Life {
-	return repo.Life{Root: l.RootLife, Targets: l.TargetsLife, Snapshot: l.SnapshotLife, Timestamp: l.TimestampLife}
+func (l lives) life() tufrepo.Life {
+	return tufrepo.Life{Root: l.RootLife, Targets: l.TargetsLife, Snapshot: l.SnapshotLife, Timestamp: l.TimestampLife}
 }
 
 // open opens a repository with lives, for one step.
-func (l lives) open(dir string, step func(r *repo.Repo) error) error {
-	r, err := repo.Open(dir)
+func (l lives) open(dir string, step func(r *tufrepo.Repo) error) error {
+	r, err := tufrepo.Open(dir)
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 
 // Run makes a repository.
 func (c *tufInitCmd) Run() error {
-	roles := map[string]repo.Role{}
+	roles := map[string]tufrepo.Role{}
 	for role, of := range map[string]struct {
 		files     []string
 		threshold int
@@ -191,9 +191,9 @@
 		if err != nil {
 			return err
 		}
-		roles[role] = repo.Role{Keys: all, Threshold: of.threshold}
+		roles[role] = tufrepo.Role{Keys: all, Threshold: of.threshold}
 	}
-	r, err := repo.Init(c.Repo, roles, !c.Inconsistent, c.life())
+	r, err := tufrepo.Init(c.Repo, roles, !c.Inconsistent, c.life())
 	if err != nil {
 		return full(err)
 	}
@@ -214,7 +214,7 @@
 
 // Run takes a file in.
 func (c *tufAddCmd) Run() error {
-	return c.open(c.Repo, func(r *repo.Repo) error { return r.Add(c.Role, c.File, c.As, c.Build, c.Kinds) })
+	return c.open(c.Repo, func(r *tufrepo.Repo) error { return r.Add(c.Role, c.File, c.As, c.Build, c.Kinds) })
 }
 
 type tufRemoveCmd struct {
@@ -226,7 +226,7 @@
 
 // Run stages targets without a path.
 func (c *tufRemoveCmd) Run() error {
-	return c.open(c.Repo, func(r *repo.Repo) error { return r.Remove(c.Role, c.Path) })
+	return c.open(c.Repo, func(r *tufrepo.Repo) error { return r.Remove(c.Role, c.Path) })
 }
 
 type tufDelegateCmd struct {
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	return c.open(c.Repo, func(r *repo.Repo) error {
+	return c.open(c.Repo, func(r *tufrepo.Repo) error {
 		return r.Delegate(c.From, c.To, all, c.Threshold, c.Paths, c.Terminating)
 	})
 }
@@ -259,7 +259,7 @@
 
 // Run stages a renewal.
 func (c *tufRenewCmd) Run() error {
-	return c.open(c.Repo, func(r *repo.Repo) error { return r.Renew(c.Role) })
+	return c.open(c.Repo, func(r *tufrepo.Repo) error { return r.Renew(c.Role) })
 }
 
 type tufSignCmd struct {
@@ -271,7 +271,7 @@
 
 // Run signs.
 func (c *tufSignCmd) Run() error {
-	return c.open(c.Repo, func(r *repo.Repo) error {
+	return c.open(c.Repo, func(r *tufrepo.Repo) error {
 		for _, path := range c.Keys {
 			k, err := keys.Load(path, keys.PhraseFrom(os.Getenv))
 			if err != nil {
@@ -302,7 +302,7 @@
 		}
 		online = append(online, k)
 	}
-	return c.open(c.Repo, func(r *repo.Repo) error {
+	return c.open(c.Repo, func(r *tufrepo.Repo) error {
 		if err := r.Publish(online); err != nil {
 			return err
 		}
@@ -317,7 +317,7 @@
 
 // Run shows how the roles stand.
 func (c *tufShowCmd) Run() error {
-	return lives{}.open(c.Repo, func(r *repo.Repo) error {
+	return lives{}.open(c.Repo, func(r *tufrepo.Repo) error {
 		all, err := r.Show()
 		if err != nil {
 			return err
--- a/cmd/covectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -1,4 +1,4 @@
-// Command covectl is the control program: it checks operators' files, keeps keys and repositories, runs the
+// Command silvercovectl is the control program: it checks operators' files, keeps keys and repositories, runs the
 // metadata front and its measurements. What is heavy stands here, so that the relay stays lean.
 package main
 
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/rs/zerolog"
 
-	"silvercove/internal/conf"
+	"silvercove/internal/operatorconfig"
 )
 
 // commands are all sub-commands.
@@ -33,13 +33,13 @@
 
 func main() {
 	var c commands
-	parser := kong.Must(&c, kong.Name("covectl"), kong.UsageOnError(),
+	parser := kong.Must(&c, kong.Name("silvercovectl"), kong.UsageOnError(),
 		kong.Description("Control program of silvercove. Pass phrases come from the file that COVE_PASSPHRASE_FILE names, "+
 			"or from COVE_PASSPHRASE."))
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "covectl:", err)
+		fmt.Fprintln(os.Stderr, "silvercovectl:", err)
 		os.Exit(1)
 	}
 }
@@ -50,7 +50,7 @@
 
 // Run checks a file.
 func (c *checkCmd) Run() error {
-	all, err := conf.Operators.Read(c.File)
+	all, err := operatorconfig.Operators.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 
 // Run prints the page.
 func (c *referenceCmd) Run() error {
-	fmt.Print(conf.Operators.Reference())
+	fmt.Print(operatorconfig.Operators.Reference())
 	return nil
 }
 
--- a/cmd/covectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"silvercove/internal/conf"
-	"silvercove/internal/floor"
 	"silvercove/internal/keys"
-	"silvercove/internal/service"
-	"silvercove/internal/trust"
+	"silvercove/internal/metadataservice"
+	"silvercove/internal/monotonic"
+	"silvercove/internal/operatorconfig"
+	"silvercove/internal/tufverify"
 )
 
 type metadataCmd struct {
@@ -32,13 +32,13 @@
 
 // Run serves until SIGTERM or SIGINT; SIGHUP takes the file again.
 func (c *serveCmd) Run() error {
-	all, err := conf.Operators.Read(c.File)
+	all, err := operatorconfig.Operators.Read(c.File)
 	if err != nil {
 		return err
 	}
 	level, _ := all["log_level"].(string)
 	log := logger(level)
-	m, err := service.New(c.File, os.Getenv, time.Now, log)
+	m, err := metadataservice.New(c.File, os.Getenv, time.Now, log)
 	if err != nil {
 		return full(err)
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	get := func(f trust.File) ([]byte, error) {
+	get := func(f tufverify.File) ([]byte, error) {
 		text, err := os.ReadFile(filepath.Join(c.From, "metadata", f.String()))
 		if errors.Is(err, os.ErrNotExist) {
 			return nil, nil
@@ -107,17 +107,17 @@
 		return text, err
 	}
 	if strings.HasPrefix(c.From, "http://") {
-		get = service.Fetcher(c.From + "/metadata/")
+		get = metadataservice.Fetcher(c.From + "/metadata/")
 	}
-	told := func(f trust.File) ([]byte, error) {
+	told := func(f tufverify.File) ([]byte, error) {
 		text, err := get(f)
 		if text != nil {
 			fmt.Printf("%s is there\n", f)
 		}
 		return text, err
 	}
-	now := trust.Of(time.Now())
-	r, err := trust.New("repository", floor.InMemory(1<<16, func(string) {}), now, pinned)
+	now := tufverify.Of(time.Now())
+	r, err := tufverify.New("repository", monotonic.InMemory(1<<16, func(string) {}), now, pinned)
 	if err != nil {
 		return err
 	}
@@ -156,9 +156,9 @@
 	if err != nil {
 		return err
 	}
-	ask := service.Assignment
+	ask := metadataservice.Assignment
 	if c.Partial {
-		ask = service.PartialAssignment
+		ask = metadataservice.PartialAssignment
 	}
 	all, err := ask("http://"+c.Address, c.Server, pinned, time.Now())
 	if err != nil {
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := trust.SignReport(trust.Report{Server: c.Server, Hardware: c.Hardware, Counter: c.Counter, At: time.Now(),
+	text, err := tufverify.SignReport(tufverify.Report{Server: c.Server, Hardware: c.Hardware, Counter: c.Counter, At: time.Now(),
 		Running: c.Running, Build: c.Build, Installed: c.Installed, Tried: c.Tried}, k.Private)
 	if err != nil {
 		return err
@@ -239,7 +239,7 @@
 
 // Run lists a floor.
 func (c *floorShowCmd) Run() error {
-	f, err := floor.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
+	f, err := monotonic.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
 	if err != nil {
 		return err
 	}
@@ -262,12 +262,12 @@
 		return errors.New("this makes metadata that had expired by the floor's time current again: say --yes if the clock " +
 			"was wrong, and is right now")
 	}
-	f, err := floor.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
+	f, err := monotonic.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	was, now := f.Passed(), trust.Of(time.Now())
+	was, now := f.Passed(), tufverify.Of(time.Now())
 	if was <= now {
 		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", was.Time().Format(time.RFC3339))
 		return nil
--- a/cmd/covectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"silvercove/internal/ledger"
+	"silvercove/internal/evidence"
 )
 
 type verdictCmd struct {
@@ -24,7 +24,7 @@
 
 // Run prints the reasons.
 func (c *verdictExplainCmd) Run() error {
-	l, err := ledger.OfFile(c.File)
+	l, err := evidence.OfFile(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/drill/frame.go
+++ b/internal/benchadapter/frame.go
@@ -1,11 +1,11 @@
-package drill
+package benchadapter
 
 import (
 	"encoding/binary"
 	"fmt"
 	"math"
 
-	"silvercove/choice"
+	"silvercove/balancer"
 )
 
 // reader takes fields from one frame. Its first failure stays and every later
@@ -70,12 +70,12 @@
 
 // tick reads a time in seconds. The wire counts whole microseconds; the rest of a
 // tick is dropped, so that a deadline is never read as later than it is.
-func (r *reader) tick(what string) choice.Tick {
+func (r *reader) tick(what string) balancer.Tick {
 	return toTick(r.f64(what))
 }
 
-func toTick(seconds float64) choice.Tick {
-	return choice.Tick(math.Floor(math.Round(seconds*1e6) / 100))
+func toTick(seconds float64) balancer.Tick {
+	return balancer.Tick(math.Floor(math.Round(seconds*1e6) / 100))
 }
 
 func (r *reader) load() []float64 {
@@ -113,8 +113,8 @@
 func (w *writer) u32(v uint32) { w.buf = binary.LittleEndian.AppendUint32(w.buf, v) }
 func (w *writer) u64(v uint64) { w.buf = binary.LittleEndian.AppendUint64(w.buf, v) }
 
-func (w *writer) tick(v choice.Tick) {
-	w.u64(math.Float64bits(float64(v) / float64(choice.Second)))
+func (w *writer) tick(v balancer.Tick) {
+	w.u64(math.Float64bits(float64(v) / float64(balancer.Second)))
 }
 
 func (w *writer) bytes(b []byte) {
--- a/internal/keeper/birth.go
+++ b/internal/controller/birth.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"silvercove/internal/keepers"
-	"silvercove/internal/peers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
 )
 
 // born waits until this disk may take part in the agreed log; old says that it must not, as it lacks what was confirmed
@@ -26,14 +26,14 @@
 // that are left have to have their logs. A disk that has begun asks as many others as make a majority with it, without
 // which it could do nothing anyway. What it can't see: all that knew better are away or restarted. Then the log goes
 // back behind what another keeper has carried out, which that one tells, and ends (ErrBack).
-func (k *Keeper) born(ctx context.Context, last keepers.Mark) (old bool, err error) {
+func (k *Keeper) born(ctx context.Context, last controllerclient.Mark) (old bool, err error) {
 	m := k.disk.now()
-	begins := func(b *keepers.Birth, found bool, line uint64) error {
+	begins := func(b *controllerclient.Birth, found bool, line uint64) error {
 		m.Birth, m.Found, m.Line = b, found, line
 		return k.disk.put(m)
 	}
 	if len(k.peers) == 0 && m.Birth == nil {
-		return false, begins(&keepers.Birth{ID: identity(), Stores: map[string]string{k.self: m.Store}}, true, 0)
+		return false, begins(&controllerclient.Birth{ID: identity(), Stores: map[string]string{k.self: m.Store}}, true, 0)
 	}
 	defer k.waits("")
 	for ; ; k.rest(ctx) {
@@ -44,7 +44,7 @@
 		if m.Birth != nil {
 			// One of before a rebuild, which was stopped or cut off through it, has no say, and must not keep this one from
 			// its start; it ends at its own.
-			all = slices.DeleteFunc(all, func(s keepers.Status) bool {
+			all = slices.DeleteFunc(all, func(s controllerclient.Status) bool {
 				return s.Birth != nil && s.Birth.ID != m.Birth.ID && s.Generation < m.Line
 			})
 			for _, s := range all {
@@ -62,7 +62,7 @@
 			k.waits("for word of a majority of keepers: " + strings.Join(silent, ", "))
 			continue
 		}
-		var birth *keepers.Birth
+		var birth *controllerclient.Birth
 		var line uint64
 		for _, s := range all {
 			if s.Birth != nil && s.Generation >= line {
@@ -97,7 +97,7 @@
 		switch {
 		case stores == nil:
 		case names[0] == k.self: // one alone draws the birth, and the others find themselves in it
-			return false, begins(&keepers.Birth{ID: identity(), Stores: stores}, true, 0)
+			return false, begins(&controllerclient.Birth{ID: identity(), Stores: stores}, true, 0)
 		default:
 			k.waits("for " + names[0] + " to begin")
 		}
@@ -125,10 +125,10 @@
 }
 
 // ask has the status of all other keepers, and why others are silent.
-func (k *Keeper) ask(ctx context.Context) (all []keepers.Status, silent []string) {
+func (k *Keeper) ask(ctx context.Context) (all []controllerclient.Status, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, k.spans.Confirm.Span())
 	defer cancel()
-	got := make([]keepers.Status, len(k.peers))
+	got := make([]controllerclient.Status, len(k.peers))
 	errs := make([]error, len(k.peers))
 	var group sync.WaitGroup
 	for i, name := range k.peers {
@@ -145,10 +145,10 @@
 	return all, silent
 }
 
-func (k *Keeper) letIn(ctx context.Context, ready bool) (keepers.Joined, error) {
+func (k *Keeper) letIn(ctx context.Context, ready bool) (controllerclient.Joined, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*k.spans.Answer.Span())
 	defer cancel()
-	return k.client.Join(ctx, keepers.Join{Node: k.self, Store: k.disk.now().Store, Ready: ready})
+	return k.client.Join(ctx, controllerclient.Join{Node: k.self, Store: k.disk.now().Store, Ready: ready})
 }
 
 // join has a disk that was let in catch up and get its vote.
@@ -188,7 +188,7 @@
 
 // takeIn is the leading keeper's part: a former disk of the name is taken out of the voters, the new one follows
 // without a vote, and gets it when it has caught up.
-func (k *Keeper) takeIn(r *raft.Raft, term uint64, j keepers.Join) (answer keepers.Joined, err error) {
+func (k *Keeper) takeIn(r *raft.Raft, term uint64, j controllerclient.Join) (answer controllerclient.Joined, err error) {
 	k.joining.Lock()
 	defer k.joining.Unlock()
 	f := r.GetConfiguration()
@@ -243,16 +243,16 @@
 func (s stream) Addr() net.Addr { return name(s.k.self) }
 
 // Close ends Accept.
-func (s stream) Close() error { return s.k.Net.Listener(peers.Log).Close() }
+func (s stream) Close() error { return s.k.Net.Listener(peertransport.Log).Close() }
 
 // Accept waits for a keeper's connection; those of others are closed.
 func (s stream) Accept() (net.Conn, error) {
 	for {
-		conn, err := s.k.Net.Listener(peers.Log).Accept()
+		conn, err := s.k.Net.Listener(peertransport.Log).Accept()
 		if err != nil {
 			return nil, err
 		}
-		if c, ok := conn.(*peers.Conn); !ok || !slices.Contains(s.k.peers, c.From) {
+		if c, ok := conn.(*peertransport.Conn); !ok || !slices.Contains(s.k.peers, c.From) {
 			s.k.Log.Warn().Str("event", "refused").Msg("a connection for the agreed log from a process that is no keeper")
 			_ = conn.Close()
 			continue
@@ -265,7 +265,7 @@
 func (s stream) Dial(to raft.ServerAddress, limit time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	return s.k.Net.Dial(ctx, string(to), peers.Log)
+	return s.k.Net.Dial(ctx, string(to), peertransport.Log)
 }
 
 // marking notes what other keepers confirmed to have on their disks, before it counts as agreed.
@@ -274,7 +274,7 @@
 	k *Keeper
 }
 
-func (m marking) note(id raft.ServerID, last keepers.Mark) {
+func (m marking) note(id raft.ServerID, last controllerclient.Mark) {
 	m.k.mu.Lock()
 	defer m.k.mu.Unlock()
 	if last.Later(m.k.marks[string(id)]) {
@@ -288,7 +288,7 @@
 
 	err := m.NetworkTransport.AppendEntries(id, to, ask, answer)
 	if n := len(ask.Entries); err == nil && answer.Success && n > 0 {
-		m.note(id, keepers.Mark{Term: ask.Entries[n-1].Term, Index: ask.Entries[n-1].Index})
+		m.note(id, controllerclient.Mark{Term: ask.Entries[n-1].Term, Index: ask.Entries[n-1].Index})
 	}
 	return err
 }
@@ -304,7 +304,7 @@
 
 	err := m.NetworkTransport.InstallSnapshot(id, to, ask, answer, data)
 	if err == nil && answer.Success {
-		m.note(id, keepers.Mark{Term: ask.LastLogTerm, Index: ask.LastLogIndex})
+		m.note(id, controllerclient.Mark{Term: ask.LastLogTerm, Index: ask.LastLogIndex})
 	}
 	return err
 }
--- a/internal/keeper/crowd.go
+++ b/internal/controller/crowd.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"fmt"
--- a/internal/keeper/keeper.go
+++ b/internal/controller/keeper.go
@@ -3,7 +3,7 @@
 // (leases.Book), and have handover's planner decide at the one that leads.
 //
 // What is agreed outlives a keeper on its disk; leases do not, and are counted as renewed by a new leader.
-package keeper
+package controller
 
 import (
 	"context"
@@ -23,36 +23,36 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/bell"
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
 	"silvercove/internal/leases"
-	"silvercove/internal/peers"
-	"silvercove/internal/strength"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/tick"
+	"silvercove/internal/wakeup"
 )
 
 // Planner is handover.Planner as the leading keeper drives it. Calls come one at a time.
 type Planner interface {
 	Led(now tick.Tick)
-	Unit(now tick.Tick, u handover.Unit)
+	Unit(now tick.Tick, u migration.Unit)
 	LeaseOver(now tick.Tick, name string)
-	Placed(now tick.Tick, p handover.Place)
-	Refused(now tick.Tick, e handover.Entry, err error)
+	Placed(now tick.Tick, p migration.Place)
+	Refused(now tick.Tick, e migration.Entry, err error)
 	Device(now tick.Tick, name, zone string)
 	Alarm(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
 }
 
 // Host is what a planner acts through.
 type Host interface {
-	Step(e handover.Entry)
+	Step(e migration.Entry)
 	Log(text string)
 }
 
 // Options are what a keeper is made of.
 type Options struct {
-	Net     *peers.Net // its Run is the caller's
-	Data    string     // folder
+	Net     *peertransport.Net // its Run is the caller's
+	Data    string             // folder
 	Set     map[string]any
 	Log     zerolog.Logger
 	Planner func(host Host, now tick.Tick) Planner           // nil: handover's
@@ -86,13 +86,13 @@
 	spans   leases.Spans
 	disk    *disk
 	machine *machine
-	bell    *bell.Bell
+	bell    *wakeup.Bell
 	waiters chan struct{}
 	ended   chan error // the first reason why it can't go on
 	raft    atomic.Pointer[raft.Raft]
 	store   *guarded // since raft is set
 	confirm *confirmer
-	client  *keepers.Client
+	client  *controllerclient.Client
 	queued  chan struct{} // rings the proposer
 	joining sync.Mutex
 	least   uint64 // term in which an emptied disk was let in; set before raft runs
@@ -101,8 +101,8 @@
 	lead  *lead
 	why   string // it waits
 	ill   string // its disk
-	space keepers.Disk
-	marks map[string]keepers.Mark
+	space controllerclient.Disk
+	marks map[string]controllerclient.Mark
 }
 
 // lead is a span of leading.
@@ -110,13 +110,13 @@
 	term    uint64
 	book    *leases.Book
 	planner Planner
-	claims  *strength.Believer
+	claims  *devicehealth.Believer
 	marks   *leases.Marks
-	back    map[uint16]bool              // builds by whether the platform takes them back, as relays told since this lead began
-	says    map[string]stand             // by relay, the last that it said of a build
-	units   map[string]*keepers.LeaseAsk // the last of each
-	version uint64                       // of units
-	changed chan struct{}                // closed at the next change of units
+	back    map[uint16]bool                       // builds by whether the platform takes them back, as relays told since this lead began
+	says    map[string]stand                      // by relay, the last that it said of a build
+	units   map[string]*controllerclient.LeaseAsk // the last of each
+	version uint64                                // of units
+	changed chan struct{}                         // closed at the next change of units
 	queue   []queued
 	pending map[string]int // entries under way that rest on a unit's lease being over
 	settled chan struct{}  // closed when fewer are
@@ -126,17 +126,17 @@
 }
 
 type queued struct {
-	entry handover.Entry
+	entry migration.Entry
 	why   error // it is refused before it is proposed
 }
 
 // Open reads the keeper's disk. What stands in the way of a start is said here, or by Run.
 func Open(o Options) (*Keeper, error) {
 	if o.Now == nil {
-		o.Now = keepers.Now
+		o.Now = controllerclient.Now
 	}
 	if o.Planner == nil {
-		o.Planner = func(h Host, now tick.Tick) Planner { return handover.NewPlanner(h, now, uint64(now), o.Set) }
+		o.Planner = func(h Host, now tick.Tick) Planner { return migration.NewPlanner(h, now, uint64(now), o.Set) }
 	}
 	if o.Free == nil {
 		o.Free = freeOf
@@ -147,9 +147,9 @@
 	if o.crowd == nil {
 		o.crowd = &crowd{most: mostConns, mostOf: mostOfOne}
 	}
-	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.SpansOf(o.Set), bell: bell.New(),
+	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.SpansOf(o.Set), bell: wakeup.New(),
 		waiters: make(chan struct{}, mostWaiters), ended: make(chan error, 1), queued: make(chan struct{}, 1),
-		marks: map[string]keepers.Mark{}}
+		marks: map[string]controllerclient.Mark{}}
 	for _, p := range o.Net.Peers("keeper") {
 		k.peers = append(k.peers, p.Name)
 	}
@@ -157,7 +157,7 @@
 	k.crowd.of, k.crowd.keeper = map[string]int{}, func(name string) bool { return slices.Contains(k.peers, name) }
 	k.machine = newMachine(k.told, k.fatal)
 	k.confirm = newConfirmer(k)
-	k.client = keepers.New(o.Net, o.Set, uint64(o.Now()))
+	k.client = controllerclient.New(o.Net, o.Set, uint64(o.Now()))
 	var err error
 	k.disk, err = openDisk(o.Data, o.Net.Fleet(), k.self)
 	return k, err
@@ -206,7 +206,7 @@
 			store = k.Wrap(store)
 		}
 		var snaps raft.SnapshotStore
-		var last keepers.Mark
+		var last controllerclient.Mark
 		if err == nil {
 			snaps, last, err = k.disk.snapshots(store, logger)
 		}
@@ -241,7 +241,7 @@
 }
 
 // run runs raft on a disk that may take part, until the context ends.
-func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last keepers.Mark, logger hclog.Logger) error {
+func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last controllerclient.Mark, logger hclog.Logger) error {
 	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.Confirm.Span(), last: last,
 		closed: make(chan struct{}), full: k.full}
 	trans := marking{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream{k}, MaxPool: 3,
@@ -293,7 +293,7 @@
 }
 
 // start begins the log on a disk of the birth, and starts raft.
-func (k *Keeper) start(set *raft.Config, trans marking, snaps raft.SnapshotStore, last keepers.Mark) (*raft.Raft, error) {
+func (k *Keeper) start(set *raft.Config, trans marking, snaps raft.SnapshotStore, last controllerclient.Mark) (*raft.Raft, error) {
 	if m := k.disk.now(); m.Found && !m.Begun {
 		if last.Index == 0 {
 			var first raft.Configuration
@@ -351,7 +351,7 @@
 	}
 	now := k.Now()
 	runs := k.machine.runs()
-	l := &lead{term: term, book: leases.New(k.Set), units: map[string]*keepers.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
+	l := &lead{term: term, book: leases.New(k.Set), units: map[string]*controllerclient.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
 		changed: make(chan struct{}), pending: map[string]int{}, settled: make(chan struct{}), over: make(chan struct{})}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -360,7 +360,7 @@
 	}
 	l.book.Led(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
-	l.claims = strength.NewBeliever(now, k.Set)
+	l.claims = devicehealth.NewBeliever(now, k.Set)
 	l.marks = leases.NewMarks(now, k.Set, k.machine.kept())
 	k.lead = l
 	l.planner.Led(now)
@@ -448,8 +448,8 @@
 }
 
 // expects counts on the units of a place.
-func (l *lead) expects(now tick.Tick, p handover.Place) {
-	if p.State != handover.Runs {
+func (l *lead) expects(now tick.Tick, p migration.Place) {
+	if p.State != migration.Runs {
 		return
 	}
 	for _, name := range append([]string{p.Owner}, p.Holders...) {
@@ -467,18 +467,18 @@
 var errActs = errors.New("its owner's lease is not over: it may still act")
 
 // lapse: the entry rests on the lease of its By being over.
-func lapse(e handover.Entry) bool {
+func lapse(e migration.Entry) bool {
 	switch e.Kind {
-	case handover.Fail, handover.Quarantine, handover.Forget:
+	case migration.Fail, migration.Quarantine, migration.Forget:
 		return e.By != ""
 	}
 	return false
 }
 
 // Step proposes an entry.
-func (h host) Step(e handover.Entry) {
+func (h host) Step(e migration.Entry) {
 	q := queued{entry: e}
-	q.entry.V = handover.Version
+	q.entry.V = migration.Version
 	if len(h.l.queue) >= mostQueue {
 		return // the planner's alarm comes again
 	}
@@ -619,7 +619,7 @@
 }
 
 // told has what was agreed told to the planner of the leading keeper, and logged.
-func (k *Keeper) told(steps []handover.Entry, all []result) {
+func (k *Keeper) told(steps []migration.Entry, all []result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.leading()
@@ -636,13 +636,13 @@
 		l.expects(now, p)
 		l.planner.Placed(now, p)
 		switch e.Kind {
-		case handover.Create, handover.Switch, handover.Fail, handover.Lacks, handover.Restart, handover.Release, handover.Quarantine,
-			handover.Forget:
+		case migration.Create, migration.Switch, migration.Fail, migration.Lacks, migration.Restart, migration.Release, migration.Quarantine,
+			migration.Forget:
 			to := p.Owner
 			if to == "" {
 				to = string(p.State)
 			}
-			if e.Kind == handover.Forget {
+			if e.Kind == migration.Forget {
 				to = "forgotten"
 			}
 			k.Log.Info().Str("event", "placed").Str("instance", p.Name).Uint64("epoch", p.Epoch).Str("from", e.By).
--- a/internal/keeper/looks.go
+++ b/internal/controller/looks.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
 )
 
 // freeOf is the room of the disk that has a folder, in bytes, as any user may have it.
@@ -92,7 +92,7 @@
 	if f.Error() != nil {
 		return
 	}
-	var voters []keepers.Status
+	var voters []controllerclient.Status
 	for _, s := range f.Configuration().Servers {
 		for _, o := range others {
 			if string(s.ID) == o.Node && s.Suffrage == raft.Voter {
--- a/internal/keeper/machine.go
+++ b/internal/controller/machine.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
 	"silvercove/internal/leases"
+	"silvercove/internal/migration"
 	"silvercove/internal/placement"
 )
 
@@ -25,41 +25,41 @@
 
 // order is one entry of the agreed log.
 type order struct {
-	V     int              `json:"v"`
-	Term  uint64           `json:"term,omitempty"`  // it holds in this term alone; 0: in any
-	Steps []handover.Entry `json:"steps,omitempty"` // each is carried out or refused by itself
-	Unit  string           `json:"unit,omitempty"`  // Run of Unit may have leases from now on, earlier ones may not
-	Run   uint64           `json:"run,omitempty"`
-	Birth *keepers.Birth   `json:"birth,omitempty"` // the log's beginning, once
-	Node  string           `json:"node,omitempty"`  // the keeper Node has the disk Store from now on
-	Store string           `json:"store,omitempty"`
+	V     int                     `json:"v"`
+	Term  uint64                  `json:"term,omitempty"`  // it holds in this term alone; 0: in any
+	Steps []migration.Entry       `json:"steps,omitempty"` // each is carried out or refused by itself
+	Unit  string                  `json:"unit,omitempty"`  // Run of Unit may have leases from now on, earlier ones may not
+	Run   uint64                  `json:"run,omitempty"`
+	Birth *controllerclient.Birth `json:"birth,omitempty"` // the log's beginning, once
+	Node  string                  `json:"node,omitempty"`  // the keeper Node has the disk Store from now on
+	Store string                  `json:"store,omitempty"`
 
 	// Of these an earlier keeper knows nothing, and passes an entry with them alone over: nothing that it knows rests on them.
 	Kept   map[string]uint64 `json:"kept,omitempty"`   // units' counts, as leases.Marks
-	Doubts []handover.Doubt  `json:"doubts,omitempty"` // of one unit's
+	Doubts []migration.Doubt `json:"doubts,omitempty"` // of one unit's
 }
 
 // result is what became of one step.
 type result struct {
-	place handover.Place
+	place migration.Place
 	err   error
 }
 
 // head is the first line of a snapshot; the table's own lines follow.
 type head struct {
-	V          int               `json:"v"`
-	Applied    uint64            `json:"applied"`
-	Generation uint64            `json:"generation"`
-	Birth      *keepers.Birth    `json:"birth,omitempty"`
-	Stores     map[string]string `json:"stores,omitempty"`
-	Runs       map[string]uint64 `json:"runs,omitempty"`
-	Kept       map[string]uint64 `json:"kept,omitempty"`
-	more       placement.More    // what a later version added
+	V          int                     `json:"v"`
+	Applied    uint64                  `json:"applied"`
+	Generation uint64                  `json:"generation"`
+	Birth      *controllerclient.Birth `json:"birth,omitempty"`
+	Stores     map[string]string       `json:"stores,omitempty"`
+	Runs       map[string]uint64       `json:"runs,omitempty"`
+	Kept       map[string]uint64       `json:"kept,omitempty"`
+	more       placement.More          // what a later version added
 }
 
 // machine is what the log agrees on. Its lock is never held while another one is waited for.
 type machine struct {
-	told  func([]handover.Entry, []result) // each order's steps, in order
+	told  func([]migration.Entry, []result) // each order's steps, in order
 	fatal func(error)
 
 	mu      sync.Mutex
@@ -69,7 +69,7 @@
 	broken  bool          // no entry is carried out any more
 }
 
-func newMachine(told func([]handover.Entry, []result), fatal func(error)) *machine {
+func newMachine(told func([]migration.Entry, []result), fatal func(error)) *machine {
 	return &machine{told: told, fatal: fatal, head: head{V: storeVersion, Generation: 1, Stores: map[string]string{},
 		Runs: map[string]uint64{}, Kept: map[string]uint64{}}, table: placement.New(), changed: make(chan struct{})}
 }
@@ -241,7 +241,7 @@
 		return h, nil, err
 	}
 	t = placement.New()
-	if err = t.Restore(text); errors.Is(err, handover.ErrVersion) {
+	if err = t.Restore(text); errors.Is(err, migration.ErrVersion) {
 		return h, nil, fmt.Errorf("%w: %w", ErrLater, err)
 	} else if err != nil {
 		return h, nil, err
@@ -265,14 +265,14 @@
 }
 
 // line is the line of placement, runs those of units, stores the disks that are agreed.
-func (m *machine) line() keepers.Line {
+func (m *machine) line() controllerclient.Line {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lineLocked()
 }
 
-func (m *machine) lineLocked() keepers.Line {
-	l := keepers.Line{Generation: m.head.Generation}
+func (m *machine) lineLocked() controllerclient.Line {
+	l := controllerclient.Line{Generation: m.head.Generation}
 	if m.head.Birth != nil {
 		l.Birth = m.head.Birth.ID
 	}
@@ -297,7 +297,7 @@
 	return maps.Clone(m.head.Stores)
 }
 
-func (m *machine) get(name string) (handover.Place, bool) {
+func (m *machine) get(name string) (migration.Place, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Get(name)
@@ -309,14 +309,14 @@
 	return m.table.Version()
 }
 
-func (m *machine) all() []handover.Place {
+func (m *machine) all() []migration.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.All()
 }
 
 // since are the places that changed since a version of a birth's, and what is closed at the next change.
-func (m *machine) since(version uint64, birth string) (p keepers.Places, changed <-chan struct{}) {
+func (m *machine) since(version uint64, birth string) (p controllerclient.Places, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	line := m.lineLocked()
@@ -324,5 +324,5 @@
 		version = 0
 	}
 	c := m.table.Since(version)
-	return keepers.Places{Version: c.Version, Line: line, Whole: c.Whole, Places: c.Places, Gone: c.Gone}, m.changed
+	return controllerclient.Places{Version: c.Version, Line: line, Whole: c.Whole, Places: c.Places, Gone: c.Gone}, m.changed
 }
--- a/internal/keeper/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -13,19 +13,19 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
 	"silvercove/internal/leases"
-	"silvercove/internal/peers"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/placement"
 )
 
 // Rebuilding is how a keeper's disk is written anew after a majority of them was lost.
 type Rebuilding struct {
-	Net     *peers.Net // of the keeper that begins; its Run is the caller's
-	Data    string     // its folder; what is there is set aside
+	Net     *peertransport.Net // of the keeper that begins; its Run is the caller's
+	Data    string             // its folder; what is there is set aside
 	Set     map[string]any
-	Client  *keepers.Client
+	Client  *controllerclient.Client
 	Backup  io.Reader // an earlier state, nil: none
 	Without []string  // units that may be silent
 	Say     func(string)
@@ -57,7 +57,7 @@
 		}
 	}
 	h := head{V: storeVersion, Generation: 1, Runs: map[string]uint64{}}
-	var old []handover.Place
+	var old []migration.Place
 	if r.Backup != nil {
 		was, t, err := readSnapshot(r.Backup)
 		if err != nil {
@@ -74,10 +74,10 @@
 		return ctx.Err()
 	case <-time.After(over.Span()):
 	}
-	var found []handover.Found
+	var found []migration.Found
 	var silent []string
 	units := r.Net.Peers("edge")
-	all, errs := make([]keepers.Holds, len(units)), make([]error, len(units))
+	all, errs := make([]controllerclient.Holds, len(units)), make([]error, len(units))
 	limit := leases.SpansOf(r.Set).Answer.Span()
 	var group errgroup.Group
 	group.SetLimit(asked)
@@ -97,7 +97,7 @@
 			r.Say(fmt.Sprintf("%s is silent: %v", p.Name, err))
 			continue
 		}
-		found = append(found, handover.Found{Unit: p.Name, Zone: p.Zone, Holds: holds.Holds})
+		found = append(found, migration.Found{Unit: p.Name, Zone: p.Zone, Holds: holds.Holds})
 		h.Generation = max(h.Generation, holds.Line.Generation)
 		h.Runs[p.Name] = max(h.Runs[p.Name], holds.Run)
 		r.Say(fmt.Sprintf("%s has %d instances", p.Name, len(holds.Holds)))
@@ -106,7 +106,7 @@
 		return fmt.Errorf("%s: what they alone have would be lost; bring them back, or name them as those to go on without",
 			strings.Join(more, ", "))
 	}
-	places, told := handover.Rebuild(found, silent, old)
+	places, told := migration.Rebuild(found, silent, old)
 	for _, text := range told {
 		r.Say(text)
 	}
@@ -125,7 +125,7 @@
 	h.Generation++
 	h.Applied = 1
 	m := d.now()
-	h.Birth = &keepers.Birth{ID: identity(), Stores: map[string]string{self: m.Store}}
+	h.Birth = &controllerclient.Birth{ID: identity(), Stores: map[string]string{self: m.Store}}
 	h.Stores = h.Birth.Stores
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(d.dir, 2, hclog.NewNullLogger())
 	if err != nil {
--- a/internal/keeper/room.go
+++ b/internal/controller/room.go
@@ -1,9 +1,9 @@
-package keeper
+package controller
 
 import (
 	"slices"
 
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
 	"silvercove/internal/tick"
 )
 
@@ -26,7 +26,7 @@
 // lead is handed on though nothing presses.
 type room struct {
 	every, trailing uint64 // entries of the log until it is cut, and left then
-	disk            keepers.Disk
+	disk            controllerclient.Disk
 	hands, cuts     backoff
 }
 
@@ -98,12 +98,12 @@
 // Hands is the keeper to which the lead is handed on: of those that follow in this term the one with the
 // largest part of its disk free. None where all are short of room, or are of a version that does not say:
 // then it leads on. Each answer but none counts as a try.
-func (m *room) Hands(now tick.Tick, term uint64, others []keepers.Status) (to string) {
+func (m *room) Hands(now tick.Tick, term uint64, others []controllerclient.Status) (to string) {
 	if !m.Asks(now) {
 		return ""
 	}
 	most := wellFree // one that would hand it on at once is none
-	for _, s := range slices.SortedFunc(slices.Values(others), func(a, b keepers.Status) int {
+	for _, s := range slices.SortedFunc(slices.Values(others), func(a, b controllerclient.Status) int {
 		if a.Node < b.Node {
 			return -1
 		}
--- a/internal/keeper/serve.go
+++ b/internal/controller/serve.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -17,24 +17,24 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/hashicorp/raft"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
 	"silvercove/internal/leases"
-	"silvercove/internal/peers"
-	"silvercove/internal/strength"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/tick"
 )
 
 // fault is an answer that says no.
 type fault struct {
 	code int
-	keepers.Fault
+	controllerclient.Fault
 }
 
 func (f *fault) Error() string { return f.Fault.Error }
 
 func no(code int, format string, args ...any) *fault {
-	return &fault{code, keepers.Fault{Error: fmt.Sprintf(format, args...)}}
+	return &fault{code, controllerclient.Fault{Error: fmt.Sprintf(format, args...)}}
 }
 
 type fromKey struct{}
@@ -55,7 +55,7 @@
 		var answer any
 		var err error
 		if r.Method == http.MethodPost {
-			if err = json.NewDecoder(http.MaxBytesReader(w, r.Body, keepers.MostBody)).Decode(&c.in); err != nil {
+			if err = json.NewDecoder(http.MaxBytesReader(w, r.Body, controllerclient.MostBody)).Decode(&c.in); err != nil {
 				err = no(http.StatusBadRequest, "the call can't be read: %v", err)
 			}
 		}
@@ -94,11 +94,11 @@
 		IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10, ErrorLog: nil,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, fromKey{}, conn.(*peers.Conn).From)
+			return context.WithValue(ctx, fromKey{}, conn.(*peertransport.Conn).From)
 		}}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	listener := k.Net.Listener(peers.HTTP)
+	listener := k.Net.Listener(peertransport.HTTP)
 	listener.Admit(k.crowd.admit)
 	err := server.Serve(listener)
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // the latter: the process's connections have ended
@@ -129,8 +129,8 @@
 
 // version refuses a call of a later version.
 func version(v int) error {
-	if v != keepers.Version {
-		return no(http.StatusBadRequest, "version %d of the call is not spoken here, %d is", v, keepers.Version)
+	if v != controllerclient.Version {
+		return no(http.StatusBadRequest, "version %d of the call is not spoken here, %d is", v, controllerclient.Version)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 }
 
 // lease grants a lease, or renews it.
-func (k *Keeper) lease(c call[keepers.LeaseAsk]) (any, error) {
+func (k *Keeper) lease(c call[controllerclient.LeaseAsk]) (any, error) {
 	came, a := k.Now(), c.in
 	if err := version(a.V); err != nil {
 		return nil, err
@@ -186,8 +186,8 @@
 	if err := k.confirm.leads(c.ctx, r, l.term); err != nil {
 		return nil, err
 	}
-	if len(a.Doubts) > keepers.MostDoubts {
-		return nil, no(http.StatusBadRequest, "%d doubts, allowed are %d", len(a.Doubts), keepers.MostDoubts)
+	if len(a.Doubts) > controllerclient.MostDoubts {
+		return nil, no(http.StatusBadRequest, "%d doubts, allowed are %d", len(a.Doubts), controllerclient.MostDoubts)
 	}
 	if len(a.Doubts) > 0 { // a unit tells each until its lease is granted with it
 		if _, err := k.apply(order{Term: l.term, Doubts: a.Doubts}); err != nil {
@@ -236,7 +236,7 @@
 		l.news()
 	}
 	k.bell.Ring()
-	return keepers.LeaseAnswer{Granted: true, Keeper: k.self, Places: k.machine.version(), Kept: kept, Doubts: doubts,
+	return controllerclient.LeaseAnswer{Granted: true, Keeper: k.self, Places: k.machine.version(), Kept: kept, Doubts: doubts,
 		Line: k.machine.line(), Back: a.Back}, nil
 }
 
@@ -249,7 +249,7 @@
 }
 
 // zone is where a unit is: as it says, or else as this keeper's file does.
-func (k *Keeper) zone(a keepers.LeaseAsk) string {
+func (k *Keeper) zone(a controllerclient.LeaseAsk) string {
 	if a.Zone != "" {
 		return a.Zone
 	}
@@ -258,8 +258,8 @@
 }
 
 // believed puts what counts of a unit's report in the place of what it says.
-func (l *lead) believed(now tick.Tick, zone string, a keepers.LeaseAsk) keepers.LeaseAsk {
-	var r strength.Report
+func (l *lead) believed(now tick.Tick, zone string, a controllerclient.LeaseAsk) controllerclient.LeaseAsk {
+	var r devicehealth.Report
 	if json.Unmarshal(a.Report, &r) != nil {
 		return a // read says what becomes of that
 	}
@@ -275,7 +275,7 @@
 )
 
 // outcomes takes how commands at units ended, as a relay saw them. What a unit says of itself is judged by it.
-func (k *Keeper) outcomes(c call[keepers.Outcomes]) (any, error) {
+func (k *Keeper) outcomes(c call[controllerclient.Outcomes]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -290,14 +290,14 @@
 	defer k.mu.Unlock()
 	now := k.Now()
 	if s := c.in.State; s != "" {
-		k.stands(l, now, c.from, c.in.Build, s == keepers.Recalling || s == keepers.Recalled)
+		k.stands(l, now, c.from, c.in.Build, s == controllerclient.Recalling || s == controllerclient.Recalled)
 	}
 	for _, o := range c.in.Units {
 		if !k.edge(o.Unit) || o.Good < 0 || o.Bad < 0 {
 			return nil, no(http.StatusBadRequest, "outcomes of %.40q: %d good, %d bad", o.Unit, o.Good, o.Bad)
 		}
 		total := min(o.Good, mostCount) + min(o.Bad, mostCount)
-		n := min(total, keepers.MostOutcomes)
+		n := min(total, controllerclient.MostOutcomes)
 		bad := min(o.Bad, mostCount) * n / max(1, total)
 		for i := range n { // spread evenly
 			l.claims.Outcome(now, o.Unit, (i+1)*bad/n == i*bad/n)
@@ -363,37 +363,37 @@
 		return nil, err
 	}
 	k.mu.Lock()
-	zones := map[string]map[string]strength.Report{}
+	zones := map[string]map[string]devicehealth.Report{}
 	for name, a := range l.units {
-		var r strength.Report
+		var r devicehealth.Report
 		if _, held := l.book.Held(k.Now(), name); !held || json.Unmarshal(a.Report, &r) != nil {
 			continue
 		}
 		z := k.zone(*a)
 		if zones[z] == nil {
-			zones[z] = map[string]strength.Report{}
+			zones[z] = map[string]devicehealth.Report{}
 		}
 		zones[z][name] = r
 	}
 	k.mu.Unlock()
-	out := keepers.Floor{Zones: []keepers.FloorZone{}}
-	var all []handover.Place
+	out := controllerclient.Floor{Zones: []controllerclient.FloorZone{}}
+	var all []migration.Place
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		if !strength.AllTired(zones[z]) {
+		if !devicehealth.AllTired(zones[z]) {
 			continue
 		}
 		if all == nil {
 			all = k.machine.all()
 		}
-		var there []strength.Served
+		var there []devicehealth.Served
 		for _, p := range all {
-			if _, ours := zones[z][p.Owner]; ours && p.State == handover.Runs {
-				there = append(there, strength.Served{Name: p.Name, Unit: p.Owner, Weight: p.Weight})
+			if _, ours := zones[z][p.Owner]; ours && p.State == migration.Runs {
+				there = append(there, devicehealth.Served{Name: p.Name, Unit: p.Owner, Weight: p.Weight})
 			}
 		}
-		one := keepers.FloorZone{Zone: z, Instances: []keepers.FloorInstance{}}
-		for _, s := range strength.Floor(zones[z], there) {
-			one.Instances = append(one.Instances, keepers.FloorInstance{Name: s.Name, Unit: s.Unit, Weight: s.Weight})
+		one := controllerclient.FloorZone{Zone: z, Instances: []controllerclient.FloorInstance{}}
+		for _, s := range devicehealth.Floor(zones[z], there) {
+			one.Instances = append(one.Instances, controllerclient.FloorInstance{Name: s.Name, Unit: s.Unit, Weight: s.Weight})
 		}
 		out.Zones = append(out.Zones, one)
 	}
@@ -401,34 +401,34 @@
 }
 
 // unit is a unit in the planner's words. One whose report can't be read takes nothing new, and keeps what it has.
-func (k *Keeper) unit(a keepers.LeaseAsk) handover.Unit {
+func (k *Keeper) unit(a controllerclient.LeaseAsk) migration.Unit {
 	r := read(a)
-	u := handover.Unit{Name: a.Unit, Run: a.Run, Danger: r.Danger, Room: r.Room, Draining: a.Draining,
+	u := migration.Unit{Name: a.Unit, Run: a.Run, Danger: r.Danger, Room: r.Room, Draining: a.Draining,
 		Build: a.Build, GoingBack: a.Back, Cold: a.Cold, Fresh: a.Fresh}
 	u.Zone = k.zone(a)
-	u.Accepts, u.Trickle = r.State == keepers.Accepts || r.State == keepers.Trickle, r.State == keepers.Trickle
-	u.HandsOn, u.Leaves = r.State == keepers.HandsOn || r.State == keepers.Leaves, r.State == keepers.Leaves
+	u.Accepts, u.Trickle = r.State == controllerclient.Accepts || r.State == controllerclient.Trickle, r.State == controllerclient.Trickle
+	u.HandsOn, u.Leaves = r.State == controllerclient.HandsOn || r.State == controllerclient.Leaves, r.State == controllerclient.Leaves
 	return u
 }
 
-func read(a keepers.LeaseAsk) keepers.Report {
-	var r keepers.Report
+func read(a controllerclient.LeaseAsk) controllerclient.Report {
+	var r controllerclient.Report
 	if err := json.Unmarshal(a.Report, &r); err != nil {
-		return keepers.Report{State: keepers.Keeps, Reasons: []string{"its report can't be read"}}
+		return controllerclient.Report{State: controllerclient.Keeps, Reasons: []string{"its report can't be read"}}
 	}
 	return r
 }
 
 // shown is a unit as it is told.
-func shown(a keepers.LeaseAsk) keepers.Unit {
+func shown(a controllerclient.LeaseAsk) controllerclient.Unit {
 	r := read(a)
-	return keepers.Unit{Name: a.Unit, Zone: a.Zone, Run: a.Run, State: r.State, Share: r.Share, Danger: r.Danger, Room: r.Room,
+	return controllerclient.Unit{Name: a.Unit, Zone: a.Zone, Run: a.Run, State: r.State, Share: r.Share, Danger: r.Danger, Room: r.Room,
 		Reasons: r.Reasons, BornMS: a.BornMS, Build: a.Build, Commands: a.Commands, Draining: a.Draining || a.Back,
-		Accepts: r.State == keepers.Accepts || r.State == keepers.Trickle}
+		Accepts: r.State == controllerclient.Accepts || r.State == controllerclient.Trickle}
 }
 
 // alike tells whether what relays go by is the same.
-func alike(a, b keepers.Unit) bool {
+func alike(a, b controllerclient.Unit) bool {
 	a.Reasons, b.Reasons, a.Danger, b.Danger = nil, nil, 0, 0
 	return a.Name == b.Name && a.Zone == b.Zone && a.Run == b.Run && a.State == b.State && a.Share == b.Share &&
 		a.Room == b.Room && a.Build == b.Build && a.Commands == b.Commands && a.Draining == b.Draining && a.BornMS == b.BornMS
@@ -449,9 +449,9 @@
 	}
 	code := http.StatusConflict
 	switch {
-	case errors.Is(r.err, handover.ErrUnknown):
+	case errors.Is(r.err, migration.ErrUnknown):
 		code = http.StatusNotFound
-	case errors.Is(r.err, handover.ErrBad), errors.Is(r.err, handover.ErrVersion):
+	case errors.Is(r.err, migration.ErrBad), errors.Is(r.err, migration.ErrVersion):
 		code = http.StatusBadRequest
 	}
 	f := no(code, "%v", r.err)
@@ -462,31 +462,31 @@
 }
 
 // step has an owner's or an operator's entry agreed. The planner's own kinds are not taken from outside.
-func (k *Keeper) step(c call[handover.Entry]) (any, error) {
+func (k *Keeper) step(c call[migration.Entry]) (any, error) {
 	e := c.in
-	if e.V != handover.Version {
-		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", handover.ErrVersion, e.V,
-			handover.Version)
+	if e.V != migration.Version {
+		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", migration.ErrVersion, e.V,
+			migration.Version)
 	}
 	l, _, err := k.take()
 	if err != nil {
 		return nil, err
 	}
-	o := order{Steps: []handover.Entry{e}}
+	o := order{Steps: []migration.Entry{e}}
 	switch e.Kind {
-	case handover.Synced, handover.Drop, handover.Switch, handover.Back, handover.Begin,
-		handover.Lacks:
+	case migration.Synced, migration.Drop, migration.Switch, migration.Back, migration.Begin,
+		migration.Lacks:
 		if e.By != c.from {
 			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.By)
 		}
-	case handover.Create, handover.Release:
+	case migration.Create, migration.Release:
 		if !k.edge(e.To) {
 			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.To, k.self)
 		}
-	case handover.Forget, handover.Quarantine:
+	case migration.Forget, migration.Quarantine:
 		p, ok := k.machine.get(e.Name)
 		if !ok {
-			return nil, no(http.StatusNotFound, "%v", handover.ErrUnknown)
+			return nil, no(http.StatusNotFound, "%v", migration.ErrUnknown)
 		}
 		if e.Epoch == 0 {
 			e.Epoch = p.Epoch
@@ -515,7 +515,7 @@
 }
 
 // device says where an instance's device is.
-func (k *Keeper) device(c call[keepers.Device]) (any, error) {
+func (k *Keeper) device(c call[controllerclient.Device]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -525,9 +525,9 @@
 	}
 	p, ok := k.machine.get(c.in.Name)
 	if !ok {
-		return nil, no(http.StatusNotFound, "%v: %s", handover.ErrUnknown, c.in.Name)
+		return nil, no(http.StatusNotFound, "%v: %s", migration.ErrUnknown, c.in.Name)
 	}
-	answer, err := answered(k.apply(order{Steps: []handover.Entry{{V: handover.Version, Kind: handover.Cross, Name: p.Name,
+	answer, err := answered(k.apply(order{Steps: []migration.Entry{{V: migration.Version, Kind: migration.Cross, Name: p.Name,
 		Epoch: p.Epoch, Zone: c.in.Zone}}}))
 	if err == nil {
 		k.mu.Lock()
@@ -594,7 +594,7 @@
 			case <-c.ctx.Done():
 			}
 		case <-timer.C:
-			p.Whole, p.Places = false, []handover.Place{}
+			p.Whole, p.Places = false, []migration.Place{}
 			return p, nil
 		case <-l.over:
 			_, _, err := k.take()
@@ -647,11 +647,11 @@
 }
 
 // known are all edge units of the file. It is called with mu.
-func (k *Keeper) known(l *lead) keepers.Units {
-	u := keepers.Units{Version: l.version, Units: []keepers.Unit{}}
+func (k *Keeper) known(l *lead) controllerclient.Units {
+	u := controllerclient.Units{Version: l.version, Units: []controllerclient.Unit{}}
 	now := k.Now()
 	for _, p := range k.Net.Peers("edge") {
-		one := keepers.Unit{Name: p.Name, Zone: p.Zone}
+		one := controllerclient.Unit{Name: p.Name, Zone: p.Zone}
 		if a := l.units[p.Name]; a != nil {
 			if one = shown(*a); one.Zone == "" {
 				one.Zone = p.Zone
@@ -663,7 +663,7 @@
 		}
 		u.Units = append(u.Units, one)
 	}
-	slices.SortFunc(u.Units, func(a, b keepers.Unit) int {
+	slices.SortFunc(u.Units, func(a, b controllerclient.Unit) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -675,8 +675,8 @@
 // status says how this keeper stands, whatever it does.
 func (k *Keeper) status(call[struct{}]) (any, error) {
 	m := k.disk.now()
-	s := keepers.Status{V: keepers.Version, Node: k.self, Role: "waits", Birth: m.Birth, Store: m.Store,
-		Keepers: append([]string{k.self}, k.peers...), Marks: map[string]keepers.Mark{},
+	s := controllerclient.Status{V: controllerclient.Version, Node: k.self, Role: "waits", Birth: m.Birth, Store: m.Store,
+		Keepers: append([]string{k.self}, k.peers...), Marks: map[string]controllerclient.Mark{},
 		Generation: max(m.Line, k.machine.line().Generation), Stores: k.machine.stores()}
 	slices.Sort(s.Keepers)
 	if r := k.raft.Load(); r != nil {
@@ -710,7 +710,7 @@
 }
 
 // joins lets a keeper's disk in.
-func (k *Keeper) joins(c call[keepers.Join]) (any, error) {
+func (k *Keeper) joins(c call[controllerclient.Join]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -725,7 +725,7 @@
 }
 
 // confirms says in which term this keeper is.
-func (k *Keeper) confirms(c call[keepers.Confirm]) (any, error) {
+func (k *Keeper) confirms(c call[controllerclient.Confirm]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -733,7 +733,7 @@
 	if r == nil {
 		return nil, no(http.StatusServiceUnavailable, "%s waits", k.self)
 	}
-	return keepers.Confirm{V: keepers.Version, Term: r.CurrentTerm()}, nil
+	return controllerclient.Confirm{V: controllerclient.Version, Term: r.CurrentTerm()}, nil
 }
 
 // backup writes a snapshot of what is agreed.
--- a/internal/strength/claim.go
+++ b/internal/devicehealth/claim.go
@@ -1,4 +1,4 @@
-package strength
+package devicehealth
 
 import "math"
 
--- a/internal/strength/export_test.go
+++ b/internal/devicehealth/export_test.go
@@ -1,3 +1,3 @@
-package strength
+package devicehealth
 
 func Defaults() map[string]float64 { return defaults }
--- a/internal/strength/report.go
+++ b/internal/devicehealth/report.go
@@ -1,11 +1,11 @@
-package strength
+package devicehealth
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"silvercove/internal/handover"
+	"silvercove/internal/migration"
 	"silvercove/internal/tick"
 )
 
@@ -112,7 +112,7 @@
 }
 
 // Fill sets what a report says of a unit in the leading keeper's words.
-func (r Report) Fill(u *handover.Unit) {
+func (r Report) Fill(u *migration.Unit) {
 	u.Accepts = r.State == Accepts || r.State == Trickle
 	u.Trickle = r.State == Trickle
 	u.HandsOn = r.State == HandsOn || r.State == Leaves
--- a/internal/strength/strength.go
+++ b/internal/devicehealth/strength.go
@@ -9,7 +9,7 @@
 // and rises after a dwell time.
 //
 // Kind: decision
-package strength
+package devicehealth
 
 import (
 	"fmt"
--- /dev/null
+++ b/internal/devicehealth/strength_test.go
@@ -0,0 +1,422 @@
+package devicehealth_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/tick"
+)
+
+var order = []string{devicehealth.Leaves, devicehealth.HandsOn, devicehealth.Keeps, devicehealth.Trickle, devicehealth.Accepts}
+
+func rank(state string) int { return slices.Index(order, state) }
+
+func ok(name string, kind devicehealth.Kind, v float64) devicehealth.Reading {
+	return devicehealth.Reading{Name: name, Kind: kind, Value: v, OK: true}
+}
+
+// battery hands in what a unit on a 60 Wh battery would read.
+func battery(u *devicehealth.Unit, now tick.Tick, charge, draw float64) {
+	u.Read(now, ok("BAT0", devicehealth.Charge, charge))
+	u.Read(now, ok("BAT0", devicehealth.Full, 216000))
+	u.Read(now, ok("BAT0", devicehealth.Draw, draw))
+}
+
+func TestStates(t *testing.T) {
+	type r = devicehealth.Reading
+	limit := func(v r, limit float64) r { v.Limit = limit; return v }
+	full := []r{ok("BAT0", devicehealth.Charge, 0.9), ok("BAT0", devicehealth.Full, 216000), ok("BAT0", devicehealth.Draw, 20)}
+	low := func(charge float64) []r {
+		return []r{ok("BAT0", devicehealth.Charge, charge), ok("BAT0", devicehealth.Full, 216000), ok("BAT0", devicehealth.Draw, 60)}
+	}
+	mains := ok("AC", devicehealth.Mains, 1)
+	for _, c := range []struct {
+		name     string
+		readings []r
+		offered  float64
+		n, bytes int
+		state    string
+		reason   string
+	}{
+		{"nothing", nil, 0, 0, 0, devicehealth.Keeps, "neither a battery's charge nor mains"},
+		{"mains alone", []r{mains}, 1, 4, 1 << 20, devicehealth.Accepts, ""},
+		{"off the mains, no battery", []r{ok("AC", devicehealth.Mains, 0)}, 0, 0, 0, devicehealth.Keeps, "neither"},
+		{"a full battery", full, 0, 0, 0, devicehealth.Accepts, ""},
+		{"a battery without figures of draw", full[:1], 0, 0, 0, devicehealth.Accepts, ""},
+		{"19 min left", low(0.37), 0, 0, 0, devicehealth.Trickle, "battery empty in 19 min, in 19 min at the offered load; 2 min to"},
+		{"as much, offered full load", low(0.37), 1, 0, 0, devicehealth.Keeps, "in 9 min at the offered load"},
+		{"as much, much to hand on", low(0.37), 0, 8, 200 << 20, devicehealth.Leaves, "55 min to hand 8 instances over"},
+		{"3 min left", low(0.1), 0, 0, 0, devicehealth.HandsOn, "battery empty in 3 min"},
+		{"30 s left", low(0.058), 0, 0, 0, devicehealth.Leaves, "battery empty in 28 s"},
+		{"low, on mains", []r{mains, ok("BAT0", devicehealth.Charge, 0.07), ok("BAT0", devicehealth.Draw, -30)}, 0, 0, 0, devicehealth.Keeps,
+			"too little to stand a loss of mains"},
+		{"hot", append([]r{ok("z", devicehealth.Temp, 86)}, full...), 0, 0, 0, devicehealth.HandsOn, "z 86.0 C"},
+		{"near its own limit", append([]r{limit(ok("z", devicehealth.Temp, 71), 75)}, full...), 0, 0, 0, devicehealth.Keeps, "within 5.0 C"},
+		{"at its own limit", append([]r{limit(ok("z", devicehealth.Temp, 75), 75)}, full...), 0, 0, 0, devicehealth.Leaves, "z 75.0 C"},
+		{"warm, offered full load", append([]r{ok("z", devicehealth.Temp, 60)}, low(0.9)...), 1, 0, 0, devicehealth.Keeps,
+			"z 60.0 C, at its limit of 85.0 C in no foreseeable time, in 3 min at the offered load"},
+		{"hot cells", append([]r{ok("BAT0", devicehealth.Cell, 58)}, full...), 0, 0, 0, devicehealth.Keeps, "within 5.0 C"},
+		{"slowed a little", append([]r{ok("cpu", devicehealth.Throttle, 0.1)}, full...), 0, 0, 0, devicehealth.Trickle, "slows the machine by 10%"},
+		{"slowed", append([]r{ok("cpu", devicehealth.Throttle, 0.5)}, full...), 0, 0, 0, devicehealth.Keeps, "slows the machine by 50%"},
+		{"shut", append([]r{ok("lid", devicehealth.Lid, 0)}, full...), 0, 0, 0, devicehealth.HandsOn, "lid is shut"},
+		{"one radio of two", append([]r{ok("wlan", devicehealth.Radio, 0), ok("wwan", devicehealth.Radio, 1)}, full...), 0, 0, 0, devicehealth.Accepts, ""},
+		{"no radio", append([]r{ok("wlan", devicehealth.Radio, 0)}, full...), 0, 0, 0, devicehealth.Keeps, "no radio is up"},
+		{"an impossible charge", []r{ok("BAT0", devicehealth.Charge, 1.4)}, 0, 0, 0, devicehealth.Keeps, "impossible: 1.4"},
+		{"no number", append([]r{ok("BAT1", devicehealth.Charge, math.NaN())}, full...), 0, 0, 0, devicehealth.Keeps, "impossible: NaN"},
+		{"one that fails", append([]r{{Name: "BAT1", Kind: devicehealth.Charge, Why: "no such device"}}, full...), 0, 0, 0,
+			devicehealth.Keeps, "BAT1 charge unknown: no such device"},
+		{"the only sensor of heat fails", append([]r{{Name: "z", Kind: devicehealth.Temp}}, full...), 0, 0, 0, devicehealth.Keeps, "missing"},
+		{"a sensor that never worked beside one that does", append([]r{{Name: "wifi", Kind: devicehealth.Temp}, ok("z", devicehealth.Temp, 50)},
+			full...), 0, 0, 0, devicehealth.Accepts, ""},
+		{"an old value", append([]r{{Name: "z", Kind: devicehealth.Temp, Value: 40, OK: true, Age: 20 * second}}, full...), 0, 0, 0,
+			devicehealth.Keeps, "z temp unknown: none for 20 s"},
+		{"of a later version", append([]r{ok("x", "wind", 7)}, full...), 0, 0, 0, devicehealth.Accepts, ""},
+	} {
+		u := devicehealth.New(0, 1, nil)
+		now := 100 * second
+		u.Load(now, 0, c.offered)
+		u.Holds(now, c.n, c.bytes)
+		for _, r := range c.readings {
+			u.Read(now, r)
+		}
+		r := u.Alarm(now)
+		if r.State != c.state || !strings.Contains(strings.Join(r.Reasons, "; "), c.reason) {
+			t.Errorf("%s: %s, not %s: %q, not %q", c.name, r.State, c.state, r.Reasons, c.reason)
+		}
+		if (r.State == devicehealth.Accepts) != (len(r.Reasons) == 0) || r.V != devicehealth.Version {
+			t.Errorf("%s: %+v", c.name, r)
+		}
+	}
+}
+
+func TestRoomIsWhatCanBeHandedOnInTime(t *testing.T) {
+	for _, c := range []struct {
+		charge   float64
+		n, bytes int
+		set      map[string]any
+		want     int
+	}{
+		{0.9, 0, 0, nil, 8},
+		{0.9, 6, 0, nil, 2},
+		{0.9, 9, 0, nil, 0},
+		{0.9, 0, 0, map[string]any{"fleet.places": 20.0}, 20},
+		{0.9, 4, 40 << 20, nil, 1}, // a trickle: 6 min on the uplink, of 102 on the battery
+		{0.9, 4, 4 << 20, nil, 4},
+		{0.9, 4, 24 << 20, nil, 2}, // each more needs 100 s of 51 min at full load, and a tenth is the most
+		{0.2, 4, 4 << 20, nil, 1},  // a trickle
+		{0.10, 4, 4 << 20, nil, 0},
+	} {
+		u := devicehealth.New(0, 1, c.set)
+		battery(u, 0, c.charge, 30)
+		u.Holds(0, c.n, c.bytes)
+		if r := u.Alarm(0); r.Room != c.want {
+			t.Errorf("charge %v, %d instances of %d bytes: room %d, not %d; %v", c.charge, c.n, c.bytes, r.Room, c.want, r)
+		}
+	}
+}
+
+func TestNoReserve(t *testing.T) {
+	u := devicehealth.New(0, 1, map[string]any{"fleet.reserve": 0.0})
+	battery(u, 0, 0.05, 30)
+	if r := u.Alarm(0); r.State != devicehealth.Leaves || r.Danger != 1 || r.Need != second {
+		t.Errorf("%+v", r)
+	}
+}
+
+func TestToldToEnd(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	u.Read(0, ok("AC", devicehealth.Mains, 1))
+	u.Alarm(0)
+	u.End(second)
+	if r := u.Alarm(second); r.State != devicehealth.Leaves || !r.Ends || r.Danger != 1 || r.Reasons[0] != "told to end" {
+		t.Errorf("%+v", r)
+	}
+}
+
+func TestOneOddReadingIsNoNews(t *testing.T) {
+	for _, odd := range []devicehealth.Reading{ok("BAT0", devicehealth.Charge, 0.06), ok("BAT0", devicehealth.Charge, math.Inf(-1)),
+		{Name: "BAT0", Kind: devicehealth.Charge, Why: "input/output error"}, ok("z", devicehealth.Temp, 124), ok("BAT0", devicehealth.Draw, 90)} {
+		u := devicehealth.New(0, 1, nil)
+		for s := range tick.Tick(300) {
+			now := s * second
+			battery(u, now, 0.8-float64(s)*20/216000, 20)
+			u.Read(now, ok("z", devicehealth.Temp, 50+float64(s%2)))
+			if s == 200 {
+				u.Read(now+second/2, odd)
+			}
+			if r := u.Alarm(now + second/2); r.State != devicehealth.Accepts {
+				t.Fatalf("%+v: %d s: %s %v", odd, s, r.State, r.Reasons)
+			}
+		}
+	}
+}
+
+// Whatever heat does around a limit, the state changes at most 44 times in an hour: at most eight rises,
+// as the dwell time doubles, and four steps down after each.
+func TestHeatSwingsDoNotChatter(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		seed := rapid.Uint64().Draw(t, "seed")
+		middle, high := rapid.Float64Range(60, 90).Draw(t, "middle"), rapid.Float64Range(0, 25).Draw(t, "high")
+		period := rapid.Float64Range(2, 3600).Draw(t, "period")
+		square := rapid.Bool().Draw(t, "square")
+		chance := rand.New(rand.NewPCG(seed, 1))
+		u := devicehealth.New(0, 1, nil)
+		u.Read(0, ok("AC", devicehealth.Mains, 1))
+		var changes []tick.Tick
+		was := ""
+		for s := 0; s < 4500; s += 3 {
+			now := tick.Tick(s) * second
+			swing := math.Sin(2 * math.Pi * float64(s) / period)
+			if square {
+				swing = math.Copysign(1, swing)
+			}
+			u.Read(now, ok("AC", devicehealth.Mains, 1))
+			u.Read(now, ok("z", devicehealth.Temp, middle+high*swing+0.3*chance.NormFloat64()))
+			if r := u.Alarm(now); r.State != was {
+				was, changes = r.State, append(changes, now)
+			}
+			for len(changes) > 0 && now-changes[0] > 3600*second {
+				changes = changes[1:]
+			}
+			if len(changes) > 44 {
+				t.Fatalf("%d changes within an hour by %d s", len(changes), s)
+			}
+		}
+	})
+}
+
+// A machine that slows itself as soon as it is given work again: at most eight rises in the first hour,
+// four in the next ones.
+func TestTheDwellTimeDoubles(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	rises, was, slow := [2]int{}, devicehealth.Accepts, 0.5
+	for s := range 7200 {
+		now := tick.Tick(s) * second
+		u.Read(now, ok("AC", devicehealth.Mains, 1))
+		u.Read(now, ok("cpu", devicehealth.Throttle, slow))
+		r := u.Alarm(now)
+		if rank(r.State) > rank(was) {
+			rises[s/3600]++
+		}
+		if was = r.State; was == devicehealth.Accepts {
+			slow = 0.5
+		} else {
+			slow = 0
+		}
+	}
+	if rises[0] < 4 || rises[0] > 8 || rises[1] < 2 || rises[1] > 4 {
+		t.Errorf("%v rises an hour", rises)
+	}
+}
+
+// After the same past, a reading that is worse by what is physically possible never gives a better state,
+// nor more room, nor less danger.
+func TestAWorseReadingNeverGivesABetterState(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		seed := rapid.Uint64().Draw(t, "seed")
+		charge := rapid.Float64Range(0.05, 1).Draw(t, "charge")
+		draw := rapid.Float64Range(-40, 60).Draw(t, "draw")
+		temp := rapid.Float64Range(30, 90).Draw(t, "temp")
+		noise := rapid.Float64Range(0, 1).Draw(t, "noise")
+		warming := rapid.Float64Range(-0.05, 0.05).Draw(t, "warming")
+		past := rapid.IntRange(0, 200).Draw(t, "past")
+		worse := rapid.SampledFrom([]devicehealth.Kind{devicehealth.Charge, devicehealth.Draw, devicehealth.Temp, devicehealth.Throttle, devicehealth.Lid}).Draw(t, "worse")
+		by := rapid.Float64Range(0, 1).Draw(t, "by")
+		run := func(by float64) devicehealth.Report {
+			chance := rand.New(rand.NewPCG(seed, 1))
+			u := devicehealth.New(0, 1, nil)
+			u.Holds(0, 3, 1<<20)
+			var r devicehealth.Report
+			for s := 0; s <= past; s++ {
+				now := tick.Tick(s) * second
+				v := map[devicehealth.Kind]float64{devicehealth.Charge: charge - float64(s)*draw/216000, devicehealth.Draw: draw + 5*noise*chance.NormFloat64(),
+					devicehealth.Temp: temp + warming*float64(s) + noise*chance.NormFloat64(), devicehealth.Throttle: 0.2, devicehealth.Lid: 1}
+				if s == past {
+					v[devicehealth.Charge] -= by * map[bool]float64{true: 0.02}[worse == devicehealth.Charge]
+					v[devicehealth.Draw] += by * map[bool]float64{true: 60}[worse == devicehealth.Draw]
+					v[devicehealth.Temp] += by * map[bool]float64{true: 10}[worse == devicehealth.Temp]
+					v[devicehealth.Throttle] += by * map[bool]float64{true: 0.8}[worse == devicehealth.Throttle]
+					v[devicehealth.Lid] -= math.Ceil(by) * map[bool]float64{true: 1}[worse == devicehealth.Lid]
+				}
+				v[devicehealth.Charge] = min(1, max(0, v[devicehealth.Charge]))
+				u.Load(now, 0.5, 0.7)
+				u.Read(now, ok("BAT0", devicehealth.Full, 216000))
+				for _, kind := range []devicehealth.Kind{devicehealth.Charge, devicehealth.Draw, devicehealth.Temp, devicehealth.Throttle, devicehealth.Lid} {
+					u.Read(now, ok("BAT0", kind, v[kind]))
+				}
+				r = u.Alarm(now)
+			}
+			return r
+		}
+		better, worseOff := run(0), run(by)
+		if rank(worseOff.State) > rank(better.State) || worseOff.Room > better.Room || worseOff.Danger < better.Danger {
+			t.Fatalf("%s worse by %v: %+v, was %+v", worse, by, worseOff, better)
+		}
+	})
+}
+
+// What is unknown takes no new work, and ends nothing: a strong unit whose readings go wrong in any way
+// keeps what it has.
+func TestUnknownNeverKills(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		u := devicehealth.New(0, 1, nil)
+		u.Load(0, 0.5, 0.5)
+		kinds := []devicehealth.Kind{devicehealth.Charge, devicehealth.Full, devicehealth.Draw, devicehealth.Temp, devicehealth.Mains}
+		fault := map[devicehealth.Kind]int{}
+		held := map[devicehealth.Kind]float64{}
+		for s := range 600 {
+			now := tick.Tick(s) * second
+			v := map[devicehealth.Kind]float64{devicehealth.Charge: 0.8 - float64(s)*20/216000, devicehealth.Full: 216000,
+				devicehealth.Draw: 20 + chance.NormFloat64(), devicehealth.Temp: 50 + 0.3*chance.NormFloat64(), devicehealth.Mains: 0}
+			for _, kind := range kinds {
+				if s > 120 && s%60 == 1 {
+					fault[kind], held[kind] = rapid.IntRange(0, 5).Draw(t, string(kind)), v[kind]
+				}
+				r := ok("BAT0", kind, v[kind])
+				switch fault[kind] {
+				case 1:
+					continue
+				case 2:
+					r.OK, r.Why = false, "input/output error"
+				case 3:
+					r.Value = held[kind] // frozen
+				case 4:
+					r.Value = []float64{math.NaN(), math.Inf(1), -274, 1e12, -1e12}[chance.IntN(5)]
+				case 5:
+					if kind == devicehealth.Charge || kind == devicehealth.Temp {
+						r.Value = map[devicehealth.Kind]float64{devicehealth.Charge: 0.01, devicehealth.Temp: 110}[kind] // and stands there
+					}
+				}
+				u.Read(now, r)
+			}
+			if r := u.Alarm(now); r.Tired() {
+				t.Fatalf("%d s, faults %v: %s %v", s, fault, r.State, r.Reasons)
+			}
+		}
+	})
+}
+
+// A gauge that stands still while the draw goes on.
+func TestAStuckChargeIsFoundByTheDraw(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	for s := range tick.Tick(600) {
+		battery(u, s*second, 0.8, 30+float64(s%3)/10)
+		r := u.Alarm(s * second)
+		found := r.State == devicehealth.Keeps && strings.Contains(r.Reasons[0], "BAT0 charge unknown: stuck: the same while")
+		if found != (s > 216) && (s < 215 || s > 218) { // 3% of 216 kJ at 30 W
+			t.Fatalf("%d s: %s %v", s, r.State, r.Reasons)
+		}
+	}
+}
+
+// A unit whose battery tells no draw is judged by the slope of its charge, by the lower bound: noise
+// makes it careful.
+func TestASlopeIsEnough(t *testing.T) {
+	empty := func(noise float64) float64 {
+		u, chance := devicehealth.New(0, 1, nil), rand.New(rand.NewPCG(1, 1))
+		var r devicehealth.Report
+		for s := range tick.Tick(400) {
+			u.Read(s*second, ok("BAT0", devicehealth.Charge, 0.5-float64(s)*0.0004+noise*chance.NormFloat64()))
+			r = u.Alarm(s * second)
+		}
+		if r.State != devicehealth.Trickle && r.State != devicehealth.Keeps {
+			t.Errorf("%s %v", r.State, r.Reasons)
+		}
+		return float64(r.Empty) / float64(second)
+	}
+	sure, noisy := empty(0), empty(0.004)
+	if want := (0.5 - 399*0.0004 - 0.05) / 0.0004; math.Abs(sure-want) > 2 {
+		t.Errorf("empty in %v s, not %v", sure, want)
+	}
+	if noisy > 0.97*sure || noisy < 0.5*sure {
+		t.Errorf("empty in %v s with noise, %v without", noisy, sure)
+	}
+}
+
+// A unit that was handing on when its readings failed does not get better by that.
+func TestUnknownDoesNotHeal(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	battery(u, 0, 0.06, 30)
+	if r := u.Alarm(0); r.State != devicehealth.HandsOn {
+		t.Fatalf("%s %v", r.State, r.Reasons)
+	}
+	for s := range tick.Tick(1000) {
+		u.Read(s*second, devicehealth.Reading{Name: "BAT0", Kind: devicehealth.Charge, Why: "gone"})
+		if r := u.Alarm(s * second); r.State != devicehealth.HandsOn {
+			t.Fatalf("%d s: %s %v", s, r.State, r.Reasons)
+		}
+	}
+}
+
+func TestReadingsAreBounded(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	for i := range 1000 {
+		u.Read(0, ok(fmt.Sprint("z", i), devicehealth.Temp, 40))
+	}
+	u.Read(0, ok("AC", devicehealth.Mains, 1))
+	if r := u.Alarm(0); r.State != devicehealth.Keeps || !slices.Contains(r.Unknown, "more") {
+		t.Errorf("%+v", r)
+	}
+}
+
+// A swapped battery is believed once its charge has stood and moved.
+func TestASwappedBattery(t *testing.T) {
+	u := devicehealth.New(0, 1, nil)
+	back := 0
+	for s := range 900 {
+		now, charge := tick.Tick(s)*second, 0.2-float64(s)*30/216000
+		if s >= 300 {
+			charge += 0.7
+		}
+		battery(u, now, charge, 30)
+		r := u.Alarm(now)
+		switch {
+		case s == 320 && r.State != devicehealth.Keeps:
+			t.Errorf("right after it: %s %v", r.State, r.Reasons)
+		case s > 320 && r.State == devicehealth.Accepts && back == 0:
+			back = s
+		}
+	}
+	if back < 360 || back > 480 {
+		t.Errorf("it accepts again at %d s", back)
+	}
+}
+
+func BenchmarkSecond(b *testing.B) { // one second of a unit with eight readings
+	u := devicehealth.New(0, 1, nil)
+	for i := 0; b.Loop(); i++ {
+		now := tick.Tick(i) * second
+		battery(u, now, 0.8-float64(i%1000)*1e-6, 20+float64(i%7)/10)
+		for _, z := range []string{"z0", "z1", "z2", "z3"} {
+			u.Read(now, ok(z, devicehealth.Temp, 50+float64(i%5)/10))
+		}
+		u.Read(now, ok("AC", devicehealth.Mains, 0))
+		u.Alarm(now)
+	}
+}
+
+func BenchmarkOutcome(b *testing.B) { // at the leading keeper, of one of 100 units
+	k := devicehealth.NewBeliever(0, nil)
+	for i := range 100 {
+		k.Report(0, fmt.Sprint("u", i), "north", claim(devicehealth.Accepts))
+	}
+	for i := 0; b.Loop(); i++ {
+		k.Outcome(0, "u7", i%50 != 0)
+	}
+}
+
+func BenchmarkReport(b *testing.B) {
+	k := devicehealth.NewBeliever(0, nil)
+	r := claim(devicehealth.Accepts)
+	for i := 0; b.Loop(); i++ {
+		k.Report(tick.Tick(i)*second, "u", "north", r)
+	}
+}
