--- a/internal/power/power.go
+++ b/internal/devicepower/power.go
@@ -2,7 +2,7 @@
 // (Documentation/ABI/testing/sysfs-class-power: micro-volts, micro-amperes, micro-watts, tenths of a
 // degree), thermal (sysfs-class-thermal: thousandths of a degree) and rfkill. It decides nothing: what
 // can't be read is a reading that is not OK, with the reason.
-package power
+package devicepower
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"silvercove/internal/strength"
+	"silvercove/internal/devicehealth"
 	"silvercove/internal/tick"
 )
 
@@ -39,7 +39,7 @@
 }
 
 type at struct {
-	strength.Reading
+	devicehealth.Reading
 	when time.Time
 	once bool // it was read well before: it is missed when it is gone
 }
@@ -65,10 +65,10 @@
 
 // Last are the newest readings with their ages, those that were there once and are not any more among
 // them. It never waits for a file.
-func (r *Reader) Last() []strength.Reading {
+func (r *Reader) Last() []devicehealth.Reading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, all := time.Now(), make([]strength.Reading, len(r.last))
+	now, all := time.Now(), make([]devicehealth.Reading, len(r.last))
 	for i, a := range r.last {
 		all[i] = a.Reading
 		all[i].Age = tick.Of(now.Sub(a.when))
@@ -77,7 +77,7 @@
 }
 
 // Pass reads all once and returns it.
-func (r *Reader) Pass() []strength.Reading {
+func (r *Reader) Pass() []devicehealth.Reading {
 	found := on(disk(r.root), r.root)
 	when := time.Now()
 	r.mu.Lock()
@@ -87,12 +87,12 @@
 		next = append(next, at{f, when, f.OK})
 	}
 	for _, old := range r.last {
-		i := slices.IndexFunc(found, func(f strength.Reading) bool { return f.Name == old.Name && f.Kind == old.Kind })
+		i := slices.IndexFunc(found, func(f devicehealth.Reading) bool { return f.Name == old.Name && f.Kind == old.Kind })
 		switch {
 		case i >= 0:
 			next[i].once = next[i].once || old.once
 		case old.once && len(next) < 4*mostEntries:
-			f := strength.Reading{Name: old.Name, Kind: old.Kind, Why: "its file is gone"}
+			f := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Why: "its file is gone"}
 			found, next = append(found, f), append(next, at{f, when, true})
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // Of are the readings of such files in memory, by their paths from the root: for simulated time.
-func Of(files map[string]string) []strength.Reading { return on(memory(files), "memory") }
+func Of(files map[string]string) []devicehealth.Reading { return on(memory(files), "memory") }
 
 // source is where files are read from.
 type source interface {
@@ -110,20 +110,20 @@
 }
 
 // on is one pass over a folder.
-func on(src source, root string) (all []strength.Reading) {
+func on(src source, root string) (all []devicehealth.Reading) {
 	if root == "" {
-		return []strength.Reading{{Name: "file", Kind: strength.Mains, Value: 1, OK: true}}
+		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.Mains, Value: 1, OK: true}}
 	}
 	supplies, err := src.names("power_supply")
 	if err != nil {
-		all = append(all, strength.Reading{Name: "power_supply", Kind: strength.Mains, Why: err.Error()})
+		all = append(all, devicehealth.Reading{Name: "power_supply", Kind: devicehealth.Mains, Why: err.Error()})
 	}
 	for _, name := range supplies {
 		all = append(all, supply(folder{src, "power_supply" + "/" + name}, name)...)
 	}
 	zones, err := src.names("thermal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, strength.Reading{Name: "thermal", Kind: strength.Temp, Why: err.Error()})
+		all = append(all, devicehealth.Reading{Name: "thermal", Kind: devicehealth.Temp, Why: err.Error()})
 	}
 	for _, name := range zones {
 		d := folder{src, "thermal" + "/" + name}
@@ -142,16 +142,16 @@
 			if v != 1 {
 				v = 0 // 0 blocked by software, 2 by hardware
 			}
-			all = append(all, reading(name, strength.Radio, v, err))
+			all = append(all, reading(name, devicehealth.Radio, v, err))
 		}
 	}
 	return all
 }
 
-func supply(d folder, name string) (all []strength.Reading) {
+func supply(d folder, name string) (all []devicehealth.Reading) {
 	kind, err := d.word("type")
 	if err != nil {
-		return []strength.Reading{{Name: name, Kind: strength.Charge, Why: err.Error()}}
+		return []devicehealth.Reading{{Name: name, Kind: devicehealth.Charge, Why: err.Error()}}
 	}
 	if scope, err := d.word("scope"); err == nil && scope == "Device" {
 		return nil // of a mouse or a keyboard
@@ -161,7 +161,7 @@
 		if v > 0 {
 			v = 1 // 2 is a source whose voltage is programmed
 		}
-		return []strength.Reading{reading(name, strength.Mains, v, err)}
+		return []devicehealth.Reading{reading(name, devicehealth.Mains, v, err)}
 	}
 	if v, err := d.number("present"); err == nil && v == 0 {
 		return nil
@@ -183,7 +183,7 @@
 	if charge > 1 && charge < 1.1 {
 		charge = 1 // a gauge whose full value has aged
 	}
-	all = append(all, reading(name, strength.Charge, charge, err))
+	all = append(all, reading(name, devicehealth.Charge, charge, err))
 
 	full, err := d.number("energy_full") // micro-watt-hours
 	if full *= 3600e-6; errors.Is(err, fs.ErrNotExist) {
@@ -192,7 +192,7 @@
 		}
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, reading(name, strength.Full, full, err))
+		all = append(all, reading(name, devicehealth.Full, full, err))
 	}
 
 	watts, err := d.number("power_now")
@@ -219,17 +219,17 @@
 		err = fmt.Errorf("status: %q", status)
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, reading(name, strength.Draw, watts, err))
+		all = append(all, reading(name, devicehealth.Draw, watts, err))
 	}
 	if noStatus == nil && status != "Unknown" {
 		v := 0.0
 		if status == "Charging" {
 			v = 1
 		}
-		all = append(all, reading(name, strength.Charging, v, nil))
+		all = append(all, reading(name, devicehealth.Charging, v, nil))
 	}
 	if temp, err := d.number("temp"); !errors.Is(err, fs.ErrNotExist) { // tenths of a degree
-		t := reading(name, strength.Cell, temp/10, err)
+		t := reading(name, devicehealth.Cell, temp/10, err)
 		for _, file := range []string{"temp_max", "temp_alert_max"} {
 			if v, err := d.number(file); err == nil && v > 0 && (t.Limit == 0 || v/10 < t.Limit) {
 				t.Limit = v / 10
@@ -242,7 +242,7 @@
 
 // zone: thousandths of a degree; the limit is the least trip point at which the machine stops itself, or,
 // where no types stand beside, the highest.
-func (d folder) zone(name string) []strength.Reading {
+func (d folder) zone(name string) []devicehealth.Reading {
 	if mode, err := d.word("mode"); err == nil && mode == "disabled" {
 		return nil
 	}
@@ -251,7 +251,7 @@
 	if kind, err := d.word("type"); err == nil && kind != "" {
 		label = name + " " + kind
 	}
-	t := reading(label, strength.Temp, temp/1000, err)
+	t := reading(label, devicehealth.Temp, temp/1000, err)
 	highest := 0.0
 	for i := range mostTrips {
 		v, err := d.number(fmt.Sprintf("trip_point_%d_temp", i))
@@ -272,11 +272,11 @@
 	if t.Limit == 0 {
 		t.Limit = highest
 	}
-	return []strength.Reading{t}
+	return []devicehealth.Reading{t}
 }
 
 // cooling: what slows a processor for heat; fans are no loss of strength.
-func (d folder) cooling(name string) []strength.Reading {
+func (d folder) cooling(name string) []devicehealth.Reading {
 	kind, err := d.word("type")
 	low := strings.ToLower(kind)
 	if err != nil || !(low == "processor" || strings.Contains(low, "cpu") || strings.Contains(low, "devfreq") ||
@@ -288,14 +288,14 @@
 	if err = errors.Join(err, err2); err == nil && most <= 0 {
 		err = fmt.Errorf("max_state: %.4g", most)
 	}
-	return []strength.Reading{reading(name+" "+kind, strength.Throttle, max(0, now)/max(1, most), err)}
+	return []devicehealth.Reading{reading(name+" "+kind, devicehealth.Throttle, max(0, now)/max(1, most), err)}
 }
 
-func reading(name string, kind strength.Kind, v float64, err error) strength.Reading {
+func reading(name string, kind devicehealth.Kind, v float64, err error) devicehealth.Reading {
 	if err != nil {
-		return strength.Reading{Name: name, Kind: kind, Why: err.Error()}
+		return devicehealth.Reading{Name: name, Kind: kind, Why: err.Error()}
 	}
-	return strength.Reading{Name: name, Kind: kind, Value: v, OK: true}
+	return devicehealth.Reading{Name: name, Kind: kind, Value: v, OK: true}
 }
 
 // folder is one device's.
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -26,13 +26,13 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/bell"
-	"silvercove/internal/exchange"
-	"silvercove/internal/floor"
-	"silvercove/internal/gate"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/keys"
-	"silvercove/internal/trust"
-	"silvercove/internal/waves"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/monotonic"
+	"silvercove/internal/stagedrollout"
+	"silvercove/internal/tufverify"
+	"silvercove/internal/wakeup"
 )
 
 // Errors of a Director.
@@ -43,12 +43,12 @@
 )
 
 // Image looks up what the Image repository vouches for.
-type Image func(path string) (*trust.Target, *trust.Refusal)
+type Image func(path string) (*tufverify.Target, *tufverify.Refusal)
 
 // Floor is where what must outlive a restart is kept.
 type Floor interface {
-	trust.Host
-	Entries() []floor.Entry
+	tufverify.Host
+	Entries() []monotonic.Entry
 }
 
 // Director issues for one fleet.
@@ -66,18 +66,18 @@
 	online map[string][]*keys.Key
 
 	seenMu sync.Mutex
-	seen   map[string]*trust.Target // what the Image repository said last, by path
+	seen   map[string]*tufverify.Target // what the Image repository said last, by path
 
 	mu       sync.Mutex // guards what follows and the module
-	waves    *waves.Waves
+	waves    *stagedrollout.Waves
 	servers  map[string]*server
-	stage    gate.Stage
-	kinds    []string    // that its package fits
-	waits    uint16      // the build that was logged to wait
-	later    *gate.Stage // news of a package that the Image repository does not know yet
+	stage    dispatch.Stage
+	kinds    []string        // that its package fits
+	waits    uint16          // the build that was logged to wait
+	later    *dispatch.Stage // news of a package that the Image repository does not know yet
 	released uint16
-	wakeAt   waves.Tick
-	bell     *bell.Bell
+	wakeAt   stagedrollout.Tick
+	bell     *wakeup.Bell
 	dirty    []*server
 
 	Issued, Told, Reports int64
@@ -85,13 +85,13 @@
 }
 
 type server struct {
-	waves.Server
+	stagedrollout.Server
 
 	mu      sync.Mutex // one issue at a time
 	version int64
 	issued  // the last one
-	at      trust.Tick
-	target  *trust.Target // that the last issue names
+	at      tufverify.Tick
+	target  *tufverify.Target // that the last issue names
 	files   map[string][]byte
 	stale   bool // guarded by Director.mu: it was told something else since its last issue
 }
@@ -101,7 +101,7 @@
 func New(chain map[string][]byte, online []*keys.Key, f Floor, image Image, now func() time.Time, last time.Duration,
 	packages map[uint16]string, running uint16, log func(string)) (*Director, error) {
 	d := &Director{floor: f, image: image, now: now, last: last.Truncate(time.Second), packages: packages, log: log,
-		seen: map[string]*trust.Target{}, servers: map[string]*server{}, bell: bell.New(), released: running}
+		seen: map[string]*tufverify.Target{}, servers: map[string]*server{}, bell: wakeup.New(), released: running}
 	if v, _ := f.Seen("director/released"); v > 0 {
 		d.released = max(uint16(v), running)
 	}
@@ -111,7 +111,7 @@
 	if err := d.Keys(chain, online); err != nil {
 		return nil, err
 	}
-	d.waves = waves.New(d, waves.Tick(trust.Tick(d.last/time.Second)*trust.Second), d.released)
+	d.waves = stagedrollout.New(d, stagedrollout.Tick(tufverify.Tick(d.last/time.Second)*tufverify.Second), d.released)
 	for _, e := range f.Entries() { // what may be out there
 		name, ok := strings.CutPrefix(e.Key, "issued/")
 		if !ok {
@@ -120,11 +120,11 @@
 		s := &server{version: e.Version, issued: unpack(e.Sum), stale: true}
 		s.Name = name
 		d.servers[name] = s
-		holds := trust.Tick(0)
+		holds := tufverify.Tick(0)
 		if s.before > s.build {
 			holds = s.until
 		}
-		d.waves.Restore(d.tick(), &s.Server, s.build, waves.Tick(holds))
+		d.waves.Restore(d.tick(), &s.Server, s.build, stagedrollout.Tick(holds))
 	}
 	return d, nil
 }
@@ -134,7 +134,7 @@
 func (d *Director) Keys(chain map[string][]byte, online []*keys.Key) error {
 	var newest *metadata.Metadata[metadata.RootType]
 	for name, text := range chain {
-		f, ok := trust.ParseFile(name)
+		f, ok := tufverify.ParseFile(name)
 		if !ok || f.Role != metadata.ROOT {
 			continue
 		}
@@ -182,11 +182,11 @@
 // that the issue before named, if the server may still act on that, and until when.
 type issued struct {
 	build, before uint16
-	end, until    trust.Tick
+	end, until    tufverify.Tick
 }
 
 // pack puts it into the front of the issue's sum; the rest of the sum tells contents apart.
-func (i issued) pack(content []byte) (sum trust.Sum) {
+func (i issued) pack(content []byte) (sum tufverify.Sum) {
 	sum = sha256.Sum256(content)
 	binary.BigEndian.PutUint16(sum[:], i.build)
 	binary.BigEndian.PutUint64(sum[2:], uint64(i.end))
@@ -195,18 +195,18 @@
 	return sum
 }
 
-func unpack(sum trust.Sum) issued {
+func unpack(sum tufverify.Sum) issued {
 	return issued{binary.BigEndian.Uint16(sum[:]), binary.BigEndian.Uint16(sum[10:]),
-		trust.Tick(binary.BigEndian.Uint64(sum[2:])), trust.Tick(binary.BigEndian.Uint64(sum[12:]))}
+		tufverify.Tick(binary.BigEndian.Uint64(sum[2:])), tufverify.Tick(binary.BigEndian.Uint64(sum[12:]))}
 }
 
 // tick is one tick of the modules.
-const tick = time.Second / time.Duration(trust.Second)
+const tick = time.Second / time.Duration(tufverify.Second)
 
-func (d *Director) tick() waves.Tick { return waves.Tick(trust.Of(d.now())) }
+func (d *Director) tick() stagedrollout.Tick { return stagedrollout.Tick(tufverify.Of(d.now())) }
 
 // Tell is the module's word that a server is to be told a build.
-func (d *Director) Tell(s *waves.Server, build uint16) {
+func (d *Director) Tell(s *stagedrollout.Server, build uint16) {
 	d.Told++
 	if own := d.servers[s.Name]; own != nil {
 		d.mark(own)
@@ -224,7 +224,7 @@
 }
 
 // WakeAt sets the module's alarm.
-func (d *Director) WakeAt(at waves.Tick) {
+func (d *Director) WakeAt(at stagedrollout.Tick) {
 	if d.wakeAt == 0 || at < d.wakeAt {
 		d.wakeAt = at
 		d.bell.Ring()
@@ -235,7 +235,7 @@
 func (d *Director) Log(text string) { d.log(text) }
 
 // Hosts takes the list of servers, or changes of it.
-func (d *Director) Hosts(whole bool, hosts []gate.Host) {
+func (d *Director) Hosts(whole bool, hosts []dispatch.Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, named := d.tick(), map[string]bool{}
@@ -261,11 +261,11 @@
 	d.waves.Settled(now)
 }
 
-var phases = map[string]waves.Phase{"testing": waves.OnTrial, "recalling": waves.GoingBack,
-	"live": waves.Released, "recalled": waves.Withdrawn}
+var phases = map[string]stagedrollout.Phase{"testing": stagedrollout.OnTrial, "recalling": stagedrollout.GoingBack,
+	"live": stagedrollout.Released, "recalled": stagedrollout.Withdrawn}
 
 // Stage takes what the platform says of the newest build. News of a build that went before is left aside.
-func (d *Director) Stage(is gate.Stage) {
+func (d *Director) Stage(is dispatch.Stage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if is.Build < d.stage.Build || !is.Fits() {
@@ -282,17 +282,17 @@
 	now := d.tick()
 	if !known { // told ones may go back, nobody new is told
 		d.later = &is
-		d.WakeAt(now + waves.Tick(exchange.IssueAgain))
+		d.WakeAt(now + stagedrollout.Tick(metadatarefresh.IssueAgain))
 	}
 	if is.Build == d.released { // nothing newer is out
-		d.waves.Stage(now, is.Build, is.Build, waves.Released, 1, fits)
+		d.waves.Stage(now, is.Build, is.Build, stagedrollout.Released, 1, fits)
 		return
 	}
 	d.waves.Stage(now, is.Build, d.released, phases[is.State], is.Cap, fits)
 }
 
 // fits tells which kinds of hardware a build's package fits. Until the Image repository says so it is none.
-func (d *Director) fits(is gate.Stage) (kinds []string, known bool) {
+func (d *Director) fits(is dispatch.Stage) (kinds []string, known bool) {
 	if is.Build == d.stage.Build && d.later == nil {
 		return d.kinds, true
 	}
@@ -312,14 +312,14 @@
 	if build <= d.released {
 		return
 	}
-	if err := d.floor.Raise("director/released", int64(build), trust.Sum{}); err != nil {
+	if err := d.floor.Raise("director/released", int64(build), tufverify.Sum{}); err != nil {
 		d.log(fmt.Sprintf("director: that build %d was released is not kept: %v", build, err))
 	}
 	d.released = build
 }
 
 // Voted takes a vote of this installation's own: nobody new is told while one to hold or go back stands.
-func (d *Director) Voted(v gate.Vote) {
+func (d *Director) Voted(v dispatch.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if v.Build == d.stage.Build && (v.Verdict == "HOLD" || v.Verdict == "ROLLBACK") {
@@ -328,7 +328,7 @@
 }
 
 // Reported takes a report that was found good.
-func (d *Director) Reported(r *trust.Report) error {
+func (d *Director) Reported(r *tufverify.Report) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.servers[r.Server]
@@ -339,8 +339,8 @@
 	if r.Attack != "" {
 		d.log(fmt.Sprintf("%s refused metadata: %s", r.Server, r.Attack))
 	}
-	tried, ended := uint16(0), map[string]waves.Ended{"ok": waves.Installed, "failed": waves.Failed,
-		"declined": waves.Declined}[r.Installed]
+	tried, ended := uint16(0), map[string]stagedrollout.Ended{"ok": stagedrollout.Installed, "failed": stagedrollout.Failed,
+		"declined": stagedrollout.Declined}[r.Installed]
 	for build, path := range d.packages {
 		if path == r.Tried && path != "" {
 			tried = build
@@ -362,7 +362,7 @@
 }
 
 // File gives a metadata file of a server as it is to be passed on now.
-func (d *Director) File(name string, f trust.File) ([]byte, error) {
+func (d *Director) File(name string, f tufverify.File) ([]byte, error) {
 	if f.Role == metadata.ROOT {
 		d.rootMu.RLock()
 		defer d.rootMu.RUnlock()
@@ -381,8 +381,8 @@
 	d.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := trust.Of(d.now())
-	held := exchange.Issue{Any: s.files != nil, At: s.at, End: s.end, Told: !stale, Agreed: d.agreed(s)}
+	now := tufverify.Of(d.now())
+	held := metadatarefresh.Issue{Any: s.files != nil, At: s.at, End: s.end, Told: !stale, Agreed: d.agreed(s)}
 	if held.Renew(now) {
 		if err := d.issue(s, now); err != nil && !held.Lasts(now) {
 			return nil, err // nothing older is given in its place
@@ -395,7 +395,7 @@
 	if f.Role == metadata.TARGETS {
 		d.mu.Lock()
 		s.until = 0
-		d.waves.Fetched(waves.Tick(now), &s.Server, s.build)
+		d.waves.Fetched(stagedrollout.Tick(now), &s.Server, s.build)
 		d.mu.Unlock()
 	}
 	return text, nil
@@ -411,7 +411,7 @@
 }
 
 // issue signs the next version of a server's metadata, and makes it durable before anyone sees it.
-func (d *Director) issue(s *server, now trust.Tick) error {
+func (d *Director) issue(s *server, now tufverify.Tick) error {
 	d.mu.Lock()
 	build, kind := s.Told(), s.Kind
 	s.stale = false
@@ -422,13 +422,13 @@
 		d.mu.Unlock()
 		return err
 	}
-	if exchange.KeepTime(now, d.floor.Passed()) {
+	if metadatarefresh.KeepTime(now, d.floor.Passed()) {
 		if err := d.floor.Pass(now); err != nil {
 			return again(fmt.Errorf("%w: the time is not kept: %v", ErrNotNow, err))
 		}
 	}
 	now = max(now, d.floor.Passed()) // a clock that was set back does not shorten what servers hold
-	end := now + trust.Tick(d.last/time.Second)*trust.Second
+	end := now + tufverify.Tick(d.last/time.Second)*tufverify.Second
 	target, err := d.target(s.Name, kind, build)
 	if err != nil {
 		return again(err)
@@ -459,7 +459,7 @@
 }
 
 // target is what a server is told: the Image repository's word on the package of its build, for this server.
-func (d *Director) target(name, kind string, build uint16) (*trust.Target, error) {
+func (d *Director) target(name, kind string, build uint16) (*tufverify.Target, error) {
 	if build == 0 {
 		return nil, nil
 	}
@@ -479,20 +479,20 @@
 
 // lookUp asks the Image repository for a target. While that can't be had, what it said last stands in, so
 // that servers can be told back; they ask the Image repository themselves before they install anything.
-func (d *Director) lookUp(path string) (*trust.Target, *trust.Refusal) {
+func (d *Director) lookUp(path string) (*tufverify.Target, *tufverify.Refusal) {
 	t, refusal := d.image(path)
 	d.seenMu.Lock()
 	defer d.seenMu.Unlock()
 	if refusal == nil {
 		d.seen[path] = t
-	} else if was := d.seen[path]; was != nil && exchange.StandsIn(refusal) {
+	} else if was := d.seen[path]; was != nil && metadatarefresh.StandsIn(refusal) {
 		return was, nil
 	}
 	return t, refusal
 }
 
 // sign makes the three files of one version.
-func sign(online map[string][]*keys.Key, version int64, end time.Time, t *trust.Target) (map[string][]byte, error) {
+func sign(online map[string][]*keys.Key, version int64, end time.Time, t *tufverify.Target) (map[string][]byte, error) {
 	targets := metadata.Targets(end)
 	targets.Signed.Version = version
 	if t != nil {
@@ -512,14 +512,14 @@
 	if err != nil {
 		return nil, err
 	}
-	out[trust.File{Role: metadata.TARGETS, Version: version}.String()] = text
+	out[tufverify.File{Role: metadata.TARGETS, Version: version}.String()] = text
 	snap := metadata.Snapshot(end)
 	snap.Signed.Version = version
 	snap.Signed.Meta["targets.json"] = metaFile(version, text)
 	if text, err = signed(snap, online[metadata.SNAPSHOT]); err != nil {
 		return nil, err
 	}
-	out[trust.File{Role: metadata.SNAPSHOT, Version: version}.String()] = text
+	out[tufverify.File{Role: metadata.SNAPSHOT, Version: version}.String()] = text
 	stamp := metadata.Timestamp(end)
 	stamp.Signed.Version = version
 	stamp.Signed.Meta["snapshot.json"] = metaFile(version, text)
@@ -578,7 +578,7 @@
 			if !stale || s.files == nil { // one that never asked is told when it does
 				return nil
 			}
-			if err := d.issue(s, trust.Of(d.now())); err != nil {
+			if err := d.issue(s, tufverify.Of(d.now())); err != nil {
 				return err
 			}
 			return nil
@@ -598,7 +598,7 @@
 				d.dirty = append(d.dirty, s)
 			}
 		}
-		next = time.Duration(exchange.IssueAgain) * tick
+		next = time.Duration(metadatarefresh.IssueAgain) * tick
 	}
 	if d.wakeAt != 0 {
 		next = min(next, max(0, time.Duration(d.wakeAt-d.tick())*tick))
@@ -649,14 +649,14 @@
 	}
 	if at.Tries > 0 {
 		out = append(out, fmt.Sprintf("It failed to install the package %d times; it is put off until %s.", at.Tries,
-			trust.Tick(at.NotBefore).Time().Format(time.RFC3339)))
+			tufverify.Tick(at.NotBefore).Time().Format(time.RFC3339)))
 	}
 	if at.LeftOut {
 		out = append(out, "It is left out of this package for good.")
 	}
-	if trust.Tick(at.Holds) > trust.Tick(now) {
+	if tufverify.Tick(at.Holds) > tufverify.Tick(now) {
 		out = append(out, fmt.Sprintf("It was told back, and counts until it has fetched that or %s.",
-			trust.Tick(at.Holds).Time().Format(time.RFC3339)))
+			tufverify.Tick(at.Holds).Time().Format(time.RFC3339)))
 	}
 	if path := d.packages[at.Told]; path != "" {
 		if t, refusal := d.image(path); refusal == nil {
--- a/internal/list/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
 // Package list keeps a watch on the list of units.
-package list
+package discovery
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"silvercove/internal/gate"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/http1"
-	"silvercove/internal/link"
+	"silvercove/internal/transport"
 )
 
 // Page is the list, or changes of it, as discovery words them.
@@ -32,7 +32,7 @@
 }
 
 // Read reads a page.
-func Read(text []byte) (seq int64, whole bool, hosts []gate.Host, err error) {
+func Read(text []byte) (seq int64, whole bool, hosts []dispatch.Host, err error) {
 	var p Page
 	if err := json.Unmarshal(text, &p); err != nil {
 		return 0, false, nil, err
@@ -41,7 +41,7 @@
 		return 0, false, nil, fmt.Errorf("no seq or no hosts")
 	}
 	for _, h := range p.Hosts {
-		host := gate.Host{Name: h.Host, Dial: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: h.State,
+		host := dispatch.Host{Name: h.Host, Dial: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: h.State,
 			Nominal: h.Share, BornMs: h.Born, Build: h.Build}
 		if !host.Fits() {
 			return 0, false, nil, fmt.Errorf("host %q makes no sense", h.Host)
@@ -53,13 +53,13 @@
 
 // Watch follows the list.
 type Watch struct {
-	gate  *gate.Gate
-	place *link.Place
+	gate  *dispatch.Gate
+	place *transport.Place
 	seq   int64
 	wait  time.Duration // that a call may wait for something newer
 	limit time.Duration // beyond that
 	queue time.Duration // and for a call that begins a watch where discovery is asked for it
-	room  *link.Room
+	room  *transport.Room
 	log   func(string)
 	on    chan bool // whether to watch; the last word counts
 	fetch chan struct{}
@@ -89,7 +89,7 @@
 
 // New makes a watch at a place that goes on from a version. A call has limit more time than it may wait, or queue
 // where it begins a watch that had to be asked for. All are cut to what finds a silent watch in time.
-func New(place *link.Place, seq int64, wait, limit, queue time.Duration, room *link.Room, log func(string)) *Watch {
+func New(place *transport.Place, seq int64, wait, limit, queue time.Duration, room *transport.Room, log func(string)) *Watch {
 	wait, limit = min(max(wait, leastWait), mostWait), min(max(limit, leastLimit), mostLimit)
 	return &Watch{place: place, seq: seq, wait: wait, limit: limit, queue: min(max(queue, limit), mostCall-wait), room: room,
 		log: log, on: make(chan bool, 1), fetch: make(chan struct{}, 1), first: make(chan struct{})}
@@ -131,10 +131,10 @@
 // relays together may ask, and who asks at once when turned away keeps discovery overbooked for everyone. Where lists
 // are pushed, the first call is for all that the agent has, and so is that after one that failed: it need not wait for
 // something newer, and an agent that has restarted may count its versions otherwise.
-func (w *Watch) Run(ctx context.Context, g *gate.Gate, on bool) error {
+func (w *Watch) Run(ctx context.Context, g *dispatch.Gate, on bool) error {
 	w.gate = g
 	alone, wanted := on, on
-	var l *link.Link
+	var l *transport.Link
 	at, lost := "", on // lost: the changes can not be followed from w.seq on
 	ended := sync.OnceFunc(func() { close(w.first) })
 	defer ended()
@@ -171,7 +171,7 @@
 		}
 		at = address
 		began, was := time.Now(), w.seq
-		var end link.End
+		var end transport.End
 		l, end = w.call(here, address, l, whole || lost, begins && !alone)
 		moved := here.Err() != nil
 		all := whole || lost
@@ -217,7 +217,7 @@
 
 // call makes one call, on the connection that is open or on a new one, and takes its answer. One that discovery
 // itself has to answer waits in its queue first.
-func (w *Watch) call(ctx context.Context, address string, l *link.Link, whole, queued bool) (*link.Link, link.End) {
+func (w *Watch) call(ctx context.Context, address string, l *transport.Link, whole, queued bool) (*transport.Link, transport.End) {
 	w.astray = false
 	path, wait := "/v1/servers", time.Duration(0)
 	if !whole {
@@ -234,8 +234,8 @@
 		if l != nil {
 			l.Close()
 		}
-		var end link.End
-		if l, end = link.Dial(limited, address, w.limit, w.room); end.Over() {
+		var end transport.End
+		if l, end = transport.Dial(limited, address, w.limit, w.room); end.Over() {
 			return nil, end
 		}
 	}
@@ -245,13 +245,13 @@
 		l.Close()
 		l = nil
 	}
-	if end.How == link.Finished {
-		end = link.End{}
+	if end.How == transport.Finished {
+		end = transport.End{}
 	}
 	return l, end
 }
 
-func (w *Watch) take(l *link.Link, address, path string) link.End {
+func (w *Watch) take(l *transport.Link, address, path string) transport.End {
 	l.Put(http1.Request("GET", path, address, ""))
 	if end := l.Flush(); end.Over() {
 		return end
@@ -263,23 +263,23 @@
 		l.Drop(used)
 		switch body = out; {
 		case err == http1.ErrOverlong:
-			return link.End{How: link.Overlong, Sent: true}
+			return transport.End{How: transport.Overlong, Sent: true}
 		case a.Done && err == nil && a.Status/100 == 5:
-			return link.End{How: link.TurnedAway, Sent: true}
+			return transport.End{How: transport.TurnedAway, Sent: true}
 		case err != nil, a.Done && a.Status != 200:
-			return link.End{How: link.Malformed, Sent: true}
+			return transport.End{How: transport.Malformed, Sent: true}
 		case a.Done:
 			seq, whole, hosts, err := Read(body)
 			if err != nil {
-				return link.End{How: link.Malformed, Sent: true}
+				return transport.End{How: transport.Malformed, Sent: true}
 			}
 			w.seq, w.astray = seq, !whole && seq < w.seq
 			w.Answers.Add(1)
 			w.gate.List(whole, hosts)
 			if a.Close {
-				return link.End{How: link.Finished, Sent: true}
+				return transport.End{How: transport.Finished, Sent: true}
 			}
-			return link.End{}
+			return transport.End{}
 		}
 		if end := l.Fill(0); end.Over() {
 			return end
--- a/internal/gate/gate.go
+++ b/internal/dispatch/gate.go
@@ -1,7 +1,7 @@
 // Package gate is the module's blocking facade: Pick, Report and Tick, plus news of the list and of
 // the platform. It serialises all calls on the module, is the module's Host, and alone sees what the
 // module asks for. Nothing blocks while the gate is held.
-package gate
+package dispatch
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"silvercove/choice"
-	"silvercove/internal/bell"
-	"silvercove/internal/link"
+	"silvercove/balancer"
+	"silvercove/internal/transport"
+	"silvercove/internal/wakeup"
 )
 
 // Hands are what the module acts with beside deliveries. None of them may block.
@@ -48,11 +48,11 @@
 
 // Witness is told what the module is told of builds, and each vote with its reason.
 type Witness interface {
-	Offered(now choice.Tick, build uint16, state string)
-	Outcome(now choice.Tick, build uint16, opType, stage int, bad bool)
-	Flag(now choice.Tick, build uint16, opType, stage int, delay choice.Tick)
-	Tally(now choice.Tick, build uint16, opType, stage, many, failed int)
-	Voted(now choice.Tick, build uint16, stage int, verdict, why string)
+	Offered(now balancer.Tick, build uint16, state string)
+	Outcome(now balancer.Tick, build uint16, opType, stage int, bad bool)
+	Flag(now balancer.Tick, build uint16, opType, stage int, delay balancer.Tick)
+	Tally(now balancer.Tick, build uint16, opType, stage, many, failed int)
+	Voted(now balancer.Tick, build uint16, stage int, verdict, why string)
 }
 
 // Hold has something done while the gate is held, such as a copy of what its witness keeps. It may not block.
@@ -91,12 +91,12 @@
 // Gate stands before one module.
 type Gate struct {
 	mu     sync.Mutex
-	module *choice.Relay
+	module *balancer.Relay
 	hands  Hands
-	opened time.Time   // both of its clocks were read at once
-	base   choice.Tick // Unix time then
+	opened time.Time     // both of its clocks were read at once
+	base   balancer.Tick // Unix time then
 	alarms []alarm
-	bell   *bell.Bell // the earliest alarm may have changed
+	bell   *wakeup.Bell // the earliest alarm may have changed
 	doors  uint64
 	ops    map[string]int
 	weight []float64                 // importance of each op type
@@ -107,34 +107,34 @@
 	units  map[string]*unit
 	byDoor []*unit // in the order in which they were first listed; nil where one was forgotten
 	gone   []*unit // those not listed any more, the longest first
-	keep   choice.Tick
+	keep   balancer.Tick
 	stage  int // of the newest build
-	open   map[*choice.Command]*Command
-	out    map[*choice.Delivery]*Delivery
+	open   map[*balancer.Command]*Command
+	out    map[*balancer.Delivery]*Delivery
 	spots  map[string]*spot // by instance; nil outside of a fleet
 	lag    lag
 	Counts Counts
 }
 
 type alarm struct {
-	at  choice.Tick
+	at  balancer.Tick
 	tag uint32
 }
 
 // unit is what the door knows of a unit of the list.
 type unit struct {
-	choice.Unit
+	balancer.Unit
 	name, dial string
-	out        int         // deliveries
-	went       choice.Tick // when it was last listed as gone
+	out        int           // deliveries
+	went       balancer.Tick // when it was last listed as gone
 }
 
 // New makes the module and hands it its settings. The hands may be used from then on.
 func New(seed uint64, settings map[string]any, hands Hands) *Gate {
 	now := time.Now()
-	g := &Gate{hands: hands, opened: now, base: choice.Tick(now.UnixMicro() / 100), bell: bell.New(),
-		ops: map[string]int{}, units: map[string]*unit{}, open: map[*choice.Command]*Command{},
-		out: map[*choice.Delivery]*Delivery{}}
+	g := &Gate{hands: hands, opened: now, base: balancer.Tick(now.UnixMicro() / 100), bell: wakeup.New(),
+		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Command]*Command{},
+		out: map[*balancer.Delivery]*Delivery{}}
 	types, _ := settings["op_types"].([]map[string]any)
 	for i, t := range types {
 		name, _ := t["name"].(string)
@@ -155,11 +155,11 @@
 	g.asks = settings["discovery"] == "subscribe"
 	for _, name := range []string{"rules.cold", "rules.tip_after", "rollout.exposure_window"} {
 		s, _ := settings[name].(float64)
-		g.keep += choice.Tick(s * float64(choice.Second))
+		g.keep += balancer.Tick(s * float64(balancer.Second))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.module = choice.New(g, g.now(), seed, settings)
+	g.module = balancer.New(g, g.now(), seed, settings)
 	return g
 }
 
@@ -199,16 +199,16 @@
 }
 
 // now is the module's time: Unix time as the clock had it at the start, going on evenly.
-func (g *Gate) now() choice.Tick { return g.tick(time.Now()) }
+func (g *Gate) now() balancer.Tick { return g.tick(time.Now()) }
 
-func (g *Gate) tick(t time.Time) choice.Tick { return g.base + choice.Tick(t.Sub(g.opened)/tenth) }
+func (g *Gate) tick(t time.Time) balancer.Tick { return g.base + balancer.Tick(t.Sub(g.opened)/tenth) }
 
-func (g *Gate) time(t choice.Tick) time.Time { return g.opened.Add(time.Duration(t-g.base) * tenth) }
+func (g *Gate) time(t balancer.Tick) time.Time { return g.opened.Add(time.Duration(t-g.base) * tenth) }
 
 // tenth is one tick of the module.
-const tenth = time.Second / time.Duration(choice.Second)
+const tenth = time.Second / time.Duration(balancer.Second)
 
-func spanOf(t choice.Tick) time.Duration { return time.Duration(t) * tenth }
+func spanOf(t balancer.Tick) time.Duration { return time.Duration(t) * tenth }
 
 // Ask is one command as a client put it.
 type Ask struct {
@@ -222,7 +222,7 @@
 
 // Command is one command that was taken.
 type Command struct {
-	module choice.Command
+	module balancer.Command
 	steps  chan Step // at most one delivery and one final answer are ever waiting
 	handed bool
 	left   bool // its client went before it was handed over
@@ -261,7 +261,7 @@
 	Unit
 	Context context.Context
 	StopAt  time.Time
-	module  *choice.Delivery
+	module  *balancer.Delivery
 	of      *Command
 	cancel  context.CancelFunc
 	sent    time.Time
@@ -277,9 +277,9 @@
 	if !ok {
 		return nil, false
 	}
-	return &Command{op: op, key: a.Key, from: a.Customer, closed: a.Left, steps: make(chan Step, 4), module: choice.Command{OpType: op,
+	return &Command{op: op, key: a.Key, from: a.Customer, closed: a.Left, steps: make(chan Step, 4), module: balancer.Command{OpType: op,
 		Customer: g.number("customers", a.Customer), Key: keyOf(a.Key), NotAfter: g.tick(a.Came.Add(a.Wait)),
-		Work: choice.Tick((a.Work + tenth - 1) / tenth), Repeated: a.Repeated, Write: a.Write}}, true
+		Work: balancer.Tick((a.Work + tenth - 1) / tenth), Repeated: a.Repeated, Write: a.Write}}, true
 }
 
 // keyOf tells keys apart (FNV-1a); 0 is no key.
@@ -331,12 +331,12 @@
 }
 
 // Report tells how a delivery ended: with a SQLSTATE, or without an answer.
-func (g *Gate) Report(d *Delivery, state string, end link.End, load []float64) (acked bool) {
+func (g *Gate) Report(d *Delivery, state string, end transport.End, load []float64) (acked bool) {
 	return g.ended(d, Outcome(state, end), load)
 }
 
 // ReportMirror tells how a delivery at a mirror ended: with an HTTP status, or without an answer.
-func (g *Gate) ReportMirror(d *Delivery, status int, believed bool, end link.End) (acked bool) {
+func (g *Gate) ReportMirror(d *Delivery, status int, believed bool, end transport.End) (acked bool) {
 	return g.ended(d, MirrorOutcome(status, believed, end), nil)
 }
 
@@ -361,7 +361,7 @@
 	g.module.Streaming(g.now(), d.module)
 }
 
-func (g *Gate) ended(d *Delivery, ending choice.Ending, load []float64) (acked bool) {
+func (g *Gate) ended(d *Delivery, ending balancer.Ending, load []float64) (acked bool) {
 	d.cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -369,17 +369,17 @@
 	delete(g.out, d.module)
 	g.byDoor[d.module.To.Door].out--
 	g.Counts.Endings[ending]++
-	acked = ending == choice.Acked
+	acked = ending == balancer.Acked
 	if acked && c != nil {
 		g.Counts.Ops[c.op].Acked++
 		delete(g.open, d.module.Cmd)
 		g.untie(c)
 	}
 	now := g.now()
-	if w := g.hands.Witness; w != nil && (acked || ending == choice.Errored) {
+	if w := g.hands.Witness; w != nil && (acked || ending == balancer.Errored) {
 		w.Outcome(now, d.build, d.module.Cmd.OpType, g.stage, !acked)
 	}
-	if s := g.hands.Shed; s != nil && ending <= choice.Reset && ending != choice.Full { // one that is full is well
+	if s := g.hands.Shed; s != nil && ending <= balancer.Reset && ending != balancer.Full { // one that is full is well
 		s.Outcome(d.Name, acked)
 		if acked {
 			s.Worked(d.module.Cmd.OpType, time.Since(d.sent))
@@ -409,7 +409,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, u := range g.byDoor {
-		if u != nil && u.State == choice.Ready {
+		if u != nil && u.State == balancer.Ready {
 			all = append(all, u.place())
 		}
 	}
@@ -421,7 +421,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	is := g.units[u.Name]
-	return is != nil && is.State == choice.Ready && is.place() == u
+	return is != nil && is.State == balancer.Ready && is.place() == u
 }
 
 // Figures are the names of the values of a load report, in the settings' order.
@@ -459,7 +459,7 @@
 // What follows is the module's Host. All of it runs while the gate is held.
 
 // Deliver hands a delivery to whoever waits in Pick.
-func (g *Gate) Deliver(d *choice.Delivery, stopAt choice.Tick) {
+func (g *Gate) Deliver(d *balancer.Delivery, stopAt balancer.Tick) {
 	c, u := g.open[d.Cmd], g.byDoor[d.To.Door]
 	if s := g.hands.Shed; s != nil && d.No == 0 && !d.Cmd.Repeated {
 		s.First()
@@ -474,31 +474,31 @@
 }
 
 // MayRepeat tells whether a command may be delivered once more, as far as the fleet is concerned.
-func (g *Gate) MayRepeat(cmd *choice.Command) bool {
+func (g *Gate) MayRepeat(cmd *balancer.Command) bool {
 	return g.hands.Shed == nil || g.hands.Shed.Again(cmd.Repeated)
 }
 
 // Avoids tells whether a unit is sick for other relays of the fleet.
-func (g *Gate) Avoids(u *choice.Unit) bool {
+func (g *Gate) Avoids(u *balancer.Unit) bool {
 	return g.hands.Shed != nil && g.hands.Shed.Avoids(g.byDoor[u.Door].name)
 }
 
 // MayProbe tells whether a delivery may try a doubted unit, as far as the fleet is concerned.
-func (g *Gate) MayProbe(u *choice.Unit) bool {
+func (g *Gate) MayProbe(u *balancer.Unit) bool {
 	return g.hands.Shed == nil || g.hands.Shed.Probes(g.byDoor[u.Door].name)
 }
 
 func (u *unit) place() Unit { return Unit{u.name, u.dial, int64(u.Start)} }
 
 // Nack ends a command with the promise that trying again is harmless.
-func (g *Gate) Nack(cmd *choice.Command, comeBack choice.Tick) {
+func (g *Gate) Nack(cmd *balancer.Command, comeBack balancer.Tick) {
 	g.final(cmd, Step{Final: Nacked, ComeBack: spanOf(comeBack)})
 }
 
 // Fail ends a command without any promise.
-func (g *Gate) Fail(cmd *choice.Command) { g.final(cmd, Step{Final: Failed}) }
+func (g *Gate) Fail(cmd *balancer.Command) { g.final(cmd, Step{Final: Failed}) }
 
-func (g *Gate) final(cmd *choice.Command, s Step) {
+func (g *Gate) final(cmd *balancer.Command, s Step) {
 	c := g.open[cmd]
 	if c == nil {
 		return // its client has left
@@ -514,23 +514,23 @@
 }
 
 // Cancel stops waiting for a delivery.
-func (g *Gate) Cancel(d *choice.Delivery) {
+func (g *Gate) Cancel(d *balancer.Delivery) {
 	if out := g.out[d]; out != nil {
 		out.cancel()
 	}
 }
 
 // WakeAt sets an alarm.
-func (g *Gate) WakeAt(at choice.Tick, tag uint32) {
+func (g *Gate) WakeAt(at balancer.Tick, tag uint32) {
 	g.alarms = append(g.alarms, alarm{at, tag})
 	g.bell.Ring()
 }
 
 // Probe checks a unit.
-func (g *Gate) Probe(u *choice.Unit) { g.hands.Probe(g.byDoor[u.Door].place()) }
+func (g *Gate) Probe(u *balancer.Unit) { g.hands.Probe(g.byDoor[u.Door].place()) }
 
 // CloseIdle closes idle connections to a unit.
-func (g *Gate) CloseIdle(u *choice.Unit) { g.hands.CloseIdle(g.byDoor[u.Door].name) }
+func (g *Gate) CloseIdle(u *balancer.Unit) { g.hands.CloseIdle(g.byDoor[u.Door].name) }
 
 // Tell is not called where the settings allow no messages, which is everywhere so far.
 func (g *Gate) Tell(uint32, []byte) {}
@@ -545,7 +545,7 @@
 func (g *Gate) Fetch() { g.hands.Fetch() }
 
 // Vote casts a vote.
-func (g *Gate) Vote(build uint16, stage int, verdict choice.Verdict) {
+func (g *Gate) Vote(build uint16, stage int, verdict balancer.Verdict) {
 	g.Counts.Votes++
 	if w := g.hands.Witness; w != nil {
 		w.Voted(g.now(), build, stage, words[verdict], g.module.Reason(verdict))
@@ -580,8 +580,8 @@
 // Counts are what went through the gate since the start.
 type Counts struct {
 	Ops                     []OpCount
-	Endings                 [choice.Moot + 1]int64
-	VoteEndings             [choice.Moot + 1]int64
+	Endings                 [balancer.Moot + 1]int64
+	VoteEndings             [balancer.Moot + 1]int64
 	Delivered, Votes, Shed  int64
 	Lists, Stages, Tallies  int64
 	Flags, Open, Out, Units int64
--- a/internal/gate/leave_test.go
+++ b/internal/dispatch/leave_test.go
@@ -1,4 +1,4 @@
-package gate
+package dispatch
 
 import (
 	"testing"
--- a/internal/gate/news.go
+++ b/internal/dispatch/news.go
@@ -1,12 +1,12 @@
-package gate
+package dispatch
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"silvercove/choice"
-	"silvercove/internal/link"
+	"silvercove/balancer"
+	"silvercove/internal/transport"
 )
 
 // Host is one entry of the list of units.
@@ -19,7 +19,7 @@
 	Build                  uint16
 }
 
-var states = map[string]choice.State{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
+var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Gone}
 
 // Fits tells whether an entry makes sense.
 func (h Host) Fits() bool {
@@ -46,13 +46,13 @@
 		}
 		named[h.Name] = true
 		u.dial = h.Dial
-		g.listed(now, u, choice.Listing{Zone: g.zone(h), Kind: g.number("kinds", h.Kind),
-			Cell: h.Cell, State: states[h.State], Nominal: h.Nominal, Start: choice.Tick(h.BornMs * 10), Build: h.Build})
+		g.listed(now, u, balancer.Listing{Zone: g.zone(h), Kind: g.number("kinds", h.Kind),
+			Cell: h.Cell, State: states[h.State], Nominal: h.Nominal, Start: balancer.Tick(h.BornMs * 10), Build: h.Build})
 	}
 	for _, u := range g.byDoor { // one that a whole list leaves out has gone
-		if u != nil && whole && !named[u.name] && u.State != choice.Gone {
+		if u != nil && whole && !named[u.name] && u.State != balancer.Gone {
 			is := u.Listing
-			is.State = choice.Gone
+			is.State = balancer.Gone
 			g.listed(now, u, is)
 		}
 	}
@@ -77,7 +77,7 @@
 
 // forget drops units that have gone, the longest first: as long as there are more of them than listed ones, and
 // nothing about them counts any more. Until then one may come back as it was, or a late flag may name it.
-func (g *Gate) forget(now choice.Tick) {
+func (g *Gate) forget(now balancer.Tick) {
 	for len(g.gone) > len(g.units)-len(g.gone) {
 		u := g.gone[0]
 		if u.out > 0 || now-u.went < g.keep {
@@ -88,11 +88,11 @@
 	}
 }
 
-func (g *Gate) listed(now choice.Tick, u *unit, is choice.Listing) {
-	if is.State != choice.Ready || is.Start != u.Start || is.Build != u.Build {
+func (g *Gate) listed(now balancer.Tick, u *unit, is balancer.Listing) {
+	if is.State != balancer.Ready || is.Start != u.Start || is.Build != u.Build {
 		g.hands.CloseIdle(u.name) // its connections are of no more use
 	}
-	if was, goes := slices.Index(g.gone, u), is.State == choice.Gone; goes && was < 0 {
+	if was, goes := slices.Index(g.gone, u), is.State == balancer.Gone; goes && was < 0 {
 		u.went, g.gone = now, append(g.gone, u)
 	} else if !goes && was >= 0 {
 		g.gone = slices.Delete(g.gone, was, was+1)
@@ -119,8 +119,8 @@
 	Age   time.Duration
 }
 
-var phases = map[string]choice.Phase{"testing": choice.OnTrial, "recalling": choice.RollingBack,
-	"live": choice.Released, "recalled": choice.Withdrawn}
+var phases = map[string]balancer.Phase{"testing": balancer.OnTrial, "recalling": balancer.RollingBack,
+	"live": balancer.Released, "recalled": balancer.Withdrawn}
 
 // Fits tells whether the news makes sense.
 func (s Stage) Fits() bool {
@@ -128,9 +128,9 @@
 	return ok && s.Stage >= 0 && s.Cap >= 0 && s.Cap <= 1 && s.Age >= 0
 }
 
-func (s Stage) news() choice.StageNews {
-	return choice.StageNews{Build: s.Build, Stage: s.Stage, Phase: phases[s.State], Cap: s.Cap,
-		Age: choice.Tick(s.Age / tenth), Ending: choice.Acked}
+func (s Stage) news() balancer.StageNews {
+	return balancer.StageNews{Build: s.Build, Stage: s.Stage, Phase: phases[s.State], Cap: s.Cap,
+		Age: balancer.Tick(s.Age / tenth), Ending: balancer.Acked}
 }
 
 // Told takes news of the newest build.
@@ -152,8 +152,8 @@
 	}
 }
 
-var words = map[choice.Verdict]string{choice.NoVote: "withdraw", choice.GoOn: "go on", choice.Hold: "hold",
-	choice.GoBack: "go back"}
+var words = map[balancer.Verdict]string{balancer.NoVote: "withdraw", balancer.GoOn: "go on", balancer.Hold: "hold",
+	balancer.GoBack: "go back"}
 
 // Vote is one vote as the platform's page words it.
 type Vote struct {
@@ -162,20 +162,20 @@
 	Verdict string
 }
 
-var verdicts = map[choice.Verdict]string{choice.NoVote: "WITHDRAW", choice.GoOn: "PROCEED", choice.Hold: "HOLD",
-	choice.GoBack: "ROLLBACK"}
+var verdicts = map[balancer.Verdict]string{balancer.NoVote: "WITHDRAW", balancer.GoOn: "PROCEED", balancer.Hold: "HOLD",
+	balancer.GoBack: "ROLLBACK"}
 
 // Voted takes the answer to a vote: an HTTP status and what it tells, or no answer (status 0).
-func (g *Gate) Voted(status int, s Stage, end link.End) {
+func (g *Gate) Voted(status int, s Stage, end transport.End) {
 	news := s.news()
 	news.Answer, news.Ending = true, VoteOutcome(status, end)
-	if g.hands.Stage != nil && news.Ending == choice.Acked {
+	if g.hands.Stage != nil && news.Ending == balancer.Acked {
 		g.hands.Stage(s)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Counts.VoteEndings[news.Ending]++
-	if news.Ending == choice.Acked {
+	if news.Ending == balancer.Acked {
 		g.offered(s)
 	}
 	g.module.Stage(g.now(), news)
@@ -191,7 +191,7 @@
 		w.Tally(g.now(), build, op, g.stage, many, failed)
 	}
 	if ok {
-		g.module.Tally(g.now(), build, op, many, failed, choice.Tick(took/tenth), choice.Tick(age/tenth))
+		g.module.Tally(g.now(), build, op, many, failed, balancer.Tick(took/tenth), balancer.Tick(age/tenth))
 	}
 }
 
@@ -203,17 +203,17 @@
 	g.Counts.Flags++
 	if u := g.units[name]; ok && u != nil {
 		if w := g.hands.Witness; w != nil {
-			w.Flag(g.now(), u.Build, op, g.stage, choice.Tick(age/tenth))
+			w.Flag(g.now(), u.Build, op, g.stage, balancer.Tick(age/tenth))
 		}
-		g.module.WrongAnswer(g.now(), &u.Unit, op, choice.Tick(age/tenth))
+		g.module.WrongAnswer(g.now(), &u.Unit, op, balancer.Tick(age/tenth))
 	}
 }
 
 // Probed takes how a probe of a unit ended.
-func (g *Gate) Probed(name, state string, end link.End, took time.Duration, load []float64) {
+func (g *Gate) Probed(name, state string, end transport.End, took time.Duration, load []float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if u := g.units[name]; u != nil {
-		g.module.Probed(g.now(), &u.Unit, Outcome(state, end), choice.Tick(took/tenth), load)
+		g.module.Probed(g.now(), &u.Unit, Outcome(state, end), balancer.Tick(took/tenth), load)
 	}
 }
--- a/internal/gate/places.go
+++ b/internal/dispatch/places.go
@@ -1,6 +1,6 @@
-package gate
+package dispatch
 
-import "silvercove/choice"
+import "silvercove/balancer"
 
 // Place is where an instance runs, as the keepers told it. Unit is "" while it runs nowhere.
 type Place struct {
@@ -11,7 +11,7 @@
 // spot is a place with the commands that wait for it or are at work there.
 type spot struct {
 	Place
-	open map[*choice.Command]struct{}
+	open map[*balancer.Command]struct{}
 }
 
 // Follow ties commands to the unit that the instance of their key runs at, from now on. It is called before any
@@ -35,7 +35,7 @@
 		named[p.Name] = true
 		s := g.spots[p.Name]
 		if s == nil {
-			s = &spot{open: map[*choice.Command]struct{}{}}
+			s = &spot{open: map[*balancer.Command]struct{}{}}
 			g.spots[p.Name] = s
 		} else if p.Epoch < s.Epoch || p.Epoch == s.Epoch && p.Change <= s.Change {
 			continue
@@ -68,7 +68,7 @@
 
 // settle points the open commands of an instance to where it is.
 func (g *Gate) settle(s *spot) {
-	var at *choice.Unit
+	var at *balancer.Unit
 	if u := g.units[s.Unit]; u != nil {
 		at = &u.Unit
 	}
@@ -84,7 +84,7 @@
 	}
 	s := g.spots[c.key]
 	if s == nil {
-		s = &spot{open: map[*choice.Command]struct{}{}}
+		s = &spot{open: map[*balancer.Command]struct{}{}}
 		g.spots[c.key] = s
 	}
 	s.open[&c.module] = struct{}{}
--- a/internal/clients/clients.go
+++ b/internal/downstream/clients.go
@@ -1,6 +1,6 @@
 // Package clients serves the sessions of clients: one goroutine reads a session's queries, each command
 // has one of its own, and the answers go out in the order of the queries.
-package clients
+package downstream
 
 import (
 	"bytes"
@@ -16,18 +16,18 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/overload"
 	"silvercove/internal/pgwire"
-	"silvercove/internal/units"
+	"silvercove/internal/transport"
+	"silvercove/internal/upstream"
 )
 
 // Front takes in connections of clients.
 type Front struct {
-	gate  *gate.Gate
-	pools *units.Pools
-	room  *link.Room
+	gate  *dispatch.Gate
+	pools *upstream.Pools
+	room  *transport.Room
 	parts overload.Front
 	limit time.Duration // of a message's coming whole, and of a client's reading its answer
 	back  string        // for nacks for lack of places, in milliseconds
@@ -47,7 +47,7 @@
 // session is one connection of a client. What is above the blank line is its reader's.
 type session struct {
 	*Front
-	*link.Link
+	*transport.Link
 	came     time.Time     // when the last bytes did
 	last     chan struct{} // closed with the last answer that is owed
 	owed     chan struct{} // one for each answer that is
@@ -56,19 +56,19 @@
 	refused  bool // what comes up to the end of an extended query is skipped
 
 	// Guarded by Front.mu.
-	since   time.Time                  // when it came, was greeted, its last command ended, or a further message began
-	served  bool                       // it has had a command
-	open    map[*gate.Command]struct{} // commands in work
-	waiting bool                       // for the first byte of a message
-	close   bool                       // to be closed between commands
-	cut     bool                       // it does not take its answers: to be closed at once
-	in      *list.List                 // idle, young or none
+	since   time.Time                      // when it came, was greeted, its last command ended, or a further message began
+	served  bool                           // it has had a command
+	open    map[*dispatch.Command]struct{} // commands in work
+	waiting bool                           // for the first byte of a message
+	close   bool                           // to be closed between commands
+	cut     bool                           // it does not take its answers: to be closed at once
+	in      *list.List                     // idle, young or none
 	place   *list.Element
 }
 
 // New makes a front whose places are shared out so. A client has limit for each message, and as long to
 // read an answer. Who is nacked for lack of places is told to stay away for back.
-func New(g *gate.Gate, pools *units.Pools, room *link.Room, parts overload.Front, limit, back time.Duration) *Front {
+func New(g *dispatch.Gate, pools *upstream.Pools, room *transport.Room, parts overload.Front, limit, back time.Duration) *Front {
 	f := &Front{gate: g, pools: pools, room: room, parts: parts, limit: limit, ids: map[string]struct{}{}}
 	if back > 0 {
 		f.back = strconv.FormatInt(back.Milliseconds(), 10)
@@ -123,7 +123,7 @@
 // enter makes a session. Where all places are taken, one that has no command has to go; where there
 // is none, the new one is there to be nacked. It waits only while the spare places are taken too.
 func (f *Front) enter(conn net.Conn) *session {
-	s := &session{Front: f, Link: link.New(conn, f.room), last: make(chan struct{}), open: map[*gate.Command]struct{}{},
+	s := &session{Front: f, Link: transport.New(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Command]struct{}{},
 		owed: make(chan struct{}, f.parts.Owed)}
 	close(s.last)
 	f.mu.Lock()
@@ -471,7 +471,7 @@
 		s.ReadBy(s.stays())
 		s.mu.Unlock()
 		end := s.fill(0)
-		begun := !end.Over() || end.How == link.Late && s.Pending()
+		begun := !end.Over() || end.How == transport.Late && s.Pending()
 		s.mu.Lock()
 		s.waiting = false
 		stays, cut := time.Now().Before(s.stays()), s.cut
@@ -483,7 +483,7 @@
 		switch {
 		case cut:
 			return false
-		case end.How != link.Late:
+		case end.How != transport.Late:
 			return s.still(end)
 		case begun:
 			return s.more(0, s.by())
@@ -520,7 +520,7 @@
 	s.mu.Unlock()
 	end := s.fill(want)
 	s.mu.Lock()
-	again := end.How == link.Late && !s.cut && s.Pending()
+	again := end.How == transport.Late && !s.cut && s.Pending()
 	if again {
 		s.ReadBy(time.Now().Add(s.limit))
 	}
@@ -531,19 +531,19 @@
 	return s.still(end)
 }
 
-func (s *session) fill(want int) link.End {
+func (s *session) fill(want int) transport.End {
 	end := s.Fill(want)
 	ago, closed := s.Heard()
 	s.came = time.Now().Add(-ago)
 	if closed { // also where it closed behind commands that are not read yet: nobody waits for those
-		end.How = link.Closed
+		end.How = transport.Closed
 	}
 	return end
 }
 
 // still tells whether a session goes on after a read. If the client has closed, it has gone away.
-func (s *session) still(end link.End) bool {
-	if end.How == link.Closed || end.How == link.Broke {
+func (s *session) still(end transport.End) bool {
+	if end.How == transport.Closed || end.How == transport.Broke {
 		s.gone()
 	}
 	return !end.Over()
@@ -552,7 +552,7 @@
 // gone tells the gate that the client has left its commands.
 func (s *session) gone() {
 	s.mu.Lock()
-	all := make([]*gate.Command, 0, len(s.open))
+	all := make([]*dispatch.Command, 0, len(s.open))
 	for c := range s.open {
 		all = append(all, c)
 	}
@@ -646,7 +646,7 @@
 		wait = min(wait, s.until.Sub(s.came))
 	}
 	s.mu.Unlock()
-	cmd, ok := s.gate.Take(gate.Ask{OpType: q.OpType, Customer: q.Customer, Key: q.Key, Came: s.came,
+	cmd, ok := s.gate.Take(dispatch.Ask{OpType: q.OpType, Customer: q.Customer, Key: q.Key, Came: s.came,
 		Wait: wait, Work: time.Duration(q.WorkUs) * time.Microsecond,
 		Write: q.Write, Repeated: q.Repeated, Left: s.Left})
 	if !ok {
@@ -693,7 +693,7 @@
 }
 
 // end takes a command off the open ones.
-func (s *session) end(cmd *gate.Command) {
+func (s *session) end(cmd *dispatch.Command) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, cmd)
@@ -708,7 +708,7 @@
 
 // command is the path of one command: as often as the module says, a delivery; then its answer, when
 // those before it have been written.
-func (s *session) command(cmd *gate.Command, q *pgwire.Query, turn <-chan struct{}) {
+func (s *session) command(cmd *dispatch.Command, q *pgwire.Query, turn <-chan struct{}) {
 	step := s.gate.Pick(cmd)
 	for step.Delivery != nil {
 		r := s.pools.Deliver(step.Delivery, q)
@@ -720,23 +720,23 @@
 		step = s.gate.Pick(cmd)
 	}
 	switch step.Final {
-	case gate.Gone:
+	case dispatch.Gone:
 		<-turn
 		s.free(q)
-	case gate.Nacked:
+	case dispatch.Nacked:
 		back := ""
 		if step.ComeBack > 0 {
 			back = strconv.FormatInt(step.ComeBack.Milliseconds(), 10)
 		}
 		s.write(q, turn, pgwire.Problem("ERROR", pgwire.NoRoom, "not now", back))
-	case gate.Failed:
+	case dispatch.Failed:
 		s.write(q, turn, pgwire.Problem("ERROR", pgwire.Failed, "no answer; it may have run", ""))
 	}
 }
 
 // pass passes an acked answer on. A unit's connection waits for the answers before it only where there
 // is no room for a copy.
-func (s *session) pass(q *pgwire.Query, r units.Reply, turn <-chan struct{}) {
+func (s *session) pass(q *pgwire.Query, r upstream.Reply, turn <-chan struct{}) {
 	select {
 	case <-turn:
 	default:
--- a/internal/edge/commands.go
+++ b/internal/edgenode/commands.go
@@ -1,4 +1,4 @@
-package edge
+package edgenode
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
-	"silvercove/internal/strength"
 	"silvercove/internal/tick"
 )
 
@@ -168,66 +168,66 @@
 	a := e.ask(ctx, q)
 	metrics.GetOrCreateCounter(outcomes[a.Outcome]).Inc()
 	switch a.Outcome {
-	case handover.Acked:
+	case migration.Acked:
 		end := "SELECT 1"
 		if q.Write {
 			end = "INSERT 0 1"
 		}
 		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Seq, a.Epoch, a.Unit), end)
-	case handover.NeverRan:
+	case migration.NeverRan:
 		return problem(pgwire.NoRoom, a.Text)
-	case handover.Oversize:
+	case migration.Oversize:
 		return problem(pgwire.TooLong, a.Text)
 	}
 	return problem(pgwire.Failed, a.Text)
 }
 
-var outcomes = [...]string{handover.NeverRan: `cove_edge_commands_total{end="never ran"}`,
-	handover.Acked: `cove_edge_commands_total{end="acked"}`, handover.Unknown: `cove_edge_commands_total{end="unknown"}`,
-	handover.Oversize: `cove_edge_commands_total{end="too large"}`}
+var outcomes = [...]string{migration.NeverRan: `cove_edge_commands_total{end="never ran"}`,
+	migration.Acked: `cove_edge_commands_total{end="acked"}`, migration.Unknown: `cove_edge_commands_total{end="unknown"}`,
+	migration.Oversize: `cove_edge_commands_total{end="too large"}`}
 
 // unready tells why a probe is turned away, "" where it is not.
 func (e *Edge) unready() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.owner == nil || !e.owner.May(keepers.Now()):
+	case e.owner == nil || !e.owner.May(controllerclient.Now()):
 		return "no lease"
-	case e.ends || e.report.State == strength.Leaves:
+	case e.ends || e.report.State == devicehealth.Leaves:
 		return "it leaves"
 	}
 	return ""
 }
 
 // ask has a command carried out by the owner's decision.
-func (e *Edge) ask(ctx context.Context, q *pgwire.Query) handover.Answer {
+func (e *Edge) ask(ctx context.Context, q *pgwire.Query) migration.Answer {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
-	c := &handover.Ask{ID: q.ID, Name: q.Key, Write: q.Write, Body: q.Content()}
-	done := make(chan handover.Answer, 1)
+	c := &migration.Ask{ID: q.ID, Name: q.Key, Write: q.Write, Body: q.Content()}
+	done := make(chan migration.Answer, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
-		return handover.Answer{Outcome: handover.NeverRan, Text: "the keepers' places are not known yet: never ran"}
+		return migration.Answer{Outcome: migration.NeverRan, Text: "the keepers' places are not known yet: never ran"}
 	}
 	e.busy++
 	e.asks[c] = done
-	now := keepers.Now()
+	now := controllerclient.Now()
 	c.NotAfter = now + tick.Of(wait)
 	e.owner.Asked(now, c)
 	e.mu.Unlock()
-	var a handover.Answer
+	var a migration.Answer
 	select {
 	case a = <-done:
 	case <-ctx.Done():
-		a = handover.Answer{Outcome: handover.Unknown, Text: "the unit ends: its effect may be kept or dropped"}
+		a = migration.Answer{Outcome: migration.Unknown, Text: "the unit ends: its effect may be kept or dropped"}
 	}
 	e.mu.Lock()
 	delete(e.asks, c)
 	e.busy--
 	switch a.Outcome {
-	case handover.Acked:
+	case migration.Acked:
 		e.strength.Outcome(now, true)
-	case handover.Unknown:
+	case migration.Unknown:
 		if !a.Quit { // that keepers fell, or that others own it now, says nothing of this unit's strength
 			e.strength.Outcome(now, false)
 		}
--- a/internal/edge/edge.go
+++ b/internal/edgenode/edge.go
@@ -1,7 +1,7 @@
 // Package edge is the process of an edge unit in a fleet: it takes commands as any unit does, keeps its lease, follows
 // where instances run, and exchanges copies and effects with other edge units. What it may do is decided by
 // handover.Owner, how strong it is by strength.Unit; it decides nothing itself.
-package edge
+package edgenode
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/devicepower"
 	"silvercove/internal/fleet"
-	"silvercove/internal/handover"
-	"silvercove/internal/instances"
-	"silvercove/internal/keepers"
-	"silvercove/internal/peers"
+	"silvercove/internal/instancestore"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/placement"
-	"silvercove/internal/power"
-	"silvercove/internal/strength"
 	"silvercove/internal/tick"
 )
 
@@ -41,7 +41,7 @@
 // Options are what an edge unit is made of.
 type Options struct {
 	File *fleet.File
-	Net  *peers.Net
+	Net  *peertransport.Net
 	Log  zerolog.Logger
 	Seed uint64
 }
@@ -52,31 +52,31 @@
 	self     string
 	run      uint64
 	lease    tick.Tick
-	client   *keepers.Client
-	store    *instances.Store
+	client   *controllerclient.Client
+	store    *instancestore.Store
 	commands net.Listener
-	reader   *power.Reader
-	sends    map[string]chan handover.Message
-	steps    chan handover.Entry
+	reader   *devicepower.Reader
+	sends    map[string]chan migration.Message
+	steps    chan migration.Entry
 	kick     chan struct{} // the lease is to be asked for at once
 	moved    chan struct{} // something may have changed that the end waits for
 
 	mu       sync.Mutex
-	owner    *handover.Owner // nil before the first places are known
-	strength *strength.Unit
-	report   strength.Report
-	asks     map[*handover.Ask]chan handover.Answer
-	waits    map[uint64]chan handover.Message // of other units' calls
+	owner    *migration.Owner // nil before the first places are known
+	strength *devicehealth.Unit
+	report   devicehealth.Report
+	asks     map[*migration.Ask]chan migration.Answer
+	waits    map[uint64]chan migration.Message // of other units' calls
 	mark     uint64
-	line     keepers.Line // that the owner's places are of
-	noted    keepers.Line // on disk
-	began    uint64       // records that the disk had taken at the start, 0 without a disk
-	judged   bool         // whether it was put back is known
+	line     controllerclient.Line // that the owner's places are of
+	noted    controllerclient.Line // on disk
+	began    uint64                // records that the disk had taken at the start, 0 without a disk
+	judged   bool                  // whether it was put back is known
 	wasBack  bool
 	settled  bool           // what is written counts
 	most     uint64         // the greatest count that the keepers told
 	more     placement.More // beside it
-	records  []handover.Record
+	records  []migration.Record
 	ends     bool
 	lost     string // why the lease is not renewed, as last logged
 	busy     int    // commands under way
@@ -84,25 +84,25 @@
 
 // note is what the store keeps beside instances.
 type note struct {
-	Run  uint64         `json:"run"`
-	Line keepers.Line   `json:"line"`
-	more placement.More // what a later version added
+	Run  uint64                `json:"run"`
+	Line controllerclient.Line `json:"line"`
+	more placement.More        // what a later version added
 }
 
 // Open reads the unit's disk and listens for commands.
 func Open(o Options) (*Edge, error) {
 	lease, _ := o.File.Set["fleet.lease"].(float64)
 	e := &Edge{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
-		client: keepers.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan handover.Message{},
-		steps: make(chan handover.Entry, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
-		reader: power.Open(o.File.Power), asks: map[*handover.Ask]chan handover.Answer{},
-		waits: map[uint64]chan handover.Message{}}
+		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan migration.Message{},
+		steps: make(chan migration.Entry, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
+		reader: devicepower.Open(o.File.Power), asks: map[*migration.Ask]chan migration.Answer{},
+		waits: map[uint64]chan migration.Message{}}
 	for _, p := range o.Net.Peers("edge") {
-		e.sends[p.Name] = make(chan handover.Message, mostSends)
+		e.sends[p.Name] = make(chan migration.Message, mostSends)
 	}
 	var text []byte
 	var err error
-	if e.store, e.records, text, err = instances.Open(o.File.Data, func(s string) { o.Log.Warn().Msg(s) }); err != nil {
+	if e.store, e.records, text, err = instancestore.Open(o.File.Data, func(s string) { o.Log.Warn().Msg(s) }); err != nil {
 		return nil, err
 	}
 	var n note
@@ -122,7 +122,7 @@
 		e.closeStore()
 		return nil, err
 	}
-	e.strength = strength.New(keepers.Now(), o.Seed, o.File.Set)
+	e.strength = devicehealth.New(controllerclient.Now(), o.Seed, o.File.Set)
 	return e, nil
 }
 
@@ -220,7 +220,7 @@
 		if err == nil {
 			e.mu.Lock()
 			e.line = p.Line
-			e.owner = handover.NewOwner(host{e}, keepers.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
+			e.owner = migration.NewOwner(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
 			e.records = nil
 			e.mu.Unlock()
 			return nil
@@ -247,10 +247,10 @@
 }
 
 // told takes in news of places.
-func (e *Edge) told(version uint64, places []handover.Place, gone []string, whole bool) {
+func (e *Edge) told(version uint64, places []migration.Place, gone []string, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := keepers.Now()
+	now := controllerclient.Now()
 	if line := e.client.Line(); whole && line.Generation > e.line.Generation {
 		e.line = line
 		e.owner.Rebuilt(now, places, version)
@@ -295,13 +295,13 @@
 		report, born := e.strong(&used, &since), time.Now()
 		text, err := json.Marshal(report)
 		if err == nil {
-			var answer keepers.LeaseAnswer
+			var answer controllerclient.LeaseAnswer
 			var sent tick.Tick
 			e.mu.Lock()
-			doubts := e.owner.Doubts(keepers.MostDoubts)
+			doubts := e.owner.Doubts(controllerclient.MostDoubts)
 			e.mu.Unlock()
 			limit, cancel := context.WithTimeout(ctx, e.lease.Span())
-			answer, sent, err = e.client.Lease(limit, keepers.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
+			answer, sent, err = e.client.Lease(limit, controllerclient.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
 				Commands: e.commands.Addr().String(), Zone: e.o.File.Self.Zone, Build: e.o.File.Build, Back: back,
 				BornMS: int64(e.run / 1000), Kept: e.store.Count(), Doubts: doubts})
 			cancel()
@@ -310,7 +310,7 @@
 				e.mu.Lock()
 				e.disk(answer, doubts)
 				if answer.Line == e.line { // else places were rebuilt, and are told first
-					e.owner.Leased(keepers.Now(), sent+e.lease, answer.Places)
+					e.owner.Leased(controllerclient.Now(), sent+e.lease, answer.Places)
 				}
 				e.lost = ""
 				line := e.client.Line()
@@ -336,13 +336,13 @@
 }
 
 // disk takes in what a lease says of the unit's disk. It is called with the lock held.
-func (e *Edge) disk(a keepers.LeaseAnswer, told []handover.Doubt) {
+func (e *Edge) disk(a controllerclient.LeaseAnswer, told []migration.Doubt) {
 	if !e.judged {
 		e.judged = true
 		e.wasBack = e.began < a.Kept && e.began > 0
-		e.owner.Disk(keepers.Now(), e.wasBack)
+		e.owner.Disk(controllerclient.Now(), e.wasBack)
 	}
-	e.owner.Doubted(keepers.Now(), told[:min(a.Doubts, len(told))])
+	e.owner.Doubted(controllerclient.Now(), told[:min(a.Doubts, len(told))])
 	if e.most = max(e.most, a.Kept); !e.settled && e.owner.Settled() {
 		e.settled = true
 		e.store.Settle(e.most, func(err error) {
@@ -367,7 +367,7 @@
 }
 
 // strong feeds the strength's decision with what there is and tells its report.
-func (e *Edge) strong(used *time.Duration, since *time.Time) strength.Report {
+func (e *Edge) strong(used *time.Duration, since *time.Time) devicehealth.Report {
 	readings := e.reader.Last()
 	var u syscall.Rusage
 	load := 0.0
@@ -380,7 +380,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := keepers.Now()
+	now := controllerclient.Now()
 	for _, r := range readings {
 		e.strength.Read(now, r)
 	}
@@ -407,7 +407,7 @@
 func (e *Edge) alarm(ctx context.Context) {
 	for {
 		e.mu.Lock()
-		now := keepers.Now()
+		now := controllerclient.Now()
 		next := e.owner.Alarm(now)
 		e.mu.Unlock()
 		e.stir()
@@ -421,7 +421,7 @@
 func (e *Edge) leave(ctx context.Context) {
 	e.mu.Lock()
 	e.ends = true
-	e.strength.End(keepers.Now())
+	e.strength.End(controllerclient.Now())
 	e.mu.Unlock()
 	e.renews()
 	e.o.Log.Info().Str("event", "leaves").Str("why", "told to end").Send()
@@ -432,7 +432,7 @@
 		owns, counted := false, false
 		e.mu.Lock()
 		if e.owner != nil {
-			for _, h := range e.owner.Holdings(keepers.Now()) {
+			for _, h := range e.owner.Holdings(controllerclient.Now()) {
 				owns = owns || h.Owns
 				counted = counted || h.Holds
 			}
@@ -466,7 +466,7 @@
 type host struct{ *Edge }
 
 // Send queues a message to another unit, or brings an answer to the call that waits for it.
-func (h host) Send(to string, m handover.Message) {
+func (h host) Send(to string, m migration.Message) {
 	if m.Re != 0 {
 		if w := h.waits[m.Re]; w != nil {
 			delete(h.waits, m.Re)
@@ -481,7 +481,7 @@
 }
 
 // Step queues an entry for the keepers; what is beyond the queue is as if lost.
-func (h host) Step(e handover.Entry) {
+func (h host) Step(e migration.Entry) {
 	select {
 	case h.steps <- e:
 	default:
@@ -489,14 +489,14 @@
 }
 
 // Answer ends a command.
-func (h host) Answer(c *handover.Ask, a handover.Answer) {
+func (h host) Answer(c *migration.Ask, a migration.Answer) {
 	if w := h.asks[c]; w != nil {
 		delete(h.asks, c)
 		w <- a
 	}
 }
 
-func (h host) Keep(name string, x handover.Effect) { h.store.Keep(name, x, h.kept(name, x.Seq)) }
+func (h host) Keep(name string, x migration.Effect) { h.store.Keep(name, x, h.kept(name, x.Seq)) }
 
 func (h host) Cut(name string, seq uint64) { h.store.Cut(name, seq, h.kept(name, seq)) }
 
@@ -511,15 +511,15 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if err != nil {
-			h.owner.Unkept(keepers.Now(), name, err)
+			h.owner.Unkept(controllerclient.Now(), name, err)
 			return
 		}
-		h.owner.Kept(keepers.Now(), name, seq)
+		h.owner.Kept(controllerclient.Now(), name, seq)
 	}
 }
 
 // Tell logs an event.
-func (h host) Tell(x handover.Event) {
+func (h host) Tell(x migration.Event) {
 	if x.What == "doubts" {
 		h.renews() // so that the keepers know
 	}
@@ -545,7 +545,7 @@
 // step brings entries to the keepers.
 func (e *Edge) step(ctx context.Context) {
 	for {
-		var x handover.Entry
+		var x migration.Entry
 		select {
 		case <-ctx.Done():
 			return
@@ -554,16 +554,16 @@
 		limit, cancel := context.WithTimeout(ctx, e.lease.Span())
 		p, err := e.client.Step(limit, x)
 		cancel()
-		var no *keepers.Refusal
+		var no *controllerclient.Refusal
 		if errors.As(err, &no) && no.Place != nil {
 			p = *no.Place
 		}
 		e.mu.Lock()
 		if p.Name != "" {
-			e.owner.Placed(keepers.Now(), p)
+			e.owner.Placed(controllerclient.Now(), p)
 		}
 		if err != nil {
-			e.owner.Refused(keepers.Now(), x, err)
+			e.owner.Refused(controllerclient.Now(), x, err)
 		}
 		e.mu.Unlock()
 		e.stir()
--- a/internal/edge/peers.go
+++ b/internal/edgenode/peers.go
@@ -1,4 +1,4 @@
-package edge
+package edgenode
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"net/http"
 	"time"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
-	"silvercove/internal/peers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 )
 
 const (
@@ -22,7 +22,7 @@
 )
 
 // send brings messages to one other unit.
-func (e *Edge) send(ctx context.Context, client *http.Client, to string, queue chan handover.Message) {
+func (e *Edge) send(ctx context.Context, client *http.Client, to string, queue chan migration.Message) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -33,14 +33,14 @@
 				continue // as if lost: the owner sends again
 			}
 			e.mu.Lock()
-			e.owner.Heard(keepers.Now(), to, *answer)
+			e.owner.Heard(controllerclient.Now(), to, *answer)
 			e.mu.Unlock()
 			e.stir()
 		}
 	}
 }
 
-func (e *Edge) post(ctx context.Context, client *http.Client, to string, m handover.Message) (*handover.Message, error) {
+func (e *Edge) post(ctx context.Context, client *http.Client, to string, m migration.Message) (*migration.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.lease.Span())
 	defer cancel()
 	text, err := json.Marshal(m)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var got handover.Message
+	var got migration.Message
 	if err := json.Unmarshal(text, &got); err != nil {
 		return nil, err
 	}
@@ -72,17 +72,17 @@
 // answerPeers answers other processes' calls.
 func (e *Edge) answerPeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	for _, kind := range []string{handover.Chunk, handover.Tail, handover.Ended} {
+	for _, kind := range []string{migration.Chunk, migration.Tail, migration.Ended} {
 		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { e.heard(w, r, kind) })
 	}
 	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) {
-		h := keepers.Holds{V: handover.Version, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []handover.Holding{}}
+		h := controllerclient.Holds{V: migration.Version, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.Holding{}}
 		e.mu.Lock()
 		if e.owner != nil {
-			h.Holds = append(h.Holds, e.owner.Holdings(keepers.Now())...)
+			h.Holds = append(h.Holds, e.owner.Holdings(controllerclient.Now())...)
 		}
 		for _, r := range e.records { // not heard of any place since its start: whether they are counted on is not known
-			h.Holds = append(h.Holds, handover.Holding{Name: r.Name, Epoch: r.Last(), Seq: r.Seq(), Last: r.Last(), Sum: r.Sum(),
+			h.Holds = append(h.Holds, migration.Holding{Name: r.Name, Epoch: r.Last(), Seq: r.Seq(), Last: r.Last(), Sum: r.Sum(),
 				Size: r.Size()})
 		}
 		e.mu.Unlock()
@@ -91,7 +91,7 @@
 	calls := make(chan struct{}, mostCalls)
 	server := &http.Server{ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			if p, ok := c.(*peers.Conn); ok {
+			if p, ok := c.(*peertransport.Conn); ok {
 				ctx = context.WithValue(ctx, fromKey{}, p.From)
 			}
 			return ctx
@@ -108,7 +108,7 @@
 		})}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err := server.Serve(e.o.Net.Listener(peers.HTTP))
+	err := server.Serve(e.o.Net.Listener(peertransport.HTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -130,14 +130,14 @@
 func (e *Edge) heard(w http.ResponseWriter, r *http.Request, kind string) {
 	from, _ := r.Context().Value(fromKey{}).(string)
 	refuse := func(code int, why string) {
-		reply(w, code, handover.Message{V: handover.Version, Kind: handover.Unfit, Name: "?", Own: e.run, Why: why})
+		reply(w, code, migration.Message{V: migration.Version, Kind: migration.Unfit, Name: "?", Own: e.run, Why: why})
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostMessage))
 	if err != nil {
 		refuse(http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	var m handover.Message
+	var m migration.Message
 	if err := json.Unmarshal(text, &m); err != nil {
 		refuse(http.StatusBadRequest, err.Error())
 		return
@@ -146,7 +146,7 @@
 		refuse(http.StatusBadRequest, fmt.Sprintf("a message %q at %s", m.Kind, kind))
 		return
 	}
-	done := make(chan handover.Message, 1)
+	done := make(chan migration.Message, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
@@ -156,7 +156,7 @@
 	e.mark++
 	m.Re = e.mark
 	e.waits[m.Re] = done
-	e.owner.Heard(keepers.Now(), from, m)
+	e.owner.Heard(controllerclient.Now(), from, m)
 	e.mu.Unlock()
 	timer := time.NewTimer(e.lease.Span())
 	defer timer.Stop()
@@ -164,9 +164,9 @@
 	case answer := <-done:
 		code := http.StatusOK
 		switch answer.Kind {
-		case handover.Older:
+		case migration.Older:
 			code = http.StatusConflict
-		case handover.Unfit:
+		case migration.Unfit:
 			code = http.StatusUnprocessableEntity
 		}
 		reply(w, code, answer)
--- a/internal/ledger/ledger.go
+++ b/internal/evidence/ledger.go
@@ -7,7 +7,7 @@
 // prior).
 //
 // Kind: state
-package ledger
+package evidence
 
 import (
 	"bytes"
@@ -24,7 +24,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"silvercove/choice"
+	"silvercove/balancer"
 )
 
 // Bounds of what is kept.
@@ -65,15 +65,15 @@
 // Delays counts flags by how late they came: within 1 s, 10 s, 1 min, 10 min, and later.
 type Delays [5]int64
 
-var delaySteps = [4]choice.Tick{choice.Second, 10 * choice.Second, 60 * choice.Second, 600 * choice.Second}
+var delaySteps = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
 
 // Vote is one vote as it was cast.
 type Vote struct {
-	At      choice.Tick `json:"at"`
-	Stage   int         `json:"stage"`
-	Verdict string      `json:"verdict"`
-	Why     string      `json:"why"`
-	Known   []Known     `json:"known"`
+	At      balancer.Tick `json:"at"`
+	Stage   int           `json:"stage"`
+	Verdict string        `json:"verdict"`
+	Why     string        `json:"why"`
+	Known   []Known       `json:"known"`
 }
 
 // Known is what was known of one op type, and bounds on its share of failures.
@@ -88,8 +88,8 @@
 // Build is what is kept of one build.
 type Build struct {
 	Number   uint16           `json:"build"`
-	First    choice.Tick      `json:"first"`
-	Last     choice.Tick      `json:"last"`
+	First    balancer.Tick    `json:"first"`
+	Last     balancer.Tick    `json:"last"`
 	State    string           `json:"state"`
 	Cells    map[string]*Cell `json:"cells"` // by op type, wave and source
 	Late     Delays           `json:"late"`
@@ -130,7 +130,7 @@
 }
 
 // Offered takes where a build stands; one that is new is kept from then on, in place of the oldest if need be.
-func (l *Ledger) Offered(now choice.Tick, number uint16, state string) {
+func (l *Ledger) Offered(now balancer.Tick, number uint16, state string) {
 	b := l.find(number)
 	if b == nil {
 		if len(l.builds) >= mostBuilds {
@@ -143,7 +143,7 @@
 }
 
 // Outcome takes an outcome of this relay's own, of an op type at a build.
-func (l *Ledger) Outcome(now choice.Tick, number uint16, op, wave int, bad bool) {
+func (l *Ledger) Outcome(now balancer.Tick, number uint16, op, wave int, bad bool) {
 	x := 0.0
 	if bad {
 		x = 1
@@ -154,14 +154,14 @@
 }
 
 // Tally takes what the platform counted at a build.
-func (l *Ledger) Tally(now choice.Tick, number uint16, op, wave, many, failed int) {
+func (l *Ledger) Tally(now balancer.Tick, number uint16, op, wave, many, failed int) {
 	if b := l.of(now, number, op); b != nil && many > 0 && failed >= 0 && failed <= many {
 		b.add(op, wave, Platform, float64(many), float64(failed))
 	}
 }
 
 // of gives the build that a report belongs to; one on a build that is not kept is an orphan.
-func (l *Ledger) of(now choice.Tick, number uint16, op int) *Build {
+func (l *Ledger) of(now balancer.Tick, number uint16, op int) *Build {
 	b := l.find(number)
 	if b == nil || op < 0 || op >= len(l.ops) {
 		l.Orphans++
@@ -184,7 +184,7 @@
 
 // Flag takes a wrong answer that was found so long after it was given. It belongs to the build that gave it, also
 // after that was judged; one of a build that is not kept is an orphan.
-func (l *Ledger) Flag(now choice.Tick, number uint16, op, wave int, delay choice.Tick) {
+func (l *Ledger) Flag(now balancer.Tick, number uint16, op, wave int, delay balancer.Tick) {
 	b := l.of(now, number, op)
 	if b == nil {
 		return
@@ -201,7 +201,7 @@
 }
 
 // Voted keeps a vote with what was known when it was cast.
-func (l *Ledger) Voted(now choice.Tick, number uint16, stage int, verdict, why string) {
+func (l *Ledger) Voted(now balancer.Tick, number uint16, stage int, verdict, why string) {
 	v := Vote{At: now, Stage: stage, Verdict: verdict, Why: why, Known: l.Known(number)}
 	b := l.find(number)
 	if b == nil {
@@ -281,7 +281,7 @@
 // Aged gives what is kept of a build as counts of each op type, all and bad, for a module that starts anew: halved
 // for each span of a half-life that has passed since the last outcome, rounded down. A failure that is left over by
 // rounding is kept: evidence against a build is not to be lost by a restart.
-func (l *Ledger) Aged(now choice.Tick, number uint16, half choice.Tick) (n, bad []int) {
+func (l *Ledger) Aged(now balancer.Tick, number uint16, half balancer.Tick) (n, bad []int) {
 	b := l.find(number)
 	if b == nil {
 		return nil, nil
@@ -375,7 +375,7 @@
 
 // Explain tells in plain sentences what is known of each build and why each vote was cast.
 func (l *Ledger) Explain() (out []string) {
-	clock := func(t choice.Tick) string {
+	clock := func(t balancer.Tick) string {
 		return time.UnixMicro(int64(t) * 100).UTC().Format("2006-01-02 15:04:05.000")
 	}
 	for _, b := range l.builds {
--- a/internal/ledger/stored_test.go
+++ b/internal/evidence/stored_test.go
@@ -1,4 +1,4 @@
-package ledger
+package evidence
 
 import (
 	"bytes"
--- a/internal/table/early.go
+++ b/internal/fdtable/early.go
@@ -1,4 +1,4 @@
-package table
+package fdtable
 
 /*
 #define _GNU_SOURCE
--- a/internal/table/table_test.go
+++ b/internal/fdtable/table_test.go
@@ -1,4 +1,4 @@
-package table
+package fdtable
 
 import (
 	"os"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"path/filepath"
 
-	"silvercove/internal/conf"
-	"silvercove/internal/peers"
+	"silvercove/internal/operatorconfig"
+	"silvercove/internal/peertransport"
 )
 
 // File is the block fleet of an operator's file.
 type File struct {
 	Fleet string
-	Self  peers.Peer
-	Peers []peers.Peer
+	Self  peertransport.Peer
+	Peers []peertransport.Peer
 	Data  string // folder, "" for none
 	Power string // folder, "" for none
 	Level string // of log lines
@@ -30,7 +30,7 @@
 
 // Read reads a file. It has to have a block fleet.
 func Read(path string) (*File, error) {
-	all, err := conf.Operators.Read(path)
+	all, err := operatorconfig.Operators.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("%s: no block fleet", path)
 	}
 	word := func(name string) string { s, _ := b[name].(string); return s }
-	f := &File{Fleet: word("name"), Self: peers.Peer{Name: word("node"), Role: word("role"), Zone: word("zone"),
+	f := &File{Fleet: word("name"), Self: peertransport.Peer{Name: word("node"), Role: word("role"), Zone: word("zone"),
 		Address: word("listen")}, Set: map[string]any{}}
 	f.Level, _ = all["log_level"].(string)
 	f.Clients, f.Metrics = word("clients"), word("metrics")
@@ -70,7 +70,7 @@
 	for _, v := range list {
 		p := v.([]any)
 		name := p[0].(string)
-		f.Peers = append(f.Peers, peers.Peer{Name: name, Role: p[1].(string), Zone: p[2].(string),
+		f.Peers = append(f.Peers, peertransport.Peer{Name: name, Role: p[1].(string), Zone: p[2].(string),
 			Address: p[3].(string), Commands: commands[name]})
 		counts[p[1].(string)]++
 	}
--- a/internal/instances/instances.go
+++ b/internal/instancestore/instances.go
@@ -12,7 +12,7 @@
 // said that the file is the newest one known, so that an old one never catches up with what was counted.
 //
 // Kind: state
-package instances
+package instancestore
 
 import (
 	"bytes"
@@ -31,14 +31,14 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/frames"
-	"silvercove/internal/handover"
+	"silvercove/internal/migration"
+	"silvercove/internal/recordlog"
 )
 
 // Errors of a store.
 var (
-	ErrDamaged = frames.ErrDamaged
-	ErrLater   = frames.ErrLater
+	ErrDamaged = recordlog.ErrDamaged
+	ErrLater   = recordlog.ErrLater
 	ErrInUse   = errors.New("in use by another process")
 	ErrGap     = errors.New("does not follow what is kept")
 	ErrBroken  = errors.New("an earlier write failed half-way: restart to go on")
@@ -61,7 +61,7 @@
 	isNote   = 5
 )
 
-var form = frames.Form{Magic: "coveinst", Version: 1, Most: 32 << 20, Sum: xxhash.Sum64, Wide: true, Torn: true}
+var form = recordlog.Form{Magic: "coveinst", Version: 1, Most: 32 << 20, Sum: xxhash.Sum64, Wide: true, Torn: true}
 
 // File is what is written to; *os.File is one.
 type File interface {
@@ -77,7 +77,7 @@
 	name string
 	seq  uint64 // of a cut; the base of a beginning; the count of a mark
 	sum  uint64 // 1 of a mark: what follows counts
-	e    handover.Effect
+	e    migration.Effect
 	note []byte
 	done func(error)
 }
@@ -95,7 +95,7 @@
 	file File
 	size int64
 	live int64 // bytes of the file that are of use, about
-	all  map[string]*handover.Record
+	all  map[string]*migration.Record
 	note []byte
 	took count
 	runs bool          // this run has marked that what follows does not count yet
@@ -110,8 +110,8 @@
 }
 
 // Open reads what a folder keeps, "" for none. The records are the caller's own.
-func Open(folder string, log func(string)) (*Store, []handover.Record, []byte, error) {
-	s := &Store{log: log, all: map[string]*handover.Record{}, wake: make(chan struct{}, 1), took: count{1, true}}
+func Open(folder string, log func(string)) (*Store, []migration.Record, []byte, error) {
+	s := &Store{log: log, all: map[string]*migration.Record{}, wake: make(chan struct{}, 1), took: count{1, true}}
 	if folder == "" {
 		return s, nil, nil, nil
 	}
@@ -123,7 +123,7 @@
 	if s.lock, err = os.OpenFile(filepath.Join(folder, "instances.lock"), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
 	}
-	fail := func(err error) (*Store, []handover.Record, []byte, error) {
+	fail := func(err error) (*Store, []migration.Record, []byte, error) {
 		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
 	}
@@ -155,7 +155,7 @@
 		s.live += size(r)
 	}
 	s.next = 2*s.live + spare
-	records := make([]handover.Record, 0, len(s.all))
+	records := make([]migration.Record, 0, len(s.all))
 	for _, name := range slices.Sorted(maps.Keys(s.all)) {
 		r := *s.all[name]
 		r.Effects = slices.Clone(r.Effects)
@@ -173,7 +173,7 @@
 		if _, err := s.file.Write(form.Header()); err != nil {
 			return err
 		}
-		good = frames.Head
+		good = recordlog.Head
 	}
 	if err := s.file.Sync(); err != nil {
 		return err
@@ -225,7 +225,7 @@
 		}
 		r.Cut(o.seq)
 	case isBegin:
-		s.all[o.name] = &handover.Record{Name: o.name, Base: o.seq, BaseSum: o.sum}
+		s.all[o.name] = &migration.Record{Name: o.name, Base: o.seq, BaseSum: o.sum}
 	case isForget:
 		delete(s.all, o.name)
 	case isNote:
@@ -257,7 +257,7 @@
 // Keep, Cut, Begin, Forget and Note ask for something to be kept; done is told by Run, in the order of asking.
 
 // Keep keeps the next effect of an instance.
-func (s *Store) Keep(name string, e handover.Effect, done func(error)) {
+func (s *Store) Keep(name string, e migration.Effect, done func(error)) {
 	s.ask(op{kind: isEffect, name: name, e: e, done: done})
 }
 
@@ -285,7 +285,7 @@
 	s.mu.Lock()
 	if len(s.queue) >= mostOps {
 		o.kind = 0 // refused, in its turn
-		o.e, o.note = handover.Effect{}, nil
+		o.e, o.note = migration.Effect{}, nil
 	}
 	s.queue = append(s.queue, o)
 	s.mu.Unlock()
@@ -341,7 +341,7 @@
 
 // write makes some things safe by one write and one fsync, or says of all why not and leaves everything as it was.
 func (s *Store) write(ops []op, errs []error) {
-	before := map[string]*handover.Record{}
+	before := map[string]*migration.Record{}
 	note, took := s.note, s.took
 	var out []byte
 	if !s.runs {
@@ -464,7 +464,7 @@
 }
 
 // size is about what an instance takes in the file.
-func size(r *handover.Record) int64 { return int64(r.Size() + 64*len(r.Effects) + 64) }
+func size(r *migration.Record) int64 { return int64(r.Size() + 64*len(r.Effects) + 64) }
 
 // frame appends a record.
 func frame(out []byte, o op) []byte {
@@ -527,7 +527,7 @@
 	o.name = text()
 	switch o.kind {
 	case isEffect:
-		o.e = handover.Effect{Seq: number(), Epoch: number(), Sum: number()}
+		o.e = migration.Effect{Seq: number(), Epoch: number(), Sum: number()}
 		o.e.Unit, o.e.ID = text(), text()
 		if len(b) > 0 {
 			o.e.Body = bytes.Clone(b)
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"silvercove/internal/standin/crew"
+	"silvercove/internal/standin/testcluster"
 	"silvercove/internal/tick"
 )
 
@@ -391,7 +391,7 @@
 func keeperDown(f *Fleet, some []*keeper) func() {
 	for _, k := range some {
 		k.down++
-		f.say(crew.Event{Node: k.node.name, Name: "FALLS"})
+		f.say(testcluster.Event{Node: k.node.name, Name: "FALLS"})
 	}
 	f.keep.look()
 	return func() {
@@ -438,7 +438,7 @@
 			})
 		}
 		f.in(x.At-f.now, func() {
-			f.say(crew.Event{Node: "script", Name: x.Kind, Instance: x.On, To: x.To, Script: true})
+			f.say(testcluster.Event{Node: "script", Name: x.Kind, Instance: x.On, To: x.To, Script: true})
 			f.faults++
 			for _, name := range []string{x.On, x.To} {
 				if f.byUnit[name] != nil {
@@ -459,7 +459,7 @@
 					delete(f.active, x.Kind)
 				}
 				f.healed = f.now
-				f.say(crew.Event{Node: "script", Name: "heals", Instance: x.On, Why: x.Kind, Script: true})
+				f.say(testcluster.Event{Node: "script", Name: "heals", Instance: x.On, Why: x.Kind, Script: true})
 			})
 		})
 	}
