--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"silvercove/internal/handover"
+	"silvercove/internal/migration"
 	"silvercove/internal/overload"
-	"silvercove/internal/standin/crew"
+	"silvercove/internal/standin/testcluster"
 	"silvercove/internal/tick"
 )
 
@@ -83,7 +83,7 @@
 	}
 	if sheds := r.over.Admits() < 0.99; sheds != r.sheds {
 		r.sheds = sheds
-		f.say(crew.Event{Node: r.node.name, Name: map[bool]string{true: "sheds", false: "admits"}[sheds],
+		f.say(testcluster.Event{Node: r.node.name, Name: map[bool]string{true: "sheds", false: "admits"}[sheds],
 			State: fmt.Sprintf("%.2f", r.over.Admits())})
 	}
 }
@@ -154,7 +154,7 @@
 	cmd *command
 	u   *unit
 	run uint64
-	end func(handover.Answer)
+	end func(migration.Answer)
 }
 
 // client begins the next command of the sample.
@@ -235,7 +235,7 @@
 		}
 		run := u.run
 		u.does(run, func() {
-			a := &handover.Ask{ID: m.id, Name: m.cam.name, Write: m.write,
+			a := &migration.Ask{ID: m.id, Name: m.cam.name, Write: m.write,
 				NotAfter: u.at() + tick.Tick(float64(m.by-f.now-answerBy/4)*0.98)}
 			s := &asked{cmd: m, u: u, run: run}
 			f.in(max(0, m.by-f.now)+tick.Tick(f.Lease*float64(tick.Second)/5)+slack, func() {
@@ -243,7 +243,7 @@
 					f.check.fail("%s has not answered %s in time", u.shown, m.id)
 				}
 			})
-			s.end = func(ans handover.Answer) {
+			s.end = func(ans migration.Answer) {
 				f.check.answered(u, m, ans)
 				f.ship(u.node, m.r.node, 200, func() {
 					if mine != m.delivery {
@@ -276,20 +276,20 @@
 }
 
 // answered takes a unit's answer in.
-func (m *command) answered(u *unit, a handover.Answer) {
+func (m *command) answered(u *unit, a migration.Answer) {
 	f := m.f
 	if m.final {
 		return
 	}
 	switch a.Outcome {
-	case handover.Acked:
+	case migration.Acked:
 		m.r.saw(u.name, true)
 		m.r.over.Worked(m.r.at(), 0, worth)
 		m.ends("acked")
-	case handover.NeverRan:
+	case migration.NeverRan:
 		m.delivery++
 		f.in(holds, m.deliver) // held until the news come
-	case handover.Oversize:
+	case migration.Oversize:
 		m.ends("nacked")
 	default:
 		m.unsure = m.unsure || m.write
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -15,15 +15,15 @@
 	"golang.org/x/sync/errgroup"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"silvercove/internal/clients"
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
-	"silvercove/internal/list"
+	"silvercove/internal/discovery"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/downstream"
 	"silvercove/internal/overload"
 	"silvercove/internal/pgwire"
-	"silvercove/internal/platform"
-	"silvercove/internal/standin/fleet"
-	"silvercove/internal/units"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/standin/backends"
+	"silvercove/internal/transport"
+	"silvercove/internal/upstream"
 )
 
 // Loopback plays the rollout with real relays on sockets, beside stand-in units, list and platform, in real time. Of
@@ -35,7 +35,7 @@
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(r.Seed, 7))
 	work := distuv.LogNormal{Mu: -4.6, Sigma: 0.5, Src: rand.NewPCG(r.Seed, 8)} // 10 ms in the middle
-	answer := func(_ *fleet.Unit, op string, build uint16, since time.Time) (bool, time.Duration) {
+	answer := func(_ *backends.Unit, op string, build uint16, since time.Time) (bool, time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		fails := r.Base
@@ -44,14 +44,14 @@
 		}
 		return random.Float64() < fails, time.Duration(work.Rand() * float64(time.Second))
 	}
-	var servers []*fleet.Unit
+	var servers []*backends.Unit
 	defer func() {
 		for _, u := range servers {
 			u.Close()
 		}
 	}()
 	for i := range r.Units {
-		u, err := fleet.NewUnit(fmt.Sprintf("u-%d", i), earlier, answer)
+		u, err := backends.NewUnit(fmt.Sprintf("u-%d", i), earlier, answer)
 		if err != nil {
 			return result, err
 		}
@@ -61,7 +61,7 @@
 	for _, w := range r.Waves {
 		parts = append(parts, w.Part)
 	}
-	plat, err := fleet.NewPlatform(servers, earlier, parts, time.Duration(r.Bake*float64(time.Second)))
+	plat, err := backends.NewPlatform(servers, earlier, parts, time.Duration(r.Bake*float64(time.Second)))
 	if err != nil {
 		return result, err
 	}
@@ -102,33 +102,33 @@
 
 // real is one relay with all its parts.
 type real struct {
-	gate     *gate.Gate
-	pools    *units.Pools
-	front    *clients.Front
-	watch    *list.Watch
-	desk     *platform.Desk
+	gate     *dispatch.Gate
+	pools    *upstream.Pools
+	front    *downstream.Front
+	watch    *discovery.Watch
+	desk     *releaseapi.Desk
 	listener net.Listener
 }
 
-func (r Rollout) node(no int, plat *fleet.Platform) (*real, error) {
+func (r Rollout) node(no int, plat *backends.Platform) (*real, error) {
 	n := &real{}
 	set := (&model{Rollout: r}).settings()
 	set["discovery"] = "automatic"
 	set["limits.connect_timeout"] = 0.5
-	room := link.NewRoom(16 << 20)
+	room := transport.NewRoom(16 << 20)
 	quiet := func(string) {}
-	n.watch = list.New(link.NewPlace(plat.Address()), 0, time.Second, time.Second/2, time.Second, room, quiet)
-	n.desk = platform.New(link.NewPlace(plat.Address()), time.Second, room, quiet)
-	n.gate = gate.New(r.Seed<<8^uint64(no), set, gate.Hands{Vote: n.desk.Vote, Watch: n.watch.On, Fetch: n.watch.Fetch,
-		Log: quiet, Probe: func(u gate.Unit) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
-	n.pools = units.New(room, 256, time.Second/2, 5*time.Second, n.gate)
-	n.front = clients.New(n.gate, n.pools, room, overload.Shares(256), 2*time.Second, time.Second)
-	_, _, hosts, err := list.Read([]byte(plat.Page()))
+	n.watch = discovery.New(transport.NewPlace(plat.Address()), 0, time.Second, time.Second/2, time.Second, room, quiet)
+	n.desk = releaseapi.New(transport.NewPlace(plat.Address()), time.Second, room, quiet)
+	n.gate = dispatch.New(r.Seed<<8^uint64(no), set, dispatch.Hands{Vote: n.desk.Vote, Watch: n.watch.On, Fetch: n.watch.Fetch,
+		Log: quiet, Probe: func(u dispatch.Unit) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
+	n.pools = upstream.New(room, 256, time.Second/2, 5*time.Second, n.gate)
+	n.front = downstream.New(n.gate, n.pools, room, overload.Shares(256), 2*time.Second, time.Second)
+	_, _, hosts, err := discovery.Read([]byte(plat.Page()))
 	if err != nil {
 		return nil, err
 	}
 	n.gate.List(true, hosts)
-	stage, err := platform.ReadStage(json.RawMessage(plat.Stage()))
+	stage, err := releaseapi.ReadStage(json.RawMessage(plat.Stage()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/members/board.go
+++ b/internal/membership/board.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/peers"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/tick"
 )
 
@@ -45,7 +45,7 @@
 
 // Board is the fleet's members as one process sees them. Its methods never wait for others.
 type Board struct {
-	net     *peers.Net
+	net     *peertransport.Net
 	log     func(Member)
 	start   time.Time
 	library gossip
@@ -87,7 +87,7 @@
 
 // Open makes a board for the processes that a file names; Run has to be called. set has fleet.silence. log, if any, is
 // called for each change of a member's state, on the board's own goroutine.
-func Open(net *peers.Net, run uint64, fresh bool, set map[string]any, log func(Member)) (*Board, error) {
+func Open(net *peertransport.Net, run uint64, fresh bool, set map[string]any, log func(Member)) (*Board, error) {
 	self := net.Self()
 	me := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Run: run, Fresh: fresh}
 	var others []Record
--- a/internal/members/model_test.go
+++ b/internal/membership/model_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
--- a/internal/members/table.go
+++ b/internal/membership/table.go
@@ -1,12 +1,12 @@
 // Package members keeps who of a fleet lives, where, and how old the news is: Table, which is told what was heard and
-// missed, and Board, which hears it over internal/peers by a library's gossip and probes.
+// missed, and Board, which hears it over internal/peertransport by a library's gossip and probes.
 //
 // Told apart: one that is dead; one that is cut off from this process, while its news still comes by others; one that
 // is slow; one that was started again, with its memory or without (a larger Run, Fresh); and an old copy that came
 // back (a smaller Run), whose news is refused.
 //
 // Kind: state
-package members
+package membership
 
 import (
 	"bytes"
--- a/internal/carrier/carrier.go
+++ b/internal/metadataproxy/carrier.go
@@ -5,7 +5,7 @@
 //
 // Nothing that trust refuses is ever passed on: a client gets what is current now with status 200, or
 // one other final answer at once.
-package carrier
+package metadataproxy
 
 import (
 	"bytes"
@@ -32,8 +32,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"silvercove/internal/director"
-	"silvercove/internal/exchange"
-	"silvercove/internal/trust"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/tufverify"
 )
 
 // Counts are what went through the front since the start.
@@ -53,7 +53,7 @@
 	most     int // connections
 
 	mu    sync.Mutex
-	doors *exchange.Doors
+	doors *metadatarefresh.Doors
 
 	Counts Counts
 }
@@ -61,7 +61,7 @@
 // shard is a part of the fleet whose reports are taken one at a time.
 type shard struct {
 	mu    sync.Mutex
-	fleet *trust.Fleet
+	fleet *tufverify.Fleet
 }
 
 const shards = 64 // so that the reports of many servers are made durable together
@@ -70,7 +70,7 @@
 // mirrors or are being passed a package.
 func New(repos []*Repo, now func() time.Time, log func(string), connections, waiting int) *Carrier {
 	c := &Carrier{now: now, log: log, repos: map[string]*Repo{}, most: connections,
-		doors: exchange.NewDoors(waiting)}
+		doors: metadatarefresh.NewDoors(waiting)}
 	for _, r := range repos {
 		c.repos[r.name] = r
 		r.counts = &c.Counts
@@ -79,13 +79,13 @@
 }
 
 // Direct adds a Director: its packages are those of the image repository, keys are its servers' by name.
-func (c *Carrier) Direct(d *director.Director, image string, floor trust.Host, keys map[string]crypto.PublicKey) error {
+func (c *Carrier) Direct(d *director.Director, image string, floor tufverify.Host, keys map[string]crypto.PublicKey) error {
 	if c.repos[image] == nil {
 		return fmt.Errorf("director: no repository %s", image)
 	}
 	c.director, c.image = d, image
 	for range shards {
-		c.shards = append(c.shards, &shard{fleet: trust.NewFleet(floor, keys)})
+		c.shards = append(c.shards, &shard{fleet: tufverify.NewFleet(floor, keys)})
 	}
 	return nil
 }
@@ -111,8 +111,8 @@
 
 // Run serves until the context ends, then lets requests under way end within their own limits.
 func (c *Carrier) Run(ctx context.Context, listener net.Listener, longest time.Duration) error {
-	server := &http.Server{Handler: c, ReadHeaderTimeout: spanOf(exchange.ClientHead),
-		ReadTimeout: spanOf(exchange.ClientBody), IdleTimeout: spanOf(exchange.ClientRest), MaxHeaderBytes: 16 << 10}
+	server := &http.Server{Handler: c, ReadHeaderTimeout: spanOf(metadatarefresh.ClientHead),
+		ReadTimeout: spanOf(metadatarefresh.ClientBody), IdleTimeout: spanOf(metadatarefresh.ClientRest), MaxHeaderBytes: 16 << 10}
 	base, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, inner := errgroup.WithContext(base)
@@ -159,7 +159,7 @@
 		c.report(w, req, name)
 	case req.Method != http.MethodGet && req.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
-		c.answer(w, nil, exchange.Answer{Status: 405, Text: "only GET and HEAD here"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 405, Text: "only GET and HEAD here"})
 	case first == "r" && kind == "metadata" && c.repos[name] != nil:
 		c.metadata(w, req, c.repos[name], file)
 	case first == "r" && kind == "targets" && c.repos[name] != nil:
@@ -169,12 +169,12 @@
 	case first == "explain" && c.director != nil && kind == "":
 		c.explain(w, name)
 	default:
-		c.answer(w, nil, exchange.Answer{Status: 404, Text: "no such path"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such path"})
 	}
 }
 
 // answer gives the one final answer of a request that gets no file.
-func (c *Carrier) answer(w http.ResponseWriter, r *Repo, a exchange.Answer) {
+func (c *Carrier) answer(w http.ResponseWriter, r *Repo, a metadatarefresh.Answer) {
 	c.Counts.Refused.Add(1)
 	h := w.Header()
 	for _, name := range []string{"Etag", "Content-Range", "Content-Length", "Accept-Ranges"} {
@@ -200,7 +200,7 @@
 	c.mu.Unlock()
 	if !ok {
 		c.Counts.Crowded.Add(1)
-		c.answer(w, r, exchange.Answer{Status: 503, Text: "too many wait", Later: true})
+		c.answer(w, r, metadatarefresh.Answer{Status: 503, Text: "too many wait", Later: true})
 		return nil, false
 	}
 	return func() {
@@ -212,9 +212,9 @@
 
 // metadata answers for one metadata file of a repository.
 func (c *Carrier) metadata(w http.ResponseWriter, req *http.Request, r *Repo, name string) {
-	f, ok := trust.ParseFile(name)
+	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, r, exchange.Answer{Status: 404, Text: "no such file"})
+		c.answer(w, r, metadatarefresh.Answer{Status: 404, Text: "no such file"})
 		return
 	}
 	data, refusal := r.held(f)
@@ -234,7 +234,7 @@
 		}
 	}
 	if data == nil {
-		c.answer(w, r, exchange.Refused(refusal))
+		c.answer(w, r, metadatarefresh.Refused(refusal))
 		return
 	}
 	c.file(w, req, data)
@@ -253,15 +253,15 @@
 }
 
 // agreed holds a carried Director's targets against its Image repository.
-func (c *Carrier) agreed(r *Repo) *trust.Refusal {
+func (c *Carrier) agreed(r *Repo) *tufverify.Refusal {
 	all, refusal := r.assigned()
 	if refusal != nil {
 		return refusal
 	}
 	for _, t := range all {
 		is, refusal := r.agrees.Find(t.Path)
-		if refusal != nil && refusal.Why == trust.Unnamed {
-			refusal = &trust.Refusal{Why: trust.Disagree, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
+		if refusal != nil && refusal.Why == tufverify.Unnamed {
+			refusal = &tufverify.Refusal{Why: tufverify.Disagree, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
 			c.log(refusal.Error())
 		}
 		if refusal != nil {
@@ -283,20 +283,20 @@
 
 // directed answers for a metadata file of the Director for one server.
 func (c *Carrier) directed(w http.ResponseWriter, req *http.Request, server, name string) {
-	f, ok := trust.ParseFile(name)
+	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, nil, exchange.Answer{Status: 404, Text: "no such file"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such file"})
 		return
 	}
 	data, err := c.director.File(server, f)
 	switch {
 	case errors.Is(err, director.ErrNoServer):
-		c.answer(w, nil, exchange.Answer{Status: 404, Text: "no such server"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such server"})
 	case errors.Is(err, director.ErrNoFile):
-		c.answer(w, nil, exchange.Answer{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
 	case err != nil:
 		c.log(fmt.Sprintf("director: %s: %v", server, err))
-		c.answer(w, c.repos[c.image], exchange.Answer{Status: 503, Text: "not to be had now", Later: true})
+		c.answer(w, c.repos[c.image], metadatarefresh.Answer{Status: 503, Text: "not to be had now", Later: true})
 	default:
 		c.file(w, req, data)
 	}
@@ -306,7 +306,7 @@
 func (c *Carrier) report(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
-		c.answer(w, nil, exchange.Answer{Status: 405, Text: "only POST here"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 405, Text: "only POST here"})
 		return
 	}
 	leave, ok := c.enter(w, req, nil)
@@ -314,9 +314,9 @@
 		return
 	}
 	defer leave()
-	data, err := io.ReadAll(io.LimitReader(req.Body, trust.MostReport+1))
+	data, err := io.ReadAll(io.LimitReader(req.Body, tufverify.MostReport+1))
 	if err != nil {
-		c.answer(w, nil, exchange.Answer{Status: 400, Text: "the report did not come whole"})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 400, Text: "the report did not come whole"})
 		return
 	}
 	h := fnv.New32a()
@@ -325,7 +325,7 @@
 	s.mu.Lock()
 	r, refusal := s.fleet.Take(server, data)
 	s.mu.Unlock()
-	a := exchange.Reported(refusal)
+	a := metadatarefresh.Reported(refusal)
 	if a.Status != 200 {
 		c.log(refusal.Error())
 		c.answer(w, nil, a)
@@ -344,7 +344,7 @@
 func (c *Carrier) explain(w http.ResponseWriter, server string) {
 	lines, err := c.director.Explain(server)
 	if err != nil {
-		c.answer(w, nil, exchange.Answer{Status: 404, Text: err.Error()})
+		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: err.Error()})
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -421,7 +421,7 @@
 	defer leave()
 	t, refusal := r.Stored(path)
 	if refusal != nil {
-		c.answer(w, r, exchange.Refused(refusal))
+		c.answer(w, r, metadatarefresh.Refused(refusal))
 		return
 	}
 	h, tag := w.Header(), fmt.Sprintf(`"%x"`, t.Sum)
@@ -468,7 +468,7 @@
 	case err == nil:
 		c.Counts.Given.Add(1)
 	case !out.begun:
-		c.answer(w, r, exchange.Answer{Status: 503, Text: "no mirror has it now", Later: true})
+		c.answer(w, r, metadatarefresh.Answer{Status: 503, Text: "no mirror has it now", Later: true})
 	default: // the client can tell, as fewer bytes come than it was told
 		c.Counts.Spoilt.Add(1)
 		panic(http.ErrAbortHandler)
@@ -510,7 +510,7 @@
 		return nil
 	}
 	c.begin()
-	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(exchange.ClientPatience)))
+	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(metadatarefresh.ClientPatience)))
 	n, err := c.w.Write(p[first:last])
 	c.counts.Bytes.Add(int64(n))
 	if err != nil {
@@ -524,4 +524,4 @@
 
 var errGone = errors.New("the client has gone")
 
-func spanOf(t trust.Tick) time.Duration { return time.Duration(t) * (100 * time.Microsecond) }
+func spanOf(t tufverify.Tick) time.Duration { return time.Duration(t) * (100 * time.Microsecond) }
--- a/internal/carrier/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -1,4 +1,4 @@
-package carrier
+package metadataproxy
 
 import (
 	"cmp"
@@ -18,10 +18,10 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sync/singleflight"
 
-	"silvercove/internal/exchange"
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
-	"silvercove/internal/trust"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/transport"
+	"silvercove/internal/tufverify"
 )
 
 // Op types of the mirrors' gate. They must be named in its settings.
@@ -40,15 +40,15 @@
 	timeouts map[string]time.Duration // by op type
 	connect  time.Duration
 	every    time.Duration
-	gate     *gate.Gate
+	gate     *dispatch.Gate
 	agrees   *Repo
 	counts   *Counts
 	once     singleflight.Group
 
 	mu      sync.Mutex // guards what follows
-	trust   *trust.Repository
-	refresh *exchange.Refresh
-	survey  *exchange.Survey
+	trust   *tufverify.Repository
+	refresh *metadatarefresh.Refresh
+	survey  *metadatarefresh.Survey
 	kept    []string
 
 	doorMu  sync.Mutex
@@ -64,18 +64,18 @@
 	Every    time.Duration  // a timestamp is taken for current for so long
 	Alone    time.Duration  // and for so long while no mirror can be asked
 	Survey   bool           // ask a majority of the mirrors after the start
-	Hosts    []gate.Host
+	Hosts    []dispatch.Host
 }
 
 // NewRepo makes a repository from its pinned root.
-func NewRepo(name string, pinned []byte, floor trust.Host, m Mirrors, now func() time.Time, log func(string)) (*Repo, error) {
-	believed, err := trust.New(name, floor, trust.Of(now()), pinned)
+func NewRepo(name string, pinned []byte, floor tufverify.Host, m Mirrors, now func() time.Time, log func(string)) (*Repo, error) {
+	believed, err := tufverify.New(name, floor, tufverify.Of(now()), pinned)
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: pinned root: %w", name, err)
 	}
 	r := &Repo{name: name, now: now, log: log, timeouts: map[string]time.Duration{}, trust: believed,
-		every: m.Every, refresh: exchange.NewRefresh(ticks(m.Every), ticks(m.Alone), m.Seed),
-		survey: exchange.NewSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
+		every: m.Every, refresh: metadatarefresh.NewRefresh(ticks(m.Every), ticks(m.Alone), m.Seed),
+		survey: metadatarefresh.NewSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
 	types, _ := m.Settings["op_types"].([]map[string]any)
 	for _, t := range types {
 		op, _ := t["name"].(string)
@@ -89,14 +89,14 @@
 	}
 	s, _ := m.Settings["limits.connect_timeout"].(float64)
 	r.connect = time.Duration(s * float64(time.Second))
-	r.gate = gate.New(m.Seed, m.Settings, gate.Hands{Vote: func(gate.Vote) {}, Watch: func(bool) {}, Fetch: func() {},
-		Probe: func(gate.Unit) {}, CloseIdle: r.closeIdle, Log: func(text string) { log(name + ": " + text) }})
+	r.gate = dispatch.New(m.Seed, m.Settings, dispatch.Hands{Vote: func(dispatch.Vote) {}, Watch: func(bool) {}, Fetch: func() {},
+		Probe: func(dispatch.Unit) {}, CloseIdle: r.closeIdle, Log: func(text string) { log(name + ": " + text) }})
 	r.List(m.Hosts)
 	return r, nil
 }
 
 // List takes the whole list of mirrors.
-func (r *Repo) List(hosts []gate.Host) {
+func (r *Repo) List(hosts []dispatch.Host) {
 	r.gate.List(true, hosts)
 	here := map[string]bool{}
 	for _, h := range hosts {
@@ -113,7 +113,7 @@
 }
 
 // Gate is the mirrors' gate, for a watch of their list.
-func (r *Repo) Gate() *gate.Gate { return r.gate }
+func (r *Repo) Gate() *dispatch.Gate { return r.gate }
 
 func (r *Repo) closeIdle(name string) {
 	r.doorMu.Lock()
@@ -124,22 +124,22 @@
 }
 
 // transport is the connections to one mirror.
-func (r *Repo) transport(u gate.Unit) *http.Transport {
+func (r *Repo) transport(u dispatch.Unit) *http.Transport {
 	r.doorMu.Lock()
 	defer r.doorMu.Unlock()
 	t := r.mirrors[u.Name]
 	if t == nil {
-		t = &http.Transport{DialContext: (&net.Dialer{Timeout: r.connect}).DialContext, MaxIdleConnsPerHost: exchange.MirrorIdle,
-			MaxIdleConns: exchange.MirrorIdle, IdleConnTimeout: spanOf(exchange.MirrorRest), DisableCompression: true,
+		t = &http.Transport{DialContext: (&net.Dialer{Timeout: r.connect}).DialContext, MaxIdleConnsPerHost: metadatarefresh.MirrorIdle,
+			MaxIdleConns: metadatarefresh.MirrorIdle, IdleConnTimeout: spanOf(metadatarefresh.MirrorRest), DisableCompression: true,
 			MaxResponseHeaderBytes: 16 << 10}
 		r.mirrors[u.Name] = t
 	}
 	return t
 }
 
-func ticks(d time.Duration) trust.Tick { return trust.Tick(d / (100 * time.Microsecond)) }
+func ticks(d time.Duration) tufverify.Tick { return tufverify.Tick(d / (100 * time.Microsecond)) }
 
-func (r *Repo) tick() trust.Tick { return trust.Of(r.now()) }
+func (r *Repo) tick() tufverify.Tick { return tufverify.Of(r.now()) }
 
 func (r *Repo) comeBack() time.Duration {
 	r.mu.Lock()
@@ -202,12 +202,12 @@
 }
 
 // Known looks a target up in what is held and has not expired.
-func (r *Repo) Known(path string) (*trust.Target, *trust.Refusal) {
+func (r *Repo) Known(path string) (*tufverify.Target, *tufverify.Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, need, refusal := r.trust.Find(r.tick(), path)
 	if need != "" {
-		refusal = &trust.Refusal{Why: trust.Missing, Repository: r.name, Role: need, Text: "not held"}
+		refusal = &tufverify.Refusal{Why: tufverify.Missing, Repository: r.name, Role: need, Text: "not held"}
 	}
 	return t, refusal
 }
@@ -234,12 +234,12 @@
 			names = append(names, u.Name)
 		}
 		var group errgroup.Group
-		group.SetLimit(exchange.SurveyWidth)
+		group.SetLimit(metadatarefresh.SurveyWidth)
 		for _, u := range ready {
 			group.Go(func() error {
 				limited, cancel := context.WithTimeout(ctx, r.timeouts[opTimestamp])
 				defer cancel()
-				s := r.get(limited, u, "metadata/timestamp.json", 0, trust.MostTimestamp)
+				s := r.get(limited, u, "metadata/timestamp.json", 0, tufverify.MostTimestamp)
 				if s.status != 200 || s.end.Over() {
 					return nil
 				}
@@ -264,7 +264,7 @@
 }
 
 // held gives a file if it may be passed on without asking anyone.
-func (r *Repo) held(f trust.File) ([]byte, *trust.Refusal) {
+func (r *Repo) held(f tufverify.File) ([]byte, *tufverify.Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current(f)
@@ -272,10 +272,10 @@
 
 // current is held with the lock taken. A timestamp, and the word on which root is the newest, count only as
 // long as mirrors were asked lately.
-func (r *Repo) current(f trust.File) ([]byte, *trust.Refusal) {
+func (r *Repo) current(f tufverify.File) ([]byte, *tufverify.Refusal) {
 	now := r.tick()
 	data, says := r.trust.Current(now, f)
-	refusal := exchange.Confirmed(now, f, says, r.survey, r.refresh, r.name)
+	refusal := metadatarefresh.Confirmed(now, f, says, r.survey, r.refresh, r.name)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -283,10 +283,10 @@
 }
 
 // have gives a file if it may be passed on, after asking the mirrors for what is lacking.
-func (r *Repo) have(f trust.File) ([]byte, *trust.Refusal) {
+func (r *Repo) have(f tufverify.File) ([]byte, *tufverify.Refusal) {
 	r.bringUp(f.Role == "timestamp" || f.Role == "root")
 	data, refusal := r.held(f)
-	if refusal != nil && refusal.Why == trust.Missing && f.Kind() == "targets" && f.Role != "targets" {
+	if refusal != nil && refusal.Why == tufverify.Missing && f.Kind() == "targets" && f.Role != "targets" {
 		if refusal := r.role(f.Role); refusal != nil {
 			return nil, refusal
 		}
@@ -329,16 +329,16 @@
 
 // set asks for the next root, a timestamp, and what it names.
 func (r *Repo) set() error {
-	for range exchange.MostRootsAtOnce {
+	for range metadatarefresh.MostRootsAtOnce {
 		r.mu.Lock()
-		f := trust.File{Role: "root", Version: r.trust.Next()}
+		f := tufverify.File{Role: "root", Version: r.trust.Next()}
 		r.mu.Unlock()
 		none := false
-		err := r.ask(opRoot, f, trust.MostRoot, func(_ context.Context, _ gate.Unit, status int, data []byte) *trust.Refusal {
+		err := r.ask(opRoot, f, tufverify.MostRoot, func(_ context.Context, _ dispatch.Unit, status int, data []byte) *tufverify.Refusal {
 			if none = status == http.StatusNotFound; none {
 				return nil
 			}
-			return r.take(func(now trust.Tick) *trust.Refusal { return r.trust.Root(now, data) })
+			return r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Root(now, data) })
 		})
 		if err != nil {
 			return err
@@ -348,12 +348,12 @@
 		}
 	}
 	stamped := false
-	for range exchange.MostRounds { // new keys may make it begin again
+	for range metadatarefresh.MostRounds { // new keys may make it begin again
 		r.mu.Lock()
 		f, most, ok := r.trust.Wanted(r.tick())
 		r.mu.Unlock()
 		if !stamped {
-			f, most, ok = trust.File{Role: "timestamp"}, trust.MostTimestamp, true
+			f, most, ok = tufverify.File{Role: "timestamp"}, tufverify.MostTimestamp, true
 		}
 		switch {
 		case !ok:
@@ -362,8 +362,8 @@
 			return fmt.Errorf("%s is needed, and no mirror has it", f)
 		}
 		stamped = true
-		err := r.ask(f.Role, f, most, func(ctx context.Context, u gate.Unit, _ int, data []byte) *trust.Refusal {
-			return r.believe(ctx, u, func(now trust.Tick) *trust.Refusal { return r.trust.Take(now, f, data) })
+		err := r.ask(f.Role, f, most, func(ctx context.Context, u dispatch.Unit, _ int, data []byte) *tufverify.Refusal {
+			return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Take(now, f, data) })
 		})
 		if err != nil {
 			return err
@@ -373,49 +373,49 @@
 }
 
 // timestamp takes a timestamp of a mirror.
-func (r *Repo) timestamp(ctx context.Context, u gate.Unit, data []byte) *trust.Refusal {
-	return r.believe(ctx, u, func(now trust.Tick) *trust.Refusal { return r.trust.Timestamp(now, data) })
+func (r *Repo) timestamp(ctx context.Context, u dispatch.Unit, data []byte) *tufverify.Refusal {
+	return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Timestamp(now, data) })
 }
 
 // believe hands what a mirror gave to trust. What is signed by unknown keys may hang on a newer root, which
 // the same mirror is asked for. A root that came so may make what is held void: the mirror is not to blame then.
-func (r *Repo) believe(ctx context.Context, u gate.Unit, take func(now trust.Tick) *trust.Refusal) *trust.Refusal {
+func (r *Repo) believe(ctx context.Context, u dispatch.Unit, take func(now tufverify.Tick) *tufverify.Refusal) *tufverify.Refusal {
 	refusal := r.take(take)
 	chased := false
-	for n := 0; n < exchange.MostRootsAtOnce && exchange.Chase(refusal, chased); n++ {
+	for n := 0; n < metadatarefresh.MostRootsAtOnce && metadatarefresh.Chase(refusal, chased); n++ {
 		r.mu.Lock()
-		f := trust.File{Role: "root", Version: r.trust.Next()}
+		f := tufverify.File{Role: "root", Version: r.trust.Next()}
 		r.mu.Unlock()
-		s := r.get(ctx, u, "metadata/"+f.String(), 0, trust.MostRoot)
+		s := r.get(ctx, u, "metadata/"+f.String(), 0, tufverify.MostRoot)
 		if s.status != 200 || s.end.Over() ||
-			r.take(func(now trust.Tick) *trust.Refusal { return r.trust.Root(now, s.data) }) != nil {
+			r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Root(now, s.data) }) != nil {
 			break
 		}
 		chased = true
 		refusal = r.take(take)
 	}
-	if exchange.Blameless(refusal, chased) {
+	if metadatarefresh.Blameless(refusal, chased) {
 		return nil
 	}
 	return refusal
 }
 
 // take hands something to trust; what is held already is as good as new.
-func (r *Repo) take(what func(now trust.Tick) *trust.Refusal) *trust.Refusal {
+func (r *Repo) take(what func(now tufverify.Tick) *tufverify.Refusal) *tufverify.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	refusal := what(r.tick())
-	if refusal != nil && refusal.Why == trust.Same {
+	if refusal != nil && refusal.Why == tufverify.Same {
 		return nil
 	}
 	return refusal
 }
 
 // role asks for the targets of a delegated role, and for those of roles that may delegate to it.
-func (r *Repo) role(role string) *trust.Refusal {
+func (r *Repo) role(role string) *tufverify.Refusal {
 	v, _, _ := r.once.Do("role "+role, func() (any, error) {
 		refusal := r.one(role)
-		if refusal == nil || refusal.Why != trust.Missing {
+		if refusal == nil || refusal.Why != tufverify.Missing {
 			return refusal, nil
 		}
 		r.mu.Lock()
@@ -428,39 +428,39 @@
 		}
 		return r.one(role), nil
 	})
-	refusal, _ := v.(*trust.Refusal)
+	refusal, _ := v.(*tufverify.Refusal)
 	return refusal
 }
 
-func (r *Repo) one(role string) *trust.Refusal {
+func (r *Repo) one(role string) *tufverify.Refusal {
 	r.mu.Lock()
 	f, most, refusal := r.trust.Role(r.tick(), role)
 	r.mu.Unlock()
 	if refusal != nil {
 		return refusal
 	}
-	err := r.ask(opTargets, f, most, func(_ context.Context, _ gate.Unit, _ int, data []byte) *trust.Refusal {
-		refusal = r.take(func(now trust.Tick) *trust.Refusal { return r.trust.Targets(now, role, data) })
-		if refusal != nil && refusal.Why == trust.Missing {
+	err := r.ask(opTargets, f, most, func(_ context.Context, _ dispatch.Unit, _ int, data []byte) *tufverify.Refusal {
+		refusal = r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Targets(now, role, data) })
+		if refusal != nil && refusal.Why == tufverify.Missing {
 			return nil // the mirror is not to blame
 		}
 		return refusal
 	})
 	if err != nil && refusal == nil {
-		refusal = &trust.Refusal{Why: trust.Missing, Repository: r.name, Role: role, Text: err.Error()}
+		refusal = &tufverify.Refusal{Why: tufverify.Missing, Repository: r.name, Role: role, Text: err.Error()}
 	}
 	return refusal
 }
 
 // Find looks up a target, asking for what is lacking.
-func (r *Repo) Find(path string) (*trust.Target, *trust.Refusal) {
+func (r *Repo) Find(path string) (*tufverify.Target, *tufverify.Refusal) {
 	r.bringUp(true)
 	for {
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.trust.Find(now, path)
-		lately := trust.File{Role: "timestamp"} // what a package hangs on must count as the newest
-		if refusal = exchange.Confirmed(now, lately, refusal, r.survey, r.refresh, r.name); refusal != nil {
+		lately := tufverify.File{Role: "timestamp"} // what a package hangs on must count as the newest
+		if refusal = metadatarefresh.Confirmed(now, lately, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
 		r.mu.Unlock()
@@ -474,30 +474,30 @@
 }
 
 // Stored looks up a target by the name that clients of consistent snapshots ask for.
-func (r *Repo) Stored(name string) (*trust.Target, *trust.Refusal) {
+func (r *Repo) Stored(name string) (*tufverify.Target, *tufverify.Refusal) {
 	r.mu.Lock()
 	path, sum, hashed := r.trust.Plain(name)
 	r.mu.Unlock()
 	t, refusal := r.Find(path)
 	if refusal == nil && hashed && t.Sum != sum {
-		return nil, &trust.Refusal{Why: trust.Older, Repository: r.name, Role: path, Text: "other bytes count now"}
+		return nil, &tufverify.Refusal{Why: tufverify.Older, Repository: r.name, Role: path, Text: "other bytes count now"}
 	}
 	return t, refusal
 }
 
-func (r *Repo) assigned() ([]*trust.Target, *trust.Refusal) {
+func (r *Repo) assigned() ([]*tufverify.Target, *tufverify.Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Assigned(r.tick())
 }
 
-func (r *Repo) compare(told, is *trust.Target, kind string) *trust.Refusal {
+func (r *Repo) compare(told, is *tufverify.Target, kind string) *tufverify.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Compare(told, is, kind)
 }
 
-func (r *Repo) open(t *trust.Target) *trust.Body {
+func (r *Repo) open(t *tufverify.Target) *tufverify.Body {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Open(t)
@@ -511,16 +511,16 @@
 type attempt struct {
 	status   int
 	believed bool
-	end      link.End
+	end      transport.End
 	fault    error
 	over     bool
 }
 
 // command makes one command: work is done at the mirrors that the gate chooses until one is believed, or until the
 // gate, or the client, gives up.
-func (r *Repo) command(ctx context.Context, op string, work func(d *gate.Delivery) attempt) error {
+func (r *Repo) command(ctx context.Context, op string, work func(d *dispatch.Delivery) attempt) error {
 	var last error = errNone
-	cmd, _ := r.gate.Take(gate.Ask{OpType: op, Came: time.Now(), Wait: r.timeouts[op]})
+	cmd, _ := r.gate.Take(dispatch.Ask{OpType: op, Came: time.Now(), Wait: r.timeouts[op]})
 	defer context.AfterFunc(ctx, func() { r.gate.Leave(cmd) })()
 	for {
 		step := r.gate.Pick(cmd)
@@ -528,8 +528,8 @@
 			return last
 		}
 		d := step.Delivery
-		if exchange.TooLate(ticks(time.Since(d.Chosen())), 0) { // as if it had never been chosen
-			r.gate.ReportMirror(d, 0, false, link.End{How: link.CalledOff})
+		if metadatarefresh.TooLate(ticks(time.Since(d.Chosen())), 0) { // as if it had never been chosen
+			r.gate.ReportMirror(d, 0, false, transport.End{How: transport.CalledOff})
 			continue
 		}
 		a := work(d)
@@ -548,9 +548,9 @@
 }
 
 // ask makes one command of a file.
-func (r *Repo) ask(op string, f trust.File, most int,
-	take func(ctx context.Context, u gate.Unit, status int, data []byte) *trust.Refusal) error {
-	return r.command(context.Background(), op, func(d *gate.Delivery) attempt {
+func (r *Repo) ask(op string, f tufverify.File, most int,
+	take func(ctx context.Context, u dispatch.Unit, status int, data []byte) *tufverify.Refusal) error {
+	return r.command(context.Background(), op, func(d *dispatch.Delivery) attempt {
 		s := r.get(d.Context, d.Unit, "metadata/"+f.String(), 0, most)
 		switch {
 		case s.end.Over():
@@ -569,34 +569,34 @@
 type got struct {
 	status int
 	data   []byte
-	end    link.End
+	end    transport.End
 }
 
 // get asks a mirror for a whole file.
-func (r *Repo) get(ctx context.Context, u gate.Unit, path string, from int64, most int) (s got) {
-	s.status, s.end = r.exchange(ctx, u, path, from, func(status int, length int64, body io.Reader) link.End {
+func (r *Repo) get(ctx context.Context, u dispatch.Unit, path string, from int64, most int) (s got) {
+	s.status, s.end = r.exchange(ctx, u, path, from, func(status int, length int64, body io.Reader) transport.End {
 		if status != 200 {
-			return link.End{}
+			return transport.End{}
 		}
 		if length > int64(most) {
-			return link.End{How: link.Overlong, Sent: true}
+			return transport.End{How: transport.Overlong, Sent: true}
 		}
 		data, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
 		switch {
 		case err != nil:
 			return ended(ctx, err, true)
 		case len(data) > most:
-			return link.End{How: link.Overlong, Sent: true}
+			return transport.End{How: transport.Overlong, Sent: true}
 		}
 		s.data = data
-		return link.End{}
+		return transport.End{}
 	})
 	return s
 }
 
 // exchange makes one request at a mirror and has its body read, as long as that comes fast enough.
-func (r *Repo) exchange(ctx context.Context, u gate.Unit, path string, from int64,
-	read func(status int, length int64, body io.Reader) link.End) (status int, end link.End) {
+func (r *Repo) exchange(ctx context.Context, u dispatch.Unit, path string, from int64,
+	read func(status int, length int64, body io.Reader) transport.End) (status int, end transport.End) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sent atomic.Bool
@@ -605,22 +605,22 @@
 	req, err := http.NewRequestWithContext(traced, http.MethodGet,
 		(&url.URL{Scheme: "http", Host: u.Dial, Path: "/" + path}).String(), nil)
 	if err != nil {
-		return 0, link.End{How: link.Malformed}
+		return 0, transport.End{How: transport.Malformed}
 	}
 	if from > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", from))
 	}
 	if !r.gate.Serves(u) { // it drains since it was chosen
-		return 0, link.End{How: link.CalledOff}
+		return 0, transport.End{How: transport.CalledOff}
 	}
 	r.Sent.Add(1)
-	p := &paced{cancel: cancel, tick: func() trust.Tick { return trust.Of(time.Now()) }}
+	p := &paced{cancel: cancel, tick: func() tufverify.Tick { return tufverify.Of(time.Now()) }}
 	p.pace.Begin(p.tick())
 	p.timer = time.AfterFunc(spanOf(p.pace.Until()-p.tick()), p.stop)
 	defer p.timer.Stop()
 	resp, err := r.transport(u).RoundTrip(req)
 	if err != nil && p.slow.Load() {
-		return 0, link.End{How: link.Late, Sent: sent.Load()}
+		return 0, transport.End{How: transport.Late, Sent: sent.Load()}
 	} else if err != nil {
 		return 0, ended(ctx, err, sent.Load())
 	}
@@ -628,7 +628,7 @@
 	p.Reader = resp.Body
 	end = read(resp.StatusCode, resp.ContentLength, p)
 	if p.slow.Load() {
-		return resp.StatusCode, link.End{How: link.Late, Sent: true}
+		return resp.StatusCode, transport.End{How: transport.Late, Sent: true}
 	}
 	return resp.StatusCode, end
 }
@@ -636,10 +636,10 @@
 // paced reads a body and calls the exchange off once that comes too slowly.
 type paced struct {
 	io.Reader
-	pace   exchange.Transfer
+	pace   metadatarefresh.Transfer
 	timer  *time.Timer
 	cancel func()
-	tick   func() trust.Tick
+	tick   func() tufverify.Tick
 	slow   atomic.Bool
 }
 
@@ -654,7 +654,7 @@
 }
 
 // held leaves out what the client, not the mirror, has held things up.
-func (p *paced) held(since trust.Tick) {
+func (p *paced) held(since tufverify.Tick) {
 	now := p.tick()
 	p.pace.Held(now - since)
 	p.timer.Reset(spanOf(p.pace.Until() - now))
@@ -666,58 +666,58 @@
 }
 
 // ended maps an error of the HTTP library to the way in which the connection ended.
-func ended(ctx context.Context, err error, sent bool) link.End {
+func ended(ctx context.Context, err error, sent bool) transport.End {
 	var op *net.OpError
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return link.End{How: link.Late, Sent: sent}
+		return transport.End{How: transport.Late, Sent: sent}
 	case ctx.Err() != nil:
-		return link.End{How: link.CalledOff, Sent: sent}
+		return transport.End{How: transport.CalledOff, Sent: sent}
 	case errors.As(err, &op) && op.Op == "dial" && errors.As(err, &timeout) && timeout.Timeout():
-		return link.End{How: link.NotUp}
+		return transport.End{How: transport.NotUp}
 	case errors.As(err, &op) && op.Op == "dial":
-		return link.End{How: link.Refused}
+		return transport.End{How: transport.Refused}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return link.End{How: link.Closed, Sent: sent}
+		return transport.End{How: transport.Closed, Sent: sent}
 	case strings.Contains(err.Error(), "malformed"), strings.Contains(err.Error(), "headers exceeded"):
-		return link.End{How: link.Malformed, Sent: sent}
+		return transport.End{How: transport.Malformed, Sent: sent}
 	}
-	return link.End{How: link.Broke, Sent: sent}
+	return transport.End{How: transport.Broke, Sent: sent}
 }
 
 // bring passes a package on from mirrors: one that breaks off, is too slow or wrong is followed by another,
 // from the byte on that is wanted next.
-func (r *Repo) bring(ctx context.Context, t *trust.Target, body *trust.Body, out *client) error {
+func (r *Repo) bring(ctx context.Context, t *tufverify.Target, body *tufverify.Body, out *client) error {
 	r.mu.Lock()
 	stored := r.trust.Stored(t)
 	r.mu.Unlock()
-	return r.command(ctx, opPackage, func(d *gate.Delivery) (a attempt) {
+	return r.command(ctx, opPackage, func(d *dispatch.Delivery) (a attempt) {
 		r.gate.Streaming(d)
 		body.Resume()
 		from := body.Next()
-		a.status, a.end = r.exchange(d.Context, d.Unit, "targets/"+stored, from, func(status int, _ int64, in io.Reader) link.End {
+		a.status, a.end = r.exchange(d.Context, d.Unit, "targets/"+stored, from, func(status int, _ int64, in io.Reader) transport.End {
 			if status == http.StatusOK && from > 0 { // it gives the whole: leave out what was had
 				if _, err := io.CopyN(io.Discard, in, from); err != nil {
 					return ended(d.Context, err, true)
 				}
 			} else if status != http.StatusOK && status != http.StatusPartialContent {
-				return link.End{}
+				return transport.End{}
 			}
-			var end link.End
+			var end transport.End
 			end, a.fault = r.copy(d.Context, in.(*paced), body, out)
 			return end
 		})
 		switch whole := body.Done() || out.done(); {
 		case out.gone:
-			return attempt{end: link.End{How: link.CalledOff, Sent: true}, fault: errGone, over: true}
+			return attempt{end: transport.End{How: transport.CalledOff, Sent: true}, fault: errGone, over: true}
 		case whole:
 			return attempt{status: a.status, believed: true}
 		case a.end.Over():
 			a.status = 0
 			a.fault = cmp.Or(a.fault, error(fmt.Errorf("%s from byte %d: %s", t.Path, from, a.end.How)))
 		case a.status == http.StatusOK || a.status == http.StatusPartialContent:
-			a.status, a.end = 0, link.End{How: link.Malformed, Sent: true}
+			a.status, a.end = 0, transport.End{How: transport.Malformed, Sent: true}
 			a.fault = fmt.Errorf("%s from byte %d: half a file", t.Path, from)
 		default:
 			a.fault = fmt.Errorf("%s: status %d", t.Path, a.status)
@@ -728,7 +728,7 @@
 }
 
 // copy verifies what comes and passes it on.
-func (r *Repo) copy(ctx context.Context, in *paced, body *trust.Body, out *client) (link.End, error) {
+func (r *Repo) copy(ctx context.Context, in *paced, body *tufverify.Body, out *client) (transport.End, error) {
 	buf := make([]byte, 32<<10)
 	for body.Want() > 0 && !out.done() {
 		n, err := in.Read(buf)
@@ -739,17 +739,17 @@
 				in.held(since)
 				return err
 			}); refused != nil {
-				return link.End{How: link.Malformed, Sent: true}, refused
+				return transport.End{How: transport.Malformed, Sent: true}, refused
 			}
 		}
 		if err == io.EOF {
-			return link.End{}, nil
+			return transport.End{}, nil
 		}
 		if err != nil {
 			return ended(ctx, err, true), err
 		}
 	}
-	return link.End{}, nil
+	return transport.End{}, nil
 }
 
 // RepoStatus is how one repository stands.
@@ -772,7 +772,7 @@
 		Surveyed: r.survey.Done, Refused: map[string]int64{}, Mirrors: ready, Deliveries: r.Sent.Load()}
 	for why, n := range r.trust.Refused {
 		if n > 0 {
-			s.Refused[trust.Why(why).String()] = n
+			s.Refused[tufverify.Why(why).String()] = n
 		}
 	}
 	return s
--- a/internal/carrier/span_test.go
+++ b/internal/metadataproxy/span_test.go
@@ -1,4 +1,4 @@
-package carrier
+package metadataproxy
 
 import "testing"
 
--- a/internal/exchange/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -5,25 +5,25 @@
 // It knows no socket and no clock: each method names what has happened, with the time.
 //
 // Kind: decision
-package exchange
+package metadatarefresh
 
 import (
 	"math/rand/v2"
 
-	"silvercove/internal/trust"
+	"silvercove/internal/tufverify"
 )
 
 // Tick is a moment or a span in whole tenths of a millisecond.
-type Tick = trust.Tick
+type Tick = tufverify.Tick
 
 const (
-	firstBack   = trust.Second / 5  // until mirrors are asked again after they had nothing
-	mostBack    = 10 * trust.Second // it doubles up to this
-	leastBytes  = 4 << 10           // a transfer brings within one span
-	slowSpan    = 2 * trust.Second
-	firstByte   = 2 * trust.Second // until the first byte of a transfer
-	staleSend   = trust.Second / 2 // a delivery chosen longer ago is not sent: its mirror may drain since
-	spreadShare = 2                // come-back times are drawn up to so many times the least
+	firstBack   = tufverify.Second / 5  // until mirrors are asked again after they had nothing
+	mostBack    = 10 * tufverify.Second // it doubles up to this
+	leastBytes  = 4 << 10               // a transfer brings within one span
+	slowSpan    = 2 * tufverify.Second
+	firstByte   = 2 * tufverify.Second // until the first byte of a transfer
+	staleSend   = tufverify.Second / 2 // a delivery chosen longer ago is not sent: its mirror may drain since
+	spreadShare = 2                    // come-back times are drawn up to so many times the least
 )
 
 // Refresh decides when the mirrors of one repository are asked for something newer.
@@ -85,40 +85,40 @@
 // Refused decides what a refusal means for the client. Never an old answer: what is not current now is
 // answered 503 with a time to come back, what will never be is 404, what came too late 404 with the word
 // that the exchange is to be begun again.
-func Refused(r *trust.Refusal) Answer {
+func Refused(r *tufverify.Refusal) Answer {
 	switch r.Why {
-	case trust.Older:
+	case tufverify.Older:
 		return Answer{404, "superseded: begin again with timestamp.json", false}
-	case trust.Unnamed:
+	case tufverify.Unnamed:
 		return Answer{404, "no such file", false}
-	case trust.Missing:
+	case tufverify.Missing:
 		if r.Role == "root" { // how clients learn that they have the newest (specification 5.3.3)
 			return Answer{404, "no such root", false}
 		}
 		return Answer{503, "not to be had now", true}
-	case trust.Disagree, trust.Elsewhere:
+	case tufverify.Disagree, tufverify.Elsewhere:
 		return Answer{503, "the repositories do not agree", true}
-	case trust.Expired:
+	case tufverify.Expired:
 		return Answer{503, "expired", true}
-	case trust.Unkept:
+	case tufverify.Unkept:
 		return Answer{503, "what must be kept cannot be written", true}
 	}
 	return Answer{503, "nothing current", true}
 }
 
 // Reported decides what a server is told that sent a report.
-func Reported(r *trust.Refusal) Answer {
-	if r == nil || r.Why == trust.Same {
+func Reported(r *tufverify.Refusal) Answer {
+	if r == nil || r.Why == tufverify.Same {
 		return Answer{200, "taken", false} // a repeat gets the same answer, and does nothing
 	}
 	switch r.Why {
-	case trust.Overlong:
+	case tufverify.Overlong:
 		return Answer{413, r.Why.String(), false}
-	case trust.Malformed:
+	case tufverify.Malformed:
 		return Answer{400, r.Why.String(), false}
-	case trust.Foreign, trust.WronglySigned, trust.Elsewhere:
+	case tufverify.Foreign, tufverify.WronglySigned, tufverify.Elsewhere:
 		return Answer{403, r.Why.String(), false}
-	case trust.Older, trust.Conflict:
+	case tufverify.Older, tufverify.Conflict:
 		return Answer{409, r.Why.String(), false}
 	}
 	return Answer{503, r.Why.String(), true}
@@ -200,7 +200,7 @@
 
 // ClientPatience is how long a client may take to accept one stretch of a package: past it the client is
 // let go, as it holds a mirror's connection.
-const ClientPatience = 10 * trust.Second
+const ClientPatience = 10 * tufverify.Second
 
 // Survey decides when enough mirrors have shown their timestamp after a start. The floor may have been put
 // back with its disk, or there may be none: what a majority shows, or more of them than half can hide,
@@ -215,8 +215,8 @@
 
 // Shown takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
 // as it is signed well.
-func (s *Survey) Shown(mirror string, refusal *trust.Refusal, listed []string) {
-	if refusal == nil || refusal.Why == trust.Same || refusal.Why == trust.Older {
+func (s *Survey) Shown(mirror string, refusal *tufverify.Refusal, listed []string) {
+	if refusal == nil || refusal.Why == tufverify.Same || refusal.Why == tufverify.Older {
 		s.shown[mirror] = true
 	}
 	n := 0
@@ -265,46 +265,48 @@
 
 // StandsIn tells whether what the Image repository said last of a package may stand in for what it says now: while
 // it can't be had, so that servers can be told back; not where it says something else.
-func StandsIn(r *trust.Refusal) bool { return r.Why == trust.Missing || r.Why == trust.Expired }
+func StandsIn(r *tufverify.Refusal) bool {
+	return r.Why == tufverify.Missing || r.Why == tufverify.Expired
+}
 
 // IssueAgain is how long what could not be issued waits.
-const IssueAgain = trust.Second / 5
+const IssueAgain = tufverify.Second / 5
 
 // KeepTime tells whether the time is to be made durable before something is issued that lasts from now on.
-func KeepTime(now, kept Tick) bool { return now > kept+trust.Second }
+func KeepTime(now, kept Tick) bool { return now > kept+tufverify.Second }
 
 // Limits of a front's exchanges, beside those of trust.
 const (
-	MostRootsAtOnce = 64                // of a chain, for one request
-	MostRounds      = 8                 // in which a whole set must be had, though keys may change meanwhile
-	SurveyWidth     = 4                 // mirrors asked at once after a start
-	MirrorIdle      = 8                 // connections to a mirror that are kept
-	MirrorRest      = 10 * trust.Second // for so long
-	ClientHead      = 5 * trust.Second  // a client's request may take to come
-	ClientBody      = 30 * trust.Second // and its report
-	ClientRest      = 30 * trust.Second // a client's connection may stand idle
+	MostRootsAtOnce = 64                    // of a chain, for one request
+	MostRounds      = 8                     // in which a whole set must be had, though keys may change meanwhile
+	SurveyWidth     = 4                     // mirrors asked at once after a start
+	MirrorIdle      = 8                     // connections to a mirror that are kept
+	MirrorRest      = 10 * tufverify.Second // for so long
+	ClientHead      = 5 * tufverify.Second  // a client's request may take to come
+	ClientBody      = 30 * tufverify.Second // and its report
+	ClientRest      = 30 * tufverify.Second // a client's connection may stand idle
 )
 
 // Chase tells whether a mirror is asked for newer roots because of what it gave: it may be signed by keys of a
 // newer one. chased: a newer root has come already, which may have made void what is held.
-func Chase(r *trust.Refusal, chased bool) bool {
+func Chase(r *tufverify.Refusal, chased bool) bool {
 	if r == nil {
 		return false
 	}
-	return r.Why == trust.Foreign || r.Why == trust.UnderThreshold || r.Why == trust.Missing && !chased
+	return r.Why == tufverify.Foreign || r.Why == tufverify.UnderThreshold || r.Why == tufverify.Missing && !chased
 }
 
 // Blameless tells whether a mirror is not to blame for a refusal: newer roots that it gave have made void what its
 // file hangs on.
-func Blameless(r *trust.Refusal, chased bool) bool {
-	return r != nil && chased && r.Why == trust.Missing
+func Blameless(r *tufverify.Refusal, chased bool) bool {
+	return r != nil && chased && r.Why == tufverify.Missing
 }
 
 // Confirmed holds what trust says of a file against when mirrors were asked: nothing but roots is passed on before
 // the survey is done; a timestamp, and the word on which root is the newest, only while mirrors were asked lately.
-func Confirmed(now Tick, f trust.File, says *trust.Refusal, s *Survey, r *Refresh, repository string) *trust.Refusal {
-	unconfirmed := func(text string) *trust.Refusal {
-		return &trust.Refusal{Why: trust.Missing, Repository: repository, Role: f.Role, Text: text}
+func Confirmed(now Tick, f tufverify.File, says *tufverify.Refusal, s *Survey, r *Refresh, repository string) *tufverify.Refusal {
+	unconfirmed := func(text string) *tufverify.Refusal {
+		return &tufverify.Refusal{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
 	}
 	newest := f.Role == "timestamp" || f.Role == "root" && (f.Version == 0 || says != nil)
 	switch {
--- a/internal/service/assign.go
+++ b/internal/metadataservice/assign.go
@@ -1,4 +1,4 @@
-package service
+package metadataservice
 
 import (
 	"encoding/json"
@@ -9,20 +9,20 @@
 
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 
-	"silvercove/internal/floor"
-	"silvercove/internal/trust"
+	"silvercove/internal/monotonic"
+	"silvercove/internal/tufverify"
 )
 
 // Fetcher has metadata files from below a URL, for a walk of the client workflow.
-func Fetcher(base string) trust.Get {
+func Fetcher(base string) tufverify.Get {
 	client := &http.Client{Timeout: 10 * time.Second}
-	return func(f trust.File) ([]byte, error) {
+	return func(f tufverify.File) ([]byte, error) {
 		resp, err := client.Get(base + f.String())
 		if err != nil {
 			return nil, err
 		}
 		defer func() { _ = resp.Body.Close() }()
-		text, err := io.ReadAll(io.LimitReader(resp.Body, trust.MostTargets+1))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, tufverify.MostTargets+1))
 		switch {
 		case err != nil:
 			return nil, err
@@ -37,24 +37,24 @@
 
 // PartialAssignment is what a server finds that verifies the Director's targets alone (partial verification): it
 // trusts the timestamp and snapshot for no more than the version to ask for.
-func PartialAssignment(front, server string, pinned []byte, at time.Time) ([]*trust.Target, error) {
+func PartialAssignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	get := Fetcher(front + "/director/" + server + "/metadata/")
 	root, err := (&metadata.Metadata[metadata.RootType]{}).FromBytes(pinned)
 	if err != nil {
 		return nil, err
 	}
 	var stamp struct{ Signed struct{ Version int64 } }
-	text, err := get(trust.File{Role: "timestamp"})
+	text, err := get(tufverify.File{Role: "timestamp"})
 	if err == nil {
 		err = json.Unmarshal(text, &stamp)
 	}
 	if err == nil {
-		text, err = get(trust.File{Role: "targets", Version: stamp.Signed.Version})
+		text, err = get(tufverify.File{Role: "targets", Version: stamp.Signed.Version})
 	}
 	if err != nil {
 		return nil, err
 	}
-	all, refusal := trust.Partial(trust.Of(at), floor.InMemory(16, func(string) {}), "director", root, text, server)
+	all, refusal := tufverify.Partial(tufverify.Of(at), monotonic.InMemory(16, func(string) {}), "director", root, text, server)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -62,9 +62,9 @@
 }
 
 // Assignment asks a front what its Director tells a server, and verifies that from the Director's pinned root.
-func Assignment(front, server string, pinned []byte, at time.Time) ([]*trust.Target, error) {
-	now := trust.Of(at)
-	r, err := trust.New("director", floor.InMemory(1<<10, func(string) {}), now, pinned)
+func Assignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
+	now := tufverify.Of(at)
+	r, err := tufverify.New("director", monotonic.InMemory(1<<10, func(string) {}), now, pinned)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/service/service.go
+++ b/internal/metadataservice/service.go
@@ -1,6 +1,6 @@
 // Package service puts the metadata front together from an operator's file: floor, repositories, Director
 // and listener, and takes the file again while it runs.
-package service
+package metadataservice
 
 import (
 	"context"
@@ -18,18 +18,18 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/carrier"
-	"silvercove/internal/conf"
 	"silvercove/internal/director"
-	"silvercove/internal/exchange"
-	"silvercove/internal/floor"
-	"silvercove/internal/gate"
+	"silvercove/internal/discovery"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/keys"
-	"silvercove/internal/link"
-	"silvercove/internal/list"
-	"silvercove/internal/platform"
-	"silvercove/internal/repo"
-	"silvercove/internal/trust"
+	"silvercove/internal/metadataproxy"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/monotonic"
+	"silvercove/internal/operatorconfig"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/transport"
+	"silvercove/internal/tufrepo"
+	"silvercove/internal/tufverify"
 )
 
 // Metadata is the metadata front of one operator's file.
@@ -41,10 +41,10 @@
 	all      map[string]any // the block
 	floor    floors
 	close    func() error
-	repos    map[string]*carrier.Repo
+	repos    map[string]*metadataproxy.Repo
 	director *director.Director
-	Carrier  *carrier.Carrier
-	room     *link.Room
+	Carrier  *metadataproxy.Carrier
+	room     *transport.Room
 	public   map[string]publicFile // by path
 	watches  []func(ctx context.Context) error
 	mu       sync.Mutex
@@ -60,13 +60,13 @@
 
 // floors is what both kinds of floor do.
 type floors interface {
-	trust.Host
-	Entries() []floor.Entry
+	tufverify.Host
+	Entries() []monotonic.Entry
 }
 
 // New reads an operator's file and puts the front together. It listens from then on.
 func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Metadata, error) {
-	all, err := conf.Operators.Read(path)
+	all, err := operatorconfig.Operators.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -74,8 +74,8 @@
 	if !ok {
 		return nil, fmt.Errorf("%s: no metadata block: nothing is switched on", path)
 	}
-	m := &Metadata{path: path, log: log, env: env, now: now, all: block, repos: map[string]*carrier.Repo{},
-		close: func() error { return nil }, room: link.NewRoom(64 << 20)}
+	m := &Metadata{path: path, log: log, env: env, now: now, all: block, repos: map[string]*metadataproxy.Repo{},
+		close: func() error { return nil }, room: transport.NewRoom(64 << 20)}
 	if err := m.build(); err != nil {
 		_ = m.close()
 		return nil, err
@@ -113,7 +113,7 @@
 	if err := m.openFloor(); err != nil {
 		return err
 	}
-	var repos []*carrier.Repo
+	var repos []*metadataproxy.Repo
 	for _, v := range m.all["repository"].([]any) {
 		r, err := m.repository(v.(map[string]any))
 		if err != nil {
@@ -121,7 +121,7 @@
 		}
 		repos = append(repos, r)
 	}
-	m.Carrier = carrier.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
+	m.Carrier = metadataproxy.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
 	for _, v := range m.all["repository"].([]any) {
 		if image, ok := v.(map[string]any)["agree"].(string); ok {
 			if err := m.Carrier.Agree(v.(map[string]any)["name"].(string), image); err != nil {
@@ -141,14 +141,14 @@
 	most := int(m.all["floor_entries"].(float64))
 	if len(paths) == 0 {
 		m.log.Warn().Msg("no floor is named: after a restart older metadata are known only by what mirrors show")
-		m.floor = floor.InMemory(most, m.say)
+		m.floor = monotonic.InMemory(most, m.say)
 		return nil
 	}
 	var all []string
 	for _, p := range paths {
 		all = append(all, m.file(p))
 	}
-	f, err := floor.Open(all, most, m.say)
+	f, err := monotonic.Open(all, most, m.say)
 	if err != nil {
 		return err
 	}
@@ -168,29 +168,29 @@
 	return h.Sum64()
 }
 
-func (m *Metadata) repository(r map[string]any) (*carrier.Repo, error) {
+func (m *Metadata) repository(r map[string]any) (*metadataproxy.Repo, error) {
 	name := r["name"].(string)
 	pinned, err := os.ReadFile(m.file(r["root"]))
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: %w", name, err)
 	}
 	var types []map[string]any
-	for _, op := range carrier.OpTypes {
+	for _, op := range metadataproxy.OpTypes {
 		v := m.all[op].([]any)
 		types = append(types, map[string]any{"name": op, "service_target": v[0], "command_timeout": v[1], "importance": v[2]})
 	}
 	hosts := mirrors(r, nil, time.Now())
 	host, _ := os.Hostname()
-	rules := exchange.Rules(m.all["relays"].(float64), m.all["connect_timeout"].(float64),
+	rules := metadatarefresh.Rules(m.all["relays"].(float64), m.all["connect_timeout"].(float64),
 		m.all["max_come_back"].(float64), types)
-	out, err := carrier.NewRepo(name, pinned, m.floor, carrier.Mirrors{Seed: seed(host, m.all["listen"].(string), name),
+	out, err := metadataproxy.NewRepo(name, pinned, m.floor, metadataproxy.Mirrors{Seed: seed(host, m.all["listen"].(string), name),
 		Settings: rules, Every: span(m.all["refresh"]), Alone: span(m.all["unconfirmed"]),
 		Survey: m.all["survey"] == "always", Hosts: hosts}, m.now, m.say)
 	if err != nil {
 		return nil, err
 	}
 	if address, ok := r["discovery"].(string); ok {
-		watch := list.New(link.NewPlace(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := discovery.New(transport.NewPlace(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
 		watch.Fetch()
 		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Gate(), true) })
 	}
@@ -199,7 +199,7 @@
 }
 
 // mirrors are the mirror lines of a repository. One that was not there before is new, and cold.
-func mirrors(r, before map[string]any, now time.Time) (hosts []gate.Host) {
+func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Host) {
 	was := map[string]bool{}
 	if before != nil {
 		old, _ := before["mirror"].([]any)
@@ -210,7 +210,7 @@
 	lines, _ := r["mirror"].([]any)
 	for _, v := range lines {
 		l := v.([]any)
-		h := gate.Host{Name: l[0].(string), Dial: l[1].(string), Zone: l[2].(string), State: l[3].(string), Nominal: 1,
+		h := dispatch.Host{Name: l[0].(string), Dial: l[1].(string), Zone: l[2].(string), State: l[3].(string), Nominal: 1,
 			Build: 1}
 		if before != nil && !was[h.Name+" "+h.Dial] {
 			h.BornMs = now.UnixMilli()
@@ -258,43 +258,43 @@
 // outside joins the Director to the platform and the list of servers, by a gate of its own that hands on what it
 // hears. No commands go through it, so its module has nothing to vote by, and no vote is cast.
 func (m *Metadata) outside(d map[string]any) error {
-	discovery, _ := d["discovery"].(string)
+	discoveryAddress, _ := d["discovery"].(string)
 	address, _ := d["platform"].(string)
-	if discovery == "" && address == "" {
+	if discoveryAddress == "" && address == "" {
 		return nil
 	}
-	var desk *platform.Desk
+	var desk *releaseapi.Desk
 	if address != "" {
-		desk = platform.New(link.NewPlace(address), time.Second, m.room, m.say)
+		desk = releaseapi.New(transport.NewPlace(address), time.Second, m.room, m.say)
 	}
 	op := map[string]any{"name": "install", "service_target": 1.0, "command_timeout": 10.0, "importance": 1.0}
-	settings := exchange.Rules(1, 0.3, 10, []map[string]any{op})
+	settings := metadatarefresh.Rules(1, 0.3, 10, []map[string]any{op})
 	settings["rollout.control"] = "clocked"
-	g := gate.New(seed(discovery, address), settings, gate.Hands{Watch: func(bool) {}, Fetch: func() {},
-		Probe: func(gate.Unit) {}, CloseIdle: func(string) {}, Log: m.say, Hosts: m.director.Hosts,
+	g := dispatch.New(seed(discoveryAddress, address), settings, dispatch.Hands{Watch: func(bool) {}, Fetch: func() {},
+		Probe: func(dispatch.Unit) {}, CloseIdle: func(string) {}, Log: m.say, Hosts: m.director.Hosts,
 		Vote: m.director.Voted, Stage: m.director.Stage})
 	m.watches = append(m.watches, g.Tick)
 	if desk != nil {
 		m.watches = append(m.watches, func(ctx context.Context) error { return desk.Run(ctx, g) })
 	}
-	if discovery != "" {
-		watch := list.New(link.NewPlace(discovery), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+	if discoveryAddress != "" {
+		watch := discovery.New(transport.NewPlace(discoveryAddress), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
 		watch.Fetch()
 		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, true) })
 	}
 	return nil
 }
 
-func wave(w []any) gate.Stage {
-	return gate.Stage{Build: uint16(w[0].(float64)), State: w[1].(string), Cap: w[2].(float64)}
+func wave(w []any) dispatch.Stage {
+	return dispatch.Stage{Build: uint16(w[0].(float64)), State: w[1].(string), Cap: w[2].(float64)}
 }
 
 // listed are the servers of the file, as a list of those that are there.
-func listed(d map[string]any) (hosts []gate.Host) {
+func listed(d map[string]any) (hosts []dispatch.Host) {
 	lines, _ := d["server"].([]any)
 	for _, v := range lines {
 		l := v.([]any)
-		hosts = append(hosts, gate.Host{Name: l[0].(string), Dial: "-", Zone: l[1].(string), Kind: l[2].(string), State: "up"})
+		hosts = append(hosts, dispatch.Host{Name: l[0].(string), Dial: "-", Zone: l[1].(string), Kind: l[2].(string), State: "up"})
 	}
 	return hosts
 }
@@ -331,7 +331,7 @@
 }
 
 func (m *Metadata) directorKeys(d map[string]any) (map[string][]byte, []*keys.Key, error) {
-	chain, _, err := repo.Files(m.file(d["chain"]))
+	chain, _, err := tufrepo.Files(m.file(d["chain"]))
 	if err != nil {
 		return nil, nil, fmt.Errorf("director: chain: %w", err)
 	}
@@ -368,7 +368,7 @@
 func (m *Metadata) Reload() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all, err := conf.Operators.Read(m.path)
+	all, err := operatorconfig.Operators.Read(m.path)
 	if err != nil {
 		return err
 	}
--- a/internal/handover/handover.go
+++ b/internal/migration/handover.go
@@ -7,7 +7,7 @@
 // same without the first two: a holder takes over once the owner's lease is over for sure.
 //
 // Kind: decision
-package handover
+package migration
 
 import (
 	"errors"
--- a/internal/handover/owner.go
+++ b/internal/migration/owner.go
@@ -1,4 +1,4 @@
-package handover
+package migration
 
 import (
 	"cmp"
--- a/internal/floor/floor.go
+++ b/internal/monotonic/floor.go
@@ -9,7 +9,7 @@
 // guards then.
 //
 // Kind: state
-package floor
+package monotonic
 
 import (
 	"encoding/binary"
@@ -26,14 +26,14 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/frames"
-	"silvercove/internal/trust"
+	"silvercove/internal/recordlog"
+	"silvercove/internal/tufverify"
 )
 
 // Errors of a floor.
 var (
-	ErrDamaged  = frames.ErrDamaged
-	ErrLater    = frames.ErrLater
+	ErrDamaged  = recordlog.ErrDamaged
+	ErrLater    = recordlog.ErrLater
 	ErrInUse    = errors.New("in use by another process")
 	ErrOlder    = errors.New("older than what was seen")
 	ErrConflict = errors.New("this version was seen with other content")
@@ -56,12 +56,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-var form = frames.Form{Magic: "covefloo", Version: 1, Most: markSize + mostKey,
+var form = recordlog.Form{Magic: "covefloo", Version: 1, Most: markSize + mostKey,
 	Sum: func(b []byte) uint64 { return uint64(crc32.Checksum(b, castagnoli)) }}
 
 type mark struct {
 	version int64
-	sum     trust.Sum
+	sum     tufverify.Sum
 }
 
 // File is what a copy is written to; *os.File is one.
@@ -81,7 +81,7 @@
 	mu      sync.Mutex
 	turn    *sync.Cond
 	marks   map[string]mark
-	passed  trust.Tick
+	passed  tufverify.Tick
 	pending map[string]mark
 	next    *batch
 	writing bool
@@ -101,7 +101,7 @@
 type batch struct {
 	buf    []byte
 	marks  map[string]mark
-	passed trust.Tick
+	passed tufverify.Tick
 	done   bool
 	err    error
 }
@@ -117,7 +117,7 @@
 	}
 	type copyOf struct {
 		marks  map[string]mark
-		passed trust.Tick
+		passed tufverify.Tick
 		there  bool
 	}
 	var copies []copyOf
@@ -140,7 +140,7 @@
 				if m.version >= c.marks[key].version {
 					c.marks[key] = m
 				}
-			}, func(t trust.Tick) { c.passed = max(c.passed, t) })
+			}, func(t tufverify.Tick) { c.passed = max(c.passed, t) })
 			if err != nil {
 				f.unlock()
 				return nil, fmt.Errorf("floor %s: %w", path, err)
@@ -205,7 +205,7 @@
 func newBatch() *batch { return &batch{marks: map[string]mark{}} }
 
 // read walks the records of a file. It tells how many bytes are whole.
-func read(content []byte, on func(string, mark), at func(trust.Tick)) (whole int, err error) {
+func read(content []byte, on func(string, mark), at func(tufverify.Tick)) (whole int, err error) {
 	return form.Read(content, func(p []byte) error {
 		switch {
 		case len(p) > markSize && p[0] == isMark:
@@ -213,7 +213,7 @@
 			copy(m.sum[:], p[9:])
 			on(string(p[markSize:]), m)
 		case len(p) == timeSize && p[0] == isTime:
-			at(trust.Tick(binary.LittleEndian.Uint64(p[1:])))
+			at(tufverify.Tick(binary.LittleEndian.Uint64(p[1:])))
 		default:
 			return fmt.Errorf("a record of no known kind: %w", ErrDamaged)
 		}
@@ -228,7 +228,7 @@
 	return record(b, append(append(p, m.sum[:]...), key...))
 }
 
-func timeRecord(b []byte, t trust.Tick) []byte {
+func timeRecord(b []byte, t tufverify.Tick) []byte {
 	return record(b, binary.LittleEndian.AppendUint64([]byte{isTime}, uint64(t)))
 }
 
@@ -279,7 +279,7 @@
 }
 
 // Seen tells the highest version of a key, 0 for none.
-func (f *Floor) Seen(key string) (int64, trust.Sum) {
+func (f *Floor) Seen(key string) (int64, tufverify.Sum) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.marks[key]
@@ -287,7 +287,7 @@
 }
 
 // Passed tells the latest time that was ever trusted.
-func (f *Floor) Passed() trust.Tick {
+func (f *Floor) Passed() tufverify.Tick {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.passed
@@ -304,7 +304,7 @@
 }
 
 // Raise makes a version of a key durable. What several callers raise at once is synced at once.
-func (f *Floor) Raise(key string, version int64, sum trust.Sum) error {
+func (f *Floor) Raise(key string, version int64, sum tufverify.Sum) error {
 	if key == "" || len(key) > mostKey {
 		return fmt.Errorf("floor: a key of %d bytes", len(key))
 	}
@@ -340,7 +340,7 @@
 }
 
 // Pass makes a time durable; an earlier one than was passed before changes nothing.
-func (f *Floor) Pass(now trust.Tick) error {
+func (f *Floor) Pass(now tufverify.Tick) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now <= f.passed {
@@ -406,7 +406,7 @@
 
 // shrink writes the files anew where most of them is of no more use.
 func (f *Floor) shrink() {
-	live := int64(frames.Head + form.Record() + timeSize)
+	live := int64(recordlog.Head + form.Record() + timeSize)
 	if f.size < 2*f.live+spare {
 		return
 	}
@@ -443,7 +443,7 @@
 type Entry struct {
 	Key     string
 	Version int64
-	Sum     trust.Sum
+	Sum     tufverify.Sum
 }
 
 // Entries lists what is held, by key.
@@ -462,7 +462,7 @@
 
 // Lower sets the time back, by an operator's word, after a clock was far ahead. It must be the only
 // one that has the floor open.
-func (f *Floor) Lower(now trust.Tick) error {
+func (f *Floor) Lower(now tufverify.Tick) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	was := f.passed
--- a/internal/floor/memory.go
+++ b/internal/monotonic/memory.go
@@ -1,10 +1,10 @@
-package floor
+package monotonic
 
 import (
 	"fmt"
 	"sync"
 
-	"silvercove/internal/trust"
+	"silvercove/internal/tufverify"
 )
 
 // Memory keeps the same for an installation without a lasting disk: nothing outlives the process.
@@ -13,7 +13,7 @@
 	log    func(string)
 	mu     sync.Mutex
 	marks  map[string]mark
-	passed trust.Tick
+	passed tufverify.Tick
 }
 
 // InMemory makes one of at most so many entries.
@@ -22,14 +22,14 @@
 }
 
 // Seen tells the highest version of a key.
-func (f *Memory) Seen(key string) (int64, trust.Sum) {
+func (f *Memory) Seen(key string) (int64, tufverify.Sum) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.marks[key].version, f.marks[key].sum
 }
 
 // Raise keeps a version; an older one, or the same with other content, is an error.
-func (f *Memory) Raise(key string, version int64, sum trust.Sum) error {
+func (f *Memory) Raise(key string, version int64, sum tufverify.Sum) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	was, ok := f.marks[key]
@@ -45,14 +45,14 @@
 }
 
 // Passed tells the latest time that was ever trusted.
-func (f *Memory) Passed() trust.Tick {
+func (f *Memory) Passed() tufverify.Tick {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.passed
 }
 
 // Pass keeps a time.
-func (f *Memory) Pass(now trust.Tick) error {
+func (f *Memory) Pass(now tufverify.Tick) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.passed = max(f.passed, now)
--- a/internal/conf/conf.go
+++ b/internal/operatorconfig/conf.go
@@ -1,4 +1,4 @@
-package conf
+package operatorconfig
 
 import (
 	"errors"
--- a/internal/conf/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -5,7 +5,7 @@
 // double quotes hold blanks, and a directive with parts opens a block with "{" at the end of its line
 // and closes it with "}" on a line of its own. "include PATH" takes another file's lines in its place.
 // A file with any error is refused whole. What comes out is a plain map.
-package conf
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/conf/table.go
+++ b/internal/operatorconfig/table.go
@@ -1,4 +1,4 @@
-package conf
+package operatorconfig
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 		Default: "info", Text: "The least level of log lines."},
 	{Name: "metadata", Block: true, Text: "The metadata front: TUF and Uptane metadata and packages for servers."},
 
-	{Name: "verdicts", Block: true, Text: "How a relay judges new packages, and what it keeps of that. For bin/silvercove, by NODE_OPERATOR."},
+	{Name: "verdicts", Block: true, Text: "How a relay judges new packages, and what it keeps of that. For bin/silvercove-relay, by NODE_OPERATOR."},
 
 	{In: "verdicts", Name: "evidence_wait", Values: []Value{{Name: "span", Kind: Span, Least: 0, Most: 86400}}, Default: "0s",
 		Text: "How long a stage waits for evidence on op types that lack it, before the clock decides."},
@@ -32,7 +32,7 @@
 	{In: "verdicts", Name: "half_life", Values: []Value{{Name: "span", Kind: Span, Least: 1, Most: 86400}}, Default: "10m",
 		Text: "After a restart outcomes count half for each such span that has passed."},
 
-	{Name: "fleet", Block: true, Text: "What this process is in a fleet whose processes talk with one another. For covectl fleet."},
+	{Name: "fleet", Block: true, Text: "What this process is in a fleet whose processes talk with one another. For silvercovectl fleet."},
 
 	{In: "fleet", Name: "name", Values: []Value{{Name: "name", Kind: Name}}, Needed: true,
 		Text: "The fleet. A process of another one is turned away."},
@@ -140,7 +140,7 @@
 	{In: "metadata.director", Name: "image", Values: []Value{{Name: "repository", Kind: Name}}, Needed: true,
 		Text: "The repository that its packages are of."},
 	{In: "metadata.director", Name: "chain", Values: []Value{{Name: "folder", Kind: Path}}, Needed: true,
-		Takes: "at SIGHUP", Text: "Where its root chain stands, as covectl tuf publishes it."},
+		Takes: "at SIGHUP", Text: "Where its root chain stands, as silvercovectl tuf publishes it."},
 	{In: "metadata.director", Name: "key", Values: []Value{{Name: "path", Kind: Path}}, More: true, Needed: true,
 		Takes: "at SIGHUP", Text: "An online key for its targets, snapshots or timestamps."},
 	{In: "metadata.director", Name: "lasts", Values: []Value{{Name: "span", Kind: Span, Least: 2, Most: 7 * 86400}},
--- a/internal/peers/peers_test.go
+++ b/internal/peertransport/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peertransport
 
 import (
 	"context"
--- a/internal/frames/frames.go
+++ b/internal/recordlog/frames.go
@@ -5,7 +5,7 @@
 // the length, a sum of the payload, and the payload.
 //
 // Kind: state
-package frames
+package recordlog
 
 import (
 	"bytes"
--- a/internal/frames/frames_test.go
+++ b/internal/recordlog/frames_test.go
@@ -1,4 +1,4 @@
-package frames
+package recordlog
 
 import (
 	"errors"
