--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -4,17 +4,17 @@
 	"context"
 	"time"
 
-	"silvercove/choice"
-	"silvercove/internal/gate"
-	"silvercove/internal/ledger"
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/evidence"
 )
 
 // memory is what the relay keeps of builds beside the module, and over a restart where a path is named.
 type memory struct {
-	ledger *ledger.Ledger
+	ledger *evidence.Ledger
 	path   string
 	every  time.Duration
-	half   choice.Tick
+	half   balancer.Tick
 
 	build  uint16 // known from before this start, until the module has it
 	n, bad []int
@@ -32,8 +32,8 @@
 		ops = append(ops, name)
 	}
 	seconds := func(name string) float64 { s, _ := t.verdicts[name].(float64); return s }
-	m := &memory{ledger: ledger.New(ops), every: time.Duration(seconds("save") * float64(time.Second)),
-		half: choice.Tick(seconds("half_life") * float64(choice.Second))}
+	m := &memory{ledger: evidence.New(ops), every: time.Duration(seconds("save") * float64(time.Second)),
+		half: balancer.Tick(seconds("half_life") * float64(balancer.Second))}
 	if m.path, _ = t.verdicts["ledger"].(string); m.path != "" {
 		m.ledger.Load(m.path)
 	}
@@ -41,14 +41,14 @@
 }
 
 // age takes what was known of the build on trial before this start, before anything new comes.
-func (m *memory) age(r *relay, news gate.Stage) {
+func (m *memory) age(r *relay, news dispatch.Stage) {
 	if m.ledger.Lost != "" {
 		r.log.Warn().Str("why", m.ledger.Lost).Msg("what was known of builds is lost: the relay starts afresh")
 	}
 	if news.State == "testing" {
 		m.build = news.Build
 		r.gate.Hold(func() {
-			m.n, m.bad = m.ledger.Aged(choice.Tick(time.Now().UnixMicro()/100), news.Build, m.half)
+			m.n, m.bad = m.ledger.Aged(balancer.Tick(time.Now().UnixMicro()/100), news.Build, m.half)
 		})
 	}
 }
@@ -85,7 +85,7 @@
 		}
 		var text []byte
 		r.gate.Hold(func() { text = m.ledger.Snapshot() })
-		err := ledger.Save(m.path, text)
+		err := evidence.Save(m.path, text)
 		if err != nil && !failing {
 			r.log.Error().Err(err).Msg("what is known of builds cannot be written: a restart would lose it")
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,13 +18,13 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/clients"
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
-	"silvercove/internal/list"
+	"silvercove/internal/discovery"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/downstream"
 	"silvercove/internal/overload"
-	"silvercove/internal/platform"
-	"silvercove/internal/units"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/transport"
+	"silvercove/internal/upstream"
 )
 
 // How the limits are shared out.
@@ -39,15 +39,15 @@
 // relay is the parts of the program.
 type relay struct {
 	log   zerolog.Logger
-	room  *link.Room
-	gate  *gate.Gate
-	pools *units.Pools
-	front *clients.Front
-	watch *list.Watch
-	desk  *platform.Desk
+	room  *transport.Room
+	gate  *dispatch.Gate
+	pools *upstream.Pools
+	front *downstream.Front
+	watch *discovery.Watch
+	desk  *releaseapi.Desk
 	left  time.Duration // from SIGTERM until all has to be answered
 
-	discovery, platform *link.Place
+	discovery, platform *transport.Place
 	memory              *memory // nil without an operator's file that speaks of verdicts
 }
 
@@ -71,7 +71,7 @@
 
 // Run runs a relay until a signal has ended it and all that it took is answered. env is the environment: the
 // configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
-func Run(t Told, env func(string) string, beside ...func(context.Context, *gate.Gate) error) error {
+func Run(t Told, env func(string) string, beside ...func(context.Context, *dispatch.Gate) error) error {
 	signals := t.signals
 	if signals == nil {
 		signals = hear()
@@ -220,33 +220,33 @@
 	timeout := max(time.Second, longest) // of a client
 	r.left = min(longest, mostKill) + handOver
 	calls := max(time.Second, span("rollout.vote_wait"))
-	r.room = link.NewRoom(t.memory / 2)
-	r.discovery, r.platform = link.NewPlace(t.discovery), link.NewPlace(t.platform)
+	r.room = transport.NewRoom(t.memory / 2)
+	r.discovery, r.platform = transport.NewPlace(t.discovery), transport.NewPlace(t.platform)
 	// A watch that fell silent is found out before a drain that it should have told is past its grace.
 	grace := span("rules.drain_grace")
 	if grace == 0 {
 		grace = calls
 	}
-	r.watch = list.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
-	r.desk = platform.New(r.platform, calls, r.room, say)
-	hands := gate.Hands{
+	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
+	r.desk = releaseapi.New(r.platform, calls, r.room, say)
+	hands := dispatch.Hands{
 		Vote: r.desk.Vote, Watch: r.watch.On, Fetch: r.watch.Fetch, Log: say,
 		Shed:      t.Shed,
 		Stage:     t.Staged,
-		Probe:     func(u gate.Unit) { r.pools.Probe(u) },
+		Probe:     func(u dispatch.Unit) { r.pools.Probe(u) },
 		CloseIdle: func(name string) { r.pools.CloseIdle(name) },
 	}
 	if r.memory = newMemory(t); r.memory != nil {
 		hands.Witness = r.memory.ledger
 	}
-	r.gate = gate.New(t.seed, t.settings, hands)
+	r.gate = dispatch.New(t.seed, t.settings, hands)
 	comeBack := time.Duration(0)
 	if t.settings["limits.come_back"] == true {
 		comeBack = span("limits.max_come_back")
 	}
 	atUnits := (t.sockets - otherSockets) / 6
-	r.pools = units.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
-	r.front = clients.New(r.gate, r.pools, r.room, overload.Shares(t.sockets-otherSockets-atUnits), timeout, comeBack)
+	r.pools = upstream.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
+	r.front = downstream.New(r.gate, r.pools, r.room, overload.Shares(t.sockets-otherSockets-atUnits), timeout, comeBack)
 	r.gate.List(true, t.known)
 	r.gate.Told(t.news)
 	if r.memory != nil {
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"silvercove/internal/conf"
-	"silvercove/internal/gate"
-	"silvercove/internal/info"
-	"silvercove/internal/list"
-	"silvercove/internal/platform"
+	"silvercove/internal/discovery"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/operatorconfig"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/settings"
 )
 
 // The most of each limit that makes sense: more is a slip of the pen, and would leave the whole numbers below.
@@ -33,18 +33,18 @@
 	cores                             float64
 	memory                            int64 // bytes
 	sockets                           int
-	news                              gate.Stage
+	news                              dispatch.Stage
 	seq                               int64
-	known                             []gate.Host
+	known                             []dispatch.Host
 	settings                          map[string]any
 	verdicts                          map[string]any // of the operator's own file; nil without one
 
 	// Follows: the list of units and where instances run come from a fleet's keepers, by a part beside the relay. Shed
 	// is then what the fleet decides, and Turn waits for this relay's turn to take clients in.
 	Follows bool
-	Shed    gate.Shed
+	Shed    dispatch.Shed
 	Turn    func(context.Context)
-	Staged  func(gate.Stage) // hears what the platform tells of builds
+	Staged  func(dispatch.Stage) // hears what the platform tells of builds
 }
 
 // ReadTold reads the environment and the configuration that it names.
@@ -98,7 +98,7 @@
 	if path == "" {
 		return nil
 	}
-	all, err := conf.Operators.Read(path)
+	all, err := operatorconfig.Operators.Read(path)
 	if err != nil {
 		return fmt.Errorf("NODE_OPERATOR: %w", err)
 	}
@@ -155,12 +155,12 @@
 	if _, _, err := net.SplitHostPort(t.platform); err != nil && (!t.Follows || t.platform != "") {
 		return fmt.Errorf("release_api.address: %w", err)
 	}
-	if t.news, err = platform.ReadStage(c.Release.News); err != nil {
+	if t.news, err = releaseapi.ReadStage(c.Release.News); err != nil {
 		return fmt.Errorf("release_api.news: %w", err)
 	}
-	if t.seq, _, t.known, err = list.Read(c.Known); err != nil && (!t.Follows || c.Known != nil) {
+	if t.seq, _, t.known, err = discovery.Read(c.Known); err != nil && (!t.Follows || c.Known != nil) {
 		return fmt.Errorf("known: %w", err)
 	}
-	t.settings, err = info.Read(c.Settings)
+	t.settings, err = settings.Read(c.Settings)
 	return err
 }
--- a/internal/guide/guide.go
+++ b/internal/routing/guide.go
@@ -1,6 +1,6 @@
 // Package guide leads a relay of a fleet: it follows where the keepers say that instances run and which edge units there
 // are, and hands both to the gate. While no keeper answers, what was told last stands.
-package guide
+package routing
 
 import (
 	"context"
@@ -10,22 +10,22 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/gate"
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
-	"silvercove/internal/peers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 )
 
 // Keepers tell places and units; a *keepers.Client does.
 type Keepers interface {
-	Watch(ctx context.Context, tell func(version uint64, places []handover.Place, gone []string, whole bool)) error
-	WatchUnits(ctx context.Context, tell func(version uint64, units []keepers.Unit)) error
+	Watch(ctx context.Context, tell func(version uint64, places []migration.Place, gone []string, whole bool)) error
+	WatchUnits(ctx context.Context, tell func(version uint64, units []controllerclient.Unit)) error
 }
 
 // Guide follows keepers for one relay.
 type Guide struct {
 	keepers Keepers
-	net     *peers.Net
+	net     *peertransport.Net
 	log     zerolog.Logger
 
 	mu    sync.Mutex
@@ -33,22 +33,22 @@
 }
 
 // New makes one. Where commands reach a unit is what this process's own file says, and else what the unit told.
-func New(k Keepers, net *peers.Net, log zerolog.Logger) *Guide {
+func New(k Keepers, net *peertransport.Net, log zerolog.Logger) *Guide {
 	return &Guide{keepers: k, net: net, log: log.With().Str("node", net.Self().Name).Logger(), state: map[string]bool{}}
 }
 
 // Run follows until the context ends.
-func (g *Guide) Run(ctx context.Context, at *gate.Gate) error {
+func (g *Guide) Run(ctx context.Context, at *dispatch.Gate) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		return g.keepers.WatchUnits(ctx, func(_ uint64, units []keepers.Unit) { at.List(true, g.hosts(units)) })
+		return g.keepers.WatchUnits(ctx, func(_ uint64, units []controllerclient.Unit) { at.List(true, g.hosts(units)) })
 	})
 	group.Go(func() error {
-		return g.keepers.Watch(ctx, func(_ uint64, places []handover.Place, gone []string, whole bool) {
-			all := make([]gate.Place, 0, len(places))
+		return g.keepers.Watch(ctx, func(_ uint64, places []migration.Place, gone []string, whole bool) {
+			all := make([]dispatch.Place, 0, len(places))
 			for _, p := range places {
-				one := gate.Place{Name: p.Name, Unit: p.Owner, Epoch: p.Epoch, Change: p.Change}
-				if p.State != handover.Runs {
+				one := dispatch.Place{Name: p.Name, Unit: p.Owner, Epoch: p.Epoch, Change: p.Change}
+				if p.State != migration.Runs {
 					one.Unit = ""
 				}
 				all = append(all, one)
@@ -67,7 +67,7 @@
 
 // hosts makes entries of the list of units: those whose lease is not over. One that is tired or leaves is listed as up:
 // its instances are served there until they have been handed on, and the keepers put no new ones there.
-func (g *Guide) hosts(units []keepers.Unit) (all []gate.Host) {
+func (g *Guide) hosts(units []controllerclient.Unit) (all []dispatch.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, u := range units {
@@ -80,7 +80,7 @@
 			state := map[bool]string{true: "alive", false: "dead"}[u.Held]
 			g.log.Info().Str("event", "member").Str("from", u.Name).Str("why", state+", say the keepers").Msg("member")
 		}
-		h := gate.Host{Name: u.Name, Dial: dial, Zone: u.Zone, State: "up", Nominal: u.Share, BornMs: u.BornMS, Build: u.Build}
+		h := dispatch.Host{Name: u.Name, Dial: dial, Zone: u.Zone, State: "up", Nominal: u.Share, BornMs: u.BornMS, Build: u.Build}
 		if !u.Held || !h.Fits() {
 			continue
 		}
--- a/internal/guide/strain.go
+++ b/internal/routing/strain.go
@@ -1,4 +1,4 @@
-package guide
+package routing
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/rs/zerolog"
 
-	"silvercove/internal/gate"
-	"silvercove/internal/keepers"
-	"silvercove/internal/members"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/membership"
 	"silvercove/internal/overload"
 	"silvercove/internal/tick"
 )
@@ -24,7 +24,7 @@
 type Board interface {
 	Now() tick.Tick
 	Tell(kind string, data []byte) error
-	All() []members.Member
+	All() []membership.Member
 }
 
 var (
@@ -46,8 +46,8 @@
 
 	mu       sync.Mutex
 	fleet    *overload.Fleet
-	outcomes map[string]*keepers.Outcome // by unit, since they were told last
-	stage    gate.Stage                  // of the newest build, as the platform told it last
+	outcomes map[string]*controllerclient.Outcome // by unit, since they were told last
+	stage    dispatch.Stage                       // of the newest build, as the platform told it last
 
 	before syscall.Rusage
 	at     time.Time
@@ -64,7 +64,7 @@
 // NewStrain makes one, of a relay that has so many cores and bytes of memory.
 func NewStrain(board Board, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *Strain {
 	s := &Strain{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
-		fleet: overload.New(board.Now(), seed, self, set), outcomes: map[string]*keepers.Outcome{}}
+		fleet: overload.New(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.Outcome{}}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
 	return s
 }
@@ -106,7 +106,7 @@
 	s.fleet.Outcome(s.board.Now(), unit, good)
 	o := s.outcomes[unit]
 	if o == nil {
-		o = &keepers.Outcome{Unit: unit}
+		o = &controllerclient.Outcome{Unit: unit}
 		s.outcomes[unit] = o
 	}
 	if good {
@@ -124,7 +124,7 @@
 }
 
 // Staged takes where the newest build stands, as the platform told it.
-func (s *Strain) Staged(news gate.Stage) {
+func (s *Strain) Staged(news dispatch.Stage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stage = news
@@ -133,7 +133,7 @@
 // Report tells the keepers how commands at units ended, until the context ends. What a call that failed would have told
 // is dropped: outcomes speak for the moment.
 func (s *Strain) Report(ctx context.Context, to interface {
-	Outcomes(ctx context.Context, o keepers.Outcomes) error
+	Outcomes(ctx context.Context, o controllerclient.Outcomes) error
 }) error {
 	ticker := time.NewTicker(reports)
 	defer ticker.Stop()
@@ -145,18 +145,18 @@
 		}
 		s.mu.Lock()
 		all := s.outcomes
-		s.outcomes = make(map[string]*keepers.Outcome, len(all))
+		s.outcomes = make(map[string]*controllerclient.Outcome, len(all))
 		stage := s.stage
 		s.mu.Unlock()
 		if len(all) == 0 && stage.State == "" {
 			continue
 		}
-		units := make([]keepers.Outcome, 0, len(all))
+		units := make([]controllerclient.Outcome, 0, len(all))
 		for _, name := range slices.Sorted(maps.Keys(all)) {
 			units = append(units, *all[name])
 		}
 		call, cancel := context.WithTimeout(ctx, reports)
-		if err := to.Outcomes(call, keepers.Outcomes{Units: units, Build: stage.Build, State: stage.State}); err != nil && ctx.Err() == nil {
+		if err := to.Outcomes(call, controllerclient.Outcomes{Units: units, Build: stage.Build, State: stage.State}); err != nil && ctx.Err() == nil {
 			s.log.Debug().Err(err).Msg("outcomes not told")
 		}
 		cancel()
@@ -197,7 +197,7 @@
 }
 
 // Run measures and passes news on until the context ends.
-func (s *Strain) Run(ctx context.Context, g *gate.Gate) error {
+func (s *Strain) Run(ctx context.Context, g *dispatch.Gate) error {
 	ticker := time.NewTicker(beat)
 	defer ticker.Stop()
 	next := time.Now().Add(beat)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Strain) step(g *gate.Gate, late time.Duration) {
+func (s *Strain) step(g *dispatch.Gate, late time.Duration) {
 	p := s.measure(g, late)
 	s.hear()
 	s.mu.Lock()
@@ -255,7 +255,7 @@
 }
 
 // measure takes the relay's own load since the last time.
-func (s *Strain) measure(g *gate.Gate, late time.Duration) overload.Pressure {
+func (s *Strain) measure(g *dispatch.Gate, late time.Duration) overload.Pressure {
 	var use syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	now := time.Now()
--- a/internal/info/info.go
+++ b/internal/settings/info.go
@@ -9,7 +9,7 @@
 //
 // docs/relay.md says under "Settings" what is made of values that are missing, null, zero, negative, huge
 // or fractional. An error names the setting as the document does.
-package info
+package settings
 
 import (
 	"bytes"
--- a/internal/info/info_test.go
+++ b/internal/settings/info_test.go
@@ -1,4 +1,4 @@
-package info
+package settings
 
 import (
 	"reflect"
--- a/internal/waves/waves.go
+++ b/internal/stagedrollout/waves.go
@@ -10,7 +10,7 @@
 // still act on them.
 //
 // Kind: decision
-package waves
+package stagedrollout
 
 import (
 	"cmp"
--- a/internal/waves/waves_test.go
+++ b/internal/stagedrollout/waves_test.go
@@ -1,4 +1,4 @@
-package waves
+package stagedrollout
 
 import (
 	"fmt"
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/backends/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package backends
 
 import (
 	"bytes"
--- a/internal/standin/power/power.go
+++ b/internal/standin/battery/power.go
@@ -2,7 +2,7 @@
 // charges and warms by load and sun, and writes what it would read into a folder in the layout of Linux's
 // power supply and thermal classes, with faults by script and seed. Its figures are those of a small
 // computer without a fan on a 60 Wh battery.
-package power
+package battery
 
 import (
 	"bufio"
--- a/internal/standin/power/power_test.go
+++ b/internal/standin/battery/power_test.go
@@ -1,4 +1,4 @@
-package power
+package battery
 
 import (
 	"context"
--- a/internal/standin/links/links.go
+++ b/internal/standin/faultproxy/links.go
@@ -5,7 +5,7 @@
 // TCP has no lost bytes, so what a network loses shows otherwise here. Silence: bytes of one way come to nothing and a
 // connection that lacks some is reset when the link heals, as one whose repeats ran out. A stall: they wait, and come
 // later. A dropped part: each piece breaks its connection with that chance, in the midst of a message.
-package links
+package faultproxy
 
 import (
 	"context"
--- a/internal/standin/links/links_test.go
+++ b/internal/standin/faultproxy/links_test.go
@@ -1,4 +1,4 @@
-package links
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -15,7 +15,7 @@
 	"strings"
 	"testing"
 
-	"silvercove/choice"
+	"silvercove/balancer"
 )
 
 // checkpointEvery is how many calls lie between two intermediate hashes of a trace.
@@ -45,12 +45,12 @@
 	hash        uint64
 	calls       int
 	checkpoints []uint32
-	requests    map[*choice.Command]uint64
+	requests    map[*balancer.Command]uint64
 }
 
 // New makes an empty trace.
 func New() *Trace {
-	return &Trace{hash: 14695981039346656037, requests: map[*choice.Command]uint64{}}
+	return &Trace{hash: 14695981039346656037, requests: map[*balancer.Command]uint64{}}
 }
 
 // Note adds what a balancer answered its caller, such as the result of Begin.
@@ -74,7 +74,7 @@
 }
 
 // request numbers requests in the order in which a balancer first speaks of them.
-func (t *Trace) request(c *choice.Command) uint64 {
+func (t *Trace) request(c *balancer.Command) uint64 {
 	n, known := t.requests[c]
 	if !known {
 		n = uint64(len(t.requests) + 1)
@@ -85,13 +85,13 @@
 
 // fleet is what a host of a fleet offers beside.
 type fleet interface {
-	MayRepeat(cmd *choice.Command) bool
-	Avoids(u *choice.Unit) bool
-	MayProbe(u *choice.Unit) bool
+	MayRepeat(cmd *balancer.Command) bool
+	Avoids(u *balancer.Unit) bool
+	MayProbe(u *balancer.Unit) bool
 }
 
 // Host wraps the host of one balancer. What the wrapped host offers beside choice.Host, the wrapper offers too.
-func (t *Trace) Host(host choice.Host, balancer int, now func() choice.Tick) choice.Host {
+func (t *Trace) Host(host balancer.Host, balancer int, now func() balancer.Tick) balancer.Host {
 	r := &recorder{host: host, trace: t, balancer: balancer, now: now}
 	if f, ok := host.(fleet); ok {
 		return &fleetRecorder{recorder: r, fleet: f}
@@ -100,49 +100,49 @@
 }
 
 type recorder struct {
-	host     choice.Host
+	host     balancer.Host
 	trace    *Trace
 	balancer int
-	now      func() choice.Tick
+	now      func() balancer.Tick
 }
 
 func (r *recorder) add(kind int, values ...uint64) {
 	r.trace.add(kind, r.balancer, append(values, uint64(r.now()))...)
 }
 
-func (r *recorder) Deliver(d *choice.Delivery, stopAt choice.Tick) {
+func (r *recorder) Deliver(d *balancer.Delivery, stopAt balancer.Tick) {
 	c := d.Cmd
 	r.add(callDeliver, r.trace.request(c), c.Door, uint64(c.OpType), uint64(c.Customer), c.Key, uint64(c.NotAfter),
 		uint64(d.No), uint64(d.To.Door), uint64(d.To.Build), uint64(d.To.Start), uint64(stopAt))
 	r.host.Deliver(d, stopAt)
 }
 
-func (r *recorder) Nack(c *choice.Command, comeBack choice.Tick) {
+func (r *recorder) Nack(c *balancer.Command, comeBack balancer.Tick) {
 	r.add(callNack, r.trace.request(c), c.Door, uint64(comeBack))
 	r.host.Nack(c, comeBack)
 }
 
-func (r *recorder) Fail(c *choice.Command) {
+func (r *recorder) Fail(c *balancer.Command) {
 	r.add(callFail, r.trace.request(c), c.Door)
 	r.host.Fail(c)
 }
 
-func (r *recorder) Cancel(d *choice.Delivery) {
+func (r *recorder) Cancel(d *balancer.Delivery) {
 	r.add(callCancel, r.trace.request(d.Cmd), d.Cmd.Door, uint64(d.No), uint64(d.To.Door))
 	r.host.Cancel(d)
 }
 
-func (r *recorder) WakeAt(at choice.Tick, tag uint32) {
+func (r *recorder) WakeAt(at balancer.Tick, tag uint32) {
 	r.add(callWakeAt, uint64(at), uint64(tag))
 	r.host.WakeAt(at, tag)
 }
 
-func (r *recorder) Probe(u *choice.Unit) {
+func (r *recorder) Probe(u *balancer.Unit) {
 	r.add(callProbe, uint64(u.Door))
 	r.host.Probe(u)
 }
 
-func (r *recorder) CloseIdle(u *choice.Unit) {
+func (r *recorder) CloseIdle(u *balancer.Unit) {
 	r.add(callCloseIdle, uint64(u.Door))
 	r.host.CloseIdle(u)
 }
@@ -166,7 +166,7 @@
 	r.host.Fetch()
 }
 
-func (r *recorder) Vote(build uint16, stage int, verdict choice.Verdict) {
+func (r *recorder) Vote(build uint16, stage int, verdict balancer.Verdict) {
 	r.add(callVote, uint64(build), uint64(stage), uint64(verdict))
 	r.host.Vote(build, stage, verdict)
 }
@@ -176,19 +176,19 @@
 	fleet fleet
 }
 
-func (r *fleetRecorder) MayRepeat(c *choice.Command) bool {
+func (r *fleetRecorder) MayRepeat(c *balancer.Command) bool {
 	may := r.fleet.MayRepeat(c)
 	r.add(callMayRepeat, r.trace.request(c), c.Door, bit(may))
 	return may
 }
 
-func (r *fleetRecorder) Avoids(u *choice.Unit) bool {
+func (r *fleetRecorder) Avoids(u *balancer.Unit) bool {
 	avoids := r.fleet.Avoids(u)
 	r.add(callAvoids, uint64(u.Door), bit(avoids))
 	return avoids
 }
 
-func (r *fleetRecorder) MayProbe(u *choice.Unit) bool {
+func (r *fleetRecorder) MayProbe(u *balancer.Unit) bool {
 	may := r.fleet.MayProbe(u)
 	r.add(callMayProbe, uint64(u.Door), bit(may))
 	return may
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"silvercove/internal/trust"
+	"silvercove/internal/tufverify"
 )
 
 // Fault is what a mirror does instead of answering as it should.
@@ -252,12 +252,12 @@
 }
 
 func version(name string) int64 {
-	f, _ := trust.ParseFile(name)
+	f, _ := tufverify.ParseFile(name)
 	return f.Version
 }
 
 func role(name string) string {
-	f, _ := trust.ParseFile(name)
+	f, _ := tufverify.ParseFile(name)
 	return f.Role
 }
 
--- a/internal/standin/crew/binary.go
+++ b/internal/standin/testcluster/binary.go
@@ -1,4 +1,4 @@
-package crew
+package testcluster
 
 import (
 	"crypto/sha256"
--- a/internal/standin/crew/client.go
+++ b/internal/standin/testcluster/client.go
@@ -1,4 +1,4 @@
-package crew
+package testcluster
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
 )
 
@@ -256,18 +256,18 @@
 }
 
 // Keepers makes calls to the fleet's keepers as the desk.
-func (c *Crew) Keepers() *keepers.Client { return c.keepers }
+func (c *Crew) Keepers() *controllerclient.Client { return c.keepers }
 
 // Create makes an instance at a unit; Cross tells that its device is in a zone now.
-func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p handover.Place, err error) {
+func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p migration.Place, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
-	return c.keepers.Step(ctx, handover.Entry{Kind: handover.Create, Name: instance, To: unit, Zone: zone, Weight: 1,
+	return c.keepers.Step(ctx, migration.Entry{Kind: migration.Create, Name: instance, To: unit, Zone: zone, Weight: 1,
 		Reason: "asked for"})
 }
 
 // Cross tells the keepers that an instance's device is in a zone now.
-func (c *Crew) Cross(ctx context.Context, instance, zone string) (p handover.Place, err error) {
+func (c *Crew) Cross(ctx context.Context, instance, zone string) (p migration.Place, err error) {
 	c.add(Event{At: time.Now(), Node: Desk, Name: "crosses", Instance: instance, To: zone})
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
--- a/internal/standin/crew/course_test.go
+++ b/internal/standin/testcluster/course_test.go
@@ -1,4 +1,4 @@
-package crew
+package testcluster
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 )
 
 // courses has each test that is judged write what its processes caused into a folder, which is what the model of the fleet
-// is held against: go test -run NAMES -courses ../../lab/fleetsim/testdata/processes ./internal/standin/crew
+// is held against: go test -run NAMES -courses ../../lab/fleetsim/testdata/processes ./internal/standin/testcluster
 var courses = flag.String("courses", "", "folder for what the processes of each test caused")
 
 func (c *Crew) course(t *testing.T) {
--- a/internal/standin/crew/race.go
+++ b/internal/standin/testcluster/race.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package crew
+package testcluster
 
 const raced = true
--- a/internal/link/link.go
+++ b/internal/transport/link.go
@@ -1,6 +1,6 @@
 // Package link owns one connection: a ring buffer a direction, its deadlines, and End, the one
 // type of every way in which it can end.
-package link
+package transport
 
 import (
 	"context"
--- a/internal/link/ring.go
+++ b/internal/transport/ring.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import "sync/atomic"
 
--- a/internal/repo/repo.go
+++ b/internal/tufrepo/repo.go
@@ -6,7 +6,7 @@
 // The folder holds metadata/ and targets/, which are served as they are, staged/, and issued.floor.
 //
 // Kind: state
-package repo
+package tufrepo
 
 import (
 	"bytes"
@@ -28,9 +28,9 @@
 	"github.com/google/renameio/v2"
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 
-	"silvercove/internal/floor"
 	"silvercove/internal/keys"
-	"silvercove/internal/trust"
+	"silvercove/internal/monotonic"
+	"silvercove/internal/tufverify"
 )
 
 // Errors of a repository.
@@ -54,7 +54,7 @@
 // Repo is one repository that is open for work.
 type Repo struct {
 	dir    string
-	floor  *floor.Floor
+	floor  *monotonic.Floor
 	Life   Life
 	Now    func() time.Time
 	Halted func(step string) bool // in tests: the program dies before this step
@@ -109,7 +109,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrNone)
 	}
-	f, err := floor.Open([]string{filepath.Join(dir, "issued.floor")}, 1<<16, func(string) {})
+	f, err := monotonic.Open([]string{filepath.Join(dir, "issued.floor")}, 1<<16, func(string) {})
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 func (r *Repo) published(name string) string { return filepath.Join(r.dir, "metadata", name) }
 
 func (r *Repo) staged(role string) string {
-	return filepath.Join(r.dir, "staged", trust.File{Role: role}.String())
+	return filepath.Join(r.dir, "staged", tufverify.File{Role: role}.String())
 }
 
 func write(name string, text []byte) error {
@@ -170,7 +170,7 @@
 		return "", 0, err
 	}
 	for _, e := range all {
-		f, ok := trust.ParseFile(e.Name())
+		f, ok := tufverify.ParseFile(e.Name())
 		if !ok || f.Role != role {
 			continue
 		}
@@ -260,7 +260,7 @@
 	}
 	t := metadata.TargetFile()
 	t.Path = as
-	custom := trust.Custom{Build: build, Kinds: kinds, Piece: PieceSize}
+	custom := tufverify.Custom{Build: build, Kinds: kinds, Piece: PieceSize}
 	whole, buf := sha256.New(), make([]byte, PieceSize)
 	for {
 		n, err := io.ReadFull(in, buf)
@@ -511,7 +511,7 @@
 			return nil, err
 		}
 		for _, e := range all {
-			if f, ok := trust.ParseFile(e.Name()); ok && f.Kind() == metadata.TARGETS {
+			if f, ok := tufverify.ParseFile(e.Name()); ok && f.Kind() == metadata.TARGETS {
 				found[f.Role] = true
 			}
 		}
@@ -540,7 +540,7 @@
 	var outs []out
 	if fresh {
 		text, _ := root.ToBytes(true)
-		outs = append(outs, out{metadata.ROOT, trust.File{Role: metadata.ROOT, Version: root.Signed.Version}.String(),
+		outs = append(outs, out{metadata.ROOT, tufverify.File{Role: metadata.ROOT, Version: root.Signed.Version}.String(),
 			root.Signed.Version, text})
 	}
 	for _, name := range names {
@@ -565,7 +565,7 @@
 		meta[name+".json"] = &metadata.MetaFiles{Length: int64(len(text)), Version: m.Signed.Version,
 			Hashes: metadata.Hashes{"sha256": sum[:]}}
 		if staged {
-			f := trust.File{Role: name}
+			f := tufverify.File{Role: name}
 			if root.Signed.ConsistentSnapshot {
 				f.Version = m.Signed.Version
 			}
@@ -590,7 +590,7 @@
 	if err != nil {
 		return err
 	}
-	name := trust.File{Role: metadata.SNAPSHOT}
+	name := tufverify.File{Role: metadata.SNAPSHOT}
 	if root.Signed.ConsistentSnapshot {
 		name.Version = version
 	}
@@ -692,7 +692,7 @@
 		return nil, "", err
 	}
 	for _, e := range all {
-		if _, ok := trust.ParseFile(e.Name()); !ok {
+		if _, ok := tufverify.ParseFile(e.Name()); !ok {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(dir, "metadata", e.Name()))
@@ -723,7 +723,7 @@
 			return nil, err
 		}
 		for _, e := range entries {
-			f, ok := trust.ParseFile(e.Name())
+			f, ok := tufverify.ParseFile(e.Name())
 			if !ok {
 				continue
 			}
--- a/internal/trust/trust.go
+++ b/internal/tufverify/trust.go
@@ -13,7 +13,7 @@
 // the library has made of it, as clients read the bytes.
 //
 // Kind: decision
-package trust
+package tufverify
 
 import (
 	"crypto/sha256"
--- a/internal/trust/walk.go
+++ b/internal/tufverify/walk.go
@@ -1,4 +1,4 @@
-package trust
+package tufverify
 
 import (
 	"fmt"
--- a/internal/units/units.go
+++ b/internal/upstream/units.go
@@ -1,6 +1,6 @@
 // Package units keeps connections to the units and makes deliveries on them, one at a time each.
 // Nothing is ever sent again here: each further delivery is the module's.
-package units
+package upstream
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"sync/atomic"
 	"time"
 
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
+	"silvercove/internal/dispatch"
 	"silvercove/internal/pgwire"
+	"silvercove/internal/transport"
 )
 
 // Pools holds the idle connections, by unit.
 type Pools struct {
-	room    *link.Room
+	room    *transport.Room
 	connect time.Duration // time limit of a new connection
 	rest    time.Duration // how long a connection may stand idle
-	gate    *gate.Gate
+	gate    *dispatch.Gate
 	figures []string      // of a load report
 	slots   chan struct{} // one for each connection that may be open
 	probes  sync.WaitGroup
@@ -32,14 +32,14 @@
 }
 
 type conn struct {
-	*link.Link
-	to    gate.Unit
+	*transport.Link
+	to    dispatch.Unit
 	since time.Time // idle since
 }
 
 // New makes pools of at most so many connections in all. A connection that would stand idle for
 // as long as rest is closed before the unit does it.
-func New(room *link.Room, most int, connect, rest time.Duration, g *gate.Gate) *Pools {
+func New(room *transport.Room, most int, connect, rest time.Duration, g *dispatch.Gate) *Pools {
 	return &Pools{room: room, connect: connect, rest: rest - rest/8, gate: g, figures: g.Figures(),
 		slots: make(chan struct{}, most), idle: map[string][]*conn{}}
 }
@@ -56,7 +56,7 @@
 // Reply is how a delivery ended. Its rows are valid until Done.
 type Reply struct {
 	State string // SQLSTATE of the answer, empty with none
-	End   link.End
+	End   transport.End
 	Load  []float64
 	Rows  [][]byte // messages to pass on, byte for byte
 	conn  *conn
@@ -65,7 +65,7 @@
 }
 
 // Deliver makes one delivery of a query, if that still may begin once there is a connection.
-func (p *Pools) Deliver(d *gate.Delivery, q *pgwire.Query) Reply {
+func (p *Pools) Deliver(d *dispatch.Delivery, q *pgwire.Query) Reply {
 	c, r := p.open(d.Context, d.Unit)
 	if c == nil {
 		return r
@@ -79,12 +79,12 @@
 		} else {
 			p.close(c)
 		}
-		return Reply{End: link.End{How: link.CalledOff}}
+		return Reply{End: transport.End{How: transport.CalledOff}}
 	}
 	if !c.Quiet() { // the unit has ended it since: nothing is written
 		fresh := c.since.IsZero()
 		if p.drop(c); fresh {
-			return Reply{End: link.End{How: link.Closed}}
+			return Reply{End: transport.End{How: transport.Closed}}
 		}
 		return p.Deliver(d, q)
 	}
@@ -95,7 +95,7 @@
 	}
 	r = p.read(c)
 	if r.State == "" && !r.End.Over() || r.State == pgwire.Complete && len(r.Rows) != rowParts {
-		r = Reply{End: link.End{How: link.Malformed, Sent: true}} // it is ready again without an answer
+		r = Reply{End: transport.End{How: transport.Malformed, Sent: true}} // it is ready again without an answer
 	}
 	r.conn, r.pools, r.keep = c, p, c.Release() && r.keep // before its context is cancelled
 	return r
@@ -109,11 +109,11 @@
 func (p *Pools) read(c *conn) Reply {
 	var a pgwire.Answer
 	for {
-		var end link.End
+		var end transport.End
 		if err := a.Read(c.Bytes()); err == pgwire.ErrOverlong {
-			end = link.End{How: link.Overlong, Sent: true}
+			end = transport.End{How: transport.Overlong, Sent: true}
 		} else if err != nil {
-			end = link.End{How: link.Malformed, Sent: true}
+			end = transport.End{How: transport.Malformed, Sent: true}
 		} else if a.Ready || a.Fatal {
 			return p.reply(c, &a, a.Ready)
 		} else {
@@ -165,7 +165,7 @@
 }
 
 // open finds an idle connection to a unit or makes a new one.
-func (p *Pools) open(ctx context.Context, to gate.Unit) (*conn, Reply) {
+func (p *Pools) open(ctx context.Context, to dispatch.Unit) (*conn, Reply) {
 	for c := p.take(to.Name); c != nil; c = p.take(to.Name) {
 		if c.to == to && time.Since(c.since) < p.rest && c.Quiet() {
 			p.Reused.Add(1)
@@ -178,12 +178,12 @@
 	default:
 		if !p.closeOldest() {
 			p.Failed.Add(1)
-			return nil, Reply{End: link.End{How: link.Refused}}
+			return nil, Reply{End: transport.End{How: transport.Refused}}
 		}
 		select {
 		case p.slots <- struct{}{}:
 		case <-ctx.Done(): // which speaks for no unit
-			return nil, Reply{End: link.End{How: link.CalledOff}}
+			return nil, Reply{End: transport.End{How: transport.CalledOff}}
 		}
 	}
 	c, r := p.dial(ctx, to)
@@ -195,11 +195,11 @@
 }
 
 // dial opens a connection up to the unit's word that it is ready.
-func (p *Pools) dial(ctx context.Context, to gate.Unit) (*conn, Reply) {
+func (p *Pools) dial(ctx context.Context, to dispatch.Unit) (*conn, Reply) {
 	p.Opened.Add(1)
 	limited, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
-	l, end := link.Dial(limited, to.Dial, p.connect, p.room)
+	l, end := transport.Dial(limited, to.Dial, p.connect, p.room)
 	if end.Over() {
 		return nil, Reply{End: end}
 	}
@@ -219,12 +219,12 @@
 	}
 	c.Close()
 	if end.Over() {
-		return nil, Reply{End: link.End{How: end.How}} // no query was written
+		return nil, Reply{End: transport.End{How: end.How}} // no query was written
 	}
 	if ctx.Err() == context.Canceled { // given up just as it came up, which speaks for no unit
-		return nil, Reply{End: link.End{How: link.CalledOff}}
+		return nil, Reply{End: transport.End{How: transport.CalledOff}}
 	}
-	return nil, Reply{End: link.End{How: link.NotUp}}
+	return nil, Reply{End: transport.End{How: transport.NotUp}}
 }
 
 // take takes the idle connection to a unit that was used last, among those that have settled; else the one that has
@@ -309,7 +309,7 @@
 // commands after a start need not wait for them. All relays together open no more at a unit than one of
 // them might alone: many that start at once would spend the units' work on connections that few commands
 // use. It waits at most as long as one takes, and not beyond the context: what is not up by then is given up.
-func (p *Pools) Warm(ctx context.Context, to []gate.Unit, relays int) {
+func (p *Pools) Warm(ctx context.Context, to []dispatch.Unit, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
 	var all sync.WaitGroup
@@ -332,7 +332,7 @@
 }
 
 // Probe checks a unit on a goroutine of its own, which Run waits for.
-func (p *Pools) Probe(to gate.Unit) {
+func (p *Pools) Probe(to dispatch.Unit) {
 	p.probes.Add(1)
 	go func() {
 		defer p.probes.Done()
--- a/internal/bell/bell.go
+++ b/internal/wakeup/bell.go
@@ -1,6 +1,6 @@
 // Package bell owns the waiting of those who work when something falls due or is asked for: one goroutine that is
 // woken at the time its work named, or earlier by Ring.
-package bell
+package wakeup
 
 import (
 	"context"
--- a/internal/bell/bell_test.go
+++ b/internal/wakeup/bell_test.go
@@ -1,4 +1,4 @@
-package bell
+package wakeup
 
 import (
 	"context"
