--- a/balancer/help.go
+++ b/balancer/help.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// chance draws from 0 to n-1 by multiply-with-carry.
-func (r *Relay) chance(n int) int {
+// random draws from 0 to n-1 by multiply-with-carry.
+func (r *Balancer) random(n int) int {
 	t := 4294957665*uint64(r.x) + uint64(r.carry)
 	r.x, r.carry = uint32(t), uint32(t>>32)
 	return int(uint64(r.x) * uint64(max(n, 1)) >> 32)
@@ -16,28 +16,28 @@
 
 // What follows picks one value of the settings; an absent one is zero.
 
-func (r *Relay) num(name string) float64 { v, _ := r.set[name].(float64); return v }
-func (r *Relay) first(name string) float64 {
+func (r *Balancer) num(name string) float64 { v, _ := r.set[name].(float64); return v }
+func (r *Balancer) first(name string) float64 {
 	if l, _ := r.set[name].([]any); len(l) > 0 {
 		f, _ := l[0].(float64)
 		return f
 	}
 	return 0
 }
-func (r *Relay) word(name string) string { v, _ := r.set[name].(string); return v }
-func (r *Relay) flag(name string) bool   { v, _ := r.set[name].(bool); return v }
-func (r *Relay) span(name string) Tick   { return ticks(r.set[name]) }
-func (r *Relay) word2(c *Command, name string) string {
-	v, _ := r.opTypes[c.OpType][name].(string)
+func (r *Balancer) word(name string) string { v, _ := r.set[name].(string); return v }
+func (r *Balancer) flag(name string) bool   { v, _ := r.set[name].(bool); return v }
+func (r *Balancer) span(name string) Tick   { return ticks(r.set[name]) }
+func (r *Balancer) word2(c *Request, name string) string {
+	v, _ := r.classes[c.Class][name].(string)
 	return v
 }
-func (r *Relay) opSpan(c *Command, name string) Tick { return ticks(r.opTypes[c.OpType][name]) }
+func (r *Balancer) opSpan(c *Request, name string) Tick { return ticks(r.classes[c.Class][name]) }
 
 // ticks turns seconds into ticks.
 func ticks(v any) Tick { f, _ := v.(float64); return Tick(f * float64(Second)) }
 
-// recent drops the times before a moment.
-func recent(times []Tick, from Tick) []Tick {
+// dropBefore drops the times before a moment.
+func dropBefore(times []Tick, from Tick) []Tick {
 	i := 0
 	for i < len(times) && times[i] < from {
 		i++
@@ -54,24 +54,24 @@
 	return sum / float64(max(1, len(x)))
 }
 
-// mark is 1 for what is so.
-func mark(so bool) float64 {
+// indicator is 1 for what is so.
+func indicator(so bool) float64 {
 	if so {
 		return 1
 	}
 	return 0
 }
 
-// without takes one time out of a list in order, if it was counted there and still is.
-func without(times []Tick, at Tick, counted bool) []Tick {
+// removeTime takes one time out of a list in order, if it was counted there and still is.
+func removeTime(times []Tick, at Tick, counted bool) []Tick {
 	if i, has := slices.BinarySearch(times, at); has && counted {
 		return slices.Delete(times, i, i+1)
 	}
 	return times
 }
 
-// keep appends a sample and holds on to the last n.
-func keep[T any](all []T, one T, n int) []T {
+// appendBounded appends a sample and holds on to the last n.
+func appendBounded[T any](all []T, one T, n int) []T {
 	all = append(all, one)
 	return all[max(0, len(all)-n):]
 }
@@ -82,29 +82,29 @@
 	bad [][]float64
 }
 
-// filter is a set of keys in a fixed space. It may take a key for one that was added, one in a hundred with 100,000
+// keySet is a set of keys in a fixed space. It may take a key for one that was added, one in a hundred with 100,000
 // of them and two in five with a million; never the other way.
-type filter [1 << 15]uint64
+type keySet [1 << 15]uint64
 
-func (f *filter) has(key uint64) bool {
+func (f *keySet) has(key uint64) bool {
 	return key != 0 && f[key>>6%uint64(len(f))]>>(key%64)&1 == 1 && f[key>>38%uint64(len(f))]>>(key>>32%64)&1 == 1
 }
 
-func (f *filter) add(key uint64) {
+func (f *keySet) add(key uint64) {
 	f[key>>6%uint64(len(f))] |= 1 << (key % 64)
 	f[key>>38%uint64(len(f))] |= 1 << (key >> 32 % 64)
 }
 
-// forwarded keeps that a build has answered a key. Of more builds at once than can be on their way at any
+// rememberKey keeps that a build has answered a key. Of more builds at once than can be on their way at any
 // time, the earliest is let go: its keys are those of a build that two others have followed.
-func (r *Relay) forwarded(key uint64, build uint16) {
-	if r.forward[build] == nil {
-		r.forward[build] = &filter{}
-		if len(r.forward) > mostForward {
-			delete(r.forward, slices.Min(slices.Collect(maps.Keys(r.forward))))
+func (r *Balancer) rememberKey(key uint64, build uint16) {
+	if r.answeredKeys[build] == nil {
+		r.answeredKeys[build] = &keySet{}
+		if len(r.answeredKeys) > rememberedVersions {
+			delete(r.answeredKeys, slices.Min(slices.Collect(maps.Keys(r.answeredKeys))))
 		}
 	}
-	r.forward[build].add(key)
+	r.answeredKeys[build].add(key)
 }
 
 func newSample(opTypes int) *sample {
@@ -112,7 +112,7 @@
 }
 
 func (s *sample) add(which int, bad float64, most int) {
-	s.bad[which] = keep(s.bad[which], bad, most)
+	s.bad[which] = appendBounded(s.bad[which], bad, most)
 }
 
 // count counts the bad ones and all of them, for all op types together with -1.
@@ -126,38 +126,38 @@
 	return bad, n
 }
 
-// share is the part of bad ones among the earlier build's outcomes of one kind, or of all (-1).
-func (r *Relay) share(which int) float64 {
-	bad, n := r.base.count(which)
+// failureShare is the part of bad ones among the earlier build's outcomes of one kind, or of all (-1).
+func (r *Balancer) failureShare(which int) float64 {
+	bad, n := r.baseline.count(which)
 	return (bad + 0.5) / (n + 1)
 }
 
-// usual is the same for ruling an effect out: while next to nothing is known of the earlier build it is held to be
+// baselineShare is the same for ruling an effect out: while next to nothing is known of the earlier build it is held to be
 // good, so that nothing is ruled out too soon.
-func (r *Relay) usual(which int) float64 {
-	if _, n := r.base.count(which); n < keptUnit {
+func (r *Balancer) baselineShare(which int) float64 {
+	if _, n := r.baseline.count(which); n < backendSampleSize {
 		return margin
 	}
-	return r.share(which)
+	return r.failureShare(which)
 }
 
-// stages tells how many a build has, and part the units of one as a share of the fleet's places.
-func (r *Relay) stages() int {
+// stageCount tells how many a build has, and part the units of one as a share of the fleet's places.
+func (r *Balancer) stageCount() int {
 	l, _ := r.set["rollout.stage_shares"].([]any)
 	return max(1, len(l))
 }
 
-func (r *Relay) part(stage int) float64 {
+func (r *Balancer) stageShare(stage int) float64 {
 	l, _ := r.set["rollout.stage_shares"].([]any)
 	part, _ := l[stage].(float64)
 	return part
 }
 
-// running counts the listed units of a build or a later one.
-func (r *Relay) running(build uint16) int {
+// backendsRunning counts the listed units of a build or a later one.
+func (r *Balancer) backendsRunning(build uint16) int {
 	n := 0
-	for _, u := range r.units {
-		if u.Build >= build {
+	for _, u := range r.backends {
+		if u.Version >= build {
 			n++
 		}
 	}
@@ -177,165 +177,169 @@
 
 // Load is what is open or waits for a unit, in parts of what the relay allows itself; commands whose instance runs
 // nowhere wait for that alone.
-func (r *Relay) Load() float64 {
-	n := r.open()
-	for _, cmd := range r.held {
-		if !cmd.answered && (!cmd.Tied || cmd.At != nil) {
+func (r *Balancer) Load() float64 {
+	n := r.openAttempts()
+	for _, cmd := range r.queue {
+		if !cmd.answered && (!cmd.Pinned || cmd.PinnedTo != nil) {
 			n++
 		}
 	}
-	return n / max(1, r.limit)
+	return n / max(1, r.concurrencyLimit)
 }
 
-// open counts the deliveries that are out at units that still answer.
-func (r *Relay) open() float64 {
+// openAttempts counts the deliveries that are out at units that still answer.
+func (r *Balancer) openAttempts() float64 {
 	n := 0.0
-	for _, d := range r.out {
-		if !d.cancelled && !r.silent(d.To) {
+	for _, d := range r.attemptsInFlight {
+		if !d.cancelled && !r.silent(d.Backend) {
 			n++
 		}
 	}
 	return n
 }
 
-// warmth is the part of its capacity that a unit has at the least.
-func (r *Relay) warmth(u *Unit) float64 {
+// warmUpFraction is the part of its capacity that a unit has at the least.
+func (r *Balancer) warmUpFraction(u *Backend) float64 {
 	cold := r.span("rules.cold")
-	if u.Start == 0 || r.now-u.Start >= cold {
+	if u.StartedAt == 0 || r.now-u.StartedAt >= cold {
 		return 1
 	}
 	from := r.num("rules.cold_from")
-	return from + (1-from)*float64(max(0, r.now-u.Start))/float64(cold)
+	return from + (1-from)*float64(max(0, r.now-u.StartedAt))/float64(cold)
 }
 
-// onTrial: the exposure rule counts this build.
-func (r *Relay) onTrial(build uint16) bool {
-	return r.told && (build > r.news.Build || build == r.news.Build && r.news.Phase != Released)
+// isCanary: the exposure rule counts this build.
+func (r *Balancer) isCanary(build uint16) bool {
+	return r.releaseKnown && (build > r.release.Version || build == r.release.Version && r.release.Phase != Released)
 }
 
-// capOf is the cap of a build on trial; one that the news has not named counts as
+// exposureCapOf is the cap of a build on trial; one that the news has not named counts as
 // in the first stage.
-func (r *Relay) capOf(build uint16) (share float64, stage int) {
-	if build == r.news.Build {
-		return r.news.Cap, r.news.Stage
+func (r *Balancer) exposureCapOf(build uint16) (share float64, stage int) {
+	if build == r.release.Version {
+		return r.release.ExposureCap, r.release.Stage
 	}
 	return r.first("rollout.caps"), 0
 }
 
 // mayHaveRun: only these endings prove that a delivery never ran.
-func (d *Delivery) mayHaveRun() bool {
-	return !d.ended || d.ending != Full && d.ending != ConnectFailed && d.ending != Moot
+func (d *Attempt) mayHaveRun() bool {
+	return !d.ended || d.outcome != AtCapacity && d.outcome != ConnectFailed && d.outcome != Discarded
 }
 
-// note counts an outcome at the judged build for the other relays.
-func (r *Relay) note(which int, x float64) {
-	r.tell[2*which] = min(r.tell[2*which]+1, 254)
-	r.tell[2*which+1] = min(r.tell[2*which+1]+byte(x), r.tell[2*which])
+// addToGossip counts an outcome at the judged build for the other relays.
+func (r *Balancer) addToGossip(which int, x float64) {
+	r.gossipCounts[2*which] = min(r.gossipCounts[2*which]+1, 254)
+	r.gossipCounts[2*which+1] = min(r.gossipCounts[2*which+1]+byte(x), r.gossipCounts[2*which])
 }
 
-// Told takes the counts of another relay: outcomes like its own, the bad ones spread
+// OnGossip takes the counts of another relay: outcomes like its own, the bad ones spread
 // evenly. A relay sees a part of the traffic only; together they see a bad build sooner.
-func (r *Relay) Told(now Tick, from uint32, data []byte) {
+func (r *Balancer) OnGossip(now Tick, from uint32, data []byte) {
 	r.now = now
-	ops := len(r.opTypes)
-	if r.judged == nil || len(data) != 4+2*ops || uint16(data[0])|uint16(data[1])<<8 != r.judged.build {
+	ops := len(r.classes)
+	if r.evaluation == nil || len(data) != 4+2*ops || uint16(data[0])|uint16(data[1])<<8 != r.evaluation.version {
 		return
 	}
 	for which := range ops + 1 {
 		if which < ops {
-			r.judged.inStage += int(data[2+2*which])
+			r.evaluation.outcomesInStage += int(data[2+2*which])
 		}
 		n, bad := int(data[2+2*which]), int(data[3+2*which])
 		for i := range n {
 			x := float64((i+1)*bad/n - i*bad/n)
 			if which < ops {
-				r.judged.rule(which, x, r.usual(which), effect)
-				r.see(0, x, r.edge(-1, which))
+				r.evaluation.ruleOutEffect(which, x, r.baselineShare(which), ruledOutEffect)
+				r.observe(0, x, r.failureBound(-1, which))
 			}
-			r.see(1+which, x, r.edge(which, which))
+			r.observe(1+which, x, r.failureBound(which, which))
 		}
 	}
-	r.consider()
+	r.considerVote()
 }
 
 // fleet is what a host may offer beside: one that does not leaves repeats and probes to this module's own rules.
 type fleet interface {
-	MayRepeat(cmd *Command) bool
-	Avoids(u *Unit) bool
-	MayProbe(u *Unit) bool
+	MayRetry(cmd *Request) bool
+	AvoidsBackend(u *Backend) bool
+	MayProbe(u *Backend) bool
 }
 
-// again asks for one more delivery of a command. Where there is to be none its last error speaks for the build at once:
+// allowRetry asks for one more delivery of a command. Where there is to be none its last error speaks for the build at once:
 // no answer of another unit will come.
-func (r *Relay) again(cmd *Command, ended bool) bool {
+func (r *Balancer) allowRetry(cmd *Request, ended bool) bool {
 	f, ok := r.host.(fleet)
 	switch {
 	case !ok:
 		return true
-	case cmd.Tied && cmd.deliveries[len(cmd.deliveries)-1].ending == Full: // its instance is elsewhere: nothing ran
+	case cmd.Pinned && cmd.attempts[len(cmd.attempts)-1].outcome == AtCapacity: // its instance is elsewhere: nothing ran
 		return true
-	case cmd.granted && ended: // when it was called off
-		cmd.granted = false
+	case cmd.retryGranted && ended: // when it was called off
+		cmd.retryGranted = false
 		return true
-	case f.MayRepeat(cmd):
-		cmd.granted = !ended
+	case f.MayRetry(cmd):
+		cmd.retryGranted = !ended
 		return true
 	}
-	if before := cmd.suspect; ended && before != nil {
-		cmd.suspect = nil
-		r.count(before, false)
+	if before := cmd.deferredFailure; ended && before != nil {
+		cmd.deferredFailure = nil
+		r.recordForVersion(before, false)
 	}
 	return false
 }
 
-// mayTry asks whether this relay may try a unit that it doubts, or other relays do; else it leaves it alone for a moment.
+// mayProbe asks whether this relay may try a unit that it doubts, or other relays do; else it leaves it alone for a moment.
 // Where more than a few were set aside it is no unit's doing, and what others say counts for nothing.
-func (r *Relay) mayTry(u *Unit) bool {
+func (r *Balancer) mayProbe(u *Backend) bool {
 	f, ok := r.host.(fleet)
-	if !ok || !r.doubted(u) && (!f.Avoids(u) || 4*r.setAside() >= len(r.units)) || f.MayProbe(u) {
+	if !ok || !r.suspect(u) && (!f.AvoidsBackend(u) || 4*r.ejectedCount() >= len(r.backends)) || f.MayProbe(u) {
 		return true
 	}
-	u.nextTry, u.shunned = r.now+gapFirst, r.now+gapFirst
+	u.nextProbation, u.avoidedUntil = r.now+probationFirst, r.now+probationFirst
 	return false
 }
 
-func (r *Relay) setAside() (n int) {
-	for _, u := range r.units {
-		if u.aside || r.now < u.shunned {
+func (r *Balancer) ejectedCount() (n int) {
+	for _, u := range r.backends {
+		if u.ejected || r.now < u.avoidedUntil {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Relay) lane(op int) *lane { return &r.lanes[min(op, len(r.lanes)-1)] }
+func (r *Balancer) exposureOf(op int) *exposureCounter {
+	return &r.exposure[min(op, len(r.exposure)-1)]
+}
 
-// Probed changes nothing: the design judges by outcomes.
-func (r *Relay) Probed(now Tick, u *Unit, ending Ending, took Tick, load []float64) { r.now = now }
+// OnProbe changes nothing: the design judges by outcomes.
+func (r *Balancer) OnProbe(now Tick, u *Backend, ending Outcome, took Tick, load []float64) {
+	r.now = now
+}
 
-// Reason says why a vote of this kind is cast now.
-func (r *Relay) Reason(v Verdict) string {
-	switch open := r.short(); {
-	case v == GoBack:
-		return r.judged.alarm
-	case v == Hold:
+// VoteReason says why a vote of this kind is cast now.
+func (r *Balancer) VoteReason(v Verdict) string {
+	switch open := r.missingEvidence(); {
+	case v == RollBack:
+		return r.evaluation.alarm
+	case v == Pause:
 		return "outcomes that look worse than the earlier build's"
 	case open >= 0:
-		return "the clock, as the effect is not ruled out for " + streamName(1+open, len(r.opTypes))
+		return "the clock, as the effect is not ruled out for " + streamName(1+open, len(r.classes))
 	}
 	return "evidence that rules the effect out for each op type with traffic"
 }
 
-// toEnd puts one at the end of a list that has it.
-func toEnd[T comparable](list []T, one T) {
+// moveToEnd puts one at the end of a list that has it.
+func moveToEnd[T comparable](list []T, one T) {
 	if at := slices.Index(list, one); at >= 0 {
 		copy(list[at:], list[at+1:])
 		list[len(list)-1] = one
 	}
 }
 
-// listed puts a ready unit at a place of the list that lacks it, and takes out another.
-func listed(units []*Unit, u *Unit, place int) []*Unit {
+// applyListing puts a ready unit at a place of the list that lacks it, and takes out another.
+func applyListing(units []*Backend, u *Backend, place int) []*Backend {
 	at := slices.Index(units, u)
 	switch {
 	case u.State == Ready && at < 0:
@@ -356,37 +360,37 @@
 	return name
 }
 
-// Streaming takes the start of a streamed answer: the delivery is the client's now.
-func (r *Relay) Streaming(now Tick, d *Delivery) {
+// OnStreamStart takes the start of a streamed answer: the delivery is the client's now.
+func (r *Balancer) OnStreamStart(now Tick, d *Attempt) {
 	r.now = now
-	d.To.heard, d.Cmd.streaming = now, true
-	d.due = Tick(math.MaxInt64) // its time-out has stopped running
+	d.Backend.lastAnswer, d.Request.streaming = now, true
+	d.slowAfter = Tick(math.MaxInt64) // its time-out has stopped running
 }
 
-// Left takes that a client has gone: nothing is owed, and nothing more is sent.
-func (r *Relay) Left(now Tick, cmd *Command) {
+// OnClientGone takes that a client has gone: nothing is owed, and nothing more is sent.
+func (r *Balancer) OnClientGone(now Tick, cmd *Request) {
 	r.now = now
 	cmd.answered = true
-	for _, d := range cmd.deliveries {
+	for _, d := range cmd.attempts {
 		if !d.ended && !cmd.streaming && r.flag("limits.may_cancel") {
-			r.host.Cancel(d)
+			r.host.CancelAttempt(d)
 		}
 	}
 }
 
 // prepare starts the generator and makes room for what is kept by op type.
-func (r *Relay) prepare(seed uint64) {
+func (r *Balancer) prepare(seed uint64) {
 	r.x, r.carry = uint32(seed), uint32(seed>>32)%4294957664+1
-	r.opTypes, _ = r.set["op_types"].([]map[string]any)
-	ops := len(r.opTypes)
-	r.lanes = make([]lane, 1)
+	r.classes, _ = r.set["op_types"].([]map[string]any)
+	ops := len(r.classes)
+	r.exposure = make([]exposureCounter, 1)
 	if r.word("rollout.exposure_by") == "op_type" {
-		r.lanes = make([]lane, ops)
+		r.exposure = make([]exposureCounter, ops)
 	}
-	r.base = newSample(ops)
-	r.took, r.learned, r.typical, r.middle = make([][]Tick, ops), make([]Tick, ops), make([]Tick, ops), make([]Tick, ops)
-	r.target = Tick(math.MaxInt64)
-	for _, t := range r.opTypes {
-		r.target = min(r.target, ticks(t["service_target"]))
+	r.baseline = newSample(ops)
+	r.latencies, r.latencyKnownAt, r.p90Latency, r.medianLatency = make([][]Tick, ops), make([]Tick, ops), make([]Tick, ops), make([]Tick, ops)
+	r.shortestObjective = Tick(math.MaxInt64)
+	for _, t := range r.classes {
+		r.shortestObjective = min(r.shortestObjective, ticks(t["service_target"]))
 	}
 }
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -9,18 +9,18 @@
 // Host is what the module acts through. Every call takes effect at the time of
 // the event that is being handled.
 type Host interface {
-	Deliver(d *Delivery, stopAt Tick)              // starts a delivery, the next number of its command
-	Nack(cmd *Command, comeBack Tick)              // final answer: trying again is harmless
-	Fail(cmd *Command)                             // final answer: no promise about the effect
-	Cancel(d *Delivery)                            // stops waiting for one delivery
-	WakeAt(at Tick, tag uint32)                    // Alarm(tag) at or after the time
-	Probe(u *Unit)                                 // checks a unit, where the settings allow it
-	CloseIdle(u *Unit)                             // closes idle connections to a unit
-	Tell(peer uint32, data []byte)                 // a message to one relay, AllPeers for every one
-	Log(text string)                               // a line for the people on call
-	Watch(on bool)                                 // asks for changes of the list of units
-	Fetch()                                        // asks for the whole list of units once
-	Vote(build uint16, stage int, verdict Verdict) // casts this relay's vote
+	StartAttempt(d *Attempt, stopAt Tick)              // starts a delivery, the next number of its command
+	Reject(cmd *Request, comeBack Tick)                // final answer: trying again is harmless
+	Fail(cmd *Request)                                 // final answer: no promise about the effect
+	CancelAttempt(d *Attempt)                          // stops waiting for one delivery
+	SetTimer(at Tick, tag uint32)                      // Alarm(tag) at or after the time
+	Probe(u *Backend)                                  // checks a unit, where the settings allow it
+	CloseIdle(u *Backend)                              // closes idle connections to a unit
+	SendGossip(peer uint32, data []byte)               // a message to one relay, AllPeers for every one
+	Log(text string)                                   // a line for the people on call
+	WatchEndpoints(on bool)                            // asks for changes of the list of units
+	FetchEndpoints()                                   // asks for the whole list of units once
+	CastVote(build uint16, stage int, verdict Verdict) // casts this relay's vote
 }
 
 // AllPeers names every relay of the tier in Tell.
@@ -32,212 +32,212 @@
 // The verdicts of a vote.
 const (
 	NoVote Verdict = iota
-	GoOn
-	Hold
-	GoBack
+	Promote
+	Pause
+	RollBack
 )
 
-// Ending tells how a delivery, a probe or a vote ended.
-type Ending uint8
+// Outcome tells how a delivery, a probe or a vote ended.
+type Outcome uint8
 
 // The endings.
 const (
-	Acked Ending = 1 + iota
+	Succeeded Outcome = 1 + iota
 	Errored
-	Full
+	AtCapacity
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Discarded
 )
 
-// Phase is where a build stands.
-type Phase uint8
+// RolloutPhase is where a build stands.
+type RolloutPhase uint8
 
 // The phases of a build.
 const (
-	OnTrial Phase = iota
+	Canary RolloutPhase = iota
 	RollingBack
 	Released
 	Withdrawn
 )
 
-// State is what the list says of a unit.
-type State uint8
+// EndpointState is what the list says of a unit.
+type EndpointState uint8
 
 // The states of a unit.
 const (
-	Gone State = iota
+	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// Command is one command that the relay has taken. The exported fields are set by
+// Request is one command that the relay has taken. The exported fields are set by
 // the front that took it; Door is that front's own name for it.
-type Command struct {
-	Door     uint64
-	OpType   int
-	Customer int
-	Key      uint64
-	NotAfter Tick
-	Work     Tick // 0: not known
-	Repeated bool
-	Write    bool
-	Tied     bool  // only the unit that its instance runs at may get it
-	At       *Unit // that unit; nil while it is not known
-
-	taken      Tick
-	deliveries []*Delivery
-	answered   bool
-	hopeless   bool      // it failed at two units
-	suspect    *Delivery // its error waits for the next answer
-	streaming  bool
-	spared     bool // it is tried though it seems hopeless
-	granted    bool // the fleet has allowed a delivery that has not gone out yet
-	held       bool
-	rank       float64 // among the held
-	end        Tick    // when it loses its use
+type Request struct {
+	ID            uint64
+	Class         int
+	Tenant        int
+	Key           uint64
+	Deadline      Tick
+	EstimatedWork Tick // 0: not known
+	ClientRetry   bool
+	Write         bool
+	Pinned        bool     // only the unit that its instance runs at may get it
+	PinnedTo      *Backend // that unit; nil while it is not known
+
+	receivedAt        Tick
+	attempts          []*Attempt
+	answered          bool
+	failedTwice       bool     // it failed at two units
+	deferredFailure   *Attempt // its error waits for the next answer
+	streaming         bool
+	triedDespiteDelay bool // it is tried though it seems hopeless
+	retryGranted      bool // the fleet has allowed a delivery that has not gone out yet
+	queued            bool
+	priority          float64 // among the held
+	usefulUntil       Tick    // when it loses its use
 }
 
-// Delivery is one try of a command at a unit.
-type Delivery struct {
-	Cmd *Command
-	No  int
-	To  *Unit
-
-	sent      Tick
-	counted   Tick // when it last was, towards exposure and the cold budget
-	exposed   bool // by the first
-	cold      bool // and by the second
-	due       Tick // when it counts as slow for the build
-	late      Tick // and for its unit
-	build     uint16
-	since     Tick // To's start as it was known when this was sent
-	first     bool
-	ended     bool
-	marked    bool // its unit's silence was counted before it ended
-	slow      bool // counted as slow before it ended
-	cancelled bool
-	ending    Ending
+// Attempt is one try of a command at a unit.
+type Attempt struct {
+	Request *Request
+	Number  int
+	Backend *Backend
+
+	sentAt            Tick
+	countedAt         Tick // when it last was, towards exposure and the cold budget
+	countedAsExposure bool // by the first
+	countedAsWarmUp   bool // and by the second
+	slowAfter         Tick // when it counts as slow for the build
+	lateAfter         Tick // and for its unit
+	version           uint16
+	backendStart      Tick // To's start as it was known when this was sent
+	newConnection     bool
+	ended             bool
+	silenceCounted    bool // its unit's silence was counted before it ended
+	countedAsSlow     bool // counted as slow before it ended
+	cancelled         bool
+	outcome           Outcome
 }
 
-// Listing is what the list of units says of one unit.
-type Listing struct {
-	Zone, Cell, Kind int
-	State            State
-	Nominal          float64
-	Start            Tick // 0: long ago
-	Build            uint16
+// Endpoint is what the list of units says of one unit.
+type Endpoint struct {
+	Zone, Cell, MachineKind int
+	State                   EndpointState
+	NominalWeight           float64
+	StartedAt               Tick // 0: long ago
+	Version                 uint16
 }
 
-// Unit is a server. Door is the front's own name for it.
-type Unit struct {
-	Door uint32
-	Listing
-
-	known    bool
-	inFlight int
-	oldest   Tick      // when the relay began to wait for any answer of this unit
-	heard    Tick      // the last answer
-	acks     []Tick    // times of the last acked deliveries
-	sends    []Tick    // sends within the cold window
-	coldFrom Tick      // the last of them, or when this process was first listed
-	coldDue  float64   // part of a budget's delivery that must come due since
-	failed   Tick      // the last time
-	marks    []float64 // the last outcomes, 1 for a failure
-	paces    []float64 // how long the last ones took, in parts of what was due
-	doubt    float64
-	aside    bool
-	gap      Tick // between the deliveries of the trickle
-	nextTry  Tick
-	shunned  Tick // up to then, for other relays' sake
+// Backend is a server. Door is the front's own name for it.
+type Backend struct {
+	ID uint32
+	Endpoint
+
+	listed            bool
+	inFlight          int
+	waitingSince      Tick      // when the relay began to wait for any answer of this unit
+	lastAnswer        Tick      // the last answer
+	successTimes      []Tick    // times of the last acked deliveries
+	warmUpSends       []Tick    // sends within the cold window
+	lastWarmUpSend    Tick      // the last of them, or when this process was first listed
+	warmUpShareDue    float64   // part of a budget's delivery that must come due since
+	lastFailure       Tick      // the last time
+	recentFailures    []float64 // the last outcomes, 1 for a failure
+	relativeLatencies []float64 // how long the last ones took, in parts of what was due
+	failureWealth     float64
+	ejected           bool
+	probationInterval Tick // between the deliveries of the trickle
+	nextProbation     Tick
+	avoidedUntil      Tick // up to then, for other relays' sake
 }
 
-// StageNews is what the platform says of the newest build.
-type StageNews struct {
-	Build  uint16
-	Stage  int
-	Phase  Phase
-	Answer bool // the answer to a vote of this relay
-	Ending Ending
-	Cap    float64
-	Age    Tick
+// ReleaseStatus is what the platform says of the newest build.
+type ReleaseStatus struct {
+	Version     uint16
+	Stage       int
+	Phase       RolloutPhase
+	VoteReply   bool // the answer to a vote of this relay
+	Outcome     Outcome
+	ExposureCap float64
+	Age         Tick
 }
 
-// Relay decides for one instance.
-type Relay struct {
-	host     Host
-	set      map[string]any
-	opTypes  []map[string]any
-	now      Tick
-	born     Tick
-	alone    bool   // nearly every unit is in doubt
-	x, carry uint32 // chance
-
-	listed  bool        // the first list has ended
-	units   []*Unit     // those listed as ready, in this relay's own order, the nearest first
-	limit   float64     // open deliveries that it allows itself
-	rescues float64     // that may be made now
-	own     []float64   // of the last commands answered or failed at two units, 1 for a failure
-	near    int         // how many of them it chooses from
-	held    []*Command  // those without a unit, in the order of their end
-	marks   []float64   // the last outcomes at any unit, 1 for a failure
-	out     []*Delivery // not ended, oldest first
-	acks    []Tick      // of the last seconds
-	asked   []Tick      // commands taken in them, repeats aside
-	whole   float64     // units in use, by warmth
-	perUnit float64     // acked a second at a warm unit, this relay's part
-	fair    float64     // part of the commands that the units of the build on trial can take
-	took    [][]Tick    // the last acked deliveries of each op type, at any build
-	learned []Tick      // when the last of them came
-	typical []Tick      // what one in ten of them exceeds
-	middle  []Tick      // and half of them
-	target  Tick        // the least service target
-
-	tell   []byte // counts for the other relays: of each op type and of answers, all and bad
-	tellAt Tick
-
-	lanes   []lane // what the exposure rule counts: all, or one an op type
-	news    StageNews
-	told    bool
-	since   Tick               // when the newest stage started
-	recount Tick               // when a lower cap binds and the count starts anew
-	forward map[uint16]*filter // the keys that a build has answered, of few builds
-
-	base     *sample // of the earlier build
-	compared Tick    // when it last gave an outcome
-	counted  Tick    // when the platform last counted some of it
-	judged   *trial
-	ballot   ballot
-
-	asking   bool
-	askAgain Tick
-	askGap   Tick
+// Balancer decides for one instance.
+type Balancer struct {
+	host        Host
+	set         map[string]any
+	classes     []map[string]any
+	now         Tick
+	startedAt   Tick
+	mostSuspect bool   // nearly every unit is in doubt
+	x, carry    uint32 // chance
+
+	listSynced        bool       // the first list has ended
+	backends          []*Backend // those listed as ready, in this relay's own order, the nearest first
+	concurrencyLimit  float64    // open deliveries that it allows itself
+	cancelBudget      float64    // that may be made now
+	requestFaults     []float64  // of the last commands answered or failed at two units, 1 for a failure
+	choiceSize        int        // how many of them it chooses from
+	queue             []*Request // those without a unit, in the order of their end
+	recentFailures    []float64  // the last outcomes at any unit, 1 for a failure
+	attemptsInFlight  []*Attempt // not ended, oldest first
+	successTimes      []Tick     // of the last seconds
+	arrivals          []Tick     // commands taken in them, repeats aside
+	warmCapacity      float64    // units in use, by warmth
+	ratePerBackend    float64    // acked a second at a warm unit, this relay's part
+	canaryFraction    float64    // part of the commands that the units of the build on trial can take
+	latencies         [][]Tick   // the last acked deliveries of each op type, at any build
+	latencyKnownAt    []Tick     // when the last of them came
+	p90Latency        []Tick     // what one in ten of them exceeds
+	medianLatency     []Tick     // and half of them
+	shortestObjective Tick       // the least service target
+
+	gossipCounts []byte // counts for the other relays: of each op type and of answers, all and bad
+	nextGossip   Tick
+
+	exposure        []exposureCounter // what the exposure rule counts: all, or one an op type
+	release         ReleaseStatus
+	releaseKnown    bool
+	stageStart      Tick               // when the newest stage started
+	exposureResetAt Tick               // when a lower cap binds and the count starts anew
+	answeredKeys    map[uint16]*keySet // the keys that a build has answered, of few builds
+
+	baseline          *sample // of the earlier build
+	baselineTimedAt   Tick    // when it last gave an outcome
+	baselineMetricsAt Tick    // when the platform last counted some of it
+	evaluation        *evaluation
+	vote              vote
+
+	polling      bool
+	nextPoll     Tick
+	pollInterval Tick
 }
 
-// lane is one count of the exposure rule.
-type lane struct {
-	taken, sent []Tick
-	credit      float64 // first deliveries due to the trial build
+// exposureCounter is one count of the exposure rule.
+type exposureCounter struct {
+	arrivals, attempts []Tick
+	credit             float64 // first deliveries due to the trial build
 }
 
-// trial is the judging of one build.
-type trial struct {
-	build   uint16
-	sample  *sample
-	streams []stream  // all outcomes, one an op type, wrong answers
-	out     []float64 // wealth against the effect, by op type, then for flags
-	answers []Tick    // whose flags may be on their way
-	inStage int       // outcomes in the stage
-	stage   int       // that they were counted in
-	past    int       // votes back found the stages before it passed
-	places  float64   // units of earlier builds when this one came
-	whole   float64   // units in use then, by warmth
-	acked   float64   // in the last seconds when this one came
-	before  float64   // the earlier build's failure share when this one came
-	middle  []Tick    // and the middle time of each op type's deliveries
-	alarm   string
+// evaluation is the judging of one build.
+type evaluation struct {
+	version          uint16
+	sample           *sample
+	streams          []stream  // all outcomes, one an op type, wrong answers
+	effectWealth     []float64 // wealth against the effect, by op type, then for flags
+	awaitingReports  []Tick    // whose flags may be on their way
+	outcomesInStage  int       // outcomes in the stage
+	countedStage     int       // that they were counted in
+	stagePassed      int       // votes back found the stages before it passed
+	baselineBackends float64   // units of earlier builds when this one came
+	warmCapacity     float64   // units in use then, by warmth
+	successRate      float64   // in the last seconds when this one came
+	slowShareBefore  float64   // the earlier build's failure share when this one came
+	medianLatency    []Tick    // and the middle time of each op type's deliveries
+	alarm            string
 }
 
 // stream is the design's detector: a test started at each outcome.
@@ -255,9 +255,9 @@
 	wealth float64
 }
 
-// ballot is this relay's vote.
-type ballot struct {
-	build   uint16
+// vote is this relay's vote.
+type vote struct {
+	version uint16
 	stage   int
 	verdict Verdict
 	state   int
@@ -265,8 +265,8 @@
 }
 
 const (
-	noBallot = iota
-	drawn
-	cast
-	stands
+	voteNone = iota
+	voteDrawn
+	voteCast
+	voteStands
 )
--- a/internal/dispatch/ending.go
+++ b/internal/dispatch/ending.go
@@ -10,23 +10,23 @@
 
 // Outcome maps how a delivery ended: the SQLSTATE of its answer, or with none how its connection
 // ended. What is uncertain may have run.
-func Outcome(state string, end transport.End) balancer.Ending {
+func Outcome(state string, end transport.End) balancer.Outcome {
 	switch state {
 	case "":
 		return withoutAnswer(end)
 	case pgwire.Complete:
-		return balancer.Acked
+		return balancer.Succeeded
 	case pgwire.NoRoom:
-		return balancer.Full
+		return balancer.AtCapacity
 	}
 	return balancer.Errored
 }
 
 // withoutAnswer: before the last byte was written nothing can have run.
-func withoutAnswer(end transport.End) balancer.Ending {
+func withoutAnswer(end transport.End) balancer.Outcome {
 	switch {
 	case !end.Sent && end.How == transport.CalledOff:
-		return balancer.Moot
+		return balancer.Discarded
 	case !end.Sent:
 		return balancer.ConnectFailed
 	case end.How == transport.Late:
@@ -38,14 +38,14 @@
 }
 
 // VoteOutcome maps how a vote ended: the status of its answer, 0 with none that can be read.
-func VoteOutcome(status int, end transport.End) balancer.Ending {
+func VoteOutcome(status int, end transport.End) balancer.Outcome {
 	switch {
 	case status == 200:
-		return balancer.Acked
+		return balancer.Succeeded
 	case status == 429:
-		return balancer.Full
+		return balancer.AtCapacity
 	case status == 409:
-		return balancer.Moot
+		return balancer.Discarded
 	case status == 400, status == 500:
 		return balancer.Errored
 	case status == 0 && !end.Sent:
@@ -56,12 +56,12 @@
 
 // MirrorOutcome maps how a delivery at a mirror of a repository ended: the status of its answer, 0 with none,
 // and whether what it said was believed. What is not believed is as good as what cannot be read.
-func MirrorOutcome(status int, believed bool, end transport.End) balancer.Ending {
+func MirrorOutcome(status int, believed bool, end transport.End) balancer.Outcome {
 	switch {
 	case believed:
-		return balancer.Acked
+		return balancer.Succeeded
 	case status == 429, status == 503:
-		return balancer.Full
+		return balancer.AtCapacity
 	case status >= 500:
 		return balancer.Errored
 	case status != 0:
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -84,14 +84,14 @@
 		if !any {
 			return
 		}
-		g.module.Told(g.now(), 0, data)
+		g.module.OnGossip(g.now(), 0, data)
 	}
 }
 
 // Gate stands before one module.
 type Gate struct {
 	mu     sync.Mutex
-	module *balancer.Relay
+	module *balancer.Balancer
 	hands  Hands
 	opened time.Time     // both of its clocks were read at once
 	base   balancer.Tick // Unix time then
@@ -109,8 +109,8 @@
 	gone   []*unit // those not listed any more, the longest first
 	keep   balancer.Tick
 	stage  int // of the newest build
-	open   map[*balancer.Command]*Command
-	out    map[*balancer.Delivery]*Delivery
+	open   map[*balancer.Request]*Command
+	out    map[*balancer.Attempt]*Delivery
 	spots  map[string]*spot // by instance; nil outside of a fleet
 	lag    lag
 	Counts Counts
@@ -123,7 +123,7 @@
 
 // unit is what the door knows of a unit of the list.
 type unit struct {
-	balancer.Unit
+	balancer.Backend
 	name, dial string
 	out        int           // deliveries
 	went       balancer.Tick // when it was last listed as gone
@@ -133,8 +133,8 @@
 func New(seed uint64, settings map[string]any, hands Hands) *Gate {
 	now := time.Now()
 	g := &Gate{hands: hands, opened: now, base: balancer.Tick(now.UnixMicro() / 100), bell: wakeup.New(),
-		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Command]*Command{},
-		out: map[*balancer.Delivery]*Delivery{}}
+		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Request]*Command{},
+		out: map[*balancer.Attempt]*Delivery{}}
 	types, _ := settings["op_types"].([]map[string]any)
 	for i, t := range types {
 		name, _ := t["name"].(string)
@@ -222,7 +222,7 @@
 
 // Command is one command that was taken.
 type Command struct {
-	module balancer.Command
+	module balancer.Request
 	steps  chan Step // at most one delivery and one final answer are ever waiting
 	handed bool
 	left   bool // its client went before it was handed over
@@ -261,7 +261,7 @@
 	Unit
 	Context context.Context
 	StopAt  time.Time
-	module  *balancer.Delivery
+	module  *balancer.Attempt
 	of      *Command
 	cancel  context.CancelFunc
 	sent    time.Time
@@ -277,9 +277,9 @@
 	if !ok {
 		return nil, false
 	}
-	return &Command{op: op, key: a.Key, from: a.Customer, closed: a.Left, steps: make(chan Step, 4), module: balancer.Command{OpType: op,
-		Customer: g.number("customers", a.Customer), Key: keyOf(a.Key), NotAfter: g.tick(a.Came.Add(a.Wait)),
-		Work: balancer.Tick((a.Work + tenth - 1) / tenth), Repeated: a.Repeated, Write: a.Write}}, true
+	return &Command{op: op, key: a.Key, from: a.Customer, closed: a.Left, steps: make(chan Step, 4), module: balancer.Request{Class: op,
+		Tenant: g.number("customers", a.Customer), Key: keyOf(a.Key), Deadline: g.tick(a.Came.Add(a.Wait)),
+		EstimatedWork: balancer.Tick((a.Work + tenth - 1) / tenth), ClientRetry: a.Repeated, Write: a.Write}}, true
 }
 
 // keyOf tells keys apart (FNV-1a); 0 is no key.
@@ -304,14 +304,14 @@
 			return Step{Final: Gone}
 		}
 		g.doors++
-		c.module.Door = g.doors
+		c.module.ID = g.doors
 		g.open[&c.module] = c
 		g.tie(c)
 		g.Counts.Ops[c.op].Taken++
 		if back, shed := g.sheds(c); shed {
 			g.final(&c.module, Step{Final: Nacked, ComeBack: back})
 		} else {
-			g.module.Command(g.now(), &c.module)
+			g.module.OnRequest(g.now(), &c.module)
 		}
 		g.mu.Unlock()
 	}
@@ -323,7 +323,7 @@
 	if g.hands.Shed == nil {
 		return 0, false
 	}
-	ok, back := g.hands.Shed.Take(c.op, g.weight[c.op], c.from, c.module.Repeated)
+	ok, back := g.hands.Shed.Take(c.op, g.weight[c.op], c.from, c.module.ClientRetry)
 	if !ok {
 		g.Counts.Shed++
 	}
@@ -350,42 +350,42 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return d.Context.Err() == nil && g.open[d.module.Cmd] != nil && g.byDoor[d.module.To.Door].place() == d.Unit &&
-		g.module.Begin(g.now(), d.module)
+	return d.Context.Err() == nil && g.open[d.module.Request] != nil && g.byDoor[d.module.Backend.ID].place() == d.Unit &&
+		g.module.BeginAttempt(g.now(), d.module)
 }
 
 // Streaming tells that the answer to a delivery is being passed on while it comes.
 func (g *Gate) Streaming(d *Delivery) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.module.Streaming(g.now(), d.module)
+	g.module.OnStreamStart(g.now(), d.module)
 }
 
-func (g *Gate) ended(d *Delivery, ending balancer.Ending, load []float64) (acked bool) {
+func (g *Gate) ended(d *Delivery, ending balancer.Outcome, load []float64) (acked bool) {
 	d.cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.open[d.module.Cmd]
+	c := g.open[d.module.Request]
 	delete(g.out, d.module)
-	g.byDoor[d.module.To.Door].out--
+	g.byDoor[d.module.Backend.ID].out--
 	g.Counts.Endings[ending]++
-	acked = ending == balancer.Acked
+	acked = ending == balancer.Succeeded
 	if acked && c != nil {
 		g.Counts.Ops[c.op].Acked++
-		delete(g.open, d.module.Cmd)
+		delete(g.open, d.module.Request)
 		g.untie(c)
 	}
 	now := g.now()
 	if w := g.hands.Witness; w != nil && (acked || ending == balancer.Errored) {
-		w.Outcome(now, d.build, d.module.Cmd.OpType, g.stage, !acked)
+		w.Outcome(now, d.build, d.module.Request.Class, g.stage, !acked)
 	}
-	if s := g.hands.Shed; s != nil && ending <= balancer.Reset && ending != balancer.Full { // one that is full is well
+	if s := g.hands.Shed; s != nil && ending <= balancer.Reset && ending != balancer.AtCapacity { // one that is full is well
 		s.Outcome(d.Name, acked)
 		if acked {
-			s.Worked(d.module.Cmd.OpType, time.Since(d.sent))
+			s.Worked(d.module.Request.Class, time.Since(d.sent))
 		}
 	}
-	g.module.Outcome(now, d.module, ending, max(0, now-g.tick(d.sent)), acked || c == nil, load)
+	g.module.OnOutcome(now, d.module, ending, max(0, now-g.tick(d.sent)), acked || c == nil, load)
 	return acked
 }
 
@@ -400,7 +400,7 @@
 	delete(g.open, &c.module)
 	g.untie(c)
 	g.Counts.Ops[c.op].Left++
-	g.module.Left(g.now(), &c.module)
+	g.module.OnClientGone(g.now(), &c.module)
 	c.steps <- Step{Final: Gone}
 }
 
@@ -451,17 +451,17 @@
 		g.alarms = append(g.alarms[:next], g.alarms[next+1:]...)
 		g.lag.add(spanOf(now - a.at))
 		before := time.Now()
-		g.module.Alarm(now, a.tag)
+		g.module.OnTimer(now, a.tag)
 		g.lag.busy(time.Since(before))
 	}
 }
 
 // What follows is the module's Host. All of it runs while the gate is held.
 
-// Deliver hands a delivery to whoever waits in Pick.
-func (g *Gate) Deliver(d *balancer.Delivery, stopAt balancer.Tick) {
-	c, u := g.open[d.Cmd], g.byDoor[d.To.Door]
-	if s := g.hands.Shed; s != nil && d.No == 0 && !d.Cmd.Repeated {
+// StartAttempt hands a delivery to whoever waits in Pick.
+func (g *Gate) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
+	c, u := g.open[d.Request], g.byDoor[d.Backend.ID]
+	if s := g.hands.Shed; s != nil && d.Number == 0 && !d.Request.ClientRetry {
 		s.First()
 	}
 	at := g.time(stopAt)
@@ -473,32 +473,32 @@
 	c.steps <- Step{Delivery: out}
 }
 
-// MayRepeat tells whether a command may be delivered once more, as far as the fleet is concerned.
-func (g *Gate) MayRepeat(cmd *balancer.Command) bool {
-	return g.hands.Shed == nil || g.hands.Shed.Again(cmd.Repeated)
+// MayRetry tells whether a command may be delivered once more, as far as the fleet is concerned.
+func (g *Gate) MayRetry(cmd *balancer.Request) bool {
+	return g.hands.Shed == nil || g.hands.Shed.Again(cmd.ClientRetry)
 }
 
-// Avoids tells whether a unit is sick for other relays of the fleet.
-func (g *Gate) Avoids(u *balancer.Unit) bool {
-	return g.hands.Shed != nil && g.hands.Shed.Avoids(g.byDoor[u.Door].name)
+// AvoidsBackend tells whether a unit is sick for other relays of the fleet.
+func (g *Gate) AvoidsBackend(u *balancer.Backend) bool {
+	return g.hands.Shed != nil && g.hands.Shed.Avoids(g.byDoor[u.ID].name)
 }
 
 // MayProbe tells whether a delivery may try a doubted unit, as far as the fleet is concerned.
-func (g *Gate) MayProbe(u *balancer.Unit) bool {
-	return g.hands.Shed == nil || g.hands.Shed.Probes(g.byDoor[u.Door].name)
+func (g *Gate) MayProbe(u *balancer.Backend) bool {
+	return g.hands.Shed == nil || g.hands.Shed.Probes(g.byDoor[u.ID].name)
 }
 
-func (u *unit) place() Unit { return Unit{u.name, u.dial, int64(u.Start)} }
+func (u *unit) place() Unit { return Unit{u.name, u.dial, int64(u.StartedAt)} }
 
-// Nack ends a command with the promise that trying again is harmless.
-func (g *Gate) Nack(cmd *balancer.Command, comeBack balancer.Tick) {
+// Reject ends a command with the promise that trying again is harmless.
+func (g *Gate) Reject(cmd *balancer.Request, comeBack balancer.Tick) {
 	g.final(cmd, Step{Final: Nacked, ComeBack: spanOf(comeBack)})
 }
 
 // Fail ends a command without any promise.
-func (g *Gate) Fail(cmd *balancer.Command) { g.final(cmd, Step{Final: Failed}) }
+func (g *Gate) Fail(cmd *balancer.Request) { g.final(cmd, Step{Final: Failed}) }
 
-func (g *Gate) final(cmd *balancer.Command, s Step) {
+func (g *Gate) final(cmd *balancer.Request, s Step) {
 	c := g.open[cmd]
 	if c == nil {
 		return // its client has left
@@ -513,42 +513,42 @@
 	c.steps <- s
 }
 
-// Cancel stops waiting for a delivery.
-func (g *Gate) Cancel(d *balancer.Delivery) {
+// CancelAttempt stops waiting for a delivery.
+func (g *Gate) CancelAttempt(d *balancer.Attempt) {
 	if out := g.out[d]; out != nil {
 		out.cancel()
 	}
 }
 
-// WakeAt sets an alarm.
-func (g *Gate) WakeAt(at balancer.Tick, tag uint32) {
+// SetTimer sets an alarm.
+func (g *Gate) SetTimer(at balancer.Tick, tag uint32) {
 	g.alarms = append(g.alarms, alarm{at, tag})
 	g.bell.Ring()
 }
 
 // Probe checks a unit.
-func (g *Gate) Probe(u *balancer.Unit) { g.hands.Probe(g.byDoor[u.Door].place()) }
+func (g *Gate) Probe(u *balancer.Backend) { g.hands.Probe(g.byDoor[u.ID].place()) }
 
 // CloseIdle closes idle connections to a unit.
-func (g *Gate) CloseIdle(u *balancer.Unit) { g.hands.CloseIdle(g.byDoor[u.Door].name) }
+func (g *Gate) CloseIdle(u *balancer.Backend) { g.hands.CloseIdle(g.byDoor[u.ID].name) }
 
-// Tell is not called where the settings allow no messages, which is everywhere so far.
-func (g *Gate) Tell(uint32, []byte) {}
+// SendGossip is not called where the settings allow no messages, which is everywhere so far.
+func (g *Gate) SendGossip(uint32, []byte) {}
 
 // Log writes a line for the people on call.
 func (g *Gate) Log(text string) { g.hands.Log(text) }
 
-// Watch asks for changes of the list.
-func (g *Gate) Watch(on bool) { g.hands.Watch(on) }
+// WatchEndpoints asks for changes of the list.
+func (g *Gate) WatchEndpoints(on bool) { g.hands.Watch(on) }
 
-// Fetch asks for the whole list once.
-func (g *Gate) Fetch() { g.hands.Fetch() }
+// FetchEndpoints asks for the whole list once.
+func (g *Gate) FetchEndpoints() { g.hands.Fetch() }
 
-// Vote casts a vote.
-func (g *Gate) Vote(build uint16, stage int, verdict balancer.Verdict) {
+// CastVote casts a vote.
+func (g *Gate) CastVote(build uint16, stage int, verdict balancer.Verdict) {
 	g.Counts.Votes++
 	if w := g.hands.Witness; w != nil {
-		w.Voted(g.now(), build, stage, words[verdict], g.module.Reason(verdict))
+		w.Voted(g.now(), build, stage, words[verdict], g.module.VoteReason(verdict))
 	}
 	g.hands.Vote(Vote{build, stage, verdicts[verdict]})
 }
@@ -580,8 +580,8 @@
 // Counts are what went through the gate since the start.
 type Counts struct {
 	Ops                     []OpCount
-	Endings                 [balancer.Moot + 1]int64
-	VoteEndings             [balancer.Moot + 1]int64
+	Endings                 [balancer.Discarded + 1]int64
+	VoteEndings             [balancer.Discarded + 1]int64
 	Delivered, Votes, Shed  int64
 	Lists, Stages, Tallies  int64
 	Flags, Open, Out, Units int64
--- a/internal/dispatch/news.go
+++ b/internal/dispatch/news.go
@@ -19,7 +19,7 @@
 	Build                  uint16
 }
 
-var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Gone}
+var states = map[string]balancer.EndpointState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // Fits tells whether an entry makes sense.
 func (h Host) Fits() bool {
@@ -42,17 +42,17 @@
 		if u == nil {
 			u = &unit{name: h.Name}
 			g.admit(u)
-			g.hands.Log(fmt.Sprintf("unit %d is %s", u.Door, h.Name))
+			g.hands.Log(fmt.Sprintf("unit %d is %s", u.ID, h.Name))
 		}
 		named[h.Name] = true
 		u.dial = h.Dial
-		g.listed(now, u, balancer.Listing{Zone: g.zone(h), Kind: g.number("kinds", h.Kind),
-			Cell: h.Cell, State: states[h.State], Nominal: h.Nominal, Start: balancer.Tick(h.BornMs * 10), Build: h.Build})
+		g.listed(now, u, balancer.Endpoint{Zone: g.zone(h), MachineKind: g.number("kinds", h.Kind),
+			Cell: h.Cell, State: states[h.State], NominalWeight: h.Nominal, StartedAt: balancer.Tick(h.BornMs * 10), Version: h.Build})
 	}
 	for _, u := range g.byDoor { // one that a whole list leaves out has gone
-		if u != nil && whole && !named[u.name] && u.State != balancer.Gone {
-			is := u.Listing
-			is.State = balancer.Gone
+		if u != nil && whole && !named[u.name] && u.State != balancer.Removed {
+			is := u.Endpoint
+			is.State = balancer.Removed
 			g.listed(now, u, is)
 		}
 	}
@@ -62,7 +62,7 @@
 			g.settle(s)
 		}
 	}
-	g.module.Listed(now, true)
+	g.module.OnListSynced(now, true)
 }
 
 // admit gives a unit its door, one that is free if there is one.
@@ -72,7 +72,7 @@
 	if at < 0 {
 		at, g.byDoor = len(g.byDoor), append(g.byDoor, nil)
 	}
-	u.Door, g.byDoor[at] = uint32(at), u
+	u.ID, g.byDoor[at] = uint32(at), u
 }
 
 // forget drops units that have gone, the longest first: as long as there are more of them than listed ones, and
@@ -83,21 +83,21 @@
 		if u.out > 0 || now-u.went < g.keep {
 			return
 		}
-		g.gone, g.byDoor[u.Door] = g.gone[1:], nil
+		g.gone, g.byDoor[u.ID] = g.gone[1:], nil
 		delete(g.units, u.name)
 	}
 }
 
-func (g *Gate) listed(now balancer.Tick, u *unit, is balancer.Listing) {
-	if is.State != balancer.Ready || is.Start != u.Start || is.Build != u.Build {
+func (g *Gate) listed(now balancer.Tick, u *unit, is balancer.Endpoint) {
+	if is.State != balancer.Ready || is.StartedAt != u.StartedAt || is.Version != u.Version {
 		g.hands.CloseIdle(u.name) // its connections are of no more use
 	}
-	if was, goes := slices.Index(g.gone, u), is.State == balancer.Gone; goes && was < 0 {
+	if was, goes := slices.Index(g.gone, u), is.State == balancer.Removed; goes && was < 0 {
 		u.went, g.gone = now, append(g.gone, u)
 	} else if !goes && was >= 0 {
 		g.gone = slices.Delete(g.gone, was, was+1)
 	}
-	g.module.UnitListed(now, &u.Unit, is)
+	g.module.OnEndpoint(now, &u.Backend, is)
 }
 
 // ListFailed tells that a call that the module asked for came to nothing.
@@ -107,7 +107,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.module.Listed(g.now(), false)
+	g.module.OnListSynced(g.now(), false)
 }
 
 // Stage is what the platform says of the newest build.
@@ -119,7 +119,7 @@
 	Age   time.Duration
 }
 
-var phases = map[string]balancer.Phase{"testing": balancer.OnTrial, "recalling": balancer.RollingBack,
+var phases = map[string]balancer.RolloutPhase{"testing": balancer.Canary, "recalling": balancer.RollingBack,
 	"live": balancer.Released, "recalled": balancer.Withdrawn}
 
 // Fits tells whether the news makes sense.
@@ -128,9 +128,9 @@
 	return ok && s.Stage >= 0 && s.Cap >= 0 && s.Cap <= 1 && s.Age >= 0
 }
 
-func (s Stage) news() balancer.StageNews {
-	return balancer.StageNews{Build: s.Build, Stage: s.Stage, Phase: phases[s.State], Cap: s.Cap,
-		Age: balancer.Tick(s.Age / tenth), Ending: balancer.Acked}
+func (s Stage) news() balancer.ReleaseStatus {
+	return balancer.ReleaseStatus{Version: s.Build, Stage: s.Stage, Phase: phases[s.State], ExposureCap: s.Cap,
+		Age: balancer.Tick(s.Age / tenth), Outcome: balancer.Succeeded}
 }
 
 // Told takes news of the newest build.
@@ -142,7 +142,7 @@
 	defer g.mu.Unlock()
 	g.Counts.Stages++
 	g.offered(s)
-	g.module.Stage(g.now(), s.news())
+	g.module.OnReleaseStatus(g.now(), s.news())
 }
 
 func (g *Gate) offered(s Stage) {
@@ -152,8 +152,8 @@
 	}
 }
 
-var words = map[balancer.Verdict]string{balancer.NoVote: "withdraw", balancer.GoOn: "go on", balancer.Hold: "hold",
-	balancer.GoBack: "go back"}
+var words = map[balancer.Verdict]string{balancer.NoVote: "withdraw", balancer.Promote: "go on", balancer.Pause: "hold",
+	balancer.RollBack: "go back"}
 
 // Vote is one vote as the platform's page words it.
 type Vote struct {
@@ -162,23 +162,23 @@
 	Verdict string
 }
 
-var verdicts = map[balancer.Verdict]string{balancer.NoVote: "WITHDRAW", balancer.GoOn: "PROCEED", balancer.Hold: "HOLD",
-	balancer.GoBack: "ROLLBACK"}
+var verdicts = map[balancer.Verdict]string{balancer.NoVote: "WITHDRAW", balancer.Promote: "PROCEED", balancer.Pause: "HOLD",
+	balancer.RollBack: "ROLLBACK"}
 
 // Voted takes the answer to a vote: an HTTP status and what it tells, or no answer (status 0).
 func (g *Gate) Voted(status int, s Stage, end transport.End) {
 	news := s.news()
-	news.Answer, news.Ending = true, VoteOutcome(status, end)
-	if g.hands.Stage != nil && news.Ending == balancer.Acked {
+	news.VoteReply, news.Outcome = true, VoteOutcome(status, end)
+	if g.hands.Stage != nil && news.Outcome == balancer.Succeeded {
 		g.hands.Stage(s)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Counts.VoteEndings[news.Ending]++
-	if news.Ending == balancer.Acked {
+	g.Counts.VoteEndings[news.Outcome]++
+	if news.Outcome == balancer.Succeeded {
 		g.offered(s)
 	}
-	g.module.Stage(g.now(), news)
+	g.module.OnReleaseStatus(g.now(), news)
 }
 
 // Tally takes what the platform counted at a build.
@@ -191,7 +191,7 @@
 		w.Tally(g.now(), build, op, g.stage, many, failed)
 	}
 	if ok {
-		g.module.Tally(g.now(), build, op, many, failed, balancer.Tick(took/tenth), balancer.Tick(age/tenth))
+		g.module.OnMetrics(g.now(), build, op, many, failed, balancer.Tick(took/tenth), balancer.Tick(age/tenth))
 	}
 }
 
@@ -203,9 +203,9 @@
 	g.Counts.Flags++
 	if u := g.units[name]; ok && u != nil {
 		if w := g.hands.Witness; w != nil {
-			w.Flag(g.now(), u.Build, op, g.stage, balancer.Tick(age/tenth))
+			w.Flag(g.now(), u.Version, op, g.stage, balancer.Tick(age/tenth))
 		}
-		g.module.WrongAnswer(g.now(), &u.Unit, op, balancer.Tick(age/tenth))
+		g.module.OnWrongAnswer(g.now(), &u.Backend, op, balancer.Tick(age/tenth))
 	}
 }
 
@@ -214,6 +214,6 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if u := g.units[name]; u != nil {
-		g.module.Probed(g.now(), &u.Unit, Outcome(state, end), balancer.Tick(took/tenth), load)
+		g.module.OnProbe(g.now(), &u.Backend, Outcome(state, end), balancer.Tick(took/tenth), load)
 	}
 }
--- a/internal/dispatch/places.go
+++ b/internal/dispatch/places.go
@@ -11,7 +11,7 @@
 // spot is a place with the commands that wait for it or are at work there.
 type spot struct {
 	Place
-	open map[*balancer.Command]struct{}
+	open map[*balancer.Request]struct{}
 }
 
 // Follow ties commands to the unit that the instance of their key runs at, from now on. It is called before any
@@ -35,7 +35,7 @@
 		named[p.Name] = true
 		s := g.spots[p.Name]
 		if s == nil {
-			s = &spot{open: map[*balancer.Command]struct{}{}}
+			s = &spot{open: map[*balancer.Request]struct{}{}}
 			g.spots[p.Name] = s
 		} else if p.Epoch < s.Epoch || p.Epoch == s.Epoch && p.Change <= s.Change {
 			continue
@@ -62,18 +62,18 @@
 			}
 		}
 	}
-	g.module.Moved(g.now())
+	g.module.OnInstancesMoved(g.now())
 	return moved
 }
 
 // settle points the open commands of an instance to where it is.
 func (g *Gate) settle(s *spot) {
-	var at *balancer.Unit
+	var at *balancer.Backend
 	if u := g.units[s.Unit]; u != nil {
-		at = &u.Unit
+		at = &u.Backend
 	}
 	for c := range s.open {
-		c.At = at
+		c.PinnedTo = at
 	}
 }
 
@@ -84,13 +84,13 @@
 	}
 	s := g.spots[c.key]
 	if s == nil {
-		s = &spot{open: map[*balancer.Command]struct{}{}}
+		s = &spot{open: map[*balancer.Request]struct{}{}}
 		g.spots[c.key] = s
 	}
 	s.open[&c.module] = struct{}{}
-	c.module.Tied = true
+	c.module.Pinned = true
 	if u := g.units[s.Unit]; u != nil {
-		c.module.At = &u.Unit
+		c.module.PinnedTo = &u.Backend
 	}
 }
 
