--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -33,7 +33,7 @@
 	strain := routing.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
 	told.Shed, told.Staged = strain, strain.Staged
 	told.Turn = func(ctx context.Context) { strain.Wait(ctx, overload.Start) }
-	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Gate) error {
+	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
 		group.Go(func() error { return strain.Run(ctx, g) })
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -86,7 +86,7 @@
 	spans   leases.Spans
 	disk    *disk
 	machine *machine
-	bell    *wakeup.Bell
+	bell    *wakeup.Waker
 	waiters chan struct{}
 	ended   chan error // the first reason why it can't go on
 	raft    atomic.Pointer[raft.Raft]
@@ -370,7 +370,7 @@
 	}
 	metrics.GetOrCreateCounter("cove_keeper_leads_total").Inc()
 	k.Log.Info().Str("event", "leads").Uint64("term", term).Send()
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // is says whether a keeper leads in a term. A lead that was lost and won again is another term.
@@ -586,7 +586,7 @@
 				}
 			}
 			k.mu.Unlock()
-			k.bell.Ring()
+			k.bell.Wake()
 		}
 	}
 }
@@ -649,7 +649,7 @@
 				Str("to", to).Str("why", e.Reason).Send()
 		}
 	}
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // lines hands raft's own log lines on.
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -235,7 +235,7 @@
 	if l.units[a.Unit] = &a; before == nil || !alike(shown(a), shown(*before)) {
 		l.news()
 	}
-	k.bell.Ring()
+	k.bell.Wake()
 	return controllerclient.LeaseAnswer{Granted: true, Keeper: k.self, Places: k.machine.version(), Kept: kept, Doubts: doubts,
 		Line: k.machine.line(), Back: a.Back}, nil
 }
@@ -353,7 +353,7 @@
 	if changed {
 		l.news()
 	}
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // floor tells for each zone whose units are all tired what is served on there, the most important first.
@@ -535,7 +535,7 @@
 			l.planner.Device(k.Now(), c.in.Name, c.in.Zone)
 		}
 		k.mu.Unlock()
-		k.bell.Ring()
+		k.bell.Wake()
 	}
 	return answer, err
 }
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -71,13 +71,13 @@
 	mu       sync.Mutex // guards what follows and the module
 	waves    *stagedrollout.Waves
 	servers  map[string]*server
-	stage    dispatch.Stage
-	kinds    []string        // that its package fits
-	waits    uint16          // the build that was logged to wait
-	later    *dispatch.Stage // news of a package that the Image repository does not know yet
+	stage    dispatch.RolloutStage
+	kinds    []string               // that its package fits
+	waits    uint16                 // the build that was logged to wait
+	later    *dispatch.RolloutStage // news of a package that the Image repository does not know yet
 	released uint16
 	wakeAt   stagedrollout.Tick
-	bell     *wakeup.Bell
+	bell     *wakeup.Waker
 	dirty    []*server
 
 	Issued, Told, Reports int64
@@ -220,14 +220,14 @@
 	}
 	s.stale = true
 	d.dirty = append(d.dirty, s)
-	d.bell.Ring()
+	d.bell.Wake()
 }
 
 // WakeAt sets the module's alarm.
 func (d *Director) WakeAt(at stagedrollout.Tick) {
 	if d.wakeAt == 0 || at < d.wakeAt {
 		d.wakeAt = at
-		d.bell.Ring()
+		d.bell.Wake()
 	}
 }
 
@@ -235,7 +235,7 @@
 func (d *Director) Log(text string) { d.log(text) }
 
 // Hosts takes the list of servers, or changes of it.
-func (d *Director) Hosts(whole bool, hosts []dispatch.Host) {
+func (d *Director) Hosts(whole bool, hosts []dispatch.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, named := d.tick(), map[string]bool{}
@@ -248,7 +248,7 @@
 			s.Name = h.Name
 			d.servers[h.Name] = s
 		}
-		s.Zone, s.Kind = h.Zone, h.Kind
+		s.Zone, s.Kind = h.Zone, h.MachineKind
 		if here := h.State != "removed"; here || !fresh {
 			d.waves.Listed(now, &s.Server, here)
 		}
@@ -265,18 +265,18 @@
 	"live": stagedrollout.Released, "recalled": stagedrollout.Withdrawn}
 
 // Stage takes what the platform says of the newest build. News of a build that went before is left aside.
-func (d *Director) Stage(is dispatch.Stage) {
+func (d *Director) Stage(is dispatch.RolloutStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if is.Build < d.stage.Build || !is.Fits() {
+	if is.Version < d.stage.Version || !is.Valid() {
 		return
 	}
-	if is.Build <= d.released && is.State != "live" {
+	if is.Version <= d.released && is.Phase != "live" {
 		return // it was released before a restart, and is no longer news
 	}
 	fits, known := d.fits(is)
-	if d.stage.State == "live" && d.stage.Build != is.Build {
-		d.keep(d.stage.Build)
+	if d.stage.Phase == "live" && d.stage.Version != is.Version {
+		d.keep(d.stage.Version)
 	}
 	d.stage, d.kinds, d.later = is, fits, nil
 	now := d.tick()
@@ -284,25 +284,25 @@
 		d.later = &is
 		d.WakeAt(now + stagedrollout.Tick(metadatarefresh.IssueAgain))
 	}
-	if is.Build == d.released { // nothing newer is out
-		d.waves.Stage(now, is.Build, is.Build, stagedrollout.Released, 1, fits)
+	if is.Version == d.released { // nothing newer is out
+		d.waves.Stage(now, is.Version, is.Version, stagedrollout.Released, 1, fits)
 		return
 	}
-	d.waves.Stage(now, is.Build, d.released, phases[is.State], is.Cap, fits)
+	d.waves.Stage(now, is.Version, d.released, phases[is.Phase], is.ExposureCap, fits)
 }
 
 // fits tells which kinds of hardware a build's package fits. Until the Image repository says so it is none.
-func (d *Director) fits(is dispatch.Stage) (kinds []string, known bool) {
-	if is.Build == d.stage.Build && d.later == nil {
+func (d *Director) fits(is dispatch.RolloutStage) (kinds []string, known bool) {
+	if is.Version == d.stage.Version && d.later == nil {
 		return d.kinds, true
 	}
-	t, refusal := d.lookUp(d.packages[is.Build])
+	t, refusal := d.lookUp(d.packages[is.Version])
 	if refusal == nil {
 		return t.Custom.Kinds, true
 	}
-	if d.waits != is.Build {
-		d.waits = is.Build
-		d.log(fmt.Sprintf("director: build %d waits: %v", is.Build, refusal))
+	if d.waits != is.Version {
+		d.waits = is.Version
+		d.log(fmt.Sprintf("director: build %d waits: %v", is.Version, refusal))
 	}
 	return []string{""}, false
 }
@@ -322,7 +322,7 @@
 func (d *Director) Voted(v dispatch.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if v.Build == d.stage.Build && (v.Verdict == "HOLD" || v.Verdict == "ROLLBACK") {
+	if v.Version == d.stage.Version && (v.Verdict == "HOLD" || v.Verdict == "ROLLBACK") {
 		d.waves.Stop(d.tick())
 	}
 }
@@ -637,10 +637,10 @@
 	s.mu.Unlock()
 	out := []string{
 		fmt.Sprintf("%s is in zone %s, of kind %s; it reported that it runs build %d.", name, zone, kind, at.Running),
-		fmt.Sprintf("Build %d is released. The newest is build %d, %s, with a cap of %g.", released, stage.Build, stage.State,
-			stage.Cap),
+		fmt.Sprintf("Build %d is released. The newest is build %d, %s, with a cap of %g.", released, stage.Version, stage.Phase,
+			stage.ExposureCap),
 		fmt.Sprintf("It is told build %d; it is number %d of %d in the order of build %d.", at.Told, at.Place+1, at.Of,
-			stage.Build),
+			stage.Version),
 		fmt.Sprintf("The cap lets %d servers be told; %d are, or may still act on having been.", at.Most, at.Count),
 	}
 	if version > 0 {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -32,7 +32,7 @@
 }
 
 // Read reads a page.
-func Read(text []byte) (seq int64, whole bool, hosts []dispatch.Host, err error) {
+func Read(text []byte) (seq int64, whole bool, hosts []dispatch.Endpoint, err error) {
 	var p Page
 	if err := json.Unmarshal(text, &p); err != nil {
 		return 0, false, nil, err
@@ -41,9 +41,9 @@
 		return 0, false, nil, fmt.Errorf("no seq or no hosts")
 	}
 	for _, h := range p.Hosts {
-		host := dispatch.Host{Name: h.Host, Dial: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block, State: h.State,
-			Nominal: h.Share, BornMs: h.Born, Build: h.Build}
-		if !host.Fits() {
+		host := dispatch.Endpoint{Name: h.Host, Address: h.Dial, Zone: h.Site, MachineKind: h.Class, Cell: h.Block, State: h.State,
+			Weight: h.Share, StartedAtMs: h.Born, Version: h.Build}
+		if !host.Valid() {
 			return 0, false, nil, fmt.Errorf("host %q makes no sense", h.Host)
 		}
 		hosts = append(hosts, host)
@@ -53,13 +53,13 @@
 
 // Watch follows the list.
 type Watch struct {
-	gate  *dispatch.Gate
-	place *transport.Place
+	gate  *dispatch.Dispatcher
+	place *transport.Address
 	seq   int64
 	wait  time.Duration // that a call may wait for something newer
 	limit time.Duration // beyond that
 	queue time.Duration // and for a call that begins a watch where discovery is asked for it
-	room  *transport.Room
+	room  *transport.BufferBudget
 	log   func(string)
 	on    chan bool // whether to watch; the last word counts
 	fetch chan struct{}
@@ -89,7 +89,7 @@
 
 // New makes a watch at a place that goes on from a version. A call has limit more time than it may wait, or queue
 // where it begins a watch that had to be asked for. All are cut to what finds a silent watch in time.
-func New(place *transport.Place, seq int64, wait, limit, queue time.Duration, room *transport.Room, log func(string)) *Watch {
+func New(place *transport.Address, seq int64, wait, limit, queue time.Duration, room *transport.BufferBudget, log func(string)) *Watch {
 	wait, limit = min(max(wait, leastWait), mostWait), min(max(limit, leastLimit), mostLimit)
 	return &Watch{place: place, seq: seq, wait: wait, limit: limit, queue: min(max(queue, limit), mostCall-wait), room: room,
 		log: log, on: make(chan bool, 1), fetch: make(chan struct{}, 1), first: make(chan struct{})}
@@ -131,10 +131,10 @@
 // relays together may ask, and who asks at once when turned away keeps discovery overbooked for everyone. Where lists
 // are pushed, the first call is for all that the agent has, and so is that after one that failed: it need not wait for
 // something newer, and an agent that has restarted may count its versions otherwise.
-func (w *Watch) Run(ctx context.Context, g *dispatch.Gate, on bool) error {
+func (w *Watch) Run(ctx context.Context, g *dispatch.Dispatcher, on bool) error {
 	w.gate = g
 	alone, wanted := on, on
-	var l *transport.Link
+	var l *transport.Conn
 	at, lost := "", on // lost: the changes can not be followed from w.seq on
 	ended := sync.OnceFunc(func() { close(w.first) })
 	defer ended()
@@ -146,7 +146,7 @@
 	}()
 	for ctx.Err() == nil {
 		whole := false
-		address, here, release := w.place.Now(ctx)
+		address, here, release := w.place.Current(ctx)
 		select {
 		case wanted = <-w.on:
 			on = wanted
@@ -171,23 +171,23 @@
 		}
 		at = address
 		began, was := time.Now(), w.seq
-		var end transport.End
+		var end transport.CloseStatus
 		l, end = w.call(here, address, l, whole || lost, begins && !alone)
 		moved := here.Err() != nil
 		all := whole || lost
-		lost, begins = w.astray || end.Over() && (lost || alone), end.Over()
+		lost, begins = w.astray || end.Closed() && (lost || alone), end.Closed()
 		if !moved {
 			ended()
 		}
 		switch {
 		case moved:
-		case end.Over():
+		case end.Closed():
 			w.Failures.Add(1)
-			w.log(fmt.Sprintf("list: call failed: %s", end.How))
+			w.log(fmt.Sprintf("list: call failed: %s", end.Reason))
 			if on = alone; alone {
 				w.pause(here)
 			}
-			w.gate.ListFailed()
+			w.gate.EndpointFetchFailed()
 		case !all && w.seq <= was && time.Since(began) < w.wait/2:
 			w.pause(here)
 		}
@@ -217,7 +217,7 @@
 
 // call makes one call, on the connection that is open or on a new one, and takes its answer. One that discovery
 // itself has to answer waits in its queue first.
-func (w *Watch) call(ctx context.Context, address string, l *transport.Link, whole, queued bool) (*transport.Link, transport.End) {
+func (w *Watch) call(ctx context.Context, address string, l *transport.Conn, whole, queued bool) (*transport.Conn, transport.CloseStatus) {
 	w.astray = false
 	path, wait := "/v1/servers", time.Duration(0)
 	if !whole {
@@ -230,58 +230,58 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, wait+limit)
 	defer cancel()
-	if l == nil || !l.Quiet() {
+	if l == nil || !l.Reusable() {
 		if l != nil {
 			l.Close()
 		}
-		var end transport.End
-		if l, end = transport.Dial(limited, address, w.limit, w.room); end.Over() {
+		var end transport.CloseStatus
+		if l, end = transport.Dial(limited, address, w.limit, w.room); end.Closed() {
 			return nil, end
 		}
 	}
-	l.Within(limited)
+	l.BindContext(limited)
 	end := w.take(l, address, path)
-	if !l.Release() || end.Over() {
+	if !l.ReleaseContext() || end.Closed() {
 		l.Close()
 		l = nil
 	}
-	if end.How == transport.Finished {
-		end = transport.End{}
+	if end.Reason == transport.ClosedLocally {
+		end = transport.CloseStatus{}
 	}
 	return l, end
 }
 
-func (w *Watch) take(l *transport.Link, address, path string) transport.End {
-	l.Put(http1.Request("GET", path, address, ""))
-	if end := l.Flush(); end.Over() {
+func (w *Watch) take(l *transport.Conn, address, path string) transport.CloseStatus {
+	l.Append(http1.Request("GET", path, address, ""))
+	if end := l.Flush(); end.Closed() {
 		return end
 	}
 	var a http1.Answer
 	var body []byte
 	for {
-		used, out, err := a.Read(l.Bytes(), body)
-		l.Drop(used)
+		used, out, err := a.Read(l.Buffered(), body)
+		l.Discard(used)
 		switch body = out; {
 		case err == http1.ErrOverlong:
-			return transport.End{How: transport.Overlong, Sent: true}
+			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		case a.Done && err == nil && a.Status/100 == 5:
-			return transport.End{How: transport.TurnedAway, Sent: true}
+			return transport.CloseStatus{Reason: transport.PeerBusy, Flushed: true}
 		case err != nil, a.Done && a.Status != 200:
-			return transport.End{How: transport.Malformed, Sent: true}
+			return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 		case a.Done:
 			seq, whole, hosts, err := Read(body)
 			if err != nil {
-				return transport.End{How: transport.Malformed, Sent: true}
+				return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 			}
 			w.seq, w.astray = seq, !whole && seq < w.seq
 			w.Answers.Add(1)
-			w.gate.List(whole, hosts)
+			w.gate.UpdateEndpoints(whole, hosts)
 			if a.Close {
-				return transport.End{How: transport.Finished, Sent: true}
+				return transport.CloseStatus{Reason: transport.ClosedLocally, Flushed: true}
 			}
-			return transport.End{}
+			return transport.CloseStatus{}
 		}
-		if end := l.Fill(0); end.Over() {
+		if end := l.Fill(0); end.Closed() {
 			return end
 		}
 	}
--- a/internal/dispatch/ending.go
+++ b/internal/dispatch/ending.go
@@ -8,9 +8,9 @@
 
 // The one place where answers and the ends of connections become the module's outcomes.
 
-// Outcome maps how a delivery ended: the SQLSTATE of its answer, or with none how its connection
+// AttemptOutcome maps how a delivery ended: the SQLSTATE of its answer, or with none how its connection
 // ended. What is uncertain may have run.
-func Outcome(state string, end transport.End) balancer.Outcome {
+func AttemptOutcome(state string, end transport.CloseStatus) balancer.Outcome {
 	switch state {
 	case "":
 		return withoutAnswer(end)
@@ -23,22 +23,22 @@
 }
 
 // withoutAnswer: before the last byte was written nothing can have run.
-func withoutAnswer(end transport.End) balancer.Outcome {
+func withoutAnswer(end transport.CloseStatus) balancer.Outcome {
 	switch {
-	case !end.Sent && end.How == transport.CalledOff:
+	case !end.Flushed && end.Reason == transport.Canceled:
 		return balancer.Discarded
-	case !end.Sent:
+	case !end.Flushed:
 		return balancer.ConnectFailed
-	case end.How == transport.Late:
+	case end.Reason == transport.DeadlineExceeded:
 		return balancer.TimedOut
-	case end.How == transport.CalledOff:
+	case end.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
 	return balancer.Reset // also what cannot be read
 }
 
 // VoteOutcome maps how a vote ended: the status of its answer, 0 with none that can be read.
-func VoteOutcome(status int, end transport.End) balancer.Outcome {
+func VoteOutcome(status int, end transport.CloseStatus) balancer.Outcome {
 	switch {
 	case status == 200:
 		return balancer.Succeeded
@@ -48,7 +48,7 @@
 		return balancer.Discarded
 	case status == 400, status == 500:
 		return balancer.Errored
-	case status == 0 && !end.Sent:
+	case status == 0 && !end.Flushed:
 		return balancer.ConnectFailed
 	}
 	return balancer.TimedOut
@@ -56,7 +56,7 @@
 
 // MirrorOutcome maps how a delivery at a mirror of a repository ended: the status of its answer, 0 with none,
 // and whether what it said was believed. What is not believed is as good as what cannot be read.
-func MirrorOutcome(status int, believed bool, end transport.End) balancer.Outcome {
+func MirrorOutcome(status int, believed bool, end transport.CloseStatus) balancer.Outcome {
 	switch {
 	case believed:
 		return balancer.Succeeded
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -14,65 +14,65 @@
 	"silvercove/internal/wakeup"
 )
 
-// Hands are what the module acts with beside deliveries. None of them may block.
-type Hands struct {
-	Vote      func(Vote)
-	Watch     func(on bool)
-	Fetch     func()
-	Probe     func(unit Unit)
-	CloseIdle func(unit string)
-	Log       func(text string)
+// Callbacks are what the module acts with beside deliveries. None of them may block.
+type Callbacks struct {
+	Vote           func(Vote)
+	WatchEndpoints func(on bool)
+	FetchEndpoints func()
+	Probe          func(unit Backend)
+	CloseIdle      func(unit string)
+	Log            func(text string)
 
 	// Of fronts that hand on what the gate hears; nil where there is none.
-	Hosts func(whole bool, hosts []Host)
-	Stage func(Stage)
+	OnEndpoints func(whole bool, hosts []Endpoint)
+	OnStage     func(RolloutStage)
 
 	// Keeps what was seen of each build; nil for none. It is called while the gate is held.
-	Witness Witness
+	Evidence EvidenceRecorder
 
 	// Decides for the fleet what is shed, repeated and probed; nil for a relay on its own.
-	Shed Shed
+	LoadShedder LoadShedder
 }
 
-// Shed is what a relay of a fleet asks before it acts. It is called while the gate is held, and may not block.
-type Shed interface {
-	// Take tells whether a command goes to the module. One that does not is nacked at once, with a time to come back.
-	Take(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration)
-	First()                            // the first delivery of a command that its client does not repeat goes out
-	Again(repeated bool) bool          // whether one more delivery of a command may go out; repeated: by its client
-	Outcome(unit string, good bool)    // of a delivery that tells something of its unit
-	Worked(op int, took time.Duration) // a unit answered a delivery, after so long
-	Avoids(unit string) bool           // whether a unit that this relay does not doubt is sick for others
-	Probes(unit string) bool           // whether a unit that is doubted may be tried by this relay now
+// LoadShedder is what a relay of a fleet asks before it acts. It is called while the gate is held, and may not block.
+type LoadShedder interface {
+	// Admit tells whether a command goes to the module. One that does not is nacked at once, with a time to come back.
+	Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration)
+	RecordFirstAttempt()                          // the first delivery of a command that its client does not repeat goes out
+	AllowRetry(repeated bool) bool                // whether one more delivery of a command may go out; repeated: by its client
+	RecordOutcome(unit string, good bool)         // of a delivery that tells something of its unit
+	RecordServiceTime(op int, took time.Duration) // a unit answered a delivery, after so long
+	IsEjected(unit string) bool                   // whether a unit that this relay does not doubt is sick for others
+	AllowProbe(unit string) bool                  // whether a unit that is doubted may be tried by this relay now
 }
 
-// Witness is told what the module is told of builds, and each vote with its reason.
-type Witness interface {
-	Offered(now balancer.Tick, build uint16, state string)
-	Outcome(now balancer.Tick, build uint16, opType, stage int, bad bool)
-	Flag(now balancer.Tick, build uint16, opType, stage int, delay balancer.Tick)
-	Tally(now balancer.Tick, build uint16, opType, stage, many, failed int)
-	Voted(now balancer.Tick, build uint16, stage int, verdict, why string)
+// EvidenceRecorder is told what the module is told of builds, and each vote with its reason.
+type EvidenceRecorder interface {
+	UpdateVersion(now balancer.Tick, build uint16, state string)
+	RecordOutcome(now balancer.Tick, build uint16, opType, stage int, bad bool)
+	RecordFlag(now balancer.Tick, build uint16, opType, stage int, delay balancer.Tick)
+	RecordPlatformCount(now balancer.Tick, build uint16, opType, stage, many, failed int)
+	RecordVote(now balancer.Tick, build uint16, stage int, verdict, why string)
 }
 
-// Hold has something done while the gate is held, such as a copy of what its witness keeps. It may not block.
-func (g *Gate) Hold(do func()) {
+// WithLock has something done while the gate is held, such as a copy of what its witness keeps. It may not block.
+func (g *Dispatcher) WithLock(do func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	do()
 }
 
-// Recall hands the module what was known of a build before a restart: outcomes of each op type in the settings' order,
+// RestoreEvidence hands the module what was known of a build before a restart: outcomes of each op type in the settings' order,
 // and how many of them were bad. They enter as another relay's counts do, in messages of what fits into one.
-func (g *Gate) Recall(build uint16, n, bad []int) {
+func (g *Dispatcher) RestoreEvidence(build uint16, n, bad []int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	const most, messages = 254, 64
 	n, bad = slices.Clone(n), slices.Clone(bad)
 	for range messages {
-		data, any := make([]byte, 4+2*len(g.Counts.Ops)), false
+		data, any := make([]byte, 4+2*len(g.Counters.Classes)), false
 		data[0], data[1] = byte(build), byte(build>>8)
-		for op := range min(len(n), len(bad), len(g.Counts.Ops)) {
+		for op := range min(len(n), len(bad), len(g.Counters.Classes)) {
 			part := min(n[op], most)
 			wrong := 0
 			if n[op] > 0 {
@@ -88,32 +88,32 @@
 	}
 }
 
-// Gate stands before one module.
-type Gate struct {
-	mu     sync.Mutex
-	module *balancer.Balancer
-	hands  Hands
-	opened time.Time     // both of its clocks were read at once
-	base   balancer.Tick // Unix time then
-	alarms []alarm
-	bell   *wakeup.Bell // the earliest alarm may have changed
-	doors  uint64
-	ops    map[string]int
-	weight []float64                 // importance of each op type
-	most   time.Duration             // to come back after, 0 where clients are told none
-	names  map[string]map[string]int // zones, kinds and customers to their places in the settings
-	loads  []string
-	asks   bool // the list comes only when it is asked for
-	units  map[string]*unit
-	byDoor []*unit // in the order in which they were first listed; nil where one was forgotten
-	gone   []*unit // those not listed any more, the longest first
-	keep   balancer.Tick
-	stage  int // of the newest build
-	open   map[*balancer.Request]*Command
-	out    map[*balancer.Attempt]*Delivery
-	spots  map[string]*spot // by instance; nil outside of a fleet
-	lag    lag
-	Counts Counts
+// Dispatcher stands before one module.
+type Dispatcher struct {
+	mu       sync.Mutex
+	module   *balancer.Balancer
+	hands    Callbacks
+	opened   time.Time     // both of its clocks were read at once
+	base     balancer.Tick // Unix time then
+	alarms   []alarm
+	bell     *wakeup.Waker // the earliest alarm may have changed
+	doors    uint64
+	ops      map[string]int
+	weight   []float64                 // importance of each op type
+	most     time.Duration             // to come back after, 0 where clients are told none
+	names    map[string]map[string]int // zones, kinds and customers to their places in the settings
+	loads    []string
+	asks     bool // the list comes only when it is asked for
+	units    map[string]*unit
+	byDoor   []*unit // in the order in which they were first listed; nil where one was forgotten
+	gone     []*unit // those not listed any more, the longest first
+	keep     balancer.Tick
+	stage    int // of the newest build
+	open     map[*balancer.Request]*Call
+	out      map[*balancer.Attempt]*Attempt
+	spots    map[string]*spot // by instance; nil outside of a fleet
+	lag      lag
+	Counters Counters
 }
 
 type alarm struct {
@@ -130,17 +130,17 @@
 }
 
 // New makes the module and hands it its settings. The hands may be used from then on.
-func New(seed uint64, settings map[string]any, hands Hands) *Gate {
+func New(seed uint64, settings map[string]any, hands Callbacks) *Dispatcher {
 	now := time.Now()
-	g := &Gate{hands: hands, opened: now, base: balancer.Tick(now.UnixMicro() / 100), bell: wakeup.New(),
-		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Request]*Command{},
-		out: map[*balancer.Attempt]*Delivery{}}
+	g := &Dispatcher{hands: hands, opened: now, base: balancer.Tick(now.UnixMicro() / 100), bell: wakeup.New(),
+		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Request]*Call{},
+		out: map[*balancer.Attempt]*Attempt{}}
 	types, _ := settings["op_types"].([]map[string]any)
 	for i, t := range types {
 		name, _ := t["name"].(string)
 		weight, _ := t["importance"].(float64)
 		g.ops[name], g.weight = i, append(g.weight, weight)
-		g.Counts.Ops = append(g.Counts.Ops, OpCount{Name: name})
+		g.Counters.Classes = append(g.Counters.Classes, ClassCounters{Name: name})
 	}
 	g.names = map[string]map[string]int{"zones": places(settings["zones"]), "kinds": places(settings["kinds"]),
 		"customers": places(settings["customers"])}
@@ -183,7 +183,7 @@
 
 // number is the place of a name in a list of the settings. One that the list lacks is none of those there, least of all
 // the first: it gets a number below 0 by its own letters.
-func (g *Gate) number(list, name string) int {
+func (g *Dispatcher) number(list, name string) int {
 	if at, ok := g.names[list][name]; ok {
 		return at
 	}
@@ -191,7 +191,7 @@
 }
 
 // zone is the number of a unit's zone. Of a unit without one nobody knows what others drop the same repeats.
-func (g *Gate) zone(h Host) int {
+func (g *Dispatcher) zone(h Endpoint) int {
 	if _, ok := g.names["zones"][h.Zone]; h.Zone == "" && !ok {
 		return g.number("zones", "\x00"+h.Name)
 	}
@@ -199,29 +199,33 @@
 }
 
 // now is the module's time: Unix time as the clock had it at the start, going on evenly.
-func (g *Gate) now() balancer.Tick { return g.tick(time.Now()) }
+func (g *Dispatcher) now() balancer.Tick { return g.tick(time.Now()) }
 
-func (g *Gate) tick(t time.Time) balancer.Tick { return g.base + balancer.Tick(t.Sub(g.opened)/tenth) }
+func (g *Dispatcher) tick(t time.Time) balancer.Tick {
+	return g.base + balancer.Tick(t.Sub(g.opened)/tenth)
+}
 
-func (g *Gate) time(t balancer.Tick) time.Time { return g.opened.Add(time.Duration(t-g.base) * tenth) }
+func (g *Dispatcher) time(t balancer.Tick) time.Time {
+	return g.opened.Add(time.Duration(t-g.base) * tenth)
+}
 
 // tenth is one tick of the module.
 const tenth = time.Second / time.Duration(balancer.Second)
 
 func spanOf(t balancer.Tick) time.Duration { return time.Duration(t) * tenth }
 
-// Ask is one command as a client put it.
-type Ask struct {
-	OpType, Customer, Key string
-	Came                  time.Time     // when its last byte was read
-	Wait                  time.Duration // how long its client waits from then on
-	Work                  time.Duration // a guess, 0 for none
-	Write, Repeated       bool
-	Left                  func() bool // whether its client has closed, asked without the gate being held; nil: it says so itself
+// Request is one command as a client put it.
+type Request struct {
+	Class, Tenant, Key string
+	ReceivedAt         time.Time     // when its last byte was read
+	Timeout            time.Duration // how long its client waits from then on
+	EstimatedWork      time.Duration // a guess, 0 for none
+	Write, ClientRetry bool
+	ClientClosed       func() bool // whether its client has closed, asked without the gate being held; nil: it says so itself
 }
 
-// Command is one command that was taken.
-type Command struct {
+// Call is one command that was taken.
+type Call struct {
 	module balancer.Request
 	steps  chan Step // at most one delivery and one final answer are ever waiting
 	handed bool
@@ -234,52 +238,52 @@
 
 // Step is what is to be done for a command: a delivery, or else a final answer.
 type Step struct {
-	Delivery *Delivery
-	Final    Final
-	ComeBack time.Duration
+	Attempt    *Attempt
+	Answer     FinalAnswer
+	RetryAfter time.Duration
 }
 
-// Final is a final answer of the relay's own.
-type Final uint8
+// FinalAnswer is a final answer of the relay's own.
+type FinalAnswer uint8
 
 // The final answers. Gone: the client has left, and nothing is owed.
 const (
-	None Final = iota
-	Nacked
+	NoAnswer FinalAnswer = iota
+	Rejected
 	Failed
-	Gone
+	ClientGone
 )
 
-// Unit is where a delivery goes. A connection to another address or process is not this unit's.
-type Unit struct {
-	Name, Dial string
-	Start      int64
+// Backend is where a delivery goes. A connection to another address or process is not this unit's.
+type Backend struct {
+	Name, Address string
+	StartedAt     int64
 }
 
-// Delivery is one try at a unit. Its context ends when the relay stops waiting for it.
-type Delivery struct {
-	Unit
-	Context context.Context
-	StopAt  time.Time
-	module  *balancer.Attempt
-	of      *Command
-	cancel  context.CancelFunc
-	sent    time.Time
-	build   uint16 // of its unit then
+// Attempt is one try at a unit. Its context ends when the relay stops waiting for it.
+type Attempt struct {
+	Backend
+	Context  context.Context
+	Deadline time.Time
+	module   *balancer.Attempt
+	of       *Call
+	cancel   context.CancelFunc
+	sent     time.Time
+	build    uint16 // of its unit then
 }
 
-// Chosen is when the module chose the delivery.
-func (d *Delivery) Chosen() time.Time { return d.sent }
+// ChosenAt is when the module chose the delivery.
+func (d *Attempt) ChosenAt() time.Time { return d.sent }
 
-// Take makes a command of what a client asked; false: the settings name no such op type.
-func (g *Gate) Take(a Ask) (*Command, bool) {
-	op, ok := g.ops[a.OpType]
+// Accept makes a command of what a client asked; false: the settings name no such op type.
+func (g *Dispatcher) Accept(a Request) (*Call, bool) {
+	op, ok := g.ops[a.Class]
 	if !ok {
 		return nil, false
 	}
-	return &Command{op: op, key: a.Key, from: a.Customer, closed: a.Left, steps: make(chan Step, 4), module: balancer.Request{Class: op,
-		Tenant: g.number("customers", a.Customer), Key: keyOf(a.Key), Deadline: g.tick(a.Came.Add(a.Wait)),
-		EstimatedWork: balancer.Tick((a.Work + tenth - 1) / tenth), ClientRetry: a.Repeated, Write: a.Write}}, true
+	return &Call{op: op, key: a.Key, from: a.Tenant, closed: a.ClientClosed, steps: make(chan Step, 4), module: balancer.Request{Class: op,
+		Tenant: g.number("customers", a.Tenant), Key: keyOf(a.Key), Deadline: g.tick(a.ReceivedAt.Add(a.Timeout)),
+		EstimatedWork: balancer.Tick((a.EstimatedWork + tenth - 1) / tenth), ClientRetry: a.ClientRetry, Write: a.Write}}, true
 }
 
 // keyOf tells keys apart (FNV-1a); 0 is no key.
@@ -294,22 +298,22 @@
 	return max(1, h)
 }
 
-// Pick waits for the next thing to do for a command. The first call hands it to the module, unless the fleet sheds it.
-func (g *Gate) Pick(c *Command) Step {
+// Next waits for the next thing to do for a command. The first call hands it to the module, unless the fleet sheds it.
+func (g *Dispatcher) Next(c *Call) Step {
 	if !c.handed {
 		c.handed = true
 		g.mu.Lock()
 		if c.left {
 			g.mu.Unlock()
-			return Step{Final: Gone}
+			return Step{Answer: ClientGone}
 		}
 		g.doors++
 		c.module.ID = g.doors
 		g.open[&c.module] = c
 		g.tie(c)
-		g.Counts.Ops[c.op].Taken++
+		g.Counters.Classes[c.op].Accepted++
 		if back, shed := g.sheds(c); shed {
-			g.final(&c.module, Step{Final: Nacked, ComeBack: back})
+			g.final(&c.module, Step{Answer: Rejected, RetryAfter: back})
 		} else {
 			g.module.OnRequest(g.now(), &c.module)
 		}
@@ -319,78 +323,78 @@
 }
 
 // sheds asks the fleet about a command that has just come. Nothing of it has been sent, so a nack keeps its promise.
-func (g *Gate) sheds(c *Command) (back time.Duration, shed bool) {
-	if g.hands.Shed == nil {
+func (g *Dispatcher) sheds(c *Call) (back time.Duration, shed bool) {
+	if g.hands.LoadShedder == nil {
 		return 0, false
 	}
-	ok, back := g.hands.Shed.Take(c.op, g.weight[c.op], c.from, c.module.ClientRetry)
+	ok, back := g.hands.LoadShedder.Admit(c.op, g.weight[c.op], c.from, c.module.ClientRetry)
 	if !ok {
-		g.Counts.Shed++
+		g.Counters.Shed++
 	}
 	return min(back, g.most), !ok
 }
 
 // Report tells how a delivery ended: with a SQLSTATE, or without an answer.
-func (g *Gate) Report(d *Delivery, state string, end transport.End, load []float64) (acked bool) {
-	return g.ended(d, Outcome(state, end), load)
+func (g *Dispatcher) Report(d *Attempt, state string, end transport.CloseStatus, load []float64) (acked bool) {
+	return g.ended(d, AttemptOutcome(state, end), load)
 }
 
 // ReportMirror tells how a delivery at a mirror ended: with an HTTP status, or without an answer.
-func (g *Gate) ReportMirror(d *Delivery, status int, believed bool, end transport.End) (acked bool) {
+func (g *Dispatcher) ReportMirror(d *Attempt, status int, believed bool, end transport.CloseStatus) (acked bool) {
 	return g.ended(d, MirrorOutcome(status, believed, end), nil)
 }
 
 // Begin tells whether a delivery that is about to be written still may be: its client waits for it, its unit is where it
 // was chosen, and the module's rules hold as they stand now. It counts as sent from now on. A client whose close has come, but
 // whose session has not had the processor since, has gone too: news of the list send many held commands on at once.
-func (g *Gate) Begin(d *Delivery) bool {
+func (g *Dispatcher) Begin(d *Attempt) bool {
 	if c := d.of; c != nil && c.closed != nil && c.closed() {
-		g.Leave(c)
+		g.Abandon(c)
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return d.Context.Err() == nil && g.open[d.module.Request] != nil && g.byDoor[d.module.Backend.ID].place() == d.Unit &&
+	return d.Context.Err() == nil && g.open[d.module.Request] != nil && g.byDoor[d.module.Backend.ID].place() == d.Backend &&
 		g.module.BeginAttempt(g.now(), d.module)
 }
 
-// Streaming tells that the answer to a delivery is being passed on while it comes.
-func (g *Gate) Streaming(d *Delivery) {
+// StreamStarted tells that the answer to a delivery is being passed on while it comes.
+func (g *Dispatcher) StreamStarted(d *Attempt) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.module.OnStreamStart(g.now(), d.module)
 }
 
-func (g *Gate) ended(d *Delivery, ending balancer.Outcome, load []float64) (acked bool) {
+func (g *Dispatcher) ended(d *Attempt, ending balancer.Outcome, load []float64) (acked bool) {
 	d.cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.open[d.module.Request]
 	delete(g.out, d.module)
 	g.byDoor[d.module.Backend.ID].out--
-	g.Counts.Endings[ending]++
+	g.Counters.Outcomes[ending]++
 	acked = ending == balancer.Succeeded
 	if acked && c != nil {
-		g.Counts.Ops[c.op].Acked++
+		g.Counters.Classes[c.op].Succeeded++
 		delete(g.open, d.module.Request)
 		g.untie(c)
 	}
 	now := g.now()
-	if w := g.hands.Witness; w != nil && (acked || ending == balancer.Errored) {
-		w.Outcome(now, d.build, d.module.Request.Class, g.stage, !acked)
+	if w := g.hands.Evidence; w != nil && (acked || ending == balancer.Errored) {
+		w.RecordOutcome(now, d.build, d.module.Request.Class, g.stage, !acked)
 	}
-	if s := g.hands.Shed; s != nil && ending <= balancer.Reset && ending != balancer.AtCapacity { // one that is full is well
-		s.Outcome(d.Name, acked)
+	if s := g.hands.LoadShedder; s != nil && ending <= balancer.Reset && ending != balancer.AtCapacity { // one that is full is well
+		s.RecordOutcome(d.Name, acked)
 		if acked {
-			s.Worked(d.module.Request.Class, time.Since(d.sent))
+			s.RecordServiceTime(d.module.Request.Class, time.Since(d.sent))
 		}
 	}
 	g.module.OnOutcome(now, d.module, ending, max(0, now-g.tick(d.sent)), acked || c == nil, load)
 	return acked
 }
 
-// Leave tells that a command's client has gone. Pick returns Gone then.
-func (g *Gate) Leave(c *Command) {
+// Abandon tells that a command's client has gone. Pick returns Gone then.
+func (g *Dispatcher) Abandon(c *Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.open[&c.module] == nil {
@@ -399,13 +403,13 @@
 	}
 	delete(g.open, &c.module)
 	g.untie(c)
-	g.Counts.Ops[c.op].Left++
+	g.Counters.Classes[c.op].Abandoned++
 	g.module.OnClientGone(g.now(), &c.module)
-	c.steps <- Step{Final: Gone}
+	c.steps <- Step{Answer: ClientGone}
 }
 
-// Ready are the units that may get deliveries, in the order in which they were first listed.
-func (g *Gate) Ready() (all []Unit) {
+// ReadyBackends are the units that may get deliveries, in the order in which they were first listed.
+func (g *Dispatcher) ReadyBackends() (all []Backend) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, u := range g.byDoor {
@@ -416,22 +420,22 @@
 	return all
 }
 
-// Serves tells whether a unit still is where it was chosen, and may get deliveries.
-func (g *Gate) Serves(u Unit) bool {
+// IsCurrent tells whether a unit still is where it was chosen, and may get deliveries.
+func (g *Dispatcher) IsCurrent(u Backend) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	is := g.units[u.Name]
 	return is != nil && is.State == balancer.Ready && is.place() == u
 }
 
-// Figures are the names of the values of a load report, in the settings' order.
-func (g *Gate) Figures() []string { return g.loads }
+// LoadColumns are the names of the values of a load report, in the settings' order.
+func (g *Dispatcher) LoadColumns() []string { return g.loads }
 
-// Tick rings the module's alarms until the context ends.
-func (g *Gate) Tick(ctx context.Context) error { return g.bell.Run(ctx, g.ring) }
+// RunTimers rings the module's alarms until the context ends.
+func (g *Dispatcher) RunTimers(ctx context.Context) error { return g.bell.Run(ctx, g.ring) }
 
 // ring calls the alarms that are due and tells how long it is until the next.
-func (g *Gate) ring() time.Duration {
+func (g *Dispatcher) ring() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for {
@@ -459,96 +463,96 @@
 // What follows is the module's Host. All of it runs while the gate is held.
 
 // StartAttempt hands a delivery to whoever waits in Pick.
-func (g *Gate) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
+func (g *Dispatcher) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
 	c, u := g.open[d.Request], g.byDoor[d.Backend.ID]
-	if s := g.hands.Shed; s != nil && d.Number == 0 && !d.Request.ClientRetry {
-		s.First()
+	if s := g.hands.LoadShedder; s != nil && d.Number == 0 && !d.Request.ClientRetry {
+		s.RecordFirstAttempt()
 	}
 	at := g.time(stopAt)
 	ctx, cancel := context.WithDeadline(context.Background(), at)
-	out := &Delivery{Unit: u.place(), Context: ctx, StopAt: at, module: d, of: c, cancel: cancel, sent: time.Now()}
+	out := &Attempt{Backend: u.place(), Context: ctx, Deadline: at, module: d, of: c, cancel: cancel, sent: time.Now()}
 	g.out[d] = out
 	u.out++
-	g.Counts.Delivered++
-	c.steps <- Step{Delivery: out}
+	g.Counters.Attempts++
+	c.steps <- Step{Attempt: out}
 }
 
 // MayRetry tells whether a command may be delivered once more, as far as the fleet is concerned.
-func (g *Gate) MayRetry(cmd *balancer.Request) bool {
-	return g.hands.Shed == nil || g.hands.Shed.Again(cmd.ClientRetry)
+func (g *Dispatcher) MayRetry(cmd *balancer.Request) bool {
+	return g.hands.LoadShedder == nil || g.hands.LoadShedder.AllowRetry(cmd.ClientRetry)
 }
 
 // AvoidsBackend tells whether a unit is sick for other relays of the fleet.
-func (g *Gate) AvoidsBackend(u *balancer.Backend) bool {
-	return g.hands.Shed != nil && g.hands.Shed.Avoids(g.byDoor[u.ID].name)
+func (g *Dispatcher) AvoidsBackend(u *balancer.Backend) bool {
+	return g.hands.LoadShedder != nil && g.hands.LoadShedder.IsEjected(g.byDoor[u.ID].name)
 }
 
 // MayProbe tells whether a delivery may try a doubted unit, as far as the fleet is concerned.
-func (g *Gate) MayProbe(u *balancer.Backend) bool {
-	return g.hands.Shed == nil || g.hands.Shed.Probes(g.byDoor[u.ID].name)
+func (g *Dispatcher) MayProbe(u *balancer.Backend) bool {
+	return g.hands.LoadShedder == nil || g.hands.LoadShedder.AllowProbe(g.byDoor[u.ID].name)
 }
 
-func (u *unit) place() Unit { return Unit{u.name, u.dial, int64(u.StartedAt)} }
+func (u *unit) place() Backend { return Backend{u.name, u.dial, int64(u.StartedAt)} }
 
 // Reject ends a command with the promise that trying again is harmless.
-func (g *Gate) Reject(cmd *balancer.Request, comeBack balancer.Tick) {
-	g.final(cmd, Step{Final: Nacked, ComeBack: spanOf(comeBack)})
+func (g *Dispatcher) Reject(cmd *balancer.Request, comeBack balancer.Tick) {
+	g.final(cmd, Step{Answer: Rejected, RetryAfter: spanOf(comeBack)})
 }
 
 // Fail ends a command without any promise.
-func (g *Gate) Fail(cmd *balancer.Request) { g.final(cmd, Step{Final: Failed}) }
+func (g *Dispatcher) Fail(cmd *balancer.Request) { g.final(cmd, Step{Answer: Failed}) }
 
-func (g *Gate) final(cmd *balancer.Request, s Step) {
+func (g *Dispatcher) final(cmd *balancer.Request, s Step) {
 	c := g.open[cmd]
 	if c == nil {
 		return // its client has left
 	}
 	delete(g.open, cmd)
 	g.untie(c)
-	if s.Final == Nacked {
-		g.Counts.Ops[c.op].Nacked++
+	if s.Answer == Rejected {
+		g.Counters.Classes[c.op].Rejected++
 	} else {
-		g.Counts.Ops[c.op].Failed++
+		g.Counters.Classes[c.op].Failed++
 	}
 	c.steps <- s
 }
 
 // CancelAttempt stops waiting for a delivery.
-func (g *Gate) CancelAttempt(d *balancer.Attempt) {
+func (g *Dispatcher) CancelAttempt(d *balancer.Attempt) {
 	if out := g.out[d]; out != nil {
 		out.cancel()
 	}
 }
 
 // SetTimer sets an alarm.
-func (g *Gate) SetTimer(at balancer.Tick, tag uint32) {
+func (g *Dispatcher) SetTimer(at balancer.Tick, tag uint32) {
 	g.alarms = append(g.alarms, alarm{at, tag})
-	g.bell.Ring()
+	g.bell.Wake()
 }
 
 // Probe checks a unit.
-func (g *Gate) Probe(u *balancer.Backend) { g.hands.Probe(g.byDoor[u.ID].place()) }
+func (g *Dispatcher) Probe(u *balancer.Backend) { g.hands.Probe(g.byDoor[u.ID].place()) }
 
 // CloseIdle closes idle connections to a unit.
-func (g *Gate) CloseIdle(u *balancer.Backend) { g.hands.CloseIdle(g.byDoor[u.ID].name) }
+func (g *Dispatcher) CloseIdle(u *balancer.Backend) { g.hands.CloseIdle(g.byDoor[u.ID].name) }
 
 // SendGossip is not called where the settings allow no messages, which is everywhere so far.
-func (g *Gate) SendGossip(uint32, []byte) {}
+func (g *Dispatcher) SendGossip(uint32, []byte) {}
 
 // Log writes a line for the people on call.
-func (g *Gate) Log(text string) { g.hands.Log(text) }
+func (g *Dispatcher) Log(text string) { g.hands.Log(text) }
 
 // WatchEndpoints asks for changes of the list.
-func (g *Gate) WatchEndpoints(on bool) { g.hands.Watch(on) }
+func (g *Dispatcher) WatchEndpoints(on bool) { g.hands.WatchEndpoints(on) }
 
 // FetchEndpoints asks for the whole list once.
-func (g *Gate) FetchEndpoints() { g.hands.Fetch() }
+func (g *Dispatcher) FetchEndpoints() { g.hands.FetchEndpoints() }
 
 // CastVote casts a vote.
-func (g *Gate) CastVote(build uint16, stage int, verdict balancer.Verdict) {
-	g.Counts.Votes++
-	if w := g.hands.Witness; w != nil {
-		w.Voted(g.now(), build, stage, words[verdict], g.module.VoteReason(verdict))
+func (g *Dispatcher) CastVote(build uint16, stage int, verdict balancer.Verdict) {
+	g.Counters.Votes++
+	if w := g.hands.Evidence; w != nil {
+		w.RecordVote(g.now(), build, stage, words[verdict], g.module.VoteReason(verdict))
 	}
 	g.hands.Vote(Vote{build, stage, verdicts[verdict]})
 }
@@ -571,34 +575,34 @@
 	l.longestCall = max(l.longestCall, took)
 }
 
-// OpCount counts the commands of one op type.
-type OpCount struct {
-	Name                               string
-	Taken, Acked, Nacked, Failed, Left int64
+// ClassCounters counts the commands of one op type.
+type ClassCounters struct {
+	Name                                             string
+	Accepted, Succeeded, Rejected, Failed, Abandoned int64
 }
 
-// Counts are what went through the gate since the start.
-type Counts struct {
-	Ops                     []OpCount
-	Endings                 [balancer.Discarded + 1]int64
-	VoteEndings             [balancer.Discarded + 1]int64
-	Delivered, Votes, Shed  int64
-	Lists, Stages, Tallies  int64
-	Flags, Open, Out, Units int64
-	Wakes                   int64
-	WakeLate, WakeWorst     time.Duration // on average, and the most
-	Alarm, AlarmWorst       time.Duration // what an alarm takes
+// Counters are what went through the gate since the start.
+type Counters struct {
+	Classes                                        []ClassCounters
+	Outcomes                                       [balancer.Discarded + 1]int64
+	VoteOutcomes                                   [balancer.Discarded + 1]int64
+	Attempts, Votes, Shed                          int64
+	EndpointUpdates, StageUpdates, PlatformCounts  int64
+	WrongAnswers, OpenRequests, InFlight, Backends int64
+	Wakeups                                        int64
+	WakeupDelayMean, WakeupDelayMax                time.Duration // on average, and the most
+	TimerCallMean, TimerCallMax                    time.Duration // what an alarm takes
 }
 
 // Snapshot copies the counts.
-func (g *Gate) Snapshot() Counts {
+func (g *Dispatcher) Snapshot() Counters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.Counts
-	c.Ops = append([]OpCount(nil), c.Ops...)
-	c.Open, c.Out, c.Units = int64(len(g.open)), int64(len(g.out)), int64(len(g.units))
+	c := g.Counters
+	c.Classes = append([]ClassCounters(nil), c.Classes...)
+	c.OpenRequests, c.InFlight, c.Backends = int64(len(g.open)), int64(len(g.out)), int64(len(g.units))
 	n := time.Duration(max(1, g.lag.n))
-	c.Wakes, c.WakeLate, c.WakeWorst = g.lag.n, g.lag.late/n, g.lag.worst
-	c.Alarm, c.AlarmWorst = g.lag.spent/n, g.lag.longestCall
+	c.Wakeups, c.WakeupDelayMean, c.WakeupDelayMax = g.lag.n, g.lag.late/n, g.lag.worst
+	c.TimerCallMean, c.TimerCallMax = g.lag.spent/n, g.lag.longestCall
 	return c
 }
--- a/internal/dispatch/news.go
+++ b/internal/dispatch/news.go
@@ -9,33 +9,33 @@
 	"silvercove/internal/transport"
 )
 
-// Host is one entry of the list of units.
-type Host struct {
-	Name, Dial, Zone, Kind string
-	Cell                   int
-	State                  string
-	Nominal                float64
-	BornMs                 int64 // Unix time, 0 for long ago
-	Build                  uint16
+// Endpoint is one entry of the list of units.
+type Endpoint struct {
+	Name, Address, Zone, MachineKind string
+	Cell                             int
+	State                            string
+	Weight                           float64
+	StartedAtMs                      int64 // Unix time, 0 for long ago
+	Version                          uint16
 }
 
 var states = map[string]balancer.EndpointState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// Fits tells whether an entry makes sense.
-func (h Host) Fits() bool {
+// Valid tells whether an entry makes sense.
+func (h Endpoint) Valid() bool {
 	_, ok := states[h.State]
-	return ok && h.Name != "" && h.Dial != "" && h.BornMs >= 0
+	return ok && h.Name != "" && h.Address != "" && h.StartedAtMs >= 0
 }
 
-// List takes the whole list, or changes of it.
-func (g *Gate) List(whole bool, hosts []Host) {
-	if g.hands.Hosts != nil {
-		g.hands.Hosts(whole, hosts)
+// UpdateEndpoints takes the whole list, or changes of it.
+func (g *Dispatcher) UpdateEndpoints(whole bool, hosts []Endpoint) {
+	if g.hands.OnEndpoints != nil {
+		g.hands.OnEndpoints(whole, hosts)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	g.Counts.Lists++
+	g.Counters.EndpointUpdates++
 	named := map[string]bool{}
 	for _, h := range hosts {
 		u := g.units[h.Name]
@@ -45,9 +45,9 @@
 			g.hands.Log(fmt.Sprintf("unit %d is %s", u.ID, h.Name))
 		}
 		named[h.Name] = true
-		u.dial = h.Dial
-		g.listed(now, u, balancer.Endpoint{Zone: g.zone(h), MachineKind: g.number("kinds", h.Kind),
-			Cell: h.Cell, State: states[h.State], NominalWeight: h.Nominal, StartedAt: balancer.Tick(h.BornMs * 10), Version: h.Build})
+		u.dial = h.Address
+		g.listed(now, u, balancer.Endpoint{Zone: g.zone(h), MachineKind: g.number("kinds", h.MachineKind),
+			Cell: h.Cell, State: states[h.State], NominalWeight: h.Weight, StartedAt: balancer.Tick(h.StartedAtMs * 10), Version: h.Version})
 	}
 	for _, u := range g.byDoor { // one that a whole list leaves out has gone
 		if u != nil && whole && !named[u.name] && u.State != balancer.Removed {
@@ -66,7 +66,7 @@
 }
 
 // admit gives a unit its door, one that is free if there is one.
-func (g *Gate) admit(u *unit) {
+func (g *Dispatcher) admit(u *unit) {
 	g.units[u.name] = u
 	at := slices.Index(g.byDoor, nil)
 	if at < 0 {
@@ -77,7 +77,7 @@
 
 // forget drops units that have gone, the longest first: as long as there are more of them than listed ones, and
 // nothing about them counts any more. Until then one may come back as it was, or a late flag may name it.
-func (g *Gate) forget(now balancer.Tick) {
+func (g *Dispatcher) forget(now balancer.Tick) {
 	for len(g.gone) > len(g.units)-len(g.gone) {
 		u := g.gone[0]
 		if u.out > 0 || now-u.went < g.keep {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (g *Gate) listed(now balancer.Tick, u *unit, is balancer.Endpoint) {
+func (g *Dispatcher) listed(now balancer.Tick, u *unit, is balancer.Endpoint) {
 	if is.State != balancer.Ready || is.StartedAt != u.StartedAt || is.Version != u.Version {
 		g.hands.CloseIdle(u.name) // its connections are of no more use
 	}
@@ -100,8 +100,8 @@
 	g.module.OnEndpoint(now, &u.Backend, is)
 }
 
-// ListFailed tells that a call that the module asked for came to nothing.
-func (g *Gate) ListFailed() {
+// EndpointFetchFailed tells that a call that the module asked for came to nothing.
+func (g *Dispatcher) EndpointFetchFailed() {
 	if !g.asks {
 		return
 	}
@@ -110,45 +110,45 @@
 	g.module.OnListSynced(g.now(), false)
 }
 
-// Stage is what the platform says of the newest build.
-type Stage struct {
-	Build uint16
-	Stage int
-	State string
-	Cap   float64
-	Age   time.Duration
+// RolloutStage is what the platform says of the newest build.
+type RolloutStage struct {
+	Version     uint16
+	Stage       int
+	Phase       string
+	ExposureCap float64
+	Age         time.Duration
 }
 
 var phases = map[string]balancer.RolloutPhase{"testing": balancer.Canary, "recalling": balancer.RollingBack,
 	"live": balancer.Released, "recalled": balancer.Withdrawn}
 
-// Fits tells whether the news makes sense.
-func (s Stage) Fits() bool {
-	_, ok := phases[s.State]
-	return ok && s.Stage >= 0 && s.Cap >= 0 && s.Cap <= 1 && s.Age >= 0
+// Valid tells whether the news makes sense.
+func (s RolloutStage) Valid() bool {
+	_, ok := phases[s.Phase]
+	return ok && s.Stage >= 0 && s.ExposureCap >= 0 && s.ExposureCap <= 1 && s.Age >= 0
 }
 
-func (s Stage) news() balancer.ReleaseStatus {
-	return balancer.ReleaseStatus{Version: s.Build, Stage: s.Stage, Phase: phases[s.State], ExposureCap: s.Cap,
+func (s RolloutStage) news() balancer.ReleaseStatus {
+	return balancer.ReleaseStatus{Version: s.Version, Stage: s.Stage, Phase: phases[s.Phase], ExposureCap: s.ExposureCap,
 		Age: balancer.Tick(s.Age / tenth), Outcome: balancer.Succeeded}
 }
 
-// Told takes news of the newest build.
-func (g *Gate) Told(s Stage) {
-	if g.hands.Stage != nil {
-		g.hands.Stage(s)
+// UpdateStage takes news of the newest build.
+func (g *Dispatcher) UpdateStage(s RolloutStage) {
+	if g.hands.OnStage != nil {
+		g.hands.OnStage(s)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Counts.Stages++
+	g.Counters.StageUpdates++
 	g.offered(s)
 	g.module.OnReleaseStatus(g.now(), s.news())
 }
 
-func (g *Gate) offered(s Stage) {
+func (g *Dispatcher) offered(s RolloutStage) {
 	g.stage = s.Stage
-	if w := g.hands.Witness; w != nil {
-		w.Offered(g.now(), s.Build, s.State)
+	if w := g.hands.Evidence; w != nil {
+		w.UpdateVersion(g.now(), s.Version, s.Phase)
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // Vote is one vote as the platform's page words it.
 type Vote struct {
-	Build   uint16
+	Version uint16
 	Stage   int
 	Verdict string
 }
@@ -165,55 +165,55 @@
 var verdicts = map[balancer.Verdict]string{balancer.NoVote: "WITHDRAW", balancer.Promote: "PROCEED", balancer.Pause: "HOLD",
 	balancer.RollBack: "ROLLBACK"}
 
-// Voted takes the answer to a vote: an HTTP status and what it tells, or no answer (status 0).
-func (g *Gate) Voted(status int, s Stage, end transport.End) {
+// VoteAnswered takes the answer to a vote: an HTTP status and what it tells, or no answer (status 0).
+func (g *Dispatcher) VoteAnswered(status int, s RolloutStage, end transport.CloseStatus) {
 	news := s.news()
 	news.VoteReply, news.Outcome = true, VoteOutcome(status, end)
-	if g.hands.Stage != nil && news.Outcome == balancer.Succeeded {
-		g.hands.Stage(s)
+	if g.hands.OnStage != nil && news.Outcome == balancer.Succeeded {
+		g.hands.OnStage(s)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Counts.VoteEndings[news.Outcome]++
+	g.Counters.VoteOutcomes[news.Outcome]++
 	if news.Outcome == balancer.Succeeded {
 		g.offered(s)
 	}
 	g.module.OnReleaseStatus(g.now(), news)
 }
 
-// Tally takes what the platform counted at a build.
-func (g *Gate) Tally(build uint16, opType string, many, failed int, took, age time.Duration) {
+// RecordPlatformCount takes what the platform counted at a build.
+func (g *Dispatcher) RecordPlatformCount(build uint16, opType string, many, failed int, took, age time.Duration) {
 	op, ok := g.ops[opType]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Counts.Tallies++
-	if w := g.hands.Witness; ok && w != nil {
-		w.Tally(g.now(), build, op, g.stage, many, failed)
+	g.Counters.PlatformCounts++
+	if w := g.hands.Evidence; ok && w != nil {
+		w.RecordPlatformCount(g.now(), build, op, g.stage, many, failed)
 	}
 	if ok {
 		g.module.OnMetrics(g.now(), build, op, many, failed, balancer.Tick(took/tenth), balancer.Tick(age/tenth))
 	}
 }
 
-// Flag takes that an answer of a unit was wrong.
-func (g *Gate) Flag(name, opType string, age time.Duration) {
+// RecordWrongAnswer takes that an answer of a unit was wrong.
+func (g *Dispatcher) RecordWrongAnswer(name, opType string, age time.Duration) {
 	op, ok := g.ops[opType]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Counts.Flags++
+	g.Counters.WrongAnswers++
 	if u := g.units[name]; ok && u != nil {
-		if w := g.hands.Witness; w != nil {
-			w.Flag(g.now(), u.Version, op, g.stage, balancer.Tick(age/tenth))
+		if w := g.hands.Evidence; w != nil {
+			w.RecordFlag(g.now(), u.Version, op, g.stage, balancer.Tick(age/tenth))
 		}
 		g.module.OnWrongAnswer(g.now(), &u.Backend, op, balancer.Tick(age/tenth))
 	}
 }
 
-// Probed takes how a probe of a unit ended.
-func (g *Gate) Probed(name, state string, end transport.End, took time.Duration, load []float64) {
+// ProbeEnded takes how a probe of a unit ended.
+func (g *Dispatcher) ProbeEnded(name, state string, end transport.CloseStatus, took time.Duration, load []float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if u := g.units[name]; u != nil {
-		g.module.OnProbe(g.now(), &u.Backend, Outcome(state, end), balancer.Tick(took/tenth), load)
+		g.module.OnProbe(g.now(), &u.Backend, AttemptOutcome(state, end), balancer.Tick(took/tenth), load)
 	}
 }
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -25,9 +25,9 @@
 
 // Front takes in connections of clients.
 type Front struct {
-	gate  *dispatch.Gate
+	gate  *dispatch.Dispatcher
 	pools *upstream.Pools
-	room  *transport.Room
+	room  *transport.BufferBudget
 	parts overload.Front
 	limit time.Duration // of a message's coming whole, and of a client's reading its answer
 	back  string        // for nacks for lack of places, in milliseconds
@@ -47,7 +47,7 @@
 // session is one connection of a client. What is above the blank line is its reader's.
 type session struct {
 	*Front
-	*transport.Link
+	*transport.Conn
 	came     time.Time     // when the last bytes did
 	last     chan struct{} // closed with the last answer that is owed
 	owed     chan struct{} // one for each answer that is
@@ -56,19 +56,19 @@
 	refused  bool // what comes up to the end of an extended query is skipped
 
 	// Guarded by Front.mu.
-	since   time.Time                      // when it came, was greeted, its last command ended, or a further message began
-	served  bool                           // it has had a command
-	open    map[*dispatch.Command]struct{} // commands in work
-	waiting bool                           // for the first byte of a message
-	close   bool                           // to be closed between commands
-	cut     bool                           // it does not take its answers: to be closed at once
-	in      *list.List                     // idle, young or none
+	since   time.Time                   // when it came, was greeted, its last command ended, or a further message began
+	served  bool                        // it has had a command
+	open    map[*dispatch.Call]struct{} // commands in work
+	waiting bool                        // for the first byte of a message
+	close   bool                        // to be closed between commands
+	cut     bool                        // it does not take its answers: to be closed at once
+	in      *list.List                  // idle, young or none
 	place   *list.Element
 }
 
 // New makes a front whose places are shared out so. A client has limit for each message, and as long to
 // read an answer. Who is nacked for lack of places is told to stay away for back.
-func New(g *dispatch.Gate, pools *upstream.Pools, room *transport.Room, parts overload.Front, limit, back time.Duration) *Front {
+func New(g *dispatch.Dispatcher, pools *upstream.Pools, room *transport.BufferBudget, parts overload.Front, limit, back time.Duration) *Front {
 	f := &Front{gate: g, pools: pools, room: room, parts: parts, limit: limit, ids: map[string]struct{}{}}
 	if back > 0 {
 		f.back = strconv.FormatInt(back.Milliseconds(), 10)
@@ -123,7 +123,7 @@
 // enter makes a session. Where all places are taken, one that has no command has to go; where there
 // is none, the new one is there to be nacked. It waits only while the spare places are taken too.
 func (f *Front) enter(conn net.Conn) *session {
-	s := &session{Front: f, Link: transport.New(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Command]struct{}{},
+	s := &session{Front: f, Conn: transport.NewConn(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Call]struct{}{},
 		owed: make(chan struct{}, f.parts.Owed)}
 	close(s.last)
 	f.mu.Lock()
@@ -179,7 +179,7 @@
 	}
 	s.close = true
 	s.sort()
-	s.StopReading()
+	s.InterruptRead()
 	f.Evicted.Add(1)
 	return true
 }
@@ -232,7 +232,7 @@
 	for _, in := range []*list.List{&f.idle, &f.young} {
 		for e := in.Front(); e != nil; e = e.Next() {
 			if s := e.Value.(*session); s.waiting {
-				s.ReadBy(s.stays())
+				s.SetReadDeadline(s.stays())
 			}
 		}
 	}
@@ -286,9 +286,9 @@
 	s.mu.Lock()
 	s.close = true
 	s.sort()
-	s.ReadBy(time.Time{})
+	s.SetReadDeadline(time.Time{})
 	if s.cut {
-		s.StopReading()
+		s.InterruptRead()
 	}
 	s.mu.Unlock()
 	var watch errgroup.Group
@@ -297,15 +297,15 @@
 	default:
 		watch.Go(func() error {
 			end := s.Fill(0)
-			for ; !end.Over(); end = s.Fill(0) {
-				s.Drop(len(s.Bytes()))
+			for ; !end.Closed(); end = s.Fill(0) {
+				s.Discard(len(s.Buffered()))
 			}
 			s.gone()
 			return nil
 		})
 	}
 	_ = s.commands.Wait()
-	s.StopReading()
+	s.InterruptRead()
 	_ = watch.Wait()
 	s.settle()
 }
@@ -314,8 +314,8 @@
 // connection that is closed resets it, and what is still on its way is lost.
 func (s *session) settle() {
 	const look = 2 * time.Millisecond
-	for end := time.Now().Add(s.limit); !s.Delivered() && time.Now().Before(end); time.Sleep(look) {
-		if _, closed := s.Heard(); closed {
+	for end := time.Now().Add(s.limit); !s.Acknowledged() && time.Now().Before(end); time.Sleep(look) {
+		if _, closed := s.LastReceived(); closed {
 			return
 		}
 	}
@@ -325,7 +325,7 @@
 func (s *session) greet() bool {
 	until := s.since.Add(max(s.parts.Keep, s.limit))
 	for {
-		start, size, err := pgwire.Startup(s.Bytes())
+		start, size, err := pgwire.Startup(s.Buffered())
 		switch {
 		case err != nil:
 			s.Malformed.Add(1)
@@ -337,7 +337,7 @@
 			}
 			continue
 		}
-		s.Drop(size)
+		s.Discard(size)
 		switch start {
 		case pgwire.StartCancel:
 			return false
@@ -346,11 +346,11 @@
 				return false
 			}
 		default:
-			s.Put(pgwire.Hello())
+			s.Append(pgwire.Hello())
 			s.mu.Lock()
 			s.since = time.Now()
 			s.mu.Unlock()
-			return len(s.Bytes()) > 0 || s.say() // with the first answer, if its query is here
+			return len(s.Buffered()) > 0 || s.say() // with the first answer, if its query is here
 		}
 	}
 }
@@ -370,7 +370,7 @@
 			return true
 		case <-beat.C:
 		}
-		_, closed := s.Heard()
+		_, closed := s.LastReceived()
 		s.mu.Lock()
 		over := s.cut
 		s.mu.Unlock()
@@ -419,16 +419,16 @@
 	if cut {
 		return false
 	}
-	s.Put(parts...)
-	s.WriteBy(time.Now().Add(s.limit))
-	if !s.Flush().Over() {
+	s.Append(parts...)
+	s.SetWriteDeadline(time.Now().Add(s.limit))
+	if !s.Flush().Closed() {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.close, s.cut = true, true
 	s.sort()
-	s.StopReading()
+	s.InterruptRead()
 	return false
 }
 
@@ -439,7 +439,7 @@
 func (s *session) next() (kind byte, size int, ok bool) {
 	var until time.Time
 	for {
-		kind, size, err := pgwire.FromClient(s.Bytes())
+		kind, size, err := pgwire.FromClient(s.Buffered())
 		switch {
 		case err != nil:
 			s.Malformed.Add(1)
@@ -449,7 +449,7 @@
 			return 0, 0, false
 		case size > 0:
 			return kind, size, true
-		case len(s.Bytes()) == 0:
+		case len(s.Buffered()) == 0:
 			ok = s.wait()
 			until = s.by()
 		default:
@@ -468,10 +468,10 @@
 		s.mu.Lock()
 		s.waiting = true
 		s.sort()
-		s.ReadBy(s.stays())
+		s.SetReadDeadline(s.stays())
 		s.mu.Unlock()
 		end := s.fill(0)
-		begun := !end.Over() || end.How == transport.Late && s.Pending()
+		begun := !end.Closed() || end.Reason == transport.DeadlineExceeded && s.Readable()
 		s.mu.Lock()
 		s.waiting = false
 		stays, cut := time.Now().Before(s.stays()), s.cut
@@ -483,7 +483,7 @@
 		switch {
 		case cut:
 			return false
-		case end.How != transport.Late:
+		case end.Reason != transport.DeadlineExceeded:
 			return s.still(end)
 		case begun:
 			return s.more(0, s.by())
@@ -513,16 +513,16 @@
 // closed meanwhile ends if nothing more has come by then.
 func (s *session) more(want int, until time.Time) bool {
 	s.mu.Lock()
-	s.ReadBy(until)
+	s.SetReadDeadline(until)
 	if s.close {
-		s.StopReading()
+		s.InterruptRead()
 	}
 	s.mu.Unlock()
 	end := s.fill(want)
 	s.mu.Lock()
-	again := end.How == transport.Late && !s.cut && s.Pending()
+	again := end.Reason == transport.DeadlineExceeded && !s.cut && s.Readable()
 	if again {
-		s.ReadBy(time.Now().Add(s.limit))
+		s.SetReadDeadline(time.Now().Add(s.limit))
 	}
 	s.mu.Unlock()
 	if again {
@@ -531,34 +531,34 @@
 	return s.still(end)
 }
 
-func (s *session) fill(want int) transport.End {
+func (s *session) fill(want int) transport.CloseStatus {
 	end := s.Fill(want)
-	ago, closed := s.Heard()
+	ago, closed := s.LastReceived()
 	s.came = time.Now().Add(-ago)
 	if closed { // also where it closed behind commands that are not read yet: nobody waits for those
-		end.How = transport.Closed
+		end.Reason = transport.ClosedByPeer
 	}
 	return end
 }
 
 // still tells whether a session goes on after a read. If the client has closed, it has gone away.
-func (s *session) still(end transport.End) bool {
-	if end.How == transport.Closed || end.How == transport.Broke {
+func (s *session) still(end transport.CloseStatus) bool {
+	if end.Reason == transport.ClosedByPeer || end.Reason == transport.ConnectionReset {
 		s.gone()
 	}
-	return !end.Over()
+	return !end.Closed()
 }
 
 // gone tells the gate that the client has left its commands.
 func (s *session) gone() {
 	s.mu.Lock()
-	all := make([]*dispatch.Command, 0, len(s.open))
+	all := make([]*dispatch.Call, 0, len(s.open))
 	for c := range s.open {
 		all = append(all, c)
 	}
 	s.mu.Unlock()
 	for _, c := range all {
-		s.gate.Leave(c)
+		s.gate.Abandon(c)
 	}
 }
 
@@ -566,8 +566,8 @@
 func (s *session) skip(size int) bool {
 	until := s.by()
 	for {
-		n := min(size, len(s.Bytes()))
-		s.Drop(n)
+		n := min(size, len(s.Buffered()))
+		s.Discard(n)
 		if size -= n; size == 0 {
 			return true
 		}
@@ -580,7 +580,7 @@
 // whole reads a message to its end.
 func (s *session) whole(size int) bool {
 	until := s.by()
-	for len(s.Bytes()) < size {
+	for len(s.Buffered()) < size {
 		if !s.more(size, until) {
 			return false
 		}
@@ -612,18 +612,18 @@
 	if size > pgwire.MostQuery {
 		return s.skip(size) && s.wrong(pgwire.TooLong, "query too long")
 	}
-	if s.over || !s.room.Take(size) {
+	if s.over || !s.room.Reserve(size) {
 		return s.skip(size) && s.crowded()
 	}
 	if !s.whole(size) {
-		s.room.Give(size)
+		s.room.Release(size)
 		return false
 	}
-	text, ended := bytes.CutSuffix(bytes.Clone(s.Bytes()[pgwire.HeadSize:size]), []byte{0})
-	s.Drop(size)
+	text, ended := bytes.CutSuffix(bytes.Clone(s.Buffered()[pgwire.HeadSize:size]), []byte{0})
+	s.Discard(size)
 	started, going := s.begin(text, ended, size)
 	if !started {
-		s.room.Give(size)
+		s.room.Release(size)
 	}
 	return going
 }
@@ -646,9 +646,9 @@
 		wait = min(wait, s.until.Sub(s.came))
 	}
 	s.mu.Unlock()
-	cmd, ok := s.gate.Take(dispatch.Ask{OpType: q.OpType, Customer: q.Customer, Key: q.Key, Came: s.came,
-		Wait: wait, Work: time.Duration(q.WorkUs) * time.Microsecond,
-		Write: q.Write, Repeated: q.Repeated, Left: s.Left})
+	cmd, ok := s.gate.Accept(dispatch.Request{Class: q.OpType, Tenant: q.Customer, Key: q.Key, ReceivedAt: s.came,
+		Timeout: wait, EstimatedWork: time.Duration(q.WorkUs) * time.Microsecond,
+		Write: q.Write, ClientRetry: q.Repeated, ClientClosed: s.PeerClosed})
 	if !ok {
 		return false, s.wrong(pgwire.BadParameter, "unknown op type")
 	}
@@ -671,7 +671,7 @@
 		s.command(cmd, q, turn)
 		done()
 		s.end(cmd)
-		s.room.Give(size)
+		s.room.Release(size)
 		return nil
 	})
 	return true, true
@@ -693,7 +693,7 @@
 }
 
 // end takes a command off the open ones.
-func (s *session) end(cmd *dispatch.Command) {
+func (s *session) end(cmd *dispatch.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, cmd)
@@ -702,31 +702,31 @@
 	}
 	s.since = time.Now()
 	if s.sort(); s.waiting && (s.close || s.closing) {
-		s.StopReading()
+		s.InterruptRead()
 	}
 }
 
 // command is the path of one command: as often as the module says, a delivery; then its answer, when
 // those before it have been written.
-func (s *session) command(cmd *dispatch.Command, q *pgwire.Query, turn <-chan struct{}) {
-	step := s.gate.Pick(cmd)
-	for step.Delivery != nil {
-		r := s.pools.Deliver(step.Delivery, q)
-		if s.gate.Report(step.Delivery, r.State, r.End, r.Load) {
+func (s *session) command(cmd *dispatch.Call, q *pgwire.Query, turn <-chan struct{}) {
+	step := s.gate.Next(cmd)
+	for step.Attempt != nil {
+		r := s.pools.Deliver(step.Attempt, q)
+		if s.gate.Report(step.Attempt, r.State, r.End, r.Load) {
 			s.pass(q, r, turn)
 			return
 		}
 		r.Done()
-		step = s.gate.Pick(cmd)
+		step = s.gate.Next(cmd)
 	}
-	switch step.Final {
-	case dispatch.Gone:
+	switch step.Answer {
+	case dispatch.ClientGone:
 		<-turn
 		s.free(q)
-	case dispatch.Nacked:
+	case dispatch.Rejected:
 		back := ""
-		if step.ComeBack > 0 {
-			back = strconv.FormatInt(step.ComeBack.Milliseconds(), 10)
+		if step.RetryAfter > 0 {
+			back = strconv.FormatInt(step.RetryAfter.Milliseconds(), 10)
 		}
 		s.write(q, turn, pgwire.Problem("ERROR", pgwire.NoRoom, "not now", back))
 	case dispatch.Failed:
@@ -741,15 +741,15 @@
 	case <-turn:
 	default:
 		rows := bytes.Join(r.Rows, nil)
-		if s.room.Take(len(rows)) {
-			defer s.room.Give(len(rows))
+		if s.room.Reserve(len(rows)) {
+			defer s.room.Release(len(rows))
 			r.Done()
 			s.write(q, turn, rows)
 			return
 		}
 	}
 	<-turn
-	s.Put(r.Rows...)
+	s.Append(r.Rows...)
 	r.Done() // before the client has the answer, as it may then ask again at once
 	s.write(q, turn)
 }
--- a/internal/evidence/ledger.go
+++ b/internal/evidence/ledger.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// Offered takes where a build stands; one that is new is kept from then on, in place of the oldest if need be.
-func (l *Ledger) Offered(now balancer.Tick, number uint16, state string) {
+// UpdateVersion takes where a build stands; one that is new is kept from then on, in place of the oldest if need be.
+func (l *Ledger) UpdateVersion(now balancer.Tick, number uint16, state string) {
 	b := l.find(number)
 	if b == nil {
 		if len(l.builds) >= mostBuilds {
@@ -142,8 +142,8 @@
 	b.Last, b.State = now, state
 }
 
-// Outcome takes an outcome of this relay's own, of an op type at a build.
-func (l *Ledger) Outcome(now balancer.Tick, number uint16, op, wave int, bad bool) {
+// RecordOutcome takes an outcome of this relay's own, of an op type at a build.
+func (l *Ledger) RecordOutcome(now balancer.Tick, number uint16, op, wave int, bad bool) {
 	x := 0.0
 	if bad {
 		x = 1
@@ -153,8 +153,8 @@
 	}
 }
 
-// Tally takes what the platform counted at a build.
-func (l *Ledger) Tally(now balancer.Tick, number uint16, op, wave, many, failed int) {
+// RecordPlatformCount takes what the platform counted at a build.
+func (l *Ledger) RecordPlatformCount(now balancer.Tick, number uint16, op, wave, many, failed int) {
 	if b := l.of(now, number, op); b != nil && many > 0 && failed >= 0 && failed <= many {
 		b.add(op, wave, Platform, float64(many), float64(failed))
 	}
@@ -182,9 +182,9 @@
 	c.Bad += bad
 }
 
-// Flag takes a wrong answer that was found so long after it was given. It belongs to the build that gave it, also
+// RecordFlag takes a wrong answer that was found so long after it was given. It belongs to the build that gave it, also
 // after that was judged; one of a build that is not kept is an orphan.
-func (l *Ledger) Flag(now balancer.Tick, number uint16, op, wave int, delay balancer.Tick) {
+func (l *Ledger) RecordFlag(now balancer.Tick, number uint16, op, wave int, delay balancer.Tick) {
 	b := l.of(now, number, op)
 	if b == nil {
 		return
@@ -200,8 +200,8 @@
 	}
 }
 
-// Voted keeps a vote with what was known when it was cast.
-func (l *Ledger) Voted(now balancer.Tick, number uint16, stage int, verdict, why string) {
+// RecordVote keeps a vote with what was known when it was cast.
+func (l *Ledger) RecordVote(now balancer.Tick, number uint16, stage int, verdict, why string) {
 	v := Vote{At: now, Stage: stage, Verdict: verdict, Why: why, Known: l.Known(number)}
 	b := l.find(number)
 	if b == nil {
--- a/internal/fdtable/table.go
+++ b/internal/fdtable/table.go
@@ -4,5 +4,5 @@
 // Without cgo it does nothing, and the relay grows the table itself.
 package fdtable
 
-// Most is how large the table is made, in descriptors, where the process may have as many.
-const Most = 1024
+// TargetSize is how large the table is made, in descriptors, where the process may have as many.
+const TargetSize = 1024
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -102,7 +102,7 @@
 
 // real is one relay with all its parts.
 type real struct {
-	gate     *dispatch.Gate
+	gate     *dispatch.Dispatcher
 	pools    *upstream.Pools
 	front    *downstream.Front
 	watch    *discovery.Watch
@@ -115,24 +115,24 @@
 	set := (&model{Rollout: r}).settings()
 	set["discovery"] = "automatic"
 	set["limits.connect_timeout"] = 0.5
-	room := transport.NewRoom(16 << 20)
+	room := transport.NewBufferBudget(16 << 20)
 	quiet := func(string) {}
-	n.watch = discovery.New(transport.NewPlace(plat.Address()), 0, time.Second, time.Second/2, time.Second, room, quiet)
-	n.desk = releaseapi.New(transport.NewPlace(plat.Address()), time.Second, room, quiet)
-	n.gate = dispatch.New(r.Seed<<8^uint64(no), set, dispatch.Hands{Vote: n.desk.Vote, Watch: n.watch.On, Fetch: n.watch.Fetch,
-		Log: quiet, Probe: func(u dispatch.Unit) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
+	n.watch = discovery.New(transport.NewAddress(plat.Address()), 0, time.Second, time.Second/2, time.Second, room, quiet)
+	n.desk = releaseapi.New(transport.NewAddress(plat.Address()), time.Second, room, quiet)
+	n.gate = dispatch.New(r.Seed<<8^uint64(no), set, dispatch.Callbacks{Vote: n.desk.Vote, WatchEndpoints: n.watch.On, FetchEndpoints: n.watch.Fetch,
+		Log: quiet, Probe: func(u dispatch.Backend) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
 	n.pools = upstream.New(room, 256, time.Second/2, 5*time.Second, n.gate)
 	n.front = downstream.New(n.gate, n.pools, room, overload.Shares(256), 2*time.Second, time.Second)
 	_, _, hosts, err := discovery.Read([]byte(plat.Page()))
 	if err != nil {
 		return nil, err
 	}
-	n.gate.List(true, hosts)
+	n.gate.UpdateEndpoints(true, hosts)
 	stage, err := releaseapi.ReadStage(json.RawMessage(plat.Stage()))
 	if err != nil {
 		return nil, err
 	}
-	n.gate.Told(stage)
+	n.gate.UpdateStage(stage)
 	n.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	return n, err
 }
@@ -142,7 +142,7 @@
 // run runs a relay until the context ends.
 func (n *real) run(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { return n.gate.Tick(ctx) })
+	group.Go(func() error { return n.gate.RunTimers(ctx) })
 	group.Go(func() error { return n.pools.Run(ctx) })
 	group.Go(func() error { return n.watch.Run(ctx, n.gate, true) })
 	group.Go(func() error { return n.desk.Run(ctx, n.gate) })
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -44,7 +44,7 @@
 	repos    map[string]*metadataproxy.Repo
 	director *director.Director
 	Carrier  *metadataproxy.Carrier
-	room     *transport.Room
+	room     *transport.BufferBudget
 	public   map[string]publicFile // by path
 	watches  []func(ctx context.Context) error
 	mu       sync.Mutex
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("%s: no metadata block: nothing is switched on", path)
 	}
 	m := &Metadata{path: path, log: log, env: env, now: now, all: block, repos: map[string]*metadataproxy.Repo{},
-		close: func() error { return nil }, room: transport.NewRoom(64 << 20)}
+		close: func() error { return nil }, room: transport.NewBufferBudget(64 << 20)}
 	if err := m.build(); err != nil {
 		_ = m.close()
 		return nil, err
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	if address, ok := r["discovery"].(string); ok {
-		watch := discovery.New(transport.NewPlace(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := discovery.New(transport.NewAddress(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
 		watch.Fetch()
 		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Gate(), true) })
 	}
@@ -199,7 +199,7 @@
 }
 
 // mirrors are the mirror lines of a repository. One that was not there before is new, and cold.
-func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Host) {
+func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Endpoint) {
 	was := map[string]bool{}
 	if before != nil {
 		old, _ := before["mirror"].([]any)
@@ -210,10 +210,10 @@
 	lines, _ := r["mirror"].([]any)
 	for _, v := range lines {
 		l := v.([]any)
-		h := dispatch.Host{Name: l[0].(string), Dial: l[1].(string), Zone: l[2].(string), State: l[3].(string), Nominal: 1,
-			Build: 1}
-		if before != nil && !was[h.Name+" "+h.Dial] {
-			h.BornMs = now.UnixMilli()
+		h := dispatch.Endpoint{Name: l[0].(string), Address: l[1].(string), Zone: l[2].(string), State: l[3].(string), Weight: 1,
+			Version: 1}
+		if before != nil && !was[h.Name+" "+h.Address] {
+			h.StartedAtMs = now.UnixMilli()
 		}
 		hosts = append(hosts, h)
 	}
@@ -265,36 +265,36 @@
 	}
 	var desk *releaseapi.Desk
 	if address != "" {
-		desk = releaseapi.New(transport.NewPlace(address), time.Second, m.room, m.say)
+		desk = releaseapi.New(transport.NewAddress(address), time.Second, m.room, m.say)
 	}
 	op := map[string]any{"name": "install", "service_target": 1.0, "command_timeout": 10.0, "importance": 1.0}
 	settings := metadatarefresh.Rules(1, 0.3, 10, []map[string]any{op})
 	settings["rollout.control"] = "clocked"
-	g := dispatch.New(seed(discoveryAddress, address), settings, dispatch.Hands{Watch: func(bool) {}, Fetch: func() {},
-		Probe: func(dispatch.Unit) {}, CloseIdle: func(string) {}, Log: m.say, Hosts: m.director.Hosts,
-		Vote: m.director.Voted, Stage: m.director.Stage})
-	m.watches = append(m.watches, g.Tick)
+	g := dispatch.New(seed(discoveryAddress, address), settings, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
+		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: m.say, OnEndpoints: m.director.Hosts,
+		Vote: m.director.Voted, OnStage: m.director.Stage})
+	m.watches = append(m.watches, g.RunTimers)
 	if desk != nil {
 		m.watches = append(m.watches, func(ctx context.Context) error { return desk.Run(ctx, g) })
 	}
 	if discoveryAddress != "" {
-		watch := discovery.New(transport.NewPlace(discoveryAddress), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := discovery.New(transport.NewAddress(discoveryAddress), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
 		watch.Fetch()
 		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, true) })
 	}
 	return nil
 }
 
-func wave(w []any) dispatch.Stage {
-	return dispatch.Stage{Build: uint16(w[0].(float64)), State: w[1].(string), Cap: w[2].(float64)}
+func wave(w []any) dispatch.RolloutStage {
+	return dispatch.RolloutStage{Version: uint16(w[0].(float64)), Phase: w[1].(string), ExposureCap: w[2].(float64)}
 }
 
 // listed are the servers of the file, as a list of those that are there.
-func listed(d map[string]any) (hosts []dispatch.Host) {
+func listed(d map[string]any) (hosts []dispatch.Endpoint) {
 	lines, _ := d["server"].([]any)
 	for _, v := range lines {
 		l := v.([]any)
-		hosts = append(hosts, dispatch.Host{Name: l[0].(string), Dial: "-", Zone: l[1].(string), Kind: l[2].(string), State: "up"})
+		hosts = append(hosts, dispatch.Endpoint{Name: l[0].(string), Address: "-", Zone: l[1].(string), MachineKind: l[2].(string), State: "up"})
 	}
 	return hosts
 }
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -41,14 +41,14 @@
 }
 
 // age takes what was known of the build on trial before this start, before anything new comes.
-func (m *memory) age(r *relay, news dispatch.Stage) {
+func (m *memory) age(r *relay, news dispatch.RolloutStage) {
 	if m.ledger.Lost != "" {
 		r.log.Warn().Str("why", m.ledger.Lost).Msg("what was known of builds is lost: the relay starts afresh")
 	}
-	if news.State == "testing" {
-		m.build = news.Build
-		r.gate.Hold(func() {
-			m.n, m.bad = m.ledger.Aged(balancer.Tick(time.Now().UnixMicro()/100), news.Build, m.half)
+	if news.Phase == "testing" {
+		m.build = news.Version
+		r.gate.WithLock(func() {
+			m.n, m.bad = m.ledger.Aged(balancer.Tick(time.Now().UnixMicro()/100), news.Version, m.half)
 		})
 	}
 }
@@ -61,7 +61,7 @@
 		total, wrong = total+m.n[i], wrong+m.bad[i]
 	}
 	if total > 0 {
-		r.gate.Recall(m.build, m.n, m.bad)
+		r.gate.RestoreEvidence(m.build, m.n, m.bad)
 		r.log.Info().Uint16("build", m.build).Int("outcomes", total).Int("failed", wrong).
 			Msg("known from before the restart")
 	}
@@ -84,7 +84,7 @@
 			over = true
 		}
 		var text []byte
-		r.gate.Hold(func() { text = m.ledger.Snapshot() })
+		r.gate.WithLock(func() { text = m.ledger.Snapshot() })
 		err := evidence.Save(m.path, text)
 		if err != nil && !failing {
 			r.log.Error().Err(err).Msg("what is known of builds cannot be written: a restart would lose it")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,15 +39,15 @@
 // relay is the parts of the program.
 type relay struct {
 	log   zerolog.Logger
-	room  *transport.Room
-	gate  *dispatch.Gate
+	room  *transport.BufferBudget
+	gate  *dispatch.Dispatcher
 	pools *upstream.Pools
 	front *downstream.Front
 	watch *discovery.Watch
 	desk  *releaseapi.Desk
 	left  time.Duration // from SIGTERM until all has to be answered
 
-	discovery, platform *transport.Place
+	discovery, platform *transport.Address
 	memory              *memory // nil without an operator's file that speaks of verdicts
 }
 
@@ -71,7 +71,7 @@
 
 // Run runs a relay until a signal has ended it and all that it took is answered. env is the environment: the
 // configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
-func Run(t Told, env func(string) string, beside ...func(context.Context, *dispatch.Gate) error) error {
+func Run(t Told, env func(string) string, beside ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := t.signals
 	if signals == nil {
 		signals = hear()
@@ -84,11 +84,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return r.gate.Tick(ctx) })
+	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error { return r.pools.Run(ctx) })
 	pushed := !t.Follows && t.settings["discovery"] != "subscribe"
 	if t.Follows {
-		r.gate.Follow()
+		r.gate.FollowPlacements()
 	} else {
 		group.Go(func() error { return r.watch.Run(ctx, r.gate, pushed) })
 	}
@@ -136,7 +136,7 @@
 		r.watch.First(limited)
 	}
 	relays, _ := t.settings["relays"].(float64)
-	r.pools.Warm(limited, r.gate.Ready(), int(min(max(relays, 1), math.MaxInt32)))
+	r.pools.Warm(limited, r.gate.ReadyBackends(), int(min(max(relays, 1), math.MaxInt32)))
 	if t.Turn != nil {
 		t.Turn(ctx)
 	}
@@ -220,8 +220,8 @@
 	timeout := max(time.Second, longest) // of a client
 	r.left = min(longest, mostKill) + handOver
 	calls := max(time.Second, span("rollout.vote_wait"))
-	r.room = transport.NewRoom(t.memory / 2)
-	r.discovery, r.platform = transport.NewPlace(t.discovery), transport.NewPlace(t.platform)
+	r.room = transport.NewBufferBudget(t.memory / 2)
+	r.discovery, r.platform = transport.NewAddress(t.discovery), transport.NewAddress(t.platform)
 	// A watch that fell silent is found out before a drain that it should have told is past its grace.
 	grace := span("rules.drain_grace")
 	if grace == 0 {
@@ -229,15 +229,15 @@
 	}
 	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
 	r.desk = releaseapi.New(r.platform, calls, r.room, say)
-	hands := dispatch.Hands{
-		Vote: r.desk.Vote, Watch: r.watch.On, Fetch: r.watch.Fetch, Log: say,
-		Shed:      t.Shed,
-		Stage:     t.Staged,
-		Probe:     func(u dispatch.Unit) { r.pools.Probe(u) },
-		CloseIdle: func(name string) { r.pools.CloseIdle(name) },
+	hands := dispatch.Callbacks{
+		Vote: r.desk.Vote, WatchEndpoints: r.watch.On, FetchEndpoints: r.watch.Fetch, Log: say,
+		LoadShedder: t.Shed,
+		OnStage:     t.Staged,
+		Probe:       func(u dispatch.Backend) { r.pools.Probe(u) },
+		CloseIdle:   func(name string) { r.pools.CloseIdle(name) },
 	}
 	if r.memory = newMemory(t); r.memory != nil {
-		hands.Witness = r.memory.ledger
+		hands.Evidence = r.memory.ledger
 	}
 	r.gate = dispatch.New(t.seed, t.settings, hands)
 	comeBack := time.Duration(0)
@@ -247,8 +247,8 @@
 	atUnits := (t.sockets - otherSockets) / 6
 	r.pools = upstream.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
 	r.front = downstream.New(r.gate, r.pools, r.room, overload.Shares(t.sockets-otherSockets-atUnits), timeout, comeBack)
-	r.gate.List(true, t.known)
-	r.gate.Told(t.news)
+	r.gate.UpdateEndpoints(true, t.known)
+	r.gate.UpdateStage(t.news)
 	if r.memory != nil {
 		r.memory.age(r, t.news)
 	}
@@ -263,16 +263,16 @@
 		r.log.Error().Err(err).Msg("new configuration not taken")
 		return
 	}
-	list, votes := r.discovery.Move(t.discovery), r.platform.Move(t.platform)
+	list, votes := r.discovery.Update(t.discovery), r.platform.Update(t.platform)
 	r.log.Info().Bool("list_moved", list).Bool("platform_moved", votes).Msg("new configuration")
 }
 
 // print writes the counters.
 func (r *relay) print(why string) {
 	c := r.gate.Snapshot()
-	for _, op := range c.Ops {
-		r.log.Info().Str("op_type", op.Name).Int64("taken", op.Taken).Int64("acked", op.Acked).
-			Int64("nacked", op.Nacked).Int64("failed", op.Failed).Int64("left", op.Left).Msg(why)
+	for _, op := range c.Classes {
+		r.log.Info().Str("op_type", op.Name).Int64("taken", op.Accepted).Int64("acked", op.Succeeded).
+			Int64("nacked", op.Rejected).Int64("failed", op.Failed).Int64("left", op.Abandoned).Msg(why)
 	}
 	set, held := r.room.InUse()
 	open, idle := r.pools.InUse()
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -33,18 +33,18 @@
 	cores                             float64
 	memory                            int64 // bytes
 	sockets                           int
-	news                              dispatch.Stage
+	news                              dispatch.RolloutStage
 	seq                               int64
-	known                             []dispatch.Host
+	known                             []dispatch.Endpoint
 	settings                          map[string]any
 	verdicts                          map[string]any // of the operator's own file; nil without one
 
 	// Follows: the list of units and where instances run come from a fleet's keepers, by a part beside the relay. Shed
 	// is then what the fleet decides, and Turn waits for this relay's turn to take clients in.
 	Follows bool
-	Shed    dispatch.Shed
+	Shed    dispatch.LoadShedder
 	Turn    func(context.Context)
-	Staged  func(dispatch.Stage) // hears what the platform tells of builds
+	Staged  func(dispatch.RolloutStage) // hears what the platform tells of builds
 }
 
 // ReadTold reads the environment and the configuration that it names.
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -38,24 +38,24 @@
 }
 
 // Run follows until the context ends.
-func (g *Guide) Run(ctx context.Context, at *dispatch.Gate) error {
+func (g *Guide) Run(ctx context.Context, at *dispatch.Dispatcher) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		return g.keepers.WatchUnits(ctx, func(_ uint64, units []controllerclient.Unit) { at.List(true, g.hosts(units)) })
+		return g.keepers.WatchUnits(ctx, func(_ uint64, units []controllerclient.Unit) { at.UpdateEndpoints(true, g.hosts(units)) })
 	})
 	group.Go(func() error {
 		return g.keepers.Watch(ctx, func(_ uint64, places []migration.Place, gone []string, whole bool) {
-			all := make([]dispatch.Place, 0, len(places))
+			all := make([]dispatch.Placement, 0, len(places))
 			for _, p := range places {
-				one := dispatch.Place{Name: p.Name, Unit: p.Owner, Epoch: p.Epoch, Change: p.Change}
+				one := dispatch.Placement{Instance: p.Name, Backend: p.Owner, Epoch: p.Epoch, Revision: p.Change}
 				if p.State != migration.Runs {
-					one.Unit = ""
+					one.Backend = ""
 				}
 				all = append(all, one)
 			}
-			for _, p := range at.Placed(whole, all, gone) {
+			for _, p := range at.UpdatePlacements(whole, all, gone) {
 				routes.Inc()
-				g.log.Info().Str("event", "routes").Str("instance", p.Name).Uint64("epoch", p.Epoch).Str("to", p.Unit).Msg("routes")
+				g.log.Info().Str("event", "routes").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("to", p.Backend).Msg("routes")
 			}
 		})
 	})
@@ -67,7 +67,7 @@
 
 // hosts makes entries of the list of units: those whose lease is not over. One that is tired or leaves is listed as up:
 // its instances are served there until they have been handed on, and the keepers put no new ones there.
-func (g *Guide) hosts(units []controllerclient.Unit) (all []dispatch.Host) {
+func (g *Guide) hosts(units []controllerclient.Unit) (all []dispatch.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, u := range units {
@@ -80,8 +80,8 @@
 			state := map[bool]string{true: "alive", false: "dead"}[u.Held]
 			g.log.Info().Str("event", "member").Str("from", u.Name).Str("why", state+", say the keepers").Msg("member")
 		}
-		h := dispatch.Host{Name: u.Name, Dial: dial, Zone: u.Zone, State: "up", Nominal: u.Share, BornMs: u.BornMS, Build: u.Build}
-		if !u.Held || !h.Fits() {
+		h := dispatch.Endpoint{Name: u.Name, Address: dial, Zone: u.Zone, State: "up", Weight: u.Share, StartedAtMs: u.BornMS, Version: u.Build}
+		if !u.Held || !h.Valid() {
 			continue
 		}
 		all = append(all, h)
--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -47,7 +47,7 @@
 	mu       sync.Mutex
 	fleet    *overload.Fleet
 	outcomes map[string]*controllerclient.Outcome // by unit, since they were told last
-	stage    dispatch.Stage                       // of the newest build, as the platform told it last
+	stage    dispatch.RolloutStage                // of the newest build, as the platform told it last
 
 	before syscall.Rusage
 	at     time.Time
@@ -69,8 +69,8 @@
 	return s
 }
 
-// Take tells whether a command is taken.
-func (s *Strain) Take(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
+// Admit tells whether a command is taken.
+func (s *Strain) Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok, wait := s.fleet.Take(s.board.Now(), op, importance, customer)
@@ -80,16 +80,16 @@
 	return ok, wait.Span()
 }
 
-// First counts a first delivery.
-func (s *Strain) First() {
+// RecordFirstAttempt counts a first delivery.
+func (s *Strain) RecordFirstAttempt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	firsts.Inc()
 	s.fleet.First(s.board.Now())
 }
 
-// Again tells whether one more delivery may go out.
-func (s *Strain) Again(repeated bool) bool {
+// AllowRetry tells whether one more delivery may go out.
+func (s *Strain) AllowRetry(repeated bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := s.fleet.Again(s.board.Now(), repeated)
@@ -99,8 +99,8 @@
 	return ok
 }
 
-// Outcome takes how a delivery at a unit ended.
-func (s *Strain) Outcome(unit string, good bool) {
+// RecordOutcome takes how a delivery at a unit ended.
+func (s *Strain) RecordOutcome(unit string, good bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fleet.Outcome(s.board.Now(), unit, good)
@@ -116,15 +116,15 @@
 	}
 }
 
-// Worked takes an answer of a unit and how long the unit took for it.
-func (s *Strain) Worked(op int, took time.Duration) {
+// RecordServiceTime takes an answer of a unit and how long the unit took for it.
+func (s *Strain) RecordServiceTime(op int, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fleet.Worked(s.board.Now(), op, tick.Of(took))
 }
 
 // Staged takes where the newest build stands, as the platform told it.
-func (s *Strain) Staged(news dispatch.Stage) {
+func (s *Strain) Staged(news dispatch.RolloutStage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stage = news
@@ -148,7 +148,7 @@
 		s.outcomes = make(map[string]*controllerclient.Outcome, len(all))
 		stage := s.stage
 		s.mu.Unlock()
-		if len(all) == 0 && stage.State == "" {
+		if len(all) == 0 && stage.Phase == "" {
 			continue
 		}
 		units := make([]controllerclient.Outcome, 0, len(all))
@@ -156,22 +156,22 @@
 			units = append(units, *all[name])
 		}
 		call, cancel := context.WithTimeout(ctx, reports)
-		if err := to.Outcomes(call, controllerclient.Outcomes{Units: units, Build: stage.Build, State: stage.State}); err != nil && ctx.Err() == nil {
+		if err := to.Outcomes(call, controllerclient.Outcomes{Units: units, Build: stage.Version, State: stage.Phase}); err != nil && ctx.Err() == nil {
 			s.log.Debug().Err(err).Msg("outcomes not told")
 		}
 		cancel()
 	}
 }
 
-// Probes tells whether this relay may try a unit that it doubts.
-func (s *Strain) Probes(unit string) bool {
+// AllowProbe tells whether this relay may try a unit that it doubts.
+func (s *Strain) AllowProbe(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.Probes(s.board.Now(), unit)
 }
 
-// Avoids tells whether a unit is sick for other relays.
-func (s *Strain) Avoids(unit string) bool {
+// IsEjected tells whether a unit is sick for other relays.
+func (s *Strain) IsEjected(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.Avoids(s.board.Now(), unit)
@@ -197,7 +197,7 @@
 }
 
 // Run measures and passes news on until the context ends.
-func (s *Strain) Run(ctx context.Context, g *dispatch.Gate) error {
+func (s *Strain) Run(ctx context.Context, g *dispatch.Dispatcher) error {
 	ticker := time.NewTicker(beat)
 	defer ticker.Stop()
 	next := time.Now().Add(beat)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Strain) step(g *dispatch.Gate, late time.Duration) {
+func (s *Strain) step(g *dispatch.Dispatcher, late time.Duration) {
 	p := s.measure(g, late)
 	s.hear()
 	s.mu.Lock()
@@ -255,7 +255,7 @@
 }
 
 // measure takes the relay's own load since the last time.
-func (s *Strain) measure(g *dispatch.Gate, late time.Duration) overload.Pressure {
+func (s *Strain) measure(g *dispatch.Dispatcher, late time.Duration) overload.Pressure {
 	var use syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	now := time.Now()
--- a/internal/transport/place.go
+++ b/internal/transport/place.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// Place is the address of a peer that may move while the program runs.
-type Place struct {
+// Address is the address of a peer that may move while the program runs.
+type Address struct {
 	mu      sync.Mutex
 	address string
 	here    context.Context // ends when the peer moves
 	leave   context.CancelFunc
 }
 
-// NewPlace makes the place of a peer at an address.
-func NewPlace(address string) *Place {
-	p := &Place{address: address}
+// NewAddress makes the place of a peer at an address.
+func NewAddress(address string) *Address {
+	p := &Address{address: address}
 	p.here, p.leave = context.WithCancel(context.Background())
 	return p
 }
 
-// Move names another address. What was begun at the one before is called off.
-func (p *Place) Move(address string) (moved bool) {
+// Update names another address. What was begun at the one before is called off.
+func (p *Address) Update(address string) (moved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if address == p.address {
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Now tells the address, and a context that ends with ctx or when the peer moves.
-func (p *Place) Now(ctx context.Context) (address string, here context.Context, release func()) {
+// Current tells the address, and a context that ends with ctx or when the peer moves.
+func (p *Address) Current(ctx context.Context) (address string, here context.Context, release func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	both, cancel := context.WithCancel(ctx)
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -5,18 +5,18 @@
 // piece is the size of a ring of an idle connection, and the unit in which rings grow.
 const piece = 2 << 10
 
-// Room is the memory that commands may need for their buffers, in bytes. It is set aside when a
+// BufferBudget is the memory that commands may need for their buffers, in bytes. It is set aside when a
 // command is taken, so that no buffer is missing later on.
-type Room struct {
+type BufferBudget struct {
 	most       int64
 	taken, use atomic.Int64
 }
 
-// NewRoom makes a room of so many bytes.
-func NewRoom(bytes int64) *Room { return &Room{most: bytes} }
+// NewBufferBudget makes a room of so many bytes.
+func NewBufferBudget(bytes int64) *BufferBudget { return &BufferBudget{most: bytes} }
 
-// Take sets n bytes aside; false: there are not as many.
-func (r *Room) Take(n int) bool {
+// Reserve sets n bytes aside; false: there are not as many.
+func (r *BufferBudget) Reserve(n int) bool {
 	if r.taken.Add(int64(n)) > r.most {
 		r.taken.Add(int64(-n))
 		return false
@@ -24,17 +24,17 @@
 	return true
 }
 
-// Give gives bytes back.
-func (r *Room) Give(n int) { r.taken.Add(int64(-n)) }
+// Release gives bytes back.
+func (r *BufferBudget) Release(n int) { r.taken.Add(int64(-n)) }
 
 // InUse tells how many bytes are set aside, and how many buffers hold.
-func (r *Room) InUse() (taken, held int64) { return r.taken.Load(), r.use.Load() }
+func (r *BufferBudget) InUse() (taken, held int64) { return r.taken.Load(), r.use.Load() }
 
 // ring is a ring buffer that grows by pieces and falls back to none when it is empty.
 type ring struct {
 	buf   []byte
 	at, n int // where the content starts, how much there is
-	room  *Room
+	room  *BufferBudget
 }
 
 // grow makes space for n bytes in all.
