--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -16,10 +16,10 @@
 
 // Pools holds the idle connections, by unit.
 type Pools struct {
-	room    *transport.Room
+	room    *transport.BufferBudget
 	connect time.Duration // time limit of a new connection
 	rest    time.Duration // how long a connection may stand idle
-	gate    *dispatch.Gate
+	gate    *dispatch.Dispatcher
 	figures []string      // of a load report
 	slots   chan struct{} // one for each connection that may be open
 	probes  sync.WaitGroup
@@ -32,15 +32,15 @@
 }
 
 type conn struct {
-	*transport.Link
-	to    dispatch.Unit
+	*transport.Conn
+	to    dispatch.Backend
 	since time.Time // idle since
 }
 
 // New makes pools of at most so many connections in all. A connection that would stand idle for
 // as long as rest is closed before the unit does it.
-func New(room *transport.Room, most int, connect, rest time.Duration, g *dispatch.Gate) *Pools {
-	return &Pools{room: room, connect: connect, rest: rest - rest/8, gate: g, figures: g.Figures(),
+func New(room *transport.BufferBudget, most int, connect, rest time.Duration, g *dispatch.Dispatcher) *Pools {
+	return &Pools{room: room, connect: connect, rest: rest - rest/8, gate: g, figures: g.LoadColumns(),
 		slots: make(chan struct{}, most), idle: map[string][]*conn{}}
 }
 
@@ -56,7 +56,7 @@
 // Reply is how a delivery ended. Its rows are valid until Done.
 type Reply struct {
 	State string // SQLSTATE of the answer, empty with none
-	End   transport.End
+	End   transport.CloseStatus
 	Load  []float64
 	Rows  [][]byte // messages to pass on, byte for byte
 	conn  *conn
@@ -65,39 +65,39 @@
 }
 
 // Deliver makes one delivery of a query, if that still may begin once there is a connection.
-func (p *Pools) Deliver(d *dispatch.Delivery, q *pgwire.Query) Reply {
-	c, r := p.open(d.Context, d.Unit)
+func (p *Pools) Deliver(d *dispatch.Attempt, q *pgwire.Query) Reply {
+	c, r := p.open(d.Context, d.Backend)
 	if c == nil {
 		return r
 	}
-	c.Within(d.Context)
+	c.BindContext(d.Context)
 	begins := p.gate.Begin(d) // it may have waited for a place or a dial
-	left := time.Until(d.StopAt).Milliseconds()
+	left := time.Until(d.Deadline).Milliseconds()
 	if !begins || left < 1 { // nothing is written, and the connection is as good as before
-		if c.Release() && p.gate.Serves(d.Unit) {
+		if c.ReleaseContext() && p.gate.IsCurrent(d.Backend) {
 			p.rested(c)
 		} else {
 			p.close(c)
 		}
-		return Reply{End: transport.End{How: transport.CalledOff}}
+		return Reply{End: transport.CloseStatus{Reason: transport.Canceled}}
 	}
-	if !c.Quiet() { // the unit has ended it since: nothing is written
+	if !c.Reusable() { // the unit has ended it since: nothing is written
 		fresh := c.since.IsZero()
 		if p.drop(c); fresh {
-			return Reply{End: transport.End{How: transport.Closed}}
+			return Reply{End: transport.CloseStatus{Reason: transport.ClosedByPeer}}
 		}
 		return p.Deliver(d, q)
 	}
-	c.Put(q.Parts(left)...)
-	if end := c.Flush(); end.Over() {
+	c.Append(q.Parts(left)...)
+	if end := c.Flush(); end.Closed() {
 		p.close(c)
 		return Reply{End: end}
 	}
 	r = p.read(c)
-	if r.State == "" && !r.End.Over() || r.State == pgwire.Complete && len(r.Rows) != rowParts {
-		r = Reply{End: transport.End{How: transport.Malformed, Sent: true}} // it is ready again without an answer
+	if r.State == "" && !r.End.Closed() || r.State == pgwire.Complete && len(r.Rows) != rowParts {
+		r = Reply{End: transport.CloseStatus{Reason: transport.Malformed, Flushed: true}} // it is ready again without an answer
 	}
-	r.conn, r.pools, r.keep = c, p, c.Release() && r.keep // before its context is cancelled
+	r.conn, r.pools, r.keep = c, p, c.ReleaseContext() && r.keep // before its context is cancelled
 	return r
 }
 
@@ -109,33 +109,33 @@
 func (p *Pools) read(c *conn) Reply {
 	var a pgwire.Answer
 	for {
-		var end transport.End
-		if err := a.Read(c.Bytes()); err == pgwire.ErrOverlong {
-			end = transport.End{How: transport.Overlong, Sent: true}
+		var end transport.CloseStatus
+		if err := a.Read(c.Buffered()); err == pgwire.ErrOverlong {
+			end = transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		} else if err != nil {
-			end = transport.End{How: transport.Malformed, Sent: true}
+			end = transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 		} else if a.Ready || a.Fatal {
 			return p.reply(c, &a, a.Ready)
 		} else {
 			if a.State != "" {
-				c.Until(time.Now().Add(min(p.connect, settle)))
+				c.SetDeadline(time.Now().Add(min(p.connect, settle)))
 			}
-			end = c.Fill(a.Need(c.Bytes()))
+			end = c.Fill(a.Need(c.Buffered()))
 		}
-		if end.Over() && a.State != "" {
+		if end.Closed() && a.State != "" {
 			return p.reply(c, &a, false)
 		}
-		if end.Over() {
+		if end.Closed() {
 			return Reply{End: end}
 		}
 	}
 }
 
 func (p *Pools) reply(c *conn, a *pgwire.Answer, keep bool) Reply {
-	r := Reply{State: a.State, Load: pgwire.Load(a.Load, p.figures), keep: keep && a.Used == len(c.Bytes())}
+	r := Reply{State: a.State, Load: pgwire.Load(a.Load, p.figures), keep: keep && a.Used == len(c.Buffered())}
 	if a.State == pgwire.Complete {
 		for _, span := range a.Rows {
-			r.Rows = append(r.Rows, c.Bytes()[span[0]:span[1]])
+			r.Rows = append(r.Rows, c.Buffered()[span[0]:span[1]])
 		}
 	}
 	return r
@@ -151,13 +151,13 @@
 		r.pools.close(c)
 		return
 	}
-	c.Drop(len(c.Bytes()))
+	c.Discard(len(c.Buffered()))
 	r.pools.rested(c)
 }
 
 // rested takes a connection among the idle.
 func (p *Pools) rested(c *conn) {
-	c.Rest()
+	c.ReleaseBuffers()
 	c.since = time.Now()
 	p.mu.Lock()
 	p.idle[c.to.Name] = append(p.idle[c.to.Name], c)
@@ -165,9 +165,9 @@
 }
 
 // open finds an idle connection to a unit or makes a new one.
-func (p *Pools) open(ctx context.Context, to dispatch.Unit) (*conn, Reply) {
+func (p *Pools) open(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
 	for c := p.take(to.Name); c != nil; c = p.take(to.Name) {
-		if c.to == to && time.Since(c.since) < p.rest && c.Quiet() {
+		if c.to == to && time.Since(c.since) < p.rest && c.Reusable() {
 			p.Reused.Add(1)
 			return c, Reply{}
 		}
@@ -178,12 +178,12 @@
 	default:
 		if !p.closeOldest() {
 			p.Failed.Add(1)
-			return nil, Reply{End: transport.End{How: transport.Refused}}
+			return nil, Reply{End: transport.CloseStatus{Reason: transport.Refused}}
 		}
 		select {
 		case p.slots <- struct{}{}:
 		case <-ctx.Done(): // which speaks for no unit
-			return nil, Reply{End: transport.End{How: transport.CalledOff}}
+			return nil, Reply{End: transport.CloseStatus{Reason: transport.Canceled}}
 		}
 	}
 	c, r := p.dial(ctx, to)
@@ -195,36 +195,36 @@
 }
 
 // dial opens a connection up to the unit's word that it is ready.
-func (p *Pools) dial(ctx context.Context, to dispatch.Unit) (*conn, Reply) {
+func (p *Pools) dial(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
 	p.Opened.Add(1)
 	limited, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
-	l, end := transport.Dial(limited, to.Dial, p.connect, p.room)
-	if end.Over() {
+	l, end := transport.Dial(limited, to.Address, p.connect, p.room)
+	if end.Closed() {
 		return nil, Reply{End: end}
 	}
-	c := &conn{Link: l, to: to}
-	c.Within(limited)
-	c.Put(pgwire.Hail())
-	if end = c.Flush(); !end.Over() {
+	c := &conn{Conn: l, to: to}
+	c.BindContext(limited)
+	c.Append(pgwire.Hail())
+	if end = c.Flush(); !end.Closed() {
 		r := p.read(c)
 		if end = r.End; r.State == pgwire.NoRoom {
 			c.Close()
 			return nil, Reply{State: r.State}
 		}
-		if r.State == "" && !end.Over() && r.keep && c.Release() {
-			c.Drop(len(c.Bytes()))
+		if r.State == "" && !end.Closed() && r.keep && c.ReleaseContext() {
+			c.Discard(len(c.Buffered()))
 			return c, Reply{}
 		}
 	}
 	c.Close()
-	if end.Over() {
-		return nil, Reply{End: transport.End{How: end.How}} // no query was written
+	if end.Closed() {
+		return nil, Reply{End: transport.CloseStatus{Reason: end.Reason}} // no query was written
 	}
 	if ctx.Err() == context.Canceled { // given up just as it came up, which speaks for no unit
-		return nil, Reply{End: transport.End{How: transport.CalledOff}}
+		return nil, Reply{End: transport.CloseStatus{Reason: transport.Canceled}}
 	}
-	return nil, Reply{End: transport.End{How: transport.NotUp}}
+	return nil, Reply{End: transport.CloseStatus{Reason: transport.ConnectTimeout}}
 }
 
 // take takes the idle connection to a unit that was used last, among those that have settled; else the one that has
@@ -253,7 +253,7 @@
 
 // drop closes an idle connection, and minds what has come on it unasked.
 func (p *Pools) drop(c *conn) {
-	if c.Unasked() {
+	if c.HasUnsolicited() {
 		p.Unasked.Add(1)
 		p.mu.Lock()
 		p.wary = time.Now().Add(waryFor)
@@ -309,7 +309,7 @@
 // commands after a start need not wait for them. All relays together open no more at a unit than one of
 // them might alone: many that start at once would spend the units' work on connections that few commands
 // use. It waits at most as long as one takes, and not beyond the context: what is not up by then is given up.
-func (p *Pools) Warm(ctx context.Context, to []dispatch.Unit, relays int) {
+func (p *Pools) Warm(ctx context.Context, to []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
 	var all sync.WaitGroup
@@ -332,7 +332,7 @@
 }
 
 // Probe checks a unit on a goroutine of its own, which Run waits for.
-func (p *Pools) Probe(to dispatch.Unit) {
+func (p *Pools) Probe(to dispatch.Backend) {
 	p.probes.Add(1)
 	go func() {
 		defer p.probes.Done()
@@ -341,15 +341,15 @@
 		defer cancel()
 		c, r := p.open(ctx, to)
 		if c != nil {
-			c.Within(ctx)
-			c.Put(pgwire.Simple("SELECT 1"))
-			if r.End = c.Flush(); !r.End.Over() {
+			c.BindContext(ctx)
+			c.Append(pgwire.Simple("SELECT 1"))
+			if r.End = c.Flush(); !r.End.Closed() {
 				r = p.read(c)
 			}
-			r.conn, r.pools, r.keep = c, p, c.Release() && r.keep
+			r.conn, r.pools, r.keep = c, p, c.ReleaseContext() && r.keep
 			r.Done()
 		}
-		p.gate.Probed(to.Name, r.State, r.End, time.Since(began), r.Load)
+		p.gate.ProbeEnded(to.Name, r.State, r.End, time.Since(began), r.Load)
 	}()
 }
 
--- a/internal/wakeup/bell.go
+++ b/internal/wakeup/bell.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Bell wakes one worker. Its zero value can't be used.
-type Bell struct{ rung chan struct{} }
+// Waker wakes one worker. Its zero value can't be used.
+type Waker struct{ rung chan struct{} }
 
 // New makes a bell.
-func New() *Bell { return &Bell{make(chan struct{}, 1)} }
+func New() *Waker { return &Waker{make(chan struct{}, 1)} }
 
-// Ring has the work done soon. It never blocks; rings before the work begins count as one.
-func (b *Bell) Ring() {
+// Wake has the work done soon. It never blocks; rings before the work begins count as one.
+func (b *Waker) Wake() {
 	select {
 	case b.rung <- struct{}{}:
 	default: // it is to look anyhow
@@ -22,7 +22,7 @@
 }
 
 // Run does the work at once, then each time it is due by its own word or rung for, until the context ends.
-func (b *Bell) Run(ctx context.Context, work func() (next time.Duration)) error {
+func (b *Waker) Run(ctx context.Context, work func() (next time.Duration)) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
