--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -35,8 +35,8 @@
 	Store string                  `json:"store,omitempty"`
 
 	// Of these an earlier keeper knows nothing, and passes an entry with them alone over: nothing that it knows rests on them.
-	Kept   map[string]uint64 `json:"kept,omitempty"`   // units' counts, as leases.Marks
-	Doubts []migration.Doubt `json:"doubts,omitempty"` // of one unit's
+	Kept   map[string]uint64          `json:"kept,omitempty"`   // units' counts, as leases.Marks
+	Doubts []migration.UnverifiedCopy `json:"doubts,omitempty"` // of one unit's
 }
 
 // result is what became of one step.
@@ -123,7 +123,7 @@
 	}
 	leases.Mark(m.head.Kept, o.Kept)
 	for _, d := range o.Doubts {
-		m.table.Doubt(d.Name, d.Epoch, d.Why)
+		m.table.Doubt(d.Instance, d.Epoch, d.Reason)
 	}
 	var all []result
 	before := m.table.Version()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -194,8 +194,8 @@
 			return nil, err
 		}
 		for _, d := range a.Doubts {
-			k.Log.Warn().Str("event", "doubts").Str("instance", d.Name).Uint64("epoch", d.Epoch).Str("from", a.Unit).
-				Str("why", d.Why).Send()
+			k.Log.Warn().Str("event", "doubts").Str("instance", d.Instance).Uint64("epoch", d.Epoch).Str("from", a.Unit).
+				Str("why", d.Reason).Send()
 		}
 	}
 	k.mu.Lock()
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -168,30 +168,30 @@
 	a := e.ask(ctx, q)
 	metrics.GetOrCreateCounter(outcomes[a.Outcome]).Inc()
 	switch a.Outcome {
-	case migration.Acked:
+	case migration.Succeeded:
 		end := "SELECT 1"
 		if q.Write {
 			end = "INSERT 0 1"
 		}
-		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Seq, a.Epoch, a.Unit), end)
-	case migration.NeverRan:
-		return problem(pgwire.NoRoom, a.Text)
-	case migration.Oversize:
-		return problem(pgwire.TooLong, a.Text)
+		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Index, a.Epoch, a.Node), end)
+	case migration.Rejected:
+		return problem(pgwire.NoRoom, a.Detail)
+	case migration.TooLarge:
+		return problem(pgwire.TooLong, a.Detail)
 	}
-	return problem(pgwire.Failed, a.Text)
+	return problem(pgwire.Failed, a.Detail)
 }
 
-var outcomes = [...]string{migration.NeverRan: `cove_edge_commands_total{end="never ran"}`,
-	migration.Acked: `cove_edge_commands_total{end="acked"}`, migration.Unknown: `cove_edge_commands_total{end="unknown"}`,
-	migration.Oversize: `cove_edge_commands_total{end="too large"}`}
+var outcomes = [...]string{migration.Rejected: `cove_edge_commands_total{end="never ran"}`,
+	migration.Succeeded: `cove_edge_commands_total{end="acked"}`, migration.Indeterminate: `cove_edge_commands_total{end="unknown"}`,
+	migration.TooLarge: `cove_edge_commands_total{end="too large"}`}
 
 // unready tells why a probe is turned away, "" where it is not.
 func (e *Edge) unready() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.owner == nil || !e.owner.May(controllerclient.Now()):
+	case e.owner == nil || !e.owner.HoldsLease(controllerclient.Now()):
 		return "no lease"
 	case e.ends || e.report.State == devicehealth.Leaves:
 		return "it leaves"
@@ -200,35 +200,35 @@
 }
 
 // ask has a command carried out by the owner's decision.
-func (e *Edge) ask(ctx context.Context, q *pgwire.Query) migration.Answer {
+func (e *Edge) ask(ctx context.Context, q *pgwire.Query) migration.Response {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
-	c := &migration.Ask{ID: q.ID, Name: q.Key, Write: q.Write, Body: q.Content()}
-	done := make(chan migration.Answer, 1)
+	c := &migration.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Content()}
+	done := make(chan migration.Response, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
-		return migration.Answer{Outcome: migration.NeverRan, Text: "the keepers' places are not known yet: never ran"}
+		return migration.Response{Outcome: migration.Rejected, Detail: "the keepers' places are not known yet: never ran"}
 	}
 	e.busy++
 	e.asks[c] = done
 	now := controllerclient.Now()
-	c.NotAfter = now + tick.Of(wait)
-	e.owner.Asked(now, c)
+	c.Deadline = now + tick.Of(wait)
+	e.owner.OnRequest(now, c)
 	e.mu.Unlock()
-	var a migration.Answer
+	var a migration.Response
 	select {
 	case a = <-done:
 	case <-ctx.Done():
-		a = migration.Answer{Outcome: migration.Unknown, Text: "the unit ends: its effect may be kept or dropped"}
+		a = migration.Response{Outcome: migration.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
 	}
 	e.mu.Lock()
 	delete(e.asks, c)
 	e.busy--
 	switch a.Outcome {
-	case migration.Acked:
+	case migration.Succeeded:
 		e.strength.Outcome(now, true)
-	case migration.Unknown:
-		if !a.Quit { // that keepers fell, or that others own it now, says nothing of this unit's strength
+	case migration.Indeterminate:
+		if !a.LeaseLost { // that keepers fell, or that others own it now, says nothing of this unit's strength
 			e.strength.Outcome(now, false)
 		}
 	}
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -62,10 +62,10 @@
 	moved    chan struct{} // something may have changed that the end waits for
 
 	mu       sync.Mutex
-	owner    *migration.Owner // nil before the first places are known
+	owner    *migration.Manager // nil before the first places are known
 	strength *devicehealth.Unit
 	report   devicehealth.Report
-	asks     map[*migration.Ask]chan migration.Answer
+	asks     map[*migration.Request]chan migration.Response
 	waits    map[uint64]chan migration.Message // of other units' calls
 	mark     uint64
 	line     controllerclient.Line // that the owner's places are of
@@ -76,7 +76,7 @@
 	settled  bool           // what is written counts
 	most     uint64         // the greatest count that the keepers told
 	more     placement.More // beside it
-	records  []migration.Record
+	records  []migration.Log
 	ends     bool
 	lost     string // why the lease is not renewed, as last logged
 	busy     int    // commands under way
@@ -95,7 +95,7 @@
 	e := &Edge{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
 		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan migration.Message{},
 		steps: make(chan migration.Entry, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
-		reader: devicepower.Open(o.File.Power), asks: map[*migration.Ask]chan migration.Answer{},
+		reader: devicepower.Open(o.File.Power), asks: map[*migration.Request]chan migration.Response{},
 		waits: map[uint64]chan migration.Message{}}
 	for _, p := range o.Net.Peers("edge") {
 		e.sends[p.Name] = make(chan migration.Message, mostSends)
@@ -220,7 +220,7 @@
 		if err == nil {
 			e.mu.Lock()
 			e.line = p.Line
-			e.owner = migration.NewOwner(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
+			e.owner = migration.NewManager(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
 			e.records = nil
 			e.mu.Unlock()
 			return nil
@@ -253,27 +253,27 @@
 	now := controllerclient.Now()
 	if line := e.client.Line(); whole && line.Generation > e.line.Generation {
 		e.line = line
-		e.owner.Rebuilt(now, places, version)
+		e.owner.OnPlacementRebuilt(now, places, version)
 		return
 	}
 	for _, p := range places {
-		e.owner.Placed(now, p)
+		e.owner.OnAssignment(now, p)
 	}
 	if whole {
 		there := map[string]bool{}
 		for _, p := range places {
 			there[p.Name] = true
 		}
-		for _, name := range e.owner.Known() {
+		for _, name := range e.owner.KnownInstances() {
 			if !there[name] {
 				gone = append(gone, name)
 			}
 		}
 	}
 	for _, name := range gone {
-		e.owner.Gone(now, name)
+		e.owner.OnInstanceDeleted(now, name)
 	}
-	e.owner.Seen(now, version)
+	e.owner.OnPlacementVersion(now, version)
 	e.stir()
 }
 
@@ -298,7 +298,7 @@
 			var answer controllerclient.LeaseAnswer
 			var sent tick.Tick
 			e.mu.Lock()
-			doubts := e.owner.Doubts(controllerclient.MostDoubts)
+			doubts := e.owner.UnverifiedCopies(controllerclient.MostDoubts)
 			e.mu.Unlock()
 			limit, cancel := context.WithTimeout(ctx, e.lease.Span())
 			answer, sent, err = e.client.Lease(limit, controllerclient.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
@@ -310,7 +310,7 @@
 				e.mu.Lock()
 				e.disk(answer, doubts)
 				if answer.Line == e.line { // else places were rebuilt, and are told first
-					e.owner.Leased(controllerclient.Now(), sent+e.lease, answer.Places)
+					e.owner.OnLease(controllerclient.Now(), sent+e.lease, answer.Places)
 				}
 				e.lost = ""
 				line := e.client.Line()
@@ -336,14 +336,14 @@
 }
 
 // disk takes in what a lease says of the unit's disk. It is called with the lock held.
-func (e *Edge) disk(a controllerclient.LeaseAnswer, told []migration.Doubt) {
+func (e *Edge) disk(a controllerclient.LeaseAnswer, told []migration.UnverifiedCopy) {
 	if !e.judged {
 		e.judged = true
 		e.wasBack = e.began < a.Kept && e.began > 0
-		e.owner.Disk(controllerclient.Now(), e.wasBack)
+		e.owner.OnDiskChecked(controllerclient.Now(), e.wasBack)
 	}
-	e.owner.Doubted(controllerclient.Now(), told[:min(a.Doubts, len(told))])
-	if e.most = max(e.most, a.Kept); !e.settled && e.owner.Settled() {
+	e.owner.OnUnverifiedReported(controllerclient.Now(), told[:min(a.Doubts, len(told))])
+	if e.most = max(e.most, a.Kept); !e.settled && e.owner.Verified() {
 		e.settled = true
 		e.store.Settle(e.most, func(err error) {
 			e.mu.Lock()
@@ -385,8 +385,8 @@
 		e.strength.Read(now, r)
 	}
 	n, size := 0, 0
-	for _, h := range e.owner.Holdings(now) {
-		if h.Owns {
+	for _, h := range e.owner.Copies(now) {
+		if h.IsPrimary {
 			n, size = n+1, size+h.Size
 		}
 	}
@@ -408,7 +408,7 @@
 	for {
 		e.mu.Lock()
 		now := controllerclient.Now()
-		next := e.owner.Alarm(now)
+		next := e.owner.OnTick(now)
 		e.mu.Unlock()
 		e.stir()
 		if !pause(ctx, max(time.Millisecond, (next-now).Span())) {
@@ -432,9 +432,9 @@
 		owns, counted := false, false
 		e.mu.Lock()
 		if e.owner != nil {
-			for _, h := range e.owner.Holdings(controllerclient.Now()) {
-				owns = owns || h.Owns
-				counted = counted || h.Holds
+			for _, h := range e.owner.Copies(controllerclient.Now()) {
+				owns = owns || h.IsPrimary
+				counted = counted || h.IsReplica
 			}
 		}
 		busy := e.busy > 0
@@ -467,9 +467,9 @@
 
 // Send queues a message to another unit, or brings an answer to the call that waits for it.
 func (h host) Send(to string, m migration.Message) {
-	if m.Re != 0 {
-		if w := h.waits[m.Re]; w != nil {
-			delete(h.waits, m.Re)
+	if m.ReplyTo != 0 {
+		if w := h.waits[m.ReplyTo]; w != nil {
+			delete(h.waits, m.ReplyTo)
 			w <- m
 		}
 		return
@@ -480,55 +480,57 @@
 	}
 }
 
-// Step queues an entry for the keepers; what is beyond the queue is as if lost.
-func (h host) Step(e migration.Entry) {
+// Propose queues an entry for the keepers; what is beyond the queue is as if lost.
+func (h host) Propose(e migration.Entry) {
 	select {
 	case h.steps <- e:
 	default:
 	}
 }
 
-// Answer ends a command.
-func (h host) Answer(c *migration.Ask, a migration.Answer) {
+// Respond ends a command.
+func (h host) Respond(c *migration.Request, a migration.Response) {
 	if w := h.asks[c]; w != nil {
 		delete(h.asks, c)
 		w <- a
 	}
 }
 
-func (h host) Keep(name string, x migration.Effect) { h.store.Keep(name, x, h.kept(name, x.Seq)) }
+func (h host) AppendEntry(name string, x migration.LogEntry) {
+	h.store.Keep(name, x, h.kept(name, x.Index))
+}
 
-func (h host) Cut(name string, seq uint64) { h.store.Cut(name, seq, h.kept(name, seq)) }
+func (h host) TruncateLog(name string, seq uint64) { h.store.Cut(name, seq, h.kept(name, seq)) }
 
-func (h host) Begin(name string, base, sum uint64) {
+func (h host) ResetLog(name string, base, sum uint64) {
 	h.store.Begin(name, base, sum, h.kept(name, base))
 }
 
-func (h host) Forget(name string) { h.store.Forget(name, h.kept(name, 0)) }
+func (h host) DeleteLog(name string) { h.store.Forget(name, h.kept(name, 0)) }
 
 func (h host) kept(name string, seq uint64) func(error) {
 	return func(err error) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if err != nil {
-			h.owner.Unkept(controllerclient.Now(), name, err)
+			h.owner.OnDiskError(controllerclient.Now(), name, err)
 			return
 		}
-		h.owner.Kept(controllerclient.Now(), name, seq)
+		h.owner.OnDurable(controllerclient.Now(), name, seq)
 	}
 }
 
-// Tell logs an event.
-func (h host) Tell(x migration.Event) {
-	if x.What == "doubts" {
+// Notify logs an event.
+func (h host) Notify(x migration.Event) {
+	if x.Kind == "doubts" {
 		h.renews() // so that the keepers know
 	}
 	l := h.o.Log.Info()
-	if x.What == "refused" {
+	if x.Kind == "refused" {
 		l = h.o.Log.Debug()
 	}
-	l = l.Str("event", x.What)
-	for name, v := range map[string]string{"instance": x.Instance, "from": x.From, "to": x.To, "why": x.Why} {
+	l = l.Str("event", x.Kind)
+	for name, v := range map[string]string{"instance": x.Instance, "from": x.From, "to": x.To, "why": x.Reason} {
 		if v != "" {
 			l = l.Str(name, v)
 		}
@@ -536,8 +538,8 @@
 	if x.Epoch > 0 {
 		l = l.Uint64("epoch", x.Epoch)
 	}
-	if x.What == "stops" {
-		l = l.Int64("late_ms", x.Late.Span().Milliseconds())
+	if x.Kind == "stops" {
+		l = l.Int64("late_ms", x.SinceLeaseEnd.Span().Milliseconds())
 	}
 	l.Send()
 }
@@ -560,10 +562,10 @@
 		}
 		e.mu.Lock()
 		if p.Name != "" {
-			e.owner.Placed(controllerclient.Now(), p)
+			e.owner.OnAssignment(controllerclient.Now(), p)
 		}
 		if err != nil {
-			e.owner.Refused(controllerclient.Now(), x, err)
+			e.owner.OnProposalRefused(controllerclient.Now(), x, err)
 		}
 		e.mu.Unlock()
 		e.stir()
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -33,7 +33,7 @@
 				continue // as if lost: the owner sends again
 			}
 			e.mu.Lock()
-			e.owner.Heard(controllerclient.Now(), to, *answer)
+			e.owner.OnMessage(controllerclient.Now(), to, *answer)
 			e.mu.Unlock()
 			e.stir()
 		}
@@ -72,17 +72,17 @@
 // answerPeers answers other processes' calls.
 func (e *Edge) answerPeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	for _, kind := range []string{migration.Chunk, migration.Tail, migration.Ended} {
+	for _, kind := range []string{migration.MessageCatchUp, migration.MessageAppend, migration.MessageFinalAppend} {
 		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { e.heard(w, r, kind) })
 	}
 	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) {
-		h := controllerclient.Holds{V: migration.Version, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.Holding{}}
+		h := controllerclient.Holds{V: migration.Version, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.CopyStatus{}}
 		e.mu.Lock()
 		if e.owner != nil {
-			h.Holds = append(h.Holds, e.owner.Holdings(controllerclient.Now())...)
+			h.Holds = append(h.Holds, e.owner.Copies(controllerclient.Now())...)
 		}
 		for _, r := range e.records { // not heard of any place since its start: whether they are counted on is not known
-			h.Holds = append(h.Holds, migration.Holding{Name: r.Name, Epoch: r.Last(), Seq: r.Seq(), Last: r.Last(), Sum: r.Sum(),
+			h.Holds = append(h.Holds, migration.CopyStatus{Instance: r.Instance, Epoch: r.LastEpoch(), Index: r.LastIndex(), LastEpoch: r.LastEpoch(), Checksum: r.Checksum(),
 				Size: r.Size()})
 		}
 		e.mu.Unlock()
@@ -130,7 +130,7 @@
 func (e *Edge) heard(w http.ResponseWriter, r *http.Request, kind string) {
 	from, _ := r.Context().Value(fromKey{}).(string)
 	refuse := func(code int, why string) {
-		reply(w, code, migration.Message{V: migration.Version, Kind: migration.Unfit, Name: "?", Own: e.run, Why: why})
+		reply(w, code, migration.Message{Version: migration.Version, Kind: migration.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostMessage))
 	if err != nil {
@@ -154,9 +154,9 @@
 		return
 	}
 	e.mark++
-	m.Re = e.mark
-	e.waits[m.Re] = done
-	e.owner.Heard(controllerclient.Now(), from, m)
+	m.ReplyTo = e.mark
+	e.waits[m.ReplyTo] = done
+	e.owner.OnMessage(controllerclient.Now(), from, m)
 	e.mu.Unlock()
 	timer := time.NewTimer(e.lease.Span())
 	defer timer.Stop()
@@ -164,9 +164,9 @@
 	case answer := <-done:
 		code := http.StatusOK
 		switch answer.Kind {
-		case migration.Older:
+		case migration.MessageStaleEpoch:
 			code = http.StatusConflict
-		case migration.Unfit:
+		case migration.MessageRejected:
 			code = http.StatusUnprocessableEntity
 		}
 		reply(w, code, answer)
@@ -175,7 +175,7 @@
 	case <-r.Context().Done():
 	}
 	e.mu.Lock()
-	delete(e.waits, m.Re)
+	delete(e.waits, m.ReplyTo)
 	e.mu.Unlock()
 	refuse(http.StatusServiceUnavailable, "the disk is slow")
 }
--- a/internal/instancestore/instances.go
+++ b/internal/instancestore/instances.go
@@ -77,7 +77,7 @@
 	name string
 	seq  uint64 // of a cut; the base of a beginning; the count of a mark
 	sum  uint64 // 1 of a mark: what follows counts
-	e    migration.Effect
+	e    migration.LogEntry
 	note []byte
 	done func(error)
 }
@@ -95,7 +95,7 @@
 	file File
 	size int64
 	live int64 // bytes of the file that are of use, about
-	all  map[string]*migration.Record
+	all  map[string]*migration.Log
 	note []byte
 	took count
 	runs bool          // this run has marked that what follows does not count yet
@@ -110,8 +110,8 @@
 }
 
 // Open reads what a folder keeps, "" for none. The records are the caller's own.
-func Open(folder string, log func(string)) (*Store, []migration.Record, []byte, error) {
-	s := &Store{log: log, all: map[string]*migration.Record{}, wake: make(chan struct{}, 1), took: count{1, true}}
+func Open(folder string, log func(string)) (*Store, []migration.Log, []byte, error) {
+	s := &Store{log: log, all: map[string]*migration.Log{}, wake: make(chan struct{}, 1), took: count{1, true}}
 	if folder == "" {
 		return s, nil, nil, nil
 	}
@@ -123,7 +123,7 @@
 	if s.lock, err = os.OpenFile(filepath.Join(folder, "instances.lock"), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
 	}
-	fail := func(err error) (*Store, []migration.Record, []byte, error) {
+	fail := func(err error) (*Store, []migration.Log, []byte, error) {
 		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
 	}
@@ -155,10 +155,10 @@
 		s.live += size(r)
 	}
 	s.next = 2*s.live + spare
-	records := make([]migration.Record, 0, len(s.all))
+	records := make([]migration.Log, 0, len(s.all))
 	for _, name := range slices.Sorted(maps.Keys(s.all)) {
 		r := *s.all[name]
-		r.Effects = slices.Clone(r.Effects)
+		r.Entries = slices.Clone(r.Entries)
 		records = append(records, r)
 	}
 	return s, records, bytes.Clone(s.note), nil
@@ -215,17 +215,17 @@
 	r := s.all[o.name]
 	switch o.kind {
 	case isEffect:
-		if r == nil || !r.Follows(o.e) {
+		if r == nil || !r.Continues(o.e) {
 			return ErrGap
 		}
-		r.Add(o.e)
+		r.Append(o.e)
 	case isCut:
-		if r == nil || o.seq < r.Base || o.seq > r.Seq() {
+		if r == nil || o.seq < r.BaseIndex || o.seq > r.LastIndex() {
 			return ErrGap
 		}
-		r.Cut(o.seq)
+		r.Truncate(o.seq)
 	case isBegin:
-		s.all[o.name] = &migration.Record{Name: o.name, Base: o.seq, BaseSum: o.sum}
+		s.all[o.name] = &migration.Log{Instance: o.name, BaseIndex: o.seq, BaseChecksum: o.sum}
 	case isForget:
 		delete(s.all, o.name)
 	case isNote:
@@ -257,7 +257,7 @@
 // Keep, Cut, Begin, Forget and Note ask for something to be kept; done is told by Run, in the order of asking.
 
 // Keep keeps the next effect of an instance.
-func (s *Store) Keep(name string, e migration.Effect, done func(error)) {
+func (s *Store) Keep(name string, e migration.LogEntry, done func(error)) {
 	s.ask(op{kind: isEffect, name: name, e: e, done: done})
 }
 
@@ -285,7 +285,7 @@
 	s.mu.Lock()
 	if len(s.queue) >= mostOps {
 		o.kind = 0 // refused, in its turn
-		o.e, o.note = migration.Effect{}, nil
+		o.e, o.note = migration.LogEntry{}, nil
 	}
 	s.queue = append(s.queue, o)
 	s.mu.Unlock()
@@ -341,7 +341,7 @@
 
 // write makes some things safe by one write and one fsync, or says of all why not and leaves everything as it was.
 func (s *Store) write(ops []op, errs []error) {
-	before := map[string]*migration.Record{}
+	before := map[string]*migration.Log{}
 	note, took := s.note, s.took
 	var out []byte
 	if !s.runs {
@@ -357,7 +357,7 @@
 			before[o.name] = nil
 			if r := s.all[o.name]; r != nil {
 				copied := *r
-				copied.Effects = slices.Clip(copied.Effects)
+				copied.Entries = slices.Clip(copied.Entries)
 				before[o.name] = &copied
 			}
 		}
@@ -432,8 +432,8 @@
 	for _, name := range slices.Sorted(maps.Keys(s.all)) {
 		r := s.all[name]
 		s.live += size(r)
-		out = frame(out, op{kind: isBegin, name: name, seq: r.Base, sum: r.BaseSum})
-		for _, e := range r.Effects {
+		out = frame(out, op{kind: isBegin, name: name, seq: r.BaseIndex, sum: r.BaseChecksum})
+		for _, e := range r.Entries {
 			out = frame(out, op{kind: isEffect, name: name, e: e})
 		}
 	}
@@ -464,7 +464,7 @@
 }
 
 // size is about what an instance takes in the file.
-func size(r *migration.Record) int64 { return int64(r.Size() + 64*len(r.Effects) + 64) }
+func size(r *migration.Log) int64 { return int64(r.Size() + 64*len(r.Entries) + 64) }
 
 // frame appends a record.
 func frame(out []byte, o op) []byte {
@@ -473,10 +473,10 @@
 	out = word(out, o.name)
 	switch o.kind {
 	case isEffect:
-		for _, n := range []uint64{o.e.Seq, o.e.Epoch, o.e.Sum} {
+		for _, n := range []uint64{o.e.Index, o.e.Epoch, o.e.Checksum} {
 			out = binary.LittleEndian.AppendUint64(out, n)
 		}
-		out = word(word(out, o.e.Unit), o.e.ID)
+		out = word(word(out, o.e.Node), o.e.RequestID)
 		out = append(out, o.e.Body...)
 	case isCut, isBegin:
 		out = binary.LittleEndian.AppendUint64(out, o.seq)
@@ -527,8 +527,8 @@
 	o.name = text()
 	switch o.kind {
 	case isEffect:
-		o.e = migration.Effect{Seq: number(), Epoch: number(), Sum: number()}
-		o.e.Unit, o.e.ID = text(), text()
+		o.e = migration.LogEntry{Index: number(), Epoch: number(), Checksum: number()}
+		o.e.Node, o.e.RequestID = text(), text()
 		if len(b) > 0 {
 			o.e.Body = bytes.Clone(b)
 		}
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -220,7 +220,7 @@
 		f.cams, f.byCam[c.name] = append(f.cams, c), c
 		agree(migration.Entry{Kind: migration.Create, Name: c.name, To: u.name, Zone: z.name, Weight: c.weight})
 		agree(migration.Entry{Kind: migration.Begin, Name: c.name, Epoch: 1, By: u.name})
-		u.disk[c.name] = &migration.Record{Name: c.name}
+		u.disk[c.name] = &migration.Log{Instance: c.name}
 		holders := []*unit{u}
 		for n := 0; len(holders) <= s.Copies && n < len(z.units)+s.Units; n++ {
 			h := f.units[n%s.Units] // where the zone has too few
@@ -236,7 +236,7 @@
 			holders = append(holders, h)
 			agree(migration.Entry{Kind: migration.Copy, Name: c.name, Epoch: 1, To: h.name})
 			agree(migration.Entry{Kind: migration.Synced, Name: c.name, Epoch: 1, By: u.name, To: h.name})
-			h.disk[c.name] = &migration.Record{Name: c.name}
+			h.disk[c.name] = &migration.Log{Instance: c.name}
 		}
 		p, _ := table.Get(c.name)
 		f.check.placed(migration.Place{}, p)
--- a/internal/lab/fleetsim/keepers.go
+++ b/internal/lab/fleetsim/keepers.go
@@ -97,7 +97,7 @@
 	unit  string
 	run   uint64
 	marks map[string]uint64
-	notes []migration.Doubt
+	notes []migration.UnverifiedCopy
 	at    tick.Tick
 	done  func(all []result, err error)
 	later bool // a keeper of a later program let it in
@@ -460,7 +460,7 @@
 	c.Steps += len(o.steps)
 	leases.Mark(c.kept, o.marks)
 	for _, d := range o.notes {
-		c.table.Doubt(d.Name, d.Epoch, d.Why)
+		c.table.Doubt(d.Instance, d.Epoch, d.Reason)
 	}
 	for _, e := range o.steps {
 		before, _ := c.table.Get(e.Name)
@@ -556,7 +556,7 @@
 }
 
 // lease is a unit's call for its lease: the order of things is that of a keeper.
-func (c *cluster) lease(u *unit, run uint64, ask, said migration.Unit, kept mark, doubts []migration.Doubt,
+func (c *cluster) lease(u *unit, run uint64, ask, said migration.Unit, kept mark, doubts []migration.UnverifiedCopy,
 	granted func(version, known uint64)) {
 
 	f := c.f
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -154,7 +154,7 @@
 	cmd *command
 	u   *unit
 	run uint64
-	end func(migration.Answer)
+	end func(migration.Response)
 }
 
 // client begins the next command of the sample.
@@ -235,15 +235,15 @@
 		}
 		run := u.run
 		u.does(run, func() {
-			a := &migration.Ask{ID: m.id, Name: m.cam.name, Write: m.write,
-				NotAfter: u.at() + tick.Tick(float64(m.by-f.now-answerBy/4)*0.98)}
+			a := &migration.Request{ID: m.id, Instance: m.cam.name, Write: m.write,
+				Deadline: u.at() + tick.Tick(float64(m.by-f.now-answerBy/4)*0.98)}
 			s := &asked{cmd: m, u: u, run: run}
 			f.in(max(0, m.by-f.now)+tick.Tick(f.Lease*float64(tick.Second)/5)+slack, func() {
 				if u.asks[a] == s && u.run == run && u.frozen == 0 && len(u.waiting) == 0 {
 					f.check.fail("%s has not answered %s in time", u.shown, m.id)
 				}
 			})
-			s.end = func(ans migration.Answer) {
+			s.end = func(ans migration.Response) {
 				f.check.answered(u, m, ans)
 				f.ship(u.node, m.r.node, 200, func() {
 					if mine != m.delivery {
@@ -254,7 +254,7 @@
 				})
 			}
 			u.asks[a] = s
-			u.o.Asked(u.at(), a)
+			u.o.OnRequest(u.at(), a)
 		})
 	})
 	f.in(min(left-answerBy/8, answerBy), func() {
@@ -276,20 +276,20 @@
 }
 
 // answered takes a unit's answer in.
-func (m *command) answered(u *unit, a migration.Answer) {
+func (m *command) answered(u *unit, a migration.Response) {
 	f := m.f
 	if m.final {
 		return
 	}
 	switch a.Outcome {
-	case migration.Acked:
+	case migration.Succeeded:
 		m.r.saw(u.name, true)
 		m.r.over.Worked(m.r.at(), 0, worth)
 		m.ends("acked")
-	case migration.NeverRan:
+	case migration.Rejected:
 		m.delivery++
 		f.in(holds, m.deliver) // held until the news come
-	case migration.Oversize:
+	case migration.TooLarge:
 		m.ends("nacked")
 	default:
 		m.unsure = m.unsure || m.write
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -10,7 +10,7 @@
 type Found struct {
 	Unit  string
 	Zone  string
-	Holds []Holding
+	Holds []CopyStatus
 }
 
 // epochGap is by how much epochs are raised where placement is rebuilt: above all that were seen, and above any that a
@@ -23,13 +23,13 @@
 // from an older copy that is known. told says by name what is lost, or may be.
 func Rebuild(found []Found, silent []string, old []Place) (places []Place, told []string) {
 	type copied struct {
-		Holding
+		CopyStatus
 		unit, zone string
 	}
 	all := map[string][]copied{}
 	for _, f := range found {
 		for _, h := range f.Holds {
-			all[h.Name] = append(all[h.Name], copied{h, f.Unit, f.Zone})
+			all[h.Instance] = append(all[h.Instance], copied{h, f.Unit, f.Zone})
 		}
 	}
 	before := map[string]Place{}
@@ -49,17 +49,17 @@
 			latest = max(latest, c.Epoch)
 		}
 		latest = max(latest, was.Epoch)
-		counted := func(c copied) bool { return (c.Owns || c.Holds) && !c.Lacks && c.Epoch == latest }
-		copies := slices.DeleteFunc(slices.Clone(all[name]), func(c copied) bool { return c.Lacks && c.Seq == 0 })
+		counted := func(c copied) bool { return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latest }
+		copies := slices.DeleteFunc(slices.Clone(all[name]), func(c copied) bool { return c.Incomplete && c.Index == 0 })
 		slices.SortFunc(copies, func(a, b copied) int {
-			return cmp.Or(-cmp.Compare(b2i(counted(a)), b2i(counted(b))), -cmp.Compare(b2i(a.Owns), b2i(b.Owns)),
-				-cmp.Compare(a.Last, b.Last), -cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.unit, b.unit))
+			return cmp.Or(-cmp.Compare(b2i(counted(a)), b2i(counted(b))), -cmp.Compare(b2i(a.IsPrimary), b2i(b.IsPrimary)),
+				-cmp.Compare(a.LastEpoch, b.LastEpoch), -cmp.Compare(a.Index, b.Index), cmp.Compare(a.unit, b.unit))
 		})
 		p := Place{Name: name, State: Lost, Epoch: latest + epochGap, Change: 1, Zone: was.Zone, Weight: max(1, was.Weight),
 			Size: was.Size, Seq: was.Seq, More: was.More, Begun: true, Reason: "placement was rebuilt"}
 		if len(copies) > 0 {
 			best := copies[0]
-			p.Seq, p.Size = best.Seq, best.Size
+			p.Seq, p.Size = best.Index, best.Size
 			if p.Zone == "" {
 				p.Zone = best.zone
 			}
@@ -71,19 +71,19 @@
 				p.State, p.Owner = Runs, best.unit
 			} else {
 				told = append(told, fmt.Sprintf("%s: lost for now: %s has %d effects, and a silent unit may have more", name, best.unit,
-					best.Seq))
+					best.Index))
 			}
 			for _, c := range copies {
 				switch {
 				case sure && c.unit == best.unit:
-				case sure && c.Seq == best.Seq && c.Sum == best.Sum:
+				case sure && c.Index == best.Index && c.Checksum == best.Checksum:
 					p.Holders = append(p.Holders, c.unit)
 				case len(p.Kept) < 4:
-					p.Kept = append(p.Kept, Kept{Unit: c.unit, Seq: c.Seq})
+					p.Kept = append(p.Kept, Kept{Unit: c.unit, Seq: c.Index})
 				}
-				if c.Seq > best.Seq {
+				if c.Index > best.Index {
 					told = append(told, fmt.Sprintf("%s: %s has %d effects that were not counted on; it goes on without them", name,
-						c.unit, c.Seq-best.Seq))
+						c.unit, c.Index-best.Index))
 				}
 			}
 			slices.Sort(p.Holders)
