--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -34,18 +34,18 @@
 
 // Planner is handover.Planner as the leading keeper drives it. Calls come one at a time.
 type Planner interface {
-	Led(now tick.Tick)
-	Unit(now tick.Tick, u migration.Unit)
-	LeaseOver(now tick.Tick, name string)
-	Placed(now tick.Tick, p migration.Place)
-	Refused(now tick.Tick, e migration.Entry, err error)
-	Device(now tick.Tick, name, zone string)
-	Alarm(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
+	OnElected(now tick.Tick)
+	OnNodeStatus(now tick.Tick, u migration.NodeStatus)
+	OnLeaseExpired(now tick.Tick, name string)
+	OnAssignment(now tick.Tick, p migration.Assignment)
+	OnProposalRefused(now tick.Tick, e migration.Operation, err error)
+	OnDeviceMoved(now tick.Tick, name, zone string)
+	OnTick(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
 }
 
 // Host is what a planner acts through.
 type Host interface {
-	Step(e migration.Entry)
+	Propose(e migration.Operation)
 	Log(text string)
 }
 
@@ -83,7 +83,7 @@
 	Options
 	self    string
 	peers   []string // other keepers of the file, sorted
-	spans   leases.Spans
+	spans   leases.Timings
 	disk    *disk
 	machine *machine
 	bell    *wakeup.Waker
@@ -108,10 +108,10 @@
 // lead is a span of leading.
 type lead struct {
 	term    uint64
-	book    *leases.Book
+	book    *leases.Lessor
 	planner Planner
 	claims  *devicehealth.Believer
-	marks   *leases.Marks
+	marks   *leases.RecordCounts
 	back    map[uint16]bool                       // builds by whether the platform takes them back, as relays told since this lead began
 	says    map[string]stand                      // by relay, the last that it said of a build
 	units   map[string]*controllerclient.LeaseAsk // the last of each
@@ -126,7 +126,7 @@
 }
 
 type queued struct {
-	entry migration.Entry
+	entry migration.Operation
 	why   error // it is refused before it is proposed
 }
 
@@ -147,7 +147,7 @@
 	if o.crowd == nil {
 		o.crowd = &crowd{most: mostConns, mostOf: mostOfOne}
 	}
-	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.SpansOf(o.Set), bell: wakeup.New(),
+	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.TimingsFor(o.Set), bell: wakeup.New(),
 		waiters: make(chan struct{}, mostWaiters), ended: make(chan error, 1), queued: make(chan struct{}, 1),
 		marks: map[string]controllerclient.Mark{}}
 	for _, p := range o.Net.Peers("keeper") {
@@ -242,14 +242,14 @@
 
 // run runs raft on a disk that may take part, until the context ends.
 func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last controllerclient.Mark, logger hclog.Logger) error {
-	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.Confirm.Span(), last: last,
+	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.ConfirmTimeout.Span(), last: last,
 		closed: make(chan struct{}), full: k.full}
 	trans := marking{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream{k}, MaxPool: 3,
-		MaxRPCsInFlight: 1, Timeout: k.spans.Answer.Span(), Logger: logger}), k}
+		MaxRPCsInFlight: 1, Timeout: k.spans.ProposalTimeout.Span(), Logger: logger}), k}
 	set := raft.DefaultConfig()
 	set.LocalID, set.Logger = raft.ServerID(k.self), logger
-	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.Heartbeat.Span(), k.spans.Heartbeat.Span()
-	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.Heartbeat.Span(), k.spans.Commit.Span()
+	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.HeartbeatTimeout.Span()
+	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.CommitInterval.Span()
 	set.MaxAppendEntries = mostSteps // BatchApplyCh stays off: what is in that queue at the end is never answered
 	set.SnapshotThreshold, set.SnapshotInterval, set.TrailingLogs = k.room.every, snapEvery, k.room.Leaves()
 	set.NoLegacyTelemetry = true
@@ -358,15 +358,15 @@
 	if !is(r, term) {
 		return
 	}
-	l.book.Led(now, runs)
+	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
 	l.claims = devicehealth.NewBeliever(now, k.Set)
-	l.marks = leases.NewMarks(now, k.Set, k.machine.kept())
+	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
 	k.lead = l
-	l.planner.Led(now)
+	l.planner.OnElected(now)
 	for _, p := range k.machine.all() {
 		l.expects(now, p)
-		l.planner.Placed(now, p)
+		l.planner.OnAssignment(now, p)
 	}
 	metrics.GetOrCreateCounter("cove_keeper_leads_total").Inc()
 	k.Log.Info().Str("event", "leads").Uint64("term", term).Send()
@@ -409,24 +409,24 @@
 	// counted as over meanwhile: units would be given up that only could not have one.
 	if voters, err := k.voters(k.raft.Load()); err != nil || len(voters) < k.majority(voters) {
 		l.few = true
-		return k.spans.Confirm.Span()
+		return k.spans.ConfirmTimeout.Span()
 	} else if l.few {
 		l.few = false
-		l.book.Led(now, k.machine.runs())
-		l.planner.Led(now)
+		l.book.OnElected(now, k.machine.runs())
+		l.planner.OnElected(now)
 	}
-	for _, name := range l.book.Over(now) {
+	for _, name := range l.book.Expired(now) {
 		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 		k.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
-		l.planner.LeaseOver(now, name)
+		l.planner.OnLeaseExpired(now, name)
 		l.claims.Gone(now, name)
 		l.news()
 	}
-	next := l.planner.Alarm(now)
-	if at, any := l.book.Next(); any && at < next {
+	next := l.planner.OnTick(now)
+	if at, any := l.book.NextExpiry(); any && at < next {
 		next = at
 	}
-	if at, any := l.marks.Next(); any && now >= at {
+	if at, any := l.marks.NextDue(); any && now >= at {
 		k.wake()
 	} else if any && at < next {
 		next = at
@@ -448,12 +448,12 @@
 }
 
 // expects counts on the units of a place.
-func (l *lead) expects(now tick.Tick, p migration.Place) {
-	if p.State != migration.Runs {
+func (l *lead) expects(now tick.Tick, p migration.Assignment) {
+	if p.State != migration.Running {
 		return
 	}
-	for _, name := range append([]string{p.Owner}, p.Holders...) {
-		l.book.Expects(now, name)
+	for _, name := range append([]string{p.Primary}, p.Replicas...) {
+		l.book.ExpectRenewal(now, name)
 	}
 }
 
@@ -467,24 +467,24 @@
 var errActs = errors.New("its owner's lease is not over: it may still act")
 
 // lapse: the entry rests on the lease of its By being over.
-func lapse(e migration.Entry) bool {
+func lapse(e migration.Operation) bool {
 	switch e.Kind {
-	case migration.Fail, migration.Quarantine, migration.Forget:
-		return e.By != ""
+	case migration.OpFailOver, migration.OpQuarantine, migration.OpDelete:
+		return e.Node != ""
 	}
 	return false
 }
 
-// Step proposes an entry.
-func (h host) Step(e migration.Entry) {
+// Propose proposes an entry.
+func (h host) Propose(e migration.Operation) {
 	q := queued{entry: e}
-	q.entry.V = migration.Version
+	q.entry.Version = migration.FormatVersion
 	if len(h.l.queue) >= mostQueue {
 		return // the planner's alarm comes again
 	}
 	if lapse(e) {
-		if q.why = h.l.rest(h.k.Now(), e.By); q.why != nil {
-			h.k.Log.Error().Str("event", "refused").Str("instance", e.Name).Err(q.why).Send()
+		if q.why = h.l.rest(h.k.Now(), e.Node); q.why != nil {
+			h.k.Log.Error().Str("event", "refused").Str("instance", e.Instance).Err(q.why).Send()
 		}
 	}
 	h.l.queue = append(h.l.queue, q)
@@ -495,7 +495,7 @@
 // guards against an owner that comes back while its instance is given to another one. A run that began without the
 // copies of the one before, whose lease is over, does not act for what that one owned, and may hold a lease of its own.
 func (l *lead) rest(now tick.Tick, unit string) error {
-	if _, held := l.book.Held(now, unit); held && (l.units[unit] == nil || !l.units[unit].Fresh) {
+	if _, held := l.book.LeaseEnd(now, unit); held && (l.units[unit] == nil || !l.units[unit].Fresh) {
 		return errActs
 	}
 	l.pending[unit]++
@@ -562,7 +562,7 @@
 					continue // what became of it is not known, and this lead is over
 				} else if err != nil {
 					k.mu.Lock()
-					l.marks.Again(marks)
+					l.marks.Requeue(marks)
 					k.mu.Unlock()
 				}
 				for range len(o.Steps) - len(all) {
@@ -577,11 +577,11 @@
 					if err == nil {
 						err, all = all[0].err, all[1:]
 						if lapse(q.entry) {
-							l.settle(q.entry.By)
+							l.settle(q.entry.Node)
 						}
 					}
 					if err != nil {
-						l.planner.Refused(now, q.entry, err)
+						l.planner.OnProposalRefused(now, q.entry, err)
 					}
 				}
 			}
@@ -608,7 +608,7 @@
 	if r == nil {
 		return nil, raft.ErrNotLeader
 	}
-	f := r.Apply(text, k.spans.Answer.Span())
+	f := r.Apply(text, k.spans.ProposalTimeout.Span())
 	if err := f.Error(); err != nil {
 		return nil, err
 	}
@@ -619,7 +619,7 @@
 }
 
 // told has what was agreed told to the planner of the leading keeper, and logged.
-func (k *Keeper) told(steps []migration.Entry, all []result) {
+func (k *Keeper) told(steps []migration.Operation, all []result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.leading()
@@ -634,18 +634,18 @@
 		p := all[i].place
 		metrics.GetOrCreateCounter(fmt.Sprintf("cove_keeper_steps_total{kind=%q}", e.Kind)).Inc()
 		l.expects(now, p)
-		l.planner.Placed(now, p)
+		l.planner.OnAssignment(now, p)
 		switch e.Kind {
-		case migration.Create, migration.Switch, migration.Fail, migration.Lacks, migration.Restart, migration.Release, migration.Quarantine,
-			migration.Forget:
-			to := p.Owner
+		case migration.OpCreate, migration.OpCutOver, migration.OpFailOver, migration.OpReportIncomplete, migration.OpRestart, migration.OpRelease, migration.OpQuarantine,
+			migration.OpDelete:
+			to := p.Primary
 			if to == "" {
 				to = string(p.State)
 			}
-			if e.Kind == migration.Forget {
+			if e.Kind == migration.OpDelete {
 				to = "forgotten"
 			}
-			k.Log.Info().Str("event", "placed").Str("instance", p.Name).Uint64("epoch", p.Epoch).Str("from", e.By).
+			k.Log.Info().Str("event", "placed").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("from", e.Node).
 				Str("to", to).Str("why", e.Reason).Send()
 		}
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -27,7 +27,7 @@
 type order struct {
 	V     int                     `json:"v"`
 	Term  uint64                  `json:"term,omitempty"`  // it holds in this term alone; 0: in any
-	Steps []migration.Entry       `json:"steps,omitempty"` // each is carried out or refused by itself
+	Steps []migration.Operation   `json:"steps,omitempty"` // each is carried out or refused by itself
 	Unit  string                  `json:"unit,omitempty"`  // Run of Unit may have leases from now on, earlier ones may not
 	Run   uint64                  `json:"run,omitempty"`
 	Birth *controllerclient.Birth `json:"birth,omitempty"` // the log's beginning, once
@@ -41,7 +41,7 @@
 
 // result is what became of one step.
 type result struct {
-	place migration.Place
+	place migration.Assignment
 	err   error
 }
 
@@ -54,12 +54,12 @@
 	Stores     map[string]string       `json:"stores,omitempty"`
 	Runs       map[string]uint64       `json:"runs,omitempty"`
 	Kept       map[string]uint64       `json:"kept,omitempty"`
-	more       placement.More          // what a later version added
+	more       placement.UnknownFields // what a later version added
 }
 
 // machine is what the log agrees on. Its lock is never held while another one is waited for.
 type machine struct {
-	told  func([]migration.Entry, []result) // each order's steps, in order
+	told  func([]migration.Operation, []result) // each order's steps, in order
 	fatal func(error)
 
 	mu      sync.Mutex
@@ -69,7 +69,7 @@
 	broken  bool          // no entry is carried out any more
 }
 
-func newMachine(told func([]migration.Entry, []result), fatal func(error)) *machine {
+func newMachine(told func([]migration.Operation, []result), fatal func(error)) *machine {
 	return &machine{told: told, fatal: fatal, head: head{V: storeVersion, Generation: 1, Stores: map[string]string{},
 		Runs: map[string]uint64{}, Kept: map[string]uint64{}}, table: placement.New(), changed: make(chan struct{})}
 }
@@ -95,7 +95,7 @@
 		later = fmt.Errorf("%w: entry %d of the agreed log has version %d", ErrLater, l.Index, o.V)
 	}
 	for _, e := range o.Steps {
-		if err := placement.Reads(e); err != nil && later == nil {
+		if err := placement.CheckSupported(e); err != nil && later == nil {
 			later = fmt.Errorf("%w: entry %d of the agreed log: %w", ErrLater, l.Index, err)
 		}
 	}
@@ -112,7 +112,7 @@
 	var err error
 	switch {
 	case o.Unit != "" && o.Run < m.head.Runs[o.Unit]:
-		err = leases.ErrCopy
+		err = leases.ErrStaleIncarnation
 	case o.Unit != "":
 		m.head.Runs[o.Unit] = o.Run
 	case o.Birth != nil && m.head.Birth == nil:
@@ -121,9 +121,9 @@
 	case o.Node != "":
 		m.head.Stores[o.Node] = o.Store
 	}
-	leases.Mark(m.head.Kept, o.Kept)
+	leases.MergeRecordCounts(m.head.Kept, o.Kept)
 	for _, d := range o.Doubts {
-		m.table.Doubt(d.Instance, d.Epoch, d.Reason)
+		m.table.SetUnverified(d.Instance, d.Epoch, d.Reason)
 	}
 	var all []result
 	before := m.table.Version()
@@ -157,7 +157,7 @@
 
 type frozen struct {
 	head  head
-	table *placement.Frozen
+	table *placement.FrozenTable
 }
 
 func (m *machine) freeze() *frozen {
@@ -184,7 +184,7 @@
 
 // WriteTo writes a snapshot.
 func (f *frozen) WriteTo(w io.Writer) (int64, error) {
-	text, err := placement.WriteMore(f.head, f.head.more)
+	text, err := placement.MarshalWithUnknown(f.head, f.head.more)
 	if err != nil {
 		return 0, err
 	}
@@ -241,7 +241,7 @@
 		return h, nil, err
 	}
 	t = placement.New()
-	if err = t.Restore(text); errors.Is(err, migration.ErrVersion) {
+	if err = t.Restore(text); errors.Is(err, migration.ErrUnsupportedVersion) {
 		return h, nil, fmt.Errorf("%w: %w", ErrLater, err)
 	} else if err != nil {
 		return h, nil, err
@@ -297,7 +297,7 @@
 	return maps.Clone(m.head.Stores)
 }
 
-func (m *machine) get(name string) (migration.Place, bool) {
+func (m *machine) get(name string) (migration.Assignment, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Get(name)
@@ -309,7 +309,7 @@
 	return m.table.Version()
 }
 
-func (m *machine) all() []migration.Place {
+func (m *machine) all() []migration.Assignment {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.All()
@@ -324,5 +324,5 @@
 		version = 0
 	}
 	c := m.table.Since(version)
-	return controllerclient.Places{Version: c.Version, Line: line, Whole: c.Whole, Places: c.Places, Gone: c.Gone}, m.changed
+	return controllerclient.Places{Version: c.Version, Line: line, Whole: c.Complete, Places: c.Assignments, Gone: c.Deleted}, m.changed
 }
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -57,7 +57,7 @@
 		}
 	}
 	h := head{V: storeVersion, Generation: 1, Runs: map[string]uint64{}}
-	var old []migration.Place
+	var old []migration.Assignment
 	if r.Backup != nil {
 		was, t, err := readSnapshot(r.Backup)
 		if err != nil {
@@ -66,19 +66,19 @@
 		h.Generation, h.Runs, h.Kept, h.more, old = was.Generation, was.Runs, was.Kept, was.more, t.All()
 	}
 	book := leases.New(r.Set)
-	book.Expects(0, "any")
-	over, _ := book.Next()
+	book.ExpectRenewal(0, "any")
+	over, _ := book.NextExpiry()
 	r.Say(fmt.Sprintf("waits %s for leases of before to be over", over.Span()))
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(over.Span()):
 	}
-	var found []migration.Found
+	var found []migration.NodeInventory
 	var silent []string
 	units := r.Net.Peers("edge")
 	all, errs := make([]controllerclient.Holds, len(units)), make([]error, len(units))
-	limit := leases.SpansOf(r.Set).Answer.Span()
+	limit := leases.TimingsFor(r.Set).ProposalTimeout.Span()
 	var group errgroup.Group
 	group.SetLimit(asked)
 	for i, p := range units {
@@ -97,7 +97,7 @@
 			r.Say(fmt.Sprintf("%s is silent: %v", p.Name, err))
 			continue
 		}
-		found = append(found, migration.Found{Unit: p.Name, Zone: p.Zone, Holds: holds.Holds})
+		found = append(found, migration.NodeInventory{Node: p.Name, Zone: p.Zone, Copies: holds.Holds})
 		h.Generation = max(h.Generation, holds.Line.Generation)
 		h.Runs[p.Name] = max(h.Runs[p.Name], holds.Run)
 		r.Say(fmt.Sprintf("%s has %d instances", p.Name, len(holds.Holds)))
@@ -110,7 +110,7 @@
 	for _, text := range told {
 		r.Say(text)
 	}
-	table, err := placement.Of(places)
+	table, err := placement.FromAssignments(places)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -162,22 +162,22 @@
 		return nil, err
 	}
 	k.mu.Lock()
-	verdict, err := l.book.Ask(k.Now(), a.Unit, a.Run)
+	verdict, err := l.book.Request(k.Now(), a.Unit, a.Run)
 	k.mu.Unlock()
 	if err != nil {
 		return nil, notGranted(a.Unit, err)
 	}
-	if verdict == leases.Agrees {
+	if verdict == leases.ProposeIncarnation {
 		_, err := k.apply(order{Term: l.term, Unit: a.Unit, Run: a.Run})
 		k.mu.Lock()
 		switch {
 		case err == nil:
-			l.book.Agreed(a.Unit, a.Run)
-		case never(err), errors.Is(err, errTerm), errors.Is(err, leases.ErrCopy):
-			l.book.Dropped(a.Unit)
+			l.book.OnIncarnationAgreed(a.Unit, a.Run)
+		case never(err), errors.Is(err, errTerm), errors.Is(err, leases.ErrStaleIncarnation):
+			l.book.OnIncarnationDropped(a.Unit)
 		} // else it is not known, and the lead is over
 		k.mu.Unlock()
-		if errors.Is(err, leases.ErrCopy) {
+		if errors.Is(err, leases.ErrStaleIncarnation) {
 			return nil, no(http.StatusConflict, "%s: %v", a.Unit, err)
 		} else if err != nil {
 			return nil, err
@@ -221,16 +221,16 @@
 	if err != nil {
 		return nil, notGranted(a.Unit, err)
 	}
-	kept, doubts := l.marks.Told(a.Unit, a.Kept), len(a.Doubts)
+	kept, doubts := l.marks.Report(a.Unit, a.Kept), len(a.Doubts)
 	a.Doubts = nil
 	a = l.believed(now, k.zone(a), a)
 	if back, known := l.back[a.Build]; known { // else the unit says what an earlier leader told it
 		a.Back = back
 	}
 	u := k.unit(a)
-	u.Until = until
+	u.LeaseEnd = until
 	metrics.GetOrCreateCounter("cove_keeper_leases_granted_total").Inc()
-	l.planner.Unit(now, u)
+	l.planner.OnNodeStatus(now, u)
 	before := l.units[a.Unit]
 	if l.units[a.Unit] = &a; before == nil || !alike(shown(a), shown(*before)) {
 		l.news()
@@ -242,7 +242,7 @@
 
 // notGranted refuses a lease: for good, or so that the unit asks again at once.
 func notGranted(unit string, err error) error {
-	if errors.Is(err, leases.ErrLate) || errors.Is(err, leases.ErrAgreeing) {
+	if errors.Is(err, leases.ErrExpired) || errors.Is(err, leases.ErrIncarnationPending) {
 		return no(http.StatusServiceUnavailable, "%s: %v", unit, err)
 	}
 	return no(http.StatusConflict, "%s: %v", unit, err)
@@ -340,15 +340,15 @@
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.units)) {
 		a := *l.units[name]
-		until, held := l.book.Held(now, name)
+		until, held := l.book.LeaseEnd(now, name)
 		if a.Build != build || a.Back == back || !held {
 			continue
 		}
 		a.Back, changed = back, true
 		l.units[name] = &a
 		u := k.unit(a)
-		u.Until = until
-		l.planner.Unit(now, u)
+		u.LeaseEnd = until
+		l.planner.OnNodeStatus(now, u)
 	}
 	if changed {
 		l.news()
@@ -366,7 +366,7 @@
 	zones := map[string]map[string]devicehealth.Report{}
 	for name, a := range l.units {
 		var r devicehealth.Report
-		if _, held := l.book.Held(k.Now(), name); !held || json.Unmarshal(a.Report, &r) != nil {
+		if _, held := l.book.LeaseEnd(k.Now(), name); !held || json.Unmarshal(a.Report, &r) != nil {
 			continue
 		}
 		z := k.zone(*a)
@@ -377,7 +377,7 @@
 	}
 	k.mu.Unlock()
 	out := controllerclient.Floor{Zones: []controllerclient.FloorZone{}}
-	var all []migration.Place
+	var all []migration.Assignment
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllTired(zones[z]) {
 			continue
@@ -387,8 +387,8 @@
 		}
 		var there []devicehealth.Served
 		for _, p := range all {
-			if _, ours := zones[z][p.Owner]; ours && p.State == migration.Runs {
-				there = append(there, devicehealth.Served{Name: p.Name, Unit: p.Owner, Weight: p.Weight})
+			if _, ours := zones[z][p.Primary]; ours && p.State == migration.Running {
+				there = append(there, devicehealth.Served{Name: p.Instance, Unit: p.Primary, Weight: p.Weight})
 			}
 		}
 		one := controllerclient.FloorZone{Zone: z, Instances: []controllerclient.FloorInstance{}}
@@ -401,13 +401,13 @@
 }
 
 // unit is a unit in the planner's words. One whose report can't be read takes nothing new, and keeps what it has.
-func (k *Keeper) unit(a controllerclient.LeaseAsk) migration.Unit {
+func (k *Keeper) unit(a controllerclient.LeaseAsk) migration.NodeStatus {
 	r := read(a)
-	u := migration.Unit{Name: a.Unit, Run: a.Run, Danger: r.Danger, Room: r.Room, Draining: a.Draining,
-		Build: a.Build, GoingBack: a.Back, Cold: a.Cold, Fresh: a.Fresh}
+	u := migration.NodeStatus{Name: a.Unit, Incarnation: a.Run, Risk: r.Danger, FreeSlots: r.Room, Draining: a.Draining,
+		Version: a.Build, RollingBack: a.Back, WarmingUp: a.Cold, LostCopies: a.Fresh}
 	u.Zone = k.zone(a)
-	u.Accepts, u.Trickle = r.State == controllerclient.Accepts || r.State == controllerclient.Trickle, r.State == controllerclient.Trickle
-	u.HandsOn, u.Leaves = r.State == controllerclient.HandsOn || r.State == controllerclient.Leaves, r.State == controllerclient.Leaves
+	u.Accepting, u.Limited = r.State == controllerclient.Accepts || r.State == controllerclient.Trickle, r.State == controllerclient.Trickle
+	u.Evacuating, u.ShuttingDown = r.State == controllerclient.HandsOn || r.State == controllerclient.Leaves, r.State == controllerclient.Leaves
 	return u
 }
 
@@ -449,60 +449,60 @@
 	}
 	code := http.StatusConflict
 	switch {
-	case errors.Is(r.err, migration.ErrUnknown):
+	case errors.Is(r.err, migration.ErrNotFound):
 		code = http.StatusNotFound
-	case errors.Is(r.err, migration.ErrBad), errors.Is(r.err, migration.ErrVersion):
+	case errors.Is(r.err, migration.ErrInvalid), errors.Is(r.err, migration.ErrUnsupportedVersion):
 		code = http.StatusBadRequest
 	}
 	f := no(code, "%v", r.err)
-	if r.place.Name != "" {
+	if r.place.Instance != "" {
 		f.Place = &r.place
 	}
 	return nil, f
 }
 
 // step has an owner's or an operator's entry agreed. The planner's own kinds are not taken from outside.
-func (k *Keeper) step(c call[migration.Entry]) (any, error) {
+func (k *Keeper) step(c call[migration.Operation]) (any, error) {
 	e := c.in
-	if e.V != migration.Version {
-		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", migration.ErrVersion, e.V,
-			migration.Version)
+	if e.Version != migration.FormatVersion {
+		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", migration.ErrUnsupportedVersion, e.Version,
+			migration.FormatVersion)
 	}
 	l, _, err := k.take()
 	if err != nil {
 		return nil, err
 	}
-	o := order{Steps: []migration.Entry{e}}
+	o := order{Steps: []migration.Operation{e}}
 	switch e.Kind {
-	case migration.Synced, migration.Drop, migration.Switch, migration.Back, migration.Begin,
-		migration.Lacks:
-		if e.By != c.from {
-			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.By)
+	case migration.OpReplicaReady, migration.OpDropReplica, migration.OpCutOver, migration.OpCancelCopy, migration.OpMarkServed,
+		migration.OpReportIncomplete:
+		if e.Node != c.from {
+			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.Node)
 		}
-	case migration.Create, migration.Release:
-		if !k.edge(e.To) {
-			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.To, k.self)
+	case migration.OpCreate, migration.OpRelease:
+		if !k.edge(e.Target) {
+			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.Target, k.self)
 		}
-	case migration.Forget, migration.Quarantine:
-		p, ok := k.machine.get(e.Name)
+	case migration.OpDelete, migration.OpQuarantine:
+		p, ok := k.machine.get(e.Instance)
 		if !ok {
-			return nil, no(http.StatusNotFound, "%v", migration.ErrUnknown)
+			return nil, no(http.StatusNotFound, "%v", migration.ErrNotFound)
 		}
 		if e.Epoch == 0 {
 			e.Epoch = p.Epoch
 		}
-		if e.By = p.Owner; p.Owner != "" { // its owner must not act any more
+		if e.Node = p.Primary; p.Primary != "" { // its owner must not act any more
 			k.mu.Lock()
-			err := l.rest(k.Now(), p.Owner)
+			err := l.rest(k.Now(), p.Primary)
 			k.mu.Unlock()
 			if err != nil {
-				f := no(http.StatusConflict, "%s runs at %s: %v", e.Name, p.Owner, err)
+				f := no(http.StatusConflict, "%s runs at %s: %v", e.Instance, p.Primary, err)
 				f.Place = &p
 				return nil, f
 			}
 			defer func() {
 				k.mu.Lock()
-				l.settle(p.Owner)
+				l.settle(p.Primary)
 				k.mu.Unlock()
 			}()
 			o.Term = l.term
@@ -525,14 +525,14 @@
 	}
 	p, ok := k.machine.get(c.in.Name)
 	if !ok {
-		return nil, no(http.StatusNotFound, "%v: %s", migration.ErrUnknown, c.in.Name)
+		return nil, no(http.StatusNotFound, "%v: %s", migration.ErrNotFound, c.in.Name)
 	}
-	answer, err := answered(k.apply(order{Steps: []migration.Entry{{V: migration.Version, Kind: migration.Cross, Name: p.Name,
+	answer, err := answered(k.apply(order{Steps: []migration.Operation{{Version: migration.FormatVersion, Kind: migration.OpMoveDevice, Instance: p.Instance,
 		Epoch: p.Epoch, Zone: c.in.Zone}}}))
 	if err == nil {
 		k.mu.Lock()
 		if k.leading() == l {
-			l.planner.Device(k.Now(), c.in.Name, c.in.Zone)
+			l.planner.OnDeviceMoved(k.Now(), c.in.Name, c.in.Zone)
 		}
 		k.mu.Unlock()
 		k.bell.Wake()
@@ -588,13 +588,13 @@
 		}
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(k.spans.News.Span())
+			timer.Reset(k.spans.AssignmentUpdateInterval.Span())
 			select {
 			case <-timer.C:
 			case <-c.ctx.Done():
 			}
 		case <-timer.C:
-			p.Whole, p.Places = false, []migration.Place{}
+			p.Whole, p.Places = false, []migration.Assignment{}
 			return p, nil
 		case <-l.over:
 			_, _, err := k.take()
@@ -627,7 +627,7 @@
 		k.mu.Unlock()
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(min(k.spans.Gather.Span(), mostWait))
+			timer.Reset(min(k.spans.NodeUpdateInterval.Span(), mostWait))
 			gathered = true
 			select {
 			case <-timer.C:
@@ -657,7 +657,7 @@
 				one.Zone = p.Zone
 			}
 		}
-		_, one.Held = l.book.Held(now, p.Name)
+		_, one.Held = l.book.LeaseEnd(now, p.Name)
 		if one.Accepts = one.Accepts && one.Held; one.Commands == "" {
 			one.Commands = p.Commands
 		}
@@ -687,7 +687,7 @@
 	}
 	for _, p := range k.machine.all() {
 		s.Places++
-		if p.Switch {
+		if p.CutOver {
 			s.Moves++
 		}
 	}
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -80,18 +80,18 @@
 
 // Fault is the body of all answers but 200.
 type Fault struct {
-	Error  string           `json:"error,omitempty"`
-	Place  *migration.Place `json:"place,omitempty"`  // what stands instead
-	Leader string           `json:"leader,omitempty"` // with 421
+	Error  string                `json:"error,omitempty"`
+	Place  *migration.Assignment `json:"place,omitempty"`  // what stands instead
+	Leader string                `json:"leader,omitempty"` // with 421
 }
 
 // Places are those that changed since a version, or all of them.
 type Places struct {
 	Version uint64 `json:"version"`
 	Line
-	Whole  bool              `json:"whole"`
-	Places []migration.Place `json:"places"`
-	Gone   []string          `json:"gone,omitempty"`
+	Whole  bool                   `json:"whole"`
+	Places []migration.Assignment `json:"places"`
+	Gone   []string               `json:"gone,omitempty"`
 }
 
 // Unit is an edge unit as the leading keeper has it.
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -112,12 +112,12 @@
 }
 
 // Fill sets what a report says of a unit in the leading keeper's words.
-func (r Report) Fill(u *migration.Unit) {
-	u.Accepts = r.State == Accepts || r.State == Trickle
-	u.Trickle = r.State == Trickle
-	u.HandsOn = r.State == HandsOn || r.State == Leaves
-	u.Leaves = r.State == Leaves
-	u.Danger, u.Room = r.Danger, r.Room
+func (r Report) Fill(u *migration.NodeStatus) {
+	u.Accepting = r.State == Accepts || r.State == Trickle
+	u.Limited = r.State == Trickle
+	u.Evacuating = r.State == HandsOn || r.State == Leaves
+	u.ShuttingDown = r.State == Leaves
+	u.Risk, u.FreeSlots = r.Danger, r.Room
 }
 
 // Tired: its instances are to go.
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -57,7 +57,7 @@
 	commands net.Listener
 	reader   *devicepower.Reader
 	sends    map[string]chan migration.Message
-	steps    chan migration.Entry
+	steps    chan migration.Operation
 	kick     chan struct{} // the lease is to be asked for at once
 	moved    chan struct{} // something may have changed that the end waits for
 
@@ -73,9 +73,9 @@
 	began    uint64                // records that the disk had taken at the start, 0 without a disk
 	judged   bool                  // whether it was put back is known
 	wasBack  bool
-	settled  bool           // what is written counts
-	most     uint64         // the greatest count that the keepers told
-	more     placement.More // beside it
+	settled  bool                    // what is written counts
+	most     uint64                  // the greatest count that the keepers told
+	more     placement.UnknownFields // beside it
 	records  []migration.Log
 	ends     bool
 	lost     string // why the lease is not renewed, as last logged
@@ -84,9 +84,9 @@
 
 // note is what the store keeps beside instances.
 type note struct {
-	Run  uint64                `json:"run"`
-	Line controllerclient.Line `json:"line"`
-	more placement.More        // what a later version added
+	Run  uint64                  `json:"run"`
+	Line controllerclient.Line   `json:"line"`
+	more placement.UnknownFields // what a later version added
 }
 
 // Open reads the unit's disk and listens for commands.
@@ -94,7 +94,7 @@
 	lease, _ := o.File.Set["fleet.lease"].(float64)
 	e := &Edge{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
 		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan migration.Message{},
-		steps: make(chan migration.Entry, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
+		steps: make(chan migration.Operation, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
 		reader: devicepower.Open(o.File.Power), asks: map[*migration.Request]chan migration.Response{},
 		waits: map[uint64]chan migration.Message{}}
 	for _, p := range o.Net.Peers("edge") {
@@ -107,7 +107,7 @@
 	}
 	var n note
 	if len(text) > 0 {
-		if n.more, err = placement.ReadMore(text, &n); err != nil {
+		if n.more, err = placement.UnmarshalKeepingUnknown(text, &n); err != nil {
 			e.closeStore()
 			return nil, fmt.Errorf("%s: its note: %w", o.File.Data, err)
 		}
@@ -199,7 +199,7 @@
 }
 
 func (e *Edge) writeNote(ctx context.Context, n note) error {
-	text, err := placement.WriteMore(n, e.more)
+	text, err := placement.MarshalWithUnknown(n, e.more)
 	if err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 }
 
 // told takes in news of places.
-func (e *Edge) told(version uint64, places []migration.Place, gone []string, whole bool) {
+func (e *Edge) told(version uint64, places []migration.Assignment, gone []string, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := controllerclient.Now()
@@ -262,7 +262,7 @@
 	if whole {
 		there := map[string]bool{}
 		for _, p := range places {
-			there[p.Name] = true
+			there[p.Instance] = true
 		}
 		for _, name := range e.owner.KnownInstances() {
 			if !there[name] {
@@ -481,7 +481,7 @@
 }
 
 // Propose queues an entry for the keepers; what is beyond the queue is as if lost.
-func (h host) Propose(e migration.Entry) {
+func (h host) Propose(e migration.Operation) {
 	select {
 	case h.steps <- e:
 	default:
@@ -547,7 +547,7 @@
 // step brings entries to the keepers.
 func (e *Edge) step(ctx context.Context) {
 	for {
-		var x migration.Entry
+		var x migration.Operation
 		select {
 		case <-ctx.Done():
 			return
@@ -561,7 +561,7 @@
 			p = *no.Place
 		}
 		e.mu.Lock()
-		if p.Name != "" {
+		if p.Instance != "" {
 			e.owner.OnAssignment(controllerclient.Now(), p)
 		}
 		if err != nil {
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -76,7 +76,7 @@
 		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { e.heard(w, r, kind) })
 	}
 	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) {
-		h := controllerclient.Holds{V: migration.Version, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.CopyStatus{}}
+		h := controllerclient.Holds{V: migration.FormatVersion, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.CopyStatus{}}
 		e.mu.Lock()
 		if e.owner != nil {
 			h.Holds = append(h.Holds, e.owner.Copies(controllerclient.Now())...)
@@ -130,7 +130,7 @@
 func (e *Edge) heard(w http.ResponseWriter, r *http.Request, kind string) {
 	from, _ := r.Context().Value(fromKey{}).(string)
 	refuse := func(code int, why string) {
-		reply(w, code, migration.Message{Version: migration.Version, Kind: migration.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
+		reply(w, code, migration.Message{Version: migration.FormatVersion, Kind: migration.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostMessage))
 	if err != nil {
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -155,7 +155,7 @@
 		_, idle := f.check.without[c.name]
 		if p.State != migration.Quarantined && (idle || !f.check.settled(p)) {
 			return fmt.Sprintf("%s is not quiet long after all: %s +%v >%s by %s, acted for: %v", c.name,
-				p.State, p.Holders, p.To, p.Owner, !idle)
+				p.State, p.Replicas, p.CopyTarget, p.Primary, !idle)
 		}
 	}
 	return ""
--- a/internal/leases/leases.go
+++ b/internal/leases/leases.go
@@ -17,21 +17,21 @@
 
 // Why a lease is not granted.
 var (
-	ErrHeld = errors.New("this name is held by another run whose lease is not over")
-	ErrCopy = errors.New("an old copy: a later run of this name has had a lease")
-	ErrLate = errors.New("the lease was over before it was granted")
-	// ErrAgreeing is of the moment: a start of this name is on its way to the agreed log, maybe the very one that asks,
+	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
+	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
+	ErrExpired          = errors.New("the lease was over before it was granted")
+	// ErrIncarnationPending is of the moment: a start of this name is on its way to the agreed log, maybe the very one that asks,
 	// whose first request was given up. Asked again it is answered.
-	ErrAgreeing = errors.New("a start of this name is being agreed")
+	ErrIncarnationPending = errors.New("a start of this name is being agreed")
 )
 
-// Verdict says what has to happen before a lease is granted.
-type Verdict int
+// Decision says what has to happen before a lease is granted.
+type Decision int
 
 // What Ask answers where it does not refuse.
 const (
-	Renews Verdict = iota // the run is the agreed one
-	Agrees                // the run has to be agreed among the keepers first, then Agreed be called, or Dropped
+	Renew              Decision = iota // the run is the agreed one
+	ProposeIncarnation                 // the run has to be agreed among the keepers first, then Agreed be called, or Dropped
 )
 
 type unit struct {
@@ -55,23 +55,23 @@
 func (d *dues) Push(x any)   { u := x.(*unit); u.pos = len(*d); *d = append(*d, u) }
 func (d *dues) Pop() any     { u := (*d)[len(*d)-1]; *d = (*d)[:len(*d)-1]; return u }
 
-// Book is the leases of one span of leading.
-type Book struct {
+// Lessor is the leases of one span of leading.
+type Lessor struct {
 	span  tick.Tick // of a lease with its drift, as the keeper counts it
 	units map[string]*unit
 	due   dues // those whose lease was not told as over
 }
 
 // New makes a book. set has fleet.lease (seconds) and fleet.drift (a share).
-func New(set map[string]any) *Book {
+func New(set map[string]any) *Lessor {
 	lease, drift := set["fleet.lease"].(float64), set["fleet.drift"].(float64)
-	return &Book{span: tick.Tick(lease*(1+2*drift)*float64(tick.Second)) + 1, units: map[string]*unit{}}
+	return &Lessor{span: tick.Tick(lease*(1+2*drift)*float64(tick.Second)) + 1, units: map[string]*unit{}}
 }
 
-// Led begins a span of leading: each unit that may have a lease of an earlier leader is counted as renewed now.
+// OnElected begins a span of leading: each unit that may have a lease of an earlier leader is counted as renewed now.
 // It guards against two runs or owners at once after a keeper fell; it costs a wait of one lease before a unit that
 // fell with the keeper is given up.
-func (b *Book) Led(now tick.Tick, runs map[string]uint64) {
+func (b *Lessor) OnElected(now tick.Tick, runs map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(runs)) {
 		u := b.at(name)
 		u.run, u.lease = runs[name], max(u.lease, now+b.span)
@@ -80,7 +80,7 @@
 }
 
 // until sets when a lease is over, no earlier than it was before.
-func (b *Book) until(u *unit, at tick.Tick) {
+func (b *Lessor) until(u *unit, at tick.Tick) {
 	if u.until = max(u.until, at); u.over {
 		u.over = false
 		heap.Push(&b.due, u)
@@ -89,7 +89,7 @@
 	}
 }
 
-func (b *Book) at(name string) *unit {
+func (b *Lessor) at(name string) *unit {
 	u := b.units[name]
 	if u == nil {
 		u = &unit{name: name, over: true}
@@ -98,61 +98,61 @@
 	return u
 }
 
-// Expects has a unit that is given something to do, and that is not heard of, told as over where it does not come. It is
+// ExpectRenewal has a unit that is given something to do, and that is not heard of, told as over where it does not come. It is
 // no lease: another run of its name need not wait for it, however often the unit is expected meanwhile.
-func (b *Book) Expects(now tick.Tick, name string) {
+func (b *Lessor) ExpectRenewal(now tick.Tick, name string) {
 	if u := b.at(name); u.over {
 		b.until(u, now+b.span)
 	}
 }
 
-// Ask is a request that came now from a run of a unit.
-func (b *Book) Ask(now tick.Tick, name string, run uint64) (Verdict, error) {
+// Request is a request that came now from a run of a unit.
+func (b *Lessor) Request(now tick.Tick, name string, run uint64) (Decision, error) {
 	u := b.at(name)
 	switch {
 	case run < u.run:
-		return Renews, ErrCopy
+		return Renew, ErrStaleIncarnation
 	case u.agreeing:
-		return Renews, ErrAgreeing
+		return Renew, ErrIncarnationPending
 	case run == u.run && run > 0:
-		return Renews, nil
+		return Renew, nil
 	case now < u.lease && u.run > 0:
-		return Renews, ErrHeld
+		return Renew, ErrOtherIncarnation
 	}
 	u.agreeing = true
-	return Agrees, nil
+	return ProposeIncarnation, nil
 }
 
-// Agreed says that the keepers agreed on the run that Ask wanted agreed; Dropped that they did not, or that it is not
+// OnIncarnationAgreed says that the keepers agreed on the run that Ask wanted agreed; Dropped that they did not, or that it is not
 // known. A leader that does not know loses its lead by that, and the next one learns it from the log.
-func (b *Book) Agreed(name string, run uint64) {
+func (b *Lessor) OnIncarnationAgreed(name string, run uint64) {
 	u := b.at(name)
 	u.run, u.agreeing = max(u.run, run), false
 }
 
-// Dropped see Agreed.
-func (b *Book) Dropped(name string) { b.at(name).agreeing = false }
+// OnIncarnationDropped see Agreed.
+func (b *Lessor) OnIncarnationDropped(name string) { b.at(name).agreeing = false }
 
 // Grant renews a lease whose request came at a moment, once a majority has confirmed the lead after it.
-func (b *Book) Grant(now, came tick.Tick, name string, run uint64) (until tick.Tick, err error) {
+func (b *Lessor) Grant(now, came tick.Tick, name string, run uint64) (until tick.Tick, err error) {
 	u := b.at(name)
 	switch {
 	case run < u.run:
-		return 0, ErrCopy
+		return 0, ErrStaleIncarnation
 	case u.agreeing:
-		return 0, ErrAgreeing
+		return 0, ErrIncarnationPending
 	case run != u.run:
-		return 0, ErrHeld
+		return 0, ErrOtherIncarnation
 	case now >= came+b.span: // the confirmation took too long; it may have been told as over meanwhile
-		return 0, ErrLate
+		return 0, ErrExpired
 	}
 	u.lease = max(u.lease, came+b.span)
 	b.until(u, u.lease)
 	return u.lease, nil
 }
 
-// Held says whether a unit may still act, and until when by the keeper's clock.
-func (b *Book) Held(now tick.Tick, name string) (until tick.Tick, held bool) {
+// LeaseEnd says whether a unit may still act, and until when by the keeper's clock.
+func (b *Lessor) LeaseEnd(now tick.Tick, name string) (until tick.Tick, held bool) {
 	u := b.units[name]
 	if u == nil {
 		return 0, false
@@ -160,8 +160,8 @@
 	return u.lease, now < u.lease
 }
 
-// Over names the units whose lease is over, each once until it is granted again, the earliest first.
-func (b *Book) Over(now tick.Tick) (names []string) {
+// Expired names the units whose lease is over, each once until it is granted again, the earliest first.
+func (b *Lessor) Expired(now tick.Tick) (names []string) {
 	for len(b.due) > 0 && now >= b.due[0].until {
 		u := heap.Pop(&b.due).(*unit)
 		u.over = true
@@ -170,30 +170,30 @@
 	return names
 }
 
-// Next is when the next lease is over, if there is one.
-func (b *Book) Next() (next tick.Tick, any bool) {
+// NextExpiry is when the next lease is over, if there is one.
+func (b *Lessor) NextExpiry() (next tick.Tick, any bool) {
 	if len(b.due) == 0 {
 		return 0, false
 	}
 	return b.due[0].until, true
 }
 
-// Spans are the keepers' own, all parts of a lease: a new leader has to be found, and units to renew with it, before
+// Timings are the keepers' own, all parts of a lease: a new leader has to be found, and units to renew with it, before
 // their leases are over, where half of one is left on the average.
-type Spans struct {
-	Heartbeat tick.Tick // without one for so long a follower looks for a new leader
-	Commit    tick.Tick // followers hear of what is agreed at least so often
-	Confirm   tick.Tick // for a majority to confirm
-	Answer    tick.Tick // for a step to be agreed, or the caller is told that the majority is gone
-	Gather    tick.Tick // changes of units are told together, so often at most
-	News      tick.Tick // and those of places
-	Pause     tick.Tick // least and most between tries of a client, doubled each time
-	PauseMost tick.Tick
-}
-
-// SpansOf are the spans for a lease; set as for New.
-func SpansOf(set map[string]any) Spans {
+type Timings struct {
+	HeartbeatTimeout         tick.Tick // without one for so long a follower looks for a new leader
+	CommitInterval           tick.Tick // followers hear of what is agreed at least so often
+	ConfirmTimeout           tick.Tick // for a majority to confirm
+	ProposalTimeout          tick.Tick // for a step to be agreed, or the caller is told that the majority is gone
+	NodeUpdateInterval       tick.Tick // changes of units are told together, so often at most
+	AssignmentUpdateInterval tick.Tick // and those of places
+	RetryDelayMin            tick.Tick // least and most between tries of a client, doubled each time
+	RetryDelayMax            tick.Tick
+}
+
+// TimingsFor are the spans for a lease; set as for New.
+func TimingsFor(set map[string]any) Timings {
 	lease := tick.Tick(set["fleet.lease"].(float64) * float64(tick.Second))
-	return Spans{Heartbeat: lease / 4, Commit: min(max(lease/20, 10), 500), Confirm: lease / 3,
-		Answer: 2 * lease, Gather: lease / 10, News: lease / 500, Pause: lease / 20, PauseMost: lease / 4}
+	return Timings{HeartbeatTimeout: lease / 4, CommitInterval: min(max(lease/20, 10), 500), ConfirmTimeout: lease / 3,
+		ProposalTimeout: 2 * lease, NodeUpdateInterval: lease / 10, AssignmentUpdateInterval: lease / 500, RetryDelayMin: lease / 20, RetryDelayMax: lease / 4}
 }
--- a/internal/leases/marks.go
+++ b/internal/leases/marks.go
@@ -10,27 +10,27 @@
 // mostMarks is how many units' counts are agreed at once.
 const mostMarks = 1024
 
-// Marks are the greatest counts of records that units have told of their disks, each with its lease. A unit that has
+// RecordCounts are the greatest counts of records that units have told of their disks, each with its lease. A unit that has
 // less than that at its start knows that its disk was put back. The leading keeper hears them each third of a lease; the
 // others agree on them once a lease, all that changed at once, so that the next leader knows what was so a lease ago.
 // That costs an entry a lease, however many units there are, of some 25 bytes for each that kept something.
-type Marks struct {
+type RecordCounts struct {
 	every tick.Tick
 	known map[string]uint64
 	fresh map[string]uint64 // told, and not agreed yet; 0: its count is to be forgotten
 	next  tick.Tick
 }
 
-// NewMarks begins a span of leading with the counts that are agreed.
-func NewMarks(now tick.Tick, set map[string]any, agreed map[string]uint64) *Marks {
+// NewRecordCounts begins a span of leading with the counts that are agreed.
+func NewRecordCounts(now tick.Tick, set map[string]any, agreed map[string]uint64) *RecordCounts {
 	every := tick.Tick(set["fleet.lease"].(float64) * float64(tick.Second))
-	return &Marks{every: every, known: maps.Clone(agreed), fresh: map[string]uint64{}, next: now + every}
+	return &RecordCounts{every: every, known: maps.Clone(agreed), fresh: map[string]uint64{}, next: now + every}
 }
 
-// Told is a unit's count as it came with its lease; before is the greatest one until then, 0 for none. A unit without
+// Report is a unit's count as it came with its lease; before is the greatest one until then, 0 for none. A unit without
 // a count (0) is of an earlier program, or has no disk: its file may be written without a count, so what was known means
 // nothing from then on.
-func (m *Marks) Told(unit string, count uint64) (before uint64) {
+func (m *RecordCounts) Report(unit string, count uint64) (before uint64) {
 	before = m.known[unit]
 	switch {
 	case count == 0 && before > 0:
@@ -46,7 +46,7 @@
 }
 
 // Due is what is to be agreed now, nil for nothing.
-func (m *Marks) Due(now tick.Tick) (some map[string]uint64) {
+func (m *RecordCounts) Due(now tick.Tick) (some map[string]uint64) {
 	if now < m.next || len(m.fresh) == 0 {
 		return nil
 	}
@@ -65,8 +65,8 @@
 	return some
 }
 
-// Again says that what was due was not agreed.
-func (m *Marks) Again(some map[string]uint64) {
+// Requeue says that what was due was not agreed.
+func (m *RecordCounts) Requeue(some map[string]uint64) {
 	for unit, count := range some {
 		if _, newer := m.fresh[unit]; !newer {
 			m.fresh[unit] = count
@@ -74,11 +74,11 @@
 	}
 }
 
-// Next is when something is due, if anything is.
-func (m *Marks) Next() (next tick.Tick, any bool) { return m.next, len(m.fresh) > 0 }
+// NextDue is when something is due, if anything is.
+func (m *RecordCounts) NextDue() (next tick.Tick, any bool) { return m.next, len(m.fresh) > 0 }
 
-// Mark takes an agreed count into those that are agreed.
-func Mark(agreed map[string]uint64, some map[string]uint64) {
+// MergeRecordCounts takes an agreed count into those that are agreed.
+func MergeRecordCounts(agreed map[string]uint64, some map[string]uint64) {
 	for unit, count := range some {
 		if count == 0 {
 			delete(agreed, unit)
--- a/internal/migration/handover.go
+++ b/internal/migration/handover.go
@@ -20,110 +20,110 @@
 
 // The states of an instance.
 const (
-	Runs        State = "runs"        // its owner may act while its lease holds
+	Running     State = "runs"        // its owner may act while its lease holds
 	Lost        State = "lost"        // neither owner nor any holder lives; waits for one, or for a restart
 	Quarantined State = "quarantined" // it felled too many owners; an operator releases it
-	Gone        State = "gone"        // forgotten: told once, never kept
+	Deleted     State = "gone"        // forgotten: told once, never kept
 )
 
-// Place is where an instance runs, as the keepers agreed it. A Place of a higher Epoch, or the same and a higher
+// Assignment is where an instance runs, as the keepers agreed it. A Place of a higher Epoch, or the same and a higher
 // Change, is newer.
-type Place struct {
-	Name    string   `json:"name"`
-	State   State    `json:"state"`
-	Owner   string   `json:"owner,omitempty"`
-	Epoch   uint64   `json:"epoch"`             // counts owners; what an older one does is refused
-	Change  uint64   `json:"change"`            // counts agreed changes of this instance
-	Holders []string `json:"holders,omitempty"` // beside the owner; they have every acked effect
-	To      string   `json:"to,omitempty"`      // is being copied to, to become a holder
-	Switch  bool     `json:"switch,omitempty"`  // and then to be the owner: a handover is under way
-	Begun   bool     `json:"begun,omitempty"`   // an owner has acted for it: there may be acked effects
-	Seq     uint64   `json:"seq"`               // effects that the owner proved at the last switch
-	Reason  string   `json:"reason,omitempty"`  // of the last change, in plain words
-	Zone    string   `json:"zone,omitempty"`    // where its device is
-	Weight  float64  `json:"weight,omitempty"`  // importance, 1 to 100
-	Size    int      `json:"size,omitempty"`    // bytes of its state, as last told
-	Falls   int      `json:"falls,omitempty"`   // owners that fell one after the other while they ran it
-	Missing uint64   `json:"missing,omitempty"` // effects that a restart from an older copy is known to lack, at least
-	Kept    []Kept   `json:"kept,omitempty"`    // units that have an older copy, the last few
-	Doubts  string   `json:"doubts,omitempty"`  // why it may lack more than that, as its owner told last; "" for no doubt
-	More    []byte   `json:"more,omitempty"`    // what a later version added; kept as it is
+type Assignment struct {
+	Instance         string      `json:"name"`
+	State            State       `json:"state"`
+	Primary          string      `json:"owner,omitempty"`
+	Epoch            uint64      `json:"epoch"`             // counts owners; what an older one does is refused
+	Revision         uint64      `json:"change"`            // counts agreed changes of this instance
+	Replicas         []string    `json:"holders,omitempty"` // beside the owner; they have every acked effect
+	CopyTarget       string      `json:"to,omitempty"`      // is being copied to, to become a holder
+	CutOver          bool        `json:"switch,omitempty"`  // and then to be the owner: a handover is under way
+	EverServed       bool        `json:"begun,omitempty"`   // an owner has acted for it: there may be acked effects
+	Index            uint64      `json:"seq"`               // effects that the owner proved at the last switch
+	Reason           string      `json:"reason,omitempty"`  // of the last change, in plain words
+	Zone             string      `json:"zone,omitempty"`    // where its device is
+	Weight           float64     `json:"weight,omitempty"`  // importance, 1 to 100
+	Size             int         `json:"size,omitempty"`    // bytes of its state, as last told
+	Failures         int         `json:"falls,omitempty"`   // owners that fell one after the other while they ran it
+	MissingEntries   uint64      `json:"missing,omitempty"` // effects that a restart from an older copy is known to lack, at least
+	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // units that have an older copy, the last few
+	UnverifiedReason string      `json:"doubts,omitempty"`  // why it may lack more than that, as its owner told last; "" for no doubt
+	Extension        []byte      `json:"more,omitempty"`    // what a later version added; kept as it is
 }
 
-// Kept is a copy of an instance that is no longer brought up: its first Seq effects at least.
-type Kept struct {
-	Unit string `json:"unit"`
-	Seq  uint64 `json:"seq,omitempty"`
+// StaleCopy is a copy of an instance that is no longer brought up: its first Seq effects at least.
+type StaleCopy struct {
+	Node  string `json:"unit"`
+	Index uint64 `json:"seq,omitempty"`
 }
 
-// Kind says what an entry of the agreed log does.
-type Kind string
+// OperationKind says what an entry of the agreed log does.
+type OperationKind string
 
 // The kinds of entries. Each names the epoch that its maker saw; a Place that has moved on refuses it with ErrOld.
 const (
-	Create     Kind = "create"     // Name at To, in Zone, of Weight: epoch 1
-	Copy       Kind = "copy"       // begin to copy to To; with Switch to make it the owner
-	Synced     Kind = "synced"     // its owner By says that To has every acked effect: To is a holder
-	Drop       Kind = "drop"       // its owner By can't reach holder To, and acks without it from now on; By "": the keepers
-	Switch     Kind = "switch"     // its owner By has stopped at Seq, and holder To has all: To owns the next epoch
-	Back       Kind = "back"       // the copy to To is given up
-	Fail       Kind = "fail"       // the lease of owner By is over for sure: holder To, or nobody, takes over
-	Restart    Kind = "restart"    // a lost instance goes on at To from the state that it kept, at Seq
-	Cross      Kind = "cross"      // its device is in Zone now
-	Steady     Kind = "steady"     // its owner has run it for long: falls count anew
-	Begin      Kind = "begin"      // its owner By is about to act for it for the first time: there may be acked effects
-	Lacks      Kind = "lacks"      // unit By hasn't what it is counted on for: holds no more, and owns no more: holder To, or nobody, does
-	Quarantine Kind = "quarantine" // it is not run any more; owner By has stopped, or its lease is over for sure
-	Release    Kind = "release"    // and again: at To
-	Forget     Kind = "forget"     // it is not there any more; owner By, if any, has stopped
+	OpCreate           OperationKind = "create"     // Name at To, in Zone, of Weight: epoch 1
+	OpStartCopy        OperationKind = "copy"       // begin to copy to To; with Switch to make it the owner
+	OpReplicaReady     OperationKind = "synced"     // its owner By says that To has every acked effect: To is a holder
+	OpDropReplica      OperationKind = "drop"       // its owner By can't reach holder To, and acks without it from now on; By "": the keepers
+	OpCutOver          OperationKind = "switch"     // its owner By has stopped at Seq, and holder To has all: To owns the next epoch
+	OpCancelCopy       OperationKind = "back"       // the copy to To is given up
+	OpFailOver         OperationKind = "fail"       // the lease of owner By is over for sure: holder To, or nobody, takes over
+	OpRestart          OperationKind = "restart"    // a lost instance goes on at To from the state that it kept, at Seq
+	OpMoveDevice       OperationKind = "cross"      // its device is in Zone now
+	OpResetFailures    OperationKind = "steady"     // its owner has run it for long: falls count anew
+	OpMarkServed       OperationKind = "begin"      // its owner By is about to act for it for the first time: there may be acked effects
+	OpReportIncomplete OperationKind = "lacks"      // unit By hasn't what it is counted on for: holds no more, and owns no more: holder To, or nobody, does
+	OpQuarantine       OperationKind = "quarantine" // it is not run any more; owner By has stopped, or its lease is over for sure
+	OpRelease          OperationKind = "release"    // and again: at To
+	OpDelete           OperationKind = "forget"     // it is not there any more; owner By, if any, has stopped
 )
 
-// Version is that of entries and snapshots as this program writes them. It reads those up to it and refuses later ones.
-const Version = 1
+// FormatVersion is that of entries and snapshots as this program writes them. It reads those up to it and refuses later ones.
+const FormatVersion = 1
 
-// Entry is one entry of the agreed log.
-type Entry struct {
-	V      int     `json:"v"`
-	Kind   Kind    `json:"kind"`
-	Name   string  `json:"name"`
-	Epoch  uint64  `json:"epoch,omitempty"`
-	Change uint64  `json:"change,omitempty"` // that its maker saw, 0 for any: another one refuses, however late it comes
-	By     string  `json:"by,omitempty"`
-	To     string  `json:"to,omitempty"`
-	Switch bool    `json:"switch,omitempty"`
-	Seq    uint64  `json:"seq,omitempty"`
-	Zone   string  `json:"zone,omitempty"`
-	Weight float64 `json:"weight,omitempty"`
-	Size   int     `json:"size,omitempty"`
-	Reason string  `json:"reason,omitempty"`
+// Operation is one entry of the agreed log.
+type Operation struct {
+	Version  int           `json:"v"`
+	Kind     OperationKind `json:"kind"`
+	Instance string        `json:"name"`
+	Epoch    uint64        `json:"epoch,omitempty"`
+	Revision uint64        `json:"change,omitempty"` // that its maker saw, 0 for any: another one refuses, however late it comes
+	Node     string        `json:"by,omitempty"`
+	Target   string        `json:"to,omitempty"`
+	CutOver  bool          `json:"switch,omitempty"`
+	Index    uint64        `json:"seq,omitempty"`
+	Zone     string        `json:"zone,omitempty"`
+	Weight   float64       `json:"weight,omitempty"`
+	Size     int           `json:"size,omitempty"`
+	Reason   string        `json:"reason,omitempty"`
 }
 
 // Why an entry is refused. Nothing has changed then.
 var (
-	ErrUnknown  = errors.New("no instance of this name")
-	ErrThere    = errors.New("an instance of this name is there already")
-	ErrOld      = errors.New("of an older epoch: never ran")
-	ErrNotOwner = errors.New("not its owner")
-	ErrHolder   = errors.New("does not have every acked effect")
-	ErrState    = errors.New("not in this state")
-	ErrVersion  = errors.New("of a later version")
-	ErrBad      = errors.New("makes no sense")
+	ErrNotFound           = errors.New("no instance of this name")
+	ErrExists             = errors.New("an instance of this name is there already")
+	ErrStaleEpoch         = errors.New("of an older epoch: never ran")
+	ErrNotPrimary         = errors.New("not its owner")
+	ErrNotReplica         = errors.New("does not have every acked effect")
+	ErrWrongState         = errors.New("not in this state")
+	ErrUnsupportedVersion = errors.New("of a later version")
+	ErrInvalid            = errors.New("makes no sense")
 )
 
-// Unit is what the leading keeper knows of an edge unit.
-type Unit struct {
-	Name, Zone string
-	Run        uint64    // number of its process's start; another one has another memory
-	Until      tick.Tick // its lease, by the keeper's clock, drift added: later it does not act
-	Accepts    bool      // new instances
-	Trickle    bool      // of those a few only
-	HandsOn    bool      // its instances are to go
-	Leaves     bool      // it ends on purpose
-	Danger     float64   // 0 to 1: how near it is to falling; the most endangered instances go first
-	Room       int       // instances that it takes beside those it has
-	Draining   bool      // by the list
-	Build      uint16
-	GoingBack  bool // its build is on the way back
-	Cold       bool // it has just started; Room is its cold budget then
-	Fresh      bool // this run began without the copies of the one before
+// NodeStatus is what the leading keeper knows of an edge unit.
+type NodeStatus struct {
+	Name, Zone   string
+	Incarnation  uint64    // number of its process's start; another one has another memory
+	LeaseEnd     tick.Tick // its lease, by the keeper's clock, drift added: later it does not act
+	Accepting    bool      // new instances
+	Limited      bool      // of those a few only
+	Evacuating   bool      // its instances are to go
+	ShuttingDown bool      // it ends on purpose
+	Risk         float64   // 0 to 1: how near it is to falling; the most endangered instances go first
+	FreeSlots    int       // instances that it takes beside those it has
+	Draining     bool      // by the list
+	Version      uint16
+	RollingBack  bool // its build is on the way back
+	WarmingUp    bool // it has just started; Room is its cold budget then
+	LostCopies   bool // this run began without the copies of the one before
 }
