--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -38,7 +38,7 @@
 
 // PlannerHost is what a planner acts through.
 type PlannerHost interface {
-	Step(e Entry) // to the agreed log; its result comes back by Placed or Refused, at once or later
+	Propose(e Operation) // to the agreed log; its result comes back by Placed or Refused, at once or later
 	Log(text string)
 }
 
@@ -68,7 +68,7 @@
 
 // unit is an edge unit as the planner knows it.
 type unit struct {
-	Unit
+	NodeStatus
 	known    bool // it was heard of since this planner leads
 	over     bool // its lease is over for sure
 	zone     *zone
@@ -106,7 +106,7 @@
 
 // row is an instance as the planner knows it.
 type row struct {
-	Place
+	Assignment
 	there   bool // false: no Placed yet
 	owner   *unit
 	holders []*unit
@@ -121,7 +121,7 @@
 	orphan  bool      // its owner began anew without it
 	shed    bool      // one of the lightest of a unit that has too many
 
-	sent     Entry // a step on its way; Kind "" for none
+	sent     Operation // a step on its way; Kind "" for none
 	sentAt   tick.Tick
 	failing  *unit
 	tries    int       // without a place, or refused, in a row
@@ -193,39 +193,41 @@
 	return p
 }
 
-// Led says that this keeper leads from now on: what was on its way is not waited for, every instance counts as come now,
+// OnElected says that this keeper leads from now on: what was on its way is not waited for, every instance counts as come now,
 // and every unit's lease as unknown.
-func (p *Planner) Led(now tick.Tick) {
+func (p *Planner) OnElected(now tick.Tick) {
 	p.now, p.led = now, true
 	for _, u := range p.units {
 		u.known, u.over, u.fails = false, false, 0
 		p.ability(u)
 	}
 	for _, r := range byWeight(maps.Values(p.rows)) {
-		r.sent, r.failing, r.seen, r.copying, r.tries, r.not, r.avoid = Entry{}, nil, now, now, 0, 0, nil
-		r.moved = moved(r.Place, now)
+		r.sent, r.failing, r.seen, r.copying, r.tries, r.not, r.avoid = Operation{}, nil, now, now, 0, 0, nil
+		r.moved = moved(r.Assignment, now)
 		p.account(r)
 		p.look(r)
 	}
 	p.work(factWork)
 }
 
-// Follows says that this keeper no longer leads. The planner goes on to learn and steps nothing.
-func (p *Planner) Follows(now tick.Tick) { p.now, p.led = now, false }
+// OnDeposed says that this keeper no longer leads. The planner goes on to learn and steps nothing.
+func (p *Planner) OnDeposed(now tick.Tick) { p.now, p.led = now, false }
 
-// Failing tells whether an entry is on its way that says that a unit's lease is over. The unit may not have a lease until
+// FailOverPending tells whether an entry is on its way that says that a unit's lease is over. The unit may not have a lease until
 // it has come back: an entry that is agreed late would give what it owns to another one while it acts.
-func (p *Planner) Failing(name string) bool { return p.units[name] != nil && p.units[name].fails > 0 }
+func (p *Planner) FailOverPending(name string) bool {
+	return p.units[name] != nil && p.units[name].fails > 0
+}
 
-// Unit tells what the keepers know of an edge unit that has just renewed its lease.
-func (p *Planner) Unit(now tick.Tick, n Unit) {
+// OnNodeStatus tells what the keepers know of an edge unit that has just renewed its lease.
+func (p *Planner) OnNodeStatus(now tick.Tick, n NodeStatus) {
 	p.now = now
 	u := p.unit(n.Name)
-	old, was := u.Unit, u.known
-	if was && n.Until < old.Until && n.Run == old.Run {
-		n.Until = old.Until // overtaken
+	old, was := u.NodeStatus, u.known
+	if was && n.LeaseEnd < old.LeaseEnd && n.Incarnation == old.Incarnation {
+		n.LeaseEnd = old.LeaseEnd // overtaken
 	}
-	back, fresh := u.over || old.Until != 0 && old.Until <= now, n.Fresh && was && n.Run != old.Run
+	back, fresh := u.over || old.LeaseEnd != 0 && old.LeaseEnd <= now, n.LostCopies && was && n.Incarnation != old.Incarnation
 	if u.zone == nil || u.zone.name != n.Zone {
 		if u.zone != nil {
 			p.unable(u)
@@ -235,7 +237,7 @@
 		u.zone.all[u] = struct{}{}
 	}
 	p.unable(u)
-	u.Unit, u.known, u.over = n, true, false
+	u.NodeStatus, u.known, u.over = n, true, false
 	u.taken = len(u.coming)
 	if now-u.turned >= p.lease {
 		u.came, u.went, u.turned = [2]int{0, u.came[0]}, [2]int{0, u.went[0]}, now
@@ -254,19 +256,19 @@
 			}
 		}
 	}
-	if n.Room < 0 && now >= u.spared {
+	if n.FreeSlots < 0 && now >= u.spared {
 		u.spared = now + p.lease
 		p.shed(u)
 	}
-	if !was || back || fresh || old.HandsOn != n.HandsOn || old.Leaves != n.Leaves || old.Draining != n.Draining ||
-		old.GoingBack != n.GoingBack || old.Accepts != n.Accepts || old.Zone != n.Zone || (old.Room < 0) != (n.Room < 0) {
+	if !was || back || fresh || old.Evacuating != n.Evacuating || old.ShuttingDown != n.ShuttingDown || old.Draining != n.Draining ||
+		old.RollingBack != n.RollingBack || old.Accepting != n.Accepting || old.Zone != n.Zone || (old.FreeSlots < 0) != (n.FreeSlots < 0) {
 		p.lookAll(u)
 	}
 	p.work(factWork)
 }
 
-// LeaseOver says that a unit's lease is over for sure, by every clock: it does not act.
-func (p *Planner) LeaseOver(now tick.Tick, name string) {
+// OnLeaseExpired says that a unit's lease is over for sure, by every clock: it does not act.
+func (p *Planner) OnLeaseExpired(now tick.Tick, name string) {
 	p.now = now
 	u := p.unit(name)
 	u.over = true
@@ -276,21 +278,21 @@
 	p.work(factWork)
 }
 
-// Placed tells a place as it was agreed: each change, and after Led all of them. An older one is passed over.
-func (p *Planner) Placed(now tick.Tick, n Place) {
+// OnAssignment tells a place as it was agreed: each change, and after Led all of them. An older one is passed over.
+func (p *Planner) OnAssignment(now tick.Tick, n Assignment) {
 	p.now = now
-	r := p.rows[n.Name]
+	r := p.rows[n.Instance]
 	if r == nil {
-		if n.State == Gone {
+		if n.State == Deleted {
 			return
 		}
 		r = &row{duePos: -1, seen: now, moved: moved(n, now)}
-		p.rows[n.Name] = r
+		p.rows[n.Instance] = r
 	}
-	if r.there && (n.Epoch < r.Epoch || n.Epoch == r.Epoch && n.Change <= r.Change) {
+	if r.there && (n.Epoch < r.Epoch || n.Epoch == r.Epoch && n.Revision <= r.Revision) {
 		return
 	}
-	old := r.Place
+	old := r.Assignment
 	p.unqueue(r)
 	if r.owner != nil {
 		delete(r.owner.owned, r)
@@ -298,50 +300,50 @@
 	for _, u := range r.holders {
 		delete(u.held, r)
 	}
-	if r.Place, r.owner, r.holders = n, nil, r.holders[:0]; n.State != Gone {
-		if n.Owner != "" {
-			r.owner = p.unit(n.Owner)
+	if r.Assignment, r.owner, r.holders = n, nil, r.holders[:0]; n.State != Deleted {
+		if n.Primary != "" {
+			r.owner = p.unit(n.Primary)
 			r.owner.owned[r] = struct{}{}
 		}
-		for _, name := range n.Holders {
+		for _, name := range n.Replicas {
 			u := p.unit(name)
 			u.held[r] = struct{}{}
 			r.holders = append(r.holders, u)
 		}
 	}
 	if r.there && n.Epoch != old.Epoch || n.State != old.State {
-		if old.Switch && n.Epoch == old.Epoch+1 && n.Falls == old.Falls { // it was handed over
+		if old.CutOver && n.Epoch == old.Epoch+1 && n.Failures == old.Failures { // it was handed over
 			if r.moved != 0 && now-r.moved <= 2*p.dwell<<r.swings {
 				r.swings = min(r.swings+1, mostSwings)
 			} else {
 				r.swings = 0
 			}
 			r.moved = max(1, now)
-			p.unit(old.Owner).went[0]++
-			p.unit(n.Owner).came[0]++
+			p.unit(old.Primary).went[0]++
+			p.unit(n.Primary).came[0]++
 		}
 		r.seen, r.orphan, r.shed, r.tries, r.not, r.lonely, r.losses = now, false, false, 0, 0, 0, 0
 	}
-	if n.To != old.To {
+	if n.CopyTarget != old.CopyTarget {
 		r.copying = now
-		if old.To != "" && slices.Contains(n.Holders, old.To) {
+		if old.CopyTarget != "" && slices.Contains(n.Replicas, old.CopyTarget) {
 			r.tries, r.not = 0, 0
 		}
 	}
 	r.there = true
 	if r.sent.Kind != "" && done(r.sent, n) {
-		r.sent = Entry{}
+		r.sent = Operation{}
 	}
-	if f := r.failing; f != nil && (n.Owner != f.Name || n.Epoch != old.Epoch) {
+	if f := r.failing; f != nil && (n.Primary != f.Name || n.Epoch != old.Epoch) {
 		f.fails--
 		r.failing = nil
 	}
 	if r.device == n.Zone {
 		r.device = ""
 	}
-	if r.sent.Kind != Drop && n.Epoch == old.Epoch {
-		for _, name := range old.Holders { // its owner can't reach it
-			if !slices.Contains(n.Holders, name) {
+	if r.sent.Kind != OpDropReplica && n.Epoch == old.Epoch {
+		for _, name := range old.Replicas { // its owner can't reach it
+			if !slices.Contains(n.Replicas, name) {
 				r.avoid, r.avoided = p.unit(name), now+2*p.lease
 				p.stray(r, r.avoid)
 			}
@@ -349,53 +351,53 @@
 	}
 	r.bare = slices.DeleteFunc(r.bare, func(u *unit) bool { return !slices.Contains(r.holders, u) })
 	p.account(r)
-	if n.State == Gone {
+	if n.State == Deleted {
 		p.setDue(r, 0)
-		delete(p.rows, n.Name)
+		delete(p.rows, n.Instance)
 		return
 	}
 	p.look(r)
 	p.work(factWork)
 }
 
-// Refused says that a step was refused or was not agreed, and why. It is tried again where it is still called for.
-func (p *Planner) Refused(now tick.Tick, e Entry, why error) {
+// OnProposalRefused says that a step was refused or was not agreed, and why. It is tried again where it is still called for.
+func (p *Planner) OnProposalRefused(now tick.Tick, e Operation, why error) {
 	p.now = now
-	r := p.rows[e.Name]
+	r := p.rows[e.Instance]
 	if r == nil {
 		return
 	}
-	if r.failing != nil && (e.Kind == Fail || e.Kind == Quarantine) && e.By == r.failing.Name {
+	if r.failing != nil && (e.Kind == OpFailOver || e.Kind == OpQuarantine) && e.Node == r.failing.Name {
 		r.failing.fails--
 		r.failing = nil
 	}
-	if r.sent.Kind != e.Kind || r.sent.Epoch != e.Epoch || r.sent.To != e.To {
+	if r.sent.Kind != e.Kind || r.sent.Epoch != e.Epoch || r.sent.Target != e.Target {
 		return
 	}
-	p.host.Log(fmt.Sprintf("%s: %s to %q refused: %v", e.Name, e.Kind, e.To, why))
-	r.sent = Entry{}
+	p.host.Log(fmt.Sprintf("%s: %s to %q refused: %v", e.Instance, e.Kind, e.Target, why))
+	r.sent = Operation{}
 	p.account(r)
 	p.later(r)
 	p.work(factWork)
 }
 
-// Device says in which zone an instance's device is.
-func (p *Planner) Device(now tick.Tick, name, zone string) {
+// OnDeviceMoved says in which zone an instance's device is.
+func (p *Planner) OnDeviceMoved(now tick.Tick, name, zone string) {
 	p.now = now
 	r := p.rows[name]
 	if r == nil {
 		p.host.Log(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
 		return
 	}
-	if r.device = zone; zone == r.Zone && r.sent.Kind != Cross {
+	if r.device = zone; zone == r.Zone && r.sent.Kind != OpMoveDevice {
 		r.device = ""
 	}
 	p.look(r)
 	p.work(factWork)
 }
 
-// Alarm does what is left of earlier facts, a bounded part of it, and what has fallen due. It returns when to call it next.
-func (p *Planner) Alarm(now tick.Tick) (next tick.Tick) {
+// OnTick does what is left of earlier facts, a bounded part of it, and what has fallen due. It returns when to call it next.
+func (p *Planner) OnTick(now tick.Tick) (next tick.Tick) {
 	p.now = now
 	if !p.work(mostWork) {
 		return now + 1
@@ -406,10 +408,10 @@
 	return now + p.lease
 }
 
-// Choose is the unit at which a new instance should begin, "" where none has room.
-func (p *Planner) Choose(now tick.Tick, name, zone string) string {
+// ChooseNode is the unit at which a new instance should begin, "" where none has room.
+func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
-	if u, _ := p.pick(&row{Place: Place{Name: name, Zone: zone}}, leaves); u != nil {
+	if u, _ := p.pick(&row{Assignment: Assignment{Instance: name, Zone: zone}}, leaves); u != nil {
 		u.taken++
 		p.ability(u)
 		return u.Name
@@ -431,7 +433,7 @@
 			if p.looks = p.looks[1:]; len(p.looks) == 0 {
 				p.looks = nil
 			}
-			if r.looking = false; p.rows[r.Name] == r {
+			if r.looking = false; p.rows[r.Instance] == r {
 				p.judge(r)
 			}
 		case len(p.due) > 0 && p.due[0].due <= p.now:
@@ -456,7 +458,7 @@
 			p.setDue(r, until)
 			return
 		}
-		r.sent = Entry{} // its result was lost
+		r.sent = Operation{} // its result was lost
 		if r.device == r.Zone {
 			r.device = ""
 		}
@@ -464,15 +466,15 @@
 	}
 	switch {
 	case r.device != "" && r.device != r.Zone:
-		p.step(r, Entry{Kind: Cross, Zone: r.device, Reason: "its device is in " + r.device})
+		p.step(r, Operation{Kind: OpMoveDevice, Zone: r.device, Reason: "its device is in " + r.device})
 	case r.State == Lost:
 		p.revive(r)
-	case r.State != Runs:
+	case r.State != Running:
 	case r.owner.over || r.orphan:
 		p.fail(r)
-	case len(r.bare) > 0 && !(r.Switch && r.To == r.bare[0].Name):
-		p.step(r, Entry{Kind: Drop, To: r.bare[0].Name, Reason: r.bare[0].Name + " began without its copies"})
-	case r.To != "":
+	case len(r.bare) > 0 && !(r.CutOver && r.CopyTarget == r.bare[0].Name):
+		p.step(r, Operation{Kind: OpDropReplica, Target: r.bare[0].Name, Reason: r.bare[0].Name + " began without its copies"})
+	case r.CopyTarget != "":
 		p.watch(r)
 	default:
 		p.want(r)
@@ -483,23 +485,23 @@
 // acked effect, and to lose one would be worse than to serve on at a unit that is tired, drains or goes back; it hands on
 // at once then. But the better off come first.
 func (p *Planner) fail(r *row) {
-	if r.Falls+1 >= p.falls && (r.owner.suspects <= 1 || r.Falls+1 >= mostSuspect*p.falls) {
+	if r.Failures+1 >= p.falls && (r.owner.suspects <= 1 || r.Failures+1 >= mostSuspect*p.falls) {
 		// Guards against an instance that fells each owner. Units that fell for another reason look the same where one
 		// instance was at all of them; it hurts then: an operator has to release it. Where several that may be it fell with
 		// one unit, they go on, each with a holder of its own, until one falls alone; that costs a unit's fall or two more.
-		p.step(r, Entry{Kind: Quarantine, By: r.Owner, Reason: fmt.Sprintf("fell %d owners in a row", r.Falls+1)})
+		p.step(r, Operation{Kind: OpQuarantine, Node: r.Primary, Reason: fmt.Sprintf("fell %d owners in a row", r.Failures+1)})
 		return
 	}
 	best := p.heir(r)
-	if best != nil && best.Until != 0 && best.Until-p.now < p.lease/doubtful {
+	if best != nil && best.LeaseEnd != 0 && best.LeaseEnd-p.now < p.lease/doubtful {
 		// Guards against handing all to a holder that fell in the same moment, which counts a fall more and another lease
 		// without an owner. A slow one looks the same; it costs it the rest of its lease.
 		p.setDue(r, p.now+max(1, p.lease/6))
 		return
 	}
-	e := Entry{Kind: Fail, By: r.Owner, Reason: r.Owner + " fell"}
+	e := Operation{Kind: OpFailOver, Node: r.Primary, Reason: r.Primary + " fell"}
 	if best != nil {
-		e.To = best.Name
+		e.Target = best.Name
 	}
 	p.step(r, e)
 }
@@ -508,7 +510,7 @@
 func (p *Planner) suspect(u *unit) {
 	u.suspects = 0
 	for r := range u.owned {
-		u.suspects += b2i(r.Falls+1 >= p.falls)
+		u.suspects += b2i(r.Failures+1 >= p.falls)
 	}
 }
 
@@ -520,21 +522,21 @@
 		switch {
 		case u.able:
 			return 0
-		case !u.Draining && !u.GoingBack && !u.Leaves && !u.HandsOn:
+		case !u.Draining && !u.RollingBack && !u.ShuttingDown && !u.Evacuating:
 			return 1
-		case !u.Draining && !u.GoingBack && !u.Leaves:
+		case !u.Draining && !u.RollingBack && !u.ShuttingDown:
 			return 2
 		}
 		return 3
 	}
 	// Where a zone is cut off, its holders' leases run out beside its owners', and one elsewhere need not wait for that.
-	doubts := func(u *unit) int { return b2i(u.Until != 0 && u.Until-p.now < p.lease/doubtful) }
+	doubts := func(u *unit) int { return b2i(u.LeaseEnd != 0 && u.LeaseEnd-p.now < p.lease/doubtful) }
 	for _, u := range r.holders {
-		if !u.known || u.over || slices.Contains(r.bare, u) || u.Until != 0 && u.Until+p.lease/doubtful <= p.now {
+		if !u.known || u.over || slices.Contains(r.bare, u) || u.LeaseEnd != 0 && u.LeaseEnd+p.lease/doubtful <= p.now {
 			continue
 		}
 		if best == nil || cmp.Or(cmp.Compare(rank(u), rank(best)), cmp.Compare(doubts(u), doubts(best)),
-			cmp.Compare(b2i(u.Zone != r.Zone), b2i(best.Zone != r.Zone)), cmp.Compare(u.Danger, best.Danger)) < 0 {
+			cmp.Compare(b2i(u.Zone != r.Zone), b2i(best.Zone != r.Zone)), cmp.Compare(u.Risk, best.Risk)) < 0 {
 			best = u
 		}
 	}
@@ -544,7 +546,7 @@
 // revive lets a lost instance go on: at once where a holder is back, else after restart_after from the best older copy.
 func (p *Planner) revive(r *row) {
 	if u := p.heir(r); u != nil {
-		p.step(r, Entry{Kind: Restart, To: u.Name, Seq: r.Seq, Reason: u.Name + " holds all of it and is back"})
+		p.step(r, Operation{Kind: OpRestart, Target: u.Name, Index: r.Index, Reason: u.Name + " holds all of it and is back"})
 		return
 	}
 	if at := r.seen + p.restart; p.now < at {
@@ -557,9 +559,9 @@
 	}
 	var best *unit
 	var seq uint64
-	for _, k := range r.Kept {
-		if u := p.unit(k.Unit); u.able && (best == nil || k.Seq > seq) {
-			best, seq = u, k.Seq
+	for _, k := range r.StaleCopies {
+		if u := p.unit(k.Node); u.able && (best == nil || k.Index > seq) {
+			best, seq = u, k.Index
 		}
 	}
 	if best == nil {
@@ -571,28 +573,28 @@
 	}
 	best.taken++
 	p.ability(best)
-	p.step(r, Entry{Kind: Restart, To: best.Name, Seq: seq, Reason: "no holder came back"})
+	p.step(r, Operation{Kind: OpRestart, Target: best.Name, Index: seq, Reason: "no holder came back"})
 }
 
 const slow = "did not have it in time"
 
 // watch gives up a copy that does not end in time, or whose target may not be handed an instance any more.
 func (p *Planner) watch(r *row) {
-	u := p.unit(r.To)
+	u := p.unit(r.CopyTarget)
 	why := ""
 	switch {
 	case u.over, slices.Contains(r.bare, u):
 		why = "fell"
 	case !u.known:
-	case u.Leaves, u.Draining:
+	case u.ShuttingDown, u.Draining:
 		why = "drains"
-	case u.GoingBack:
+	case u.RollingBack:
 		why = "runs a build on its way back"
-	case u.HandsOn, !u.Accepts:
+	case u.Evacuating, !u.Accepting:
 		why = "refuses"
 	}
 	end := r.copying + p.restart
-	if o := r.owner; p.away > 0 && !r.Switch && o.zone != nil && p.far(u, o) && len(o.zone.able) > b2i(o.able) && p.lone(r) {
+	if o := r.owner; p.away > 0 && !r.CutOver && o.zone != nil && p.far(u, o) && len(o.zone.able) > b2i(o.able) && p.lone(r) {
 		// Guards against effects that rest on the owner alone for as long as another zone is not reached. A large state on
 		// a slow link looks the same; it costs it a copy in its own zone first.
 		end = min(end, r.copying+patience*p.lease)
@@ -609,7 +611,7 @@
 	if why == slow {
 		p.stray(r, u)
 	}
-	p.step(r, Entry{Kind: Back, To: r.To, Reason: r.To + " " + why})
+	p.step(r, Operation{Kind: OpCancelCopy, Target: r.CopyTarget, Reason: r.CopyTarget + " " + why})
 }
 
 // want puts an instance that runs into the queue of what it needs, or does what takes no move.
@@ -621,14 +623,14 @@
 	}
 	switch {
 	case !o.known:
-	case o.Leaves, o.Draining, o.GoingBack:
+	case o.ShuttingDown, o.Draining, o.RollingBack:
 		why = leaves
-	case o.HandsOn:
+	case o.Evacuating:
 		// Two tired units would hand it to and fro: each time in a row it stays twice as long.
 		if why = tired; r.swings > 0 {
 			from = stay
 		}
-	case r.shed && o.Room < 0:
+	case r.shed && o.FreeSlots < 0:
 		why, from = spare, stay
 	case r.Zone != "" && r.Zone != o.Zone:
 		why, from = follow, stay
@@ -661,7 +663,7 @@
 	case r.thin:
 		why = thin
 	case over > 0 && (sure || p.away == 0): // whose zones are known
-		p.step(r, Entry{Kind: Drop, To: worst.Name, Reason: "a copy too many"})
+		p.step(r, Operation{Kind: OpDropReplica, Target: worst.Name, Reason: "a copy too many"})
 		return
 	default:
 		if why != none {
@@ -674,9 +676,9 @@
 			}
 		}
 	}
-	if at := r.seen + steadySpan*tick.Second; r.Falls > 0 {
+	if at := r.seen + steadySpan*tick.Second; r.Failures > 0 {
 		if p.now >= at {
-			p.step(r, Entry{Kind: Steady, Reason: "no fall for long"})
+			p.step(r, Operation{Kind: OpResetFailures, Reason: "no fall for long"})
 			return
 		}
 		p.setDue(r, sooner(r.due, at))
@@ -695,7 +697,7 @@
 
 // poor tells whether a holder, or an owner, is not counted upon to keep a copy.
 func (p *Planner) poor(u *unit) bool {
-	return u.over || u.known && (u.Leaves || u.Draining || u.GoingBack)
+	return u.over || u.known && (u.ShuttingDown || u.Draining || u.RollingBack)
 }
 
 // far tells whether a holder is in another zone than an owner. One whose zone is not known is taken for it.
@@ -727,9 +729,9 @@
 // worse tells whether a holder is let go before another one.
 func (p *Planner) worse(r *row, a, b *unit) bool {
 	x := func(u *unit) int {
-		return 8*b2i(p.poor(u)) + 4*b2i(u.HandsOn) + 2*b2i(u.Zone != r.owner.Zone) + b2i(u.Zone != r.Zone)
+		return 8*b2i(p.poor(u)) + 4*b2i(u.Evacuating) + 2*b2i(u.Zone != r.owner.Zone) + b2i(u.Zone != r.Zone)
 	}
-	return cmp.Or(cmp.Compare(x(b), x(a)), cmp.Compare(b.Danger, a.Danger), cmp.Compare(b.Name, a.Name)) < 0
+	return cmp.Or(cmp.Compare(x(b), x(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
 }
 
 // begin begins the move of an instance at the head of its unit's queue, or puts it where it waits.
@@ -756,12 +758,12 @@
 	}
 	switch {
 	case u == nil && full != nil:
-		p.enqueue(&full.wants, r, r.owner.Danger)
+		p.enqueue(&full.wants, r, r.owner.Risk)
 		p.setDue(r, sooner(r.due, p.now+4*p.lease)) // where a place that came free was not taken by the one it woke
 		return
 	case u == nil && r.why == near:
 		// One zone only, or all of the others tired or without room: it is looked at when a zone or a place comes free.
-		p.enqueue(&p.nears, r, r.owner.Danger)
+		p.enqueue(&p.nears, r, r.owner.Risk)
 		p.setDue(r, sooner(r.due, p.now+rarely*(p.lease+p.restart)))
 		return
 	case u == nil:
@@ -770,10 +772,10 @@
 		if r.why == follow {
 			q = &p.zone(r.Zone).wants
 		}
-		p.enqueue(q, r, r.owner.Danger)
+		p.enqueue(q, r, r.owner.Risk)
 		return
 	}
-	e := Entry{Kind: Copy, To: u.Name, Switch: !r.why.copies(), Reason: classText[r.why]}
+	e := Operation{Kind: OpStartCopy, Target: u.Name, CutOver: !r.why.copies(), Reason: classText[r.why]}
 	if r.why == follow {
 		e.Reason = "its device is in " + r.Zone
 	}
@@ -804,7 +806,7 @@
 		if *q = (*q)[1:]; len(*q) == 0 {
 			*q = nil
 		}
-		if r.parked = false; p.rows[r.Name] == r && (r.thin || r.near) {
+		if r.parked = false; p.rows[r.Instance] == r && (r.thin || r.near) {
 			p.look(r)
 			return
 		}
@@ -825,7 +827,7 @@
 // Where a link is full it tells so.
 func (p *Planner) pick(r *row, why class) (best *unit, full *link) {
 	var score float64
-	h := xxhash.Sum64String(r.Name) ^ p.seed
+	h := xxhash.Sum64String(r.Instance) ^ p.seed
 	tries := uint64(r.tries)
 	if why == near {
 		tries = uint64(p.now) // other zones each time
@@ -841,18 +843,18 @@
 			return
 		}
 		// Strength first, then room and moves under way; a holder has the state already, the more so the larger it is.
-		s := -2*u.Danger + 0.5*min(1, float64(u.Room-u.taken)/16) - 0.5*float64(u.moves)/float64(p.most.unit)
+		s := -2*u.Risk + 0.5*min(1, float64(u.FreeSlots-u.taken)/16) - 0.5*float64(u.moves)/float64(p.most.unit)
 		if slices.Contains(r.holders, u) {
 			s += 0.5 + min(1, float64(r.Size)/(1<<20))
 		}
-		if u.Trickle {
+		if u.Limited {
 			s -= 0.5
 		}
 		if away { // guards against the strongest few that hold for the whole fleet
 			s -= crowded * float64(len(u.held)) / float64(1+len(r.owner.owned))
 		}
-		if r.Falls > 0 { // those that fell with one unit are not to fall together again: one of them may have felled it
-			m := (h ^ xxhash.Sum64String(u.Name) + uint64(r.Falls)) * 0x9e3779b97f4a7c15
+		if r.Failures > 0 { // those that fell with one unit are not to fall together again: one of them may have felled it
+			m := (h ^ xxhash.Sum64String(u.Name) + uint64(r.Failures)) * 0x9e3779b97f4a7c15
 			s += float64((m^m>>29)*0xbf58476d1ce4e5b9>>40) / (1 << 24)
 		} else {
 			s += 0.1 * float64((h^xxhash.Sum64String(u.Name))>>40) / (1 << 24)
@@ -908,7 +910,7 @@
 	if device != nil {
 		from(device)
 	}
-	apart := why == thin && r.Falls > 0 && r.Falls+1 >= p.falls // anywhere, so that no two suspects meet
+	apart := why == thin && r.Failures > 0 && r.Failures+1 >= p.falls // anywhere, so that no two suspects meet
 	if best != nil && !apart || why == follow {
 		return best, full
 	}
@@ -931,23 +933,23 @@
 	switch {
 	case !u.able, u == r.owner, u.moves >= p.most.unit, u == r.avoid && p.now < r.avoided:
 		return false
-	case u.Trickle && len(u.coming) >= shareTrickle:
+	case u.Limited && len(u.coming) >= shareTrickle:
 		return false
 	case why.copies():
-		return !holds && u.Danger < mostDanger && !p.part(why, u.moves, p.most.unit)
+		return !holds && u.Risk < mostDanger && !p.part(why, u.moves, p.most.unit)
 	case why == tired:
 		// Guards against two tired units that hand all to each other: what is on its way, and what was in the
 		// last lease or two, counts at both ends, at the owner's danger an instance, as reports lag behind, and the target has to be better off by a margin then. Danger from an empty battery looks the
 		// same and does not go down with each that goes; it hurts then: they go in several rounds, one each report.
 		o := r.owner
-		each := min(mostEach, o.Danger/float64(max(1, len(o.owned))))
+		each := min(mostEach, o.Risk/float64(max(1, len(o.owned))))
 		more := float64(len(u.coming) + u.came[0] + u.came[1] + 1)
 		less := float64(o.moves - len(o.coming) + o.went[0] + o.went[1] + 1)
-		return u.Danger+each*more <= o.Danger-each*less-tiredMargin
+		return u.Risk+each*more <= o.Risk-each*less-tiredMargin
 	case why == spare:
-		return u.Danger <= r.owner.Danger+spareMargin && u.Room-u.taken > 1
+		return u.Risk <= r.owner.Risk+spareMargin && u.FreeSlots-u.taken > 1
 	case why == follow:
-		return u.Danger < mostDanger || u.Danger <= r.owner.Danger
+		return u.Risk < mostDanger || u.Risk <= r.owner.Risk
 	}
 	return true
 }
@@ -968,7 +970,7 @@
 func (p *Planner) shed(u *unit) {
 	rows := byWeight(maps.Keys(u.owned))
 	for i, r := range rows {
-		if on := i >= len(rows)+u.Room; on != r.shed {
+		if on := i >= len(rows)+u.FreeSlots; on != r.shed {
 			r.shed = on
 			p.look(r)
 		}
@@ -976,41 +978,41 @@
 }
 
 // step sends an entry for an instance, at most one at a time.
-func (p *Planner) step(r *row, e Entry) {
-	e.V, e.Name, e.Epoch = Version, r.Name, r.Epoch
+func (p *Planner) step(r *row, e Operation) {
+	e.Version, e.Instance, e.Epoch = FormatVersion, r.Instance, r.Epoch
 	if r.sent.Kind != "" || !p.led {
 		return
 	}
-	if (e.Kind == Fail || e.Kind == Quarantine) && r.failing == nil {
+	if (e.Kind == OpFailOver || e.Kind == OpQuarantine) && r.failing == nil {
 		r.failing = r.owner
 		r.owner.fails++
 	}
 	r.sent, r.sentAt = e, p.now
 	p.setDue(r, p.now+2*p.lease)
-	if e.Kind == Copy {
-		p.unit(e.To).taken++
+	if e.Kind == OpStartCopy {
+		p.unit(e.Target).taken++
 	}
 	p.account(r)
-	p.host.Step(e)
+	p.host.Propose(e)
 }
 
 // done tells whether a place shows what an entry was to bring.
-func done(e Entry, n Place) bool {
+func done(e Operation, n Assignment) bool {
 	switch {
-	case e.Kind == Cross:
+	case e.Kind == OpMoveDevice:
 		return n.Zone == e.Zone
 	case n.Epoch > e.Epoch:
 		return true
-	case e.Kind == Copy:
-		return n.To == e.To || !e.Switch && slices.Contains(n.Holders, e.To)
-	case e.Kind == Back:
-		return n.To != e.To
-	case e.Kind == Drop:
-		return !slices.Contains(n.Holders, e.To)
-	case e.Kind == Steady:
-		return n.Falls == 0
-	case e.Kind == Fail, e.Kind == Quarantine:
-		return n.State != Runs
+	case e.Kind == OpStartCopy:
+		return n.CopyTarget == e.Target || !e.CutOver && slices.Contains(n.Replicas, e.Target)
+	case e.Kind == OpCancelCopy:
+		return n.CopyTarget != e.Target
+	case e.Kind == OpDropReplica:
+		return !slices.Contains(n.Replicas, e.Target)
+	case e.Kind == OpResetFailures:
+		return n.Failures == 0
+	case e.Kind == OpFailOver, e.Kind == OpQuarantine:
+		return n.State != Running
 	}
 	return false
 }
@@ -1026,11 +1028,11 @@
 func (p *Planner) account(r *row) {
 	var from, to *unit
 	switch {
-	case r.State != Runs:
-	case r.To != "":
-		from, to = r.owner, p.unit(r.To)
-	case r.sent.Kind == Copy && r.owner != nil:
-		from, to = r.owner, p.unit(r.sent.To)
+	case r.State != Running:
+	case r.CopyTarget != "":
+		from, to = r.owner, p.unit(r.CopyTarget)
+	case r.sent.Kind == OpStartCopy && r.owner != nil:
+		from, to = r.owner, p.unit(r.sent.Target)
 	}
 	if from == r.from && to == r.to {
 		return
@@ -1071,7 +1073,7 @@
 func (p *Planner) unit(name string) *unit {
 	u := p.units[name]
 	if u == nil {
-		u = &unit{Unit: Unit{Name: name}, owned: map[*row]struct{}{}, held: map[*row]struct{}{},
+		u = &unit{NodeStatus: NodeStatus{Name: name}, owned: map[*row]struct{}{}, held: map[*row]struct{}{},
 			coming: map[*row]struct{}{}, at: -1}
 		p.units[name] = u
 	}
@@ -1087,12 +1089,12 @@
 
 // stronger orders the able units of a zone.
 func stronger(a, b *unit) int {
-	return cmp.Or(cmp.Compare(a.Danger, b.Danger), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(a.Risk, b.Risk), cmp.Compare(a.Name, b.Name))
 }
 
 // ability brings up whether a unit may be handed an instance.
 func (p *Planner) ability(u *unit) {
-	able := u.known && !u.over && u.Accepts && !u.HandsOn && !u.Leaves && !u.Draining && !u.GoingBack && u.Room-u.taken > 0
+	able := u.known && !u.over && u.Accepting && !u.Evacuating && !u.ShuttingDown && !u.Draining && !u.RollingBack && u.FreeSlots-u.taken > 0
 	switch {
 	case able && !u.able:
 		z := u.zone
@@ -1103,9 +1105,9 @@
 		at, _ := slices.BinarySearchFunc(z.able, u, stronger)
 		z.able = slices.Insert(z.able, at, u)
 		u.able = true
-		p.wake(&z.wants, u.Room-u.taken)
-		p.wake(&p.wants, u.Room-u.taken)
-		p.wake(&p.nears, u.Room-u.taken)
+		p.wake(&z.wants, u.FreeSlots-u.taken)
+		p.wake(&p.wants, u.FreeSlots-u.taken)
+		p.wake(&p.nears, u.FreeSlots-u.taken)
 	case !able:
 		p.unable(u)
 	}
@@ -1156,11 +1158,11 @@
 func byWeight(all iter.Seq[*row]) []*row { return slices.SortedFunc(all, heavier) }
 
 func heavier(a, b *row) int {
-	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Instance, b.Instance))
 }
 
 // moved is when an instance may have been handed over last, as far as its place tells.
-func moved(n Place, now tick.Tick) tick.Tick {
+func moved(n Assignment, now tick.Tick) tick.Tick {
 	if n.Epoch > 1 {
 		return max(1, now)
 	}
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -41,7 +41,7 @@
 func (h units) Len() int { return len(h) }
 func (h units) Less(i, j int) bool {
 	a, b := h[i], h[j]
-	return cmp.Or(cmp.Compare(a.wants[0].why, b.wants[0].why), cmp.Compare(b.Danger, a.Danger),
+	return cmp.Or(cmp.Compare(a.wants[0].why, b.wants[0].why), cmp.Compare(b.Risk, a.Risk),
 		heavier(a.wants[0], b.wants[0])) < 0
 }
 func (h units) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
@@ -66,7 +66,7 @@
 
 func (h dues) Len() int { return len(h) }
 func (h dues) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].due, h[j].due), cmp.Compare(h[i].Name, h[j].Name)) < 0
+	return cmp.Or(cmp.Compare(h[i].due, h[j].due), cmp.Compare(h[i].Instance, h[j].Instance)) < 0
 }
 func (h dues) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].duePos, h[j].duePos = i, j }
 func (h *dues) Push(x any)   { r := x.(*row); r.duePos = len(*h); *h = append(*h, r) }
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Found is what one unit has, as it told after the keepers' log was lost.
-type Found struct {
-	Unit  string
-	Zone  string
-	Holds []CopyStatus
+// NodeInventory is what one unit has, as it told after the keepers' log was lost.
+type NodeInventory struct {
+	Node   string
+	Zone   string
+	Copies []CopyStatus
 }
 
 // epochGap is by how much epochs are raised where placement is rebuilt: above all that were seen, and above any that a
@@ -21,22 +21,22 @@
 // goes on at a unit that has every acked effect for sure: one that owned or held it by the latest word that anyone has,
 // or the one that has most where no unit is silent. Else it is Lost: it waits for a unit that has it, and is restarted
 // from an older copy that is known. told says by name what is lost, or may be.
-func Rebuild(found []Found, silent []string, old []Place) (places []Place, told []string) {
+func Rebuild(found []NodeInventory, silent []string, old []Assignment) (places []Assignment, told []string) {
 	type copied struct {
 		CopyStatus
 		unit, zone string
 	}
 	all := map[string][]copied{}
 	for _, f := range found {
-		for _, h := range f.Holds {
-			all[h.Instance] = append(all[h.Instance], copied{h, f.Unit, f.Zone})
+		for _, h := range f.Copies {
+			all[h.Instance] = append(all[h.Instance], copied{h, f.Node, f.Zone})
 		}
 	}
-	before := map[string]Place{}
+	before := map[string]Assignment{}
 	var names []string
 	for _, p := range old {
-		before[p.Name] = p
-		names = append(names, p.Name)
+		before[p.Instance] = p
+		names = append(names, p.Instance)
 	}
 	for name := range all {
 		names = append(names, name)
@@ -55,11 +55,11 @@
 			return cmp.Or(-cmp.Compare(b2i(counted(a)), b2i(counted(b))), -cmp.Compare(b2i(a.IsPrimary), b2i(b.IsPrimary)),
 				-cmp.Compare(a.LastEpoch, b.LastEpoch), -cmp.Compare(a.Index, b.Index), cmp.Compare(a.unit, b.unit))
 		})
-		p := Place{Name: name, State: Lost, Epoch: latest + epochGap, Change: 1, Zone: was.Zone, Weight: max(1, was.Weight),
-			Size: was.Size, Seq: was.Seq, More: was.More, Begun: true, Reason: "placement was rebuilt"}
+		p := Assignment{Instance: name, State: Lost, Epoch: latest + epochGap, Revision: 1, Zone: was.Zone, Weight: max(1, was.Weight),
+			Size: was.Size, Index: was.Index, Extension: was.Extension, EverServed: true, Reason: "placement was rebuilt"}
 		if len(copies) > 0 {
 			best := copies[0]
-			p.Seq, p.Size = best.Index, best.Size
+			p.Index, p.Size = best.Index, best.Size
 			if p.Zone == "" {
 				p.Zone = best.zone
 			}
@@ -68,7 +68,7 @@
 			}
 			sure := counted(best) || len(silent) == 0
 			if sure {
-				p.State, p.Owner = Runs, best.unit
+				p.State, p.Primary = Running, best.unit
 			} else {
 				told = append(told, fmt.Sprintf("%s: lost for now: %s has %d effects, and a silent unit may have more", name, best.unit,
 					best.Index))
@@ -77,30 +77,30 @@
 				switch {
 				case sure && c.unit == best.unit:
 				case sure && c.Index == best.Index && c.Checksum == best.Checksum:
-					p.Holders = append(p.Holders, c.unit)
-				case len(p.Kept) < 4:
-					p.Kept = append(p.Kept, Kept{Unit: c.unit, Seq: c.Index})
+					p.Replicas = append(p.Replicas, c.unit)
+				case len(p.StaleCopies) < 4:
+					p.StaleCopies = append(p.StaleCopies, StaleCopy{Node: c.unit, Index: c.Index})
 				}
 				if c.Index > best.Index {
 					told = append(told, fmt.Sprintf("%s: %s has %d effects that were not counted on; it goes on without them", name,
 						c.unit, c.Index-best.Index))
 				}
 			}
-			slices.Sort(p.Holders)
+			slices.Sort(p.Replicas)
 		} else {
-			for _, unit := range append([]string{was.Owner}, was.Holders...) {
-				if slices.Contains(silent, unit) && len(p.Kept) < 4 {
-					p.Kept = append(p.Kept, Kept{Unit: unit, Seq: was.Seq})
+			for _, unit := range append([]string{was.Primary}, was.Replicas...) {
+				if slices.Contains(silent, unit) && len(p.StaleCopies) < 4 {
+					p.StaleCopies = append(p.StaleCopies, StaleCopy{Node: unit, Index: was.Index})
 				}
 			}
 			told = append(told, fmt.Sprintf("%s: lost: no unit that answered has it", name))
 		}
 		if was.State == Quarantined {
 			p.State = Quarantined
-			if p.Owner != "" {
-				p.Holders = append(p.Holders, p.Owner)
-				slices.Sort(p.Holders)
-				p.Owner = ""
+			if p.Primary != "" {
+				p.Replicas = append(p.Replicas, p.Primary)
+				slices.Sort(p.Replicas)
+				p.Primary = ""
 			}
 		}
 		places = append(places, p)
--- a/internal/placement/rebuild.go
+++ b/internal/placement/rebuild.go
@@ -6,13 +6,13 @@
 	"silvercove/internal/migration"
 )
 
-// Of is a table of these places, sorted by name, as where placement is rebuilt; an error says which of them makes no
+// FromAssignments is a table of these places, sorted by name, as where placement is rebuilt; an error says which of them makes no
 // sense.
-func Of(places []migration.Place) (*Table, error) {
+func FromAssignments(places []migration.Assignment) (*Table, error) {
 	var buf bytes.Buffer
-	_ = write(&buf, head{V: migration.Version, Version: uint64(len(places)), Places: len(places)}, nil)
+	_ = write(&buf, head{V: migration.FormatVersion, Version: uint64(len(places)), Places: len(places)}, nil)
 	for i, p := range places {
-		_ = write(&buf, line{At: uint64(i + 1), Place: p}, nil)
+		_ = write(&buf, line{At: uint64(i + 1), Assignment: p}, nil)
 	}
 	t := New()
 	return t, t.Restore(buf.Bytes())
