--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -22,7 +22,7 @@
 	file  *fleet.File
 	log   zerolog.Logger
 	net   *peertransport.Net
-	board *membership.Board
+	board *membership.Agent
 
 	measures net.Listener // nil: metrics are served nowhere
 }
@@ -43,12 +43,12 @@
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	run, fresh, err := membership.Run(f.Data, time.Now())
+	run, fresh, err := membership.NextIncarnation(f.Data, time.Now())
 	if err != nil {
 		return nil, full(err)
 	}
 	p.board, err = membership.Open(p.net, run, fresh, f.Set, func(m membership.Member) {
-		p.log.Info().Str("event", "member").Str("from", m.Name).Str("why", string(m.State)).Uint64("run", m.Run).Send()
+		p.log.Info().Str("event", "member").Str("from", m.Name).Str("why", string(m.State)).Uint64("run", m.Incarnation).Send()
 	})
 	if err == nil && p.measures != nil {
 		p.gauges()
@@ -58,10 +58,10 @@
 
 // gauges are those that every process has.
 func (p *fleetProcess) gauges() {
-	for _, state := range []membership.State{membership.Alive, membership.Suspect, membership.Cut, membership.Slow, membership.Dead, membership.Left} {
+	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
 			n := 0.0
-			for _, m := range p.board.All() {
+			for _, m := range p.board.Members() {
 				if m.State == state {
 					n++
 				}
@@ -97,7 +97,7 @@
 	}
 	group.Go(func() error {
 		select {
-		case <-p.board.Outrun():
+		case <-p.board.Superseded():
 			p.log.Error().Str("event", "outrun").Str("why", "a later start of this name runs; others take this one for an old copy").Send()
 		case <-ctx.Done():
 		}
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -32,7 +32,7 @@
 	cores, memory := told.Limits()
 	strain := routing.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
 	told.Shed, told.Staged = strain, strain.Staged
-	told.Turn = func(ctx context.Context) { strain.Wait(ctx, overload.Start) }
+	told.Turn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
 	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
@@ -41,7 +41,7 @@
 		defer client.Close()
 		group.Go(func() error { return strain.Report(ctx, client) })
 		group.Go(func() error {
-			strain.Wait(ctx, overload.List)
+			strain.Wait(ctx, overload.StepList)
 			return routing.New(client, p.net, log).Run(ctx, g)
 		})
 		return group.Wait()
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -117,7 +117,7 @@
 		return text, err
 	}
 	now := tufverify.Of(time.Now())
-	r, err := tufverify.New("repository", monotonic.InMemory(1<<16, func(string) {}), now, pinned)
+	r, err := tufverify.New("repository", monotonic.NewMemoryStore(1<<16, func(string) {}), now, pinned)
 	if err != nil {
 		return err
 	}
@@ -272,7 +272,7 @@
 		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", was.Time().Format(time.RFC3339))
 		return nil
 	}
-	if err := f.Lower(now); err != nil {
+	if err := f.ResetTime(now); err != nil {
 		return full(err)
 	}
 	fmt.Printf("set back from %s to %s\n", was.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -24,7 +24,7 @@
 
 // Run prints the reasons.
 func (c *verdictExplainCmd) Run() error {
-	l, err := evidence.OfFile(c.File)
+	l, err := evidence.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -110,7 +110,7 @@
 	term    uint64
 	book    *leases.Lessor
 	planner Planner
-	claims  *devicehealth.Believer
+	claims  *devicehealth.Verifier
 	marks   *leases.RecordCounts
 	back    map[uint16]bool                       // builds by whether the platform takes them back, as relays told since this lead began
 	says    map[string]stand                      // by relay, the last that it said of a build
@@ -360,7 +360,7 @@
 	}
 	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
-	l.claims = devicehealth.NewBeliever(now, k.Set)
+	l.claims = devicehealth.NewVerifier(now, k.Set)
 	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
 	k.lead = l
 	l.planner.OnElected(now)
@@ -419,7 +419,7 @@
 		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 		k.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
 		l.planner.OnLeaseExpired(now, name)
-		l.claims.Gone(now, name)
+		l.claims.Remove(now, name)
 		l.news()
 	}
 	next := l.planner.OnTick(now)
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -263,7 +263,7 @@
 	if json.Unmarshal(a.Report, &r) != nil {
 		return a // read says what becomes of that
 	}
-	if text, err := json.Marshal(l.claims.Report(now, a.Unit, zone, r)); err == nil {
+	if text, err := json.Marshal(l.claims.Verify(now, a.Unit, zone, r)); err == nil {
 		a.Report = text
 	}
 	return a
@@ -300,7 +300,7 @@
 		n := min(total, controllerclient.MostOutcomes)
 		bad := min(o.Bad, mostCount) * n / max(1, total)
 		for i := range n { // spread evenly
-			l.claims.Outcome(now, o.Unit, (i+1)*bad/n == i*bad/n)
+			l.claims.RecordOutcome(now, o.Unit, (i+1)*bad/n == i*bad/n)
 		}
 	}
 	return struct{}{}, nil
@@ -379,21 +379,21 @@
 	out := controllerclient.Floor{Zones: []controllerclient.FloorZone{}}
 	var all []migration.Assignment
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		if !devicehealth.AllTired(zones[z]) {
+		if !devicehealth.AllDraining(zones[z]) {
 			continue
 		}
 		if all == nil {
 			all = k.machine.all()
 		}
-		var there []devicehealth.Served
+		var there []devicehealth.Instance
 		for _, p := range all {
 			if _, ours := zones[z][p.Primary]; ours && p.State == migration.Running {
-				there = append(there, devicehealth.Served{Name: p.Instance, Unit: p.Primary, Weight: p.Weight})
+				there = append(there, devicehealth.Instance{Name: p.Instance, Node: p.Primary, PriorityWeight: p.Weight})
 			}
 		}
 		one := controllerclient.FloorZone{Zone: z, Instances: []controllerclient.FloorInstance{}}
-		for _, s := range devicehealth.Floor(zones[z], there) {
-			one.Instances = append(one.Instances, controllerclient.FloorInstance{Name: s.Name, Unit: s.Unit, Weight: s.Weight})
+		for _, s := range devicehealth.LastResort(zones[z], there) {
+			one.Instances = append(one.Instances, controllerclient.FloorInstance{Name: s.Name, Unit: s.Node, Weight: s.PriorityWeight})
 		}
 		out.Zones = append(out.Zones, one)
 	}
--- a/internal/devicehealth/believer.go
+++ b/internal/devicehealth/believer.go
@@ -19,10 +19,10 @@
 	mostUnits  = 4096
 )
 
-// Believer says which reports count, at the leading keeper. It is fed with reports and outcomes of all
+// Verifier says which reports count, at the leading keeper. It is fed with reports and outcomes of all
 // units and keeps nothing that must outlive it: a new leader believes each unit until its outcomes say
 // otherwise.
-type Believer struct {
+type Verifier struct {
 	set   map[string]any
 	units map[string]*claimant
 	zones map[string]*zone
@@ -46,20 +46,20 @@
 	given []tick.Tick // when claims alone that are withdrawn since were granted until
 }
 
-// NewBeliever makes the module. It takes no setting yet.
-func NewBeliever(now tick.Tick, set map[string]any) *Believer {
-	return &Believer{set: set, units: map[string]*claimant{}, zones: map[string]*zone{}}
+// NewVerifier makes the module. It takes no setting yet.
+func NewVerifier(now tick.Tick, set map[string]any) *Verifier {
+	return &Verifier{set: set, units: map[string]*claimant{}, zones: map[string]*zone{}}
 }
 
-// Report takes what a unit says and returns what counts: the same, or a state that is believed with the
+// Verify takes what a unit says and returns what counts: the same, or a state that is believed with the
 // reason before the unit's own.
-func (b *Believer) Report(now tick.Tick, unit, zoneName string, r Report) Report {
+func (b *Verifier) Verify(now tick.Tick, unit, zoneName string, r Report) Report {
 	c := b.units[unit]
 	if c == nil {
 		if len(b.units) == mostUnits {
-			return believed(r, Keeps, fmt.Sprintf("more than %d units report", mostUnits))
+			return believed(r, StateHolding, fmt.Sprintf("more than %d units report", mostUnits))
 		}
-		c = &claimant{name: unit, wait: dwellLow, charge: series{kind: Charge}, temp: series{kind: Temp}}
+		c = &claimant{name: unit, wait: dwellLow, charge: series{kind: KindCharge}, temp: series{kind: KindTemperature}}
 		b.units[unit] = c
 	}
 	if z := b.zones[zoneName]; c.zone == nil || c.zone != z {
@@ -74,19 +74,19 @@
 		z.units, c.zone = slices.Insert(z.units, at, c), z
 	}
 	c.report = r
-	if v := r.Shown.Charge; v != nil {
+	if v := r.Readings.Charge; v != nil {
 		c.charge.take(now, Reading{Value: *v, OK: true})
 	}
-	if v := r.Shown.Temp; v != nil {
+	if v := r.Readings.Temperature; v != nil {
 		c.temp.take(now, Reading{Value: *v, OK: true})
 	}
-	counts, _ := b.Counts(now, unit)
+	counts, _ := b.Verified(now, unit)
 	return counts
 }
 
-// Outcome is how a command at a unit ended, as its callers saw it. Refusals are no outcomes. What is
+// RecordOutcome is how a command at a unit ended, as its callers saw it. Refusals are no outcomes. What is
 // compared is the share of failures of all others, so that a trouble of all sets none aside.
-func (b *Believer) Outcome(now tick.Tick, unit string, good bool) {
+func (b *Verifier) RecordOutcome(now tick.Tick, unit string, good bool) {
 	c := b.units[unit]
 	if c == nil {
 		return
@@ -113,7 +113,7 @@
 }
 
 // others is the failure share of the units beside one, each by its own last outcomes.
-func (b *Believer) others(c *claimant) float64 {
+func (b *Verifier) others(c *claimant) float64 {
 	var bad, all float64
 	for _, o := range c.zone.units { // of its zone, as they share its links
 		if o != c {
@@ -126,15 +126,15 @@
 	return bad / all
 }
 
-// Gone forgets a unit whose lease is over.
-func (b *Believer) Gone(now tick.Tick, unit string) {
+// Remove forgets a unit whose lease is over.
+func (b *Verifier) Remove(now tick.Tick, unit string) {
 	if c := b.units[unit]; c != nil {
 		b.leave(c)
 		delete(b.units, unit)
 	}
 }
 
-func (b *Believer) leave(c *claimant) {
+func (b *Verifier) leave(c *claimant) {
 	if c.zone == nil {
 		return
 	}
@@ -149,31 +149,31 @@
 	c.zone, c.granted = nil, false
 }
 
-// Counts is what counts of a unit's last report now. It is false for a unit that has not reported.
-func (b *Believer) Counts(now tick.Tick, unit string) (Report, bool) {
+// Verified is what counts of a unit's last report now. It is false for a unit that has not reported.
+func (b *Verifier) Verified(now tick.Tick, unit string) (Report, bool) {
 	c := b.units[unit]
 	if c == nil {
 		return Report{}, false
 	}
 	r := c.report
 	z := c.zone
-	if !r.Tired() || r.Ends {
+	if !r.MustDrain() || r.Terminating {
 		b.withdraw(now, c)
 	}
 	switch {
-	case r.Ends:
+	case r.Terminating:
 		return r, true // a fact
-	case !r.Tired():
+	case !r.MustDrain():
 		// A unit that says it is well and fails is not believed: what it has is handed on, after the wait
 		// it is tried again.
 		switch {
 		case c.failed > 0 && now-c.failed < c.wait:
-			return believed(r, HandsOn, "says it "+r.State+
+			return believed(r, StateDraining, "says it "+r.State+
 				", but fails more of its commands than the others of its zone"), true
-		case c.failed > 0 && level(r.State) > level(Trickle):
-			return believed(r, Trickle, "failed its commands, and is tried again"), true
-		case level(r.State) > level(Keeps) && b.shownTired(r, 1/riseBy):
-			return believed(r, Keeps, "says it "+r.State+", but its own readings speak against it"), true
+		case c.failed > 0 && level(r.State) > level(StateProbation):
+			return believed(r, StateProbation, "failed its commands, and is tried again"), true
+		case level(r.State) > level(StateHolding) && b.shownTired(r, 1/riseBy):
+			return believed(r, StateHolding, "says it "+r.State+", but its own readings speak against it"), true
 		}
 		return r, true
 	case b.borneOut(now, c):
@@ -192,7 +192,7 @@
 		}
 		z.given = slices.DeleteFunc(z.given, func(until tick.Tick) bool { return until <= now })
 		if float64(taken+len(z.given)+1) > byClaim*float64(len(z.units)) {
-			return believed(r, Keeps, fmt.Sprintf("says it %s, without readings or outcomes that bear it out, "+
+			return believed(r, StateHolding, fmt.Sprintf("says it %s, without readings or outcomes that bear it out, "+
 				"as do %d of %d units of its zone", r.State, taken+len(z.given), len(z.units))), true
 		}
 		c.granted = true
@@ -201,7 +201,7 @@
 }
 
 // withdraw ends a claim alone; its place is kept for a while.
-func (b *Believer) withdraw(now tick.Tick, c *claimant) {
+func (b *Verifier) withdraw(now tick.Tick, c *claimant) {
 	if c.granted {
 		c.granted = false
 		if z := c.zone; len(z.given) < len(z.units) {
@@ -212,20 +212,20 @@
 
 // borneOut: readings that are physically possible, or outcomes, support a claim to be tired. They are
 // taken with the factor of a rise, as the unit has seen more of them.
-func (b *Believer) borneOut(now tick.Tick, c *claimant) bool {
+func (b *Verifier) borneOut(now tick.Tick, c *claimant) bool {
 	if c.failed > 0 || c.outcomes.wary() {
 		return true
 	}
 	if c.charge.why != "" || c.temp.why != "" {
 		return false
 	}
-	r, need := c.report, max(c.report.Need, tick.Second)
+	r, need := c.report, max(c.report.HandoverTime, tick.Second)
 	if slope, err, ok := c.charge.slope(); ok && slope-sure*err < 0 &&
-		ladder(ticks(*or(r.Shown.Charge, 1)/(sure*err-slope)), Never, need, riseBy) <= level(HandsOn) {
+		ladder(ticks(*or(r.Readings.Charge, 1)/(sure*err-slope)), Never, need, riseBy) <= level(StateDraining) {
 		return true
 	}
-	if s := r.Shown; s.Temp != nil && s.Limit != nil && *s.Limit-*s.Temp <= nearHot &&
-		ladder(r.Hot, Never, need, riseBy) <= level(HandsOn) {
+	if s := r.Readings; s.Temperature != nil && s.TemperatureLimit != nil && *s.TemperatureLimit-*s.Temperature <= nearHot &&
+		ladder(r.TimeToOverheat, Never, need, riseBy) <= level(StateDraining) {
 		return true
 	}
 	return b.shownTired(r, 2*riseBy) // the unit's own reserve is up to twice as long, by its load
@@ -239,27 +239,27 @@
 }
 
 // shownTired works out from the readings shown whether a unit has to hand on, by the same ladder.
-func (b *Believer) shownTired(r Report, strict float64) bool {
-	s := r.Shown
-	need := max(r.Need, tick.Second)
-	if s.Charge != nil && s.Full != nil && s.Draw != nil && *s.Draw > 0 &&
-		ladder(ticks(*s.Charge**s.Full / *s.Draw), Never, need, strict) <= level(HandsOn) {
+func (b *Verifier) shownTired(r Report, strict float64) bool {
+	s := r.Readings
+	need := max(r.HandoverTime, tick.Second)
+	if s.Charge != nil && s.FullCharge != nil && s.Draw != nil && *s.Draw > 0 &&
+		ladder(ticks(*s.Charge**s.FullCharge / *s.Draw), Never, need, strict) <= level(StateDraining) {
 		return true
 	}
-	return s.Temp != nil && s.Limit != nil && *s.Limit <= *s.Temp
+	return s.Temperature != nil && s.TemperatureLimit != nil && *s.TemperatureLimit <= *s.Temperature
 }
 
 func believed(r Report, state, why string) Report {
 	r.State, r.Reasons = state, append([]string{why}, r.Reasons...)
-	r.Share = min(r.Share, shares[level(state)])
-	if level(state) < level(Trickle) {
-		r.Room = 0
+	r.AcceptFraction = min(r.AcceptFraction, shares[level(state)])
+	if level(state) < level(StateProbation) {
+		r.SpareCapacity = 0
 	}
-	if level(state) == level(Trickle) {
-		r.Room = min(r.Room, 1)
+	if level(state) == level(StateProbation) {
+		r.SpareCapacity = min(r.SpareCapacity, 1)
 	}
-	if state == HandsOn {
-		r.Danger = max(r.Danger, 0.5)
+	if state == StateDraining {
+		r.Risk = max(r.Risk, 0.5)
 	}
 	return r
 }
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -9,22 +9,22 @@
 	"silvercove/internal/tick"
 )
 
-// Version is that of reports as this program writes them. A later one is read as far as it is known.
-const Version = 1
+// ReportVersion is that of reports as this program writes them. A later one is read as far as it is known.
+const ReportVersion = 1
 
 // Never is a time that is not foreseen.
 const Never = tick.Tick(math.MaxInt64)
 
 // The states of an edge unit, the strongest first.
 const (
-	Accepts = "accepts"  // new instances
-	Trickle = "trickle"  // a few of them
-	Keeps   = "keeps"    // those it has, no new ones
-	HandsOn = "hands-on" // its instances are to go, the most important first
-	Leaves  = "leaves"   // it ends, on purpose or because it has to
+	StateAccepting = "accepts"  // new instances
+	StateProbation = "trickle"  // a few of them
+	StateHolding   = "keeps"    // those it has, no new ones
+	StateDraining  = "hands-on" // its instances are to go, the most important first
+	StateLeaving   = "leaves"   // it ends, on purpose or because it has to
 )
 
-var states = []string{Leaves, HandsOn, Keeps, Trickle, Accepts}
+var states = []string{StateLeaving, StateDraining, StateHolding, StateProbation, StateAccepting}
 
 // shares is the part of its places that a unit offers to new instances, by state.
 var shares = []float64{0, 0, 0, 0.1, 1} // a trickle is a tenth: enough to see outcomes, too little to tire it
@@ -32,32 +32,32 @@
 // Report is what an edge unit says of its strength. The readings it rests on stand in it, so that the
 // leading keeper can judge it.
 type Report struct {
-	V       int       `json:"v"`
-	State   string    `json:"state"`
-	Share   float64   `json:"share"`             // of its places, that it offers to new instances
-	Danger  float64   `json:"danger"`            // 0 to 1: how near it is to falling
-	Room    int       `json:"room"`              // instances that it takes beside those it has
-	Serves  int       `json:"serves"`            // instances that it could serve on if its whole zone were tired
-	Reasons []string  `json:"reasons,omitempty"` // in plain words, the one that decides first
-	Empty   tick.Tick `json:"empty"`             // until the battery is empty at the present load: lower bound, or Never
-	Hot     tick.Tick `json:"hot"`               // and until it is too hot
-	Offered tick.Tick `json:"offered"`           // the lesser of the two at the offered load
-	Need    tick.Tick `json:"need"`              // what it takes to hand all its instances over
-	Unknown []string  `json:"unknown,omitempty"` // names of readings that can't be relied on
-	Ends    bool      `json:"ends,omitempty"`    // it was told to end: a fact, no forecast
-	Shown   Shown     `json:"shown"`             // the readings that decided
+	Version            int         `json:"v"`
+	State              string      `json:"state"`
+	AcceptFraction     float64     `json:"share"`             // of its places, that it offers to new instances
+	Risk               float64     `json:"danger"`            // 0 to 1: how near it is to falling
+	SpareCapacity      int         `json:"room"`              // instances that it takes beside those it has
+	LastResortCapacity int         `json:"serves"`            // instances that it could serve on if its whole zone were tired
+	Reasons            []string    `json:"reasons,omitempty"` // in plain words, the one that decides first
+	TimeToEmpty        tick.Tick   `json:"empty"`             // until the battery is empty at the present load: lower bound, or Never
+	TimeToOverheat     tick.Tick   `json:"hot"`               // and until it is too hot
+	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of the two at the offered load
+	HandoverTime       tick.Tick   `json:"need"`              // what it takes to hand all its instances over
+	UnknownReadings    []string    `json:"unknown,omitempty"` // names of readings that can't be relied on
+	Terminating        bool        `json:"ends,omitempty"`    // it was told to end: a fact, no forecast
+	Readings           KeyReadings `json:"shown"`             // the readings that decided
 
 	more map[string]json.RawMessage // what a later version added
 }
 
-// Shown are the readings behind a report; those that are not known are left out.
-type Shown struct {
-	Charge *float64 `json:"charge,omitempty"` // part of full, above which the battery is empty: 0 is empty
-	Full   *float64 `json:"full,omitempty"`   // joules
-	Draw   *float64 `json:"draw,omitempty"`   // watts out of the battery
-	Mains  *bool    `json:"mains,omitempty"`
-	Temp   *float64 `json:"temp,omitempty"`  // degrees C, of the hottest against its limit
-	Limit  *float64 `json:"limit,omitempty"` // of that
+// KeyReadings are the readings behind a report; those that are not known are left out.
+type KeyReadings struct {
+	Charge           *float64 `json:"charge,omitempty"` // part of full, above which the battery is empty: 0 is empty
+	FullCharge       *float64 `json:"full,omitempty"`   // joules
+	Draw             *float64 `json:"draw,omitempty"`   // watts out of the battery
+	Mains            *bool    `json:"mains,omitempty"`
+	Temperature      *float64 `json:"temp,omitempty"`  // degrees C, of the hottest against its limit
+	TemperatureLimit *float64 `json:"limit,omitempty"` // of that
 }
 
 // MarshalJSON writes a report, with what a later version added to it when it was read.
@@ -88,13 +88,13 @@
 		return fmt.Errorf("report of strength: %w", err)
 	}
 	switch {
-	case p.V < 1:
+	case p.Version < 1:
 		return fmt.Errorf("report of strength: no version")
 	case level(p.State) < 0:
 		return fmt.Errorf("report of strength: state %q is none of %v", p.State, states)
-	case !(p.Share >= 0 && p.Share <= 1 && p.Danger >= 0 && p.Danger <= 1 && p.Room >= 0 && p.Serves >= 0):
+	case !(p.AcceptFraction >= 0 && p.AcceptFraction <= 1 && p.Risk >= 0 && p.Risk <= 1 && p.SpareCapacity >= 0 && p.LastResortCapacity >= 0):
 		return fmt.Errorf("report of strength: share %v, danger %v, room %d or serves %d is out of its range",
-			p.Share, p.Danger, p.Room, p.Serves)
+			p.AcceptFraction, p.Risk, p.SpareCapacity, p.LastResortCapacity)
 	}
 	all := map[string]json.RawMessage{}
 	if err := json.Unmarshal(b, &all); err != nil {
@@ -111,17 +111,17 @@
 	return nil
 }
 
-// Fill sets what a report says of a unit in the leading keeper's words.
-func (r Report) Fill(u *migration.NodeStatus) {
-	u.Accepting = r.State == Accepts || r.State == Trickle
-	u.Limited = r.State == Trickle
-	u.Evacuating = r.State == HandsOn || r.State == Leaves
-	u.ShuttingDown = r.State == Leaves
-	u.Risk, u.FreeSlots = r.Danger, r.Room
+// ApplyTo sets what a report says of a unit in the leading keeper's words.
+func (r Report) ApplyTo(u *migration.NodeStatus) {
+	u.Accepting = r.State == StateAccepting || r.State == StateProbation
+	u.Limited = r.State == StateProbation
+	u.Evacuating = r.State == StateDraining || r.State == StateLeaving
+	u.ShuttingDown = r.State == StateLeaving
+	u.Risk, u.FreeSlots = r.Risk, r.SpareCapacity
 }
 
-// Tired: its instances are to go.
-func (r Report) Tired() bool { return r.State == HandsOn || r.State == Leaves }
+// MustDrain: its instances are to go.
+func (r Report) MustDrain() bool { return r.State == StateDraining || r.State == StateLeaving }
 
 func level(state string) int {
 	for i, s := range states {
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -13,27 +13,27 @@
 
 // The kinds of readings.
 const (
-	Charge   Kind = "charge"   // of a battery, 0 to 1 of full
-	Full     Kind = "full"     // joules that it holds when full
-	Draw     Kind = "draw"     // watts out of it; below 0 it charges
-	Charging Kind = "charging" // 1: it charges, 0: not
-	Mains    Kind = "mains"    // 1: supplied from outside, 0: not
-	Temp     Kind = "temp"     // degrees C; Limit is where the machine stops itself
-	Cell     Kind = "cell"     // degrees C inside a battery
-	Throttle Kind = "throttle" // 0 to 1: how far the machine slows itself for heat
-	Lid      Kind = "lid"      // 1 open, 0 shut
-	Radio    Kind = "radio"    // 1 up, 0 off
+	KindCharge          Kind = "charge"   // of a battery, 0 to 1 of full
+	KindFullCharge      Kind = "full"     // joules that it holds when full
+	KindDraw            Kind = "draw"     // watts out of it; below 0 it charges
+	KindCharging        Kind = "charging" // 1: it charges, 0: not
+	KindMains           Kind = "mains"    // 1: supplied from outside, 0: not
+	KindTemperature     Kind = "temp"     // degrees C; Limit is where the machine stops itself
+	KindCellTemperature Kind = "cell"     // degrees C inside a battery
+	KindThrottle        Kind = "throttle" // 0 to 1: how far the machine slows itself for heat
+	KindLid             Kind = "lid"      // 1 open, 0 shut
+	KindRadio           Kind = "radio"    // 1 up, 0 off
 )
 
 // Reading is one value, as it was read or not.
 type Reading struct {
-	Name  string // of its source, such as BAT0; with Kind it is the same quantity at each call
-	Kind  Kind
-	Value float64
-	Limit float64   // of a temperature, 0 for none
-	Age   tick.Tick // how old the value was when it was handed in
-	OK    bool
-	Why   string // it is not OK
+	Name   string // of its source, such as BAT0; with Kind it is the same quantity at each call
+	Kind   Kind
+	Value  float64
+	Limit  float64   // of a temperature, 0 for none
+	Age    tick.Tick // how old the value was when it was handed in
+	OK     bool
+	Reason string // it is not OK
 }
 
 // What is believed of readings. A value that is not leaves the last one standing for staleAfter, then the
@@ -60,16 +60,16 @@
 	least, most, slack, rate float64
 	every                    tick.Tick // between samples: the span of a forecast is 32 of them
 }{
-	Charge:   {0, 1, 0.03, 0.005, 10 * tick.Second},
-	Full:     {1, 1e9, math.Inf(1), 0, tick.Second},
-	Draw:     {-5000, 5000, math.Inf(1), 0, tick.Second},
-	Charging: {0, 1, 1, 0, tick.Second},
-	Mains:    {0, 1, 1, 0, tick.Second},
-	Temp:     {-40, 125, 15, 15, 2 * tick.Second},
-	Cell:     {-40, 125, 15, 15, 2 * tick.Second},
-	Throttle: {0, 1, 1, 0, tick.Second},
-	Lid:      {0, 1, 1, 0, tick.Second},
-	Radio:    {0, 1, 1, 0, tick.Second},
+	KindCharge:          {0, 1, 0.03, 0.005, 10 * tick.Second},
+	KindFullCharge:      {1, 1e9, math.Inf(1), 0, tick.Second},
+	KindDraw:            {-5000, 5000, math.Inf(1), 0, tick.Second},
+	KindCharging:        {0, 1, 1, 0, tick.Second},
+	KindMains:           {0, 1, 1, 0, tick.Second},
+	KindTemperature:     {-40, 125, 15, 15, 2 * tick.Second},
+	KindCellTemperature: {-40, 125, 15, 15, 2 * tick.Second},
+	KindThrottle:        {0, 1, 1, 0, tick.Second},
+	KindLid:             {0, 1, 1, 0, tick.Second},
+	KindRadio:           {0, 1, 1, 0, tick.Second},
 }
 
 // series is one quantity as it was read.
@@ -105,7 +105,7 @@
 	at := now - max(0, r.Age)
 	switch {
 	case !r.OK:
-		s.why = r.Why
+		s.why = r.Reason
 		if s.why == "" {
 			s.why = "missing"
 		}
@@ -148,7 +148,7 @@
 		s.moved = at
 	}
 	s.why = ""
-	if last := len(s.v) - 1; s.kind == Draw && last >= 0 && (s.v[last] > 0) != (r.Value > 0) {
+	if last := len(s.v) - 1; s.kind == KindDraw && last >= 0 && (s.v[last] > 0) != (r.Value > 0) {
 		s.at, s.v = s.at[:0], s.v[:0] // from the mains to the battery or back: what was drawn before says nothing
 	}
 	if n := len(s.at); n >= 2 && s.at[n-1]-s.at[n-2] < p.every {
@@ -185,10 +185,10 @@
 	// Guards against a frozen file, which looks like a strong unit while it empties. The same sight: a
 	// gauge that keeps a coarse value. Hurts then: no new work until it moves. An idle unit is left
 	// alone, or it would never have work again.
-	case s.kind == Charge && full > 0 && s.drained > stillDraw*full:
+	case s.kind == KindCharge && full > 0 && s.drained > stillDraw*full:
 		s.stuck = true
 		return fmt.Sprintf("stuck: the same while %.0f%% were drawn", 100*s.drained/full)
-	case (s.kind == Temp || s.kind == Cell || s.kind == Draw) && s.moves >= stillMoves && s.busy &&
+	case (s.kind == KindTemperature || s.kind == KindCellTemperature || s.kind == KindDraw) && s.moves >= stillMoves && s.busy &&
 		still > max(stillAfter, tick.Tick(stillTimes*s.pause)):
 		s.stuck = true
 		return fmt.Sprintf("stuck: the same for %d s", still/tick.Second)
--- a/internal/devicehealth/strength.go
+++ b/internal/devicehealth/strength.go
@@ -49,8 +49,8 @@
 	goodRun  = 20  // outcomes without an alarm after which it is believed again
 )
 
-// Unit decides for one edge unit.
-type Unit struct {
+// Monitor decides for one edge unit.
+type Monitor struct {
 	set              map[string]any
 	all              []*series
 	more             bool // than mostSeries
@@ -74,25 +74,25 @@
 	wait     tick.Tick // until it is tried again
 }
 
-// New makes the module of one unit. Settings are fleet.reserve and fleet.hot, fleet.empty, fleet.places,
+// NewMonitor makes the module of one unit. Settings are fleet.reserve and fleet.hot, fleet.empty, fleet.places,
 // fleet.moves.unit. The decision draws nothing by chance; the seed is there for those to come.
-func New(now tick.Tick, seed uint64, set map[string]any) *Unit {
+func NewMonitor(now tick.Tick, seed uint64, set map[string]any) *Monitor {
 	_ = seed
-	return &Unit{set: set, dwell: dwellLow, wait: dwellLow, asked: now, now: now}
+	return &Monitor{set: set, dwell: dwellLow, wait: dwellLow, asked: now, now: now}
 }
 
 // defaults are those of the operator's file, for what it does not say.
 var defaults = map[string]float64{"reserve": 60, "hot": 85, "empty": 0.05, "places": 8, "moves.unit": 8}
 
-func (u *Unit) num(name string) float64 {
+func (u *Monitor) num(name string) float64 {
 	if v, ok := u.set["fleet."+name].(float64); ok {
 		return v
 	}
 	return defaults[name]
 }
 
-// Read takes one reading, good or not.
-func (u *Unit) Read(now tick.Tick, r Reading) {
+// AddReading takes one reading, good or not.
+func (u *Monitor) AddReading(now tick.Tick, r Reading) {
 	u.now = now
 	if _, ok := physics[r.Kind]; !ok {
 		return // of a later version
@@ -112,9 +112,9 @@
 	u.all = append(u.all, s)
 }
 
-// Load is the unit's work in parts of what it can do: that which it does, and that which it would if it
+// SetLoad is the unit's work in parts of what it can do: that which it does, and that which it would if it
 // took all that is asked of it.
-func (u *Unit) Load(now tick.Tick, present, offered float64) {
+func (u *Monitor) SetLoad(now tick.Tick, present, offered float64) {
 	if !(present >= 0) || !(offered >= 0) {
 		return
 	}
@@ -122,18 +122,18 @@
 	u.offered = max(u.present, min(offered, 1))
 }
 
-// Holds is how many instances it has, and the bytes of their state.
-func (u *Unit) Holds(now tick.Tick, n int, bytes int) {
+// SetInstances is how many instances it has, and the bytes of their state.
+func (u *Monitor) SetInstances(now tick.Tick, n int, bytes int) {
 	u.now, u.n, u.bytes = now, max(0, n), max(0, bytes)
 }
 
-// End says that the process was told to end.
-func (u *Unit) End(now tick.Tick) { u.now, u.ends = now, true }
+// SetTerminating says that the process was told to end.
+func (u *Monitor) SetTerminating(now tick.Tick) { u.now, u.ends = now, true }
 
-// Outcome is how one of its commands ended: whether it did what it was asked for in time. Refusals are no
+// RecordOutcome is how one of its commands ended: whether it did what it was asked for in time. Refusals are no
 // outcomes. Guards against a unit that reads well and fails. The same sight: a bad build, which the
 // relays' votes judge; it hurts then by taking no new work from units that would fail it.
-func (u *Unit) Outcome(now tick.Tick, good bool) {
+func (u *Monitor) RecordOutcome(now tick.Tick, good bool) {
 	u.now = now
 	x := 0.0
 	if !good {
@@ -155,7 +155,7 @@
 	empty, hot, offered tick.Tick
 	need                tick.Tick
 	unknown             []string
-	shown               Shown
+	shown               KeyReadings
 	limits              []limit
 	quiet               bool // only the level is wanted
 }
@@ -185,14 +185,14 @@
 	return least
 }
 
-// Alarm is to be called about once a second. It tells the unit's strength now.
-func (u *Unit) Alarm(now tick.Tick) Report {
+// Assess is to be called about once a second. It tells the unit's strength now.
+func (u *Monitor) Assess(now tick.Tick) Report {
 	u.now = now
 	u.all = slices.DeleteFunc(u.all, func(s *series) bool { return !s.known() && now-s.heard > staleAfter })
 	for _, s := range u.all { // for what stands still
 		s.busy = s.busy || u.present > 0.05
-		for _, d := range u.each(Draw) {
-			if s.kind == Charge && d.name == s.name && d.known() {
+		for _, d := range u.each(KindDraw) {
+			if s.kind == KindCharge && d.name == s.name && d.known() {
 				s.drained += max(0, d.upper()) * seconds(now-u.asked)
 			}
 		}
@@ -202,23 +202,23 @@
 	strict := u.look(riseBy)
 	u.move(v.level(), min(v.level(), strict.level()), len(v.unknown) > 0)
 
-	r := Report{V: Version, State: states[u.level], Share: shares[u.level],
-		Empty: v.empty, Hot: v.hot, Offered: v.offered, Need: v.need, Unknown: v.unknown, Ends: u.ends, Shown: v.shown}
+	r := Report{Version: ReportVersion, State: states[u.level], AcceptFraction: shares[u.level],
+		TimeToEmpty: v.empty, TimeToOverheat: v.hot, TimeToLimitOffered: v.offered, HandoverTime: v.need, UnknownReadings: v.unknown, Terminating: u.ends, Readings: v.shown}
 	left := min(v.empty, v.hot)
 	if left < Never {
-		r.Danger = max(0, 1-float64(left)/(trickleAt*float64(v.need)))
+		r.Risk = max(0, 1-float64(left)/(trickleAt*float64(v.need)))
 	}
 	if len(v.unknown) > 0 || u.failed > 0 {
-		r.Danger = max(r.Danger, 0.5) // as likely as not
+		r.Risk = max(r.Risk, 0.5) // as likely as not
 	}
 	if u.ends {
-		r.Danger = 1
+		r.Risk = 1
 	}
-	r.Serves = max(1, int(math.Ceil(float64(max(1, u.n))*(1-r.Danger))))
+	r.LastResortCapacity = max(1, int(math.Ceil(float64(max(1, u.n))*(1-r.Risk))))
 	if u.ends {
-		r.Serves = 0
+		r.LastResortCapacity = 0
 	}
-	r.Room = u.room(v, u.level)
+	r.SpareCapacity = u.room(v, u.level)
 	slices.SortStableFunc(v.limits, func(a, b limit) int { return a.level - b.level })
 	for _, l := range v.limits {
 		r.Reasons = append(r.Reasons, l.why)
@@ -237,7 +237,7 @@
 // move falls at once and rises after the dwell time to the worst that was good for all of it. While a
 // reading is unknown it does not rise. Guards against chattering around a limit; hurts a unit that was
 // put on mains: it waits a minute.
-func (u *Unit) move(target, strict int, unknown bool) {
+func (u *Monitor) move(target, strict int, unknown bool) {
 	switch {
 	case !u.settled: // a process that has just started need not wait
 		u.level, u.changed, u.settled = target, u.now, !unknown
@@ -263,14 +263,14 @@
 }
 
 // look works out what the readings allow; strict above 1 asks for more of everything.
-func (u *Unit) look(strict float64) view {
+func (u *Monitor) look(strict float64) view {
 	v := view{empty: Never, hot: Never, offered: Never, quiet: strict > 1}
 	v.need = u.need(u.n, u.bytes)
 	if u.ends {
 		v.bound(0, "told to end")
 	}
 	doubts := map[*series]bool{}
-	full := u.each(Full)
+	full := u.each(KindFullCharge)
 	capacity := func(name string) float64 {
 		for _, s := range full {
 			if s.name == name && s.known() {
@@ -280,36 +280,36 @@
 		}
 		return 0
 	}
-	feels := slices.ContainsFunc(u.all, func(s *series) bool { return s.kind == Temp && s.known() })
+	feels := slices.ContainsFunc(u.all, func(s *series) bool { return s.kind == KindTemperature && s.known() })
 	for _, s := range u.all {
-		if s.kind == Temp && !s.known() && feels {
+		if s.kind == KindTemperature && !s.known() && feels {
 			doubts[s] = true // a sensor that never worked beside one that does, as that of a radio that is off
 			continue
 		}
 		if why := s.doubt(u.now, capacity(s.name)); why != "" {
 			doubts[s] = true
 			v.unknown = append(v.unknown, s.label())
-			v.bound(level(Keeps), "%s unknown: %s", s.label(), why)
+			v.bound(level(StateHolding), "%s unknown: %s", s.label(), why)
 		}
 	}
 	if u.more {
 		v.unknown = append(v.unknown, "more")
-		v.bound(level(Keeps), "more than %d readings: the rest is not looked at", mostSeries)
+		v.bound(level(StateHolding), "more than %d readings: the rest is not looked at", mostSeries)
 	}
 	u.power(&v, doubts, capacity, strict)
 	u.heat(&v, doubts, strict)
 	u.body(&v, doubts)
 	if u.failed > 0 {
 		if u.now-u.failed < u.wait {
-			v.bound(level(Keeps), "its readings are well, but it fails its work")
+			v.bound(level(StateHolding), "its readings are well, but it fails its work")
 		} else {
-			v.bound(level(Trickle), "it failed its work, and is tried again")
+			v.bound(level(StateProbation), "it failed its work, and is tried again")
 		}
 	}
 	return v
 }
 
-func (u *Unit) each(kind Kind) (some []*series) {
+func (u *Monitor) each(kind Kind) (some []*series) {
 	for _, s := range u.all {
 		if s.kind == kind {
 			some = append(some, s)
@@ -319,8 +319,8 @@
 }
 
 // power: all batteries together, by what is drawn and by how their charge falls, the worse of the two.
-func (u *Unit) power(v *view, doubts map[*series]bool, capacity func(string) float64, strict float64) {
-	charges, draws, mains := u.each(Charge), u.each(Draw), u.each(Mains)
+func (u *Monitor) power(v *view, doubts map[*series]bool, capacity func(string) float64, strict float64) {
+	charges, draws, mains := u.each(KindCharge), u.each(KindDraw), u.each(KindMains)
 	on := false
 	for _, s := range mains {
 		if !doubts[s] {
@@ -333,7 +333,7 @@
 		v.shown.Mains = nil
 		if !on {
 			v.unknown = append(v.unknown, "power")
-			v.bound(level(Keeps), "power unknown: neither a battery's charge nor mains")
+			v.bound(level(StateHolding), "power unknown: neither a battery's charge nor mains")
 		} else {
 			v.shown.Mains = &on
 		}
@@ -365,7 +365,7 @@
 		draw += s.upper()
 	}
 	if trusted && len(draws) > 0 {
-		v.shown.Full, v.shown.Draw = &all, &draw
+		v.shown.FullCharge, v.shown.Draw = &all, &draw
 		if draw > 0 {
 			falls = max(falls, draw)
 		}
@@ -381,28 +381,28 @@
 	v.bound(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
 		say(v.empty), say(v.offered), say(need), u.n)
 	if part < thin*strict {
-		v.bound(level(Keeps), "battery at %.1f%% above empty, too little to stand a loss of mains", 100*part)
+		v.bound(level(StateHolding), "battery at %.1f%% above empty, too little to stand a loss of mains", 100*part)
 	}
 }
 
 // factor is how much more is drawn at another load.
-func (u *Unit) factor(load float64) float64 {
+func (u *Monitor) factor(load float64) float64 {
 	return (idleDraw + (1-idleDraw)*load) / (idleDraw + (1-idleDraw)*u.present)
 }
 
 // heat: the sensor that reaches its limit first.
-func (u *Unit) heat(v *view, doubts map[*series]bool, strict float64) {
+func (u *Monitor) heat(v *view, doubts map[*series]bool, strict float64) {
 	extra := 0.0 // degrees a second that the offered load would add at first
 	if v.shown.Draw != nil && *v.shown.Draw > 0 {
 		extra = *v.shown.Draw * (u.factor(u.offered) - 1) / heatStore
 	}
 	closest := math.Inf(1)
-	for _, s := range append(u.each(Temp), u.each(Cell)...) {
+	for _, s := range append(u.each(KindTemperature), u.each(KindCellTemperature)...) {
 		if !s.known() || doubts[s] {
 			continue
 		}
 		top := u.num("hot")
-		if s.kind == Cell {
+		if s.kind == KindCellTemperature {
 			top = min(top, cellHot)
 		}
 		if s.limit > 0 {
@@ -428,23 +428,23 @@
 		if room < closest {
 			closest = room
 			limit := top
-			v.shown.Temp, v.shown.Limit = &value, &limit
+			v.shown.Temperature, v.shown.TemperatureLimit = &value, &limit
 		}
 		v.hot, v.offered = min(v.hot, hot), min(v.offered, offered)
-		at := max(ladder(hot, offered, v.need, strict), level(HandsOn)) // without its instances it cools
+		at := max(ladder(hot, offered, v.need, strict), level(StateDraining)) // without its instances it cools
 		if s.limit > 0 && value >= s.limit {
-			at = level(Leaves) // the machine is about to stop itself
+			at = level(StateLeaving) // the machine is about to stop itself
 		}
 		v.bound(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
 			s.name, value, top, say(hot), say(offered))
 		if room < warm*strict {
-			v.bound(level(Keeps), "%s %.1f C, within %.1f C of its limit", s.name, value, warm*strict)
+			v.bound(level(StateHolding), "%s %.1f C, within %.1f C of its limit", s.name, value, warm*strict)
 		}
 	}
 }
 
 // body: throttling, lid and radio.
-func (u *Unit) body(v *view, doubts map[*series]bool) {
+func (u *Monitor) body(v *view, doubts map[*series]bool) {
 	radios, off := 0, 0
 	for _, s := range u.all {
 		if !s.known() || doubts[s] {
@@ -452,13 +452,13 @@
 		}
 		value, _ := s.last()
 		switch {
-		case s.kind == Throttle && value >= slowed:
-			v.bound(level(Keeps), "%s slows the machine by %.0f%% for heat", s.name, 100*value)
-		case s.kind == Throttle && value > 0:
-			v.bound(level(Trickle), "%s slows the machine by %.0f%% for heat", s.name, 100*value)
-		case s.kind == Lid && value < 0.5:
-			v.bound(level(HandsOn), "%s is shut: the machine may sleep at any moment", s.name)
-		case s.kind == Radio:
+		case s.kind == KindThrottle && value >= slowed:
+			v.bound(level(StateHolding), "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindThrottle && value > 0:
+			v.bound(level(StateProbation), "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindLid && value < 0.5:
+			v.bound(level(StateDraining), "%s is shut: the machine may sleep at any moment", s.name)
+		case s.kind == KindRadio:
 			radios++
 			if value < 0.5 {
 				off++
@@ -466,7 +466,7 @@
 		}
 	}
 	if radios > 0 && off == radios {
-		v.bound(level(Keeps), "no radio is up")
+		v.bound(level(StateHolding), "no radio is up")
 	}
 }
 
@@ -475,31 +475,31 @@
 	of := func(left tick.Tick, times float64) bool { return float64(left) >= times*strict*float64(need) }
 	switch {
 	case !of(present, leavesAt):
-		return level(Leaves)
+		return level(StateLeaving)
 	case !of(present, handsOnAt):
-		return level(HandsOn)
+		return level(StateDraining)
 	case !of(offered, keepsAt):
-		return level(Keeps)
+		return level(StateHolding)
 	case !of(offered, trickleAt):
-		return level(Trickle)
+		return level(StateProbation)
 	}
-	return level(Accepts)
+	return level(StateAccepting)
 }
 
 // need is the time that handing n instances over takes, kept in reserve.
-func (u *Unit) need(n, bytes int) tick.Tick {
+func (u *Monitor) need(n, bytes int) tick.Tick {
 	at := max(1, u.num("moves.unit"))
 	each := math.Ceil(float64(n)/at) * seconds(handEach)
 	return ticks(max(1, u.num("reserve"), handSafe*(each+float64(bytes)/handRate)))
 }
 
 // room is how many more instances could still be handed over in time.
-func (u *Unit) room(v view, at int) int {
-	if at < level(Trickle) {
+func (u *Monitor) room(v view, at int) int {
+	if at < level(StateProbation) {
 		return 0
 	}
 	most := max(0, int(u.num("places"))-u.n)
-	if at == level(Trickle) {
+	if at == level(StateProbation) {
 		most = min(most, 1)
 	}
 	size := 0
--- a/internal/devicepower/power.go
+++ b/internal/devicepower/power.go
@@ -92,7 +92,7 @@
 		case i >= 0:
 			next[i].once = next[i].once || old.once
 		case old.once && len(next) < 4*mostEntries:
-			f := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Why: "its file is gone"}
+			f := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Reason: "its file is gone"}
 			found, next = append(found, f), append(next, at{f, when, true})
 		}
 	}
@@ -112,18 +112,18 @@
 // on is one pass over a folder.
 func on(src source, root string) (all []devicehealth.Reading) {
 	if root == "" {
-		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.Mains, Value: 1, OK: true}}
+		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.KindMains, Value: 1, OK: true}}
 	}
 	supplies, err := src.names("power_supply")
 	if err != nil {
-		all = append(all, devicehealth.Reading{Name: "power_supply", Kind: devicehealth.Mains, Why: err.Error()})
+		all = append(all, devicehealth.Reading{Name: "power_supply", Kind: devicehealth.KindMains, Reason: err.Error()})
 	}
 	for _, name := range supplies {
 		all = append(all, supply(folder{src, "power_supply" + "/" + name}, name)...)
 	}
 	zones, err := src.names("thermal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, devicehealth.Reading{Name: "thermal", Kind: devicehealth.Temp, Why: err.Error()})
+		all = append(all, devicehealth.Reading{Name: "thermal", Kind: devicehealth.KindTemperature, Reason: err.Error()})
 	}
 	for _, name := range zones {
 		d := folder{src, "thermal" + "/" + name}
@@ -142,7 +142,7 @@
 			if v != 1 {
 				v = 0 // 0 blocked by software, 2 by hardware
 			}
-			all = append(all, reading(name, devicehealth.Radio, v, err))
+			all = append(all, reading(name, devicehealth.KindRadio, v, err))
 		}
 	}
 	return all
@@ -151,7 +151,7 @@
 func supply(d folder, name string) (all []devicehealth.Reading) {
 	kind, err := d.word("type")
 	if err != nil {
-		return []devicehealth.Reading{{Name: name, Kind: devicehealth.Charge, Why: err.Error()}}
+		return []devicehealth.Reading{{Name: name, Kind: devicehealth.KindCharge, Reason: err.Error()}}
 	}
 	if scope, err := d.word("scope"); err == nil && scope == "Device" {
 		return nil // of a mouse or a keyboard
@@ -161,7 +161,7 @@
 		if v > 0 {
 			v = 1 // 2 is a source whose voltage is programmed
 		}
-		return []devicehealth.Reading{reading(name, devicehealth.Mains, v, err)}
+		return []devicehealth.Reading{reading(name, devicehealth.KindMains, v, err)}
 	}
 	if v, err := d.number("present"); err == nil && v == 0 {
 		return nil
@@ -183,7 +183,7 @@
 	if charge > 1 && charge < 1.1 {
 		charge = 1 // a gauge whose full value has aged
 	}
-	all = append(all, reading(name, devicehealth.Charge, charge, err))
+	all = append(all, reading(name, devicehealth.KindCharge, charge, err))
 
 	full, err := d.number("energy_full") // micro-watt-hours
 	if full *= 3600e-6; errors.Is(err, fs.ErrNotExist) {
@@ -192,7 +192,7 @@
 		}
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, reading(name, devicehealth.Full, full, err))
+		all = append(all, reading(name, devicehealth.KindFullCharge, full, err))
 	}
 
 	watts, err := d.number("power_now")
@@ -219,17 +219,17 @@
 		err = fmt.Errorf("status: %q", status)
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
-		all = append(all, reading(name, devicehealth.Draw, watts, err))
+		all = append(all, reading(name, devicehealth.KindDraw, watts, err))
 	}
 	if noStatus == nil && status != "Unknown" {
 		v := 0.0
 		if status == "Charging" {
 			v = 1
 		}
-		all = append(all, reading(name, devicehealth.Charging, v, nil))
+		all = append(all, reading(name, devicehealth.KindCharging, v, nil))
 	}
 	if temp, err := d.number("temp"); !errors.Is(err, fs.ErrNotExist) { // tenths of a degree
-		t := reading(name, devicehealth.Cell, temp/10, err)
+		t := reading(name, devicehealth.KindCellTemperature, temp/10, err)
 		for _, file := range []string{"temp_max", "temp_alert_max"} {
 			if v, err := d.number(file); err == nil && v > 0 && (t.Limit == 0 || v/10 < t.Limit) {
 				t.Limit = v / 10
@@ -251,7 +251,7 @@
 	if kind, err := d.word("type"); err == nil && kind != "" {
 		label = name + " " + kind
 	}
-	t := reading(label, devicehealth.Temp, temp/1000, err)
+	t := reading(label, devicehealth.KindTemperature, temp/1000, err)
 	highest := 0.0
 	for i := range mostTrips {
 		v, err := d.number(fmt.Sprintf("trip_point_%d_temp", i))
@@ -288,12 +288,12 @@
 	if err = errors.Join(err, err2); err == nil && most <= 0 {
 		err = fmt.Errorf("max_state: %.4g", most)
 	}
-	return []devicehealth.Reading{reading(name+" "+kind, devicehealth.Throttle, max(0, now)/max(1, most), err)}
+	return []devicehealth.Reading{reading(name+" "+kind, devicehealth.KindThrottle, max(0, now)/max(1, most), err)}
 }
 
 func reading(name string, kind devicehealth.Kind, v float64, err error) devicehealth.Reading {
 	if err != nil {
-		return devicehealth.Reading{Name: name, Kind: kind, Why: err.Error()}
+		return devicehealth.Reading{Name: name, Kind: kind, Reason: err.Error()}
 	}
 	return devicehealth.Reading{Name: name, Kind: kind, Value: v, OK: true}
 }
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -28,7 +28,7 @@
 	gate  *dispatch.Dispatcher
 	pools *upstream.Pools
 	room  *transport.BufferBudget
-	parts overload.Front
+	parts overload.ListenerLimits
 	limit time.Duration // of a message's coming whole, and of a client's reading its answer
 	back  string        // for nacks for lack of places, in milliseconds
 
@@ -68,7 +68,7 @@
 
 // New makes a front whose places are shared out so. A client has limit for each message, and as long to
 // read an answer. Who is nacked for lack of places is told to stay away for back.
-func New(g *dispatch.Dispatcher, pools *upstream.Pools, room *transport.BufferBudget, parts overload.Front, limit, back time.Duration) *Front {
+func New(g *dispatch.Dispatcher, pools *upstream.Pools, room *transport.BufferBudget, parts overload.ListenerLimits, limit, back time.Duration) *Front {
 	f := &Front{gate: g, pools: pools, room: room, parts: parts, limit: limit, ids: map[string]struct{}{}}
 	if back > 0 {
 		f.back = strconv.FormatInt(back.Milliseconds(), 10)
@@ -92,7 +92,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && ok && last.IsZero():
-			last = time.Now().Add(f.parts.Brief)
+			last = time.Now().Add(f.parts.ContendedTimeout)
 			_ = l.SetDeadline(time.Now().Add(lastLook)) // past its deadline it would not be looked
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -101,7 +101,7 @@
 		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS),
 			errors.Is(err, syscall.ENOMEM):
 			if !f.makeRoom() { // others have the descriptors: to ask again at once would spin
-				time.Sleep(f.parts.Brief / 10)
+				time.Sleep(f.parts.ContendedTimeout / 10)
 			}
 			continue
 		case errors.Is(err, syscall.ECONNABORTED), errors.Is(err, syscall.EPROTO), errors.Is(err, syscall.ENETDOWN),
@@ -124,16 +124,16 @@
 // is none, the new one is there to be nacked. It waits only while the spare places are taken too.
 func (f *Front) enter(conn net.Conn) *session {
 	s := &session{Front: f, Conn: transport.NewConn(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Call]struct{}{},
-		owed: make(chan struct{}, f.parts.Owed)}
+		owed: make(chan struct{}, f.parts.MaxPipelined)}
 	close(s.last)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.open >= f.parts.Places+f.parts.Spare {
+	for f.open >= f.parts.MaxSessions+f.parts.SpareSessions {
 		f.yield()
 		f.await()
 	}
 	s.since = time.Now()
-	s.over = f.open >= f.parts.Places && !f.yield()
+	s.over = f.open >= f.parts.MaxSessions && !f.yield()
 	f.open++
 	s.sort()
 	return s
@@ -160,7 +160,7 @@
 	}
 	s.place = in.PushBack(s)
 	s.freed.Signal()
-	for in.Len() > s.parts.Idle && s.evict(in) {
+	for in.Len() > s.parts.MaxIdle && s.evict(in) {
 	}
 }
 
@@ -174,7 +174,7 @@
 		return false
 	}
 	s := of.Front().Value.(*session)
-	if of == &f.young && time.Since(s.since) < f.parts.Brief {
+	if of == &f.young && time.Since(s.since) < f.parts.ContendedTimeout {
 		return false
 	}
 	s.close = true
@@ -198,7 +198,7 @@
 
 // await waits until a session has ended or has no command, or until one more may have been silent for too long.
 func (f *Front) await() {
-	wake := time.AfterFunc(f.parts.Brief/10, func() {
+	wake := time.AfterFunc(f.parts.ContendedTimeout/10, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.freed.Broadcast()
@@ -323,7 +323,7 @@
 
 // greet takes the startup, within the time limit.
 func (s *session) greet() bool {
-	until := s.since.Add(max(s.parts.Keep, s.limit))
+	until := s.since.Add(max(s.parts.IdleTimeout, s.limit))
 	for {
 		start, size, err := pgwire.Startup(s.Buffered())
 		switch {
@@ -500,13 +500,13 @@
 	case s.cut:
 		return time.Unix(1, 0)
 	case len(s.open) > 0:
-		return time.Now().Add(s.parts.Keep)
+		return time.Now().Add(s.parts.IdleTimeout)
 	case s.close, s.closing && s.served:
 		return time.Unix(1, 0)
 	case s.closing:
-		return s.since.Add(s.parts.Brief)
+		return s.since.Add(s.parts.ContendedTimeout)
 	}
-	return s.since.Add(s.parts.Keep)
+	return s.since.Add(s.parts.IdleTimeout)
 }
 
 // more waits for more of a message, of want bytes in all if that is known. A session that is to be
@@ -654,7 +654,7 @@
 	}
 	s.mu.Lock()
 	_, twice := s.ids[q.ID]
-	full := len(s.ids) >= s.parts.Commands
+	full := len(s.ids) >= s.parts.MaxRequests
 	if !twice && !full {
 		s.ids[q.ID], s.open[cmd], s.served = struct{}{}, struct{}{}, true
 		s.sort()
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -193,7 +193,7 @@
 	switch {
 	case e.owner == nil || !e.owner.HoldsLease(controllerclient.Now()):
 		return "no lease"
-	case e.ends || e.report.State == devicehealth.Leaves:
+	case e.ends || e.report.State == devicehealth.StateLeaving:
 		return "it leaves"
 	}
 	return ""
@@ -226,10 +226,10 @@
 	e.busy--
 	switch a.Outcome {
 	case migration.Succeeded:
-		e.strength.Outcome(now, true)
+		e.strength.RecordOutcome(now, true)
 	case migration.Indeterminate:
 		if !a.LeaseLost { // that keepers fell, or that others own it now, says nothing of this unit's strength
-			e.strength.Outcome(now, false)
+			e.strength.RecordOutcome(now, false)
 		}
 	}
 	e.mu.Unlock()
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -63,7 +63,7 @@
 
 	mu       sync.Mutex
 	owner    *migration.Manager // nil before the first places are known
-	strength *devicehealth.Unit
+	strength *devicehealth.Monitor
 	report   devicehealth.Report
 	asks     map[*migration.Request]chan migration.Response
 	waits    map[uint64]chan migration.Message // of other units' calls
@@ -116,13 +116,13 @@
 		e.closeStore()
 		return nil, err
 	}
-	e.began = e.store.Count()
+	e.began = e.store.RecordCount()
 	e.noted, e.more, e.run = n.Line, n.more, max(n.Run+1, uint64(time.Now().UnixMicro()))
 	if e.commands, err = net.Listen("tcp", o.File.Self.Commands); err != nil {
 		e.closeStore()
 		return nil, err
 	}
-	e.strength = devicehealth.New(controllerclient.Now(), o.Seed, o.File.Set)
+	e.strength = devicehealth.NewMonitor(controllerclient.Now(), o.Seed, o.File.Set)
 	return e, nil
 }
 
@@ -204,7 +204,7 @@
 		return err
 	}
 	done := make(chan error, 1)
-	e.store.Note(text, func(err error) { done <- err })
+	e.store.SetNote(text, func(err error) { done <- err })
 	select {
 	case err = <-done:
 		return err
@@ -303,7 +303,7 @@
 			limit, cancel := context.WithTimeout(ctx, e.lease.Span())
 			answer, sent, err = e.client.Lease(limit, controllerclient.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
 				Commands: e.commands.Addr().String(), Zone: e.o.File.Self.Zone, Build: e.o.File.Build, Back: back,
-				BornMS: int64(e.run / 1000), Kept: e.store.Count(), Doubts: doubts})
+				BornMS: int64(e.run / 1000), Kept: e.store.RecordCount(), Doubts: doubts})
 			cancel()
 			if err == nil && answer.Granted {
 				back = answer.Back
@@ -345,7 +345,7 @@
 	e.owner.OnUnverifiedReported(controllerclient.Now(), told[:min(a.Doubts, len(told))])
 	if e.most = max(e.most, a.Kept); !e.settled && e.owner.Verified() {
 		e.settled = true
-		e.store.Settle(e.most, func(err error) {
+		e.store.ConfirmCurrent(e.most, func(err error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if e.settled = err == nil; e.settled { // else it is tried again with the next lease
@@ -382,7 +382,7 @@
 	defer e.mu.Unlock()
 	now := controllerclient.Now()
 	for _, r := range readings {
-		e.strength.Read(now, r)
+		e.strength.AddReading(now, r)
 	}
 	n, size := 0, 0
 	for _, h := range e.owner.Copies(now) {
@@ -390,9 +390,9 @@
 			n, size = n+1, size+h.Size
 		}
 	}
-	e.strength.Holds(now, n, size)
-	e.strength.Load(now, min(1, load), min(1, load))
-	r := e.strength.Alarm(now)
+	e.strength.SetInstances(now, n, size)
+	e.strength.SetLoad(now, min(1, load), min(1, load))
+	r := e.strength.Assess(now)
 	if r.State != e.report.State {
 		why := ""
 		if len(r.Reasons) > 0 {
@@ -421,7 +421,7 @@
 func (e *Edge) leave(ctx context.Context) {
 	e.mu.Lock()
 	e.ends = true
-	e.strength.End(controllerclient.Now())
+	e.strength.SetTerminating(controllerclient.Now())
 	e.mu.Unlock()
 	e.renews()
 	e.o.Log.Info().Str("event", "leaves").Str("why", "told to end").Send()
@@ -497,16 +497,16 @@
 }
 
 func (h host) AppendEntry(name string, x migration.LogEntry) {
-	h.store.Keep(name, x, h.kept(name, x.Index))
+	h.store.Append(name, x, h.kept(name, x.Index))
 }
 
-func (h host) TruncateLog(name string, seq uint64) { h.store.Cut(name, seq, h.kept(name, seq)) }
+func (h host) TruncateLog(name string, seq uint64) { h.store.Truncate(name, seq, h.kept(name, seq)) }
 
 func (h host) ResetLog(name string, base, sum uint64) {
-	h.store.Begin(name, base, sum, h.kept(name, base))
+	h.store.Reset(name, base, sum, h.kept(name, base))
 }
 
-func (h host) DeleteLog(name string) { h.store.Forget(name, h.kept(name, 0)) }
+func (h host) DeleteLog(name string) { h.store.Delete(name, h.kept(name, 0)) }
 
 func (h host) kept(name string, seq uint64) func(error) {
 	return func(err error) {
--- a/internal/lab/fleetsim/keepers.go
+++ b/internal/lab/fleetsim/keepers.go
@@ -73,7 +73,7 @@
 	term    uint64
 	book    *leases.Lessor
 	marks   *leases.RecordCounts
-	claims  *devicehealth.Believer
+	claims  *devicehealth.Verifier
 	planner *migration.Planner
 	units   map[string]migration.NodeStatus // the last of each
 	queue   []queued
@@ -239,7 +239,7 @@
 	l := &lead{c: c, who: k, term: c.term, book: leases.New(f.set), units: map[string]migration.NodeStatus{},
 		told: map[string]migration.NodeStatus{}, pending: map[string]int{},
 		waits: map[string][]func(){}}
-	l.claims = devicehealth.NewBeliever(now, f.set)
+	l.claims = devicehealth.NewVerifier(now, f.set)
 	l.book.OnElected(now, c.runs)
 	l.marks = leases.NewRecordCounts(now, f.set, c.kept)
 	l.planner = migration.NewPlanner(l, now, uint64(now), f.set)
@@ -587,8 +587,8 @@
 				}
 				ask.LeaseEnd = until
 				if f.Believes {
-					r := l.claims.Report(l.at(), u.name, u.zone.name, u.report)
-					r.Fill(&ask)
+					r := l.claims.Verify(l.at(), u.name, u.zone.name, u.report)
+					r.ApplyTo(&ask)
 				}
 				l.units[u.name], l.told[u.name] = ask, said
 				l.planner.OnNodeStatus(l.at(), ask)
--- a/internal/membership/board.go
+++ b/internal/membership/board.go
@@ -43,8 +43,8 @@
 	goodbye = 500 * time.Millisecond // for it to be heard
 )
 
-// Board is the fleet's members as one process sees them. Its methods never wait for others.
-type Board struct {
+// Agent is the fleet's members as one process sees them. Its methods never wait for others.
+type Agent struct {
 	net     *peertransport.Net
 	log     func(Member)
 	start   time.Time
@@ -58,9 +58,9 @@
 	asked map[string]bool // pings under way
 }
 
-// Run draws the number of a process's start from a folder, where it counts on, and tells whether the process is fresh:
+// NextIncarnation draws the number of a process's start from a folder, where it counts on, and tells whether the process is fresh:
 // nothing of an earlier start is in the folder. Without a folder the day's clock gives the number.
-func Run(folder string, now time.Time) (run uint64, fresh bool, err error) {
+func NextIncarnation(folder string, now time.Time) (run uint64, fresh bool, err error) {
 	run = uint64(max(1, now.UnixMilli()))
 	if folder == "" {
 		return run, true, nil
@@ -87,17 +87,17 @@
 
 // Open makes a board for the processes that a file names; Run has to be called. set has fleet.silence. log, if any, is
 // called for each change of a member's state, on the board's own goroutine.
-func Open(net *peertransport.Net, run uint64, fresh bool, set map[string]any, log func(Member)) (*Board, error) {
+func Open(net *peertransport.Net, run uint64, fresh bool, set map[string]any, log func(Member)) (*Agent, error) {
 	self := net.Self()
-	me := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Run: run, Fresh: fresh}
+	me := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: run, StartedEmpty: fresh}
 	var others []Record
 	for _, p := range net.Peers("") {
 		others = append(others, Record{Name: p.Name, Role: p.Role, Zone: p.Zone})
 	}
-	b := &Board{net: net, log: log, start: time.Now(), changed: make(chan struct{}, 1), outrun: make(chan struct{}),
+	b := &Agent{net: net, log: log, start: time.Now(), changed: make(chan struct{}, 1), outrun: make(chan struct{}),
 		asked: map[string]bool{}}
-	b.table = New(0, me, others, set)
-	lib, err := newLibrary(net, b.table.Silence().Span(), len(others)+1, b)
+	b.table = NewTable(0, me, others, set)
+	lib, err := newLibrary(net, b.table.SilenceTimeout().Span(), len(others)+1, b)
 	if err != nil {
 		return nil, err
 	}
@@ -106,31 +106,31 @@
 }
 
 // Now is the clock of Since and Heard.
-func (b *Board) Now() tick.Tick { return tick.Of(time.Since(b.start)) }
+func (b *Agent) Now() tick.Tick { return tick.Of(time.Since(b.start)) }
 
-// Tell has own news of a kind told to all from now on, in place of earlier news of that kind. It is an error to tell more
+// Publish has own news of a kind told to all from now on, in place of earlier news of that kind. It is an error to tell more
 // than MostKinds kinds or MostNews bytes; nothing has changed then.
-func (b *Board) Tell(kind string, data []byte) error {
+func (b *Agent) Publish(kind string, data []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.table.Tell(kind, data) // spread at the next turn, so that much news costs no more than its newest
+	return b.table.Publish(kind, data) // spread at the next turn, so that much news costs no more than its newest
 }
 
-// All are all members, this process included, by name.
-func (b *Board) All() []Member {
+// Members are all members, this process included, by name.
+func (b *Agent) Members() []Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.table.All(b.Now())
+	return b.table.Members(b.Now())
 }
 
 // Changed has something once a member's state or news has changed. One reader is served.
-func (b *Board) Changed() <-chan struct{} { return b.changed }
+func (b *Agent) Changed() <-chan struct{} { return b.changed }
 
-// Outrun is closed once a later start of this process's name is known: this one is an old copy, and is to end.
-func (b *Board) Outrun() <-chan struct{} { return b.outrun }
+// Superseded is closed once a later start of this process's name is known: this one is an old copy, and is to end.
+func (b *Agent) Superseded() <-chan struct{} { return b.outrun }
 
 // Run hears and tells until the context ends, then says goodbye and waits for its goroutines.
-func (b *Board) Run(ctx context.Context) error {
+func (b *Agent) Run(ctx context.Context) error {
 	var group errgroup.Group
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer func() { stop(); b.library.Close(); _ = group.Wait() }()
@@ -138,8 +138,8 @@
 	for _, p := range b.net.Peers("") {
 		names = append(names, p.Name)
 	}
-	group.Go(func() error { b.library.Sync(inner, names, b.table.Silence().Span()); return nil })
-	clock := time.NewTicker(b.table.Every().Span())
+	group.Go(func() error { b.library.Sync(inner, names, b.table.SilenceTimeout().Span()); return nil })
+	clock := time.NewTicker(b.table.ProbeInterval().Span())
 	defer clock.Stop()
 	outrun := false
 	for {
@@ -155,14 +155,14 @@
 		}
 		b.mu.Lock()
 		now := b.Now()
-		b.table.Pass(now)
-		b.table.Beat(now)
-		ask := slices.DeleteFunc(b.table.Ask(), func(name string) bool { return b.asked[name] })
+		b.table.Reassess(now)
+		b.table.Heartbeat(now)
+		ask := slices.DeleteFunc(b.table.ProbeTargets(), func(name string) bool { return b.asked[name] })
 		ask = ask[:min(len(ask), pings-len(b.asked))]
 		for _, name := range ask {
 			b.asked[name] = true
 		}
-		changes, old := b.table.Changes(), b.table.Outrun()
+		changes, old := b.table.Changes(), b.table.Superseded()
 		b.mu.Unlock()
 		if len(changes) > 0 {
 			b.wake()
@@ -183,14 +183,14 @@
 	}
 }
 
-func (b *Board) ping(name string) {
+func (b *Agent) ping(name string) {
 	took, err := b.library.Ping(name)
 	b.mu.Lock()
 	delete(b.asked, name)
 	if err != nil {
-		b.table.Missed(b.Now(), name)
+		b.table.RecordTimeout(b.Now(), name)
 	} else {
-		b.table.Heard(b.Now(), name, tick.Of(took))
+		b.table.RecordAck(b.Now(), name, tick.Of(took))
 	}
 	b.mu.Unlock()
 	if err != nil {
@@ -199,9 +199,9 @@
 }
 
 // spread passes the own record on if it is newer than what was spread.
-func (b *Board) spread() {
+func (b *Agent) spread() {
 	b.mu.Lock()
-	n, raw := b.table.self.Number, b.table.Own()
+	n, raw := b.table.self.Sequence, b.table.OwnRecord()
 	news := n != b.own
 	b.own = n
 	b.mu.Unlock()
@@ -210,7 +210,7 @@
 	}
 }
 
-func (b *Board) wake() {
+func (b *Agent) wake() {
 	select {
 	case b.changed <- struct{}{}:
 	default:
@@ -218,9 +218,9 @@
 }
 
 // record takes a record that came, and passes it on if it is news.
-func (b *Board) record(raw []byte) {
+func (b *Agent) record(raw []byte) {
 	b.mu.Lock()
-	err := b.table.Told(b.Now(), raw)
+	err := b.table.Merge(b.Now(), raw)
 	b.mu.Unlock()
 	if err != nil {
 		return
@@ -231,22 +231,22 @@
 	}
 }
 
-func (b *Board) all() [][]byte {
+func (b *Agent) all() [][]byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.table.Records()
 }
 
-func (b *Board) up(name string) {
+func (b *Agent) up(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.table.Up(b.Now(), name)
+	b.table.MarkUp(b.Now(), name)
 }
 
-func (b *Board) down(name string, left bool) {
+func (b *Agent) down(name string, left bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.table.Down(b.Now(), name, left)
+	b.table.MarkDown(b.Now(), name, left)
 }
 
 // quietLog is for the library, whose lines have no events.
