--- a/internal/membership/library.go
+++ b/internal/membership/library.go
@@ -114,7 +114,7 @@
 		for _, m := range l.list.Members() {
 			alive[m.Name] = true
 		}
-		left := Rejoins(len(alive), len(names)+1-len(alive), rand.Float64())
+		left := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
 		for range names {
 			name := names[next%len(names)]
 			if left == 0 {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -141,7 +141,7 @@
 	most := int(m.all["floor_entries"].(float64))
 	if len(paths) == 0 {
 		m.log.Warn().Msg("no floor is named: after a restart older metadata are known only by what mirrors show")
-		m.floor = monotonic.InMemory(most, m.say)
+		m.floor = monotonic.NewMemoryStore(most, m.say)
 		return nil
 	}
 	var all []string
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	if f.Fresh {
+	if f.Created {
 		m.log.Warn().Strs("paths", all).Msg("a new floor was begun: nothing is known from before")
 	}
 	m.floor, m.close = f, f.Close
--- a/internal/monotonic/memory.go
+++ b/internal/monotonic/memory.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// Memory keeps the same for an installation without a lasting disk: nothing outlives the process.
-type Memory struct {
+// MemoryStore keeps the same for an installation without a lasting disk: nothing outlives the process.
+type MemoryStore struct {
 	most   int
 	log    func(string)
 	mu     sync.Mutex
@@ -16,20 +16,20 @@
 	passed tufverify.Tick
 }
 
-// InMemory makes one of at most so many entries.
-func InMemory(most int, log func(string)) *Memory {
-	return &Memory{most: most, log: log, marks: map[string]mark{}}
+// NewMemoryStore makes one of at most so many entries.
+func NewMemoryStore(most int, log func(string)) *MemoryStore {
+	return &MemoryStore{most: most, log: log, marks: map[string]mark{}}
 }
 
 // Seen tells the highest version of a key.
-func (f *Memory) Seen(key string) (int64, tufverify.Sum) {
+func (f *MemoryStore) Seen(key string) (int64, tufverify.Sum) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.marks[key].version, f.marks[key].sum
 }
 
 // Raise keeps a version; an older one, or the same with other content, is an error.
-func (f *Memory) Raise(key string, version int64, sum tufverify.Sum) error {
+func (f *MemoryStore) Raise(key string, version int64, sum tufverify.Sum) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	was, ok := f.marks[key]
@@ -45,14 +45,14 @@
 }
 
 // Passed tells the latest time that was ever trusted.
-func (f *Memory) Passed() tufverify.Tick {
+func (f *MemoryStore) Passed() tufverify.Tick {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.passed
 }
 
 // Pass keeps a time.
-func (f *Memory) Pass(now tufverify.Tick) error {
+func (f *MemoryStore) Pass(now tufverify.Tick) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.passed = max(f.passed, now)
@@ -60,10 +60,10 @@
 }
 
 // Log passes a line on.
-func (f *Memory) Log(text string) { f.log(text) }
+func (f *MemoryStore) Log(text string) { f.log(text) }
 
 // Entries lists what is held, by key.
-func (f *Memory) Entries() []Entry {
+func (f *MemoryStore) Entries() []Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return entries(f.marks)
--- a/internal/overload/budget.go
+++ b/internal/overload/budget.go
@@ -17,17 +17,17 @@
 // left goes to one heir. It guards against repeats that feed an overload; a single unit's fault, where repeats cost
 // little, is met by it too, and hurts when more than the budget fails there before the unit is set aside.
 
-// First takes that the first delivery of a command goes out which its client does not repeat.
-func (f *Fleet) First(now tick.Tick) {
+// RecordFirstAttempt takes that the first delivery of a command goes out which its client does not repeat.
+func (f *Manager) RecordFirstAttempt(now tick.Tick) {
 	f.step(now)
 	f.firsts++
 	f.earn(usedPart * f.share)
 }
 
 // most is what may be saved up: next to nothing for a relay that has just started.
-func (f *Fleet) most() float64 { return 1 + f.share*f.firsts }
+func (f *Manager) most() float64 { return 1 + f.share*f.firsts }
 
-func (f *Fleet) earn(credit float64) {
+func (f *Manager) earn(credit float64) {
 	f.credit += credit
 	if over := f.credit - f.most(); over > 0 {
 		f.credit -= over
@@ -36,21 +36,21 @@
 }
 
 // age brings on what decays with time.
-func (f *Fleet) age(seconds float64) {
+func (f *Manager) age(seconds float64) {
 	f.firsts *= math.Exp(-seconds / budgetSpan)
 	f.earn(0)
 }
 
 // gain takes this relay's part of what another one has spilled since it was last heard. What cannot be kept is lost:
 // spilled once more it would go round for ever.
-func (f *Fleet) gain(before, after float64) {
+func (f *Manager) gain(before, after float64) {
 	if after > before {
 		f.credit = min(max(f.credit, f.most()), f.credit+(after-before)/f.size())
 	}
 }
 
-// Again tells whether a command may be delivered once more. What was a repeat of its client's already is not.
-func (f *Fleet) Again(now tick.Tick, wasRepeat bool) bool {
+// AllowRetry tells whether a command may be delivered once more. What was a repeat of its client's already is not.
+func (f *Manager) AllowRetry(now tick.Tick, wasRepeat bool) bool {
 	f.step(now)
 	switch {
 	case f.solo():
@@ -64,7 +64,7 @@
 
 // inherit takes the credit that a dead relay had left, if this is the heir: the first by rendezvous hashing over the
 // living, so that each side of a split has one at the most.
-func (f *Fleet) inherit(p *peer) {
+func (f *Manager) inherit(p *peer) {
 	if p.inherited {
 		return
 	}
@@ -75,5 +75,5 @@
 			return
 		}
 	}
-	f.credit = min(max(f.credit, f.most()), f.credit+p.told.Credit)
+	f.credit = min(max(f.credit, f.most()), f.credit+p.told.RetryCredit)
 }
--- a/internal/overload/fleet.go
+++ b/internal/overload/fleet.go
@@ -48,13 +48,13 @@
 
 // Pressure is what a relay sees of its own load. Parts are of 1; above 1 means more than can be borne.
 type Pressure struct {
-	Loop        tick.Tick // by which alarms come late, of late
-	CPU, Memory float64   // parts of what the process may use
-	Places      float64   // commands at units and waiting for one, in parts of the room that units have
+	SchedulingDelay    tick.Tick // by which alarms come late, of late
+	CPU, Memory        float64   // parts of what the process may use
+	BackendUtilization float64   // commands at units and waiting for one, in parts of the room that units have
 }
 
-// Fleet decides for one relay. It is not safe for calls at once.
-type Fleet struct {
+// Manager decides for one relay. It is not safe for calls at once.
+type Manager struct {
 	now, born, heard tick.Tick // heard: the last news of any peer
 	self             uint64    // hash of its name
 	rand             *rand.Rand
@@ -103,7 +103,7 @@
 	hash      uint64
 	run       uint64
 	state     string
-	told      Told
+	told      Report
 	heard     tick.Tick // when its news were made
 	fresh     bool
 	alive     bool                // counted so for the probes
@@ -114,11 +114,11 @@
 	gone      tick.Tick
 }
 
-// New makes the fleet's part of one relay that starts now. The settings are those of the directives fleet.relays,
+// NewManager makes the fleet's part of one relay that starts now. The settings are those of the directives fleet.relays,
 // fleet.repeats, fleet.floor, fleet.probes and fleet.ramp: numbers, the ramp in seconds.
-func New(now tick.Tick, seed uint64, self string, set map[string]any) *Fleet {
+func NewManager(now tick.Tick, seed uint64, self string, set map[string]any) *Manager {
 	num := func(name string) float64 { v, _ := set["fleet."+name].(float64); return v }
-	f := &Fleet{now: now, born: now, heard: now, pressed: now, figured: now, self: xxhash.Sum64String(self),
+	f := &Manager{now: now, born: now, heard: now, pressed: now, figured: now, self: xxhash.Sum64String(self),
 		rand: rand.New(rand.NewPCG(seed, 0x0f1ee7)), relays: max(1, num("relays")), share: num("repeats"),
 		floor: num("floor"), probes: num("probes"), ramp: tick.Tick(num("ramp") * float64(tick.Second)),
 		peers: map[string]*peer{}, own: 1, shared: 1, units: map[uint64]*sick{}}
@@ -130,20 +130,20 @@
 func part(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
 // solo: there is no fleet.
-func (f *Fleet) solo() bool { return f.relays <= 1 && len(f.peers) == 0 }
+func (f *Manager) solo() bool { return f.relays <= 1 && len(f.peers) == 0 }
 
 // alone: there is none, or it cannot be heard.
-func (f *Fleet) alone() bool { return f.solo() || f.now-f.heard >= lost }
+func (f *Manager) alone() bool { return f.solo() || f.now-f.heard >= lost }
 
 // size is how many relays the fleet has.
-func (f *Fleet) size() float64 { return max(f.relays, float64(len(f.peers)+1)) }
+func (f *Manager) size() float64 { return max(f.relays, float64(len(f.peers)+1)) }
 
 // knowledge is the part of the fleet whose news are fresh, itself with it. Old or unknown news make careful by it.
-func (f *Fleet) knowledge() float64 { return float64(f.known+1) / f.size() }
+func (f *Manager) knowledge() float64 { return float64(f.known+1) / f.size() }
 
-// Peer takes what is known of another relay: its run (a larger one is a restart, a smaller one an old copy and
+// UpdatePeer takes what is known of another relay: its run (a larger one is a restart, a smaller one an old copy and
 // ignored), what it told, how old that is, and its state as members' news have it.
-func (f *Fleet) Peer(now tick.Tick, name string, run uint64, zone string, told Told, age tick.Tick, state string) {
+func (f *Manager) UpdatePeer(now tick.Tick, name string, run uint64, zone string, told Report, age tick.Tick, state string) {
 	f.step(now)
 	p := f.peers[name]
 	switch {
@@ -161,7 +161,7 @@
 	defer f.settle(p)
 	if run > p.run {
 		f.uncount(p)
-		p.run, p.inherited, p.heard, p.told = run, false, math.MinInt64, Told{}
+		p.run, p.inherited, p.heard, p.told = run, false, math.MinInt64, Report{}
 	}
 	if p.state = state; state == "dead" || state == "left" {
 		f.inherit(p)
@@ -174,11 +174,11 @@
 	}
 	p.gone = 0
 	made := now - max(0, age)
-	if made <= p.heard || told.Own <= 0 || told.sound() != nil { // of no use, or none yet
+	if made <= p.heard || told.LocalFraction <= 0 || told.sound() != nil { // of no use, or none yet
 		return
 	}
 	if p.heard != math.MinInt64 {
-		f.gain(p.told.Spilled, told.Spilled)
+		f.gain(p.told.SpilledCredit, told.SpilledCredit)
 	}
 	f.uncount(p)
 	p.told, p.heard = told, made
@@ -186,12 +186,12 @@
 	if now-made < fresh {
 		f.count(p)
 	}
-	f.learn(made, told.Units)
+	f.learn(made, told.Verdicts)
 	f.signed(p, made, told)
 }
 
 // forget drops relays that went long ago.
-func (f *Fleet) forget() {
+func (f *Manager) forget() {
 	for name, p := range f.peers {
 		if p.gone > 0 && f.now-p.gone > forgotten {
 			delete(f.peers, name)
@@ -203,37 +203,37 @@
 }
 
 // count adds a peer's fresh news to the sums, uncount takes them out. Both cost a logarithm.
-func (f *Fleet) count(p *peer) {
+func (f *Manager) count(p *peer) {
 	p.fresh = true
 	heap.Push(&f.silent, p)
 	f.known++
-	if p.told.Up > f.ramp {
+	if p.told.Uptime > f.ramp {
 		f.old++
 	}
-	f.done += p.told.Done
+	f.done += p.told.CompletedWork
 	offered := 0.0
-	for i, w := range p.told.Work {
+	for i, w := range p.told.OfferedWork {
 		f.work[i] += w
 		offered += w
 	}
 	if offered > 0 { // one that has no commands has no say
-		p.counted = min(buckets-1, int(p.told.Shared*buckets))
+		p.counted = min(buckets-1, int(p.told.SharedFraction*buckets))
 		f.admits[p.counted]++
 		f.says++
 	}
 }
 
-func (f *Fleet) uncount(p *peer) {
+func (f *Manager) uncount(p *peer) {
 	if !p.fresh {
 		return
 	}
 	p.fresh = false
 	heap.Remove(&f.silent, p.place)
 	f.known--
-	if p.told.Up > f.ramp {
+	if p.told.Uptime > f.ramp {
 		f.old--
 	}
-	for i, w := range p.told.Work {
+	for i, w := range p.told.OfferedWork {
 		f.work[i] = max(0, f.work[i]-w)
 	}
 	if p.counted >= 0 {
@@ -241,14 +241,14 @@
 		f.says--
 		p.counted = -1
 	}
-	if f.done = max(0, f.done-p.told.Done); f.known == 0 {
+	if f.done = max(0, f.done-p.told.CompletedWork); f.known == 0 {
 		f.done = 0
 		f.work = [mostOps]float64{}
 	}
 }
 
 // settle counts a peer as living or not, where that has changed. It costs the same however many peers there are.
-func (f *Fleet) settle(p *peer) {
+func (f *Manager) settle(p *peer) {
 	if is := p.fresh || p.state == "cut"; is != p.alive {
 		p.alive = is
 		f.ranked(p)
@@ -276,7 +276,7 @@
 }
 
 // step brings the clock on, drops news that have grown old, and works the figures out when they are due.
-func (f *Fleet) step(now tick.Tick) {
+func (f *Manager) step(now tick.Tick) {
 	f.now = max(f.now, now)
 	for len(f.silent) > 0 && f.now-f.silent[0].heard >= fresh {
 		p := f.silent[0]
@@ -300,11 +300,11 @@
 	f.thresholds()
 }
 
-// Pressure takes what the relay sees of its own load, a few times a second. What it admits falls the faster the more
+// UpdatePressure takes what the relay sees of its own load, a few times a second. What it admits falls the faster the more
 // there is too much, but not below a little more than what units are seen to do, and rises again; it is drawn toward what half of the relays with commands admit, so that all shed
 // alike. Guards against overload that each relay meets on its own, some by nacks and others by queues. A unit or a link
 // that is slow for this relay alone looks the same; it hurts then by the pull of the others' higher parts.
-func (f *Fleet) Pressure(now tick.Tick, p Pressure) {
+func (f *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	f.step(now)
 	dt := min(0.5, float64(f.now-f.pressed)/float64(tick.Second))
 	f.pressed = f.now
@@ -314,10 +314,10 @@
 		return
 	}
 	care := max(0.25, f.knowledge())
-	own := max(float64(p.Loop)/float64(bearable), p.CPU/nearFull, p.Memory/nearFull)
+	own := max(float64(p.SchedulingDelay)/float64(bearable), p.CPU/nearFull, p.Memory/nearFull)
 	f.own = f.moved(f.own, own, dt, care, 0)
 	done, offered := f.rates()
-	f.shared = f.moved(f.shared, p.Places, dt, care, beyond*(done+f.done)/max(1e-9, offered*f.passes()))
+	f.shared = f.moved(f.shared, p.BackendUtilization, dt, care, beyond*(done+f.done)/max(1e-9, offered*f.passes()))
 	if f.says > 0 {
 		by := (f.middle() - f.shared) * pull * dt
 		if by > 0 {
@@ -329,7 +329,7 @@
 }
 
 // moved is a part one step further: less where the pressure is above 1, but no less than the least.
-func (f *Fleet) moved(admit, pressure, dt, care, least float64) float64 {
+func (f *Manager) moved(admit, pressure, dt, care, least float64) float64 {
 	switch {
 	case math.IsNaN(pressure):
 	case pressure > 1:
@@ -341,7 +341,7 @@
 }
 
 // rates are the work that units did for this relay and the work offered to the fleet, in seconds a second.
-func (f *Fleet) rates() (done, offered float64) {
+func (f *Manager) rates() (done, offered float64) {
 	for i := range f.ops {
 		done += f.load(i) * f.ops[i].done / max(1e-9, f.ops[i].offered)
 		offered += f.load(i) + f.work[i]
@@ -352,17 +352,17 @@
 // passes is the part of the work that is to pass by the level which does. Customers that are shed ask again, those that
 // pass do not, so after a while most of what is offered is of those that are shed. Guards against a level that is cut
 // below what units can do, again and again, as long as they come back.
-func (f *Fleet) passes() float64 {
+func (f *Manager) passes() float64 {
 	if f.due <= 0 {
 		return 1
 	}
 	return min(1, max(leastPass, f.taken/f.due))
 }
 
-func (f *Fleet) bound(admit float64) float64 { return min(1, max(admit, f.floor, 0.01)) }
+func (f *Manager) bound(admit float64) float64 { return min(1, max(admit, f.floor, 0.01)) }
 
 // middle is what half of the relays with commands and fresh news admit at the most.
-func (f *Fleet) middle() float64 {
+func (f *Manager) middle() float64 {
 	n := 0
 	for i, many := range f.admits {
 		if n += many; 2*n >= f.says {
@@ -372,11 +372,11 @@
 	return 1
 }
 
-// Admits is the part of the offered work that is taken now.
-func (f *Fleet) Admits() float64 { return min(f.own, f.shared) }
+// AdmittedFraction is the part of the offered work that is taken now.
+func (f *Manager) AdmittedFraction() float64 { return min(f.own, f.shared) }
 
-// Worked takes an answer of a unit and how long the unit took for it.
-func (f *Fleet) Worked(now tick.Tick, opType int, took tick.Tick) {
+// RecordServiceTime takes an answer of a unit and how long the unit took for it.
+func (f *Manager) RecordServiceTime(now tick.Tick, opType int, took tick.Tick) {
 	f.step(now)
 	if o := f.op(opType); o != nil && took >= 0 {
 		s := float64(took) / float64(tick.Second)
@@ -388,7 +388,7 @@
 	}
 }
 
-func (f *Fleet) op(opType int) *op {
+func (f *Manager) op(opType int) *op {
 	if opType < 0 || opType >= mostOps {
 		return nil
 	}
@@ -398,11 +398,11 @@
 	return &f.ops[opType]
 }
 
-// Take tells whether a command is taken, and else the time after which to come back. Least important op types are shed
+// Admit tells whether a command is taken, and else the time after which to come back. Least important op types are shed
 // first, of equals the one with more work for each; of the one at the edge, the customers whose hash is above a mark,
 // which is the same at all relays, so that a customer's many commands fall or pass together. The floor's part of the
 // customers always passes, so that no op type starves.
-func (f *Fleet) Take(now tick.Tick, opType int, importance float64, customer string) (ok bool, back tick.Tick) {
+func (f *Manager) Admit(now tick.Tick, opType int, importance float64, customer string) (ok bool, back tick.Tick) {
 	f.step(now)
 	o := f.op(opType)
 	if o == nil {
@@ -419,12 +419,12 @@
 		f.taken += took
 		return true, 0
 	}
-	less := 1 - f.Admits()
-	return false, f.Back(now, pause/2+tick.Tick(less*float64(pause)), pause+tick.Tick(less*float64(pauseMost)))
+	less := 1 - f.AdmittedFraction()
+	return false, f.RetryAfter(now, pause/2+tick.Tick(less*float64(pause)), pause+tick.Tick(less*float64(pauseMost)))
 }
 
 // load is the work offered of an op type at this relay, in seconds a second.
-func (f *Fleet) load(which int) float64 {
+func (f *Manager) load(which int) float64 {
 	o := f.ops[which]
 	took := o.took
 	if took == 0 {
@@ -434,11 +434,11 @@
 }
 
 // thresholds works out which part of the customers of each op type passes, from the work offered to the whole fleet.
-func (f *Fleet) thresholds() {
+func (f *Manager) thresholds() {
 	if len(f.ops) == 0 {
 		return
 	}
-	admit := f.Admits()
+	admit := f.AdmittedFraction()
 	if admit >= 1 || f.alone() {
 		for i := range f.ops {
 			f.ops[i].pass = 1
@@ -476,29 +476,29 @@
 	}
 }
 
-// Back is a time to come back between two, spread evenly over what one relay gives and over the relays: steps of the
+// RetryAfter is a time to come back between two, spread evenly over what one relay gives and over the relays: steps of the
 // golden section from a start of its own, with chance on top. Guards against clients that come back in step.
-func (f *Fleet) Back(now tick.Tick, least, most tick.Tick) tick.Tick {
+func (f *Manager) RetryAfter(now tick.Tick, least, most tick.Tick) tick.Tick {
 	f.step(now)
 	_, f.turn = math.Modf(f.turn + 0.6180339887498949 + 0.05*f.rand.Float64())
 	return least + tick.Tick(f.turn*float64(max(0, most-least)))
 }
 
-// What is a thing that is spread after a common restart.
-type What uint8
+// StartupStep is a thing that is spread after a common restart.
+type StartupStep uint8
 
 // Things that are spread.
 const (
-	Start   What = iota // of taking commands
-	List                // a call for the whole list
-	Connect             // a connection to a unit
+	StepAccept  StartupStep = iota // of taking commands
+	StepList                       // a call for the whole list
+	StepConnect                    // a connection to a unit
 )
 
-// Wait is how long a relay that has just started is to wait with something: as much of the ramp as the part of the
+// StartupDelay is how long a relay that has just started is to wait with something: as much of the ramp as the part of the
 // fleet that is young too, dead or not heard of yet. Starts and list calls take the relay's place in the order of the
 // names' hashes, connections a drawn time. It gets shorter with news, so one that waits may ask again.
 // Guards against the sum of a common restart; a relay that starts alone before it has news waits for nothing real.
-func (f *Fleet) Wait(now tick.Tick, what What) tick.Tick {
+func (f *Manager) StartupDelay(now tick.Tick, what StartupStep) tick.Tick {
 	f.step(now)
 	if f.alone() || f.ramp == 0 {
 		return 0
@@ -508,7 +508,7 @@
 	if left <= 0 {
 		return 0
 	}
-	if what == Connect {
+	if what == StepConnect {
 		return tick.Tick(f.rand.Float64() * left)
 	}
 	_, slot := math.Modf(f.slot() + 0.38*float64(what))
@@ -516,7 +516,7 @@
 }
 
 // slot is this relay's place among all, from 0 to 1; as long as few are known it is its hash.
-func (f *Fleet) slot() float64 {
+func (f *Manager) slot() float64 {
 	among := len(f.peers) + 1
 	if float64(2*among) < f.size() {
 		return part(f.self)
@@ -524,15 +524,15 @@
 	return (float64(f.before) + part(f.self*0x9e3779b97f4a7c15)) / float64(among)
 }
 
-// Tell is this relay's own news.
-func (f *Fleet) Tell(now tick.Tick) Told {
+// LocalReport is this relay's own news.
+func (f *Manager) LocalReport(now tick.Tick) Report {
 	f.step(now)
-	t := Told{Up: f.now - f.born, Own: f.own, Shared: f.shared, Firsts: f.firsts / budgetSpan, Credit: f.credit,
-		Spilled: f.spilled}
+	t := Report{Uptime: f.now - f.born, LocalFraction: f.own, SharedFraction: f.shared, FirstAttempts: f.firsts / budgetSpan, RetryCredit: f.credit,
+		SpilledCredit: f.spilled}
 	for i := range min(len(f.ops), mostWork) {
-		t.Work = append(t.Work, f.load(i))
+		t.OfferedWork = append(t.OfferedWork, f.load(i))
 	}
-	t.Done, _ = f.rates()
-	t.Units, t.Signs = f.verdicts(), f.worst()
+	t.CompletedWork, _ = f.rates()
+	t.Verdicts, t.Evidence = f.verdicts(), f.worst()
 	return t
 }
--- a/internal/overload/probes.go
+++ b/internal/overload/probes.go
@@ -84,8 +84,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Outcome takes how a delivery or a probe at a unit ended.
-func (f *Fleet) Outcome(now tick.Tick, unit string, good bool) {
+// RecordOutcome takes how a delivery or a probe at a unit ended.
+func (f *Manager) RecordOutcome(now tick.Tick, unit string, good bool) {
 	f.step(now)
 	if f.solo() {
 		return
@@ -116,7 +116,7 @@
 }
 
 // keep takes an outcome into the last ones; s is its unit if that is in question.
-func (f *Fleet) keep(o outcome, s *sick) {
+func (f *Manager) keep(o outcome, s *sick) {
 	if f.lasts == lately {
 		f.drop()
 	}
@@ -128,10 +128,10 @@
 	s.touch(o, 1)
 }
 
-func (f *Fleet) oldest() *outcome { return &f.last[(f.next-f.lasts+lately)%lately] }
+func (f *Manager) oldest() *outcome { return &f.last[(f.next-f.lasts+lately)%lately] }
 
 // drop forgets the oldest of the last outcomes.
-func (f *Fleet) drop() {
+func (f *Manager) drop() {
 	o := *f.oldest()
 	f.lasts--
 	if o.bad {
@@ -151,12 +151,12 @@
 }
 
 // elsewhere is the share of bad ones among the last own outcomes at other units.
-func (f *Fleet) elsewhere(s *sick) float64 {
+func (f *Manager) elsewhere(s *sick) float64 {
 	return float64(f.bad-s.lastly) / float64(max(fewest, f.lasts-s.lasts))
 }
 
 // sicken makes a unit known; of too many one is forgotten that is not held to be sick, the one judged the longest ago.
-func (f *Fleet) sicken(h uint64) *sick {
+func (f *Manager) sicken(h uint64) *sick {
 	if len(f.units) >= mostSick {
 		i := max(0, slices.IndexFunc(f.told, func(s *sick) bool { return !s.held }))
 		delete(f.units, f.told[i].hash)
@@ -179,7 +179,7 @@
 }
 
 // judge keeps a verdict that is newer than the last, and puts the unit at the end of those told.
-func (f *Fleet) judge(s *sick, well, own bool, at tick.Tick) {
+func (f *Manager) judge(s *sick, well, own bool, at tick.Tick) {
 	if at < s.at {
 		return
 	}
@@ -190,13 +190,13 @@
 	}
 }
 
-// Probes tells whether a unit that this relay holds to be sick may get a delivery, or a probe, that tries it. Few relays
+// AllowProbe tells whether a unit that this relay holds to be sick may get a delivery, or a probe, that tries it. Few relays
 // do, chosen by rendezvous hashing over the living: when one falls silent the next takes over, and each side of a split
 // has its own. The others learn from them. Guards against hundreds of relays that each try a unit that is no good to any;
 // hurts where the unit is sick for those few alone. Where a good part of the outcomes at other units is bad, as in an
 // overload or under a bad build, the trouble is no unit's, and each relay tries for itself; what was held to be sick before
 // stays so until it answers.
-func (f *Fleet) Probes(now tick.Tick, unit string) bool {
+func (f *Manager) AllowProbe(now tick.Tick, unit string) bool {
 	f.step(now)
 	if f.solo() {
 		return true
@@ -240,10 +240,10 @@
 	return true
 }
 
-// Avoids tells whether a unit is to be left that this relay has no doubt of: by what all relays count of late it fails
+// IsEjected tells whether a unit is to be left that this relay has no doubt of: by what all relays count of late it fails
 // most of its deliveries. Each relay would else find out for itself, by some deliveries that end badly, and the more
 // relays there are the longer that takes. A unit that is sick for a part of the relays only is not left by the others.
-func (f *Fleet) Avoids(now tick.Tick, unit string) bool {
+func (f *Manager) IsEjected(now tick.Tick, unit string) bool {
 	f.step(now)
 	if f.alone() || len(f.units) == 0 {
 		return false
@@ -263,7 +263,7 @@
 // only from when a unit is in question at a relay, and good ones too, so that no relay's choice of what to tell makes a
 // unit look worse. At sure odds it is held to be sick, until good outcomes outweigh bad ones by what one relay can bring;
 // meanwhile so many relays come to use it, some more at each round of news, that they do not come all at once.
-func (f *Fleet) weigh(s *sick) (score, up float64, answers bool) {
+func (f *Manager) weigh(s *sick) (score, up float64, answers bool) {
 	usual := min(max(usualLeast, 1.5*f.elsewhere(s)), usualMost)
 	up = math.Log(failing / usual)
 	bad, good := s.sum(f.now)
@@ -337,38 +337,38 @@
 }
 
 // signed takes what another relay counts of units. One of an earlier version tells verdicts only.
-func (f *Fleet) signed(p *peer, made tick.Tick, told Told) {
-	signs := told.Signs
+func (f *Manager) signed(p *peer, made tick.Tick, told Report) {
+	signs := told.Evidence
 	if signs == nil {
-		for _, v := range told.Units[:min(len(told.Units), mostSigns)] {
-			bad := map[bool]int{false: mostCount}[v.Well]
-			signs = append(signs, Sign{v.Unit, bad, mostCount - bad, v.Age})
+		for _, v := range told.Verdicts[:min(len(told.Verdicts), mostSigns)] {
+			bad := map[bool]int{false: mostCount}[v.Healthy]
+			signs = append(signs, Evidence{v.Backend, bad, mostCount - bad, v.Age})
 		}
 	}
 	var all []evidence
 	for i, v := range signs {
 		at := made - v.Age
-		if f.now-at > recall || at < 0 || slices.ContainsFunc(signs[:i], func(o Sign) bool { return o.Unit == v.Unit }) {
+		if f.now-at > recall || at < 0 || slices.ContainsFunc(signs[:i], func(o Evidence) bool { return o.Backend == v.Backend }) {
 			continue
 		}
-		s := f.units[v.Unit]
-		if s == nil && v.Bad == 0 && v.Good > 0 {
+		s := f.units[v.Backend]
+		if s == nil && v.Failures == 0 && v.Successes > 0 {
 			continue // nobody's question here
 		}
 		if s == nil {
-			s = f.sicken(v.Unit)
+			s = f.sicken(v.Backend)
 			s.well, s.at = true, math.MinInt64/2
 		}
-		all = append(all, evidence{s, at / tick.Second, v.Bad, v.Good})
+		all = append(all, evidence{s, at / tick.Second, v.Failures, v.Successes})
 	}
 	p.sign(all)
 }
 
 // worst is what this relay counts of the units that look worst by what the others count. Which ones are told must not
 // rest on the own outcomes that are told with them: units look worse then than they are.
-func (f *Fleet) worst() []Sign {
+func (f *Manager) worst() []Evidence {
 	type one struct {
-		Sign
+		Evidence
 		rank float64
 	}
 	var all []one
@@ -379,24 +379,24 @@
 		}
 		b, g := s.sum(f.now)
 		newest := max(s.named, s.counts[mostCount-1].at)
-		all = append(all, one{Sign{s.hash, bad, good, f.now - newest}, float64(b - g)})
+		all = append(all, one{Evidence{s.hash, bad, good, f.now - newest}, float64(b - g)})
 	}
 	slices.SortStableFunc(all, func(a, b one) int { return cmp.Compare(b.rank, a.rank) })
-	signs := make([]Sign, 0, mostSigns)
+	signs := make([]Evidence, 0, mostSigns)
 	for _, o := range all[:min(len(all), mostSigns)] {
-		signs = append(signs, o.Sign)
+		signs = append(signs, o.Evidence)
 	}
 	return signs
 }
 
 // gap is between two probes of one relay at one unit.
-func (f *Fleet) gap() tick.Tick {
+func (f *Manager) gap() tick.Tick {
 	return tick.Tick(float64(tick.Second) * probers * sides / max(0.01, f.probes))
 }
 
 // chosen: this relay is one of those that may try a unit. One that has just become it waits for its turn: the one before
 // may have probed just now.
-func (f *Fleet) chosen(s *sick, many float64, wait tick.Tick) bool {
+func (f *Manager) chosen(s *sick, many float64, wait tick.Tick) bool {
 	was := s.mine
 	if s.mine = float64(s.above) < many; s.mine && !was {
 		s.next = f.now + tick.Tick(f.rand.Float64()*float64(wait))
@@ -405,7 +405,7 @@
 }
 
 // ranked takes that a peer lives or does not any more.
-func (f *Fleet) ranked(p *peer) {
+func (f *Manager) ranked(p *peer) {
 	for _, s := range f.told {
 		if weight(s.hash, p.hash) <= s.self {
 			continue
@@ -419,25 +419,25 @@
 }
 
 // learn takes another relay's verdicts on units, made at a time.
-func (f *Fleet) learn(made tick.Tick, units []Verdict) {
+func (f *Manager) learn(made tick.Tick, units []Verdict) {
 	for _, v := range units {
-		s := f.units[v.Unit]
-		if s == nil && v.Well {
+		s := f.units[v.Backend]
+		if s == nil && v.Healthy {
 			continue
 		}
 		if s == nil {
-			s = f.sicken(v.Unit)
+			s = f.sicken(v.Backend)
 			s.at = math.MinInt64 / 2
 		}
 		if at := made - v.Age; at > s.at {
 			s.good, s.bad = 0, 0
-			f.judge(s, v.Well, false, at)
+			f.judge(s, v.Healthy, false, at)
 		}
 	}
 }
 
 // verdicts are the newest that are worth telling.
-func (f *Fleet) verdicts() (all []Verdict) {
+func (f *Manager) verdicts() (all []Verdict) {
 	for _, s := range slices.Backward(f.told) {
 		if len(all) == mostUnits || f.now-s.at > tellAbout {
 			break
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -11,7 +11,7 @@
 
 // memory is what the relay keeps of builds beside the module, and over a restart where a path is named.
 type memory struct {
-	ledger *evidence.Ledger
+	ledger *evidence.Store
 	path   string
 	every  time.Duration
 	half   balancer.Tick
@@ -42,13 +42,13 @@
 
 // age takes what was known of the build on trial before this start, before anything new comes.
 func (m *memory) age(r *relay, news dispatch.RolloutStage) {
-	if m.ledger.Lost != "" {
-		r.log.Warn().Str("why", m.ledger.Lost).Msg("what was known of builds is lost: the relay starts afresh")
+	if m.ledger.LoadError != "" {
+		r.log.Warn().Str("why", m.ledger.LoadError).Msg("what was known of builds is lost: the relay starts afresh")
 	}
 	if news.Phase == "testing" {
 		m.build = news.Version
 		r.gate.WithLock(func() {
-			m.n, m.bad = m.ledger.Aged(balancer.Tick(time.Now().UnixMicro()/100), news.Version, m.half)
+			m.n, m.bad = m.ledger.DecayedCounts(balancer.Tick(time.Now().UnixMicro()/100), news.Version, m.half)
 		})
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -246,7 +246,7 @@
 	}
 	atUnits := (t.sockets - otherSockets) / 6
 	r.pools = upstream.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
-	r.front = downstream.New(r.gate, r.pools, r.room, overload.Shares(t.sockets-otherSockets-atUnits), timeout, comeBack)
+	r.front = downstream.New(r.gate, r.pools, r.room, overload.LimitsFor(t.sockets-otherSockets-atUnits), timeout, comeBack)
 	r.gate.UpdateEndpoints(true, t.known)
 	r.gate.UpdateStage(t.news)
 	if r.memory != nil {
--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -23,8 +23,8 @@
 // Board has the fleet's members and their news; a *members.Board does.
 type Board interface {
 	Now() tick.Tick
-	Tell(kind string, data []byte) error
-	All() []membership.Member
+	Publish(kind string, data []byte) error
+	Members() []membership.Member
 }
 
 var (
@@ -45,7 +45,7 @@
 	memory float64 // bytes
 
 	mu       sync.Mutex
-	fleet    *overload.Fleet
+	fleet    *overload.Manager
 	outcomes map[string]*controllerclient.Outcome // by unit, since they were told last
 	stage    dispatch.RolloutStage                // of the newest build, as the platform told it last
 
@@ -64,7 +64,7 @@
 // NewStrain makes one, of a relay that has so many cores and bytes of memory.
 func NewStrain(board Board, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *Strain {
 	s := &Strain{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
-		fleet: overload.New(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.Outcome{}}
+		fleet: overload.NewManager(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.Outcome{}}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
 	return s
 }
@@ -73,7 +73,7 @@
 func (s *Strain) Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, wait := s.fleet.Take(s.board.Now(), op, importance, customer)
+	ok, wait := s.fleet.Admit(s.board.Now(), op, importance, customer)
 	if !ok {
 		shed.Inc()
 	}
@@ -85,14 +85,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	firsts.Inc()
-	s.fleet.First(s.board.Now())
+	s.fleet.RecordFirstAttempt(s.board.Now())
 }
 
 // AllowRetry tells whether one more delivery may go out.
 func (s *Strain) AllowRetry(repeated bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok := s.fleet.Again(s.board.Now(), repeated)
+	ok := s.fleet.AllowRetry(s.board.Now(), repeated)
 	if ok {
 		repeats.Inc()
 	}
@@ -103,7 +103,7 @@
 func (s *Strain) RecordOutcome(unit string, good bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.Outcome(s.board.Now(), unit, good)
+	s.fleet.RecordOutcome(s.board.Now(), unit, good)
 	o := s.outcomes[unit]
 	if o == nil {
 		o = &controllerclient.Outcome{Unit: unit}
@@ -120,7 +120,7 @@
 func (s *Strain) RecordServiceTime(op int, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.Worked(s.board.Now(), op, tick.Of(took))
+	s.fleet.RecordServiceTime(s.board.Now(), op, tick.Of(took))
 }
 
 // Staged takes where the newest build stands, as the platform told it.
@@ -167,22 +167,22 @@
 func (s *Strain) AllowProbe(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Probes(s.board.Now(), unit)
+	return s.fleet.AllowProbe(s.board.Now(), unit)
 }
 
 // IsEjected tells whether a unit is sick for other relays.
 func (s *Strain) IsEjected(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Avoids(s.board.Now(), unit)
+	return s.fleet.IsEjected(s.board.Now(), unit)
 }
 
 // Wait waits for this relay's turn at something, or for the context. The turn comes sooner with news of others.
-func (s *Strain) Wait(ctx context.Context, what overload.What) {
+func (s *Strain) Wait(ctx context.Context, what overload.StartupStep) {
 	for ctx.Err() == nil {
 		s.hear()
 		s.mu.Lock()
-		left := s.fleet.Wait(s.board.Now(), what)
+		left := s.fleet.StartupDelay(s.board.Now(), what)
 		s.mu.Unlock()
 		if left <= 0 {
 			return
@@ -218,39 +218,39 @@
 	s.hear()
 	s.mu.Lock()
 	now := s.board.Now()
-	s.fleet.Pressure(now, p)
-	told, admits := s.fleet.Tell(now), s.fleet.Admits()
+	s.fleet.UpdatePressure(now, p)
+	told, admits := s.fleet.LocalReport(now), s.fleet.AdmittedFraction()
 	s.mu.Unlock()
 	taken.Set(admits)
-	if err := s.board.Tell(kind, told.Encode()); err != nil {
+	if err := s.board.Publish(kind, told.Encode()); err != nil {
 		s.log.Error().Err(err).Msg("own news not told")
 	}
 	if sheds := admits < 0.99; sheds != s.sheds { // as it prints, with two digits
 		s.sheds = sheds
 		event := map[bool]string{true: "sheds", false: "admits"}[sheds]
-		s.log.Info().Str("event", event).Float64("admits", math.Round(100*admits)/100).Float64("places", p.Places).
-			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.Loop.Span()).Msg(event)
+		s.log.Info().Str("event", event).Float64("admits", math.Round(100*admits)/100).Float64("places", p.BackendUtilization).
+			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.SchedulingDelay.Span()).Msg(event)
 	}
 }
 
 // hear passes on what the other relays told.
 func (s *Strain) hear() {
-	all := s.board.All()
+	all := s.board.Members()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.board.Now()
 	for _, m := range all {
-		if m.Role != "relay" || m.Name == s.self || m.Run == 0 {
+		if m.Role != "relay" || m.Name == s.self || m.Incarnation == 0 {
 			continue
 		}
-		var told overload.Told
-		if data := m.News[kind]; data != nil {
+		var told overload.Report
+		if data := m.Payloads[kind]; data != nil {
 			var err error
-			if told, err = overload.Decode(data); err != nil {
+			if told, err = overload.DecodeReport(data); err != nil {
 				continue // of a later version, or damaged: as if it had told nothing
 			}
 		}
-		s.fleet.Peer(now, m.Name, m.Run, m.Zone, told, now-m.Heard, string(m.State))
+		s.fleet.UpdatePeer(now, m.Name, m.Incarnation, m.Zone, told, now-m.LastHeard, string(m.State))
 	}
 }
 
@@ -264,6 +264,6 @@
 	s.before, s.at = use, now
 	held := []stats.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	stats.Read(held)
-	return overload.Pressure{Loop: tick.Of(late), CPU: cpu, Places: g.Load(),
+	return overload.Pressure{SchedulingDelay: tick.Of(late), CPU: cpu, BackendUtilization: g.Load(),
 		Memory: float64(held[0].Value.Uint64()-held[1].Value.Uint64()) / s.memory}
 }
--- a/internal/tufrepo/repo.go
+++ b/internal/tufrepo/repo.go
@@ -54,7 +54,7 @@
 // Repo is one repository that is open for work.
 type Repo struct {
 	dir    string
-	floor  *monotonic.Floor
+	floor  *monotonic.Store
 	Life   Life
 	Now    func() time.Time
 	Halted func(step string) bool // in tests: the program dies before this step
