--- a/internal/keeper/keeper.go
+++ b/internal/controller/keeper.go
@@ -3,7 +3,7 @@
 // (leases.Book), and have handover's planner decide at the one that leads.
 //
 // What is agreed outlives a keeper on its disk; leases do not, and are counted as renewed by a new leader.
-package keeper
+package controller
 
 import (
 	"context"
@@ -23,36 +23,36 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"silvercove/internal/bell"
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
 	"silvercove/internal/leases"
-	"silvercove/internal/peers"
-	"silvercove/internal/strength"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/tick"
+	"silvercove/internal/wakeup"
 )
 
 // Planner is handover.Planner as the leading keeper drives it. Calls come one at a time.
 type Planner interface {
-	Led(now tick.Tick)
-	Unit(now tick.Tick, u handover.Unit)
-	LeaseOver(now tick.Tick, name string)
-	Placed(now tick.Tick, p handover.Place)
-	Refused(now tick.Tick, e handover.Entry, err error)
-	Device(now tick.Tick, name, zone string)
-	Alarm(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
+	OnElected(now tick.Tick)
+	OnNodeStatus(now tick.Tick, u migration.NodeStatus)
+	OnLeaseExpired(now tick.Tick, name string)
+	OnAssignment(now tick.Tick, p migration.Assignment)
+	OnProposalRefused(now tick.Tick, e migration.Operation, err error)
+	OnDeviceMoved(now tick.Tick, name, zone string)
+	OnTick(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
 }
 
 // Host is what a planner acts through.
 type Host interface {
-	Step(e handover.Entry)
+	Propose(e migration.Operation)
 	Log(text string)
 }
 
 // Options are what a keeper is made of.
 type Options struct {
-	Net     *peers.Net // its Run is the caller's
-	Data    string     // folder
+	Net     *peertransport.Net // its Run is the caller's
+	Data    string             // folder
 	Set     map[string]any
 	Log     zerolog.Logger
 	Planner func(host Host, now tick.Tick) Planner           // nil: handover's
@@ -83,16 +83,16 @@
 	Options
 	self    string
 	peers   []string // other keepers of the file, sorted
-	spans   leases.Spans
+	spans   leases.Timings
 	disk    *disk
 	machine *machine
-	bell    *bell.Bell
+	bell    *wakeup.Waker
 	waiters chan struct{}
 	ended   chan error // the first reason why it can't go on
 	raft    atomic.Pointer[raft.Raft]
 	store   *guarded // since raft is set
 	confirm *confirmer
-	client  *keepers.Client
+	client  *controllerclient.Client
 	queued  chan struct{} // rings the proposer
 	joining sync.Mutex
 	least   uint64 // term in which an emptied disk was let in; set before raft runs
@@ -101,22 +101,22 @@
 	lead  *lead
 	why   string // it waits
 	ill   string // its disk
-	space keepers.Disk
-	marks map[string]keepers.Mark
+	space controllerclient.Disk
+	marks map[string]controllerclient.Mark
 }
 
 // lead is a span of leading.
 type lead struct {
 	term    uint64
-	book    *leases.Book
+	book    *leases.Lessor
 	planner Planner
-	claims  *strength.Believer
-	marks   *leases.Marks
-	back    map[uint16]bool              // builds by whether the platform takes them back, as relays told since this lead began
-	says    map[string]stand             // by relay, the last that it said of a build
-	units   map[string]*keepers.LeaseAsk // the last of each
-	version uint64                       // of units
-	changed chan struct{}                // closed at the next change of units
+	claims  *devicehealth.Verifier
+	marks   *leases.RecordCounts
+	back    map[uint16]bool                       // builds by whether the platform takes them back, as relays told since this lead began
+	says    map[string]stand                      // by relay, the last that it said of a build
+	units   map[string]*controllerclient.LeaseAsk // the last of each
+	version uint64                                // of units
+	changed chan struct{}                         // closed at the next change of units
 	queue   []queued
 	pending map[string]int // entries under way that rest on a unit's lease being over
 	settled chan struct{}  // closed when fewer are
@@ -126,17 +126,17 @@
 }
 
 type queued struct {
-	entry handover.Entry
+	entry migration.Operation
 	why   error // it is refused before it is proposed
 }
 
 // Open reads the keeper's disk. What stands in the way of a start is said here, or by Run.
 func Open(o Options) (*Keeper, error) {
 	if o.Now == nil {
-		o.Now = keepers.Now
+		o.Now = controllerclient.Now
 	}
 	if o.Planner == nil {
-		o.Planner = func(h Host, now tick.Tick) Planner { return handover.NewPlanner(h, now, uint64(now), o.Set) }
+		o.Planner = func(h Host, now tick.Tick) Planner { return migration.NewPlanner(h, now, uint64(now), o.Set) }
 	}
 	if o.Free == nil {
 		o.Free = freeOf
@@ -147,9 +147,9 @@
 	if o.crowd == nil {
 		o.crowd = &crowd{most: mostConns, mostOf: mostOfOne}
 	}
-	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.SpansOf(o.Set), bell: bell.New(),
+	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.TimingsFor(o.Set), bell: wakeup.New(),
 		waiters: make(chan struct{}, mostWaiters), ended: make(chan error, 1), queued: make(chan struct{}, 1),
-		marks: map[string]keepers.Mark{}}
+		marks: map[string]controllerclient.Mark{}}
 	for _, p := range o.Net.Peers("keeper") {
 		k.peers = append(k.peers, p.Name)
 	}
@@ -157,7 +157,7 @@
 	k.crowd.of, k.crowd.keeper = map[string]int{}, func(name string) bool { return slices.Contains(k.peers, name) }
 	k.machine = newMachine(k.told, k.fatal)
 	k.confirm = newConfirmer(k)
-	k.client = keepers.New(o.Net, o.Set, uint64(o.Now()))
+	k.client = controllerclient.New(o.Net, o.Set, uint64(o.Now()))
 	var err error
 	k.disk, err = openDisk(o.Data, o.Net.Fleet(), k.self)
 	return k, err
@@ -206,7 +206,7 @@
 			store = k.Wrap(store)
 		}
 		var snaps raft.SnapshotStore
-		var last keepers.Mark
+		var last controllerclient.Mark
 		if err == nil {
 			snaps, last, err = k.disk.snapshots(store, logger)
 		}
@@ -241,15 +241,15 @@
 }
 
 // run runs raft on a disk that may take part, until the context ends.
-func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last keepers.Mark, logger hclog.Logger) error {
-	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.Confirm.Span(), last: last,
+func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last controllerclient.Mark, logger hclog.Logger) error {
+	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.ConfirmTimeout.Span(), last: last,
 		closed: make(chan struct{}), full: k.full}
 	trans := marking{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream{k}, MaxPool: 3,
-		MaxRPCsInFlight: 1, Timeout: k.spans.Answer.Span(), Logger: logger}), k}
+		MaxRPCsInFlight: 1, Timeout: k.spans.ProposalTimeout.Span(), Logger: logger}), k}
 	set := raft.DefaultConfig()
 	set.LocalID, set.Logger = raft.ServerID(k.self), logger
-	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.Heartbeat.Span(), k.spans.Heartbeat.Span()
-	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.Heartbeat.Span(), k.spans.Commit.Span()
+	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.HeartbeatTimeout.Span()
+	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.CommitInterval.Span()
 	set.MaxAppendEntries = mostSteps // BatchApplyCh stays off: what is in that queue at the end is never answered
 	set.SnapshotThreshold, set.SnapshotInterval, set.TrailingLogs = k.room.every, snapEvery, k.room.Leaves()
 	set.NoLegacyTelemetry = true
@@ -293,7 +293,7 @@
 }
 
 // start begins the log on a disk of the birth, and starts raft.
-func (k *Keeper) start(set *raft.Config, trans marking, snaps raft.SnapshotStore, last keepers.Mark) (*raft.Raft, error) {
+func (k *Keeper) start(set *raft.Config, trans marking, snaps raft.SnapshotStore, last controllerclient.Mark) (*raft.Raft, error) {
 	if m := k.disk.now(); m.Found && !m.Begun {
 		if last.Index == 0 {
 			var first raft.Configuration
@@ -351,26 +351,26 @@
 	}
 	now := k.Now()
 	runs := k.machine.runs()
-	l := &lead{term: term, book: leases.New(k.Set), units: map[string]*keepers.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
+	l := &lead{term: term, book: leases.New(k.Set), units: map[string]*controllerclient.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
 		changed: make(chan struct{}), pending: map[string]int{}, settled: make(chan struct{}), over: make(chan struct{})}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !is(r, term) {
 		return
 	}
-	l.book.Led(now, runs)
+	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
-	l.claims = strength.NewBeliever(now, k.Set)
-	l.marks = leases.NewMarks(now, k.Set, k.machine.kept())
+	l.claims = devicehealth.NewVerifier(now, k.Set)
+	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
 	k.lead = l
-	l.planner.Led(now)
+	l.planner.OnElected(now)
 	for _, p := range k.machine.all() {
 		l.expects(now, p)
-		l.planner.Placed(now, p)
+		l.planner.OnAssignment(now, p)
 	}
 	metrics.GetOrCreateCounter("cove_keeper_leads_total").Inc()
 	k.Log.Info().Str("event", "leads").Uint64("term", term).Send()
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // is says whether a keeper leads in a term. A lead that was lost and won again is another term.
@@ -409,24 +409,24 @@
 	// counted as over meanwhile: units would be given up that only could not have one.
 	if voters, err := k.voters(k.raft.Load()); err != nil || len(voters) < k.majority(voters) {
 		l.few = true
-		return k.spans.Confirm.Span()
+		return k.spans.ConfirmTimeout.Span()
 	} else if l.few {
 		l.few = false
-		l.book.Led(now, k.machine.runs())
-		l.planner.Led(now)
+		l.book.OnElected(now, k.machine.runs())
+		l.planner.OnElected(now)
 	}
-	for _, name := range l.book.Over(now) {
+	for _, name := range l.book.Expired(now) {
 		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 		k.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
-		l.planner.LeaseOver(now, name)
-		l.claims.Gone(now, name)
+		l.planner.OnLeaseExpired(now, name)
+		l.claims.Remove(now, name)
 		l.news()
 	}
-	next := l.planner.Alarm(now)
-	if at, any := l.book.Next(); any && at < next {
+	next := l.planner.OnTick(now)
+	if at, any := l.book.NextExpiry(); any && at < next {
 		next = at
 	}
-	if at, any := l.marks.Next(); any && now >= at {
+	if at, any := l.marks.NextDue(); any && now >= at {
 		k.wake()
 	} else if any && at < next {
 		next = at
@@ -448,12 +448,12 @@
 }
 
 // expects counts on the units of a place.
-func (l *lead) expects(now tick.Tick, p handover.Place) {
-	if p.State != handover.Runs {
+func (l *lead) expects(now tick.Tick, p migration.Assignment) {
+	if p.State != migration.Running {
 		return
 	}
-	for _, name := range append([]string{p.Owner}, p.Holders...) {
-		l.book.Expects(now, name)
+	for _, name := range append([]string{p.Primary}, p.Replicas...) {
+		l.book.ExpectRenewal(now, name)
 	}
 }
 
@@ -467,24 +467,24 @@
 var errActs = errors.New("its owner's lease is not over: it may still act")
 
 // lapse: the entry rests on the lease of its By being over.
-func lapse(e handover.Entry) bool {
+func lapse(e migration.Operation) bool {
 	switch e.Kind {
-	case handover.Fail, handover.Quarantine, handover.Forget:
-		return e.By != ""
+	case migration.OpFailOver, migration.OpQuarantine, migration.OpDelete:
+		return e.Node != ""
 	}
 	return false
 }
 
-// Step proposes an entry.
-func (h host) Step(e handover.Entry) {
+// Propose proposes an entry.
+func (h host) Propose(e migration.Operation) {
 	q := queued{entry: e}
-	q.entry.V = handover.Version
+	q.entry.Version = migration.FormatVersion
 	if len(h.l.queue) >= mostQueue {
 		return // the planner's alarm comes again
 	}
 	if lapse(e) {
-		if q.why = h.l.rest(h.k.Now(), e.By); q.why != nil {
-			h.k.Log.Error().Str("event", "refused").Str("instance", e.Name).Err(q.why).Send()
+		if q.why = h.l.rest(h.k.Now(), e.Node); q.why != nil {
+			h.k.Log.Error().Str("event", "refused").Str("instance", e.Instance).Err(q.why).Send()
 		}
 	}
 	h.l.queue = append(h.l.queue, q)
@@ -495,7 +495,7 @@
 // guards against an owner that comes back while its instance is given to another one. A run that began without the
 // copies of the one before, whose lease is over, does not act for what that one owned, and may hold a lease of its own.
 func (l *lead) rest(now tick.Tick, unit string) error {
-	if _, held := l.book.Held(now, unit); held && (l.units[unit] == nil || !l.units[unit].Fresh) {
+	if _, held := l.book.LeaseEnd(now, unit); held && (l.units[unit] == nil || !l.units[unit].Fresh) {
 		return errActs
 	}
 	l.pending[unit]++
@@ -562,7 +562,7 @@
 					continue // what became of it is not known, and this lead is over
 				} else if err != nil {
 					k.mu.Lock()
-					l.marks.Again(marks)
+					l.marks.Requeue(marks)
 					k.mu.Unlock()
 				}
 				for range len(o.Steps) - len(all) {
@@ -577,16 +577,16 @@
 					if err == nil {
 						err, all = all[0].err, all[1:]
 						if lapse(q.entry) {
-							l.settle(q.entry.By)
+							l.settle(q.entry.Node)
 						}
 					}
 					if err != nil {
-						l.planner.Refused(now, q.entry, err)
+						l.planner.OnProposalRefused(now, q.entry, err)
 					}
 				}
 			}
 			k.mu.Unlock()
-			k.bell.Ring()
+			k.bell.Wake()
 		}
 	}
 }
@@ -608,7 +608,7 @@
 	if r == nil {
 		return nil, raft.ErrNotLeader
 	}
-	f := r.Apply(text, k.spans.Answer.Span())
+	f := r.Apply(text, k.spans.ProposalTimeout.Span())
 	if err := f.Error(); err != nil {
 		return nil, err
 	}
@@ -619,7 +619,7 @@
 }
 
 // told has what was agreed told to the planner of the leading keeper, and logged.
-func (k *Keeper) told(steps []handover.Entry, all []result) {
+func (k *Keeper) told(steps []migration.Operation, all []result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.leading()
@@ -634,22 +634,22 @@
 		p := all[i].place
 		metrics.GetOrCreateCounter(fmt.Sprintf("cove_keeper_steps_total{kind=%q}", e.Kind)).Inc()
 		l.expects(now, p)
-		l.planner.Placed(now, p)
+		l.planner.OnAssignment(now, p)
 		switch e.Kind {
-		case handover.Create, handover.Switch, handover.Fail, handover.Lacks, handover.Restart, handover.Release, handover.Quarantine,
-			handover.Forget:
-			to := p.Owner
+		case migration.OpCreate, migration.OpCutOver, migration.OpFailOver, migration.OpReportIncomplete, migration.OpRestart, migration.OpRelease, migration.OpQuarantine,
+			migration.OpDelete:
+			to := p.Primary
 			if to == "" {
 				to = string(p.State)
 			}
-			if e.Kind == handover.Forget {
+			if e.Kind == migration.OpDelete {
 				to = "forgotten"
 			}
-			k.Log.Info().Str("event", "placed").Str("instance", p.Name).Uint64("epoch", p.Epoch).Str("from", e.By).
+			k.Log.Info().Str("event", "placed").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("from", e.Node).
 				Str("to", to).Str("why", e.Reason).Send()
 		}
 	}
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // lines hands raft's own log lines on.
--- a/internal/keeper/serve.go
+++ b/internal/controller/serve.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -17,24 +17,24 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/hashicorp/raft"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
 	"silvercove/internal/leases"
-	"silvercove/internal/peers"
-	"silvercove/internal/strength"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/tick"
 )
 
 // fault is an answer that says no.
 type fault struct {
 	code int
-	keepers.Fault
+	controllerclient.Fault
 }
 
 func (f *fault) Error() string { return f.Fault.Error }
 
 func no(code int, format string, args ...any) *fault {
-	return &fault{code, keepers.Fault{Error: fmt.Sprintf(format, args...)}}
+	return &fault{code, controllerclient.Fault{Error: fmt.Sprintf(format, args...)}}
 }
 
 type fromKey struct{}
@@ -55,7 +55,7 @@
 		var answer any
 		var err error
 		if r.Method == http.MethodPost {
-			if err = json.NewDecoder(http.MaxBytesReader(w, r.Body, keepers.MostBody)).Decode(&c.in); err != nil {
+			if err = json.NewDecoder(http.MaxBytesReader(w, r.Body, controllerclient.MostBody)).Decode(&c.in); err != nil {
 				err = no(http.StatusBadRequest, "the call can't be read: %v", err)
 			}
 		}
@@ -72,7 +72,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(code)
-		json.NewEncoder(w).Encode(answer) // a caller that went away needs nothing
+		_ = json.NewEncoder(w).Encode(answer) // a caller that went away needs nothing
 	}
 }
 
@@ -94,11 +94,11 @@
 		IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10, ErrorLog: nil,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
-			return context.WithValue(ctx, fromKey{}, conn.(*peers.Conn).From)
+			return context.WithValue(ctx, fromKey{}, conn.(*peertransport.Conn).From)
 		}}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	listener := k.Net.Listener(peers.HTTP)
+	listener := k.Net.Listener(peertransport.HTTP)
 	listener.Admit(k.crowd.admit)
 	err := server.Serve(listener)
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // the latter: the process's connections have ended
@@ -129,8 +129,8 @@
 
 // version refuses a call of a later version.
 func version(v int) error {
-	if v != keepers.Version {
-		return no(http.StatusBadRequest, "version %d of the call is not spoken here, %d is", v, keepers.Version)
+	if v != controllerclient.Version {
+		return no(http.StatusBadRequest, "version %d of the call is not spoken here, %d is", v, controllerclient.Version)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 }
 
 // lease grants a lease, or renews it.
-func (k *Keeper) lease(c call[keepers.LeaseAsk]) (any, error) {
+func (k *Keeper) lease(c call[controllerclient.LeaseAsk]) (any, error) {
 	came, a := k.Now(), c.in
 	if err := version(a.V); err != nil {
 		return nil, err
@@ -162,22 +162,22 @@
 		return nil, err
 	}
 	k.mu.Lock()
-	verdict, err := l.book.Ask(k.Now(), a.Unit, a.Run)
+	verdict, err := l.book.Request(k.Now(), a.Unit, a.Run)
 	k.mu.Unlock()
 	if err != nil {
 		return nil, notGranted(a.Unit, err)
 	}
-	if verdict == leases.Agrees {
+	if verdict == leases.ProposeIncarnation {
 		_, err := k.apply(order{Term: l.term, Unit: a.Unit, Run: a.Run})
 		k.mu.Lock()
 		switch {
 		case err == nil:
-			l.book.Agreed(a.Unit, a.Run)
-		case never(err), errors.Is(err, errTerm), errors.Is(err, leases.ErrCopy):
-			l.book.Dropped(a.Unit)
+			l.book.OnIncarnationAgreed(a.Unit, a.Run)
+		case never(err), errors.Is(err, errTerm), errors.Is(err, leases.ErrStaleIncarnation):
+			l.book.OnIncarnationDropped(a.Unit)
 		} // else it is not known, and the lead is over
 		k.mu.Unlock()
-		if errors.Is(err, leases.ErrCopy) {
+		if errors.Is(err, leases.ErrStaleIncarnation) {
 			return nil, no(http.StatusConflict, "%s: %v", a.Unit, err)
 		} else if err != nil {
 			return nil, err
@@ -186,16 +186,16 @@
 	if err := k.confirm.leads(c.ctx, r, l.term); err != nil {
 		return nil, err
 	}
-	if len(a.Doubts) > keepers.MostDoubts {
-		return nil, no(http.StatusBadRequest, "%d doubts, allowed are %d", len(a.Doubts), keepers.MostDoubts)
+	if len(a.Doubts) > controllerclient.MostDoubts {
+		return nil, no(http.StatusBadRequest, "%d doubts, allowed are %d", len(a.Doubts), controllerclient.MostDoubts)
 	}
 	if len(a.Doubts) > 0 { // a unit tells each until its lease is granted with it
 		if _, err := k.apply(order{Term: l.term, Doubts: a.Doubts}); err != nil {
 			return nil, err
 		}
 		for _, d := range a.Doubts {
-			k.Log.Warn().Str("event", "doubts").Str("instance", d.Name).Uint64("epoch", d.Epoch).Str("from", a.Unit).
-				Str("why", d.Why).Send()
+			k.Log.Warn().Str("event", "doubts").Str("instance", d.Instance).Uint64("epoch", d.Epoch).Str("from", a.Unit).
+				Str("why", d.Reason).Send()
 		}
 	}
 	k.mu.Lock()
@@ -221,35 +221,35 @@
 	if err != nil {
 		return nil, notGranted(a.Unit, err)
 	}
-	kept, doubts := l.marks.Told(a.Unit, a.Kept), len(a.Doubts)
+	kept, doubts := l.marks.Report(a.Unit, a.Kept), len(a.Doubts)
 	a.Doubts = nil
 	a = l.believed(now, k.zone(a), a)
 	if back, known := l.back[a.Build]; known { // else the unit says what an earlier leader told it
 		a.Back = back
 	}
 	u := k.unit(a)
-	u.Until = until
+	u.LeaseEnd = until
 	metrics.GetOrCreateCounter("cove_keeper_leases_granted_total").Inc()
-	l.planner.Unit(now, u)
+	l.planner.OnNodeStatus(now, u)
 	before := l.units[a.Unit]
 	if l.units[a.Unit] = &a; before == nil || !alike(shown(a), shown(*before)) {
 		l.news()
 	}
-	k.bell.Ring()
-	return keepers.LeaseAnswer{Granted: true, Keeper: k.self, Places: k.machine.version(), Kept: kept, Doubts: doubts,
+	k.bell.Wake()
+	return controllerclient.LeaseAnswer{Granted: true, Keeper: k.self, Places: k.machine.version(), Kept: kept, Doubts: doubts,
 		Line: k.machine.line(), Back: a.Back}, nil
 }
 
 // notGranted refuses a lease: for good, or so that the unit asks again at once.
 func notGranted(unit string, err error) error {
-	if errors.Is(err, leases.ErrLate) || errors.Is(err, leases.ErrAgreeing) {
+	if errors.Is(err, leases.ErrExpired) || errors.Is(err, leases.ErrIncarnationPending) {
 		return no(http.StatusServiceUnavailable, "%s: %v", unit, err)
 	}
 	return no(http.StatusConflict, "%s: %v", unit, err)
 }
 
 // zone is where a unit is: as it says, or else as this keeper's file does.
-func (k *Keeper) zone(a keepers.LeaseAsk) string {
+func (k *Keeper) zone(a controllerclient.LeaseAsk) string {
 	if a.Zone != "" {
 		return a.Zone
 	}
@@ -258,12 +258,12 @@
 }
 
 // believed puts what counts of a unit's report in the place of what it says.
-func (l *lead) believed(now tick.Tick, zone string, a keepers.LeaseAsk) keepers.LeaseAsk {
-	var r strength.Report
+func (l *lead) believed(now tick.Tick, zone string, a controllerclient.LeaseAsk) controllerclient.LeaseAsk {
+	var r devicehealth.Report
 	if json.Unmarshal(a.Report, &r) != nil {
 		return a // read says what becomes of that
 	}
-	if text, err := json.Marshal(l.claims.Report(now, a.Unit, zone, r)); err == nil {
+	if text, err := json.Marshal(l.claims.Verify(now, a.Unit, zone, r)); err == nil {
 		a.Report = text
 	}
 	return a
@@ -275,7 +275,7 @@
 )
 
 // outcomes takes how commands at units ended, as a relay saw them. What a unit says of itself is judged by it.
-func (k *Keeper) outcomes(c call[keepers.Outcomes]) (any, error) {
+func (k *Keeper) outcomes(c call[controllerclient.Outcomes]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -290,17 +290,17 @@
 	defer k.mu.Unlock()
 	now := k.Now()
 	if s := c.in.State; s != "" {
-		k.stands(l, now, c.from, c.in.Build, s == keepers.Recalling || s == keepers.Recalled)
+		k.stands(l, now, c.from, c.in.Build, s == controllerclient.Recalling || s == controllerclient.Recalled)
 	}
 	for _, o := range c.in.Units {
 		if !k.edge(o.Unit) || o.Good < 0 || o.Bad < 0 {
 			return nil, no(http.StatusBadRequest, "outcomes of %.40q: %d good, %d bad", o.Unit, o.Good, o.Bad)
 		}
 		total := min(o.Good, mostCount) + min(o.Bad, mostCount)
-		n := min(total, keepers.MostOutcomes)
+		n := min(total, controllerclient.MostOutcomes)
 		bad := min(o.Bad, mostCount) * n / max(1, total)
 		for i := range n { // spread evenly
-			l.claims.Outcome(now, o.Unit, (i+1)*bad/n == i*bad/n)
+			l.claims.RecordOutcome(now, o.Unit, (i+1)*bad/n == i*bad/n)
 		}
 	}
 	return struct{}{}, nil
@@ -340,20 +340,20 @@
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.units)) {
 		a := *l.units[name]
-		until, held := l.book.Held(now, name)
+		until, held := l.book.LeaseEnd(now, name)
 		if a.Build != build || a.Back == back || !held {
 			continue
 		}
 		a.Back, changed = back, true
 		l.units[name] = &a
 		u := k.unit(a)
-		u.Until = until
-		l.planner.Unit(now, u)
+		u.LeaseEnd = until
+		l.planner.OnNodeStatus(now, u)
 	}
 	if changed {
 		l.news()
 	}
-	k.bell.Ring()
+	k.bell.Wake()
 }
 
 // floor tells for each zone whose units are all tired what is served on there, the most important first.
@@ -363,37 +363,37 @@
 		return nil, err
 	}
 	k.mu.Lock()
-	zones := map[string]map[string]strength.Report{}
+	zones := map[string]map[string]devicehealth.Report{}
 	for name, a := range l.units {
-		var r strength.Report
-		if _, held := l.book.Held(k.Now(), name); !held || json.Unmarshal(a.Report, &r) != nil {
+		var r devicehealth.Report
+		if _, held := l.book.LeaseEnd(k.Now(), name); !held || json.Unmarshal(a.Report, &r) != nil {
 			continue
 		}
 		z := k.zone(*a)
 		if zones[z] == nil {
-			zones[z] = map[string]strength.Report{}
+			zones[z] = map[string]devicehealth.Report{}
 		}
 		zones[z][name] = r
 	}
 	k.mu.Unlock()
-	out := keepers.Floor{Zones: []keepers.FloorZone{}}
-	var all []handover.Place
+	out := controllerclient.Floor{Zones: []controllerclient.FloorZone{}}
+	var all []migration.Assignment
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		if !strength.AllTired(zones[z]) {
+		if !devicehealth.AllDraining(zones[z]) {
 			continue
 		}
 		if all == nil {
 			all = k.machine.all()
 		}
-		var there []strength.Served
+		var there []devicehealth.Instance
 		for _, p := range all {
-			if _, ours := zones[z][p.Owner]; ours && p.State == handover.Runs {
-				there = append(there, strength.Served{Name: p.Name, Unit: p.Owner, Weight: p.Weight})
+			if _, ours := zones[z][p.Primary]; ours && p.State == migration.Running {
+				there = append(there, devicehealth.Instance{Name: p.Instance, Node: p.Primary, PriorityWeight: p.Weight})
 			}
 		}
-		one := keepers.FloorZone{Zone: z, Instances: []keepers.FloorInstance{}}
-		for _, s := range strength.Floor(zones[z], there) {
-			one.Instances = append(one.Instances, keepers.FloorInstance{Name: s.Name, Unit: s.Unit, Weight: s.Weight})
+		one := controllerclient.FloorZone{Zone: z, Instances: []controllerclient.FloorInstance{}}
+		for _, s := range devicehealth.LastResort(zones[z], there) {
+			one.Instances = append(one.Instances, controllerclient.FloorInstance{Name: s.Name, Unit: s.Node, Weight: s.PriorityWeight})
 		}
 		out.Zones = append(out.Zones, one)
 	}
@@ -401,34 +401,34 @@
 }
 
 // unit is a unit in the planner's words. One whose report can't be read takes nothing new, and keeps what it has.
-func (k *Keeper) unit(a keepers.LeaseAsk) handover.Unit {
+func (k *Keeper) unit(a controllerclient.LeaseAsk) migration.NodeStatus {
 	r := read(a)
-	u := handover.Unit{Name: a.Unit, Run: a.Run, Danger: r.Danger, Room: r.Room, Draining: a.Draining,
-		Build: a.Build, GoingBack: a.Back, Cold: a.Cold, Fresh: a.Fresh}
+	u := migration.NodeStatus{Name: a.Unit, Incarnation: a.Run, Risk: r.Danger, FreeSlots: r.Room, Draining: a.Draining,
+		Version: a.Build, RollingBack: a.Back, WarmingUp: a.Cold, LostCopies: a.Fresh}
 	u.Zone = k.zone(a)
-	u.Accepts, u.Trickle = r.State == keepers.Accepts || r.State == keepers.Trickle, r.State == keepers.Trickle
-	u.HandsOn, u.Leaves = r.State == keepers.HandsOn || r.State == keepers.Leaves, r.State == keepers.Leaves
+	u.Accepting, u.Limited = r.State == controllerclient.Accepts || r.State == controllerclient.Trickle, r.State == controllerclient.Trickle
+	u.Evacuating, u.ShuttingDown = r.State == controllerclient.HandsOn || r.State == controllerclient.Leaves, r.State == controllerclient.Leaves
 	return u
 }
 
-func read(a keepers.LeaseAsk) keepers.Report {
-	var r keepers.Report
+func read(a controllerclient.LeaseAsk) controllerclient.Report {
+	var r controllerclient.Report
 	if err := json.Unmarshal(a.Report, &r); err != nil {
-		return keepers.Report{State: keepers.Keeps, Reasons: []string{"its report can't be read"}}
+		return controllerclient.Report{State: controllerclient.Keeps, Reasons: []string{"its report can't be read"}}
 	}
 	return r
 }
 
 // shown is a unit as it is told.
-func shown(a keepers.LeaseAsk) keepers.Unit {
+func shown(a controllerclient.LeaseAsk) controllerclient.Unit {
 	r := read(a)
-	return keepers.Unit{Name: a.Unit, Zone: a.Zone, Run: a.Run, State: r.State, Share: r.Share, Danger: r.Danger, Room: r.Room,
+	return controllerclient.Unit{Name: a.Unit, Zone: a.Zone, Run: a.Run, State: r.State, Share: r.Share, Danger: r.Danger, Room: r.Room,
 		Reasons: r.Reasons, BornMS: a.BornMS, Build: a.Build, Commands: a.Commands, Draining: a.Draining || a.Back,
-		Accepts: r.State == keepers.Accepts || r.State == keepers.Trickle}
+		Accepts: r.State == controllerclient.Accepts || r.State == controllerclient.Trickle}
 }
 
 // alike tells whether what relays go by is the same.
-func alike(a, b keepers.Unit) bool {
+func alike(a, b controllerclient.Unit) bool {
 	a.Reasons, b.Reasons, a.Danger, b.Danger = nil, nil, 0, 0
 	return a.Name == b.Name && a.Zone == b.Zone && a.Run == b.Run && a.State == b.State && a.Share == b.Share &&
 		a.Room == b.Room && a.Build == b.Build && a.Commands == b.Commands && a.Draining == b.Draining && a.BornMS == b.BornMS
@@ -449,60 +449,60 @@
 	}
 	code := http.StatusConflict
 	switch {
-	case errors.Is(r.err, handover.ErrUnknown):
+	case errors.Is(r.err, migration.ErrNotFound):
 		code = http.StatusNotFound
-	case errors.Is(r.err, handover.ErrBad), errors.Is(r.err, handover.ErrVersion):
+	case errors.Is(r.err, migration.ErrInvalid), errors.Is(r.err, migration.ErrUnsupportedVersion):
 		code = http.StatusBadRequest
 	}
 	f := no(code, "%v", r.err)
-	if r.place.Name != "" {
+	if r.place.Instance != "" {
 		f.Place = &r.place
 	}
 	return nil, f
 }
 
 // step has an owner's or an operator's entry agreed. The planner's own kinds are not taken from outside.
-func (k *Keeper) step(c call[handover.Entry]) (any, error) {
+func (k *Keeper) step(c call[migration.Operation]) (any, error) {
 	e := c.in
-	if e.V != handover.Version {
-		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", handover.ErrVersion, e.V,
-			handover.Version)
+	if e.Version != migration.FormatVersion {
+		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", migration.ErrUnsupportedVersion, e.Version,
+			migration.FormatVersion)
 	}
 	l, _, err := k.take()
 	if err != nil {
 		return nil, err
 	}
-	o := order{Steps: []handover.Entry{e}}
+	o := order{Steps: []migration.Operation{e}}
 	switch e.Kind {
-	case handover.Synced, handover.Drop, handover.Switch, handover.Back, handover.Begin,
-		handover.Lacks:
-		if e.By != c.from {
-			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.By)
+	case migration.OpReplicaReady, migration.OpDropReplica, migration.OpCutOver, migration.OpCancelCopy, migration.OpMarkServed,
+		migration.OpReportIncomplete:
+		if e.Node != c.from {
+			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.Node)
 		}
-	case handover.Create, handover.Release:
-		if !k.edge(e.To) {
-			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.To, k.self)
+	case migration.OpCreate, migration.OpRelease:
+		if !k.edge(e.Target) {
+			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.Target, k.self)
 		}
-	case handover.Forget, handover.Quarantine:
-		p, ok := k.machine.get(e.Name)
+	case migration.OpDelete, migration.OpQuarantine:
+		p, ok := k.machine.get(e.Instance)
 		if !ok {
-			return nil, no(http.StatusNotFound, "%v", handover.ErrUnknown)
+			return nil, no(http.StatusNotFound, "%v", migration.ErrNotFound)
 		}
 		if e.Epoch == 0 {
 			e.Epoch = p.Epoch
 		}
-		if e.By = p.Owner; p.Owner != "" { // its owner must not act any more
+		if e.Node = p.Primary; p.Primary != "" { // its owner must not act any more
 			k.mu.Lock()
-			err := l.rest(k.Now(), p.Owner)
+			err := l.rest(k.Now(), p.Primary)
 			k.mu.Unlock()
 			if err != nil {
-				f := no(http.StatusConflict, "%s runs at %s: %v", e.Name, p.Owner, err)
+				f := no(http.StatusConflict, "%s runs at %s: %v", e.Instance, p.Primary, err)
 				f.Place = &p
 				return nil, f
 			}
 			defer func() {
 				k.mu.Lock()
-				l.settle(p.Owner)
+				l.settle(p.Primary)
 				k.mu.Unlock()
 			}()
 			o.Term = l.term
@@ -515,7 +515,7 @@
 }
 
 // device says where an instance's device is.
-func (k *Keeper) device(c call[keepers.Device]) (any, error) {
+func (k *Keeper) device(c call[controllerclient.Device]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -525,17 +525,17 @@
 	}
 	p, ok := k.machine.get(c.in.Name)
 	if !ok {
-		return nil, no(http.StatusNotFound, "%v: %s", handover.ErrUnknown, c.in.Name)
+		return nil, no(http.StatusNotFound, "%v: %s", migration.ErrNotFound, c.in.Name)
 	}
-	answer, err := answered(k.apply(order{Steps: []handover.Entry{{V: handover.Version, Kind: handover.Cross, Name: p.Name,
+	answer, err := answered(k.apply(order{Steps: []migration.Operation{{Version: migration.FormatVersion, Kind: migration.OpMoveDevice, Instance: p.Instance,
 		Epoch: p.Epoch, Zone: c.in.Zone}}}))
 	if err == nil {
 		k.mu.Lock()
 		if k.leading() == l {
-			l.planner.Device(k.Now(), c.in.Name, c.in.Zone)
+			l.planner.OnDeviceMoved(k.Now(), c.in.Name, c.in.Zone)
 		}
 		k.mu.Unlock()
-		k.bell.Ring()
+		k.bell.Wake()
 	}
 	return answer, err
 }
@@ -588,13 +588,13 @@
 		}
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(k.spans.News.Span())
+			timer.Reset(k.spans.AssignmentUpdateInterval.Span())
 			select {
 			case <-timer.C:
 			case <-c.ctx.Done():
 			}
 		case <-timer.C:
-			p.Whole, p.Places = false, []handover.Place{}
+			p.Whole, p.Places = false, []migration.Assignment{}
 			return p, nil
 		case <-l.over:
 			_, _, err := k.take()
@@ -627,7 +627,7 @@
 		k.mu.Unlock()
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(min(k.spans.Gather.Span(), mostWait))
+			timer.Reset(min(k.spans.NodeUpdateInterval.Span(), mostWait))
 			gathered = true
 			select {
 			case <-timer.C:
@@ -647,23 +647,23 @@
 }
 
 // known are all edge units of the file. It is called with mu.
-func (k *Keeper) known(l *lead) keepers.Units {
-	u := keepers.Units{Version: l.version, Units: []keepers.Unit{}}
+func (k *Keeper) known(l *lead) controllerclient.Units {
+	u := controllerclient.Units{Version: l.version, Units: []controllerclient.Unit{}}
 	now := k.Now()
 	for _, p := range k.Net.Peers("edge") {
-		one := keepers.Unit{Name: p.Name, Zone: p.Zone}
+		one := controllerclient.Unit{Name: p.Name, Zone: p.Zone}
 		if a := l.units[p.Name]; a != nil {
 			if one = shown(*a); one.Zone == "" {
 				one.Zone = p.Zone
 			}
 		}
-		_, one.Held = l.book.Held(now, p.Name)
+		_, one.Held = l.book.LeaseEnd(now, p.Name)
 		if one.Accepts = one.Accepts && one.Held; one.Commands == "" {
 			one.Commands = p.Commands
 		}
 		u.Units = append(u.Units, one)
 	}
-	slices.SortFunc(u.Units, func(a, b keepers.Unit) int {
+	slices.SortFunc(u.Units, func(a, b controllerclient.Unit) int {
 		if a.Name < b.Name {
 			return -1
 		}
@@ -675,8 +675,8 @@
 // status says how this keeper stands, whatever it does.
 func (k *Keeper) status(call[struct{}]) (any, error) {
 	m := k.disk.now()
-	s := keepers.Status{V: keepers.Version, Node: k.self, Role: "waits", Birth: m.Birth, Store: m.Store,
-		Keepers: append([]string{k.self}, k.peers...), Marks: map[string]keepers.Mark{},
+	s := controllerclient.Status{V: controllerclient.Version, Node: k.self, Role: "waits", Birth: m.Birth, Store: m.Store,
+		Keepers: append([]string{k.self}, k.peers...), Marks: map[string]controllerclient.Mark{},
 		Generation: max(m.Line, k.machine.line().Generation), Stores: k.machine.stores()}
 	slices.Sort(s.Keepers)
 	if r := k.raft.Load(); r != nil {
@@ -687,7 +687,7 @@
 	}
 	for _, p := range k.machine.all() {
 		s.Places++
-		if p.Switch {
+		if p.CutOver {
 			s.Moves++
 		}
 	}
@@ -710,7 +710,7 @@
 }
 
 // joins lets a keeper's disk in.
-func (k *Keeper) joins(c call[keepers.Join]) (any, error) {
+func (k *Keeper) joins(c call[controllerclient.Join]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -725,7 +725,7 @@
 }
 
 // confirms says in which term this keeper is.
-func (k *Keeper) confirms(c call[keepers.Confirm]) (any, error) {
+func (k *Keeper) confirms(c call[controllerclient.Confirm]) (any, error) {
 	if err := version(c.in.V); err != nil {
 		return nil, err
 	}
@@ -733,7 +733,7 @@
 	if r == nil {
 		return nil, no(http.StatusServiceUnavailable, "%s waits", k.self)
 	}
-	return keepers.Confirm{V: keepers.Version, Term: r.CurrentTerm()}, nil
+	return controllerclient.Confirm{V: controllerclient.Version, Term: r.CurrentTerm()}, nil
 }
 
 // backup writes a snapshot of what is agreed.
@@ -743,5 +743,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	k.machine.freeze().WriteTo(w) // a caller that went away needs nothing
+	_, _ = k.machine.freeze().WriteTo(w) // a caller that went away needs nothing
 }
--- a/internal/edge/commands.go
+++ b/internal/edgenode/commands.go
@@ -1,4 +1,4 @@
-package edge
+package edgenode
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
-	"silvercove/internal/strength"
 	"silvercove/internal/tick"
 )
 
@@ -28,16 +28,16 @@
 func (e *Edge) serve(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
-	stop := context.AfterFunc(ctx, func() { e.commands.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = e.commands.Close() })
 	defer stop()
-	defer e.commands.Close() // by now, not when the other one gets to it
+	defer func() { _ = e.commands.Close() }() // by now, not when the other one gets to it
 	places := make(chan struct{}, mostConns)
 	for {
 		conn, err := e.commands.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				conn.Close()
+				_ = conn.Close()
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
@@ -50,16 +50,16 @@
 		select {
 		case places <- struct{}{}:
 		default:
-			conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
-			conn.Write(pgwire.Problem("FATAL", pgwire.NoRoom, "too many connections", ""))
-			conn.Close()
+			_ = conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
+			_, _ = conn.Write(pgwire.Problem("FATAL", pgwire.NoRoom, "too many connections", ""))
+			_ = conn.Close()
 			continue
 		}
 		all.Go(func() {
 			defer func() { <-places }()
-			end := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
+			end := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) })
 			defer end()
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			e.session(ctx, conn)
 		})
 	}
@@ -70,7 +70,7 @@
 	var buf []byte
 	in := make([]byte, 4<<10)
 	more := func(limit time.Duration) bool {
-		conn.SetReadDeadline(time.Now().Add(limit))
+		_ = conn.SetReadDeadline(time.Now().Add(limit))
 		if ctx.Err() != nil {
 			return false
 		}
@@ -79,7 +79,7 @@
 		return n > 0 || err == nil
 	}
 	say := func(b []byte) bool {
-		conn.SetWriteDeadline(time.Now().Add(writeTime))
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTime))
 		_, err := conn.Write(b)
 		return err == nil
 	}
@@ -168,68 +168,68 @@
 	a := e.ask(ctx, q)
 	metrics.GetOrCreateCounter(outcomes[a.Outcome]).Inc()
 	switch a.Outcome {
-	case handover.Acked:
+	case migration.Succeeded:
 		end := "SELECT 1"
 		if q.Write {
 			end = "INSERT 0 1"
 		}
-		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Seq, a.Epoch, a.Unit), end)
-	case handover.NeverRan:
-		return problem(pgwire.NoRoom, a.Text)
-	case handover.Oversize:
-		return problem(pgwire.TooLong, a.Text)
+		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Index, a.Epoch, a.Node), end)
+	case migration.Rejected:
+		return problem(pgwire.NoRoom, a.Detail)
+	case migration.TooLarge:
+		return problem(pgwire.TooLong, a.Detail)
 	}
-	return problem(pgwire.Failed, a.Text)
+	return problem(pgwire.Failed, a.Detail)
 }
 
-var outcomes = [...]string{handover.NeverRan: `cove_edge_commands_total{end="never ran"}`,
-	handover.Acked: `cove_edge_commands_total{end="acked"}`, handover.Unknown: `cove_edge_commands_total{end="unknown"}`,
-	handover.Oversize: `cove_edge_commands_total{end="too large"}`}
+var outcomes = [...]string{migration.Rejected: `cove_edge_commands_total{end="never ran"}`,
+	migration.Succeeded: `cove_edge_commands_total{end="acked"}`, migration.Indeterminate: `cove_edge_commands_total{end="unknown"}`,
+	migration.TooLarge: `cove_edge_commands_total{end="too large"}`}
 
 // unready tells why a probe is turned away, "" where it is not.
 func (e *Edge) unready() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.owner == nil || !e.owner.May(keepers.Now()):
+	case e.owner == nil || !e.owner.HoldsLease(controllerclient.Now()):
 		return "no lease"
-	case e.ends || e.report.State == strength.Leaves:
+	case e.ends || e.report.State == devicehealth.StateLeaving:
 		return "it leaves"
 	}
 	return ""
 }
 
 // ask has a command carried out by the owner's decision.
-func (e *Edge) ask(ctx context.Context, q *pgwire.Query) handover.Answer {
+func (e *Edge) ask(ctx context.Context, q *pgwire.Query) migration.Response {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
-	c := &handover.Ask{ID: q.ID, Name: q.Key, Write: q.Write, Body: q.Content()}
-	done := make(chan handover.Answer, 1)
+	c := &migration.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Content()}
+	done := make(chan migration.Response, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
-		return handover.Answer{Outcome: handover.NeverRan, Text: "the keepers' places are not known yet: never ran"}
+		return migration.Response{Outcome: migration.Rejected, Detail: "the keepers' places are not known yet: never ran"}
 	}
 	e.busy++
 	e.asks[c] = done
-	now := keepers.Now()
-	c.NotAfter = now + tick.Of(wait)
-	e.owner.Asked(now, c)
+	now := controllerclient.Now()
+	c.Deadline = now + tick.Of(wait)
+	e.owner.OnRequest(now, c)
 	e.mu.Unlock()
-	var a handover.Answer
+	var a migration.Response
 	select {
 	case a = <-done:
 	case <-ctx.Done():
-		a = handover.Answer{Outcome: handover.Unknown, Text: "the unit ends: its effect may be kept or dropped"}
+		a = migration.Response{Outcome: migration.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
 	}
 	e.mu.Lock()
 	delete(e.asks, c)
 	e.busy--
 	switch a.Outcome {
-	case handover.Acked:
-		e.strength.Outcome(now, true)
-	case handover.Unknown:
-		if !a.Quit { // that keepers fell, or that others own it now, says nothing of this unit's strength
-			e.strength.Outcome(now, false)
+	case migration.Succeeded:
+		e.strength.RecordOutcome(now, true)
+	case migration.Indeterminate:
+		if !a.LeaseLost { // that keepers fell, or that others own it now, says nothing of this unit's strength
+			e.strength.RecordOutcome(now, false)
 		}
 	}
 	e.mu.Unlock()
--- /dev/null
+++ b/internal/instancestore/stored_test.go
@@ -0,0 +1,122 @@
+package instancestore
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"silvercove/internal/migration"
+)
+
+var updateStored = flag.Bool("update", false, "write testdata/stored anew")
+
+const storedNote = `{"note":"of the program that stored it"}`
+
+// storedSettled is the count that the stored file was settled with.
+const storedSettled = 5000
+
+// A file that an earlier program wrote is read, takes the next records, and keeps what it had.
+func TestStoredRecordsAreReadAndContinued(t *testing.T) {
+	stored := filepath.Join("testdata", "stored", "instances.log")
+	if *updateStored {
+		writeStored(t, stored)
+	}
+	text, err := os.ReadFile(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "instances.log"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s, records, end := open(t, folder)
+	checkStored(t, records)
+	if s.RecordCount() <= storedSettled {
+		t.Errorf("it counts %d records after being settled at %d", s.RecordCount(), storedSettled)
+	}
+	count := s.RecordCount()
+	if err := wait(func(d func(error)) { s.ConfirmCurrent(count, d) }); err != nil {
+		t.Fatal(err)
+	}
+	m := &made{s: s, rec: records[0]}
+	if err := m.add("more", "after it was stored"); err != nil {
+		t.Fatal(err)
+	}
+	end()
+
+	again, records, end := open(t, folder)
+	checkStored(t, records)
+	if n := len(records[0].Entries); n != 4 || string(records[0].Entries[3].Body) != "after it was stored" {
+		t.Errorf("%+v", records[0])
+	}
+	if again.RecordCount() <= count {
+		t.Errorf("it counts %d records after %d", again.RecordCount(), count)
+	}
+	end()
+	last, _, note, err := Open(folder, func(string) {})
+	if err != nil || string(note) != storedNote {
+		t.Fatalf("the note is %q, %v", note, err)
+	}
+	stop := make(chan struct{})
+	close(stop)
+	last.Run(stop)
+}
+
+// checkStored checks that everything that was stored is there.
+func checkStored(t *testing.T, records []migration.Log) {
+	t.Helper()
+	if len(records) != 2 || records[0].Instance != "camera-7" || records[1].Instance != "camera-9" {
+		t.Fatalf("%+v", records)
+	}
+	for i, want := range []string{"command-0 body 0", "command-1 body 1", "command-2 "} {
+		if i >= len(records[0].Entries) {
+			t.Fatalf("camera-7 has %d effects", len(records[0].Entries))
+		}
+		e := records[0].Entries[i]
+		if got := e.RequestID + " " + string(e.Body); got != want || e.Index != uint64(i+1) || e.Epoch != 3 || e.Node != "edge-a" {
+			t.Errorf("effect %d is %+v", i+1, e)
+		}
+	}
+	if r := records[1]; r.BaseIndex != 12 || r.BaseChecksum != 0xfeedface || r.LastIndex() != 12 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// writeStored stores a file with a record of each kind.
+func writeStored(t *testing.T, stored string) {
+	t.Helper()
+	folder := t.TempDir()
+	s, _, end := open(t, folder)
+	m := &made{s: s, rec: migration.Log{Instance: "camera-7"}}
+	ask := func(ask func(done func(error))) {
+		t.Helper()
+		if err := wait(ask); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ask(func(d func(error)) { s.ConfirmCurrent(storedSettled, d) })
+	ask(func(d func(error)) { s.Reset("camera-7", 0, 0, d) })
+	for i, body := range []string{"body 0", "body 1", "", "cut off again"} {
+		if err := m.add(fmt.Sprint("command-", i), body); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ask(func(d func(error)) { s.Truncate("camera-7", 3, d) })
+	ask(func(d func(error)) { s.Reset("camera-8", 0, 0, d) })
+	ask(func(d func(error)) { s.Delete("camera-8", d) })
+	ask(func(d func(error)) { s.Reset("camera-9", 12, 0xfeedface, d) })
+	ask(func(d func(error)) { s.SetNote([]byte(storedNote), d) })
+	end()
+	text, err := os.ReadFile(filepath.Join(folder, "instances.log"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(stored), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(stored, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/migration/export_test.go
@@ -0,0 +1,4 @@
+package migration
+
+// Busy is how many instances an alarm looks at.
+func (o *Manager) Busy() int { return len(o.busy) }
--- a/internal/placement/rebuild.go
+++ b/internal/placement/rebuild.go
@@ -3,16 +3,16 @@
 import (
 	"bytes"
 
-	"silvercove/internal/handover"
+	"silvercove/internal/migration"
 )
 
-// Of is a table of these places, sorted by name, as where placement is rebuilt; an error says which of them makes no
+// FromAssignments is a table of these places, sorted by name, as where placement is rebuilt; an error says which of them makes no
 // sense.
-func Of(places []handover.Place) (*Table, error) {
+func FromAssignments(places []migration.Assignment) (*Table, error) {
 	var buf bytes.Buffer
-	write(&buf, head{V: handover.Version, Version: uint64(len(places)), Places: len(places)}, nil)
+	_ = write(&buf, head{V: migration.FormatVersion, Version: uint64(len(places)), Places: len(places)}, nil)
 	for i, p := range places {
-		write(&buf, line{At: uint64(i + 1), Place: p}, nil)
+		_ = write(&buf, line{At: uint64(i + 1), Assignment: p}, nil)
 	}
 	t := New()
 	return t, t.Restore(buf.Bytes())
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -4,17 +4,17 @@
 	"context"
 	"time"
 
-	"silvercove/choice"
-	"silvercove/internal/gate"
-	"silvercove/internal/ledger"
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/evidence"
 )
 
 // memory is what the relay keeps of builds beside the module, and over a restart where a path is named.
 type memory struct {
-	ledger *ledger.Ledger
+	ledger *evidence.Store
 	path   string
 	every  time.Duration
-	half   choice.Tick
+	half   balancer.Tick
 
 	build  uint16 // known from before this start, until the module has it
 	n, bad []int
@@ -32,8 +32,8 @@
 		ops = append(ops, name)
 	}
 	seconds := func(name string) float64 { s, _ := t.verdicts[name].(float64); return s }
-	m := &memory{ledger: ledger.New(ops), every: time.Duration(seconds("save") * float64(time.Second)),
-		half: choice.Tick(seconds("half_life") * float64(choice.Second))}
+	m := &memory{ledger: evidence.New(ops), every: time.Duration(seconds("save") * float64(time.Second)),
+		half: balancer.Tick(seconds("half_life") * float64(balancer.Second))}
 	if m.path, _ = t.verdicts["ledger"].(string); m.path != "" {
 		m.ledger.Load(m.path)
 	}
@@ -41,14 +41,14 @@
 }
 
 // age takes what was known of the build on trial before this start, before anything new comes.
-func (m *memory) age(r *relay, news gate.Stage) {
-	if m.ledger.Lost != "" {
-		r.log.Warn().Str("why", m.ledger.Lost).Msg("what was known of builds is lost: the relay starts afresh")
+func (m *memory) age(r *relay, news dispatch.RolloutStage) {
+	if m.ledger.LoadError != "" {
+		r.log.Warn().Str("why", m.ledger.LoadError).Msg("what was known of builds is lost: the relay starts afresh")
 	}
-	if news.State == "testing" {
-		m.build = news.Build
-		r.gate.Hold(func() {
-			m.n, m.bad = m.ledger.Aged(choice.Tick(time.Now().UnixMicro()/100), news.Build, m.half)
+	if news.Phase == "testing" {
+		m.build = news.Version
+		r.gate.WithLock(func() {
+			m.n, m.bad = m.ledger.DecayedCounts(balancer.Tick(time.Now().UnixMicro()/100), news.Version, m.half)
 		})
 	}
 }
@@ -61,7 +61,7 @@
 		total, wrong = total+m.n[i], wrong+m.bad[i]
 	}
 	if total > 0 {
-		r.gate.Recall(m.build, m.n, m.bad)
+		r.gate.RestoreEvidence(m.build, m.n, m.bad)
 		r.log.Info().Uint16("build", m.build).Int("outcomes", total).Int("failed", wrong).
 			Msg("known from before the restart")
 	}
@@ -84,8 +84,8 @@
 			over = true
 		}
 		var text []byte
-		r.gate.Hold(func() { text = m.ledger.Snapshot() })
-		err := ledger.Save(m.path, text)
+		r.gate.WithLock(func() { text = m.ledger.Snapshot() })
+		err := evidence.Save(m.path, text)
 		if err != nil && !failing {
 			r.log.Error().Err(err).Msg("what is known of builds cannot be written: a restart would lose it")
 		}
