--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,13 +18,13 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/clients"
-	"silvercove/internal/gate"
-	"silvercove/internal/link"
-	"silvercove/internal/list"
+	"silvercove/internal/discovery"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/downstream"
 	"silvercove/internal/overload"
-	"silvercove/internal/platform"
-	"silvercove/internal/units"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/transport"
+	"silvercove/internal/upstream"
 )
 
 // How the limits are shared out.
@@ -39,15 +39,15 @@
 // relay is the parts of the program.
 type relay struct {
 	log   zerolog.Logger
-	room  *link.Room
-	gate  *gate.Gate
-	pools *units.Pools
-	front *clients.Front
-	watch *list.Watch
-	desk  *platform.Desk
+	room  *transport.BufferBudget
+	gate  *dispatch.Dispatcher
+	pools *upstream.Pools
+	front *downstream.Front
+	watch *discovery.Watch
+	desk  *releaseapi.Desk
 	left  time.Duration // from SIGTERM until all has to be answered
 
-	discovery, platform *link.Place
+	discovery, platform *transport.Address
 	memory              *memory // nil without an operator's file that speaks of verdicts
 }
 
@@ -71,7 +71,7 @@
 
 // Run runs a relay until a signal has ended it and all that it took is answered. env is the environment: the
 // configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
-func Run(t Told, env func(string) string, beside ...func(context.Context, *gate.Gate) error) error {
+func Run(t Told, env func(string) string, beside ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := t.signals
 	if signals == nil {
 		signals = hear()
@@ -84,11 +84,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return r.gate.Tick(ctx) })
+	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error { return r.pools.Run(ctx) })
 	pushed := !t.Follows && t.settings["discovery"] != "subscribe"
 	if t.Follows {
-		r.gate.Follow()
+		r.gate.FollowPlacements()
 	} else {
 		group.Go(func() error { return r.watch.Run(ctx, r.gate, pushed) })
 	}
@@ -109,12 +109,12 @@
 	listener, err := r.open(ctx, t, pushed)
 	if err != nil {
 		cancel()
-		group.Wait()
+		_ = group.Wait()
 		return err
 	}
 	if listener != nil {
 		if listening <- listener; ctx.Err() != nil { // ended as it began to listen: nobody has been taken in
-			listener.Close()
+			_ = listener.Close()
 		}
 		group.Go(func() error {
 			defer cancel() // the rest is needed as long as there are sessions
@@ -136,7 +136,7 @@
 		r.watch.First(limited)
 	}
 	relays, _ := t.settings["relays"].(float64)
-	r.pools.Warm(limited, r.gate.Ready(), int(min(max(relays, 1), math.MaxInt32)))
+	r.pools.Warm(limited, r.gate.ReadyBackends(), int(min(max(relays, 1), math.MaxInt32)))
 	if t.Turn != nil {
 		t.Turn(ctx)
 	}
@@ -158,11 +158,11 @@
 		default:
 		}
 		if listener != nil {
-			listener.Close()
+			_ = listener.Close()
 		}
 	}()
 	var next <-chan time.Time
-	steps := []func(){r.front.Wind, func() { listener.(*net.TCPListener).SetDeadline(time.Now()) }}
+	steps := []func(){r.front.Wind, func() { _ = listener.(*net.TCPListener).SetDeadline(time.Now()) }}
 	for stopping := false; ; {
 		select {
 		case listener = <-listening:
@@ -199,7 +199,7 @@
 // with the connections, each doubling holds up the process for tens of milliseconds.
 func growTable(sockets int) {
 	if fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, sockets-1); err == nil {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 	}
 }
 
@@ -220,35 +220,35 @@
 	timeout := max(time.Second, longest) // of a client
 	r.left = min(longest, mostKill) + handOver
 	calls := max(time.Second, span("rollout.vote_wait"))
-	r.room = link.NewRoom(t.memory / 2)
-	r.discovery, r.platform = link.NewPlace(t.discovery), link.NewPlace(t.platform)
+	r.room = transport.NewBufferBudget(t.memory / 2)
+	r.discovery, r.platform = transport.NewAddress(t.discovery), transport.NewAddress(t.platform)
 	// A watch that fell silent is found out before a drain that it should have told is past its grace.
 	grace := span("rules.drain_grace")
 	if grace == 0 {
 		grace = calls
 	}
-	r.watch = list.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
-	r.desk = platform.New(r.platform, calls, r.room, say)
-	hands := gate.Hands{
-		Vote: r.desk.Vote, Watch: r.watch.On, Fetch: r.watch.Fetch, Log: say,
-		Shed:      t.Shed,
-		Stage:     t.Staged,
-		Probe:     func(u gate.Unit) { r.pools.Probe(u) },
-		CloseIdle: func(name string) { r.pools.CloseIdle(name) },
+	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
+	r.desk = releaseapi.New(r.platform, calls, r.room, say)
+	hands := dispatch.Callbacks{
+		Vote: r.desk.Vote, WatchEndpoints: r.watch.On, FetchEndpoints: r.watch.Fetch, Log: say,
+		LoadShedder: t.Shed,
+		OnStage:     t.Staged,
+		Probe:       func(u dispatch.Backend) { r.pools.Probe(u) },
+		CloseIdle:   func(name string) { r.pools.CloseIdle(name) },
 	}
 	if r.memory = newMemory(t); r.memory != nil {
-		hands.Witness = r.memory.ledger
+		hands.Evidence = r.memory.ledger
 	}
-	r.gate = gate.New(t.seed, t.settings, hands)
+	r.gate = dispatch.New(t.seed, t.settings, hands)
 	comeBack := time.Duration(0)
 	if t.settings["limits.come_back"] == true {
 		comeBack = span("limits.max_come_back")
 	}
 	atUnits := (t.sockets - otherSockets) / 6
-	r.pools = units.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
-	r.front = clients.New(r.gate, r.pools, r.room, overload.Shares(t.sockets-otherSockets-atUnits), timeout, comeBack)
-	r.gate.List(true, t.known)
-	r.gate.Told(t.news)
+	r.pools = upstream.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
+	r.front = downstream.New(r.gate, r.pools, r.room, overload.LimitsFor(t.sockets-otherSockets-atUnits), timeout, comeBack)
+	r.gate.UpdateEndpoints(true, t.known)
+	r.gate.UpdateStage(t.news)
 	if r.memory != nil {
 		r.memory.age(r, t.news)
 	}
@@ -263,21 +263,21 @@
 		r.log.Error().Err(err).Msg("new configuration not taken")
 		return
 	}
-	list, votes := r.discovery.Move(t.discovery), r.platform.Move(t.platform)
+	list, votes := r.discovery.Update(t.discovery), r.platform.Update(t.platform)
 	r.log.Info().Bool("list_moved", list).Bool("platform_moved", votes).Msg("new configuration")
 }
 
 // print writes the counters.
 func (r *relay) print(why string) {
 	c := r.gate.Snapshot()
-	for _, op := range c.Ops {
-		r.log.Info().Str("op_type", op.Name).Int64("taken", op.Taken).Int64("acked", op.Acked).
-			Int64("nacked", op.Nacked).Int64("failed", op.Failed).Int64("left", op.Left).Msg(why)
+	for _, op := range c.Classes {
+		r.log.Info().Str("op_type", op.Name).Int64("taken", op.Accepted).Int64("acked", op.Succeeded).
+			Int64("nacked", op.Rejected).Int64("failed", op.Failed).Int64("left", op.Abandoned).Msg(why)
 	}
 	set, held := r.room.InUse()
 	open, idle := r.pools.InUse()
 	var use syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	r.log.Info().Str("gate", fmt.Sprintf("%+v", c)).
 		Int64("room_set_aside", set).Int64("room_held", held).Int("unit_connections", open).Int("idle", idle).
 		Int64("opened", r.pools.Opened.Load()).Int64("reused", r.pools.Reused.Load()).Int64("connect_failed", r.pools.Failed.Load()).Int64("unasked", r.pools.Unasked.Load()).
--- /dev/null
+++ b/internal/routing/guide_test.go
@@ -0,0 +1,115 @@
+package routing
+
+import (
+	"bytes"
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// scripted tells what a test says.
+type scripted struct {
+	places chan []migration.Assignment
+	units  chan []controllerclient.Unit
+}
+
+func (s *scripted) Watch(ctx context.Context, tell func(uint64, []migration.Assignment, []string, bool)) error {
+	for v, whole := uint64(1), true; ; v, whole = v+1, false {
+		select {
+		case p := <-s.places:
+			tell(v, p, nil, whole)
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+func (s *scripted) WatchUnits(ctx context.Context, tell func(uint64, []controllerclient.Unit)) error {
+	for {
+		select {
+		case u := <-s.units:
+			tell(1, u)
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// TestARelayFollows: commands go where the keepers say, at the address that this process's own file has; a unit whose
+// lease is over gets none, and a lost instance's commands are nacked, not sent anywhere.
+func TestARelayFollows(t *testing.T) {
+	nothing := func(string) {}
+	n, err := peertransport.Open("vans", peertransport.Peer{Name: "relay-1", Role: "relay", Address: "127.0.0.1:0"},
+		[]peertransport.Peer{{Name: "edge-a", Role: "edge", Commands: "127.0.0.1:1001"}, {Name: "edge-b", Role: "edge"}}, nothing)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := dispatch.New(1, map[string]any{"relays": 1.0, "limits.max_deliveries": 4.0, "op_types": []map[string]any{{"name": "crop",
+		"repeats": "redeliverable", "service_target": 0.5, "command_timeout": 2.0, "importance": 1.0}}},
+		dispatch.Callbacks{Log: nothing, CloseIdle: nothing, WatchEndpoints: func(bool) {}, Vote: func(dispatch.Vote) {}})
+	g.FollowPlacements()
+	g.UpdateStage(dispatch.RolloutStage{Version: 1, Phase: "live", ExposureCap: 1})
+	ctx, cancel := context.WithCancel(context.Background())
+	var log bytes.Buffer
+	k := &scripted{make(chan []migration.Assignment), make(chan []controllerclient.Unit)}
+	ended := make(chan error, 3)
+	go func() { ended <- n.Run(ctx) }()
+	go func() { ended <- g.RunTimers(ctx) }()
+	go func() { ended <- New(k, n, zerolog.New(zerolog.SyncWriter(&log))).Run(ctx, g) }()
+
+	tellUnits := func(u ...controllerclient.Unit) { // the second is taken once the first was told
+		k.units <- u
+		k.units <- u
+	}
+	tellPlaces := func(p ...migration.Assignment) {
+		k.places <- p
+		k.places <- nil
+	}
+	tellUnits(controllerclient.Unit{Name: "edge-a", Held: true, State: "hands-on", Commands: "127.0.0.1:9"},
+		controllerclient.Unit{Name: "edge-b", Held: true, Commands: "127.0.0.1:1002"})
+	tellPlaces(migration.Assignment{Instance: "camera-7", State: migration.Running, Primary: "edge-a", Epoch: 4, Revision: 9},
+		migration.Assignment{Instance: "camera-8", State: migration.Lost, Primary: "edge-a", Epoch: 4, Revision: 9})
+	pick := func(key string) dispatch.Step {
+		c, ok := g.Accept(dispatch.Request{Class: "crop", Key: key, ReceivedAt: time.Now(), Timeout: 2 * time.Second})
+		if !ok {
+			t.Fatal("not taken")
+		}
+		return g.Next(c)
+	}
+	if s := pick("camera-7"); s.Attempt == nil || s.Attempt.Address != "127.0.0.1:1001" {
+		t.Errorf("a tired owner at its own file's address: %+v", s)
+	}
+	if s := pick("camera-8"); s.Answer != dispatch.Rejected {
+		t.Errorf("a lost instance: %+v", s)
+	}
+	tellPlaces(migration.Assignment{Instance: "camera-7", State: migration.Running, Primary: "edge-b", Epoch: 5, Revision: 12})
+	if s := pick("camera-7"); s.Attempt == nil || s.Attempt.Address != "127.0.0.1:1002" {
+		t.Errorf("after a handover: %+v", s)
+	}
+	tellUnits(controllerclient.Unit{Name: "edge-a", Held: true, Commands: "127.0.0.1:9"}, controllerclient.Unit{Name: "edge-b", Commands: "127.0.0.1:1002"})
+	if s := pick("camera-7"); s.Answer != dispatch.Rejected {
+		t.Errorf("an owner whose lease is over: %+v", s)
+	}
+	cancel()
+	for range 3 {
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}
+	for _, want := range []string{`"event":"routes","instance":"camera-7","epoch":5,"to":"edge-b"`, "dead, say the keepers"} {
+		if !strings.Contains(log.String(), want) {
+			t.Errorf("no line with %s in:\n%s", want, log.String())
+		}
+	}
+}
--- a/internal/guide/strain.go
+++ b/internal/routing/strain.go
@@ -1,4 +1,4 @@
-package guide
+package routing
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/rs/zerolog"
 
-	"silvercove/internal/gate"
-	"silvercove/internal/keepers"
-	"silvercove/internal/members"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/membership"
 	"silvercove/internal/overload"
 	"silvercove/internal/tick"
 )
@@ -23,8 +23,8 @@
 // Board has the fleet's members and their news; a *members.Board does.
 type Board interface {
 	Now() tick.Tick
-	Tell(kind string, data []byte) error
-	All() []members.Member
+	Publish(kind string, data []byte) error
+	Members() []membership.Member
 }
 
 var (
@@ -45,9 +45,9 @@
 	memory float64 // bytes
 
 	mu       sync.Mutex
-	fleet    *overload.Fleet
-	outcomes map[string]*keepers.Outcome // by unit, since they were told last
-	stage    gate.Stage                  // of the newest build, as the platform told it last
+	fleet    *overload.Manager
+	outcomes map[string]*controllerclient.Outcome // by unit, since they were told last
+	stage    dispatch.RolloutStage                // of the newest build, as the platform told it last
 
 	before syscall.Rusage
 	at     time.Time
@@ -64,49 +64,49 @@
 // NewStrain makes one, of a relay that has so many cores and bytes of memory.
 func NewStrain(board Board, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *Strain {
 	s := &Strain{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
-		fleet: overload.New(board.Now(), seed, self, set), outcomes: map[string]*keepers.Outcome{}}
-	syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
+		fleet: overload.NewManager(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.Outcome{}}
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
 	return s
 }
 
-// Take tells whether a command is taken.
-func (s *Strain) Take(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
+// Admit tells whether a command is taken.
+func (s *Strain) Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, wait := s.fleet.Take(s.board.Now(), op, importance, customer)
+	ok, wait := s.fleet.Admit(s.board.Now(), op, importance, customer)
 	if !ok {
 		shed.Inc()
 	}
 	return ok, wait.Span()
 }
 
-// First counts a first delivery.
-func (s *Strain) First() {
+// RecordFirstAttempt counts a first delivery.
+func (s *Strain) RecordFirstAttempt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	firsts.Inc()
-	s.fleet.First(s.board.Now())
+	s.fleet.RecordFirstAttempt(s.board.Now())
 }
 
-// Again tells whether one more delivery may go out.
-func (s *Strain) Again(repeated bool) bool {
+// AllowRetry tells whether one more delivery may go out.
+func (s *Strain) AllowRetry(repeated bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok := s.fleet.Again(s.board.Now(), repeated)
+	ok := s.fleet.AllowRetry(s.board.Now(), repeated)
 	if ok {
 		repeats.Inc()
 	}
 	return ok
 }
 
-// Outcome takes how a delivery at a unit ended.
-func (s *Strain) Outcome(unit string, good bool) {
+// RecordOutcome takes how a delivery at a unit ended.
+func (s *Strain) RecordOutcome(unit string, good bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.Outcome(s.board.Now(), unit, good)
+	s.fleet.RecordOutcome(s.board.Now(), unit, good)
 	o := s.outcomes[unit]
 	if o == nil {
-		o = &keepers.Outcome{Unit: unit}
+		o = &controllerclient.Outcome{Unit: unit}
 		s.outcomes[unit] = o
 	}
 	if good {
@@ -116,15 +116,15 @@
 	}
 }
 
-// Worked takes an answer of a unit and how long the unit took for it.
-func (s *Strain) Worked(op int, took time.Duration) {
+// RecordServiceTime takes an answer of a unit and how long the unit took for it.
+func (s *Strain) RecordServiceTime(op int, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.Worked(s.board.Now(), op, tick.Of(took))
+	s.fleet.RecordServiceTime(s.board.Now(), op, tick.Of(took))
 }
 
 // Staged takes where the newest build stands, as the platform told it.
-func (s *Strain) Staged(news gate.Stage) {
+func (s *Strain) Staged(news dispatch.RolloutStage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stage = news
@@ -133,7 +133,7 @@
 // Report tells the keepers how commands at units ended, until the context ends. What a call that failed would have told
 // is dropped: outcomes speak for the moment.
 func (s *Strain) Report(ctx context.Context, to interface {
-	Outcomes(ctx context.Context, o keepers.Outcomes) error
+	Outcomes(ctx context.Context, o controllerclient.Outcomes) error
 }) error {
 	ticker := time.NewTicker(reports)
 	defer ticker.Stop()
@@ -145,44 +145,44 @@
 		}
 		s.mu.Lock()
 		all := s.outcomes
-		s.outcomes = make(map[string]*keepers.Outcome, len(all))
+		s.outcomes = make(map[string]*controllerclient.Outcome, len(all))
 		stage := s.stage
 		s.mu.Unlock()
-		if len(all) == 0 && stage.State == "" {
+		if len(all) == 0 && stage.Phase == "" {
 			continue
 		}
-		units := make([]keepers.Outcome, 0, len(all))
+		units := make([]controllerclient.Outcome, 0, len(all))
 		for _, name := range slices.Sorted(maps.Keys(all)) {
 			units = append(units, *all[name])
 		}
 		call, cancel := context.WithTimeout(ctx, reports)
-		if err := to.Outcomes(call, keepers.Outcomes{Units: units, Build: stage.Build, State: stage.State}); err != nil && ctx.Err() == nil {
+		if err := to.Outcomes(call, controllerclient.Outcomes{Units: units, Build: stage.Version, State: stage.Phase}); err != nil && ctx.Err() == nil {
 			s.log.Debug().Err(err).Msg("outcomes not told")
 		}
 		cancel()
 	}
 }
 
-// Probes tells whether this relay may try a unit that it doubts.
-func (s *Strain) Probes(unit string) bool {
+// AllowProbe tells whether this relay may try a unit that it doubts.
+func (s *Strain) AllowProbe(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Probes(s.board.Now(), unit)
+	return s.fleet.AllowProbe(s.board.Now(), unit)
 }
 
-// Avoids tells whether a unit is sick for other relays.
-func (s *Strain) Avoids(unit string) bool {
+// IsEjected tells whether a unit is sick for other relays.
+func (s *Strain) IsEjected(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Avoids(s.board.Now(), unit)
+	return s.fleet.IsEjected(s.board.Now(), unit)
 }
 
 // Wait waits for this relay's turn at something, or for the context. The turn comes sooner with news of others.
-func (s *Strain) Wait(ctx context.Context, what overload.What) {
+func (s *Strain) Wait(ctx context.Context, what overload.StartupStep) {
 	for ctx.Err() == nil {
 		s.hear()
 		s.mu.Lock()
-		left := s.fleet.Wait(s.board.Now(), what)
+		left := s.fleet.StartupDelay(s.board.Now(), what)
 		s.mu.Unlock()
 		if left <= 0 {
 			return
@@ -197,7 +197,7 @@
 }
 
 // Run measures and passes news on until the context ends.
-func (s *Strain) Run(ctx context.Context, g *gate.Gate) error {
+func (s *Strain) Run(ctx context.Context, g *dispatch.Dispatcher) error {
 	ticker := time.NewTicker(beat)
 	defer ticker.Stop()
 	next := time.Now().Add(beat)
@@ -213,57 +213,57 @@
 	}
 }
 
-func (s *Strain) step(g *gate.Gate, late time.Duration) {
+func (s *Strain) step(g *dispatch.Dispatcher, late time.Duration) {
 	p := s.measure(g, late)
 	s.hear()
 	s.mu.Lock()
 	now := s.board.Now()
-	s.fleet.Pressure(now, p)
-	told, admits := s.fleet.Tell(now), s.fleet.Admits()
+	s.fleet.UpdatePressure(now, p)
+	told, admits := s.fleet.LocalReport(now), s.fleet.AdmittedFraction()
 	s.mu.Unlock()
 	taken.Set(admits)
-	if err := s.board.Tell(kind, told.Encode()); err != nil {
+	if err := s.board.Publish(kind, told.Encode()); err != nil {
 		s.log.Error().Err(err).Msg("own news not told")
 	}
 	if sheds := admits < 0.99; sheds != s.sheds { // as it prints, with two digits
 		s.sheds = sheds
 		event := map[bool]string{true: "sheds", false: "admits"}[sheds]
-		s.log.Info().Str("event", event).Float64("admits", math.Round(100*admits)/100).Float64("places", p.Places).
-			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.Loop.Span()).Msg(event)
+		s.log.Info().Str("event", event).Float64("admits", math.Round(100*admits)/100).Float64("places", p.BackendUtilization).
+			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.SchedulingDelay.Span()).Msg(event)
 	}
 }
 
 // hear passes on what the other relays told.
 func (s *Strain) hear() {
-	all := s.board.All()
+	all := s.board.Members()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.board.Now()
 	for _, m := range all {
-		if m.Role != "relay" || m.Name == s.self || m.Run == 0 {
+		if m.Role != "relay" || m.Name == s.self || m.Incarnation == 0 {
 			continue
 		}
-		var told overload.Told
-		if data := m.News[kind]; data != nil {
+		var told overload.Report
+		if data := m.Payloads[kind]; data != nil {
 			var err error
-			if told, err = overload.Decode(data); err != nil {
+			if told, err = overload.DecodeReport(data); err != nil {
 				continue // of a later version, or damaged: as if it had told nothing
 			}
 		}
-		s.fleet.Peer(now, m.Name, m.Run, m.Zone, told, now-m.Heard, string(m.State))
+		s.fleet.UpdatePeer(now, m.Name, m.Incarnation, m.Zone, told, now-m.LastHeard, string(m.State))
 	}
 }
 
 // measure takes the relay's own load since the last time.
-func (s *Strain) measure(g *gate.Gate, late time.Duration) overload.Pressure {
+func (s *Strain) measure(g *dispatch.Dispatcher, late time.Duration) overload.Pressure {
 	var use syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	now := time.Now()
 	spent := use.Utime.Nano() + use.Stime.Nano() - s.before.Utime.Nano() - s.before.Stime.Nano()
 	cpu := float64(spent) / (float64(now.Sub(s.at)) * s.cores)
 	s.before, s.at = use, now
 	held := []stats.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	stats.Read(held)
-	return overload.Pressure{Loop: tick.Of(late), CPU: cpu, Places: g.Load(),
+	return overload.Pressure{SchedulingDelay: tick.Of(late), CPU: cpu, BackendUtilization: g.Load(),
 		Memory: float64(held[0].Value.Uint64()-held[1].Value.Uint64()) / s.memory}
 }
--- a/internal/standin/crew/client.go
+++ b/internal/standin/testcluster/client.go
@@ -1,4 +1,4 @@
-package crew
+package testcluster
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"silvercove/internal/handover"
-	"silvercove/internal/keepers"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
 )
 
@@ -77,7 +77,7 @@
 
 func (k *Client) drop(i int) {
 	if k.conns[i] != nil {
-		k.conns[i].Close()
+		_ = k.conns[i].Close()
 		k.conns[i] = nil
 	}
 }
@@ -166,7 +166,7 @@
 		text = "INSERT INTO kv (name, content) VALUES ('" + m.Instance + `', '\x` + fmt.Sprintf("%x", m.ID) +
 			"') RETURNING content " + tail
 	}
-	conn.SetDeadline(until)
+	_ = conn.SetDeadline(until)
 	m.Sends++
 	if _, err := conn.Write(pgwire.Simple(text)); err != nil {
 		return Unknown, err.Error()
@@ -220,7 +220,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.SetDeadline(until)
+	_ = conn.SetDeadline(until)
 	if _, err = conn.Write(pgwire.Hail()); err == nil {
 		var a *pgwire.Answer
 		if a, _, err = answer(conn); err == nil && a.State != "" {
@@ -228,7 +228,7 @@
 		}
 	}
 	if err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
 	return conn, nil
@@ -256,18 +256,18 @@
 }
 
 // Keepers makes calls to the fleet's keepers as the desk.
-func (c *Crew) Keepers() *keepers.Client { return c.keepers }
+func (c *Crew) Keepers() *controllerclient.Client { return c.keepers }
 
 // Create makes an instance at a unit; Cross tells that its device is in a zone now.
-func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p handover.Place, err error) {
+func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p migration.Assignment, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
-	return c.keepers.Step(ctx, handover.Entry{Kind: handover.Create, Name: instance, To: unit, Zone: zone, Weight: 1,
+	return c.keepers.Step(ctx, migration.Operation{Kind: migration.OpCreate, Instance: instance, Target: unit, Zone: zone, Weight: 1,
 		Reason: "asked for"})
 }
 
 // Cross tells the keepers that an instance's device is in a zone now.
-func (c *Crew) Cross(ctx context.Context, instance, zone string) (p handover.Place, err error) {
+func (c *Crew) Cross(ctx context.Context, instance, zone string) (p migration.Assignment, err error) {
 	c.add(Event{At: time.Now(), Node: Desk, Name: "crosses", Instance: instance, To: zone})
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
