--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -377,7 +377,13 @@
 	seen, _ := m.table.Member(name)
 	if data := seen.Payloads["overload"]; data != nil {
 		if told, err := overload.DecodeReport(data); err == nil {
-			m.r.over.UpdatePeer(m.r.at(), name, seen.Incarnation, seen.Zone, told, m.c.f.now-seen.LastHeard, string(seen.State))
+			m.r.over.UpdatePeer(m.r.at(), overload.PeerUpdate{
+				Name:        name,
+				Incarnation: seen.Incarnation,
+				Report:      told,
+				Age:         m.c.f.now - seen.LastHeard,
+				State:       overload.PeerState(seen.State),
+			})
 		}
 	}
 }
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -79,7 +79,13 @@
 		if o == r || o.down > 0 || f.cut(r.node, o.node) {
 			continue
 		}
-		o.over.UpdatePeer(o.at(), r.node.name, run, "", told, 10*milli, "alive")
+		o.over.UpdatePeer(o.at(), overload.PeerUpdate{
+			Name:        r.node.name,
+			Incarnation: run,
+			Report:      told,
+			Age:         10 * milli,
+			State:       overload.PeerAlive,
+		})
 	}
 	if sheds := r.over.AdmittedFraction() < 0.99; sheds != r.sheds {
 		r.sheds = sheds
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -369,9 +369,9 @@
 func (n *crowdRelay) tell() {
 	m := n.m
 	m.in(m.tellEvery(), n.tell)
-	state, lives := "alive", n.lives
+	state, lives := overload.PeerAlive, n.lives
 	if !lives {
-		state = "dead"
+		state = overload.PeerDead
 	}
 	told, run := overload.Report{}, n.run
 	if lives {
@@ -385,7 +385,13 @@
 			case o == n || !o.lives, o.no < int(m.OneSided*float64(m.Relays)), m.Lost > 0 && m.rand.Float64() < m.Lost:
 			case m.Split > 0 && m.seconds() > m.Split && (o.no+n.no)%2 == 1:
 			default:
-				o.fleet.UpdatePeer(m.clock(), m.name(n.no), run, "", told, tick.Tick(m.Old*second), state)
+				o.fleet.UpdatePeer(m.clock(), overload.PeerUpdate{
+					Name:        m.name(n.no),
+					Incarnation: run,
+					Report:      told,
+					Age:         tick.Tick(m.Old * second),
+					State:       state,
+				})
 			}
 		}
 	}
--- /dev/null
+++ b/internal/overload/manager_test.go
@@ -0,0 +1,97 @@
+package overload
+
+import (
+	"fmt"
+	"testing"
+
+	"silvercove/internal/tick"
+)
+
+// TestManager_StandaloneAllowsAll: without peers all is admitted, retried and probed, and nothing waits, whatever the
+// pressure.
+func TestManager_StandaloneAllowsAll(t *testing.T) {
+	for relays := range 2 {
+		m, now := NewManager(testStart, 1, "only", testSettings(float64(relays), nil)), testStart
+		for i := range 1000 {
+			now += tick.Second / 10
+			m.UpdatePressure(now, Pressure{SchedulingDelay: tick.Second, CPU: 3, Memory: 3, BackendUtilization: 100})
+			m.RecordOutcome(now, "u", false)
+			if ok, back := m.Admit(now, i%3, float64(i%3), fmt.Sprint(i)); !ok || back != 0 {
+				t.Fatal("shed")
+			}
+			if !m.AllowRetry(now, i%2 == 0) || !m.AllowProbe(now, "u") {
+				t.Fatal("a retry or a probe was refused")
+			}
+			for _, w := range []StartupStep{StepAccept, StepList, StepConnect} {
+				if m.StartupDelay(now, w) != 0 {
+					t.Fatal("a wait")
+				}
+			}
+		}
+	}
+}
+
+// TestManager_IsolatedShedsNothing: a relay that hears nobody for 5 s sheds nothing and waits for nothing; its own
+// budget stands.
+func TestManager_IsolatedShedsNothing(t *testing.T) {
+	c := newTestFleet(4, map[string]float64{"ramp": 60})
+	m := c.relays[0]
+	press := func(i int, m *Manager) {
+		m.UpdatePressure(c.now, Pressure{BackendUtilization: 3})
+		m.Admit(c.now, 0, 1, "x")
+	}
+	c.run(5, press)
+	if m.AdmittedFraction() > 0.1 || m.StartupDelay(c.now, StepConnect) == 0 {
+		t.Fatalf("admits %v", m.AdmittedFraction())
+	}
+	c.pass = func(from, to int) bool { return to != 0 }
+	c.run(4, press)
+	if m.AdmittedFraction() > 0.1 {
+		t.Errorf("old reports are no reason to admit more: %v", m.AdmittedFraction())
+	}
+	c.run(2, press)
+	for i := range 100 {
+		if ok, _ := m.Admit(c.now, 0, 1, fmt.Sprint(i)); !ok {
+			t.Fatal("isolated, and shed")
+		}
+	}
+	if m.StartupDelay(c.now, StepAccept) != 0 || m.StartupDelay(c.now, StepConnect) != 0 {
+		t.Error("isolated, and waits")
+	}
+	m.budget.credit = 0
+	if m.AllowRetry(c.now, false) {
+		t.Error("isolated, and without a budget")
+	}
+	c.pass = func(from, to int) bool { return true }
+	c.run(1, press)
+	if m.AdmittedFraction() > 0.9 {
+		t.Errorf("back, and not drawn to the others: %v", m.AdmittedFraction())
+	}
+}
+
+// TestRetryAfter_SpreadsEvenly: times to come back fill the span evenly, at one relay and over all.
+func TestRetryAfter_SpreadsEvenly(t *testing.T) {
+	const least, most, n = tick.Second, 3 * tick.Second, 20
+	var all [10]int
+	for i := range 10 {
+		m, own := NewManager(testStart, uint64(i), relayName(i), testSettings(10, nil)), [4]int{}
+		for range n {
+			b := m.RetryAfter(testStart, least, most)
+			if b < least || b >= most {
+				t.Fatal(b)
+			}
+			all[(b-least)*10/(most-least)]++
+			own[(b-least)*4/(most-least)]++
+		}
+		for _, many := range own {
+			if many < n/4-3 || many > n/4+3 {
+				t.Errorf("relay %d: %v", i, own)
+			}
+		}
+	}
+	for _, many := range all {
+		if many < 12 || many > 28 {
+			t.Errorf("%v", all)
+		}
+	}
+}
--- /dev/null
+++ b/internal/overload/peer_evidence.go
@@ -0,0 +1,132 @@
+package overload
+
+import (
+	"cmp"
+	"slices"
+
+	"silvercove/internal/tick"
+)
+
+// secondTally is what other relays count of a backend, of those whose newest outcome there was in one second.
+type secondTally struct {
+	second    tick.Tick // seconds of the clock
+	failures  int
+	successes int
+}
+
+// peerEvidence is what one other relay counts of one backend. The zero value counts nothing.
+type peerEvidence struct {
+	of        *suspect
+	second    tick.Tick // of its newest outcome
+	failures  int
+	successes int
+}
+
+// count adds the evidence to the tally of its second, or takes it out again with by -1.
+func (e peerEvidence) count(by int) {
+	if e.of == nil {
+		return
+	}
+	t := &e.of.others[int(e.second)%len(e.of.others)]
+	if t.second < e.second && by > 0 {
+		*t = secondTally{second: e.second}
+	}
+	if t.second == e.second {
+		t.failures += by * e.failures
+		t.successes += by * e.successes
+	}
+}
+
+// peerCounts are the other relays' outcomes at the backend that have not expired.
+func (s *suspect) peerCounts(now tick.Tick) (failures, successes int) {
+	from := (now - evidenceTTL) / tick.Second
+	for i := range s.others {
+		if t := &s.others[i]; t.second > from {
+			failures += t.failures
+			successes += t.successes
+		}
+	}
+	return failures, successes
+}
+
+// replaceEvidence has what a relay counts now take the place of what it counted before.
+func (p *peer) replaceEvidence(all []peerEvidence) {
+	for i := range p.evidence {
+		p.evidence[i].count(-1)
+		p.evidence[i] = peerEvidence{}
+	}
+	for i := range all {
+		p.evidence[i] = all[i]
+		all[i].count(1)
+	}
+}
+
+// applyEvidence takes what another relay counts of backends. A relay of an earlier version reports verdicts only.
+func (m *Manager) applyEvidence(p *peer, madeAt tick.Tick, report Report) {
+	reported := report.Evidence
+	if reported == nil {
+		reported = evidenceOf(report.Verdicts)
+	}
+	var all []peerEvidence
+	for i, e := range reported {
+		at := madeAt - e.Age
+		if m.now-at > evidenceTTL || at < 0 {
+			continue
+		}
+		if slices.ContainsFunc(reported[:i], func(o Evidence) bool { return o.Backend == e.Backend }) {
+			continue
+		}
+		s := m.suspects[e.Backend]
+		if s == nil && e.Failures == 0 && e.Successes > 0 {
+			continue // in question at no relay that this one knows of
+		}
+		if s == nil {
+			s = m.addSuspect(e.Backend)
+			s.healthy, s.verdictAt = true, never
+		}
+		all = append(all, peerEvidence{of: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
+	}
+	p.replaceEvidence(all)
+}
+
+// evidenceOf takes verdicts for as much evidence as one relay can bring.
+func evidenceOf(verdicts []Verdict) []Evidence {
+	var all []Evidence
+	for _, v := range verdicts[:min(len(verdicts), maxEvidence)] {
+		e := Evidence{Backend: v.Backend, Failures: maxOutcomes, Age: v.Age}
+		if v.Healthy {
+			e.Failures, e.Successes = 0, maxOutcomes
+		}
+		all = append(all, e)
+	}
+	return all
+}
+
+// evidenceToReport is what this relay counts of the backends that look worst by what the others count. Which ones are
+// reported must not rest on the own outcomes that are reported with them: backends would look worse than they are.
+func (m *Manager) evidenceToReport() []Evidence {
+	type candidate struct {
+		Evidence
+		surplus int // of failures over successes at the other relays
+	}
+	var candidates []candidate
+	for _, s := range slices.Backward(m.byVerdict) {
+		failures, successes := s.ownCounts(m.now)
+		expired := failures+successes == 0 && m.now-s.questionedAt > evidenceTTL
+		if expired || m.failureShareElsewhere(s) > commonFailureShare {
+			continue
+		}
+		peerFailures, peerSuccesses := s.peerCounts(m.now)
+		newest := max(s.questionedAt, s.own[maxOutcomes-1].at)
+		candidates = append(candidates, candidate{
+			Evidence: Evidence{Backend: s.id, Failures: failures, Successes: successes, Age: m.now - newest},
+			surplus:  peerFailures - peerSuccesses,
+		})
+	}
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.surplus, a.surplus) })
+	all := make([]Evidence, 0, maxEvidence)
+	for _, c := range candidates[:min(len(candidates), maxEvidence)] {
+		all = append(all, c.Evidence)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/overload/peers.go
@@ -0,0 +1,253 @@
+package overload
+
+import (
+	"container/heap"
+
+	"github.com/cespare/xxhash/v2"
+
+	"silvercove/internal/tick"
+)
+
+const (
+	reportTTL        = 3 * tick.Second  // a report this old is not counted; a relay this silent does not probe
+	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other one for so long is isolated
+	departedTTL      = 60 * tick.Second // a relay that left or died is kept for so long, for its heir's sake
+	maxPeers         = 1 << 14
+	fractionBuckets  = 256 // of the peers' admitted fractions, for their median
+)
+
+// PeerState is how a peer stands in the fleet's membership. Other values than those below mean that it is alive.
+type PeerState string
+
+// The states that are told apart.
+const (
+	PeerAlive       PeerState = "alive"
+	PeerUnreachable PeerState = "cut"  // by this relay, while others pass its messages on
+	PeerDead        PeerState = "dead" // its retry credit passes to an heir
+	PeerLeft        PeerState = "left" // the same, on purpose
+)
+
+// PeerUpdate is what is known of another relay.
+type PeerUpdate struct {
+	Name        string
+	Incarnation uint64 // of its process; a larger one is a restart, a smaller one an old copy, which is ignored
+	Report      Report
+	Age         tick.Tick // of the report; below 0 counts as 0
+	State       PeerState
+}
+
+// peer is one other relay.
+type peer struct {
+	id          uint64 // hash of its name
+	incarnation uint64
+	state       PeerState
+	alive       bool // counted so in the suspects' ranks
+	departedAt  tick.Tick
+	inherited   bool // its retry credit has passed to the heir, or to another relay
+
+	report     Report
+	hasReport  bool
+	reportedAt tick.Tick // when its report was made
+	fresh      bool      // the report is counted in the fleet's sums
+	queueIndex int       // in fleetView.fresh
+	bucket     int       // in fleetView.fractions, noBucket for none
+
+	evidence [maxEvidence]peerEvidence // as counted in the suspects' tallies
+}
+
+const noBucket = -1
+
+// fleetView is what is known of the other relays, with sums over those whose reports are fresh. A report is added to
+// the sums and taken out again in time logarithmic in their number.
+type fleetView struct {
+	peers     map[string]*peer
+	lastHeard tick.Tick // when the newest report of any peer was made
+	lowerIDs  int       // peers whose IDs are below this relay's
+
+	fresh         reportQueue
+	warmedUp      int // of the fresh ones, those that have run for longer than the startup window
+	fractions     [fractionBuckets]int
+	voters        int                 // peers counted in fractions
+	offeredWork   [maxClasses]float64 // seconds of work a second, by class
+	completedWork float64             // seconds of work a second
+}
+
+// UpdatePeer takes what is known of another relay.
+func (m *Manager) UpdatePeer(now tick.Tick, u PeerUpdate) {
+	m.advance(now)
+	p := m.peerFor(u)
+	if p == nil {
+		return
+	}
+	defer m.updateLiveness(p)
+	if u.Incarnation > p.incarnation {
+		m.fleet.remove(p, m.settings)
+		p.incarnation, p.inherited = u.Incarnation, false
+		p.hasReport, p.report = false, Report{}
+	}
+	p.state = u.State
+	if u.State == PeerDead || u.State == PeerLeft {
+		m.inheritCredit(p)
+		m.fleet.remove(p, m.settings)
+		if p.departedAt == 0 {
+			p.departedAt = now
+		}
+		m.forgetDeparted()
+		return
+	}
+	p.departedAt = 0
+	m.applyReport(now, p, u.Report, now-max(0, u.Age))
+}
+
+// peerFor finds the peer of an update, or adds it. It is nil where the update is to be ignored.
+func (m *Manager) peerFor(u PeerUpdate) *peer {
+	p := m.fleet.peers[u.Name]
+	if p != nil {
+		if u.Incarnation < p.incarnation {
+			return nil
+		}
+		return p
+	}
+	id := xxhash.Sum64String(u.Name)
+	if len(m.fleet.peers) >= maxPeers || u.State == PeerLeft || id == m.id {
+		return nil
+	}
+	p = &peer{id: id, incarnation: u.Incarnation, bucket: noBucket}
+	m.fleet.peers[u.Name] = p
+	if p.id < m.id {
+		m.fleet.lowerIDs++
+	}
+	return p
+}
+
+// applyReport takes a peer's report, made at a time, if it is newer than the last one and makes sense.
+func (m *Manager) applyReport(now tick.Tick, p *peer, report Report, madeAt tick.Tick) {
+	if p.hasReport && madeAt <= p.reportedAt {
+		return
+	}
+	if report.LocalFraction <= 0 || report.validate() != nil {
+		return // of no use, or none yet
+	}
+	if p.hasReport {
+		m.absorbSpilled(p.report.SpilledCredit, report.SpilledCredit)
+	}
+	m.fleet.remove(p, m.settings)
+	p.report, p.hasReport, p.reportedAt = report, true, madeAt
+	m.fleet.lastHeard = max(m.fleet.lastHeard, madeAt)
+	if now-madeAt < reportTTL {
+		m.fleet.add(p, m.settings)
+	}
+	m.learnVerdicts(madeAt, report.Verdicts)
+	m.applyEvidence(p, madeAt, report)
+}
+
+// forgetDeparted drops peers that left or died long ago.
+func (m *Manager) forgetDeparted() {
+	for name, p := range m.fleet.peers {
+		if p.departedAt > 0 && m.now-p.departedAt > departedTTL {
+			delete(m.fleet.peers, name)
+			if p.id < m.id {
+				m.fleet.lowerIDs--
+			}
+		}
+	}
+}
+
+// expireReports takes reports that have grown old out of the sums.
+func (m *Manager) expireReports() {
+	for len(m.fleet.fresh) > 0 && m.now-m.fleet.fresh[0].reportedAt >= reportTTL {
+		p := m.fleet.fresh[0]
+		m.fleet.remove(p, m.settings)
+		m.updateLiveness(p)
+	}
+}
+
+// updateLiveness ranks a peer among the relays that may probe, where it has come to life or fallen silent. The cost
+// does not grow with the number of peers.
+func (m *Manager) updateLiveness(p *peer) {
+	alive := p.fresh || p.state == PeerUnreachable
+	if alive == p.alive {
+		return
+	}
+	p.alive = alive
+	m.updateRanks(p)
+}
+
+// add counts a peer's report in the sums.
+func (v *fleetView) add(p *peer, s settings) {
+	p.fresh = true
+	heap.Push(&v.fresh, p)
+	if p.report.Uptime > s.startupWindow {
+		v.warmedUp++
+	}
+	v.completedWork += p.report.CompletedWork
+	offered := 0.0
+	for class, work := range p.report.OfferedWork {
+		v.offeredWork[class] += work
+		offered += work
+	}
+	if offered > 0 { // a relay without requests has no vote on the admitted fraction
+		p.bucket = min(fractionBuckets-1, int(p.report.SharedFraction*fractionBuckets))
+		v.fractions[p.bucket]++
+		v.voters++
+	}
+}
+
+// remove takes a peer's report out of the sums, if it is counted.
+func (v *fleetView) remove(p *peer, s settings) {
+	if !p.fresh {
+		return
+	}
+	p.fresh = false
+	heap.Remove(&v.fresh, p.queueIndex)
+	if p.report.Uptime > s.startupWindow {
+		v.warmedUp--
+	}
+	for class, work := range p.report.OfferedWork {
+		v.offeredWork[class] = max(0, v.offeredWork[class]-work)
+	}
+	if p.bucket != noBucket {
+		v.fractions[p.bucket]--
+		v.voters--
+		p.bucket = noBucket
+	}
+	v.completedWork = max(0, v.completedWork-p.report.CompletedWork)
+	if len(v.fresh) == 0 { // no rounding is left over
+		v.completedWork = 0
+		v.offeredWork = [maxClasses]float64{}
+	}
+}
+
+// medianFraction is what half of the voters admit at the most.
+func (v *fleetView) medianFraction() float64 {
+	counted := 0
+	for bucket, peers := range v.fractions {
+		if counted += peers; 2*counted >= v.voters {
+			return float64(bucket+1) / fractionBuckets
+		}
+	}
+	return 1
+}
+
+// reportQueue is a heap of the peers with fresh reports, the oldest report first.
+type reportQueue []*peer
+
+func (q reportQueue) Len() int           { return len(q) }
+func (q reportQueue) Less(i, j int) bool { return q[i].reportedAt < q[j].reportedAt }
+
+func (q reportQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].queueIndex, q[j].queueIndex = i, j
+}
+
+func (q *reportQueue) Push(x any) {
+	p := x.(*peer)
+	p.queueIndex = len(*q)
+	*q = append(*q, p)
+}
+
+func (q *reportQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
--- /dev/null
+++ b/internal/overload/peers_test.go
@@ -0,0 +1,53 @@
+package overload
+
+import (
+	"math"
+	"testing"
+
+	"silvercove/internal/tick"
+)
+
+// TestUpdatePeer: reports, restarts, old copies and departures of other relays are taken as they are meant.
+func TestUpdatePeer(t *testing.T) {
+	good := Report{LocalFraction: 1, SharedFraction: 0.5, OfferedWork: []float64{1}}
+	bad := good
+	bad.SharedFraction = math.NaN()
+	m := NewManager(testStart, 1, "a", testSettings(5, nil))
+	steps := []struct {
+		name        string
+		run         uint64
+		report      Report
+		age         tick.Tick
+		state       PeerState
+		known, says int
+	}{
+		{"b", 5, good, 0, "alive", 1, 1},
+		{"b", 4, Report{LocalFraction: 1, SharedFraction: 0.1}, 0, "dead", 1, 1}, // an old copy
+		{"b", 5, bad, -1, "alive", 1, 1},
+		{"a", 9, good, 0, "alive", 1, 1}, // itself
+		{"c", 1, Report{}, 0, "alive", 1, 1},
+		{"c", 1, Report{LocalFraction: 1, SharedFraction: 1}, 0, "alive", 2, 1}, // one without requests has no vote
+		{"b", 6, good, 4 * tick.Second, "alive", 1, 0},                          // restarted, and nothing fresh of it
+		{"b", 6, good, 0, "slow", 2, 1},
+		{"b", 6, good, 0, "dead", 1, 0},
+		{"b", 6, good, 0, "alive", 1, 0}, // nothing newer
+		{"d", 1, good, 0, "left", 1, 0},
+	}
+	for i, s := range steps {
+		m.UpdatePeer(testStart, PeerUpdate{Name: s.name, Incarnation: s.run, Report: s.report, Age: s.age, State: s.state})
+		if len(m.fleet.fresh) != s.known || m.fleet.voters != s.says {
+			t.Errorf("step %d: %d fresh, %d have a vote", i, len(m.fleet.fresh), m.fleet.voters)
+		}
+	}
+	m.advance(testStart + isolationTimeout)
+	if len(m.fleet.fresh) != 0 || m.fleet.offeredWork != [maxClasses]float64{} {
+		t.Errorf("%d fresh", len(m.fleet.fresh))
+	}
+	many := NewManager(testStart, 1, "a", testSettings(5, nil))
+	for i := range maxPeers + 10 {
+		many.UpdatePeer(testStart, PeerUpdate{Name: relayName(i), Incarnation: 1, Report: good, State: PeerAlive})
+	}
+	if len(many.fleet.peers) != maxPeers {
+		t.Errorf("%d peers", len(many.fleet.peers))
+	}
+}
--- /dev/null
+++ b/internal/overload/pressure_test.go
@@ -0,0 +1,61 @@
+package overload
+
+import (
+	"testing"
+
+	"silvercove/internal/tick"
+)
+
+// TestUpdatePressure_RelaysConverge: relays under different pressure come to admit the same, and a relay that cannot
+// keep up itself sheds more.
+func TestUpdatePressure_RelaysConverge(t *testing.T) {
+	c := newTestFleet(10, nil)
+	offer := func(i int, m *Manager) {
+		m.Admit(c.now, 0, 1, "x")
+		m.UpdatePressure(c.now, Pressure{BackendUtilization: map[bool]float64{true: 1.15, false: 0.99}[i < 6]})
+	}
+	c.run(10, offer)
+	least, most := 1.0, 0.0
+	for _, m := range c.relays {
+		least, most = min(least, m.AdmittedFraction()), max(most, m.AdmittedFraction())
+	}
+	if most > 0.4 || most-least > 0.3 {
+		t.Errorf("admit %.2f to %.2f", least, most)
+	}
+	c.relays[0].UpdatePressure(c.now, Pressure{SchedulingDelay: tick.Second, BackendUtilization: 0.5})
+	for range 20 {
+		c.now += tick.Second / 10
+		c.relays[0].UpdatePressure(c.now, Pressure{SchedulingDelay: tick.Second, BackendUtilization: 0.5})
+	}
+	if c.relays[0].AdmittedFraction() > 0.1 {
+		t.Error("a relay that cannot keep up itself sheds more than the others")
+	}
+}
+
+// TestUpdatePressure_FewReportsSlowRecovery: with reports of few it admits more again only slowly, and an old report
+// has no vote.
+func TestUpdatePressure_FewReportsSlowRecovery(t *testing.T) {
+	after := func(hears int) float64 {
+		c := newTestFleet(10, nil)
+		c.pass = func(from, to int) bool { return from < hears || to != 0 }
+		offer := func(p float64) func(i int, m *Manager) {
+			return func(i int, m *Manager) {
+				m.Admit(c.now, 0, 1, "x")
+				m.UpdatePressure(c.now, Pressure{BackendUtilization: p})
+			}
+		}
+		c.run(4, offer(1.5))
+		low := c.relays[0].AdmittedFraction()
+		c.run(1.5, offer(0.5))
+		return c.relays[0].AdmittedFraction() / low
+	}
+	if all, one := after(10), after(2); all < 1.5*one || one <= 1 {
+		t.Errorf("times the admitted fraction after 1.5 s: %.2f with all reports, %.2f with those of one", all, one)
+	}
+	m := NewManager(testStart, 1, "a", testSettings(2, nil))
+	m.Admit(testStart, 0, 1, "x")
+	m.UpdatePeer(testStart, PeerUpdate{Name: "b", Incarnation: 1, Report: Report{LocalFraction: 1, SharedFraction: 0.05, OfferedWork: []float64{1}}, Age: 2 * reportTTL, State: PeerAlive})
+	if m.fleet.voters != 0 || len(m.fleet.fresh) != 0 {
+		t.Error("an old report counts")
+	}
+}
--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -250,7 +250,13 @@
 				continue // of a later version, or damaged: as if it had told nothing
 			}
 		}
-		s.fleet.UpdatePeer(now, m.Name, m.Incarnation, m.Zone, told, now-m.LastHeard, string(m.State))
+		s.fleet.UpdatePeer(now, overload.PeerUpdate{
+			Name:        m.Name,
+			Incarnation: m.Incarnation,
+			Report:      told,
+			Age:         now - m.LastHeard,
+			State:       overload.PeerState(m.State),
+		})
 	}
 }
 
