--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -128,7 +128,7 @@
 	m.recomputedAt = m.now
 	m.admission.decay(elapsed)
 	m.budget.decay(elapsed)
-	for m.window.size > 0 && m.now-m.window.oldest().at > evidenceTTL {
+	for m.window.size > 0 && m.now-m.window.oldest().endedAt > evidenceTTL {
 		m.dropOldestOutcome()
 	}
 	m.recomputeThresholds()
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -63,7 +63,7 @@
 // outcome is how an attempt ended at a backend.
 type outcome struct {
 	backend uint64 // its ID; 0 for no outcome
-	at      tick.Tick
+	endedAt tick.Tick
 	failed  bool
 }
 
@@ -134,7 +134,7 @@
 	if m.standalone() {
 		return
 	}
-	o := outcome{backend: xxhash.Sum64String(backend), at: m.now, failed: !succeeded}
+	o := outcome{backend: xxhash.Sum64String(backend), endedAt: m.now, failed: !succeeded}
 	s := m.suspects[o.backend]
 	m.recordInWindow(o, s)
 	switch {
@@ -204,7 +204,7 @@
 	if s == nil {
 		return false
 	}
-	m.weighEvidence(s)
+	m.assessEvidence(s)
 	return s.ejected
 }
 
@@ -218,7 +218,7 @@
 // refuted reports whether successes outweigh failures by so many outcomes.
 func (o odds) refuted(outcomes float64) bool { return o.logOdds <= -outcomes*o.perFailure }
 
-// weighEvidence holds a backend that fails most of its attempts against one that fails a little more than others do, by
+// assessEvidence holds a backend that fails most of its attempts against one that fails a little more than others do, by
 // the last two outcomes of each relay, and ejects it or takes it back.
 //
 // What one relay reports, true or not, brings less than half of what an ejection takes; three relays make it, if none
@@ -226,7 +226,7 @@
 // choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until successes
 // outweigh failures by what one relay can bring; meanwhile so many relays come to use it, some more at each round of
 // reports, that they do not come all at once.
-func (m *Manager) weighEvidence(s *suspect) odds {
+func (m *Manager) assessEvidence(s *suspect) odds {
 	usual := min(max(minUsualShare, usualMargin*m.failureShareElsewhere(s)), maxUsualShare)
 	perFailure := math.Log(failingShare / usual)
 	perSuccess := math.Log((1 - failingShare) / (1 - usual))
@@ -260,7 +260,7 @@
 func (s *suspect) ownCounts(now tick.Tick) (failures, successes int) {
 	for _, o := range s.own {
 		switch {
-		case o.backend == 0 || now-o.at > evidenceTTL:
+		case o.backend == 0 || now-o.endedAt > evidenceTTL:
 		case o.failed:
 			failures++
 		default:
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -16,7 +16,7 @@
 
 // peerEvidence is what one other relay counts of one backend. The zero value counts nothing.
 type peerEvidence struct {
-	of        *suspect
+	suspect   *suspect
 	second    tick.Tick // of its newest outcome
 	failures  int
 	successes int
@@ -24,10 +24,10 @@
 
 // count adds the evidence to the tally of its second, or takes it out again with by -1.
 func (e peerEvidence) count(by int) {
-	if e.of == nil {
+	if e.suspect == nil {
 		return
 	}
-	t := &e.of.others[int(e.second)%len(e.of.others)]
+	t := &e.suspect.others[int(e.second)%len(e.suspect.others)]
 	if t.second < e.second && by > 0 {
 		*t = secondTally{second: e.second}
 	}
@@ -84,7 +84,7 @@
 			s = m.addSuspect(e.Backend)
 			s.healthy, s.verdictAt = true, never
 		}
-		all = append(all, peerEvidence{of: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
+		all = append(all, peerEvidence{suspect: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
 	}
 	p.replaceEvidence(all)
 }
@@ -117,7 +117,7 @@
 			continue
 		}
 		peerFailures, peerSuccesses := s.peerCounts(m.now)
-		newest := max(s.questionedAt, s.own[maxOutcomes-1].at)
+		newest := max(s.questionedAt, s.own[maxOutcomes-1].endedAt)
 		candidates = append(candidates, candidate{
 			Evidence: Evidence{Backend: s.id, Failures: failures, Successes: successes, Age: m.now - newest},
 			surplus:  peerFailures - peerSuccesses,
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -232,20 +232,26 @@
 // reportQueue is a heap of the peers with fresh reports, the oldest report first.
 type reportQueue []*peer
 
-func (q reportQueue) Len() int           { return len(q) }
+// Len implements sort.Interface.
+func (q reportQueue) Len() int { return len(q) }
+
+// Less implements sort.Interface.
 func (q reportQueue) Less(i, j int) bool { return q[i].reportedAt < q[j].reportedAt }
 
+// Swap implements sort.Interface. It keeps each peer's queueIndex.
 func (q reportQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].queueIndex, q[j].queueIndex = i, j
 }
 
+// Push implements heap.Interface.
 func (q *reportQueue) Push(x any) {
 	p := x.(*peer)
 	p.queueIndex = len(*q)
 	*q = append(*q, p)
 }
 
+// Pop implements heap.Interface.
 func (q *reportQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -44,7 +44,7 @@
 		return true
 	}
 	s.questionedAt = max(s.questionedAt, m.now)
-	o := m.weighEvidence(s)
+	o := m.assessEvidence(s)
 	interval := m.probeInterval()
 	switch {
 	case s.ejected:
@@ -69,7 +69,7 @@
 		return false
 	}
 	last := s.own[maxOutcomes-1]
-	answeredHere := last.backend != 0 && !last.failed && m.now-last.at <= evidenceTTL
+	answeredHere := last.backend != 0 && !last.failed && m.now-last.endedAt <= evidenceTTL
 	if o.refuted(1) || answeredHere {
 		return true
 	}
