--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -360,7 +360,7 @@
 	}
 	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
-	l.claims = devicehealth.NewVerifier(now, k.Set)
+	l.claims = devicehealth.NewVerifier()
 	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
 	k.lead = l
 	l.planner.OnElected(now)
@@ -419,7 +419,7 @@
 		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 		k.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
 		l.planner.OnLeaseExpired(now, name)
-		l.claims.Remove(now, name)
+		l.claims.Remove(name)
 		l.news()
 	}
 	next := l.planner.OnTick(now)
--- /dev/null
+++ b/internal/devicehealth/condition.go
@@ -0,0 +1,33 @@
+package devicehealth
+
+const (
+	slowThrottle = 0.3 // throttled so far, the answers of new work would be late
+	switchOn     = 0.5 // a lid's or radio's reading from which it is open or up
+)
+
+// assessCondition takes throttling, lid and radios.
+func (m *Monitor) assessCondition(a *assessment) {
+	radios, off := 0, 0
+	for _, s := range m.series {
+		if !a.trusts(s) {
+			continue
+		}
+		value, _ := s.last()
+		switch {
+		case s.kind == KindThrottle && value >= slowThrottle:
+			a.limit(levelHolding, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindThrottle && value > 0:
+			a.limit(levelProbation, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindLid && value < switchOn:
+			a.limit(levelDraining, "%s is shut: the machine may sleep at any moment", s.name)
+		case s.kind == KindRadio:
+			radios++
+			if value < switchOn {
+				off++
+			}
+		}
+	}
+	if radios > 0 && off == radios {
+		a.limit(levelHolding, "no radio is up")
+	}
+}
--- /dev/null
+++ b/internal/devicehealth/failure_detector.go
@@ -0,0 +1,43 @@
+package devicehealth
+
+import "silvercove/internal/tick"
+
+// goodRun is how many outcomes without an alarm a node needs to be believed again.
+const goodRun = 20
+
+// failureDetector finds a node whose requests fail more often than usual. Once it has, the node waits, is tried again,
+// and is believed after goodRun outcomes; each alarm meanwhile doubles the wait.
+type failureDetector struct {
+	test     sequentialTest
+	failedAt tick.Tick // of the last alarm; 0 for none that still counts
+	outcomes int       // since the last alarm
+	wait     tick.Tick
+}
+
+func newFailureDetector() failureDetector { return failureDetector{wait: minDwell} }
+
+// record takes one outcome against a usual share of failures.
+func (d *failureDetector) record(now tick.Tick, succeeded bool, usualShare float64) {
+	outcome := 0.0
+	if !succeeded {
+		outcome = 1
+	}
+	alarm := d.test.record(outcome, usualShare)
+	d.outcomes++
+	if alarm {
+		if d.failing() {
+			d.wait = min(2*d.wait, maxDwell)
+		}
+		d.failedAt, d.outcomes, d.test = now, 0, sequentialTest{}
+		return
+	}
+	if d.failing() && now-d.failedAt >= d.wait && d.outcomes >= goodRun && !d.test.suspicious() {
+		d.failedAt, d.wait = 0, minDwell
+	}
+}
+
+// failing reports whether there was an alarm that the node has not recovered from.
+func (d *failureDetector) failing() bool { return d.failedAt > 0 }
+
+// waiting reports whether the node is failing and is not tried again yet.
+func (d *failureDetector) waiting(now tick.Tick) bool { return d.failing() && now-d.failedAt < d.wait }
--- /dev/null
+++ b/internal/devicehealth/last_resort_test.go
@@ -0,0 +1,45 @@
+package devicehealth_test
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"silvercove/internal/devicehealth"
+)
+
+func TestLastResort_ServesByPriorityAndOneANode(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		reports := map[string]devicehealth.Report{}
+		places := 0
+		for i := range rapid.IntRange(1, 5).Draw(t, "units") {
+			r := devicehealth.Report{Version: 1, State: devicehealth.StateDraining, Risk: rapid.Float64Range(0, 1).Draw(t, "danger"),
+				LastResortCapacity: rapid.IntRange(1, 4).Draw(t, "serves")}
+			places += r.LastResortCapacity
+			reports[fmt.Sprint("u", i)] = r
+		}
+		var all []devicehealth.Instance
+		for i := range rapid.IntRange(0, 20).Draw(t, "instances") {
+			all = append(all, devicehealth.Instance{Name: fmt.Sprint("i", i), Node: fmt.Sprint("u", rapid.IntRange(0, 6).Draw(t, "at")),
+				PriorityWeight: float64(rapid.IntRange(1, 100).Draw(t, "weight"))})
+		}
+		ranked := devicehealth.LastResort(reports, all)
+		if len(ranked) != len(all) {
+			t.Fatalf("%d of %d are ranked", len(ranked), len(all))
+		}
+		at, least := map[string]int{}, 101.0
+		for i, s := range ranked {
+			if (s.Node != "") != (i < places) {
+				t.Fatalf("place %d of %d: %+v", i, places, s)
+			}
+			if s.PriorityWeight > least {
+				t.Fatalf("%+v stands after one of importance %v", s, least)
+			}
+			least = s.PriorityWeight
+			if at[s.Node]++; s.Node != "" && at[s.Node] > reports[s.Node].LastResortCapacity {
+				t.Fatalf("%s has %d", s.Node, at[s.Node])
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/devicehealth/report_test.go
@@ -0,0 +1,75 @@
+package devicehealth_test
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/migration"
+)
+
+func TestReport_KeepsUnknownFields(t *testing.T) {
+	text := `{"v":7,"state":"keeps","share":0,"danger":0.5,"room":0,"serves":2,"reasons":["x"],"empty":9,"hot":10,` +
+		`"offered":8,"need":600000,"shown":{"charge":0.4},"wind":{"from":"west"},"tide":[1,2]}`
+	var r devicehealth.Report
+	if err := json.Unmarshal([]byte(text), &r); err != nil {
+		t.Fatal(err)
+	}
+	b, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got, want map[string]any
+	for text, into := range map[string]*map[string]any{string(b): &got, text: &want} {
+		if err := json.Unmarshal([]byte(text), into); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("is %s, was %s", b, text)
+	}
+	for _, bad := range []string{`{}`, `{"v":1,"state":"great"}`, `{"v":1,"state":"keeps","share":2}`, `[`, `7`,
+		`{"v":1,"state":"keeps","room":-1}`, `{"v":1,"state":"keeps","danger":-0.1}`} {
+		if err := json.Unmarshal([]byte(bad), &r); err == nil {
+			t.Errorf("%s is read", bad)
+		}
+	}
+}
+
+func FuzzReport_JSON(f *testing.F) {
+	f.Add([]byte(`{"v":1,"state":"accepts","share":1,"danger":0,"more":1}`))
+	f.Fuzz(func(t *testing.T, b []byte) {
+		var r, again devicehealth.Report
+		if json.Unmarshal(b, &r) != nil {
+			return
+		}
+		out, err := json.Marshal(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := json.Unmarshal(out, &again); err != nil {
+			t.Fatalf("%s: %v", out, err)
+		}
+	})
+}
+
+func TestReport_ApplyTo(t *testing.T) {
+	for _, c := range []struct {
+		state devicehealth.State
+		u     migration.NodeStatus
+	}{
+		{devicehealth.StateAccepting, migration.NodeStatus{Accepting: true}},
+		{devicehealth.StateProbation, migration.NodeStatus{Accepting: true, Limited: true}},
+		{devicehealth.StateHolding, migration.NodeStatus{}},
+		{devicehealth.StateDraining, migration.NodeStatus{Evacuating: true}},
+		{devicehealth.StateLeaving, migration.NodeStatus{Evacuating: true, ShuttingDown: true}},
+	} {
+		r := devicehealth.Report{Version: 1, State: c.state, Risk: 0.25, SpareCapacity: 3}
+		c.u.Name, c.u.Risk, c.u.FreeSlots = "u", 0.25, 3
+		u := migration.NodeStatus{Name: "u", Accepting: true, Limited: true, Evacuating: true, ShuttingDown: true} // as it was before
+		if r.ApplyTo(&u); u != c.u {
+			t.Errorf("%s: %+v", c.state, u)
+		}
+	}
+}
--- /dev/null
+++ b/internal/devicehealth/temperature.go
@@ -0,0 +1,83 @@
+package devicehealth
+
+import (
+	"math"
+
+	"silvercove/internal/tick"
+)
+
+const (
+	warmMargin   = 5.0  // degrees C below the limit: a passing cloud is worth as much
+	cellLimit    = 60.0 // degrees C up to which makers of lithium cells allow them to be drawn from
+	heatCapacity = 500  // joules for a degree C: half a kilogram of board and metal without a fan
+)
+
+// assessTemperature takes the sensor that reaches its limit first.
+func (m *Monitor) assessTemperature(a *assessment) {
+	extraRate := 0.0 // degrees C a second that the offered load would add at first
+	if draw := a.readings.Draw; draw != nil && *draw > 0 {
+		extraRate = *draw * (m.drawFactor(m.offeredLoad) - 1) / heatCapacity
+	}
+	closest := math.Inf(1)
+	for _, s := range append(m.ofKind(KindTemperature), m.ofKind(KindCellTemperature)...) {
+		if !a.trusts(s) {
+			continue
+		}
+		value, _ := s.last()
+		limit := m.temperatureLimit(s)
+		margin := max(0, limit-value)
+		if margin < closest {
+			closest = margin
+			a.readings.Temperature, a.readings.TemperatureLimit = &value, &limit
+		}
+		m.assessSensor(a, s, value, limit, extraRate)
+	}
+}
+
+// temperatureLimit is the lowest limit that holds for a sensor, in degrees C.
+func (m *Monitor) temperatureLimit(s *series) float64 {
+	limit := m.settings.temperatureCap
+	if s.kind == KindCellTemperature {
+		limit = min(limit, cellLimit)
+	}
+	if s.limit > 0 {
+		limit = min(limit, s.limit)
+	}
+	return limit
+}
+
+// assessSensor takes one sensor's value against its limit.
+func (m *Monitor) assessSensor(a *assessment, s *series, value, limit, extraRate float64) {
+	margin := max(0, limit-value)
+	present, offered := timesToLimit(s, margin, extraRate)
+	a.timeToOverheat = min(a.timeToOverheat, present)
+	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
+	at := max(levelFor(present, offered, a.handoverTime, a.strictness), levelDraining) // without its instances it cools
+	if s.limit > 0 && value >= s.limit {
+		at = levelLeaving // the machine is about to stop itself
+	}
+	a.limit(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
+		s.name, value, limit, span(present), span(offered))
+	if warm := warmMargin * a.strictness; margin < warm {
+		a.limit(levelHolding, "%s %.1f C, within %.1f C of its limit", s.name, value, warm)
+	}
+}
+
+// timesToLimit forecasts when a sensor reaches its limit, at the present and at the offered load.
+func timesToLimit(s *series, margin, extraRate float64) (present, offered tick.Tick) {
+	if margin == 0 {
+		return 0, 0
+	}
+	rate := 0.0
+	if slope, err, ok := s.slope(); ok {
+		rate = slope + confidence*err
+	}
+	present, offered = Never, Never
+	if rate > 0 {
+		present = ticks(margin / rate)
+	}
+	if rate+extraRate > 0 {
+		offered = ticks(margin / (rate + extraRate))
+	}
+	return present, offered
+}
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -122,7 +122,7 @@
 		e.closeStore()
 		return nil, err
 	}
-	e.strength = devicehealth.NewMonitor(controllerclient.Now(), o.Seed, o.File.Set)
+	e.strength = devicehealth.NewMonitor(controllerclient.Now(), o.File.Set)
 	return e, nil
 }
 
@@ -398,7 +398,7 @@
 		if len(r.Reasons) > 0 {
 			why = r.Reasons[0]
 		}
-		e.o.Log.Info().Str("event", "strength").Str("from", e.report.State).Str("state", r.State).Str("why", why).Send()
+		e.o.Log.Info().Str("event", "strength").Str("from", string(e.report.State)).Str("state", string(r.State)).Str("why", why).Send()
 	}
 	e.report = r
 	return r
--- a/internal/lab/fleetsim/keepers.go
+++ b/internal/lab/fleetsim/keepers.go
@@ -239,7 +239,7 @@
 	l := &lead{c: c, who: k, term: c.term, book: leases.New(f.set), units: map[string]migration.NodeStatus{},
 		told: map[string]migration.NodeStatus{}, pending: map[string]int{},
 		waits: map[string][]func(){}}
-	l.claims = devicehealth.NewVerifier(now, f.set)
+	l.claims = devicehealth.NewVerifier()
 	l.book.OnElected(now, c.runs)
 	l.marks = leases.NewRecordCounts(now, f.set, c.kept)
 	l.planner = migration.NewPlanner(l, now, uint64(now), f.set)
