--- /dev/null
+++ b/internal/instancestore/format.go
@@ -0,0 +1,157 @@
+package instancestore
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+
+	"github.com/cespare/xxhash/v2"
+
+	"silvercove/internal/migration"
+	"silvercove/internal/recordlog"
+)
+
+// maxRecordSize is the longest payload, in bytes.
+const maxRecordSize = 32 << 20
+
+var format = recordlog.Format{Magic: "coveinst", Version: 1, MaxPayload: maxRecordSize, Checksum: xxhash.Sum64,
+	WideChecksum: true, TornTail: true}
+
+// recordKind is what a request asks for. The kinds below kindMark are the first byte of a record.
+type recordKind uint16
+
+const (
+	kindRefused  recordKind = 0 // the queue was full; never written
+	kindEntry    recordKind = 1
+	kindTruncate recordKind = 2
+	kindReset    recordKind = 3
+	kindDelete   recordKind = 4
+	kindNote     recordKind = 5
+
+	// kindMark says how many records the file has taken, and whether those that follow count. On disk it is a kindDelete
+	// of no name with a count above 0, which earlier programs pass over.
+	kindMark recordKind = 1 << 8
+)
+
+// countingMark is the sum of a mark after which records count.
+const countingMark = 1
+
+const numberSize = 8 // bytes
+
+// request is one thing to be kept. done is called, in order, with whether it is.
+type request struct {
+	kind     recordKind
+	instance string
+	number   uint64 // index of a truncation, base index of a reset, count of a mark
+	sum      uint64 // base checksum of a reset; countingMark
+	entry    migration.LogEntry
+	note     []byte
+	done     func(error)
+}
+
+// markOf is the mark that says of a file what its count is.
+func markOf(c recordCount) request {
+	r := request{kind: kindMark, number: c.records}
+	if c.counts {
+		r.sum = countingMark
+	}
+	return r
+}
+
+// appendRecord encodes a request as a record.
+func appendRecord(out []byte, r request) []byte {
+	start := len(out)
+	kind := r.kind
+	if kind == kindMark {
+		kind = kindDelete
+	}
+	out = append(format.BeginRecord(out), byte(kind))
+	out = appendText(out, r.instance)
+	switch r.kind {
+	case kindEntry:
+		for _, number := range []uint64{r.entry.Index, r.entry.Epoch, r.entry.Checksum} {
+			out = binary.LittleEndian.AppendUint64(out, number)
+		}
+		out = appendText(out, r.entry.Node)
+		out = appendText(out, r.entry.RequestID)
+		out = append(out, r.entry.Body...)
+	case kindTruncate, kindReset, kindMark:
+		out = binary.LittleEndian.AppendUint64(out, r.number)
+		out = binary.LittleEndian.AppendUint64(out, r.sum)
+	case kindNote:
+		out = append(out, r.note...)
+	}
+	return format.SealRecord(out, start)
+}
+
+func appendText(out []byte, text string) []byte {
+	out = binary.LittleEndian.AppendUint32(out, uint32(len(text)))
+	return append(out, text...)
+}
+
+var errShortRecord = errors.New("a record too short")
+
+// decode reads a record's payload. Its error is errShortRecord; a kind that is not known is no error here.
+func decode(payload []byte) (request, error) {
+	d := decoder{rest: payload}
+	var r request
+	if kind := d.bytes(1); kind != nil {
+		r.kind = recordKind(kind[0])
+	}
+	r.instance = d.text()
+	switch r.kind {
+	case kindEntry:
+		r.entry.Index = d.number()
+		r.entry.Epoch = d.number()
+		r.entry.Checksum = d.number()
+		r.entry.Node = d.text()
+		r.entry.RequestID = d.text()
+		if len(d.rest) > 0 {
+			r.entry.Body = bytes.Clone(d.rest)
+		}
+	case kindTruncate, kindReset:
+		r.number, r.sum = d.number(), d.number()
+	case kindDelete:
+		if r.instance == "" && len(d.rest) >= 2*numberSize {
+			r.number, r.sum = d.number(), d.number()
+		}
+		if r.instance == "" && r.number > 0 {
+			r.kind = kindMark
+		}
+	case kindNote:
+		r.note = bytes.Clone(d.rest)
+	}
+	return r, d.err
+}
+
+// decoder takes a payload apart. After an error it returns zero values.
+type decoder struct {
+	rest []byte
+	err  error
+}
+
+func (d *decoder) bytes(n int) []byte {
+	if d.err != nil || n < 0 || n > len(d.rest) {
+		d.err = errShortRecord
+		return nil
+	}
+	taken := d.rest[:n]
+	d.rest = d.rest[n:]
+	return taken
+}
+
+func (d *decoder) number() uint64 {
+	taken := d.bytes(numberSize)
+	if taken == nil {
+		return 0
+	}
+	return binary.LittleEndian.Uint64(taken)
+}
+
+func (d *decoder) text() string {
+	size := d.bytes(4)
+	if size == nil {
+		return ""
+	}
+	return string(d.bytes(int(binary.LittleEndian.Uint32(size))))
+}
--- /dev/null
+++ b/internal/instancestore/run.go
@@ -0,0 +1,59 @@
+package instancestore
+
+import "silvercove/internal/migration"
+
+// enqueue adds a request to the queue. Where that is full it is refused, in its turn.
+func (s *Store) enqueue(r request) {
+	s.mu.Lock()
+	if len(s.queue) >= maxQueue {
+		r.kind = kindRefused
+		r.entry, r.note = migration.LogEntry{}, nil
+	}
+	s.queue = append(s.queue, r)
+	s.mu.Unlock()
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run does what is requested until stop is closed; what was requested before that is still done. Then the file is closed.
+func (s *Store) Run(stop <-chan struct{}) {
+	for stopped := false; !stopped; {
+		select {
+		case <-s.wake:
+		case <-stop:
+			stopped = true
+		}
+		for s.runQueued() {
+		}
+	}
+	if s.path != "" {
+		_ = s.file.Close()
+		_ = s.lock.Close()
+	}
+}
+
+// runQueued makes all that waits durable at once, and reports whether anything did.
+func (s *Store) runQueued() bool {
+	s.mu.Lock()
+	requests := s.queue
+	s.queue = nil
+	s.mu.Unlock()
+	if len(requests) == 0 {
+		return false
+	}
+	errs := make([]error, len(requests))
+	if s.path != "" {
+		s.write(requests, errs)
+	}
+	for i, r := range requests {
+		if r.kind == kindRefused {
+			errs[i] = ErrQueueFull
+		}
+		if r.done != nil {
+			r.done(errs[i])
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/instancestore/write.go
@@ -0,0 +1,166 @@
+package instancestore
+
+import (
+	"fmt"
+	"io"
+	"slices"
+
+	"silvercove/internal/migration"
+)
+
+// File is what is written to; *os.File is one.
+type File interface {
+	io.Writer
+	Sync() error
+	Truncate(size int64) error
+	Close() error
+}
+
+// apply makes one request's change in memory, if it follows what is there. Its error wraps ErrGap or ErrNewerVersion.
+func (s *Store) apply(r request) error {
+	if r.kind == kindMark {
+		s.count = recordCount{records: r.number, counts: r.sum == countingMark}
+		return nil
+	}
+	l := s.logs[r.instance]
+	switch r.kind {
+	case kindEntry:
+		if l == nil || !l.Continues(r.entry) {
+			return ErrGap
+		}
+		l.Append(r.entry)
+	case kindTruncate:
+		if l == nil || r.number < l.BaseIndex || r.number > l.LastIndex() {
+			return ErrGap
+		}
+		l.Truncate(r.number)
+	case kindReset:
+		s.logs[r.instance] = &migration.Log{Instance: r.instance, BaseIndex: r.number, BaseChecksum: r.sum}
+	case kindDelete:
+		delete(s.logs, r.instance)
+	case kindNote:
+		if len(r.note) > maxNoteSize {
+			return fmt.Errorf("a note of %d bytes, allowed are %d", len(r.note), maxNoteSize)
+		}
+		s.note = r.note
+	default:
+		return fmt.Errorf("%w: kind %d", ErrNewerVersion, r.kind)
+	}
+	if s.count.counts {
+		s.count.records++
+	}
+	return nil
+}
+
+// undo is what a batch of requests may have changed, as it was before.
+type undo struct {
+	logs  map[string]*migration.Log // nil for an instance that was not there
+	note  []byte
+	count recordCount
+}
+
+func (s *Store) newUndo() undo {
+	return undo{logs: map[string]*migration.Log{}, note: s.note, count: s.count}
+}
+
+// keep notes an instance's log before it is first changed.
+func (u *undo) keep(s *Store, instance string) {
+	if _, kept := u.logs[instance]; kept {
+		return
+	}
+	u.logs[instance] = nil
+	if l := s.logs[instance]; l != nil {
+		before := *l
+		before.Entries = slices.Clip(before.Entries)
+		u.logs[instance] = &before
+	}
+}
+
+// restore takes the changes back.
+func (u *undo) restore(s *Store) {
+	s.note, s.count = u.note, u.count
+	for name, l := range u.logs {
+		if l == nil {
+			delete(s.logs, name)
+			continue
+		}
+		s.logs[name] = l
+	}
+}
+
+// write makes requests durable by one write and one fsync, or says of all why not and leaves everything as it was.
+func (s *Store) write(requests []request, errs []error) {
+	before := s.newUndo()
+	var out []byte
+	if !s.runMarked {
+		s.count.counts = false
+		out = appendRecord(out, markOf(s.count))
+	}
+	markSize := len(out)
+	for i, r := range requests {
+		if r.kind == kindRefused {
+			continue
+		}
+		if r.kind != kindNote {
+			before.keep(s, r.instance)
+		}
+		if r.kind == kindMark {
+			r.number = s.nextCount(r.number)
+		}
+		if errs[i] = s.writeFailed; errs[i] == nil {
+			errs[i] = s.apply(r)
+		}
+		if errs[i] == nil {
+			out = appendRecord(out, r)
+		}
+	}
+	if len(out) == markSize {
+		s.count = before.count
+		return
+	}
+	if err := s.appendToFile(out); err != nil {
+		for i := range errs {
+			if errs[i] == nil {
+				errs[i] = err
+			}
+		}
+		before.restore(s)
+		return
+	}
+	s.runMarked = true
+	s.durableCount.Store(s.count.records)
+	if s.fileSize > s.compactAt {
+		s.compact()
+	}
+}
+
+// nextCount is the count that a confirmation sets. The first of a run leaves room for what a copy of the file may count
+// meanwhile.
+func (s *Store) nextCount(least uint64) uint64 {
+	count := max(least, s.count.records)
+	if !s.count.counts {
+		count += confirmStep
+	}
+	return count
+}
+
+// appendToFile writes and syncs; what fails is taken back, and where that fails too nothing is written any more.
+func (s *Store) appendToFile(out []byte) error {
+	_, err := s.file.Write(out)
+	if err == nil {
+		err = s.file.Sync()
+	}
+	if err == nil {
+		s.fileSize += int64(len(out))
+		return nil
+	}
+	undoErr := s.file.Truncate(s.fileSize)
+	if undoErr == nil {
+		undoErr = s.file.Sync()
+	}
+	if undoErr != nil {
+		s.writeFailed = fmt.Errorf("%w: %w", ErrWriteFailed, undoErr)
+		s.logf(s.path + ": " + s.writeFailed.Error())
+	}
+	return err
+}
