--- /dev/null
+++ b/internal/monotonic/format_test.go
@@ -0,0 +1,54 @@
+package monotonic
+
+import (
+	"encoding/base64"
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+func TestOpen_NewerFormat(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "versions")
+	later := format
+	later.Version = 9
+	must(t, os.WriteFile(path, later.Header(), 0o600))
+	if _, err := Open([]string{path}, 10, quiet); !errors.Is(err, ErrNewerVersion) {
+		t.Errorf("%v", err)
+	}
+}
+
+// TestFormat_BytesOfEarlierProgram: what an earlier program wrote is read, and written alike.
+func TestFormat_BytesOfEarlierProgram(t *testing.T) {
+	const wrote = "Y292ZWZsb28BAAAAxi20Vi4AAADYLkOtXOCwMAEHAAAAAAAAAMqXgRLKG73K+sIxs5oj3E2nhu/4FHxOcrmAd4Wv7ki7a2V5L2EJAAAAmYJmY7/Z" +
+		"m8sC0gQAAAAAAAAuAAAA2C5DrXuBUkwBCAAAAAAAAAA+I+gWADlZSjOJT2Vk4bE0i716AIjULErLc+6u1ZwAnWtleS9h"
+	b := appendEntry(format.Header(), "key/a", entry{7, sum("a")})
+	b = appendTime(b, 1234)
+	b = appendEntry(b, "key/a", entry{8, sum("b")})
+	if base64.StdEncoding.EncodeToString(b) != wrote {
+		t.Errorf("%x", b)
+	}
+	path := filepath.Join(t.TempDir(), "versions")
+	must(t, os.WriteFile(path, b, 0o600))
+	f := openStore(t, path)
+	if v, s := f.Seen("key/a"); v != 8 || s != sum("b") || f.Passed() != 1234 || f.TruncatedBytes != 0 {
+		t.Errorf("%d, time %d", v, f.Passed())
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	content := filled(f, 3)
+	f.Add(content)
+	f.Add([]byte(format.Magic))
+	f.Fuzz(func(t *testing.T, content []byte) {
+		decoded, n, err := decode(content)
+		for key := range decoded.entries {
+			if key == "" || len(key) > maxKeySize {
+				t.Errorf("key of %d bytes", len(key))
+			}
+		}
+		if n > len(content) || err == nil && n < len(content) && len(content)-n > format.RecordHeaderSize()+entrySize+maxKeySize {
+			t.Errorf("%d of %d bytes, %v", n, len(content), err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/monotonic/helpers_test.go
@@ -0,0 +1,47 @@
+package monotonic
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"silvercove/internal/tufverify"
+)
+
+func quiet(string) {}
+
+func openStore(tb testing.TB, paths ...string) *Store {
+	tb.Helper()
+	f, err := Open(paths, 1<<20, quiet)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = f.Close() })
+	return f
+}
+
+func sum(s string) tufverify.Sum { return sha256.Sum256([]byte(s)) }
+
+func must(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// filled makes the bytes of a store with some records behind its first writing.
+func filled(tb testing.TB, n int) []byte {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "versions")
+	f := openStore(tb, path)
+	for i := range n {
+		must(tb, f.Raise(fmt.Sprintf("key/%d", i%3), int64(i+1), sum(fmt.Sprint(i))))
+		must(tb, f.Pass(tufverify.Tick(i)))
+	}
+	must(tb, f.Close())
+	content, err := os.ReadFile(path)
+	must(tb, err)
+	return content
+}
