--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_keeper.go
@@ -163,7 +163,7 @@
 
 // shown prints a place, or what stands in its stead.
 func shown(p migration.Assignment, err error) error {
-	var no *controllerclient.Refusal
+	var no *controllerclient.RefusalError
 	if errors.As(err, &no) && no.Place != nil {
 		return fmt.Errorf("%w; it stands as: %s of epoch %d at %q", err, no.Place.State, no.Place.Epoch, no.Place.Primary)
 	}
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -155,12 +155,12 @@
 			return err
 		}
 	}
-	print := func(w io.Writer) error { lab.Print(w, c.Title, all, c.FalseAlarms, c.Misses); return nil }
+	write := func(w io.Writer) error { lab.Print(w, c.Title, all, c.FalseAlarms, c.Misses); return nil }
 	if c.Text != "" {
-		return to(c.Text, print)
+		return to(c.Text, write)
 	}
 	if c.HTML == "" {
-		return print(os.Stdout)
+		return write(os.Stdout)
 	}
 	return nil
 }
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -65,8 +65,8 @@
 	for _, name := range slices.Sorted(maps.Keys(c.Rates)) {
 		rate := c.Rates[name]
 		_, _ = fmt.Fprintf(w, "%s\t%g\t", name, rate)
-		for _, cap := range c.Caps {
-			took := middle / (rate * cap * 0.9 / float64(c.Relays))
+		for _, stageCap := range c.Caps {
+			took := middle / (rate * stageCap * 0.9 / float64(c.Relays))
 			_, _ = fmt.Fprintf(w, "%s\t", time.Duration(min(took, 1e7)*float64(time.Second)).Round(100*time.Millisecond))
 		}
 		_, _ = fmt.Fprintln(w)
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper is a keeper of a fleet: one of three or five processes, or a single one, that agree where each
+// Package controller is a keeper of a fleet: one of three or five processes, or a single one, that agree where each
 // instance runs (placement.Table, stepped by a log that raft agrees on), lease the units their right to act
 // (leases.Book), and have handover's planner decide at the one that leads.
 //
@@ -423,12 +423,12 @@
 		l.news()
 	}
 	next := l.planner.OnTick(now)
-	if at, any := l.book.NextExpiry(); any && at < next {
+	if at, found := l.book.NextExpiry(); found && at < next {
 		next = at
 	}
-	if at, any := l.marks.NextDue(); any && now >= at {
+	if at, found := l.marks.NextDue(); found && now >= at {
 		k.wake()
-	} else if any && at < next {
+	} else if found && at < next {
 		next = at
 	}
 	return max(next-now, 1).Span()
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -1,4 +1,4 @@
-// Package keepers has the words of the keepers' calls, and the client that edge units, relays and tools make them
+// Package controllerclient has the words of the keepers' calls, and the client that edge units, relays and tools make them
 // with. It is lean; a keeper itself is in package keeper.
 package controllerclient
 
--- a/internal/devicepower/power.go
+++ b/internal/devicepower/power.go
@@ -1,4 +1,4 @@
-// Package power reads an edge unit's strength from a folder in Linux's published layout: power_supply
+// Package devicepower reads an edge unit's strength from a folder in Linux's published layout: power_supply
 // (Documentation/ABI/testing/sysfs-class-power: micro-volts, micro-amperes, micro-watts, tenths of a
 // degree), thermal (sysfs-class-thermal: thousandths of a degree) and rfkill. It decides nothing: what
 // can't be read is a reading that is not OK, with the reason.
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -43,7 +43,7 @@
 )
 
 // Image looks up what the Image repository vouches for.
-type Image func(path string) (*tufverify.Target, *tufverify.Refusal)
+type Image func(path string) (*tufverify.Target, *tufverify.RefusalError)
 
 // Floor is where what must outlive a restart is kept.
 type Floor interface {
@@ -479,7 +479,7 @@
 
 // lookUp asks the Image repository for a target. While that can't be had, what it said last stands in, so
 // that servers can be told back; they ask the Image repository themselves before they install anything.
-func (d *Director) lookUp(path string) (*tufverify.Target, *tufverify.Refusal) {
+func (d *Director) lookUp(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	t, refusal := d.image(path)
 	d.seenMu.Lock()
 	defer d.seenMu.Unlock()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-// Package list keeps a watch on the list of units.
+// Package discovery keeps a watch on the list of units.
 package discovery
 
 import (
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -1,4 +1,4 @@
-// Package clients serves the sessions of clients: one goroutine reads a session's queries, each command
+// Package downstream serves the sessions of clients: one goroutine reads a session's queries, each command
 // has one of its own, and the answers go out in the order of the queries.
 package downstream
 
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -1,4 +1,4 @@
-// Package edge is the process of an edge unit in a fleet: it takes commands as any unit does, keeps its lease, follows
+// Package edgenode is the process of an edge unit in a fleet: it takes commands as any unit does, keeps its lease, follows
 // where instances run, and exchanges copies and effects with other edge units. What it may do is decided by
 // handover.Owner, how strong it is by strength.Unit; it decides nothing itself.
 package edgenode
@@ -556,7 +556,7 @@
 		limit, cancel := context.WithTimeout(ctx, e.lease.Span())
 		p, err := e.client.Step(limit, x)
 		cancel()
-		var no *controllerclient.Refusal
+		var no *controllerclient.RefusalError
 		if errors.As(err, &no) && no.Place != nil {
 			p = *no.Place
 		}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -187,8 +187,8 @@
 			return nil, fmt.Errorf("%s: %w", path, ErrPhrase)
 		}
 	}
-	any, err := x509.ParsePKCS8PrivateKey(der)
-	private, ok := any.(crypto.Signer)
+	parsed, err := x509.ParsePKCS8PrivateKey(der)
+	private, ok := parsed.(crypto.Signer)
 	if err != nil || !ok {
 		return nil, fmt.Errorf("%s: %w", path, ErrForm)
 	}
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -100,8 +100,8 @@
 	return result, err
 }
 
-// real is one relay with all its parts.
-type real struct {
+// measured is one relay with all its parts.
+type measured struct {
 	gate     *dispatch.Dispatcher
 	pools    *upstream.Pools
 	front    *downstream.Front
@@ -110,8 +110,8 @@
 	listener net.Listener
 }
 
-func (r Rollout) node(no int, plat *backends.Platform) (*real, error) {
-	n := &real{}
+func (r Rollout) node(no int, plat *backends.Platform) (*measured, error) {
+	n := &measured{}
 	set := (&model{Rollout: r}).settings()
 	set["discovery"] = "automatic"
 	set["limits.connect_timeout"] = 0.5
@@ -137,10 +137,10 @@
 	return n, err
 }
 
-func (n *real) address() string { return n.listener.Addr().String() }
+func (n *measured) address() string { return n.listener.Addr().String() }
 
 // run runs a relay until the context ends.
-func (n *real) run(ctx context.Context) error {
+func (n *measured) run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { return n.gate.RunTimers(ctx) })
 	group.Go(func() error { return n.pools.Run(ctx) })
--- a/internal/metadataproxy/carrier.go
+++ b/internal/metadataproxy/carrier.go
@@ -1,4 +1,4 @@
-// Package carrier is the metadata front: servers ask it over HTTP/1.1 for the metadata and packages of
+// Package metadataproxy is the metadata front: servers ask it over HTTP/1.1 for the metadata and packages of
 // repositories, and for what a Director tells them; it asks the repositories' mirrors. Each repository's
 // mirrors are the units of a gate of its own. What may be believed and passed on is decided by package trust,
 // when mirrors are asked and what a client is told by package exchange, which mirror by the gate.
@@ -253,7 +253,7 @@
 }
 
 // agreed holds a carried Director's targets against its Image repository.
-func (c *Carrier) agreed(r *Repo) *tufverify.Refusal {
+func (c *Carrier) agreed(r *Repo) *tufverify.RefusalError {
 	all, refusal := r.assigned()
 	if refusal != nil {
 		return refusal
@@ -261,7 +261,7 @@
 	for _, t := range all {
 		is, refusal := r.agrees.Find(t.Path)
 		if refusal != nil && refusal.Why == tufverify.Unnamed {
-			refusal = &tufverify.Refusal{Why: tufverify.Disagree, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
+			refusal = &tufverify.RefusalError{Why: tufverify.Disagree, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
 			c.log(refusal.Error())
 		}
 		if refusal != nil {
--- a/internal/metadataproxy/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -202,12 +202,12 @@
 }
 
 // Known looks a target up in what is held and has not expired.
-func (r *Repo) Known(path string) (*tufverify.Target, *tufverify.Refusal) {
+func (r *Repo) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, need, refusal := r.trust.Find(r.tick(), path)
 	if need != "" {
-		refusal = &tufverify.Refusal{Why: tufverify.Missing, Repository: r.name, Role: need, Text: "not held"}
+		refusal = &tufverify.RefusalError{Why: tufverify.Missing, Repository: r.name, Role: need, Text: "not held"}
 	}
 	return t, refusal
 }
@@ -264,7 +264,7 @@
 }
 
 // held gives a file if it may be passed on without asking anyone.
-func (r *Repo) held(f tufverify.File) ([]byte, *tufverify.Refusal) {
+func (r *Repo) held(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current(f)
@@ -272,7 +272,7 @@
 
 // current is held with the lock taken. A timestamp, and the word on which root is the newest, count only as
 // long as mirrors were asked lately.
-func (r *Repo) current(f tufverify.File) ([]byte, *tufverify.Refusal) {
+func (r *Repo) current(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, says := r.trust.Current(now, f)
 	refusal := metadatarefresh.Confirmed(now, f, says, r.survey, r.refresh, r.name)
@@ -283,7 +283,7 @@
 }
 
 // have gives a file if it may be passed on, after asking the mirrors for what is lacking.
-func (r *Repo) have(f tufverify.File) ([]byte, *tufverify.Refusal) {
+func (r *Repo) have(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.bringUp(f.Role == "timestamp" || f.Role == "root")
 	data, refusal := r.held(f)
 	if refusal != nil && refusal.Why == tufverify.Missing && f.Kind() == "targets" && f.Role != "targets" {
@@ -334,11 +334,11 @@
 		f := tufverify.File{Role: "root", Version: r.trust.Next()}
 		r.mu.Unlock()
 		none := false
-		err := r.ask(opRoot, f, tufverify.MostRoot, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.Refusal {
+		err := r.ask(opRoot, f, tufverify.MostRoot, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.RefusalError {
 			if none = status == http.StatusNotFound; none {
 				return nil
 			}
-			return r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Root(now, data) })
+			return r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Root(now, data) })
 		})
 		if err != nil {
 			return err
@@ -362,8 +362,8 @@
 			return fmt.Errorf("%s is needed, and no mirror has it", f)
 		}
 		stamped = true
-		err := r.ask(f.Role, f, most, func(ctx context.Context, u dispatch.Backend, _ int, data []byte) *tufverify.Refusal {
-			return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Take(now, f, data) })
+		err := r.ask(f.Role, f, most, func(ctx context.Context, u dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+			return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Take(now, f, data) })
 		})
 		if err != nil {
 			return err
@@ -373,13 +373,13 @@
 }
 
 // timestamp takes a timestamp of a mirror.
-func (r *Repo) timestamp(ctx context.Context, u dispatch.Backend, data []byte) *tufverify.Refusal {
-	return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Timestamp(now, data) })
+func (r *Repo) timestamp(ctx context.Context, u dispatch.Backend, data []byte) *tufverify.RefusalError {
+	return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Timestamp(now, data) })
 }
 
 // believe hands what a mirror gave to trust. What is signed by unknown keys may hang on a newer root, which
 // the same mirror is asked for. A root that came so may make what is held void: the mirror is not to blame then.
-func (r *Repo) believe(ctx context.Context, u dispatch.Backend, take func(now tufverify.Tick) *tufverify.Refusal) *tufverify.Refusal {
+func (r *Repo) believe(ctx context.Context, u dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	refusal := r.take(take)
 	chased := false
 	for n := 0; n < metadatarefresh.MostRootsAtOnce && metadatarefresh.Chase(refusal, chased); n++ {
@@ -388,7 +388,7 @@
 		r.mu.Unlock()
 		s := r.get(ctx, u, "metadata/"+f.String(), 0, tufverify.MostRoot)
 		if s.status != 200 || s.end.Closed() ||
-			r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Root(now, s.data) }) != nil {
+			r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Root(now, s.data) }) != nil {
 			break
 		}
 		chased = true
@@ -401,7 +401,7 @@
 }
 
 // take hands something to trust; what is held already is as good as new.
-func (r *Repo) take(what func(now tufverify.Tick) *tufverify.Refusal) *tufverify.Refusal {
+func (r *Repo) take(what func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	refusal := what(r.tick())
@@ -412,7 +412,7 @@
 }
 
 // role asks for the targets of a delegated role, and for those of roles that may delegate to it.
-func (r *Repo) role(role string) *tufverify.Refusal {
+func (r *Repo) role(role string) *tufverify.RefusalError {
 	v, _, _ := r.once.Do("role "+role, func() (any, error) {
 		refusal := r.one(role)
 		if refusal == nil || refusal.Why != tufverify.Missing {
@@ -428,32 +428,32 @@
 		}
 		return r.one(role), nil
 	})
-	refusal, _ := v.(*tufverify.Refusal)
+	refusal, _ := v.(*tufverify.RefusalError)
 	return refusal
 }
 
-func (r *Repo) one(role string) *tufverify.Refusal {
+func (r *Repo) one(role string) *tufverify.RefusalError {
 	r.mu.Lock()
 	f, most, refusal := r.trust.Role(r.tick(), role)
 	r.mu.Unlock()
 	if refusal != nil {
 		return refusal
 	}
-	err := r.ask(opTargets, f, most, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.Refusal {
-		refusal = r.take(func(now tufverify.Tick) *tufverify.Refusal { return r.trust.Targets(now, role, data) })
+	err := r.ask(opTargets, f, most, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+		refusal = r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Targets(now, role, data) })
 		if refusal != nil && refusal.Why == tufverify.Missing {
 			return nil // the mirror is not to blame
 		}
 		return refusal
 	})
 	if err != nil && refusal == nil {
-		refusal = &tufverify.Refusal{Why: tufverify.Missing, Repository: r.name, Role: role, Text: err.Error()}
+		refusal = &tufverify.RefusalError{Why: tufverify.Missing, Repository: r.name, Role: role, Text: err.Error()}
 	}
 	return refusal
 }
 
 // Find looks up a target, asking for what is lacking.
-func (r *Repo) Find(path string) (*tufverify.Target, *tufverify.Refusal) {
+func (r *Repo) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.bringUp(true)
 	for {
 		r.mu.Lock()
@@ -474,24 +474,24 @@
 }
 
 // Stored looks up a target by the name that clients of consistent snapshots ask for.
-func (r *Repo) Stored(name string) (*tufverify.Target, *tufverify.Refusal) {
+func (r *Repo) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	path, sum, hashed := r.trust.Plain(name)
 	r.mu.Unlock()
 	t, refusal := r.Find(path)
 	if refusal == nil && hashed && t.Sum != sum {
-		return nil, &tufverify.Refusal{Why: tufverify.Older, Repository: r.name, Role: path, Text: "other bytes count now"}
+		return nil, &tufverify.RefusalError{Why: tufverify.Older, Repository: r.name, Role: path, Text: "other bytes count now"}
 	}
 	return t, refusal
 }
 
-func (r *Repo) assigned() ([]*tufverify.Target, *tufverify.Refusal) {
+func (r *Repo) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Assigned(r.tick())
 }
 
-func (r *Repo) compare(told, is *tufverify.Target, kind string) *tufverify.Refusal {
+func (r *Repo) compare(told, is *tufverify.Target, kind string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Compare(told, is, kind)
@@ -549,7 +549,7 @@
 
 // ask makes one command of a file.
 func (r *Repo) ask(op string, f tufverify.File, most int,
-	take func(ctx context.Context, u dispatch.Backend, status int, data []byte) *tufverify.Refusal) error {
+	take func(ctx context.Context, u dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.command(context.Background(), op, func(d *dispatch.Attempt) attempt {
 		s := r.get(d.Context, d.Backend, "metadata/"+f.String(), 0, most)
 		switch {
--- a/internal/metadatarefresh/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -1,4 +1,4 @@
-// Package exchange decides about exchanges of metadata at a front: whether what is held will do or mirrors are
+// Package metadatarefresh decides about exchanges of metadata at a front: whether what is held will do or mirrors are
 // to be asked, when they are asked again after they had nothing, what a client is told, when a transfer
 // is too slow to wait for, and how many clients are let in at once.
 //
@@ -85,7 +85,7 @@
 // Refused decides what a refusal means for the client. Never an old answer: what is not current now is
 // answered 503 with a time to come back, what will never be is 404, what came too late 404 with the word
 // that the exchange is to be begun again.
-func Refused(r *tufverify.Refusal) Answer {
+func Refused(r *tufverify.RefusalError) Answer {
 	switch r.Why {
 	case tufverify.Older:
 		return Answer{404, "superseded: begin again with timestamp.json", false}
@@ -107,7 +107,7 @@
 }
 
 // Reported decides what a server is told that sent a report.
-func Reported(r *tufverify.Refusal) Answer {
+func Reported(r *tufverify.RefusalError) Answer {
 	if r == nil || r.Why == tufverify.Same {
 		return Answer{200, "taken", false} // a repeat gets the same answer, and does nothing
 	}
@@ -215,7 +215,7 @@
 
 // Shown takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
 // as it is signed well.
-func (s *Survey) Shown(mirror string, refusal *tufverify.Refusal, listed []string) {
+func (s *Survey) Shown(mirror string, refusal *tufverify.RefusalError, listed []string) {
 	if refusal == nil || refusal.Why == tufverify.Same || refusal.Why == tufverify.Older {
 		s.shown[mirror] = true
 	}
@@ -265,7 +265,7 @@
 
 // StandsIn tells whether what the Image repository said last of a package may stand in for what it says now: while
 // it can't be had, so that servers can be told back; not where it says something else.
-func StandsIn(r *tufverify.Refusal) bool {
+func StandsIn(r *tufverify.RefusalError) bool {
 	return r.Why == tufverify.Missing || r.Why == tufverify.Expired
 }
 
@@ -289,7 +289,7 @@
 
 // Chase tells whether a mirror is asked for newer roots because of what it gave: it may be signed by keys of a
 // newer one. chased: a newer root has come already, which may have made void what is held.
-func Chase(r *tufverify.Refusal, chased bool) bool {
+func Chase(r *tufverify.RefusalError, chased bool) bool {
 	if r == nil {
 		return false
 	}
@@ -298,15 +298,15 @@
 
 // Blameless tells whether a mirror is not to blame for a refusal: newer roots that it gave have made void what its
 // file hangs on.
-func Blameless(r *tufverify.Refusal, chased bool) bool {
+func Blameless(r *tufverify.RefusalError, chased bool) bool {
 	return r != nil && chased && r.Why == tufverify.Missing
 }
 
 // Confirmed holds what trust says of a file against when mirrors were asked: nothing but roots is passed on before
 // the survey is done; a timestamp, and the word on which root is the newest, only while mirrors were asked lately.
-func Confirmed(now Tick, f tufverify.File, says *tufverify.Refusal, s *Survey, r *Refresh, repository string) *tufverify.Refusal {
-	unconfirmed := func(text string) *tufverify.Refusal {
-		return &tufverify.Refusal{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
+func Confirmed(now Tick, f tufverify.File, says *tufverify.RefusalError, s *Survey, r *Refresh, repository string) *tufverify.RefusalError {
+	unconfirmed := func(text string) *tufverify.RefusalError {
+		return &tufverify.RefusalError{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
 	}
 	newest := f.Role == "timestamp" || f.Role == "root" && (f.Version == 0 || says != nil)
 	switch {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -1,4 +1,4 @@
-// Package service puts the metadata front together from an operator's file: floor, repositories, Director
+// Package metadataservice puts the metadata front together from an operator's file: floor, repositories, Director
 // and listener, and takes the file again while it runs.
 package metadataservice
 
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -1,4 +1,4 @@
-// Package conf owns the operator's own file: its grammar, the one table of directives that gives
+// Package operatorconfig owns the operator's own file: its grammar, the one table of directives that gives
 // parsing, defaults, ranges, the reference page and the errors, and the checks between directives.
 //
 // The file has one directive a line: a name and its values, parted by blanks. "#" starts a comment,
--- a/internal/peertransport/peers.go
+++ b/internal/peertransport/peers.go
@@ -1,4 +1,4 @@
-// Package peers owns the connections between processes of one fleet. Each process listens at one address, and reaches
+// Package peertransport owns the connections between processes of one fleet. Each process listens at one address, and reaches
 // each other one at an address of its own file, so that a link may stand between any two, in either direction. What a
 // connection carries is said by its first bytes: the agreed log, members' news or HTTP.
 package peertransport
--- a/internal/releaseapi/platform.go
+++ b/internal/releaseapi/platform.go
@@ -1,4 +1,4 @@
-// Package platform follows the platform's changes and casts votes there.
+// Package releaseapi follows the platform's changes and casts votes there.
 package releaseapi
 
 import (
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -1,4 +1,4 @@
-// Package guide leads a relay of a fleet: it follows where the keepers say that instances run and which edge units there
+// Package routing leads a relay of a fleet: it follows where the keepers say that instances run and which edge units there
 // are, and hands both to the gate. While no keeper answers, what was told last stands.
 package routing
 
--- a/internal/stagedrollout/waves.go
+++ b/internal/stagedrollout/waves.go
@@ -1,4 +1,4 @@
-// Package waves decides which servers are told to run an unreleased package while it goes out in waves:
+// Package stagedrollout decides which servers are told to run an unreleased package while it goes out in waves:
 // which, in what order, how many at once, and what becomes of those that fail or draw back.
 //
 // How to call it: New makes the Waves of one fleet. Call the one method that names what has happened, with
--- a/internal/standin/backends/fleet.go
+++ b/internal/standin/backends/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet stands in for what a relay deals with: units that speak PostgreSQL's wire protocol, the agent that tells
+// Package backends stands in for what a relay deals with: units that speak PostgreSQL's wire protocol, the agent that tells
 // their list, and the platform that takes votes and moves a package on or back. All on loopback. The frames are
 // written from the protocol's documentation (PostgreSQL 15, "Message Formats").
 package backends
--- a/internal/standin/battery/power.go
+++ b/internal/standin/battery/power.go
@@ -1,4 +1,4 @@
-// Package power stands in for an edge unit's battery, heat and sensors: a simulated van that drains,
+// Package battery stands in for an edge unit's battery, heat and sensors: a simulated van that drains,
 // charges and warms by load and sun, and writes what it would read into a folder in the layout of Linux's
 // power supply and thermal classes, with faults by script and seed. Its figures are those of a small
 // computer without a fan on a 60 Wh battery.
--- a/internal/standin/faultproxy/links.go
+++ b/internal/standin/faultproxy/links.go
@@ -1,4 +1,4 @@
-// Package links stands in for the network between processes: each Link listens on loopback and passes what comes to
+// Package faultproxy stands in for the network between processes: each Link listens on loopback and passes what comes to
 // one process, as faults say that are set by a script while it runs. What a fault draws is drawn by a seed, and each
 // change is noted with its time.
 //
--- a/internal/standin/testcluster/crew.go
+++ b/internal/standin/testcluster/crew.go
@@ -1,4 +1,4 @@
-// Package crew starts several real processes of a fleet on loopback, with a link between any two of them, and has
+// Package testcluster starts several real processes of a fleet on loopback, with a link between any two of them, and has
 // things happen to them by a script and a seed: links cut, processes killed, stopped and woken, started again with
 // their disk, without it or with an older one. It collects what they log, draws it as a timeline, and judges by rules
 // what truly passed. Where CREW_TIMELINES names a folder, each test's timeline is written there, not only at a failure.
--- a/internal/tufrepo/repo.go
+++ b/internal/tufrepo/repo.go
@@ -1,4 +1,4 @@
-// Package repo owns a TUF repository on disk as its keepers work on it: what is published, what is staged
+// Package tufrepo owns a TUF repository on disk as its keepers work on it: what is published, what is staged
 // and waits for signatures, and the steps between. Each version number is reserved in a floor of
 // the repository's own before anything signed with it can be seen, so that a number is never given to
 // two contents, also when the program is killed between signing and publishing.
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -60,7 +60,7 @@
 // Current gives a file that is held, if it may be passed on now: everything that it hangs on is held, fits
 // together and has not expired, and the version asked for is the one that counts. Roots of the chain
 // are passed on whatever their age, as clients walk them (5.3.4 to 5.3.9); the newest must not have expired.
-func (r *Repository) Current(now Tick, f File) ([]byte, *Refusal) {
+func (r *Repository) Current(now Tick, f File) ([]byte, *RefusalError) {
 	r.pass(now)
 	switch f.Role {
 	case metadata.ROOT:
@@ -109,7 +109,7 @@
 }
 
 // whole: timestamp, snapshot and top-level targets are held, fit together and have not expired.
-func (r *Repository) whole() *Refusal {
+func (r *Repository) whole() *RefusalError {
 	if refusal := r.snapped(metadata.TARGETS); refusal != nil {
 		return refusal
 	}
@@ -120,7 +120,7 @@
 }
 
 // unexpired: neither a role of targets nor any that it was delegated by has expired.
-func (r *Repository) unexpired(role string) *Refusal {
+func (r *Repository) unexpired(role string) *RefusalError {
 	for name := role; name != metadata.ROOT; name = r.targets[name].by {
 		t := r.targets[name]
 		if t == nil {
@@ -135,7 +135,7 @@
 
 // exact holds a versioned name against the version that counts, and an unversioned one against the
 // repository's way of naming.
-func (r *Repository) exact(f File, data []byte, version int64) ([]byte, *Refusal) {
+func (r *Repository) exact(f File, data []byte, version int64) ([]byte, *RefusalError) {
 	switch {
 	case f.Version == version:
 	case f.Version > version:
@@ -175,7 +175,7 @@
 }
 
 // Role is the file of a role of targets as the snapshot names it.
-func (r *Repository) Role(now Tick, role string) (f File, most int, refusal *Refusal) {
+func (r *Repository) Role(now Tick, role string) (f File, most int, refusal *RefusalError) {
 	r.pass(now)
 	if refusal = r.snapped(role); refusal != nil {
 		return f, 0, refusal
@@ -265,7 +265,7 @@
 // Find looks a target up through the delegations: in their order, depth first, ended by a terminating
 // one (5.6.7). Where a role on the way is not held, need names it: it is to be fetched, and the search
 // made again.
-func (r *Repository) Find(now Tick, path string) (t *Target, need string, refusal *Refusal) {
+func (r *Repository) Find(now Tick, path string) (t *Target, need string, refusal *RefusalError) {
 	r.pass(now)
 	if refusal = r.whole(); refusal != nil {
 		return nil, "", refusal
@@ -358,7 +358,7 @@
 }
 
 // Assigned are all targets that the top-level role of a Director names, by path.
-func (r *Repository) Assigned(now Tick) (all []*Target, refusal *Refusal) {
+func (r *Repository) Assigned(now Tick) (all []*Target, refusal *RefusalError) {
 	r.pass(now)
 	if refusal = r.whole(); refusal != nil {
 		return nil, refusal
--- a/internal/tufverify/read.go
+++ b/internal/tufverify/read.go
@@ -15,7 +15,7 @@
 )
 
 // read reads one piece of metadata without believing it.
-func read[T metadata.Roles](r *Repository, role string, data []byte, most int) (*held[T], *Refusal) {
+func read[T metadata.Roles](r *Repository, role string, data []byte, most int) (*held[T], *RefusalError) {
 	if len(data) > most {
 		return nil, r.refuse(Overlong, role, "%d bytes, %d are allowed", len(data), most)
 	}
@@ -115,7 +115,7 @@
 }
 
 // soundRoot checks what the library takes for granted: every role with keys that are there.
-func soundRoot(r *Repository, h *held[metadata.RootType]) *Refusal {
+func soundRoot(r *Repository, h *held[metadata.RootType]) *RefusalError {
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
 		is := h.Signed.Roles[role]
 		if is == nil || is.Threshold < 1 || len(is.KeyIDs) < is.Threshold {
@@ -131,7 +131,7 @@
 }
 
 // soundTargets does the same for targets and their delegations.
-func soundTargets(r *Repository, role string, h *held[metadata.TargetsType]) *Refusal {
+func soundTargets(r *Repository, role string, h *held[metadata.TargetsType]) *RefusalError {
 	for path, t := range h.Signed.Targets {
 		if t == nil || t.Length < 0 || len(t.Hashes["sha256"]) != sha256.Size {
 			return r.refuse(Malformed, role, "target %s needs a length and a SHA-256", path)
@@ -168,7 +168,7 @@
 }
 
 // signed verifies that enough keys of a role have signed, and tells the ways apart in which they have not.
-func (r *Repository) signed(by verifier, role string, what any, signatures []metadata.Signature) *Refusal {
+func (r *Repository) signed(by verifier, role string, what any, signatures []metadata.Signature) *RefusalError {
 	err := by.VerifyDelegate(role, what)
 	if err == nil {
 		return nil
@@ -230,7 +230,7 @@
 }
 
 // fits checks length and hashes that a parent gives for a file, where it gives any (5.5.2, 5.6.2).
-func (r *Repository) fits(role string, named *metadata.MetaFiles, data []byte, most int) *Refusal {
+func (r *Repository) fits(role string, named *metadata.MetaFiles, data []byte, most int) *RefusalError {
 	if len(data) > most {
 		return r.refuse(Overlong, role, "%d bytes, %d are allowed", len(data), most)
 	}
--- a/internal/tufverify/trust.go
+++ b/internal/tufverify/trust.go
@@ -1,4 +1,4 @@
-// Package trust decides what metadata of a repository may be believed and passed on: The Update
+// Package tufverify decides what metadata of a repository may be believed and passed on: The Update
 // Framework's client workflow (TUF specification 1.0.31, section 5) and, beside it, Uptane's agreement of
 // two repositories and reports of servers (Uptane Standard 2.1, section 5.4).
 //
@@ -82,14 +82,14 @@
 
 func (w Why) String() string { return whys[min(w, Whys-1)] }
 
-// Refusal says why something is not believed or not passed on.
-type Refusal struct {
+// RefusalError says why something is not believed or not passed on.
+type RefusalError struct {
 	Why              Why
 	Repository, Role string
 	Text             string
 }
 
-func (r *Refusal) Error() string {
+func (r *RefusalError) Error() string {
 	s := r.Repository + " " + r.Role + ": " + r.Why.String()
 	if r.Text != "" {
 		s += ": " + r.Text
@@ -156,9 +156,9 @@
 	return r, nil
 }
 
-func (r *Repository) refuse(why Why, role, form string, args ...any) *Refusal {
+func (r *Repository) refuse(why Why, role, form string, args ...any) *RefusalError {
 	r.Refused[why]++
-	return &Refusal{why, r.name, role, fmt.Sprintf(form, args...)}
+	return &RefusalError{why, r.name, role, fmt.Sprintf(form, args...)}
 }
 
 // pass lets time go on. A clock that jumps back moves nothing: what has expired stays so. This guards
@@ -177,7 +177,7 @@
 }
 
 // lapsed refuses what has expired, and makes durable that it has, so that no clock undoes it.
-func (r *Repository) lapsed(role string, expires Tick, form string, args ...any) *Refusal {
+func (r *Repository) lapsed(role string, expires Tick, form string, args ...any) *RefusalError {
 	if r.host.Passed() < expires {
 		if err := r.host.Pass(r.now); err != nil {
 			r.host.Log(fmt.Sprintf("%s: the time is not kept: %v", r.name, err))
@@ -187,7 +187,7 @@
 }
 
 // Root takes the next root of the chain (5.3). Both the root before it and it itself must have signed it.
-func (r *Repository) Root(now Tick, data []byte) *Refusal {
+func (r *Repository) Root(now Tick, data []byte) *RefusalError {
 	r.pass(now)
 	next, refusal := read[metadata.RootType](r, metadata.ROOT, data, MostRoot)
 	if refusal != nil {
@@ -249,7 +249,7 @@
 }
 
 // rooted: the newest root that was ever seen is held, and has not expired (5.3.10).
-func (r *Repository) rooted(role string) *Refusal {
+func (r *Repository) rooted(role string) *RefusalError {
 	seen, sum := r.host.Seen(r.key(metadata.ROOT))
 	switch {
 	case r.root.version < seen:
@@ -263,7 +263,7 @@
 }
 
 // Timestamp takes a timestamp (5.4). One of the version held, with the same content, is refused as Same.
-func (r *Repository) Timestamp(now Tick, data []byte) *Refusal {
+func (r *Repository) Timestamp(now Tick, data []byte) *RefusalError {
 	r.pass(now)
 	const role = metadata.TIMESTAMP
 	if refusal := r.rooted(role); refusal != nil {
@@ -300,7 +300,7 @@
 }
 
 // Snapshot takes the snapshot that the timestamp names (5.5).
-func (r *Repository) Snapshot(now Tick, data []byte) *Refusal {
+func (r *Repository) Snapshot(now Tick, data []byte) *RefusalError {
 	r.pass(now)
 	const role = metadata.SNAPSHOT
 	if refusal := r.rooted(role); refusal != nil {
@@ -370,7 +370,7 @@
 
 // Targets takes the targets of a role (5.6): the top-level ones, or those of a role that targets held
 // already delegate to.
-func (r *Repository) Targets(now Tick, role string, data []byte) *Refusal {
+func (r *Repository) Targets(now Tick, role string, data []byte) *RefusalError {
 	r.pass(now)
 	if refusal := r.snapped(role); refusal != nil {
 		return refusal
@@ -412,7 +412,7 @@
 }
 
 // vouched finds who delegates to a role and verifies its signatures by that.
-func (r *Repository) vouched(role string, t *held[metadata.TargetsType]) (by string, refusal *Refusal) {
+func (r *Repository) vouched(role string, t *held[metadata.TargetsType]) (by string, refusal *RefusalError) {
 	if role == metadata.TARGETS {
 		return metadata.ROOT, r.signed(r.root.Metadata, role, t.Metadata, t.Signatures)
 	}
@@ -432,7 +432,7 @@
 }
 
 // snapped: timestamp and snapshot are held, fit together and have not expired.
-func (r *Repository) snapped(role string) *Refusal {
+func (r *Repository) snapped(role string) *RefusalError {
 	if refusal := r.rooted(role); refusal != nil {
 		return refusal
 	}
@@ -450,7 +450,7 @@
 }
 
 // fresh: it has not expired, and nothing newer or of the same version but other content was ever seen.
-func (r *Repository) fresh(role string, version int64, sum Sum, expires Tick) *Refusal {
+func (r *Repository) fresh(role string, version int64, sum Sum, expires Tick) *RefusalError {
 	seen, was := r.host.Seen(r.key(role))
 	switch {
 	case version < seen:
@@ -464,7 +464,7 @@
 }
 
 // raise makes a version durable before anything depends on it, and the time with it.
-func (r *Repository) raise(role, key string, version int64, sum Sum) *Refusal {
+func (r *Repository) raise(role, key string, version int64, sum Sum) *RefusalError {
 	if role == metadata.ROOT {
 		key = r.key(role)
 	}
--- a/internal/tufverify/uptane.go
+++ b/internal/tufverify/uptane.go
@@ -27,7 +27,7 @@
 // and fit the server's kind of hardware. Targets for other servers are left out. need names a role of the
 // Image repository that is to be fetched first.
 func Agree(now Tick, director, image *Repository, server, hardware string) (all []*Assignment, need string,
-	refusal *Refusal) {
+	refusal *RefusalError) {
 	told, refusal := director.Assigned(now)
 	if refusal != nil {
 		return nil, "", refusal
@@ -53,7 +53,7 @@
 }
 
 // Compare holds a target of a Director against the one of the Image repository.
-func (r *Repository) Compare(told, is *Target, hardware string) *Refusal {
+func (r *Repository) Compare(told, is *Target, hardware string) *RefusalError {
 	fits := len(is.Custom.Kinds) == 0
 	for _, k := range is.Custom.Kinds {
 		fits = fits || k == hardware
@@ -75,7 +75,7 @@
 // them (partial verification, Uptane Standard 5.4.4.1): signed, not expired, no older than seen, and naming
 // no other server only. It keeps its floor under the name that is given.
 func Partial(now Tick, host Host, name string, by *metadata.Metadata[metadata.RootType], data []byte,
-	server string) ([]*Target, *Refusal) {
+	server string) ([]*Target, *RefusalError) {
 	r := &Repository{name: name, host: host, now: host.Passed(), root: &held[metadata.RootType]{Metadata: by}}
 	r.pass(now)
 	const role = metadata.TARGETS
@@ -173,14 +173,14 @@
 // Keys replaces the keys of the servers; what was counted stays.
 func (f *Fleet) Keys(keys map[string]crypto.PublicKey) { f.keys = keys }
 
-func (f *Fleet) refuse(why Why, server, form string, args ...any) *Refusal {
+func (f *Fleet) refuse(why Why, server, form string, args ...any) *RefusalError {
 	f.Refused[why]++
-	return &Refusal{why, "reports", server, fmt.Sprintf(form, args...)}
+	return &RefusalError{why, "reports", server, fmt.Sprintf(form, args...)}
 }
 
 // Take verifies the report of a server: signed by its key, its own, and counted further than any before.
 // One that came already is refused as Same: its sender has its answer again, nothing is done twice.
-func (f *Fleet) Take(server string, data []byte) (*Report, *Refusal) {
+func (f *Fleet) Take(server string, data []byte) (*Report, *RefusalError) {
 	if len(data) > MostReport {
 		return nil, f.refuse(Overlong, server, "%d bytes, %d are allowed", len(data), MostReport)
 	}
--- a/internal/tufverify/walk.go
+++ b/internal/tufverify/walk.go
@@ -7,7 +7,7 @@
 )
 
 // Take takes a file by its role.
-func (r *Repository) Take(now Tick, f File, data []byte) *Refusal {
+func (r *Repository) Take(now Tick, f File, data []byte) *RefusalError {
 	switch f.Role {
 	case metadata.ROOT:
 		return r.Root(now, data)
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -1,4 +1,4 @@
-// Package units keeps connections to the units and makes deliveries on them, one at a time each.
+// Package upstream keeps connections to the units and makes deliveries on them, one at a time each.
 // Nothing is ever sent again here: each further delivery is the module's.
 package upstream
 
