--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -28,6 +28,7 @@
 	"silvercove/internal/leases"
 	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
 	"silvercove/internal/tick"
 	"silvercove/internal/wakeup"
 )
@@ -37,15 +38,15 @@
 	OnElected(now tick.Tick)
 	OnNodeStatus(now tick.Tick, u migration.NodeStatus)
 	OnLeaseExpired(now tick.Tick, name string)
-	OnAssignment(now tick.Tick, p migration.Assignment)
-	OnProposalRefused(now tick.Tick, e migration.Operation, err error)
+	OnAssignment(now tick.Tick, p placement.Assignment)
+	OnProposalRefused(now tick.Tick, e placement.Operation, err error)
 	OnDeviceMoved(now tick.Tick, name, zone string)
 	OnTick(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
 }
 
 // Host is what a planner acts through.
 type Host interface {
-	Propose(e migration.Operation)
+	Propose(e placement.Operation)
 	Log(text string)
 }
 
@@ -126,7 +127,7 @@
 }
 
 type queued struct {
-	entry migration.Operation
+	entry placement.Operation
 	why   error // it is refused before it is proposed
 }
 
@@ -448,8 +449,8 @@
 }
 
 // expects counts on the units of a place.
-func (l *lead) expects(now tick.Tick, p migration.Assignment) {
-	if p.State != migration.Running {
+func (l *lead) expects(now tick.Tick, p placement.Assignment) {
+	if p.State != placement.Running {
 		return
 	}
 	for _, name := range append([]string{p.Primary}, p.Replicas...) {
@@ -467,18 +468,18 @@
 var errActs = errors.New("its owner's lease is not over: it may still act")
 
 // lapse: the entry rests on the lease of its By being over.
-func lapse(e migration.Operation) bool {
+func lapse(e placement.Operation) bool {
 	switch e.Kind {
-	case migration.OpFailOver, migration.OpQuarantine, migration.OpDelete:
+	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
 		return e.Node != ""
 	}
 	return false
 }
 
 // Propose proposes an entry.
-func (h host) Propose(e migration.Operation) {
+func (h host) Propose(e placement.Operation) {
 	q := queued{entry: e}
-	q.entry.Version = migration.FormatVersion
+	q.entry.Version = placement.FormatVersion
 	if len(h.l.queue) >= mostQueue {
 		return // the planner's alarm comes again
 	}
@@ -619,7 +620,7 @@
 }
 
 // told has what was agreed told to the planner of the leading keeper, and logged.
-func (k *Keeper) told(steps []migration.Operation, all []result) {
+func (k *Keeper) told(steps []placement.Operation, all []result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.leading()
@@ -636,13 +637,13 @@
 		l.expects(now, p)
 		l.planner.OnAssignment(now, p)
 		switch e.Kind {
-		case migration.OpCreate, migration.OpCutOver, migration.OpFailOver, migration.OpReportIncomplete, migration.OpRestart, migration.OpRelease, migration.OpQuarantine,
-			migration.OpDelete:
+		case placement.OpCreate, placement.OpCutOver, placement.OpFailOver, placement.OpReportIncomplete, placement.OpRestart, placement.OpRelease, placement.OpQuarantine,
+			placement.OpDelete:
 			to := p.Primary
 			if to == "" {
 				to = string(p.State)
 			}
-			if e.Kind == migration.OpDelete {
+			if e.Kind == placement.OpDelete {
 				to = "forgotten"
 			}
 			k.Log.Info().Str("event", "placed").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("from", e.Node).
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -12,8 +12,8 @@
 
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/leases"
-	"silvercove/internal/migration"
 	"silvercove/internal/placement"
+	"silvercove/internal/replica"
 )
 
 // orderVersion is that of an entry of the agreed log around handover.Entry. A keeper that meets a later one ends: it
@@ -27,7 +27,7 @@
 type order struct {
 	V     int                     `json:"v"`
 	Term  uint64                  `json:"term,omitempty"`  // it holds in this term alone; 0: in any
-	Steps []migration.Operation   `json:"steps,omitempty"` // each is carried out or refused by itself
+	Steps []placement.Operation   `json:"steps,omitempty"` // each is carried out or refused by itself
 	Unit  string                  `json:"unit,omitempty"`  // Run of Unit may have leases from now on, earlier ones may not
 	Run   uint64                  `json:"run,omitempty"`
 	Birth *controllerclient.Birth `json:"birth,omitempty"` // the log's beginning, once
@@ -35,13 +35,13 @@
 	Store string                  `json:"store,omitempty"`
 
 	// Of these an earlier keeper knows nothing, and passes an entry with them alone over: nothing that it knows rests on them.
-	Kept   map[string]uint64          `json:"kept,omitempty"`   // units' counts, as leases.Marks
-	Doubts []migration.UnverifiedCopy `json:"doubts,omitempty"` // of one unit's
+	Kept   map[string]uint64        `json:"kept,omitempty"`   // units' counts, as leases.Marks
+	Doubts []replica.UnverifiedCopy `json:"doubts,omitempty"` // of one unit's
 }
 
 // result is what became of one step.
 type result struct {
-	place migration.Assignment
+	place placement.Assignment
 	err   error
 }
 
@@ -59,7 +59,7 @@
 
 // machine is what the log agrees on. Its lock is never held while another one is waited for.
 type machine struct {
-	told  func([]migration.Operation, []result) // each order's steps, in order
+	told  func([]placement.Operation, []result) // each order's steps, in order
 	fatal func(error)
 
 	mu      sync.Mutex
@@ -69,7 +69,7 @@
 	broken  bool          // no entry is carried out any more
 }
 
-func newMachine(told func([]migration.Operation, []result), fatal func(error)) *machine {
+func newMachine(told func([]placement.Operation, []result), fatal func(error)) *machine {
 	return &machine{told: told, fatal: fatal, head: head{V: storeVersion, Generation: 1, Stores: map[string]string{},
 		Runs: map[string]uint64{}, Kept: map[string]uint64{}}, table: placement.New(), changed: make(chan struct{})}
 }
@@ -241,7 +241,7 @@
 		return h, nil, err
 	}
 	t = placement.New()
-	if err = t.Restore(text); errors.Is(err, migration.ErrUnsupportedVersion) {
+	if err = t.Restore(text); errors.Is(err, placement.ErrUnsupportedVersion) {
 		return h, nil, fmt.Errorf("%w: %w", ErrLater, err)
 	} else if err != nil {
 		return h, nil, err
@@ -297,7 +297,7 @@
 	return maps.Clone(m.head.Stores)
 }
 
-func (m *machine) get(name string) (migration.Assignment, bool) {
+func (m *machine) get(name string) (placement.Assignment, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Get(name)
@@ -309,7 +309,7 @@
 	return m.table.Version()
 }
 
-func (m *machine) all() []migration.Assignment {
+func (m *machine) all() []placement.Assignment {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.All()
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -57,7 +57,7 @@
 		}
 	}
 	h := head{V: storeVersion, Generation: 1, Runs: map[string]uint64{}}
-	var old []migration.Assignment
+	var old []placement.Assignment
 	if r.Backup != nil {
 		was, t, err := readSnapshot(r.Backup)
 		if err != nil {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -22,6 +22,7 @@
 	"silvercove/internal/leases"
 	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
 	"silvercove/internal/tick"
 )
 
@@ -377,7 +378,7 @@
 	}
 	k.mu.Unlock()
 	out := controllerclient.Floor{Zones: []controllerclient.FloorZone{}}
-	var all []migration.Assignment
+	var all []placement.Assignment
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllDraining(zones[z]) {
 			continue
@@ -387,7 +388,7 @@
 		}
 		var there []devicehealth.Instance
 		for _, p := range all {
-			if _, ours := zones[z][p.Primary]; ours && p.State == migration.Running {
+			if _, ours := zones[z][p.Primary]; ours && p.State == placement.Running {
 				there = append(there, devicehealth.Instance{Name: p.Instance, Node: p.Primary, PriorityWeight: p.Weight})
 			}
 		}
@@ -449,9 +450,9 @@
 	}
 	code := http.StatusConflict
 	switch {
-	case errors.Is(r.err, migration.ErrNotFound):
+	case errors.Is(r.err, placement.ErrNotFound):
 		code = http.StatusNotFound
-	case errors.Is(r.err, migration.ErrInvalid), errors.Is(r.err, migration.ErrUnsupportedVersion):
+	case errors.Is(r.err, placement.ErrInvalid), errors.Is(r.err, placement.ErrUnsupportedVersion):
 		code = http.StatusBadRequest
 	}
 	f := no(code, "%v", r.err)
@@ -462,31 +463,31 @@
 }
 
 // step has an owner's or an operator's entry agreed. The planner's own kinds are not taken from outside.
-func (k *Keeper) step(c call[migration.Operation]) (any, error) {
+func (k *Keeper) step(c call[placement.Operation]) (any, error) {
 	e := c.in
-	if e.Version != migration.FormatVersion {
-		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", migration.ErrUnsupportedVersion, e.Version,
-			migration.FormatVersion)
+	if e.Version != placement.FormatVersion {
+		return nil, no(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", placement.ErrUnsupportedVersion, e.Version,
+			placement.FormatVersion)
 	}
 	l, _, err := k.take()
 	if err != nil {
 		return nil, err
 	}
-	o := order{Steps: []migration.Operation{e}}
+	o := order{Steps: []placement.Operation{e}}
 	switch e.Kind {
-	case migration.OpReplicaReady, migration.OpDropReplica, migration.OpCutOver, migration.OpCancelCopy, migration.OpMarkServed,
-		migration.OpReportIncomplete:
+	case placement.OpReplicaReady, placement.OpDropReplica, placement.OpCutOver, placement.OpCancelCopy, placement.OpMarkServed,
+		placement.OpReportIncomplete:
 		if e.Node != c.from {
 			return nil, no(http.StatusBadRequest, "%s: a step of %s that is by %q", c.from, e.Kind, e.Node)
 		}
-	case migration.OpCreate, migration.OpRelease:
+	case placement.OpCreate, placement.OpRelease:
 		if !k.edge(e.Target) {
 			return nil, no(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.Target, k.self)
 		}
-	case migration.OpDelete, migration.OpQuarantine:
+	case placement.OpDelete, placement.OpQuarantine:
 		p, ok := k.machine.get(e.Instance)
 		if !ok {
-			return nil, no(http.StatusNotFound, "%v", migration.ErrNotFound)
+			return nil, no(http.StatusNotFound, "%v", placement.ErrNotFound)
 		}
 		if e.Epoch == 0 {
 			e.Epoch = p.Epoch
@@ -525,9 +526,9 @@
 	}
 	p, ok := k.machine.get(c.in.Name)
 	if !ok {
-		return nil, no(http.StatusNotFound, "%v: %s", migration.ErrNotFound, c.in.Name)
+		return nil, no(http.StatusNotFound, "%v: %s", placement.ErrNotFound, c.in.Name)
 	}
-	answer, err := answered(k.apply(order{Steps: []migration.Operation{{Version: migration.FormatVersion, Kind: migration.OpMoveDevice, Instance: p.Instance,
+	answer, err := answered(k.apply(order{Steps: []placement.Operation{{Version: placement.FormatVersion, Kind: placement.OpMoveDevice, Instance: p.Instance,
 		Epoch: p.Epoch, Zone: c.in.Zone}}}))
 	if err == nil {
 		k.mu.Lock()
@@ -594,7 +595,7 @@
 			case <-c.ctx.Done():
 			}
 		case <-timer.C:
-			p.Whole, p.Places = false, []migration.Assignment{}
+			p.Whole, p.Places = false, []placement.Assignment{}
 			return p, nil
 		case <-l.over:
 			_, _, err := k.take()
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -9,7 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
 	"silvercove/internal/tick"
 )
 
@@ -21,20 +22,20 @@
 
 // LeaseAsk asks for a lease, or renews it.
 type LeaseAsk struct {
-	V        int                        `json:"v"`
-	Unit     string                     `json:"unit"`
-	Run      uint64                     `json:"run"` // larger at each start of the process
-	Report   json.RawMessage            `json:"report,omitempty"`
-	Commands string                     `json:"commands,omitempty"` // HOST:PORT
-	Zone     string                     `json:"zone,omitempty"`
-	Build    uint16                     `json:"build,omitempty"`
-	BornMS   int64                      `json:"born_ms,omitempty"` // start of its process, for lists; no decision rests on it
-	Draining bool                       `json:"draining,omitempty"`
-	Back     bool                       `json:"going_back,omitempty"` // its build is on the way back, as a keeper told it last
-	Cold     bool                       `json:"cold,omitempty"`
-	Fresh    bool                       `json:"fresh,omitempty"`  // this run began without the copies of the one before
-	Kept     uint64                     `json:"kept,omitempty"`   // records that its disk has ever taken (instances.Store.Count); 0: not known
-	Doubts   []migration.UnverifiedCopy `json:"doubts,omitempty"` // what it goes on with though effects may be missing
+	V        int                      `json:"v"`
+	Unit     string                   `json:"unit"`
+	Run      uint64                   `json:"run"` // larger at each start of the process
+	Report   json.RawMessage          `json:"report,omitempty"`
+	Commands string                   `json:"commands,omitempty"` // HOST:PORT
+	Zone     string                   `json:"zone,omitempty"`
+	Build    uint16                   `json:"build,omitempty"`
+	BornMS   int64                    `json:"born_ms,omitempty"` // start of its process, for lists; no decision rests on it
+	Draining bool                     `json:"draining,omitempty"`
+	Back     bool                     `json:"going_back,omitempty"` // its build is on the way back, as a keeper told it last
+	Cold     bool                     `json:"cold,omitempty"`
+	Fresh    bool                     `json:"fresh,omitempty"`  // this run began without the copies of the one before
+	Kept     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instances.Store.Count); 0: not known
+	Doubts   []replica.UnverifiedCopy `json:"doubts,omitempty"` // what it goes on with though effects may be missing
 }
 
 // MostDoubts is how many of them one call tells; the others follow with the next one.
@@ -81,7 +82,7 @@
 // Fault is the body of all answers but 200.
 type Fault struct {
 	Error  string                `json:"error,omitempty"`
-	Place  *migration.Assignment `json:"place,omitempty"`  // what stands instead
+	Place  *placement.Assignment `json:"place,omitempty"`  // what stands instead
 	Leader string                `json:"leader,omitempty"` // with 421
 }
 
@@ -90,7 +91,7 @@
 	Version uint64 `json:"version"`
 	Line
 	Whole  bool                   `json:"whole"`
-	Places []migration.Assignment `json:"places"`
+	Places []placement.Assignment `json:"places"`
 	Gone   []string               `json:"gone,omitempty"`
 }
 
@@ -192,11 +193,11 @@
 
 // Holds is what an edge unit has, whatever the keepers say: its answer to GET /v1/holds.
 type Holds struct {
-	V     int                    `json:"v"`
-	Unit  string                 `json:"unit"`
-	Run   uint64                 `json:"run"`
-	Line  Line                   `json:"line"`
-	Holds []migration.CopyStatus `json:"holds"`
+	V     int                  `json:"v"`
+	Unit  string               `json:"unit"`
+	Run   uint64               `json:"run"`
+	Line  Line                 `json:"line"`
+	Holds []replica.CopyStatus `json:"holds"`
 }
 
 // Confirm asks a keeper whether it knows of a later term; its answer has the term that it is in.
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -13,8 +13,8 @@
 
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/devicehealth"
-	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
+	"silvercove/internal/replica"
 	"silvercove/internal/tick"
 )
 
@@ -168,23 +168,23 @@
 	a := e.ask(ctx, q)
 	metrics.GetOrCreateCounter(outcomes[a.Outcome]).Inc()
 	switch a.Outcome {
-	case migration.Succeeded:
+	case replica.Succeeded:
 		end := "SELECT 1"
 		if q.Write {
 			end = "INSERT 0 1"
 		}
 		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Index, a.Epoch, a.Node), end)
-	case migration.Rejected:
+	case replica.Rejected:
 		return problem(pgwire.NoRoom, a.Detail)
-	case migration.TooLarge:
+	case replica.TooLarge:
 		return problem(pgwire.TooLong, a.Detail)
 	}
 	return problem(pgwire.Failed, a.Detail)
 }
 
-var outcomes = [...]string{migration.Rejected: `cove_edge_commands_total{end="never ran"}`,
-	migration.Succeeded: `cove_edge_commands_total{end="acked"}`, migration.Indeterminate: `cove_edge_commands_total{end="unknown"}`,
-	migration.TooLarge: `cove_edge_commands_total{end="too large"}`}
+var outcomes = [...]string{replica.Rejected: `cove_edge_commands_total{end="never ran"}`,
+	replica.Succeeded: `cove_edge_commands_total{end="acked"}`, replica.Indeterminate: `cove_edge_commands_total{end="unknown"}`,
+	replica.TooLarge: `cove_edge_commands_total{end="too large"}`}
 
 // unready tells why a probe is turned away, "" where it is not.
 func (e *Edge) unready() string {
@@ -200,14 +200,14 @@
 }
 
 // ask has a command carried out by the owner's decision.
-func (e *Edge) ask(ctx context.Context, q *pgwire.Query) migration.Response {
+func (e *Edge) ask(ctx context.Context, q *pgwire.Query) replica.Response {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
-	c := &migration.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Content()}
-	done := make(chan migration.Response, 1)
+	c := &replica.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Content()}
+	done := make(chan replica.Response, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
-		return migration.Response{Outcome: migration.Rejected, Detail: "the keepers' places are not known yet: never ran"}
+		return replica.Response{Outcome: replica.Rejected, Detail: "the keepers' places are not known yet: never ran"}
 	}
 	e.busy++
 	e.asks[c] = done
@@ -215,19 +215,19 @@
 	c.Deadline = now + tick.Of(wait)
 	e.owner.OnRequest(now, c)
 	e.mu.Unlock()
-	var a migration.Response
+	var a replica.Response
 	select {
 	case a = <-done:
 	case <-ctx.Done():
-		a = migration.Response{Outcome: migration.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
+		a = replica.Response{Outcome: replica.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
 	}
 	e.mu.Lock()
 	delete(e.asks, c)
 	e.busy--
 	switch a.Outcome {
-	case migration.Succeeded:
+	case replica.Succeeded:
 		e.strength.RecordOutcome(now, true)
-	case migration.Indeterminate:
+	case replica.Indeterminate:
 		if !a.LeaseLost { // that keepers fell, or that others own it now, says nothing of this unit's strength
 			e.strength.RecordOutcome(now, false)
 		}
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -21,9 +21,9 @@
 	"silvercove/internal/devicepower"
 	"silvercove/internal/fleet"
 	"silvercove/internal/instancestore"
-	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
 	"silvercove/internal/placement"
+	"silvercove/internal/replica"
 	"silvercove/internal/tick"
 )
 
@@ -56,17 +56,17 @@
 	store    *instancestore.Store
 	commands net.Listener
 	reader   *devicepower.Reader
-	sends    map[string]chan migration.Message
-	steps    chan migration.Operation
+	sends    map[string]chan replica.Message
+	steps    chan placement.Operation
 	kick     chan struct{} // the lease is to be asked for at once
 	moved    chan struct{} // something may have changed that the end waits for
 
 	mu       sync.Mutex
-	owner    *migration.Manager // nil before the first places are known
+	owner    *replica.Manager // nil before the first places are known
 	strength *devicehealth.Monitor
 	report   devicehealth.Report
-	asks     map[*migration.Request]chan migration.Response
-	waits    map[uint64]chan migration.Message // of other units' calls
+	asks     map[*replica.Request]chan replica.Response
+	waits    map[uint64]chan replica.Message // of other units' calls
 	mark     uint64
 	line     controllerclient.Line // that the owner's places are of
 	noted    controllerclient.Line // on disk
@@ -76,7 +76,7 @@
 	settled  bool                    // what is written counts
 	most     uint64                  // the greatest count that the keepers told
 	more     placement.UnknownFields // beside it
-	records  []migration.Log
+	records  []replica.Log
 	ends     bool
 	lost     string // why the lease is not renewed, as last logged
 	busy     int    // commands under way
@@ -93,12 +93,12 @@
 func Open(o Options) (*Edge, error) {
 	lease, _ := o.File.Set["fleet.lease"].(float64)
 	e := &Edge{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
-		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan migration.Message{},
-		steps: make(chan migration.Operation, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
-		reader: devicepower.Open(o.File.Power), asks: map[*migration.Request]chan migration.Response{},
-		waits: map[uint64]chan migration.Message{}}
+		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan replica.Message{},
+		steps: make(chan placement.Operation, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
+		reader: devicepower.Open(o.File.Power), asks: map[*replica.Request]chan replica.Response{},
+		waits: map[uint64]chan replica.Message{}}
 	for _, p := range o.Net.Peers("edge") {
-		e.sends[p.Name] = make(chan migration.Message, mostSends)
+		e.sends[p.Name] = make(chan replica.Message, mostSends)
 	}
 	var text []byte
 	var err error
@@ -220,7 +220,7 @@
 		if err == nil {
 			e.mu.Lock()
 			e.line = p.Line
-			e.owner = migration.NewManager(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
+			e.owner = replica.NewManager(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
 			e.records = nil
 			e.mu.Unlock()
 			return nil
@@ -247,7 +247,7 @@
 }
 
 // told takes in news of places.
-func (e *Edge) told(version uint64, places []migration.Assignment, gone []string, whole bool) {
+func (e *Edge) told(version uint64, places []placement.Assignment, gone []string, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := controllerclient.Now()
@@ -336,7 +336,7 @@
 }
 
 // disk takes in what a lease says of the unit's disk. It is called with the lock held.
-func (e *Edge) disk(a controllerclient.LeaseAnswer, told []migration.UnverifiedCopy) {
+func (e *Edge) disk(a controllerclient.LeaseAnswer, told []replica.UnverifiedCopy) {
 	if !e.judged {
 		e.judged = true
 		e.wasBack = e.began < a.Kept && e.began > 0
@@ -466,7 +466,7 @@
 type host struct{ *Edge }
 
 // Send queues a message to another unit, or brings an answer to the call that waits for it.
-func (h host) Send(to string, m migration.Message) {
+func (h host) Send(to string, m replica.Message) {
 	if m.ReplyTo != 0 {
 		if w := h.waits[m.ReplyTo]; w != nil {
 			delete(h.waits, m.ReplyTo)
@@ -481,7 +481,7 @@
 }
 
 // Propose queues an entry for the keepers; what is beyond the queue is as if lost.
-func (h host) Propose(e migration.Operation) {
+func (h host) Propose(e placement.Operation) {
 	select {
 	case h.steps <- e:
 	default:
@@ -489,14 +489,14 @@
 }
 
 // Respond ends a command.
-func (h host) Respond(c *migration.Request, a migration.Response) {
+func (h host) Respond(c *replica.Request, a replica.Response) {
 	if w := h.asks[c]; w != nil {
 		delete(h.asks, c)
 		w <- a
 	}
 }
 
-func (h host) AppendEntry(name string, x migration.LogEntry) {
+func (h host) AppendEntry(name string, x replica.LogEntry) {
 	h.store.Append(name, x, h.kept(name, x.Index))
 }
 
@@ -521,7 +521,7 @@
 }
 
 // Notify logs an event.
-func (h host) Notify(x migration.Event) {
+func (h host) Notify(x replica.Event) {
 	if x.Kind == "doubts" {
 		h.renews() // so that the keepers know
 	}
@@ -547,7 +547,7 @@
 // step brings entries to the keepers.
 func (e *Edge) step(ctx context.Context) {
 	for {
-		var x migration.Operation
+		var x placement.Operation
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -12,8 +12,9 @@
 	"time"
 
 	"silvercove/internal/controllerclient"
-	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
 )
 
 const (
@@ -22,7 +23,7 @@
 )
 
 // send brings messages to one other unit.
-func (e *Edge) send(ctx context.Context, client *http.Client, to string, queue chan migration.Message) {
+func (e *Edge) send(ctx context.Context, client *http.Client, to string, queue chan replica.Message) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -40,7 +41,7 @@
 	}
 }
 
-func (e *Edge) post(ctx context.Context, client *http.Client, to string, m migration.Message) (*migration.Message, error) {
+func (e *Edge) post(ctx context.Context, client *http.Client, to string, m replica.Message) (*replica.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.lease.Span())
 	defer cancel()
 	text, err := json.Marshal(m)
@@ -60,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var got migration.Message
+	var got replica.Message
 	if err := json.Unmarshal(text, &got); err != nil {
 		return nil, err
 	}
@@ -72,17 +73,17 @@
 // answerPeers answers other processes' calls.
 func (e *Edge) answerPeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	for _, kind := range []string{migration.MessageCatchUp, migration.MessageAppend, migration.MessageFinalAppend} {
+	for _, kind := range []string{replica.MessageCatchUp, replica.MessageAppend, replica.MessageFinalAppend} {
 		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { e.heard(w, r, kind) })
 	}
 	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) {
-		h := controllerclient.Holds{V: migration.FormatVersion, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []migration.CopyStatus{}}
+		h := controllerclient.Holds{V: placement.FormatVersion, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []replica.CopyStatus{}}
 		e.mu.Lock()
 		if e.owner != nil {
 			h.Holds = append(h.Holds, e.owner.Copies(controllerclient.Now())...)
 		}
 		for _, r := range e.records { // not heard of any place since its start: whether they are counted on is not known
-			h.Holds = append(h.Holds, migration.CopyStatus{Instance: r.Instance, Epoch: r.LastEpoch(), Index: r.LastIndex(), LastEpoch: r.LastEpoch(), Checksum: r.Checksum(),
+			h.Holds = append(h.Holds, replica.CopyStatus{Instance: r.Instance, Epoch: r.LastEpoch(), Index: r.LastIndex(), LastEpoch: r.LastEpoch(), Checksum: r.Checksum(),
 				Size: r.Size()})
 		}
 		e.mu.Unlock()
@@ -130,14 +131,14 @@
 func (e *Edge) heard(w http.ResponseWriter, r *http.Request, kind string) {
 	from, _ := r.Context().Value(fromKey{}).(string)
 	refuse := func(code int, why string) {
-		reply(w, code, migration.Message{Version: migration.FormatVersion, Kind: migration.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
+		reply(w, code, replica.Message{Version: placement.FormatVersion, Kind: replica.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostMessage))
 	if err != nil {
 		refuse(http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	var m migration.Message
+	var m replica.Message
 	if err := json.Unmarshal(text, &m); err != nil {
 		refuse(http.StatusBadRequest, err.Error())
 		return
@@ -146,7 +147,7 @@
 		refuse(http.StatusBadRequest, fmt.Sprintf("a message %q at %s", m.Kind, kind))
 		return
 	}
-	done := make(chan migration.Message, 1)
+	done := make(chan replica.Message, 1)
 	e.mu.Lock()
 	if e.owner == nil {
 		e.mu.Unlock()
@@ -164,9 +165,9 @@
 	case answer := <-done:
 		code := http.StatusOK
 		switch answer.Kind {
-		case migration.MessageStaleEpoch:
+		case replica.MessageStaleEpoch:
 			code = http.StatusConflict
-		case migration.MessageRejected:
+		case replica.MessageRejected:
 			code = http.StatusUnprocessableEntity
 		}
 		reply(w, code, answer)
--- a/internal/instancestore/instances.go
+++ b/internal/instancestore/instances.go
@@ -31,8 +31,8 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/migration"
 	"silvercove/internal/recordlog"
+	"silvercove/internal/replica"
 )
 
 // Errors of a store.
@@ -77,7 +77,7 @@
 	name string
 	seq  uint64 // of a cut; the base of a beginning; the count of a mark
 	sum  uint64 // 1 of a mark: what follows counts
-	e    migration.LogEntry
+	e    replica.LogEntry
 	note []byte
 	done func(error)
 }
@@ -95,7 +95,7 @@
 	file File
 	size int64
 	live int64 // bytes of the file that are of use, about
-	all  map[string]*migration.Log
+	all  map[string]*replica.Log
 	note []byte
 	took count
 	runs bool          // this run has marked that what follows does not count yet
@@ -110,8 +110,8 @@
 }
 
 // Open reads what a folder keeps, "" for none. The records are the caller's own.
-func Open(folder string, log func(string)) (*Store, []migration.Log, []byte, error) {
-	s := &Store{log: log, all: map[string]*migration.Log{}, wake: make(chan struct{}, 1), took: count{1, true}}
+func Open(folder string, log func(string)) (*Store, []replica.Log, []byte, error) {
+	s := &Store{log: log, all: map[string]*replica.Log{}, wake: make(chan struct{}, 1), took: count{1, true}}
 	if folder == "" {
 		return s, nil, nil, nil
 	}
@@ -123,7 +123,7 @@
 	if s.lock, err = os.OpenFile(filepath.Join(folder, "instances.lock"), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
 	}
-	fail := func(err error) (*Store, []migration.Log, []byte, error) {
+	fail := func(err error) (*Store, []replica.Log, []byte, error) {
 		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
 	}
@@ -155,7 +155,7 @@
 		s.live += size(r)
 	}
 	s.next = 2*s.live + spare
-	records := make([]migration.Log, 0, len(s.all))
+	records := make([]replica.Log, 0, len(s.all))
 	for _, name := range slices.Sorted(maps.Keys(s.all)) {
 		r := *s.all[name]
 		r.Entries = slices.Clone(r.Entries)
@@ -225,7 +225,7 @@
 		}
 		r.Truncate(o.seq)
 	case isBegin:
-		s.all[o.name] = &migration.Log{Instance: o.name, BaseIndex: o.seq, BaseChecksum: o.sum}
+		s.all[o.name] = &replica.Log{Instance: o.name, BaseIndex: o.seq, BaseChecksum: o.sum}
 	case isForget:
 		delete(s.all, o.name)
 	case isNote:
@@ -257,7 +257,7 @@
 // Keep, Cut, Begin, Forget and Note ask for something to be kept; done is told by Run, in the order of asking.
 
 // Append keeps the next effect of an instance.
-func (s *Store) Append(name string, e migration.LogEntry, done func(error)) {
+func (s *Store) Append(name string, e replica.LogEntry, done func(error)) {
 	s.ask(op{kind: isEffect, name: name, e: e, done: done})
 }
 
@@ -285,7 +285,7 @@
 	s.mu.Lock()
 	if len(s.queue) >= mostOps {
 		o.kind = 0 // refused, in its turn
-		o.e, o.note = migration.LogEntry{}, nil
+		o.e, o.note = replica.LogEntry{}, nil
 	}
 	s.queue = append(s.queue, o)
 	s.mu.Unlock()
@@ -341,7 +341,7 @@
 
 // write makes some things safe by one write and one fsync, or says of all why not and leaves everything as it was.
 func (s *Store) write(ops []op, errs []error) {
-	before := map[string]*migration.Log{}
+	before := map[string]*replica.Log{}
 	note, took := s.note, s.took
 	var out []byte
 	if !s.runs {
@@ -464,7 +464,7 @@
 }
 
 // size is about what an instance takes in the file.
-func size(r *migration.Log) int64 { return int64(r.Size() + 64*len(r.Entries) + 64) }
+func size(r *replica.Log) int64 { return int64(r.Size() + 64*len(r.Entries) + 64) }
 
 // frame appends a record.
 func frame(out []byte, o op) []byte {
@@ -527,7 +527,7 @@
 	o.name = text()
 	switch o.kind {
 	case isEffect:
-		o.e = migration.LogEntry{Index: number(), Epoch: number(), Checksum: number()}
+		o.e = replica.LogEntry{Index: number(), Epoch: number(), Checksum: number()}
 		o.e.Node, o.e.RequestID = text(), text()
 		if len(b) > 0 {
 			o.e.Body = bytes.Clone(b)
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"silvercove/internal/migration"
 	"silvercove/internal/overload"
+	"silvercove/internal/replica"
 	"silvercove/internal/standin/testcluster"
 	"silvercove/internal/tick"
 )
@@ -154,7 +154,7 @@
 	cmd *command
 	u   *unit
 	run uint64
-	end func(migration.Response)
+	end func(replica.Response)
 }
 
 // client begins the next command of the sample.
@@ -235,7 +235,7 @@
 		}
 		run := u.run
 		u.does(run, func() {
-			a := &migration.Request{ID: m.id, Instance: m.cam.name, Write: m.write,
+			a := &replica.Request{ID: m.id, Instance: m.cam.name, Write: m.write,
 				Deadline: u.at() + tick.Tick(float64(m.by-f.now-answerBy/4)*0.98)}
 			s := &asked{cmd: m, u: u, run: run}
 			f.in(max(0, m.by-f.now)+tick.Tick(f.Lease*float64(tick.Second)/5)+slack, func() {
@@ -243,7 +243,7 @@
 					f.check.fail("%s has not answered %s in time", u.shown, m.id)
 				}
 			})
-			s.end = func(ans migration.Response) {
+			s.end = func(ans replica.Response) {
 				f.check.answered(u, m, ans)
 				f.ship(u.node, m.r.node, 200, func() {
 					if mine != m.delivery {
@@ -276,20 +276,20 @@
 }
 
 // answered takes a unit's answer in.
-func (m *command) answered(u *unit, a migration.Response) {
+func (m *command) answered(u *unit, a replica.Response) {
 	f := m.f
 	if m.final {
 		return
 	}
 	switch a.Outcome {
-	case migration.Succeeded:
+	case replica.Succeeded:
 		m.r.saw(u.name, true)
 		m.r.over.RecordServiceTime(m.r.at(), 0, worth)
 		m.ends("acked")
-	case migration.Rejected:
+	case replica.Rejected:
 		m.delivery++
 		f.in(holds, m.deliver) // held until the news come
-	case migration.TooLarge:
+	case replica.TooLarge:
 		m.ends("nacked")
 	default:
 		m.unsure = m.unsure || m.write
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -10,6 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"silvercove/internal/placement"
 	"silvercove/internal/tick"
 )
 
@@ -38,7 +39,7 @@
 
 // PlannerHost is what a planner acts through.
 type PlannerHost interface {
-	Propose(e Operation) // to the agreed log; its result comes back by Placed or Refused, at once or later
+	Propose(e placement.Operation) // to the agreed log; its result comes back by Placed or Refused, at once or later
 	Log(text string)
 }
 
@@ -106,7 +107,7 @@
 
 // row is an instance as the planner knows it.
 type row struct {
-	Assignment
+	placement.Assignment
 	there   bool // false: no Placed yet
 	owner   *unit
 	holders []*unit
@@ -121,7 +122,7 @@
 	orphan  bool      // its owner began anew without it
 	shed    bool      // one of the lightest of a unit that has too many
 
-	sent     Operation // a step on its way; Kind "" for none
+	sent     placement.Operation // a step on its way; Kind "" for none
 	sentAt   tick.Tick
 	failing  *unit
 	tries    int       // without a place, or refused, in a row
@@ -202,7 +203,7 @@
 		p.ability(u)
 	}
 	for _, r := range byWeight(maps.Values(p.rows)) {
-		r.sent, r.failing, r.seen, r.copying, r.tries, r.not, r.avoid = Operation{}, nil, now, now, 0, 0, nil
+		r.sent, r.failing, r.seen, r.copying, r.tries, r.not, r.avoid = placement.Operation{}, nil, now, now, 0, 0, nil
 		r.moved = moved(r.Assignment, now)
 		p.account(r)
 		p.look(r)
@@ -279,11 +280,11 @@
 }
 
 // OnAssignment tells a place as it was agreed: each change, and after Led all of them. An older one is passed over.
-func (p *Planner) OnAssignment(now tick.Tick, n Assignment) {
+func (p *Planner) OnAssignment(now tick.Tick, n placement.Assignment) {
 	p.now = now
 	r := p.rows[n.Instance]
 	if r == nil {
-		if n.State == Deleted {
+		if n.State == placement.Deleted {
 			return
 		}
 		r = &row{duePos: -1, seen: now, moved: moved(n, now)}
@@ -300,7 +301,7 @@
 	for _, u := range r.holders {
 		delete(u.held, r)
 	}
-	if r.Assignment, r.owner, r.holders = n, nil, r.holders[:0]; n.State != Deleted {
+	if r.Assignment, r.owner, r.holders = n, nil, r.holders[:0]; n.State != placement.Deleted {
 		if n.Primary != "" {
 			r.owner = p.unit(n.Primary)
 			r.owner.owned[r] = struct{}{}
@@ -332,7 +333,7 @@
 	}
 	r.there = true
 	if r.sent.Kind != "" && done(r.sent, n) {
-		r.sent = Operation{}
+		r.sent = placement.Operation{}
 	}
 	if f := r.failing; f != nil && (n.Primary != f.Name || n.Epoch != old.Epoch) {
 		f.fails--
@@ -341,7 +342,7 @@
 	if r.device == n.Zone {
 		r.device = ""
 	}
-	if r.sent.Kind != OpDropReplica && n.Epoch == old.Epoch {
+	if r.sent.Kind != placement.OpDropReplica && n.Epoch == old.Epoch {
 		for _, name := range old.Replicas { // its owner can't reach it
 			if !slices.Contains(n.Replicas, name) {
 				r.avoid, r.avoided = p.unit(name), now+2*p.lease
@@ -351,7 +352,7 @@
 	}
 	r.bare = slices.DeleteFunc(r.bare, func(u *unit) bool { return !slices.Contains(r.holders, u) })
 	p.account(r)
-	if n.State == Deleted {
+	if n.State == placement.Deleted {
 		p.setDue(r, 0)
 		delete(p.rows, n.Instance)
 		return
@@ -361,13 +362,13 @@
 }
 
 // OnProposalRefused says that a step was refused or was not agreed, and why. It is tried again where it is still called for.
-func (p *Planner) OnProposalRefused(now tick.Tick, e Operation, why error) {
+func (p *Planner) OnProposalRefused(now tick.Tick, e placement.Operation, why error) {
 	p.now = now
 	r := p.rows[e.Instance]
 	if r == nil {
 		return
 	}
-	if r.failing != nil && (e.Kind == OpFailOver || e.Kind == OpQuarantine) && e.Node == r.failing.Name {
+	if r.failing != nil && (e.Kind == placement.OpFailOver || e.Kind == placement.OpQuarantine) && e.Node == r.failing.Name {
 		r.failing.fails--
 		r.failing = nil
 	}
@@ -375,7 +376,7 @@
 		return
 	}
 	p.host.Log(fmt.Sprintf("%s: %s to %q refused: %v", e.Instance, e.Kind, e.Target, why))
-	r.sent = Operation{}
+	r.sent = placement.Operation{}
 	p.account(r)
 	p.later(r)
 	p.work(factWork)
@@ -389,7 +390,7 @@
 		p.host.Log(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
 		return
 	}
-	if r.device = zone; zone == r.Zone && r.sent.Kind != OpMoveDevice {
+	if r.device = zone; zone == r.Zone && r.sent.Kind != placement.OpMoveDevice {
 		r.device = ""
 	}
 	p.look(r)
@@ -411,7 +412,7 @@
 // ChooseNode is the unit at which a new instance should begin, "" where none has room.
 func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
-	if u, _ := p.pick(&row{Assignment: Assignment{Instance: name, Zone: zone}}, leaves); u != nil {
+	if u, _ := p.pick(&row{Assignment: placement.Assignment{Instance: name, Zone: zone}}, leaves); u != nil {
 		u.taken++
 		p.ability(u)
 		return u.Name
@@ -458,7 +459,7 @@
 			p.setDue(r, until)
 			return
 		}
-		r.sent = Operation{} // its result was lost
+		r.sent = placement.Operation{} // its result was lost
 		if r.device == r.Zone {
 			r.device = ""
 		}
@@ -466,14 +467,14 @@
 	}
 	switch {
 	case r.device != "" && r.device != r.Zone:
-		p.step(r, Operation{Kind: OpMoveDevice, Zone: r.device, Reason: "its device is in " + r.device})
-	case r.State == Lost:
+		p.step(r, placement.Operation{Kind: placement.OpMoveDevice, Zone: r.device, Reason: "its device is in " + r.device})
+	case r.State == placement.Lost:
 		p.revive(r)
-	case r.State != Running:
+	case r.State != placement.Running:
 	case r.owner.over || r.orphan:
 		p.fail(r)
 	case len(r.bare) > 0 && !(r.CutOver && r.CopyTarget == r.bare[0].Name):
-		p.step(r, Operation{Kind: OpDropReplica, Target: r.bare[0].Name, Reason: r.bare[0].Name + " began without its copies"})
+		p.step(r, placement.Operation{Kind: placement.OpDropReplica, Target: r.bare[0].Name, Reason: r.bare[0].Name + " began without its copies"})
 	case r.CopyTarget != "":
 		p.watch(r)
 	default:
@@ -489,7 +490,7 @@
 		// Guards against an instance that fells each owner. Units that fell for another reason look the same where one
 		// instance was at all of them; it hurts then: an operator has to release it. Where several that may be it fell with
 		// one unit, they go on, each with a holder of its own, until one falls alone; that costs a unit's fall or two more.
-		p.step(r, Operation{Kind: OpQuarantine, Node: r.Primary, Reason: fmt.Sprintf("fell %d owners in a row", r.Failures+1)})
+		p.step(r, placement.Operation{Kind: placement.OpQuarantine, Node: r.Primary, Reason: fmt.Sprintf("fell %d owners in a row", r.Failures+1)})
 		return
 	}
 	best := p.heir(r)
@@ -499,7 +500,7 @@
 		p.setDue(r, p.now+max(1, p.lease/6))
 		return
 	}
-	e := Operation{Kind: OpFailOver, Node: r.Primary, Reason: r.Primary + " fell"}
+	e := placement.Operation{Kind: placement.OpFailOver, Node: r.Primary, Reason: r.Primary + " fell"}
 	if best != nil {
 		e.Target = best.Name
 	}
@@ -546,7 +547,7 @@
 // revive lets a lost instance go on: at once where a holder is back, else after restart_after from the best older copy.
 func (p *Planner) revive(r *row) {
 	if u := p.heir(r); u != nil {
-		p.step(r, Operation{Kind: OpRestart, Target: u.Name, Index: r.Index, Reason: u.Name + " holds all of it and is back"})
+		p.step(r, placement.Operation{Kind: placement.OpRestart, Target: u.Name, Index: r.Index, Reason: u.Name + " holds all of it and is back"})
 		return
 	}
 	if at := r.seen + p.restart; p.now < at {
@@ -573,7 +574,7 @@
 	}
 	best.taken++
 	p.ability(best)
-	p.step(r, Operation{Kind: OpRestart, Target: best.Name, Index: seq, Reason: "no holder came back"})
+	p.step(r, placement.Operation{Kind: placement.OpRestart, Target: best.Name, Index: seq, Reason: "no holder came back"})
 }
 
 const slow = "did not have it in time"
@@ -611,7 +612,7 @@
 	if why == slow {
 		p.stray(r, u)
 	}
-	p.step(r, Operation{Kind: OpCancelCopy, Target: r.CopyTarget, Reason: r.CopyTarget + " " + why})
+	p.step(r, placement.Operation{Kind: placement.OpCancelCopy, Target: r.CopyTarget, Reason: r.CopyTarget + " " + why})
 }
 
 // want puts an instance that runs into the queue of what it needs, or does what takes no move.
@@ -663,7 +664,7 @@
 	case r.thin:
 		why = thin
 	case over > 0 && (sure || p.away == 0): // whose zones are known
-		p.step(r, Operation{Kind: OpDropReplica, Target: worst.Name, Reason: "a copy too many"})
+		p.step(r, placement.Operation{Kind: placement.OpDropReplica, Target: worst.Name, Reason: "a copy too many"})
 		return
 	default:
 		if why != none {
@@ -678,7 +679,7 @@
 	}
 	if at := r.seen + steadySpan*tick.Second; r.Failures > 0 {
 		if p.now >= at {
-			p.step(r, Operation{Kind: OpResetFailures, Reason: "no fall for long"})
+			p.step(r, placement.Operation{Kind: placement.OpResetFailures, Reason: "no fall for long"})
 			return
 		}
 		p.setDue(r, sooner(r.due, at))
@@ -775,7 +776,7 @@
 		p.enqueue(q, r, r.owner.Risk)
 		return
 	}
-	e := Operation{Kind: OpStartCopy, Target: u.Name, CutOver: !r.why.copies(), Reason: classText[r.why]}
+	e := placement.Operation{Kind: placement.OpStartCopy, Target: u.Name, CutOver: !r.why.copies(), Reason: classText[r.why]}
 	if r.why == follow {
 		e.Reason = "its device is in " + r.Zone
 	}
@@ -978,18 +979,18 @@
 }
 
 // step sends an entry for an instance, at most one at a time.
-func (p *Planner) step(r *row, e Operation) {
-	e.Version, e.Instance, e.Epoch = FormatVersion, r.Instance, r.Epoch
+func (p *Planner) step(r *row, e placement.Operation) {
+	e.Version, e.Instance, e.Epoch = placement.FormatVersion, r.Instance, r.Epoch
 	if r.sent.Kind != "" || !p.led {
 		return
 	}
-	if (e.Kind == OpFailOver || e.Kind == OpQuarantine) && r.failing == nil {
+	if (e.Kind == placement.OpFailOver || e.Kind == placement.OpQuarantine) && r.failing == nil {
 		r.failing = r.owner
 		r.owner.fails++
 	}
 	r.sent, r.sentAt = e, p.now
 	p.setDue(r, p.now+2*p.lease)
-	if e.Kind == OpStartCopy {
+	if e.Kind == placement.OpStartCopy {
 		p.unit(e.Target).taken++
 	}
 	p.account(r)
@@ -997,22 +998,22 @@
 }
 
 // done tells whether a place shows what an entry was to bring.
-func done(e Operation, n Assignment) bool {
+func done(e placement.Operation, n placement.Assignment) bool {
 	switch {
-	case e.Kind == OpMoveDevice:
+	case e.Kind == placement.OpMoveDevice:
 		return n.Zone == e.Zone
 	case n.Epoch > e.Epoch:
 		return true
-	case e.Kind == OpStartCopy:
+	case e.Kind == placement.OpStartCopy:
 		return n.CopyTarget == e.Target || !e.CutOver && slices.Contains(n.Replicas, e.Target)
-	case e.Kind == OpCancelCopy:
+	case e.Kind == placement.OpCancelCopy:
 		return n.CopyTarget != e.Target
-	case e.Kind == OpDropReplica:
+	case e.Kind == placement.OpDropReplica:
 		return !slices.Contains(n.Replicas, e.Target)
-	case e.Kind == OpResetFailures:
+	case e.Kind == placement.OpResetFailures:
 		return n.Failures == 0
-	case e.Kind == OpFailOver, e.Kind == OpQuarantine:
-		return n.State != Running
+	case e.Kind == placement.OpFailOver, e.Kind == placement.OpQuarantine:
+		return n.State != placement.Running
 	}
 	return false
 }
@@ -1028,10 +1029,10 @@
 func (p *Planner) account(r *row) {
 	var from, to *unit
 	switch {
-	case r.State != Running:
+	case r.State != placement.Running:
 	case r.CopyTarget != "":
 		from, to = r.owner, p.unit(r.CopyTarget)
-	case r.sent.Kind == OpStartCopy && r.owner != nil:
+	case r.sent.Kind == placement.OpStartCopy && r.owner != nil:
 		from, to = r.owner, p.unit(r.sent.Target)
 	}
 	if from == r.from && to == r.to {
@@ -1162,7 +1163,7 @@
 }
 
 // moved is when an instance may have been handed over last, as far as its place tells.
-func moved(n Assignment, now tick.Tick) tick.Tick {
+func moved(n placement.Assignment, now tick.Tick) tick.Tick {
 	if n.Epoch > 1 {
 		return max(1, now)
 	}
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"fmt"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
 	"slices"
 )
 
@@ -10,7 +12,7 @@
 type NodeInventory struct {
 	Node   string
 	Zone   string
-	Copies []CopyStatus
+	Copies []replica.CopyStatus
 }
 
 // epochGap is by how much epochs are raised where placement is rebuilt: above all that were seen, and above any that a
@@ -21,9 +23,9 @@
 // goes on at a unit that has every acked effect for sure: one that owned or held it by the latest word that anyone has,
 // or the one that has most where no unit is silent. Else it is Lost: it waits for a unit that has it, and is restarted
 // from an older copy that is known. told says by name what is lost, or may be.
-func Rebuild(found []NodeInventory, silent []string, old []Assignment) (places []Assignment, told []string) {
+func Rebuild(found []NodeInventory, silent []string, old []placement.Assignment) (places []placement.Assignment, told []string) {
 	type copied struct {
-		CopyStatus
+		replica.CopyStatus
 		unit, zone string
 	}
 	all := map[string][]copied{}
@@ -32,7 +34,7 @@
 			all[h.Instance] = append(all[h.Instance], copied{h, f.Node, f.Zone})
 		}
 	}
-	before := map[string]Assignment{}
+	before := map[string]placement.Assignment{}
 	var names []string
 	for _, p := range old {
 		before[p.Instance] = p
@@ -55,7 +57,7 @@
 			return cmp.Or(-cmp.Compare(b2i(counted(a)), b2i(counted(b))), -cmp.Compare(b2i(a.IsPrimary), b2i(b.IsPrimary)),
 				-cmp.Compare(a.LastEpoch, b.LastEpoch), -cmp.Compare(a.Index, b.Index), cmp.Compare(a.unit, b.unit))
 		})
-		p := Assignment{Instance: name, State: Lost, Epoch: latest + epochGap, Revision: 1, Zone: was.Zone, Weight: max(1, was.Weight),
+		p := placement.Assignment{Instance: name, State: placement.Lost, Epoch: latest + epochGap, Revision: 1, Zone: was.Zone, Weight: max(1, was.Weight),
 			Size: was.Size, Index: was.Index, Extension: was.Extension, EverServed: true, Reason: "placement was rebuilt"}
 		if len(copies) > 0 {
 			best := copies[0]
@@ -68,7 +70,7 @@
 			}
 			sure := counted(best) || len(silent) == 0
 			if sure {
-				p.State, p.Primary = Running, best.unit
+				p.State, p.Primary = placement.Running, best.unit
 			} else {
 				told = append(told, fmt.Sprintf("%s: lost for now: %s has %d effects, and a silent unit may have more", name, best.unit,
 					best.Index))
@@ -79,7 +81,7 @@
 				case sure && c.Index == best.Index && c.Checksum == best.Checksum:
 					p.Replicas = append(p.Replicas, c.unit)
 				case len(p.StaleCopies) < 4:
-					p.StaleCopies = append(p.StaleCopies, StaleCopy{Node: c.unit, Index: c.Index})
+					p.StaleCopies = append(p.StaleCopies, placement.StaleCopy{Node: c.unit, Index: c.Index})
 				}
 				if c.Index > best.Index {
 					told = append(told, fmt.Sprintf("%s: %s has %d effects that were not counted on; it goes on without them", name,
@@ -90,13 +92,13 @@
 		} else {
 			for _, unit := range append([]string{was.Primary}, was.Replicas...) {
 				if slices.Contains(silent, unit) && len(p.StaleCopies) < 4 {
-					p.StaleCopies = append(p.StaleCopies, StaleCopy{Node: unit, Index: was.Index})
+					p.StaleCopies = append(p.StaleCopies, placement.StaleCopy{Node: unit, Index: was.Index})
 				}
 			}
 			told = append(told, fmt.Sprintf("%s: lost: no unit that answered has it", name))
 		}
-		if was.State == Quarantined {
-			p.State = Quarantined
+		if was.State == placement.Quarantined {
+			p.State = placement.Quarantined
 			if p.Primary != "" {
 				p.Replicas = append(p.Replicas, p.Primary)
 				slices.Sort(p.Replicas)
--- a/internal/migration/handover.go
+++ b/internal/placement/assignment.go
@@ -1,19 +1,6 @@
-// Package handover decides where running function instances work: when one is handed to another edge unit, whither
-// and how (Planner, at the leading keeper), and what an owner may do at each moment (Owner, at each edge unit). Its
-// words are shared by the keepers' table (placement), the edge units and the relays.
-//
-// An instance has one owner at an epoch, and holders: units that have every effect that was acked. A handover is: copy
-// while the owner runs, until the target is a holder; stop the owner; switch, which raises the epoch. A fall is the
-// same without the first two: a holder takes over once the owner's lease is over for sure.
-//
-// Kind: decision
-package migration
+package placement
 
-import (
-	"errors"
-
-	"silvercove/internal/tick"
-)
+import "errors"
 
 // State is how an instance stands.
 type State string
@@ -109,21 +96,3 @@
 	ErrUnsupportedVersion = errors.New("of a later version")
 	ErrInvalid            = errors.New("makes no sense")
 )
-
-// NodeStatus is what the leading keeper knows of an edge unit.
-type NodeStatus struct {
-	Name, Zone   string
-	Incarnation  uint64    // number of its process's start; another one has another memory
-	LeaseEnd     tick.Tick // its lease, by the keeper's clock, drift added: later it does not act
-	Accepting    bool      // new instances
-	Limited      bool      // of those a few only
-	Evacuating   bool      // its instances are to go
-	ShuttingDown bool      // it ends on purpose
-	Risk         float64   // 0 to 1: how near it is to falling; the most endangered instances go first
-	FreeSlots    int       // instances that it takes beside those it has
-	Draining     bool      // by the list
-	Version      uint16
-	RollingBack  bool // its build is on the way back
-	WarmingUp    bool // it has just started; Room is its cold budget then
-	LostCopies   bool // this run began without the copies of the one before
-}
--- a/internal/placement/rebuild.go
+++ b/internal/placement/rebuild.go
@@ -2,15 +2,13 @@
 
 import (
 	"bytes"
-
-	"silvercove/internal/migration"
 )
 
 // FromAssignments is a table of these places, sorted by name, as where placement is rebuilt; an error says which of them makes no
 // sense.
-func FromAssignments(places []migration.Assignment) (*Table, error) {
+func FromAssignments(places []Assignment) (*Table, error) {
 	var buf bytes.Buffer
-	_ = write(&buf, head{V: migration.FormatVersion, Version: uint64(len(places)), Places: len(places)}, nil)
+	_ = write(&buf, head{V: FormatVersion, Version: uint64(len(places)), Places: len(places)}, nil)
 	for i, p := range places {
 		_ = write(&buf, line{At: uint64(i + 1), Assignment: p}, nil)
 	}
