--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -12,13 +12,13 @@
 
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/dispatch"
-	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
 )
 
 // Keepers tell places and units; a *keepers.Client does.
 type Keepers interface {
-	Watch(ctx context.Context, tell func(version uint64, places []migration.Assignment, gone []string, whole bool)) error
+	Watch(ctx context.Context, tell func(version uint64, places []placement.Assignment, gone []string, whole bool)) error
 	WatchUnits(ctx context.Context, tell func(version uint64, units []controllerclient.Unit)) error
 }
 
@@ -44,11 +44,11 @@
 		return g.keepers.WatchUnits(ctx, func(_ uint64, units []controllerclient.Unit) { at.UpdateEndpoints(true, g.hosts(units)) })
 	})
 	group.Go(func() error {
-		return g.keepers.Watch(ctx, func(_ uint64, places []migration.Assignment, gone []string, whole bool) {
+		return g.keepers.Watch(ctx, func(_ uint64, places []placement.Assignment, gone []string, whole bool) {
 			all := make([]dispatch.Placement, 0, len(places))
 			for _, p := range places {
 				one := dispatch.Placement{Instance: p.Instance, Backend: p.Primary, Epoch: p.Epoch, Revision: p.Revision}
-				if p.State != migration.Running {
+				if p.State != placement.Running {
 					one.Backend = ""
 				}
 				all = append(all, one)
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"silvercove/internal/controllerclient"
-	"silvercove/internal/migration"
 	"silvercove/internal/pgwire"
+	"silvercove/internal/placement"
 )
 
 // Ending is how a command ended for its client.
@@ -259,15 +259,15 @@
 func (c *Crew) Keepers() *controllerclient.Client { return c.keepers }
 
 // Create makes an instance at a unit; Cross tells that its device is in a zone now.
-func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p migration.Assignment, err error) {
+func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p placement.Assignment, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
-	return c.keepers.Step(ctx, migration.Operation{Kind: migration.OpCreate, Instance: instance, Target: unit, Zone: zone, Weight: 1,
+	return c.keepers.Step(ctx, placement.Operation{Kind: placement.OpCreate, Instance: instance, Target: unit, Zone: zone, Weight: 1,
 		Reason: "asked for"})
 }
 
 // Cross tells the keepers that an instance's device is in a zone now.
-func (c *Crew) Cross(ctx context.Context, instance, zone string) (p migration.Assignment, err error) {
+func (c *Crew) Cross(ctx context.Context, instance, zone string) (p placement.Assignment, err error) {
 	c.add(Event{At: time.Now(), Node: Desk, Name: "crosses", Instance: instance, To: zone})
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
