--- /dev/null
+++ b/internal/replica/manager.go
@@ -0,0 +1,260 @@
+package replica
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+const (
+	defaultMaxStateBytes = 1 << 20     // the setting fleet.state
+	defaultLease         = tick.Second // the setting fleet.lease
+)
+
+// Manager is what one edge node may do at each moment with the instances that it is primary of, replicates or is sent.
+// The package's documentation says how it is driven.
+type Manager struct {
+	host          Host
+	self          string
+	incarnation   uint64
+	maxStateBytes int // of one instance
+	leaseDuration tick.Tick
+	lease         nodeLease
+	instances     map[string]*instance
+	ordered       []*instance // by name, those that concern this node
+	active        []*instance // by name, those of them that time may change something about
+	disk          diskState
+	diskFullUntil tick.Tick // after a write has failed: nothing is written before
+}
+
+// instance is one instance at this node.
+type instance struct {
+	name        string
+	assignment  assignment
+	local       localLog
+	recovery    recovery
+	serving     serving
+	followers   map[string]*followerProgress // by node, of a primary
+	catchUp     catchUp                      // of the node that a primary copies to
+	proposal    proposal
+	pendingAcks []pendingAck
+	lastUsed    tick.Tick // an assignment or a primary's message came
+	tracked     bool      // in Manager.ordered
+	scheduled   bool      // in Manager.active
+	atRest      bool      // nothing was left to do when it was looked at last
+}
+
+// NewManager is a node after its start. incarnation numbers its processes and grows. logs are what its disk kept.
+// assignments are the controllers' as they stood at a version before the first lease was asked for in this incarnation:
+// what they count on this node for was given to an earlier one, and has to be among the logs. set has the settings
+// fleet.state, in bytes, and fleet.lease, in seconds, where they are not the defaults.
+func NewManager(host Host, now tick.Tick, self string, incarnation uint64, set map[string]any, logs []Log,
+	assignments []placement.Assignment, version uint64) *Manager {
+	m := &Manager{
+		host:          host,
+		self:          self,
+		incarnation:   incarnation,
+		maxStateBytes: defaultMaxStateBytes,
+		leaseDuration: defaultLease,
+		lease:         nodeLease{seenVersion: version},
+		instances:     map[string]*instance{},
+	}
+	if v, ok := set["fleet.state"].(float64); ok {
+		m.maxStateBytes = int(v)
+	}
+	if v, ok := set["fleet.lease"].(float64); ok {
+		m.leaseDuration = tick.Tick(v * float64(tick.Second))
+	}
+	for _, log := range logs {
+		m.restoreLog(log)
+	}
+	slices.SortFunc(assignments, func(a, b placement.Assignment) int { return cmp.Compare(a.Instance, b.Instance) })
+	for _, p := range assignments {
+		if m.instances[p.Instance] != nil || m.concerns(p) {
+			m.restoreAssignment(now, p)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(m.instances)) {
+		m.track(m.instances[name])
+	}
+	return m
+}
+
+// restoreLog takes in a log that the disk kept.
+func (m *Manager) restoreLog(log Log) {
+	inst := m.instance(log.Instance)
+	inst.local.restore(log)
+	inst.serving.acknowledged = log.LastIndex()
+	inst.assignment.state = orphaned
+}
+
+// restoreAssignment takes in an assignment from before this incarnation.
+func (m *Manager) restoreAssignment(now tick.Tick, p placement.Assignment) {
+	inst := m.instance(p.Instance)
+	inst.assignment.set(p)
+	inst.lastUsed = now
+	inst.catchUp.progressAt = now
+	isPrimary := p.Primary == m.self
+	isReplica := slices.Contains(p.Replicas, m.self)
+	if (isPrimary || isReplica) && p.EverServed && !inst.local.reaches(p.Index) {
+		inst.recovery.incomplete = true
+		m.host.Notify(Event{Kind: EventIncomplete, Instance: p.Instance, Epoch: p.Epoch, Reason: "no whole copy outlived the restart"})
+	}
+	if isPrimary {
+		inst.recovery.verify(p.Replicas)
+	}
+	inst.recovery.primaryAtStart = isPrimary
+	inst.recovery.unverified = !isPrimary && p.EverServed && isReplica
+}
+
+// concerns tells whether an assignment names this node.
+func (m *Manager) concerns(p placement.Assignment) bool {
+	return p.Primary == m.self || p.CopyTarget == m.self || slices.Contains(p.Replicas, m.self)
+}
+
+// instance is that of a name, made where there is none.
+func (m *Manager) instance(name string) *instance {
+	inst := m.instances[name]
+	if inst == nil {
+		inst = &instance{name: name, local: localLog{log: Log{Instance: name}}}
+		m.instances[name] = inst
+	}
+	return inst
+}
+
+// track has an instance among those that concern this node, or no longer; of others the assignment alone is known. What
+// nothing is left of is released.
+func (m *Manager) track(inst *instance) {
+	if !inst.assignment.known() && inst.local.isGone() && m.instances[inst.name] == inst {
+		delete(m.instances, inst.name)
+	}
+	tracked := !inst.local.isGone() || inst.assignment.names(m.self)
+	if tracked == inst.tracked {
+		return
+	}
+	inst.tracked = tracked
+	at, _ := slices.BinarySearchFunc(m.ordered, inst.name, compareName)
+	if tracked {
+		m.ordered = slices.Insert(m.ordered, at, inst)
+		return
+	}
+	m.ordered = slices.Delete(m.ordered, at, at+1)
+	inst.local.requests = nil
+	inst.followers = nil
+}
+
+func compareName(inst *instance, name string) int { return cmp.Compare(inst.name, name) }
+
+// OnTick looks at everything that time changes. It is to be called again at next at the latest.
+func (m *Manager) OnTick(now tick.Tick) (next tick.Tick) {
+	m.expireLease(now)
+	m.advanceActive(now)
+	next = now + m.leaseDuration/20
+	if m.lease.until > now {
+		next = min(next, m.lease.until)
+	}
+	return max(next, now+1)
+}
+
+// advanceAll does for every tracked instance what can be done now.
+func (m *Manager) advanceAll(now tick.Tick) {
+	for _, inst := range m.ordered {
+		m.advance(now, inst)
+	}
+}
+
+// advanceActive looks at the instances that time may change something about. One at rest costs nothing, however many a
+// node has.
+func (m *Manager) advanceActive(now tick.Tick) {
+	due := m.active
+	m.active = nil
+	for _, inst := range due {
+		inst.scheduled = false
+	}
+	for _, inst := range due {
+		if inst.tracked {
+			m.advance(now, inst)
+		}
+	}
+}
+
+// advance does for one instance what can be done now, and schedules another look where time alone may bring more.
+func (m *Manager) advance(now tick.Tick, inst *instance) {
+	if inst.atRest { // its replicas had nothing to do until now
+		inst.restartFollowerTimes(now)
+	}
+	m.advanceOnce(now, inst)
+	inst.atRest = m.isAtRest(now, inst)
+	if inst.tracked && !inst.atRest && !inst.scheduled {
+		inst.scheduled = true
+		at, _ := slices.BinarySearchFunc(m.active, inst.name, compareName)
+		m.active = slices.Insert(m.active, at, inst)
+	}
+}
+
+// advanceOnce is one look: at the copy, at whether the node may serve, and as primary at replicas, requests and
+// proposals, in that order.
+func (m *Manager) advanceOnce(now tick.Tick, inst *instance) {
+	m.deleteUnusedCopy(now, inst)
+	if m.proposeRecovery(now, inst) || m.proposeBegin(now, inst) {
+		return
+	}
+	mayServe := m.updateServing(now, inst)
+	if inst.assignment.agreed.Primary != m.self {
+		m.acknowledge(inst)
+		return
+	}
+	if !mayServe && !(inst.recovery.awaitsConfirmation() && m.HoldsLease(now)) {
+		return
+	}
+	m.replicate(now, inst)
+	m.completeRequests(now, inst)
+	m.proposeNext(now, inst)
+}
+
+// isAtRest tells whether nothing is left to be done for an instance but by a call that names it, or by the lease's end.
+func (m *Manager) isAtRest(now tick.Tick, inst *instance) bool {
+	if inst.hasWorkUnderWay() {
+		return false
+	}
+	p := &inst.assignment.agreed
+	if !inst.assignment.names(m.self) { // else it is deleted after a while
+		return !inst.local.present || !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 ||
+			inst.assignment.keepsOldCopy(m.self)
+	}
+	if p.Primary != m.self {
+		return true
+	}
+	acts := inst.serving.state != stopped
+	serves := inst.serving.state == leased
+	if p.State != placement.Running || !p.EverServed || p.CopyTarget != "" || acts != serves || acts != m.mayServe(now, inst) {
+		return false
+	}
+	for _, name := range p.Replicas {
+		if f := inst.followers[name]; f == nil || !f.isAtRest(inst.local.durable) {
+			return false
+		}
+	}
+	return true
+}
+
+// hasWorkUnderWay tells whether something waits for the disk, the replicas, the controllers or the recovery.
+func (inst *instance) hasWorkUnderWay() bool {
+	return len(inst.local.pending) > 0 || inst.local.failed || len(inst.serving.pending) > 0 || len(inst.pendingAcks) > 0 ||
+		inst.proposal.underWay() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
+}
+
+// deleteUnusedCopy deletes a copy that nobody counts on any more, while others have it.
+func (m *Manager) deleteUnusedCopy(now tick.Tick, inst *instance) {
+	p := &inst.assignment.agreed
+	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.names(m.self) ||
+		inst.assignment.keepsOldCopy(m.self) {
+		return
+	}
+	if inst.local.present && !inst.local.failed && now-inst.lastUsed >= unusedCopyLeases*m.leaseDuration {
+		m.deleteLog(inst)
+	}
+}
--- /dev/null
+++ b/internal/replica/receive.go
@@ -0,0 +1,171 @@
+package replica
+
+import (
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+// pendingAck is a primary's message that is answered once the disk has all that was asked of it.
+type pendingAck struct {
+	to       string
+	replyTo  uint64
+	epoch    uint64
+	index    uint64 // of the last entry that the message showed
+	checksum uint64
+}
+
+// OnMessage takes a message of another edge node in.
+func (m *Manager) OnMessage(now tick.Tick, from string, msg Message) {
+	m.expireLease(now)
+	if err := msg.Validate(); err != nil {
+		if !msg.isAnswer() {
+			m.host.Send(from, Message{Version: placement.FormatVersion, Kind: MessageRejected, Instance: msg.Instance,
+				SenderIncarnation: m.incarnation, ReplyTo: msg.ReplyTo, Reason: err.Error()})
+		}
+		return
+	}
+	if !msg.isAnswer() {
+		m.onAppend(now, from, &msg)
+		return
+	}
+	if inst := m.instances[msg.Instance]; inst != nil && inst.assignment.known() {
+		m.onAnswer(now, inst, from, &msg)
+	}
+}
+
+// onAppend takes in what a primary sent to a replica, or to a node that is to become one.
+func (m *Manager) onAppend(now tick.Tick, from string, msg *Message) {
+	inst := m.instance(msg.Instance)
+	if epoch, stale := inst.isStale(from, msg.Epoch); stale {
+		m.host.Send(from, m.answer(msg, MessageStaleEpoch, epoch, ""))
+		return
+	}
+	inst.recovery.fencedEpoch = msg.Epoch
+	if inst.assignment.known() && msg.Epoch > inst.assignment.agreed.Epoch && inst.serving.state != stopped {
+		m.advance(now, inst) // another node is primary: the news are on their way
+	}
+	m.discardOrphan(inst)
+	inst.lastUsed = now
+	if inst.local.failed || now < m.diskFullUntil && len(msg.Entries) > 0 {
+		m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, diskFull))
+		m.track(inst)
+		return
+	}
+	if msg.ReceiverIncarnation == m.incarnation { // else it goes on from what an earlier incarnation had
+		if why := m.takeEntries(inst, msg); why != "" {
+			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, why))
+			return
+		}
+		inst.checkComplete(msg)
+	}
+	inst.awaitDisk(pendingAck{to: from, replyTo: msg.ReplyTo, epoch: msg.Epoch, index: msg.endIndex(), checksum: msg.endChecksum()})
+	m.acknowledge(inst)
+	m.track(inst)
+}
+
+// answer is an answer to a message, without what is there.
+func (m *Manager) answer(to *Message, kind string, epoch uint64, why string) Message {
+	return Message{Version: placement.FormatVersion, Kind: kind, Instance: to.Instance, Epoch: epoch,
+		SenderIncarnation: m.incarnation, ReplyTo: to.ReplyTo, Reason: why}
+}
+
+// isStale tells whether a sender is not the primary of the latest epoch that is known, and that epoch.
+func (inst *instance) isStale(from string, epoch uint64) (latest uint64, stale bool) {
+	p := &inst.assignment.agreed
+	latest = max(p.Epoch, inst.recovery.fencedEpoch)
+	if inst.assignment.known() && epoch == p.Epoch && from != p.Primary {
+		return latest, true
+	}
+	return latest, epoch < latest
+}
+
+// takeEntries takes a message's entries in as far as they fit, and says why where they are refused.
+func (m *Manager) takeEntries(inst *instance, msg *Message) (why string) {
+	m.makeWay(inst, msg)
+	l := &inst.local
+	if !l.present || !l.log.matches(msg.PrevIndex, msg.PrevChecksum) {
+		return ""
+	}
+	for _, e := range msg.Entries {
+		if l.log.matches(e.Index, e.Checksum) {
+			continue
+		}
+		if !l.log.Continues(e) {
+			return ""
+		}
+		if l.bytes+e.Size() > m.maxStateBytes+maxBatchBytes {
+			return m.stateTooLarge()
+		}
+		m.appendEntry(inst, e)
+	}
+	return ""
+}
+
+// makeWay begins a copy, or takes away of it what the primary's message replaces.
+func (m *Manager) makeWay(inst *instance, msg *Message) {
+	l := &inst.local
+	if !l.present && msg.PrevIndex == 0 && msg.PrevChecksum == 0 {
+		m.resetLog(inst, 0, 0)
+	}
+	if !msg.Truncate {
+		return
+	}
+	if !l.ends(msg.ReplacedIndex, msg.ReplacedChecksum) {
+		if msg.Reset && !l.present {
+			m.resetLog(inst, msg.PrevIndex, msg.PrevChecksum)
+		}
+		return
+	}
+	switch sharesPrev := l.log.matches(msg.PrevIndex, msg.PrevChecksum); {
+	case msg.Reset && !sharesPrev:
+		m.resetLog(inst, msg.PrevIndex, msg.PrevChecksum)
+	case sharesPrev && l.log.LastIndex() > msg.PrevIndex && !l.has(msg.Entries):
+		m.truncateLog(inst, msg.PrevIndex)
+	}
+}
+
+// checkComplete takes in that a message has shown all that the primary has to be there.
+func (inst *instance) checkComplete(msg *Message) {
+	if !inst.recovery.incomplete && !inst.recovery.unverified {
+		return
+	}
+	if inst.local.reaches(msg.LastIndex) && inst.local.log.matches(msg.endIndex(), msg.endChecksum()) {
+		inst.recovery.completed(msg.Unverified)
+	}
+}
+
+// awaitDisk has a message answered once the disk has all; of too many the oldest is not.
+func (inst *instance) awaitDisk(ack pendingAck) {
+	inst.pendingAcks = append(inst.pendingAcks, ack)
+	if len(inst.pendingAcks) > maxPendingAcks {
+		inst.pendingAcks = inst.pendingAcks[1:]
+	}
+}
+
+// acknowledge answers primaries once all is durable.
+func (m *Manager) acknowledge(inst *instance) {
+	if len(inst.local.pending) > 0 {
+		return
+	}
+	log, r := &inst.local.log, &inst.recovery
+	for _, ack := range inst.pendingAcks {
+		msg := Message{Version: placement.FormatVersion, Kind: MessageAck, Instance: inst.name, Epoch: ack.epoch,
+			SenderIncarnation: m.incarnation, ReplyTo: ack.replyTo, Index: log.LastIndex(), Checksum: log.Checksum(),
+			ChecksumsFrom: log.BaseIndex,
+			Unverified:    r.incomplete || (r.unverified || r.primaryAtStart) && m.disk != diskNewest}
+		if msg.Index != ack.index || msg.Checksum != ack.checksum {
+			msg.Checksums = log.checksums()
+		}
+		m.host.Send(ack.to, msg)
+	}
+	inst.pendingAcks = nil
+}
+
+// rejectPendingAcks answers each primary that waits for the disk.
+func (m *Manager) rejectPendingAcks(inst *instance, why string) {
+	for _, ack := range inst.pendingAcks {
+		m.host.Send(ack.to, Message{Version: placement.FormatVersion, Kind: MessageRejected, Instance: inst.name,
+			Epoch: inst.assignment.agreed.Epoch, SenderIncarnation: m.incarnation, ReplyTo: ack.replyTo, Reason: why})
+	}
+	inst.pendingAcks = nil
+}
--- /dev/null
+++ b/internal/replica/serving.go
@@ -0,0 +1,175 @@
+package replica
+
+import (
+	"fmt"
+
+	"silvercove/internal/tick"
+)
+
+// servingState says whether a node executes requests for an instance.
+type servingState uint8
+
+const (
+	stopped  servingState = iota // it is not the lease holder
+	leased                       // it executes requests
+	draining                     // it is the lease holder, and between the stop and the cut-over to the next primary
+)
+
+// serving is the lease holder's part. The zero value is stopped.
+type serving struct {
+	state        servingState
+	pending      []pendingRequest
+	acknowledged uint64 // index up to which entries may have been acknowledged: no copy is complete without them
+	committed    uint64 // index up to which every replica has confirmed
+}
+
+// pendingRequest is answered once the entries up to index are committed.
+type pendingRequest struct {
+	request *Request
+	index   uint64
+}
+
+const notPrimary = "not its owner now: never ran"
+
+// reject answers a request that did nothing and never will.
+func (m *Manager) reject(request *Request, why string) {
+	m.host.Respond(request, Response{Outcome: Rejected, Detail: why})
+}
+
+// OnRequest begins a request. Its answer comes by Host.Respond, at once or later.
+func (m *Manager) OnRequest(now tick.Tick, request *Request) {
+	m.expireLease(now)
+	inst := m.instances[request.Instance]
+	if inst == nil || !inst.assignment.known() {
+		m.reject(request, "no instance of this name")
+		return
+	}
+	if !m.mayServe(now, inst) {
+		m.advance(now, inst)
+		m.reject(request, notPrimary)
+		return
+	}
+	if why := inst.refuses(now, request); why != "" {
+		m.reject(request, why)
+		return
+	}
+	m.advance(now, inst)
+	index, repeated := inst.local.requests[request.ID]
+	switch {
+	case !request.Write:
+		inst.serving.await(request, inst.local.log.LastIndex())
+		m.completeRequests(now, inst)
+	case repeated:
+		inst.serving.await(request, index)
+		m.completeRequests(now, inst)
+	default:
+		m.execute(now, inst, request)
+	}
+}
+
+// refuses says why a lease holder does not begin a request, "" where it does.
+func (inst *instance) refuses(now tick.Tick, request *Request) (why string) {
+	switch {
+	case inst.assignment.cuttingOver():
+		return "handed over: never ran"
+	case now >= request.Deadline:
+		return "over already: never ran"
+	case len(inst.serving.pending) >= maxPendingRequests:
+		return "too many commands: never ran"
+	}
+	return ""
+}
+
+func (s *serving) await(request *Request, index uint64) {
+	s.pending = append(s.pending, pendingRequest{request, index})
+}
+
+// execute appends the entry of a write that has not been seen before.
+func (m *Manager) execute(now tick.Tick, inst *instance, request *Request) {
+	e := LogEntry{Index: inst.local.log.LastIndex() + 1, Epoch: inst.assignment.agreed.Epoch, Node: m.self, RequestID: request.ID,
+		Body: request.Body}
+	switch {
+	case len(request.ID) > maxRequestID:
+		m.host.Respond(request, Response{Outcome: TooLarge, Detail: "an id too long"})
+		return
+	case inst.local.bytesWith(e) > m.maxStateBytes:
+		m.host.Respond(request, Response{Outcome: TooLarge, Detail: m.stateTooLarge()})
+		return
+	case inst.local.failed || now < m.diskFullUntil:
+		m.reject(request, diskFull+": never ran")
+		return
+	}
+	e.Checksum = e.ChainChecksum(inst.local.log.Checksum())
+	inst.serving.await(request, e.Index)
+	m.appendEntry(inst, e)
+	m.advance(now, inst)
+}
+
+func (m *Manager) stateTooLarge() string {
+	return fmt.Sprintf("the state would pass %d bytes", m.maxStateBytes)
+}
+
+// completeRequests answers requests whose entries are committed, and those whose time is over.
+func (m *Manager) completeRequests(now tick.Tick, inst *instance) {
+	s := &inst.serving
+	if s.state == stopped {
+		return
+	}
+	s.committed = inst.committedIndex()
+	left := s.pending[:0]
+	for _, w := range s.pending {
+		switch {
+		case w.index <= s.committed:
+			s.acknowledged = max(s.acknowledged, w.index)
+			m.host.Respond(w.request, m.success(inst, w.index))
+		case now >= w.request.Deadline && w.request.Write:
+			m.host.Respond(w.request, Response{Outcome: Indeterminate, Detail: "not held by all holders in time"})
+		case now >= w.request.Deadline:
+			m.reject(w.request, "over already: never ran")
+		default:
+			left = append(left, w)
+		}
+	}
+	clear(s.pending[len(left):])
+	s.pending = left
+}
+
+// success is the answer by the entry at an index, as it was answered at first.
+func (m *Manager) success(inst *instance, index uint64) Response {
+	log := &inst.local.log
+	switch {
+	case index > log.BaseIndex:
+		e := log.entryAt(index)
+		return Response{Outcome: Succeeded, Index: index, Epoch: e.Epoch, Node: e.Node}
+	case index > 0:
+		return Response{Outcome: Indeterminate, Detail: "its first answer is no longer remembered"}
+	}
+	return Response{Outcome: Succeeded, Epoch: inst.assignment.agreed.Epoch, Node: m.self}
+}
+
+// committedIndex is the index up to which this node and every node that has to have an entry have confirmed.
+func (inst *instance) committedIndex() uint64 {
+	committed := inst.local.durable
+	for name, f := range inst.followers {
+		if inst.mustConfirm(name) {
+			committed = min(committed, f.match)
+		}
+	}
+	for _, name := range inst.assignment.agreed.Replicas {
+		if inst.followers[name] == nil {
+			return 0
+		}
+	}
+	return committed
+}
+
+// mustConfirm tells whether a node must have an entry before it is acknowledged: the agreed replicas, and one that was
+// said to have all, as the controllers may have agreed to that by now.
+func (inst *instance) mustConfirm(name string) bool {
+	return inst.assignment.isReplica(name) || name == inst.assignment.agreed.CopyTarget && inst.caughtUp()
+}
+
+// caughtUp tells whether the node that is copied to was said to have all that is acknowledged.
+func (inst *instance) caughtUp() bool {
+	return inst.catchUp.announced != 0 && inst.catchUp.announced == inst.assignment.agreed.Revision
+}
