--- /dev/null
+++ b/internal/replica/proposal_test.go
@@ -0,0 +1,81 @@
+package replica_test
+
+import (
+	"testing"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+func TestManager_CancelsStalledCopyAndDeletesUnusedOne(t *testing.T) {
+	n, _ := takenOver(placement.Assignment{Revision: 2, CopyTarget: "b"})
+	n.manager.OnRequest(5, &replica.Request{Instance: "x", ID: "r", Deadline: 99})
+	n.manager.OnLease(7, 900000, 0)
+	if n.manager.OnTick(3 * tick.Second); n.proposed(placement.OpCancelCopy) == nil {
+		t.Errorf("%+v", n.proposals)
+	}
+	n.manager.OnAssignment(9, placement.Assignment{Instance: "x", State: placement.Running, Primary: "c", Epoch: 3, Revision: 3, EverServed: true, Replicas: []string{"d"}})
+	n.manager.OnTick(10)
+	if h := n.manager.Copies(10); len(h) != 1 {
+		t.Errorf("forgotten at once: %+v", h)
+	}
+	n.manager.OnAssignment(11, placement.Assignment{Instance: "x", State: placement.Running, Primary: "c", Epoch: 2, Revision: 9, EverServed: true}) // late
+	n.manager.OnTick(9 + 2*tick.Second)
+	if n.flushDisk(); len(n.manager.Copies(12)) != 0 || n.manager.Serves(12, "x") {
+		t.Errorf("%+v", n.manager.Copies(12))
+	}
+}
+
+func TestManager_ProposesMarkServedBeforeFirstServing(t *testing.T) {
+	place := placement.Assignment{Instance: "x", State: placement.Running, Primary: "a", Epoch: 1, Revision: 1}
+	n := &recordingHost{}
+	n.manager = replica.NewManager(n, 1, "a", 2, nil, nil, []placement.Assignment{place}, 7)
+	n.manager.OnLease(2, 9000, 7)
+	if len(n.proposals) != 1 || n.proposals[0].Kind != placement.OpMarkServed {
+		t.Fatalf("%+v", n.proposals)
+	}
+	if a := n.write("w", 0); a.Outcome != replica.Rejected {
+		t.Errorf("acts before it is agreed: %+v", a)
+	}
+	place.EverServed, place.Revision = true, 2
+	n.manager.OnAssignment(3, place)
+	if a := n.write("w", 0); a.Outcome != replica.Succeeded {
+		t.Errorf("%+v", a)
+	}
+	n = &recordingHost{}
+	n.manager = replica.NewManager(n, 1, "a", 3, nil, nil, []placement.Assignment{place}, 7)
+	n.manager.OnLease(2, 9000, 7)
+	if len(n.proposals) != 1 || n.proposals[0].Kind != placement.OpReportIncomplete {
+		t.Fatalf("without its memory: %+v", n.proposals)
+	}
+}
+
+func TestManager_CopyCatchesUpBeforeItCounts(t *testing.T) {
+	n, old := takenOver(placement.Assignment{Revision: 2, CopyTarget: "b"})
+	n.confirm("b", 1, old[1])
+	if n.proposed(placement.OpReplicaReady) != nil {
+		t.Fatal("an effect that the earlier owner may have acked is missing")
+	}
+	if a := n.write("one", 0); a.Outcome != replica.Succeeded || a.Index != 4 {
+		t.Fatalf("%+v", a)
+	}
+	n.confirm("b", 1, old[2])
+	if n.proposed(placement.OpReplicaReady) != nil {
+		t.Fatal("one that this owner acked is missing")
+	}
+	mine := entriesAfter(3, old[2].Checksum, 2, "a", "one", "two")
+	n.confirm("b", 1, mine[0])
+	if e := n.proposed(placement.OpReplicaReady); e == nil || e.Revision != 2 || e.Target != "b" {
+		t.Fatalf("%+v", n.proposals)
+	}
+	ends := len(n.responses)
+	n.write("two", 0)
+	if len(n.responses) != ends {
+		t.Fatalf("acked, and the keepers may count on b by now: %+v", n.responses[ends:])
+	}
+	n.confirm("b", 1, mine[1])
+	if len(n.responses) != ends+1 || n.responses[ends].Outcome != replica.Succeeded {
+		t.Errorf("%+v", n.responses[ends:])
+	}
+}
