--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -220,7 +220,8 @@
 		if err == nil {
 			e.mu.Lock()
 			e.line = p.Line
-			e.owner = replica.NewManager(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
+			e.owner = replica.NewManager(host{e}, controllerclient.Now(), replica.ConfigFrom(e.self, e.run, e.o.File.Set),
+				replica.Start{Logs: e.records, Assignments: p.Places, Version: p.Version})
 			e.records = nil
 			e.mu.Unlock()
 			return nil
--- a/internal/lab/fleetsim/unit.go
+++ b/internal/lab/fleetsim/unit.go
@@ -171,7 +171,8 @@
 			u.began, u.judged, u.settled, u.most = u.mark, false, false, 0
 			u.mark.on = false
 			base := f.flaw.counted(places)
-			u.o = replica.NewManager(u, u.at(), u.name, run, f.set, records, base, version)
+			u.o = replica.NewManager(u, u.at(), replica.ConfigFrom(u.name, run, f.set),
+				replica.Start{Logs: records, Assignments: base, Version: version})
 			for _, p := range places[len(base):] {
 				u.o.OnAssignment(u.at(), p)
 			}
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -17,6 +17,7 @@
 	resetting                        // all that it has gives way to the log from its base on
 )
 
+// String is the state in a word.
 func (s progressState) String() string {
 	return [...]string{"probing", "replicating", "truncating", "resetting"}[s]
 }
--- a/internal/replica/follower_test.go
+++ b/internal/replica/follower_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestManager_RestartsReplicaTimesAfterLostLease: an effect that was on its way when the lease ended does not have its
-// holder dropped at the moment at which the lease is back: where a keeper fell all units stood discardingHost.
+// TestManager_RestartsReplicaTimesAfterLostLease: an entry that was on its way when the lease ended does not have its
+// replica dropped at the moment at which the lease is back: where a controller failed all nodes stood still.
 func TestManager_RestartsReplicaTimesAfterLostLease(t *testing.T) {
 	n := primaryWithoutReplicas(1 << 20)
 	n.manager.OnAssignment(2, placement.Assignment{Instance: "x", State: placement.Running, Primary: "a", Epoch: 1, Revision: 2, EverServed: true, Replicas: []string{"b"}})
--- /dev/null
+++ b/internal/replica/golden_node_test.go
@@ -0,0 +1,364 @@
+package replica_test
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// goldenNode is one node: its process, where one runs, and its disk.
+type goldenNode struct {
+	w           *goldenWorld
+	id          int
+	name        string
+	manager     *replica.Manager // nil: it is down
+	incarnation uint64
+	until       tick.Tick // end of its last lease
+	version     uint64    // of the table, as it has seen it
+	frozen      bool
+	waiting     []func()
+	full        bool // its disk
+	judged      bool // this incarnation knows whether its disk was put back
+	back        bool // it was
+	slow        tick.Tick
+	disk        map[string]*replica.Log
+	old         map[string]*replica.Log // the disk of some time ago
+	ops         []func() func()
+	pending     int // requests without an answer
+}
+
+// does has an incarnation of a node do something now, or once it is woken.
+func (n *goldenNode) does(run uint64, do func()) {
+	switch {
+	case n.manager == nil || n.incarnation != run:
+	case n.frozen:
+		n.waiting = append(n.waiting, do)
+	default:
+		do()
+	}
+}
+
+// start is a process's beginning, with the disk as it is and what the table counts on the node for.
+func (n *goldenNode) start() {
+	if n.manager != nil {
+		return
+	}
+	w := n.w
+	n.incarnation++
+	n.until, n.frozen, n.waiting, n.ops, n.pending, n.judged = 0, false, nil, nil, 0, false
+	var records []replica.Log
+	for _, r := range n.disk {
+		copied := *r
+		copied.Entries = slices.Clone(r.Entries)
+		records = append(records, copied)
+	}
+	slices.SortFunc(records, func(a, b replica.Log) int { return cmp.Compare(a.Instance, b.Instance) })
+	places := append(w.table.ByPrimary(n.name), w.table.ByReplica(n.name)...)
+	n.version = w.table.Version()
+	n.manager = newManager(n, w.now, n.name, n.incarnation, map[string]any{"fleet.lease": 1.0, "fleet.state": w.state}, records, places, n.version)
+	run := n.incarnation
+	w.after(w.between(1, 30*milli), func() { n.renew(run) })
+	w.after(w.between(1, 30*milli), func() { n.news(run) })
+	n.alarm(run)
+}
+
+func (n *goldenNode) alarm(run uint64) {
+	w := n.w
+	next := n.manager.OnTick(w.now)
+	w.call(n, callTick)
+	w.numbers(uint64(next))
+	w.after(next-w.now, func() { n.does(run, func() { n.alarm(run) }) })
+}
+
+// renew asks for the lease, each third of it.
+func (n *goldenNode) renew(run uint64) {
+	w := n.w
+	if n.manager == nil || n.incarnation != run {
+		return
+	}
+	w.after(goldenLease/3, func() { n.renew(run) })
+	if n.frozen || w.cut[[2]int{n.id, n.id}] || w.chance(w.loss) {
+		return
+	}
+	sent, version := w.now, w.table.Version()
+	line := w.line
+	doubts := n.manager.UnverifiedCopies(3)
+	n.until = max(n.until, sent+goldenLease)
+	w.after(w.between(milli, 40*milli), func() {
+		n.does(run, func() {
+			if w.line != line {
+				return
+			}
+			if !n.judged {
+				n.judged = true
+				n.manager.OnDiskChecked(w.now, n.back)
+				n.back = false
+			}
+			for _, d := range doubts {
+				w.table.SetUnverified(d.Instance, d.Epoch, d.Reason)
+			}
+			n.manager.OnUnverifiedReported(w.now, doubts)
+			n.manager.OnLease(w.now, sent+goldenLease, version)
+		})
+	})
+}
+
+// news brings changes of the table.
+func (n *goldenNode) news(run uint64) {
+	w := n.w
+	if n.manager == nil || n.incarnation != run {
+		return
+	}
+	w.after(w.between(20*milli, 120*milli), func() { n.news(run) })
+	if n.frozen || w.cut[[2]int{n.id, n.id}] || w.chance(w.loss) {
+		return
+	}
+	changes, line := w.table.Since(n.version), w.line
+	w.after(w.between(milli, 20*milli), func() {
+		n.does(run, func() {
+			if w.line != line {
+				return
+			}
+			for _, p := range changes.Assignments {
+				n.manager.OnAssignment(w.now, p)
+			}
+			for _, name := range changes.Deleted {
+				n.manager.OnInstanceDeleted(w.now, name)
+			}
+			n.version = max(n.version, changes.Version)
+			n.manager.OnPlacementVersion(w.now, changes.Version)
+		})
+	})
+}
+
+func (n *goldenNode) Send(to string, m replica.Message) {
+	w := n.w
+	w.call(n, callSend)
+	w.words(to, m.Kind, m.Instance, m.Reason)
+	w.numbers(uint64(m.Version), m.Epoch, m.SenderIncarnation, m.ReceiverIncarnation, m.PrevIndex, m.PrevChecksum, m.LastIndex, m.ReplacedIndex, m.ReplacedChecksum, m.Index, m.Checksum, m.ChecksumsFrom, m.ReplyTo,
+		uint64(len(m.Entries)), uint64(len(m.Checksums)))
+	w.flags(m.Unverified, m.Truncate, m.Reset)
+	for _, e := range m.Entries {
+		w.entry(e)
+	}
+	w.numbers(m.Checksums...)
+	at := slices.IndexFunc(w.nodes, func(v *goldenNode) bool { return v.name == to })
+	if at < 0 {
+		return
+	}
+	got := m
+	got.Entries = slices.Clone(m.Entries)
+	if m.ReplyTo == 0 {
+		got.ReplyTo = n.incarnation<<8 + uint64(n.id)
+	} else {
+		got.ReplyTo = 0
+	}
+	copies := 1
+	if w.chance(0.02) {
+		copies = 2
+	}
+	v := w.nodes[at]
+	for range copies {
+		late := w.chance(0.03)
+		if w.cut[[2]int{n.id, v.id}] || w.chance(w.loss) {
+			continue
+		}
+		delay := w.between(milli, 6*milli)
+		if late {
+			delay += w.between(0, 2*goldenLease)
+		}
+		w.after(delay, func() { v.does(v.incarnation, func() { v.manager.OnMessage(w.now, n.name, got) }) })
+	}
+}
+
+func (n *goldenNode) Propose(e placement.Operation) {
+	w := n.w
+	w.call(n, callPropose)
+	w.wire(e)
+	run, line := n.incarnation, w.line
+	if w.cut[[2]int{n.id, n.id}] || w.chance(w.loss) {
+		return
+	}
+	w.after(w.between(2*milli, 30*milli), func() {
+		if w.line != line {
+			return
+		}
+		p, err := w.table.Apply(e)
+		if w.chance(w.loss) {
+			return
+		}
+		w.after(w.between(milli, 10*milli), func() {
+			n.does(run, func() {
+				if w.line != line {
+					return
+				}
+				if err != nil {
+					n.manager.OnProposalRefused(w.now, e, err)
+				}
+				if p.Instance != "" {
+					n.manager.OnAssignment(w.now, p)
+				}
+			})
+		})
+	})
+}
+
+func (n *goldenNode) Respond(c *replica.Request, a replica.Response) {
+	n.w.call(n, callRespond)
+	n.w.words(c.ID, c.Instance, a.Node, a.Detail)
+	n.w.numbers(uint64(a.Outcome), a.Index, a.Epoch, uint64(c.Deadline))
+	n.w.flags(c.Write, a.LeaseLost)
+	n.pending--
+}
+
+func (n *goldenNode) Notify(e replica.Event) {
+	n.w.call(n, callNotify)
+	what := e.Kind
+	if was, renamed := recordedAs[what]; renamed {
+		what = was
+	}
+	n.w.words(what, e.Instance, e.From, e.To)
+	n.w.numbers(e.Epoch, uint64(e.SinceLeaseEnd))
+}
+
+// op asks the disk for something; it is done in order, a while later.
+func (n *goldenNode) op(name string, seq uint64, do func(rec *replica.Log) bool) {
+	n.ops = append(n.ops, func() func() {
+		ok := !n.full && do(n.disk[name])
+		return func() {
+			if ok {
+				n.manager.OnDurable(n.w.now, name, seq)
+				return
+			}
+			n.manager.OnDiskError(n.w.now, name, errors.New("no space left"))
+		}
+	})
+	if len(n.ops) == 1 {
+		n.write(n.incarnation)
+	}
+}
+
+// write does what was asked of the disk meanwhile.
+func (n *goldenNode) write(run uint64) {
+	w := n.w
+	w.after(w.between(milli/4, n.slow), func() {
+		if n.manager == nil || n.incarnation != run {
+			return
+		}
+		some := min(len(n.ops), 16)
+		var tell []func()
+		for _, do := range n.ops[:some] {
+			tell = append(tell, do())
+		}
+		if n.ops = n.ops[some:]; len(n.ops) > 0 {
+			n.write(run)
+		}
+		n.does(run, func() {
+			for _, do := range tell {
+				do()
+			}
+		})
+	})
+}
+
+func (n *goldenNode) AppendEntry(name string, e replica.LogEntry) {
+	n.w.call(n, callAppendEntry)
+	n.w.words(name)
+	n.w.entry(e)
+	n.op(name, e.Index, func(rec *replica.Log) bool {
+		if rec == nil || !rec.Continues(e) {
+			return false
+		}
+		rec.Append(e)
+		return true
+	})
+}
+
+func (n *goldenNode) TruncateLog(name string, seq uint64) {
+	n.w.call(n, callTruncateLog)
+	n.w.words(name)
+	n.w.numbers(seq)
+	n.op(name, seq, func(rec *replica.Log) bool {
+		if rec == nil {
+			return false
+		}
+		rec.Truncate(seq)
+		return true
+	})
+}
+
+func (n *goldenNode) ResetLog(name string, base, sum uint64) {
+	n.w.call(n, callResetLog)
+	n.w.words(name)
+	n.w.numbers(base, sum)
+	n.op(name, base, func(*replica.Log) bool {
+		n.disk[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
+		return true
+	})
+}
+
+func (n *goldenNode) DeleteLog(name string) {
+	n.w.call(n, callDeleteLog)
+	n.w.words(name)
+	n.op(name, 0, func(*replica.Log) bool { delete(n.disk, name); return true })
+}
+
+func goldenDisk(disk map[string]*replica.Log) map[string]*replica.Log {
+	other := map[string]*replica.Log{}
+	for name, r := range disk {
+		copied := *r
+		copied.Entries = slices.Clone(r.Entries)
+		other[name] = &copied
+	}
+	return other
+}
+
+// fall ends the process, for a while.
+func (n *goldenNode) fall(span tick.Tick) {
+	n.manager = nil
+	n.w.after(span, n.start)
+}
+
+// freeze has the process not run, for a while.
+func (n *goldenNode) freeze(span tick.Tick) {
+	if n.manager == nil || n.frozen {
+		return
+	}
+	n.frozen = true
+	run := n.incarnation
+	n.w.after(span, func() {
+		if n.manager == nil || n.incarnation != run {
+			return
+		}
+		n.frozen = false
+		waiting := n.waiting
+		n.waiting = nil
+		for _, do := range waiting {
+			n.does(run, do)
+		}
+	})
+}
+
+// odd sends a node a message that no program of this version writes.
+func (n *goldenNode) odd() {
+	w := n.w
+	m := replica.Message{Version: 1, Kind: replica.MessageAppend, Instance: w.anyInstance(), Epoch: uint64(w.rng.IntN(9)), SenderIncarnation: uint64(w.rng.IntN(4)),
+		ReceiverIncarnation: n.incarnation, PrevIndex: uint64(w.rng.IntN(3)), ReplyTo: 1}
+	switch w.rng.IntN(6) {
+	case 0:
+		m.Version = 2
+	case 1:
+		m.Kind = "odd"
+	case 2:
+		m.Kind, m.Reason = replica.MessageRejected, "no reason"
+	case 3:
+		m.Kind = replica.MessageStaleEpoch
+	case 4:
+		m.Kind, m.Index, m.Checksum, m.Checksums = replica.MessageAck, 3, 9, []uint64{0, 1, 2, 9}
+	}
+	n.does(n.incarnation, func() { n.manager.OnMessage(w.now, w.drawn().name, m) })
+}
--- /dev/null
+++ b/internal/replica/golden_world_test.go
@@ -0,0 +1,323 @@
+package replica_test
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// goldenWorld is a few nodes with their managers around the real table, on links, disks and processes that fail, all drawn
+// from one seed. There is no planner: what is asked of the table is drawn, too, so that more of a manager is reached than
+// a sensible planner would bring about.
+type goldenWorld struct {
+	rng       *rand.Rand
+	now       tick.Tick
+	queue     goldenQueue
+	planned   int
+	table     *placement.Table
+	nodes     []*goldenNode
+	instances []string
+	loss      float64 // part of the messages that get lost
+	cut       map[[2]int]bool
+	writes    tick.Tick // mean time between two requests
+	state     float64   // bytes that an instance may have
+	line      int       // of the table: raised where it is rebuilt
+
+	hash        *xxhash.Digest
+	calls       int
+	checkpoints []uint64
+	times       []tick.Tick // of the checkpoints
+	kinds       [callStatus + 1]int
+}
+
+type goldenEvent struct {
+	at tick.Tick
+	n  int
+	do func()
+}
+
+type goldenQueue []goldenEvent
+
+func (q goldenQueue) Len() int { return len(q) }
+
+func (q goldenQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].n, q[j].n)) < 0
+}
+
+func (q goldenQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *goldenQueue) Push(x any) { *q = append(*q, x.(goldenEvent)) }
+
+func (q *goldenQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+func (w *goldenWorld) after(span tick.Tick, do func()) {
+	w.planned++
+	heap.Push(&w.queue, goldenEvent{w.now + span, w.planned, do})
+}
+
+// between is a drawn span.
+func (w *goldenWorld) between(least, most tick.Tick) tick.Tick {
+	return least + tick.Tick(w.rng.Int64N(int64(most-least)+1))
+}
+
+func (w *goldenWorld) chance(part float64) bool { return w.rng.Float64() < part }
+
+func newGoldenWorld(seed uint64) *goldenWorld {
+	w := &goldenWorld{rng: rand.New(rand.NewPCG(seed, 0x601d)), now: 1, table: placement.New(), hash: xxhash.New(),
+		cut: map[[2]int]bool{}, writes: 25 * milli, state: 60000}
+	if seed%6 == 0 { // so many writes that the first entries are no longer remembered
+		w.writes, w.state = 3*milli, 300000
+	}
+	for i := range 3 + int(seed%3) {
+		n := &goldenNode{w: w, id: i, name: fmt.Sprintf("edge-%d", i+1), incarnation: 1, disk: map[string]*replica.Log{}, slow: milli}
+		w.nodes = append(w.nodes, n)
+		w.after(w.between(1, 100*milli), n.start)
+	}
+	w.after(50*milli, w.disturb)
+	w.after(200*milli, w.place)
+	w.after(300*milli, w.command)
+	w.after(500*milli, w.look)
+	return w
+}
+
+func (w *goldenWorld) run(until tick.Tick) {
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		e := heap.Pop(&w.queue).(goldenEvent)
+		w.now = e.at
+		e.do()
+	}
+	w.now = until
+	w.checkpoint()
+}
+
+// look records what the managers say of themselves.
+func (w *goldenWorld) look() {
+	w.after(400*milli, w.look)
+	for _, n := range w.nodes {
+		if n.manager == nil {
+			continue
+		}
+		w.call(n, callStatus)
+		for _, h := range n.manager.Copies(w.now) {
+			w.words(h.Instance)
+			w.numbers(h.Epoch, h.Index, h.LastEpoch, h.Checksum, uint64(h.Size))
+			w.flags(h.IsPrimary, h.Serving, h.IsReplica, h.Incomplete, n.manager.Serves(w.now, h.Instance))
+		}
+		for _, d := range n.manager.UnverifiedCopies(9) {
+			w.wire(d)
+		}
+		w.words(n.manager.KnownInstances()...)
+		w.flags(n.manager.HoldsLease(w.now), n.manager.LostAllCopies(), n.manager.Verified())
+	}
+}
+
+// command sends a node, most often the primary, a request that may be a repetition.
+func (w *goldenWorld) command() {
+	w.after(w.between(1, 2*w.writes), w.command)
+	if len(w.instances) == 0 {
+		return
+	}
+	name := w.instances[w.rng.IntN(len(w.instances))]
+	if w.writes < 10*milli {
+		name = w.instances[w.rng.IntN(len(w.instances))/3]
+	}
+	n := w.nodes[w.rng.IntN(len(w.nodes))]
+	if p, ok := w.table.Get(name); ok && w.chance(0.9) {
+		for _, v := range w.nodes {
+			if v.name == p.Primary {
+				n = v
+			}
+		}
+	}
+	c := &replica.Request{ID: fmt.Sprint("c", w.planned), Instance: name, Write: w.chance(0.75),
+		Deadline: w.now + w.between(0, 900*milli)}
+	switch w.rng.IntN(60) {
+	case 0:
+		c.ID = strings.Repeat("i", 300)
+	case 1:
+		c.Body = make([]byte, int(w.state)) // too large
+	case 2:
+		c.Instance = "nobody"
+	case 3, 4, 5, 6, 7, 8:
+		c.ID = fmt.Sprint("c", max(1, w.planned-w.rng.IntN(300)))
+	default:
+		c.Body = make([]byte, w.rng.IntN(40))
+	}
+	n.does(n.incarnation, func() {
+		n.pending++
+		n.manager.OnRequest(w.now, c)
+	})
+}
+
+// place steps the table as controllers might.
+func (w *goldenWorld) place() {
+	w.after(w.between(20*milli, 250*milli), w.place)
+	if len(w.instances) < 5 && w.chance(0.2) || len(w.instances) == 0 {
+		name := fmt.Sprintf("cam-%d", len(w.instances)+1)
+		w.instances = append(w.instances, name)
+		w.apply(placement.Operation{Kind: placement.OpCreate, Instance: name, Target: w.drawn().name, Zone: "north", Weight: 1})
+		return
+	}
+	p, ok := w.table.Get(w.instances[w.rng.IntN(len(w.instances))])
+	if !ok {
+		if w.chance(0.1) {
+			w.apply(placement.Operation{Kind: placement.OpCreate, Instance: w.instances[w.rng.IntN(len(w.instances))], Target: w.drawn().name, Zone: "north"})
+		}
+		return
+	}
+	e := placement.Operation{Instance: p.Instance, Epoch: p.Epoch, Target: w.drawn().name}
+	over := p.Primary == "" || w.until(p.Primary)+goldenLease/10 < w.now
+	switch draw := w.rng.IntN(40); {
+	case p.State != placement.Running:
+		w.revive(&e, p)
+	case over && draw < 30:
+		e.Kind, e.Node, e.Target = placement.OpFailOver, p.Primary, w.anyOf(p.Replicas, "")
+	case over && draw == 30:
+		e.Kind, e.Node = placement.OpQuarantine, p.Primary
+	case draw < 28:
+		w.moveCopies(&e, p, draw)
+	case draw == 28:
+		e.Kind, e.Zone = placement.OpMoveDevice, "south"
+	case draw == 29:
+		e.Kind = placement.OpResetFailures
+	case draw == 31 && w.chance(0.3):
+		e.Kind, e.Node = placement.OpDelete, p.Primary
+	case draw == 32 && w.chance(0.05):
+		w.rebuild()
+	}
+	if e.Kind != "" {
+		w.apply(e)
+	}
+}
+
+// anyOf is one of some names, or another one where there is none.
+func (w *goldenWorld) anyOf(names []string, none string) string {
+	if len(names) == 0 {
+		return none
+	}
+	return names[w.rng.IntN(len(names))]
+}
+
+// revive has an instance run again that is lost or quarantined.
+func (w *goldenWorld) revive(e *placement.Operation, p placement.Assignment) {
+	if p.State == placement.Quarantined {
+		e.Kind, e.Target = placement.OpRelease, w.anyOf(p.Replicas, e.Target)
+		return
+	}
+	e.Kind, e.Index = placement.OpRestart, p.Index
+	if len(p.Replicas) > 0 {
+		e.Target = p.Replicas[0]
+	}
+}
+
+// moveCopies makes or drops a copy, or moves the instance.
+func (w *goldenWorld) moveCopies(e *placement.Operation, p placement.Assignment, draw int) {
+	switch {
+	case p.CopyTarget != "" && draw < 3:
+		e.Kind, e.Target = placement.OpCancelCopy, p.CopyTarget
+	case draw < 14:
+		e.Kind = placement.OpStartCopy
+		if len(p.StaleCopies) > 0 && w.chance(0.7) { // which may have what was never acknowledged
+			e.Target = p.StaleCopies[w.rng.IntN(len(p.StaleCopies))].Node
+		}
+	case draw < 24 && len(p.Replicas) > 0:
+		e.Kind, e.CutOver, e.Target = placement.OpStartCopy, true, w.anyOf(p.Replicas, "")
+	case draw < 26:
+		e.Kind, e.CutOver = placement.OpStartCopy, true
+	case draw < 28 && len(p.Replicas) > 1:
+		e.Kind, e.Target = placement.OpDropReplica, w.anyOf(p.Replicas, "")
+	}
+}
+
+func (w *goldenWorld) apply(e placement.Operation) {
+	e.Version = placement.FormatVersion
+	_, _ = w.table.Apply(e) // refused as often as not
+}
+
+// rebuild makes the table anew with higher epochs, as where controllers lost their disks.
+func (w *goldenWorld) rebuild() {
+	places := w.table.All()
+	for i := range places {
+		places[i].Epoch += 1000
+		places[i].Revision = 1
+	}
+	table, err := placement.FromAssignments(places)
+	if err != nil {
+		panic(err)
+	}
+	w.table = table
+	w.line++
+	for _, n := range w.nodes {
+		n.version = table.Version()
+		n.until = 0
+		n.does(n.incarnation, func() { n.manager.OnPlacementRebuilt(w.now, places, table.Version()) })
+	}
+}
+
+func (w *goldenWorld) drawn() *goldenNode { return w.nodes[w.rng.IntN(len(w.nodes))] }
+
+// until is the end of a node's lease.
+func (w *goldenWorld) until(name string) tick.Tick {
+	for _, n := range w.nodes {
+		if n.name == name {
+			return n.until
+		}
+	}
+	return 0
+}
+
+// disturb does something to a node, a link or a disk.
+func (w *goldenWorld) disturb() {
+	w.after(w.between(100*milli, 900*milli), w.disturb)
+	n, span := w.drawn(), w.between(50*milli, 2500*milli)
+	switch w.rng.IntN(16) {
+	case 0, 1, 2:
+		n.fall(span)
+	case 3:
+		n.fall(span)
+		n.disk = map[string]*replica.Log{}
+	case 4:
+		n.fall(span)
+		if n.old != nil {
+			n.disk, n.old, n.back = n.old, nil, true
+		}
+	case 5, 6:
+		n.old = goldenDisk(n.disk)
+	case 7, 8:
+		key := [2]int{n.id, w.drawn().id} // to itself: between it and the table
+		w.cut[key] = true
+		w.after(span, func() { delete(w.cut, key) })
+	case 9:
+		w.loss += 0.15
+		w.after(span, func() { w.loss -= 0.15 })
+	case 10:
+		n.full = true
+		w.after(span/4, func() { n.full = false })
+	case 11:
+		n.slow = 80 * milli
+		w.after(span, func() { n.slow = milli })
+	case 12:
+		n.freeze(span)
+	case 13:
+		n.odd()
+	}
+}
+
+func (w *goldenWorld) anyInstance() string {
+	if len(w.instances) == 0 {
+		return "cam-1"
+	}
+	return w.instances[w.rng.IntN(len(w.instances))]
+}
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -9,11 +9,6 @@
 	"silvercove/internal/tick"
 )
 
-const (
-	defaultMaxStateBytes = 1 << 20     // the setting fleet.state
-	defaultLease         = tick.Second // the setting fleet.lease
-)
-
 // Manager is what one edge node may do at each moment with the instances that it is primary of, replicates or is sent.
 // The package's documentation says how it is driven.
 type Manager struct {
@@ -47,31 +42,23 @@
 	atRest      bool      // nothing was left to do when it was looked at last
 }
 
-// NewManager is a node after its start. incarnation numbers its processes and grows. logs are what its disk kept.
-// assignments are the controllers' as they stood at a version before the first lease was asked for in this incarnation:
-// what they count on this node for was given to an earlier one, and has to be among the logs. set has the settings
-// fleet.state, in bytes, and fleet.lease, in seconds, where they are not the defaults.
-func NewManager(host Host, now tick.Tick, self string, incarnation uint64, set map[string]any, logs []Log,
-	assignments []placement.Assignment, version uint64) *Manager {
+// NewManager is a node after its start.
+func NewManager(host Host, now tick.Tick, config Config, start Start) *Manager {
 	m := &Manager{
 		host:          host,
-		self:          self,
-		incarnation:   incarnation,
-		maxStateBytes: defaultMaxStateBytes,
-		leaseDuration: defaultLease,
-		lease:         nodeLease{seenVersion: version},
+		self:          config.Node,
+		incarnation:   config.Incarnation,
+		maxStateBytes: config.MaxStateBytes,
+		leaseDuration: config.Lease,
+		lease:         nodeLease{seenVersion: start.Version},
 		instances:     map[string]*instance{},
 	}
-	if v, ok := set["fleet.state"].(float64); ok {
-		m.maxStateBytes = int(v)
-	}
-	if v, ok := set["fleet.lease"].(float64); ok {
-		m.leaseDuration = tick.Tick(v * float64(tick.Second))
-	}
-	for _, log := range logs {
+	for _, log := range start.Logs {
 		m.restoreLog(log)
 	}
-	slices.SortFunc(assignments, func(a, b placement.Assignment) int { return cmp.Compare(a.Instance, b.Instance) })
+	assignments := slices.SortedFunc(slices.Values(start.Assignments), func(a, b placement.Assignment) int {
+		return cmp.Compare(a.Instance, b.Instance)
+	})
 	for _, p := range assignments {
 		if m.instances[p.Instance] != nil || m.concerns(p) {
 			m.restoreAssignment(now, p)
@@ -207,7 +194,7 @@
 		m.acknowledge(inst)
 		return
 	}
-	if !mayServe && !(inst.recovery.awaitsConfirmation() && m.HoldsLease(now)) {
+	if verifies := inst.recovery.awaitsConfirmation() && m.HoldsLease(now); !mayServe && !verifies {
 		return
 	}
 	m.replicate(now, inst)
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -18,6 +18,7 @@
 	incomplete                      // the controllers count on entries that are not there
 )
 
+// String is the state in a word.
 func (s recoveryState) String() string {
 	return [...]string{"current", "unverified", "verifying", "fenced", "incomplete"}[s]
 }
