--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -200,6 +200,6 @@
 	if inst == nil || !inst.proposal.underWay() || inst.proposal.operation != e {
 		return
 	}
-	inst.proposal.at = now - m.leaseDuration/2 + m.leaseDuration/10
+	inst.proposal.at = now - m.leaseDuration/proposalsPerLease + m.leaseDuration/retriesPerLease
 	m.host.Notify(Event{Kind: EventRefused, Instance: e.Instance, Epoch: e.Epoch, To: e.Target, Reason: string(e.Kind) + ": " + err.Error()})
 }
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -11,6 +11,21 @@
 	DefaultLease         = tick.Second
 )
 
+// Spans as parts of a lease, so that all of them scale with it.
+const (
+	ticksPerLease     = 20 // OnTick comes so often at least
+	resendsPerLease   = 10 // a message without an answer is sent again so often
+	retriesPerLease   = 10 // a refused proposal is made again after one such part
+	proposalsPerLease = 2  // one without a result is made again after one such part
+	confirmsPerLease  = 3  // a replica that does not confirm for one such part is dropped
+)
+
+// Spans in leases.
+const (
+	stalledCopyLeases = 2 // a copy that does not get on for so long is given up
+	unusedCopyLeases  = 2 // a copy that the controllers no longer count on is kept so long
+)
+
 // Config says which node a Manager is for, and how its instances are bounded.
 type Config struct {
 	Node          string
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -75,9 +75,9 @@
 
 // answered takes in an answer at an index.
 //
-// Guards against sending as fast as the other node answers, where it takes nothing: seen as a fault of it, or of a copy
-// that changes meanwhile; holds because after maxFruitlessAcks the next message waits as long as for a lost one. Answers
-// that were overtaken look the same and cost that wait.
+// Guards against sending as fast as a node answers that takes nothing: seen as answers in a row without progress, by a
+// fault of it or a copy that changes meanwhile; holds because after maxFruitlessAcks the next message waits as long as
+// after a lost one. Answers that were overtaken look the same and cost that wait.
 func (f *followerProgress) answered(now tick.Tick, index uint64) {
 	f.inFlight = false
 	f.fruitlessAcks++
@@ -163,7 +163,7 @@
 	if f.hasConfirmed(durable) && f.state == replicating {
 		f.progressAt = now
 	}
-	if !f.needsMessage(now, m.leaseDuration/10, durable) {
+	if !f.needsMessage(now, m.leaseDuration/resendsPerLease, durable) {
 		return
 	}
 	msg := Message{
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -7,9 +7,6 @@
 )
 
 const (
-	// unusedCopyLeases is how many leases a copy is kept that the controllers no longer count on.
-	unusedCopyLeases = 2
-
 	// diskFullPause is how long nothing is written after a write has failed.
 	diskFullPause = tick.Second
 
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -139,7 +139,7 @@
 func (m *Manager) OnTick(now tick.Tick) (next tick.Tick) {
 	m.expireLease(now)
 	m.advanceActive(now)
-	next = now + m.leaseDuration/20
+	next = now + m.leaseDuration/ticksPerLease
 	if m.lease.until > now {
 		next = min(next, m.lease.until)
 	}
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -29,7 +29,7 @@
 
 // propose proposes an operation, unless one is under way.
 func (m *Manager) propose(now tick.Tick, inst *instance, operation placement.Operation) {
-	if inst.proposal.underWay() && now-inst.proposal.at < m.leaseDuration/2 {
+	if inst.proposal.underWay() && now-inst.proposal.at < m.leaseDuration/proposalsPerLease {
 		return
 	}
 	operation.Version = placement.FormatVersion
@@ -88,7 +88,7 @@
 func (m *Manager) proposeDrop(now tick.Tick, inst *instance) bool {
 	for _, name := range inst.assignment.agreed.Replicas {
 		f := inst.followers[name]
-		if f == nil || f.hasConfirmed(inst.local.durable) || now-f.progressAt < m.leaseDuration/3 {
+		if f == nil || f.hasConfirmed(inst.local.durable) || now-f.progressAt < m.leaseDuration/confirmsPerLease {
 			continue
 		}
 		why := "does not confirm"
@@ -124,7 +124,7 @@
 		}
 		inst.catchUp.announced = p.Revision
 		m.propose(now, inst, placement.Operation{Kind: placement.OpReplicaReady, Target: p.CopyTarget, Index: inst.serving.committed})
-	case now-inst.catchUp.progressAt > 2*m.leaseDuration:
+	case now-inst.catchUp.progressAt > stalledCopyLeases*m.leaseDuration:
 		m.propose(now, inst, placement.Operation{Kind: placement.OpCancelCopy, Target: p.CopyTarget, Reason: "the copy does not get on"})
 	}
 }
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -88,8 +88,9 @@
 // image: the controllers have heard of more on it than there was at the start. What there is of each instance is
 // unverified then until a node that does not doubt its own has shown it to be complete.
 //
-// Guards against acknowledged entries that are gone without a word where primary and replica were restored, or a primary
-// that was alone; a count that is not of this disk has copies told as unverified for nothing.
+// Guards against serving without acknowledged entries: seen as a disk with fewer records than the controllers have heard
+// of, of primary and replica at once, or of a primary without replicas; holds because only a node with a later copy can
+// tell. A count that is not of this disk has copies told as unverified for nothing.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskNewest
 	if !restored {
