--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"silvercove/internal/placement"
 )
@@ -89,12 +88,20 @@
 
 // isAppend tells whether a message is a primary's.
 func (m *Message) isAppend() bool {
-	return slices.Contains([]string{MessageCatchUp, MessageAppend, MessageFinalAppend}, m.Kind)
+	switch m.Kind {
+	case MessageCatchUp, MessageAppend, MessageFinalAppend:
+		return true
+	}
+	return false
 }
 
 // isAnswer tells whether a message answers a primary's.
 func (m *Message) isAnswer() bool {
-	return slices.Contains([]string{MessageAck, MessageStaleEpoch, MessageRejected}, m.Kind)
+	switch m.Kind {
+	case MessageAck, MessageStaleEpoch, MessageRejected:
+		return true
+	}
+	return false
 }
 
 // endIndex is the index of the last entry that a message shows.
