--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"silvercove/internal/migration"
+	"silvercove/internal/replica"
 )
 
 const (
@@ -57,6 +57,6 @@
 }
 
 // sizeInFile is about what an instance takes in the file, in bytes.
-func sizeInFile(l *migration.Log) int64 {
+func sizeInFile(l *replica.Log) int64 {
 	return int64(l.Size() + recordOverhead*len(l.Entries) + recordOverhead)
 }
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"silvercove/internal/migration"
 	"silvercove/internal/recordlog"
+	"silvercove/internal/replica"
 )
 
 // maxRecordSize is the longest payload, in bytes.
@@ -44,7 +44,7 @@
 	instance string
 	number   uint64 // index of a truncation, base index of a reset, count of a mark
 	sum      uint64 // base checksum of a reset; countingMark
-	entry    migration.LogEntry
+	entry    replica.LogEntry
 	note     []byte
 	done     func(error)
 }
--- a/internal/instancestore/run.go
+++ b/internal/instancestore/run.go
@@ -1,13 +1,13 @@
 package instancestore
 
-import "silvercove/internal/migration"
+import "silvercove/internal/replica"
 
 // enqueue adds a request to the queue. Where that is full it is refused, in its turn.
 func (s *Store) enqueue(r request) {
 	s.mu.Lock()
 	if len(s.queue) >= maxQueue {
 		r.kind = kindRefused
-		r.entry, r.note = migration.LogEntry{}, nil
+		r.entry, r.note = replica.LogEntry{}, nil
 	}
 	s.queue = append(s.queue, r)
 	s.mu.Unlock()
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -33,8 +33,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"silvercove/internal/migration"
 	"silvercove/internal/recordlog"
+	"silvercove/internal/replica"
 )
 
 // Errors of a store, wrapped by those of Open and passed to done.
@@ -68,7 +68,7 @@
 	fileSize    int64
 	liveSize    int64 // bytes of the file that are of use, about
 	compactAt   int64 // size at which the file is written anew; larger after that failed
-	logs        map[string]*migration.Log
+	logs        map[string]*replica.Log
 	note        []byte
 	count       recordCount
 	runMarked   bool // the file says that what this run writes does not count yet
@@ -89,10 +89,10 @@
 
 // Open reads what a folder keeps, "" for none. The logs and the note are the caller's own. Its error wraps ErrInUse,
 // ErrCorrupt or ErrNewerVersion, or is that of the disk.
-func Open(folder string, log func(string)) (*Store, []migration.Log, []byte, error) {
+func Open(folder string, log func(string)) (*Store, []replica.Log, []byte, error) {
 	s := &Store{
 		logf:  log,
-		logs:  map[string]*migration.Log{},
+		logs:  map[string]*replica.Log{},
 		wake:  make(chan struct{}, 1),
 		count: recordCount{records: 1, counts: true},
 	}
@@ -191,8 +191,8 @@
 }
 
 // copyLogs is the logs in the order of their instances' names, for the caller to keep.
-func (s *Store) copyLogs() []migration.Log {
-	all := make([]migration.Log, 0, len(s.logs))
+func (s *Store) copyLogs() []replica.Log {
+	all := make([]replica.Log, 0, len(s.logs))
 	for _, name := range slices.Sorted(maps.Keys(s.logs)) {
 		l := *s.logs[name]
 		l.Entries = slices.Clone(l.Entries)
@@ -216,7 +216,7 @@
 }
 
 // Append keeps the next entry of an instance's log.
-func (s *Store) Append(instance string, e migration.LogEntry, done func(error)) {
+func (s *Store) Append(instance string, e replica.LogEntry, done func(error)) {
 	s.enqueue(request{kind: kindEntry, instance: instance, entry: e, done: done})
 }
 
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -5,7 +5,7 @@
 	"io"
 	"slices"
 
-	"silvercove/internal/migration"
+	"silvercove/internal/replica"
 )
 
 // File is what is written to; *os.File is one.
@@ -35,7 +35,7 @@
 		}
 		l.Truncate(r.number)
 	case kindReset:
-		s.logs[r.instance] = &migration.Log{Instance: r.instance, BaseIndex: r.number, BaseChecksum: r.sum}
+		s.logs[r.instance] = &replica.Log{Instance: r.instance, BaseIndex: r.number, BaseChecksum: r.sum}
 	case kindDelete:
 		delete(s.logs, r.instance)
 	case kindNote:
@@ -54,13 +54,13 @@
 
 // undo is what a batch of requests may have changed, as it was before.
 type undo struct {
-	logs  map[string]*migration.Log // nil for an instance that was not there
+	logs  map[string]*replica.Log // nil for an instance that was not there
 	note  []byte
 	count recordCount
 }
 
 func (s *Store) newUndo() undo {
-	return undo{logs: map[string]*migration.Log{}, note: s.note, count: s.count}
+	return undo{logs: map[string]*replica.Log{}, note: s.note, count: s.count}
 }
 
 // keep notes an instance's log before it is first changed.
--- /dev/null
+++ b/internal/replica/golden_test.go
@@ -0,0 +1,173 @@
+package replica_test
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+var update = flag.Bool("update", false, "write testdata/golden_host_calls.txt anew")
+
+const (
+	goldenFile = "testdata/golden_host_calls.txt"
+
+	// goldenCheckpoint is how many calls lie between two hashes of a trace.
+	goldenCheckpoint = 1000
+
+	// goldenSeeds is how many worlds are traced, by seed from 1.
+	goldenSeeds = 40
+
+	milli       = tick.Second / 1000
+	goldenLease = tick.Second
+	goldenSpan  = 60 * tick.Second
+)
+
+// The calls on a host, as numbers in the trace.
+const (
+	callSend = iota + 1
+	callPropose
+	callRespond
+	callAppendEntry
+	callTruncateLog
+	callResetLog
+	callDeleteLog
+	callNotify
+	callTick
+	callStatus
+)
+
+// recordedAs maps a kind of event to the word that it had when the golden traces were recorded. An entry is added where
+// a word is renamed, so that the traces need not be written anew for it.
+var recordedAs = map[string]string{}
+
+func (w *goldenWorld) checkpoint() {
+	w.checkpoints = append(w.checkpoints, w.hash.Sum64())
+	w.times = append(w.times, w.now)
+}
+
+// call begins the record of one call.
+func (w *goldenWorld) call(n *goldenNode, kind int) {
+	if w.calls++; w.calls%goldenCheckpoint == 0 {
+		w.checkpoint()
+	}
+	w.kinds[kind]++
+	w.numbers(uint64(kind), uint64(w.now), uint64(n.id), n.incarnation)
+}
+
+func (w *goldenWorld) numbers(all ...uint64) {
+	var b [8]byte
+	for _, n := range all {
+		binary.LittleEndian.PutUint64(b[:], n)
+		_, _ = w.hash.Write(b[:])
+	}
+}
+
+func (w *goldenWorld) flags(all ...bool) {
+	for _, set := range all {
+		if set {
+			w.numbers(1)
+		} else {
+			w.numbers(0)
+		}
+	}
+}
+
+func (w *goldenWorld) words(all ...string) {
+	for _, text := range all {
+		w.numbers(uint64(len(text)))
+		_, _ = w.hash.WriteString(text)
+	}
+}
+
+func (w *goldenWorld) entry(e replica.LogEntry) {
+	w.numbers(e.Index, e.Epoch, e.Checksum)
+	w.words(e.Node, e.RequestID, string(e.Body))
+}
+
+// wire hashes a value in its form on the wire.
+func (w *goldenWorld) wire(v any) {
+	text, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	w.words(string(text))
+}
+
+// text is a trace as the golden file keeps it: its seed, its number of calls, and the hashes.
+func (w *goldenWorld) text(seed uint64) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d %d", seed, w.calls)
+	for _, sum := range w.checkpoints {
+		fmt.Fprintf(&b, " %08x", uint32(sum))
+	}
+	return b.String()
+}
+
+// Managers make the calls on their hosts that were recorded, at the same moments. A change that is meant to leave decisions
+// as they are must leave this file as it is.
+func TestGoldenHostCalls(t *testing.T) {
+	worlds := make([]*goldenWorld, goldenSeeds)
+	var all sync.WaitGroup
+	for i := range worlds {
+		all.Go(func() {
+			worlds[i] = newGoldenWorld(uint64(i + 1))
+			worlds[i].run(goldenSpan)
+		})
+	}
+	all.Wait()
+	var file bytes.Buffer
+	for i, w := range worlds {
+		fmt.Fprintln(&file, w.text(uint64(i+1)))
+	}
+	if *update {
+		if err := os.WriteFile(goldenFile, file.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	recorded, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(recorded)), "\n")
+	if len(lines) != goldenSeeds {
+		t.Fatalf("%d traces are recorded, %d were played", len(lines), goldenSeeds)
+	}
+	var kinds [callStatus + 1]int
+	for i, w := range worlds {
+		for kind, n := range w.kinds {
+			kinds[kind] += n
+		}
+		if lines[i] != w.text(uint64(i+1)) {
+			t.Errorf("seed %d: %s", i+1, w.differs(lines[i]))
+		}
+	}
+	for kind, n := range kinds[1:] {
+		if n == 0 {
+			t.Errorf("no call of kind %d is reached", kind+1)
+		}
+	}
+	t.Logf("calls by kind: %v", kinds[1:])
+}
+
+// differs says where a trace first differs from what was recorded.
+func (w *goldenWorld) differs(want string) string {
+	words := strings.Fields(want)[2:]
+	from := tick.Tick(0)
+	for i, sum := range w.checkpoints {
+		if i >= len(words) || words[i] != fmt.Sprintf("%08x", uint32(sum)) {
+			return fmt.Sprintf("differs from the recorded trace after call %d, between %d and %d ms", i*goldenCheckpoint,
+				from/milli, w.times[i]/milli)
+		}
+		from = w.times[i]
+	}
+	return "ends early"
+}
