--- /dev/null
+++ b/internal/evidence/snapshot.go
@@ -0,0 +1,140 @@
+package evidence
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"github.com/google/renameio/v2"
+)
+
+// Errors of a snapshot.
+var (
+	ErrCorrupt      = errors.New("damaged")
+	ErrNewerVersion = errors.New("written by a later version of this program")
+)
+
+// A snapshot is a line with magic, format, checksum and size, and then JSON.
+const (
+	snapshotMagic  = "silvercove-ledger"
+	snapshotFormat = 1
+	maxCount       = 1e15 // of outcomes
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// snapshot is the JSON of the file.
+type snapshot struct {
+	Classes  []string   `json:"ops"`
+	Versions []*Version `json:"builds"`
+	Orphans  int64      `json:"orphans"`
+}
+
+// Snapshot is the bytes of a snapshot.
+func (s *Store) Snapshot() []byte {
+	body, _ := json.Marshal(snapshot{Classes: s.classes, Versions: s.versions, Orphans: s.Orphans}) // plain values: no error
+	header := fmt.Appendf(nil, "%s %d %08x %d\n", snapshotMagic, snapshotFormat, crc32.Checksum(body, castagnoli), len(body))
+	return append(header, body...)
+}
+
+// Restore takes a snapshot in place of what is kept. What is corrupt, of a later version, or of other request classes is
+// refused whole, with an error that wraps ErrCorrupt or ErrNewerVersion, and nothing changes.
+func (s *Store) Restore(text []byte) error {
+	body, err := checkHeader(text)
+	if err != nil {
+		return err
+	}
+	var content snapshot
+	if err := json.Unmarshal(body, &content); err != nil {
+		return fmt.Errorf("ledger: %w", ErrCorrupt)
+	}
+	if !slices.Equal(content.Classes, s.classes) {
+		return fmt.Errorf("ledger: it is of the op types %v: %w", content.Classes, ErrCorrupt)
+	}
+	if len(content.Versions) > maxVersions {
+		return fmt.Errorf("ledger: %d builds: %w", len(content.Versions), ErrCorrupt)
+	}
+	for _, v := range content.Versions {
+		if err := v.validate(len(s.classes)); err != nil {
+			return err
+		}
+	}
+	s.versions, s.Orphans = content.Versions, content.Orphans
+	return nil
+}
+
+// checkHeader returns the JSON of a snapshot.
+func checkHeader(text []byte) (body []byte, err error) {
+	header, body, found := bytes.Cut(text, []byte("\n"))
+	var version, size int
+	var sum uint32
+	n, err := fmt.Sscanf(string(header), snapshotMagic+" %d %08x %d", &version, &sum, &size)
+	if !found || err != nil || n != 3 {
+		return nil, fmt.Errorf("ledger: its head: %w", ErrCorrupt)
+	}
+	if version > snapshotFormat {
+		return nil, fmt.Errorf("ledger: format %d: %w", version, ErrNewerVersion)
+	}
+	if version < 1 || len(body) != size || crc32.Checksum(body, castagnoli) != sum {
+		return nil, fmt.Errorf("ledger: its checksum: %w", ErrCorrupt)
+	}
+	return body, nil
+}
+
+// validate checks what was read of a version, of so many request classes.
+func (v *Version) validate(classes int) error {
+	if v == nil || v.Counts == nil || len(v.Votes) > maxVotes || len(v.Counts) > maxClasses*maxWaves*int(sourceCount) {
+		return fmt.Errorf("ledger: a build of it: %w", ErrCorrupt)
+	}
+	for _, c := range v.Counts {
+		if !c.valid(classes) {
+			return fmt.Errorf("ledger: a count of it: %w", ErrCorrupt)
+		}
+	}
+	return nil
+}
+
+// valid is false also for what is no number.
+func (c *Count) valid(classes int) bool {
+	return c != nil && c.Class >= 0 && c.Class < classes && c.Source < sourceCount &&
+		c.Outcomes >= 0 && c.Outcomes < maxCount && c.Failures >= 0 && c.Failures <= c.Outcomes
+}
+
+// Load reads a snapshot's file; none is no error. Why one cannot be had is put into LoadError, and the store starts empty.
+func (s *Store) Load(path string) {
+	text, err := os.ReadFile(path)
+	if os.IsNotExist(err) {
+		return
+	}
+	if err == nil {
+		err = s.Restore(text)
+	}
+	if err != nil {
+		s.LoadError = err.Error()
+	}
+}
+
+// Save writes a snapshot's bytes in one step.
+func Save(path string, text []byte) error {
+	return renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path)))
+}
+
+// ReadFile reads a snapshot's file for people, whatever its request classes.
+func ReadFile(path string) (*Store, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	_, body, _ := bytes.Cut(text, []byte("\n"))
+	var content struct {
+		Classes []string `json:"ops"`
+	}
+	_ = json.Unmarshal(body, &content) // what is wrong with it is found by Restore
+	s := New(content.Classes)
+	return s, s.Restore(text)
+}
--- /dev/null
+++ b/internal/evidence/snapshot_test.go
@@ -0,0 +1,67 @@
+package evidence
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+func TestRestore(t *testing.T) {
+	store := filledStore()
+	text := store.Snapshot()
+	again := New([]string{"read", "sell"})
+	if err := again.Restore(text); err != nil || strings.Join(again.Explain(), "") != strings.Join(store.Explain(), "") {
+		t.Errorf("%v", err)
+	}
+	for cut := range text { // at any byte
+		fresh := New([]string{"read", "sell"})
+		if err := fresh.Restore(text[:cut]); !errors.Is(err, ErrCorrupt) || len(fresh.versions) != 0 {
+			t.Fatalf("cut at %d: %v", cut, err)
+		}
+	}
+	for i := range text {
+		bad := append([]byte(nil), text...)
+		bad[i] ^= 1
+		fresh := New([]string{"read", "sell"})
+		if err := fresh.Restore(bad); err == nil || len(fresh.versions) != 0 {
+			t.Fatalf("byte %d flipped: it is taken", i)
+		}
+	}
+	if err := again.Restore([]byte(strings.Replace(string(text), "ledger 1", "ledger 2", 1))); !errors.Is(err, ErrNewerVersion) {
+		t.Errorf("%v", err)
+	}
+	if err := New([]string{"read"}).Restore(text); !errors.Is(err, ErrCorrupt) {
+		t.Errorf("one of other op types: %v", err)
+	}
+	path := filepath.Join(t.TempDir(), "ledger")
+	if again.Load(path); again.LoadError != "" {
+		t.Error("no file is a loss")
+	}
+	if err := Save(path, text); err != nil {
+		t.Fatal(err)
+	}
+	if of, err := ReadFile(path); err != nil || len(of.Estimates(7)) != 2 {
+		t.Errorf("%v", err)
+	}
+	_ = os.WriteFile(path, text[:len(text)-1], 0o600)
+	if again.Load(path); !strings.Contains(again.LoadError, "damaged") || again.find(7) == nil {
+		t.Errorf("lost: %q", again.LoadError)
+	}
+	if _, err := ReadFile(path); err == nil {
+		t.Error("a damaged one is explained")
+	}
+}
+
+func FuzzRestore(f *testing.F) {
+	f.Add(filledStore().Snapshot())
+	f.Add([]byte("silvercove-ledger 1 00000000 2\n{}"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		store := New([]string{"read", "sell"})
+		if store.Restore(text) == nil {
+			store.Explain()
+			store.DecayedCounts(s, 7, s)
+		}
+	})
+}
--- /dev/null
+++ b/internal/evidence/store_test.go
@@ -0,0 +1,94 @@
+package evidence
+
+import (
+	"strings"
+	"testing"
+
+	"silvercove/balancer"
+)
+
+const s = balancer.Second
+
+func filledStore() *Store {
+	store := New([]string{"read", "sell"})
+	store.UpdateVersion(10*s, 7, "testing")
+	for i := range 40 {
+		store.RecordOutcome(11*s, 7, i%2, i/20, i%10 == 0)
+	}
+	store.RecordOutcome(11*s, 7, 0, 0, true)
+	store.RecordPlatformCount(11*s, 7, 1, 0, 50, 9)
+	store.RecordPlatformCount(11*s, 7, 1, 0, 5, 9) // makes no sense
+	store.RecordFlag(12*s, 7, 0, 1, 30*s)
+	store.RecordVote(13*s, 7, 1, "go on", "evidence")
+	return store
+}
+
+func TestStore_Estimates(t *testing.T) {
+	store := filledStore()
+	all := store.Estimates(7)
+	if len(all) != 2 || all[0].Outcomes != 21 || all[0].Failures != 5 || all[1].Outcomes != 20 || all[1].Failures != 0 {
+		t.Errorf("%+v", all)
+	}
+	if store.Estimates(8) != nil {
+		t.Error("a version that was never seen is known")
+	}
+	store.RecordOutcome(14*s, 8, 0, 0, true)
+	store.RecordOutcome(14*s, 7, 9, 0, true)
+	store.RecordFlag(14*s, 8, 0, 0, 0)
+	store.RecordVote(14*s, 8, 0, "go on", "x")
+	if store.Orphans != 4 {
+		t.Errorf("%d orphans", store.Orphans)
+	}
+	store.UpdateVersion(15*s, 7, "recalled")
+	store.RecordFlag(900*s, 7, 0, 0, 900*s)
+	if b := store.find(7); b.FlagDelays != (FlagDelays{0, 0, 1, 0, 1}) || b.FlagsAfterEnd != 1 {
+		t.Errorf("%+v", b)
+	}
+	text := strings.Join(store.Explain(), "\n")
+	for _, want := range []string{"Build 7, recalled", "read: 5 of 21 outcomes failed", "vote to go on at stage 1, because of evidence",
+		"1 of them after it was sent back", "counted 9 failures among 50 outcomes", "4 reports were on builds"} {
+		if !strings.Contains(text, want) {
+			t.Errorf("%q is not said in\n%s", want, text)
+		}
+	}
+}
+
+func TestStore_IsBounded(t *testing.T) {
+	store := New(make([]string, 1000)[:300])
+	for i := range uint16(20) {
+		store.UpdateVersion(s, i, "testing")
+		for j := range 300 {
+			store.RecordOutcome(s, i, j, j, true)
+			store.RecordVote(s, i, j, "hold", "x")
+		}
+	}
+	cells := 0
+	for _, b := range store.versions {
+		cells += len(b.Counts)
+		if len(b.Votes) > maxVotes || b.DroppedVotes != 300-maxVotes {
+			t.Errorf("%d votes, %d dropped", len(b.Votes), b.DroppedVotes)
+		}
+	}
+	if len(store.versions) != maxVersions || cells > maxVersions*maxClasses*maxWaves {
+		t.Errorf("%d builds, %d cells", len(store.versions), cells)
+	}
+	if store.find(19) == nil || store.find(0) != nil {
+		t.Error("not the newest are kept")
+	}
+}
+
+func TestDecayedCounts(t *testing.T) {
+	store := filledStore()
+	for _, c := range []struct {
+		after  balancer.Tick
+		n, bad int
+	}{{0, 21, 5}, {600 * s, 10, 3}, {6000 * s, 1, 1}} {
+		n, bad := store.DecayedCounts(12*s+c.after, 7, 600*s)
+		if n[0] != c.n || bad[0] != c.bad {
+			t.Errorf("after %d: %d of %d", c.after/s, bad[0], n[0])
+		}
+	}
+	if n, _ := store.DecayedCounts(12*s, 9, s); n != nil {
+		t.Error("another build's outcomes are given")
+	}
+}
