--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -237,7 +237,7 @@
 		over = true
 		delete(m.asked, name)
 		if good {
-			m.table.RecordAck(f.now, name, f.now-sent)
+			m.table.RecordReply(f.now, name, f.now-sent)
 		} else {
 			m.table.RecordTimeout(f.now, name)
 		}
--- /dev/null
+++ b/internal/membership/gossip.go
@@ -0,0 +1,245 @@
+package membership
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"io"
+	"log"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/hashicorp/memberlist"
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/internal/peertransport"
+)
+
+const (
+	maxPacketSize     = 16 << 10 // bytes
+	retransmitFactor  = 3        // times the logarithm of the members, that a record is sent
+	initialSyncs      = 3        // members whose whole state is asked for at a start
+	concurrentSyncs   = 4
+	minGossipInterval = 10 * time.Millisecond
+	maxGossipInterval = 200 * time.Millisecond
+	minStreamTimeout  = 500 * time.Millisecond
+	placeholderPort   = 1 // no address is ever dialled: members are reached by name
+)
+
+// gossipLibrary is memberlist behind gossip.
+type gossipLibrary struct {
+	list      *memberlist.Memberlist
+	queue     *memberlist.TransmitLimitedQueue
+	transport *transport
+	events    gossipEvents
+	self      string
+}
+
+// newGossip starts the library, for so many members.
+func newGossip(n *peertransport.Net, silence time.Duration, members int, events gossipEvents) (gossip, error) {
+	g := &gossipLibrary{transport: newTransport(n, silence), events: events, self: n.Self().Name}
+	g.queue = &memberlist.TransmitLimitedQueue{
+		NumNodes:       func() int { return members },
+		RetransmitMult: retransmitFactor,
+	}
+	list, err := memberlist.Create(g.config(silence))
+	if err != nil {
+		_ = g.transport.Shutdown()
+		return nil, err
+	}
+	g.list = list
+	return g, nil
+}
+
+func (g *gossipLibrary) config(silence time.Duration) *memberlist.Config {
+	c := memberlist.DefaultLANConfig()
+	c.Name = g.self
+	c.Transport = g.transport
+	c.RequireNodeNames = true
+	c.AdvertiseAddr = ""
+	c.AdvertisePort = placeholderPort
+	c.ProbeInterval = silence
+	c.ProbeTimeout = silence / 2
+	c.SuspicionMult = 2
+	c.SuspicionMaxTimeoutMult = 2
+	c.AwarenessMaxMultiplier = 4
+	c.GossipInterval = min(max(silence/10, minGossipInterval), maxGossipInterval)
+	c.GossipToTheDeadTime = 4 * silence
+	c.PushPullInterval = 10 * silence
+	c.TCPTimeout = max(silence, minStreamTimeout)
+	c.UDPBufferSize = maxPacketSize
+	c.EnableCompression = false
+	c.Delegate = g
+	c.Events = g
+	c.Logger = log.New(io.Discard, "", 0) // the library's lines have no events
+	return c
+}
+
+// broadcast is a record on its way to all; a later one of the same member takes its place.
+type broadcast struct {
+	name string
+	raw  []byte
+}
+
+// Invalidates is always false: the queue goes by the name.
+func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
+
+// Name is the member's.
+func (b broadcast) Name() string { return b.name }
+
+// Message is the record.
+func (b broadcast) Message() []byte { return b.raw }
+
+// Finished does nothing.
+func (b broadcast) Finished() {}
+
+// nameOf is the member's name in a record, "" if it has none.
+func nameOf(raw []byte) string {
+	var r struct{ Name string }
+	_ = json.Unmarshal(raw, &r)
+	return r.Name
+}
+
+// Broadcast implements gossip.
+func (g *gossipLibrary) Broadcast(name string, raw []byte) {
+	g.queue.QueueBroadcast(broadcast{name, raw})
+}
+
+// Reconnect implements gossip.
+func (g *gossipLibrary) Reconnect(name string) { g.transport.reconnect(name) }
+
+// Leave implements gossip.
+func (g *gossipLibrary) Leave(timeout time.Duration) { _ = g.list.Leave(timeout) }
+
+// Close implements gossip.
+func (g *gossipLibrary) Close() { _ = g.list.Shutdown() }
+
+// Ping implements gossip.
+func (g *gossipLibrary) Ping(name string) (time.Duration, error) {
+	return g.list.Ping(name, memberAddr(name))
+}
+
+// Sync exchanges whole states: with a few others at the start, then in turn with some of those that the library does not
+// hold to be alive, as it does not look for them itself, and a split would never heal.
+func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
+	g.syncAtStart(ctx, names)
+	var group errgroup.Group
+	group.SetLimit(concurrentSyncs)
+	defer func() { _ = group.Wait() }() // none of the group's functions returns an error
+	next := 0
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(every):
+		}
+		alive := map[string]bool{}
+		for _, m := range g.list.Members() {
+			alive[m.Name] = true
+		}
+		left := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
+		for range names {
+			name := names[next%len(names)]
+			if left == 0 {
+				break
+			}
+			next++
+			if alive[name] {
+				continue
+			}
+			left--
+			started := group.TryGo(func() error {
+				_ = g.join(name) // a member that does not answer is tried again in its turn
+				return nil
+			})
+			if !started {
+				break // as many are under way as may be
+			}
+		}
+	}
+}
+
+func (g *gossipLibrary) syncAtStart(ctx context.Context, names []string) {
+	reached := 0
+	for _, name := range names {
+		if reached >= initialSyncs || ctx.Err() != nil {
+			return
+		}
+		if g.join(name) == nil {
+			reached++
+		}
+	}
+}
+
+// join exchanges whole states with one member.
+func (g *gossipLibrary) join(name string) error {
+	_, err := g.list.Join([]string{name + "/" + memberAddr(name).String()})
+	return err
+}
+
+// NodeMeta implements memberlist.Delegate.
+func (g *gossipLibrary) NodeMeta(int) []byte { return nil }
+
+// NotifyMsg implements memberlist.Delegate.
+func (g *gossipLibrary) NotifyMsg(raw []byte) { g.events.onRecord(raw) }
+
+// GetBroadcasts implements memberlist.Delegate.
+func (g *gossipLibrary) GetBroadcasts(overhead, limit int) [][]byte {
+	return g.queue.GetBroadcasts(overhead, limit)
+}
+
+// LocalState implements memberlist.Delegate: all records, each after its length.
+func (g *gossipLibrary) LocalState(bool) []byte {
+	var state []byte
+	for _, raw := range g.events.records() {
+		state = binary.AppendUvarint(state, uint64(len(raw)))
+		state = append(state, raw...)
+	}
+	return state
+}
+
+// MergeRemoteState implements memberlist.Delegate.
+func (g *gossipLibrary) MergeRemoteState(state []byte, _ bool) {
+	for len(state) > 0 {
+		length, size := binary.Uvarint(state)
+		if size <= 0 || length > uint64(len(state)-size) {
+			return
+		}
+		end := size + int(length)
+		g.events.onRecord(state[size:end])
+		state = state[end:]
+	}
+}
+
+// NotifyJoin implements memberlist.EventDelegate.
+func (g *gossipLibrary) NotifyJoin(n *memberlist.Node) { g.events.onUp(n.Name) }
+
+// NotifyUpdate implements memberlist.EventDelegate.
+func (g *gossipLibrary) NotifyUpdate(n *memberlist.Node) { g.events.onUp(n.Name) }
+
+// NotifyLeave implements memberlist.EventDelegate.
+func (g *gossipLibrary) NotifyLeave(n *memberlist.Node) {
+	g.events.onDown(n.Name, n.State == memberlist.StateLeft)
+}
+
+// memberAddr is a member's address: each process reaches it at an address of its own file, so others know its name only.
+type memberAddr string
+
+// Network implements net.Addr.
+func (a memberAddr) Network() string { return "peers" }
+
+// String implements net.Addr.
+func (a memberAddr) String() string { return "[" + placeholderIP(string(a)).String() + "]:1" }
+
+// uniqueLocalPrefix is that of IPv6 addresses that are never routed (RFC 4193).
+const uniqueLocalPrefix = 0xfd
+
+// placeholderIP stands for a name where the library wants an address: nothing is ever sent to it.
+func placeholderIP(name string) net.IP {
+	ip := make(net.IP, net.IPv6len)
+	ip[0] = uniqueLocalPrefix
+	binary.BigEndian.PutUint64(ip[8:], xxhash.Sum64String(name))
+	return ip
+}
--- /dev/null
+++ b/internal/membership/incarnation.go
@@ -0,0 +1,56 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/google/renameio/v2"
+)
+
+// incarnationFile has the incarnation of a process's last start, in its data folder.
+const incarnationFile = "run"
+
+// ErrDamagedIncarnation is wrapped where the number of the last start cannot be read.
+var ErrDamagedIncarnation = errors.New("damaged: no number of a start; where it is removed, this start counts as a fresh one")
+
+// NextIncarnation draws the incarnation of a process's start from a folder, where it counts on, and reports whether the
+// process started empty: nothing of an earlier start is in the folder. Without a folder the clock gives the incarnation,
+// in milliseconds.
+func NextIncarnation(folder string, now time.Time) (incarnation uint64, startedEmpty bool, err error) {
+	incarnation = uint64(max(1, now.UnixMilli()))
+	if folder == "" {
+		return incarnation, true, nil
+	}
+	path := filepath.Join(folder, incarnationFile)
+	last, err := readIncarnation(path)
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		startedEmpty = true
+	case err != nil:
+		return 0, false, err
+	default:
+		incarnation = max(incarnation, last+1)
+	}
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return 0, false, err
+	}
+	text := strconv.FormatUint(incarnation, 10) + "\n"
+	return incarnation, startedEmpty, renameio.WriteFile(path, []byte(text), 0o600)
+}
+
+func readIncarnation(path string) (uint64, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return 0, err
+	}
+	last, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", path, ErrDamagedIncarnation)
+	}
+	return last, nil
+}
