--- /dev/null
+++ b/balancer/endpoint_polling.go
@@ -0,0 +1,105 @@
+package balancer
+
+import "slices"
+
+// The rule: where the endpoint list comes only to those who ask, it is asked for until a call has succeeded, after pauses
+// that double and are drawn.
+//
+// Guards against a discovery service that is overbooked: seen as calls that are turned away; holds because relays ask
+// less and less often, and those that were turned away together do not come again together. A change of the list counts
+// as known 6 s after discovery has it, so the pause has a bound that leaves a call two seconds.
+
+const (
+	// longestPoll is the longest pause in the middle; up to a quarter more is drawn.
+	longestPoll = 16 * Second / 5
+	// firstPoll is the pause after the first call that failed.
+	firstPoll = Second / 2
+	// firstPollSpread is drawn beside the first pause's end.
+	firstPollSpread = Second
+)
+
+// endpointPolling is when to ask for the endpoint list.
+type endpointPolling struct {
+	listSynced   bool // the first list is complete
+	polling      bool
+	nextPoll     Tick
+	pollInterval Tick
+}
+
+func (b *Balancer) startPolling() {
+	if b.settings.Discovery != DiscoverySubscribe {
+		return
+	}
+	b.host.WatchEndpoints(true)
+	b.polling, b.pollInterval = true, longestPoll
+	b.schedulePoll()
+}
+
+// pollIfDue asks for changes of the list, less often each time.
+func (b *Balancer) pollIfDue() {
+	if b.polling && b.now >= b.nextPoll {
+		b.host.WatchEndpoints(true)
+		b.schedulePoll()
+	}
+}
+
+// schedulePoll draws the time of the next call, around a pause that doubles.
+func (b *Balancer) schedulePoll() {
+	longest := max(Second, b.settings.Endpoints.PollInterval.Ticks()/2)
+	b.pollInterval = min(2*b.pollInterval, longest, longestPoll)
+	b.nextPoll = b.now + b.pollInterval*3/4 + Tick(b.random.intN(int(b.pollInterval/2)))
+}
+
+// OnListSynced takes the end of one piece of news of the endpoint list, or that a call for it failed.
+func (b *Balancer) OnListSynced(now Tick, ok bool) {
+	b.now = now
+	if ok && !b.listSynced && b.evaluation != nil {
+		// At a start backends come one by one, and some of them run the canary already.
+		b.evaluation.baselineBackends = float64(len(b.backends))
+	}
+	b.listSynced = b.listSynced || ok
+	switch {
+	case ok:
+		b.polling = b.polling && now == b.startedAt
+	case !b.polling:
+		b.polling, b.pollInterval = true, firstPoll
+		b.nextPoll = now + Tick(b.random.intN(int(firstPollSpread)))
+	}
+	b.serveQueue()
+}
+
+// OnEndpoint takes what the endpoint list says of a backend.
+func (b *Balancer) OnEndpoint(now Tick, backend *Backend, is Endpoint) {
+	b.now = now
+	if backend.listed && (is.StartedAt != backend.StartedAt || is.Version != backend.Version) {
+		backend.forget(now)
+	}
+	if !backend.listed || is.StartedAt != backend.StartedAt {
+		b.startSlowStart(backend)
+	}
+	backend.listed, backend.Endpoint = true, is
+	b.backends = applyListing(b.backends, backend, b.random.intN(len(b.backends)+1))
+	if is.State == Ready {
+		b.startEvaluation(is.Version)
+	}
+}
+
+// forget drops what is known of a backend that is another process now.
+func (backend *Backend) forget(now Tick) {
+	backend.successTimes, backend.recentFailures, backend.relativeLatencies = nil, nil, nil
+	backend.warmUpSends = nil
+	backend.failureWealth, backend.ejected, backend.probationInterval = 1, false, 0
+	backend.lastAnswer, backend.waitingSince = now, now
+}
+
+// applyListing puts a ready backend at a place of a list that lacks it, and takes out one that is not ready.
+func applyListing(backends []*Backend, backend *Backend, place int) []*Backend {
+	at := slices.Index(backends, backend)
+	switch {
+	case backend.State == Ready && at < 0:
+		return slices.Insert(backends, place, backend)
+	case backend.State != Ready && at >= 0:
+		return slices.Delete(backends, at, at+1)
+	}
+	return backends
+}
--- /dev/null
+++ b/balancer/outlier.go
@@ -0,0 +1,167 @@
+package balancer
+
+import (
+	"log/slog"
+	"slices"
+)
+
+// The rule: a backend is ejected by a sequential test on its outcomes, which bets that it fails most of its attempts
+// against that it fails as this relay's last ones did. An ejected backend is on probation: it gets single attempts, the
+// more often the longer they succeed, and is back in use when they come close enough. A backend that has owed an answer for
+// long is suspect in the same way, and one that failed of late more than others is degraded: it comes last.
+//
+// Guards against backends that fail, fall silent or are out of connections, perhaps for this relay alone: seen as
+// attempts that fail at one of many; holds because the test compares with the relay's own last outcomes, so that a
+// trouble of all ejects none.
+
+const (
+	// ejectionFailureShare is the failure share of a backend that is to be ejected.
+	ejectionFailureShare = 0.75
+	// ejectionWealth is the wealth of the test at which it is.
+	ejectionWealth = 27.0
+	// usualLeast and usualMost bound the failure share that the test takes for usual, and usualMultiple is it in
+	// multiples of the relay's own: few failures in a small sample eject nothing, and a share near that of a bad backend
+	// would make the bet worthless.
+	usualLeast    = 0.2
+	usualMost     = 0.7
+	usualMultiple = 1.5
+	// silenceShare is the part of a latency objective for which a backend may owe every answer.
+	silenceShare = 0.6
+	// degradedMargin is how much more of its last attempts a degraded backend failed than others.
+	degradedMargin = 0.25
+	// probationFirst and probationLongest bound the time between attempts on probation after failures. Each failure
+	// doubles it and each success halves it, and below probationDone the backend is back in use.
+	probationFirst   = Second / 2
+	probationLongest = 4 * Second
+	probationDone    = Second / 20
+	// probationInFlight is how much may be in flight at a suspect backend.
+	probationInFlight = 2
+	// degradedFor is how long after its last failure a backend may be degraded.
+	degradedFor = 2 * probationLongest
+	// mostSuspectParts: where all but one in so many backends are suspect, the trouble is this relay's own.
+	mostSuspectParts = 8
+	// avoidedParts: up to one in so many backends are avoided for the sake of other relays.
+	avoidedParts = 4
+	// backendSampleSize is the number of outcomes of one backend that are kept.
+	backendSampleSize = 16
+	// relativeLatencySize is the number of its latencies.
+	relativeLatencySize = backendSampleSize / 4
+)
+
+// ejection is what the relay knows of all its backends together.
+type ejection struct {
+	recentFailures []float64 // the last outcomes at any backend, 1 for a failure
+	mostSuspect    bool      // nearly every backend is suspect, as in a stall of this relay
+	cancelBudget   float64   // attempts at silent backends that may be called off now
+}
+
+// newEjection begins with a sample of good outcomes: backends are held to be good.
+func newEjection() ejection {
+	return ejection{recentFailures: make([]float64, backendSampleSize), cancelBudget: minChoiceSize}
+}
+
+// degraded tells whether a backend failed of late, and more of its last attempts than others did.
+func (b *Balancer) degraded(backend *Backend) bool {
+	return b.now-backend.lastFailure < degradedFor &&
+		mean(backend.recentFailures) > degradedMargin+mean(b.recentFailures)
+}
+
+// suspect tells whether a backend is ejected, owes an answer for longer than is usual, or is avoided.
+func (b *Balancer) suspect(backend *Backend) bool {
+	return backend.ejected || b.silent(backend) || b.now < backend.avoidedUntil
+}
+
+// silent tells whether a backend has owed every answer for long. One that warms up is given more time.
+func (b *Balancer) silent(backend *Backend) bool {
+	if backend.inFlight == 0 {
+		return false
+	}
+	silence := float64(b.now-max(backend.lastAnswer, backend.waitingSince)) * b.warmUpFraction(backend)
+	return silence > silenceShare*float64(b.shortestObjective)
+}
+
+// dueForProbation tells whether a suspect backend may get a request that can be tried again.
+func (b *Balancer) dueForProbation(r *Request, backend *Backend) bool {
+	return b.now >= backend.nextProbation && backend.inFlight < probationInFlight &&
+		b.class(r).Idempotency != AtMostOnce
+}
+
+// mayProbe asks the fleet whether this relay is to try a backend that it or other relays suspect. If not, it leaves it alone
+// for a moment. Where more than a few are ejected it is no backend's doing, and what others say counts for nothing.
+func (b *Balancer) mayProbe(backend *Backend) bool {
+	f, ok := b.host.(fleet)
+	if !ok {
+		return true
+	}
+	if !b.suspect(backend) && (!f.AvoidsBackend(backend) || avoidedParts*b.ejectedCount() >= len(b.backends)) {
+		return true
+	}
+	if f.MayProbe(backend) {
+		return true
+	}
+	backend.nextProbation, backend.avoidedUntil = b.now+probationFirst, b.now+probationFirst
+	return false
+}
+
+// ejectedCount counts the backends that are ejected or avoided.
+func (b *Balancer) ejectedCount() (n int) {
+	for _, backend := range b.backends {
+		if backend.ejected || b.now < backend.avoidedUntil {
+			n++
+		}
+	}
+	return n
+}
+
+// recordAttemptForBackend takes how an attempt ended at its backend.
+func (b *Balancer) recordAttemptForBackend(a *Attempt) {
+	if !a.silenceCounted {
+		b.recordForBackend(a.Backend, b.now > a.lateAfter || a.outcome != Succeeded)
+	}
+	relative := float64(b.now-a.sentAt) / float64(a.lateAfter-a.sentAt)
+	a.Backend.relativeLatencies = appendBounded(a.Backend.relativeLatencies, relative, relativeLatencySize)
+}
+
+// recordForBackend bets on one more outcome of a backend, and ejects it or takes it back into use.
+func (b *Balancer) recordForBackend(backend *Backend, failed bool) {
+	usual := min(max(usualLeast, usualMultiple*mean(b.recentFailures)), usualMost)
+	if failed {
+		backend.lastFailure = b.now
+		backend.failureWealth = max(1, backend.failureWealth) * ejectionFailureShare / usual
+		backend.probationInterval = min(max(backend.probationInterval*2, probationFirst), probationLongest)
+	} else {
+		backend.failureWealth = max(1, backend.failureWealth*(1-ejectionFailureShare)/(1-usual))
+		backend.probationInterval /= 2
+	}
+	backend.recentFailures = appendBounded(backend.recentFailures, indicator(failed), backendSampleSize)
+	b.recentFailures = appendBounded(b.recentFailures, indicator(failed), sampleSize)
+	if b.degraded(backend) {
+		moveToEnd(b.backends, backend)
+	}
+	switch {
+	case !backend.ejected && backend.failureWealth >= ejectionWealth:
+		b.eject(backend)
+	case backend.ejected && !failed && backend.probationInterval < probationDone:
+		b.takeBack(backend)
+	}
+}
+
+func (b *Balancer) eject(backend *Backend) {
+	backend.ejected = true
+	backend.nextProbation = b.now + backend.probationInterval
+	b.logSampled("backend ejected", slog.Uint64("backend", uint64(backend.ID)))
+}
+
+func (b *Balancer) takeBack(backend *Backend) {
+	backend.ejected = false
+	backend.failureWealth = 1
+	b.logSampled("backend back in use", slog.Uint64("backend", uint64(backend.ID)))
+}
+
+// moveToEnd puts one at the end of a list that has it.
+func moveToEnd[T comparable](list []T, one T) {
+	if at := slices.Index(list, one); at >= 0 {
+		copy(list[at:], list[at+1:])
+		list[len(list)-1] = one
+	}
+}
--- /dev/null
+++ b/balancer/retry.go
@@ -0,0 +1,127 @@
+package balancer
+
+import "slices"
+
+// The rule: a request whose attempt has failed gets another one, where its class allows one at any backend and the fleet's
+// budget of retries has one left. An attempt at a silent backend is called off early, to serve the request elsewhere in
+// time. A request that fails at two backends is held to be at fault itself.
+
+// cancelShare is the part of an attempt that each success allows to call off.
+// Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
+// than one in 25 is called off.
+const cancelShare = 0.04
+
+// retryOrShed queues a request for another attempt, or answers it.
+func (b *Balancer) retryOrShed(r *Request) {
+	canRetry := !r.failedTwice && slices.ContainsFunc(b.backends, func(backend *Backend) bool {
+		return b.safeToRepeat(r, r.attempts, backend)
+	})
+	if canRetry && b.allowRetry(r, true) {
+		b.enqueue(r)
+	} else {
+		b.shed(r)
+	}
+}
+
+// allowRetry asks the fleet for one more attempt of a request, whose last one has ended or is to be called off. Where there
+// is to be none, a failure that waits for the next answer speaks for its version at once: no answer will come.
+func (b *Balancer) allowRetry(r *Request, ended bool) bool {
+	f, ok := b.host.(fleet)
+	if !ok || b.refusedByFormerHolder(r) {
+		return true
+	}
+	if r.retryGranted && ended { // as it was called off
+		r.retryGranted = false
+		return true
+	}
+	if f.MayRetry(r) {
+		r.retryGranted = !ended
+		return true
+	}
+	if failure := r.deferredFailure; ended && failure != nil {
+		r.deferredFailure = nil
+		b.recordForVersion(failure, false)
+	}
+	return false
+}
+
+// refusedByFormerHolder tells whether the last attempt of a request came to where its instance does not run any more:
+// nothing ran, so that the next one is no retry.
+func (b *Balancer) refusedByFormerHolder(r *Request) bool {
+	return r.Pinned && r.attempts[len(r.attempts)-1].outcome == AtCapacity
+}
+
+// cancelAndRetry calls off an attempt at a silent backend, if its request can still be served elsewhere.
+// Guards against backends that are dead or hang and links that are cut: seen as requests that wait for their time-out;
+// holds because silence is found out well before it.
+func (b *Balancer) cancelAndRetry(a *Attempt) {
+	if b.cancelBudget < 1 || !b.cancellable(a) || !b.allowRetry(a.Request, false) {
+		return
+	}
+	b.cancelBudget--
+	a.cancelled = true
+	b.host.CancelAttempt(a)
+}
+
+// cancellable tells whether an attempt may be called off and another one may follow in time.
+func (b *Balancer) cancellable(a *Attempt) bool {
+	r := a.Request
+	switch {
+	case !b.settings.Limits.MayCancel, a.cancelled, r.answered, r.streaming:
+		return false
+	case !a.silenceCounted, !b.silent(a.Backend):
+		return false
+	case b.now >= r.usefulUntil-b.p90Latency[r.Class]:
+		return false
+	}
+	return b.class(r).Idempotency != AtMostOnce && a.Number+1 < b.settings.Limits.MaxAttempts
+}
+
+// recordOutcome finds out what the end of an attempt speaks for: the load, the backend, the version or the request itself.
+func (b *Balancer) recordOutcome(a *Attempt) {
+	if a.outcome == AtCapacity && a.Request.Pinned {
+		return // its instance is elsewhere: that speaks for the news of it, not for the backend
+	}
+	b.adaptConcurrencyLimit(a)
+	if a.Backend.StartedAt == a.backendStart && a.outcome < Cancelled {
+		b.recordAttemptForBackend(a)
+	}
+	if b.deferFailure(a) {
+		return
+	}
+	b.recordForVersion(a, b.now > a.slowAfter || a.outcome == TimedOut)
+}
+
+// deferFailure tells whether the end of an attempt is not to be held against its version now. A failure of a request that
+// is tried again waits for the next answer: if that succeeds the version of the first one has failed, and if that fails
+// too the request itself is at fault.
+// Guards against requests that fail anywhere: seen as good versions rolled back; holds because such a request fails at any
+// version. Hurts where a version fails every backend's attempts of a class.
+func (b *Balancer) deferFailure(a *Attempt) bool {
+	r, first := a.Request, a.Request.deferredFailure
+	switch a.outcome {
+	case Errored:
+		if first != nil {
+			b.requestFaults = appendBounded(b.requestFaults, 1, sampleSize)
+			r.deferredFailure, r.failedTwice = nil, true
+			return true
+		}
+		if b.mayFailElsewhere(r) {
+			r.deferredFailure = a
+			return true
+		}
+	case Succeeded:
+		b.requestFaults = appendBounded(b.requestFaults, 0, sampleSize)
+		r.deferredFailure = nil
+		if first != nil {
+			b.recordForVersion(first, false)
+		}
+	}
+	return false
+}
+
+// mayFailElsewhere tells whether a request that has failed may be tried at another backend.
+func (b *Balancer) mayFailElsewhere(r *Request) bool {
+	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && !r.answered &&
+		len(r.attempts) < b.settings.Limits.MaxAttempts
+}
--- /dev/null
+++ b/balancer/samples.go
@@ -0,0 +1,83 @@
+package balancer
+
+import "strconv"
+
+// streamKind is a kind of evidence on a version.
+type streamKind uint8
+
+const (
+	allRequests  streamKind = iota // failures of requests of any class
+	oneClass                       // of one class
+	wrongAnswers                   // reports of wrong answers, among answers
+	slowness                       // slow attempts
+	resets                         // connections that broke
+	fleetMetrics                   // what the release API counted of all relays
+)
+
+// stream names one stream of outcomes.
+type stream struct {
+	kind  streamKind
+	class int // of oneClass
+}
+
+// String is the stream's name in logs.
+func (s stream) String() string {
+	switch s.kind {
+	case allRequests:
+		return "all requests"
+	case wrongAnswers:
+		return "wrong answers"
+	case slowness:
+		return "slowness"
+	case resets:
+		return "resets"
+	case fleetMetrics:
+		return "fleet metrics"
+	}
+	return "request class " + strconv.Itoa(s.class)
+}
+
+// rareSampleSize is the number of outcomes that are kept of what is rare, such as reports of wrong answers.
+const rareSampleSize = 512
+
+// samples are the last outcomes at one version, 1 for a bad one, by stream.
+type samples struct {
+	class   [][]float64
+	wrong   []float64
+	slow    []float64
+	resets  []float64
+	metrics []float64
+}
+
+func newSamples(classes int) *samples { return &samples{class: make([][]float64, classes)} }
+
+// failures counts the bad outcomes and all of them.
+func failures(outcomes []float64) (bad, n float64) {
+	n = float64(len(outcomes))
+	return mean(outcomes) * n, n
+}
+
+// failuresOfAll does so for all classes together.
+func (s *samples) failuresOfAll() (bad, n float64) {
+	for _, outcomes := range s.class {
+		b, m := failures(outcomes)
+		bad, n = bad+b, n+m
+	}
+	return bad, n
+}
+
+// smoothedShare is a share of bad outcomes that is never 0 or 1, and one half where nothing is known.
+func smoothedShare(bad, n float64) float64 { return (bad + 0.5) / (n + 1) }
+
+// failureShare is the share of bad ones among the outcomes of all classes, or of one.
+func (s *samples) failureShare(of stream) float64 {
+	if of.kind == allRequests {
+		return smoothedShare(s.failuresOfAll())
+	}
+	return smoothedShare(failures(s.class[of.class]))
+}
+
+func (s *samples) wrongShare() float64   { return smoothedShare(failures(s.wrong)) }
+func (s *samples) slowShare() float64    { return smoothedShare(failures(s.slow)) }
+func (s *samples) resetShare() float64   { return smoothedShare(failures(s.resets)) }
+func (s *samples) metricsShare() float64 { return smoothedShare(failures(s.metrics)) }
--- /dev/null
+++ b/balancer/types.go
@@ -0,0 +1,153 @@
+package balancer
+
+// Tick is a point or a span of time in whole tenths of a millisecond.
+type Tick int64
+
+// Second is one second in ticks.
+const Second Tick = 10000
+
+// Outcome tells how an attempt, a probe or a vote ended. The values are those of the wire.
+type Outcome uint8
+
+// The outcomes.
+const (
+	// Succeeded: a good answer came.
+	Succeeded Outcome = 1 + iota
+	// Errored: an answer came that is an error.
+	Errored
+	// AtCapacity: the backend turned the attempt away unserved. Of a vote: the release API takes no more votes now.
+	AtCapacity
+	// TimedOut: no answer came in time.
+	TimedOut
+	// ConnectFailed: no connection came up, so nothing was sent.
+	ConnectFailed
+	// Reset: the connection broke after something was sent.
+	Reset
+	// Cancelled: the relay stopped waiting.
+	Cancelled
+	// Discarded: the attempt was never sent. Of a vote: it does not count, as what it was about has passed.
+	Discarded
+)
+
+// Request is one request that the relay has accepted. The exported fields are set by the caller before OnRequest and do
+// not change afterwards, but for PinnedTo.
+type Request struct {
+	// ID is the caller's own name for it.
+	ID uint64
+	// Class is the request's class, by its place in the settings.
+	Class int
+	// Tenant is the client's tenant, by its place in the settings.
+	Tenant int
+	// Key is what the request is about; 0 is no key.
+	Key uint64
+	// Deadline is when the client stops waiting.
+	Deadline Tick
+	// EstimatedWork is the time that a usual backend would work on it; 0 if not known.
+	EstimatedWork Tick
+	// ClientRetry tells that the client has asked the same before.
+	ClientRetry bool
+	// Write tells that the request changes something.
+	Write bool
+	// Pinned requests go only to the backend that their instance runs at.
+	Pinned bool
+	// PinnedTo is that backend; nil while it is not known. The caller changes it and then calls OnInstancesMoved.
+	PinnedTo *Backend
+
+	receivedAt  Tick
+	usefulUntil Tick // later an answer is of little use
+	priority    float64
+	attempts    []*Attempt
+
+	queued            bool
+	answered          bool // nothing is owed any more
+	streaming         bool // its answer is being passed on
+	failedTwice       bool // at two backends, so that it is no backend's doing
+	triedDespiteDelay bool // see pastSaving
+	retryGranted      bool // the fleet has allowed an attempt that has not started yet
+	deferredFailure   *Attempt
+	refusal           Refusal
+}
+
+// Refusal is why no backend may take a request now; see Request.Refusal.
+func (r *Request) Refusal() Refusal { return r.refusal }
+
+// Attempt is one try of a request at a backend.
+type Attempt struct {
+	Request *Request
+	// Number counts the attempts of the request, from 0.
+	Number  int
+	Backend *Backend
+
+	version      uint16 // of the backend, as it was chosen
+	backendStart Tick   // as it was known then
+	sentAt       Tick   // when it was chosen
+	slowAfter    Tick   // a later answer counts as slow for the version
+	lateAfter    Tick   // and for the backend
+
+	countedAt         Tick // when it was last counted as sent
+	countedAsExposure bool
+	countedAsWarmUp   bool
+
+	newConnection  bool // setting it up takes time of its own
+	silenceCounted bool // the backend's silence was counted before the attempt ended
+	countedAsSlow  bool // before it ended
+
+	cancelled bool
+	ended     bool
+	outcome   Outcome
+}
+
+// EndpointState is what the endpoint list says of a backend.
+type EndpointState uint8
+
+// The states of an endpoint.
+const (
+	// Removed: the list does not have it any more.
+	Removed EndpointState = iota
+	// Ready: it takes requests.
+	Ready
+	// Draining: it finishes what it has, and is sent nothing new.
+	Draining
+)
+
+// Endpoint is what the endpoint list says of one backend.
+type Endpoint struct {
+	// Zone, Cell and MachineKind are numbers that the caller gives to names.
+	Zone, Cell, MachineKind int
+	State                   EndpointState
+	// NominalWeight compares backends with each other, without a unit.
+	NominalWeight float64
+	// StartedAt is when its process started; 0 for long ago.
+	StartedAt Tick
+	// Version is the version that it runs; a later one has a higher number.
+	Version uint16
+}
+
+// Backend is a server that requests are sent to. A caller makes one for each endpoint and tells of it by OnEndpoint.
+type Backend struct {
+	// ID is the caller's own name for it.
+	ID uint32
+	Endpoint
+
+	listed       bool
+	inFlight     int
+	waitingSince Tick // since when the relay has waited for any answer
+	lastAnswer   Tick
+	lastFailure  Tick
+
+	successTimes      []Tick    // of the last attempts that succeeded
+	recentFailures    []float64 // the last outcomes, 1 for a failure
+	relativeLatencies []float64 // of the last attempts, in parts of what was due
+
+	// Slow start, see slow_start.go.
+	warmUpSends    []Tick  // within the window
+	lastWarmUpSend Tick    // or when this process was first listed
+	warmUpShareDue float64 // the part of an attempt's budget that must come due after it
+
+	// Ejection, see outlier.go.
+	failureWealth     float64
+	ejected           bool
+	probationInterval Tick // between the attempts while it is ejected
+	nextProbation     Tick
+	avoidedUntil      Tick // for the sake of other relays
+}
--- /dev/null
+++ b/balancer/voting.go
@@ -0,0 +1,231 @@
+package balancer
+
+import (
+	"log/slog"
+	"math"
+)
+
+// The rule: an alarm votes to roll back. Without one, and where votes move the rollout, the relay votes to promote after a
+// few outcomes in the stage if the effect is ruled out, or after a time, unless a detector is half-way to an alarm. Where
+// the clock moves the rollout, such a detector votes to pause. Votes are drawn with the chance, and cast at a random moment,
+// for which the release API has room if all relays vote.
+//
+// Guards against votes that come too late to count: seen as a vote on a stage that has passed, which is discarded; holds
+// because the list of endpoints and the replies to votes show the stage before the news of it.
+
+const (
+	// minOutcomes is the number of outcomes in a stage before a vote to promote.
+	minOutcomes = 20
+	// minOutcomesIfSlow is the number while the fleet is slower than before the rollout, or the canary looks slow.
+	minOutcomesIfSlow = 60
+	// minOutcomesTimed is the number before a vote by the clock, if few relays share the sample.
+	minOutcomesTimed = 6
+	// timedVoteAfter is the time after which a vote goes by the clock.
+	timedVoteAfter = 3 * Second
+	// leastVoteRate stands for a rate of votes a second that the settings lack.
+	leastVoteRate = 0.1
+	// votePrecision is the number of steps in which the chance of a vote is drawn.
+	votePrecision = 1000
+	// recastFirst is the least time before a vote that may not count is cast again, and recastSpread what is drawn beside.
+	recastFirst  = Second / 4
+	recastSpread = Second / 2
+	// replyGrace is how long after its time-out the reply to a vote is still waited for.
+	replyGrace = Second
+)
+
+// Verdict is what a vote says of a version.
+type Verdict uint8
+
+// The verdicts of a vote. The values are those of the wire.
+const (
+	NoVote Verdict = iota
+	Promote
+	Pause
+	RollBack
+)
+
+func (v Verdict) String() string {
+	switch v {
+	case Promote:
+		return "promote"
+	case Pause:
+		return "pause"
+	case RollBack:
+		return "roll back"
+	}
+	return "none"
+}
+
+// voteState is where this relay's vote stands.
+type voteState uint8
+
+const (
+	voteNone   voteState = iota // there is nothing to vote
+	voteDrawn                   // it goes out at its time
+	voteCast                    // the reply is waited for, until its time
+	voteStands                  // it counts, or this time none is cast; until its time
+)
+
+// vote is this relay's vote.
+type vote struct {
+	version uint16
+	stage   int
+	verdict Verdict
+	state   voteState
+	at      Tick // when it goes out, is no longer waited for, or no longer stands
+}
+
+// verdict is what the evidence says now.
+func (b *Balancer) verdict() Verdict {
+	e := b.evaluation
+	if !b.releaseKnown || e == nil || e.version != b.release.Version || b.release.Phase != Canary && b.release.Phase != Released {
+		return NoVote
+	}
+	byClock := b.settings.Rollout.Control == AdvanceByClock
+	suspicious, need, timed := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
+	if b.looksSlow() {
+		suspicious, need, timed = suspicious || byClock, minOutcomesIfSlow, false
+	}
+	switch {
+	case e.alarm != nil:
+		return RollBack
+	case b.release.Phase == Released || !suspicious && byClock:
+		return NoVote
+	case byClock:
+		return Pause
+	case !suspicious && b.maturedForPromotion(need, timed):
+		return Promote
+	}
+	return NoVote
+}
+
+// timedVoteDue tells whether the stage has lasted long enough for a vote by the clock, with a few outcomes of the version
+// at least, as a vote on none would be a vote of the clock alone.
+func (b *Balancer) timedVoteDue() bool {
+	least := max(1, min(minOutcomesTimed, minOutcomes/max(1, b.settings.Relays)))
+	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= least
+}
+
+// looksSlow tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
+func (b *Balancer) looksSlow() bool {
+	e := b.evaluation
+	return b.baseline.slowShare() > e.slowShareBefore+fleetSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
+}
+
+// maturedForPromotion tells whether there is enough evidence for a vote to promote; by the clock there is less.
+func (b *Balancer) maturedForPromotion(need int, timed bool) bool {
+	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= need || timed) {
+		return true
+	}
+	return timed && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
+}
+
+// currentStage is where the newest version stands: as the release API told, or as far as the endpoint list shows more
+// backends of it than the told stage has, or replies to votes found stages passed.
+// Where backends of the version start anew under other names, votes may come too early.
+func (b *Balancer) currentStage() int {
+	e, at := b.evaluation, b.release.Stage
+	if e == nil || e.version != b.release.Version || b.release.Phase != Canary {
+		return at
+	}
+	at = max(at, e.stagePassed)
+	for at+1 < b.stageCount() && float64(b.backendsRunning(e.version)) > math.Ceil(b.stageShare(at)*e.baselineBackends) {
+		at++
+	}
+	if at > e.countedStage {
+		e.countedStage, e.outcomesInStage, b.stageStart = at, 0, b.now
+	}
+	return at
+}
+
+// stageCount is the number of stages of a version.
+func (b *Balancer) stageCount() int { return max(1, len(b.settings.Rollout.StageShares)) }
+
+// stageShare is the part of the fleet that runs a version in a stage.
+func (b *Balancer) stageShare(stage int) float64 { return b.settings.Rollout.StageShares[stage] }
+
+// considerVote draws, casts or drops this relay's vote.
+func (b *Balancer) considerVote() {
+	stage, verdict, v := b.currentStage(), b.verdict(), &b.vote
+	if verdict == NoVote {
+		if v.state == voteDrawn {
+			v.state = voteNone
+		}
+		return
+	}
+	if v.state == voteNone || v.verdict != verdict || v.version != b.release.Version || v.stage != stage {
+		b.drawVote(stage, verdict)
+	}
+	if b.now < v.at {
+		return
+	}
+	if v.state == voteDrawn {
+		b.castVote()
+	} else { // no reply came, or it no longer stands: it is drawn again
+		v.state = voteNone
+	}
+}
+
+// drawVote draws whether and when a vote goes out. The moment is random over the time that the release API needs for a vote
+// of every relay, at most a vote's life: spread further, votes would only come later.
+func (b *Balancer) drawVote(stage int, verdict Verdict) {
+	relays, rate := max(1, b.settings.Relays), max(leastVoteRate, b.settings.Rollout.VotesPerSecond)
+	life := b.settings.Rollout.VoteLifetime.Ticks()
+	spread := min(life, Tick(relays/rate*float64(Second)))
+	b.vote = vote{version: b.release.Version, stage: stage, verdict: verdict, state: voteDrawn}
+	b.vote.at = b.now + Tick(b.random.intN(int(spread)+1))
+	chance := rate * float64(life) / float64(Second) / relays
+	if float64(b.random.intN(votePrecision)) >= votePrecision*chance {
+		b.vote.state, b.vote.at = voteStands, b.now+life // not this time
+	}
+}
+
+func (b *Balancer) castVote() {
+	v := &b.vote
+	v.state, v.at = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
+	fields := []slog.Attr{slog.String("verdict", v.verdict.String()), slog.Int("version", int(v.version)),
+		slog.Int("stage", v.stage), slog.Int("outcomes", b.evaluation.outcomesInStage)}
+	if v.verdict == Promote {
+		if s, missing := b.missingEvidence(); missing {
+			fields = append(fields, slog.String("not_ruled_out", s.String()))
+		}
+		b.logSampled("vote", fields...)
+	} else {
+		if b.evaluation.alarm != nil {
+			fields = append(fields, slog.String("evidence", b.evaluation.alarm.String()))
+		}
+		b.host.Log("vote", fields...)
+	}
+	b.host.CastVote(v.version, v.stage, v.verdict)
+}
+
+// onVoteReply takes the reply to this relay's vote.
+func (b *Balancer) onVoteReply(status ReleaseStatus) {
+	v := &b.vote
+	if !status.VoteReply || v.state != voteCast {
+		return
+	}
+	v.state, v.at = voteStands, b.now+b.settings.Rollout.VoteLifetime.Ticks()
+	if status.Outcome == Discarded && v.verdict == RollBack { // that stage has passed
+		b.evaluation.stagePassed = (v.stage + 1) % b.stageCount()
+	}
+	if status.Outcome != Succeeded { // it may not count: again, after a moment
+		v.at = b.now + recastFirst + Tick(b.random.intN(int(recastSpread)))
+	}
+}
+
+// VoteReason says why a vote with this verdict is cast now.
+func (b *Balancer) VoteReason(v Verdict) string {
+	s, missing := b.missingEvidence()
+	switch {
+	case v == RollBack && b.evaluation.alarm == nil:
+		return ""
+	case v == RollBack:
+		return b.evaluation.alarm.String()
+	case v == Pause:
+		return "outcomes that look worse than the earlier version's"
+	case missing:
+		return "the clock, as the effect is not ruled out for " + s.String()
+	}
+	return "evidence that rules the effect out for each request class with traffic"
+}
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -5,11 +5,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"slices"
 	"sync"
 	"time"
 
 	"silvercove/balancer"
+	"silvercove/internal/settings"
 	"silvercove/internal/transport"
 	"silvercove/internal/wakeup"
 )
@@ -130,53 +132,35 @@
 }
 
 // New makes the module and hands it its settings. The hands may be used from then on.
-func New(seed uint64, settings map[string]any, hands Callbacks) *Dispatcher {
+func New(seed uint64, site settings.Site, hands Callbacks) *Dispatcher {
 	now := time.Now()
 	g := &Dispatcher{hands: hands, opened: now, base: balancer.Tick(now.UnixMicro() / 100), bell: wakeup.New(),
 		ops: map[string]int{}, units: map[string]*unit{}, open: map[*balancer.Request]*Call{},
 		out: map[*balancer.Attempt]*Attempt{}}
-	types, _ := settings["op_types"].([]map[string]any)
-	for i, t := range types {
-		name, _ := t["name"].(string)
-		weight, _ := t["importance"].(float64)
-		g.ops[name], g.weight = i, append(g.weight, weight)
-		g.Counters.Classes = append(g.Counters.Classes, ClassCounters{Name: name})
+	for i, class := range site.Balancer.Classes {
+		g.ops[class.Name], g.weight = i, append(g.weight, class.PriorityWeight)
+		g.Counters.Classes = append(g.Counters.Classes, ClassCounters{Name: class.Name})
 	}
-	g.names = map[string]map[string]int{"zones": places(settings["zones"]), "kinds": places(settings["kinds"]),
-		"customers": places(settings["customers"])}
-	if most, _ := settings["limits.max_come_back"].(float64); settings["limits.come_back"] == true {
-		g.most = time.Duration(most * float64(time.Second))
-	}
-	columns, _ := settings["load.figures"].([]any)
-	for _, c := range columns {
-		name, _ := c.(string)
-		g.loads = append(g.loads, name)
-	}
-	g.asks = settings["discovery"] == "subscribe"
-	for _, name := range []string{"rules.cold", "rules.tip_after", "rollout.exposure_window"} {
-		s, _ := settings[name].(float64)
-		g.keep += balancer.Tick(s * float64(balancer.Second))
+	g.names = map[string]map[string]int{"zones": places(site.Zones), "kinds": places(site.MachineKinds),
+		"customers": places(site.Tenants)}
+	if site.Balancer.Limits.RetryAfter {
+		g.most = site.Balancer.Limits.MaxRetryAfter.Duration()
 	}
+	g.loads = site.LoadColumns
+	g.asks = site.Balancer.Discovery == balancer.DiscoverySubscribe
+	g.keep = site.Balancer.SlowStart.Window.Ticks() + site.Balancer.SlowStart.OverloadWindow.Ticks() +
+		site.Balancer.Rollout.ExposureWindow.Ticks()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.module = balancer.New(g, g.now(), seed, settings)
+	g.module = balancer.New(g, g.now(), seed, site.Balancer)
 	return g
 }
 
-// places numbers a list of names, or of objects that have one.
-func places(list any) map[string]int {
+// places numbers a list of names.
+func places(names []string) map[string]int {
 	out := map[string]int{}
-	switch l := list.(type) {
-	case []any:
-		for i, v := range l {
-			name, _ := v.(string)
-			out[name] = i
-		}
-	case []map[string]any:
-		for i, m := range l {
-			name, _ := m["name"].(string)
-			out[name] = i
-		}
+	for i, name := range names {
+		out[name] = i
 	}
 	return out
 }
@@ -540,7 +524,9 @@
 func (g *Dispatcher) SendGossip(uint32, []byte) {}
 
 // Log writes a line for the people on call.
-func (g *Dispatcher) Log(text string) { g.hands.Log(text) }
+func (g *Dispatcher) Log(message string, fields ...slog.Attr) {
+	g.hands.Log(balancer.LogLine(message, fields...))
+}
 
 // WatchEndpoints asks for changes of the list.
 func (g *Dispatcher) WatchEndpoints(on bool) { g.hands.WatchEndpoints(on) }
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"container/heap"
 	"fmt"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -124,7 +125,7 @@
 	now      balancer.Tick
 	due      events
 	seq      int
-	set      map[string]any
+	set      balancer.Settings
 	units    []*dayUnit
 	relays   []*dayRelay
 	result   DayResult
@@ -418,7 +419,7 @@
 func (n *dayRelay) Probe(*balancer.Backend)     {}
 func (n *dayRelay) CloseIdle(*balancer.Backend) {}
 func (n *dayRelay) SendGossip(uint32, []byte)   {}
-func (n *dayRelay) Log(string)                  {}
+func (n *dayRelay) Log(string, ...slog.Attr)    {}
 func (n *dayRelay) WatchEndpoints(bool)         {}
 func (n *dayRelay) FetchEndpoints()             {}
 
--- a/internal/metadataproxy/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -20,6 +20,7 @@
 
 	"silvercove/internal/dispatch"
 	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/settings"
 	"silvercove/internal/transport"
 	"silvercove/internal/tufverify"
 )
@@ -60,10 +61,10 @@
 // Mirrors is how the mirrors of a repository are spoken with.
 type Mirrors struct {
 	Seed     uint64
-	Settings map[string]any // of the gate
-	Every    time.Duration  // a timestamp is taken for current for so long
-	Alone    time.Duration  // and for so long while no mirror can be asked
-	Survey   bool           // ask a majority of the mirrors after the start
+	Settings settings.Site // of the gate
+	Every    time.Duration // a timestamp is taken for current for so long
+	Alone    time.Duration // and for so long while no mirror can be asked
+	Survey   bool          // ask a majority of the mirrors after the start
 	Hosts    []dispatch.Endpoint
 }
 
@@ -76,19 +77,15 @@
 	r := &Repo{name: name, now: now, log: log, timeouts: map[string]time.Duration{}, trust: believed,
 		every: m.Every, refresh: metadatarefresh.NewRefresh(ticks(m.Every), ticks(m.Alone), m.Seed),
 		survey: metadatarefresh.NewSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
-	types, _ := m.Settings["op_types"].([]map[string]any)
-	for _, t := range types {
-		op, _ := t["name"].(string)
-		s, _ := t["command_timeout"].(float64)
-		r.timeouts[op] = time.Duration(s * float64(time.Second))
+	for _, class := range m.Settings.Balancer.Classes {
+		r.timeouts[class.Name] = class.Deadline.Duration()
 	}
 	for _, op := range OpTypes {
 		if r.timeouts[op] <= 0 {
 			return nil, fmt.Errorf("repository %s: no op type %s", name, op)
 		}
 	}
-	s, _ := m.Settings["limits.connect_timeout"].(float64)
-	r.connect = time.Duration(s * float64(time.Second))
+	r.connect = m.Settings.Balancer.Limits.ConnectTimeout.Duration()
 	r.gate = dispatch.New(m.Seed, m.Settings, dispatch.Callbacks{Vote: func(dispatch.Vote) {}, WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
 		Probe: func(dispatch.Backend) {}, CloseIdle: r.closeIdle, Log: func(text string) { log(name + ": " + text) }})
 	r.List(m.Hosts)
--- a/internal/metadatarefresh/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -10,6 +10,8 @@
 import (
 	"math/rand/v2"
 
+	"silvercove/balancer"
+	"silvercove/internal/settings"
 	"silvercove/internal/tufverify"
 )
 
@@ -234,15 +236,18 @@
 // a mirror that is new starts at a tenth of its capacity and is warm after ten seconds; in no second
 // more reaches it than twice what the warm ones answer; a drained one has one second's grace; a command
 // may be tried at every mirror, up to sixteen.
-func Rules(relays, connect, comeBack float64, opTypes []map[string]any) map[string]any {
-	for _, t := range opTypes {
-		t["repeats"] = "redeliverable"
+func Rules(relays, connect, comeBack float64, classes []balancer.RequestClass) settings.Site {
+	for i := range classes {
+		classes[i].Idempotency = balancer.Idempotent
 	}
-	return map[string]any{"op_types": opTypes, "relays": relays, "limits.connect_timeout": connect,
-		"limits.idle_close": 10.0, "limits.max_deliveries": 16.0,
-		"limits.may_cancel": true, "limits.come_back": true, "limits.max_come_back": comeBack,
-		"rules.cold": 10.0, "rules.cold_from": 0.1, "rules.tip_after": 1.0, "rules.fall_multiple": 2.0,
-		"rules.drain_grace": 1.0, "rules.ask_every": 20.0}
+	return settings.Site{Balancer: balancer.Settings{
+		Relays:  relays,
+		Classes: classes,
+		Limits: balancer.Limits{ConnectTimeout: balancer.Seconds(connect), IdleTimeout: 10, MaxAttempts: 16, MayCancel: true,
+			RetryAfter: true, MaxRetryAfter: balancer.Seconds(comeBack)},
+		SlowStart: balancer.SlowStart{Window: 10, InitialFraction: 0.1, OverloadWindow: 1, OverloadMultiple: 2},
+		Endpoints: balancer.EndpointRules{DrainGrace: 1, PollInterval: 20},
+	}}
 }
 
 // Issue is what a Director holds for a server: whether there is any, from and until when it counts, and whether it
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -18,6 +18,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"silvercove/balancer"
 	"silvercove/internal/director"
 	"silvercove/internal/discovery"
 	"silvercove/internal/dispatch"
@@ -174,15 +175,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: %w", name, err)
 	}
-	var types []map[string]any
+	var classes []balancer.RequestClass
 	for _, op := range metadataproxy.OpTypes {
 		v := m.all[op].([]any)
-		types = append(types, map[string]any{"name": op, "service_target": v[0], "command_timeout": v[1], "importance": v[2]})
+		figure := func(i int) float64 { f, _ := v[i].(float64); return f }
+		classes = append(classes, balancer.RequestClass{Name: op, LatencyObjective: balancer.Seconds(figure(0)),
+			Deadline: balancer.Seconds(figure(1)), PriorityWeight: figure(2)})
 	}
 	hosts := mirrors(r, nil, time.Now())
 	host, _ := os.Hostname()
 	rules := metadatarefresh.Rules(m.all["relays"].(float64), m.all["connect_timeout"].(float64),
-		m.all["max_come_back"].(float64), types)
+		m.all["max_come_back"].(float64), classes)
 	out, err := metadataproxy.NewRepo(name, pinned, m.floor, metadataproxy.Mirrors{Seed: seed(host, m.all["listen"].(string), name),
 		Settings: rules, Every: span(m.all["refresh"]), Alone: span(m.all["unconfirmed"]),
 		Survey: m.all["survey"] == "always", Hosts: hosts}, m.now, m.say)
@@ -267,10 +270,10 @@
 	if address != "" {
 		desk = releaseapi.New(transport.NewAddress(address), time.Second, m.room, m.say)
 	}
-	op := map[string]any{"name": "install", "service_target": 1.0, "command_timeout": 10.0, "importance": 1.0}
-	settings := metadatarefresh.Rules(1, 0.3, 10, []map[string]any{op})
-	settings["rollout.control"] = "clocked"
-	g := dispatch.New(seed(discoveryAddress, address), settings, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
+	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
+	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
+	site.Balancer.Rollout.Control = balancer.AdvanceByClock
+	g := dispatch.New(seed(discoveryAddress, address), site, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
 		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: m.say, OnEndpoints: m.director.Hosts,
 		Vote: m.director.Voted, OnStage: m.director.Stage})
 	m.watches = append(m.watches, g.RunTimers)
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -25,11 +25,9 @@
 	if t.verdicts == nil {
 		return nil
 	}
-	types, _ := t.settings["op_types"].([]map[string]any)
 	var ops []string
-	for _, op := range types {
-		name, _ := op["name"].(string)
-		ops = append(ops, name)
+	for _, class := range t.site.Balancer.Classes {
+		ops = append(ops, class.Name)
 	}
 	seconds := func(name string) float64 { s, _ := t.verdicts[name].(float64); return s }
 	m := &memory{ledger: evidence.New(ops), every: time.Duration(seconds("save") * float64(time.Second)),
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
+	"silvercove/balancer"
 	"silvercove/internal/discovery"
 	"silvercove/internal/dispatch"
 	"silvercove/internal/downstream"
@@ -86,7 +87,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error { return r.pools.Run(ctx) })
-	pushed := !t.Follows && t.settings["discovery"] != "subscribe"
+	pushed := !t.Follows && t.site.Balancer.Discovery != balancer.DiscoverySubscribe
 	if t.Follows {
 		r.gate.FollowPlacements()
 	} else {
@@ -135,7 +136,7 @@
 	if pushed { // what the agent has counts as told from the first moment
 		r.watch.First(limited)
 	}
-	relays, _ := t.settings["relays"].(float64)
+	relays := t.site.Balancer.Relays
 	r.pools.Warm(limited, r.gate.ReadyBackends(), int(min(max(relays, 1), math.MaxInt32)))
 	if t.Turn != nil {
 		t.Turn(ctx)
@@ -207,23 +208,18 @@
 func build(t Told) *relay {
 	r := &relay{log: zerolog.New(os.Stderr).With().Timestamp().Logger()}
 	say := func(text string) { r.log.Info().Msg(text) }
-	span := func(name string) time.Duration {
-		s, _ := t.settings[name].(float64)
-		return time.Duration(s * float64(time.Second))
-	}
+	limits, rollout := t.site.Balancer.Limits, t.site.Balancer.Rollout
 	longest := time.Duration(0)
-	types, _ := t.settings["op_types"].([]map[string]any)
-	for _, op := range types {
-		s, _ := op["command_timeout"].(float64)
-		longest = max(longest, time.Duration(s*float64(time.Second)))
+	for _, class := range t.site.Balancer.Classes {
+		longest = max(longest, class.Deadline.Duration())
 	}
 	timeout := max(time.Second, longest) // of a client
 	r.left = min(longest, mostKill) + handOver
-	calls := max(time.Second, span("rollout.vote_wait"))
+	calls := max(time.Second, rollout.VoteTimeout.Duration())
 	r.room = transport.NewBufferBudget(t.memory / 2)
 	r.discovery, r.platform = transport.NewAddress(t.discovery), transport.NewAddress(t.platform)
 	// A watch that fell silent is found out before a drain that it should have told is past its grace.
-	grace := span("rules.drain_grace")
+	grace := t.site.Balancer.Endpoints.DrainGrace.Duration()
 	if grace == 0 {
 		grace = calls
 	}
@@ -239,13 +235,13 @@
 	if r.memory = newMemory(t); r.memory != nil {
 		hands.Evidence = r.memory.ledger
 	}
-	r.gate = dispatch.New(t.seed, t.settings, hands)
+	r.gate = dispatch.New(t.seed, t.site, hands)
 	comeBack := time.Duration(0)
-	if t.settings["limits.come_back"] == true {
-		comeBack = span("limits.max_come_back")
+	if limits.RetryAfter {
+		comeBack = limits.MaxRetryAfter.Duration()
 	}
 	atUnits := (t.sockets - otherSockets) / 6
-	r.pools = upstream.New(r.room, atUnits, span("limits.connect_timeout"), span("limits.idle_close"), r.gate)
+	r.pools = upstream.New(r.room, atUnits, limits.ConnectTimeout.Duration(), limits.IdleTimeout.Duration(), r.gate)
 	r.front = downstream.New(r.gate, r.pools, r.room, overload.LimitsFor(t.sockets-otherSockets-atUnits), timeout, comeBack)
 	r.gate.UpdateEndpoints(true, t.known)
 	r.gate.UpdateStage(t.news)
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -11,6 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"silvercove/balancer"
 	"silvercove/internal/discovery"
 	"silvercove/internal/dispatch"
 	"silvercove/internal/operatorconfig"
@@ -36,7 +37,7 @@
 	news                              dispatch.RolloutStage
 	seq                               int64
 	known                             []dispatch.Endpoint
-	settings                          map[string]any
+	site                              settings.Site
 	verdicts                          map[string]any // of the operator's own file; nil without one
 
 	// Follows: the list of units and where instances run come from a fleet's keepers, by a part beside the relay. Shed
@@ -105,8 +106,9 @@
 	if t.verdicts, _ = all["verdicts"].(map[string]any); t.verdicts == nil {
 		return nil
 	}
-	t.settings["rollout.evidence_wait"] = t.verdicts["evidence_wait"]
-	t.settings["rollout.report_within"] = t.verdicts["report_within"]
+	seconds := func(name string) balancer.Seconds { s, _ := t.verdicts[name].(float64); return balancer.Seconds(s) }
+	t.site.Balancer.Rollout.EvidenceWait = seconds("evidence_wait")
+	t.site.Balancer.Rollout.ReportWithin = seconds("report_within")
 	if file, ok := t.verdicts["ledger"].(string); ok && !filepath.IsAbs(file) {
 		t.verdicts["ledger"] = filepath.Join(filepath.Dir(path), file)
 	}
@@ -161,6 +163,6 @@
 	if t.seq, _, t.known, err = discovery.Read(c.Known); err != nil && (!t.Follows || c.Known != nil) {
 		return fmt.Errorf("known: %w", err)
 	}
-	t.settings, err = settings.Read(c.Settings)
+	t.site, err = settings.Read(c.Settings)
 	return err
 }
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -7,6 +7,7 @@
 	"bufio"
 	"fmt"
 	"hash/fnv"
+	"log/slog"
 	"math"
 	"os"
 	"path/filepath"
@@ -154,7 +155,7 @@
 	r.host.SendGossip(peer, data)
 }
 
-func (r *recorder) Log(text string) { r.host.Log(text) }
+func (r *recorder) Log(message string, fields ...slog.Attr) { r.host.Log(message, fields...) }
 
 func (r *recorder) WatchEndpoints(on bool) {
 	r.add(callWatch, bit(on))
