--- /dev/null
+++ b/balancer/admission_test.go
@@ -0,0 +1,153 @@
+package balancer
+
+import "testing"
+
+func TestAdmission_AnswersBeforeTheDeadline(t *testing.T) {
+	b := newFixture(nil)
+	request := &Request{Class: idempotent, Deadline: b.now + Second/10} // far before the latency objective
+	b.OnRequest(b.now, request)
+	b.advance(Second / 10)
+	if _, ok := b.host.rejected[request]; !ok {
+		t.Error("a queued request outlived its client")
+	}
+	late := &Request{Class: idempotent, Deadline: b.now}
+	b.OnRequest(b.now, late)
+	if _, ok := b.host.rejected[late]; !ok {
+		t.Error("a request that came too late was not answered at once")
+	}
+}
+
+// TestAdmission_LittleTimeLeft: a request that has just come is tried while half of the attempts would be in time; one
+// that had to wait is shed when nine in ten would not be.
+func TestAdmission_LittleTimeLeft(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		left Tick // of its client's patience; half of the attempts take 1000, nine in ten 3000
+		room bool
+		sent bool
+	}{
+		{"as long as one in two takes", 2 * 1000, true, true},
+		{"less than one in two takes", 900, true, false},
+		{"no room, then some, for less than nine in ten", 2500, false, false},
+		{"no room, then some, for nine in ten", 4500, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.status(1, 0, Released, 1)
+			backend := b.addBackend(1, 1, 0)
+			for i := range sampleSize {
+				b.latencies[idempotent] = appendBounded(b.latencies[idempotent], Tick(1000+i/(sampleSize*6/10)*2000), sampleSize)
+			}
+			b.latencyKnownAt[idempotent] = b.now
+			b.updateLatencies()
+			check(t, "one in two", b.medianLatency[idempotent], 1000)
+			check(t, "nine in ten", b.p90Latency[idempotent], 3000)
+			if !c.room {
+				backend.State = Draining
+			}
+			request := &Request{Class: idempotent, Deadline: b.now + 2*timerInterval + c.left}
+			b.OnRequest(b.now, request)
+			if !c.room {
+				b.now += 100
+				backend.State, b.Balancer.now = Ready, b.now
+				b.serveQueue()
+			}
+			check(t, "sent", len(b.host.started) == 1, c.sent)
+			_, rejected := b.host.rejected[request]
+			check(t, "else answered at once", rejected, !c.sent)
+		})
+	}
+}
+
+func TestAdmission_QueuesByPriority(t *testing.T) {
+	b := newFixture(nil)
+	b.settings.Classes[atMostOnce].PriorityWeight = 3
+	_, high := b.request(idempotent), b.request(atMostOnce)
+	check(t, "the important request is first", b.queue[0], high)
+}
+
+// TestAdmission_SlowAnswersShutNothingOut: sixteen answers that took longer than the latency objective, then one request
+// a second for ten quiet minutes: what comes is tried, so that the relay learns that its backends are healthy. Likewise
+// where clients wait for less than the slow answers took, and where their patience is less than a guess by the target.
+func TestAdmission_SlowAnswersShutNothingOut(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		patience Tick
+		most     int // rejected, of 600; sixteen answers at one in 4 s tell that such clients can be served
+	}{{"two seconds", 2 * Second, 0}, {"less than the bound", 35 * Second / 100, 30}, {"next to none", 15 * Second / 100, 60}} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.status(1, 0, Released, 1)
+			b.addBackend(1, 1, 0)
+			b.addBackend(2, 1, 0)
+			for answers := 0; answers < backendSampleSize; {
+				request := b.request(idempotent)
+				if b.now += 7 * Second / 10; len(request.attempts) > 0 {
+					b.OnOutcome(b.now, request.attempts[0], Succeeded, 7*Second/10, true, nil)
+					answers++
+				}
+				b.OnTimer(b.now, 0)
+			}
+			clear(b.host.rejected)
+			sent := len(b.host.started)
+			for range 600 {
+				b.advance(Second)
+				request := &Request{Class: idempotent, Deadline: b.now + c.patience}
+				if b.OnRequest(b.now, request); len(request.attempts) > 0 {
+					b.now += Second / 100
+					b.finish(request, Succeeded)
+				}
+			}
+			if len(b.host.rejected) > c.most || len(b.host.started)-sent < 600-c.most {
+				t.Errorf("600 received, %d sent, %d rejected", len(b.host.started)-sent, len(b.host.rejected))
+			}
+		})
+	}
+}
+
+// TestAdmission_TriesSomeOfTheImpatient: clients that wait for less than answers take now get some tries all the same. A
+// relay that turns away all that it gets for 4 s on end, with no attempt in between, may as well be dead, and counts so.
+func TestAdmission_TriesSomeOfTheImpatient(t *testing.T) {
+	for _, patience := range []Tick{35 * Second / 100, 15 * Second / 100} {
+		b := newFixture(nil)
+		b.status(1, 0, Released, 1)
+		for id := range uint32(5) {
+			b.addBackend(id+1, 1, 0)
+		}
+		type answer struct {
+			at      Tick
+			attempt *Attempt
+		}
+		var due []answer
+		done, last, longest := 0, b.now, Tick(0)
+		for step := range 6000 { // a hundredth of a second each
+			b.now += Second / 100
+			if step%5 == 0 {
+				b.OnTimer(b.now, 0)
+			}
+			for len(due) > 0 && due[0].at <= b.now {
+				attempt := due[0].attempt
+				due = due[1:]
+				outcome := Succeeded
+				if b.now >= attempt.Request.Deadline {
+					outcome = TimedOut
+				}
+				b.OnOutcome(b.now, attempt, outcome, b.now-attempt.sentAt, true, nil)
+			}
+			if step%10 == 0 {
+				wait := patience
+				if step < 300 {
+					wait = 2 * Second // who waits long enough shows how long answers take
+				}
+				b.OnRequest(b.now, &Request{Class: idempotent, Deadline: b.now + wait})
+			}
+			for ; done < len(b.host.started); done++ {
+				last, due = b.now, append(due, answer{b.now + min(7*Second/10, b.host.started[done].Request.Deadline-b.now), b.host.started[done]})
+			}
+			longest = max(longest, b.now-last)
+		}
+		if longest >= 3*Second || len(b.host.rejected) < 15 {
+			t.Errorf("patience %d: %.1f s without an attempt, %d rejected", patience, float64(longest)/float64(Second), len(b.host.rejected))
+		}
+	}
+}
--- /dev/null
+++ b/balancer/begin_attempt_test.go
@@ -0,0 +1,251 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestBeginAttempt: what has happened between the choice of an attempt and its write. Written at once it always may be.
+func TestBeginAttempt(t *testing.T) {
+	announceAgain := func(change func(*Endpoint)) func(*fixture, *Request, *Backend) {
+		return func(b *fixture, _ *Request, backend *Backend) {
+			is := backend.Endpoint
+			change(&is)
+			b.OnEndpoint(b.now, backend, is)
+		}
+	}
+	for _, c := range []struct {
+		name  string
+		more  func(*Settings)
+		class int
+		late  Tick // from its choice to its write
+		then  func(*fixture, *Request, *Backend)
+		want  bool
+	}{
+		{"at once", nil, atMostOnce, 0, nil, true},
+		{"late, and all stands as it did", nil, atMostOnce, Second, nil, true},
+		{"its backend drains", nil, idempotent, 1, announceAgain(func(is *Endpoint) { is.State = Draining }), false},
+		{"its backend has gone", nil, idempotent, 1, announceAgain(func(is *Endpoint) { is.State = Removed }), false},
+		{"its backend has started anew", nil, idempotent, 1, announceAgain(func(is *Endpoint) { is.StartedAt = testStart }), false},
+		{"its backend is of another version", nil, idempotent, 1, announceAgain(func(is *Endpoint) { is.Version = 2 }), false},
+		{"its backend is listed again as it was", nil, idempotent, 1, announceAgain(func(*Endpoint) {}), true},
+		{"its client has gone", nil, idempotent, 1, func(b *fixture, c *Request, _ *Backend) { b.OnClientGone(b.now, c) }, false},
+		{"its client has gone, where nothing is cancelled", func(s *Settings) { s.Limits.MayCancel = false }, idempotent, 1,
+			func(b *fixture, c *Request, _ *Backend) { b.OnClientGone(b.now, c) }, false},
+		{"it was cancelled", nil, idempotent, 1, func(_ *fixture, c *Request, _ *Backend) { c.attempts[0].cancelled = true }, false},
+		{"its time is over", nil, idempotent, 2 * Second, nil, false},
+		{"its instance has moved", nil, idempotent, 1, func(_ *fixture, c *Request, _ *Backend) { c.Pinned, c.PinnedTo = true, &Backend{} }, false},
+		{"its instance has not", nil, idempotent, 1, func(_ *fixture, c *Request, backend *Backend) { c.Pinned, c.PinnedTo = true, backend }, true},
+		{"a later version has answered its key", nil, idempotent, 1, func(b *fixture, c *Request, _ *Backend) {
+			c.Key = 7
+			b.rememberKey(7, 2)
+		}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(c.more)
+			backend := b.addBackend(1, 1, 0)
+			b.status(1, 0, Released, 1)
+			request := b.request(c.class)
+			attempt := b.host.started[0]
+			check(t, "at once", b.BeginAttempt(b.now, attempt), true)
+			b.now += c.late
+			if c.then != nil {
+				c.then(b, request, backend)
+			}
+			check(t, "late", b.BeginAttempt(b.now, attempt), c.want)
+			if b.OnOutcome(b.now, attempt, Discarded, 0, false, nil); backend.inFlight != 0 || len(b.attemptsInFlight) != 0 || b.openAttempts() != 0 {
+				t.Errorf("%d in flight, %d out", backend.inFlight, len(b.attemptsInFlight))
+			}
+			if _, rejected := b.host.rejected[request]; !rejected && !request.queued && !request.answered {
+				t.Error("what was not sent is neither tried again nor answered")
+			}
+		})
+	}
+}
+
+// TestBeginAttempt_DiscardedIsTriedElsewhere: an attempt that may not begin any more proves that nothing ran, whatever
+// its class.
+func TestBeginAttempt_DiscardedIsTriedElsewhere(t *testing.T) {
+	for class := idempotent; class <= atMostOnce; class++ {
+		b := newFixture(nil)
+		backends := []*Backend{b.addBackend(1, 1, 0), b.addBackend(2, 1, 0)}
+		b.status(1, 0, Released, 1)
+		request := b.request(class)
+		attempt := b.host.started[0]
+		is := attempt.Backend.Endpoint
+		is.State = Draining
+		b.OnEndpoint(b.now, attempt.Backend, is)
+		check(t, "begins at a draining backend", b.BeginAttempt(b.now+500, attempt), false)
+		b.OnOutcome(b.now+500, attempt, Discarded, 0, false, nil)
+		check(t, "attempts", len(request.attempts), 2)
+		check(t, "the other backend", request.attempts[1].Backend != attempt.Backend, true)
+		check(t, "begins there", b.BeginAttempt(b.now+500, request.attempts[1]), true)
+		check(t, "in flight", backends[0].inFlight+backends[1].inFlight, 1)
+	}
+}
+
+// TestBeginAttempt_LateRetry: a retry that was chosen within its window and comes up past it is not sent, but answered.
+func TestBeginAttempt_LateRetry(t *testing.T) {
+	for _, c := range []struct {
+		late Tick // after the first attempt
+		want bool
+	}{{9900, true}, {10000, false}, {11000, false}} { // the window is a second
+		b := newFixture(nil)
+		for id := range uint32(2) {
+			b.OnEndpoint(b.now, &Backend{ID: id}, Endpoint{State: Ready, Version: 1})
+		}
+		b.status(1, 0, Released, 1)
+		request := b.request(withKey)
+		from := b.now
+		b.now += 1000
+		b.finish(request, Reset)
+		check(t, "attempts", len(request.attempts), 2)
+		retry := request.attempts[1]
+		check(t, "at once", b.BeginAttempt(b.now, retry), true)
+		if got := b.BeginAttempt(from+c.late, retry); got != c.want {
+			t.Errorf("%d after the first: begins %v", c.late, got)
+		}
+		if b.OnOutcome(from+c.late, retry, Discarded, 0, false, nil); !c.want {
+			check(t, "failed, as the first may have run", b.host.failed[request], true)
+		}
+	}
+}
+
+// TestBeginAttempt_LoweredCapBinds: a cap that was lowered while the connection came up binds what is written after the
+// grace.
+func TestBeginAttempt_LoweredCapBinds(t *testing.T) {
+	for _, c := range []struct {
+		late Tick
+		want bool
+	}{{0, true}, {30, true}, {1500, false}, {9000, false}} { // a lower cap binds 150 ms later
+		b := newFixture(nil)
+		b.addBackend(1, 2, 0)
+		b.status(2, 1, Canary, 1)
+		b.advance(5 * Second)
+		b.request(idempotent)
+		check(t, "attempts", len(b.host.started), 1)
+		b.status(2, 1, RollingBack, 0)
+		if got := b.BeginAttempt(b.now+c.late, b.host.started[0]); got != c.want {
+			t.Errorf("%d late: begins %v", c.late, got)
+		}
+		if sent := b.exposureOf(idempotent).attempts; len(sent) > 1 || c.want != (len(sent) == 1 && sent[0] == b.now+c.late) {
+			t.Errorf("%d late: it counts at %v", c.late, sent)
+		}
+	}
+}
+
+// TestBeginAttempt_CountsOnce: the write of one takes no other's place in the counts, nor counts it twice.
+func TestBeginAttempt_CountsOnce(t *testing.T) {
+	b := newFixture(nil)
+	b.addBackend(1, 1, 0)
+	b.addBackend(2, 2, 0)
+	b.status(2, 0, Canary, 1)
+	b.advance(5 * Second)
+	canary := 0
+	for range 20 {
+		from := len(b.host.started)
+		b.request(idempotent) // both at the same moment
+		b.request(idempotent)
+		for range 2 { // the second time as its connection was another
+			b.now++
+			for _, attempt := range b.host.started[from:] {
+				check(t, "begins", b.BeginAttempt(b.now, attempt), true)
+			}
+		}
+		for _, attempt := range b.host.started[from:] {
+			if attempt.version == 2 {
+				canary++
+			}
+			b.OnOutcome(b.now, attempt, Succeeded, 100, true, nil)
+		}
+		check(t, "sends that count", len(b.exposureOf(idempotent).attempts), canary)
+	}
+	check(t, "both versions got some", canary > 0 && canary < 40, true)
+}
+
+// TestBeginAttempt_LateConnectionsStayWithinTheCap: where connections to the canary come up late while traffic falls,
+// what is written in any window stays within what the window's own requests allow.
+func TestBeginAttempt_LateConnectionsStayWithinTheCap(t *testing.T) {
+	for _, lateBy := range []Tick{0, 1, 150, Second / 10, Second / 4} {
+		t.Run(fmt.Sprint(lateBy), func(t *testing.T) {
+			b := newFixture(func(s *Settings) {
+				s.Rollout.ExposureWindow = 1
+				s.Rollout.StageCaps = []float64{0.3, 1.0}
+				s.Rollout.StageShares = []float64{0.5, 1.0}
+			})
+			stable, canary := b.addBackend(1, 1, 0), b.addBackend(2, 2, 0)
+			b.status(2, 0, Canary, 0.3)
+			b.advance(5 * Second)
+			type write struct {
+				at      Tick
+				attempt *Attempt
+			}
+			var writes []write
+			var taken, sent []Tick
+			done, worst, off, all := 0, 0.0, 0, 0
+			for i := range 12000 { // a millisecond each
+				b.now += 10
+				if i%50 == 0 {
+					b.OnTimer(b.now, 0)
+				}
+				if every := 1 + 40*(i/1500%2); i%every == 0 {
+					taken = append(taken, b.now)
+					b.request(idempotent)
+				}
+				for i := 0; i < len(writes); i++ {
+					if w := writes[i]; w.at <= b.now {
+						writes = append(writes[:i], writes[i+1:]...)
+						i--
+						if b.BeginAttempt(b.now, w.attempt) {
+							sent, all = append(sent, b.now), all+1
+							b.OnOutcome(b.now, w.attempt, Succeeded, 10, true, nil)
+						} else {
+							off++
+							b.OnOutcome(b.now, w.attempt, Discarded, 0, false, nil)
+						}
+					}
+				}
+				for ; done < len(b.host.started); done++ {
+					if attempt := b.host.started[done]; attempt.Backend == stable {
+						b.OnOutcome(b.now, attempt, Succeeded, 10, true, nil)
+					} else if attempt.Backend == canary {
+						writes = append(writes, write{b.now + lateBy*Tick(1+done%3)/3, attempt})
+					}
+				}
+				if taken, sent = dropBefore(taken, b.now-Second), dropBefore(sent, b.now-Second); len(sent) > 0 && sent[len(sent)-1] < b.now {
+					continue // the rule is asked at each attempt
+				}
+				worst = max(worst, float64(len(sent))-2-0.3*1.04*float64(len(taken))) // with the slack of the site
+			}
+			if worst > 1e-9 || all < 100 || lateBy < 10 && off > 0 {
+				t.Errorf("%.1f over the cap at most, %d written, %d cancelled", worst, all, off)
+			}
+		})
+	}
+}
+
+// TestBeginAttempt_LateConnectionsAtAWarmingBackend: of two attempts at a backend that warms up of which the first comes
+// up late, beside the second, one is sent; a late one alone is.
+func TestBeginAttempt_LateConnectionsAtAWarmingBackend(t *testing.T) {
+	for _, relays := range []float64{1, 100} {
+		for _, second := range []bool{false, true} {
+			b := newFixture(func(s *Settings) { s.Relays = relays })
+			backend := b.addBackend(1, 1, testStart)
+			b.ratePerBackend, b.now = 1.2/relays, b.now+Second // one attempt a window, at the least; half of one
+			backend.lastWarmUpSend = testStart - 1000*Second
+			request := &Request{Class: idempotent, Deadline: b.now + 5000*Second}
+			b.OnRequest(b.now, request)
+			check(t, "attempts", len(b.host.started), 1)
+			first := b.host.started[0]
+			backend.StartedAt = b.now + 100*Second - Second // its warming stands still for this
+			first.backendStart = backend.StartedAt
+			if b.now += 100 * Second; second {
+				backend.inFlight, backend.lastWarmUpSend = 0, testStart-3000*Second
+				b.request(idempotent)
+				check(t, "attempts", len(b.host.started), 2)
+				check(t, "the second at once", b.BeginAttempt(b.now, b.host.started[1]), true)
+			}
+			check(t, fmt.Sprintf("%v relays: the late one, beside another %v", relays, second), b.BeginAttempt(b.now+100, first), !second)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/endpoint_polling_test.go
@@ -0,0 +1,68 @@
+package balancer
+
+import "testing"
+
+// TestEndpointPolling_BacksOff: a relay that is turned away asks again less and less often, also where the settings do
+// not say how often they want it.
+func TestEndpointPolling_BacksOff(t *testing.T) {
+	for _, c := range []struct {
+		every       Seconds
+		least, most int // calls in 20 s
+	}{{20, 2, 9}, {0, 10, 30}, {-1e300, 10, 30}, {-5, 10, 30}} {
+		b := newFixture(func(s *Settings) {
+			s.Discovery = DiscoverySubscribe
+			s.Endpoints.PollInterval = c.every
+		})
+		b.OnListSynced(b.now, false)
+		b.host.watchCalls = 0
+		for range 20 {
+			b.advance(Second)
+			b.OnListSynced(b.now, false)
+		}
+		if n := b.host.watchCalls; n < c.least || n > c.most {
+			t.Errorf("asked %d times with %v", n, c.every)
+		}
+	}
+}
+
+// TestEndpointPolling_PollsInTime: whatever the settings say, a list that could not be had is asked for again within 4 s
+// and a timer's period, so that 2 s are left of the 6 s after which a change counts as told; and from the first call on.
+// Relays that were turned away together do not come again together.
+func TestEndpointPolling_PollsInTime(t *testing.T) {
+	const most = 4*Second + timerInterval
+	for _, every := range []Seconds{-1e300, -5, 0, 0.1, 1, 3, 10, 20, 600, 1e6, 1e300} {
+		for _, starts := range []bool{true, false} { // turned away at the start, or after the list was had
+			at := map[Tick]int{} // when the tenth call comes
+			for seed := range uint64(60) {
+				host := newRecordingHost()
+				b := &fixture{Balancer: New(host, testStart, seed, testSettings(func(s *Settings) {
+					s.Discovery = DiscoverySubscribe
+					s.Endpoints.PollInterval = every
+				})), host: host, now: testStart}
+				if !starts {
+					b.advance(timerInterval)
+					b.OnListSynced(b.now, true)
+				}
+				b.OnListSynced(b.now, false)
+				for last, n := b.now, 0; n < 10; {
+					before := host.watchCalls
+					if b.advance(timerInterval); b.now-last > most {
+						t.Fatalf("poll interval %v: nothing is asked for %d s after a call", every, (b.now-last)/Second)
+					}
+					if host.watchCalls > before {
+						last, n = b.now, n+1
+						b.OnListSynced(b.now, false)
+						if n == 10 {
+							at[b.now]++
+						}
+					}
+				}
+			}
+			for when, n := range at {
+				if n > 12 {
+					t.Errorf("poll interval %v: %d of 60 relays ask at %d", every, n, when)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/balancer/exposure_test.go
@@ -0,0 +1,63 @@
+package balancer
+
+import "testing"
+
+func TestExposure_StaysWithinTheCap(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		more  func(*Settings)
+		class int
+		cap   float64
+		phase RolloutPhase
+		wait  Tick
+		want  int // of 100 requests, with nothing but the canary to send to
+	}{
+		{"free plus cap", nil, idempotent, 0.2, Canary, 5 * Second, 21},
+		{"no free just after a start", nil, idempotent, 0.2, Canary, 0, 19},
+		{"cap 0", nil, idempotent, 0, RollingBack, 5 * Second, 0},
+		{"released", nil, idempotent, 0, Released, 5 * Second, 100},
+		{"guarded stage, effect", func(s *Settings) { s.Rollout.GuardedStages = 1 }, atMostOnce, 0.2, Canary, 5 * Second, 0},
+		{"guarded stage, idempotent", func(s *Settings) { s.Rollout.GuardedStages = 1 }, idempotent, 0.2, Canary, 5 * Second, 21},
+		{"by class", func(s *Settings) { s.Rollout.ExposurePerClass = true }, idempotent, 0.2, Canary, 5 * Second, 21},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(c.more)
+			b.addBackend(1, 2, 0)
+			b.status(2, 0, c.phase, c.cap)
+			b.advance(c.wait)
+			for range 100 {
+				b.request(c.class)
+				b.succeedAll()
+			}
+			check(t, "attempts", len(b.host.started), c.want)
+		})
+	}
+}
+
+func TestExposure_UnannouncedVersionIsInFirstStage(t *testing.T) {
+	b := newFixture(nil)
+	b.status(1, 0, Released, 1)
+	b.addBackend(1, 2, 0)
+	share, stage := b.exposureCapOf(2)
+	check(t, "is a canary", b.isCanary(2), true)
+	check(t, "cap", share, 0.2)
+	check(t, "stage", stage, 0)
+}
+
+func TestExposure_LoweredCapCountsAnewAfterGrace(t *testing.T) {
+	b := newFixture(nil)
+	b.addBackend(1, 2, 0)
+	b.status(2, 1, Canary, 1)
+	b.advance(5 * Second)
+	for range 50 {
+		b.request(idempotent)
+		b.succeedAll()
+	}
+	sent := len(b.host.started)
+	b.status(2, 0, Canary, 0.2)
+	b.request(idempotent)
+	check(t, "within the grace the old count binds", len(b.host.started), sent)
+	b.advance(Second + 100)
+	b.request(idempotent)
+	check(t, "after it the count starts anew", len(b.host.started), sent+1)
+}
--- /dev/null
+++ b/balancer/idempotency_test.go
@@ -0,0 +1,85 @@
+package balancer
+
+import "testing"
+
+func TestIdempotency_ForwardOnlyKeys(t *testing.T) {
+	b := newFixture(func(s *Settings) { s.Rollout.ForwardOnly = true })
+	b.status(2, 0, Canary, 0.2)
+	stable := b.addBackend(1, 1, 0)
+	b.addBackend(2, 2, 0)
+	b.rememberKey(9, 2)
+	check(t, "to the earlier version", b.refuses(&Request{Key: 9}, stable) == NotRefused, false)
+	check(t, "another key", b.refuses(&Request{Key: 8}, stable) == NotRefused, true)
+	b.rememberKey(7, 3) // answered by a version that no status has named yet
+	check(t, "by an unannounced version", b.refuses(&Request{Key: 7}, stable) == NotRefused, false)
+	b.status(2, 0, RollingBack, 0)
+	check(t, "when it is rolled back", b.refuses(&Request{Key: 9}, stable) == NotRefused, true)
+	check(t, "when another is rolled back", b.refuses(&Request{Key: 7}, stable) == NotRefused, false)
+}
+
+// TestIdempotency_KeySetsAreBounded: many keys and versions take no more than their key sets, lose no key, and turn
+// few others away.
+func TestIdempotency_KeySetsAreBounded(t *testing.T) {
+	b := newFixture(func(s *Settings) { s.Rollout.ForwardOnly = true })
+	key := func(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
+	const many = 100_000
+	for version := uint16(2); version < 40; version++ {
+		for i := range many / 38 {
+			b.rememberKey(key(i), version)
+		}
+	}
+	check(t, "versions kept", len(b.answeredKeys), rememberedVersions)
+	f := &keySet{}
+	for i := range many {
+		f.add(key(i))
+	}
+	wrong := 0
+	for i := range many {
+		check(t, "a key that was added", f.has(key(i)), true)
+		if f.has(key(many + i)) {
+			wrong++
+		}
+	}
+	if wrong > many/50 {
+		t.Errorf("%d of %d other keys are taken for added ones", wrong, many)
+	}
+}
+
+func TestIdempotency_NoEffectTwice(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		class         int
+		scope         DedupScope
+		outcome       Outcome
+		age           Tick
+		zone, cell    int // of the second backend; the first has 1 and 1
+		again, reject bool
+	}{
+		{"idempotent, timed out", idempotent, DedupNowhere, TimedOut, 0, 2, 2, true, true},
+		{"at most once, at capacity", atMostOnce, DedupNowhere, AtCapacity, 0, 2, 2, true, true},
+		{"at most once, connect failed", atMostOnce, DedupNowhere, ConnectFailed, 0, 2, 2, true, true},
+		{"at most once, never sent", atMostOnce, DedupNowhere, Discarded, 0, 2, 2, true, true},
+		{"at most once, timed out", atMostOnce, DedupNowhere, TimedOut, 0, 1, 1, false, false},
+		{"at most once, cancelled", atMostOnce, DedupNowhere, Cancelled, 0, 1, 1, false, false},
+		{"deduplicated by all, within the window", withKey, DedupEverywhere, Reset, Second - 2, 2, 2, true, true},
+		{"deduplicated by all, at its end", withKey, DedupEverywhere, Reset, Second - 1, 2, 2, false, true},
+		{"deduplicated by zone, same zone", withKey, DedupZone, Reset, 0, 1, 2, true, false},
+		{"deduplicated by zone, another", withKey, DedupZone, Reset, 0, 2, 1, false, false},
+		{"deduplicated by cell, same cell", withKey, DedupCell, Reset, 0, 2, 1, true, false},
+		{"deduplicated by cell, another", withKey, DedupCell, Reset, 0, 1, 2, false, false},
+		{"deduplicated by zone, at capacity", withKey, DedupZone, AtCapacity, 0, 2, 2, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.settings.Classes[c.class].DedupScope = c.scope
+			b.Balancer.now = testStart + c.age
+			first := &Backend{Endpoint: Endpoint{Zone: 1, Cell: 1}}
+			request := &Request{Class: c.class}
+			request.attempts = []*Attempt{{Request: request, Backend: first, sentAt: testStart, ended: true, outcome: c.outcome}}
+			check(t, "again", b.safeToRepeat(request, request.attempts, &Backend{Endpoint: Endpoint{Zone: c.zone, Cell: c.cell}}), c.again)
+			check(t, "reject", b.safeToReject(request), c.reject)
+			request.attempts[0].ended = false
+			check(t, "while one is out", b.safeToRepeat(request, request.attempts, first), false)
+		})
+	}
+}
--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,91 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func TestOutlier_EjectsAndTakesBack(t *testing.T) {
+	b := newFixture(nil)
+	backend := b.addBackend(1, 1, 0)
+	for range 3 {
+		b.recordForBackend(backend, true)
+	}
+	check(t, "ejected", backend.ejected, true)
+	for range 8 {
+		b.recordForBackend(backend, false)
+	}
+	check(t, "ejected after probation went well", backend.ejected, false)
+	b.recentFailures = slices.Repeat([]float64{1}, sampleSize)
+	for range 10 {
+		b.recordForBackend(backend, true)
+	}
+	check(t, "ejected when the whole fleet fails", backend.ejected, false)
+}
+
+// A relay that stalls finds every backend silent at once; that is no news of the backends.
+func TestOutlier_StallOfTheRelayItself(t *testing.T) {
+	b := newFixture(nil)
+	for i := range 3 {
+		b.addBackend(uint32(i), 1, 0)
+		b.request(atMostOnce)
+	}
+	b.now += Second
+	b.OnTimer(b.now, 0)
+	check(t, "most suspect", b.mostSuspect, true)
+}
+
+// TestOutlier_SuspectIsLeftToOtherRelays: a relay that does not probe sends its requests elsewhere, without a pause.
+func TestOutlier_SuspectIsLeftToOtherRelays(t *testing.T) {
+	for _, probes := range []bool{false, true} {
+		b, host := newFleetFixture(1000, probes)
+		failing := b.addBackend(1, 1, 0)
+		for id := uint32(2); id < 6; id++ {
+			b.addBackend(id, 1, 0)
+		}
+		b.status(1, 0, Released, 1)
+		failing.ejected, failing.failureWealth, failing.probationInterval = true, 1000, probationDone
+		at := 0
+		for range 300 {
+			c := b.request(idempotent)
+			check(t, "out at once", len(c.attempts), 1)
+			if c.attempts[0].Backend == failing {
+				at++
+			}
+			b.finish(c, Succeeded)
+			b.advance(Second / 20)
+		}
+		if host.probeAsked == 0 || (at > 0) != probes {
+			t.Errorf("probes %v: asked %d times, %d attempts at the backend", probes, host.probeAsked, at)
+		}
+	}
+}
+
+// TestOutlier_AvoidedForOtherRelays: a backend that others found out of order is left by a relay that does not suspect
+// it, but not where many are.
+func TestOutlier_AvoidedForOtherRelays(t *testing.T) {
+	for _, c := range []struct{ suspect, want int }{{0, 0}, {3, 1}} {
+		b, host := newFleetFixture(1000, false)
+		failing := b.addBackend(1, 1, 0)
+		for id := uint32(2); id < 9; id++ {
+			if backend := b.addBackend(id, 1, 0); int(id) < 2+c.suspect {
+				backend.ejected, backend.failureWealth, backend.nextProbation = true, 1000, math.MaxInt64
+			}
+		}
+		b.status(1, 0, Released, 1)
+		host.avoided = failing
+		at := 0
+		for range 300 {
+			for _, attempt := range b.request(idempotent).attempts {
+				if attempt.Backend == failing {
+					at = 1
+				}
+			}
+			b.succeedAll()
+			b.host.started = nil
+			b.advance(Second / 20)
+		}
+		check(t, "attempts at the backend", at, c.want)
+	}
+}
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,92 @@
+package balancer
+
+import "testing"
+
+// What ends at its deadline is answered in the same call.
+func TestRetry_NoneAfterTheDeadline(t *testing.T) {
+	for _, class := range []int{idempotent, withKey, atMostOnce} {
+		b := newFixture(nil)
+		b.addBackend(1, 1, 0)
+		b.addBackend(2, 1, 0)
+		request := b.request(class)
+		b.now += 2 * Second
+		b.finish(request, TimedOut)
+		check(t, "answered", request.answered, true)
+	}
+}
+
+func TestRetry_CancelsAtSilentBackend(t *testing.T) {
+	for _, class := range []int{idempotent, atMostOnce} {
+		b := newFixture(nil)
+		b.addBackend(1, 1, 0)
+		request := b.request(class)
+		b.addBackend(2, 1, 0)
+		b.advance(Second)
+		check(t, "cancelled", len(b.host.cancelled), map[int]int{idempotent: 1, atMostOnce: 0}[class])
+		if class == idempotent {
+			b.finish(request, Cancelled)
+		}
+	}
+}
+
+func TestRetry_FailuresOfARequestItself(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		then Outcome
+		bad  float64
+	}{{"succeeded elsewhere: its version failed", Succeeded, 1}, {"failed again: its own doing", Errored, 0}} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.addBackend(1, 1, 0)
+			b.addBackend(2, 1, 0)
+			request := b.request(idempotent)
+			b.finish(request, Errored)
+			b.finish(request, c.then)
+			bad, _ := b.evaluation.samples.failuresOfAll()
+			check(t, "failures of the version", bad, c.bad)
+		})
+	}
+}
+
+// TestRetry_NoneLeftInTheFleet: without a retry left a request ends at once, and its error speaks for the version as no
+// second answer will.
+func TestRetry_NoneLeftInTheFleet(t *testing.T) {
+	b, _ := newFleetFixture(1, true)
+	b.addBackend(1, 1, 0)
+	b.addBackend(2, 1, 0)
+	b.status(1, 0, Released, 1)
+	one := b.request(idempotent)
+	b.finish(one, Errored)
+	check(t, "attempts of the first", len(one.attempts), 2)
+	b.finish(one, Succeeded)
+	b.evaluation.samples = newSamples(len(b.settings.Classes))
+	two := b.request(idempotent)
+	b.finish(two, Errored)
+	check(t, "attempts of the second", len(two.attempts), 1)
+	if _, rejected := b.host.rejected[two]; !rejected {
+		t.Error("no answer at once")
+	}
+	bad, n := failures(b.evaluation.samples.class[idempotent])
+	check(t, "failures that count", bad, 1)
+	check(t, "outcomes", n, 1)
+}
+
+// TestRetry_CancelledAttemptAsksOnce: an attempt is only cancelled where another may follow, and that one asks no second
+// time.
+func TestRetry_CancelledAttemptAsksOnce(t *testing.T) {
+	for _, retries := range []int{0, 1} {
+		b, host := newFleetFixture(retries, true)
+		b.addBackend(1, 1, 0)
+		b.addBackend(2, 1, 0)
+		b.addBackend(3, 1, 0)
+		b.status(1, 0, Released, 1)
+		c := b.request(idempotent)
+		b.advance(Second * 35 / 100)
+		check(t, "cancelled", len(b.host.cancelled), retries)
+		if retries > 0 {
+			b.finish(c, Cancelled)
+			check(t, "attempts", len(c.attempts), 2)
+			check(t, "retries left", host.retries, 0)
+		}
+	}
+}
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -232,7 +232,7 @@
 	if b.speaksForBackendAlone(a, failed || slow) {
 		return
 	}
-	if !a.countedAsSlow && !(slow && a.newConnection) {
+	if excused := slow && a.newConnection; !a.countedAsSlow && !excused {
 		b.recordTimeliness(a, slow)
 	}
 	if a.outcome == Succeeded {
--- /dev/null
+++ b/balancer/simulation_test.go
@@ -0,0 +1,306 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// behaviour is how a backend treats attempts for a while.
+type behaviour int
+
+const (
+	healthy behaviour = iota
+	slowAnswers
+	verySlow
+	erroring
+	silentBackend
+	atCapacity
+	unreachable
+	resetsConnections
+	anyOutcome
+	drainingBackend
+	removedBackend
+	restartingBackend
+	upgradedBackend
+	behaviours
+)
+
+// simulation plays relays before the same backends in simulated time, as a host for each.
+type simulation struct {
+	now      Tick
+	rand     *rand.Rand
+	backends []*simulatedBackend
+	relays   []*simulatedRelay
+	patience [3]Tick // of the clients, by class
+	every    [3]Tick // mean time between two requests, by class
+	version  uint16  // the newest
+	phase    RolloutPhase
+}
+
+type simulatedBackend struct {
+	behaviour behaviour
+	Endpoint
+}
+
+type simulatedRelay struct {
+	recordingHost
+	*Balancer
+	simulation   *simulation
+	known        []*Backend
+	outcomes     []pendingOutcome
+	stalledUntil Tick // it handles nothing before
+	countFrom    Tick
+	nextArrival  [3]Tick // request of each class
+	received     [3]int  // in the window that is checked
+	succeeded    [3]int
+	counting     bool
+}
+
+type pendingOutcome struct {
+	at      Tick
+	attempt *Attempt
+	outcome Outcome
+}
+
+// StartAttempt works out how the attempt will end, by the behaviour of its backend.
+func (r *simulatedRelay) StartAttempt(attempt *Attempt, deadline Tick) {
+	backend := r.simulation.backends[attempt.Backend.ID]
+	took, outcome := Tick(50+r.simulation.rand.IntN(300)), Succeeded
+	switch backend.behaviour {
+	case slowAnswers:
+		took = 4000 + Tick(r.simulation.rand.IntN(3000))
+	case verySlow:
+		took = 8000 + Tick(r.simulation.rand.IntN(30000))
+	case erroring:
+		outcome = Errored
+	case silentBackend, removedBackend, restartingBackend:
+		took = 100 * Second
+	case atCapacity, drainingBackend:
+		outcome = AtCapacity
+	case unreachable:
+		took, outcome = took+Tick(r.simulation.rand.IntN(10000)), ConnectFailed
+	case resetsConnections:
+		outcome = Reset
+	case anyOutcome:
+		outcome = Outcome(1 + r.simulation.rand.IntN(int(Reset)))
+	}
+	if at := r.simulation.now + took; at >= deadline {
+		r.outcomes = append(r.outcomes, pendingOutcome{deadline, attempt, TimedOut})
+	} else {
+		r.outcomes = append(r.outcomes, pendingOutcome{at, attempt, outcome})
+	}
+}
+
+// CancelAttempt ends the attempt at once; the balancer is told with the next step.
+func (r *simulatedRelay) CancelAttempt(attempt *Attempt) {
+	for i := range r.outcomes {
+		if r.outcomes[i].attempt == attempt {
+			r.outcomes[i].at, r.outcomes[i].outcome = r.simulation.now, Cancelled
+		}
+	}
+}
+
+// step moves the clock by 10 ms.
+func (g *simulation) step() {
+	g.now += Second / 100
+	for _, r := range g.relays {
+		if g.now < r.stalledUntil {
+			continue
+		}
+		for _, p := range r.outcomes {
+			if p.at > g.now {
+				continue
+			}
+			settled := p.outcome == Succeeded || g.now >= p.attempt.Request.Deadline
+			if r.counting && p.outcome == Succeeded && p.attempt.Request.receivedAt >= r.countFrom {
+				r.succeeded[p.attempt.Request.Class]++
+			}
+			r.OnOutcome(g.now, p.attempt, p.outcome, g.now-p.attempt.sentAt, settled, nil)
+		}
+		kept := r.outcomes[:0]
+		for _, p := range r.outcomes {
+			if !p.attempt.ended {
+				kept = append(kept, p)
+			}
+		}
+		r.outcomes = kept
+		if g.now%(timerInterval) == 0 {
+			r.OnTimer(g.now, 0)
+		}
+		for class := range r.nextArrival {
+			for ; r.nextArrival[class] <= g.now; r.nextArrival[class] += 1 + Tick(g.rand.ExpFloat64()*float64(g.every[class])) {
+				if r.counting {
+					r.received[class]++
+				}
+				r.OnRequest(g.now, &Request{Class: class, Key: g.rand.Uint64N(50), Deadline: g.now + g.patience[class]})
+			}
+		}
+	}
+}
+
+// announce tells all relays of a backend.
+func (g *simulation) announce(id int) {
+	for _, r := range g.relays {
+		r.OnEndpoint(g.now, r.known[id], g.backends[id].Endpoint)
+		r.OnListSynced(g.now, true)
+	}
+}
+
+// behave gives a backend a behaviour, and the list what it says of it.
+func (g *simulation) behave(id int, m behaviour, version uint16) {
+	backend := g.backends[id]
+	backend.behaviour, backend.State = m, Ready
+	switch m {
+	case drainingBackend:
+		backend.State = Draining
+	case removedBackend:
+		backend.State = Removed
+	case restartingBackend, upgradedBackend:
+		backend.StartedAt = g.now
+		if m == upgradedBackend {
+			backend.Version, backend.behaviour = version, healthy
+		}
+	}
+	g.announce(id)
+}
+
+// fleetSize is how many relays and backends there are, and how many relays the settings tell of.
+type fleetSize struct{ relays, backends, told int }
+
+// drawSimulation starts relays and clients before healthy backends.
+func drawSimulation(t *rapid.T, size fleetSize) *simulation {
+	g := &simulation{now: testStart, version: 1, phase: Released,
+		rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
+	for class := range g.patience {
+		g.patience[class] = Tick(rapid.IntRange(1500, 30000).Draw(t, "patience"))
+		g.every[class] = Tick(rapid.IntRange(500, 10000).Draw(t, "between requests"))
+		if rapid.IntRange(0, 3).Draw(t, "none") == 0 {
+			g.every[class] = 1e9
+		}
+	}
+	for range size.backends {
+		g.backends = append(g.backends, &simulatedBackend{Endpoint: Endpoint{State: Ready, Version: 1}})
+	}
+	for i := range size.relays {
+		g.relays = append(g.relays, g.newRelay(uint64(i)+1, size))
+	}
+	for id := range size.backends {
+		g.announce(id)
+	}
+	return g
+}
+
+func (g *simulation) newRelay(seed uint64, size fleetSize) *simulatedRelay {
+	r := &simulatedRelay{simulation: g, recordingHost: *newRecordingHost()}
+	r.Balancer = New(r, testStart, seed, testSettings(func(s *Settings) { s.Relays = float64(size.told) }))
+	for id := range size.backends {
+		r.known = append(r.known, &Backend{ID: uint32(id)})
+	}
+	for class := range r.nextArrival {
+		r.nextArrival[class] = testStart + Tick(g.rand.IntN(10000))
+	}
+	r.OnReleaseStatus(g.now, ReleaseStatus{Version: 1, Phase: Released, ExposureCap: 1, Outcome: Succeeded})
+	return r
+}
+
+func (g *simulation) play(span Tick) {
+	for end := g.now + span; g.now < end; {
+		g.step()
+	}
+}
+
+// announceStatus tells all relays where the newest version stands.
+func (g *simulation) announceStatus() {
+	caps := map[RolloutPhase]float64{Canary: 0.2, Released: 1}
+	for _, r := range g.relays {
+		r.OnReleaseStatus(g.now, ReleaseStatus{Version: g.version, Phase: g.phase, ExposureCap: caps[g.phase],
+			Outcome: Succeeded})
+	}
+}
+
+// drawTrouble has some backends behave in some way for a while, and maybe something happen beside.
+func (g *simulation) drawTrouble(t *rapid.T) {
+	how := behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour"))
+	share := rapid.Float64Range(0, 1).Draw(t, "share")
+	if rapid.Bool().Draw(t, "all") {
+		share = 1
+	}
+	switch rapid.IntRange(0, 3).Draw(t, "beside") {
+	case 1:
+		g.version, g.phase = g.version+1, Canary
+		g.announceStatus()
+	case 2:
+		g.phase = rapid.SampledFrom([]RolloutPhase{RollingBack, Released, Withdrawn}).Draw(t, "phase")
+		g.announceStatus()
+	case 3:
+		for _, r := range g.relays {
+			r.stalledUntil = g.now + Tick(g.rand.IntN(int(3*Second)))
+		}
+	}
+	for id := range g.backends {
+		if g.rand.Float64() < share {
+			g.behave(id, how, g.version)
+		}
+	}
+	g.play(Tick(rapid.IntRange(1, 1000).Draw(t, "length")) * Second / 100)
+}
+
+// heal releases the newest version, and has all backends run it well.
+func (g *simulation) heal() {
+	g.phase = Released
+	g.announceStatus()
+	for id, backend := range g.backends {
+		backend.behaviour, backend.State, backend.Version = healthy, Ready, g.version
+		g.announce(id)
+	}
+}
+
+// leastServed is how many requests of a class are to be served in the window at the least.
+func (g *simulation) leastServed(r *simulatedRelay, class int) int {
+	least := 3
+	if g.patience[class]-2*timerInterval <= r.settings.Classes[class].LatencyObjective.Ticks()/4 {
+		least = 1 // one in 4 s, and the next to come after that, where clients wait for next to nothing
+	}
+	return min(r.received[class]*7/10, least)
+}
+
+// TestBalancer_ServesAgainAfterAnyHistory: whatever the backends, the list, the release API and the relay's own host did
+// before, a settling time after all backends are healthy each class is served at each relay, and nothing starts anew.
+func TestBalancer_ServesAgainAfterAnyHistory(t *testing.T) {
+	const settle, window = 20 * Second, 20 * Second
+	for _, c := range []struct {
+		fleetSize
+		most int // runs; sixty relays take a second each time
+	}{{fleetSize{1, 1, 1}, 15}, {fleetSize{1, 3, 1}, 15}, {fleetSize{1, 12, 300}, 15}, {fleetSize{60, 30, 60}, 1}} {
+		t.Run(fmt.Sprintf("%d of %d relays, %d backends", c.relays, c.told, c.backends), func(t *testing.T) {
+			played, failed := 0, false
+			rapid.Check(t, func(t *rapid.T) {
+				if played++; played > c.most && !failed {
+					return
+				}
+				g := drawSimulation(t, c.fleetSize)
+				for range rapid.IntRange(1, 5).Draw(t, "troubles") {
+					g.drawTrouble(t)
+				}
+				g.heal()
+				g.play(settle)
+				for _, r := range g.relays {
+					r.counting, r.countFrom = true, g.now
+				}
+				g.play(window)
+				for i, r := range g.relays {
+					for class, n := range r.received {
+						if n >= 5 && r.succeeded[class] < g.leastServed(r, class) {
+							failed = true
+							t.Fatalf("relay %d, class %d: %d received, %d succeeded; limit %.1f, median %v, p90 %v, backends %d",
+								i, class, n, r.succeeded[class], r.concurrencyLimit, r.medianLatency, r.p90Latency, len(r.backends))
+						}
+					}
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/balancer/slow_start_test.go
@@ -0,0 +1,105 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+func TestSlowStart_SendsNothingWithoutAWarmRate(t *testing.T) {
+	b := newFixture(nil)
+	backend := b.addBackend(1, 1, testStart)
+	for range 50 { // fast answers leave room, but no warm backend says what can be taken
+		b.request(idempotent)
+		b.succeedAll()
+		b.now += 10
+	}
+	check(t, "attempts to a backend that warms up", len(b.host.started), 0)
+	backend.ejected = true
+	check(t, "probation keeps the budget too", b.refuses(&Request{}, backend) == NotRefused, false)
+}
+
+// A part of the slow-start budget of less than one attempt a window is one budget for all relays.
+func TestSlowStart_BudgetIsOneForAllRelays(t *testing.T) {
+	sent := 0
+	for seed := range 100 {
+		b := newFixture(func(s *Settings) { s.Relays = 100 })
+		b.random.word = uint32(seed*7919 + 1)
+		backend := b.addBackend(1, 1, testStart)
+		b.ratePerBackend = 0.2 // 20 a second from all: at half its capacity a backend takes 20 in a window of 1 s
+		for range 10 {
+			if b.now += Second / 10; b.request(idempotent).attempts != nil {
+				backend.inFlight = 0
+			}
+		}
+		sent += len(b.host.started)
+	}
+	check(t, "some, and fewer than the rule allows", sent > 0 && sent < 20, true)
+}
+
+// TestSlowStart_KeepsTheSitesBound: relays that want a backend that warms up all the time, at full load, send it no more
+// in any window than it may get: N + 2 x root of N + 2 requests of mean work, N being what the settings allow it then.
+func TestSlowStart_KeepsTheSitesBound(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		relays int
+		parts  []float64 // their rates, in turn
+		takes  float64   // that a warm backend takes in a second
+	}{
+		{"300 alike, slow backends", 300, []float64{1}, 3},
+		{"300 alike", 300, []float64{1}, 25},
+		{"300 uneven", 300, []float64{0.3, 0.5, 0.7, 1, 4}, 25},
+		{"300 uneven, fast backends", 300, []float64{0.3, 0.5, 0.7, 1, 4}, 200},
+		{"300 of just over one a window", 300, []float64{1}, 360},
+		{"one", 1, []float64{1}, 3},
+		{"one, fast backends", 1, []float64{1}, 100},
+		{"few", 4, []float64{0.5, 1, 1, 1.5}, 5},
+		{"few, fast backends", 4, []float64{0.5, 1, 1, 1.5}, 100},
+		{"few of just over one a window", 4, []float64{1}, 4.8},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			sum, worst, at := 0.0, 0.0, ""
+			for i := range c.relays {
+				sum += c.parts[i%len(c.parts)]
+			}
+			for seed := range uint64(20) {
+				rnd := rand.New(rand.NewPCG(seed, 1))
+				var relays []*fixture
+				var backends []*Backend
+				for i := range c.relays {
+					b := newFixture(func(s *Settings) { s.Relays = float64(c.relays) })
+					b.random.word = rnd.Uint32()
+					relays, backends = append(relays, b), append(backends, b.addBackend(1, 1, testStart))
+					b.ratePerBackend = c.takes * c.parts[i%len(c.parts)] / sum
+				}
+				var sent []Tick
+				var work []float64
+				for now := testStart; now < testStart+4*Second; now += Second / 50 {
+					for i, b := range relays {
+						for b.Balancer.now = now; b.slowStartAllows(backends[i]); {
+							backend := backends[i]
+							backend.warmUpSends, backend.lastWarmUpSend, backend.warmUpShareDue = append(backend.warmUpSends, now), now, 1
+							sent, work = append(sent, now), append(work, (0.5+rnd.ExpFloat64())/1.5)
+						}
+					}
+					got := 0.0
+					for len(sent) > 0 && sent[0] < now-Second {
+						sent, work = sent[1:], work[1:]
+					}
+					for _, w := range work {
+						got += w
+					}
+					n := 2 * relays[0].warmUpFraction(backends[0]) * c.takes
+					if part := got / (n + 2*math.Sqrt(n) + 2); part > worst {
+						worst, at = part, fmt.Sprintf("%.1f (%d) at %d, N %.1f", got, len(sent), (now-testStart)*1000/Second, n)
+					}
+				}
+			}
+			t.Logf("at most %.2f of what fells it: %s", worst, at)
+			if worst > 1 {
+				t.Errorf("%.2f of what fells it: %s", worst, at)
+			}
+		})
+	}
+}
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -83,7 +83,7 @@
 	}
 	byClock := b.settings.Rollout.Control == AdvanceByClock
 	suspicious, need, timed := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
-	if b.looksSlow() {
+	if b.slowdownObserved() {
 		suspicious, need, timed = suspicious || byClock, minOutcomesIfSlow, false
 	}
 	switch {
@@ -106,8 +106,8 @@
 	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= least
 }
 
-// looksSlow tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
-func (b *Balancer) looksSlow() bool {
+// slowdownObserved tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
+func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
 	return b.baseline.slowShare() > e.slowShareBefore+fleetSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
--- /dev/null
+++ b/balancer/voting_test.go
@@ -0,0 +1,155 @@
+package balancer
+
+import (
+	"slices"
+	"testing"
+)
+
+// Where the status is late the endpoint list shows the stage, and the reply to a vote to roll back shows a stage that
+// has passed.
+func TestVote_StageBeforeItsAnnouncement(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		more      int // backends of the version listed
+		k         int // one in so many outcomes fails
+		discarded bool
+		stages    []int
+	}{
+		{"as told", 1, 0, false, []int{0}},
+		{"more backends than the stage has", 2, 0, false, []int{1}},
+		{"a vote to roll back a stage that has passed", 1, 3, true, []int{0, 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.status(1, 0, Released, 1)
+			for i := range uint32(8) {
+				b.addBackend(i, 1, 0)
+			}
+			b.feedOutcomes(1, 200, 0)
+			b.status(2, 0, Canary, 0.2)
+			for i := range c.more {
+				b.addBackend(uint32(10+i), 2, 0)
+			}
+			b.feedOutcomes(2, 30, c.k)
+			b.advance(Second / 10)
+			if c.discarded {
+				b.OnReleaseStatus(b.now, ReleaseStatus{VoteReply: true, Outcome: Discarded})
+				b.advance(Second)
+			}
+			checkAll(t, "stages voted on", b.host.stages, c.stages)
+		})
+	}
+}
+
+func TestVote_Verdicts(t *testing.T) {
+	back, on := []Verdict{RollBack}, []Verdict{Promote}
+	for _, c := range []struct {
+		name  string
+		more  func(*Settings)
+		phase RolloutPhase
+		n, k  int
+		wait  Tick
+		want  []Verdict
+	}{
+		{"too few outcomes, too early", nil, Canary, 19, 0, Second, nil},
+		{"enough outcomes", nil, Canary, 20, 0, Second, on},
+		{"few outcomes, 3 s", nil, Canary, 6, 0, 4 * Second, on},
+		{"too few even then", nil, Canary, 2, 0, 4 * Second, nil},
+		{"a test half-way to an alarm holds it back", nil, Canary, 7, 3, 4 * Second, nil},
+		{"alarm", nil, Canary, 30, 3, Second, back},
+		{"alarm after the release", nil, Released, 30, 3, Second, back},
+		{"no vote once it is rolled back", nil, RollingBack, 30, 3, Second, nil},
+		{"by the clock, nothing against it", func(s *Settings) { s.Rollout.Control = AdvanceByClock }, Canary, 20, 0, Second, nil},
+		{"by the clock, half-way to an alarm", func(s *Settings) { s.Rollout.Control = AdvanceByClock }, Canary, 7, 3, Second, []Verdict{Pause}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(c.more)
+			b.status(1, 0, Released, 1)
+			b.feedOutcomes(1, 200, 0)
+			b.status(2, 0, c.phase, 0.2)
+			b.feedOutcomes(2, c.n, c.k)
+			b.advance(c.wait)
+			checkAll(t, "votes", b.host.votes, c.want)
+		})
+	}
+}
+
+func TestVote_IsCastAgain(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		answer Outcome
+		wait   Tick
+		want   int
+	}{
+		{"it stands", Succeeded, 3 * Second, 1},
+		{"its lifetime is over", Succeeded, 5 * Second, 2},
+		{"too many votes", AtCapacity, Second, 2},
+		{"no answer", TimedOut, Second, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.status(1, 0, Released, 1)
+			b.status(2, 0, Canary, 0.2)
+			b.feedOutcomes(2, 30, 0)
+			b.advance(Second / 10)
+			check(t, "first vote", len(b.host.votes), 1)
+			b.OnReleaseStatus(b.now, ReleaseStatus{VoteReply: true, Version: 2, ExposureCap: 0.2, Outcome: c.answer})
+			b.advance(c.wait)
+			check(t, "votes", len(b.host.votes), c.want)
+		})
+	}
+}
+
+// A vote to promote waits for more outcomes while the canary is past its bound, and for no longer.
+func TestVote_SlowCanaryWaits(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		outcomes, slow int // one in so many is slow
+		want           []Verdict
+	}{{"on time", 30, 0, []Verdict{Promote}}, {"every other slow", 30, 2, nil}, {"every other slow, and more outcomes", 61, 2,
+		[]Verdict{Promote}}} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(nil)
+			b.status(1, 0, Released, 1)
+			b.feedOutcomes(1, 200, 0)
+			b.baseline.slow = slices.Repeat([]float64{0, 0, 0, 1}, 50)
+			b.evaluation.slowShareBefore = 0.25
+			b.status(2, 0, Canary, 0.2)
+			b.feedOutcomes(2, c.outcomes, 0)
+			for i := range c.outcomes {
+				if c.slow > 0 {
+					b.evaluation.samples.slow = appendBounded(b.evaluation.samples.slow, float64(i%c.slow), sampleSize)
+				}
+			}
+			b.evaluation.slowShareBefore = 0.25
+			b.advance(Second)
+			checkAll(t, "votes", b.host.votes, c.want)
+		})
+	}
+}
+
+// A relay that starts amid a stage holds the stage that it is told for the present one, however its list is ordered.
+func TestVote_StartAmidAStage(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		canary []int // backends of the canary, of ten
+		stage  int
+	}{{"the first run the canary", []int{0}, 0}, {"the last are", []int{9}, 0}, {"half of them", []int{0, 1, 2, 3, 4}, 1}} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(func(s *Settings) {
+				s.Rollout.StageShares = []float64{0.1, 0.5, 1.0}
+				s.Rollout.StageCaps = []float64{0.1, 0.5, 1.0}
+			})
+			for i := range 10 {
+				version := uint16(1)
+				if slices.Contains(c.canary, i) {
+					version = 2
+				}
+				b.addBackend(uint32(i), version, 0)
+			}
+			b.OnListSynced(b.now, true)
+			b.status(2, c.stage, Canary, 0.1)
+			check(t, "stage", b.currentStage(), c.stage)
+		})
+	}
+}
