--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -48,6 +48,17 @@
 	relativeLatencySize = backendSampleSize / 4
 )
 
+// backendHealth is what the outcomes at one backend show of it.
+type backendHealth struct {
+	recentFailures    []float64 // the last outcomes, 1 for a failure
+	lastFailure       Tick
+	failureWealth     float64 // of the test that ejects it
+	ejected           bool
+	probationInterval Tick // between the attempts while it is ejected
+	nextProbation     Tick
+	avoidedUntil      Tick // for the sake of other relays
+}
+
 // ejection is what the relay knows of all its backends together.
 type ejection struct {
 	recentFailures []float64 // the last outcomes at any backend, 1 for a failure
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -19,6 +19,13 @@
 	slowStartFree = 1
 )
 
+// warmUp is what a backend that warms up has been sent.
+type warmUp struct {
+	warmUpSends    []Tick  // within the window
+	lastWarmUpSend Tick    // or when this process was first listed
+	warmUpShareDue float64 // the part of an attempt's budget that must come due after it
+}
+
 // warmUpFraction is the part of its capacity that a backend has at the least.
 func (b *Balancer) warmUpFraction(backend *Backend) float64 {
 	if backend.StartedAt == 0 {
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -129,25 +129,13 @@
 	ID uint32
 	Endpoint
 
-	listed       bool
-	inFlight     int
-	waitingSince Tick // since when the relay has waited for any answer
-	lastAnswer   Tick
-	lastFailure  Tick
-
+	listed            bool
+	inFlight          int
+	waitingSince      Tick      // since when the relay has waited for any answer
+	lastAnswer        Tick      // of any kind
 	successTimes      []Tick    // of the last attempts that succeeded
-	recentFailures    []float64 // the last outcomes, 1 for a failure
 	relativeLatencies []float64 // of the last attempts, in parts of what was due
 
-	// Slow start, see slow_start.go.
-	warmUpSends    []Tick  // within the window
-	lastWarmUpSend Tick    // or when this process was first listed
-	warmUpShareDue float64 // the part of an attempt's budget that must come due after it
-
-	// Ejection, see outlier.go.
-	failureWealth     float64
-	ejected           bool
-	probationInterval Tick // between the attempts while it is ejected
-	nextProbation     Tick
-	avoidedUntil      Tick // for the sake of other relays
+	backendHealth
+	warmUp
 }
