--- /dev/null
+++ b/internal/leases/record_counts.go
@@ -0,0 +1,92 @@
+package leases
+
+import (
+	"maps"
+	"slices"
+
+	"silvercove/internal/tick"
+)
+
+// maxCountsPerOperation is how many nodes' counts are agreed at once.
+const maxCountsPerOperation = 1024
+
+// RecordCounts are the greatest counts of records that nodes have told of their disks, each with its lease. A node that has
+// less than that at its start knows that its disk was put back to an earlier time.
+//
+// The leading controller hears the counts each third of a lease; the others agree on them once a lease, all that changed at
+// once, so that the next leader knows what was so a lease ago. That costs an entry of the log a lease, however many nodes
+// there are, of some 25 bytes for each that kept something.
+type RecordCounts struct {
+	interval tick.Tick
+	known    map[string]uint64
+	unagreed map[string]uint64 // reported, and not agreed yet; 0: the count is to be forgotten
+	nextDue  tick.Tick
+}
+
+// NewRecordCounts begins a span of leading with the counts that are agreed. The setting is fleet.lease (seconds).
+func NewRecordCounts(now tick.Tick, settings map[string]any, agreed map[string]uint64) *RecordCounts {
+	interval := tick.Tick(settings["fleet.lease"].(float64) * float64(tick.Second))
+	return &RecordCounts{interval: interval, known: maps.Clone(agreed), unagreed: map[string]uint64{}, nextDue: now + interval}
+}
+
+// Report takes a node's count as it came with its lease and returns the greatest one until then, 0 for none. A node without
+// a count (0) is of an earlier version, or has no disk: its file may be written without a count, so what was known means
+// nothing from then on.
+func (c *RecordCounts) Report(node string, count uint64) (before uint64) {
+	before = c.known[node]
+	switch {
+	case count == 0 && before > 0:
+		delete(c.known, node)
+		c.unagreed[node] = 0
+	case count > before:
+		if c.known == nil {
+			c.known = map[string]uint64{}
+		}
+		c.known[node], c.unagreed[node] = count, count
+	}
+	return before
+}
+
+// Due returns the counts that are to be agreed now, nil for none.
+func (c *RecordCounts) Due(now tick.Tick) (counts map[string]uint64) {
+	if now < c.nextDue || len(c.unagreed) == 0 {
+		return nil
+	}
+	counts = map[string]uint64{}
+	for _, node := range slices.Sorted(maps.Keys(c.unagreed)) {
+		counts[node] = c.unagreed[node]
+		if len(counts) == maxCountsPerOperation {
+			break
+		}
+	}
+	for node := range counts {
+		delete(c.unagreed, node)
+	}
+	if len(c.unagreed) == 0 { // else the rest follows at once
+		c.nextDue = now + c.interval
+	}
+	return counts
+}
+
+// Requeue says that the counts that were due were not agreed.
+func (c *RecordCounts) Requeue(counts map[string]uint64) {
+	for node, count := range counts {
+		if _, newer := c.unagreed[node]; !newer {
+			c.unagreed[node] = count
+		}
+	}
+}
+
+// NextDue is when something is due, if anything is.
+func (c *RecordCounts) NextDue() (next tick.Tick, ok bool) { return c.nextDue, len(c.unagreed) > 0 }
+
+// MergeRecordCounts takes counts that were agreed on into those that are agreed. A count of 0 is forgotten.
+func MergeRecordCounts(agreed, counts map[string]uint64) {
+	for node, count := range counts {
+		if count == 0 {
+			delete(agreed, node)
+		} else {
+			agreed[node] = max(agreed[node], count)
+		}
+	}
+}
