--- /dev/null
+++ b/internal/placement/validate.go
@@ -0,0 +1,135 @@
+package placement
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"unicode/utf8"
+
+	"silvercove/internal/migration"
+)
+
+// Bounds of an operation's numbers.
+const (
+	maxWeight = 100
+	maxCount  = math.MaxInt64 // of an index and an epoch
+)
+
+// CheckSupported returns ErrUnsupportedVersion where an operation is of a later version, or of a kind that this program
+// does not know, whatever stands in the table. Apply refuses such an operation, which is right for one table alone; of
+// several that step by one log, those that know it carry it out, so one that does not must not go on.
+func CheckSupported(op migration.Operation) error {
+	if op.Version > migration.FormatVersion {
+		return fmt.Errorf("%w: entry %d, this program reads %d", migration.ErrUnsupportedVersion, op.Version, migration.FormatVersion)
+	}
+	if !knownKind(op.Kind) {
+		return fmt.Errorf("%w: kind %.40q", migration.ErrUnsupportedVersion, op.Kind)
+	}
+	return nil
+}
+
+func knownKind(k migration.OperationKind) bool {
+	switch k {
+	case migration.OpCreate, migration.OpStartCopy, migration.OpReplicaReady, migration.OpDropReplica, migration.OpCutOver, migration.OpRestart, migration.OpRelease, migration.OpMoveDevice, migration.OpCancelCopy,
+		migration.OpFailOver, migration.OpMarkServed, migration.OpReportIncomplete, migration.OpResetFailures, migration.OpQuarantine, migration.OpDelete:
+		return true
+	}
+	return false
+}
+
+// validateOperation says what is wrong with an operation whatever stands in the table, "" for nothing.
+func validateOperation(op migration.Operation) string {
+	if fault := validateTexts(op); fault != "" {
+		return fault
+	}
+	switch {
+	case op.Version < 1:
+		return "no version"
+	case op.Instance == "":
+		return "no name"
+	case !(op.Weight >= 0 && op.Weight <= maxWeight): // not a number is refused too
+		return "a weight is 0 to 100"
+	case op.Size < 0:
+		return "a size below 0"
+	case op.Index > maxCount || op.Epoch > maxCount:
+		return "a number beyond any count"
+	case !knownKind(op.Kind):
+		return fmt.Sprintf("kind %.40q", op.Kind)
+	case needsTarget(op.Kind) && op.Target == "":
+		return "no unit to go to"
+	case op.Kind == migration.OpMoveDevice && op.Zone == "":
+		return "no zone"
+	}
+	return ""
+}
+
+func needsTarget(k migration.OperationKind) bool {
+	switch k {
+	case migration.OpCreate, migration.OpStartCopy, migration.OpReplicaReady, migration.OpDropReplica, migration.OpCutOver, migration.OpRestart, migration.OpRelease:
+		return true
+	}
+	return false
+}
+
+// validateTexts says which text of an operation is too long or not UTF-8, "" for none.
+func validateTexts(op migration.Operation) string {
+	for _, field := range []struct {
+		name, text string
+		maxBytes   int
+	}{
+		{"name", op.Instance, maxNameBytes},
+		{"by", op.Node, maxNameBytes},
+		{"to", op.Target, maxNameBytes},
+		{"zone", op.Zone, maxNameBytes},
+		{"reason", op.Reason, maxReasonBytes},
+	} {
+		if len(field.text) > field.maxBytes || !utf8.ValidString(field.text) {
+			return fmt.Sprintf("%s: over %d bytes, or not UTF-8", field.name, field.maxBytes)
+		}
+	}
+	return ""
+}
+
+// validateAssignment says which invariant an assignment breaks, "" for none.
+func validateAssignment(a migration.Assignment) string {
+	op := migration.Operation{Version: migration.FormatVersion, Kind: migration.OpDelete, Instance: a.Instance, Node: a.Primary, Target: a.CopyTarget, Zone: a.Zone,
+		Reason: a.Reason, Weight: a.Weight, Size: a.Size, Index: a.Index, Epoch: a.Epoch}
+	if fault := validateOperation(op); fault != "" {
+		return fault
+	}
+	if fault := validateNodes(a); fault != "" {
+		return fault
+	}
+	switch {
+	case a.State != migration.Running && a.State != migration.Lost && a.State != migration.Quarantined:
+		return fmt.Sprintf("state %.40q", a.State)
+	case (a.State == migration.Running) != (a.Primary != ""):
+		return "an owner is there where it runs, and only there"
+	case a.CopyTarget != "" && (a.CopyTarget == a.Primary || a.State != migration.Running), a.CutOver && a.CopyTarget == "":
+		return "the copy does not add up"
+	case a.Epoch == 0 || a.Revision == 0 || a.Failures < 0:
+		return "counts do not add up"
+	case len(a.StaleCopies) > maxStaleCopies || len(a.Replicas) > maxReplicas+2: // a replica that fell or stopped comes on top
+		return "counts do not add up"
+	}
+	return ""
+}
+
+// validateNodes says whether an assignment's lists of nodes break an invariant, "" for no.
+func validateNodes(a migration.Assignment) string {
+	prior := ""
+	for _, node := range a.Replicas {
+		if node <= prior || node == a.Primary || len(node) > maxNameBytes {
+			return "holders do not add up"
+		}
+		prior = node
+	}
+	seen := map[string]bool{a.Primary: true}
+	for _, c := range a.StaleCopies {
+		if c.Node == "" || len(c.Node) > maxNameBytes || seen[c.Node] || slices.Contains(a.Replicas, c.Node) {
+			return "older copies do not add up"
+		}
+		seen[c.Node] = true
+	}
+	return ""
+}
