--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-
-	"silvercove/internal/migration"
 )
 
 // index finds rows by the name of a node or a zone.
@@ -26,8 +24,8 @@
 	}
 }
 
-func (x index) assignments(name string) []migration.Assignment {
-	all := make([]migration.Assignment, 0, len(x[name]))
+func (x index) assignments(name string) []Assignment {
+	all := make([]Assignment, 0, len(x[name]))
 	for r := range x[name] {
 		all = append(all, r.assignment)
 	}
@@ -35,7 +33,7 @@
 }
 
 // reindex moves a row in the indexes from what its old assignment says to what the next one says.
-func (t *Table) reindex(r *row, old, next migration.Assignment) {
+func (t *Table) reindex(r *row, old, next Assignment) {
 	if old.Primary != next.Primary {
 		t.byPrimary.drop(old.Primary, r)
 		t.byPrimary.add(next.Primary, r)
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -21,8 +21,6 @@
 import (
 	"cmp"
 	"slices"
-
-	"silvercove/internal/migration"
 )
 
 // Bounds of what an operation may say and of what is remembered.
@@ -54,7 +52,7 @@
 
 // row is one instance. Its assignment is replaced, never written into.
 type row struct {
-	assignment   migration.Assignment
+	assignment   Assignment
 	changedAt    uint64 // the table's version
 	older, newer *row   // by changedAt
 	unknown      UnknownFields
@@ -79,16 +77,16 @@
 func (t *Table) Version() uint64 { return t.version }
 
 // Get returns where an instance runs, if there is one of this name.
-func (t *Table) Get(instance string) (migration.Assignment, bool) {
+func (t *Table) Get(instance string) (Assignment, bool) {
 	if r := t.rows[instance]; r != nil {
 		return r.assignment, true
 	}
-	return migration.Assignment{}, false
+	return Assignment{}, false
 }
 
 // All returns all instances by name. It costs as much as there are of them.
-func (t *Table) All() []migration.Assignment {
-	all := make([]migration.Assignment, 0, len(t.rows))
+func (t *Table) All() []Assignment {
+	all := make([]Assignment, 0, len(t.rows))
 	for _, r := range t.rows {
 		all = append(all, r.assignment)
 	}
@@ -97,21 +95,21 @@
 
 // ByPrimary returns the instances whose primary a node is, by name. It costs as much as there are of them, as do ByReplica
 // and InZone.
-func (t *Table) ByPrimary(node string) []migration.Assignment { return t.byPrimary.assignments(node) }
+func (t *Table) ByPrimary(node string) []Assignment { return t.byPrimary.assignments(node) }
 
 // ByReplica returns the instances of which a node is a replica, by name.
-func (t *Table) ByReplica(node string) []migration.Assignment { return t.byReplica.assignments(node) }
+func (t *Table) ByReplica(node string) []Assignment { return t.byReplica.assignments(node) }
 
 // InZone returns the instances whose device is in a zone, by name.
-func (t *Table) InZone(zone string) []migration.Assignment { return t.byZone.assignments(zone) }
+func (t *Table) InZone(zone string) []Assignment { return t.byZone.assignments(zone) }
 
-func sortByName(all []migration.Assignment) []migration.Assignment {
-	slices.SortFunc(all, func(a, b migration.Assignment) int { return cmp.Compare(a.Instance, b.Instance) })
+func sortByName(all []Assignment) []Assignment {
+	slices.SortFunc(all, func(a, b Assignment) int { return cmp.Compare(a.Instance, b.Instance) })
 	return all
 }
 
 // put replaces the assignment of a row, as the newest change.
-func (t *Table) put(r *row, next migration.Assignment) {
+func (t *Table) put(r *row, next Assignment) {
 	old := r.assignment
 	next.Revision = old.Revision + 1
 	if len(next.StaleCopies) == 0 {
@@ -131,7 +129,7 @@
 func (t *Table) remove(r *row) {
 	a := r.assignment
 	t.unlink(r)
-	t.reindex(r, a, migration.Assignment{})
+	t.reindex(r, a, Assignment{})
 	delete(t.rows, a.Instance)
 	t.version++
 	t.rememberDeletion(deletion{Instance: a.Instance, Epoch: a.Epoch, Version: t.version})
