--- /dev/null
+++ b/internal/migration/facts.go
@@ -0,0 +1,225 @@
+package migration
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+// OnNodeStatus tells what the controllers know of a node that has just renewed its lease.
+func (p *Planner) OnNodeStatus(now tick.Tick, status NodeStatus) {
+	p.now = now
+	n := p.node(status.Name)
+	old, wasReported, wasAway := n.NodeStatus, n.reported, n.wasAway(now)
+	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
+		status.LeaseEnd = old.LeaseEnd // it was overtaken by a later renewal
+	}
+	lostCopies := status.LostCopies && wasReported && status.Incarnation != old.Incarnation
+	p.makeIneligible(n)
+	if n.zone == nil || n.zone.name != status.Zone {
+		n.zone = p.zone(status.Zone)
+	}
+	n.NodeStatus, n.reported, n.leaseExpired = status, true, false
+	n.reserved = len(n.incoming)
+	n.recent.rotate(now, p.settings.lease)
+	p.updateBusy(n)
+	p.updateEligibility(n)
+	if lostCopies {
+		p.onCopiesLost(n)
+	}
+	if status.FreeSlots < 0 && now >= n.nextExcessReview {
+		n.nextExcessReview = now + p.settings.lease
+		p.markExcess(n)
+	}
+	if !wasReported || wasAway || lostCopies || changesPlans(old, status) {
+		p.queueReviewsOf(n)
+	}
+	p.work(maxWorkPerFact)
+}
+
+// changesPlans reports whether what a node reports may change what its instances need.
+func changesPlans(old, status NodeStatus) bool {
+	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.Draining != status.Draining ||
+		old.RollingBack != status.RollingBack || old.Accepting != status.Accepting || old.Zone != status.Zone ||
+		(old.FreeSlots < 0) != (status.FreeSlots < 0)
+}
+
+// onCopiesLost notes that a node has lost its memory: what it was the primary of may only go on at a replica, and it is a
+// replica of nothing.
+func (p *Planner) onCopiesLost(n *node) {
+	p.countSuspects(n)
+	for i := range n.primaryOf {
+		i.orphaned = true
+	}
+	for i := range n.replicaOf {
+		if !slices.Contains(i.emptyReplicas, n) {
+			i.emptyReplicas = append(i.emptyReplicas, n)
+		}
+	}
+}
+
+// markExcess marks the lightest instances of a node that has more than it has slots for.
+func (p *Planner) markExcess(n *node) {
+	all := byWeight(maps.Keys(n.primaryOf))
+	for at, i := range all {
+		excess := at >= len(all)+n.FreeSlots
+		if excess != i.excess {
+			i.excess = excess
+			p.queueReview(i)
+		}
+	}
+}
+
+// OnLeaseExpired says that a node's lease is over for sure, by every clock: it does not act.
+func (p *Planner) OnLeaseExpired(now tick.Tick, name string) {
+	p.now = now
+	n := p.node(name)
+	n.leaseExpired = true
+	p.countSuspects(n)
+	p.updateEligibility(n)
+	p.queueReviewsOf(n)
+	p.work(maxWorkPerFact)
+}
+
+// OnAssignment tells an assignment as it was agreed: each change, and after OnElected all of them. An older one is passed
+// over.
+func (p *Planner) OnAssignment(now tick.Tick, a placement.Assignment) {
+	p.now = now
+	i := p.instances[a.Instance]
+	if i == nil {
+		if a.State == placement.Deleted {
+			return
+		}
+		i = &instance{primarySince: now, history: moveHistory{last: lastMoveOf(a, now)}}
+		i.review.position = notQueued
+		p.instances[a.Instance] = i
+	}
+	if i.assigned && !isNewer(a, i.Assignment) {
+		return
+	}
+	old := i.Assignment
+	p.unqueue(i)
+	p.assign(i, a)
+	if i.assigned && a.Epoch != old.Epoch || a.State != old.State {
+		p.onPrimaryChanged(i, old)
+	}
+	if a.CopyTarget != old.CopyTarget {
+		p.onCopyChanged(i, old)
+	}
+	i.assigned = true
+	p.settleProposal(i, old)
+	if i.deviceZone == a.Zone {
+		i.deviceZone = ""
+	}
+	p.noteDroppedReplicas(i, old)
+	i.emptyReplicas = slices.DeleteFunc(i.emptyReplicas, func(n *node) bool { return !slices.Contains(i.replicaNodes, n) })
+	p.countMove(i)
+	if a.State == placement.Deleted {
+		p.scheduleReview(i, 0)
+		delete(p.instances, a.Instance)
+		return
+	}
+	p.queueReview(i)
+	p.work(maxWorkPerFact)
+}
+
+func isNewer(a, than placement.Assignment) bool {
+	return a.Epoch > than.Epoch || a.Epoch == than.Epoch && a.Revision > than.Revision
+}
+
+// assign replaces an instance's assignment, and the nodes that it is known at.
+func (p *Planner) assign(i *instance, a placement.Assignment) {
+	if i.primaryNode != nil {
+		delete(i.primaryNode.primaryOf, i)
+	}
+	for _, n := range i.replicaNodes {
+		delete(n.replicaOf, i)
+	}
+	i.Assignment, i.primaryNode, i.replicaNodes = a, nil, i.replicaNodes[:0]
+	if a.State == placement.Deleted {
+		return
+	}
+	if a.Primary != "" {
+		i.primaryNode = p.node(a.Primary)
+		i.primaryNode.primaryOf[i] = struct{}{}
+	}
+	for _, name := range a.Replicas {
+		n := p.node(name)
+		n.replicaOf[i] = struct{}{}
+		i.replicaNodes = append(i.replicaNodes, n)
+	}
+}
+
+// onPrimaryChanged notes that an instance has another primary, or none, since its old assignment.
+func (p *Planner) onPrimaryChanged(i *instance, old placement.Assignment) {
+	if old.CutOver && i.Epoch == old.Epoch+1 && i.Failures == old.Failures {
+		i.history.moved(p.now, p.settings.dwell)
+		p.node(old.Primary).recent.departures[0]++
+		p.node(i.Primary).recent.arrivals[0]++
+	}
+	i.primarySince, i.orphaned, i.excess = p.now, false, false
+	i.retry.attempts, i.retry.until = 0, 0
+	i.remote = remoteBackoff{}
+}
+
+// onCopyChanged notes that another copy is under way than in the old assignment, or none.
+func (p *Planner) onCopyChanged(i *instance, old placement.Assignment) {
+	i.copySince = p.now
+	if old.CopyTarget != "" && slices.Contains(i.Replicas, old.CopyTarget) {
+		i.retry.attempts, i.retry.until = 0, 0
+	}
+}
+
+// noteDroppedReplicas has replicas avoided that are none any more: the primary can't reach them.
+func (p *Planner) noteDroppedReplicas(i *instance, old placement.Assignment) {
+	if i.proposal.operation.Kind == placement.OpDropReplica || i.Epoch != old.Epoch {
+		return
+	}
+	for _, name := range old.Replicas {
+		if !slices.Contains(i.Replicas, name) {
+			i.avoid = avoidance{node: p.node(name), until: p.now + avoidDroppedLeases*p.settings.lease}
+			p.backOffRemote(i, i.avoid.node)
+		}
+	}
+}
+
+// OnProposalRefused says that an operation was refused or was not agreed, and why. It is proposed again where it is still
+// called for.
+func (p *Planner) OnProposalRefused(now tick.Tick, op placement.Operation, reason error) {
+	p.now = now
+	i := p.instances[op.Instance]
+	if i == nil {
+		return
+	}
+	if n := i.proposal.failing; n != nil && isFailOver(op) && op.Node == n.Name {
+		p.endFailOver(i)
+	}
+	pending := i.proposal.operation
+	if pending.Kind != op.Kind || pending.Epoch != op.Epoch || pending.Target != op.Target {
+		return
+	}
+	p.host.Log(fmt.Sprintf("%s: %s to %q refused: %v", op.Instance, op.Kind, op.Target, reason))
+	i.proposal.operation = placement.Operation{}
+	p.countMove(i)
+	p.backOff(i)
+	p.work(maxWorkPerFact)
+}
+
+// OnDeviceMoved says in which zone an instance's device is.
+func (p *Planner) OnDeviceMoved(now tick.Tick, name, zone string) {
+	p.now = now
+	i := p.instances[name]
+	if i == nil {
+		p.host.Log(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
+		return
+	}
+	i.deviceZone = zone
+	if zone == i.Zone && i.proposal.operation.Kind != placement.OpMoveDevice {
+		i.deviceZone = ""
+	}
+	p.queueReview(i)
+	p.work(maxWorkPerFact)
+}
--- /dev/null
+++ b/internal/migration/proposals.go
@@ -0,0 +1,98 @@
+package migration
+
+import (
+	"slices"
+
+	"silvercove/internal/placement"
+)
+
+// Waits after proposals.
+const (
+	proposalTimeoutLeases = 2 // for the result of a proposal
+	avoidDroppedLeases    = 2 // for which a replica that was dropped is avoided
+	maxAttempts           = 10
+	backOffFraction       = 8 // of a lease: the wait after a first attempt is twice that
+)
+
+// propose sends an operation for an instance, at most one at a time.
+func (p *Planner) propose(i *instance, op placement.Operation) {
+	if i.proposal.pending() || !p.leads {
+		return
+	}
+	op.Version, op.Instance, op.Epoch = placement.FormatVersion, i.Instance, i.Epoch
+	if isFailOver(op) && i.proposal.failing == nil {
+		i.proposal.failing = i.primaryNode
+		i.primaryNode.pendingFailOvers++
+	}
+	i.proposal.operation, i.proposal.proposedAt = op, p.now
+	p.scheduleReview(i, p.now+proposalTimeoutLeases*p.settings.lease)
+	if op.Kind == placement.OpStartCopy {
+		p.node(op.Target).reserved++
+	}
+	p.countMove(i)
+	p.host.Propose(op)
+}
+
+// proposalTimedOut reports whether the result of a proposal counts as lost, and has the instance reviewed then if not yet.
+func (p *Planner) proposalTimedOut(i *instance) bool {
+	timeout := i.proposal.proposedAt + proposalTimeoutLeases*p.settings.lease
+	if p.now < timeout {
+		p.scheduleReview(i, timeout)
+		return false
+	}
+	i.proposal.operation = placement.Operation{}
+	if i.deviceZone == i.Zone {
+		i.deviceZone = ""
+	}
+	p.countMove(i)
+	return true
+}
+
+// settleProposal ends what is waited for where the assignment that came shows its result.
+func (p *Planner) settleProposal(i *instance, old placement.Assignment) {
+	if i.proposal.pending() && isDone(i.proposal.operation, i.Assignment) {
+		i.proposal.operation = placement.Operation{}
+	}
+	if n := i.proposal.failing; n != nil && (i.Primary != n.Name || i.Epoch != old.Epoch) {
+		p.endFailOver(i)
+	}
+}
+
+// endFailOver notes that no operation of an instance is on its way any more that says that its primary's lease is over.
+func (p *Planner) endFailOver(i *instance) {
+	i.proposal.failing.pendingFailOvers--
+	i.proposal.failing = nil
+}
+
+// isDone reports whether an assignment shows what an operation was to bring.
+func isDone(op placement.Operation, a placement.Assignment) bool {
+	switch {
+	case op.Kind == placement.OpMoveDevice:
+		return a.Zone == op.Zone
+	case a.Epoch > op.Epoch:
+		return true
+	}
+	switch op.Kind {
+	case placement.OpStartCopy:
+		return a.CopyTarget == op.Target || !op.CutOver && slices.Contains(a.Replicas, op.Target)
+	case placement.OpCancelCopy:
+		return a.CopyTarget != op.Target
+	case placement.OpDropReplica:
+		return !slices.Contains(a.Replicas, op.Target)
+	case placement.OpResetFailures:
+		return a.Failures == 0
+	case placement.OpFailOver, placement.OpQuarantine:
+		return a.State != placement.Running
+	}
+	return false
+}
+
+// backOff puts the next move of an instance off, each time in a row twice as long.
+func (p *Planner) backOff(i *instance) {
+	lease := p.settings.lease
+	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
+	wait := min(lease<<i.retry.attempts/backOffFraction, max(lease, p.settings.restartAfter/2))
+	i.retry.until = max(i.retry.until, p.now+wait)
+	i.retry.reason = i.need.reason
+	p.scheduleReview(i, earlier(i.review.due, i.retry.until))
+}
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -3,84 +3,234 @@
 import (
 	"cmp"
 	"container/heap"
+	"maps"
 
 	"silvercove/internal/tick"
 )
 
 // queue is a heap of instances that wait for a move, the most pressing first.
-type queue []*row
+type queue []*instance
 
+// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q queue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(q[i].why, q[j].why), cmp.Compare(q[j].danger, q[i].danger), heavier(q[i], q[j])) < 0
+	a, b := q[i], q[j]
+	return cmp.Or(cmp.Compare(a.need.reason, b.need.reason), cmp.Compare(b.wait.risk, a.wait.risk), heavierFirst(a, b)) < 0
+}
+
+// Swap implements heap.Interface.
+func (q queue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].wait.position, q[j].wait.position = i, j
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i]; q[i].pos, q[j].pos = i, j }
-func (q *queue) Push(x any)   { r := x.(*row); r.pos = len(*q); *q = append(*q, r) }
-func (q *queue) Pop() any     { r := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return r }
 
-// enqueue puts an instance into the queue of its unit, or with its owner's danger into that of a link.
-func (p *Planner) enqueue(q *queue, r *row, danger float64) {
-	r.in, r.danger = q, danger
-	heap.Push(q, r)
+// Push implements heap.Interface; heap.Push calls it.
+func (q *queue) Push(x any) {
+	i := x.(*instance)
+	i.wait.position = len(*q)
+	*q = append(*q, i)
+}
+
+// Pop implements heap.Interface; heap.Pop calls it.
+func (q *queue) Pop() any {
+	last := len(*q) - 1
+	i := (*q)[last]
+	*q = (*q)[:last]
+	return i
+}
+
+// enqueue puts an instance into the queue of its node, or with its primary's risk into that of a link or a zone.
+func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
+	i.wait.queue, i.wait.risk = q, risk
+	heap.Push(q, i)
 }
 
 // unqueue takes an instance out of the queue that it waits in, if any.
-func (p *Planner) unqueue(r *row) {
-	if r.in == nil {
+func (p *Planner) unqueue(i *instance) {
+	if i.wait.queue == nil {
 		return
 	}
-	heap.Remove(r.in, r.pos)
-	if r.in = nil; r.owner != nil {
-		p.urgent(r.owner)
+	heap.Remove(i.wait.queue, i.wait.position)
+	i.wait.queue = nil
+	if i.primaryNode != nil {
+		p.updateBusy(i.primaryNode)
 	}
 }
 
-// units is a heap of units with instances that wait and room for a move, the most pressing and endangered first.
-type units []*unit
+// wake looks again at so many instances that found no node, the most pressing and those most at risk first: those that are
+// reviewed by themselves would come in any order.
+func (p *Planner) wake(q *queue, most int) {
+	for range min(most, p.settings.maxMovesPerNode, len(*q)) {
+		i := (*q)[0]
+		p.unqueue(i)
+		i.retry.until = 0
+		p.queueReview(i)
+	}
+}
+
+// busyQueue is a heap of nodes with instances that are ready and room for a move, the most pressing and those most at risk
+// first.
+type busyQueue []*node
+
+// Len implements heap.Interface.
+func (q busyQueue) Len() int { return len(q) }
 
-func (h units) Len() int { return len(h) }
-func (h units) Less(i, j int) bool {
-	a, b := h[i], h[j]
-	return cmp.Or(cmp.Compare(a.wants[0].why, b.wants[0].why), cmp.Compare(b.Risk, a.Risk),
-		heavier(a.wants[0], b.wants[0])) < 0
+// Less implements heap.Interface.
+func (q busyQueue) Less(i, j int) bool {
+	a, b := q[i], q[j]
+	first, second := a.ready[0], b.ready[0]
+	return cmp.Or(cmp.Compare(first.need.reason, second.need.reason), cmp.Compare(b.Risk, a.Risk), heavierFirst(first, second)) < 0
 }
-func (h units) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *units) Push(x any)   { u := x.(*unit); u.at = len(*h); *h = append(*h, u) }
-func (h *units) Pop() any     { u := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; u.at = -1; return u }
 
-// urgent brings up a unit's place among those whose instances wait.
-func (p *Planner) urgent(u *unit) {
-	waits := len(u.wants) > 0 && u.moves < p.most.unit
+// Swap implements heap.Interface.
+func (q busyQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].busyPosition, q[j].busyPosition = i, j
+}
+
+// Push implements heap.Interface; heap.Push calls it.
+func (q *busyQueue) Push(x any) {
+	n := x.(*node)
+	n.busyPosition = len(*q)
+	*q = append(*q, n)
+}
+
+// Pop implements heap.Interface; heap.Pop calls it.
+func (q *busyQueue) Pop() any {
+	last := len(*q) - 1
+	n := (*q)[last]
+	*q = (*q)[:last]
+	n.busyPosition = notQueued
+	return n
+}
+
+// updateBusy brings up a node's place among those whose instances are ready to move.
+func (p *Planner) updateBusy(n *node) {
+	ready := len(n.ready) > 0 && n.moves < p.settings.maxMovesPerNode
 	switch {
-	case waits && u.at < 0:
-		heap.Push(&p.busy, u)
-	case waits:
-		heap.Fix(&p.busy, u.at)
-	case u.at >= 0:
-		heap.Remove(&p.busy, u.at)
+	case ready && n.busyPosition == notQueued:
+		heap.Push(&p.busy, n)
+	case ready:
+		heap.Fix(&p.busy, n.busyPosition)
+	case n.busyPosition != notQueued:
+		heap.Remove(&p.busy, n.busyPosition)
 	}
 }
 
-// dues is a heap of instances by when they are looked at next.
-type dues []*row
+// reviewQueue is a heap of instances by when they are reviewed by themselves.
+type reviewQueue []*instance
+
+// Len implements heap.Interface.
+func (q reviewQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q reviewQueue) Less(i, j int) bool {
+	a, b := q[i], q[j]
+	return cmp.Or(cmp.Compare(a.review.due, b.review.due), cmp.Compare(a.Instance, b.Instance)) < 0
+}
+
+// Swap implements heap.Interface.
+func (q reviewQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].review.position, q[j].review.position = i, j
+}
+
+// Push implements heap.Interface; heap.Push calls it.
+func (q *reviewQueue) Push(x any) {
+	i := x.(*instance)
+	i.review.position = len(*q)
+	*q = append(*q, i)
+}
 
-func (h dues) Len() int { return len(h) }
-func (h dues) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].due, h[j].due), cmp.Compare(h[i].Instance, h[j].Instance)) < 0
+// Pop implements heap.Interface; heap.Pop calls it.
+func (q *reviewQueue) Pop() any {
+	last := len(*q) - 1
+	i := (*q)[last]
+	*q = (*q)[:last]
+	i.review.position = notQueued
+	return i
 }
-func (h dues) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].duePos, h[j].duePos = i, j }
-func (h *dues) Push(x any)   { r := x.(*row); r.duePos = len(*h); *h = append(*h, r) }
-func (h *dues) Pop() any     { r := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; r.duePos = -1; return r }
 
-// setDue says when an instance is looked at next by itself, 0 for never.
-func (p *Planner) setDue(r *row, at tick.Tick) {
-	r.due = at
+// scheduleReview says when an instance is reviewed next by itself, 0 for never.
+func (p *Planner) scheduleReview(i *instance, at tick.Tick) {
+	i.review.due = at
+	scheduled := i.review.position != notQueued
 	switch {
-	case at == 0 && r.duePos >= 0:
-		heap.Remove(&p.due, r.duePos)
-	case at != 0 && r.duePos >= 0:
-		heap.Fix(&p.due, r.duePos)
+	case at == 0 && scheduled:
+		heap.Remove(&p.reviews, i.review.position)
+	case at != 0 && scheduled:
+		heap.Fix(&p.reviews, i.review.position)
 	case at != 0:
-		heap.Push(&p.due, r)
+		heap.Push(&p.reviews, i)
+	}
+}
+
+// queueReview puts an instance among those that are reviewed now, in the order in which they came.
+func (p *Planner) queueReview(i *instance) {
+	if !i.review.queued {
+		i.review.queued = true
+		p.queued = append(p.queued, i)
+	}
+}
+
+// nextQueued takes the first of those that are reviewed now.
+func (p *Planner) nextQueued() *instance {
+	i := p.queued[0]
+	p.queued = p.queued[1:]
+	if len(p.queued) == 0 {
+		p.queued = nil
+	}
+	i.review.queued = false
+	return i
+}
+
+// queueReviewsOf has all instances reviewed that a node has to do with, the heaviest first.
+func (p *Planner) queueReviewsOf(n *node) {
+	for _, all := range []map[*instance]struct{}{n.primaryOf, n.replicaOf, n.incoming} {
+		for _, i := range byWeight(maps.Keys(all)) {
+			p.queueReview(i)
+		}
+	}
+}
+
+// parkedAt are instances that wait for a part of a bound on moves, in the order in which they came.
+type parkedAt struct {
+	replicas       []*instance // of those that lack one
+	remoteReplicas []*instance // of those that only lack one in another zone
+}
+
+// park puts an instance where it waits for a part of a bound.
+func (p *Planner) park(at *parkedAt, i *instance) {
+	list := &at.replicas
+	if i.need.reason == tooFewRemoteReplicas {
+		list = &at.remoteReplicas
+	}
+	if !i.wait.parked {
+		i.wait.parked = true
+		*list = append(*list, i)
+	}
+}
+
+// unpark looks again at the first instance that waited for a part of a bound: a node whose instances all lost a replica has
+// them copied one after the other, and not a few each time that they are reviewed by themselves. Those that lack a replica
+// come first.
+func (p *Planner) unpark(at *parkedAt) {
+	for len(at.replicas)+len(at.remoteReplicas) > 0 {
+		list := &at.replicas
+		if len(*list) == 0 {
+			list = &at.remoteReplicas
+		}
+		i := (*list)[0]
+		*list = (*list)[1:]
+		if len(*list) == 0 {
+			*list = nil
+		}
+		i.wait.parked = false
+		if p.instances[i.Instance] == i && (i.need.replica || i.need.remoteReplica) {
+			p.queueReview(i)
+			return
+		}
 	}
 }
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -3,109 +3,156 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
+	"slices"
+
 	"silvercove/internal/placement"
 	"silvercove/internal/replica"
-	"slices"
 )
 
-// NodeInventory is what one unit has, as it told after the keepers' log was lost.
+// NodeInventory is what one node has, as it told after the controllers' log was lost.
 type NodeInventory struct {
 	Node   string
 	Zone   string
 	Copies []replica.CopyStatus
 }
 
-// epochGap is by how much epochs are raised where placement is rebuilt: above all that were seen, and above any that a
-// silent unit may have been given without another one hearing of it.
-const epochGap = 1000
+const (
+	// rebuildEpochGap is by how much epochs are raised where assignments are rebuilt: above all that were seen, and above any
+	// that a silent node may have been given without another one hearing of it.
+	rebuildEpochGap = 1000
 
-// Rebuild makes places anew from what units have, and from an earlier state of the table where there is one. An instance
-// goes on at a unit that has every acked effect for sure: one that owned or held it by the latest word that anyone has,
-// or the one that has most where no unit is silent. Else it is Lost: it waits for a unit that has it, and is restarted
-// from an older copy that is known. told says by name what is lost, or may be.
-func Rebuild(found []NodeInventory, silent []string, old []placement.Assignment) (places []placement.Assignment, told []string) {
-	type copied struct {
-		replica.CopyStatus
-		unit, zone string
-	}
-	all := map[string][]copied{}
+	// maxRebuiltStaleCopies is how many older copies of one instance are noted.
+	maxRebuiltStaleCopies = 4
+)
+
+// Rebuild makes assignments anew from what nodes have, and from an earlier state of the table where there is one. An
+// instance goes on at a node that has every acknowledged entry for sure: one that was its primary or a replica by the latest
+// word that anyone has, or the one that has most where no node is silent. Else it is lost: it waits for a node that has it,
+// and is restarted from an older copy that is known. The notes say by name what is lost, or may be.
+func Rebuild(found []NodeInventory, silent []string, old []placement.Assignment) (all []placement.Assignment, notes []string) {
+	r := &rebuild{silent: silent, copies: map[string][]foundCopy{}}
 	for _, f := range found {
-		for _, h := range f.Copies {
-			all[h.Instance] = append(all[h.Instance], copied{h, f.Node, f.Zone})
+		for _, c := range f.Copies {
+			r.copies[c.Instance] = append(r.copies[c.Instance], foundCopy{c, f.Node, f.Zone})
 		}
 	}
 	before := map[string]placement.Assignment{}
-	var names []string
-	for _, p := range old {
-		before[p.Instance] = p
-		names = append(names, p.Instance)
-	}
-	for name := range all {
-		names = append(names, name)
+	for _, a := range old {
+		before[a.Instance] = a
 	}
+	names := slices.AppendSeq(slices.Collect(maps.Keys(before)), maps.Keys(r.copies))
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		was, known := before[name]
-		var latest uint64 // epoch that anyone heard of
-		for _, c := range all[name] {
-			latest = max(latest, c.Epoch)
+		all = append(all, r.instance(name, was, known))
+	}
+	return all, r.notes
+}
+
+// foundCopy is a copy of one instance and where it was found.
+type foundCopy struct {
+	replica.CopyStatus
+	node, zone string
+}
+
+type rebuild struct {
+	silent []string // nodes that have not answered
+	copies map[string][]foundCopy
+	notes  []string
+}
+
+func (r *rebuild) note(format string, args ...any) {
+	r.notes = append(r.notes, fmt.Sprintf(format, args...))
+}
+
+// instance makes the assignment of one instance, from what it was where that is known.
+func (r *rebuild) instance(name string, was placement.Assignment, known bool) placement.Assignment {
+	latest := was.Epoch // that anyone heard of
+	for _, c := range r.copies[name] {
+		latest = max(latest, c.Epoch)
+	}
+	a := placement.Assignment{Instance: name, State: placement.Lost, Epoch: latest + rebuildEpochGap, Revision: 1, Zone: was.Zone,
+		Weight: max(1, was.Weight), Size: was.Size, Index: was.Index, Extension: was.Extension, EverServed: true,
+		Reason: "placement was rebuilt"}
+	if copies := bestFirst(r.copies[name], latest); len(copies) > 0 {
+		r.continueFrom(&a, copies, latest, known)
+	} else {
+		r.awaitSilent(&a, was)
+	}
+	if was.State == placement.Quarantined {
+		keepQuarantined(&a)
+	}
+	return a
+}
+
+// isCountedOn reports whether a node was the primary or a replica by the latest word, and has what it was counted on for.
+func (c foundCopy) isCountedOn(latest uint64) bool {
+	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latest
+}
+
+// bestFirst returns the copies that have something, those that are counted on and have most first.
+func bestFirst(all []foundCopy, latest uint64) []foundCopy {
+	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
+	slices.SortFunc(copies, func(a, b foundCopy) int {
+		return cmp.Or(
+			-cmp.Compare(countIf(a.isCountedOn(latest)), countIf(b.isCountedOn(latest))),
+			-cmp.Compare(countIf(a.IsPrimary), countIf(b.IsPrimary)),
+			-cmp.Compare(a.LastEpoch, b.LastEpoch),
+			-cmp.Compare(a.Index, b.Index),
+			cmp.Compare(a.node, b.node))
+	})
+	return copies
+}
+
+// continueFrom lets an instance go on at the node of the best copy, if that has everything for sure, with those that have
+// the same as replicas.
+func (r *rebuild) continueFrom(a *placement.Assignment, copies []foundCopy, latest uint64, known bool) {
+	best := copies[0]
+	a.Index, a.Size = best.Index, best.Size
+	if a.Zone == "" {
+		a.Zone = best.zone
+	}
+	if !known {
+		r.note("%s: its importance and its device's zone are not known; it has 1 and %s", a.Instance, a.Zone)
+	}
+	sure := best.isCountedOn(latest) || len(r.silent) == 0
+	if sure {
+		a.State, a.Primary = placement.Running, best.node
+	} else {
+		r.note("%s: lost for now: %s has %d effects, and a silent unit may have more", a.Instance, best.node, best.Index)
+	}
+	for _, c := range copies {
+		switch {
+		case sure && c.node == best.node:
+		case sure && c.Index == best.Index && c.Checksum == best.Checksum:
+			a.Replicas = append(a.Replicas, c.node)
+		case len(a.StaleCopies) < maxRebuiltStaleCopies:
+			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: c.node, Index: c.Index})
 		}
-		latest = max(latest, was.Epoch)
-		counted := func(c copied) bool { return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latest }
-		copies := slices.DeleteFunc(slices.Clone(all[name]), func(c copied) bool { return c.Incomplete && c.Index == 0 })
-		slices.SortFunc(copies, func(a, b copied) int {
-			return cmp.Or(-cmp.Compare(b2i(counted(a)), b2i(counted(b))), -cmp.Compare(b2i(a.IsPrimary), b2i(b.IsPrimary)),
-				-cmp.Compare(a.LastEpoch, b.LastEpoch), -cmp.Compare(a.Index, b.Index), cmp.Compare(a.unit, b.unit))
-		})
-		p := placement.Assignment{Instance: name, State: placement.Lost, Epoch: latest + epochGap, Revision: 1, Zone: was.Zone, Weight: max(1, was.Weight),
-			Size: was.Size, Index: was.Index, Extension: was.Extension, EverServed: true, Reason: "placement was rebuilt"}
-		if len(copies) > 0 {
-			best := copies[0]
-			p.Index, p.Size = best.Index, best.Size
-			if p.Zone == "" {
-				p.Zone = best.zone
-			}
-			if !known {
-				told = append(told, fmt.Sprintf("%s: its importance and its device's zone are not known; it has 1 and %s", name, p.Zone))
-			}
-			sure := counted(best) || len(silent) == 0
-			if sure {
-				p.State, p.Primary = placement.Running, best.unit
-			} else {
-				told = append(told, fmt.Sprintf("%s: lost for now: %s has %d effects, and a silent unit may have more", name, best.unit,
-					best.Index))
-			}
-			for _, c := range copies {
-				switch {
-				case sure && c.unit == best.unit:
-				case sure && c.Index == best.Index && c.Checksum == best.Checksum:
-					p.Replicas = append(p.Replicas, c.unit)
-				case len(p.StaleCopies) < 4:
-					p.StaleCopies = append(p.StaleCopies, placement.StaleCopy{Node: c.unit, Index: c.Index})
-				}
-				if c.Index > best.Index {
-					told = append(told, fmt.Sprintf("%s: %s has %d effects that were not counted on; it goes on without them", name,
-						c.unit, c.Index-best.Index))
-				}
-			}
-			slices.Sort(p.Replicas)
-		} else {
-			for _, unit := range append([]string{was.Primary}, was.Replicas...) {
-				if slices.Contains(silent, unit) && len(p.StaleCopies) < 4 {
-					p.StaleCopies = append(p.StaleCopies, placement.StaleCopy{Node: unit, Index: was.Index})
-				}
-			}
-			told = append(told, fmt.Sprintf("%s: lost: no unit that answered has it", name))
+		if c.Index > best.Index {
+			r.note("%s: %s has %d effects that were not counted on; it goes on without them", a.Instance, c.node, c.Index-best.Index)
 		}
-		if was.State == placement.Quarantined {
-			p.State = placement.Quarantined
-			if p.Primary != "" {
-				p.Replicas = append(p.Replicas, p.Primary)
-				slices.Sort(p.Replicas)
-				p.Primary = ""
-			}
+	}
+	slices.Sort(a.Replicas)
+}
+
+// awaitSilent has an instance that nobody has wait for the silent nodes that had it.
+func (r *rebuild) awaitSilent(a *placement.Assignment, was placement.Assignment) {
+	for _, node := range append([]string{was.Primary}, was.Replicas...) {
+		if slices.Contains(r.silent, node) && len(a.StaleCopies) < maxRebuiltStaleCopies {
+			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: node, Index: was.Index})
 		}
-		places = append(places, p)
 	}
-	return places, told
+	r.note("%s: lost: no unit that answered has it", a.Instance)
+}
+
+// keepQuarantined leaves an instance without a primary that was quarantined before.
+func keepQuarantined(a *placement.Assignment) {
+	a.State = placement.Quarantined
+	if a.Primary != "" {
+		a.Replicas = append(a.Replicas, a.Primary)
+		slices.Sort(a.Replicas)
+		a.Primary = ""
+	}
 }
