--- /dev/null
+++ b/internal/migration/faults_test.go
@@ -0,0 +1,134 @@
+package migration_test
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+func contains(s, part string) bool { return strings.Contains(s, part) }
+func join(lines []string) string   { return strings.Join(lines, "\n") }
+func linesWith(lines []string, part string) []string {
+	return slices.DeleteFunc(slices.Clone(lines), func(s string) bool { return !contains(s, part) })
+}
+
+// faultySimulation is a fleet under random faults for 20 s: falls, cuts, tired units, crossings, lost entries, leaders.
+func faultySimulation(t interface{ Fatalf(string, ...any) }, seed uint64, units, instances int) *simulation {
+	zones := make([]string, 1+int(seed%4))
+	for i := range zones {
+		zones[i] = fmt.Sprint("z", i)
+	}
+	for i := range units {
+		zones[i%len(zones)] += fmt.Sprintf(" u%02d", i)
+	}
+	sim := newSimulation(t, seed, strings.Join(zones[:min(len(zones), units)], ";"), map[string]any{"fleet.copies": float64(seed % 3),
+		"fleet.falls": 50.0})
+	zones = strings.Fields(strings.Join(zones, " "))
+	zones = slices.DeleteFunc(zones, func(s string) bool { return s[0] != 'z' })
+	for i := range instances {
+		sim.create(fmt.Sprintf("i%03d", i), sim.names[sim.random.IntN(units)], zones[sim.random.IntN(len(zones))], float64(1+sim.random.IntN(100)))
+	}
+	sim.run(2 * second)
+	sim.lossShare = 0.2
+	end := sim.now + 20*second
+	cuts := map[string]bool{}
+	sim.partitioned = func(from, to string) bool { return cuts[from+to] }
+	var fault func()
+	fault = func() {
+		if sim.now >= end {
+			return
+		}
+		sim.after(tick.Tick(1+sim.random.IntN(8000)), fault)
+		e := sim.nodes[sim.names[sim.random.IntN(units)]]
+		for range 1 + sim.random.IntN(3) {
+			switch sim.random.IntN(12) {
+			case 0:
+				e.down = true
+				clear(e.serving)
+			case 1:
+				e.down = false
+			case 2:
+				e.disconnected = !e.disconnected
+			case 3:
+				e.Evacuating, e.Accepting, e.Risk = true, false, sim.random.Float64()
+			case 4:
+				e.Evacuating, e.Accepting, e.Risk, e.FreeSlots = false, true, sim.random.Float64(), sim.random.IntN(30)-5
+			case 5:
+				e.Draining = !e.Draining
+			case 6:
+				e.RollingBack = !e.RollingBack
+			case 7, 8:
+				sim.moveDevice(fmt.Sprintf("i%03d", sim.random.IntN(instances)), zones[sim.random.IntN(len(zones))])
+			case 9:
+				cuts[sim.names[sim.random.IntN(units)]+sim.names[sim.random.IntN(units)]] = true
+			case 10:
+				sim.electLeader()
+			case 11:
+				sim.noMajority = sim.random.IntN(3) == 0
+			}
+		}
+	}
+	fault()
+	sim.after(end-sim.now, func() {
+		sim.lossShare, sim.noMajority, sim.partitioned = 0, false, nil
+		for _, e := range sim.nodes {
+			e.down, e.disconnected, e.Draining, e.RollingBack, e.Evacuating, e.Accepting, e.FreeSlots = false, false, false, false, false, true, 50
+			e.Risk = min(e.Risk, 0.5)
+		}
+		sim.electLeader() // the keepers' majority is back
+	})
+	return sim
+}
+
+// TestPlanner_EveryMigrationEndsDespiteLosses: rule 4, and the quiet after it.
+func TestPlanner_EveryMigrationEndsDespiteLosses(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		seed := rapid.Uint64Range(0, 1<<40).Draw(t, "seed")
+		units, instances := rapid.IntRange(3, 20).Draw(t, "units"), rapid.IntRange(1, 60).Draw(t, "instances")
+		sim := faultySimulation(t, seed, units, instances)
+		sim.run(20 * second)
+		under := map[string]uint64{} // what the faults left
+		for _, p := range sim.table.All() {
+			if p.CopyTarget != "" {
+				under[p.Instance] = p.Revision
+			}
+		}
+		sim.run(10*second + 2*lease)
+		for _, p := range sim.table.All() {
+			if c, was := under[p.Instance]; was && p.Revision == c {
+				t.Fatalf("a handover did not end: %+v", p)
+			}
+			if p.State == placement.Lost {
+				t.Fatalf("lost for longer than restart_after: %+v", p)
+			}
+		}
+		sim.run(60 * second)
+		clear(sim.moves)
+		steps := sim.proposals
+		sim.run(60 * second)
+		for name, n := range sim.moves {
+			if n > 2 {
+				t.Fatalf("%s was handed over %d times in a fleet at rest\n%s", name, n, join(linesWith(sim.lines, name)))
+			}
+		}
+		zones := map[string]bool{}
+		for _, e := range sim.nodes {
+			zones[e.Zone] = true
+		}
+		for _, p := range sim.table.All() {
+			want := min(units-1, int(sim.settings["fleet.copies"].(float64)))
+			if p.State != placement.Running || p.CopyTarget != "" || zones[p.Zone] && p.Zone != sim.nodes[p.Primary].Zone || len(p.Replicas) != want {
+				t.Fatalf("not settled: %+v, %s\n%s", p, sim.nodes[p.Primary].Zone, join(linesWith(sim.lines, p.Instance)))
+			}
+		}
+		if n := sim.proposals - steps; n > 3*instances {
+			t.Fatalf("%d steps in a fleet at rest", n)
+		}
+	})
+}
--- /dev/null
+++ b/internal/migration/proposals_test.go
@@ -0,0 +1,263 @@
+package migration_test
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	. "silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+// newScriptedPlanner is a planner whose steps are answered by the test alone. Units a and b are in north, s in south.
+func newScriptedPlanner(set map[string]any, units ...NodeStatus) (*recordingHost, *Planner) {
+	h := &recordingHost{}
+	p := NewPlanner(h, 1, 1, set)
+	p.OnElected(1)
+	for _, u := range units {
+		if u.Zone == "" {
+			u.Zone = map[bool]string{true: "south", false: "north"}[u.Name == "s"]
+		}
+		u.Incarnation = max(1, u.Incarnation)
+		p.OnNodeStatus(1, u)
+	}
+	return h, p
+}
+
+func healthyNode(name string, danger float64) NodeStatus {
+	return NodeStatus{Name: name, Accepting: true, FreeSlots: 9, Risk: danger}
+}
+
+func runningAt(name, owner string, holders ...string) placement.Assignment {
+	return placement.Assignment{Instance: name, State: placement.Running, Primary: owner, Epoch: 1, Revision: 1, Replicas: holders, Zone: "north", Weight: 5}
+}
+
+// takeProposals is what was asked for since it was read last, in short.
+func (h *recordingHost) takeProposals() string {
+	var all []string
+	for _, e := range h.proposals {
+		all = append(all, strings.TrimSpace(fmt.Sprintf("%s %s %s", e.Kind, e.Instance, e.Target)))
+	}
+	h.proposals = nil
+	return strings.Join(all, ", ")
+}
+
+func expectProposals(t *testing.T, h *recordingHost, want string) {
+	t.Helper()
+	if got := h.takeProposals(); got != want {
+		t.Errorf("asked for %q, not %q", got, want)
+	}
+}
+
+var noCopies = map[string]any{"fleet.copies": 0.0}
+
+func TestPlanner_CancelsCopyToIneligibleTarget(t *testing.T) {
+	for why, bad := range map[string]NodeStatus{"drains": {Accepting: true, Draining: true}, "leaves": {Accepting: true, ShuttingDown: true},
+		"goes back": {Accepting: true, RollingBack: true}, "refuses": {}, "hands on": {Accepting: true, Evacuating: true}} {
+		h, p := newScriptedPlanner(noCopies, healthyNode("a", 0.1), healthyNode("b", 0.1))
+		place := runningAt("c", "a")
+		place.CopyTarget, place.CutOver = "b", true
+		p.OnAssignment(2, place)
+		expectProposals(t, h, "")
+		bad.Name, bad.Zone, bad.Incarnation, bad.FreeSlots = "b", "north", 1, 9
+		if p.OnNodeStatus(3, bad); h.takeProposals() != "back c b" {
+			t.Errorf("%s: the copy goes on", why)
+		}
+	}
+}
+
+func TestPlanner_WaitsForSuccessorWithShortLease(t *testing.T) {
+	for _, falls := range []bool{true, false} {
+		b := healthyNode("b", 0.1)
+		b.LeaseEnd = 9000
+		h, p := newScriptedPlanner(nil, healthyNode("a", 0.1), b)
+		p.OnAssignment(2, runningAt("c", "a", "b"))
+		p.OnLeaseExpired(8000, "a")
+		expectProposals(t, h, "")
+		if falls {
+			p.OnLeaseExpired(9000, "b")
+			p.OnTick(10000)
+			expectProposals(t, h, "fail c")
+		} else {
+			b.Zone, b.Incarnation, b.LeaseEnd = "north", 1, 19000
+			p.OnNodeStatus(8500, b)
+			p.OnTick(10000)
+			expectProposals(t, h, "fail c b")
+		}
+	}
+}
+
+func TestPlanner_ExpiredReplicaIsNoSuccessor(t *testing.T) {
+	b := healthyNode("b", 0.1)
+	b.LeaseEnd = 9000
+	h, p := newScriptedPlanner(nil, healthyNode("a", 0.1), b)
+	p.OnAssignment(2, runningAt("c", "a", "b"))
+	p.OnLeaseExpired(8000, "a")
+	for now := tick.Tick(8000); now < 16000; now = p.OnTick(now) {
+		if now < 12000 {
+			expectProposals(t, h, "")
+		}
+	}
+	expectProposals(t, h, "fail c")
+}
+
+func TestPlanner_EmptyReplicaIsNoSuccessor(t *testing.T) {
+	h, p := newScriptedPlanner(nil, healthyNode("a", 0.1), healthyNode("b", 0.1))
+	p.OnAssignment(2, runningAt("c", "a", "b"))
+	b := healthyNode("b", 0.1)
+	b.Zone, b.Incarnation, b.LostCopies = "north", 2, true
+	p.OnNodeStatus(3, b)
+	expectProposals(t, h, "drop c b")
+	p.OnLeaseExpired(4, "a")
+	p.OnProposalRefused(5, placement.Operation{Version: 1, Kind: placement.OpDropReplica, Instance: "c", Epoch: 1, Target: "b"}, errors.New("the majority is gone"))
+	p.OnTick(5000)
+	expectProposals(t, h, "fail c")
+}
+
+func TestPlanner_NodesEvacuatingInTurnSettle(t *testing.T) {
+	sim := newSimulation(t, 1, "north a b", map[string]any{"fleet.copies": 0.0})
+	sim.create("cam", "a", "north", 5)
+	turn := false
+	var swing func()
+	swing = func() {
+		turn = !turn
+		for name, tired := range map[string]bool{"a": turn, "b": !turn} {
+			e := sim.nodes[name]
+			e.Evacuating, e.Accepting, e.Risk = tired, !tired, map[bool]float64{true: 0.9, false: 0.1}[tired]
+		}
+		sim.after(4*second, swing)
+	}
+	swing()
+	sim.run(600 * second)
+	if n := sim.moves["cam"]; n < 2 || n > 9 {
+		t.Errorf("%d moves in ten minutes", n)
+	}
+}
+
+func TestPlanner_CopiesLeaveRoomForMigrations(t *testing.T) {
+	h, p := newScriptedPlanner(map[string]any{"fleet.moves.all": 4.0}, healthyNode("a", 0.1), healthyNode("b", 0.1), healthyNode("s", 0.1))
+	for i := range 9 {
+		p.OnAssignment(2, runningAt(fmt.Sprint("c", i), "a"))
+	}
+	expectProposals(t, h, "copy c0 b, copy c1 b, copy c2 b")
+	place := runningAt("c8", "a")
+	place.Zone, place.Revision = "south", 2
+	p.OnAssignment(3, place)
+	expectProposals(t, h, "copy c8 s")
+}
+
+func TestPlanner_AvoidsADroppedReplica(t *testing.T) {
+	h, p := newScriptedPlanner(nil, healthyNode("a", 0.1), healthyNode("b", 0.1), healthyNode("d", 0.6))
+	p.OnAssignment(2, runningAt("c", "a", "b"))
+	place := runningAt("c", "a")
+	place.Revision = 2
+	p.OnAssignment(3, place)
+	expectProposals(t, h, "copy c d")
+}
+
+func TestPlanner_ReviewsAnInstanceNoFreedLinkWoke(t *testing.T) {
+	h, p := newScriptedPlanner(map[string]any{"fleet.copies": 0.0, "fleet.moves.link": 1.0}, healthyNode("a", 0.1), healthyNode("s", 0.1))
+	w, x, y := runningAt("w", "a"), runningAt("x", "a"), runningAt("y", "a")
+	w.Zone, x.Zone, y.Zone, w.Weight, x.Weight = "south", "south", "south", 9, 7
+	for _, place := range []placement.Assignment{w, x, y} {
+		p.OnAssignment(2, place)
+	}
+	expectProposals(t, h, "copy w s")
+	s := healthyNode("s", 0.1)
+	s.Zone, s.Incarnation, s.Accepting = "south", 1, false
+	p.OnNodeStatus(3, s)
+	w.Revision, w.Zone = 2, "north" // the copy was given up; w and x go home
+	p.OnProposalRefused(4, placement.Operation{Version: 1, Kind: placement.OpStartCopy, Instance: "w", Epoch: 1, Target: "s"}, placement.ErrWrongState)
+	p.OnAssignment(4, w)
+	x.Revision, x.Zone = 2, "north"
+	p.OnAssignment(5, x)
+	s.Accepting = true
+	p.OnNodeStatus(6, s)
+	for now := tick.Tick(7); now < 60000; now = p.OnTick(now) {
+	}
+	if got := h.takeProposals(); !strings.Contains(got, "copy y s") {
+		t.Errorf("%q", got)
+	}
+}
+
+func TestPlanner_KeepsReplicasOfAnInstanceThatCannotMove(t *testing.T) {
+	sim := newSimulation(t, 1, "north a b c; south d", nil)
+	sim.nodes["d"].Accepting = false
+	sim.create("cam", "a", "north", 5)
+	sim.run(2 * second)
+	sim.moveDevice("cam", "south")
+	sim.run(2 * second)
+	held := sim.assignment("cam").Replicas[0]
+	sim.nodes[held].down = true
+	sim.run(20 * second)
+	if p := sim.assignment("cam"); p.Primary != "a" || len(p.Replicas) != 1 || p.Replicas[0] == held {
+		t.Errorf("%+v", p)
+	}
+}
+
+func TestPlanner_DropsSurplusReplicasBeforeAMove(t *testing.T) {
+	h, p := newScriptedPlanner(nil, healthyNode("a", 0.1), healthyNode("b", 0.1), healthyNode("d", 0.2), healthyNode("e", 0.3), healthyNode("s", 0.1))
+	place := runningAt("c", "a", "b", "d", "e")
+	place.Zone = "south"
+	p.OnAssignment(2, place)
+	expectProposals(t, h, "drop c e")
+}
+
+func TestPlanner_NodeMostAtRiskGoesFirst(t *testing.T) {
+	h, p := newScriptedPlanner(map[string]any{"fleet.copies": 0.0, "fleet.moves.all": 1.0}, NodeStatus{Name: "b"}, NodeStatus{Name: "a"},
+		NodeStatus{Name: "e"}, healthyNode("d", 0.1))
+	for _, owner := range []string{"a", "b", "e"} {
+		p.OnAssignment(2, runningAt("at-"+owner, owner))
+	}
+	for i, name := range []string{"e", "a", "b"} {
+		p.OnNodeStatus(3, NodeStatus{Name: name, Zone: "north", Incarnation: 1, Evacuating: true, Risk: 0.6 + 0.1*float64(i)})
+	}
+	expectProposals(t, h, "copy at-e d") // the first to be told
+	p.OnProposalRefused(4, placement.Operation{Version: 1, Kind: placement.OpStartCopy, Instance: "at-e", Epoch: 1, Target: "d"}, placement.ErrWrongState)
+	expectProposals(t, h, "copy at-b d")
+}
+
+func TestPlanner_IgnoresStaleAssignments(t *testing.T) {
+	h, p := newScriptedPlanner(noCopies, healthyNode("a", 0.1), healthyNode("b", 0.1))
+	now := runningAt("c", "b")
+	now.Epoch, now.Revision = 2, 4
+	p.OnAssignment(2, now)
+	p.OnAssignment(3, runningAt("c", "a"))
+	p.OnLeaseExpired(4, "a")
+	expectProposals(t, h, "")
+	p.OnLeaseExpired(5, "b")
+	expectProposals(t, h, "fail c")
+}
+
+func TestPlanner_PressingReasonSkipsBackOff(t *testing.T) {
+	h, p := newScriptedPlanner(noCopies, healthyNode("a", 0.1), healthyNode("b", 0.1))
+	place := runningAt("c", "a")
+	place.Zone = "south" // where there is no unit
+	p.OnAssignment(2, place)
+	now := tick.Tick(3)
+	for now < 200000 {
+		now = p.OnTick(now)
+	}
+	a := healthyNode("a", 0.1)
+	a.Zone, a.Incarnation, a.Draining = "north", 1, true
+	p.OnNodeStatus(200001, a)
+	expectProposals(t, h, "copy c b")
+}
+
+func TestPlanner_IgnoresOddFacts(t *testing.T) {
+	h, p := newScriptedPlanner(nil)
+	p.OnProposalRefused(2, placement.Operation{Instance: "nobody", Kind: placement.OpStartCopy}, placement.ErrStaleEpoch)
+	p.OnAssignment(2, placement.Assignment{Instance: "c", State: placement.Deleted})
+	p.OnLeaseExpired(2, "nobody")
+	p.OnDeviceMoved(2, "nobody", "north")
+	p.OnAssignment(3, runningAt("c", "a", "b"))
+	p.OnAssignment(4, placement.Assignment{Instance: "c", State: placement.Deleted, Epoch: 1, Revision: 2})
+	p.OnDeviceMoved(5, "c", "north")
+	p.OnNodeStatus(6, healthyNode("a", 0.1))
+	p.OnDeposed(7)
+	p.OnLeaseExpired(8, "a")
+	p.OnTick(100000)
+	expectProposals(t, h, "")
+}
--- /dev/null
+++ b/internal/migration/remote_replicas_test.go
@@ -0,0 +1,273 @@
+package migration_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	. "silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+func inZone(zone string, u NodeStatus) NodeStatus {
+	u.Zone = zone
+	return u
+}
+
+// What the planner asks for of an instance in the north with one copy, one of them in another zone. Units n1, n2 are in the
+// north, s1, s2 in the south.
+func TestPlanner_PlacesRemoteReplicas(t *testing.T) {
+	one := map[string]any{"fleet.away": 1.0}
+	tired := NodeStatus{Name: "s1", Evacuating: true, Risk: 0.6}
+	for _, c := range []struct {
+		what    string
+		set     map[string]any
+		units   []NodeStatus
+		holders []string
+		want    string
+	}{
+		{"without the directive a copy stays in the zone", nil,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.3)), inZone("south", healthyNode("s1", 0.1))}, nil, "copy cam n2"},
+		{"the first copy goes to another zone", one,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", healthyNode("s1", 0.3))}, nil, "copy cam s1"},
+		{"a copy in the zone is not enough", one,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", healthyNode("s1", 0.3))}, []string{"n2"}, "copy cam s1"},
+		{"the near one goes once the far one is there", one,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", tired)}, []string{"n2", "s1"}, "drop cam n2"},
+		{"two far ones: one goes", one,
+			[]NodeStatus{inZone("south", healthyNode("s1", 0.1)), inZone("west", healthyNode("w1", 0.3))}, []string{"s1", "w1"}, "drop cam w1"},
+		{"enough", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", tired)}, []string{"s1"}, ""},
+		{"one zone only: a copy in it", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1))}, nil, "copy cam n2"},
+		{"and it is enough", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1))}, []string{"n2"}, ""},
+		{"all far ones tired: a copy in the zone", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", tired)}, nil, "copy cam n2"},
+		{"and it stays", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", tired)}, []string{"n2"}, ""},
+		{"a far one that drains does not count", one,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", NodeStatus{Name: "s1", Draining: true}), inZone("south", healthyNode("s2", 0.3))},
+			[]string{"s1"}, "copy cam s2"},
+		{"and goes first", one,
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", NodeStatus{Name: "s1", Draining: true}), inZone("south", healthyNode("s2", 0.3))},
+			[]string{"s1", "s2"}, "drop cam s1"},
+		{"no near one goes while a zone is not known", one, []NodeStatus{inZone("north", healthyNode("n2", 0.1))}, []string{"n2", "x"}, ""},
+		{"of two one is near, one far", map[string]any{"fleet.copies": 2.0, "fleet.away": 1.0},
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.1)), inZone("south", healthyNode("s1", 0.3)), inZone("south", healthyNode("s2", 0.3))},
+			[]string{"s1"}, "copy cam n2"},
+		{"and a second far one goes before the near one", map[string]any{"fleet.copies": 2.0, "fleet.away": 1.0},
+			[]NodeStatus{inZone("north", healthyNode("n2", 0.6)), inZone("south", healthyNode("s1", 0.1)), inZone("south", healthyNode("s2", 0.3))},
+			[]string{"n2", "s1", "s2"}, "drop cam s2"},
+		{"more than copies is copies", map[string]any{"fleet.away": 4.0},
+			[]NodeStatus{inZone("south", healthyNode("s1", 0.1)), inZone("west", healthyNode("w1", 0.3))}, []string{"s1"}, ""},
+	} {
+		h, p := newScriptedPlanner(c.set, append(c.units, inZone("north", healthyNode("n1", 0.1)))...)
+		place := runningAt("cam", "n1", c.holders...)
+		p.OnAssignment(2, place)
+		if got := h.takeProposals(); got != c.want {
+			t.Errorf("%s: asked for %q, not %q", c.what, got, c.want)
+		}
+		looks := 0
+		for now := tick.Tick(3); now < 600*second; now = p.OnTick(now) {
+			if len(c.want) == 0 {
+				looks++
+			}
+		}
+		if looks > 1200 || c.want == "" && h.takeProposals() != "" {
+			t.Errorf("%s: it goes on looking: %d times in 600 s, %v", c.what, looks, h.proposals)
+		}
+	}
+}
+
+// A zone that was full, or not there, is used once it has room: all instances get a holder there, one after the other.
+func TestPlanner_UsesAZoneThatBecomesAvailable(t *testing.T) {
+	sim := newSimulation(t, 1, "north a b c; south d e f", map[string]any{"fleet.away": 1.0})
+	for i, name := range []string{"d", "e", "f"} {
+		sim.nodes[name].Accepting, sim.nodes[name].Risk = false, 0.1+0.05*float64(i)
+	}
+	for _, e := range sim.nodes {
+		e.FreeSlots = 200
+	}
+	for i := range 120 {
+		sim.create(fmt.Sprint("cam-", i), sim.names[i%3], "north", 5)
+	}
+	sim.run(30 * second)
+	for _, p := range sim.table.All() {
+		if len(p.Replicas) != 1 || sim.nodes[p.Replicas[0]].Zone != "north" {
+			t.Fatalf("%+v", p)
+		}
+	}
+	steps := sim.proposals
+	sim.run(70 * second) // between two times at which they look by themselves
+	if sim.proposals > steps {
+		t.Errorf("%d steps while nothing can be had", sim.proposals-steps)
+	}
+	for _, name := range []string{"d", "e", "f"} {
+		sim.nodes[name].Accepting = true
+	}
+	sim.run(20 * second)
+	held := map[string]int{}
+	for _, p := range sim.table.All() {
+		if len(p.Replicas) != 1 || sim.nodes[p.Replicas[0]].Zone != "south" || p.CopyTarget != "" {
+			t.Fatalf("%+v", p)
+		}
+		held[p.Replicas[0]]++
+	}
+	for name, n := range held {
+		if n > 80 || len(held) < 3 {
+			t.Errorf("%s holds %d of 120: %v", name, n, held)
+		}
+	}
+	if n := sim.proposals - steps; n > 3*120 {
+		t.Errorf("%d steps for 120 copies and as many drops", n)
+	}
+}
+
+// A zone is cut off whole: what it ran goes on in another one with all its effects, and home once it is back, and no
+// instance is copied again and again.
+func TestPlanner_FailsOverAPartitionedZone(t *testing.T) {
+	for _, copies := range []float64{1, 2} {
+		sim := newSimulation(t, 1, "north a b; south c d; west e f", map[string]any{"fleet.away": 1.0, "fleet.copies": copies})
+		for i := range 20 {
+			sim.create(fmt.Sprint("cam-", i), []string{"a", "b"}[i%2], "north", 5)
+		}
+		sim.run(5 * second)
+		north := func(name string) bool { return sim.nodes[name].Zone == "north" }
+		sim.partitioned = func(from, to string) bool { return north(from) != north(to) }
+		sim.nodes["a"].disconnected, sim.nodes["b"].disconnected = true, true
+		sim.run(60 * second)
+		for _, p := range sim.table.All() {
+			if p.State != placement.Running || p.MissingEntries > 0 || north(p.Primary) || p.Failures != 1 && p.Failures != 0 || len(p.Replicas) != int(copies) {
+				t.Fatalf("%+v", p)
+			}
+		}
+		sim.nodes["a"].disconnected, sim.nodes["b"].disconnected, sim.partitioned = false, false, nil
+		sim.run(60 * second)
+		for _, p := range sim.table.All() {
+			far := 0
+			for _, name := range p.Replicas {
+				far += countIf(!north(name))
+			}
+			if !north(p.Primary) || len(p.Replicas) != int(copies) || far < 1 || p.CopyTarget != "" {
+				t.Fatalf("%+v", p)
+			}
+		}
+		steps := sim.proposals
+		sim.run(600 * second)
+		if sim.proposals > steps+20 { // its falls count anew
+			t.Errorf("%d steps at rest", sim.proposals-steps)
+		}
+	}
+}
+
+// Links between zones are too slow for acks: owners drop each holder there soon after it is one. Copies over them become
+// fewer and fewer, and in between the holder is in the zone.
+func TestPlanner_BacksOffFromUnreachableRemoteReplicas(t *testing.T) {
+	for _, copies := range []float64{1, 2} {
+		sim := newSimulation(t, 1, "north a b c; south d e; west f", map[string]any{"fleet.away": 1.0, "fleet.copies": copies})
+		sim.create("cam", "a", "north", 5)
+		sim.partitioned = func(from, to string) bool { // copies get through, and then nothing
+			return sim.assignment("cam").CopyTarget == "" && sim.nodes[from].Zone != sim.nodes[to].Zone
+		}
+		bare, n := tick.Tick(0), 0
+		for sim.now < 3600*second {
+			sim.run(100 * ms)
+			if p := sim.assignment("cam"); len(p.Replicas) == 0 {
+				bare += 100 * ms
+			}
+		}
+		for _, line := range sim.lines {
+			n += countIf(contains(line, "copy cam"))
+		}
+		if n > 30 || bare > 2*second {
+			t.Errorf("%v copies: %d were made in an hour, and for %d s it had none", copies, n, bare/second)
+		}
+	}
+}
+
+// A camera that swings between zones has no more copies made with a holder away than without: the owner of before is the
+// holder.
+func TestPlanner_OscillatingDeviceWithRemoteReplica(t *testing.T) {
+	made1 := func(away float64, zones string) (n, moves int) {
+		sim := newSimulation(t, 1, zones, map[string]any{"fleet.away": away})
+		sim.create("cam", "a", "north", 5)
+		sim.run(2 * second)
+		at := 0
+		var swing func()
+		swing = func() {
+			at++
+			sim.moveDevice("cam", []string{"north", "south", "west"}[at%len(strings.Split(zones, ";"))])
+			sim.after(3*second, swing)
+		}
+		swing()
+		sim.run(3600 * second)
+		for _, line := range sim.lines {
+			n += countIf(contains(line, "copy cam"))
+		}
+		return n, sim.moves["cam"]
+	}
+	for _, zones := range []string{"north a b; south c d", "north a b; south c d; west e f", "north a; south b; west c"} {
+		copies, moves := made1(1, zones)
+		before, as := made1(0, zones)
+		t.Logf("%s: %d copies and %d moves in an hour, without the directive %d and %d", zones, copies, moves, before, as)
+		if moves > 13 || copies > before+2 {
+			t.Errorf("%s: %d copies and %d moves in an hour, without the directive %d and %d", zones, copies, moves, before, as)
+		}
+	}
+}
+
+// Of two holders the one where the device is takes over, unless its lease is about to end as well.
+func TestPlanner_PrefersSuccessorInTheDevicesZone(t *testing.T) {
+	for left, want := range map[tick.Tick]string{lease: "fail cam n2", lease / 5: "fail cam s1"} {
+		n2, s1 := inZone("north", healthyNode("n2", 0.3)), inZone("south", healthyNode("s1", 0.1))
+		n2.LeaseEnd, s1.LeaseEnd = 8000+left, 8000+lease
+		h, p := newScriptedPlanner(map[string]any{"fleet.copies": 2.0, "fleet.away": 1.0}, inZone("north", healthyNode("n1", 0.1)), n2, s1)
+		p.OnAssignment(2, runningAt("cam", "n1", "n2", "s1"))
+		p.OnLeaseExpired(8000, "n1")
+		expectProposals(t, h, want)
+	}
+}
+
+// An instance without any holder does not wait for restart_after where the other zone is not reached; one with a holder does.
+func TestPlanner_CancelsSlowRemoteCopyOfAnUnreplicatedInstance(t *testing.T) {
+	for _, c := range []struct {
+		holders []string
+		from    tick.Tick
+	}{{nil, 2 * lease}, {[]string{"n2"}, 10 * lease}} {
+		h, p := newScriptedPlanner(map[string]any{"fleet.away": 1.0}, inZone("north", healthyNode("n1", 0.1)), inZone("north", healthyNode("n2", 0.3)),
+			inZone("south", healthyNode("s1", 0.1)))
+		p.OnAssignment(2, runningAt("cam", "n1", c.holders...))
+		expectProposals(t, h, "copy cam s1")
+		place := runningAt("cam", "n1", c.holders...)
+		place.Revision, place.CopyTarget = 2, "s1"
+		p.OnAssignment(3, place)
+		now := tick.Tick(4)
+		for next := now; len(h.proposals) == 0 && now < 60*lease; {
+			now = next
+			next = p.OnTick(now)
+		}
+		if at := now / lease; h.takeProposals() != "back cam s1" || at < c.from/lease || at > c.from/lease+1 {
+			t.Errorf("with %v given up after %d leases", c.holders, at)
+		}
+		place.Revision, place.CopyTarget = 3, ""
+		p.OnAssignment(now, place)
+		for end := now + 2*lease; now < end; now = p.OnTick(now) {
+		}
+		expectProposals(t, h, map[bool]string{true: "copy cam n2"}[c.holders == nil])
+	}
+}
+
+// Copies to other zones leave room for those of instances that have no holder.
+func TestPlanner_RemoteCopiesLeaveRoomForOthers(t *testing.T) {
+	h, p := newScriptedPlanner(map[string]any{"fleet.away": 1.0, "fleet.moves.all": 8.0, "fleet.moves.link": 8.0}, inZone("north", healthyNode("n1", 0.1)),
+		inZone("north", healthyNode("n2", 0.3)), inZone("south", healthyNode("s1", 0.1)))
+	for i := range 9 {
+		p.OnAssignment(2, runningAt(fmt.Sprint("near", i), "n1", "n2"))
+	}
+	expectProposals(t, h, "copy near0 s1, copy near1 s1, copy near2 s1, copy near3 s1")
+	for i := range 3 {
+		p.OnAssignment(2, runningAt(fmt.Sprint("none", i), "n1"))
+	}
+	expectProposals(t, h, "copy none0 s1, copy none1 s1")
+	done := runningAt("near0", "n1", "n2", "s1")
+	done.Revision = 2
+	p.OnAssignment(3, done)
+	expectProposals(t, h, "drop near0 n2, copy none2 s1")
+}
--- /dev/null
+++ b/internal/migration/simulation_test.go
@@ -0,0 +1,428 @@
+package migration_test
+
+import (
+	"container/heap"
+	"errors"
+	"flag"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	. "silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+var update = flag.Bool("update", false, "write the expected timelines and traces anew")
+
+const ms = tick.Second / 1000
+
+// simulation is a fleet in simulated time: the planner and the table are the real ones, nodes and the log are simple.
+type simulation struct {
+	t           interface{ Fatalf(string, ...any) }
+	now         tick.Tick
+	queue       events
+	count       int
+	random      *rand.Rand
+	settings    map[string]any
+	table       *placement.Table
+	planner     *Planner
+	term        int // of leaders: what an earlier one proposed is not answered
+	ticks       int
+	nodes       map[string]*simulatedNode
+	names       []string
+	partitioned func(from, to string) bool // between two nodes
+	lossShare   float64                    // share of the operations that get lost, or whose answer does
+	noMajority  bool                       // the controllers have none
+	moves       map[string]int             // cut-overs of each instance
+	mostMoves   int                        // moves under way at once, at most
+	lines       []string
+	cells       map[string]string
+	proposals   int
+	trace       *plannerTrace // nil: none is kept
+}
+
+// simulatedNode is a node that is played.
+type simulatedNode struct {
+	NodeStatus
+	simulation   *simulation
+	down         bool       // its process has failed
+	disconnected bool       // it can't reach the controllers
+	ownLeaseEnd  tick.Tick  // by its own clock
+	leaseCounted bool       // the controllers count its lease
+	reported     NodeStatus // what the controllers heard of it last
+	serving      map[string]placement.Assignment
+	generation   map[string]int
+}
+
+type event struct {
+	at    tick.Tick
+	order int
+	do    func()
+}
+type events []event
+
+func (e events) Len() int { return len(e) }
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+}
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
+
+const lease = tick.Second
+
+// newSimulation makes a fleet: zones lists nodes by zone, as "north a b; south c".
+func newSimulation(t interface{ Fatalf(string, ...any) }, seed uint64, zones string, set map[string]any) *simulation {
+	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 1)), settings: map[string]any{"fleet.lease": 1.0}, table: placement.New(),
+		nodes: map[string]*simulatedNode{}, moves: map[string]int{}, cells: map[string]string{}}
+	maps.Copy(sim.settings, set)
+	for _, z := range strings.Split(zones, ";") {
+		words := strings.Fields(z)
+		for _, name := range words[1:] {
+			sim.nodes[name] = &simulatedNode{simulation: sim, serving: map[string]placement.Assignment{}, generation: map[string]int{},
+				NodeStatus: NodeStatus{Name: name, Zone: words[0], Incarnation: 1, Accepting: true, Risk: 0.1, FreeSlots: 20}}
+			sim.names = append(sim.names, name)
+		}
+	}
+	sim.electLeader()
+	for i, name := range sim.names {
+		sim.after(tick.Tick(i)*7*ms, func() { sim.nodes[name].renew() })
+	}
+	return sim
+}
+
+// electLeader makes a new planner lead, from what the table has.
+func (sim *simulation) electLeader() {
+	sim.term++
+	sim.planner = NewPlanner(simulationHost{sim, sim.term}, sim.now, 7, sim.settings)
+	sim.planner.OnElected(sim.now)
+	for _, a := range sim.table.All() {
+		sim.planner.OnAssignment(sim.now, a)
+	}
+	for _, name := range sim.names { // every lease counts as renewed now
+		n := sim.nodes[name]
+		n.leaseCounted = true
+		n.LeaseEnd = sim.now + lease*104/100
+		sim.watchLease(n, n.LeaseEnd)
+	}
+	sim.tick()
+}
+
+// watchLease tells the planner of a lease that was not renewed.
+func (sim *simulation) watchLease(n *simulatedNode, until tick.Tick) {
+	sim.after(until-sim.now, func() {
+		if n.LeaseEnd == until && n.leaseCounted {
+			n.leaseCounted = false
+			sim.planner.OnLeaseExpired(sim.now, n.Name)
+			sim.tick()
+		}
+	})
+}
+
+func (sim *simulation) after(d tick.Tick, do func()) {
+	sim.count++
+	heap.Push(&sim.queue, event{sim.now + d, sim.count, do})
+}
+
+// tick calls OnTick now and when it wants to be called.
+func (sim *simulation) tick() {
+	sim.ticks++
+	mine := sim.ticks
+	next := sim.planner.OnTick(sim.now)
+	sim.trace.alarm(sim.now, next)
+	if next <= sim.now {
+		sim.t.Fatalf("OnTick at %d wants to be called at %d", sim.now, next)
+	}
+	sim.after(next-sim.now, func() {
+		if sim.ticks == mine {
+			sim.tick()
+		}
+	})
+}
+
+func (sim *simulation) run(span tick.Tick) {
+	end := sim.now + span
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		e.do()
+		sim.endLine()
+	}
+	sim.now = end
+}
+
+// simulationHost is what the planner of one term acts through.
+type simulationHost struct {
+	simulation *simulation
+	term       int
+}
+
+func (h simulationHost) Log(string) {}
+func (h simulationHost) Propose(op placement.Operation) {
+	sim := h.simulation
+	sim.trace.proposed(sim.now, op)
+	sim.proposals++
+	if sim.needsEligibleTarget(op) {
+		n := sim.nodes[op.Target].reported
+		if !n.Accepting || n.Draining || n.RollingBack || n.ShuttingDown || n.Evacuating || n.FreeSlots <= 0 {
+			sim.t.Fatalf("%d ms: proposed for a node that is not eligible: %+v: %+v", sim.now/ms, op, n)
+		}
+	}
+	sim.propose(op, h.term)
+}
+
+// needsEligibleTarget reports whether an operation hands an instance to a node that does not have all of it.
+func (sim *simulation) needsEligibleTarget(op placement.Operation) bool {
+	a, _ := sim.table.Get(op.Instance)
+	switch op.Kind {
+	case placement.OpStartCopy:
+		return true
+	case placement.OpRestart:
+		return a.Epoch == op.Epoch && a.State == placement.Lost && !slices.Contains(a.Replicas, op.Target)
+	}
+	return false
+}
+
+// propose has an operation on its way through the log. It may be lost, and its answer may.
+func (sim *simulation) propose(op placement.Operation, term int) {
+	chance := sim.random.Float64()
+	sim.after(2*ms+tick.Tick(sim.random.IntN(20)), func() {
+		refuse := func(err error) {
+			if term == sim.term {
+				sim.planner.OnProposalRefused(sim.now, op, err)
+				sim.tick()
+			}
+		}
+		if sim.noMajority {
+			refuse(errors.New("the majority is gone"))
+			return
+		}
+		if chance < sim.lossShare/2 {
+			return
+		}
+		if (op.Kind == placement.OpFailOver || op.Kind == placement.OpQuarantine) && term != sim.term {
+			return // the controllers' log refuses what rests on an expiry in another term than its maker's
+		}
+		before, _ := sim.table.Get(op.Instance)
+		a, err := sim.table.Apply(op)
+		if err != nil {
+			refuse(err)
+			return
+		}
+		if by := sim.nodes[op.Node]; (op.Kind == placement.OpFailOver || op.Kind == placement.OpQuarantine) && sim.now < by.ownLeaseEnd && !by.down {
+			sim.t.Fatalf("%d ms: %+v, and %s may act until %d ms", sim.now/ms, op, op.Node, by.ownLeaseEnd/ms)
+		}
+		sim.draw(op, before, a)
+		sim.checkBounds()
+		if chance < sim.lossShare && term != sim.term {
+			return
+		}
+		sim.planner.OnAssignment(sim.now, a)
+		sim.tick()
+		for _, name := range slices.Compact([]string{before.Primary, a.Primary}) {
+			if n := sim.nodes[name]; n != nil {
+				sim.after(ms, func() { n.onAssignment(a) })
+			}
+		}
+	})
+}
+
+// checkBounds checks that what is under way keeps the bounds on moves.
+func (sim *simulation) checkBounds() {
+	node, link, all := map[string]int{}, map[string]int{}, 0
+	for _, a := range sim.table.All() {
+		if a.CopyTarget == "" {
+			continue
+		}
+		zoneA, zoneB := sim.nodes[a.Primary].Zone, sim.nodes[a.CopyTarget].Zone
+		all++
+		node[a.Primary]++
+		node[a.CopyTarget]++
+		if zoneA != zoneB {
+			link[min(zoneA, zoneB)+max(zoneA, zoneB)]++
+		}
+	}
+	sim.mostMoves = max(sim.mostMoves, all)
+	over := func(m map[string]int, name string, usual float64) {
+		most := usual
+		if v, ok := sim.settings[name].(float64); ok {
+			most = v
+		}
+		for what, n := range m {
+			if float64(n) > most {
+				sim.t.Fatalf("%d ms: %s: %d at %s", sim.now/ms, name, n, what)
+			}
+		}
+	}
+	if sim.term == 1 { // an earlier leader's operations may still come in
+		over(node, "fleet.moves.unit", 8)
+		over(link, "fleet.moves.link", 4)
+		over(map[string]int{"": all}, "fleet.moves.all", 64)
+	}
+}
+
+// renew asks for the lease a third of it later, and again.
+func (n *simulatedNode) renew() {
+	sim := n.simulation
+	sim.after(lease/3, n.renew)
+	if n.down || n.disconnected || sim.noMajority {
+		return
+	}
+	if sim.planner.FailOverPending(n.Name) {
+		return
+	}
+	n.ownLeaseEnd, n.leaseCounted = sim.now+lease, true
+	n.LeaseEnd = sim.now + lease*104/100
+	sim.watchLease(n, n.LeaseEnd)
+	n.reported = n.NodeStatus
+	sim.planner.OnNodeStatus(sim.now, n.NodeStatus)
+	sim.tick()
+	for _, a := range sim.table.ByPrimary(n.Name) {
+		n.onAssignment(a)
+	}
+}
+
+// onAssignment tells the node an assignment: the primary serves, copies and cuts over.
+func (n *simulatedNode) onAssignment(a placement.Assignment) {
+	sim := n.simulation
+	if stands, _ := sim.table.Get(a.Instance); n.down || stands.Revision != a.Revision || stands.Epoch != a.Epoch {
+		return
+	}
+	if n.disconnected && a.Primary != n.Name {
+		return
+	}
+	if a.Primary != n.Name || a.State != placement.Running {
+		delete(n.serving, a.Instance)
+		return
+	}
+	n.serving[a.Instance] = a
+	n.generation[a.Instance]++
+	mine := n.generation[a.Instance]
+	propose := func(d tick.Tick, op placement.Operation) {
+		sim.after(d, func() {
+			if n.generation[a.Instance] != mine || n.down || sim.now > n.ownLeaseEnd {
+				return
+			}
+			to := sim.nodes[op.Target]
+			if to != nil && (to.down || sim.partitioned != nil && sim.partitioned(n.Name, op.Target)) && op.Kind != placement.OpDropReplica {
+				return
+			}
+			op.Version, op.Instance, op.Epoch, op.Node, op.Index = 1, a.Instance, a.Epoch, n.Name, a.Index+1
+			sim.propose(op, -1)
+			sim.after(300*ms, func() { // until it is answered
+				if n.generation[a.Instance] == mine {
+					if stands, _ := sim.table.Get(a.Instance); stands.Revision == a.Revision {
+						n.onAssignment(a)
+					}
+				}
+			})
+		})
+	}
+	switch {
+	case a.CopyTarget != "" && !slices.Contains(a.Replicas, a.CopyTarget):
+		propose(40*ms, placement.Operation{Kind: placement.OpReplicaReady, Target: a.CopyTarget})
+	case a.CutOver:
+		propose(5*ms, placement.Operation{Kind: placement.OpCutOver, Target: a.CopyTarget})
+	default:
+		for _, h := range a.Replicas {
+			if to := sim.nodes[h]; to.down || sim.partitioned != nil && sim.partitioned(n.Name, h) {
+				propose(300*ms, placement.Operation{Kind: placement.OpDropReplica, Target: h})
+				break
+			}
+		}
+	}
+}
+
+func (sim *simulation) moveDevice(name, zone string) {
+	sim.planner.OnDeviceMoved(sim.now, name, zone)
+	sim.tick()
+}
+
+func (sim *simulation) create(name, to, zone string, weight float64) {
+	sim.propose(placement.Operation{Version: 1, Kind: placement.OpCreate, Instance: name, Target: to, Zone: zone, Weight: weight}, 0)
+}
+
+// draw draws an agreed operation.
+func (sim *simulation) draw(op placement.Operation, before, a placement.Assignment) {
+	short := fmt.Sprintf("%s@%d", a.Instance, a.Epoch)
+	if a.Primary != before.Primary || a.State != before.State {
+		if before.Primary != "" {
+			sim.drawCell(before.Primary, fmt.Sprintf("not %s@%d", a.Instance, before.Epoch))
+		}
+		if a.Primary != "" {
+			sim.drawCell(a.Primary, "owns "+short)
+		}
+		if op.Kind == placement.OpCutOver {
+			sim.moves[a.Instance]++
+		}
+	}
+	text := fmt.Sprintf("%s %s", op.Kind, a.Instance)
+	switch op.Kind {
+	case placement.OpStartCopy, placement.OpReplicaReady, placement.OpDropReplica, placement.OpCancelCopy, placement.OpRestart:
+		text += " " + op.Target
+	case placement.OpMoveDevice:
+		text += " " + op.Zone
+	}
+	if op.Reason != "" && (op.Kind == placement.OpStartCopy || op.Kind == placement.OpCancelCopy || op.Kind == placement.OpFailOver || op.Kind == placement.OpQuarantine || op.Kind == placement.OpRestart) {
+		text += ": " + op.Reason
+	}
+	sim.drawCell("keepers", text)
+}
+
+func (sim *simulation) drawCell(node, text string) {
+	if sim.cells[node] != "" {
+		text = sim.cells[node] + ", " + text
+	}
+	sim.cells[node] = text
+}
+
+// endLine ends the line of a moment.
+func (sim *simulation) endLine() {
+	if len(sim.cells) == 0 {
+		return
+	}
+	line := fmt.Sprintf("%-9.1f", float64(sim.now)/float64(ms))
+	for _, name := range sim.names {
+		cell := sim.cells[name]
+		if cell == "" {
+			cell = "-"
+		}
+		line += fmt.Sprintf("%-18s", cell)
+	}
+	sim.lines = append(sim.lines, strings.TrimRight(line+sim.cells["keepers"], " "))
+	clear(sim.cells)
+}
+
+// compareTimeline compares the timeline with the one that is expected.
+func (sim *simulation) compareTimeline(t *testing.T, name string) {
+	t.Helper()
+	head := fmt.Sprintf("%-9s", "ms")
+	for _, n := range sim.names {
+		head += fmt.Sprintf("%-18s", n+" ("+sim.nodes[n].Zone+")")
+	}
+	got := head + "agreed\n" + strings.Join(sim.lines, "\n") + "\n"
+	path := filepath.Join("testdata", name+".txt")
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || got != string(want) {
+		t.Errorf("%v: expected\n%s\ncame\n%s", err, want, got)
+	}
+}
+
+func (sim *simulation) assignment(name string) placement.Assignment {
+	a, _ := sim.table.Get(name)
+	return a
+}
