--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,6 +8,9 @@
 // The rule: requests wait in one queue, by priority weight and then by the time when they lose their use, until a backend
 // may take them. A request whose answer would hardly come in time any more is shed: it is answered at once.
 //
+// Inputs: the priority weight and the latency objective of the class, the deadline of the request, and the latencies of
+// the class's last answers, in ticks.
+//
 // Guards against overload: seen as queues that grow until every answer is late; holds because what is late anyway takes no
 // capacity, and what matters most is served first.
 
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -5,6 +5,9 @@
 // The rule: a backend has in flight no more than what it answers in a part of a latency objective, and one more. All
 // backends together have no more than a limit that early answers raise by a factor and late ones lower.
 //
+// Inputs: the times of a backend's last answers and the shortest latency objective of a class, in ticks; for the limit, how
+// much of what was due an attempt took.
+//
 // Guards against slow backends, overload, and queues at backends that outlast the latency objective: seen as answers that
 // all come late; holds because a backend that answers less gets less. Hurts right after an idle spell, when little is
 // known.
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -5,6 +5,8 @@
 // The rule: where the endpoint list comes only to those who ask, it is asked for until a call has succeeded, after pauses
 // that double and are drawn.
 //
+// Inputs: the settings' poll interval, whether the last call succeeded.
+//
 // Guards against a discovery service that is overbooked: seen as calls that are turned away; holds because relays ask
 // less and less often, and those that were turned away together do not come again together. A change of the list counts
 // as known 6 s after discovery has it, so the pause has a bound that leaves a call two seconds.
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -4,6 +4,9 @@
 // arrived. First attempts keep to a little less, so that retries have some left, and to the part of the fleet that the
 // canary's warm backends are.
 //
+// Inputs: the times of arrivals and of attempts at canaries within the site's window, the cap of the stage, the warm
+// capacity of the canary's backends and of all.
+//
 // Guards against a bad version that reaches many requests, and against few backends of a canary that get more than
 // they can take: seen as a good version that looks slow, as a cap is announced before the canary's machines have come and
 // warmed; holds because what first attempts get follows those machines.
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,6 +3,10 @@
 // The rule: where relays may send each other messages, each tells its counts of outcomes at the version under evaluation,
 // and takes those of others for its own. A relay sees a part of the traffic; together they see a bad version sooner.
 //
+// Guards against a rare failure that each relay sees too seldom: seen as a bad version that stays on trial for long; holds
+// because the tests count every outcome alike, wherever it was seen. Outcomes are counted at the version alone, so that a
+// message says nothing of the backends.
+//
 // A message is the version in two bytes, the low one first, and two bytes each for every class and for wrong answers: how
 // many outcomes there were since the last message, and how many of them were bad.
 
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -7,6 +7,12 @@
 
 // The rule: an attempt that may have run is repeated only where a second effect is impossible or dropped, and a request is
 // rejected, which invites its client to try again, only where that is so at any backend.
+//
+// Inputs: the class's idempotency with the scope and the window of its keys, the attempts so far with their outcomes; where
+// keys move forward only, the keys that each version has answered.
+//
+// Guards against effects that happen twice: seen as a repeat of what timed out but ran; holds because only what was surely
+// not sent, or is dropped by whoever gets it, is repeated.
 
 // safeToRepeat tells whether one more attempt may go to a backend, after those that a request has had.
 func (b *Balancer) safeToRepeat(r *Request, attempts []*Attempt, backend *Backend) bool {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -9,6 +9,9 @@
 // times the median from before the rollout is slow, which counts as a time-out would. A canary is held against the slow
 // share of the version before it, raised for the load and the warm-up of the canary's backends.
 //
+// Inputs: the latencies of a class's last answers and its latency objective, in ticks; the rate of successes before the
+// rollout and now.
+//
 // Guards against versions that are slow, turn slow, or slow all backends with what they get: seen as answers that still
 // come, but late; holds because the rise of the fleet itself is excused up to a margin alone. A burst of requests or a new
 // connection speaks for itself and is left out.
--- a/balancer/logline.go
+++ b/balancer/logline.go
@@ -2,10 +2,12 @@
 
 import (
 	"log/slog"
+	"strconv"
 	"strings"
 )
 
-// LogLine is a message of Host.Log with its fields as one line of text: "message: key=value key=value".
+// LogLine is a message of Host.Log with its fields as one line of text: "message: key=value key=value". Words that are
+// empty or have a space, an equals sign or a quote are quoted.
 func LogLine(message string, fields ...slog.Attr) string {
 	var line strings.Builder
 	line.WriteString(message)
@@ -16,7 +18,11 @@
 		line.WriteByte(' ')
 		line.WriteString(f.Key)
 		line.WriteByte('=')
-		line.WriteString(f.Value.String())
+		value := f.Value.String()
+		if value == "" || strings.ContainsAny(value, " =\"") {
+			value = strconv.Quote(value)
+		}
+		line.WriteString(value)
 	}
 	return line.String()
 }
--- /dev/null
+++ b/balancer/logline_test.go
@@ -0,0 +1,38 @@
+package balancer
+
+import (
+	"log/slog"
+	"testing"
+)
+
+func TestLogLine(t *testing.T) {
+	for _, c := range []struct {
+		message string
+		fields  []slog.Attr
+		want    string
+	}{
+		{"backend ejected", nil, "backend ejected"},
+		{"backend ejected", []slog.Attr{slog.Uint64("backend", 7)}, "backend ejected: backend=7"},
+		{"vote", []slog.Attr{slog.String("verdict", "promote"), slog.Int("stage", 2)}, "vote: verdict=promote stage=2"},
+		{"vote", []slog.Attr{slog.String("evidence", "resets: test 1")}, `vote: evidence="resets: test 1"`},
+		{"vote", []slog.Attr{slog.String("evidence", "")}, `vote: evidence=""`},
+	} {
+		check(t, c.message, LogLine(c.message, c.fields...), c.want)
+	}
+}
+
+// A relay alone logs what it sees; of many relays a few do.
+func TestLogSampled(t *testing.T) {
+	for _, c := range []struct {
+		relays      float64
+		least, most int // of 1000 lines
+	}{{0, 1000, 1000}, {4, 1000, 1000}, {400, 3, 30}} {
+		b := newFixture(func(s *Settings) { s.Relays = c.relays })
+		for range 1000 {
+			b.logSampled("backend ejected")
+		}
+		if n := len(b.host.logged); n < c.least || n > c.most {
+			t.Errorf("%v relays: %d lines", c.relays, n)
+		}
+	}
+}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -10,6 +10,9 @@
 // more often the longer they succeed, and is back in use when they come close enough. A backend that has owed an answer for
 // long is suspect in the same way, and one that failed of late more than others is degraded: it comes last.
 //
+// Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
+// answer in ticks; in a fleet, what other relays say.
+//
 // Guards against backends that fail, fall silent or are out of connections, perhaps for this relay alone: seen as
 // attempts that fail at one of many; holds because the test compares with the relay's own last outcomes, so that a
 // trouble of all ejects none.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -5,6 +5,12 @@
 // The rule: a request whose attempt has failed gets another one, where its class allows one at any backend and the fleet's
 // budget of retries has one left. An attempt at a silent backend is called off early, to serve the request elsewhere in
 // time. A request that fails at two backends is held to be at fault itself.
+//
+// Inputs: the outcomes of a request's attempts, the settings' limit on them, the fleet's answer to each retry, silence of
+// the backend.
+//
+// Guards against retries that multiply a load: seen as more attempts than requests while backends fail; holds because the
+// fleet's budget is a part of what succeeds, and cancelled attempts are a small part of it.
 
 // cancelShare is the part of an attempt that each success allows to call off.
 // Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -13,6 +13,8 @@
 // sequential test of any stream that rejects is an alarm, which votes to roll back. Before a vote to promote, the dual of
 // the test rules out for each class with traffic that it fails more by an effect.
 //
+// Inputs: the outcomes of attempts at both versions, 1 for a bad one, reports of wrong answers, the release API's counts.
+//
 // Guards against versions that fail a class, a part of the requests, or only some time after their start: seen as
 // failures at the canary beyond those at the baseline; holds because the chance of an alarm without such a difference is
 // bounded over the whole rollout, and the chance to promote a version with the effect is bounded for each class.
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -5,6 +5,12 @@
 // The rule: of the nearest backends that may take a request, two are drawn and the one with less in flight gets it (power of
 // two choices). A canary gets the first attempt of a request whenever its exposure credit is due, and whatever no other
 // version can take.
+//
+// Inputs: the backends in the relay's own order, attempts in flight at each, relative latencies to break ties, the exposure
+// credit of the request's class.
+//
+// Guards against herds: seen as relays that all send to the one backend that looks best; holds because each compares two
+// that it has drawn, by what it has in flight there itself.
 
 const (
 	// minChoiceSize is how many backends a relay chooses from at the least; one more comes for each request that arrives
@@ -52,18 +58,19 @@
 // route starts an attempt of a request, if any backend may take it.
 func (b *Balancer) route(r *Request) bool {
 	for {
-		r.refusal = NotRefused
+		r.refusal = RefusedByEndpoint // of those that are not in the list of ready ones
 		if b.openAttempts() >= b.concurrencyLimit {
 			r.refusal = RefusedByLimit
 			return false
 		}
 		stable, canary := b.eligibleBackends(r)
-		candidates := b.pickVersion(r, stable, canary)
-		if len(candidates) == 0 {
+		choices := b.pickVersion(r, stable, canary)
+		if len(choices) == 0 {
 			return false
 		}
-		backend := b.pickLeastLoaded(candidates)
+		backend := b.pickLeastLoaded(choices)
 		if b.mostSuspect || b.mayProbe(backend) {
+			r.refusal = NotRefused
 			b.startAttempt(r, backend)
 			return true
 		}
--- a/balancer/routing_test.go
+++ b/balancer/routing_test.go
@@ -54,3 +54,42 @@
 	_, rejected := b.host.rejected[nowhere]
 	check(t, "rejected when its target is lost", rejected, true)
 }
+
+// TestRouting_RefusalIsKept: a request that no backend takes says which check the backend that came furthest failed.
+func TestRouting_RefusalIsKept(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Settings)
+		set    func(b *fixture, backend *Backend)
+		want   Refusal
+	}{
+		{"taken", nil, func(*fixture, *Backend) {}, NotRefused},
+		{"limit", nil, func(b *fixture, _ *Backend) { b.concurrencyLimit = 0 }, RefusedByLimit},
+		{"draining", nil, func(b *fixture, backend *Backend) {
+			b.OnEndpoint(b.now, backend, Endpoint{State: Draining, Version: 1})
+		}, RefusedByEndpoint},
+		{"ejected", nil, func(b *fixture, backend *Backend) {
+			backend.ejected, backend.nextProbation = true, b.now+Second
+		}, RefusedByEjection},
+		{"warming up", nil, func(b *fixture, backend *Backend) {
+			backend.StartedAt, backend.lastWarmUpSend, backend.warmUpShareDue = b.now, b.now, 1
+		}, RefusedBySlowStart},
+		{"at capacity", nil, func(b *fixture, backend *Backend) {
+			backend.inFlight, backend.lastAnswer = 5, b.now
+		}, RefusedByCapacity},
+		{"canary without exposure", nil, func(b *fixture, _ *Backend) { b.status(1, 0, Canary, 0) }, RefusedByExposure},
+		{"guarded canary", func(s *Settings) { s.Rollout.GuardedStages = 1 }, func(b *fixture, _ *Backend) {
+			b.status(1, 0, Canary, 1)
+		}, RefusedByExposure},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(c.change)
+			b.status(1, 0, Released, 1)
+			backend := b.addBackend(1, 1, 0)
+			c.set(b, backend)
+			r := b.request(withKey)
+			check(t, "refusal", r.Refusal().String(), c.want.String())
+			check(t, "started", len(r.attempts) > 0, c.want == NotRefused)
+		})
+	}
+}
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -6,6 +6,9 @@
 // multiple of its present capacity. No relay knows what others send, so each keeps to a part of its own rate at warm
 // backends; as all do, the sum keeps the rule.
 //
+// Inputs: when a backend has started and what the site's slow-start settings say of it, the relay's rate at a warm backend
+// in successes a second, the number of relays, the times of the attempts within the window.
+//
 // Guards against backends that fall over while they are cold: seen as a restart that all relays rush to; holds because the
 // parts add up to less than what the site allows. A part of less than one attempt a window comes due over the time from a
 // drawn moment, and leaves room for what chance piles up among the relays.
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -10,6 +10,9 @@
 // the clock moves the rollout, such a detector votes to pause. Votes are drawn with the chance, and cast at a random moment,
 // for which the release API has room if all relays vote.
 //
+// Inputs: the evidence of rollout.go, the status of the release API and its age, the endpoint list, the number of relays and
+// the rate of votes a second that the release API takes.
+//
 // Guards against votes that come too late to count: seen as a vote on a stage that has passed, which is discarded; holds
 // because the list of endpoints and the replies to votes show the stage before the news of it.
 
