--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,10 +20,12 @@
 //   - retry.go: retries, attempts that are called off, failures of a request itself
 //   - latency.go: how long attempts take, and what is slow
 //   - exposure.go: how much a canary may get
-//   - rollout.go: the evidence on a canary, with the tests of package sequential
+//   - rollout.go: the status of a release and the evaluation of a canary, with the tests of package sequential
+//   - evidence.go: which outcome counts for or against a version
 //   - voting.go: the vote on it
 //   - gossip.go: evidence exchanged with other relays
 //   - endpoint_polling.go: the endpoint list, and when to ask for it
+//   - settings.go, types.go, host.go: what a caller gives and gets; samples.go, series.go, random.go, logline.go: their tools
 //
 // # Invariants
 //
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -48,6 +48,7 @@
 var refusalNames = [...]string{"none", "concurrency limit", "endpoint", "idempotency", "last attempt", "ejection", "slow start",
 	"capacity", "degradation", "exposure cap"}
 
+// String is the refusal in words.
 func (r Refusal) String() string {
 	if int(r) < len(refusalNames) {
 		return refusalNames[r]
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -47,6 +47,7 @@
 	RollBack
 )
 
+// String is the verdict in words.
 func (v Verdict) String() string {
 	switch v {
 	case Promote:
@@ -75,7 +76,7 @@
 	stage   int
 	verdict Verdict
 	state   voteState
-	at      Tick // when it goes out, is no longer waited for, or no longer stands
+	until   Tick // when it goes out, is no longer waited for, or no longer stands
 }
 
 // verdict is what the evidence says now.
@@ -159,7 +160,7 @@
 	if v.state == voteNone || v.verdict != verdict || v.version != b.release.Version || v.stage != stage {
 		b.drawVote(stage, verdict)
 	}
-	if b.now < v.at {
+	if b.now < v.until {
 		return
 	}
 	if v.state == voteDrawn {
@@ -176,16 +177,16 @@
 	life := b.settings.Rollout.VoteLifetime.Ticks()
 	spread := min(life, Tick(relays/rate*float64(Second)))
 	b.vote = vote{version: b.release.Version, stage: stage, verdict: verdict, state: voteDrawn}
-	b.vote.at = b.now + Tick(b.random.intN(int(spread)+1))
+	b.vote.until = b.now + Tick(b.random.intN(int(spread)+1))
 	chance := rate * float64(life) / float64(Second) / relays
 	if float64(b.random.intN(votePrecision)) >= votePrecision*chance {
-		b.vote.state, b.vote.at = voteStands, b.now+life // not this time
+		b.vote.state, b.vote.until = voteStands, b.now+life // not this time
 	}
 }
 
 func (b *Balancer) castVote() {
 	v := &b.vote
-	v.state, v.at = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
+	v.state, v.until = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
 	fields := []slog.Attr{slog.String("verdict", v.verdict.String()), slog.Int("version", int(v.version)),
 		slog.Int("stage", v.stage), slog.Int("outcomes", b.evaluation.outcomesInStage)}
 	if v.verdict == Promote {
@@ -208,12 +209,12 @@
 	if !status.VoteReply || v.state != voteCast {
 		return
 	}
-	v.state, v.at = voteStands, b.now+b.settings.Rollout.VoteLifetime.Ticks()
+	v.state, v.until = voteStands, b.now+b.settings.Rollout.VoteLifetime.Ticks()
 	if status.Outcome == Discarded && v.verdict == RollBack { // that stage has passed
 		b.evaluation.stagePassed = (v.stage + 1) % b.stageCount()
 	}
 	if status.Outcome != Succeeded { // it may not count: again, after a moment
-		v.at = b.now + recastFirst + Tick(b.random.intN(int(recastSpread)))
+		v.until = b.now + recastFirst + Tick(b.random.intN(int(recastSpread)))
 	}
 }
 
