--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -49,7 +49,7 @@
 		b.shed(r)
 		return
 	}
-	r.queued = true
+	r.state = requestQueued
 	at, _ := slices.BinarySearchFunc(b.queue, r, func(other, _ *Request) int {
 		return cmp.Or(cmp.Compare(r.priority, other.priority), cmp.Compare(other.usefulUntil, r.usefulUntil), -1)
 	})
@@ -86,11 +86,11 @@
 	for ; seen < len(b.queue) && len(blocked) < blockedLimit; seen++ {
 		r := b.queue[seen]
 		switch {
-		case r.answered:
+		case r.state == requestAnswered:
 		case b.pastSaving(r):
 			b.shed(r)
 		case b.route(r):
-			r.queued = false
+			r.state = requestInFlight
 		default:
 			blocked = append(blocked, r)
 		}
@@ -101,7 +101,7 @@
 // shedPastSaving answers what is queued and past saving; serveQueue drops it from the queue.
 func (b *Balancer) shedPastSaving() {
 	for _, r := range b.queue {
-		if !r.answered && b.pastSaving(r) {
+		if r.state != requestAnswered && b.pastSaving(r) {
 			b.shed(r)
 		}
 	}
@@ -110,7 +110,7 @@
 // shed answers a request at once, with a time to come back where clients honour one: half a latency objective and a drawn
 // part of another half, so that those shed together do not come back together.
 func (b *Balancer) shed(r *Request) {
-	r.answered = true
+	r.state = requestAnswered
 	if !b.safeToReject(r) {
 		b.host.Fail(r)
 		return
@@ -128,7 +128,7 @@
 func (b *Balancer) Load() float64 {
 	n := b.openAttempts()
 	for _, r := range b.queue {
-		if !r.answered && (!r.Pinned || r.PinnedTo != nil) {
+		if r.state != requestAnswered && (!r.Pinned || r.PinnedTo != nil) {
 			n++
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -98,7 +98,7 @@
 // The load report of the backend is not used: attempts are judged by how they end.
 func (b *Balancer) OnOutcome(now Tick, a *Attempt, outcome Outcome, latency Tick, settled bool, _ []float64) {
 	b.now = now
-	a.ended, a.outcome = true, outcome
+	a.state, a.outcome = attemptEnded, outcome
 	a.Backend.inFlight--
 	b.attemptsInFlight = slices.DeleteFunc(b.attemptsInFlight, func(o *Attempt) bool { return o == a })
 	if outcome.provesLife() {
@@ -109,8 +109,10 @@
 	}
 	b.recordOutcome(a)
 	r := a.Request
-	r.answered = r.answered || settled
-	if !r.answered && !r.queued {
+	if settled {
+		r.state = requestAnswered
+	}
+	if r.state == requestInFlight {
 		b.retryOrShed(r)
 	}
 	b.serveQueue()
@@ -142,12 +144,12 @@
 // OnClientGone takes that a client has gone: nothing is owed, and nothing more is sent.
 func (b *Balancer) OnClientGone(now Tick, r *Request) {
 	b.now = now
-	r.answered = true
+	r.state = requestAnswered
 	if r.streaming || !b.settings.Limits.MayCancel {
 		return
 	}
 	for _, a := range r.attempts {
-		if !a.ended {
+		if a.state != attemptEnded {
 			b.host.CancelAttempt(a)
 		}
 	}
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -55,7 +55,7 @@
 func (b *Balancer) openAttempts() float64 {
 	n := 0.0
 	for _, a := range b.attemptsInFlight {
-		if !a.cancelled && !b.silent(a.Backend) {
+		if a.state != attemptCancelled && !b.silent(a.Backend) {
 			n++
 		}
 	}
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -27,7 +27,7 @@
 
 // safeAfter tells whether a backend may run again what an attempt may have run.
 func (b *Balancer) safeAfter(a *Attempt, class *RequestClass, backend *Backend) bool {
-	if !a.ended {
+	if a.state != attemptEnded {
 		return false
 	}
 	switch class.Idempotency {
@@ -69,7 +69,7 @@
 
 // mayHaveRun tells whether an attempt may have had an effect. Only three outcomes prove that it never ran.
 func (a *Attempt) mayHaveRun() bool {
-	return !a.ended || a.outcome != AtCapacity && a.outcome != ConnectFailed && a.outcome != Discarded
+	return a.state != attemptEnded || a.outcome != AtCapacity && a.outcome != ConnectFailed && a.outcome != Discarded
 }
 
 // rememberedVersions is the number of versions whose answered keys are kept: the newest, one that is not announced yet,
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -65,7 +65,7 @@
 		return
 	}
 	b.cancelBudget--
-	a.cancelled = true
+	a.state = attemptCancelled
 	b.host.CancelAttempt(a)
 }
 
@@ -73,7 +73,7 @@
 func (b *Balancer) cancellable(a *Attempt) bool {
 	r := a.Request
 	switch {
-	case !b.settings.Limits.MayCancel, a.cancelled, r.answered, r.streaming:
+	case !b.settings.Limits.MayCancel, a.state != attemptRunning, r.state == requestAnswered, r.streaming:
 		return false
 	case !a.silenceCounted, !b.silent(a.Backend):
 		return false
@@ -128,6 +128,6 @@
 
 // mayFailElsewhere tells whether a request that has failed may be tried at another backend.
 func (b *Balancer) mayFailElsewhere(r *Request) bool {
-	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && !r.answered &&
+	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && r.state != requestAnswered &&
 		len(r.attempts) < b.settings.Limits.MaxAttempts
 }
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -210,7 +210,7 @@
 
 func (b *Balancer) mayBegin(a *Attempt) bool {
 	r, backend := a.Request, a.Backend
-	if r.answered || a.cancelled || b.now >= r.Deadline {
+	if r.state == requestAnswered || a.state != attemptRunning || b.now >= r.Deadline {
 		return false
 	}
 	sameProcess := backend.StartedAt == a.backendStart && backend.Version == a.version
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -58,8 +58,7 @@
 	priority    float64
 	attempts    []*Attempt
 
-	queued            bool
-	answered          bool // nothing is owed any more
+	state             requestState
 	streaming         bool // its answer is being passed on
 	failedTwice       bool // at two backends, so that it is no backend's doing
 	triedDespiteDelay bool // see pastSaving
@@ -68,6 +67,15 @@
 	refusal           Refusal
 }
 
+// requestState is where a request stands.
+type requestState uint8
+
+const (
+	requestInFlight requestState = iota // it has an attempt in flight, or has just come or lost one
+	requestQueued                       // it waits for a backend
+	requestAnswered                     // nothing is owed any more; serveQueue drops it if it was queued
+)
+
 // Refusal is why no backend may take a request now; see Request.Refusal.
 func (r *Request) Refusal() Refusal { return r.refusal }
 
@@ -92,11 +100,19 @@
 	silenceCounted bool // the backend's silence was counted before the attempt ended
 	countedAsSlow  bool // before it ended
 
-	cancelled bool
-	ended     bool
-	outcome   Outcome
+	state   attemptState
+	outcome Outcome // once it has ended
 }
 
+// attemptState is where an attempt stands.
+type attemptState uint8
+
+const (
+	attemptRunning   attemptState = iota
+	attemptCancelled              // called off by cancelAndRetry; its outcome is still to come
+	attemptEnded
+)
+
 // EndpointState is what the endpoint list says of a backend.
 type EndpointState uint8
 
