--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -5,6 +5,12 @@
 // The rule: a request whose attempt has failed gets another one, where its class allows one at any backend and the fleet's
 // budget of retries has one left. An attempt at a silent backend is called off early, to serve the request elsewhere in
 // time. A request that fails at two backends is held to be at fault itself.
+//
+// Inputs: the outcomes of a request's attempts, the settings' limit on them, the fleet's answer to each retry, silence of
+// the backend.
+//
+// Guards against retries that multiply a load: seen as more attempts than requests while backends fail; holds because the
+// fleet's budget is a part of what succeeds, and cancelled attempts are a small part of it.
 
 // cancelShare is the part of an attempt that each success allows to call off.
 // Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
@@ -59,7 +65,7 @@
 		return
 	}
 	b.cancelBudget--
-	a.cancelled = true
+	a.state = attemptCancelled
 	b.host.CancelAttempt(a)
 }
 
@@ -67,7 +73,7 @@
 func (b *Balancer) cancellable(a *Attempt) bool {
 	r := a.Request
 	switch {
-	case !b.settings.Limits.MayCancel, a.cancelled, r.answered, r.streaming:
+	case !b.settings.Limits.MayCancel, a.state != attemptRunning, r.state == requestAnswered, r.streaming:
 		return false
 	case !a.silenceCounted, !b.silent(a.Backend):
 		return false
@@ -122,6 +128,6 @@
 
 // mayFailElsewhere tells whether a request that has failed may be tried at another backend.
 func (b *Balancer) mayFailElsewhere(r *Request) bool {
-	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && !r.answered &&
+	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && r.state != requestAnswered &&
 		len(r.attempts) < b.settings.Limits.MaxAttempts
 }
