--- /dev/null
+++ b/internal/dispatch/backends_test.go
@@ -0,0 +1,95 @@
+package dispatch
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/pgwire"
+)
+
+// TestManyRolloutsLeaveNothingBehind plays a month of rollouts in short: each replaces all backends by others under new
+// names and addresses, with requests in between. What the dispatcher and its balancer keep of backends stays within twice
+// the fleet, and the heap flat.
+func TestManyRolloutsLeaveNothingBehind(t *testing.T) {
+	const (
+		fleet    = 12
+		rollouts = 3000
+		maxGrown = 256 << 10 // bytes
+	)
+	site := siteOf(2, class("read", balancer.Idempotent, 1))
+	site.Balancer.Rollout.ForwardOnly = true
+	d := New(1, site, quiet())
+	listed := func(version int, state string) (all []Endpoint) {
+		for i := range fleet {
+			name := fmt.Sprintf("u-%d-%d", version, i)
+			all = append(all, Endpoint{Name: name, Address: name, State: state, Version: uint16(version)})
+		}
+		return all
+	}
+	heap := func() int64 {
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return int64(m.HeapAlloc)
+	}
+	var before int64
+	for version := 1; version <= rollouts; version++ {
+		d.UpdateStage(released(uint16(version)))
+		d.UpdateEndpoints(false, listed(version, "up"))
+		call := accept(t, d, Request{Class: "read", Key: fmt.Sprint("key ", version), Timeout: time.Minute})
+		attempt := d.Next(call).Attempt
+		if attempt == nil {
+			t.Fatalf("version %d: no attempt", version)
+		}
+		d.UpdateEndpoints(false, listed(version-1, "removed"))
+		if !d.Report(attempt, pgwire.Complete, answered, nil) {
+			t.Fatalf("version %d: no success", version)
+		}
+		c := d.Snapshot()
+		if c.Backends > 3*fleet || c.OpenRequests != 0 || c.InFlight != 0 || len(d.backendsByID) > 3*fleet {
+			t.Fatalf("version %d: %d backends and %d IDs are kept, %d requests, %d attempts", version, c.Backends,
+				len(d.backendsByID), c.OpenRequests, c.InFlight)
+		}
+		if version == rollouts/10 {
+			before = heap()
+		}
+	}
+	if grown := heap() - before; grown > maxGrown {
+		t.Errorf("the heap has grown by %d kB", grown>>10)
+	}
+}
+
+// TestRemovedForAWhile: a backend that comes back soon is the one that it was; while an attempt is out at it it is not
+// forgotten.
+func TestRemovedForAWhile(t *testing.T) {
+	site := siteOf(2, class("read", balancer.Idempotent, 1))
+	site.Balancer.SlowStart.Window = 0.2
+	d := New(1, site, quiet())
+	d.UpdateStage(released(1))
+	d.UpdateEndpoints(true, endpoints("first"))
+	was := d.backends["first"]
+	attempt := d.Next(accept(t, d, Request{Class: "read", Timeout: time.Minute})).Attempt
+	d.UpdateEndpoints(true, nil)
+	d.UpdateEndpoints(true, endpoints("first"))
+	if d.backends["first"] != was {
+		t.Error("it came back as another")
+	}
+	d.UpdateEndpoints(true, nil)
+	time.Sleep(250 * time.Millisecond) // past what counts of it
+	d.UpdateEndpoints(true, nil)
+	if d.backends["first"] == nil {
+		t.Fatal("forgotten with an attempt out")
+	}
+	d.Report(attempt, pgwire.Complete, answered, nil)
+	d.UpdateEndpoints(true, nil)
+	if d.backends["first"] != nil || len(d.removed) != 0 {
+		t.Error("it is kept for ever")
+	}
+	d.UpdateEndpoints(true, endpoints("second"))
+	if len(d.backendsByID) != 1 || d.backends["second"].ID != 0 {
+		t.Error("a free ID is not used again")
+	}
+}
--- /dev/null
+++ b/internal/dispatch/clock.go
@@ -0,0 +1,33 @@
+package dispatch
+
+import (
+	"time"
+
+	"silvercove/balancer"
+)
+
+// tickDuration is one tick of the balancer.
+const tickDuration = time.Second / time.Duration(balancer.Second)
+
+// clock gives the balancer's time: Unix time as the machine had it at the start, going on evenly from there.
+type clock struct {
+	start     time.Time // with its monotonic reading
+	startTick balancer.Tick
+}
+
+func newClock(now time.Time) clock {
+	return clock{start: now, startTick: balancer.Tick(now.UnixMicro() / tickDuration.Microseconds())}
+}
+
+func (c clock) now() balancer.Tick { return c.tickAt(time.Now()) }
+
+func (c clock) tickAt(t time.Time) balancer.Tick {
+	return c.startTick + ticksOf(t.Sub(c.start))
+}
+
+func (c clock) timeAt(t balancer.Tick) time.Time { return c.start.Add(durationOf(t - c.startTick)) }
+
+// ticksOf rounds towards zero.
+func ticksOf(d time.Duration) balancer.Tick { return balancer.Tick(d / tickDuration) }
+
+func durationOf(t balancer.Tick) time.Duration { return time.Duration(t) * tickDuration }
--- /dev/null
+++ b/internal/dispatch/counters.go
@@ -0,0 +1,54 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"silvercove/balancer"
+)
+
+// ClassCounters count the requests of one class since the start.
+type ClassCounters struct {
+	Name                                             string
+	Accepted, Succeeded, Rejected, Failed, Abandoned int64
+}
+
+// Counters count what went through the dispatcher since the start. OpenRequests, InFlight and Backends are what there is
+// now.
+type Counters struct {
+	Classes         []ClassCounters
+	Outcomes        [balancer.Discarded + 1]int64 // of attempts
+	VoteOutcomes    [balancer.Discarded + 1]int64
+	Attempts        int64
+	Votes           int64
+	Shed            int64 // requests, by the fleet
+	EndpointUpdates int64
+	StageUpdates    int64
+	PlatformCounts  int64
+	WrongAnswers    int64
+	OpenRequests    int64
+	InFlight        int64 // attempts
+	Backends        int64
+	Wakeups         int64 // timers that were called
+	WakeupDelayMean time.Duration
+	WakeupDelayMax  time.Duration
+	TimerCallMean   time.Duration // what the balancer takes for one
+	TimerCallMax    time.Duration
+}
+
+// Snapshot copies the counters.
+func (d *Dispatcher) Snapshot() Counters {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	c := d.counters
+	c.Classes = slices.Clone(c.Classes)
+	c.OpenRequests = int64(len(d.calls))
+	c.InFlight = int64(len(d.attempts))
+	c.Backends = int64(len(d.backends))
+	stats := d.timerStats
+	n := time.Duration(max(1, stats.timers))
+	c.Wakeups = stats.timers
+	c.WakeupDelayMean, c.WakeupDelayMax = stats.delaySum/n, stats.delayMax
+	c.TimerCallMean, c.TimerCallMax = stats.callSum/n, stats.callMax
+	return c
+}
--- /dev/null
+++ b/internal/dispatch/helpers_test.go
@@ -0,0 +1,83 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/settings"
+	"silvercove/internal/transport"
+)
+
+// class is a request class with usual times.
+func class(name string, idempotency balancer.Idempotency, weight float64) balancer.RequestClass {
+	return balancer.RequestClass{Name: name, Idempotency: idempotency, LatencyObjective: 1, Deadline: 4, PriorityWeight: weight}
+}
+
+// siteOf is a site of one relay with these classes.
+func siteOf(maxAttempts int, classes ...balancer.RequestClass) settings.Site {
+	return settings.Site{Balancer: balancer.Settings{Relays: 1, Classes: classes, Limits: balancer.Limits{MaxAttempts: maxAttempts}}}
+}
+
+// quiet are callbacks that do nothing.
+func quiet() Callbacks {
+	return Callbacks{
+		Vote:           func(Vote) {},
+		WatchEndpoints: func(bool) {},
+		FetchEndpoints: func() {},
+		CloseIdle:      func(string) {},
+	}
+}
+
+// started is a dispatcher whose timers run until the test ends, with version 1 released.
+func started(t testing.TB, site settings.Site, callbacks Callbacks) *Dispatcher {
+	t.Helper()
+	d := New(1, site, callbacks)
+	d.UpdateStage(released(1))
+	ended := make(chan error, 1)
+	go func() { ended <- d.RunTimers(t.Context()) }()
+	t.Cleanup(func() {
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return d
+}
+
+func released(version uint16) RolloutStage {
+	return RolloutStage{Version: version, Phase: "live", ExposureCap: 1}
+}
+
+// endpoints are ready ones of version 1.
+func endpoints(names ...string) (all []Endpoint) {
+	for _, name := range names {
+		all = append(all, Endpoint{Name: name, Address: "127.0.0.1:9", State: "up", Weight: 1, Version: 1})
+	}
+	return all
+}
+
+// accept takes a request that has just come.
+func accept(t testing.TB, d *Dispatcher, r Request) *Call {
+	t.Helper()
+	r.ReceivedAt = time.Now()
+	if r.Timeout == 0 {
+		r.Timeout = time.Second
+	}
+	call, ok := d.Accept(r)
+	if !ok {
+		t.Fatalf("class %q is not taken", r.Class)
+	}
+	return call
+}
+
+// Ends of a connection after the attempt was written whole.
+var (
+	answered = transport.CloseStatus{Flushed: true}
+	reset    = transport.CloseStatus{Reason: transport.ConnectionReset, Flushed: true}
+)
+
+// SQLSTATEs of answers.
+const (
+	stateAtCapacity = "53300"
+	stateInternal   = "XX000"
+)
--- /dev/null
+++ b/internal/dispatch/host.go
@@ -0,0 +1,103 @@
+package dispatch
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"silvercove/balancer"
+)
+
+// host is the dispatcher as its balancer sees it. All of its methods run while the dispatcher is locked.
+type host struct{ d *Dispatcher }
+
+// StartAttempt hands an attempt to whoever waits in Next.
+func (h host) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
+	d := h.d
+	call, backend := d.calls[attempt.Request], d.backendsByID[attempt.Backend.ID]
+	if shedder := d.callbacks.LoadShedder; shedder != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
+		shedder.RecordFirstAttempt()
+	}
+	at := d.clock.timeAt(deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), at)
+	started := &Attempt{
+		Backend:  backend.identity(),
+		Context:  ctx,
+		Deadline: at,
+		attempt:  attempt,
+		call:     call,
+		cancel:   cancel,
+		chosenAt: time.Now(),
+	}
+	d.attempts[attempt] = started
+	backend.inFlight++
+	d.counters.Attempts++
+	call.steps <- Step{Attempt: started}
+}
+
+// Reject ends a request with the promise that trying again is harmless.
+func (h host) Reject(request *balancer.Request, retryAfter balancer.Tick) {
+	h.d.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
+}
+
+// Fail ends a request without any promise.
+func (h host) Fail(request *balancer.Request) { h.d.finish(request, Step{Answer: Failed}) }
+
+// CancelAttempt stops waiting for an attempt.
+func (h host) CancelAttempt(attempt *balancer.Attempt) {
+	if started := h.d.attempts[attempt]; started != nil {
+		started.cancel()
+	}
+}
+
+// SetTimer has OnTimer called at or after a time.
+func (h host) SetTimer(at balancer.Tick, tag uint32) {
+	h.d.timers = append(h.d.timers, timer{at: at, tag: tag})
+	h.d.timerWaker.Wake()
+}
+
+// Probe checks a backend.
+func (h host) Probe(b *balancer.Backend) { h.d.callbacks.Probe(h.d.backendsByID[b.ID].identity()) }
+
+// CloseIdle closes the idle connections to a backend.
+func (h host) CloseIdle(b *balancer.Backend) { h.d.callbacks.CloseIdle(h.d.backendsByID[b.ID].name) }
+
+// SendGossip does nothing: the settings of a real relay allow no messages between balancers.
+func (h host) SendGossip(uint32, []byte) {}
+
+// Log writes a line for the people on call.
+func (h host) Log(message string, fields ...slog.Attr) { h.d.callbacks.Log(message, fields...) }
+
+// WatchEndpoints subscribes to changes of the endpoint list, or ends that.
+func (h host) WatchEndpoints(on bool) { h.d.callbacks.WatchEndpoints(on) }
+
+// FetchEndpoints asks for the whole endpoint list once.
+func (h host) FetchEndpoints() { h.d.callbacks.FetchEndpoints() }
+
+// CastVote casts a vote on a version.
+func (h host) CastVote(version uint16, stage int, verdict balancer.Verdict) {
+	d := h.d
+	d.counters.Votes++
+	if evidence := d.callbacks.Evidence; evidence != nil {
+		evidence.RecordVote(d.clock.now(), version, stage, verdictNames[verdict], d.balancer.VoteReason(verdict))
+	}
+	d.callbacks.Vote(Vote{Version: version, Stage: stage, Verdict: platformVerdicts[verdict]})
+}
+
+// MayRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
+func (h host) MayRetry(request *balancer.Request) bool {
+	shedder := h.d.callbacks.LoadShedder
+	return shedder == nil || shedder.AllowRetry(request.ClientRetry)
+}
+
+// AvoidsBackend tells whether a backend has failed for other relays of the fleet.
+func (h host) AvoidsBackend(b *balancer.Backend) bool {
+	shedder := h.d.callbacks.LoadShedder
+	return shedder != nil && shedder.IsEjected(h.d.backendsByID[b.ID].name)
+}
+
+// MayProbe tells whether an attempt may try a suspect backend, as far as the fleet is concerned.
+func (h host) MayProbe(b *balancer.Backend) bool {
+	shedder := h.d.callbacks.LoadShedder
+	return shedder == nil || shedder.AllowProbe(h.d.backendsByID[b.ID].name)
+}
--- /dev/null
+++ b/internal/dispatch/load_shedder_test.go
@@ -0,0 +1,149 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/transport"
+)
+
+// fakeShedder answers as it is told, and writes down what it was asked.
+type fakeShedder struct {
+	admits, retries, probes, ejected bool
+	asked                            []string
+}
+
+func (s *fakeShedder) note(values ...any) { s.asked = append(s.asked, fmt.Sprint(values...)) }
+
+func (s *fakeShedder) Admit(class int, weight float64, tenant string, clientRetry bool) (bool, time.Duration) {
+	s.note("admit ", class, " ", weight, " ", tenant, " ", clientRetry)
+	return s.admits, 700 * time.Millisecond
+}
+
+func (s *fakeShedder) RecordFirstAttempt() { s.note("first") }
+
+func (s *fakeShedder) AllowRetry(clientRetry bool) bool {
+	s.note("retry ", clientRetry)
+	return s.retries
+}
+
+// RecordOutcome leaves out which of the two backends it was.
+func (s *fakeShedder) RecordOutcome(backend string, good bool) {
+	s.note("outcome ", backend[:1], " ", good)
+}
+
+func (s *fakeShedder) RecordServiceTime(class int, took time.Duration) {
+	s.note("service time ", class, " ", took > 0)
+}
+
+func (s *fakeShedder) AllowProbe(string) bool { return s.probes }
+func (s *fakeShedder) IsEjected(string) bool  { return s.ejected }
+
+// withShedder is a dispatcher before two backends. A shedder of nil: it belongs to no fleet.
+func withShedder(s LoadShedder, retryAfter bool) *Dispatcher {
+	site := siteOf(3, class("read", balancer.Idempotent, 2), class("sell", balancer.AtMostOnce, 7))
+	site.Balancer.Limits.RetryAfter, site.Balancer.Limits.MaxRetryAfter = retryAfter, 0.5
+	callbacks := quiet()
+	callbacks.LoadShedder = s
+	d := New(1, site, callbacks)
+	d.UpdateStage(released(1))
+	d.UpdateEndpoints(true, endpoints("s-1", "s-2"))
+	return d
+}
+
+// TestShed: a request that the fleet does not take is rejected at once, and the balancer never sees it.
+func TestShed(t *testing.T) {
+	for _, c := range []struct {
+		retryAfter bool
+		want       time.Duration
+	}{{true, 500 * time.Millisecond}, {false, 0}} {
+		s := &fakeShedder{}
+		d := withShedder(s, c.retryAfter)
+		call := accept(t, d, Request{Class: "sell", Tenant: "acme", ClientRetry: true})
+		if step := d.Next(call); step.Answer != Rejected || step.RetryAfter != c.want || step.Attempt != nil {
+			t.Errorf("%+v", step)
+		}
+		n := d.Snapshot()
+		if n.OpenRequests != 0 || n.Attempts != 0 || n.Shed != 1 || n.Classes[1].Accepted != 1 || n.Classes[1].Rejected != 1 {
+			t.Errorf("%+v", n)
+		}
+		if want := []string{"admit 1 7 acme true"}; !slices.Equal(s.asked, want) {
+			t.Errorf("%q", s.asked)
+		}
+	}
+}
+
+// TestRetryBudget: where the fleet has no retry left a request gets its final answer at once, by the rules.
+func TestRetryBudget(t *testing.T) {
+	for _, c := range []struct {
+		name, class, state   string
+		status               transport.CloseStatus
+		retries, clientRetry bool
+		want                 FinalAnswer
+		asked                []string
+	}{
+		{"an error of an idempotent one", "read", stateInternal, answered, false, false, Rejected,
+			[]string{"admit 0 2 acme false", "first", "outcome s false", "retry false"}},
+		{"at capacity", "read", stateAtCapacity, answered, false, false, Rejected,
+			[]string{"admit 0 2 acme false", "first", "retry false"}},
+		{"a retry of its client's", "read", stateInternal, answered, false, true, Rejected,
+			[]string{"admit 0 2 acme true", "outcome s false", "retry true"}},
+		{"may have run, at most once", "sell", "", reset, false, false, Failed,
+			[]string{"admit 1 7 acme false", "first", "outcome s false"}},
+		{"never ran, at most once", "sell", stateAtCapacity, answered, false, false, Rejected,
+			[]string{"admit 1 7 acme false", "first", "retry false"}},
+		{"with budget it is tried again", "read", stateInternal, answered, true, false, NoAnswer,
+			[]string{"admit 0 2 acme false", "first", "outcome s false", "retry false"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := &fakeShedder{admits: true, retries: c.retries}
+			d := withShedder(s, true)
+			call := accept(t, d, Request{Class: c.class, Tenant: "acme", ClientRetry: c.clientRetry})
+			first := d.Next(call).Attempt
+			if first == nil {
+				t.Fatal("no attempt")
+			}
+			d.Report(first, c.state, c.status, nil)
+			step := d.Next(call)
+			if step.Answer != c.want || (step.Attempt != nil) != (c.want == NoAnswer) {
+				t.Errorf("%+v", step)
+			}
+			if !slices.Equal(s.asked, c.asked) {
+				t.Errorf("%q", s.asked)
+			}
+			if step.Attempt != nil {
+				d.Report(step.Attempt, pgwire.Complete, answered, nil)
+				if last := s.asked[len(s.asked)-1]; last != "service time 0 true" {
+					t.Error(last)
+				}
+			}
+		})
+	}
+}
+
+// TestProbesAreAsked: the dispatcher offers the balancer what the fleet says of a backend, by its name.
+func TestProbesAreAsked(t *testing.T) {
+	s := &fakeShedder{}
+	d := withShedder(s, true)
+	backend := &d.backends["s-2"].Backend
+	if (host{d}).MayProbe(backend) {
+		t.Error("the fleet says no")
+	}
+	s.probes = true
+	if !(host{d}).MayProbe(backend) {
+		t.Error("the fleet says yes")
+	}
+	s.ejected = true
+	if !(host{d}).AvoidsBackend(backend) {
+		t.Error("the fleet avoids it")
+	}
+	alone := host{withShedder(nil, true)}
+	backend = &alone.d.backends["s-1"].Backend
+	if alone.AvoidsBackend(backend) || !alone.MayProbe(backend) || !alone.MayRetry(&balancer.Request{ClientRetry: true}) {
+		t.Error("a relay on its own asks nobody")
+	}
+}
--- /dev/null
+++ b/internal/dispatch/placement_test.go
@@ -0,0 +1,78 @@
+package dispatch
+
+import (
+	"testing"
+
+	"silvercove/balancer"
+	"silvercove/internal/pgwire"
+)
+
+// following is a dispatcher of a fleet.
+func following(t testing.TB) *Dispatcher {
+	t.Helper()
+	site := siteOf(4, balancer.RequestClass{Name: "crop", Idempotency: balancer.Idempotent, LatencyObjective: 0.3, Deadline: 1,
+		PriorityWeight: 1})
+	site.Balancer.Limits.RetryAfter, site.Balancer.Limits.MaxRetryAfter = true, 1
+	d := started(t, site, quiet())
+	d.FollowPlacements()
+	return d
+}
+
+func TestCallsFollowTheirInstance(t *testing.T) {
+	d := following(t)
+	ask := func(key string) *Call { return accept(t, d, Request{Class: "crop", Key: key}) }
+	d.UpdateEndpoints(true, endpoints("a", "b"))
+	d.UpdatePlacements(true, []Placement{{"camera-7", "a", 1, 1}, {"camera-8", "b", 1, 1}}, nil)
+	for key, backend := range map[string]string{"camera-7": "a", "camera-8": "b"} {
+		for range 10 {
+			step := d.Next(ask(key))
+			if step.Attempt == nil || step.Attempt.Name != backend {
+				t.Fatalf("%s: %+v", key, step)
+			}
+			d.Report(step.Attempt, pgwire.Complete, answered, nil)
+		}
+	}
+	if moved := d.UpdatePlacements(false, []Placement{{"camera-7", "b", 1, 1}, {"camera-8", "b", 1, 2}}, nil); len(moved) > 0 {
+		t.Errorf("old news, or news of the same backend, moved %v", moved)
+	}
+
+	// Refused in a cut-over: queued until the news comes, then sent there.
+	call := ask("camera-7")
+	step := d.Next(call)
+	d.Report(step.Attempt, stateAtCapacity, answered, nil)
+	steps := make(chan Step)
+	go func() { steps <- d.Next(call) }()
+	if moved := d.UpdatePlacements(false, []Placement{{"camera-7", "b", 2, 2}}, nil); len(moved) != 1 || moved[0].Backend != "b" {
+		t.Errorf("moved %v", moved)
+	}
+	if step = <-steps; step.Attempt == nil || step.Attempt.Name != "b" {
+		t.Errorf("after the news: %+v", step)
+	}
+	d.Report(step.Attempt, pgwire.Complete, answered, nil)
+
+	// It runs nowhere, or nobody has told of it: rejected once its objective is lost, and nothing is kept.
+	d.UpdatePlacements(false, nil, []string{"camera-7"})
+	for _, key := range []string{"camera-7", "camera-9"} {
+		if step := d.Next(ask(key)); step.Answer != Rejected || step.RetryAfter == 0 {
+			t.Errorf("%s: %+v", key, step)
+		}
+	}
+	if n := len(d.instances); n != 1 {
+		t.Errorf("%d instances are kept", n)
+	}
+}
+
+// TestBackendComesAfterTheNewsOfWhatRunsThere: a call that waits goes to it as soon as it is listed.
+func TestBackendComesAfterTheNewsOfWhatRunsThere(t *testing.T) {
+	d := following(t)
+	d.UpdatePlacements(true, []Placement{{"camera-7", "c", 1, 1}}, nil)
+	steps, call := make(chan Step), accept(t, d, Request{Class: "crop", Key: "camera-7"})
+	go func() { steps <- d.Next(call) }()
+	for submitted := false; !submitted; {
+		d.WithLock(func() { submitted = len(d.calls) > 0 })
+	}
+	d.UpdateEndpoints(true, endpoints("c"))
+	if step := <-steps; step.Attempt == nil || step.Attempt.Name != "c" {
+		t.Errorf("%+v", step)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/rollout.go
@@ -0,0 +1,180 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/transport"
+)
+
+// RolloutStage is what the release platform says of the newest version.
+type RolloutStage struct {
+	Version     uint16
+	Stage       int    // counted from 0
+	Phase       string // testing, recalling, live or recalled
+	ExposureCap float64
+	Age         time.Duration // of the stage
+}
+
+// rolloutPhases are the phases by their names on the release platform.
+var rolloutPhases = map[string]balancer.RolloutPhase{
+	"testing":   balancer.Canary,
+	"recalling": balancer.RollingBack,
+	"live":      balancer.Released,
+	"recalled":  balancer.Withdrawn,
+}
+
+// Valid tells whether a stage makes sense.
+func (s RolloutStage) Valid() bool {
+	_, known := rolloutPhases[s.Phase]
+	return known && s.Stage >= 0 && s.ExposureCap >= 0 && s.ExposureCap <= 1 && s.Age >= 0
+}
+
+// releaseStatus gives a stage in the balancer's terms.
+func (s RolloutStage) releaseStatus() balancer.ReleaseStatus {
+	return balancer.ReleaseStatus{
+		Version:     s.Version,
+		Stage:       s.Stage,
+		Phase:       rolloutPhases[s.Phase],
+		ExposureCap: s.ExposureCap,
+		Age:         ticksOf(s.Age),
+		Outcome:     balancer.Succeeded,
+	}
+}
+
+// Vote is one vote as the release platform words it.
+type Vote struct {
+	Version uint16
+	Stage   int
+	Verdict string // PROCEED, HOLD, ROLLBACK or WITHDRAW
+}
+
+// platformVerdicts are the release platform's names of the verdicts.
+var platformVerdicts = map[balancer.Verdict]string{
+	balancer.NoVote:   "WITHDRAW",
+	balancer.Promote:  "PROCEED",
+	balancer.Pause:    "HOLD",
+	balancer.RollBack: "ROLLBACK",
+}
+
+// verdictNames are those that the evidence keeps, and that stand in files of earlier releases.
+var verdictNames = map[balancer.Verdict]string{
+	balancer.NoVote:   "withdraw",
+	balancer.Promote:  "go on",
+	balancer.Pause:    "hold",
+	balancer.RollBack: "go back",
+}
+
+// UpdateStage takes news of the newest version. The stage has to be valid.
+func (d *Dispatcher) UpdateStage(s RolloutStage) {
+	if d.callbacks.OnStage != nil {
+		d.callbacks.OnStage(s)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counters.StageUpdates++
+	d.setStage(s)
+	d.balancer.OnReleaseStatus(d.clock.now(), s.releaseStatus())
+}
+
+func (d *Dispatcher) setStage(s RolloutStage) {
+	d.stage = s.Stage
+	if evidence := d.callbacks.Evidence; evidence != nil {
+		evidence.UpdateVersion(d.clock.now(), s.Version, s.Phase)
+	}
+}
+
+// VoteAnswered takes the answer to a vote: an HTTP status and what it tells, or no answer (0).
+func (d *Dispatcher) VoteAnswered(httpStatus int, s RolloutStage, status transport.CloseStatus) {
+	reply := s.releaseStatus()
+	reply.VoteReply = true
+	reply.Outcome = VoteOutcome(httpStatus, status)
+	counted := reply.Outcome == balancer.Succeeded
+	if d.callbacks.OnStage != nil && counted {
+		d.callbacks.OnStage(s)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counters.VoteOutcomes[reply.Outcome]++
+	if counted {
+		d.setStage(s)
+	}
+	d.balancer.OnReleaseStatus(d.clock.now(), reply)
+}
+
+// RecordPlatformCount takes what the release platform counted of a version and class: its attempts, those that failed and
+// the mean time of the others, in a period that ended so long ago.
+func (d *Dispatcher) RecordPlatformCount(version uint16, class string, attempts, failed int, took, age time.Duration) {
+	index, known := d.classes[class]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counters.PlatformCounts++
+	if !known {
+		return
+	}
+	if evidence := d.callbacks.Evidence; evidence != nil {
+		evidence.RecordPlatformCount(d.clock.now(), version, index, d.stage, attempts, failed)
+	}
+	d.balancer.OnMetrics(d.clock.now(), version, index, attempts, failed, ticksOf(took), ticksOf(age))
+}
+
+// RecordWrongAnswer takes that an answer of a backend was wrong, to an attempt that was sent so long ago.
+func (d *Dispatcher) RecordWrongAnswer(name, class string, age time.Duration) {
+	index, known := d.classes[class]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.counters.WrongAnswers++
+	b := d.backends[name]
+	if !known || b == nil {
+		return
+	}
+	if evidence := d.callbacks.Evidence; evidence != nil {
+		evidence.RecordFlag(d.clock.now(), b.Version, index, d.stage, ticksOf(age))
+	}
+	d.balancer.OnWrongAnswer(d.clock.now(), &b.Backend, index, ticksOf(age))
+}
+
+// Evidence of an earlier run enters the balancer as gossip does, a byte for each count.
+const (
+	maxGossipCount    = 254
+	maxGossipMessages = 64 // beyond these what is left of the evidence is dropped
+)
+
+// RestoreEvidence hands the balancer what was known of a version before a restart: outcomes of each class in the settings'
+// order, and how many of them were bad. They enter as another relay's counts do, in messages of what fits into one.
+func (d *Dispatcher) RestoreEvidence(version uint16, outcomes, bad []int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	outcomes, bad = slices.Clone(outcomes), slices.Clone(bad)
+	for range maxGossipMessages {
+		message := gossipMessage(version, len(d.classes), outcomes, bad)
+		if message == nil {
+			return
+		}
+		d.balancer.OnGossip(d.clock.now(), 0, message)
+	}
+}
+
+// gossipMessage takes as much off the counts as one message has room for: the version in two bytes, then for each class and
+// for wrong answers the outcomes and the bad ones among them. nil: nothing is left.
+func gossipMessage(version uint16, classes int, outcomes, bad []int) []byte {
+	message := make([]byte, 4+2*classes)
+	message[0], message[1] = byte(version), byte(version>>8)
+	left := false
+	for class := range min(len(outcomes), len(bad), classes) {
+		part := min(outcomes[class], maxGossipCount)
+		wrong := 0
+		if outcomes[class] > 0 { // its share of the bad ones, rounded up
+			wrong = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
+		}
+		message[2+2*class], message[3+2*class] = byte(part), byte(wrong)
+		outcomes[class] -= part
+		bad[class] = max(0, bad[class]-wrong)
+		left = left || part > 0
+	}
+	if !left {
+		return nil
+	}
+	return message
+}
--- /dev/null
+++ b/internal/dispatch/timers.go
@@ -0,0 +1,73 @@
+package dispatch
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"silvercove/balancer"
+)
+
+// timer is one that the balancer has set.
+type timer struct {
+	at  balancer.Tick
+	tag uint32
+}
+
+// idleWait is how long the timers rest while none is set. SetTimer ends it.
+const idleWait = time.Hour
+
+// RunTimers calls the balancer's timers until the context ends. It has to run once for each dispatcher, and returns nil.
+func (d *Dispatcher) RunTimers(ctx context.Context) error { return d.timerWaker.Run(ctx, d.fireTimers) }
+
+// fireTimers calls the timers that are due and tells how long it is until the next.
+func (d *Dispatcher) fireTimers() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for {
+		next := d.earliestTimer()
+		if next < 0 {
+			return idleWait
+		}
+		due, now := d.timers[next], d.clock.now()
+		if due.at > now {
+			return time.Until(d.clock.timeAt(due.at))
+		}
+		d.timers = slices.Delete(d.timers, next, next+1)
+		d.timerStats.addDelay(durationOf(now - due.at))
+		before := time.Now()
+		d.balancer.OnTimer(now, due.tag)
+		d.timerStats.addCall(time.Since(before))
+	}
+}
+
+// earliestTimer gives the place of the timer that is due first, of several the one that was set first; -1: there is none.
+func (d *Dispatcher) earliestTimer() int {
+	earliest := -1
+	for i, t := range d.timers {
+		if earliest < 0 || t.at < d.timers[earliest].at {
+			earliest = i
+		}
+	}
+	return earliest
+}
+
+// timerStats tell how late timers are called, and how long the balancer takes for them.
+type timerStats struct {
+	timers   int64
+	delaySum time.Duration
+	delayMax time.Duration
+	callSum  time.Duration
+	callMax  time.Duration
+}
+
+func (s *timerStats) addDelay(late time.Duration) {
+	s.timers++
+	s.delaySum += late
+	s.delayMax = max(s.delayMax, late)
+}
+
+func (s *timerStats) addCall(took time.Duration) {
+	s.callSum += took
+	s.callMax = max(s.callMax, took)
+}
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -119,7 +119,7 @@
 	n.watch = discovery.New(transport.NewAddress(plat.Address()), 0, time.Second, time.Second/2, time.Second, room, quiet)
 	n.desk = releaseapi.New(transport.NewAddress(plat.Address()), time.Second, room, quiet)
 	n.gate = dispatch.New(r.Seed<<8^uint64(no), settings.Site{Balancer: set}, dispatch.Callbacks{Vote: n.desk.Vote, WatchEndpoints: n.watch.On, FetchEndpoints: n.watch.Fetch,
-		Log: quiet, Probe: func(u dispatch.Backend) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
+		Probe: func(u dispatch.Backend) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
 	n.pools = upstream.New(room, 256, time.Second/2, 5*time.Second, n.gate)
 	n.front = downstream.New(n.gate, n.pools, room, overload.LimitsFor(256), 2*time.Second, time.Second)
 	_, _, hosts, err := discovery.Read([]byte(plat.Page()))
--- /dev/null
+++ b/internal/logging/logging_test.go
@@ -0,0 +1,25 @@
+package logging_test
+
+import (
+	"bytes"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"silvercove/internal/logging"
+)
+
+func TestComponent(t *testing.T) {
+	var out bytes.Buffer
+	log := logging.Component(zerolog.New(&out), "dispatch")
+	log("backend listed", slog.Uint64("backend_id", 3), slog.String("backend", "s-1"), slog.Duration("age_ms", time.Second))
+	log("nothing beside")
+	want := `{"level":"info","component":"dispatch","backend_id":3,"backend":"s-1","age_ms":1000,"message":"backend listed"}
+{"level":"info","component":"dispatch","message":"nothing beside"}
+`
+	if out.String() != want {
+		t.Errorf("got  %s\nwant %s", out.String(), want)
+	}
+}
--- a/internal/metadataproxy/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptrace"
@@ -18,6 +19,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sync/singleflight"
 
+	"silvercove/balancer"
 	"silvercove/internal/dispatch"
 	"silvercove/internal/metadatarefresh"
 	"silvercove/internal/settings"
@@ -87,7 +89,8 @@
 	}
 	r.connect = m.Settings.Balancer.Limits.ConnectTimeout.Duration()
 	r.gate = dispatch.New(m.Seed, m.Settings, dispatch.Callbacks{Vote: func(dispatch.Vote) {}, WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
-		Probe: func(dispatch.Backend) {}, CloseIdle: r.closeIdle, Log: func(text string) { log(name + ": " + text) }})
+		Probe: func(dispatch.Backend) {}, CloseIdle: r.closeIdle,
+		Log: func(message string, fields ...slog.Attr) { log(name + ": " + balancer.LogLine(message, fields...)) }})
 	r.List(m.Hosts)
 	return r, nil
 }
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -23,6 +23,7 @@
 	"silvercove/internal/discovery"
 	"silvercove/internal/dispatch"
 	"silvercove/internal/keys"
+	"silvercove/internal/logging"
 	"silvercove/internal/metadataproxy"
 	"silvercove/internal/metadatarefresh"
 	"silvercove/internal/monotonic"
@@ -274,7 +275,7 @@
 	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
 	site.Balancer.Rollout.Control = balancer.AdvanceByClock
 	g := dispatch.New(seed(discoveryAddress, address), site, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
-		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: m.say, OnEndpoints: m.director.Hosts,
+		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: logging.Component(m.log, "dispatch"), OnEndpoints: m.director.Hosts,
 		Vote: m.director.Voted, OnStage: m.director.Stage})
 	m.watches = append(m.watches, g.RunTimers)
 	if desk != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,6 +22,7 @@
 	"silvercove/internal/discovery"
 	"silvercove/internal/dispatch"
 	"silvercove/internal/downstream"
+	"silvercove/internal/logging"
 	"silvercove/internal/overload"
 	"silvercove/internal/releaseapi"
 	"silvercove/internal/transport"
@@ -226,7 +227,7 @@
 	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
 	r.desk = releaseapi.New(r.platform, calls, r.room, say)
 	hands := dispatch.Callbacks{
-		Vote: r.desk.Vote, WatchEndpoints: r.watch.On, FetchEndpoints: r.watch.Fetch, Log: say,
+		Vote: r.desk.Vote, WatchEndpoints: r.watch.On, FetchEndpoints: r.watch.Fetch, Log: logging.Component(r.log, "dispatch"),
 		LoadShedder: t.Shed,
 		OnStage:     t.Staged,
 		Probe:       func(u dispatch.Backend) { r.pools.Probe(u) },
