--- /dev/null
+++ b/balancer/routing_test.go
@@ -0,0 +1,95 @@
+package balancer
+
+import "testing"
+
+func TestRouting_SkipsBackendsThatAreNotReady(t *testing.T) {
+	for _, state := range []EndpointState{Draining, Removed} {
+		b := newFixture(nil)
+		backend := b.addBackend(1, 1, 0)
+		listing := backend.Endpoint
+		listing.State = state
+		b.OnEndpoint(b.now, backend, listing)
+		b.request(idempotent)
+		check(t, "attempts", len(b.host.started), 0)
+	}
+}
+
+// TestRouting_PinnedRequestFollowsItsInstance: to that backend alone, after a pause once it was refused, and it waits while
+// the instance runs nowhere; refusals of pinned requests eject no backend and lower no limit.
+func TestRouting_PinnedRequestFollowsItsInstance(t *testing.T) {
+	b := newFixture(nil)
+	one, two := b.addBackend(1, 1, 0), b.addBackend(2, 1, 0)
+	for range 30 {
+		c := &Request{Deadline: b.now + 2*Second, Pinned: true, PinnedTo: two}
+		b.OnRequest(b.now, c)
+		check(t, "to", b.host.started[len(b.host.started)-1].Backend, two)
+		b.finish(c, Succeeded)
+	}
+	c := &Request{Deadline: b.now + 2*Second, Pinned: true, PinnedTo: two}
+	b.OnRequest(b.now, c)
+	n, limit := len(b.host.started), b.concurrencyLimit
+	b.finish(c, AtCapacity)
+	check(t, "sent again at once", len(b.host.started), n)
+	b.advance(Second / 10)
+	check(t, "sent again after a pause", len(b.host.started), n+1)
+	b.finish(c, AtCapacity)
+	c.PinnedTo = one
+	b.OnInstancesMoved(b.now)
+	check(t, "sent where it runs now", len(b.host.started), n+2)
+	check(t, "to", b.host.started[n+1].Backend, one)
+	b.finish(c, Succeeded)
+	check(t, "limit", b.concurrencyLimit >= limit, true)
+	for range 40 {
+		c := &Request{Deadline: b.now + 2*Second, Pinned: true, PinnedTo: two}
+		b.OnRequest(b.now, c)
+		b.finish(c, AtCapacity)
+		c.answered = true
+	}
+	check(t, "ejected", two.ejected, false)
+	nowhere := &Request{Deadline: b.now + 2*Second, Pinned: true}
+	n = len(b.host.started)
+	b.OnRequest(b.now, nowhere)
+	b.advance(Second)
+	check(t, "sent while it runs nowhere", len(b.host.started), n)
+	_, rejected := b.host.rejected[nowhere]
+	check(t, "rejected when its target is lost", rejected, true)
+}
+
+// TestRouting_RefusalIsKept: a request that no backend takes says which check the backend that came furthest failed.
+func TestRouting_RefusalIsKept(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Settings)
+		set    func(b *fixture, backend *Backend)
+		want   Refusal
+	}{
+		{"taken", nil, func(*fixture, *Backend) {}, NotRefused},
+		{"limit", nil, func(b *fixture, _ *Backend) { b.concurrencyLimit = 0 }, RefusedByLimit},
+		{"draining", nil, func(b *fixture, backend *Backend) {
+			b.OnEndpoint(b.now, backend, Endpoint{State: Draining, Version: 1})
+		}, RefusedByEndpoint},
+		{"ejected", nil, func(b *fixture, backend *Backend) {
+			backend.ejected, backend.nextProbation = true, b.now+Second
+		}, RefusedByEjection},
+		{"warming up", nil, func(b *fixture, backend *Backend) {
+			backend.StartedAt, backend.lastWarmUpSend, backend.warmUpShareDue = b.now, b.now, 1
+		}, RefusedBySlowStart},
+		{"at capacity", nil, func(b *fixture, backend *Backend) {
+			backend.inFlight, backend.lastAnswer = 5, b.now
+		}, RefusedByCapacity},
+		{"canary without exposure", nil, func(b *fixture, _ *Backend) { b.status(1, 0, Canary, 0) }, RefusedByExposure},
+		{"guarded canary", func(s *Settings) { s.Rollout.GuardedStages = 1 }, func(b *fixture, _ *Backend) {
+			b.status(1, 0, Canary, 1)
+		}, RefusedByExposure},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newFixture(c.change)
+			b.status(1, 0, Released, 1)
+			backend := b.addBackend(1, 1, 0)
+			c.set(b, backend)
+			r := b.request(withKey)
+			check(t, "refusal", r.Refusal().String(), c.want.String())
+			check(t, "started", len(r.attempts) > 0, c.want == NotRefused)
+		})
+	}
+}
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -10,6 +10,9 @@
 // the clock moves the rollout, such a detector votes to pause. Votes are drawn with the chance, and cast at a random moment,
 // for which the release API has room if all relays vote.
 //
+// Inputs: the evidence of rollout.go, the status of the release API and its age, the endpoint list, the number of relays and
+// the rate of votes a second that the release API takes.
+//
 // Guards against votes that come too late to count: seen as a vote on a stage that has passed, which is discarded; holds
 // because the list of endpoints and the replies to votes show the stage before the news of it.
 
@@ -83,7 +86,7 @@
 	}
 	byClock := b.settings.Rollout.Control == AdvanceByClock
 	suspicious, need, timed := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
-	if b.looksSlow() {
+	if b.slowdownObserved() {
 		suspicious, need, timed = suspicious || byClock, minOutcomesIfSlow, false
 	}
 	switch {
@@ -106,8 +109,8 @@
 	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= least
 }
 
-// looksSlow tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
-func (b *Balancer) looksSlow() bool {
+// slowdownObserved tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
+func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
 	return b.baseline.slowShare() > e.slowShareBefore+fleetSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
