--- /dev/null
+++ b/internal/benchadapter/actions.go
@@ -0,0 +1,101 @@
+package benchadapter
+
+import (
+	"log/slog"
+
+	"silvercove/balancer"
+)
+
+// The methods of this file are the balancer's host. Each writes one record of the reply.
+
+// StartAttempt writes SEND.
+func (i *instance) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
+	open := i.requests[attempt.Request.ID]
+	open.attempts = append(open.attempts, attempt)
+	open.inFlight++
+	i.out.record(actionStartAttempt, i.number)
+	i.out.u64(attempt.Request.ID)
+	i.out.u32(attempt.Backend.ID)
+	i.out.tick(deadline)
+}
+
+// Reject writes BOUNCE.
+func (i *instance) Reject(request *balancer.Request, retryAfter balancer.Tick) {
+	i.out.record(actionReject, i.number)
+	i.out.u64(request.ID)
+	i.out.tick(retryAfter)
+	i.answered(request)
+}
+
+// Fail writes SURRENDER.
+func (i *instance) Fail(request *balancer.Request) {
+	i.out.record(actionFail, i.number)
+	i.out.u64(request.ID)
+	i.answered(request)
+}
+
+// answered notes that the balancer has given a request its final answer.
+func (i *instance) answered(request *balancer.Request) {
+	if open := i.requests[request.ID]; open != nil {
+		open.answered = true
+		i.forgetIfOver(request.ID)
+	}
+}
+
+// CancelAttempt writes ABORT_ATTEMPT.
+func (i *instance) CancelAttempt(attempt *balancer.Attempt) {
+	i.out.record(actionCancelAttempt, i.number)
+	i.out.u64(attempt.Request.ID)
+	i.out.u8(uint8(attempt.Number))
+}
+
+// SetTimer writes WAKE_AT.
+func (i *instance) SetTimer(at balancer.Tick, tag uint32) {
+	i.out.record(actionSetTimer, i.number)
+	i.out.tick(at)
+	i.out.u32(tag)
+}
+
+// Probe writes TOUCH.
+func (i *instance) Probe(backend *balancer.Backend) {
+	i.out.record(actionProbe, i.number)
+	i.out.u32(backend.ID)
+}
+
+// CloseIdle writes CLOSE.
+func (i *instance) CloseIdle(backend *balancer.Backend) {
+	i.out.record(actionCloseIdle, i.number)
+	i.out.u32(backend.ID)
+}
+
+// SendGossip writes MEMO_TO.
+func (i *instance) SendGossip(peer uint32, data []byte) {
+	i.out.record(actionSendGossip, i.number)
+	i.out.u32(peer)
+	i.out.bytes(data)
+}
+
+// Log writes SAY_LOG, the message and its fields in one line.
+func (i *instance) Log(message string, fields ...slog.Attr) {
+	i.out.record(actionLog, i.number)
+	i.out.bytes([]byte(balancer.LogLine(message, fields...)))
+}
+
+// WatchEndpoints writes TRACK.
+func (i *instance) WatchEndpoints(on bool) {
+	i.out.record(actionWatchEndpoints, i.number)
+	i.out.bool(on)
+}
+
+// FetchEndpoints writes PULL.
+func (i *instance) FetchEndpoints() {
+	i.out.record(actionFetchEndpoints, i.number)
+}
+
+// CastVote writes OPINION. The codes of the verdicts are the balancer's.
+func (i *instance) CastVote(version uint16, stage int, verdict balancer.Verdict) {
+	i.out.record(actionCastVote, i.number)
+	i.out.u16(version)
+	i.out.u8(uint8(stage))
+	i.out.u8(uint8(verdict))
+}
--- /dev/null
+++ b/internal/benchadapter/adapter.go
@@ -0,0 +1,179 @@
+// Package benchadapter joins the balancer to the bench's wire: the events that it reads become calls of the balancer, and
+// the balancer's calls of its host become actions. It decides nothing.
+//
+// With internal/settings it is one of the two places where the names of the wire are mapped to the standard terms. The
+// mapping stands in messages.go, one type a record with the wire's name in its comment; codec.go reads and writes the
+// fields.
+//
+// A process of the adapter hosts several instances, which share nothing but the numbered endpoint lists. Serve is driven by
+// its input alone: it has no clock and no goroutine, so the same frames always bring the same replies.
+package benchadapter
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"silvercove/balancer"
+)
+
+const (
+	bufferSize = 64 << 10 // bytes, of the input and of the output
+	readPiece  = 1 << 20  // bytes of a frame that are read at once
+)
+
+// server is one process of the adapter.
+type server struct {
+	instances map[uint32]*instance
+	lists     endpointLists
+	out       writer
+}
+
+func newServer() *server { return &server{instances: map[uint32]*instance{}} }
+
+// Serve answers the frames of in, one reply each, until in ends. An error tells of input that makes no sense, of a failed
+// read or write, or of a balancer that failed; nothing can be served after it.
+func Serve(in io.Reader, out io.Writer) error {
+	s := newServer()
+	input := bufio.NewReaderSize(in, bufferSize)
+	output := bufio.NewWriterSize(out, bufferSize)
+	var frame []byte
+	for {
+		var err error
+		if frame, err = readFrame(input, frame[:0]); errors.Is(err, errInputEnded) {
+			return nil
+		} else if err != nil {
+			return err
+		}
+		reply, batchErr := s.handleBatch(frame)
+		if err := writeReply(output, reply); err != nil {
+			return err
+		}
+		if batchErr != nil {
+			return batchErr
+		}
+	}
+}
+
+// errInputEnded is the end of the input between two frames.
+var errInputEnded = errors.New("the input has ended")
+
+// readFrame reads the length of a frame and then the frame, into buf as far as that has space.
+func readFrame(in io.Reader, buf []byte) ([]byte, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(in, length[:]); errors.Is(err, io.EOF) {
+		return nil, errInputEnded
+	} else if err != nil {
+		return nil, fmt.Errorf("frame length: %w", err)
+	}
+	return readBody(in, buf, int64(binary.LittleEndian.Uint32(length[:])))
+}
+
+// readBody reads n bytes in pieces, so that a false length costs no more memory than the bytes that really come.
+func readBody(in io.Reader, buf []byte, n int64) ([]byte, error) {
+	for n > 0 {
+		piece := int(min(n, readPiece))
+		start := len(buf)
+		buf = slices.Grow(buf, piece)[:start+piece]
+		if got, err := io.ReadFull(in, buf[start:]); err != nil {
+			return nil, fmt.Errorf("frame cut short: %d bytes missing: %w", n-int64(got), err)
+		}
+		n -= int64(piece)
+	}
+	return buf, nil
+}
+
+// writeReply writes a reply, if there is one, and flushes it.
+func writeReply(out *bufio.Writer, reply []byte) error {
+	if reply == nil {
+		return nil
+	}
+	if _, err := out.Write(reply); err != nil {
+		return fmt.Errorf("reply: %w", err)
+	}
+	if err := out.Flush(); err != nil {
+		return fmt.Errorf("reply: %w", err)
+	}
+	return nil
+}
+
+// handleBatch handles the events of one frame. A balancer that fails makes the reply end with a fault, and an error.
+func (s *server) handleBatch(frame []byte) (reply []byte, err error) {
+	r := &reader{buf: frame}
+	now := r.tick("clock")
+	count := r.u32("record count")
+	s.out.begin()
+	var current uint32 // the instance whose event is being handled
+	defer func() {
+		if cause := recover(); cause != nil {
+			s.out.fault(current, fmt.Sprint(cause))
+			reply, err = s.out.finish(), fmt.Errorf("the balancer failed: %v", cause)
+		}
+	}()
+	for i := uint32(0); i < count && r.err == nil; i++ {
+		err := s.handleEvent(r, now, &current)
+		if err == nil {
+			err = r.err
+		}
+		if err != nil {
+			return nil, fmt.Errorf("record %d: %w", i, err)
+		}
+	}
+	if r.err != nil {
+		return nil, fmt.Errorf("header: %w", r.err)
+	}
+	if r.offset != len(frame) {
+		return nil, fmt.Errorf("%d bytes follow the last record", len(frame)-r.offset)
+	}
+	return s.out.finish(), nil
+}
+
+// handleEvent reads one record and makes the call that it stands for. A record that is cut short does nothing: the
+// reader keeps its error.
+func (s *server) handleEvent(r *reader, now balancer.Tick, current *uint32) error {
+	code := eventCode(r.u8("code"))
+	if r.err == nil && code >= eventCodes {
+		return fmt.Errorf("unknown code %d at byte %d", code, r.offset-1)
+	}
+	if code == eventEndpointList {
+		return s.lists.read(r)
+	}
+	*current = r.u32("relay_id")
+	if r.err != nil {
+		return nil
+	}
+	switch code {
+	case eventStart:
+		return s.start(r, now, *current)
+	case eventStop:
+		if s.instances[*current] == nil {
+			return unknownInstance(*current)
+		}
+		delete(s.instances, *current)
+		return nil
+	}
+	i := s.instances[*current]
+	if i == nil {
+		return unknownInstance(*current)
+	}
+	return i.handle(r, now, code, &s.lists)
+}
+
+func unknownInstance(number uint32) error { return fmt.Errorf("unknown instance %d", number) }
+
+// start makes the instance that a start event names, in place of one that has the same number.
+func (s *server) start(r *reader, now balancer.Tick, number uint32) error {
+	event := r.startEvent()
+	if r.err != nil {
+		return nil
+	}
+	i, err := newInstance(&s.out, now, number, event)
+	if err != nil {
+		return err
+	}
+	s.instances[number] = i
+	return nil
+}
--- /dev/null
+++ b/internal/benchadapter/codec.go
@@ -0,0 +1,166 @@
+package benchadapter
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"silvercove/balancer"
+)
+
+// Times on the wire are seconds, of which the simulator counts microseconds.
+const (
+	microsecondsPerSecond = 1e6
+	microsecondsPerTick   = microsecondsPerSecond / float64(balancer.Second)
+	maxSeconds            = 1e11 // beyond it no time is meant
+)
+
+// reader takes fields from one frame. Its first failure stays and every later read gives zero, so that a record is read
+// whole and checked once.
+type reader struct {
+	buf    []byte
+	offset int // how many bytes have been taken
+	err    error
+}
+
+// require fails unless n more bytes are there.
+func (r *reader) require(n int, what string) {
+	if r.err == nil && (n < 0 || n > len(r.buf)-r.offset) {
+		r.err = fmt.Errorf("%s at byte %d runs past the frame's %d bytes", what, r.offset, len(r.buf))
+	}
+}
+
+// take gives the next n bytes, nil after a failure. They are valid as long as the frame.
+func (r *reader) take(n int, what string) []byte {
+	r.require(n, what)
+	if r.err != nil {
+		return nil
+	}
+	taken := r.buf[r.offset : r.offset+n]
+	r.offset += n
+	return taken
+}
+
+func (r *reader) u8(what string) uint8 {
+	if b := r.take(1, what); b != nil {
+		return b[0]
+	}
+	return 0
+}
+
+func (r *reader) u16(what string) uint16 {
+	if b := r.take(2, what); b != nil {
+		return binary.LittleEndian.Uint16(b)
+	}
+	return 0
+}
+
+func (r *reader) u32(what string) uint32 {
+	if b := r.take(4, what); b != nil {
+		return binary.LittleEndian.Uint32(b)
+	}
+	return 0
+}
+
+func (r *reader) u64(what string) uint64 {
+	if b := r.take(8, what); b != nil {
+		return binary.LittleEndian.Uint64(b)
+	}
+	return 0
+}
+
+func (r *reader) f32(what string) float64 {
+	return float64(math.Float32frombits(r.u32(what)))
+}
+
+// seconds reads a point or a span of time.
+func (r *reader) seconds(what string) float64 {
+	v := math.Float64frombits(r.u64(what))
+	if r.err == nil && (math.IsNaN(v) || math.Abs(v) > maxSeconds) {
+		r.err = fmt.Errorf("%s at byte %d is no time", what, r.offset-8)
+	}
+	return v
+}
+
+// tick reads a point or a span of time as the balancer counts it.
+func (r *reader) tick(what string) balancer.Tick { return toTick(r.seconds(what)) }
+
+// toTick rounds to the microsecond, which is exact for every time of the wire, and then down to the tick, so that a
+// deadline is never read as later than it is.
+func toTick(seconds float64) balancer.Tick {
+	return balancer.Tick(math.Floor(math.Round(seconds*microsecondsPerSecond) / microsecondsPerTick))
+}
+
+// loadReport reads the values of a load report; nil where none came along.
+func (r *reader) loadReport() []float64 {
+	const valueSize = 4
+	count := int(r.u8("load report count"))
+	r.require(count*valueSize, "load report")
+	if r.err != nil {
+		return nil
+	}
+	var values []float64
+	for range count {
+		values = append(values, r.f32("load report"))
+	}
+	return values
+}
+
+// replyHeaderSize is that of the number of records and the length of what follows, in bytes.
+const replyHeaderSize = 8
+
+// writer holds the records of one reply.
+type writer struct {
+	buf   []byte
+	count uint32 // of records
+}
+
+// begin starts a reply in the space of the one before.
+func (w *writer) begin() {
+	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
+	w.count = 0
+}
+
+// record starts a record of an instance; its fields follow.
+func (w *writer) record(code actionCode, instance uint32) {
+	w.count++
+	w.u8(uint8(code))
+	w.u32(instance)
+}
+
+func (w *writer) u8(v uint8)   { w.buf = append(w.buf, v) }
+func (w *writer) u16(v uint16) { w.buf = binary.LittleEndian.AppendUint16(w.buf, v) }
+func (w *writer) u32(v uint32) { w.buf = binary.LittleEndian.AppendUint32(w.buf, v) }
+func (w *writer) u64(v uint64) { w.buf = binary.LittleEndian.AppendUint64(w.buf, v) }
+
+func (w *writer) bool(v bool) {
+	if v {
+		w.u8(1)
+	} else {
+		w.u8(0)
+	}
+}
+
+func (w *writer) tick(v balancer.Tick) {
+	w.u64(math.Float64bits(float64(v) / float64(balancer.Second)))
+}
+
+// bytes writes a count and as many bytes, of more than it can count the first ones.
+func (w *writer) bytes(b []byte) {
+	b = b[:min(len(b), math.MaxUint16)]
+	w.u16(uint16(len(b)))
+	w.buf = append(w.buf, b...)
+}
+
+// fault adds the record that tells of a failed balancer.
+func (w *writer) fault(instance uint32, cause string) {
+	w.record(actionFault, instance)
+	w.bytes([]byte(cause))
+}
+
+// finish fills in the header. The reply is valid until the next begin.
+func (w *writer) finish() []byte {
+	binary.LittleEndian.PutUint32(w.buf[0:], w.count)
+	binary.LittleEndian.PutUint32(w.buf[4:], uint32(len(w.buf)-replyHeaderSize))
+	return w.buf
+}
--- /dev/null
+++ b/internal/benchadapter/endpoints.go
@@ -0,0 +1,93 @@
+package benchadapter
+
+import (
+	"fmt"
+
+	"silvercove/balancer"
+)
+
+// maxLists is how many numbered endpoint lists there can be.
+const maxLists = 16
+
+// endpointLists are the numbered lists of the process. A list replaces the one before it with its number.
+type endpointLists struct {
+	lists [maxLists][]listedEndpoint
+	given [maxLists]bool
+}
+
+// read takes the record CATALOG.
+func (l *endpointLists) read(r *reader) error {
+	number := r.u32("page")
+	count := int(r.u32("members_list count"))
+	if r.err == nil && number >= maxLists {
+		return fmt.Errorf("list number %d is over %d", number, maxLists-1)
+	}
+	r.require(count*listedEndpointSize, "members_list")
+	if r.err != nil {
+		return nil
+	}
+	list := make([]listedEndpoint, 0, count)
+	for range count {
+		list = append(list, r.listedEndpoint())
+	}
+	l.lists[number], l.given[number] = list, true
+	return nil
+}
+
+// list gives the list of a number.
+func (l *endpointLists) list(number uint32) ([]listedEndpoint, error) {
+	if number >= maxLists || !l.given[number] {
+		return nil, fmt.Errorf("list number %d was never given", number)
+	}
+	return l.lists[number], nil
+}
+
+// updateEndpoints tells the balancer what an update of the endpoint list has changed.
+func (i *instance) updateEndpoints(now balancer.Tick, event endpointUpdateEvent, lists *endpointLists) error {
+	switch event.kind {
+	case updateFailed:
+		i.balancer.OnListSynced(now, false)
+		return nil
+	case updateComplete, updateCached, updateDelta:
+	default:
+		return fmt.Errorf("unknown kind of list %d", event.kind)
+	}
+	list, err := lists.list(event.list)
+	if err != nil {
+		return err
+	}
+	named := map[uint32]bool{}
+	for _, entry := range list {
+		named[entry.backend] = true
+		i.balancer.OnEndpoint(now, i.backendOf(entry.backend), entry.endpoint)
+	}
+	if event.kind != updateDelta {
+		i.removeUnnamed(now, named)
+	}
+	i.balancer.OnListSynced(now, true)
+	return nil
+}
+
+// backendOf gives the balancer's backend of an ID, and makes it when it is named first.
+func (i *instance) backendOf(id uint32) *balancer.Backend {
+	backend := i.backends[id]
+	if backend == nil {
+		backend = &balancer.Backend{ID: id}
+		i.backends[id] = backend
+		i.backendOrder = append(i.backendOrder, id)
+	}
+	return backend
+}
+
+// removeUnnamed tells the balancer of the backends that a complete list leaves out: they are gone.
+func (i *instance) removeUnnamed(now balancer.Tick, named map[uint32]bool) {
+	for _, id := range i.backendOrder {
+		backend := i.backends[id]
+		if named[id] || backend.State == balancer.Removed {
+			continue
+		}
+		endpoint := backend.Endpoint
+		endpoint.State = balancer.Removed
+		i.balancer.OnEndpoint(now, backend, endpoint)
+	}
+}
--- /dev/null
+++ b/internal/benchadapter/script_wire_test.go
@@ -0,0 +1,295 @@
+package benchadapter_test
+
+import (
+	"encoding/binary"
+	"math"
+	"slices"
+	"testing"
+)
+
+// This file is the bench's side of the wire, as far as the scripts of the golden trace need it: codes, fields, frames and
+// replies.
+
+// Codes of the wire's events.
+const (
+	wireBorn = iota
+	wireRosterChange
+	wireSubmit
+	wireStreaming
+	wireFinished
+	wireLeft
+	wireAlarm
+	wireEcho
+	wireMemo
+	wireDetach
+	wirePromotion
+	wireDigest
+	wireDisputed
+	wireCatalog
+	wireEvents // how many there are
+)
+
+// Codes of the wire's actions.
+const (
+	wireSend = 64 + iota
+	wireBounce
+	wireSurrender
+	wireAbortAttempt
+	wireWakeAt
+	wireTouch
+	wireClose
+	wireMemoTo
+	wireSayLog
+	wireFault
+	wireTrack
+	wirePull
+	wireOpinion
+	wireActionsEnd
+)
+
+// Outcomes of the wire.
+const (
+	wireOK = 1 + iota
+	wireError
+	wireFull
+	wireTimeout
+	wireConnectFailed
+	wireReset
+	wireCancelled
+	wireMoot
+)
+
+// microseconds is a point of the script's clock.
+type microseconds int64
+
+const (
+	second      microseconds = 1_000_000
+	scriptStart              = 7 * second
+	scriptSpan               = 14 * second
+	batchGap                 = 5000 * microseconds(1)
+)
+
+func (at microseconds) seconds() float64 { return float64(at) / float64(second) }
+
+func (b *bench) record(code uint8) {
+	b.records++
+	b.events[code]++
+	b.batch = append(b.batch, code)
+}
+
+func (b *bench) u8(v uint8)           { b.batch = append(b.batch, v) }
+func (b *bench) u16(v uint16)         { b.batch = binary.LittleEndian.AppendUint16(b.batch, v) }
+func (b *bench) u32(v uint32)         { b.batch = binary.LittleEndian.AppendUint32(b.batch, v) }
+func (b *bench) u64(v uint64)         { b.batch = binary.LittleEndian.AppendUint64(b.batch, v) }
+func (b *bench) f32(v float32)        { b.u32(math.Float32bits(v)) }
+func (b *bench) time(at microseconds) { b.u64(math.Float64bits(at.seconds())) }
+func (b *bench) flag(set bool)        { b.u8(map[bool]uint8{false: 0, true: 1}[set]) }
+func (b *bench) figures(values ...int) {
+	b.u8(uint8(len(values)))
+	for _, v := range values {
+		b.f32(float32(v) / 4)
+	}
+}
+
+// loadReport writes a load report, or the absence of one.
+func (b *bench) loadReport() {
+	if b.chance(0.5) {
+		b.figures()
+		return
+	}
+	b.figures(b.random.IntN(40), b.random.IntN(5))
+}
+
+// frame makes the batch of the events that are due.
+func (b *bench) frame() []byte {
+	out := make([]byte, 4, 16+len(b.batch))
+	out = binary.LittleEndian.AppendUint64(out, math.Float64bits(b.now.seconds()))
+	out = binary.LittleEndian.AppendUint32(out, b.records)
+	out = append(out, b.batch...)
+	binary.LittleEndian.PutUint32(out, uint32(len(out)-4))
+	b.batch, b.records = b.batch[:0], 0
+	return out
+}
+
+// fields takes the parts of a reply.
+type fields struct {
+	t   *testing.T
+	buf []byte
+}
+
+func (f *fields) take(n int) []byte {
+	if n > len(f.buf) {
+		f.t.Fatalf("a reply is cut short: %d bytes are wanted, %d are there", n, len(f.buf))
+	}
+	out := f.buf[:n]
+	f.buf = f.buf[n:]
+	return out
+}
+
+func (f *fields) u8() uint8   { return f.take(1)[0] }
+func (f *fields) u16() uint16 { return binary.LittleEndian.Uint16(f.take(2)) }
+func (f *fields) u32() uint32 { return binary.LittleEndian.Uint32(f.take(4)) }
+func (f *fields) u64() uint64 { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fields) time() microseconds {
+	return microseconds(math.Round(math.Float64frombits(f.u64()) * float64(second)))
+}
+
+// act does what one reply asks for, and adds it to the hash.
+func (b *bench) act(count uint32, body []byte) {
+	f := &fields{t: b.t, buf: body}
+	b.replies++
+	b.sum.Write(binary.LittleEndian.AppendUint32(nil, count))
+	for range count {
+		before := f.buf
+		code := f.u8()
+		number := f.u32()
+		if code < wireSend || code >= wireActionsEnd {
+			b.t.Fatalf("unknown action %d", code)
+		}
+		b.actions[code]++
+		var r *scriptInstance
+		for _, one := range b.instances {
+			if one.number == number && one.alive {
+				r = one
+			}
+		}
+		if r == nil {
+			b.t.Fatalf("action %d of the unknown instance %d", code, number)
+		}
+		b.action(f, code, r)
+		taken := before[:len(before)-len(f.buf)]
+		if code == wireSayLog {
+			taken = taken[:5]
+		}
+		b.sum.Write(taken)
+	}
+	if len(f.buf) > 0 {
+		b.t.Fatalf("%d bytes follow the last action", len(f.buf))
+	}
+}
+
+func (b *bench) action(f *fields, code uint8, r *scriptInstance) {
+	life := r.life
+	switch code {
+	case wireSend:
+		q := b.request(r, f.u64())
+		q.attempts = append(q.attempts, &scriptAttempt{backend: f.u32(), sentAt: b.now})
+		b.attempt(r, q, len(q.attempts)-1, f.time())
+	case wireBounce:
+		b.request(r, f.u64()).over = true
+		f.time()
+	case wireSurrender:
+		b.request(r, f.u64()).over = true
+	case wireAbortAttempt:
+		q, no := b.request(r, f.u64()), int(f.u8())
+		if no >= len(q.attempts) {
+			b.t.Fatalf("attempt %d of %d is called off", no, len(q.attempts))
+		}
+		b.after(batchGap, func() { b.finish(r, life, q, no, wireCancelled) })
+	case wireWakeAt:
+		at, tag := f.time(), f.u32()
+		b.at(max(at, b.now+batchGap), func() {
+			if r.alive && r.life == life {
+				b.record(wireAlarm)
+				b.u32(r.number)
+				b.u32(tag)
+			}
+		})
+	case wireTouch, wireClose:
+		f.u32()
+	case wireMemoTo:
+		f.u32()
+		data := slices.Clone(f.take(int(f.u16())))
+		for _, other := range b.instances {
+			if other != r {
+				b.after(30_000, func() {
+					if other.alive {
+						b.gossip(other, r.number, data)
+					}
+				})
+			}
+		}
+	case wireSayLog, wireFault:
+		f.take(int(f.u16()))
+	case wireTrack:
+		on := f.u8() == 1
+		b.after(50_000, func() {
+			if !r.alive || r.life != life {
+				return
+			}
+			if r.watching = on && b.chance(0.7); r.watching {
+				b.listed(r, 3, nil)
+			} else {
+				b.listed(r, 1, nil)
+			}
+		})
+	case wirePull:
+		b.after(50_000, func() {
+			if r.alive && r.life == life {
+				b.listed(r, 0, b.present())
+			}
+		})
+	case wireOpinion:
+		f.u16()
+		f.u8()
+		f.u8()
+		b.after(microseconds(20_000+b.random.IntN(300_000)), func() {
+			if r.alive && r.life == life {
+				b.releaseStatus(r, 1, []uint8{wireOK, wireOK, wireOK, wireMoot, wireFull, wireError, wireTimeout}[b.random.IntN(7)])
+			}
+		})
+	}
+}
+
+func (b *bench) request(r *scriptInstance, id uint64) *scriptRequest {
+	q := r.requests[id]
+	if q == nil {
+		b.t.Fatalf("instance %d names request %d, which it never got", r.number, id)
+	}
+	return q
+}
+
+// malformed gives a last frame that makes no sense, of another kind for each of 14 seeds.
+func (b *bench) malformed(seed uint64) []byte {
+	good := b.frame()
+	record := func(data ...byte) []byte {
+		out := slices.Clone(good[:12])
+		out = append(out, 1, 0, 0, 0)
+		out = append(out, data...)
+		binary.LittleEndian.PutUint32(out, uint32(len(out)-4))
+		return out
+	}
+	alive := byte(b.instances[0].number)
+	switch seed % 14 {
+	case 0:
+		return good[:3] // cut short in the length
+	case 1:
+		return good[:10] // and after it
+	case 2:
+		return record(14, alive, 0, 0, 0)
+	case 3:
+		return record(wireAlarm, 200, 0, 0, 0, 1, 0, 0, 0)
+	case 4:
+		return record(wireAlarm, alive, 0, 0, 0, 1, 0)
+	case 5:
+		return record(wireAlarm, alive, 0, 0, 0, 1, 0, 0, 0, 9)
+	case 6:
+		return record(wireCatalog, 16, 0, 0, 0, 0, 0, 0, 0)
+	case 7:
+		return record(wireCatalog, 1, 0, 0, 0, 255, 255, 255, 255)
+	case 8:
+		return record(wireRosterChange, alive, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 0)
+	case 9:
+		return record(wireRosterChange, alive, 0, 0, 0, 0, 0, 0, 0, 0, 77, 0, 0, 0)
+	case 10:
+		return record(append([]byte{wireBorn, alive, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 11, 0, 0, 0}, `{"grades":1}`[:11]...)...)
+	case 11:
+		data := append([]byte{wireSubmit, alive, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 250}, make([]byte, 29)...)
+		return record(data...)
+	case 12:
+		out := record()
+		binary.LittleEndian.PutUint64(out[4:], math.Float64bits(math.NaN()))
+		return out
+	}
+	return record(wireFinished, alive, 0, 0, 0, 1)
+}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -92,7 +92,7 @@
 		evidence.RecordOutcome(now, a.version, class, d.stage, !succeeded)
 	}
 	shedder := d.callbacks.LoadShedder
-	if shedder == nil || !tellsOfBackend(outcome) {
+	if shedder == nil || !reflectsOnBackend(outcome) {
 		return
 	}
 	shedder.RecordOutcome(a.Name, succeeded)
@@ -101,9 +101,9 @@
 	}
 }
 
-// tellsOfBackend tells whether an outcome says how well its backend is. One at its capacity is well; what was cancelled or
+// reflectsOnBackend tells whether an outcome says how well its backend is. One at its capacity is well; what was cancelled or
 // never sent says nothing.
-func tellsOfBackend(outcome balancer.Outcome) bool {
+func reflectsOnBackend(outcome balancer.Outcome) bool {
 	switch outcome {
 	case balancer.Succeeded, balancer.Errored, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset:
 		return true
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -9,11 +9,11 @@
 )
 
 // host is the dispatcher as its balancer sees it. All of its methods run while the dispatcher is locked.
-type host struct{ d *Dispatcher }
+type host struct{ dispatcher *Dispatcher }
 
 // StartAttempt hands an attempt to whoever waits in Next.
 func (h host) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
-	d := h.d
+	d := h.dispatcher
 	call, backend := d.calls[attempt.Request], d.backendsByID[attempt.Backend.ID]
 	if shedder := d.callbacks.LoadShedder; shedder != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
 		shedder.RecordFirstAttempt()
@@ -37,46 +37,52 @@
 
 // Reject ends a request with the promise that trying again is harmless.
 func (h host) Reject(request *balancer.Request, retryAfter balancer.Tick) {
-	h.d.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
+	h.dispatcher.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
 }
 
 // Fail ends a request without any promise.
-func (h host) Fail(request *balancer.Request) { h.d.finish(request, Step{Answer: Failed}) }
+func (h host) Fail(request *balancer.Request) { h.dispatcher.finish(request, Step{Answer: Failed}) }
 
 // CancelAttempt stops waiting for an attempt.
 func (h host) CancelAttempt(attempt *balancer.Attempt) {
-	if started := h.d.attempts[attempt]; started != nil {
+	if started := h.dispatcher.attempts[attempt]; started != nil {
 		started.cancel()
 	}
 }
 
 // SetTimer has OnTimer called at or after a time.
 func (h host) SetTimer(at balancer.Tick, tag uint32) {
-	h.d.timers = append(h.d.timers, timer{at: at, tag: tag})
-	h.d.timerWaker.Wake()
+	h.dispatcher.timers = append(h.dispatcher.timers, timer{dueAt: at, tag: tag})
+	h.dispatcher.timerWaker.Wake()
 }
 
 // Probe checks a backend.
-func (h host) Probe(b *balancer.Backend) { h.d.callbacks.Probe(h.d.backendsByID[b.ID].identity()) }
+func (h host) Probe(b *balancer.Backend) {
+	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
+}
 
 // CloseIdle closes the idle connections to a backend.
-func (h host) CloseIdle(b *balancer.Backend) { h.d.callbacks.CloseIdle(h.d.backendsByID[b.ID].name) }
+func (h host) CloseIdle(b *balancer.Backend) {
+	h.dispatcher.callbacks.CloseIdle(h.dispatcher.backendsByID[b.ID].name)
+}
 
 // SendGossip does nothing: the settings of a real relay allow no messages between balancers.
 func (h host) SendGossip(uint32, []byte) {}
 
 // Log writes a line for the people on call.
-func (h host) Log(message string, fields ...slog.Attr) { h.d.callbacks.Log(message, fields...) }
+func (h host) Log(message string, fields ...slog.Attr) {
+	h.dispatcher.callbacks.Log(message, fields...)
+}
 
 // WatchEndpoints subscribes to changes of the endpoint list, or ends that.
-func (h host) WatchEndpoints(on bool) { h.d.callbacks.WatchEndpoints(on) }
+func (h host) WatchEndpoints(on bool) { h.dispatcher.callbacks.WatchEndpoints(on) }
 
 // FetchEndpoints asks for the whole endpoint list once.
-func (h host) FetchEndpoints() { h.d.callbacks.FetchEndpoints() }
+func (h host) FetchEndpoints() { h.dispatcher.callbacks.FetchEndpoints() }
 
 // CastVote casts a vote on a version.
 func (h host) CastVote(version uint16, stage int, verdict balancer.Verdict) {
-	d := h.d
+	d := h.dispatcher
 	d.counters.Votes++
 	if evidence := d.callbacks.Evidence; evidence != nil {
 		evidence.RecordVote(d.clock.now(), version, stage, verdictNames[verdict], d.balancer.VoteReason(verdict))
@@ -86,18 +92,18 @@
 
 // MayRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
 func (h host) MayRetry(request *balancer.Request) bool {
-	shedder := h.d.callbacks.LoadShedder
+	shedder := h.dispatcher.callbacks.LoadShedder
 	return shedder == nil || shedder.AllowRetry(request.ClientRetry)
 }
 
 // AvoidsBackend tells whether a backend has failed for other relays of the fleet.
 func (h host) AvoidsBackend(b *balancer.Backend) bool {
-	shedder := h.d.callbacks.LoadShedder
-	return shedder != nil && shedder.IsEjected(h.d.backendsByID[b.ID].name)
+	shedder := h.dispatcher.callbacks.LoadShedder
+	return shedder != nil && shedder.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
 // MayProbe tells whether an attempt may try a suspect backend, as far as the fleet is concerned.
 func (h host) MayProbe(b *balancer.Backend) bool {
-	shedder := h.d.callbacks.LoadShedder
-	return shedder == nil || shedder.AllowProbe(h.d.backendsByID[b.ID].name)
+	shedder := h.dispatcher.callbacks.LoadShedder
+	return shedder == nil || shedder.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -10,8 +10,8 @@
 
 // timer is one that the balancer has set.
 type timer struct {
-	at  balancer.Tick
-	tag uint32
+	dueAt balancer.Tick
+	tag   uint32
 }
 
 // idleWait is how long the timers rest while none is set. SetTimer ends it.
@@ -30,11 +30,11 @@
 			return idleWait
 		}
 		due, now := d.timers[next], d.clock.now()
-		if due.at > now {
-			return time.Until(d.clock.timeAt(due.at))
+		if due.dueAt > now {
+			return time.Until(d.clock.timeAt(due.dueAt))
 		}
 		d.timers = slices.Delete(d.timers, next, next+1)
-		d.timerStats.addDelay(durationOf(now - due.at))
+		d.timerStats.addDelay(durationOf(now - due.dueAt))
 		before := time.Now()
 		d.balancer.OnTimer(now, due.tag)
 		d.timerStats.addCall(time.Since(before))
@@ -45,7 +45,7 @@
 func (d *Dispatcher) earliestTimer() int {
 	earliest := -1
 	for i, t := range d.timers {
-		if earliest < 0 || t.at < d.timers[earliest].at {
+		if earliest < 0 || t.dueAt < d.timers[earliest].dueAt {
 			earliest = i
 		}
 	}
