--- a/internal/migration/bench_test.go
+++ b/internal/migration/bench_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// immediateHost agrees each step at once, and the owner does its part at once.
+// immediateHost agrees on each operation at once, and has the primary do its part at once.
 type immediateHost struct {
 	table     *placement.Table
 	planner   *Planner
@@ -41,7 +41,8 @@
 	}
 }
 
-// newFleet is a planner with a fleet at rest: 20 zones, each instance in its owner's with a copy there, or with away in another.
+// newFleet is a planner with a fleet at rest: 20 zones, each instance in its primary's,
+// with a replica there or with fleet.away in another.
 func newFleet(b *testing.B, units, instances int, set map[string]any) (*immediateHost, []NodeStatus) {
 	d := &immediateHost{table: placement.New(), now: 1}
 	d.planner = NewPlanner(d, 1, 3, set)
@@ -91,7 +92,7 @@
 	}
 }
 
-// A device crosses: cross, copy, synced, switch, drop, table and planner together.
+// A device moves: all operations of a migration, table and planner together.
 func BenchmarkPlanner_DeviceMove(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
 		n := d.table.Len()
@@ -103,7 +104,7 @@
 	})
 }
 
-// A unit renews its lease and nothing has changed.
+// A node renews its lease and nothing has changed.
 func BenchmarkPlanner_Renewal(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
 		d.proposals = 0
@@ -116,7 +117,7 @@
 	})
 }
 
-// A unit falls, its instances are taken over and copied again, and it is back.
+// A node fails, its instances fail over and are copied again, and it is back.
 func BenchmarkPlanner_FailOver(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
 		d.proposals = 0
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -21,7 +21,8 @@
 // node that evacuates, drains or is rolled back; it hands the instance on at once then. But the better off come first.
 func (p *Planner) failOver(i *instance) {
 	if p.failsItsPrimaries(i) {
-		p.propose(i, placement.Operation{Kind: placement.OpQuarantine, Node: i.Primary, Reason: fmt.Sprintf("fell %d owners in a row", i.Failures+1)})
+		p.propose(i, placement.Operation{Kind: placement.OpQuarantine, Node: i.Primary,
+			Reason: fmt.Sprintf("fell %d owners in a row", i.Failures+1)})
 		return
 	}
 	successor := p.successor(i)
@@ -133,7 +134,8 @@
 	}
 	target.reserved++
 	p.updateEligibility(target)
-	p.propose(i, placement.Operation{Kind: placement.OpRestart, Target: target.Name, Index: index, Reason: "no holder came back"})
+	p.propose(i, placement.Operation{Kind: placement.OpRestart, Target: target.Name, Index: index,
+		Reason: "no holder came back"})
 }
 
 // bestStaleCopy is the eligible node with the latest older copy, and the index up to which that goes; nil for none.
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -23,9 +23,9 @@
 		return
 	}
 	target, fullLink := p.chooseTarget(i, i.need.reason)
-	if target == nil && i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.settings.maxMoves) {
+	if target == nil && p.mayCopyInstead(i) {
 		target, _ = p.chooseTarget(i, tooFewReplicas)
-		if target != nil { // it can't go, and is not to be without a replica meanwhile
+		if target != nil {
 			i.need.reason = tooFewReplicas
 		}
 	}
@@ -41,6 +41,11 @@
 	p.propose(i, op)
 }
 
+// mayCopyInstead reports whether an instance that can't move may be copied meanwhile, as it lacks a replica as well.
+func (p *Planner) mayCopyInstead(i *instance) bool {
+	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.settings.maxMoves)
+}
+
 // parkCopy puts an instance that is only to be copied where it waits for the part of a bound that copies have, and reports
 // whether it waits.
 func (p *Planner) parkCopy(i *instance) bool {
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -116,7 +116,8 @@
 // droppedBefore reports whether a replica is let go before another one.
 func droppedBefore(i *instance, a, b *node) bool {
 	demerits := func(n *node) int {
-		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.farFrom(i.primaryNode)) + countIf(n.Zone != i.Zone)
+		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.farFrom(i.primaryNode)) +
+			countIf(n.Zone != i.Zone)
 	}
 	return cmp.Or(cmp.Compare(demerits(b), demerits(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
 }
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -140,7 +140,8 @@
 	}
 	switch {
 	case i.deviceZone != "" && i.deviceZone != i.Zone:
-		p.propose(i, placement.Operation{Kind: placement.OpMoveDevice, Zone: i.deviceZone, Reason: "its device is in " + i.deviceZone})
+		p.propose(i, placement.Operation{Kind: placement.OpMoveDevice, Zone: i.deviceZone,
+			Reason: "its device is in " + i.deviceZone})
 	case i.State == placement.Lost:
 		p.recoverLost(i)
 	case i.State != placement.Running:
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -81,7 +81,8 @@
 func (q busyQueue) Less(i, j int) bool {
 	a, b := q[i], q[j]
 	first, second := a.ready[0], b.ready[0]
-	return cmp.Or(cmp.Compare(first.need.reason, second.need.reason), cmp.Compare(b.Risk, a.Risk), heavierFirst(first, second)) < 0
+	return cmp.Or(cmp.Compare(first.need.reason, second.need.reason), cmp.Compare(b.Risk, a.Risk),
+		heavierFirst(first, second)) < 0
 }
 
 // Swap implements heap.Interface.
--- a/internal/placement/stored_test.go
+++ b/internal/placement/stored_test.go
@@ -11,7 +11,7 @@
 
 var updateStored = flag.Bool("update", false, "write testdata/stored anew")
 
-// storedLog leads to the stored snapshot; each kind of entry is in it.
+// storedLog leads to the stored snapshot; each kind of operation is in it.
 const storedLog = "create forgotten >a north; create c1 >a north; create c2 >a north; create c3 >b south; create c4 >b; " +
 	"create c5 >c west; create c6 >a; create c7 >a; " +
 	"begin c1@1 a>; copy c1@1 >b !; synced c1@1 a>b #5; switch c1@1 a>b #7; copy c1@2 >c; synced c1@2 b>c #9; drop c1@2 b>a #10; " +
@@ -21,7 +21,7 @@
 	"quarantine c5@1 c>; copy c6@1 >b; synced c6@1 a>b; quarantine c6@1 a>; release c6@1 >b; fail c7@1 a>; " +
 	"forget forgotten@1 a>"
 
-// A snapshot that an earlier program wrote is read, is written back byte for byte, and takes the next entries.
+// A snapshot that an earlier program wrote is read, is written back byte for byte, and takes the next operations.
 func TestStoredSnapshotIsReadAndContinued(t *testing.T) {
 	stored := filepath.Join("testdata", "stored", "table.snapshot")
 	if *updateStored {
