--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -9,7 +9,7 @@
 // A controller makes a Planner with NewPlanner and calls OnElected once it leads, OnAssignment for each assignment of the
 // table and OnNodeStatus for each node that renews its lease. From then on it calls the one method that names what has
 // happened; OnLeaseExpired also for each primary that was not heard of for a lease after OnElected. The planner proposes
-// operations through its PlannerHost at once where it can. OnTick does what is left and says when it wants to be called next.
+// operations through its Host at once where it can. OnTick does what is left and says when it wants to be called next.
 // What a planner needs is rebuilt from OnAssignment and OnNodeStatus alone, so a change of leader loses nothing but how long
 // an instance has stayed, which counts from OnElected anew. One goroutine at a time may call a planner.
 //
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -13,8 +13,8 @@
 	maxWorkPerFact = 64
 )
 
-// PlannerHost is what a planner acts through.
-type PlannerHost interface {
+// Host is what a planner acts through.
+type Host interface {
 	// Propose takes an operation to the agreed log. Its result comes back by OnAssignment or OnProposalRefused, at once or
 	// later.
 	Propose(op placement.Operation)
@@ -24,7 +24,7 @@
 // Planner decides at the leading controller when an instance is moved to another node, whither and how. The package
 // documentation says how it is driven.
 type Planner struct {
-	host      PlannerHost
+	host      Host
 	seed      uint64
 	settings  settings
 	leads     bool
@@ -48,7 +48,7 @@
 
 // NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed. The settings are those of the
 // operator's block fleet, by "fleet." and their names; an absent one is that block's default.
-func NewPlanner(host PlannerHost, now tick.Tick, seed uint64, fleet map[string]any) *Planner {
+func NewPlanner(host Host, now tick.Tick, seed uint64, fleet map[string]any) *Planner {
 	return &Planner{host: host, seed: seed, settings: newSettings(fleet), now: now, nodes: map[string]*node{},
 		zones: map[string]*zone{}, links: map[[2]string]*link{}, instances: map[string]*instance{}}
 }
