--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper is a keeper of a fleet: one of three or five processes, or a single one, that agree where each
+// Package controller is a keeper of a fleet: one of three or five processes, or a single one, that agree where each
 // instance runs (placement.Table, stepped by a log that raft agrees on), lease the units their right to act
 // (leases.Book), and have handover's planner decide at the one that leads.
 //
@@ -361,7 +361,7 @@
 	}
 	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
-	l.claims = devicehealth.NewVerifier(now, k.Set)
+	l.claims = devicehealth.NewVerifier()
 	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
 	k.lead = l
 	l.planner.OnElected(now)
@@ -420,16 +420,16 @@
 		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 		k.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
 		l.planner.OnLeaseExpired(now, name)
-		l.claims.Remove(now, name)
+		l.claims.Remove(name)
 		l.news()
 	}
 	next := l.planner.OnTick(now)
-	if at, any := l.book.NextExpiry(); any && at < next {
+	if at, found := l.book.NextExpiry(); found && at < next {
 		next = at
 	}
-	if at, any := l.marks.NextDue(); any && now >= at {
+	if at, found := l.marks.NextDue(); found && now >= at {
 		k.wake()
-	} else if any && at < next {
+	} else if found && at < next {
 		next = at
 	}
 	return max(next-now, 1).Span()
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -1,4 +1,4 @@
-// Package edge is the process of an edge unit in a fleet: it takes commands as any unit does, keeps its lease, follows
+// Package edgenode is the process of an edge unit in a fleet: it takes commands as any unit does, keeps its lease, follows
 // where instances run, and exchanges copies and effects with other edge units. What it may do is decided by
 // handover.Owner, how strong it is by strength.Unit; it decides nothing itself.
 package edgenode
@@ -122,7 +122,7 @@
 		e.closeStore()
 		return nil, err
 	}
-	e.strength = devicehealth.NewMonitor(controllerclient.Now(), o.Seed, o.File.Set)
+	e.strength = devicehealth.NewMonitor(controllerclient.Now(), o.File.Set)
 	return e, nil
 }
 
@@ -220,7 +220,8 @@
 		if err == nil {
 			e.mu.Lock()
 			e.line = p.Line
-			e.owner = replica.NewManager(host{e}, controllerclient.Now(), e.self, e.run, e.o.File.Set, e.records, p.Places, p.Version)
+			e.owner = replica.NewManager(host{e}, controllerclient.Now(), replica.ConfigFrom(e.self, e.run, e.o.File.Set),
+				replica.Start{Logs: e.records, Assignments: p.Places, Version: p.Version})
 			e.records = nil
 			e.mu.Unlock()
 			return nil
@@ -398,7 +399,7 @@
 		if len(r.Reasons) > 0 {
 			why = r.Reasons[0]
 		}
-		e.o.Log.Info().Str("event", "strength").Str("from", e.report.State).Str("state", r.State).Str("why", why).Send()
+		e.o.Log.Info().Str("event", "strength").Str("from", string(e.report.State)).Str("state", string(r.State)).Str("why", why).Send()
 	}
 	e.report = r
 	return r
@@ -556,7 +557,7 @@
 		limit, cancel := context.WithTimeout(ctx, e.lease.Span())
 		p, err := e.client.Step(limit, x)
 		cancel()
-		var no *controllerclient.Refusal
+		var no *controllerclient.RefusalError
 		if errors.As(err, &no) && no.Place != nil {
 			p = *no.Place
 		}
--- a/internal/metadatarefresh/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -1,4 +1,4 @@
-// Package exchange decides about exchanges of metadata at a front: whether what is held will do or mirrors are
+// Package metadatarefresh decides about exchanges of metadata at a front: whether what is held will do or mirrors are
 // to be asked, when they are asked again after they had nothing, what a client is told, when a transfer
 // is too slow to wait for, and how many clients are let in at once.
 //
@@ -10,6 +10,8 @@
 import (
 	"math/rand/v2"
 
+	"silvercove/balancer"
+	"silvercove/internal/settings"
 	"silvercove/internal/tufverify"
 )
 
@@ -85,7 +87,7 @@
 // Refused decides what a refusal means for the client. Never an old answer: what is not current now is
 // answered 503 with a time to come back, what will never be is 404, what came too late 404 with the word
 // that the exchange is to be begun again.
-func Refused(r *tufverify.Refusal) Answer {
+func Refused(r *tufverify.RefusalError) Answer {
 	switch r.Why {
 	case tufverify.Older:
 		return Answer{404, "superseded: begin again with timestamp.json", false}
@@ -107,7 +109,7 @@
 }
 
 // Reported decides what a server is told that sent a report.
-func Reported(r *tufverify.Refusal) Answer {
+func Reported(r *tufverify.RefusalError) Answer {
 	if r == nil || r.Why == tufverify.Same {
 		return Answer{200, "taken", false} // a repeat gets the same answer, and does nothing
 	}
@@ -215,7 +217,7 @@
 
 // Shown takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
 // as it is signed well.
-func (s *Survey) Shown(mirror string, refusal *tufverify.Refusal, listed []string) {
+func (s *Survey) Shown(mirror string, refusal *tufverify.RefusalError, listed []string) {
 	if refusal == nil || refusal.Why == tufverify.Same || refusal.Why == tufverify.Older {
 		s.shown[mirror] = true
 	}
@@ -234,15 +236,18 @@
 // a mirror that is new starts at a tenth of its capacity and is warm after ten seconds; in no second
 // more reaches it than twice what the warm ones answer; a drained one has one second's grace; a command
 // may be tried at every mirror, up to sixteen.
-func Rules(relays, connect, comeBack float64, opTypes []map[string]any) map[string]any {
-	for _, t := range opTypes {
-		t["repeats"] = "redeliverable"
+func Rules(relays, connect, comeBack float64, classes []balancer.RequestClass) settings.Site {
+	for i := range classes {
+		classes[i].Idempotency = balancer.Idempotent
 	}
-	return map[string]any{"op_types": opTypes, "relays": relays, "limits.connect_timeout": connect,
-		"limits.idle_close": 10.0, "limits.max_deliveries": 16.0,
-		"limits.may_cancel": true, "limits.come_back": true, "limits.max_come_back": comeBack,
-		"rules.cold": 10.0, "rules.cold_from": 0.1, "rules.tip_after": 1.0, "rules.fall_multiple": 2.0,
-		"rules.drain_grace": 1.0, "rules.ask_every": 20.0}
+	return settings.Site{Balancer: balancer.Settings{
+		Relays:  relays,
+		Classes: classes,
+		Limits: balancer.Limits{ConnectTimeout: balancer.Seconds(connect), IdleTimeout: 10, MaxAttempts: 16, MayCancel: true,
+			RetryAfter: true, MaxRetryAfter: balancer.Seconds(comeBack)},
+		SlowStart: balancer.SlowStart{Window: 10, InitialFraction: 0.1, OverloadWindow: 1, OverloadMultiple: 2},
+		Endpoints: balancer.EndpointRules{DrainGrace: 1, PollInterval: 20},
+	}}
 }
 
 // Issue is what a Director holds for a server: whether there is any, from and until when it counts, and whether it
@@ -265,7 +270,7 @@
 
 // StandsIn tells whether what the Image repository said last of a package may stand in for what it says now: while
 // it can't be had, so that servers can be told back; not where it says something else.
-func StandsIn(r *tufverify.Refusal) bool {
+func StandsIn(r *tufverify.RefusalError) bool {
 	return r.Why == tufverify.Missing || r.Why == tufverify.Expired
 }
 
@@ -289,7 +294,7 @@
 
 // Chase tells whether a mirror is asked for newer roots because of what it gave: it may be signed by keys of a
 // newer one. chased: a newer root has come already, which may have made void what is held.
-func Chase(r *tufverify.Refusal, chased bool) bool {
+func Chase(r *tufverify.RefusalError, chased bool) bool {
 	if r == nil {
 		return false
 	}
@@ -298,15 +303,15 @@
 
 // Blameless tells whether a mirror is not to blame for a refusal: newer roots that it gave have made void what its
 // file hangs on.
-func Blameless(r *tufverify.Refusal, chased bool) bool {
+func Blameless(r *tufverify.RefusalError, chased bool) bool {
 	return r != nil && chased && r.Why == tufverify.Missing
 }
 
 // Confirmed holds what trust says of a file against when mirrors were asked: nothing but roots is passed on before
 // the survey is done; a timestamp, and the word on which root is the newest, only while mirrors were asked lately.
-func Confirmed(now Tick, f tufverify.File, says *tufverify.Refusal, s *Survey, r *Refresh, repository string) *tufverify.Refusal {
-	unconfirmed := func(text string) *tufverify.Refusal {
-		return &tufverify.Refusal{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
+func Confirmed(now Tick, f tufverify.File, says *tufverify.RefusalError, s *Survey, r *Refresh, repository string) *tufverify.RefusalError {
+	unconfirmed := func(text string) *tufverify.RefusalError {
+		return &tufverify.RefusalError{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
 	}
 	newest := f.Role == "timestamp" || f.Role == "root" && (f.Version == 0 || says != nil)
 	switch {
