--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -2,9 +2,10 @@
 // the version before it. Nothing in it knows of time, requests or versions: a caller feeds outcomes one by one, and asks.
 //
 // The detector is that of S. Shekhar and A. Ramdas, "Reducing sequential change detection to sequential estimation": a new
-// one-sided level-α test starts at every observation, and an alarm is raised as soon as any of the tests rejects. With
-// the n-th test at level 6α/(π²n²), the levels add up to α, and so does the chance that a stream without a change ever
-// raises an alarm (their remark on the probability of false alarms).
+// sequential test starts at every observation, and an alarm is raised as soon as any of the tests rejects (their section 2).
+// The tests are one-sided, as in Lorden's reduction (section 3), since a canary that fails less is no reason to roll back.
+// With the n-th test at level 6α/(π²n²) the levels add up to α, which bounds the probability that a stream without a
+// change ever raises an alarm (their remark on the probability of false alarms in section 2).
 //
 // Each test is a betting test. Its wealth starts at 1 and is multiplied by 1 + λ(x − b) at an outcome x between 0 and 1,
 // where b is the bound that the mean of the outcomes must not exceed and the bet λ is chosen before x is seen. While the
