--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -174,7 +174,7 @@
 		}
 		for _, draw := range m.ofKind(KindDraw) {
 			if draw.name == s.name && draw.known() {
-				s.drained += max(0, draw.upper()) * seconds(m.now-m.assessed)
+				s.drained += max(0, draw.upper()) * (m.now - m.assessed).Seconds()
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 func (m *Monitor) handoverTimeOf(instances, stateBytes int) tick.Tick {
 	rounds := math.Ceil(float64(instances) / m.settings.parallelHandovers)
 	copying := float64(stateBytes) / handoverRate
-	return ticks(max(1, m.settings.reserve, handoverMargin*(rounds*seconds(handoverTime)+copying)))
+	return ticks(max(1, m.settings.reserve, handoverMargin*(rounds*handoverTime.Seconds()+copying)))
 }
 
 // spareCapacity is how many more instances could still be handed over in time.
@@ -271,8 +271,6 @@
 	return Never
 }
 
-func seconds(span tick.Tick) float64 { return float64(span) / float64(tick.Second) }
-
 // span prints as a time in a sentence.
 type span tick.Tick
 
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -77,5 +77,5 @@
 
 // isJump reports whether a value cannot have changed to another one within a time.
 func (b bounds) isJump(from, to float64, within tick.Tick) bool {
-	return math.Abs(to-from) > b.slack+b.rate*seconds(min(within, maxJumpSpan))
+	return math.Abs(to-from) > b.slack+b.rate*min(within, maxJumpSpan).Seconds()
 }
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -196,11 +196,11 @@
 	var meanX, meanY, sumXX, sumXY, sumYY float64
 	from := s.times[0]
 	for i, value := range s.values {
-		meanX += seconds(s.times[i]-from) / n
+		meanX += (s.times[i] - from).Seconds() / n
 		meanY += value / n
 	}
 	for i, value := range s.values {
-		dx := seconds(s.times[i]-from) - meanX
+		dx := (s.times[i] - from).Seconds() - meanX
 		dy := value - meanY
 		sumXX += dx * dx
 		sumXY += dx * dy
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -82,7 +82,7 @@
 	self.Version, self.Sequence, self.Payloads = RecordVersion, 1, map[string][]byte{}
 	t := &Table{
 		self:         self,
-		silence:      max(1, tick.Tick(silence*float64(tick.Second))),
+		silence:      max(1, tick.OfSeconds(silence)),
 		entries:      map[string]*entry{},
 		heartbeatDue: now,
 		spokeAt:      now,
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -101,7 +101,7 @@
 	if c == nil || took < 0 {
 		return
 	}
-	serviceTime := seconds(took)
+	serviceTime := took.Seconds()
 	if c.serviceTime == 0 {
 		c.serviceTime = serviceTime
 	}
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -92,16 +92,13 @@
 		retryShare:    number("repeats"),
 		floor:         number("floor"),
 		probesPerSec:  number("probes"),
-		startupWindow: tick.Tick(number("ramp") * float64(tick.Second)),
+		startupWindow: tick.OfSeconds(number("ramp")),
 	}
 }
 
 // unitInterval maps a hash to a number from 0 up to 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// seconds converts a span.
-func seconds(span tick.Tick) float64 { return float64(span) / float64(tick.Second) }
-
 // standalone reports whether there is no fleet.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
@@ -124,7 +121,7 @@
 	if m.now-m.recomputedAt < recomputeInterval {
 		return
 	}
-	elapsed := seconds(m.now - m.recomputedAt)
+	elapsed := (m.now - m.recomputedAt).Seconds()
 	m.recomputedAt = m.now
 	m.admission.decay(elapsed)
 	m.budget.decay(elapsed)
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -42,7 +42,7 @@
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
-	elapsed := min(maxPressureStep, seconds(m.now-a.pressureAt))
+	elapsed := min(maxPressureStep, (m.now - a.pressureAt).Seconds())
 	a.pressureAt = m.now
 	if m.isolated() {
 		a.localFraction, a.sharedFraction = 1, 1
--- a/internal/tick/tick.go
+++ b/internal/tick/tick.go
@@ -14,3 +14,9 @@
 
 // Span is the time that so many ticks are.
 func (t Tick) Span() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+
+// OfSeconds is a span of seconds in ticks, rounded towards zero.
+func OfSeconds(seconds float64) Tick { return Tick(seconds * float64(Second)) }
+
+// Seconds is the span in seconds.
+func (t Tick) Seconds() float64 { return float64(t) / float64(Second) }
--- a/internal/tick/tick_test.go
+++ b/internal/tick/tick_test.go
@@ -16,3 +16,14 @@
 		t.Errorf("a span of %v", got)
 	}
 }
+
+func TestSeconds(t *testing.T) {
+	for seconds, want := range map[float64]Tick{0: 0, 1.5: 15000, 0.00019: 1, -0.00019: -1, 3600: 36000000} {
+		if got := OfSeconds(seconds); got != want {
+			t.Errorf("OfSeconds(%v) is %d, want %d", seconds, got, want)
+		}
+	}
+	if got := (15 * Second / 10).Seconds(); got != 1.5 {
+		t.Errorf("1.5 s are %v", got)
+	}
+}
