--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -31,8 +31,6 @@
 	"sync"
 	"sync/atomic"
 
-	"golang.org/x/sys/unix"
-
 	"silvercove/internal/recordlog"
 	"silvercove/internal/replica"
 )
@@ -41,9 +39,9 @@
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
-	ErrInUse        = errors.New("in use by another process")
+	ErrInUse        = recordlog.ErrInUse
 	ErrGap          = errors.New("does not follow what is kept")
-	ErrWriteFailed  = errors.New("an earlier write failed half-way: restart to go on")
+	ErrWriteFailed  = recordlog.ErrWriteFailed
 	ErrQueueFull    = errors.New("too much waits for the disk")
 )
 
@@ -103,10 +101,14 @@
 		return nil, nil, nil, err
 	}
 	s.path = filepath.Join(folder, logName)
-	var err error
-	if s.lock, err = os.OpenFile(filepath.Join(folder, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	lock, err := recordlog.Lock(filepath.Join(folder, lockName))
+	if errors.Is(err, ErrInUse) {
+		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
+	}
+	if err != nil {
 		return nil, nil, nil, err
 	}
+	s.lock = lock
 	if err := s.load(); err != nil {
 		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
@@ -114,11 +116,8 @@
 	return s, s.copyLogs(), bytes.Clone(s.note), nil
 }
 
-// load locks the file, reads it, and opens it for appending.
+// load reads the file and opens it for appending.
 func (s *Store) load() error {
-	if unix.Flock(int(s.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil {
-		return ErrInUse
-	}
 	text, err := os.ReadFile(s.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -182,12 +181,7 @@
 		return err
 	}
 	s.fileSize = whole
-	folder, err := os.Open(filepath.Dir(s.path))
-	if err != nil {
-		return err
-	}
-	defer func() { _ = folder.Close() }()
-	return folder.Sync()
+	return recordlog.SyncFolder(filepath.Dir(s.path))
 }
 
 // copyLogs is the logs in the order of their instances' names, for the caller to keep.
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -2,19 +2,14 @@
 
 import (
 	"fmt"
-	"io"
 	"slices"
 
+	"silvercove/internal/recordlog"
 	"silvercove/internal/replica"
 )
 
 // File is what is written to; *os.File is one.
-type File interface {
-	io.Writer
-	Sync() error
-	Truncate(size int64) error
-	Close() error
-}
+type File = recordlog.File
 
 // apply makes one request's change in memory, if it follows what is there. Its error wraps ErrGap or ErrNewerVersion.
 func (s *Store) apply(r request) error {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"path/filepath"
@@ -18,12 +17,7 @@
 const compactionSlack = 1 << 20
 
 // File is what a copy is written to; *os.File is one.
-type File interface {
-	io.Writer
-	Sync() error
-	Truncate(size int64) error
-	Close() error
-}
+type File = recordlog.File
 
 // batch is what is written and synced at once.
 type batch struct {
@@ -143,17 +137,8 @@
 	if err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(folder)); err != nil {
 		return nil, err
 	}
-	if err := syncFolder(folder); err != nil {
+	if err := recordlog.SyncFolder(folder); err != nil {
 		return nil, err
 	}
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o600)
 }
-
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = folder.Close() }()
-	return folder.Sync()
-}
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -21,8 +21,6 @@
 	"slices"
 	"sync"
 
-	"golang.org/x/sys/unix"
-
 	"silvercove/internal/recordlog"
 	"silvercove/internal/tufverify"
 )
@@ -31,11 +29,11 @@
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
-	ErrInUse        = errors.New("in use by another process")
+	ErrInUse        = recordlog.ErrInUse
 	ErrOlderVersion = errors.New("older than what was seen")
 	ErrConflict     = errors.New("this version was seen with other content")
 	ErrFull         = errors.New("as many entries as are allowed")
-	ErrWriteFailed  = errors.New("an earlier write failed half-way: restart to go on")
+	ErrWriteFailed  = recordlog.ErrWriteFailed
 )
 
 // Store is open for one process at a time. Its methods are safe for concurrent use; the exported fields are written
@@ -124,7 +122,7 @@
 
 // loadCopy locks one copy and reads it.
 func (s *Store) loadCopy(path string) (storedCopy, error) {
-	lock, err := lockFile(path)
+	lock, err := recordlog.Lock(path + ".lock")
 	if err != nil {
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
@@ -163,19 +161,6 @@
 	return nil
 }
 
-// lockFile keeps other processes out.
-func lockFile(path string) (*os.File, error) {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = lock.Close()
-		return nil, ErrInUse
-	}
-	return lock, nil
-}
-
 // unlockFiles lets other processes in.
 func (s *Store) unlockFiles() {
 	for _, lock := range s.locks {
--- /dev/null
+++ b/internal/recordlog/file_test.go
@@ -0,0 +1,41 @@
+package recordlog
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+func TestLock(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "lock")
+	first, err := Lock(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Lock(path); !errors.Is(err, ErrInUse) {
+		t.Errorf("a second lock: %v", err)
+	}
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
+	}
+	again, err := Lock(path)
+	if err != nil {
+		t.Fatalf("after the first was closed: %v", err)
+	}
+	if err := again.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Lock(filepath.Join(t.TempDir(), "none", "lock")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("in a folder that is not there: %v", err)
+	}
+}
+
+func TestSyncFolder(t *testing.T) {
+	if err := SyncFolder(t.TempDir()); err != nil {
+		t.Error(err)
+	}
+	if err := SyncFolder(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a folder that is not there: %v", err)
+	}
+}
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -4,6 +4,8 @@
 // On disk, little endian: the header is 8 bytes of magic, the version, and a checksum of both; a record is its length, a
 // checksum of the length, a checksum of the payload, and the payload.
 //
+// It also has what writers of such files share: a lock against other processes (Lock) and the sync of a folder.
+//
 // How to drive it: write Format.Header at the start of a file; append records with BeginRecord and SealRecord; read a
 // whole file with ReadRecords. A Format is not changed after its first use, and is safe for concurrent use then.
 //
