--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -29,7 +29,7 @@
 
 // process makes one of a file for a role. The connections work once run is called.
 func process(path, role string) (*fleetProcess, error) {
-	f, err := fleet.As(path, role)
+	f, err := fleet.ReadRole(path, role)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -25,14 +25,14 @@
 		return err
 	}
 	f, log := p.file, p.log
-	told, err := relay.ReadFollowing(relayEnv(f))
+	told, err := relay.ReadFleetConfig(relayEnv(f))
 	if err != nil {
 		return err
 	}
 	cores, memory := told.Limits()
 	strain := routing.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
-	told.Shed, told.Staged = strain, strain.Staged
-	told.Turn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
+	told.LoadShedder, told.OnStage = strain, strain.Staged
+	told.WaitTurn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
 	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
--- a/cmd/silvercovectl/fleetsim.go
+++ b/cmd/silvercovectl/fleetsim.go
@@ -53,7 +53,7 @@
 	case c.Event > 0:
 		s := fleetsim.Large(c.Units[len(c.Units)-1])
 		s.Away = c.Away
-		fleetsim.Hour(os.Stdout, c.Seed, s, tick.Of(c.Event))
+		fleetsim.Hour(os.Stdout, c.Seed, s, tick.FromDuration(c.Event))
 	default:
 		fleetsim.CalmTable(os.Stdout, c.Seed, c.Units, c.Away)
 	}
--- a/internal/controller/birth.go
+++ b/internal/controller/birth.go
@@ -105,7 +105,7 @@
 }
 
 func (k *Keeper) rest(ctx context.Context) {
-	timer := time.NewTimer(k.spans.ConfirmTimeout.Span())
+	timer := time.NewTimer(k.spans.ConfirmTimeout.Duration())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -126,7 +126,7 @@
 
 // ask has the status of all other keepers, and why others are silent.
 func (k *Keeper) ask(ctx context.Context) (all []controllerclient.Status, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, k.spans.ConfirmTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, k.spans.ConfirmTimeout.Duration())
 	defer cancel()
 	got := make([]controllerclient.Status, len(k.peers))
 	errs := make([]error, len(k.peers))
@@ -146,7 +146,7 @@
 }
 
 func (k *Keeper) letIn(ctx context.Context, ready bool) (controllerclient.Joined, error) {
-	ctx, cancel := context.WithTimeout(ctx, 4*k.spans.ProposalTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, 4*k.spans.ProposalTimeout.Duration())
 	defer cancel()
 	return k.client.Join(ctx, controllerclient.Join{Node: k.self, Store: k.disk.now().Store, Ready: ready})
 }
@@ -201,7 +201,7 @@
 			there = &s
 		}
 	}
-	id, at, limit := raft.ServerID(j.Node), raft.ServerAddress(j.Node), k.spans.ProposalTimeout.Span()
+	id, at, limit := raft.ServerID(j.Node), raft.ServerAddress(j.Node), k.spans.ProposalTimeout.Duration()
 	if k.machine.stores()[j.Node] != j.Store {
 		if there != nil {
 			if err := r.RemoveServer(id, 0, limit).Error(); err != nil {
@@ -348,7 +348,7 @@
 				c.mu.Lock()
 				s := said{question: c.want}
 				c.mu.Unlock()
-				each, cancel := context.WithTimeout(ctx, c.k.spans.ConfirmTimeout.Span())
+				each, cancel := context.WithTimeout(ctx, c.k.spans.ConfirmTimeout.Duration())
 				term, err := c.k.client.Confirm(each, name, c.k.raft.Load().CurrentTerm())
 				cancel()
 				c.mu.Lock()
@@ -358,7 +358,7 @@
 					select {
 					case <-ctx.Done():
 						return
-					case <-time.After(c.k.spans.CommitInterval.Span()):
+					case <-time.After(c.k.spans.CommitInterval.Duration()):
 					}
 					if again {
 						c.ring(name)
@@ -410,7 +410,7 @@
 		return err
 	}
 	need := c.k.majority(voters)
-	ctx, cancel := context.WithTimeout(ctx, c.k.spans.ConfirmTimeout.Span())
+	ctx, cancel := context.WithTimeout(ctx, c.k.spans.ConfirmTimeout.Duration())
 	defer cancel()
 	c.mu.Lock()
 	c.want++
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -243,14 +243,14 @@
 
 // run runs raft on a disk that may take part, until the context ends.
 func (k *Keeper) run(ctx context.Context, store Store, snaps raft.SnapshotStore, last controllerclient.Mark, logger hclog.Logger) error {
-	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.ConfirmTimeout.Span(), last: last,
+	k.store = &guarded{Store: store, applied: k.machine.applied, fatal: k.fatal, pause: k.spans.ConfirmTimeout.Duration(), last: last,
 		closed: make(chan struct{}), full: k.full}
 	trans := marking{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream{k}, MaxPool: 3,
-		MaxRPCsInFlight: 1, Timeout: k.spans.ProposalTimeout.Span(), Logger: logger}), k}
+		MaxRPCsInFlight: 1, Timeout: k.spans.ProposalTimeout.Duration(), Logger: logger}), k}
 	set := raft.DefaultConfig()
 	set.LocalID, set.Logger = raft.ServerID(k.self), logger
-	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.HeartbeatTimeout.Span()
-	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.HeartbeatTimeout.Span(), k.spans.CommitInterval.Span()
+	set.HeartbeatTimeout, set.ElectionTimeout = k.spans.HeartbeatTimeout.Duration(), k.spans.HeartbeatTimeout.Duration()
+	set.LeaderLeaseTimeout, set.CommitTimeout = k.spans.HeartbeatTimeout.Duration(), k.spans.CommitInterval.Duration()
 	set.MaxAppendEntries = mostSteps // BatchApplyCh stays off: what is in that queue at the end is never answered
 	set.SnapshotThreshold, set.SnapshotInterval, set.TrailingLogs = k.room.every, snapEvery, k.room.Leaves()
 	set.NoLegacyTelemetry = true
@@ -410,7 +410,7 @@
 	// counted as over meanwhile: units would be given up that only could not have one.
 	if voters, err := k.voters(k.raft.Load()); err != nil || len(voters) < k.majority(voters) {
 		l.few = true
-		return k.spans.ConfirmTimeout.Span()
+		return k.spans.ConfirmTimeout.Duration()
 	} else if l.few {
 		l.few = false
 		l.book.OnElected(now, k.machine.runs())
@@ -432,7 +432,7 @@
 	} else if found && at < next {
 		next = at
 	}
-	return max(next-now, 1).Span()
+	return max(next-now, 1).Duration()
 }
 
 // stand is how a relay says that a build stands.
@@ -609,7 +609,7 @@
 	if r == nil {
 		return nil, raft.ErrNotLeader
 	}
-	f := r.Apply(text, k.spans.ProposalTimeout.Span())
+	f := r.Apply(text, k.spans.ProposalTimeout.Duration())
 	if err := f.Error(); err != nil {
 		return nil, err
 	}
--- a/internal/controller/looks.go
+++ b/internal/controller/looks.go
@@ -22,7 +22,7 @@
 
 // looks has room decide by looks at the disk and the log until the context ends.
 func (k *Keeper) looks(ctx context.Context, r *raft.Raft) {
-	timer := time.NewTicker(min(k.spans.ConfirmTimeout, roomEvery).Span())
+	timer := time.NewTicker(min(k.spans.ConfirmTimeout, roomEvery).Duration())
 	defer timer.Stop()
 	for failed := ""; ; {
 		free, total, err := k.Free(k.Data)
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -68,17 +68,17 @@
 	book := leases.New(r.Set)
 	book.ExpectRenewal(0, "any")
 	over, _ := book.NextExpiry()
-	r.Say(fmt.Sprintf("waits %s for leases of before to be over", over.Span()))
+	r.Say(fmt.Sprintf("waits %s for leases of before to be over", over.Duration()))
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(over.Span()):
+	case <-time.After(over.Duration()):
 	}
 	var found []migration.NodeInventory
 	var silent []string
 	units := r.Net.Peers("edge")
 	all, errs := make([]controllerclient.Holds, len(units)), make([]error, len(units))
-	limit := leases.TimingsFor(r.Set).ProposalTimeout.Span()
+	limit := leases.TimingsFor(r.Set).ProposalTimeout.Duration()
 	var group errgroup.Group
 	group.SetLimit(asked)
 	for i, p := range units {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -589,7 +589,7 @@
 		}
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(k.spans.AssignmentUpdateInterval.Span())
+			timer.Reset(k.spans.AssignmentUpdateInterval.Duration())
 			select {
 			case <-timer.C:
 			case <-c.ctx.Done():
@@ -628,7 +628,7 @@
 		k.mu.Unlock()
 		select {
 		case <-changed: // what changes within a moment is told together
-			timer.Reset(min(k.spans.NodeUpdateInterval.Span(), mostWait))
+			timer.Reset(min(k.spans.NodeUpdateInterval.Duration(), mostWait))
 			gathered = true
 			select {
 			case <-timer.C:
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -189,7 +189,7 @@
 			wait = 0
 		}
 		var p Places
-		if _, err := c.call(ctx, http.MethodGet, c.since("/v1/places", at, wait), nil, &p, c.spans.ProposalTimeout+tick.Of(wait)); err != nil {
+		if _, err := c.call(ctx, http.MethodGet, c.since("/v1/places", at, wait), nil, &p, c.spans.ProposalTimeout+tick.FromDuration(wait)); err != nil {
 			return err
 		}
 		if c.Believe(p.Line) != nil {
@@ -214,7 +214,7 @@
 			wait = 0
 		}
 		var u Units
-		if _, err := c.call(ctx, http.MethodGet, c.since("/v1/units", at, wait), nil, &u, c.spans.ProposalTimeout+tick.Of(wait)); err != nil {
+		if _, err := c.call(ctx, http.MethodGet, c.since("/v1/units", at, wait), nil, &u, c.spans.ProposalTimeout+tick.FromDuration(wait)); err != nil {
 			return err
 		}
 		if first || u.Version != at {
@@ -302,7 +302,7 @@
 	c.mu.Lock()
 	part := 0.5 + c.chance.Float64()/2
 	c.mu.Unlock()
-	timer := time.NewTimer(time.Duration(float64(most.Span()) * part))
+	timer := time.NewTimer(time.Duration(float64(most.Duration()) * part))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -316,7 +316,7 @@
 const mostAnswer = 256 << 20
 
 func (c *Client) once(ctx context.Context, at, method, path string, in, out any, each tick.Tick) (sent tick.Tick, err error) {
-	ctx, cancel := context.WithTimeout(ctx, each.Span())
+	ctx, cancel := context.WithTimeout(ctx, each.Duration())
 	defer cancel()
 	var body io.Reader
 	if in != nil {
@@ -369,7 +369,7 @@
 
 // Holds asks an edge unit for what it has.
 func (c *Client) Holds(ctx context.Context, unit string) (h Holds, err error) {
-	_, err = c.once(ctx, unit, http.MethodGet, "/v1/holds", nil, &h, tick.Of(time.Minute))
+	_, err = c.once(ctx, unit, http.MethodGet, "/v1/holds", nil, &h, tick.FromDuration(time.Minute))
 	switch {
 	case err != nil:
 	case h.Unit != unit:
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -263,5 +263,5 @@
 func Now() tick.Tick {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // it can't fail with a clock that Linux has had since 2.6.39
-	return tick.Of(time.Duration(t.Nano()))
+	return tick.FromDuration(time.Duration(t.Nano()))
 }
--- a/internal/devicepower/power.go
+++ b/internal/devicepower/power.go
@@ -71,7 +71,7 @@
 	now, all := time.Now(), make([]devicehealth.Reading, len(r.last))
 	for i, a := range r.last {
 		all[i] = a.Reading
-		all[i].Age = tick.Of(now.Sub(a.when))
+		all[i].Age = tick.FromDuration(now.Sub(a.when))
 	}
 	return all
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,9 +16,9 @@
 
 // Page is the list, or changes of it, as discovery words them.
 type Page struct {
-	Seq   *int64 `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []struct {
+	Seq       *int64 `json:"seq"`
+	Complete  bool   `json:"whole"`
+	Endpoints []struct {
 		Host  string  `json:"host"`
 		Dial  string  `json:"dial"`
 		Site  string  `json:"site"`
@@ -31,16 +31,16 @@
 	} `json:"hosts"`
 }
 
-// Read reads a page.
-func Read(text []byte) (seq int64, whole bool, hosts []dispatch.Endpoint, err error) {
+// ParsePage reads a page.
+func ParsePage(text []byte) (seq int64, whole bool, hosts []dispatch.Endpoint, err error) {
 	var p Page
 	if err := json.Unmarshal(text, &p); err != nil {
 		return 0, false, nil, err
 	}
-	if p.Seq == nil || p.Hosts == nil {
+	if p.Seq == nil || p.Endpoints == nil {
 		return 0, false, nil, fmt.Errorf("no seq or no hosts")
 	}
-	for _, h := range p.Hosts {
+	for _, h := range p.Endpoints {
 		host := dispatch.Endpoint{Name: h.Host, Address: h.Dial, Zone: h.Site, MachineKind: h.Class, Cell: h.Block, State: h.State,
 			Weight: h.Share, StartedAtMs: h.Born, Version: h.Build}
 		if !host.Valid() {
@@ -48,11 +48,11 @@
 		}
 		hosts = append(hosts, host)
 	}
-	return *p.Seq, p.Whole, hosts, nil
+	return *p.Seq, p.Complete, hosts, nil
 }
 
-// Watch follows the list.
-type Watch struct {
+// Watcher follows the list.
+type Watcher struct {
 	gate  *dispatch.Dispatcher
 	place *transport.Address
 	seq   int64
@@ -89,22 +89,22 @@
 
 // New makes a watch at a place that goes on from a version. A call has limit more time than it may wait, or queue
 // where it begins a watch that had to be asked for. All are cut to what finds a silent watch in time.
-func New(place *transport.Address, seq int64, wait, limit, queue time.Duration, room *transport.BufferBudget, log func(string)) *Watch {
+func New(place *transport.Address, seq int64, wait, limit, queue time.Duration, room *transport.BufferBudget, log func(string)) *Watcher {
 	wait, limit = min(max(wait, leastWait), mostWait), min(max(limit, leastLimit), mostLimit)
-	return &Watch{place: place, seq: seq, wait: wait, limit: limit, queue: min(max(queue, limit), mostCall-wait), room: room,
+	return &Watcher{place: place, seq: seq, wait: wait, limit: limit, queue: min(max(queue, limit), mostCall-wait), room: room,
 		log: log, on: make(chan bool, 1), fetch: make(chan struct{}, 1), first: make(chan struct{})}
 }
 
-// First waits until the first call has ended, with an answer or without: what the agent has by then counts as told.
-func (w *Watch) First(ctx context.Context) {
+// WaitFirst waits until the first call has ended, with an answer or without: what the agent has by then counts as told.
+func (w *Watcher) WaitFirst(ctx context.Context) {
 	select {
 	case <-w.first:
 	case <-ctx.Done():
 	}
 }
 
-// On starts or stops the watch.
-func (w *Watch) On(on bool) {
+// SetWatching starts or stops the watch.
+func (w *Watcher) SetWatching(on bool) {
 	for {
 		select {
 		case w.on <- on:
@@ -119,7 +119,7 @@
 }
 
 // Fetch asks for the whole list once.
-func (w *Watch) Fetch() {
+func (w *Watcher) Fetch() {
 	select {
 	case w.fetch <- struct{}{}:
 	default: // it is to come anyhow
@@ -131,7 +131,7 @@
 // relays together may ask, and who asks at once when turned away keeps discovery overbooked for everyone. Where lists
 // are pushed, the first call is for all that the agent has, and so is that after one that failed: it need not wait for
 // something newer, and an agent that has restarted may count its versions otherwise.
-func (w *Watch) Run(ctx context.Context, g *dispatch.Dispatcher, on bool) error {
+func (w *Watcher) Run(ctx context.Context, g *dispatch.Dispatcher, on bool) error {
 	w.gate = g
 	alone, wanted := on, on
 	var l *transport.Conn
@@ -197,7 +197,7 @@
 }
 
 // idle waits for something to ask for, or until the peer has moved.
-func (w *Watch) idle(here context.Context, on, wanted *bool) {
+func (w *Watcher) idle(here context.Context, on, wanted *bool) {
 	select {
 	case *wanted = <-w.on:
 		*on = *wanted
@@ -208,7 +208,7 @@
 }
 
 // pause keeps an agent that is dead, or answers without end, from being asked without end.
-func (w *Watch) pause(here context.Context) {
+func (w *Watcher) pause(here context.Context) {
 	select {
 	case <-time.After(between):
 	case <-here.Done():
@@ -217,7 +217,7 @@
 
 // call makes one call, on the connection that is open or on a new one, and takes its answer. One that discovery
 // itself has to answer waits in its queue first.
-func (w *Watch) call(ctx context.Context, address string, l *transport.Conn, whole, queued bool) (*transport.Conn, transport.CloseStatus) {
+func (w *Watcher) call(ctx context.Context, address string, l *transport.Conn, whole, queued bool) (*transport.Conn, transport.CloseStatus) {
 	w.astray = false
 	path, wait := "/v1/servers", time.Duration(0)
 	if !whole {
@@ -251,25 +251,25 @@
 	return l, end
 }
 
-func (w *Watch) take(l *transport.Conn, address, path string) transport.CloseStatus {
-	l.Append(http1.Request("GET", path, address, ""))
+func (w *Watcher) take(l *transport.Conn, address, path string) transport.CloseStatus {
+	l.Append(http1.FormatRequest("GET", path, address, ""))
 	if end := l.Flush(); end.Closed() {
 		return end
 	}
-	var a http1.Answer
+	var a http1.Response
 	var body []byte
 	for {
 		used, out, err := a.Read(l.Buffered(), body)
 		l.Discard(used)
 		switch body = out; {
-		case err == http1.ErrOverlong:
+		case err == http1.ErrTooLong:
 			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		case a.Done && err == nil && a.Status/100 == 5:
 			return transport.CloseStatus{Reason: transport.PeerBusy, Flushed: true}
 		case err != nil, a.Done && a.Status != 200:
 			return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 		case a.Done:
-			seq, whole, hosts, err := Read(body)
+			seq, whole, hosts, err := ParsePage(body)
 			if err != nil {
 				return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 			}
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -16,9 +16,9 @@
 	switch state {
 	case "":
 		return outcomeWithoutAnswer(status)
-	case pgwire.Complete:
+	case pgwire.StateSuccess:
 		return balancer.Succeeded
-	case pgwire.NoRoom:
+	case pgwire.StateTooManyConnections:
 		return balancer.AtCapacity
 	}
 	return balancer.Errored
--- a/internal/downstream/clients.go
+++ b/internal/downstream/clients.go
@@ -23,10 +23,10 @@
 	"silvercove/internal/upstream"
 )
 
-// Front takes in connections of clients.
-type Front struct {
+// Server takes in connections of clients.
+type Server struct {
 	gate  *dispatch.Dispatcher
-	pools *upstream.Pools
+	pools *upstream.Pool
 	room  *transport.BufferBudget
 	parts overload.ListenerLimits
 	limit time.Duration // of a message's coming whole, and of a client's reading its answer
@@ -41,12 +41,12 @@
 	closing bool                // all close between commands
 	until   time.Time           // by when all has to be answered; zero where nothing ends
 
-	Accepted, Malformed, Crowded, Evicted atomic.Int64
+	Accepted, Malformed, RejectedForSpace, Evicted atomic.Int64
 }
 
 // session is one connection of a client. What is above the blank line is its reader's.
 type session struct {
-	*Front
+	*Server
 	*transport.Conn
 	came     time.Time     // when the last bytes did
 	last     chan struct{} // closed with the last answer that is owed
@@ -68,8 +68,8 @@
 
 // New makes a front whose places are shared out so. A client has limit for each message, and as long to
 // read an answer. Who is nacked for lack of places is told to stay away for back.
-func New(g *dispatch.Dispatcher, pools *upstream.Pools, room *transport.BufferBudget, parts overload.ListenerLimits, limit, back time.Duration) *Front {
-	f := &Front{gate: g, pools: pools, room: room, parts: parts, limit: limit, ids: map[string]struct{}{}}
+func New(g *dispatch.Dispatcher, pools *upstream.Pool, room *transport.BufferBudget, parts overload.ListenerLimits, limit, back time.Duration) *Server {
+	f := &Server{gate: g, pools: pools, room: room, parts: parts, limit: limit, ids: map[string]struct{}{}}
 	if back > 0 {
 		f.back = strconv.FormatInt(back.Milliseconds(), 10)
 	}
@@ -82,7 +82,7 @@
 
 // Serve takes in connections until the listener is closed or its deadline passes, and waits for all sessions. At the
 // deadline what the kernel has accepted is still taken in: a closed listener resets it, and requests may have come there.
-func (f *Front) Serve(listener net.Listener) error {
+func (f *Server) Serve(listener net.Listener) error {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
 	var last time.Time // when the deadline has passed, to the end of the looks
@@ -122,8 +122,8 @@
 
 // enter makes a session. Where all places are taken, one that has no command has to go; where there
 // is none, the new one is there to be nacked. It waits only while the spare places are taken too.
-func (f *Front) enter(conn net.Conn) *session {
-	s := &session{Front: f, Conn: transport.NewConn(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Call]struct{}{},
+func (f *Server) enter(conn net.Conn) *session {
+	s := &session{Server: f, Conn: transport.NewConn(conn, f.room), last: make(chan struct{}), open: map[*dispatch.Call]struct{}{},
 		owed: make(chan struct{}, f.parts.MaxPipelined)}
 	close(s.last)
 	f.mu.Lock()
@@ -166,10 +166,10 @@
 
 // yield has a session end: the one idle the longest, else the one whose message has been coming the
 // longest. Guards against clients that connect by the hundreds and say nothing, or a part.
-func (f *Front) yield() bool { return f.evict(&f.idle) || f.evict(&f.young) }
+func (f *Server) yield() bool { return f.evict(&f.idle) || f.evict(&f.young) }
 
 // evict has the first session of a list end, unless its first message may still be on its way.
-func (f *Front) evict(of *list.List) bool {
+func (f *Server) evict(of *list.List) bool {
 	if of.Len() == 0 {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // makeRoom ends one session and waits for it; false: there is none.
-func (f *Front) makeRoom() bool {
+func (f *Server) makeRoom() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.open == 0 {
@@ -197,7 +197,7 @@
 }
 
 // await waits until a session has ended or has no command, or until one more may have been silent for too long.
-func (f *Front) await() {
+func (f *Server) await() {
 	wake := time.AfterFunc(f.parts.ContendedTimeout/10, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -207,7 +207,7 @@
 	f.freed.Wait()
 }
 
-func (f *Front) leave(s *session) {
+func (f *Server) leave(s *session) {
 	s.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,15 +217,15 @@
 	f.freed.Signal()
 }
 
-// Stop tells that the program may be killed soon after a time. What still comes is answered by then.
-func (f *Front) Stop(by time.Time) {
+// StopBefore tells that the program may be killed soon after a time. What still comes is answered by then.
+func (f *Server) StopBefore(by time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.until = by
 }
 
-// Wind closes all sessions between commands from now on. New ones have a moment for their first.
-func (f *Front) Wind() {
+// CloseIdleSessions closes all sessions between commands from now on. New ones have a moment for their first.
+func (f *Server) CloseIdleSessions() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closing = true
@@ -238,8 +238,8 @@
 	}
 }
 
-// InUse tells how many sessions there are.
-func (f *Front) InUse() int {
+// Sessions tells how many sessions there are.
+func (f *Server) Sessions() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.open
@@ -272,7 +272,7 @@
 			ok = s.skip(size) // left from a copy that never began
 		default:
 			s.Malformed.Add(1)
-			s.say(pgwire.Problem("FATAL", pgwire.Violation, "unknown message", ""))
+			s.say(pgwire.ErrorResponse("FATAL", pgwire.StateProtocolViolation, "unknown message", ""))
 			return
 		}
 		if !ok {
@@ -325,11 +325,11 @@
 func (s *session) greet() bool {
 	until := s.since.Add(max(s.parts.IdleTimeout, s.limit))
 	for {
-		start, size, err := pgwire.Startup(s.Buffered())
+		start, size, err := pgwire.ParseStartup(s.Buffered())
 		switch {
 		case err != nil:
 			s.Malformed.Add(1)
-			s.say(pgwire.Problem("FATAL", pgwire.Violation, "malformed startup", ""))
+			s.say(pgwire.ErrorResponse("FATAL", pgwire.StateProtocolViolation, "malformed startup", ""))
 			return false
 		case size == 0:
 			if !s.more(0, until) {
@@ -342,11 +342,11 @@
 		case pgwire.StartCancel:
 			return false
 		case pgwire.StartEncrypted:
-			if !s.say(pgwire.NoEncryption()) {
+			if !s.say(pgwire.EncryptionRefused()) {
 				return false
 			}
 		default:
-			s.Append(pgwire.Hello())
+			s.Append(pgwire.AuthenticationOK())
 			s.mu.Lock()
 			s.since = time.Now()
 			s.mu.Unlock()
@@ -439,12 +439,12 @@
 func (s *session) next() (kind byte, size int, ok bool) {
 	var until time.Time
 	for {
-		kind, size, err := pgwire.FromClient(s.Buffered())
+		kind, size, err := pgwire.ClientHeader(s.Buffered())
 		switch {
 		case err != nil:
 			s.Malformed.Add(1)
 			if s.mayOwe() {
-				s.say(pgwire.Problem("FATAL", pgwire.Violation, err.Error(), ""))
+				s.say(pgwire.ErrorResponse("FATAL", pgwire.StateProtocolViolation, err.Error(), ""))
 			}
 			return 0, 0, false
 		case size > 0:
@@ -593,13 +593,13 @@
 	if !s.skip(size) {
 		return false
 	}
-	no := pgwire.Problem("ERROR", pgwire.NotSupported, "only simple queries are served", "")
+	no := pgwire.ErrorResponse("ERROR", pgwire.StateNotSupported, "only simple queries are served", "")
 	switch {
 	case kind == 'S':
 		s.refused = false
-		return s.say(pgwire.Ready())
+		return s.say(pgwire.ReadyForQuery())
 	case kind == 'F':
-		return s.say(no, pgwire.Ready())
+		return s.say(no, pgwire.ReadyForQuery())
 	case s.refused:
 		return true
 	}
@@ -609,8 +609,8 @@
 
 // query reads one query and has it answered.
 func (s *session) query(size int) bool {
-	if size > pgwire.MostQuery {
-		return s.skip(size) && s.wrong(pgwire.TooLong, "query too long")
+	if size > pgwire.MaxQuery {
+		return s.skip(size) && s.wrong(pgwire.StateLimitExceeded, "query too long")
 	}
 	if s.over || !s.room.Reserve(size) {
 		return s.skip(size) && s.crowded()
@@ -619,7 +619,7 @@
 		s.room.Release(size)
 		return false
 	}
-	text, ended := bytes.CutSuffix(bytes.Clone(s.Buffered()[pgwire.HeadSize:size]), []byte{0})
+	text, ended := bytes.CutSuffix(bytes.Clone(s.Buffered()[pgwire.HeaderSize:size]), []byte{0})
 	s.Discard(size)
 	started, going := s.begin(text, ended, size)
 	if !started {
@@ -631,14 +631,14 @@
 // begin starts a command, or answers what is none.
 func (s *session) begin(text []byte, ended bool, size int) (started, going bool) {
 	if ended && len(bytes.Trim(text, " ;\t\r\n")) == 0 {
-		return false, s.say(pgwire.EmptyAnswer())
+		return false, s.say(pgwire.EmptyQueryResponse())
 	}
 	q, fault := pgwire.ParseQuery(text)
 	switch {
 	case fault != nil:
-		return false, s.wrong(fault.Code, fault.Text)
+		return false, s.wrong(fault.SQLState, fault.Text)
 	case !ended:
-		return false, s.wrong(pgwire.Violation, "the query has no end")
+		return false, s.wrong(pgwire.StateProtocolViolation, "the query has no end")
 	}
 	wait := time.Duration(q.WaitMs) * time.Millisecond
 	s.mu.Lock()
@@ -646,11 +646,11 @@
 		wait = min(wait, s.until.Sub(s.came))
 	}
 	s.mu.Unlock()
-	cmd, ok := s.gate.Accept(dispatch.Request{Class: q.OpType, Tenant: q.Customer, Key: q.Key, ReceivedAt: s.came,
-		Timeout: wait, EstimatedWork: time.Duration(q.WorkUs) * time.Microsecond,
-		Write: q.Write, ClientRetry: q.Repeated, ClientClosed: s.PeerClosed})
+	cmd, ok := s.gate.Accept(dispatch.Request{Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: s.came,
+		Timeout: wait, EstimatedWork: time.Duration(q.EstimatedWorkUs) * time.Microsecond,
+		Write: q.Write, ClientRetry: q.ClientRetry, ClientClosed: s.PeerClosed})
 	if !ok {
-		return false, s.wrong(pgwire.BadParameter, "unknown op type")
+		return false, s.wrong(pgwire.StateInvalidParameter, "unknown op type")
 	}
 	s.mu.Lock()
 	_, twice := s.ids[q.ID]
@@ -662,7 +662,7 @@
 	s.mu.Unlock()
 	switch {
 	case twice: // an answer must not go to whoever names another's command
-		return false, s.wrong(pgwire.BadParameter, "a command of this id is open")
+		return false, s.wrong(pgwire.StateInvalidParameter, "a command of this id is open")
 	case full:
 		return false, s.crowded()
 	}
@@ -680,16 +680,16 @@
 // wrong answers what cannot be served.
 func (s *session) wrong(code, text string) bool {
 	s.Malformed.Add(1)
-	return s.say(pgwire.Problem("ERROR", code, text, ""), pgwire.Ready())
+	return s.say(pgwire.ErrorResponse("ERROR", code, text, ""), pgwire.ReadyForQuery())
 }
 
 // crowded nacks a query for which there is no place or buffer.
 func (s *session) crowded() bool {
-	s.Crowded.Add(1)
+	s.RejectedForSpace.Add(1)
 	s.mu.Lock()
 	s.close = s.close || s.over
 	s.mu.Unlock()
-	return s.say(pgwire.Problem("ERROR", pgwire.NoRoom, "no room", s.back), pgwire.Ready())
+	return s.say(pgwire.ErrorResponse("ERROR", pgwire.StateTooManyConnections, "no room", s.back), pgwire.ReadyForQuery())
 }
 
 // end takes a command off the open ones.
@@ -711,12 +711,12 @@
 func (s *session) command(cmd *dispatch.Call, q *pgwire.Query, turn <-chan struct{}) {
 	step := s.gate.Next(cmd)
 	for step.Attempt != nil {
-		r := s.pools.Deliver(step.Attempt, q)
-		if s.gate.Report(step.Attempt, r.State, r.End, r.Load) {
+		r := s.pools.Attempt(step.Attempt, q)
+		if s.gate.Report(step.Attempt, r.SQLState, r.End, r.Load) {
 			s.pass(q, r, turn)
 			return
 		}
-		r.Done()
+		r.Release()
 		step = s.gate.Next(cmd)
 	}
 	switch step.Answer {
@@ -728,9 +728,9 @@
 		if step.RetryAfter > 0 {
 			back = strconv.FormatInt(step.RetryAfter.Milliseconds(), 10)
 		}
-		s.write(q, turn, pgwire.Problem("ERROR", pgwire.NoRoom, "not now", back))
+		s.write(q, turn, pgwire.ErrorResponse("ERROR", pgwire.StateTooManyConnections, "not now", back))
 	case dispatch.Failed:
-		s.write(q, turn, pgwire.Problem("ERROR", pgwire.Failed, "no answer; it may have run", ""))
+		s.write(q, turn, pgwire.ErrorResponse("ERROR", pgwire.StateInternalError, "no answer; it may have run", ""))
 	}
 }
 
@@ -743,14 +743,14 @@
 		rows := bytes.Join(r.Rows, nil)
 		if s.room.Reserve(len(rows)) {
 			defer s.room.Release(len(rows))
-			r.Done()
+			r.Release()
 			s.write(q, turn, rows)
 			return
 		}
 	}
 	<-turn
 	s.Append(r.Rows...)
-	r.Done() // before the client has the answer, as it may then ask again at once
+	r.Release() // before the client has the answer, as it may then ask again at once
 	s.write(q, turn)
 }
 
@@ -765,5 +765,5 @@
 func (s *session) write(q *pgwire.Query, turn <-chan struct{}, parts ...[]byte) {
 	<-turn
 	s.free(q)
-	s.send(append(parts, pgwire.Ready())...)
+	s.send(append(parts, pgwire.ReadyForQuery())...)
 }
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -51,7 +51,7 @@
 		case places <- struct{}{}:
 		default:
 			_ = conn.SetWriteDeadline(time.Now().Add(time.Millisecond))
-			_, _ = conn.Write(pgwire.Problem("FATAL", pgwire.NoRoom, "too many connections", ""))
+			_, _ = conn.Write(pgwire.ErrorResponse("FATAL", pgwire.StateTooManyConnections, "too many connections", ""))
 			_ = conn.Close()
 			continue
 		}
@@ -84,17 +84,17 @@
 		return err == nil
 	}
 	for greeted := false; !greeted; {
-		start, size, err := pgwire.Startup(buf)
+		start, size, err := pgwire.ParseStartup(buf)
 		switch {
 		case err != nil:
-			say(pgwire.Problem("FATAL", pgwire.Violation, err.Error(), ""))
+			say(pgwire.ErrorResponse("FATAL", pgwire.StateProtocolViolation, err.Error(), ""))
 			return
 		case size == 0:
 			if !more(helloTime) {
 				return
 			}
 		case start == pgwire.StartEncrypted:
-			if buf = buf[size:]; !say(pgwire.NoEncryption()) {
+			if buf = buf[size:]; !say(pgwire.EncryptionRefused()) {
 				return
 			}
 		case start == pgwire.StartCancel:
@@ -103,14 +103,14 @@
 			buf, greeted = buf[size:], true
 		}
 	}
-	if !say(pgwire.Hello()) {
+	if !say(pgwire.AuthenticationOK()) {
 		return
 	}
 	for {
-		kind, size, err := pgwire.FromClient(buf)
+		kind, size, err := pgwire.ClientHeader(buf)
 		switch {
 		case err != nil:
-			say(pgwire.Problem("FATAL", pgwire.Violation, err.Error(), ""))
+			say(pgwire.ErrorResponse("FATAL", pgwire.StateProtocolViolation, err.Error(), ""))
 			return
 		case kind == 'X':
 			return
@@ -120,16 +120,16 @@
 			}
 			continue
 		case kind != 'Q':
-			say(pgwire.Problem("FATAL", pgwire.NotSupported, "simple queries alone are spoken here", ""))
+			say(pgwire.ErrorResponse("FATAL", pgwire.StateNotSupported, "simple queries alone are spoken here", ""))
 			return
-		case size > pgwire.MostQuery:
-			if !say(problem(pgwire.TooLong, "the statement is too long")) {
+		case size > pgwire.MaxQuery:
+			if !say(problem(pgwire.StateLimitExceeded, "the statement is too long")) {
 				return
 			}
 			buf = buf[size:]
 			continue
 		}
-		text := strings.TrimSuffix(string(buf[pgwire.HeadSize:size]), "\x00")
+		text := strings.TrimSuffix(string(buf[pgwire.HeaderSize:size]), "\x00")
 		if buf = buf[size:]; len(buf) == 0 {
 			buf = nil
 		}
@@ -140,30 +140,30 @@
 }
 
 func problem(code, text string) []byte {
-	return append(pgwire.Problem("ERROR", code, text, ""), pgwire.Ready()...)
+	return append(pgwire.ErrorResponse("ERROR", code, text, ""), pgwire.ReadyForQuery()...)
 }
 
 // statement carries one out and words its answer.
 func (e *Edge) statement(ctx context.Context, text string) []byte {
 	switch first, _, _ := strings.Cut(text, " "); {
 	case strings.TrimSpace(text) == "":
-		return pgwire.EmptyAnswer()
+		return pgwire.EmptyQueryResponse()
 	case first == "SET" || first == "RESET" || first == "DISCARD":
-		return pgwire.Done(first)
+		return pgwire.CommandComplete(first)
 	case text == "SELECT 1":
 		if why := e.unready(); why != "" {
-			return problem(pgwire.ShuttingDown, why)
+			return problem(pgwire.StateCannotConnectNow, why)
 		}
-		return pgwire.Row([]byte("1"), "SELECT 1")
+		return pgwire.DataRow([]byte("1"), "SELECT 1")
 	case text == "SHOW server_load":
 		e.mu.Lock()
 		load := fmt.Sprintf("inflight=%d", e.busy)
 		e.mu.Unlock()
-		return pgwire.Row([]byte(load), "SHOW")
+		return pgwire.DataRow([]byte(load), "SHOW")
 	}
 	q, fault := pgwire.ParseQuery([]byte(text))
 	if fault != nil {
-		return problem(fault.Code, fault.Text)
+		return problem(fault.SQLState, fault.Text)
 	}
 	a := e.ask(ctx, q)
 	metrics.GetOrCreateCounter(outcomes[a.Outcome]).Inc()
@@ -173,13 +173,13 @@
 		if q.Write {
 			end = "INSERT 0 1"
 		}
-		return pgwire.Row(fmt.Appendf(nil, "%d %d %s", a.Index, a.Epoch, a.Node), end)
+		return pgwire.DataRow(fmt.Appendf(nil, "%d %d %s", a.Index, a.Epoch, a.Node), end)
 	case replica.Rejected:
-		return problem(pgwire.NoRoom, a.Detail)
+		return problem(pgwire.StateTooManyConnections, a.Detail)
 	case replica.TooLarge:
-		return problem(pgwire.TooLong, a.Detail)
+		return problem(pgwire.StateLimitExceeded, a.Detail)
 	}
-	return problem(pgwire.Failed, a.Detail)
+	return problem(pgwire.StateInternalError, a.Detail)
 }
 
 var outcomes = [...]string{replica.Rejected: `cove_edge_commands_total{end="never ran"}`,
@@ -202,7 +202,7 @@
 // ask has a command carried out by the owner's decision.
 func (e *Edge) ask(ctx context.Context, q *pgwire.Query) replica.Response {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
-	c := &replica.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Content()}
+	c := &replica.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Value()}
 	done := make(chan replica.Response, 1)
 	e.mu.Lock()
 	if e.owner == nil {
@@ -212,7 +212,7 @@
 	e.busy++
 	e.asks[c] = done
 	now := controllerclient.Now()
-	c.Deadline = now + tick.Of(wait)
+	c.Deadline = now + tick.FromDuration(wait)
 	e.owner.OnRequest(now, c)
 	e.mu.Unlock()
 	var a replica.Response
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -230,7 +230,7 @@
 			return ctx.Err()
 		}
 		e.o.Log.Warn().Str("why", err.Error()).Msg("no places")
-		if !pause(ctx, e.lease.Span()) {
+		if !pause(ctx, e.lease.Duration()) {
 			return ctx.Err()
 		}
 	}
@@ -287,7 +287,7 @@
 
 // renew keeps the lease: each third of it, and at once when the report changes.
 func (e *Edge) renew(ctx context.Context) {
-	every := time.NewTicker(e.lease.Span() / 3)
+	every := time.NewTicker(e.lease.Duration() / 3)
 	defer every.Stop()
 	var used time.Duration
 	back := false // its build, as the keepers told last
@@ -301,7 +301,7 @@
 			e.mu.Lock()
 			doubts := e.owner.UnverifiedCopies(controllerclient.MostDoubts)
 			e.mu.Unlock()
-			limit, cancel := context.WithTimeout(ctx, e.lease.Span())
+			limit, cancel := context.WithTimeout(ctx, e.lease.Duration())
 			answer, sent, err = e.client.Lease(limit, controllerclient.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
 				Commands: e.commands.Addr().String(), Zone: e.o.File.Self.Zone, Build: e.o.File.Build, Back: back,
 				BornMS: int64(e.run / 1000), Kept: e.store.RecordCount(), Doubts: doubts})
@@ -412,7 +412,7 @@
 		next := e.owner.OnTick(now)
 		e.mu.Unlock()
 		e.stir()
-		if !pause(ctx, max(time.Millisecond, (next-now).Span())) {
+		if !pause(ctx, max(time.Millisecond, (next-now).Duration())) {
 			return
 		}
 	}
@@ -426,7 +426,7 @@
 	e.mu.Unlock()
 	e.renews()
 	e.o.Log.Info().Str("event", "leaves").Str("why", "told to end").Send()
-	ctx, cancel := context.WithTimeout(ctx, leaving*e.lease.Span())
+	ctx, cancel := context.WithTimeout(ctx, leaving*e.lease.Duration())
 	defer cancel()
 	var holds context.Context // once nothing is owned, copies are waited for two leases more: whoever owns goes on without
 	for {
@@ -445,7 +445,7 @@
 		}
 		if !owns && holds == nil {
 			var stop context.CancelFunc
-			holds, stop = context.WithTimeout(ctx, 2*e.lease.Span())
+			holds, stop = context.WithTimeout(ctx, 2*e.lease.Duration())
 			defer stop()
 		}
 		over := ctx.Done()
@@ -540,7 +540,7 @@
 		l = l.Uint64("epoch", x.Epoch)
 	}
 	if x.Kind == "stops" {
-		l = l.Int64("late_ms", x.SinceLeaseEnd.Span().Milliseconds())
+		l = l.Int64("late_ms", x.SinceLeaseEnd.Duration().Milliseconds())
 	}
 	l.Send()
 }
@@ -554,7 +554,7 @@
 			return
 		case x = <-e.steps:
 		}
-		limit, cancel := context.WithTimeout(ctx, e.lease.Span())
+		limit, cancel := context.WithTimeout(ctx, e.lease.Duration())
 		p, err := e.client.Step(limit, x)
 		cancel()
 		var no *controllerclient.RefusalError
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -42,7 +42,7 @@
 }
 
 func (e *Edge) post(ctx context.Context, client *http.Client, to string, m replica.Message) (*replica.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.lease.Span())
+	ctx, cancel := context.WithTimeout(ctx, e.lease.Duration())
 	defer cancel()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -159,7 +159,7 @@
 	e.waits[m.ReplyTo] = done
 	e.owner.OnMessage(controllerclient.Now(), from, m)
 	e.mu.Unlock()
-	timer := time.NewTimer(e.lease.Span())
+	timer := time.NewTimer(e.lease.Duration())
 	defer timer.Stop()
 	select {
 	case answer := <-done:
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -80,8 +80,8 @@
 	return f, nil
 }
 
-// As reads a file for a process of a role; one of another role is an error.
-func As(path, role string) (*File, error) {
+// ReadRole reads a file for a process of a role; one of another role is an error.
+func ReadRole(path, role string) (*File, error) {
 	f, err := Read(path)
 	if err == nil && f.Self.Role != role {
 		return nil, fmt.Errorf("%s: it is for a process of role %s, this is one of role %s", path, f.Self.Role, role)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -11,18 +11,18 @@
 
 // Limits on what is read.
 const (
-	MostHead = 8 << 10
-	MostBody = 4 << 20 // a list of tens of thousands of units
+	MaxHeader = 8 << 10
+	MaxBody   = 4 << 20 // a list of tens of thousands of units
 )
 
 // Errors in what came.
 var (
 	ErrMalformed = errors.New("malformed answer")
-	ErrOverlong  = errors.New("answer too long")
+	ErrTooLong   = errors.New("answer too long")
 )
 
-// Request words a request; without a body it has none.
-func Request(method, path, host, body string) []byte {
+// FormatRequest words a request; without a body it has none.
+func FormatRequest(method, path, host, body string) []byte {
 	b := append([]byte(nil), method+" "+path+" HTTP/1.1\r\nHost: "+host+"\r\n"...)
 	if body != "" {
 		b = append(b, "Content-Type: application/json\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n"...)
@@ -30,8 +30,8 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// Answer reads one answer. Its zero value is ready for the first byte.
-type Answer struct {
+// Response reads one answer. Its zero value is ready for the first byte.
+type Response struct {
 	Status int
 	Close  bool // the connection ends with it
 	Done   bool
@@ -54,12 +54,12 @@
 	inTrailer
 )
 
-// Stream is an answer whose chunks may go on for ever.
-func Stream() *Answer { return &Answer{endless: true} }
+// NewStream is an answer whose chunks may go on for ever.
+func NewStream() *Response { return &Response{endless: true} }
 
 // Read takes what it can of the bytes that have come. It tells how many it used and adds what
 // belongs to the body to body.
-func (a *Answer) Read(in, body []byte) (used int, out []byte, err error) {
+func (a *Response) Read(in, body []byte) (used int, out []byte, err error) {
 	for !a.Done {
 		n, more, err := a.one(in[used:], &body)
 		if err != nil {
@@ -74,21 +74,21 @@
 }
 
 // one takes one line, or one stretch of the body; more: another may follow at once.
-func (a *Answer) one(in []byte, body *[]byte) (used int, more bool, err error) {
+func (a *Response) one(in []byte, body *[]byte) (used int, more bool, err error) {
 	switch a.state {
 	case inHead:
-		end := bytes.Index(in[:min(len(in), MostHead)], []byte("\r\n\r\n"))
+		end := bytes.Index(in[:min(len(in), MaxHeader)], []byte("\r\n\r\n"))
 		if end < 0 {
-			if len(in) >= MostHead {
-				return 0, false, ErrOverlong
+			if len(in) >= MaxHeader {
+				return 0, false, ErrTooLong
 			}
 			return 0, false, nil
 		}
 		return end + 4, true, a.head(string(in[:end]))
 	case inBody, inChunk:
 		n := min(a.left, len(in))
-		if a.total += n; a.total > MostBody && !a.endless {
-			return 0, false, ErrOverlong
+		if a.total += n; a.total > MaxBody && !a.endless {
+			return 0, false, ErrTooLong
 		}
 		*body = append(*body, in[:n]...)
 		a.left -= n
@@ -104,12 +104,12 @@
 }
 
 // line takes a line between chunks.
-func (a *Answer) line(in []byte) (used int, more bool, err error) {
+func (a *Response) line(in []byte) (used int, more bool, err error) {
 	const longest = 1 << 10
 	end := bytes.Index(in[:min(len(in), longest)], []byte("\r\n"))
 	if end < 0 {
 		if len(in) >= longest {
-			return 0, false, ErrOverlong
+			return 0, false, ErrTooLong
 		}
 		return 0, false, nil
 	}
@@ -126,8 +126,8 @@
 		if err != nil {
 			return 0, false, ErrMalformed
 		}
-		if n > MostBody {
-			return 0, false, ErrOverlong
+		if n > MaxBody {
+			return 0, false, ErrTooLong
 		}
 		if a.left, a.state = int(n), inChunk; n == 0 {
 			a.state = inTrailer
@@ -138,7 +138,7 @@
 	return end + 2, true, nil
 }
 
-func (a *Answer) head(text string) error {
+func (a *Response) head(text string) error {
 	lines := strings.Split(text, "\r\n")
 	version, rest, _ := strings.Cut(lines[0], " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -178,8 +178,8 @@
 		return ErrMalformed // two lengths
 	case a.chunked:
 		a.state = inSize
-	case length > MostBody:
-		return ErrOverlong
+	case length > MaxBody:
+		return ErrTooLong
 	case length > 0:
 		a.state, a.left = inBody, length
 	case length == 0, status == 204, status == 304:
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -331,7 +331,7 @@
 
 // say notes an event for the timeline.
 func (f *Fleet) say(e testcluster.Event) {
-	e.At = began.Add(f.now.Span())
+	e.At = began.Add(f.now.Duration())
 	_, _ = fmt.Fprintf(f.digest, "%d %s %s\n", f.now, e.Node, e.Text())
 	if f.Lines {
 		f.lines = append(f.lines, e)
--- a/internal/membership/board.go
+++ b/internal/membership/board.go
@@ -97,7 +97,7 @@
 	b := &Agent{net: net, log: log, start: time.Now(), changed: make(chan struct{}, 1), outrun: make(chan struct{}),
 		asked: map[string]bool{}}
 	b.table = NewTable(0, me, others, set)
-	lib, err := newLibrary(net, b.table.SilenceTimeout().Span(), len(others)+1, b)
+	lib, err := newLibrary(net, b.table.SilenceTimeout().Duration(), len(others)+1, b)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 }
 
 // Now is the clock of Since and Heard.
-func (b *Agent) Now() tick.Tick { return tick.Of(time.Since(b.start)) }
+func (b *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(b.start)) }
 
 // Publish has own news of a kind told to all from now on, in place of earlier news of that kind. It is an error to tell more
 // than MostKinds kinds or MostNews bytes; nothing has changed then.
@@ -138,8 +138,8 @@
 	for _, p := range b.net.Peers("") {
 		names = append(names, p.Name)
 	}
-	group.Go(func() error { b.library.Sync(inner, names, b.table.SilenceTimeout().Span()); return nil })
-	clock := time.NewTicker(b.table.ProbeInterval().Span())
+	group.Go(func() error { b.library.Sync(inner, names, b.table.SilenceTimeout().Duration()); return nil })
+	clock := time.NewTicker(b.table.ProbeInterval().Duration())
 	defer clock.Stop()
 	outrun := false
 	for {
@@ -190,7 +190,7 @@
 	if err != nil {
 		b.table.RecordTimeout(b.Now(), name)
 	} else {
-		b.table.RecordAck(b.Now(), name, tick.Of(took))
+		b.table.RecordAck(b.Now(), name, tick.FromDuration(took))
 	}
 	b.mu.Unlock()
 	if err != nil {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -267,7 +267,7 @@
 	if discoveryAddress == "" && address == "" {
 		return nil
 	}
-	var desk *releaseapi.Desk
+	var desk *releaseapi.Client
 	if address != "" {
 		desk = releaseapi.New(transport.NewAddress(address), time.Second, m.room, m.say)
 	}
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -8,23 +8,23 @@
 
 // Query is one command as a client's statement words it.
 type Query struct {
-	Write    bool
-	Key      string
-	ID       string
-	OpType   string
-	Customer string
-	WaitMs   int64 // how long the client waits, counted from when it sent
-	WorkUs   int64 // its guess at the work; 0: none
-	Repeated bool
+	Write           bool
+	Key             string
+	ID              string
+	Class           string
+	Tenant          string
+	WaitMs          int64 // how long the client waits, counted from when it sent
+	EstimatedWorkUs int64 // its guess at the work; 0: none
+	ClientRetry     bool
 
 	text     []byte // the statement
 	from, to int    // where the value of d stands in it
 }
 
-// Fault is why a query is turned down: a SQLSTATE and a few words.
-type Fault struct{ Code, Text string }
+// QueryError is why a query is turned down: a SQLSTATE and a few words.
+type QueryError struct{ SQLState, Text string }
 
-func (f *Fault) Error() string { return f.Code + " " + f.Text }
+func (f *QueryError) Error() string { return f.SQLState + " " + f.Text }
 
 var (
 	selects = [2]string{"SELECT content FROM kv WHERE name = '", "' /* "}
@@ -32,44 +32,44 @@
 )
 
 // ParseQuery reads a statement of one of the two forms. Names of the comment may come in any order.
-func ParseQuery(text []byte) (*Query, *Fault) {
+func ParseQuery(text []byte) (*Query, *QueryError) {
 	q := &Query{text: text}
 	at, ok := 0, false
 	switch {
 	case bytes.HasPrefix(text, []byte(selects[0])):
 		at = len(selects[0])
 		if q.Key, at, ok = quoted(text, at, selects[1]); !ok {
-			return nil, &Fault{BadSyntax, "no statement of the two forms"}
+			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
 		}
 	case bytes.HasPrefix(text, []byte(inserts[0])):
 		q.Write = true
 		at = len(inserts[0])
 		if q.Key, at, ok = quoted(text, at, inserts[1]); !ok {
-			return nil, &Fault{BadSyntax, "no statement of the two forms"}
+			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
 		}
 		n := 0
 		for at+n < len(text) && hex(text[at+n]) {
 			n++
 		}
 		if n%2 != 0 || !bytes.HasPrefix(text[at+n:], []byte(inserts[2])) {
-			return nil, &Fault{BadSyntax, "no statement of the two forms"}
+			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
 		}
-		if n/2 > MostValue {
-			return nil, &Fault{TooLong, "the value is longer than 64 KiB"}
+		if n/2 > MaxValue {
+			return nil, &QueryError{StateLimitExceeded, "the value is longer than 64 KiB"}
 		}
 		at += n + len(inserts[2])
 	default:
-		return nil, &Fault{BadSyntax, "no statement of the two forms"}
+		return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
 	}
 	end, ok := bytes.CutSuffix(text[at:], []byte(" */"))
 	if !ok || bytes.Contains(end, []byte("*/")) {
-		return nil, &Fault{BadSyntax, "the comment does not end the statement"}
+		return nil, &QueryError{StateSyntaxError, "the comment does not end the statement"}
 	}
 	return q, q.names(at, at+len(end))
 }
 
 // names reads the comment's names and values.
-func (q *Query) names(at, end int) *Fault {
+func (q *Query) names(at, end int) *QueryError {
 	seen := map[string]bool{}
 	for at <= end {
 		stop := end
@@ -78,7 +78,7 @@
 		}
 		name, value, ok := bytes.Cut(q.text[at:stop], []byte("="))
 		if !ok || len(name) == 0 || seen[string(name)] {
-			return &Fault{BadSyntax, "the comment holds no list of names and values"}
+			return &QueryError{StateSyntaxError, "the comment holds no list of names and values"}
 		}
 		seen[string(name)] = true
 		bad := false
@@ -86,25 +86,25 @@
 		case "id":
 			q.ID, bad = string(value), len(value) == 0
 		case "c":
-			q.OpType = string(value)
+			q.Class = string(value)
 		case "t":
-			q.Customer = string(value)
+			q.Tenant = string(value)
 		case "d":
 			q.from, q.to = stop-len(value), stop
 			q.WaitMs, bad = number(value)
 		case "h":
-			q.WorkUs, bad = number(value)
+			q.EstimatedWorkUs, bad = number(value)
 		case "r":
-			q.Repeated = string(value) == "1"
+			q.ClientRetry = string(value) == "1"
 		}
 		if bad {
-			return &Fault{BadParameter, "bad value of " + string(name) + " in the comment"}
+			return &QueryError{StateInvalidParameter, "bad value of " + string(name) + " in the comment"}
 		}
 		at = stop + 1
 	}
 	for _, name := range []string{"id", "c", "d"} {
 		if !seen[name] {
-			return &Fault{BadParameter, "the comment names no " + name}
+			return &QueryError{StateInvalidParameter, "the comment names no " + name}
 		}
 	}
 	return nil
@@ -132,8 +132,8 @@
 	return string(text[at : at+n]), at + n + len(follows), true
 }
 
-// Content is the value that a write's statement holds.
-func (q *Query) Content() []byte {
+// Value is the value that a write's statement holds.
+func (q *Query) Value() []byte {
 	if !q.Write {
 		return nil
 	}
@@ -155,8 +155,8 @@
 
 func hex(c byte) bool { return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' }
 
-// Parts is the query for a unit, as it came but for d, in pieces to be written one after another.
-func (q *Query) Parts(waitMs int64) [][]byte {
+// Forward is the query for a unit, as it came but for d, in pieces to be written one after another.
+func (q *Query) Forward(waitMs int64) [][]byte {
 	d := strconv.AppendInt(nil, max(1, waitMs), 10)
 	size := 4 + q.from + len(d) + len(q.text) - q.to + 1
 	start := binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(size))
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -21,7 +21,7 @@
 }
 
 // newMemory makes one if an operator's file speaks of verdicts.
-func newMemory(t Told) *memory {
+func newMemory(t Config) *memory {
 	if t.verdicts == nil {
 		return nil
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,10 +43,10 @@
 	log   zerolog.Logger
 	room  *transport.BufferBudget
 	gate  *dispatch.Dispatcher
-	pools *upstream.Pools
-	front *downstream.Front
-	watch *discovery.Watch
-	desk  *releaseapi.Desk
+	pools *upstream.Pool
+	front *downstream.Server
+	watch *discovery.Watcher
+	desk  *releaseapi.Client
 	left  time.Duration // from SIGTERM until all has to be answered
 
 	discovery, platform *transport.Address
@@ -56,7 +56,7 @@
 // Start runs a relay as env names it. Signals are heard before anything is read: until then SIGHUP would end the process.
 func Start(env func(string) string) error {
 	signals := hear()
-	t, err := ReadTold(env)
+	t, err := ReadConfig(env)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 
 // Run runs a relay until a signal has ended it and all that it took is answered. env is the environment: the
 // configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
-func Run(t Told, env func(string) string, beside ...func(context.Context, *dispatch.Dispatcher) error) error {
+func Run(t Config, env func(string) string, beside ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := t.signals
 	if signals == nil {
 		signals = hear()
@@ -88,8 +88,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error { return r.pools.Run(ctx) })
-	pushed := !t.Follows && t.site.Balancer.Discovery != balancer.DiscoverySubscribe
-	if t.Follows {
+	pushed := !t.FollowsPlacements && t.site.Balancer.Discovery != balancer.DiscoverySubscribe
+	if t.FollowsPlacements {
 		r.gate.FollowPlacements()
 	} else {
 		group.Go(func() error { return r.watch.Run(ctx, r.gate, pushed) })
@@ -131,16 +131,16 @@
 
 // open gets the relay ready and then listens; nil: it is to end. The waits before have one limit, whatever the settings
 // say and whoever is silent: a relay that serves with what it knows is better than none.
-func (r *relay) open(ctx context.Context, t Told, pushed bool) (net.Listener, error) {
+func (r *relay) open(ctx context.Context, t Config, pushed bool) (net.Listener, error) {
 	limited, cancel := context.WithTimeout(ctx, mostStart)
 	defer cancel()
 	if pushed { // what the agent has counts as told from the first moment
-		r.watch.First(limited)
+		r.watch.WaitFirst(limited)
 	}
 	relays := t.site.Balancer.Relays
-	r.pools.Warm(limited, r.gate.ReadyBackends(), int(min(max(relays, 1), math.MaxInt32)))
-	if t.Turn != nil {
-		t.Turn(ctx)
+	r.pools.Prewarm(limited, r.gate.ReadyBackends(), int(min(max(relays, 1), math.MaxInt32)))
+	if t.WaitTurn != nil {
+		t.WaitTurn(ctx)
 	}
 	if ctx.Err() != nil {
 		return nil, nil
@@ -155,8 +155,8 @@
 		<-ctx.Done()
 		select {
 		case listener = <-listening: // it came as the relay was ended
-			r.front.Stop(time.Now().Add(r.left))
-			r.front.Wind()
+			r.front.StopBefore(time.Now().Add(r.left))
+			r.front.CloseIdleSessions()
 		default:
 		}
 		if listener != nil {
@@ -164,7 +164,7 @@
 		}
 	}()
 	var next <-chan time.Time
-	steps := []func(){r.front.Wind, func() { _ = listener.(*net.TCPListener).SetDeadline(time.Now()) }}
+	steps := []func(){r.front.CloseIdleSessions, func() { _ = listener.(*net.TCPListener).SetDeadline(time.Now()) }}
 	for stopping := false; ; {
 		select {
 		case listener = <-listening:
@@ -183,7 +183,7 @@
 				return
 			case !stopping: // another changes nothing
 				r.log.Info().Str("signal", s.String()).Msg("stopping")
-				r.front.Stop(time.Now().Add(r.left))
+				r.front.StopBefore(time.Now().Add(r.left))
 				stopping, next = true, time.After(handOver)
 			}
 		case <-next:
@@ -206,7 +206,7 @@
 }
 
 // build puts the parts together and hands the module what is known at the start.
-func build(t Told) *relay {
+func build(t Config) *relay {
 	r := &relay{log: zerolog.New(os.Stderr).With().Timestamp().Logger()}
 	say := func(text string) { r.log.Info().Msg(text) }
 	limits, rollout := t.site.Balancer.Limits, t.site.Balancer.Rollout
@@ -227,9 +227,9 @@
 	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
 	r.desk = releaseapi.New(r.platform, calls, r.room, say)
 	hands := dispatch.Callbacks{
-		Vote: r.desk.Vote, WatchEndpoints: r.watch.On, FetchEndpoints: r.watch.Fetch, Log: logging.Component(r.log, "dispatch"),
-		LoadShedder: t.Shed,
-		OnStage:     t.Staged,
+		Vote: r.desk.Vote, WatchEndpoints: r.watch.SetWatching, FetchEndpoints: r.watch.Fetch, Log: logging.Component(r.log, "dispatch"),
+		LoadShedder: t.LoadShedder,
+		OnStage:     t.OnStage,
 		Probe:       func(u dispatch.Backend) { r.pools.Probe(u) },
 		CloseIdle:   func(name string) { r.pools.CloseIdle(name) },
 	}
@@ -255,7 +255,7 @@
 // reload reads the configuration again. Only the addresses of the list and of the platform can change
 // under way; one that cannot be read changes nothing.
 func (r *relay) reload(env func(string) string) {
-	t, err := ReadTold(env)
+	t, err := ReadConfig(env)
 	if err != nil {
 		r.log.Error().Err(err).Msg("new configuration not taken")
 		return
@@ -277,9 +277,9 @@
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	r.log.Info().Str("gate", fmt.Sprintf("%+v", c)).
 		Int64("room_set_aside", set).Int64("room_held", held).Int("unit_connections", open).Int("idle", idle).
-		Int64("opened", r.pools.Opened.Load()).Int64("reused", r.pools.Reused.Load()).Int64("connect_failed", r.pools.Failed.Load()).Int64("unasked", r.pools.Unasked.Load()).
-		Int("sessions", r.front.InUse()).Int64("accepted", r.front.Accepted.Load()).
-		Int64("malformed", r.front.Malformed.Load()).Int64("crowded", r.front.Crowded.Load()).Int64("evicted", r.front.Evicted.Load()).
+		Int64("opened", r.pools.Opened.Load()).Int64("reused", r.pools.Reused.Load()).Int64("connect_failed", r.pools.Failed.Load()).Int64("unasked", r.pools.Unsolicited.Load()).
+		Int("sessions", r.front.Sessions()).Int64("accepted", r.front.Accepted.Load()).
+		Int64("malformed", r.front.Malformed.Load()).Int64("crowded", r.front.RejectedForSpace.Load()).Int64("evicted", r.front.Evicted.Load()).
 		Int64("list_answers", r.watch.Answers.Load()).Int64("list_failures", r.watch.Failures.Load()).
 		Int64("platform_lines", r.desk.Lines.Load()).Int64("platform_streams", r.desk.Streams.Load()).
 		Int64("cpu_ms", (use.Utime.Nano()+use.Stime.Nano())/1e6).Int64("peak_rss_kb", use.Maxrss).Msg(why)
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -26,8 +26,8 @@
 	mostSockets  = 1 << 20
 )
 
-// Told is what a relay is told at its start.
-type Told struct {
+// Config is what a relay is told at its start.
+type Config struct {
 	signals                           chan os.Signal // that have come since the program began; nil: they are heard from Run on
 	name, listen, discovery, platform string
 	seed                              uint64
@@ -40,22 +40,22 @@
 	site                              settings.Site
 	verdicts                          map[string]any // of the operator's own file; nil without one
 
-	// Follows: the list of units and where instances run come from a fleet's keepers, by a part beside the relay. Shed
+	// FollowsPlacements: the list of units and where instances run come from a fleet's keepers, by a part beside the relay. Shed
 	// is then what the fleet decides, and Turn waits for this relay's turn to take clients in.
-	Follows bool
-	Shed    dispatch.LoadShedder
-	Turn    func(context.Context)
-	Staged  func(dispatch.RolloutStage) // hears what the platform tells of builds
+	FollowsPlacements bool
+	LoadShedder       dispatch.LoadShedder
+	WaitTurn          func(context.Context)
+	OnStage           func(dispatch.RolloutStage) // hears what the platform tells of builds
 }
 
-// ReadTold reads the environment and the configuration that it names.
-func ReadTold(env func(string) string) (Told, error) { return readTold(env, false) }
+// ReadConfig reads the environment and the configuration that it names.
+func ReadConfig(env func(string) string) (Config, error) { return readTold(env, false) }
 
-// ReadFollowing does the same for a relay of a fleet: the list comes from keepers, and there may be no platform.
-func ReadFollowing(env func(string) string) (Told, error) { return readTold(env, true) }
+// ReadFleetConfig does the same for a relay of a fleet: the list comes from keepers, and there may be no platform.
+func ReadFleetConfig(env func(string) string) (Config, error) { return readTold(env, true) }
 
-func readTold(env func(string) string, follows bool) (t Told, err error) {
-	t.Follows = follows
+func readTold(env func(string) string, follows bool) (t Config, err error) {
+	t.FollowsPlacements = follows
 	needed := map[string]*string{"NODE_NAME": &t.name, "NODE_LISTEN": &t.listen}
 	if !follows {
 		needed["NODE_DISCOVERY"] = &t.discovery
@@ -89,13 +89,13 @@
 }
 
 // Seed is that of the relay's chance.
-func (t Told) Seed() uint64 { return t.seed }
+func (t Config) Seed() uint64 { return t.seed }
 
 // Limits are the cores and the bytes of memory that the relay has.
-func (t Told) Limits() (cores float64, memory int64) { return t.cores, t.memory }
+func (t Config) Limits() (cores float64, memory int64) { return t.cores, t.memory }
 
 // operator reads the operator's own file, if one is named. What it says of verdicts joins the settings.
-func (t *Told) operator(path string) error {
+func (t *Config) operator(path string) error {
 	if path == "" {
 		return nil
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (t *Told) read(text []byte) error {
+func (t *Config) read(text []byte) error {
 	var c struct {
 		Discovery string
 		Seed      string
@@ -150,17 +150,17 @@
 	if c.Discovery != "" { // the file is newer than the environment once it was replaced
 		t.discovery = c.Discovery
 	}
-	if _, _, err := net.SplitHostPort(t.discovery); err != nil && !t.Follows {
+	if _, _, err := net.SplitHostPort(t.discovery); err != nil && !t.FollowsPlacements {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	t.platform = c.Release.Address
-	if _, _, err := net.SplitHostPort(t.platform); err != nil && (!t.Follows || t.platform != "") {
+	if _, _, err := net.SplitHostPort(t.platform); err != nil && (!t.FollowsPlacements || t.platform != "") {
 		return fmt.Errorf("release_api.address: %w", err)
 	}
-	if t.news, err = releaseapi.ReadStage(c.Release.News); err != nil {
+	if t.news, err = releaseapi.ParseStage(c.Release.News); err != nil {
 		return fmt.Errorf("release_api.news: %w", err)
 	}
-	if t.seq, _, t.known, err = discovery.Read(c.Known); err != nil && (!t.Follows || c.Known != nil) {
+	if t.seq, _, t.known, err = discovery.ParsePage(c.Known); err != nil && (!t.FollowsPlacements || c.Known != nil) {
 		return fmt.Errorf("known: %w", err)
 	}
 	t.site, err = settings.Read(c.Settings)
--- a/internal/releaseapi/platform.go
+++ b/internal/releaseapi/platform.go
@@ -34,8 +34,8 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// ReadStage reads where the newest build stands.
-func ReadStage(text []byte) (dispatch.RolloutStage, error) {
+// ParseStage reads where the newest build stands.
+func ParseStage(text []byte) (dispatch.RolloutStage, error) {
 	var s state
 	if err := json.Unmarshal(text, &s); err != nil {
 		return dispatch.RolloutStage{}, err
@@ -50,8 +50,8 @@
 	return out, nil
 }
 
-// Desk speaks with the platform.
-type Desk struct {
+// Client speaks with the platform.
+type Client struct {
 	gate  *dispatch.Dispatcher
 	place *transport.Address
 	limit time.Duration // of a call
@@ -63,13 +63,13 @@
 }
 
 // New makes a desk for the platform at a place. A call may take as long as limit.
-func New(place *transport.Address, limit time.Duration, room *transport.BufferBudget, log func(string)) *Desk {
-	return &Desk{place: place, limit: limit, room: room, log: log, votes: make(chan dispatch.Vote, 4)}
+func New(place *transport.Address, limit time.Duration, room *transport.BufferBudget, log func(string)) *Client {
+	return &Client{place: place, limit: limit, room: room, log: log, votes: make(chan dispatch.Vote, 4)}
 }
 
 // Vote casts a vote as soon as those before it have been answered. One too many is dropped: the
 // module says it again.
-func (d *Desk) Vote(v dispatch.Vote) {
+func (d *Client) Vote(v dispatch.Vote) {
 	select {
 	case d.votes <- v:
 	default:
@@ -78,7 +78,7 @@
 }
 
 // Run follows the changes and casts votes until the context ends.
-func (d *Desk) Run(ctx context.Context, g *dispatch.Dispatcher) error {
+func (d *Client) Run(ctx context.Context, g *dispatch.Dispatcher) error {
 	d.gate = g
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return d.follow(ctx) })
@@ -86,7 +86,7 @@
 	return group.Wait()
 }
 
-func (d *Desk) vote(ctx context.Context) error {
+func (d *Client) vote(ctx context.Context) error {
 	for {
 		select {
 		case v := <-d.votes:
@@ -99,7 +99,7 @@
 }
 
 // cast makes one call on a connection of its own, so that none stands idle until it is closed.
-func (d *Desk) cast(ctx context.Context, v dispatch.Vote) (status int, stage dispatch.RolloutStage, end transport.CloseStatus) {
+func (d *Client) cast(ctx context.Context, v dispatch.Vote) (status int, stage dispatch.RolloutStage, end transport.CloseStatus) {
 	limited, cancel := context.WithTimeout(ctx, d.limit)
 	defer cancel()
 	address, _, release := d.place.Current(ctx) // a vote under way ends where it was cast
@@ -115,11 +115,11 @@
 		Wave     int
 		Decision string
 	}{v.Version, v.Stage, v.Verdict})
-	l.Append(http1.Request("POST", "/judgements", address, string(body)))
+	l.Append(http1.FormatRequest("POST", "/judgements", address, string(body)))
 	if end := l.Flush(); end.Closed() {
 		return 0, stage, end
 	}
-	var a http1.Answer
+	var a http1.Response
 	var text []byte
 	for {
 		used, out, err := a.Read(l.Buffered(), text)
@@ -137,7 +137,7 @@
 	}
 	if a.Status == 200 {
 		var err error
-		if stage, err = ReadStage(text); err != nil {
+		if stage, err = ParseStage(text); err != nil {
 			return 0, stage, transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 		}
 	}
@@ -146,7 +146,7 @@
 
 // follow keeps the stream of changes open. It comes back at once when it was cut, and gives the
 // platform a moment when it cannot be reached.
-func (d *Desk) follow(ctx context.Context) error {
+func (d *Client) follow(ctx context.Context) error {
 	for ctx.Err() == nil {
 		began := time.Now()
 		address, here, release := d.place.Current(ctx)
@@ -165,7 +165,7 @@
 }
 
 // stream reads changes until the connection ends, is called off, or gives no sign of life for so long: no whole line.
-func (d *Desk) stream(ctx context.Context, address string, silent time.Duration) transport.CloseStatus {
+func (d *Client) stream(ctx context.Context, address string, silent time.Duration) transport.CloseStatus {
 	l, end := transport.Dial(ctx, address, min(d.limit, silent), d.room)
 	if end.Closed() {
 		return end
@@ -174,11 +174,11 @@
 	d.Streams.Add(1)
 	l.BindContext(ctx)
 	l.SetDeadline(time.Now().Add(silent))
-	l.Append(http1.Request("GET", "/changes", address, ""))
+	l.Append(http1.FormatRequest("GET", "/changes", address, ""))
 	if end := l.Flush(); end.Closed() {
 		return end
 	}
-	a := http1.Stream()
+	a := http1.NewStream()
 	var lines []byte
 	for {
 		used, out, err := a.Read(l.Buffered(), lines)
@@ -215,7 +215,7 @@
 }
 
 // line takes one change. Kinds that are not known are skipped.
-func (d *Desk) line(text []byte) error {
+func (d *Client) line(text []byte) error {
 	d.Lines.Add(1)
 	var is struct {
 		Type   string          `json:"type"`
@@ -233,7 +233,7 @@
 	}
 	switch is.Type {
 	case "stage":
-		stage, err := ReadStage(is.Object)
+		stage, err := ParseStage(is.Object)
 		if err == nil {
 			d.gate.UpdateStage(stage)
 		}
--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -77,7 +77,7 @@
 	if !ok {
 		shed.Inc()
 	}
-	return ok, wait.Span()
+	return ok, wait.Duration()
 }
 
 // RecordFirstAttempt counts a first delivery.
@@ -120,7 +120,7 @@
 func (s *Strain) RecordServiceTime(op int, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.RecordServiceTime(s.board.Now(), op, tick.Of(took))
+	s.fleet.RecordServiceTime(s.board.Now(), op, tick.FromDuration(took))
 }
 
 // Staged takes where the newest build stands, as the platform told it.
@@ -187,7 +187,7 @@
 		if left <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(beat, left.Span()))
+		timer := time.NewTimer(min(beat, left.Duration()))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -229,7 +229,7 @@
 		s.sheds = sheds
 		event := map[bool]string{true: "sheds", false: "admits"}[sheds]
 		s.log.Info().Str("event", event).Float64("admits", math.Round(100*admits)/100).Float64("places", p.BackendUtilization).
-			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.SchedulingDelay.Span()).Msg(event)
+			Float64("cpu", p.CPU).Float64("memory", p.Memory).Dur("loop", p.SchedulingDelay.Duration()).Msg(event)
 	}
 }
 
@@ -270,6 +270,6 @@
 	s.before, s.at = use, now
 	held := []stats.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	stats.Read(held)
-	return overload.Pressure{SchedulingDelay: tick.Of(late), CPU: cpu, BackendUtilization: g.Load(),
+	return overload.Pressure{SchedulingDelay: tick.FromDuration(late), CPU: cpu, BackendUtilization: g.Load(),
 		Memory: float64(held[0].Value.Uint64()-held[1].Value.Uint64()) / s.memory}
 }
--- a/internal/tick/tick.go
+++ b/internal/tick/tick.go
@@ -9,8 +9,8 @@
 // Second is one second in ticks.
 const Second Tick = 10000
 
-// Of is a span of time in ticks, rounded down.
-func Of(d time.Duration) Tick { return Tick(d / (100 * time.Microsecond)) }
+// FromDuration is a span of time in ticks, rounded down.
+func FromDuration(d time.Duration) Tick { return Tick(d / (100 * time.Microsecond)) }
 
-// Span is the time that so many ticks are.
-func (t Tick) Span() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+// Duration is the time that so many ticks are.
+func (t Tick) Duration() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
--- a/internal/upstream/units.go
+++ b/internal/upstream/units.go
@@ -14,8 +14,8 @@
 	"silvercove/internal/transport"
 )
 
-// Pools holds the idle connections, by unit.
-type Pools struct {
+// Pool holds the idle connections, by unit.
+type Pool struct {
 	room    *transport.BufferBudget
 	connect time.Duration // time limit of a new connection
 	rest    time.Duration // how long a connection may stand idle
@@ -28,7 +28,7 @@
 	idle map[string][]*conn // the last used at the end
 	wary time.Time          // until then unasked answers are expected
 
-	Opened, Reused, Failed, Unasked atomic.Int64
+	Opened, Reused, Failed, Unsolicited atomic.Int64
 }
 
 type conn struct {
@@ -39,8 +39,8 @@
 
 // New makes pools of at most so many connections in all. A connection that would stand idle for
 // as long as rest is closed before the unit does it.
-func New(room *transport.BufferBudget, most int, connect, rest time.Duration, g *dispatch.Dispatcher) *Pools {
-	return &Pools{room: room, connect: connect, rest: rest - rest/8, gate: g, figures: g.LoadColumns(),
+func New(room *transport.BufferBudget, most int, connect, rest time.Duration, g *dispatch.Dispatcher) *Pool {
+	return &Pool{room: room, connect: connect, rest: rest - rest/8, gate: g, figures: g.LoadColumns(),
 		slots: make(chan struct{}, most), idle: map[string][]*conn{}}
 }
 
@@ -55,17 +55,17 @@
 
 // Reply is how a delivery ended. Its rows are valid until Done.
 type Reply struct {
-	State string // SQLSTATE of the answer, empty with none
-	End   transport.CloseStatus
-	Load  []float64
-	Rows  [][]byte // messages to pass on, byte for byte
-	conn  *conn
-	pools *Pools
-	keep  bool
+	SQLState string // SQLSTATE of the answer, empty with none
+	End      transport.CloseStatus
+	Load     []float64
+	Rows     [][]byte // messages to pass on, byte for byte
+	conn     *conn
+	pools    *Pool
+	keep     bool
 }
 
-// Deliver makes one delivery of a query, if that still may begin once there is a connection.
-func (p *Pools) Deliver(d *dispatch.Attempt, q *pgwire.Query) Reply {
+// Attempt makes one delivery of a query, if that still may begin once there is a connection.
+func (p *Pool) Attempt(d *dispatch.Attempt, q *pgwire.Query) Reply {
 	c, r := p.open(d.Context, d.Backend)
 	if c == nil {
 		return r
@@ -86,15 +86,15 @@
 		if p.drop(c); fresh {
 			return Reply{End: transport.CloseStatus{Reason: transport.ClosedByPeer}}
 		}
-		return p.Deliver(d, q)
+		return p.Attempt(d, q)
 	}
-	c.Append(q.Parts(left)...)
+	c.Append(q.Forward(left)...)
 	if end := c.Flush(); end.Closed() {
 		p.close(c)
 		return Reply{End: end}
 	}
 	r = p.read(c)
-	if r.State == "" && !r.End.Closed() || r.State == pgwire.Complete && len(r.Rows) != rowParts {
+	if r.SQLState == "" && !r.End.Closed() || r.SQLState == pgwire.StateSuccess && len(r.Rows) != rowParts {
 		r = Reply{End: transport.CloseStatus{Reason: transport.Malformed, Flushed: true}} // it is ready again without an answer
 	}
 	r.conn, r.pools, r.keep = c, p, c.ReleaseContext() && r.keep // before its context is cancelled
@@ -106,23 +106,23 @@
 
 // read reads one answer to its end. A row or an error counts from when it is whole; the unit then
 // has the time in which a connection settles to say that it is ready for more, as the client waits meanwhile.
-func (p *Pools) read(c *conn) Reply {
-	var a pgwire.Answer
+func (p *Pool) read(c *conn) Reply {
+	var a pgwire.Response
 	for {
 		var end transport.CloseStatus
-		if err := a.Read(c.Buffered()); err == pgwire.ErrOverlong {
+		if err := a.Read(c.Buffered()); err == pgwire.ErrTooLong {
 			end = transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		} else if err != nil {
 			end = transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 		} else if a.Ready || a.Fatal {
 			return p.reply(c, &a, a.Ready)
 		} else {
-			if a.State != "" {
+			if a.SQLState != "" {
 				c.SetDeadline(time.Now().Add(min(p.connect, settle)))
 			}
 			end = c.Fill(a.Need(c.Buffered()))
 		}
-		if end.Closed() && a.State != "" {
+		if end.Closed() && a.SQLState != "" {
 			return p.reply(c, &a, false)
 		}
 		if end.Closed() {
@@ -131,9 +131,9 @@
 	}
 }
 
-func (p *Pools) reply(c *conn, a *pgwire.Answer, keep bool) Reply {
-	r := Reply{State: a.State, Load: pgwire.Load(a.Load, p.figures), keep: keep && a.Used == len(c.Buffered())}
-	if a.State == pgwire.Complete {
+func (p *Pool) reply(c *conn, a *pgwire.Response, keep bool) Reply {
+	r := Reply{SQLState: a.SQLState, Load: pgwire.ParseLoad(a.Load, p.figures), keep: keep && a.Consumed == len(c.Buffered())}
+	if a.SQLState == pgwire.StateSuccess {
 		for _, span := range a.Rows {
 			r.Rows = append(r.Rows, c.Buffered()[span[0]:span[1]])
 		}
@@ -141,8 +141,8 @@
 	return r
 }
 
-// Done gives the connection back. It is used again only after an answer that ended in order.
-func (r *Reply) Done() {
+// Release gives the connection back. It is used again only after an answer that ended in order.
+func (r *Reply) Release() {
 	c := r.conn
 	if c == nil {
 		return
@@ -156,7 +156,7 @@
 }
 
 // rested takes a connection among the idle.
-func (p *Pools) rested(c *conn) {
+func (p *Pool) rested(c *conn) {
 	c.ReleaseBuffers()
 	c.since = time.Now()
 	p.mu.Lock()
@@ -165,7 +165,7 @@
 }
 
 // open finds an idle connection to a unit or makes a new one.
-func (p *Pools) open(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
+func (p *Pool) open(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
 	for c := p.take(to.Name); c != nil; c = p.take(to.Name) {
 		if c.to == to && time.Since(c.since) < p.rest && c.Reusable() {
 			p.Reused.Add(1)
@@ -195,7 +195,7 @@
 }
 
 // dial opens a connection up to the unit's word that it is ready.
-func (p *Pools) dial(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
+func (p *Pool) dial(ctx context.Context, to dispatch.Backend) (*conn, Reply) {
 	p.Opened.Add(1)
 	limited, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
@@ -205,14 +205,14 @@
 	}
 	c := &conn{Conn: l, to: to}
 	c.BindContext(limited)
-	c.Append(pgwire.Hail())
+	c.Append(pgwire.StartupMessage())
 	if end = c.Flush(); !end.Closed() {
 		r := p.read(c)
-		if end = r.End; r.State == pgwire.NoRoom {
+		if end = r.End; r.SQLState == pgwire.StateTooManyConnections {
 			c.Close()
-			return nil, Reply{State: r.State}
+			return nil, Reply{SQLState: r.SQLState}
 		}
-		if r.State == "" && !end.Closed() && r.keep && c.ReleaseContext() {
+		if r.SQLState == "" && !end.Closed() && r.keep && c.ReleaseContext() {
 			c.Discard(len(c.Buffered()))
 			return c, Reply{}
 		}
@@ -229,7 +229,7 @@
 
 // take takes the idle connection to a unit that was used last, among those that have settled; else the one that has
 // rested the longest.
-func (p *Pools) take(name string) *conn {
+func (p *Pool) take(name string) *conn {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,9 +252,9 @@
 }
 
 // drop closes an idle connection, and minds what has come on it unasked.
-func (p *Pools) drop(c *conn) {
+func (p *Pool) drop(c *conn) {
 	if c.HasUnsolicited() {
-		p.Unasked.Add(1)
+		p.Unsolicited.Add(1)
 		p.mu.Lock()
 		p.wary = time.Now().Add(waryFor)
 		p.mu.Unlock()
@@ -263,19 +263,19 @@
 }
 
 // left sets what is idle at a unit; of one that has nothing, nothing is kept.
-func (p *Pools) left(name string, list []*conn) {
+func (p *Pool) left(name string, list []*conn) {
 	if p.idle[name] = list; len(list) == 0 {
 		delete(p.idle, name)
 	}
 }
 
-func (p *Pools) close(c *conn) {
+func (p *Pool) close(c *conn) {
 	c.Close()
 	<-p.slots
 }
 
 // closeOldest closes the connection that has stood idle the longest.
-func (p *Pools) closeOldest() bool {
+func (p *Pool) closeOldest() bool {
 	p.mu.Lock()
 	oldest := ""
 	for name, list := range p.idle {
@@ -295,7 +295,7 @@
 }
 
 // CloseIdle closes the idle connections to a unit.
-func (p *Pools) CloseIdle(name string) {
+func (p *Pool) CloseIdle(name string) {
 	p.mu.Lock()
 	list := p.idle[name]
 	delete(p.idle, name)
@@ -305,11 +305,11 @@
 	}
 }
 
-// Warm opens connections to units that have just been listed, part of them to each, so that the first
+// Prewarm opens connections to units that have just been listed, part of them to each, so that the first
 // commands after a start need not wait for them. All relays together open no more at a unit than one of
 // them might alone: many that start at once would spend the units' work on connections that few commands
 // use. It waits at most as long as one takes, and not beyond the context: what is not up by then is given up.
-func (p *Pools) Warm(ctx context.Context, to []dispatch.Backend, relays int) {
+func (p *Pool) Prewarm(ctx context.Context, to []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connect)
 	defer cancel()
 	var all sync.WaitGroup
@@ -332,7 +332,7 @@
 }
 
 // Probe checks a unit on a goroutine of its own, which Run waits for.
-func (p *Pools) Probe(to dispatch.Backend) {
+func (p *Pool) Probe(to dispatch.Backend) {
 	p.probes.Add(1)
 	go func() {
 		defer p.probes.Done()
@@ -342,19 +342,19 @@
 		c, r := p.open(ctx, to)
 		if c != nil {
 			c.BindContext(ctx)
-			c.Append(pgwire.Simple("SELECT 1"))
+			c.Append(pgwire.SimpleQuery("SELECT 1"))
 			if r.End = c.Flush(); !r.End.Closed() {
 				r = p.read(c)
 			}
 			r.conn, r.pools, r.keep = c, p, c.ReleaseContext() && r.keep
-			r.Done()
+			r.Release()
 		}
-		p.gate.ProbeEnded(to.Name, r.State, r.End, time.Since(began), r.Load)
+		p.gate.ProbeEnded(to.Name, r.SQLState, r.End, time.Since(began), r.Load)
 	}()
 }
 
 // Run closes connections ahead of the units' own idle limit until the context ends, then all.
-func (p *Pools) Run(ctx context.Context) error {
+func (p *Pool) Run(ctx context.Context) error {
 	beat := time.NewTicker(p.every())
 	defer beat.Stop()
 	for {
@@ -372,9 +372,9 @@
 
 // every is how often idle connections are looked through. Where the units' limit is absent or next to nothing an idle
 // relay would do nothing else; open minds the limit itself.
-func (p *Pools) every() time.Duration { return max(p.rest/16, 50*time.Millisecond) }
+func (p *Pool) every() time.Duration { return max(p.rest/16, 50*time.Millisecond) }
 
-func (p *Pools) sweep(now time.Time) {
+func (p *Pool) sweep(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
 	for name, list := range p.idle {
@@ -392,7 +392,7 @@
 }
 
 // InUse tells how many connections are open, and how many of them are idle.
-func (p *Pools) InUse() (open, idle int) {
+func (p *Pool) InUse() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
