--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -21,7 +21,7 @@
 type fleetProcess struct {
 	file  *fleet.File
 	log   zerolog.Logger
-	net   *peertransport.Net
+	net   *peertransport.Network
 	board *membership.Agent
 
 	measures net.Listener // nil: metrics are served nowhere
--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -23,7 +23,7 @@
 
 // Run writes what the keepers agreed to a file, whole or not at all.
 func (c *fleetBackupCmd) Run() error {
-	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Net) error {
+	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
 		var b bytes.Buffer
 		if err := k.Backup(ctx, &b); err != nil {
 			return err
@@ -58,7 +58,7 @@
 		}
 		backup = bytes.NewReader(text)
 	}
-	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Net) error {
+	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
 		if f.Self.Role != "keeper" {
 			return fmt.Errorf("%s: %s is a process of role %s; give the file of the keeper that is to begin", c.File, f.Self.Name,
 				f.Self.Role)
@@ -66,7 +66,7 @@
 		if s, err := k.Status(ctx, f.Self.Name); err == nil {
 			return fmt.Errorf("%s runs (%s): stop it first", f.Self.Name, s.Role)
 		}
-		return full(controller.Rebuild(ctx, controller.Rebuilding{Net: net, Data: f.Data, Set: f.Set, Client: k, Backup: backup,
-			Without: c.Without, Say: func(text string) { fmt.Println(text) }}))
+		return full(controller.Rebuild(ctx, controller.RebuildOptions{Net: net, Data: f.Data, Set: f.Set, Client: k, Backup: backup,
+			AllowSilent: c.Without, Progress: func(text string) { fmt.Println(text) }}))
 	})
 }
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -30,8 +30,8 @@
 		return err
 	}
 	cores, memory := told.Limits()
-	strain := routing.NewStrain(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
-	told.LoadShedder, told.OnStage = strain, strain.Staged
+	strain := routing.NewOverloadAgent(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
+	told.LoadShedder, told.OnStage = strain, strain.OnStage
 	told.WaitTurn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
 	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
--- a/internal/controller/birth.go
+++ b/internal/controller/birth.go
@@ -26,14 +26,14 @@
 // that are left have to have their logs. A disk that has begun asks as many others as make a majority with it, without
 // which it could do nothing anyway. What it can't see: all that knew better are away or restarted. Then the log goes
 // back behind what another keeper has carried out, which that one tells, and ends (ErrBack).
-func (k *Keeper) born(ctx context.Context, last controllerclient.Mark) (old bool, err error) {
+func (k *Controller) born(ctx context.Context, last controllerclient.LogPosition) (old bool, err error) {
 	m := k.disk.now()
-	begins := func(b *controllerclient.Birth, found bool, line uint64) error {
+	begins := func(b *controllerclient.LogOrigin, found bool, line uint64) error {
 		m.Birth, m.Found, m.Line = b, found, line
 		return k.disk.put(m)
 	}
 	if len(k.peers) == 0 && m.Birth == nil {
-		return false, begins(&controllerclient.Birth{ID: identity(), Stores: map[string]string{k.self: m.Store}}, true, 0)
+		return false, begins(&controllerclient.LogOrigin{ID: identity(), Stores: map[string]string{k.self: m.Store}}, true, 0)
 	}
 	defer k.waits("")
 	for ; ; k.rest(ctx) {
@@ -45,14 +45,14 @@
 			// One of before a rebuild, which was stopped or cut off through it, has no say, and must not keep this one from
 			// its start; it ends at its own.
 			all = slices.DeleteFunc(all, func(s controllerclient.Status) bool {
-				return s.Birth != nil && s.Birth.ID != m.Birth.ID && s.Generation < m.Line
+				return s.Origin != nil && s.Origin.ID != m.Birth.ID && s.Generation < m.Line
 			})
 			for _, s := range all {
 				switch {
-				case s.Birth != nil && s.Birth.ID != m.Birth.ID:
+				case s.Origin != nil && s.Origin.ID != m.Birth.ID:
 					return false, fmt.Errorf("%s is of a log that began as %s, this disk's began as %s: one of them is not of "+
-						"this fleet", s.Node, s.Birth.ID, m.Birth.ID)
-				case s.Stores[k.self] != "" && s.Stores[k.self] != m.Store, s.Marks[k.self].Later(last):
+						"this fleet", s.Node, s.Origin.ID, m.Birth.ID)
+				case s.StoreIDs[k.self] != "" && s.StoreIDs[k.self] != m.Store, s.LogPositions[k.self].Later(last):
 					return true, nil
 				}
 			}
@@ -62,11 +62,11 @@
 			k.waits("for word of a majority of keepers: " + strings.Join(silent, ", "))
 			continue
 		}
-		var birth *controllerclient.Birth
+		var birth *controllerclient.LogOrigin
 		var line uint64
 		for _, s := range all {
-			if s.Birth != nil && s.Generation >= line {
-				birth, line = s.Birth, s.Generation
+			if s.Origin != nil && s.Generation >= line {
+				birth, line = s.Origin, s.Generation
 			}
 		}
 		switch {
@@ -79,7 +79,7 @@
 				continue
 			}
 			k.least = answer.Term
-			return false, begins(answer.Birth, false, answer.Line)
+			return false, begins(answer.Origin, false, answer.Generation)
 		case len(silent) > 0:
 			k.waits("to begin with all keepers: " + strings.Join(silent, ", "))
 			continue
@@ -88,8 +88,8 @@
 		slices.Sort(names)
 		stores := map[string]string{k.self: m.Store}
 		for _, s := range all {
-			if stores[s.Node] = s.Store; !slices.Equal(s.Keepers, names) {
-				k.waits(fmt.Sprintf("to begin: %s has a file with the keepers %v, this one has %v", s.Node, s.Keepers, names))
+			if stores[s.Node] = s.StoreID; !slices.Equal(s.Controllers, names) {
+				k.waits(fmt.Sprintf("to begin: %s has a file with the keepers %v, this one has %v", s.Node, s.Controllers, names))
 				stores = nil
 				break
 			}
@@ -97,14 +97,14 @@
 		switch {
 		case stores == nil:
 		case names[0] == k.self: // one alone draws the birth, and the others find themselves in it
-			return false, begins(&controllerclient.Birth{ID: identity(), Stores: stores}, true, 0)
+			return false, begins(&controllerclient.LogOrigin{ID: identity(), Stores: stores}, true, 0)
 		default:
 			k.waits("for " + names[0] + " to begin")
 		}
 	}
 }
 
-func (k *Keeper) rest(ctx context.Context) {
+func (k *Controller) rest(ctx context.Context) {
 	timer := time.NewTimer(k.spans.ConfirmTimeout.Duration())
 	defer timer.Stop()
 	select {
@@ -114,7 +114,7 @@
 }
 
 // waits notes why this keeper does not take part yet.
-func (k *Keeper) waits(why string) {
+func (k *Controller) waits(why string) {
 	k.mu.Lock()
 	was := k.why
 	k.why = why
@@ -125,7 +125,7 @@
 }
 
 // ask has the status of all other keepers, and why others are silent.
-func (k *Keeper) ask(ctx context.Context) (all []controllerclient.Status, silent []string) {
+func (k *Controller) ask(ctx context.Context) (all []controllerclient.Status, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, k.spans.ConfirmTimeout.Duration())
 	defer cancel()
 	got := make([]controllerclient.Status, len(k.peers))
@@ -145,14 +145,14 @@
 	return all, silent
 }
 
-func (k *Keeper) letIn(ctx context.Context, ready bool) (controllerclient.Joined, error) {
+func (k *Controller) letIn(ctx context.Context, ready bool) (controllerclient.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*k.spans.ProposalTimeout.Duration())
 	defer cancel()
-	return k.client.Join(ctx, controllerclient.Join{Node: k.self, Store: k.disk.now().Store, Ready: ready})
+	return k.client.Join(ctx, controllerclient.JoinRequest{Node: k.self, StoreID: k.disk.now().Store, CaughtUp: ready})
 }
 
 // join has a disk that was let in catch up and get its vote.
-func (k *Keeper) join(ctx context.Context, r *raft.Raft) {
+func (k *Controller) join(ctx context.Context, r *raft.Raft) {
 	if k.disk.now().Found {
 		return
 	}
@@ -178,7 +178,7 @@
 			k.Log.Warn().Err(err).Str("event", "waits").Msg("waits to be given its vote")
 			continue
 		}
-		if answer.Votes && m.Begun {
+		if answer.Voter && m.Begun {
 			k.Log.Info().Str("event", "votes").Msg("this disk has caught up and votes")
 			return
 		}
@@ -188,7 +188,7 @@
 
 // takeIn is the leading keeper's part: a former disk of the name is taken out of the voters, the new one follows
 // without a vote, and gets it when it has caught up.
-func (k *Keeper) takeIn(r *raft.Raft, term uint64, j controllerclient.Join) (answer controllerclient.Joined, err error) {
+func (k *Controller) takeIn(r *raft.Raft, term uint64, j controllerclient.JoinRequest) (answer controllerclient.JoinResponse, err error) {
 	k.joining.Lock()
 	defer k.joining.Unlock()
 	f := r.GetConfiguration()
@@ -202,14 +202,14 @@
 		}
 	}
 	id, at, limit := raft.ServerID(j.Node), raft.ServerAddress(j.Node), k.spans.ProposalTimeout.Duration()
-	if k.machine.stores()[j.Node] != j.Store {
+	if k.machine.stores()[j.Node] != j.StoreID {
 		if there != nil {
 			if err := r.RemoveServer(id, 0, limit).Error(); err != nil {
 				return answer, err
 			}
 			there = nil
 		}
-		if _, err := k.apply(order{Term: term, Node: j.Node, Store: j.Store}); err != nil {
+		if _, err := k.apply(order{Term: term, Node: j.Node, Store: j.StoreID}); err != nil {
 			return answer, err
 		}
 		k.mu.Lock()
@@ -221,18 +221,18 @@
 	case there == nil:
 		err = r.AddNonvoter(id, at, 0, limit).Error()
 	case there.Suffrage == raft.Voter:
-		answer.Votes = true
-	case j.Ready:
+		answer.Voter = true
+	case j.CaughtUp:
 		err = r.AddVoter(id, at, 0, limit).Error()
-		answer.Votes = err == nil
+		answer.Voter = err == nil
 	}
-	answer.Index, answer.Birth, answer.Term, answer.Line = r.CommitIndex(), k.disk.now().Birth, term, k.machine.line().Generation
+	answer.Index, answer.Origin, answer.Term, answer.Generation = r.CommitIndex(), k.disk.now().Birth, term, k.machine.line().Generation
 	return answer, err
 }
 
 // stream carries raft's calls over the fleet's connections. Addresses are names: each process finds another one by its
 // own file.
-type stream struct{ k *Keeper }
+type stream struct{ k *Controller }
 
 type name string
 
@@ -243,12 +243,12 @@
 func (s stream) Addr() net.Addr { return name(s.k.self) }
 
 // Close ends Accept.
-func (s stream) Close() error { return s.k.Net.Listener(peertransport.Log).Close() }
+func (s stream) Close() error { return s.k.Net.Listener(peertransport.KindLog).Close() }
 
 // Accept waits for a keeper's connection; those of others are closed.
 func (s stream) Accept() (net.Conn, error) {
 	for {
-		conn, err := s.k.Net.Listener(peertransport.Log).Accept()
+		conn, err := s.k.Net.Listener(peertransport.KindLog).Accept()
 		if err != nil {
 			return nil, err
 		}
@@ -265,16 +265,16 @@
 func (s stream) Dial(to raft.ServerAddress, limit time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	return s.k.Net.Dial(ctx, string(to), peertransport.Log)
+	return s.k.Net.Dial(ctx, string(to), peertransport.KindLog)
 }
 
 // marking notes what other keepers confirmed to have on their disks, before it counts as agreed.
 type marking struct {
 	*raft.NetworkTransport
-	k *Keeper
+	k *Controller
 }
 
-func (m marking) note(id raft.ServerID, last controllerclient.Mark) {
+func (m marking) note(id raft.ServerID, last controllerclient.LogPosition) {
 	m.k.mu.Lock()
 	defer m.k.mu.Unlock()
 	if last.Later(m.k.marks[string(id)]) {
@@ -288,7 +288,7 @@
 
 	err := m.NetworkTransport.AppendEntries(id, to, ask, answer)
 	if n := len(ask.Entries); err == nil && answer.Success && n > 0 {
-		m.note(id, controllerclient.Mark{Term: ask.Entries[n-1].Term, Index: ask.Entries[n-1].Index})
+		m.note(id, controllerclient.LogPosition{Term: ask.Entries[n-1].Term, Index: ask.Entries[n-1].Index})
 	}
 	return err
 }
@@ -304,7 +304,7 @@
 
 	err := m.NetworkTransport.InstallSnapshot(id, to, ask, answer, data)
 	if err == nil && answer.Success {
-		m.note(id, controllerclient.Mark{Term: ask.LastLogTerm, Index: ask.LastLogIndex})
+		m.note(id, controllerclient.LogPosition{Term: ask.LastLogTerm, Index: ask.LastLogIndex})
 	}
 	return err
 }
@@ -314,7 +314,7 @@
 // here each keeper is asked after the unit's request came: a keeper that is in this term then has not voted for
 // another leader before. It costs a round trip between keepers a lease.
 type confirmer struct {
-	k *Keeper
+	k *Controller
 
 	mu      sync.Mutex
 	want    uint64                   // number of the last question
@@ -326,7 +326,7 @@
 
 type said struct{ question, term uint64 }
 
-func newConfirmer(k *Keeper) *confirmer {
+func newConfirmer(k *Controller) *confirmer {
 	c := &confirmer{k: k, said: map[string]said{}, asked: map[string]chan struct{}{}, changed: make(chan struct{})}
 	for _, name := range k.peers {
 		c.asked[name] = make(chan struct{}, 1)
@@ -385,7 +385,7 @@
 
 var errNoMajority = errors.New("a majority of keepers has not confirmed the lead")
 
-func (k *Keeper) voters(r *raft.Raft) (names []string, err error) {
+func (k *Controller) voters(r *raft.Raft) (names []string, err error) {
 	f := r.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return nil, err
@@ -401,7 +401,7 @@
 // majority is how many voters have to confirm a lead. A rebuilt log begins with one voter: two keepers that were rebuilt by
 // mistake, out of each other's sight, would both lead, each for those that hear it first; of the file's keepers only one of
 // them can have a majority.
-func (k *Keeper) majority(voters []string) int { return max(len(voters), len(k.peers)+1)/2 + 1 }
+func (k *Controller) majority(voters []string) int { return max(len(voters), len(k.peers)+1)/2 + 1 }
 
 // leads waits until a majority of the file's keepers, asked after this call began, is in the term.
 func (c *confirmer) leads(ctx context.Context, r *raft.Raft, term uint64) error {
--- a/internal/controller/looks.go
+++ b/internal/controller/looks.go
@@ -21,7 +21,7 @@
 }
 
 // looks has room decide by looks at the disk and the log until the context ends.
-func (k *Keeper) looks(ctx context.Context, r *raft.Raft) {
+func (k *Controller) looks(ctx context.Context, r *raft.Raft) {
 	timer := time.NewTicker(min(k.spans.ConfirmTimeout, roomEvery).Duration())
 	defer timer.Stop()
 	for failed := ""; ; {
@@ -46,7 +46,7 @@
 }
 
 // looked takes the disk's room over.
-func (k *Keeper) looked(r *raft.Raft, free, total uint64) {
+func (k *Controller) looked(r *raft.Raft, free, total uint64) {
 	changed := k.room.Looked(free, total)
 	d := k.room.disk
 	k.mu.Lock()
@@ -60,7 +60,7 @@
 	if err := r.ReloadConfig(set); err != nil {
 		k.Log.Error().Str("event", "disk").Err(err).Send()
 	}
-	if line := k.Log.Info(); !d.Short {
+	if line := k.Log.Info(); !d.LowOnSpace {
 		line.Str("event", "disk").Str("free", d.String()).Msg("there is room again")
 	} else {
 		k.Log.Warn().Str("event", "disk").Str("free", d.String()).
@@ -70,7 +70,7 @@
 
 // cuts cuts the log by a snapshot. raft's own look comes twice a minute at most, and a log may grow by a
 // hundred thousand entries until then.
-func (k *Keeper) cuts(r *raft.Raft) {
+func (k *Controller) cuts(r *raft.Raft) {
 	first, err := k.store.FirstIndex()
 	if err != nil || first == 0 {
 		return
@@ -86,7 +86,7 @@
 }
 
 // handsOn hands the lead to a keeper with room.
-func (k *Keeper) handsOn(ctx context.Context, r *raft.Raft) {
+func (k *Controller) handsOn(ctx context.Context, r *raft.Raft) {
 	others, _ := k.ask(ctx)
 	f := r.GetConfiguration()
 	if f.Error() != nil {
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -20,15 +20,15 @@
 	"silvercove/internal/placement"
 )
 
-// Rebuilding is how a keeper's disk is written anew after a majority of them was lost.
-type Rebuilding struct {
-	Net     *peertransport.Net // of the keeper that begins; its Run is the caller's
-	Data    string             // its folder; what is there is set aside
-	Set     map[string]any
-	Client  *controllerclient.Client
-	Backup  io.Reader // an earlier state, nil: none
-	Without []string  // units that may be silent
-	Say     func(string)
+// RebuildOptions is how a keeper's disk is written anew after a majority of them was lost.
+type RebuildOptions struct {
+	Net         *peertransport.Network // of the keeper that begins; its Run is the caller's
+	Data        string                 // its folder; what is there is set aside
+	Set         map[string]any
+	Client      *controllerclient.Client
+	Backup      io.Reader // an earlier state, nil: none
+	AllowSilent []string  // units that may be silent
+	Progress    func(string)
 }
 
 const asked = 64 // units at a time
@@ -43,7 +43,7 @@
 // Rebuild writes a disk whose log begins with what the edge units have. The generation is one above all that was seen,
 // so that no keeper and no owner of before is believed; the other keepers' disks have to be emptied, and are let in by
 // this one. It waits for one lease as keepers count it before it asks, so that nobody acts by a word of before.
-func Rebuild(ctx context.Context, r Rebuilding) error {
+func Rebuild(ctx context.Context, r RebuildOptions) error {
 	self := r.Net.Self().Name
 	for _, p := range r.Net.Peers("keeper") {
 		each, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -68,7 +68,7 @@
 	book := leases.New(r.Set)
 	book.ExpectRenewal(0, "any")
 	over, _ := book.NextExpiry()
-	r.Say(fmt.Sprintf("waits %s for leases of before to be over", over.Duration()))
+	r.Progress(fmt.Sprintf("waits %s for leases of before to be over", over.Duration()))
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -77,7 +77,7 @@
 	var found []migration.NodeInventory
 	var silent []string
 	units := r.Net.Peers("edge")
-	all, errs := make([]controllerclient.Holds, len(units)), make([]error, len(units))
+	all, errs := make([]controllerclient.Inventory, len(units)), make([]error, len(units))
 	limit := leases.TimingsFor(r.Set).ProposalTimeout.Duration()
 	var group errgroup.Group
 	group.SetLimit(asked)
@@ -85,7 +85,7 @@
 		group.Go(func() error {
 			each, cancel := context.WithTimeout(ctx, min(5*time.Second, limit))
 			defer cancel()
-			all[i], errs[i] = r.Client.Holds(each, p.Name)
+			all[i], errs[i] = r.Client.Inventory(each, p.Name)
 			return nil
 		})
 	}
@@ -94,21 +94,21 @@
 		holds := all[i]
 		if err := errs[i]; err != nil {
 			silent = append(silent, p.Name)
-			r.Say(fmt.Sprintf("%s is silent: %v", p.Name, err))
+			r.Progress(fmt.Sprintf("%s is silent: %v", p.Name, err))
 			continue
 		}
-		found = append(found, migration.NodeInventory{Node: p.Name, Zone: p.Zone, Copies: holds.Holds})
-		h.Generation = max(h.Generation, holds.Line.Generation)
-		h.Runs[p.Name] = max(h.Runs[p.Name], holds.Run)
-		r.Say(fmt.Sprintf("%s has %d instances", p.Name, len(holds.Holds)))
+		found = append(found, migration.NodeInventory{Node: p.Name, Zone: p.Zone, Copies: holds.Copies})
+		h.Generation = max(h.Generation, holds.Lineage.Generation)
+		h.Runs[p.Name] = max(h.Runs[p.Name], holds.Incarnation)
+		r.Progress(fmt.Sprintf("%s has %d instances", p.Name, len(holds.Copies)))
 	}
-	if more := slices.DeleteFunc(slices.Clone(silent), func(s string) bool { return slices.Contains(r.Without, s) }); len(more) > 0 {
+	if more := slices.DeleteFunc(slices.Clone(silent), func(s string) bool { return slices.Contains(r.AllowSilent, s) }); len(more) > 0 {
 		return fmt.Errorf("%s: what they alone have would be lost; bring them back, or name them as those to go on without",
 			strings.Join(more, ", "))
 	}
 	places, told := migration.Rebuild(found, silent, old)
 	for _, text := range told {
-		r.Say(text)
+		r.Progress(text)
 	}
 	table, err := placement.FromAssignments(places)
 	if err != nil {
@@ -125,7 +125,7 @@
 	h.Generation++
 	h.Applied = 1
 	m := d.now()
-	h.Birth = &controllerclient.Birth{ID: identity(), Stores: map[string]string{self: m.Store}}
+	h.Birth = &controllerclient.LogOrigin{ID: identity(), Stores: map[string]string{self: m.Store}}
 	h.Stores = h.Birth.Stores
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(d.dir, 2, hclog.NewNullLogger())
 	if err != nil {
@@ -151,7 +151,7 @@
 	if err := d.put(m); err != nil {
 		return err
 	}
-	r.Say(fmt.Sprintf("%d instances of generation %d are in %s: start %s, then the other keepers with emptied folders",
+	r.Progress(fmt.Sprintf("%d instances of generation %d are in %s: start %s, then the other keepers with emptied folders",
 		len(places), h.Generation, r.Data, self))
 	return nil
 }
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -26,7 +26,7 @@
 // lead is handed on though nothing presses.
 type room struct {
 	every, trailing uint64 // entries of the log until it is cut, and left then
-	disk            controllerclient.Disk
+	disk            controllerclient.DiskSpace
 	hands, cuts     backoff
 }
 
@@ -53,21 +53,21 @@
 	if total == 0 {
 		return false
 	}
-	was := m.disk.Short
+	was := m.disk.LowOnSpace
 	m.disk.Free, m.disk.Total = min(free, total), total
-	switch share := m.disk.Share(); {
+	switch share := m.disk.FreeFraction(); {
 	case share <= shortFree:
-		m.disk.Short = true
+		m.disk.LowOnSpace = true
 	case share >= wellFree:
-		m.disk.Short = false
+		m.disk.LowOnSpace = false
 		m.hands.reset()
 	}
-	return m.disk.Short != was
+	return m.disk.LowOnSpace != was
 }
 
 // Leaves is how many entries a snapshot leaves in the log, for those that lag.
 func (m *room) Leaves() uint64 {
-	if m.disk.Short {
+	if m.disk.LowOnSpace {
 		return m.trailing / roomTimes
 	}
 	return m.trailing
@@ -76,7 +76,7 @@
 // Cuts tells whether the log, which has so many entries, is to be cut now. Cut says what became of that.
 func (m *room) Cuts(now tick.Tick, entries uint64) bool {
 	every := m.every
-	if m.disk.Short {
+	if m.disk.LowOnSpace {
 		every /= roomTimes
 	}
 	return entries > every+m.Leaves() && m.cuts.due(now)
@@ -93,7 +93,7 @@
 }
 
 // Asks tells whether a keeper that leads should look for another one with room.
-func (m *room) Asks(now tick.Tick) bool { return m.disk.Short && m.hands.due(now) }
+func (m *room) Asks(now tick.Tick) bool { return m.disk.LowOnSpace && m.hands.due(now) }
 
 // Hands is the keeper to which the lead is handed on: of those that follow in this term the one with the
 // largest part of its disk free. None where all are short of room, or are of a version that does not say:
@@ -109,10 +109,10 @@
 		}
 		return 1
 	}) {
-		if s.Role != "follower" || s.Term != term || s.Disk == nil || s.Disk.Short || s.Disk.Share() <= most {
+		if s.Role != "follower" || s.Term != term || s.Disk == nil || s.Disk.LowOnSpace || s.Disk.FreeFraction() <= most {
 			continue
 		}
-		to, most = s.Node, s.Disk.Share()
+		to, most = s.Node, s.Disk.FreeFraction()
 	}
 	if to != "" {
 		m.hands.tried(now)
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -17,242 +17,244 @@
 // Version of the calls. A later one is refused with 400.
 const Version = 1
 
-// MostBody is how many bytes a call may have.
-const MostBody = 256 << 10
-
-// LeaseAsk asks for a lease, or renews it.
-type LeaseAsk struct {
-	V        int                      `json:"v"`
-	Unit     string                   `json:"unit"`
-	Run      uint64                   `json:"run"` // larger at each start of the process
-	Report   json.RawMessage          `json:"report,omitempty"`
-	Commands string                   `json:"commands,omitempty"` // HOST:PORT
-	Zone     string                   `json:"zone,omitempty"`
-	Build    uint16                   `json:"build,omitempty"`
-	BornMS   int64                    `json:"born_ms,omitempty"` // start of its process, for lists; no decision rests on it
-	Draining bool                     `json:"draining,omitempty"`
-	Back     bool                     `json:"going_back,omitempty"` // its build is on the way back, as a keeper told it last
-	Cold     bool                     `json:"cold,omitempty"`
-	Fresh    bool                     `json:"fresh,omitempty"`  // this run began without the copies of the one before
-	Kept     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instances.Store.Count); 0: not known
-	Doubts   []replica.UnverifiedCopy `json:"doubts,omitempty"` // what it goes on with though effects may be missing
+// MaxBody is how many bytes a call may have.
+const MaxBody = 256 << 10
+
+// LeaseRequest asks for a lease, or renews it.
+type LeaseRequest struct {
+	Version         int                      `json:"v"`
+	Node            string                   `json:"unit"`
+	Incarnation     uint64                   `json:"run"` // larger at each start of the process
+	Report          json.RawMessage          `json:"report,omitempty"`
+	Commands        string                   `json:"commands,omitempty"` // HOST:PORT
+	Zone            string                   `json:"zone,omitempty"`
+	SoftwareVersion uint16                   `json:"build,omitempty"`
+	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of its process, for lists; no decision rests on it
+	Draining        bool                     `json:"draining,omitempty"`
+	RollingBack     bool                     `json:"going_back,omitempty"` // its build is on the way back, as a keeper told it last
+	WarmingUp       bool                     `json:"cold,omitempty"`
+	LostCopies      bool                     `json:"fresh,omitempty"`  // this run began without the copies of the one before
+	RecordCount     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instances.Store.Count); 0: not known
+	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // what it goes on with though effects may be missing
 }
 
-// MostDoubts is how many of them one call tells; the others follow with the next one.
-const MostDoubts = 64
+// MaxUnverified is how many of them one call tells; the others follow with the next one.
+const MaxUnverified = 64
 
-// Report is what a keeper reads of LeaseAsk.Report, the report of the unit's strength; the rest is handed on.
-type Report struct {
-	State   string   `json:"state"` // see the states below
-	Share   float64  `json:"share"`
-	Danger  float64  `json:"danger"`
-	Room    int      `json:"room"`
-	Reasons []string `json:"reasons,omitempty"`
+// HealthReport is what a keeper reads of LeaseAsk.Report, the report of the unit's strength; the rest is handed on.
+type HealthReport struct {
+	State          string   `json:"state"` // see the states below
+	AcceptFraction float64  `json:"share"`
+	Risk           float64  `json:"danger"`
+	SpareCapacity  int      `json:"room"`
+	Reasons        []string `json:"reasons,omitempty"`
 }
 
 // States of a unit's strength.
 const (
-	Accepts = "accepts"
-	Trickle = "trickle"
-	Keeps   = "keeps"
-	HandsOn = "hands-on"
-	Leaves  = "leaves"
+	StateAccepting = "accepts"
+	StateLimited   = "trickle"
+	StateHolding   = "keeps"
+	StateDraining  = "hands-on"
+	StateLeaving   = "leaves"
 )
 
-// LeaseAnswer grants. A unit whose earlier lease was over, or that had none, begins to act only once it has the places
+// LeaseResponse grants. A unit whose earlier lease was over, or that had none, begins to act only once it has the places
 // of this version or a later one: it may have lost some meanwhile.
-type LeaseAnswer struct {
-	Granted bool   `json:"granted"`
-	Keeper  string `json:"keeper"`
-	Back    bool   `json:"going_back,omitempty"` // the unit's build is on the way back: told again to whoever leads next
-	Places  uint64 `json:"places"`
-	Kept    uint64 `json:"kept,omitempty"`   // the greatest of LeaseAsk.Kept that was known of this unit until then
-	Doubts  int    `json:"doubts,omitempty"` // so many of LeaseAsk.Doubts are agreed, the first ones
-	Line
+type LeaseResponse struct {
+	Granted            bool   `json:"granted"`
+	Controller         string `json:"keeper"`
+	RollingBack        bool   `json:"going_back,omitempty"` // the unit's build is on the way back: told again to whoever leads next
+	AssignmentsVersion uint64 `json:"places"`
+	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest of LeaseAsk.Kept that was known of this unit until then
+	AcceptedUnverified int    `json:"doubts,omitempty"` // so many of LeaseAsk.Doubts are agreed, the first ones
+	Lineage
 }
 
-// Line is which line of placement a keeper speaks for. The generation is raised where placement was rebuilt after a loss
+// Lineage is which line of placement a keeper speaks for. The generation is raised where placement was rebuilt after a loss
 // of disks: what is of a smaller one stops. Birth names the beginning of the log: the same generation with another
 // birth is that of keepers whose disks were all emptied, and is not believed either.
-type Line struct {
+type Lineage struct {
 	Generation uint64 `json:"generation"`
-	Birth      string `json:"birth"`
+	OriginID   string `json:"birth"`
 }
 
-// Fault is the body of all answers but 200.
-type Fault struct {
-	Error  string                `json:"error,omitempty"`
-	Place  *placement.Assignment `json:"place,omitempty"`  // what stands instead
-	Leader string                `json:"leader,omitempty"` // with 421
+// ErrorBody is the body of all answers but 200.
+type ErrorBody struct {
+	Error      string                `json:"error,omitempty"`
+	Assignment *placement.Assignment `json:"place,omitempty"`  // what stands instead
+	Leader     string                `json:"leader,omitempty"` // with 421
 }
 
-// Places are those that changed since a version, or all of them.
-type Places struct {
+// AssignmentChanges are those that changed since a version, or all of them.
+type AssignmentChanges struct {
 	Version uint64 `json:"version"`
-	Line
-	Whole  bool                   `json:"whole"`
-	Places []placement.Assignment `json:"places"`
-	Gone   []string               `json:"gone,omitempty"`
+	Lineage
+	Complete    bool                   `json:"whole"`
+	Assignments []placement.Assignment `json:"places"`
+	Deleted     []string               `json:"gone,omitempty"`
 }
 
-// Unit is an edge unit as the leading keeper has it.
-type Unit struct {
-	Name     string   `json:"name"`
-	Zone     string   `json:"zone,omitempty"`
-	Run      uint64   `json:"run,omitempty"`
-	Held     bool     `json:"held"` // its lease is not over
-	State    string   `json:"state,omitempty"`
-	Accepts  bool     `json:"accepts"`
-	Share    float64  `json:"share"`
-	Danger   float64  `json:"danger,omitempty"`
-	Room     int      `json:"room,omitempty"`
-	Reasons  []string `json:"reasons,omitempty"`
-	BornMS   int64    `json:"born_ms,omitempty"`
-	Build    uint16   `json:"build,omitempty"`
-	Commands string   `json:"commands,omitempty"`
-	Draining bool     `json:"draining,omitempty"`
+// Node is an edge unit as the leading keeper has it.
+type Node struct {
+	Name            string   `json:"name"`
+	Zone            string   `json:"zone,omitempty"`
+	Incarnation     uint64   `json:"run,omitempty"`
+	HasLease        bool     `json:"held"` // its lease is not over
+	State           string   `json:"state,omitempty"`
+	Accepting       bool     `json:"accepts"`
+	AcceptFraction  float64  `json:"share"`
+	Risk            float64  `json:"danger,omitempty"`
+	SpareCapacity   int      `json:"room,omitempty"`
+	Reasons         []string `json:"reasons,omitempty"`
+	StartedAtMS     int64    `json:"born_ms,omitempty"`
+	SoftwareVersion uint16   `json:"build,omitempty"`
+	Commands        string   `json:"commands,omitempty"`
+	Draining        bool     `json:"draining,omitempty"`
 }
 
-// Units are all edge units.
-type Units struct {
+// NodeList are all edge units.
+type NodeList struct {
 	Version uint64 `json:"version"`
-	Units   []Unit `json:"units"`
+	Nodes   []Node `json:"units"`
 }
 
-// MostOutcomes is how many of one unit's in one call count; the rest says no more.
-const MostOutcomes = 64
+// MaxOutcomes is how many of one unit's in one call count; the rest says no more.
+const MaxOutcomes = 64
 
-// Outcomes are how commands at units ended, as a relay saw them since it told last. Refusals are none.
-type Outcomes struct {
-	V     int       `json:"v"`
-	Units []Outcome `json:"units"`
-	Build uint16    `json:"build,omitempty"` // the newest of which the platform told the relay, and where it stands
-	State string    `json:"state,omitempty"` // in the platform's words; "" where it told nothing
+// OutcomeReport are how commands at units ended, as a relay saw them since it told last. Refusals are none.
+type OutcomeReport struct {
+	Version         int            `json:"v"`
+	Nodes           []NodeOutcomes `json:"units"`
+	SoftwareVersion uint16         `json:"build,omitempty"` // the newest of which the platform told the relay, and where it stands
+	RolloutState    string         `json:"state,omitempty"` // in the platform's words; "" where it told nothing
 }
 
 // States of a build that is on its way back, or has been taken back.
 const (
-	Recalling = "recalling"
-	Recalled  = "recalled"
+	VersionRollingBack = "recalling"
+	VersionWithdrawn   = "recalled"
 )
 
-// Outcome counts those of one unit.
-type Outcome struct {
-	Unit string `json:"unit"`
-	Good int    `json:"good"`
-	Bad  int    `json:"bad"`
+// NodeOutcomes counts those of one unit.
+type NodeOutcomes struct {
+	Node      string `json:"unit"`
+	Successes int    `json:"good"`
+	Failures  int    `json:"bad"`
 }
 
-// Floor is what is served on in zones whose units are all tired, the most important first.
-type Floor struct {
-	Zones []FloorZone `json:"zones"`
+// LastResortPlan is what is served on in zones whose units are all tired, the most important first.
+type LastResortPlan struct {
+	Zones []LastResortZone `json:"zones"`
 }
 
-// FloorZone is one of them.
-type FloorZone struct {
-	Zone      string          `json:"zone"`
-	Instances []FloorInstance `json:"instances"`
+// LastResortZone is one of them.
+type LastResortZone struct {
+	Zone      string               `json:"zone"`
+	Instances []LastResortInstance `json:"instances"`
 }
 
-// FloorInstance is one instance; Unit is "" where none serves it on.
-type FloorInstance struct {
+// LastResortInstance is one instance; Unit is "" where none serves it on.
+type LastResortInstance struct {
 	Name   string  `json:"name"`
-	Unit   string  `json:"unit"`
+	Node   string  `json:"unit"`
 	Weight float64 `json:"weight"`
 }
 
-// Device says where an instance's device is now.
-type Device struct {
-	V    int    `json:"v"`
-	Name string `json:"name"`
-	Zone string `json:"zone"`
+// DeviceRequest says where an instance's device is now.
+type DeviceRequest struct {
+	Version int    `json:"v"`
+	Name    string `json:"name"`
+	Zone    string `json:"zone"`
 }
 
-// Birth is the beginning of a fleet's log: which disks it began on.
-type Birth struct {
+// LogOrigin is the beginning of a fleet's log: which disks it began on.
+type LogOrigin struct {
 	ID     string            `json:"id"`
 	Stores map[string]string `json:"stores"` // identity of the disk of each keeper
 }
 
-// Join is an emptied keeper's wish to be let in again, or that one let in has caught up.
-type Join struct {
-	V     int    `json:"v"`
-	Node  string `json:"node"`
-	Store string `json:"store"`
-	Ready bool   `json:"ready,omitempty"` // it has all up to the Index of an earlier answer
+// JoinRequest is an emptied keeper's wish to be let in again, or that one let in has caught up.
+type JoinRequest struct {
+	Version  int    `json:"v"`
+	Node     string `json:"node"`
+	StoreID  string `json:"store"`
+	CaughtUp bool   `json:"ready,omitempty"` // it has all up to the Index of an earlier answer
 }
 
-// Joined says how a keeper takes part.
-type Joined struct {
-	Votes bool   `json:"votes"`
-	Index uint64 `json:"index"`          // of the log, which it needs before it votes
-	Term  uint64 `json:"term,omitempty"` // in which it was let in; it takes nothing of an earlier one
-	Birth *Birth `json:"birth"`
-	Line  uint64 `json:"line,omitempty"` // generation of the log
+// JoinResponse says how a keeper takes part.
+type JoinResponse struct {
+	Voter      bool       `json:"votes"`
+	Index      uint64     `json:"index"`          // of the log, which it needs before it votes
+	Term       uint64     `json:"term,omitempty"` // in which it was let in; it takes nothing of an earlier one
+	Origin     *LogOrigin `json:"birth"`
+	Generation uint64     `json:"line,omitempty"` // generation of the log
 }
 
-// Holds is what an edge unit has, whatever the keepers say: its answer to GET /v1/holds.
-type Holds struct {
-	V     int                  `json:"v"`
-	Unit  string               `json:"unit"`
-	Run   uint64               `json:"run"`
-	Line  Line                 `json:"line"`
-	Holds []replica.CopyStatus `json:"holds"`
+// Inventory is what an edge unit has, whatever the keepers say: its answer to GET /v1/holds.
+type Inventory struct {
+	Version     int                  `json:"v"`
+	Node        string               `json:"unit"`
+	Incarnation uint64               `json:"run"`
+	Lineage     Lineage              `json:"line"`
+	Copies      []replica.CopyStatus `json:"holds"`
 }
 
-// Confirm asks a keeper whether it knows of a later term; its answer has the term that it is in.
-type Confirm struct {
-	V    int    `json:"v"`
-	Term uint64 `json:"term"`
+// ConfirmRequest asks a keeper whether it knows of a later term; its answer has the term that it is in.
+type ConfirmRequest struct {
+	Version int    `json:"v"`
+	Term    uint64 `json:"term"`
 }
 
-// Mark is the last entry of the log that a keeper is known to have had on its disk.
-type Mark struct {
+// LogPosition is the last entry of the log that a keeper is known to have had on its disk.
+type LogPosition struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
 // Later says whether a log that ends here is later than one that ends at n, as raft compares them.
-func (m Mark) Later(n Mark) bool { return m.Term > n.Term || m.Term == n.Term && m.Index > n.Index }
+func (m LogPosition) Later(n LogPosition) bool {
+	return m.Term > n.Term || m.Term == n.Term && m.Index > n.Index
+}
 
 // Status of a keeper.
 type Status struct {
-	V          int               `json:"v"`
-	Node       string            `json:"node"`
-	Role       string            `json:"role"` // waits, follower, candidate, leader
-	Why        string            `json:"why,omitempty"`
-	Leader     string            `json:"leader,omitempty"`
-	Term       uint64            `json:"term"`
-	Applied    uint64            `json:"applied"`
-	Last       Mark              `json:"last"`
-	Places     int               `json:"places"`
-	Moves      int               `json:"moves"` // handovers under way
-	Reasons    []string          `json:"reasons,omitempty"`
-	Generation uint64            `json:"generation"`
-	Birth      *Birth            `json:"birth,omitempty"`
-	Store      string            `json:"store"`            // identity of its disk
-	Stores     map[string]string `json:"stores,omitempty"` // as agreed
-	Keepers    []string          `json:"keepers"`          // of its file, sorted
-	Marks      map[string]Mark   `json:"marks,omitempty"`  // what it knows to be on other keepers' disks
-	Disk       *Disk             `json:"disk,omitempty"`   // none: not known, or of an earlier version
+	Version      int                    `json:"v"`
+	Node         string                 `json:"node"`
+	Role         string                 `json:"role"` // waits, follower, candidate, leader
+	Reason       string                 `json:"why,omitempty"`
+	Leader       string                 `json:"leader,omitempty"`
+	Term         uint64                 `json:"term"`
+	Applied      uint64                 `json:"applied"`
+	Last         LogPosition            `json:"last"`
+	Assignments  int                    `json:"places"`
+	Migrations   int                    `json:"moves"` // handovers under way
+	Reasons      []string               `json:"reasons,omitempty"`
+	Generation   uint64                 `json:"generation"`
+	Origin       *LogOrigin             `json:"birth,omitempty"`
+	StoreID      string                 `json:"store"`            // identity of its disk
+	StoreIDs     map[string]string      `json:"stores,omitempty"` // as agreed
+	Controllers  []string               `json:"keepers"`          // of its file, sorted
+	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // what it knows to be on other keepers' disks
+	Disk         *DiskSpace             `json:"disk,omitempty"`   // none: not known, or of an earlier version
 }
 
-// Disk is the room of the disk that has a keeper's folder, in bytes.
-type Disk struct {
-	Free  uint64 `json:"free"`
-	Total uint64 `json:"total"`
-	Short bool   `json:"short,omitempty"` // of room: it cuts its log sooner, and leads only where no other one has room
+// DiskSpace is the room of the disk that has a keeper's folder, in bytes.
+type DiskSpace struct {
+	Free       uint64 `json:"free"`
+	Total      uint64 `json:"total"`
+	LowOnSpace bool   `json:"short,omitempty"` // of room: it cuts its log sooner, and leads only where no other one has room
 }
 
-// Share is the part that is free.
-func (d Disk) Share() float64 { return float64(d.Free) / float64(max(1, d.Total)) }
+// FreeFraction is the part that is free.
+func (d DiskSpace) FreeFraction() float64 { return float64(d.Free) / float64(max(1, d.Total)) }
 
 // String is for those who read: "41% free", "4.2% free, short of room".
-func (d Disk) String() string {
-	switch share := 100 * d.Share(); {
+func (d DiskSpace) String() string {
+	switch share := 100 * d.FreeFraction(); {
 	case d.Total == 0:
 		return ""
-	case d.Short:
+	case d.LowOnSpace:
 		return fmt.Sprintf("%.1f%% free, short of room", share)
 	default:
 		return fmt.Sprintf("%.0f%% free", share)
--- a/internal/devicepower/power.go
+++ b/internal/devicepower/power.go
@@ -54,7 +54,7 @@
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
-		r.Pass()
+		r.ReadOnce()
 		select {
 		case <-ctx.Done():
 			return
@@ -63,9 +63,9 @@
 	}
 }
 
-// Last are the newest readings with their ages, those that were there once and are not any more among
+// Latest are the newest readings with their ages, those that were there once and are not any more among
 // them. It never waits for a file.
-func (r *Reader) Last() []devicehealth.Reading {
+func (r *Reader) Latest() []devicehealth.Reading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now, all := time.Now(), make([]devicehealth.Reading, len(r.last))
@@ -76,8 +76,8 @@
 	return all
 }
 
-// Pass reads all once and returns it.
-func (r *Reader) Pass() []devicehealth.Reading {
+// ReadOnce reads all once and returns it.
+func (r *Reader) ReadOnce() []devicehealth.Reading {
 	found := on(disk(r.root), r.root)
 	when := time.Now()
 	r.mu.Lock()
@@ -100,8 +100,8 @@
 	return found
 }
 
-// Of are the readings of such files in memory, by their paths from the root: for simulated time.
-func Of(files map[string]string) []devicehealth.Reading { return on(memory(files), "memory") }
+// FromFiles are the readings of such files in memory, by their paths from the root: for simulated time.
+func FromFiles(files map[string]string) []devicehealth.Reading { return on(memory(files), "memory") }
 
 // source is where files are read from.
 type source interface {
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -25,7 +25,7 @@
 )
 
 // serve takes connections for commands. Each carries one command at a time.
-func (e *Edge) serve(ctx context.Context) error {
+func (e *Node) serve(ctx context.Context) error {
 	var all sync.WaitGroup
 	defer all.Wait()
 	stop := context.AfterFunc(ctx, func() { _ = e.commands.Close() })
@@ -66,7 +66,7 @@
 }
 
 // session is one connection: startup, then one statement after another.
-func (e *Edge) session(ctx context.Context, conn net.Conn) {
+func (e *Node) session(ctx context.Context, conn net.Conn) {
 	var buf []byte
 	in := make([]byte, 4<<10)
 	more := func(limit time.Duration) bool {
@@ -144,7 +144,7 @@
 }
 
 // statement carries one out and words its answer.
-func (e *Edge) statement(ctx context.Context, text string) []byte {
+func (e *Node) statement(ctx context.Context, text string) []byte {
 	switch first, _, _ := strings.Cut(text, " "); {
 	case strings.TrimSpace(text) == "":
 		return pgwire.EmptyQueryResponse()
@@ -187,7 +187,7 @@
 	replica.TooLarge: `cove_edge_commands_total{end="too large"}`}
 
 // unready tells why a probe is turned away, "" where it is not.
-func (e *Edge) unready() string {
+func (e *Node) unready() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -200,7 +200,7 @@
 }
 
 // ask has a command carried out by the owner's decision.
-func (e *Edge) ask(ctx context.Context, q *pgwire.Query) replica.Response {
+func (e *Node) ask(ctx context.Context, q *pgwire.Query) replica.Response {
 	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
 	c := &replica.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Value()}
 	done := make(chan replica.Response, 1)
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -41,13 +41,13 @@
 // Options are what an edge unit is made of.
 type Options struct {
 	File *fleet.File
-	Net  *peertransport.Net
+	Net  *peertransport.Network
 	Log  zerolog.Logger
 	Seed uint64
 }
 
-// Edge is one edge unit.
-type Edge struct {
+// Node is one edge unit.
+type Node struct {
 	o        Options
 	self     string
 	run      uint64
@@ -68,10 +68,10 @@
 	asks     map[*replica.Request]chan replica.Response
 	waits    map[uint64]chan replica.Message // of other units' calls
 	mark     uint64
-	line     controllerclient.Line // that the owner's places are of
-	noted    controllerclient.Line // on disk
-	began    uint64                // records that the disk had taken at the start, 0 without a disk
-	judged   bool                  // whether it was put back is known
+	line     controllerclient.Lineage // that the owner's places are of
+	noted    controllerclient.Lineage // on disk
+	began    uint64                   // records that the disk had taken at the start, 0 without a disk
+	judged   bool                     // whether it was put back is known
 	wasBack  bool
 	settled  bool                    // what is written counts
 	most     uint64                  // the greatest count that the keepers told
@@ -84,15 +84,15 @@
 
 // note is what the store keeps beside instances.
 type note struct {
-	Run  uint64                  `json:"run"`
-	Line controllerclient.Line   `json:"line"`
-	more placement.UnknownFields // what a later version added
+	Run  uint64                   `json:"run"`
+	Line controllerclient.Lineage `json:"line"`
+	more placement.UnknownFields  // what a later version added
 }
 
 // Open reads the unit's disk and listens for commands.
-func Open(o Options) (*Edge, error) {
+func Open(o Options) (*Node, error) {
 	lease, _ := o.File.Set["fleet.lease"].(float64)
-	e := &Edge{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
+	e := &Node{o: o, self: o.File.Self.Name, lease: tick.Tick(lease * float64(tick.Second)),
 		client: controllerclient.New(o.Net, o.File.Set, o.Seed), sends: map[string]chan replica.Message{},
 		steps: make(chan placement.Operation, mostSteps), kick: make(chan struct{}, 1), moved: make(chan struct{}, 1),
 		reader: devicepower.Open(o.File.Power), asks: map[*replica.Request]chan replica.Response{},
@@ -112,7 +112,7 @@
 			return nil, fmt.Errorf("%s: its note: %w", o.File.Data, err)
 		}
 	}
-	if err := e.client.Believe(n.Line); err != nil {
+	if err := e.client.CheckLineage(n.Line); err != nil {
 		e.closeStore()
 		return nil, err
 	}
@@ -126,18 +126,18 @@
 	return e, nil
 }
 
-func (e *Edge) closeStore() {
+func (e *Node) closeStore() {
 	stop := make(chan struct{})
 	close(stop)
 	e.store.Run(stop)
 }
 
 // Commands is where the unit listens for commands.
-func (e *Edge) Commands() net.Addr { return e.commands.Addr() }
+func (e *Node) Commands() net.Addr { return e.commands.Addr() }
 
 // Run works until leave ends, then has its instances handed on and ends within ten leases; or until now ends, then at
 // once. The peers' connections are the caller's, and have to outlast it.
-func (e *Edge) Run(leave, now context.Context) error {
+func (e *Node) Run(leave, now context.Context) error {
 	ctx, cancel := context.WithCancel(now)
 	defer cancel()
 	stop, stored := make(chan struct{}), make(chan struct{})
@@ -198,7 +198,7 @@
 	return err
 }
 
-func (e *Edge) writeNote(ctx context.Context, n note) error {
+func (e *Node) writeNote(ctx context.Context, n note) error {
 	text, err := placement.MarshalWithUnknown(n, e.more)
 	if err != nil {
 		return err
@@ -214,14 +214,14 @@
 }
 
 // begin learns what the keepers count on this unit for, before they know of this run.
-func (e *Edge) begin(ctx context.Context) error {
+func (e *Node) begin(ctx context.Context) error {
 	for {
-		p, err := e.client.Places(ctx, 0)
+		p, err := e.client.Assignments(ctx, 0)
 		if err == nil {
 			e.mu.Lock()
-			e.line = p.Line
+			e.line = p.Lineage
 			e.owner = replica.NewManager(host{e}, controllerclient.Now(), replica.ConfigFrom(e.self, e.run, e.o.File.Set),
-				replica.Start{Logs: e.records, Assignments: p.Places, Version: p.Version})
+				replica.Start{Logs: e.records, Assignments: p.Assignments, Version: p.Version})
 			e.records = nil
 			e.mu.Unlock()
 			return nil
@@ -248,11 +248,11 @@
 }
 
 // told takes in news of places.
-func (e *Edge) told(version uint64, places []placement.Assignment, gone []string, whole bool) {
+func (e *Node) told(version uint64, places []placement.Assignment, gone []string, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := controllerclient.Now()
-	if line := e.client.Line(); whole && line.Generation > e.line.Generation {
+	if line := e.client.Lineage(); whole && line.Generation > e.line.Generation {
 		e.line = line
 		e.owner.OnPlacementRebuilt(now, places, version)
 		return
@@ -278,7 +278,7 @@
 	e.stir()
 }
 
-func (e *Edge) stir() {
+func (e *Node) stir() {
 	select {
 	case e.moved <- struct{}{}:
 	default:
@@ -286,7 +286,7 @@
 }
 
 // renew keeps the lease: each third of it, and at once when the report changes.
-func (e *Edge) renew(ctx context.Context) {
+func (e *Node) renew(ctx context.Context) {
 	every := time.NewTicker(e.lease.Duration() / 3)
 	defer every.Stop()
 	var used time.Duration
@@ -296,25 +296,25 @@
 		report, born := e.strong(&used, &since), time.Now()
 		text, err := json.Marshal(report)
 		if err == nil {
-			var answer controllerclient.LeaseAnswer
+			var answer controllerclient.LeaseResponse
 			var sent tick.Tick
 			e.mu.Lock()
-			doubts := e.owner.UnverifiedCopies(controllerclient.MostDoubts)
+			doubts := e.owner.UnverifiedCopies(controllerclient.MaxUnverified)
 			e.mu.Unlock()
 			limit, cancel := context.WithTimeout(ctx, e.lease.Duration())
-			answer, sent, err = e.client.Lease(limit, controllerclient.LeaseAsk{Unit: e.self, Run: e.run, Report: text,
-				Commands: e.commands.Addr().String(), Zone: e.o.File.Self.Zone, Build: e.o.File.Build, Back: back,
-				BornMS: int64(e.run / 1000), Kept: e.store.RecordCount(), Doubts: doubts})
+			answer, sent, err = e.client.RequestLease(limit, controllerclient.LeaseRequest{Node: e.self, Incarnation: e.run, Report: text,
+				Commands: e.commands.Addr().String(), Zone: e.o.File.Self.Zone, SoftwareVersion: e.o.File.Build, RollingBack: back,
+				StartedAtMS: int64(e.run / 1000), RecordCount: e.store.RecordCount(), Unverified: doubts})
 			cancel()
 			if err == nil && answer.Granted {
-				back = answer.Back
+				back = answer.RollingBack
 				e.mu.Lock()
 				e.disk(answer, doubts)
-				if answer.Line == e.line { // else places were rebuilt, and are told first
-					e.owner.OnLease(controllerclient.Now(), sent+e.lease, answer.Places)
+				if answer.Lineage == e.line { // else places were rebuilt, and are told first
+					e.owner.OnLease(controllerclient.Now(), sent+e.lease, answer.AssignmentsVersion)
 				}
 				e.lost = ""
-				line := e.client.Line()
+				line := e.client.Lineage()
 				changed := line != e.noted
 				e.noted = line
 				e.mu.Unlock()
@@ -337,14 +337,14 @@
 }
 
 // disk takes in what a lease says of the unit's disk. It is called with the lock held.
-func (e *Edge) disk(a controllerclient.LeaseAnswer, told []replica.UnverifiedCopy) {
+func (e *Node) disk(a controllerclient.LeaseResponse, told []replica.UnverifiedCopy) {
 	if !e.judged {
 		e.judged = true
-		e.wasBack = e.began < a.Kept && e.began > 0
+		e.wasBack = e.began < a.RecordCount && e.began > 0
 		e.owner.OnDiskChecked(controllerclient.Now(), e.wasBack)
 	}
-	e.owner.OnUnverifiedReported(controllerclient.Now(), told[:min(a.Doubts, len(told))])
-	if e.most = max(e.most, a.Kept); !e.settled && e.owner.Verified() {
+	e.owner.OnUnverifiedReported(controllerclient.Now(), told[:min(a.AcceptedUnverified, len(told))])
+	if e.most = max(e.most, a.RecordCount); !e.settled && e.owner.Verified() {
 		e.settled = true
 		e.store.ConfirmCurrent(e.most, func(err error) {
 			e.mu.Lock()
@@ -360,7 +360,7 @@
 }
 
 // renews has the lease asked for at once.
-func (e *Edge) renews() {
+func (e *Node) renews() {
 	select {
 	case e.kick <- struct{}{}:
 	default:
@@ -368,8 +368,8 @@
 }
 
 // strong feeds the strength's decision with what there is and tells its report.
-func (e *Edge) strong(used *time.Duration, since *time.Time) devicehealth.Report {
-	readings := e.reader.Last()
+func (e *Node) strong(used *time.Duration, since *time.Time) devicehealth.Report {
+	readings := e.reader.Latest()
 	var u syscall.Rusage
 	load := 0.0
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
@@ -405,7 +405,7 @@
 	return r
 }
 
-func (e *Edge) alarm(ctx context.Context) {
+func (e *Node) alarm(ctx context.Context) {
 	for {
 		e.mu.Lock()
 		now := controllerclient.Now()
@@ -419,7 +419,7 @@
 }
 
 // leave tells that the unit ends, and waits until the keepers count on it for nothing, ten leases at the most.
-func (e *Edge) leave(ctx context.Context) {
+func (e *Node) leave(ctx context.Context) {
 	e.mu.Lock()
 	e.ends = true
 	e.strength.SetTerminating(controllerclient.Now())
@@ -464,7 +464,7 @@
 }
 
 // host is what the owner's decision acts through; it is called with the lock held and blocks nowhere.
-type host struct{ *Edge }
+type host struct{ *Node }
 
 // Send queues a message to another unit, or brings an answer to the call that waits for it.
 func (h host) Send(to string, m replica.Message) {
@@ -546,7 +546,7 @@
 }
 
 // step brings entries to the keepers.
-func (e *Edge) step(ctx context.Context) {
+func (e *Node) step(ctx context.Context) {
 	for {
 		var x placement.Operation
 		select {
@@ -555,11 +555,11 @@
 		case x = <-e.steps:
 		}
 		limit, cancel := context.WithTimeout(ctx, e.lease.Duration())
-		p, err := e.client.Step(limit, x)
+		p, err := e.client.Propose(limit, x)
 		cancel()
 		var no *controllerclient.RefusalError
-		if errors.As(err, &no) && no.Place != nil {
-			p = *no.Place
+		if errors.As(err, &no) && no.Assignment != nil {
+			p = *no.Assignment
 		}
 		e.mu.Lock()
 		if p.Instance != "" {
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -23,7 +23,7 @@
 )
 
 // send brings messages to one other unit.
-func (e *Edge) send(ctx context.Context, client *http.Client, to string, queue chan replica.Message) {
+func (e *Node) send(ctx context.Context, client *http.Client, to string, queue chan replica.Message) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -41,7 +41,7 @@
 	}
 }
 
-func (e *Edge) post(ctx context.Context, client *http.Client, to string, m replica.Message) (*replica.Message, error) {
+func (e *Node) post(ctx context.Context, client *http.Client, to string, m replica.Message) (*replica.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.lease.Duration())
 	defer cancel()
 	text, err := json.Marshal(m)
@@ -71,19 +71,19 @@
 type fromKey struct{}
 
 // answerPeers answers other processes' calls.
-func (e *Edge) answerPeers(ctx context.Context) error {
+func (e *Node) answerPeers(ctx context.Context) error {
 	mux := http.NewServeMux()
 	for _, kind := range []string{replica.MessageCatchUp, replica.MessageAppend, replica.MessageFinalAppend} {
 		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { e.heard(w, r, kind) })
 	}
 	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) {
-		h := controllerclient.Holds{V: placement.FormatVersion, Unit: e.self, Run: e.run, Line: e.client.Line(), Holds: []replica.CopyStatus{}}
+		h := controllerclient.Inventory{Version: placement.FormatVersion, Node: e.self, Incarnation: e.run, Lineage: e.client.Lineage(), Copies: []replica.CopyStatus{}}
 		e.mu.Lock()
 		if e.owner != nil {
-			h.Holds = append(h.Holds, e.owner.Copies(controllerclient.Now())...)
+			h.Copies = append(h.Copies, e.owner.Copies(controllerclient.Now())...)
 		}
 		for _, r := range e.records { // not heard of any place since its start: whether they are counted on is not known
-			h.Holds = append(h.Holds, replica.CopyStatus{Instance: r.Instance, Epoch: r.LastEpoch(), Index: r.LastIndex(), LastEpoch: r.LastEpoch(), Checksum: r.Checksum(),
+			h.Copies = append(h.Copies, replica.CopyStatus{Instance: r.Instance, Epoch: r.LastEpoch(), Index: r.LastIndex(), LastEpoch: r.LastEpoch(), Checksum: r.Checksum(),
 				Size: r.Size()})
 		}
 		e.mu.Unlock()
@@ -109,7 +109,7 @@
 		})}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err := server.Serve(e.o.Net.Listener(peertransport.HTTP))
+	err := server.Serve(e.o.Net.Listener(peertransport.KindHTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -128,7 +128,7 @@
 }
 
 // heard answers a message of another unit once all that it brought is safe.
-func (e *Edge) heard(w http.ResponseWriter, r *http.Request, kind string) {
+func (e *Node) heard(w http.ResponseWriter, r *http.Request, kind string) {
 	from, _ := r.Context().Value(fromKey{}).(string)
 	refuse := func(code int, why string) {
 		reply(w, code, replica.Message{Version: placement.FormatVersion, Kind: replica.MessageRejected, Instance: "?", SenderIncarnation: e.run, Reason: why})
--- a/internal/lab/fleetsim/unit.go
+++ b/internal/lab/fleetsim/unit.go
@@ -226,7 +226,7 @@
 	if f.flaw.deafPlanner {
 		ask = migration.NodeStatus{Name: u.name, Zone: u.zone.name, Incarnation: run, Accepting: true, FreeSlots: 100}
 	}
-	kept, doubts := u.began, u.o.UnverifiedCopies(controllerclient.MostDoubts)
+	kept, doubts := u.began, u.o.UnverifiedCopies(controllerclient.MaxUnverified)
 	if u.mark.on {
 		kept = u.mark
 	}
--- a/internal/membership/board.go
+++ b/internal/membership/board.go
@@ -45,7 +45,7 @@
 
 // Agent is the fleet's members as one process sees them. Its methods never wait for others.
 type Agent struct {
-	net     *peertransport.Net
+	net     *peertransport.Network
 	log     func(Member)
 	start   time.Time
 	library gossip
@@ -87,7 +87,7 @@
 
 // Open makes a board for the processes that a file names; Run has to be called. set has fleet.silence. log, if any, is
 // called for each change of a member's state, on the board's own goroutine.
-func Open(net *peertransport.Net, run uint64, fresh bool, set map[string]any, log func(Member)) (*Agent, error) {
+func Open(net *peertransport.Network, run uint64, fresh bool, set map[string]any, log func(Member)) (*Agent, error) {
 	self := net.Self()
 	me := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: run, StartedEmpty: fresh}
 	var others []Record
--- a/internal/membership/library.go
+++ b/internal/membership/library.go
@@ -39,7 +39,7 @@
 	self  string
 }
 
-func newLibrary(n *peertransport.Net, silence time.Duration, size int, h heard) (gossip, error) {
+func newLibrary(n *peertransport.Network, silence time.Duration, size int, h heard) (gossip, error) {
 	l := &library{lines: newTransport(n, silence), heard: h, self: n.Self().Name}
 	l.queue = &memberlist.TransmitLimitedQueue{NumNodes: func() int { return size }, RetransmitMult: 3}
 	set := memberlist.DefaultLANConfig()
@@ -183,7 +183,7 @@
 // transport carries the library's packets and streams over connections between processes. Packets to one member go over
 // one connection that is kept, and are dropped where it is slow; a stream has a connection of its own.
 type transport struct {
-	net     *peertransport.Net
+	net     *peertransport.Network
 	silence time.Duration
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -203,11 +203,11 @@
 	conn  net.Conn // under the transport's lock
 }
 
-func newTransport(n *peertransport.Net, silence time.Duration) *transport {
+func newTransport(n *peertransport.Network, silence time.Duration) *transport {
 	t := &transport{net: n, silence: silence, packets: make(chan *memberlist.Packet, 4*waiting),
 		streams: make(chan net.Conn), to: map[string]*sender{}, from: map[string]net.Conn{}, open: map[net.Conn]bool{}}
 	t.ctx, t.stop = context.WithCancel(context.Background())
-	l := n.Listener(peertransport.Members)
+	l := n.Listener(peertransport.KindMembership)
 	t.done.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -360,7 +360,7 @@
 func (t *transport) dial(name string, what byte, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, within)
 	defer cancel()
-	c, err := t.net.Dial(ctx, name, peertransport.Members)
+	c, err := t.net.Dial(ctx, name, peertransport.KindMembership)
 	if err != nil {
 		return nil, err
 	}
@@ -447,7 +447,7 @@
 		_ = c.Close()
 	}
 	t.mu.Unlock()
-	_ = t.net.Listener(peertransport.Members).Close()
+	_ = t.net.Listener(peertransport.KindMembership).Close()
 	t.done.Wait()
 	return nil
 }
--- a/internal/peertransport/peers.go
+++ b/internal/peertransport/peers.go
@@ -31,9 +31,9 @@
 
 // The kinds of connections.
 const (
-	Log     Kind = "log"     // the agreed log, between keepers
-	Members Kind = "members" // news of members
-	HTTP    Kind = "http"
+	KindLog        Kind = "log"     // the agreed log, between keepers
+	KindMembership Kind = "members" // news of members
+	KindHTTP       Kind = "http"
 )
 
 // Version of the first bytes; another one is refused.
@@ -57,8 +57,8 @@
 // ErrRefused is wrapped by what Dial returns where the other side does not take the connection, with its reason.
 var ErrRefused = errors.New("refused")
 
-// Net is one process's connections to others.
-type Net struct {
+// Network is one process's connections to others.
+type Network struct {
 	self  Peer
 	reach string // where its own name is, if not here
 	fleet string
@@ -70,7 +70,7 @@
 }
 
 // Open listens at the process's own address. peers are the others; each name and address has to be told apart.
-func Open(fleet string, self Peer, peers []Peer, log func(string)) (*Net, error) {
+func Open(fleet string, self Peer, peers []Peer, log func(string)) (*Network, error) {
 	seen := map[string]bool{self.Name: true}
 	for _, p := range peers {
 		if seen[p.Name] {
@@ -82,30 +82,30 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Net{self: self, fleet: fleet, log: log, peers: slices.Clone(peers), main: l, in: map[Kind]*Listener{},
+	n := &Network{self: self, fleet: fleet, log: log, peers: slices.Clone(peers), main: l, in: map[Kind]*Listener{},
 		young: make(chan struct{}, mostNew)}
-	for _, k := range []Kind{Log, Members, HTTP} {
+	for _, k := range []Kind{KindLog, KindMembership, KindHTTP} {
 		n.in[k] = &Listener{addr: l.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	}
 	return n, nil
 }
 
 // Self is this process; Address is where it listens.
-func (n *Net) Self() Peer {
+func (n *Network) Self() Peer {
 	self := n.self
 	self.Address = n.main.Addr().String()
 	return self
 }
 
-// Reach has calls to the process's own name go to an address: that of the process for which a tool speaks. It is called
+// OverrideSelf has calls to the process's own name go to an address: that of the process for which a tool speaks. It is called
 // before Run.
-func (n *Net) Reach(address string) { n.reach = address }
+func (n *Network) OverrideSelf(address string) { n.reach = address }
 
 // Fleet is its name.
-func (n *Net) Fleet() string { return n.fleet }
+func (n *Network) Fleet() string { return n.fleet }
 
 // Peers are the others, of one role or, with none named, of any; in the file's order.
-func (n *Net) Peers(role string) (some []Peer) {
+func (n *Network) Peers(role string) (some []Peer) {
 	for _, p := range n.peers {
 		if role == "" || p.Role == role {
 			some = append(some, p)
@@ -115,7 +115,7 @@
 }
 
 // Peer is the process of this name, this one included.
-func (n *Net) Peer(name string) (Peer, bool) {
+func (n *Network) Peer(name string) (Peer, bool) {
 	if name == n.self.Name {
 		return n.Self(), true
 	}
@@ -128,7 +128,7 @@
 }
 
 // Run takes connections in until the context ends, then closes all listeners and waits for its goroutines.
-func (n *Net) Run(ctx context.Context) error {
+func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = n.main.Close()
 		for _, l := range n.in {
@@ -168,7 +168,7 @@
 }
 
 // take reads a hello and hands the connection on, or says why not.
-func (n *Net) take(ctx context.Context, conn net.Conn) {
+func (n *Network) take(ctx context.Context, conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(helloTime))
 	var h hello
 	text, err := line(conn)
@@ -244,7 +244,7 @@
 }
 
 // Dial connects to a process by name, within the context and at most the time of a hello.
-func (n *Net) Dial(ctx context.Context, name string, kind Kind) (net.Conn, error) {
+func (n *Network) Dial(ctx context.Context, name string, kind Kind) (net.Conn, error) {
 	p, ok := n.Peer(name)
 	if !ok {
 		return nil, fmt.Errorf("no process named %s", name)
@@ -284,20 +284,20 @@
 }
 
 // Listener hands out the connections of one kind. Before it is called they are refused.
-func (n *Net) Listener(kind Kind) *Listener {
+func (n *Network) Listener(kind Kind) *Listener {
 	n.in[kind].asked.Store(true)
 	return n.in[kind]
 }
 
 // Client makes HTTP calls to processes by name: http://NAME/path. Its idle connections are few.
-func (n *Net) Client() *http.Client {
+func (n *Network) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4,
 		IdleConnTimeout: 5 * time.Second, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
 				return nil, err
 			}
-			return n.Dial(ctx, host, HTTP)
+			return n.Dial(ctx, host, KindHTTP)
 		}}}
 }
 
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -16,16 +16,16 @@
 	"silvercove/internal/placement"
 )
 
-// Keepers tell places and units; a *keepers.Client does.
-type Keepers interface {
+// Controllers tell places and units; a *keepers.Client does.
+type Controllers interface {
 	Watch(ctx context.Context, tell func(version uint64, places []placement.Assignment, gone []string, whole bool)) error
-	WatchUnits(ctx context.Context, tell func(version uint64, units []controllerclient.Unit)) error
+	WatchNodes(ctx context.Context, tell func(version uint64, units []controllerclient.Node)) error
 }
 
-// Guide follows keepers for one relay.
-type Guide struct {
-	keepers Keepers
-	net     *peertransport.Net
+// Router follows keepers for one relay.
+type Router struct {
+	keepers Controllers
+	net     *peertransport.Network
 	log     zerolog.Logger
 
 	mu    sync.Mutex
@@ -33,15 +33,15 @@
 }
 
 // New makes one. Where commands reach a unit is what this process's own file says, and else what the unit told.
-func New(k Keepers, net *peertransport.Net, log zerolog.Logger) *Guide {
-	return &Guide{keepers: k, net: net, log: log.With().Str("node", net.Self().Name).Logger(), state: map[string]bool{}}
+func New(k Controllers, net *peertransport.Network, log zerolog.Logger) *Router {
+	return &Router{keepers: k, net: net, log: log.With().Str("node", net.Self().Name).Logger(), state: map[string]bool{}}
 }
 
 // Run follows until the context ends.
-func (g *Guide) Run(ctx context.Context, at *dispatch.Dispatcher) error {
+func (g *Router) Run(ctx context.Context, at *dispatch.Dispatcher) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		return g.keepers.WatchUnits(ctx, func(_ uint64, units []controllerclient.Unit) { at.UpdateEndpoints(true, g.hosts(units)) })
+		return g.keepers.WatchNodes(ctx, func(_ uint64, units []controllerclient.Node) { at.UpdateEndpoints(true, g.hosts(units)) })
 	})
 	group.Go(func() error {
 		return g.keepers.Watch(ctx, func(_ uint64, places []placement.Assignment, gone []string, whole bool) {
@@ -67,7 +67,7 @@
 
 // hosts makes entries of the list of units: those whose lease is not over. One that is tired or leaves is listed as up:
 // its instances are served there until they have been handed on, and the keepers put no new ones there.
-func (g *Guide) hosts(units []controllerclient.Unit) (all []dispatch.Endpoint) {
+func (g *Router) hosts(units []controllerclient.Node) (all []dispatch.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, u := range units {
@@ -75,13 +75,13 @@
 		if p, ok := g.net.Peer(u.Name); ok && p.Commands != "" {
 			dial = p.Commands
 		}
-		if was, known := g.state[u.Name]; !known || was != u.Held {
-			g.state[u.Name] = u.Held
-			state := map[bool]string{true: "alive", false: "dead"}[u.Held]
+		if was, known := g.state[u.Name]; !known || was != u.HasLease {
+			g.state[u.Name] = u.HasLease
+			state := map[bool]string{true: "alive", false: "dead"}[u.HasLease]
 			g.log.Info().Str("event", "member").Str("from", u.Name).Str("why", state+", say the keepers").Msg("member")
 		}
-		h := dispatch.Endpoint{Name: u.Name, Address: dial, Zone: u.Zone, State: "up", Weight: u.Share, StartedAtMs: u.BornMS, Version: u.Build}
-		if !u.Held || !h.Valid() {
+		h := dispatch.Endpoint{Name: u.Name, Address: dial, Zone: u.Zone, State: "up", Weight: u.AcceptFraction, StartedAtMs: u.StartedAtMS, Version: u.SoftwareVersion}
+		if !u.HasLease || !h.Valid() {
 			continue
 		}
 		all = append(all, h)
--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -20,8 +20,8 @@
 	"silvercove/internal/tick"
 )
 
-// Board has the fleet's members and their news; a *members.Board does.
-type Board interface {
+// Membership has the fleet's members and their news; a *members.Board does.
+type Membership interface {
 	Now() tick.Tick
 	Publish(kind string, data []byte) error
 	Members() []membership.Member
@@ -35,10 +35,10 @@
 	routes  = metrics.NewCounter("cove_relay_routes_changed_total")
 )
 
-// Strain joins one relay to its fleet's decisions on overload: it measures what they ask for, passes news on, and is
+// OverloadAgent joins one relay to its fleet's decisions on overload: it measures what they ask for, passes news on, and is
 // what the gate asks (gate.Shed).
-type Strain struct {
-	board  Board
+type OverloadAgent struct {
+	board  Membership
 	log    zerolog.Logger
 	self   string
 	cores  float64
@@ -46,8 +46,8 @@
 
 	mu       sync.Mutex
 	fleet    *overload.Manager
-	outcomes map[string]*controllerclient.Outcome // by unit, since they were told last
-	stage    dispatch.RolloutStage                // of the newest build, as the platform told it last
+	outcomes map[string]*controllerclient.NodeOutcomes // by unit, since they were told last
+	stage    dispatch.RolloutStage                     // of the newest build, as the platform told it last
 
 	before syscall.Rusage
 	at     time.Time
@@ -61,16 +61,16 @@
 	reports = time.Second // between two reports of outcomes to the keepers
 )
 
-// NewStrain makes one, of a relay that has so many cores and bytes of memory.
-func NewStrain(board Board, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *Strain {
-	s := &Strain{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
-		fleet: overload.NewManager(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.Outcome{}}
+// NewOverloadAgent makes one, of a relay that has so many cores and bytes of memory.
+func NewOverloadAgent(board Membership, self string, seed uint64, set map[string]any, cores float64, memory int64, log zerolog.Logger) *OverloadAgent {
+	s := &OverloadAgent{board: board, log: log, self: self, cores: max(0.01, cores), memory: max(1, float64(memory)), at: time.Now(),
+		fleet: overload.NewManager(board.Now(), seed, self, set), outcomes: map[string]*controllerclient.NodeOutcomes{}}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &s.before)
 	return s
 }
 
 // Admit tells whether a command is taken.
-func (s *Strain) Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
+func (s *OverloadAgent) Admit(op int, importance float64, customer string, repeated bool) (ok bool, back time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok, wait := s.fleet.Admit(s.board.Now(), op, importance, customer)
@@ -81,7 +81,7 @@
 }
 
 // RecordFirstAttempt counts a first delivery.
-func (s *Strain) RecordFirstAttempt() {
+func (s *OverloadAgent) RecordFirstAttempt() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	firsts.Inc()
@@ -89,7 +89,7 @@
 }
 
 // AllowRetry tells whether one more delivery may go out.
-func (s *Strain) AllowRetry(repeated bool) bool {
+func (s *OverloadAgent) AllowRetry(repeated bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := s.fleet.AllowRetry(s.board.Now(), repeated)
@@ -100,31 +100,31 @@
 }
 
 // RecordOutcome takes how a delivery at a unit ended.
-func (s *Strain) RecordOutcome(unit string, good bool) {
+func (s *OverloadAgent) RecordOutcome(unit string, good bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fleet.RecordOutcome(s.board.Now(), unit, good)
 	o := s.outcomes[unit]
 	if o == nil {
-		o = &controllerclient.Outcome{Unit: unit}
+		o = &controllerclient.NodeOutcomes{Node: unit}
 		s.outcomes[unit] = o
 	}
 	if good {
-		o.Good++
+		o.Successes++
 	} else {
-		o.Bad++
+		o.Failures++
 	}
 }
 
 // RecordServiceTime takes an answer of a unit and how long the unit took for it.
-func (s *Strain) RecordServiceTime(op int, took time.Duration) {
+func (s *OverloadAgent) RecordServiceTime(op int, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fleet.RecordServiceTime(s.board.Now(), op, tick.FromDuration(took))
 }
 
-// Staged takes where the newest build stands, as the platform told it.
-func (s *Strain) Staged(news dispatch.RolloutStage) {
+// OnStage takes where the newest build stands, as the platform told it.
+func (s *OverloadAgent) OnStage(news dispatch.RolloutStage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stage = news
@@ -132,8 +132,8 @@
 
 // Report tells the keepers how commands at units ended, until the context ends. What a call that failed would have told
 // is dropped: outcomes speak for the moment.
-func (s *Strain) Report(ctx context.Context, to interface {
-	Outcomes(ctx context.Context, o controllerclient.Outcomes) error
+func (s *OverloadAgent) Report(ctx context.Context, to interface {
+	Outcomes(ctx context.Context, o controllerclient.OutcomeReport) error
 }) error {
 	ticker := time.NewTicker(reports)
 	defer ticker.Stop()
@@ -145,18 +145,18 @@
 		}
 		s.mu.Lock()
 		all := s.outcomes
-		s.outcomes = make(map[string]*controllerclient.Outcome, len(all))
+		s.outcomes = make(map[string]*controllerclient.NodeOutcomes, len(all))
 		stage := s.stage
 		s.mu.Unlock()
 		if len(all) == 0 && stage.Phase == "" {
 			continue
 		}
-		units := make([]controllerclient.Outcome, 0, len(all))
+		units := make([]controllerclient.NodeOutcomes, 0, len(all))
 		for _, name := range slices.Sorted(maps.Keys(all)) {
 			units = append(units, *all[name])
 		}
 		call, cancel := context.WithTimeout(ctx, reports)
-		if err := to.Outcomes(call, controllerclient.Outcomes{Units: units, Build: stage.Version, State: stage.Phase}); err != nil && ctx.Err() == nil {
+		if err := to.Outcomes(call, controllerclient.OutcomeReport{Nodes: units, SoftwareVersion: stage.Version, RolloutState: stage.Phase}); err != nil && ctx.Err() == nil {
 			s.log.Debug().Err(err).Msg("outcomes not told")
 		}
 		cancel()
@@ -164,21 +164,21 @@
 }
 
 // AllowProbe tells whether this relay may try a unit that it doubts.
-func (s *Strain) AllowProbe(unit string) bool {
+func (s *OverloadAgent) AllowProbe(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.AllowProbe(s.board.Now(), unit)
 }
 
 // IsEjected tells whether a unit is sick for other relays.
-func (s *Strain) IsEjected(unit string) bool {
+func (s *OverloadAgent) IsEjected(unit string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.IsEjected(s.board.Now(), unit)
 }
 
 // Wait waits for this relay's turn at something, or for the context. The turn comes sooner with news of others.
-func (s *Strain) Wait(ctx context.Context, what overload.StartupStep) {
+func (s *OverloadAgent) Wait(ctx context.Context, what overload.StartupStep) {
 	for ctx.Err() == nil {
 		s.hear()
 		s.mu.Lock()
@@ -197,7 +197,7 @@
 }
 
 // Run measures and passes news on until the context ends.
-func (s *Strain) Run(ctx context.Context, g *dispatch.Dispatcher) error {
+func (s *OverloadAgent) Run(ctx context.Context, g *dispatch.Dispatcher) error {
 	ticker := time.NewTicker(beat)
 	defer ticker.Stop()
 	next := time.Now().Add(beat)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Strain) step(g *dispatch.Dispatcher, late time.Duration) {
+func (s *OverloadAgent) step(g *dispatch.Dispatcher, late time.Duration) {
 	p := s.measure(g, late)
 	s.hear()
 	s.mu.Lock()
@@ -234,7 +234,7 @@
 }
 
 // hear passes on what the other relays told.
-func (s *Strain) hear() {
+func (s *OverloadAgent) hear() {
 	all := s.board.Members()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,7 +261,7 @@
 }
 
 // measure takes the relay's own load since the last time.
-func (s *Strain) measure(g *dispatch.Dispatcher, late time.Duration) overload.Pressure {
+func (s *OverloadAgent) measure(g *dispatch.Dispatcher, late time.Duration) overload.Pressure {
 	var use syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	now := time.Now()
