--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -262,7 +262,7 @@
 func (c *Crew) Create(ctx context.Context, instance, unit, zone string) (p placement.Assignment, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
-	return c.keepers.Step(ctx, placement.Operation{Kind: placement.OpCreate, Instance: instance, Target: unit, Zone: zone, Weight: 1,
+	return c.keepers.Propose(ctx, placement.Operation{Kind: placement.OpCreate, Instance: instance, Target: unit, Zone: zone, Weight: 1,
 		Reason: "asked for"})
 }
 
@@ -271,5 +271,5 @@
 	c.add(Event{At: time.Now(), Node: Desk, Name: "crosses", Instance: instance, To: zone})
 	ctx, cancel := context.WithTimeout(ctx, waiting)
 	defer cancel()
-	return c.keepers.Device(ctx, instance, zone)
+	return c.keepers.MoveDevice(ctx, instance, zone)
 }
--- a/internal/standin/testcluster/crew.go
+++ b/internal/standin/testcluster/crew.go
@@ -90,7 +90,7 @@
 	dir     string
 	fleet   string
 	began   time.Time
-	desk    *peertransport.Net
+	desk    *peertransport.Network
 	keepers *controllerclient.Client
 	done    sync.WaitGroup // readers of output, and the desk
 	nodes   []*process
