--- a/internal/routing/strain.go
+++ b/internal/routing/strain.go
@@ -133,7 +133,7 @@
 // Report tells the keepers how commands at units ended, until the context ends. What a call that failed would have told
 // is dropped: outcomes speak for the moment.
 func (s *OverloadAgent) Report(ctx context.Context, to interface {
-	Outcomes(ctx context.Context, o controllerclient.OutcomeReport) error
+	ReportOutcomes(ctx context.Context, o controllerclient.OutcomeReport) error
 }) error {
 	ticker := time.NewTicker(reports)
 	defer ticker.Stop()
@@ -156,7 +156,7 @@
 			units = append(units, *all[name])
 		}
 		call, cancel := context.WithTimeout(ctx, reports)
-		if err := to.Outcomes(call, controllerclient.OutcomeReport{Nodes: units, SoftwareVersion: stage.Version, RolloutState: stage.Phase}); err != nil && ctx.Err() == nil {
+		if err := to.ReportOutcomes(call, controllerclient.OutcomeReport{Nodes: units, SoftwareVersion: stage.Version, RolloutState: stage.Phase}); err != nil && ctx.Err() == nil {
 			s.log.Debug().Err(err).Msg("outcomes not told")
 		}
 		cancel()
