--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -35,7 +35,7 @@
 	var phrase []byte
 	if !c.Plain {
 		var err error
-		if phrase, err = keys.PhraseFrom(os.Getenv)(); err != nil {
+		if phrase, err = keys.PassphraseFrom(os.Getenv)(); err != nil {
 			return err
 		}
 		if len(phrase) < 8 {
@@ -152,8 +152,8 @@
 	TimestampLife time.Duration `default:"24h" help:"How long timestamps last."`
 }
 
-func (l lives) life() tufrepo.Life {
-	return tufrepo.Life{Root: l.RootLife, Targets: l.TargetsLife, Snapshot: l.SnapshotLife, Timestamp: l.TimestampLife}
+func (l lives) life() tufrepo.Lifetimes {
+	return tufrepo.Lifetimes{Root: l.RootLife, Targets: l.TargetsLife, Snapshot: l.SnapshotLife, Timestamp: l.TimestampLife}
 }
 
 // open opens a repository with lives, for one step.
@@ -273,7 +273,7 @@
 func (c *tufSignCmd) Run() error {
 	return c.open(c.Repo, func(r *tufrepo.Repo) error {
 		for _, path := range c.Keys {
-			k, err := keys.Load(path, keys.PhraseFrom(os.Getenv))
+			k, err := keys.Load(path, keys.PassphraseFrom(os.Getenv))
 			if err != nil {
 				return err
 			}
@@ -296,7 +296,7 @@
 func (c *tufPublishCmd) Run() error {
 	var online []*keys.Key
 	for _, path := range c.Keys {
-		k, err := keys.Load(path, keys.PhraseFrom(os.Getenv))
+		k, err := keys.Load(path, keys.PassphraseFrom(os.Getenv))
 		if err != nil {
 			return err
 		}
@@ -318,7 +318,7 @@
 // Run shows how the roles stand.
 func (c *tufShowCmd) Run() error {
 	return lives{}.open(c.Repo, func(r *tufrepo.Repo) error {
-		all, err := r.Show()
+		all, err := r.Status()
 		if err != nil {
 			return err
 		}
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -116,12 +116,12 @@
 		}
 		return text, err
 	}
-	now := tufverify.Of(time.Now())
+	now := tufverify.FromTime(time.Now())
 	r, err := tufverify.New("repository", monotonic.NewMemoryStore(1<<16, func(string) {}), now, pinned)
 	if err != nil {
 		return err
 	}
-	if err := r.Walk(now, told); err != nil {
+	if err := r.Refresh(now, told); err != nil {
 		return err
 	}
 	fmt.Printf("root %d, timestamp %d, snapshot %d and targets %d are in order; all of it lasts until %s\n", r.Version("root"),
@@ -187,7 +187,7 @@
 
 // Run signs a report.
 func (c *manifestCmd) Run() error {
-	k, err := keys.Load(c.Key, keys.PhraseFrom(os.Getenv))
+	k, err := keys.Load(c.Key, keys.PassphraseFrom(os.Getenv))
 	if err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	fmt.Printf("time %s\n", f.Passed().Time().Format(time.RFC3339))
+	fmt.Printf("time %s\n", f.TrustedTime().Time().Format(time.RFC3339))
 	for _, e := range f.Entries() {
 		fmt.Printf("%s %d %x\n", e.Key, e.Version, e.Sum[:8])
 	}
@@ -267,7 +267,7 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	was, now := f.Passed(), tufverify.Of(time.Now())
+	was, now := f.TrustedTime(), tufverify.FromTime(time.Now())
 	if was <= now {
 		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", was.Time().Format(time.RFC3339))
 		return nil
--- a/internal/metadataproxy/carrier.go
+++ b/internal/metadataproxy/carrier.go
@@ -42,18 +42,18 @@
 	Bytes                                                 atomic.Int64
 }
 
-// Carrier is the front.
-type Carrier struct {
+// Proxy is the front.
+type Proxy struct {
 	now      func() time.Time
 	log      func(string)
-	repos    map[string]*Repo
+	repos    map[string]*Repository
 	director *director.Director
 	image    string // the repository that the Director's packages are of
 	shards   []*shard
 	most     int // connections
 
 	mu    sync.Mutex
-	doors *metadatarefresh.Doors
+	doors *metadatarefresh.ClientLimiter
 
 	Counts Counts
 }
@@ -61,16 +61,16 @@
 // shard is a part of the fleet whose reports are taken one at a time.
 type shard struct {
 	mu    sync.Mutex
-	fleet *tufverify.Fleet
+	fleet *tufverify.ReportVerifier
 }
 
 const shards = 64 // so that the reports of many servers are made durable together
 
 // New makes a front for repositories. At most so many connections are open, and so many requests wait for
 // mirrors or are being passed a package.
-func New(repos []*Repo, now func() time.Time, log func(string), connections, waiting int) *Carrier {
-	c := &Carrier{now: now, log: log, repos: map[string]*Repo{}, most: connections,
-		doors: metadatarefresh.NewDoors(waiting)}
+func New(repos []*Repository, now func() time.Time, log func(string), connections, waiting int) *Proxy {
+	c := &Proxy{now: now, log: log, repos: map[string]*Repository{}, most: connections,
+		doors: metadatarefresh.NewClientLimiter(waiting)}
 	for _, r := range repos {
 		c.repos[r.name] = r
 		r.counts = &c.Counts
@@ -78,29 +78,29 @@
 	return c
 }
 
-// Direct adds a Director: its packages are those of the image repository, keys are its servers' by name.
-func (c *Carrier) Direct(d *director.Director, image string, floor tufverify.Host, keys map[string]crypto.PublicKey) error {
+// SetDirector adds a Director: its packages are those of the image repository, keys are its servers' by name.
+func (c *Proxy) SetDirector(d *director.Director, image string, floor tufverify.VersionStore, keys map[string]crypto.PublicKey) error {
 	if c.repos[image] == nil {
 		return fmt.Errorf("director: no repository %s", image)
 	}
 	c.director, c.image = d, image
 	for range shards {
-		c.shards = append(c.shards, &shard{fleet: tufverify.NewFleet(floor, keys)})
+		c.shards = append(c.shards, &shard{fleet: tufverify.NewReportVerifier(floor, keys)})
 	}
 	return nil
 }
 
-// Keys replaces the servers' keys.
-func (c *Carrier) Keys(keys map[string]crypto.PublicKey) {
+// SetKeys replaces the servers' keys.
+func (c *Proxy) SetKeys(keys map[string]crypto.PublicKey) {
 	for _, s := range c.shards {
 		s.mu.Lock()
-		s.fleet.Keys(keys)
+		s.fleet.SetKeys(keys)
 		s.mu.Unlock()
 	}
 }
 
-// Agree has the targets of one repository passed on only where another agrees with each of them.
-func (c *Carrier) Agree(director, image string) error {
+// RequireAgreement has the targets of one repository passed on only where another agrees with each of them.
+func (c *Proxy) RequireAgreement(director, image string) error {
 	a, b := c.repos[director], c.repos[image]
 	if a == nil || b == nil || a == b {
 		return fmt.Errorf("agree: %s and %s are not two repositories", director, image)
@@ -110,9 +110,9 @@
 }
 
 // Run serves until the context ends, then lets requests under way end within their own limits.
-func (c *Carrier) Run(ctx context.Context, listener net.Listener, longest time.Duration) error {
-	server := &http.Server{Handler: c, ReadHeaderTimeout: spanOf(metadatarefresh.ClientHead),
-		ReadTimeout: spanOf(metadatarefresh.ClientBody), IdleTimeout: spanOf(metadatarefresh.ClientRest), MaxHeaderBytes: 16 << 10}
+func (c *Proxy) Run(ctx context.Context, listener net.Listener, longest time.Duration) error {
+	server := &http.Server{Handler: c, ReadHeaderTimeout: spanOf(metadatarefresh.ClientHeaderTimeout),
+		ReadTimeout: spanOf(metadatarefresh.ClientBodyTimeout), IdleTimeout: spanOf(metadatarefresh.ClientIdleTimeout), MaxHeaderBytes: 16 << 10}
 	base, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, inner := errgroup.WithContext(base)
@@ -146,7 +146,7 @@
 }
 
 // ServeHTTP is the path of one request.
-func (c *Carrier) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (c *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	c.Counts.Asked.Add(1)
 	path := strings.TrimPrefix(req.URL.EscapedPath(), "/")
 	first, rest, _ := strings.Cut(path, "/")
@@ -159,7 +159,7 @@
 		c.report(w, req, name)
 	case req.Method != http.MethodGet && req.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
-		c.answer(w, nil, metadatarefresh.Answer{Status: 405, Text: "only GET and HEAD here"})
+		c.answer(w, nil, metadatarefresh.Response{Status: 405, Text: "only GET and HEAD here"})
 	case first == "r" && kind == "metadata" && c.repos[name] != nil:
 		c.metadata(w, req, c.repos[name], file)
 	case first == "r" && kind == "targets" && c.repos[name] != nil:
@@ -169,19 +169,19 @@
 	case first == "explain" && c.director != nil && kind == "":
 		c.explain(w, name)
 	default:
-		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such path"})
+		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such path"})
 	}
 }
 
 // answer gives the one final answer of a request that gets no file.
-func (c *Carrier) answer(w http.ResponseWriter, r *Repo, a metadatarefresh.Answer) {
+func (c *Proxy) answer(w http.ResponseWriter, r *Repository, a metadatarefresh.Response) {
 	c.Counts.Refused.Add(1)
 	h := w.Header()
 	for _, name := range []string{"Etag", "Content-Range", "Content-Length", "Accept-Ranges"} {
 		h.Del(name)
 	}
 	h.Set("Cache-Control", "no-store")
-	if a.Later {
+	if a.RetryLater {
 		wait := time.Second
 		if r != nil {
 			wait = r.comeBack()
@@ -193,28 +193,28 @@
 }
 
 // enter lets a request in that may wait, or answers it at once.
-func (c *Carrier) enter(w http.ResponseWriter, req *http.Request, r *Repo) (leave func(), ok bool) {
+func (c *Proxy) enter(w http.ResponseWriter, req *http.Request, r *Repository) (leave func(), ok bool) {
 	client, _, _ := net.SplitHostPort(req.RemoteAddr)
 	c.mu.Lock()
-	ok = c.doors.Enter(client)
+	ok = c.doors.Acquire(client)
 	c.mu.Unlock()
 	if !ok {
 		c.Counts.Crowded.Add(1)
-		c.answer(w, r, metadatarefresh.Answer{Status: 503, Text: "too many wait", Later: true})
+		c.answer(w, r, metadatarefresh.Response{Status: 503, Text: "too many wait", RetryLater: true})
 		return nil, false
 	}
 	return func() {
 		c.mu.Lock()
-		c.doors.Leave(client)
+		c.doors.Release(client)
 		c.mu.Unlock()
 	}, true
 }
 
 // metadata answers for one metadata file of a repository.
-func (c *Carrier) metadata(w http.ResponseWriter, req *http.Request, r *Repo, name string) {
+func (c *Proxy) metadata(w http.ResponseWriter, req *http.Request, r *Repository, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, r, metadatarefresh.Answer{Status: 404, Text: "no such file"})
+		c.answer(w, r, metadatarefresh.Response{Status: 404, Text: "no such file"})
 		return
 	}
 	data, refusal := r.held(f)
@@ -234,14 +234,14 @@
 		}
 	}
 	if data == nil {
-		c.answer(w, r, metadatarefresh.Refused(refusal))
+		c.answer(w, r, metadatarefresh.RefusalResponse(refusal))
 		return
 	}
 	c.file(w, req, data)
 }
 
 // file gives a file that is held, with its validator.
-func (c *Carrier) file(w http.ResponseWriter, req *http.Request, data []byte) {
+func (c *Proxy) file(w http.ResponseWriter, req *http.Request, data []byte) {
 	sum := sha256.Sum256(data)
 	h := w.Header()
 	h.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
@@ -253,15 +253,15 @@
 }
 
 // agreed holds a carried Director's targets against its Image repository.
-func (c *Carrier) agreed(r *Repo) *tufverify.RefusalError {
+func (c *Proxy) agreed(r *Repository) *tufverify.RefusalError {
 	all, refusal := r.assigned()
 	if refusal != nil {
 		return refusal
 	}
 	for _, t := range all {
 		is, refusal := r.agrees.Find(t.Path)
-		if refusal != nil && refusal.Why == tufverify.Unnamed {
-			refusal = &tufverify.RefusalError{Why: tufverify.Disagree, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
+		if refusal != nil && refusal.Reason == tufverify.ReasonUnnamed {
+			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
 			c.log(refusal.Error())
 		}
 		if refusal != nil {
@@ -282,31 +282,31 @@
 }
 
 // directed answers for a metadata file of the Director for one server.
-func (c *Carrier) directed(w http.ResponseWriter, req *http.Request, server, name string) {
+func (c *Proxy) directed(w http.ResponseWriter, req *http.Request, server, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such file"})
+		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such file"})
 		return
 	}
 	data, err := c.director.File(server, f)
 	switch {
-	case errors.Is(err, director.ErrNoServer):
-		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "no such server"})
-	case errors.Is(err, director.ErrNoFile):
-		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
+	case errors.Is(err, director.ErrUnknownServer):
+		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such server"})
+	case errors.Is(err, director.ErrUnknownFile):
+		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
 	case err != nil:
 		c.log(fmt.Sprintf("director: %s: %v", server, err))
-		c.answer(w, c.repos[c.image], metadatarefresh.Answer{Status: 503, Text: "not to be had now", Later: true})
+		c.answer(w, c.repos[c.image], metadatarefresh.Response{Status: 503, Text: "not to be had now", RetryLater: true})
 	default:
 		c.file(w, req, data)
 	}
 }
 
 // report takes a version report. A repeat of it gets the same answer, and nothing is done twice.
-func (c *Carrier) report(w http.ResponseWriter, req *http.Request, server string) {
+func (c *Proxy) report(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
-		c.answer(w, nil, metadatarefresh.Answer{Status: 405, Text: "only POST here"})
+		c.answer(w, nil, metadatarefresh.Response{Status: 405, Text: "only POST here"})
 		return
 	}
 	leave, ok := c.enter(w, req, nil)
@@ -314,18 +314,18 @@
 		return
 	}
 	defer leave()
-	data, err := io.ReadAll(io.LimitReader(req.Body, tufverify.MostReport+1))
+	data, err := io.ReadAll(io.LimitReader(req.Body, tufverify.MaxReportSize+1))
 	if err != nil {
-		c.answer(w, nil, metadatarefresh.Answer{Status: 400, Text: "the report did not come whole"})
+		c.answer(w, nil, metadatarefresh.Response{Status: 400, Text: "the report did not come whole"})
 		return
 	}
 	h := fnv.New32a()
 	h.Write([]byte(server))
 	s := c.shards[h.Sum32()%shards]
 	s.mu.Lock()
-	r, refusal := s.fleet.Take(server, data)
+	r, refusal := s.fleet.VerifyReport(server, data)
 	s.mu.Unlock()
-	a := metadatarefresh.Reported(refusal)
+	a := metadatarefresh.ReportResponse(refusal)
 	if a.Status != 200 {
 		c.log(refusal.Error())
 		c.answer(w, nil, a)
@@ -333,7 +333,7 @@
 	}
 	if r != nil {
 		c.Counts.Reports.Add(1)
-		if err := c.director.Reported(r); err != nil {
+		if err := c.director.OnReport(r); err != nil {
 			c.log(fmt.Sprintf("report of %s: %v", server, err))
 		}
 	}
@@ -341,10 +341,10 @@
 	_, _ = fmt.Fprintln(w, a.Text)
 }
 
-func (c *Carrier) explain(w http.ResponseWriter, server string) {
+func (c *Proxy) explain(w http.ResponseWriter, server string) {
 	lines, err := c.director.Explain(server)
 	if err != nil {
-		c.answer(w, nil, metadatarefresh.Answer{Status: 404, Text: err.Error()})
+		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: err.Error()})
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -361,9 +361,9 @@
 }
 
 // Status gives the counters.
-func (c *Carrier) Status() Status {
+func (c *Proxy) Status() Status {
 	c.mu.Lock()
-	in := c.doors.In()
+	in := c.doors.InUse()
 	c.mu.Unlock()
 	n := &c.Counts
 	s := Status{Asked: n.Asked.Load(), Held: n.Held.Load(), Given: n.Given.Load(), Refused: n.Refused.Load(),
@@ -378,7 +378,7 @@
 	return s
 }
 
-func (c *Carrier) status(w http.ResponseWriter) {
+func (c *Proxy) status(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
@@ -413,7 +413,7 @@
 }
 
 // target answers for a package.
-func (c *Carrier) target(w http.ResponseWriter, req *http.Request, r *Repo, path string) {
+func (c *Proxy) target(w http.ResponseWriter, req *http.Request, r *Repository, path string) {
 	leave, ok := c.enter(w, req, r)
 	if !ok {
 		return
@@ -421,7 +421,7 @@
 	defer leave()
 	t, refusal := r.Stored(path)
 	if refusal != nil {
-		c.answer(w, r, metadatarefresh.Refused(refusal))
+		c.answer(w, r, metadatarefresh.RefusalResponse(refusal))
 		return
 	}
 	h, tag := w.Header(), fmt.Sprintf(`"%x"`, t.Sum)
@@ -450,7 +450,7 @@
 	}
 	start := int64(0)
 	if !whole {
-		if start, ok = body.From(from); !ok { // only the whole can be verified: give it
+		if start, ok = body.StartAt(from); !ok { // only the whole can be verified: give it
 			start, from, to, whole = 0, 0, t.Length-1, true
 		}
 	}
@@ -468,7 +468,7 @@
 	case err == nil:
 		c.Counts.Given.Add(1)
 	case !out.begun:
-		c.answer(w, r, metadatarefresh.Answer{Status: 503, Text: "no mirror has it now", Later: true})
+		c.answer(w, r, metadatarefresh.Response{Status: 503, Text: "no mirror has it now", RetryLater: true})
 	default: // the client can tell, as fewer bytes come than it was told
 		c.Counts.Spoilt.Add(1)
 		panic(http.ErrAbortHandler)
@@ -510,7 +510,7 @@
 		return nil
 	}
 	c.begin()
-	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(metadatarefresh.ClientPatience)))
+	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(metadatarefresh.ClientWriteTimeout)))
 	n, err := c.w.Write(p[first:last])
 	c.counts.Bytes.Add(int64(n))
 	if err != nil {
--- a/internal/metadataproxy/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -32,11 +32,11 @@
 	opRoot, opTimestamp, opSnapshot, opTargets, opPackage = "root", "timestamp", "snapshot", "targets", "package"
 )
 
-// OpTypes are the names that the settings of a mirrors' gate must have.
-var OpTypes = []string{opRoot, opTimestamp, opSnapshot, opTargets, opPackage}
+// RequestClasses are the names that the settings of a mirrors' gate must have.
+var RequestClasses = []string{opRoot, opTimestamp, opSnapshot, opTargets, opPackage}
 
-// Repo is one repository that is carried.
-type Repo struct {
+// Repository is one repository that is carried.
+type Repository struct {
 	name     string
 	now      func() time.Time
 	log      func(string)
@@ -44,14 +44,14 @@
 	connect  time.Duration
 	every    time.Duration
 	gate     *dispatch.Dispatcher
-	agrees   *Repo
+	agrees   *Repository
 	counts   *Counts
 	once     singleflight.Group
 
 	mu      sync.Mutex // guards what follows
 	trust   *tufverify.Repository
 	refresh *metadatarefresh.Refresh
-	survey  *metadatarefresh.Survey
+	survey  *metadatarefresh.MirrorSurvey
 	kept    []string
 
 	doorMu  sync.Mutex
@@ -60,29 +60,29 @@
 	Sent atomic.Int64
 }
 
-// Mirrors is how the mirrors of a repository are spoken with.
-type Mirrors struct {
-	Seed     uint64
-	Settings settings.Site // of the gate
-	Every    time.Duration // a timestamp is taken for current for so long
-	Alone    time.Duration // and for so long while no mirror can be asked
-	Survey   bool          // ask a majority of the mirrors after the start
-	Hosts    []dispatch.Endpoint
+// MirrorConfig is how the mirrors of a repository are spoken with.
+type MirrorConfig struct {
+	Seed           uint64
+	Settings       settings.Site // of the gate
+	FreshFor       time.Duration // a timestamp is taken for current for so long
+	UnconfirmedFor time.Duration // and for so long while no mirror can be asked
+	Survey         bool          // ask a majority of the mirrors after the start
+	Endpoints      []dispatch.Endpoint
 }
 
-// NewRepo makes a repository from its pinned root.
-func NewRepo(name string, pinned []byte, floor tufverify.Host, m Mirrors, now func() time.Time, log func(string)) (*Repo, error) {
-	believed, err := tufverify.New(name, floor, tufverify.Of(now()), pinned)
+// NewRepository makes a repository from its pinned root.
+func NewRepository(name string, pinned []byte, floor tufverify.VersionStore, m MirrorConfig, now func() time.Time, log func(string)) (*Repository, error) {
+	believed, err := tufverify.New(name, floor, tufverify.FromTime(now()), pinned)
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: pinned root: %w", name, err)
 	}
-	r := &Repo{name: name, now: now, log: log, timeouts: map[string]time.Duration{}, trust: believed,
-		every: m.Every, refresh: metadatarefresh.NewRefresh(ticks(m.Every), ticks(m.Alone), m.Seed),
-		survey: metadatarefresh.NewSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
+	r := &Repository{name: name, now: now, log: log, timeouts: map[string]time.Duration{}, trust: believed,
+		every: m.FreshFor, refresh: metadatarefresh.NewRefresh(ticks(m.FreshFor), ticks(m.UnconfirmedFor), m.Seed),
+		survey: metadatarefresh.NewMirrorSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
 	for _, class := range m.Settings.Balancer.Classes {
 		r.timeouts[class.Name] = class.Deadline.Duration()
 	}
-	for _, op := range OpTypes {
+	for _, op := range RequestClasses {
 		if r.timeouts[op] <= 0 {
 			return nil, fmt.Errorf("repository %s: no op type %s", name, op)
 		}
@@ -91,12 +91,12 @@
 	r.gate = dispatch.New(m.Seed, m.Settings, dispatch.Callbacks{Vote: func(dispatch.Vote) {}, WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
 		Probe: func(dispatch.Backend) {}, CloseIdle: r.closeIdle,
 		Log: func(message string, fields ...slog.Attr) { log(name + ": " + balancer.LogLine(message, fields...)) }})
-	r.List(m.Hosts)
+	r.UpdateMirrors(m.Endpoints)
 	return r, nil
 }
 
-// List takes the whole list of mirrors.
-func (r *Repo) List(hosts []dispatch.Endpoint) {
+// UpdateMirrors takes the whole list of mirrors.
+func (r *Repository) UpdateMirrors(hosts []dispatch.Endpoint) {
 	r.gate.UpdateEndpoints(true, hosts)
 	here := map[string]bool{}
 	for _, h := range hosts {
@@ -112,10 +112,10 @@
 	}
 }
 
-// Gate is the mirrors' gate, for a watch of their list.
-func (r *Repo) Gate() *dispatch.Dispatcher { return r.gate }
+// Dispatcher is the mirrors' gate, for a watch of their list.
+func (r *Repository) Dispatcher() *dispatch.Dispatcher { return r.gate }
 
-func (r *Repo) closeIdle(name string) {
+func (r *Repository) closeIdle(name string) {
 	r.doorMu.Lock()
 	defer r.doorMu.Unlock()
 	if t := r.mirrors[name]; t != nil {
@@ -124,13 +124,13 @@
 }
 
 // transport is the connections to one mirror.
-func (r *Repo) transport(u dispatch.Backend) *http.Transport {
+func (r *Repository) transport(u dispatch.Backend) *http.Transport {
 	r.doorMu.Lock()
 	defer r.doorMu.Unlock()
 	t := r.mirrors[u.Name]
 	if t == nil {
-		t = &http.Transport{DialContext: (&net.Dialer{Timeout: r.connect}).DialContext, MaxIdleConnsPerHost: metadatarefresh.MirrorIdle,
-			MaxIdleConns: metadatarefresh.MirrorIdle, IdleConnTimeout: spanOf(metadatarefresh.MirrorRest), DisableCompression: true,
+		t = &http.Transport{DialContext: (&net.Dialer{Timeout: r.connect}).DialContext, MaxIdleConnsPerHost: metadatarefresh.MaxIdleMirrorConns,
+			MaxIdleConns: metadatarefresh.MaxIdleMirrorConns, IdleConnTimeout: spanOf(metadatarefresh.MirrorIdleTimeout), DisableCompression: true,
 			MaxResponseHeaderBytes: 16 << 10}
 		r.mirrors[u.Name] = t
 	}
@@ -139,16 +139,16 @@
 
 func ticks(d time.Duration) tufverify.Tick { return tufverify.Tick(d / (100 * time.Microsecond)) }
 
-func (r *Repo) tick() tufverify.Tick { return tufverify.Of(r.now()) }
+func (r *Repository) tick() tufverify.Tick { return tufverify.FromTime(r.now()) }
 
-func (r *Repo) comeBack() time.Duration {
+func (r *Repository) comeBack() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return spanOf(r.refresh.ComeBack(r.tick()))
+	return spanOf(r.refresh.RetryAfter(r.tick()))
 }
 
 // run owns the gate's alarms, the time that passes, the survey, and the mirrors' connections.
-func (r *Repo) run(ctx context.Context) error {
+func (r *Repository) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error {
@@ -160,7 +160,7 @@
 				return nil
 			case <-beat.C:
 				r.mu.Lock()
-				r.trust.Beat(r.tick())
+				r.trust.AdvanceTime(r.tick())
 				r.mu.Unlock()
 			}
 		}
@@ -176,14 +176,14 @@
 	return err
 }
 
-// Keep has targets looked up again and again, so that Known can tell of them without asking anyone.
-func (r *Repo) Keep(paths []string) {
+// KeepLookedUp has targets looked up again and again, so that Known can tell of them without asking anyone.
+func (r *Repository) KeepLookedUp(paths []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = paths
 }
 
-func (r *Repo) keepWarm(ctx context.Context) error {
+func (r *Repository) keepWarm(ctx context.Context) error {
 	beat := time.NewTicker(max(r.every/2, 50*time.Millisecond))
 	defer beat.Stop()
 	for {
@@ -202,18 +202,18 @@
 }
 
 // Known looks a target up in what is held and has not expired.
-func (r *Repo) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
+func (r *Repository) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, need, refusal := r.trust.Find(r.tick(), path)
 	if need != "" {
-		refusal = &tufverify.RefusalError{Why: tufverify.Missing, Repository: r.name, Role: need, Text: "not held"}
+		refusal = &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: r.name, Role: need, Text: "not held"}
 	}
 	return t, refusal
 }
 
 // surveyAll asks every mirror for its timestamp until enough have shown one.
-func (r *Repo) surveyAll(ctx context.Context) error {
+func (r *Repository) surveyAll(ctx context.Context) error {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
 	for {
@@ -239,13 +239,13 @@
 			group.Go(func() error {
 				limited, cancel := context.WithTimeout(ctx, r.timeouts[opTimestamp])
 				defer cancel()
-				s := r.get(limited, u, "metadata/timestamp.json", 0, tufverify.MostTimestamp)
+				s := r.get(limited, u, "metadata/timestamp.json", 0, tufverify.MaxTimestampSize)
 				if s.status != 200 || s.end.Closed() {
 					return nil
 				}
 				refusal := r.timestamp(limited, u, s.data)
 				r.mu.Lock()
-				r.survey.Shown(u.Name, refusal, names)
+				r.survey.OnTimestamp(u.Name, refusal, names)
 				r.mu.Unlock()
 				return nil
 			})
@@ -253,7 +253,7 @@
 		_ = group.Wait()
 		r.mu.Lock()
 		done = r.survey.Done
-		next := r.refresh.ComeBack(r.tick())
+		next := r.refresh.RetryAfter(r.tick())
 		r.mu.Unlock()
 		if done {
 			r.log(fmt.Sprintf("%s: a majority of %d mirrors has shown its timestamp", r.name, len(ready)))
@@ -264,7 +264,7 @@
 }
 
 // held gives a file if it may be passed on without asking anyone.
-func (r *Repo) held(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+func (r *Repository) held(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.current(f)
@@ -272,7 +272,7 @@
 
 // current is held with the lock taken. A timestamp, and the word on which root is the newest, count only as
 // long as mirrors were asked lately.
-func (r *Repo) current(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+func (r *Repository) current(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, says := r.trust.Current(now, f)
 	refusal := metadatarefresh.Confirmed(now, f, says, r.survey, r.refresh, r.name)
@@ -283,10 +283,10 @@
 }
 
 // have gives a file if it may be passed on, after asking the mirrors for what is lacking.
-func (r *Repo) have(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+func (r *Repository) have(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.bringUp(f.Role == "timestamp" || f.Role == "root")
 	data, refusal := r.held(f)
-	if refusal != nil && refusal.Why == tufverify.Missing && f.Kind() == "targets" && f.Role != "targets" {
+	if refusal != nil && refusal.Reason == tufverify.ReasonMissing && f.Kind() == "targets" && f.Role != "targets" {
 		if refusal := r.role(f.Role); refusal != nil {
 			return nil, refusal
 		}
@@ -296,10 +296,10 @@
 }
 
 // bringUp asks the mirrors for a whole current set, if it is due; all who need it wait for one.
-func (r *Repo) bringUp(fresh bool) {
+func (r *Repository) bringUp(fresh bool) {
 	r.mu.Lock()
 	now := r.tick()
-	_, _, lacking := r.trust.Wanted(now)
+	_, _, lacking := r.trust.NextFile(now)
 	due := (lacking || fresh) && r.refresh.Due(now, lacking)
 	r.mu.Unlock()
 	if !due {
@@ -308,7 +308,7 @@
 	_, _, _ = r.once.Do("set", func() (any, error) {
 		r.mu.Lock()
 		now := r.tick()
-		_, _, lacking := r.trust.Wanted(now)
+		_, _, lacking := r.trust.NextFile(now)
 		due := r.refresh.Due(now, lacking)
 		r.mu.Unlock()
 		if !due { // another has just done it
@@ -318,27 +318,27 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if err != nil {
-			r.refresh.Failed(r.tick())
+			r.refresh.OnFailed(r.tick())
 			r.log(fmt.Sprintf("%s: nothing current: %v", r.name, err))
 		} else {
-			r.refresh.Had(r.tick())
+			r.refresh.OnRefreshed(r.tick())
 		}
 		return nil, nil
 	})
 }
 
 // set asks for the next root, a timestamp, and what it names.
-func (r *Repo) set() error {
-	for range metadatarefresh.MostRootsAtOnce {
+func (r *Repository) set() error {
+	for range metadatarefresh.MaxRootsPerRequest {
 		r.mu.Lock()
-		f := tufverify.File{Role: "root", Version: r.trust.Next()}
+		f := tufverify.File{Role: "root", Version: r.trust.NextRootVersion()}
 		r.mu.Unlock()
 		none := false
-		err := r.ask(opRoot, f, tufverify.MostRoot, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.RefusalError {
+		err := r.ask(opRoot, f, tufverify.MaxRootSize, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.RefusalError {
 			if none = status == http.StatusNotFound; none {
 				return nil
 			}
-			return r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Root(now, data) })
+			return r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.UpdateRoot(now, data) })
 		})
 		if err != nil {
 			return err
@@ -348,12 +348,12 @@
 		}
 	}
 	stamped := false
-	for range metadatarefresh.MostRounds { // new keys may make it begin again
+	for range metadatarefresh.MaxRounds { // new keys may make it begin again
 		r.mu.Lock()
-		f, most, ok := r.trust.Wanted(r.tick())
+		f, most, ok := r.trust.NextFile(r.tick())
 		r.mu.Unlock()
 		if !stamped {
-			f, most, ok = tufverify.File{Role: "timestamp"}, tufverify.MostTimestamp, true
+			f, most, ok = tufverify.File{Role: "timestamp"}, tufverify.MaxTimestampSize, true
 		}
 		switch {
 		case !ok:
@@ -363,7 +363,7 @@
 		}
 		stamped = true
 		err := r.ask(f.Role, f, most, func(ctx context.Context, u dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
-			return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Take(now, f, data) })
+			return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Update(now, f, data) })
 		})
 		if err != nil {
 			return err
@@ -373,53 +373,53 @@
 }
 
 // timestamp takes a timestamp of a mirror.
-func (r *Repo) timestamp(ctx context.Context, u dispatch.Backend, data []byte) *tufverify.RefusalError {
-	return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Timestamp(now, data) })
+func (r *Repository) timestamp(ctx context.Context, u dispatch.Backend, data []byte) *tufverify.RefusalError {
+	return r.believe(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.UpdateTimestamp(now, data) })
 }
 
 // believe hands what a mirror gave to trust. What is signed by unknown keys may hang on a newer root, which
 // the same mirror is asked for. A root that came so may make what is held void: the mirror is not to blame then.
-func (r *Repo) believe(ctx context.Context, u dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+func (r *Repository) believe(ctx context.Context, u dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	refusal := r.take(take)
 	chased := false
-	for n := 0; n < metadatarefresh.MostRootsAtOnce && metadatarefresh.Chase(refusal, chased); n++ {
+	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.FetchNewerRoots(refusal, chased); n++ {
 		r.mu.Lock()
-		f := tufverify.File{Role: "root", Version: r.trust.Next()}
+		f := tufverify.File{Role: "root", Version: r.trust.NextRootVersion()}
 		r.mu.Unlock()
-		s := r.get(ctx, u, "metadata/"+f.String(), 0, tufverify.MostRoot)
+		s := r.get(ctx, u, "metadata/"+f.String(), 0, tufverify.MaxRootSize)
 		if s.status != 200 || s.end.Closed() ||
-			r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Root(now, s.data) }) != nil {
+			r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.UpdateRoot(now, s.data) }) != nil {
 			break
 		}
 		chased = true
 		refusal = r.take(take)
 	}
-	if metadatarefresh.Blameless(refusal, chased) {
+	if metadatarefresh.MirrorBlameless(refusal, chased) {
 		return nil
 	}
 	return refusal
 }
 
 // take hands something to trust; what is held already is as good as new.
-func (r *Repo) take(what func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+func (r *Repository) take(what func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	refusal := what(r.tick())
-	if refusal != nil && refusal.Why == tufverify.Same {
+	if refusal != nil && refusal.Reason == tufverify.ReasonAlreadyHeld {
 		return nil
 	}
 	return refusal
 }
 
 // role asks for the targets of a delegated role, and for those of roles that may delegate to it.
-func (r *Repo) role(role string) *tufverify.RefusalError {
+func (r *Repository) role(role string) *tufverify.RefusalError {
 	v, _, _ := r.once.Do("role "+role, func() (any, error) {
 		refusal := r.one(role)
-		if refusal == nil || refusal.Why != tufverify.Missing {
+		if refusal == nil || refusal.Reason != tufverify.ReasonMissing {
 			return refusal, nil
 		}
 		r.mu.Lock()
-		others := r.trust.Unheld()
+		others := r.trust.MissingRoles()
 		r.mu.Unlock()
 		for _, other := range others {
 			if other != role {
@@ -432,28 +432,28 @@
 	return refusal
 }
 
-func (r *Repo) one(role string) *tufverify.RefusalError {
+func (r *Repository) one(role string) *tufverify.RefusalError {
 	r.mu.Lock()
-	f, most, refusal := r.trust.Role(r.tick(), role)
+	f, most, refusal := r.trust.TargetsFile(r.tick(), role)
 	r.mu.Unlock()
 	if refusal != nil {
 		return refusal
 	}
 	err := r.ask(opTargets, f, most, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
-		refusal = r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.Targets(now, role, data) })
-		if refusal != nil && refusal.Why == tufverify.Missing {
+		refusal = r.take(func(now tufverify.Tick) *tufverify.RefusalError { return r.trust.UpdateTargets(now, role, data) })
+		if refusal != nil && refusal.Reason == tufverify.ReasonMissing {
 			return nil // the mirror is not to blame
 		}
 		return refusal
 	})
 	if err != nil && refusal == nil {
-		refusal = &tufverify.RefusalError{Why: tufverify.Missing, Repository: r.name, Role: role, Text: err.Error()}
+		refusal = &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: r.name, Role: role, Text: err.Error()}
 	}
 	return refusal
 }
 
 // Find looks up a target, asking for what is lacking.
-func (r *Repo) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
+func (r *Repository) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.bringUp(true)
 	for {
 		r.mu.Lock()
@@ -474,30 +474,30 @@
 }
 
 // Stored looks up a target by the name that clients of consistent snapshots ask for.
-func (r *Repo) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
+func (r *Repository) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
-	path, sum, hashed := r.trust.Plain(name)
+	path, sum, hashed := r.trust.ParseStoredPath(name)
 	r.mu.Unlock()
 	t, refusal := r.Find(path)
 	if refusal == nil && hashed && t.Sum != sum {
-		return nil, &tufverify.RefusalError{Why: tufverify.Older, Repository: r.name, Role: path, Text: "other bytes count now"}
+		return nil, &tufverify.RefusalError{Reason: tufverify.ReasonOlderVersion, Repository: r.name, Role: path, Text: "other bytes count now"}
 	}
 	return t, refusal
 }
 
-func (r *Repo) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
+func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Assigned(r.tick())
 }
 
-func (r *Repo) compare(told, is *tufverify.Target, kind string) *tufverify.RefusalError {
+func (r *Repository) compare(told, is *tufverify.Target, kind string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Compare(told, is, kind)
 }
 
-func (r *Repo) open(t *tufverify.Target) *tufverify.Body {
+func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.trust.Open(t)
@@ -518,7 +518,7 @@
 
 // command makes one command: work is done at the mirrors that the gate chooses until one is believed, or until the
 // gate, or the client, gives up.
-func (r *Repo) command(ctx context.Context, op string, work func(d *dispatch.Attempt) attempt) error {
+func (r *Repository) command(ctx context.Context, op string, work func(d *dispatch.Attempt) attempt) error {
 	var last error = errNone
 	cmd, _ := r.gate.Accept(dispatch.Request{Class: op, ReceivedAt: time.Now(), Timeout: r.timeouts[op]})
 	defer context.AfterFunc(ctx, func() { r.gate.Abandon(cmd) })()
@@ -528,7 +528,7 @@
 			return last
 		}
 		d := step.Attempt
-		if metadatarefresh.TooLate(ticks(time.Since(d.ChosenAt())), 0) { // as if it had never been chosen
+		if metadatarefresh.AttemptTooLate(ticks(time.Since(d.ChosenAt())), 0) { // as if it had never been chosen
 			r.gate.ReportMirror(d, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
 		}
@@ -548,7 +548,7 @@
 }
 
 // ask makes one command of a file.
-func (r *Repo) ask(op string, f tufverify.File, most int,
+func (r *Repository) ask(op string, f tufverify.File, most int,
 	take func(ctx context.Context, u dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.command(context.Background(), op, func(d *dispatch.Attempt) attempt {
 		s := r.get(d.Context, d.Backend, "metadata/"+f.String(), 0, most)
@@ -573,7 +573,7 @@
 }
 
 // get asks a mirror for a whole file.
-func (r *Repo) get(ctx context.Context, u dispatch.Backend, path string, from int64, most int) (s got) {
+func (r *Repository) get(ctx context.Context, u dispatch.Backend, path string, from int64, most int) (s got) {
 	s.status, s.end = r.exchange(ctx, u, path, from, func(status int, length int64, body io.Reader) transport.CloseStatus {
 		if status != 200 {
 			return transport.CloseStatus{}
@@ -595,7 +595,7 @@
 }
 
 // exchange makes one request at a mirror and has its body read, as long as that comes fast enough.
-func (r *Repo) exchange(ctx context.Context, u dispatch.Backend, path string, from int64,
+func (r *Repository) exchange(ctx context.Context, u dispatch.Backend, path string, from int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, end transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -614,9 +614,9 @@
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
 	}
 	r.Sent.Add(1)
-	p := &paced{cancel: cancel, tick: func() tufverify.Tick { return tufverify.Of(time.Now()) }}
+	p := &paced{cancel: cancel, tick: func() tufverify.Tick { return tufverify.FromTime(time.Now()) }}
 	p.pace.Begin(p.tick())
-	p.timer = time.AfterFunc(spanOf(p.pace.Until()-p.tick()), p.stop)
+	p.timer = time.AfterFunc(spanOf(p.pace.NextCheck()-p.tick()), p.stop)
 	defer p.timer.Stop()
 	resp, err := r.transport(u).RoundTrip(req)
 	if err != nil && p.slow.Load() {
@@ -646,18 +646,18 @@
 func (p *paced) Read(b []byte) (int, error) {
 	n, err := p.Reader.Read(b)
 	now := p.tick()
-	if p.pace.Came(now, int64(n)) && err == nil {
+	if p.pace.OnBytes(now, int64(n)) && err == nil {
 		p.stop()
 	}
-	p.timer.Reset(spanOf(p.pace.Until() - now))
+	p.timer.Reset(spanOf(p.pace.NextCheck() - now))
 	return n, err
 }
 
 // held leaves out what the client, not the mirror, has held things up.
 func (p *paced) held(since tufverify.Tick) {
 	now := p.tick()
-	p.pace.Held(now - since)
-	p.timer.Reset(spanOf(p.pace.Until() - now))
+	p.pace.OnClientStall(now - since)
+	p.timer.Reset(spanOf(p.pace.NextCheck() - now))
 }
 
 func (p *paced) stop() {
@@ -688,14 +688,14 @@
 
 // bring passes a package on from mirrors: one that breaks off, is too slow or wrong is followed by another,
 // from the byte on that is wanted next.
-func (r *Repo) bring(ctx context.Context, t *tufverify.Target, body *tufverify.Body, out *client) error {
+func (r *Repository) bring(ctx context.Context, t *tufverify.Target, body *tufverify.TargetReader, out *client) error {
 	r.mu.Lock()
-	stored := r.trust.Stored(t)
+	stored := r.trust.StoredName(t)
 	r.mu.Unlock()
 	return r.command(ctx, opPackage, func(d *dispatch.Attempt) (a attempt) {
 		r.gate.StreamStarted(d)
 		body.Resume()
-		from := body.Next()
+		from := body.NextOffset()
 		a.status, a.end = r.exchange(d.Context, d.Backend, "targets/"+stored, from, func(status int, _ int64, in io.Reader) transport.CloseStatus {
 			if status == http.StatusOK && from > 0 { // it gives the whole: leave out what was had
 				if _, err := io.CopyN(io.Discard, in, from); err != nil {
@@ -722,18 +722,18 @@
 		default:
 			a.fault = fmt.Errorf("%s: status %d", t.Path, a.status)
 		}
-		a.over = body.Spoilt()
+		a.over = body.Corrupt()
 		return a
 	})
 }
 
 // copy verifies what comes and passes it on.
-func (r *Repo) copy(ctx context.Context, in *paced, body *tufverify.Body, out *client) (transport.CloseStatus, error) {
+func (r *Repository) copy(ctx context.Context, in *paced, body *tufverify.TargetReader, out *client) (transport.CloseStatus, error) {
 	buf := make([]byte, 32<<10)
-	for body.Want() > 0 && !out.done() {
+	for body.Remaining() > 0 && !out.done() {
 		n, err := in.Read(buf)
 		if n > 0 {
-			if refused := body.Add(buf[:n], func(p []byte) error {
+			if refused := body.Write(buf[:n], func(p []byte) error {
 				since := in.tick()
 				err := out.pass(p)
 				in.held(since)
@@ -763,7 +763,7 @@
 	Deliveries                         int64
 }
 
-func (r *Repo) status() RepoStatus {
+func (r *Repository) status() RepoStatus {
 	ready := len(r.gate.ReadyBackends())
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -772,7 +772,7 @@
 		Surveyed: r.survey.Done, Refused: map[string]int64{}, Mirrors: ready, Deliveries: r.Sent.Load()}
 	for why, n := range r.trust.Refused {
 		if n > 0 {
-			s.Refused[tufverify.Why(why).String()] = n
+			s.Refused[tufverify.Reason(why).String()] = n
 		}
 	}
 	return s
--- a/internal/metadatarefresh/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -50,12 +50,12 @@
 	return (lacking || now >= r.last+r.every) && now >= r.next
 }
 
-// Had takes that the mirrors showed a current timestamp.
-func (r *Refresh) Had(now Tick) { r.last, r.next, r.wait = now, 0, 0 }
+// OnRefreshed takes that the mirrors showed a current timestamp.
+func (r *Refresh) OnRefreshed(now Tick) { r.last, r.next, r.wait = now, 0, 0 }
 
-// Failed takes that they did not. They are asked again after a while that doubles, drawn by a half, so that
+// OnFailed takes that they did not. They are asked again after a while that doubles, drawn by a half, so that
 // a dead repository is not asked by each client, nor by all relays at once.
-func (r *Refresh) Failed(now Tick) {
+func (r *Refresh) OnFailed(now Tick) {
 	r.wait = min(mostBack, max(firstBack, 2*r.wait))
 	r.next = now + r.wait/2 + Tick(r.rand.Int64N(int64(r.wait/2)+1))
 }
@@ -70,65 +70,65 @@
 	return now >= r.last+r.every
 }
 
-// ComeBack is how long a client is to wait that got nothing: until the mirrors are asked again, and a drawn
+// RetryAfter is how long a client is to wait that got nothing: until the mirrors are asked again, and a drawn
 // while more, so that those who wait do not come at once.
-func (r *Refresh) ComeBack(now Tick) Tick {
+func (r *Refresh) RetryAfter(now Tick) Tick {
 	least := max(firstBack, r.next-now)
 	return least + Tick(r.rand.Int64N(int64(least)*(spreadShare-1)+1))
 }
 
-// Answer is what a client is told in place of a file.
-type Answer struct {
-	Status int
-	Text   string
-	Later  bool // with a time to come back
+// Response is what a client is told in place of a file.
+type Response struct {
+	Status     int
+	Text       string
+	RetryLater bool // with a time to come back
 }
 
-// Refused decides what a refusal means for the client. Never an old answer: what is not current now is
+// RefusalResponse decides what a refusal means for the client. Never an old answer: what is not current now is
 // answered 503 with a time to come back, what will never be is 404, what came too late 404 with the word
 // that the exchange is to be begun again.
-func Refused(r *tufverify.RefusalError) Answer {
-	switch r.Why {
-	case tufverify.Older:
-		return Answer{404, "superseded: begin again with timestamp.json", false}
-	case tufverify.Unnamed:
-		return Answer{404, "no such file", false}
-	case tufverify.Missing:
+func RefusalResponse(r *tufverify.RefusalError) Response {
+	switch r.Reason {
+	case tufverify.ReasonOlderVersion:
+		return Response{404, "superseded: begin again with timestamp.json", false}
+	case tufverify.ReasonUnnamed:
+		return Response{404, "no such file", false}
+	case tufverify.ReasonMissing:
 		if r.Role == "root" { // how clients learn that they have the newest (specification 5.3.3)
-			return Answer{404, "no such root", false}
+			return Response{404, "no such root", false}
 		}
-		return Answer{503, "not to be had now", true}
-	case tufverify.Disagree, tufverify.Elsewhere:
-		return Answer{503, "the repositories do not agree", true}
-	case tufverify.Expired:
-		return Answer{503, "expired", true}
-	case tufverify.Unkept:
-		return Answer{503, "what must be kept cannot be written", true}
+		return Response{503, "not to be had now", true}
+	case tufverify.ReasonDisagreement, tufverify.ReasonOtherServer:
+		return Response{503, "the repositories do not agree", true}
+	case tufverify.ReasonExpired:
+		return Response{503, "expired", true}
+	case tufverify.ReasonNotDurable:
+		return Response{503, "what must be kept cannot be written", true}
 	}
-	return Answer{503, "nothing current", true}
+	return Response{503, "nothing current", true}
 }
 
-// Reported decides what a server is told that sent a report.
-func Reported(r *tufverify.RefusalError) Answer {
-	if r == nil || r.Why == tufverify.Same {
-		return Answer{200, "taken", false} // a repeat gets the same answer, and does nothing
+// ReportResponse decides what a server is told that sent a report.
+func ReportResponse(r *tufverify.RefusalError) Response {
+	if r == nil || r.Reason == tufverify.ReasonAlreadyHeld {
+		return Response{200, "taken", false} // a repeat gets the same answer, and does nothing
 	}
-	switch r.Why {
-	case tufverify.Overlong:
-		return Answer{413, r.Why.String(), false}
-	case tufverify.Malformed:
-		return Answer{400, r.Why.String(), false}
-	case tufverify.Foreign, tufverify.WronglySigned, tufverify.Elsewhere:
-		return Answer{403, r.Why.String(), false}
-	case tufverify.Older, tufverify.Conflict:
-		return Answer{409, r.Why.String(), false}
+	switch r.Reason {
+	case tufverify.ReasonTooLarge:
+		return Response{413, r.Reason.String(), false}
+	case tufverify.ReasonMalformed:
+		return Response{400, r.Reason.String(), false}
+	case tufverify.ReasonUnknownKey, tufverify.ReasonBadSignature, tufverify.ReasonOtherServer:
+		return Response{403, r.Reason.String(), false}
+	case tufverify.ReasonOlderVersion, tufverify.ReasonConflict:
+		return Response{409, r.Reason.String(), false}
 	}
-	return Answer{503, r.Why.String(), true}
+	return Response{503, r.Reason.String(), true}
 }
 
-// TooLate tells whether a delivery that was chosen at a moment is no longer to be sent. It guards against
+// AttemptTooLate tells whether a delivery that was chosen at a moment is no longer to be sent. It guards against
 // a process that stood still between the choice and the sending, while its mirror began to drain.
-func TooLate(now, chosen Tick) bool { return now >= chosen+staleSend }
+func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+staleSend }
 
 // Transfer decides whether the body of an answer still comes fast enough. It guards against mirrors that
 // send endlessly or a byte now and then; it hurts where a link is honestly slower than its least rate.
@@ -141,8 +141,8 @@
 // Begin takes that a delivery was sent.
 func (t *Transfer) Begin(now Tick) { *t = Transfer{from: now} }
 
-// Came takes bytes. tooSlow: another mirror is to be asked.
-func (t *Transfer) Came(now Tick, n int64) (tooSlow bool) {
+// OnBytes takes bytes. tooSlow: another mirror is to be asked.
+func (t *Transfer) OnBytes(now Tick, n int64) (tooSlow bool) {
 	t.any = true
 	t.came += n
 	if now < t.from+slowSpan {
@@ -153,35 +153,35 @@
 	return tooSlow
 }
 
-// Held takes that the client, not the mirror, has held things up for a while.
-func (t *Transfer) Held(span Tick) { t.from += span }
+// OnClientStall takes that the client, not the mirror, has held things up for a while.
+func (t *Transfer) OnClientStall(span Tick) { t.from += span }
 
-// Until is when to look again should nothing come.
-func (t *Transfer) Until() Tick {
+// NextCheck is when to look again should nothing come.
+func (t *Transfer) NextCheck() Tick {
 	if !t.any {
 		return t.from + firstByte
 	}
 	return t.from + 2*slowSpan
 }
 
-// Doors decides how many clients are let in: requests that wait for mirrors or are being passed a
+// ClientLimiter decides how many clients are let in: requests that wait for mirrors or are being passed a
 // package need memory, files that are held cost next to none.
-type Doors struct {
-	Most    int // at once
+type ClientLimiter struct {
+	Limit   int // at once
 	in      int
 	perEach map[string]int // of one client address, while there is any
 	each    int
 }
 
-// NewDoors lets in so many at once, and of one client a quarter of them at most.
-func NewDoors(most int) *Doors {
-	return &Doors{Most: most, perEach: map[string]int{}, each: max(1, most/4)}
+// NewClientLimiter lets in so many at once, and of one client a quarter of them at most.
+func NewClientLimiter(most int) *ClientLimiter {
+	return &ClientLimiter{Limit: most, perEach: map[string]int{}, each: max(1, most/4)}
 }
 
-// Enter takes that a client wants in; false: it is told to come back. One client alone can't fill
+// Acquire takes that a client wants in; false: it is told to come back. One client alone can't fill
 // all places while others want in: past a half of them each has its own bound.
-func (d *Doors) Enter(client string) bool {
-	if d.in >= d.Most || d.in >= d.Most/2 && d.perEach[client] >= d.each {
+func (d *ClientLimiter) Acquire(client string) bool {
+	if d.in >= d.Limit || d.in >= d.Limit/2 && d.perEach[client] >= d.each {
 		return false
 	}
 	d.in++
@@ -189,36 +189,38 @@
 	return true
 }
 
-// Leave takes that it is through.
-func (d *Doors) Leave(client string) {
+// Release takes that it is through.
+func (d *ClientLimiter) Release(client string) {
 	d.in--
 	if d.perEach[client]--; d.perEach[client] <= 0 {
 		delete(d.perEach, client)
 	}
 }
 
-// In tells how many are in.
-func (d *Doors) In() int { return d.in }
+// InUse tells how many are in.
+func (d *ClientLimiter) InUse() int { return d.in }
 
-// ClientPatience is how long a client may take to accept one stretch of a package: past it the client is
+// ClientWriteTimeout is how long a client may take to accept one stretch of a package: past it the client is
 // let go, as it holds a mirror's connection.
-const ClientPatience = 10 * tufverify.Second
+const ClientWriteTimeout = 10 * tufverify.Second
 
-// Survey decides when enough mirrors have shown their timestamp after a start. The floor may have been put
+// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. The floor may have been put
 // back with its disk, or there may be none: what a majority shows, or more of them than half can hide,
 // stands in for it. It does not guard against a majority that is old.
-type Survey struct {
+type MirrorSurvey struct {
 	shown map[string]bool
 	Done  bool
 }
 
-// NewSurvey starts one; not wanted: it is done at once.
-func NewSurvey(wanted bool) *Survey { return &Survey{shown: map[string]bool{}, Done: !wanted} }
+// NewMirrorSurvey starts one; not wanted: it is done at once.
+func NewMirrorSurvey(wanted bool) *MirrorSurvey {
+	return &MirrorSurvey{shown: map[string]bool{}, Done: !wanted}
+}
 
-// Shown takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
+// OnTimestamp takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
 // as it is signed well.
-func (s *Survey) Shown(mirror string, refusal *tufverify.RefusalError, listed []string) {
-	if refusal == nil || refusal.Why == tufverify.Same || refusal.Why == tufverify.Older {
+func (s *MirrorSurvey) OnTimestamp(mirror string, refusal *tufverify.RefusalError, listed []string) {
+	if refusal == nil || refusal.Reason == tufverify.ReasonAlreadyHeld || refusal.Reason == tufverify.ReasonOlderVersion {
 		s.shown[mirror] = true
 	}
 	n := 0
@@ -253,65 +255,65 @@
 // Issue is what a Director holds for a server: whether there is any, from and until when it counts, and whether it
 // still is what the server is told, and what the Image repository says of the package.
 type Issue struct {
-	Any          bool
-	At, End      Tick
-	Told, Agreed bool
+	Held                bool
+	IssuedAt, ExpiresAt Tick
+	Told, Agreed        bool
 }
 
-// Renew tells whether it is to be issued anew before it is given: at half its life at the latest, so that a server
+// MustRenew tells whether it is to be issued anew before it is given: at half its life at the latest, so that a server
 // that asks in that time never finds it expired.
-func (i Issue) Renew(now Tick) bool {
-	return !i.Any || !i.Told || !i.Agreed || now >= i.At+(i.End-i.At)/2
+func (i Issue) MustRenew(now Tick) bool {
+	return !i.Held || !i.Told || !i.Agreed || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
 
-// Lasts tells whether it may be given all the same if it could not be issued anew: never what the server is no
+// MayServeStale tells whether it may be given all the same if it could not be issued anew: never what the server is no
 // longer told, nor what has expired.
-func (i Issue) Lasts(now Tick) bool { return i.Any && i.Told && now < i.End }
+func (i Issue) MayServeStale(now Tick) bool { return i.Held && i.Told && now < i.ExpiresAt }
 
-// StandsIn tells whether what the Image repository said last of a package may stand in for what it says now: while
+// LastAnswerMayServe tells whether what the Image repository said last of a package may stand in for what it says now: while
 // it can't be had, so that servers can be told back; not where it says something else.
-func StandsIn(r *tufverify.RefusalError) bool {
-	return r.Why == tufverify.Missing || r.Why == tufverify.Expired
+func LastAnswerMayServe(r *tufverify.RefusalError) bool {
+	return r.Reason == tufverify.ReasonMissing || r.Reason == tufverify.ReasonExpired
 }
 
-// IssueAgain is how long what could not be issued waits.
-const IssueAgain = tufverify.Second / 5
+// IssueRetryDelay is how long what could not be issued waits.
+const IssueRetryDelay = tufverify.Second / 5
 
-// KeepTime tells whether the time is to be made durable before something is issued that lasts from now on.
-func KeepTime(now, kept Tick) bool { return now > kept+tufverify.Second }
+// PersistTime tells whether the time is to be made durable before something is issued that lasts from now on.
+func PersistTime(now, kept Tick) bool { return now > kept+tufverify.Second }
 
 // Limits of a front's exchanges, beside those of trust.
 const (
-	MostRootsAtOnce = 64                    // of a chain, for one request
-	MostRounds      = 8                     // in which a whole set must be had, though keys may change meanwhile
-	SurveyWidth     = 4                     // mirrors asked at once after a start
-	MirrorIdle      = 8                     // connections to a mirror that are kept
-	MirrorRest      = 10 * tufverify.Second // for so long
-	ClientHead      = 5 * tufverify.Second  // a client's request may take to come
-	ClientBody      = 30 * tufverify.Second // and its report
-	ClientRest      = 30 * tufverify.Second // a client's connection may stand idle
+	MaxRootsPerRequest  = 64                    // of a chain, for one request
+	MaxRounds           = 8                     // in which a whole set must be had, though keys may change meanwhile
+	SurveyWidth         = 4                     // mirrors asked at once after a start
+	MaxIdleMirrorConns  = 8                     // connections to a mirror that are kept
+	MirrorIdleTimeout   = 10 * tufverify.Second // for so long
+	ClientHeaderTimeout = 5 * tufverify.Second  // a client's request may take to come
+	ClientBodyTimeout   = 30 * tufverify.Second // and its report
+	ClientIdleTimeout   = 30 * tufverify.Second // a client's connection may stand idle
 )
 
-// Chase tells whether a mirror is asked for newer roots because of what it gave: it may be signed by keys of a
+// FetchNewerRoots tells whether a mirror is asked for newer roots because of what it gave: it may be signed by keys of a
 // newer one. chased: a newer root has come already, which may have made void what is held.
-func Chase(r *tufverify.RefusalError, chased bool) bool {
+func FetchNewerRoots(r *tufverify.RefusalError, chased bool) bool {
 	if r == nil {
 		return false
 	}
-	return r.Why == tufverify.Foreign || r.Why == tufverify.UnderThreshold || r.Why == tufverify.Missing && !chased
+	return r.Reason == tufverify.ReasonUnknownKey || r.Reason == tufverify.ReasonBelowThreshold || r.Reason == tufverify.ReasonMissing && !chased
 }
 
-// Blameless tells whether a mirror is not to blame for a refusal: newer roots that it gave have made void what its
+// MirrorBlameless tells whether a mirror is not to blame for a refusal: newer roots that it gave have made void what its
 // file hangs on.
-func Blameless(r *tufverify.RefusalError, chased bool) bool {
-	return r != nil && chased && r.Why == tufverify.Missing
+func MirrorBlameless(r *tufverify.RefusalError, chased bool) bool {
+	return r != nil && chased && r.Reason == tufverify.ReasonMissing
 }
 
 // Confirmed holds what trust says of a file against when mirrors were asked: nothing but roots is passed on before
 // the survey is done; a timestamp, and the word on which root is the newest, only while mirrors were asked lately.
-func Confirmed(now Tick, f tufverify.File, says *tufverify.RefusalError, s *Survey, r *Refresh, repository string) *tufverify.RefusalError {
+func Confirmed(now Tick, f tufverify.File, says *tufverify.RefusalError, s *MirrorSurvey, r *Refresh, repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
-		return &tufverify.RefusalError{Why: tufverify.Missing, Repository: repository, Role: f.Role, Text: text}
+		return &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: repository, Role: f.Role, Text: text}
 	}
 	newest := f.Role == "timestamp" || f.Role == "root" && (f.Version == 0 || says != nil)
 	switch {
--- a/internal/metadataservice/assign.go
+++ b/internal/metadataservice/assign.go
@@ -22,7 +22,7 @@
 			return nil, err
 		}
 		defer func() { _ = resp.Body.Close() }()
-		text, err := io.ReadAll(io.LimitReader(resp.Body, tufverify.MostTargets+1))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, tufverify.MaxTargetsSize+1))
 		switch {
 		case err != nil:
 			return nil, err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, refusal := tufverify.Partial(tufverify.Of(at), monotonic.NewMemoryStore(16, func(string) {}), "director", root, text, server)
+	all, refusal := tufverify.VerifyPartial(tufverify.FromTime(at), monotonic.NewMemoryStore(16, func(string) {}), "director", root, text, server)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -63,12 +63,12 @@
 
 // Assignment asks a front what its Director tells a server, and verifies that from the Director's pinned root.
 func Assignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
-	now := tufverify.Of(at)
+	now := tufverify.FromTime(at)
 	r, err := tufverify.New("director", monotonic.NewMemoryStore(1<<10, func(string) {}), now, pinned)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.Walk(now, Fetcher(front+"/director/"+server+"/metadata/")); err != nil {
+	if err := r.Refresh(now, Fetcher(front+"/director/"+server+"/metadata/")); err != nil {
 		return nil, err
 	}
 	all, refusal := r.Assigned(now)
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -34,8 +34,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// Metadata is the metadata front of one operator's file.
-type Metadata struct {
+// Service is the metadata front of one operator's file.
+type Service struct {
 	path     string
 	log      zerolog.Logger
 	env      func(string) string
@@ -43,9 +43,9 @@
 	all      map[string]any // the block
 	floor    floors
 	close    func() error
-	repos    map[string]*metadataproxy.Repo
+	repos    map[string]*metadataproxy.Repository
 	director *director.Director
-	Carrier  *metadataproxy.Carrier
+	Proxy    *metadataproxy.Proxy
 	room     *transport.BufferBudget
 	public   map[string]publicFile // by path
 	watches  []func(ctx context.Context) error
@@ -62,12 +62,12 @@
 
 // floors is what both kinds of floor do.
 type floors interface {
-	tufverify.Host
+	tufverify.VersionStore
 	Entries() []monotonic.Entry
 }
 
 // New reads an operator's file and puts the front together. It listens from then on.
-func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Metadata, error) {
+func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Service, error) {
 	all, err := operatorconfig.Operators.Read(path)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s: no metadata block: nothing is switched on", path)
 	}
-	m := &Metadata{path: path, log: log, env: env, now: now, all: block, repos: map[string]*metadataproxy.Repo{},
+	m := &Service{path: path, log: log, env: env, now: now, all: block, repos: map[string]*metadataproxy.Repository{},
 		close: func() error { return nil }, room: transport.NewBufferBudget(64 << 20)}
 	if err := m.build(); err != nil {
 		_ = m.close()
@@ -90,15 +90,15 @@
 }
 
 // Address is where it listens.
-func (m *Metadata) Address() string { return m.listener.Addr().String() }
+func (m *Service) Address() string { return m.listener.Addr().String() }
 
 // Director is the Director, nil without one.
-func (m *Metadata) Director() *director.Director { return m.director }
+func (m *Service) Director() *director.Director { return m.director }
 
-func (m *Metadata) say(text string) { m.log.Info().Msg(text) }
+func (m *Service) say(text string) { m.log.Info().Msg(text) }
 
 // file gives a path as it stands from the operator's file.
-func (m *Metadata) file(path any) string {
+func (m *Service) file(path any) string {
 	p, _ := path.(string)
 	if filepath.IsAbs(p) {
 		return p
@@ -111,11 +111,11 @@
 	return time.Duration(f * float64(time.Second))
 }
 
-func (m *Metadata) build() error {
+func (m *Service) build() error {
 	if err := m.openFloor(); err != nil {
 		return err
 	}
-	var repos []*metadataproxy.Repo
+	var repos []*metadataproxy.Repository
 	for _, v := range m.all["repository"].([]any) {
 		r, err := m.repository(v.(map[string]any))
 		if err != nil {
@@ -123,10 +123,10 @@
 		}
 		repos = append(repos, r)
 	}
-	m.Carrier = metadataproxy.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
+	m.Proxy = metadataproxy.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
 	for _, v := range m.all["repository"].([]any) {
 		if image, ok := v.(map[string]any)["agree"].(string); ok {
-			if err := m.Carrier.Agree(v.(map[string]any)["name"].(string), image); err != nil {
+			if err := m.Proxy.RequireAgreement(v.(map[string]any)["name"].(string), image); err != nil {
 				return err
 			}
 		}
@@ -138,7 +138,7 @@
 }
 
 // openFloor opens the files that are named, or keeps what may only grow in memory.
-func (m *Metadata) openFloor() error {
+func (m *Service) openFloor() error {
 	paths, _ := m.all["floor"].([]any)
 	most := int(m.all["floor_entries"].(float64))
 	if len(paths) == 0 {
@@ -170,14 +170,14 @@
 	return h.Sum64()
 }
 
-func (m *Metadata) repository(r map[string]any) (*metadataproxy.Repo, error) {
+func (m *Service) repository(r map[string]any) (*metadataproxy.Repository, error) {
 	name := r["name"].(string)
 	pinned, err := os.ReadFile(m.file(r["root"]))
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: %w", name, err)
 	}
 	var classes []balancer.RequestClass
-	for _, op := range metadataproxy.OpTypes {
+	for _, op := range metadataproxy.RequestClasses {
 		v := m.all[op].([]any)
 		figure := func(i int) float64 { f, _ := v[i].(float64); return f }
 		classes = append(classes, balancer.RequestClass{Name: op, LatencyObjective: balancer.Seconds(figure(0)),
@@ -187,16 +187,16 @@
 	host, _ := os.Hostname()
 	rules := metadatarefresh.Rules(m.all["relays"].(float64), m.all["connect_timeout"].(float64),
 		m.all["max_come_back"].(float64), classes)
-	out, err := metadataproxy.NewRepo(name, pinned, m.floor, metadataproxy.Mirrors{Seed: seed(host, m.all["listen"].(string), name),
-		Settings: rules, Every: span(m.all["refresh"]), Alone: span(m.all["unconfirmed"]),
-		Survey: m.all["survey"] == "always", Hosts: hosts}, m.now, m.say)
+	out, err := metadataproxy.NewRepository(name, pinned, m.floor, metadataproxy.MirrorConfig{Seed: seed(host, m.all["listen"].(string), name),
+		Settings: rules, FreshFor: span(m.all["refresh"]), UnconfirmedFor: span(m.all["unconfirmed"]),
+		Survey: m.all["survey"] == "always", Endpoints: hosts}, m.now, m.say)
 	if err != nil {
 		return nil, err
 	}
 	if address, ok := r["discovery"].(string); ok {
 		watch := discovery.New(transport.NewAddress(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
 		watch.Fetch()
-		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Gate(), true) })
+		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), true) })
 	}
 	m.repos[name] = out
 	return out, nil
@@ -224,7 +224,7 @@
 	return hosts
 }
 
-func (m *Metadata) direct(d map[string]any) error {
+func (m *Service) direct(d map[string]any) error {
 	chain, online, err := m.directorKeys(d)
 	if err != nil {
 		return err
@@ -236,7 +236,7 @@
 		packages[uint16(l[0].(float64))] = l[1].(string)
 		paths = append(paths, l[1].(string))
 	}
-	image.Keep(paths)
+	image.KeepLookedUp(paths)
 	running, _ := d["running"].(float64)
 	m.director, err = director.New(chain, online, m.floor, image.Known, m.now, span(d["lasts"]), packages,
 		uint16(running), m.say)
@@ -247,21 +247,21 @@
 	if err != nil {
 		return err
 	}
-	if err := m.Carrier.Direct(m.director, d["image"].(string), m.floor, servers); err != nil {
+	if err := m.Proxy.SetDirector(m.director, d["image"].(string), m.floor, servers); err != nil {
 		return err
 	}
 	if d["discovery"] == nil {
-		m.director.Hosts(true, listed(d))
+		m.director.UpdateServers(true, listed(d))
 	}
 	if w, ok := d["wave"].([]any); ok {
-		m.director.Stage(wave(w))
+		m.director.OnStage(wave(w))
 	}
 	return m.outside(d)
 }
 
 // outside joins the Director to the platform and the list of servers, by a gate of its own that hands on what it
 // hears. No commands go through it, so its module has nothing to vote by, and no vote is cast.
-func (m *Metadata) outside(d map[string]any) error {
+func (m *Service) outside(d map[string]any) error {
 	discoveryAddress, _ := d["discovery"].(string)
 	address, _ := d["platform"].(string)
 	if discoveryAddress == "" && address == "" {
@@ -275,8 +275,8 @@
 	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
 	site.Balancer.Rollout.Control = balancer.AdvanceByClock
 	g := dispatch.New(seed(discoveryAddress, address), site, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
-		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: logging.Component(m.log, "dispatch"), OnEndpoints: m.director.Hosts,
-		Vote: m.director.Voted, OnStage: m.director.Stage})
+		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: logging.Component(m.log, "dispatch"), OnEndpoints: m.director.UpdateServers,
+		Vote: m.director.OnVote, OnStage: m.director.OnStage})
 	m.watches = append(m.watches, g.RunTimers)
 	if desk != nil {
 		m.watches = append(m.watches, func(ctx context.Context) error { return desk.Run(ctx, g) })
@@ -303,7 +303,7 @@
 	return hosts
 }
 
-func (m *Metadata) servers(d map[string]any) (map[string]crypto.PublicKey, error) {
+func (m *Service) servers(d map[string]any) (map[string]crypto.PublicKey, error) {
 	out := map[string]crypto.PublicKey{}
 	lines, _ := d["server"].([]any)
 	read := map[string]publicFile{}
@@ -334,14 +334,14 @@
 	return out, nil
 }
 
-func (m *Metadata) directorKeys(d map[string]any) (map[string][]byte, []*keys.Key, error) {
+func (m *Service) directorKeys(d map[string]any) (map[string][]byte, []*keys.Key, error) {
 	chain, _, err := tufrepo.Files(m.file(d["chain"]))
 	if err != nil {
 		return nil, nil, fmt.Errorf("director: chain: %w", err)
 	}
 	var online []*keys.Key
 	for _, path := range d["key"].([]any) {
-		k, err := keys.Load(m.file(path), keys.PhraseFrom(m.env))
+		k, err := keys.Load(m.file(path), keys.PassphraseFrom(m.env))
 		if err != nil {
 			return nil, nil, fmt.Errorf("director: %w", err)
 		}
@@ -351,13 +351,13 @@
 }
 
 // Run serves until the context ends.
-func (m *Metadata) Run(ctx context.Context) error {
+func (m *Service) Run(ctx context.Context) error {
 	group, inner := errgroup.WithContext(ctx)
 	for _, w := range m.watches {
 		group.Go(func() error { return w(inner) })
 	}
 	group.Go(func() error {
-		err := m.Carrier.Run(inner, m.listener, span(m.all["package"].([]any)[1]))
+		err := m.Proxy.Run(inner, m.listener, span(m.all["package"].([]any)[1]))
 		if err == nil && ctx.Err() == nil {
 			return errors.New("the front has ended by itself")
 		}
@@ -369,7 +369,7 @@
 
 // Reload takes the file again. It is refused whole, and nothing changes, if anything in it is wrong or can't
 // change in service: mirrors, the servers, the Director's keys and the wave can.
-func (m *Metadata) Reload() error {
+func (m *Service) Reload() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all, err := operatorconfig.Operators.Read(m.path)
@@ -402,16 +402,16 @@
 	for _, v := range next["repository"].([]any) {
 		r := v.(map[string]any)
 		if name := r["name"].(string); r["discovery"] == nil {
-			m.repos[name].List(mirrors(r, old[name], time.Now())) // the gate's clock
+			m.repos[name].UpdateMirrors(mirrors(r, old[name], time.Now())) // the gate's clock
 		}
 	}
 	if d != nil {
-		m.Carrier.Keys(servers)
+		m.Proxy.SetKeys(servers)
 		if d["discovery"] == nil {
-			m.director.Hosts(true, listed(d))
+			m.director.UpdateServers(true, listed(d))
 		}
 		if w, ok := d["wave"].([]any); ok {
-			m.director.Stage(wave(w))
+			m.director.OnStage(wave(w))
 		}
 	}
 	m.all = next
--- a/internal/monotonic/format.go
+++ b/internal/monotonic/format.go
@@ -37,7 +37,7 @@
 // entry is the highest version of a key, with the checksum of its content.
 type entry struct {
 	version int64
-	sum     tufverify.Sum
+	sum     tufverify.Digest
 }
 
 // checkFollows allows a version again with the same content, or a higher one.
--- a/internal/monotonic/memory.go
+++ b/internal/monotonic/memory.go
@@ -23,15 +23,15 @@
 	return &MemoryStore{maxEntries: maxEntries, logf: log, entries: map[string]entry{}}
 }
 
-// Seen is the highest version of a key, 0 for none.
-func (s *MemoryStore) Seen(key string) (int64, tufverify.Sum) {
+// Recorded is the highest version of a key, 0 for none.
+func (s *MemoryStore) Recorded(key string) (int64, tufverify.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries[key].version, s.entries[key].sum
 }
 
-// Raise keeps a version. Its error wraps ErrOlderVersion, ErrConflict or ErrFull; nothing has changed then.
-func (s *MemoryStore) Raise(key string, version int64, sum tufverify.Sum) error {
+// Record keeps a version. Its error wraps ErrOlderVersion, ErrConflict or ErrFull; nothing has changed then.
+func (s *MemoryStore) Record(key string, version int64, sum tufverify.Digest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known, ok := s.entries[key]
@@ -46,15 +46,15 @@
 	return nil
 }
 
-// Passed is the latest time that was ever trusted.
-func (s *MemoryStore) Passed() tufverify.Tick {
+// TrustedTime is the latest time that was ever trusted.
+func (s *MemoryStore) TrustedTime() tufverify.Tick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest
 }
 
-// Pass keeps a time. One that is no later than the latest changes nothing.
-func (s *MemoryStore) Pass(now tufverify.Tick) error {
+// AdvanceTime keeps a time. One that is no later than the latest changes nothing.
+func (s *MemoryStore) AdvanceTime(now tufverify.Tick) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latest = max(s.latest, now)
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -193,16 +193,16 @@
 	}
 }
 
-// Seen is the highest version of a key, 0 for none.
-func (s *Store) Seen(key string) (int64, tufverify.Sum) {
+// Recorded is the highest version of a key, 0 for none.
+func (s *Store) Recorded(key string) (int64, tufverify.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[key]
 	return e.version, e.sum
 }
 
-// Passed is the latest time that was ever trusted.
-func (s *Store) Passed() tufverify.Tick {
+// TrustedTime is the latest time that was ever trusted.
+func (s *Store) TrustedTime() tufverify.Tick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest
@@ -225,9 +225,9 @@
 	return sortedEntries(s.entries)
 }
 
-// Raise makes a version of a key durable. What several callers raise at once is synced at once. Its error wraps
+// Record makes a version of a key durable. What several callers raise at once is synced at once. Its error wraps
 // ErrOlderVersion, ErrConflict, ErrFull or ErrWriteFailed, or is that of the disk; nothing has changed then.
-func (s *Store) Raise(key string, version int64, sum tufverify.Sum) error {
+func (s *Store) Record(key string, version int64, sum tufverify.Digest) error {
 	if key == "" || len(key) > maxKeySize {
 		return fmt.Errorf("floor: a key of %d bytes", len(key))
 	}
@@ -251,8 +251,8 @@
 	return s.commit()
 }
 
-// Pass makes a time durable. One that is no later than the latest changes nothing.
-func (s *Store) Pass(now tufverify.Tick) error {
+// AdvanceTime makes a time durable. One that is no later than the latest changes nothing.
+func (s *Store) AdvanceTime(now tufverify.Tick) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now <= s.latest {
@@ -298,7 +298,7 @@
 type Entry struct {
 	Key     string
 	Version int64
-	Sum     tufverify.Sum
+	Sum     tufverify.Digest
 }
 
 func sortedEntries(entries map[string]entry) []Entry {
--- a/internal/operatorconfig/conf.go
+++ b/internal/operatorconfig/conf.go
@@ -14,17 +14,17 @@
 
 // The kinds of values. Spans come out in seconds, sizes in bytes, shares as parts of 1; all as float64.
 const (
-	Word    Kind = iota // any text
-	Name                // letters, digits, ".", "-", "_"
-	Number              // a whole number
-	Span                // a duration: 250ms, 10s, 5m, 2h, 7d
-	Size                // bytes: 512, 64K, 16M, 1G
-	Share               // 0.1 or 10%
-	Address             // host:port, the host an address or a name
-	Path                // a file or folder
-	Choice              // one of a list
-	Figure              // any number of 0 or more
-	Many                // one word or more; only as the last value
+	Word     Kind = iota // any text
+	Name                 // letters, digits, ".", "-", "_"
+	Number               // a whole number
+	Duration             // a duration: 250ms, 10s, 5m, 2h, 7d
+	Size                 // bytes: 512, 64K, 16M, 1G
+	Fraction             // 0.1 or 10%
+	Address              // host:port, the host an address or a name
+	Path                 // a file or folder
+	Choice               // one of a list
+	Decimal              // any number of 0 or more
+	Words                // one word or more; only as the last value
 )
 
 var kinds = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
@@ -38,26 +38,26 @@
 
 // Value is one value of a directive.
 type Value struct {
-	Name        string
-	Kind        Kind
-	Least, Most float64  // of a figure; both 0: as its kind allows
-	Of          []string // of a choice
+	Name     string
+	Kind     Kind
+	Min, Max float64  // of a figure; both 0: as its kind allows
+	Choices  []string // of a choice
 }
 
 // Directive is one row of the table.
 type Directive struct {
-	In      string // the block that it belongs to, by its path; "" for none
-	Name    string
-	Values  []Value
-	Default string // the values where it is absent, as they would be written; "" for none
-	Needed  bool
-	More    bool // it may be given more than once
-	Block   bool
-	Takes   string // when a change takes effect
-	Text    string
+	Parent      string // the block that it belongs to, by its path; "" for none
+	Name        string
+	Values      []Value
+	Default     string // the values where it is absent, as they would be written; "" for none
+	Required    bool
+	Repeatable  bool // it may be given more than once
+	Block       bool
+	TakesEffect string // when a change takes effect
+	Text        string
 }
 
-func (d *Directive) path() string { return strings.TrimPrefix(d.In+"."+d.Name, ".") }
+func (d *Directive) path() string { return strings.TrimPrefix(d.Parent+"."+d.Name, ".") }
 
 // Rule is a check between directives: it gets the whole map and says what contradicts, naming the
 // directive as it stands in the file.
@@ -127,7 +127,7 @@
 			r.faults = append(r.faults, at(l.Pos, l.Name, "%s", r.unknown(in, l.Name)))
 			continue
 		}
-		if first := seen[l.Name]; first != nil && !d.More {
+		if first := seen[l.Name]; first != nil && !d.Repeatable {
 			r.faults = append(r.faults, at(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line))
 			continue
 		}
@@ -139,7 +139,7 @@
 		if !ok {
 			continue
 		}
-		if d.More {
+		if d.Repeatable {
 			all, _ := out[d.Name].([]any)
 			out[d.Name] = append(all, got)
 		} else {
@@ -148,10 +148,10 @@
 	}
 	for i := range r.table.Directives {
 		d := &r.table.Directives[i]
-		if d.In != in || seen[d.Name] != nil {
+		if d.Parent != in || seen[d.Name] != nil {
 			continue
 		}
-		if d.Needed {
+		if d.Required {
 			pos := opened.Pos
 			if pos.Line == 0 && len(lines) > 0 {
 				pos = lines[0].Pos
@@ -172,7 +172,7 @@
 
 func (t *Table) find(in, name string) *Directive {
 	for i := range t.Directives {
-		if d := &t.Directives[i]; d.In == in && d.Name == name {
+		if d := &t.Directives[i]; d.Parent == in && d.Name == name {
 			return d
 		}
 	}
@@ -183,11 +183,11 @@
 func (r *reader) unknown(in, name string) string {
 	var here, there []string
 	for _, d := range r.table.Directives {
-		if d.In == in {
+		if d.Parent == in {
 			here = append(here, d.Name)
 		}
 		if d.Name == name {
-			there = append(there, "in "+cmpOr(d.In, "no block"))
+			there = append(there, "in "+cmpOr(d.Parent, "no block"))
 		}
 	}
 	if len(there) > 0 {
@@ -216,14 +216,14 @@
 		r.faults = append(r.faults, at(l.Pos, d.path(), "%s", fault))
 		return nil, false
 	}
-	n, open := len(d.Values), len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Many
+	n, open := len(d.Values), len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
 	if len(l.Args) < n || len(l.Args) > n && !open {
 		r.faults = append(r.faults, at(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage()))
 		return nil, false
 	}
 	named, list := map[string]any{}, []any{}
 	for i, v := range d.Values {
-		if v.Kind == Many {
+		if v.Kind == Words {
 			var rest []any
 			for _, a := range l.Args[i:] {
 				rest = append(rest, unquote(a.Text))
@@ -260,7 +260,7 @@
 	var names []string
 	for _, v := range d.Values {
 		name := strings.ToUpper(v.Name)
-		if v.Kind == Many {
+		if v.Kind == Words {
 			name += "..."
 		}
 		names = append(names, name)
@@ -297,26 +297,26 @@
 		}
 		return s, ""
 	case Choice:
-		if !slices.Contains(v.Of, s) {
+		if !slices.Contains(v.Choices, s) {
 			return nil, wrong()
 		}
 		return s, ""
 	case Number:
 		f, ok = number(s, map[string]float64{"": 1})
 		ok = ok && f == math.Trunc(f)
-	case Figure:
+	case Decimal:
 		f, ok = number(s, map[string]float64{"": 1})
 		ok = ok && f >= 0
-	case Span:
+	case Duration:
 		f, ok = number(s, spans)
 	case Size:
 		f, ok = number(s, sizes)
 		ok = ok && f == math.Trunc(f)
-	case Share:
+	case Fraction:
 		f, ok = number(s, map[string]float64{"": 1, "%": 0.01})
 		ok = ok && f >= 0 && f <= 1
 	}
-	if !ok || (v.Least != 0 || v.Most != 0) && (f < v.Least || f > v.Most) {
+	if !ok || (v.Min != 0 || v.Max != 0) && (f < v.Min || f > v.Max) {
 		return nil, wrong()
 	}
 	return f, ""
@@ -332,17 +332,17 @@
 // allowed words what a value may be.
 func (v *Value) allowed() string {
 	if v.Kind == Choice {
-		return strings.Join(v.Of, ", ")
+		return strings.Join(v.Choices, ", ")
 	}
-	if v.Least == 0 && v.Most == 0 {
+	if v.Min == 0 && v.Max == 0 {
 		return kinds[v.Kind]
 	}
-	return fmt.Sprintf("%s, from %s to %s", kinds[v.Kind], v.figure(v.Least), v.figure(v.Most))
+	return fmt.Sprintf("%s, from %s to %s", kinds[v.Kind], v.figure(v.Min), v.figure(v.Max))
 }
 
 // figure writes a figure with the largest unit in which it is whole.
 func (v *Value) figure(f float64) string {
-	units := map[Kind][]string{Span: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
+	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := spans
 	if v.Kind == Size {
 		scales = sizes
@@ -366,18 +366,18 @@
 			values = append(values, strings.ToUpper(v.Name)+": "+v.allowed())
 		}
 		def := cmpOr(d.Default, "none")
-		if d.Needed {
+		if d.Required {
 			def = "must be given"
 		}
 		name := d.Name
-		if d.More {
+		if d.Repeatable {
 			name += " (repeatable)"
 		}
 		if d.Block {
 			name += " { }"
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", name, cmpOr(strings.Join(values, "; "), "none"), def,
-			cmpOr(d.In, "-"), cmpOr(d.Takes, "at the start"), d.Text)
+			cmpOr(d.Parent, "-"), cmpOr(d.TakesEffect, "at the start"), d.Text)
 	}
 	return b.String()
 }
--- a/internal/stagedrollout/waves.go
+++ b/internal/stagedrollout/waves.go
@@ -40,8 +40,8 @@
 
 // Host is what the module acts through.
 type Host interface {
-	Tell(s *Server, build uint16) // its metadata are to name this build, at once
-	WakeAt(at Tick)               // Alarm at or after the time
+	Assign(s *Server, build uint16) // its metadata are to name this build, at once
+	SetTimer(at Tick)               // Alarm at or after the time
 	Log(text string)
 }
 
@@ -50,8 +50,8 @@
 
 // The phases of a package.
 const (
-	OnTrial Phase = iota
-	GoingBack
+	Canary Phase = iota
+	RollingBack
 	Released
 	Withdrawn
 )
@@ -73,11 +73,11 @@
 	out     bool    // of this package, for good
 }
 
-// Told is the build that a server's metadata name.
-func (s *Server) Told() uint16 { return s.told }
+// Assigned is the build that a server's metadata name.
+func (s *Server) Assigned() uint16 { return s.told }
 
-// Waves decides for one fleet.
-type Waves struct {
+// Rollout decides for one fleet.
+type Rollout struct {
 	host    Host
 	last    Tick // how long metadata that name a package last
 	servers []*Server
@@ -94,20 +94,20 @@
 
 // New makes the module of a fleet whose metadata last so long. Before any news every server is told the
 // earlier build, 0 for none.
-func New(host Host, last Tick, earlier uint16) *Waves {
-	return &Waves{host: host, last: last, earlier: earlier, phase: Withdrawn, build: earlier}
+func New(host Host, last Tick, earlier uint16) *Rollout {
+	return &Rollout{host: host, last: last, earlier: earlier, phase: Withdrawn, build: earlier}
 }
 
 // Restore puts a server in as it was known before a restart: what it was told, and until when it may hold
 // metadata that name that. Before the first Stage and Listed only.
-func (w *Waves) Restore(now Tick, s *Server, told uint16, holds Tick) {
+func (w *Rollout) Restore(now Tick, s *Server, told uint16, holds Tick) {
 	s.told, s.base, s.holds, s.since = told, w.earlier, holds, now
 	w.servers, s.kept = append(w.servers, s), true
 	w.sorted = false
 }
 
-// Listed takes that a server is in the fleet, or no longer. Settled ends a piece of such news.
-func (w *Waves) Listed(now Tick, s *Server, here bool) {
+// OnListed takes that a server is in the fleet, or no longer. Settled ends a piece of such news.
+func (w *Rollout) OnListed(now Tick, s *Server, here bool) {
 	if !s.kept {
 		w.servers, s.kept = append(w.servers, s), true
 		s.told, s.base = w.earlier, w.earlier
@@ -117,9 +117,9 @@
 	}
 }
 
-// Settled takes the end of news of the list. A server that is gone is told the earlier build, should it
+// OnListComplete takes the end of news of the list. A server that is gone is told the earlier build, should it
 // come back unlisted, and forgotten once it can't hold anything else.
-func (w *Waves) Settled(now Tick) {
+func (w *Rollout) OnListComplete(now Tick) {
 	for _, s := range w.servers {
 		if !s.listed && s.told != s.base {
 			w.back(now, s)
@@ -130,16 +130,16 @@
 }
 
 // forget drops servers that are gone and can't act on anything any more.
-func (w *Waves) forget(now Tick) {
+func (w *Rollout) forget(now Tick) {
 	w.servers = slices.DeleteFunc(w.servers, func(s *Server) bool {
 		s.kept = s.listed || now < s.holds
 		return !s.kept
 	})
 }
 
-// Stage takes news of the newest package: the build before it, where it stands, and the share of the fleet
+// OnStage takes news of the newest package: the build before it, where it stands, and the share of the fleet
 // that may be told of it. kinds are those that it fits; none: all.
-func (w *Waves) Stage(now Tick, build, earlier uint16, phase Phase, share float64, kinds []string) {
+func (w *Rollout) OnStage(now Tick, build, earlier uint16, phase Phase, share float64, kinds []string) {
 	if build != w.build || earlier != w.earlier {
 		for _, s := range w.servers {
 			s.tries, s.again, s.out = 0, 0, false
@@ -156,38 +156,38 @@
 		}
 		w.ends, w.sorted, w.stopped = nil, false, false
 	}
-	if phase == OnTrial && share > w.share && w.phase == OnTrial {
+	if phase == Canary && share > w.share && w.phase == Canary {
 		w.stopped = false // it went on in spite of the vote
 	}
 	w.build, w.earlier, w.phase, w.share, w.kinds = build, earlier, phase, share, kinds
 	w.settle(now)
 }
 
-// Stop takes that the module has voted to go back, or to hold: nobody new is told until a later stage.
-func (w *Waves) Stop(now Tick) { w.stopped = true }
+// Pause takes that the module has voted to go back, or to hold: nobody new is told until a later stage.
+func (w *Rollout) Pause(now Tick) { w.stopped = true }
 
-// Fetched takes that a server has got metadata that name a build: it holds no others any more.
-func (w *Waves) Fetched(now Tick, s *Server, build uint16) {
+// OnFetched takes that a server has got metadata that name a build: it holds no others any more.
+func (w *Rollout) OnFetched(now Tick, s *Server, build uint16) {
 	if s.told == build && build != w.build {
 		s.holds = 0
 		w.settle(now)
 	}
 }
 
-// Reported takes a server's report: what it runs, and how an installation of a build went, if one ended.
-func (w *Waves) Reported(now Tick, s *Server, running, tried uint16, ended Ended) {
+// OnReport takes a server's report: what it runs, and how an installation of a build went, if one ended.
+func (w *Rollout) OnReport(now Tick, s *Server, running, tried uint16, ended InstallResult) {
 	s.running = running
-	if tried == w.build && s.told == w.build && ended != NotEnded && w.build != w.earlier {
+	if tried == w.build && s.told == w.build && ended != InstallPending && w.build != w.earlier {
 		bad := 1.0
-		if ended == Installed {
+		if ended == InstallSucceeded {
 			bad = 0
 		}
 		w.ends = append(w.ends, bad)
 		w.ends = w.ends[max(0, len(w.ends)-kept):]
 		switch ended {
-		case Failed:
+		case InstallFailed:
 			w.failed(now, s)
-		case Declined:
+		case InstallDeclined:
 			s.out = true
 			w.host.Log(fmt.Sprintf("%s draws back from build %d: it is left out", s.Name, w.build))
 			w.back(now, s)
@@ -196,19 +196,19 @@
 	w.settle(now)
 }
 
-// Ended tells how an installation ended.
-type Ended uint8
+// InstallResult tells how an installation ended.
+type InstallResult uint8
 
 // The endings of an installation.
 const (
-	NotEnded Ended = iota
-	Installed
-	Failed
-	Declined
+	InstallPending InstallResult = iota
+	InstallSucceeded
+	InstallFailed
+	InstallDeclined
 )
 
 // failed puts a server off: for longer each time, and for good after some. Its place goes to another.
-func (w *Waves) failed(now Tick, s *Server) {
+func (w *Rollout) failed(now Tick, s *Server) {
 	s.tries++
 	if s.tries >= mostTries {
 		s.out = true
@@ -219,17 +219,17 @@
 }
 
 // back tells a server the released build that it comes from.
-func (w *Waves) back(now Tick, s *Server) {
+func (w *Rollout) back(now Tick, s *Server) {
 	if s.told == s.base {
 		return
 	}
 	s.told, s.since, s.holds = s.base, now, now+w.last
-	w.host.Tell(s, s.base)
+	w.host.Assign(s, s.base)
 }
 
-// Alarm lets time go on: installations that were not heard of end, servers that were put off may try again,
+// OnTimer lets time go on: installations that were not heard of end, servers that were put off may try again,
 // and metadata that were told back expire.
-func (w *Waves) Alarm(now Tick) {
+func (w *Rollout) OnTimer(now Tick) {
 	w.wakeAt = 0
 	for _, s := range w.servers {
 		if w.pending(s) && now >= s.since+installing {
@@ -242,15 +242,15 @@
 }
 
 // pending: told the package and not yet heard to run it.
-func (w *Waves) pending(s *Server) bool {
+func (w *Rollout) pending(s *Server) bool {
 	return w.build != w.earlier && s.listed && s.told == w.build && s.running != w.build
 }
 
 // counts: it may act on metadata that name the package.
-func (w *Waves) counts(now Tick, s *Server) bool { return s.told == w.build || now < s.holds }
+func (w *Rollout) counts(now Tick, s *Server) bool { return s.told == w.build || now < s.holds }
 
 // settle is the ordinary path: who is told back, who is told next.
-func (w *Waves) settle(now Tick) {
+func (w *Rollout) settle(now Tick) {
 	if w.build == w.earlier {
 		return
 	}
@@ -272,9 +272,9 @@
 	}
 	most := fleet
 	switch w.phase {
-	case OnTrial:
+	case Canary:
 		most = int(math.Floor(w.share*float64(fleet) + 1e-9))
-	case GoingBack, Withdrawn:
+	case RollingBack, Withdrawn:
 		most = 0
 	}
 	for i := len(w.servers) - 1; i >= 0 && told > most; i-- { // the last of the order first
@@ -283,7 +283,7 @@
 			told--
 		}
 	}
-	if most == 0 || w.stopped && w.phase == OnTrial {
+	if most == 0 || w.stopped && w.phase == Canary {
 		w.wake(now)
 		return
 	}
@@ -292,27 +292,27 @@
 		once = 1 // most of the last ended badly: one after the other, until some go well
 	}
 	for _, s := range w.servers {
-		if pending >= once || w.phase == OnTrial && counted >= most {
+		if pending >= once || w.phase == Canary && counted >= most {
 			break
 		}
 		if !s.listed || s.told == w.build || s.out || now < s.again || !w.fits(s) {
 			continue
 		}
-		if w.phase == OnTrial && now < s.holds {
+		if w.phase == Canary && now < s.holds {
 			counted-- // it counts already
 		}
 		s.told, s.since, s.holds = w.build, now, 0
-		w.host.Tell(s, w.build)
+		w.host.Assign(s, w.build)
 		counted++
 		pending++
 	}
 	w.wake(now)
 }
 
-func (w *Waves) fits(s *Server) bool { return len(w.kinds) == 0 || slices.Contains(w.kinds, s.Kind) }
+func (w *Rollout) fits(s *Server) bool { return len(w.kinds) == 0 || slices.Contains(w.kinds, s.Kind) }
 
 // wake asks for the next alarm that can change anything.
-func (w *Waves) wake(now Tick) {
+func (w *Rollout) wake(now Tick) {
 	next := Tick(math.MaxInt64)
 	for _, s := range w.servers {
 		if w.pending(s) {
@@ -327,14 +327,14 @@
 	}
 	if next != math.MaxInt64 && (w.wakeAt == 0 || next < w.wakeAt) {
 		w.wakeAt = next
-		w.host.WakeAt(next)
+		w.host.SetTimer(next)
 	}
 }
 
 // order sorts the fleet by the order of the package: drawn for each package anew, the same at every start,
 // and spread evenly over zones and kinds, so that the first tenth has a tenth of each. Servers that
 // were told stay told whatever comes in before them.
-func (w *Waves) order() {
+func (w *Rollout) order() {
 	if w.sorted {
 		return
 	}
@@ -389,7 +389,7 @@
 }
 
 // Explain tells why a server is told what it is.
-func (w *Waves) Explain(now Tick, s *Server) Standing {
+func (w *Rollout) Explain(now Tick, s *Server) Standing {
 	w.order()
 	at := Standing{Told: s.told, Running: s.running, Tries: s.tries, LeftOut: s.out, NotBefore: s.again,
 		Holds: s.holds, Place: slices.Index(w.servers, s), Of: len(w.servers)}
@@ -403,7 +403,7 @@
 		}
 	}
 	switch w.phase {
-	case OnTrial:
+	case Canary:
 		at.Most = int(math.Floor(w.share*float64(fleet) + 1e-9))
 	case Released:
 		at.Most = fleet
@@ -413,7 +413,7 @@
 
 // Count tells how many servers of the fleet there are, how many are told the newest package, and how many
 // may act on metadata that name it.
-func (w *Waves) Count(now Tick) (fleet, told, counted int) {
+func (w *Rollout) Count(now Tick) (fleet, told, counted int) {
 	for _, s := range w.servers {
 		if s.listed {
 			fleet++
