--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -36,7 +36,7 @@
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(r.Seed, 7))
 	work := distuv.LogNormal{Mu: -4.6, Sigma: 0.5, Src: rand.NewPCG(r.Seed, 8)} // 10 ms in the middle
-	answer := func(_ *backends.Unit, op string, build uint16, since time.Time) (bool, time.Duration) {
+	answer := func(_ *backends.Backend, op string, build uint16, since time.Time) (bool, time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		fails := r.Base
@@ -45,14 +45,14 @@
 		}
 		return random.Float64() < fails, time.Duration(work.Rand() * float64(time.Second))
 	}
-	var servers []*backends.Unit
+	var servers []*backends.Backend
 	defer func() {
 		for _, u := range servers {
 			u.Close()
 		}
 	}()
 	for i := range r.Units {
-		u, err := backends.NewUnit(fmt.Sprintf("u-%d", i), earlier, answer)
+		u, err := backends.NewBackend(fmt.Sprintf("u-%d", i), earlier, answer)
 		if err != nil {
 			return result, err
 		}
--- a/internal/standin/repository/keeper.go
+++ b/internal/standin/repository/keeper.go
@@ -60,8 +60,8 @@
 	Targets map[string][]byte
 }
 
-// Keeper publishes one repository and remembers what it published.
-type Keeper struct {
+// Publisher publishes one repository and remembers what it published.
+type Publisher struct {
 	Dir     string
 	Repo    *tufrepo.Repo
 	Clock   *Clock
@@ -71,9 +71,9 @@
 	content map[string][]byte // of all targets ever, by path as stored
 }
 
-// NewKeeper makes a repository in a folder: root and targets signed by two of three keys, the others by one.
-func NewKeeper(dir string, clock *Clock, life tufrepo.Lifetimes, consistent bool) (*Keeper, error) {
-	k := &Keeper{Dir: dir, Clock: clock, Keys: map[string][]*keys.Key{}, content: map[string][]byte{}}
+// NewPublisher makes a repository in a folder: root and targets signed by two of three keys, the others by one.
+func NewPublisher(dir string, clock *Clock, life tufrepo.Lifetimes, consistent bool) (*Publisher, error) {
+	k := &Publisher{Dir: dir, Clock: clock, Keys: map[string][]*keys.Key{}, content: map[string][]byte{}}
 	roles := map[string]tufrepo.Role{}
 	for role, n := range map[string]int{"root": 3, "targets": 3, "snapshot": 1, "timestamp": 1} {
 		is := tufrepo.Role{Threshold: (n + 1) / 2}
@@ -108,7 +108,7 @@
 }
 
 // Sign signs what is staged of a role with as many of its keys as its threshold asks for.
-func (k *Keeper) Sign(role string) error {
+func (k *Publisher) Sign(role string) error {
 	need := (len(k.Keys[role]) + 1) / 2
 	for _, one := range k.Keys[role][:need] {
 		if err := k.Repo.Sign(role, one); err != nil {
@@ -119,7 +119,7 @@
 }
 
 // Publish signs the staged roles that are named, and publishes.
-func (k *Keeper) Publish(staged ...string) error {
+func (k *Publisher) Publish(staged ...string) error {
 	for _, role := range staged {
 		if err := k.Sign(role); err != nil {
 			return err
@@ -131,7 +131,7 @@
 	return k.remember()
 }
 
-func (k *Keeper) remember() error {
+func (k *Publisher) remember() error {
 	files, _, err := tufrepo.Files(k.Dir)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 }
 
 // Add publishes a package.
-func (k *Keeper) Add(path string, build uint16, content []byte, kinds ...string) error {
+func (k *Publisher) Add(path string, build uint16, content []byte, kinds ...string) error {
 	if err := k.Stage(path, build, content, kinds...); err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 }
 
 // Stage stages a package without publishing it.
-func (k *Keeper) Stage(path string, build uint16, content []byte, kinds ...string) error {
+func (k *Publisher) Stage(path string, build uint16, content []byte, kinds ...string) error {
 	file := filepath.Join(k.Dir, "incoming")
 	if err := os.WriteFile(file, content, 0o600); err != nil {
 		return err
@@ -178,7 +178,7 @@
 }
 
 // Rotate gives a role one new key in place of its first, and publishes the next root, signed by old and new.
-func (k *Keeper) Rotate(role string) error {
+func (k *Publisher) Rotate(role string) error {
 	fresh, err := keys.Generate("ed25519")
 	if err != nil {
 		return err
@@ -205,34 +205,34 @@
 }
 
 // Root is a published root.
-func (k *Keeper) Root(version int) []byte {
+func (k *Publisher) Root(version int) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.history[len(k.history)-1].Files[fmt.Sprintf("%d.root.json", version)]
 }
 
 // At is what was published at one of the times, from 0; behind the last it is the last.
-func (k *Keeper) At(n int) Set {
+func (k *Publisher) At(n int) Set {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.history[max(0, min(n, len(k.history)-1))]
 }
 
 // Len tells how often was published.
-func (k *Keeper) Len() int {
+func (k *Publisher) Len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.history)
 }
 
 // Version is the version of a role in the last published set's unversioned or newest file.
-func (k *Keeper) Version(role string) int64 {
+func (k *Publisher) Version(role string) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return newest(k.history[len(k.history)-1].Files, role)
 }
 
-// Life for tests in which things expire.
-func Life(each time.Duration) tufrepo.Lifetimes {
+// TestLifetimes for tests in which things expire.
+func TestLifetimes(each time.Duration) tufrepo.Lifetimes {
 	return tufrepo.Lifetimes{Root: 1000 * each, Targets: 100 * each, Snapshot: 10 * each, Timestamp: each}
 }
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -51,8 +51,8 @@
 	return all, nil
 }
 
-// Asked is one request that came to a mirror.
-type Asked struct {
+// Request is one request that came to a mirror.
+type Request struct {
 	At   time.Time
 	Path string
 }
@@ -60,22 +60,22 @@
 // Mirror serves a keeper's repository.
 type Mirror struct {
 	Name     string
-	keeper   *Keeper
-	other    *Keeper // whose files are shown as foreign
+	keeper   *Publisher
+	other    *Publisher // whose files are shown as foreign
 	listener net.Listener
 	server   *http.Server
 	done     sync.WaitGroup
 
 	mu     sync.Mutex
 	faults []Fault
-	asked  []Asked
+	asked  []Request
 	frozen int // the set that it stays at, -1 for none
 	n      int
 	quit   chan struct{}
 }
 
 // NewMirror starts a mirror on loopback; other may be nil.
-func NewMirror(name string, keeper, other *Keeper, faults ...Fault) (*Mirror, error) {
+func NewMirror(name string, keeper, other *Publisher, faults ...Fault) (*Mirror, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -114,11 +114,11 @@
 	m.faults, m.n, m.frozen = faults, 0, -1
 }
 
-// Asked tells what was asked of it.
-func (m *Mirror) Asked() []Asked {
+// Requests tells what was asked of it.
+func (m *Mirror) Requests() []Request {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]Asked(nil), m.asked...)
+	return append([]Request(nil), m.asked...)
 }
 
 // fault finds the one that acts on a request.
@@ -127,7 +127,7 @@
 	defer m.mu.Unlock()
 	n, set := m.n, m.keeper.Len()-1
 	m.n++
-	m.asked = append(m.asked, Asked{time.Now(), path})
+	m.asked = append(m.asked, Request{time.Now(), path})
 	for _, is := range m.faults {
 		if n < is.From || is.To >= 0 && n > is.To || !strings.Contains(path, is.Match) {
 			continue
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -37,7 +37,7 @@
 }
 
 // NewChecker makes one for the repository of a keeper.
-func NewChecker(k *Keeper) *Checker {
+func NewChecker(k *Publisher) *Checker {
 	return &Checker{Now: k.Clock.Now, Root: k.Root, given: map[string]int64{}, clients: map[string]int64{},
 		Answers: map[int]int{}}
 }
--- a/internal/standin/testcluster/course.go
+++ b/internal/standin/testcluster/course.go
@@ -13,15 +13,15 @@
 // caused are the events by which a run of processes and one of the model are held against each other.
 var caused = []string{"acts", "stops", "placed", "routes", "leads", "lease", "crosses", "kill", "stop", "wake", "end", "start", "strength"}
 
-// Course is how one run went, up to the event that ends it.
-type Course struct {
+// RunSummary is how one run went, up to the event that ends it.
+type RunSummary struct {
 	Moves int           // changes of owner that were agreed
 	Idle  time.Duration // the longest that an instance which a unit had acted for was acted for by none
 	Cut   bool          // the end was not reached
 }
 
-// CourseOf goes through a run's events up to the first one that is as the words say (Event.Is).
-func CourseOf(events []Event, until string) (c Course) {
+// Summarize goes through a run's events up to the first one that is as the words say (Event.Is).
+func Summarize(events []Event, until string) (c RunSummary) {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
 	actor, since, owner := map[string]string{}, map[string]time.Time{}, map[string]string{}
--- a/internal/standin/testcluster/script.go
+++ b/internal/standin/testcluster/script.go
@@ -24,7 +24,7 @@
 //	sick P      connections for commands to it are reset and new ones refused; well P ends that
 //
 // or what links.Net.Do carries out. P may be a list a,b.
-func (c *Crew) Do(line string) error {
+func (c *Cluster) Do(line string) error {
 	w := strings.Fields(line)
 	if len(w) > 0 && slices.Contains(faultproxy.Verbs, w[0]) {
 		return c.Links.Do(line)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func (c *Crew) one(p *process, verb string) error {
+func (c *Cluster) one(p *process, verb string) error {
 	runs := p.cmd != nil
 	switch verb {
 	case "start", "wipe", "restore":
@@ -136,7 +136,7 @@
 //	when WORDS           goes on once an event is as words say (Event.Is), of those since the last thing that was done
 //	ask WORDS            calls what the test handed by this name: ask cross cam-1 south
 //	VERB ...             at once
-func (c *Crew) Play(ctx context.Context, script string, ask map[string]func(words []string) error) error {
+func (c *Cluster) Play(ctx context.Context, script string, ask map[string]func(words []string) error) error {
 	start, seen := time.Now(), 0
 	do := func(what string) error {
 		c.mu.Lock()
