--- a/balancer/sequential/sequential_test.go
+++ b/balancer/sequential/sequential_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 	"testing"
 )
@@ -103,3 +104,81 @@
 		})
 	}
 }
+
+// outcome draws 1 with a probability, and else 0.
+func outcome(random *rand.Rand, probability float64) float64 {
+	if random.Float64() < probability {
+		return 1
+	}
+	return 0
+}
+
+// mostOf is the most of n independent events with a probability that chance lets happen but once in a thousand times or
+// less: three and a half standard deviations above the mean.
+func mostOf(n int, probability float64) int {
+	mean := float64(n) * probability
+	return int(mean + 3.5*math.Sqrt(mean*(1-probability)))
+}
+
+// At a mean that is just the bound, no more streams raise an alarm than the level allows.
+func TestDetector_FalseAlarmsStayWithinTheLevel(t *testing.T) {
+	const streams, outcomes, level = 1000, 400, 0.05
+	for _, bound := range []float64{0.03, 0.1, 0.4} {
+		random := rand.New(rand.NewPCG(1, uint64(bound*100)))
+		alarms := 0
+		for range streams {
+			d := NewDetector(level)
+			for range outcomes {
+				if _, raised := d.Observe(outcome(random, bound), bound); raised {
+					alarms++
+					break
+				}
+			}
+		}
+		if most := mostOf(streams, level); alarms > most {
+			t.Errorf("bound %v: %d of %d streams raise an alarm, at most %d are to", bound, alarms, streams, most)
+		}
+	}
+}
+
+// At a mean that is the baseline with the effect, no more tests rule the effect out than may miss it.
+func TestEffectTest_MissesStayWithinTheProbability(t *testing.T) {
+	const tests, outcomes, effect = 2000, 400, 0.2
+	for _, baseline := range []float64{0.02, 0.1, 0.4} {
+		random := rand.New(rand.NewPCG(2, uint64(baseline*100)))
+		missed := 0
+		for range tests {
+			test := NewEffectTest()
+			for range outcomes {
+				test.Observe(outcome(random, baseline+effect), baseline, effect)
+			}
+			if test.RuledOut() {
+				missed++
+			}
+		}
+		if most := mostOf(tests, missProbability); missed > most {
+			t.Errorf("baseline %v: %d of %d tests miss the effect, at most %d are to", baseline, missed, tests, most)
+		}
+	}
+}
+
+// Failures make a detector suspicious before they raise an alarm, and good outcomes do not.
+func TestDetector_IsSuspiciousBeforeItAlarms(t *testing.T) {
+	d := NewDetector(FalseAlarmBudget)
+	for range 100 {
+		if d.Observe(0, 0.1); d.Suspicious() {
+			t.Fatal("suspicious of good outcomes")
+		}
+	}
+	for n := 1; n <= 20; n++ {
+		_, raised := d.Observe(1, 0.1)
+		if raised && !d.Suspicious() {
+			t.Fatal("an alarm without suspicion")
+		}
+		if d.Suspicious() {
+			check(t, "an alarm with the first suspicion", raised, false)
+			return
+		}
+	}
+	t.Error("20 failures on end raise no suspicion")
+}
