--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -38,7 +38,7 @@
 // Agent is the fleet's members as one process sees them. Its methods are safe for concurrent use, and none but Run waits
 // for other processes.
 type Agent struct {
-	net        *peertransport.Net
+	net        *peertransport.Network
 	onChange   func(Member)
 	startedAt  time.Time
 	library    gossip
@@ -53,7 +53,7 @@
 
 // Open makes an agent for the processes that a file names; Run has to be called. set has fleet.silence. onChange, if any,
 // is called for each change of a member's state, on the goroutine of Run.
-func Open(net *peertransport.Net, incarnation uint64, startedEmpty bool, set map[string]any, onChange func(Member)) (*Agent, error) {
+func Open(net *peertransport.Network, incarnation uint64, startedEmpty bool, set map[string]any, onChange func(Member)) (*Agent, error) {
 	self := net.Self()
 	own := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: incarnation, StartedEmpty: startedEmpty}
 	var others []Record
@@ -69,7 +69,7 @@
 		table:      NewTable(0, own, others, set),
 		pinging:    map[string]bool{},
 	}
-	library, err := newGossip(net, a.table.SilenceTimeout().Span(), len(others)+1, a)
+	library, err := newGossip(net, a.table.SilenceTimeout().Duration(), len(others)+1, a)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 }
 
 // Now is the clock of Member's times.
-func (a *Agent) Now() tick.Tick { return tick.Of(time.Since(a.startedAt)) }
+func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
 // Publish has an own payload of a kind sent to all from now on, in place of an earlier one of that kind. It is an error to
 // publish more than MaxKinds kinds or MaxPayloadSize bytes; nothing has changed then.
@@ -115,10 +115,10 @@
 		names = append(names, p.Name)
 	}
 	group.Go(func() error {
-		a.library.Sync(syncCtx, names, a.table.SilenceTimeout().Span())
+		a.library.Sync(syncCtx, names, a.table.SilenceTimeout().Duration())
 		return nil
 	})
-	ticker := time.NewTicker(a.table.ProbeInterval().Span())
+	ticker := time.NewTicker(a.table.ProbeInterval().Duration())
 	defer ticker.Stop()
 	superseded := false
 	for {
@@ -197,7 +197,7 @@
 	if err != nil {
 		a.table.RecordTimeout(a.Now(), name)
 	} else {
-		a.table.RecordReply(a.Now(), name, tick.Of(took))
+		a.table.RecordReply(a.Now(), name, tick.FromDuration(took))
 	}
 	a.mu.Unlock()
 	if err != nil {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -38,7 +38,7 @@
 }
 
 // newGossip starts the library, for so many members.
-func newGossip(n *peertransport.Net, silence time.Duration, members int, events gossipEvents) (gossip, error) {
+func newGossip(n *peertransport.Network, silence time.Duration, members int, events gossipEvents) (gossip, error) {
 	g := &gossipLibrary{transport: newTransport(n, silence), events: events, self: n.Self().Name}
 	g.queue = &memberlist.TransmitLimitedQueue{
 		NumNodes:       func() int { return members },
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -29,7 +29,7 @@
 // one connection that is kept, and are dropped where it is slow; a stream has a connection of its own. It implements
 // memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
-	net     *peertransport.Net
+	net     *peertransport.Network
 	silence time.Duration
 	ctx     context.Context // ends with Shutdown
 	stop    context.CancelFunc
@@ -43,7 +43,7 @@
 	openConn map[net.Conn]bool   // all of them
 }
 
-func newTransport(n *peertransport.Net, silence time.Duration) *transport {
+func newTransport(n *peertransport.Network, silence time.Duration) *transport {
 	t := &transport{
 		net:      n,
 		silence:  silence,
@@ -54,7 +54,7 @@
 		openConn: map[net.Conn]bool{},
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
-	listener := n.Listener(peertransport.Members)
+	listener := n.Listener(peertransport.KindMembership)
 	t.done.Go(func() {
 		for {
 			c, err := listener.Accept()
@@ -134,7 +134,7 @@
 func (t *transport) dial(name string, purpose byte, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	c, err := t.net.Dial(ctx, name, peertransport.Members)
+	c, err := t.net.Dial(ctx, name, peertransport.KindMembership)
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 		_ = c.Close()
 	}
 	t.mu.Unlock()
-	_ = t.net.Listener(peertransport.Members).Close()
+	_ = t.net.Listener(peertransport.KindMembership).Close()
 	t.done.Wait()
 	return nil
 }
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -92,7 +92,7 @@
 		retryShare:    number("repeats"),
 		floor:         number("floor"),
 		probesPerSec:  number("probes"),
-		startupWindow: tick.OfSeconds(number("ramp")),
+		startupWindow: tick.FromSeconds(number("ramp")),
 	}
 }
 
--- a/internal/tick/tick.go
+++ b/internal/tick/tick.go
@@ -9,14 +9,14 @@
 // Second is one second in ticks.
 const Second Tick = 10000
 
-// Of is a span of time in ticks, rounded down.
-func Of(d time.Duration) Tick { return Tick(d / (100 * time.Microsecond)) }
+// FromDuration is a span of time in ticks, rounded down.
+func FromDuration(d time.Duration) Tick { return Tick(d / (100 * time.Microsecond)) }
 
-// Span is the time that so many ticks are.
-func (t Tick) Span() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+// Duration is the time that so many ticks are.
+func (t Tick) Duration() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-// OfSeconds is a span of seconds in ticks, rounded towards zero.
-func OfSeconds(seconds float64) Tick { return Tick(seconds * float64(Second)) }
+// FromSeconds is a span of seconds in ticks, rounded towards zero.
+func FromSeconds(seconds float64) Tick { return Tick(seconds * float64(Second)) }
 
 // Seconds is the span in seconds.
 func (t Tick) Seconds() float64 { return float64(t) / float64(Second) }
