--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -17,7 +17,7 @@
 	measured bool    // what they hold and their draw are known
 }
 
-// assessBattery takes all batteries together, by what is drawn and by how their charge falls, the worse of the two.
+// assessBattery assesses all batteries together, by what is drawn and by how their charge falls, the worse of the two.
 func (m *Monitor) assessBattery(a *assessment) {
 	mains := m.onMains(a)
 	charges := m.ofKind(KindCharge)
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	claimShare = 0.5               // of a zone's nodes at most drain by claim alone: a version's fault shows in all at once
-	claimHold  = 600 * tick.Second // for which a claim counts after it was withdrawn, so that nodes do not take turns
+	claimShare     = 0.5               // of a zone's nodes at most drain by claim alone: a version's fault shows in all at once
+	claimRetention = 600 * tick.Second // for which a claim counts after it was withdrawn, so that nodes do not take turns
 )
 
 // verifyClaim checks a claim that nothing but the node's word supports. Guards against a fault that makes all nodes of a
@@ -36,17 +36,17 @@
 			granted++
 		}
 	}
-	z.heldClaims = slices.DeleteFunc(z.heldClaims, func(until tick.Tick) bool { return until <= now })
-	return granted + len(z.heldClaims)
+	z.withdrawnClaims = slices.DeleteFunc(z.withdrawnClaims, func(until tick.Tick) bool { return until <= now })
+	return granted + len(z.withdrawnClaims)
 }
 
-// withdrawClaim ends a claim; it still counts for claimHold.
+// withdrawClaim ends a claim; it still counts for claimRetention.
 func (n *node) withdrawClaim(now tick.Tick) {
 	if !n.claimGranted {
 		return
 	}
 	n.claimGranted = false
-	if z := n.zone; len(z.heldClaims) < len(z.nodes) {
-		z.heldClaims = append(z.heldClaims, now+claimHold)
+	if z := n.zone; len(z.withdrawnClaims) < len(z.nodes) {
+		z.withdrawnClaims = append(z.withdrawnClaims, now+claimRetention)
 	}
 }
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -5,7 +5,7 @@
 	switchOn     = 0.5 // a lid's or radio's reading from which it is open or up
 )
 
-// assessCondition takes throttling, lid and radios.
+// assessCondition assesses throttling, lid and radios.
 func (m *Monitor) assessCondition(a *assessment) {
 	radios, off := 0, 0
 	for _, s := range m.series {
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -16,7 +16,7 @@
 
 func newFailureDetector() failureDetector { return failureDetector{wait: minDwell} }
 
-// record takes one outcome against a usual share of failures.
+// record records one outcome, tested against a usual share of failures.
 func (d *failureDetector) record(now tick.Tick, succeeded bool, usualShare float64) {
 	outcome := 0.0
 	if !succeeded {
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -32,7 +32,7 @@
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
-// move takes the level that the readings allow, and the one that they allow with a margin.
+// move updates the level: target is what the readings allow, strict what they allow with a margin.
 func (h *hysteresis) move(now tick.Tick, target, strict level, unknown bool) {
 	switch {
 	case !h.settled: // a process that has just started need not wait
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// AddReading takes one reading, valid or not. One of a kind that is not known, as of a later version, is ignored.
+// AddReading adds one reading, valid or not. One of a kind that is not known, as of a later version, is ignored.
 func (m *Monitor) AddReading(now tick.Tick, r Reading) {
 	m.now = now
 	if _, known := plausibility[r.Kind]; !known {
@@ -124,7 +124,7 @@
 	m.series = append(m.series, s)
 }
 
-// SetLoad takes the node's work as shares of what it can do: that which it does, and that which it would if it took all
+// SetLoad sets the node's work, as shares of what it can do: that which it does, and that which it would if it took all
 // that is asked of it. Values below 0 are ignored, those above 1 count as 1.
 func (m *Monitor) SetLoad(now tick.Tick, present, offered float64) {
 	if !(present >= 0) || !(offered >= 0) { // also false for what is no number
@@ -135,17 +135,17 @@
 	m.offeredLoad = max(m.load, min(offered, 1))
 }
 
-// SetInstances takes how many instances the node has, and the bytes of their state.
+// SetInstances sets how many instances the node has, and the bytes of their state.
 func (m *Monitor) SetInstances(now tick.Tick, instances, stateBytes int) {
 	m.now, m.instances, m.stateBytes = now, max(0, instances), max(0, stateBytes)
 }
 
-// SetTerminating takes that the process was told to end.
+// SetTerminating records that the process was asked to end.
 func (m *Monitor) SetTerminating(now tick.Tick) { m.now, m.terminating = now, true }
 
-// RecordOutcome takes how one of the node's requests ended: whether it did what it was asked for in time. Rejections are
-// no outcomes. Guards against a node that reads well and fails. A bad version looks the same, which the relays' votes
-// judge; it hurts then by taking no new work from nodes that would fail it.
+// RecordOutcome records how one of the node's requests ended: whether it did what it was asked for in time. Rejections
+// are no outcomes. Guards against a node that reads well and fails. A bad version looks the same, which the relays'
+// votes judge; it hurts then by taking no new work from nodes that would fail it.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, ownFailureShare)
--- a/internal/devicehealth/sequential.go
+++ b/internal/devicehealth/sequential.go
@@ -25,7 +25,7 @@
 	wealth   float64
 }
 
-// record takes one outcome, 1 for a failure and 0 for a success, against a usual share of failures, and reports whether
+// record tests one outcome, 1 for a failure and 0 for a success, against a usual share of failures, and reports whether
 // there is an alarm.
 func (t *sequentialTest) record(outcome, usualShare float64) (alarm bool) {
 	t.outcomes++
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -12,7 +12,7 @@
 	heatCapacity = 500  // joules for a degree C: half a kilogram of board and metal without a fan
 )
 
-// assessTemperature takes the sensor that reaches its limit first.
+// assessTemperature assesses all sensors; the one that reaches its limit first decides.
 func (m *Monitor) assessTemperature(a *assessment) {
 	extraRate := 0.0 // degrees C a second that the offered load would add at first
 	if draw := a.readings.Draw; draw != nil && *draw > 0 {
@@ -46,7 +46,7 @@
 	return limit
 }
 
-// assessSensor takes one sensor's value against its limit.
+// assessSensor assesses one sensor's value against its limit.
 func (m *Monitor) assessSensor(a *assessment, s *series, value, limit, extraRate float64) {
 	margin := max(0, limit-value)
 	present, offered := timesToLimit(s, margin, extraRate)
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -43,8 +43,8 @@
 // zone is the nodes that share a zone.
 type zone struct {
 	nodes []*node // by name
-	// heldClaims are the times until which claims count that were granted and are withdrawn since.
-	heldClaims []tick.Tick
+	// withdrawnClaims are the times until which claims count that were granted and are withdrawn since.
+	withdrawnClaims []tick.Tick
 }
 
 // outcomeWindow counts failures among the last outcomes.
@@ -69,8 +69,8 @@
 // NewVerifier makes a Verifier that knows no nodes.
 func NewVerifier() *Verifier { return &Verifier{nodes: map[string]*node{}, zones: map[string]*zone{}} }
 
-// Verify takes a node's report and returns what is believed: the same, or another state with the reason before the
-// node's own. Beyond maxNodes a node is only believed to hold what it has.
+// Verify records a node's report and returns what is believed of it: the same, or another state with the reason before
+// the node's own. Beyond maxNodes a node is only believed to hold what it has.
 func (v *Verifier) Verify(now tick.Tick, name, zoneName string, r Report) Report {
 	n := v.nodes[name]
 	if n == nil {
@@ -97,7 +97,7 @@
 	return believed
 }
 
-// RecordOutcome takes how a request at a node ended, as its callers saw it. Rejections are no outcomes. It is compared
+// RecordOutcome records how a request at a node ended, as its callers saw it. Rejections are no outcomes. It is compared
 // with the share of failures of the zone's other nodes, so that a trouble of all sets none aside.
 func (v *Verifier) RecordOutcome(now tick.Tick, name string, succeeded bool) {
 	n := v.nodes[name]
--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -42,7 +42,7 @@
 	return append(header, body...)
 }
 
-// Restore takes a snapshot in place of what is kept. What is corrupt, of a later version, or of other request classes is
+// Restore replaces what is kept by a snapshot. What is corrupt, of a later version, or of other request classes is
 // refused whole, with an error that wraps ErrCorrupt or ErrNewerVersion, and nothing changes.
 func (s *Store) Restore(text []byte) error {
 	body, err := checkHeader(text)
@@ -105,7 +105,8 @@
 		c.Outcomes >= 0 && c.Outcomes < maxCount && c.Failures >= 0 && c.Failures <= c.Outcomes
 }
 
-// Load reads a snapshot's file; none is no error. Why one cannot be had is put into LoadError, and the store starts empty.
+// Load reads a snapshot's file; none is no error. Why one cannot be had is put into LoadError, and the store starts
+// empty.
 func (s *Store) Load(path string) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// UpdateVersion takes the state of a version; one that is new is kept from then on, in place of the oldest if need be.
+// UpdateVersion sets the state of a version; one that is new is kept from then on, in place of the oldest if need be.
 func (s *Store) UpdateVersion(now balancer.Tick, number uint16, state string) {
 	v := s.find(number)
 	if v == nil {
@@ -135,7 +135,7 @@
 	v.LastSeen, v.State = now, state
 }
 
-// RecordOutcome takes an outcome of this relay's own, of a request class at a version.
+// RecordOutcome records an outcome of this relay's own, of a request class at a version.
 func (s *Store) RecordOutcome(now balancer.Tick, number uint16, class, wave int, failed bool) {
 	failures := 0.0
 	if failed {
@@ -146,7 +146,7 @@
 	}
 }
 
-// RecordPlatformCount takes what the platform counted at a version. Counts that make no sense are ignored.
+// RecordPlatformCount adds what the platform counted at a version. Counts that make no sense are ignored.
 func (s *Store) RecordPlatformCount(now balancer.Tick, number uint16, class, wave, outcomes, failures int) {
 	v := s.reported(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
@@ -176,8 +176,8 @@
 	c.Failures += failures
 }
 
-// RecordFlag takes a wrong answer that was found so long after it was given. It belongs to the version that gave it, also
-// after that was judged; one of a version that is not kept is an orphan.
+// RecordFlag records a wrong answer that was found so long after it was given. It belongs to the version that gave it,
+// also after that was judged; one of a version that is not kept is an orphan.
 func (s *Store) RecordFlag(now balancer.Tick, number uint16, class, wave int, delay balancer.Tick) {
 	v := s.reported(now, number, class)
 	if v == nil {
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -6,13 +6,13 @@
 // only queue; Run does what is queued, in order, many requests by one write and one fsync, and calls each one's done.
 //
 // A record that is cut short at the end of the file was never acknowledged and is cut off; anything else that does not
-// add up refuses the file whole, as what follows it may have been acknowledged. On a full disk requests are refused and
+// add up refuses the whole file, as what follows it may have been acknowledged. On a full disk requests are refused and
 // the file stays as it was.
 //
-// A disk put back to an earlier time looks whole. So the file counts the records that it has ever taken, and who keeps an
-// earlier count elsewhere, as the controllers do, finds that there were more. What a run writes counts only once
-// ConfirmCurrent has said that the file is the newest one known, so that an old one never catches up with what was
-// counted.
+// A disk put back to an earlier time looks intact. So the file counts the records that it has ever taken, and who
+// keeps an earlier count elsewhere, as the controllers do, finds that there were more. What a run writes counts only
+// once ConfirmCurrent has said that the file is the newest one known, so that an old one never catches up with what
+// was counted.
 //
 // Files: store.go (opening and requests), run.go (the queue), write.go (what a request changes, in memory and in the
 // file), compaction.go, format.go (records).
@@ -122,12 +122,12 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	whole, err := s.read(text)
+	complete, err := s.read(text)
 	if err != nil {
 		return err
 	}
-	if whole < len(text) {
-		s.logf(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(text)-whole))
+	if complete < len(text) {
+		s.logf(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(text)-complete))
 	}
 	file, err := os.OpenFile(s.path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	s.file = file
 	s.durableCount.Store(s.count.records)
-	if err := s.prepareFile(int64(whole)); err != nil {
+	if err := s.prepareFile(int64(complete)); err != nil {
 		_ = file.Close()
 		return err
 	}
@@ -146,16 +146,16 @@
 	return nil
 }
 
-// read takes in what is whole, and returns how many bytes that is.
-func (s *Store) read(text []byte) (whole int, err error) {
+// read applies the complete records of a file, and returns how many bytes they are.
+func (s *Store) read(text []byte) (complete int, err error) {
 	refused := false
-	whole, err = format.ReadRecords(text, func(payload []byte) error {
+	complete, err = format.ReadRecords(text, func(payload []byte) error {
 		r, err := decode(payload)
 		if err == nil {
 			err = s.apply(r)
 		}
 		refused = err != nil
-		if refused && !errors.Is(err, ErrNewerVersion) { // else it is whole, and nothing to be moved away
+		if refused && !errors.Is(err, ErrNewerVersion) { // else it is complete, and nothing to be moved away
 			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		return err
@@ -163,24 +163,24 @@
 	if errors.Is(err, ErrCorrupt) && !refused {
 		err = fmt.Errorf("%w; moved away, this unit starts without its instances", err)
 	}
-	return whole, err
+	return complete, err
 }
 
-// prepareFile begins a file, or cuts off what did not come whole, and makes both durable.
-func (s *Store) prepareFile(whole int64) error {
-	if err := s.file.Truncate(whole); err != nil {
+// prepareFile begins a file, or cuts off a record that is not complete, and makes both durable.
+func (s *Store) prepareFile(complete int64) error {
+	if err := s.file.Truncate(complete); err != nil {
 		return err
 	}
-	if whole == 0 {
+	if complete == 0 {
 		if _, err := s.file.Write(format.Header()); err != nil {
 			return err
 		}
-		whole = recordlog.HeaderSize
+		complete = recordlog.HeaderSize
 	}
 	if err := s.file.Sync(); err != nil {
 		return err
 	}
-	s.fileSize = whole
+	s.fileSize = complete
 	return recordlog.SyncFolder(filepath.Dir(s.path))
 }
 
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// restore takes the changes back.
+// restore undoes the changes.
 func (u *undo) restore(s *Store) {
 	s.note, s.count = u.note, u.count
 	for name, l := range u.logs {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -67,7 +67,7 @@
 			problems = append(problems, err)
 			continue
 		}
-		if first, again := lineOf[f.test]; again {
+		if first, repeated := lineOf[f.test]; repeated {
 			problems = append(problems, fmt.Errorf("line %d lists %s again, after line %d", b.firstLine, f.test,
 				first))
 			continue
@@ -109,7 +109,7 @@
 	if !isField(name) {
 		return fmt.Errorf("unknown field %q; the fields are %s", name, strings.Join(fieldNames, ", "))
 	}
-	if _, again := b.values[name]; again {
+	if _, repeated := b.values[name]; repeated {
 		return fmt.Errorf("field %q stands twice in one entry", name)
 	}
 	b.values[name] = strings.TrimSpace(value)
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -80,8 +80,8 @@
 // Now is the clock of Member's times.
 func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
-// Publish has an own payload of a kind sent to all from now on, in place of an earlier one of that kind. It is an error to
-// publish more than MaxKinds kinds or MaxPayloadSize bytes; nothing has changed then.
+// Publish has an own payload of a kind sent to all from now on, in place of an earlier one of that kind. It is an
+// error to publish more than MaxKinds kinds or MaxPayloadSize bytes; nothing has changed then.
 func (a *Agent) Publish(kind string, data []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,7 +151,7 @@
 	superseded bool
 }
 
-// turn brings the table on, and notes the pings that are begun.
+// turn advances the table to now, and marks the pings that are begun.
 func (a *Agent) turn() turnResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,7 +224,7 @@
 	}
 }
 
-// onRecord takes a record that came, and passes it on if it is new.
+// onRecord merges a record that was received, and broadcasts it if it is new.
 func (a *Agent) onRecord(raw []byte) {
 	a.mu.Lock()
 	err := a.table.Merge(a.Now(), raw)
@@ -245,14 +245,14 @@
 	return a.table.Records()
 }
 
-// onUp takes that the library holds a member to be alive.
+// onUp is called when the library holds a member to be alive.
 func (a *Agent) onUp(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.MarkUp(a.Now(), name)
 }
 
-// onDown takes that the library holds a member to be dead, or to have left.
+// onDown is called when the library holds a member to be dead, or to have left.
 func (a *Agent) onDown(name string, left bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -46,7 +46,7 @@
 	returnedAt tick.Tick
 }
 
-// RecordReply takes that a member answered this process after a time.
+// RecordReply records that a member answered a probe of this process, and how long that took.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
 	e := t.other(name)
 	if e == nil {
@@ -63,7 +63,7 @@
 	t.judge(now, e)
 }
 
-// RecordTimeout takes that a member did not answer this process.
+// RecordTimeout records that a member did not answer a probe of this process.
 func (t *Table) RecordTimeout(now tick.Tick, name string) {
 	e := t.other(name)
 	if e == nil {
@@ -76,7 +76,7 @@
 	t.judge(now, e)
 }
 
-// MarkDown takes that the fleet holds a member to be dead, or to have left; a later sign of it is believed.
+// MarkDown records that the fleet holds a member to be dead, or to have left. A later sign of life overrides it.
 func (t *Table) MarkDown(now tick.Tick, name string, left bool) {
 	e := t.other(name)
 	if e == nil {
@@ -87,7 +87,7 @@
 	t.judge(now, e)
 }
 
-// MarkUp takes that the fleet holds a member to be alive.
+// MarkUp records that the fleet holds a member to be alive.
 func (t *Table) MarkUp(now tick.Tick, name string) {
 	e := t.other(name)
 	if e == nil {
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// world drives many tables in simulated time: each turn every process that runs pings the targets of its table, and passes
-// its own and some other records on to one or two others, over links that may be cut.
+// world drives many tables in simulated time: each turn every process that runs pings the targets of its table, and
+// passes its own and some other records on to one or two others, over links that may be cut.
 type world struct {
 	now   tick.Tick
 	rand  *rand.Rand
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -51,8 +51,8 @@
 	return r, nil
 }
 
-// Merge takes a record that came by any way. It is nil where the record is worth passing on; else its error is
-// ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
+// Merge merges a record that was received by any way. Its error is nil where the record is worth passing on; else its
+// error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
 // A smaller incarnation is refused: a process's disk or machine that was put back, or a slow message of before a restart.
 // Where the clock that the incarnation was drawn from was set back, a true restart looks like that too, and stays refused
@@ -105,7 +105,7 @@
 	return bytes.Compare(raw, e.raw) > 0
 }
 
-// mergeOwn takes a record of this process's own name, which others passed on.
+// mergeOwn merges a record of this process's own name, which others passed on.
 func (t *Table) mergeOwn(r Record) {
 	switch {
 	case r.Incarnation > t.self.Incarnation:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -10,8 +10,8 @@
 // the members whose state has changed.
 //
 // Files: table.go, record.go (what members say of themselves), liveness.go (how a member stands), probing.go (whom to ask
-// and how often to speak), agent.go and incarnation.go (one process's member), gossip.go, transport.go and packets.go (the
-// library and its connections).
+// and how often to speak), agent.go and incarnation.go (one process's member), gossip.go, transport.go and packets.go
+// (the library and its connections).
 //
 // Kind: state
 package membership
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// With many members payloads that change all the time are sent no oftener than is borne by those who pass them on, few are
-// probed in one turn, and few of those that live together ask one that is back for whole states.
+// With many members payloads that change all the time are sent no oftener than is borne by those who pass them on, few
+// are probed in one turn, and few of those that live together ask one that is back for whole states.
 func TestTable_LoadIsBoundedAtSize(t *testing.T) {
 	for _, n := range []int{3, 100, 1000} {
 		names := make([]string, n)
@@ -225,7 +225,8 @@
 	want(t, table, "a", StateAlive)
 }
 
-// Whatever order records come in, repeated or not, and whatever is heard between, the newest one stands; incarnations never fall.
+// Whatever order records come in, repeated or not, and whatever is heard between, the newest one stands; incarnations
+// never fall.
 func TestMerge_AnyOrderEndsTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raws := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) []byte {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -55,7 +55,7 @@
 	return err
 }
 
-// finish takes a batch that was written over from what is pending, or drops it.
+// finish moves a batch's entries from pending to durable, or drops them where err says that it was not written.
 func (s *Store) finish(b *batch, err error) {
 	for key, e := range b.entries {
 		if s.pending[key] == e {
--- a/internal/monotonic/format.go
+++ b/internal/monotonic/format.go
@@ -59,14 +59,15 @@
 
 func newContents() contents { return contents{entries: map[string]entry{}} }
 
-// decode reads a file, and returns how many of its bytes are whole. Its error wraps ErrCorrupt or ErrNewerVersion.
-func decode(text []byte) (c contents, whole int, err error) {
+// decode reads a file, and returns how many of its bytes are complete records. Its error wraps ErrCorrupt or
+// ErrNewerVersion.
+func decode(text []byte) (c contents, complete int, err error) {
 	c = newContents()
-	whole, err = format.ReadRecords(text, c.apply)
-	return c, whole, err
+	complete, err = format.ReadRecords(text, c.apply)
+	return c, complete, err
 }
 
-// apply takes one record's payload.
+// apply applies one record's payload.
 func (c *contents) apply(payload []byte) error {
 	switch {
 	case len(payload) > entrySize && payload[0] == kindEntry:
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -3,7 +3,7 @@
 // on different disks, of which the furthest counts.
 //
 // A record is durable in all copies before Raise or Pass returns. A record that is cut short at the end of a file was
-// never acknowledged and is cut off; anything else that does not add up refuses the file whole, as what it said could be
+// never acknowledged and is cut off; anything else that does not add up refuses the whole file, as what it said could be
 // newer than what is left. A copy that lags behind another was put back or replaced, and is repaired. All copies put back
 // at once cannot be told from the file: see docs/metadata.md for what guards then.
 //
@@ -135,18 +135,18 @@
 		return storedCopy{}, fmt.Errorf("floor: %w", err)
 	}
 	s.Created = false
-	c, whole, err := decode(text)
+	c, complete, err := decode(text)
 	if err != nil {
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
-	if truncated := len(text) - whole; truncated > 0 {
+	if truncated := len(text) - complete; truncated > 0 {
 		s.TruncatedBytes += truncated
 		s.logf(fmt.Sprintf("floor %s: %d bytes of a record cut short at its end were cut off", path, truncated))
 	}
 	return storedCopy{contents: c, exists: true}, nil
 }
 
-// merge takes what a copy holds that is further than what is known.
+// merge merges what a copy holds that is newer than what is known.
 func (s *Store) merge(c contents) error {
 	for key, e := range c.entries {
 		known, ok := s.entries[key]
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -47,7 +47,7 @@
 	return admission{localFraction: 1, sharedFraction: 1, pressureAt: now}
 }
 
-// decay brings the decaying counts on by some seconds.
+// decay decays the counts by so many seconds.
 func (a *admission) decay(elapsed float64) {
 	for i := range a.classes {
 		a.classes[i].offered *= math.Exp(-elapsed / rateWindow)
@@ -94,7 +94,7 @@
 	return exponent
 }
 
-// RecordServiceTime takes an answer of a backend and the time that the backend worked on it.
+// RecordServiceTime records an answer of a backend and the time that the backend worked on it.
 func (m *Manager) RecordServiceTime(now tick.Tick, class int, took tick.Tick) {
 	m.advance(now)
 	c := m.admission.class(class)
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -116,11 +116,11 @@
 			return Report{}, fmt.Errorf("%w: cut short", ErrMalformedReport)
 		}
 		field, size := rest[0], fieldHeaderSize+int(rest[1])
-		whole, data := rest[:size], rest[fieldHeaderSize:size]
+		encoded, data := rest[:size], rest[fieldHeaderSize:size]
 		rest = rest[size:]
 		if field == 0 || field > fieldEvidence {
-			if len(r.UnknownFields)+len(whole) <= maxUnknownBytes {
-				r.UnknownFields = append(r.UnknownFields, whole...)
+			if len(r.UnknownFields)+len(encoded) <= maxUnknownBytes {
+				r.UnknownFields = append(r.UnknownFields, encoded...)
 			}
 			continue
 		}
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -114,7 +114,7 @@
 // admission rises.
 func (m *Manager) coverage() float64 { return float64(len(m.fleet.fresh)+1) / m.fleetSize() }
 
-// advance brings the clock on, drops reports that have expired, and recomputes what is due.
+// advance moves the clock forward, drops reports that have expired, and recomputes what is due.
 func (m *Manager) advance(now tick.Tick) {
 	m.now = max(m.now, now)
 	m.expireReports()
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -128,7 +128,7 @@
 	return float64(m.window.failures-s.windowFailures) / float64(max(minWindow, m.window.size-s.windowOutcomes))
 }
 
-// RecordOutcome takes how an attempt or a probe at a backend ended.
+// RecordOutcome records how an attempt or a probe at a backend ended.
 func (m *Manager) RecordOutcome(now tick.Tick, backend string, succeeded bool) {
 	m.advance(now)
 	if m.standalone() {
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// applyEvidence takes what another relay counts of backends. A relay of an earlier version reports verdicts only.
+// applyEvidence replaces what another relay counts of backends. A relay of an earlier version reports verdicts only.
 func (m *Manager) applyEvidence(p *peer, madeAt tick.Tick, report Report) {
 	reported := report.Evidence
 	if reported == nil {
@@ -89,7 +89,7 @@
 	p.replaceEvidence(all)
 }
 
-// evidenceOf takes verdicts for as much evidence as one relay can bring.
+// evidenceOf converts verdicts to as much evidence as one relay can bring.
 func evidenceOf(verdicts []Verdict) []Evidence {
 	var all []Evidence
 	for _, v := range verdicts[:min(len(verdicts), maxEvidence)] {
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -72,7 +72,7 @@
 	completedWork float64             // seconds of work a second
 }
 
-// UpdatePeer takes what is known of another relay.
+// UpdatePeer updates what is known of another relay.
 func (m *Manager) UpdatePeer(now tick.Tick, u PeerUpdate) {
 	m.advance(now)
 	p := m.peerFor(u)
@@ -120,7 +120,7 @@
 	return p
 }
 
-// applyReport takes a peer's report, made at a time, if it is newer than the last one and makes sense.
+// applyReport replaces a peer's report by one made at madeAt, if that is newer and valid.
 func (m *Manager) applyReport(now tick.Tick, p *peer, report Report, madeAt tick.Tick) {
 	if p.hasReport && madeAt <= p.reportedAt {
 		return
@@ -153,7 +153,7 @@
 	}
 }
 
-// expireReports takes reports that have grown old out of the sums.
+// expireReports removes reports older than reportTTL from the sums.
 func (m *Manager) expireReports() {
 	for len(m.fleet.fresh) > 0 && m.now-m.fleet.fresh[0].reportedAt >= reportTTL {
 		p := m.fleet.fresh[0]
@@ -193,7 +193,7 @@
 	}
 }
 
-// remove takes a peer's report out of the sums, if it is counted.
+// remove removes a peer's report from the sums, if it is counted.
 func (v *fleetView) remove(p *peer, s settings) {
 	if !p.fresh {
 		return
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -34,11 +34,12 @@
 	return max(float64(p.SchedulingDelay)/float64(maxSchedulingDelay), p.CPU/maxUtilization, p.Memory/maxUtilization)
 }
 
-// UpdatePressure takes what the relay sees of its own load, a few times a second. The fraction that it admits falls the
-// faster the higher the pressure, though not below a little more than what backends are seen to complete, and rises
-// again; it is drawn toward the median of the relays with requests, so that all of them shed alike. Guards against
-// overload that each relay meets on its own, some by rejections and others by queues. A backend or a link that is slow
-// for this relay alone looks the same; the pull of the others' higher fractions hurts then.
+// UpdatePressure updates the admitted fractions by the relay's own load. It is to be called a few times a second. The
+// fraction that it admits falls the faster the higher the pressure, though not below a little more than what backends
+// are seen to complete, and rises again; it is drawn toward the median of the relays with requests, so that all of
+// them shed alike. Guards against overload that each relay meets on its own, some by rejections and others by queues.
+// A backend or a link that is slow for this relay alone looks the same; the pull of the others' higher fractions hurts
+// then.
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -43,13 +43,13 @@
 	b.credit = min(max(b.credit, b.limit()), b.credit+credit)
 }
 
-// decay brings the budget on by some seconds.
+// decay decays the budget by so many seconds.
 func (b *retryBudget) decay(elapsed float64) {
 	b.firstAttempts *= math.Exp(-elapsed / budgetWindow)
 	b.deposit(0)
 }
 
-// RecordFirstAttempt takes that the first attempt of a request goes out. Requests that their clients repeat are not
+// RecordFirstAttempt records that the first attempt of a request goes out. Requests that their clients repeat are not
 // counted.
 func (m *Manager) RecordFirstAttempt(now tick.Tick) {
 	m.advance(now)
@@ -71,14 +71,14 @@
 	return true
 }
 
-// absorbSpilled takes this relay's part of what another one has spilled between two of its reports.
+// absorbSpilled adds this relay's part of what another one has spilled between two of its reports.
 func (m *Manager) absorbSpilled(before, after float64) {
 	if after > before {
 		m.budget.receive((after - before) / m.fleetSize())
 	}
 }
 
-// inheritCredit takes the credit that a dead relay had left, if this one is the heir: the first by rendezvous hashing
+// inheritCredit adds the credit that a dead relay had left, if this one is its heir: the first by rendezvous hashing
 // over the living, so that each side of a split has one at the most.
 func (m *Manager) inheritCredit(dead *peer) {
 	if dead.inherited {
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// learnVerdicts takes another relay's verdicts, reported at a time.
+// learnVerdicts adopts another relay's newer verdicts, reported at madeAt.
 func (m *Manager) learnVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
 		s := m.suspects[v.Backend]
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -92,10 +92,10 @@
 	return binary.LittleEndian.Uint32(header[payloadSumOffset:]) == uint32(f.Checksum(payload))
 }
 
-// ReadRecords passes on each whole record's payload, and returns how many bytes of the file are whole: 0 also of a file
-// whose header was cut short. What use refuses, and all that does not add up, refuses the file; the error is that of use,
-// or wraps ErrCorrupt or ErrNewerVersion. Payloads are parts of text.
-func (f *Format) ReadRecords(text []byte, use func(payload []byte) error) (whole int, err error) {
+// ReadRecords passes on each complete record's payload, and returns how many bytes of the file are complete records
+// and its header: 0 also of a file whose header was cut short. What use refuses, and all that does not add up, refuses
+// the file; the error is that of use, or wraps ErrCorrupt or ErrNewerVersion. Payloads are parts of text.
+func (f *Format) ReadRecords(text []byte, use func(payload []byte) error) (complete int, err error) {
 	if len(text) < HeaderSize && bytes.HasPrefix(f.Header(), text) {
 		return 0, nil // made, and not yet begun
 	}
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// nextRecord is the payload of the record at the start of rest, and the size of the whole record. The size is 0 where
-// what is left is no whole record, but such as a write that was cut short leaves.
+// nextRecord is the payload of the record at the start of rest, and the size of that record. The size is 0 where
+// what is left is no complete record, but such as a write that was cut short leaves.
 func (f *Format) nextRecord(rest []byte) (payload []byte, size int, err error) {
 	headerSize := f.RecordHeaderSize()
 	if len(rest) < headerSize {
