--- /dev/null
+++ b/internal/fdtable/constructor.go
@@ -0,0 +1,20 @@
+package fdtable
+
+/*
+#define _GNU_SOURCE
+#include <fcntl.h>
+#include <sys/resource.h>
+#include <unistd.h>
+
+// Runs before Go's own start, when there is one thread. The highest descriptor is taken and given back at once.
+__attribute__((constructor)) static void grow_table(void) {
+	struct rlimit limit;
+	long size = 1024; // TargetSize
+	if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < size)
+		size = limit.rlim_cur;
+	int fd = fcntl(0, F_DUPFD_CLOEXEC, size - 1);
+	if (fd >= 0)
+		close(fd);
+}
+*/
+import "C"
--- /dev/null
+++ b/internal/transport/address.go
@@ -0,0 +1,50 @@
+package transport
+
+import (
+	"context"
+	"sync"
+)
+
+// Address is the address of a peer that may move while the program runs. It may be used by any goroutine.
+type Address struct {
+	mu      sync.Mutex
+	address string
+	current context.Context // ends when the peer moves
+	end     context.CancelFunc
+}
+
+// NewAddress makes the address of a peer.
+func NewAddress(address string) *Address {
+	a := &Address{}
+	a.set(address)
+	return a
+}
+
+func (a *Address) set(address string) {
+	a.address = address
+	a.current, a.end = context.WithCancel(context.Background())
+}
+
+// Update names another address. What was begun at the one before is canceled.
+func (a *Address) Update(address string) (moved bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if address == a.address {
+		return false
+	}
+	a.end()
+	a.set(address)
+	return true
+}
+
+// Current tells the address, and a context that ends with ctx or when the peer moves. Whoever calls it calls release.
+func (a *Address) Current(ctx context.Context) (address string, current context.Context, release func()) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	current, cancel := context.WithCancel(ctx)
+	stop := context.AfterFunc(a.current, cancel)
+	return a.address, current, func() {
+		stop()
+		cancel()
+	}
+}
--- /dev/null
+++ b/internal/transport/buffer_test.go
@@ -0,0 +1,14 @@
+package transport
+
+import "testing"
+
+func TestBufferBudget(t *testing.T) {
+	budget := NewBufferBudget(10)
+	if !budget.Reserve(6) || budget.Reserve(5) || !budget.Reserve(4) {
+		t.Error("ten bytes are six and four")
+	}
+	budget.Release(6)
+	if reserved, _ := budget.InUse(); reserved != 4 || !budget.Reserve(6) {
+		t.Errorf("%d bytes are reserved", reserved)
+	}
+}
