--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -48,6 +48,7 @@
 var refusalNames = [...]string{"none", "concurrency limit", "endpoint", "idempotency", "last attempt", "ejection", "slow start",
 	"capacity", "degradation", "exposure cap"}
 
+// String is the refusal in words.
 func (r Refusal) String() string {
 	if int(r) < len(refusalNames) {
 		return refusalNames[r]
@@ -209,7 +210,7 @@
 
 func (b *Balancer) mayBegin(a *Attempt) bool {
 	r, backend := a.Request, a.Backend
-	if r.answered || a.cancelled || b.now >= r.Deadline {
+	if r.state == requestAnswered || a.state != attemptRunning || b.now >= r.Deadline {
 		return false
 	}
 	sameProcess := backend.StartedAt == a.backendStart && backend.Version == a.version
