--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -137,7 +137,9 @@
 		o.Now = controllerclient.Now
 	}
 	if o.Planner == nil {
-		o.Planner = func(h Host, now tick.Tick) Planner { return migration.NewPlanner(h, now, uint64(now), o.Set) }
+		o.Planner = func(h Host, now tick.Tick) Planner {
+			return migration.NewPlanner(h, now, uint64(now), migration.ConfigFrom(o.Set))
+		}
 	}
 	if o.Free == nil {
 		o.Free = freeOf
@@ -148,7 +150,7 @@
 	if o.crowd == nil {
 		o.crowd = &crowd{most: mostConns, mostOf: mostOfOne}
 	}
-	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.TimingsFor(o.Set), bell: wakeup.New(),
+	k := &Keeper{Options: o, self: o.Net.Self().Name, spans: leases.TimingsFor(leases.ConfigFrom(o.Set)), bell: wakeup.New(),
 		waiters: make(chan struct{}, mostWaiters), ended: make(chan error, 1), queued: make(chan struct{}, 1),
 		marks: map[string]controllerclient.Mark{}}
 	for _, p := range o.Net.Peers("keeper") {
@@ -352,7 +354,7 @@
 	}
 	now := k.Now()
 	runs := k.machine.runs()
-	l := &lead{term: term, book: leases.New(k.Set), units: map[string]*controllerclient.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
+	l := &lead{term: term, book: leases.New(leases.ConfigFrom(k.Set)), units: map[string]*controllerclient.LeaseAsk{}, back: map[uint16]bool{}, says: map[string]stand{}, version: term << 32,
 		changed: make(chan struct{}), pending: map[string]int{}, settled: make(chan struct{}), over: make(chan struct{})}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -362,7 +364,7 @@
 	l.book.OnElected(now, runs)
 	l.planner = k.Planner(host{k, l}, now)
 	l.claims = devicehealth.NewVerifier()
-	l.marks = leases.NewRecordCounts(now, k.Set, k.machine.kept())
+	l.marks = leases.NewRecordCounts(now, leases.ConfigFrom(k.Set), k.machine.kept())
 	k.lead = l
 	l.planner.OnElected(now)
 	for _, p := range k.machine.all() {
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -65,7 +65,7 @@
 		}
 		h.Generation, h.Runs, h.Kept, h.more, old = was.Generation, was.Runs, was.Kept, was.more, t.All()
 	}
-	book := leases.New(r.Set)
+	book := leases.New(leases.ConfigFrom(r.Set))
 	book.ExpectRenewal(0, "any")
 	over, _ := book.NextExpiry()
 	r.Say(fmt.Sprintf("waits %s for leases of before to be over", over.Span()))
@@ -78,7 +78,7 @@
 	var silent []string
 	units := r.Net.Peers("edge")
 	all, errs := make([]controllerclient.Holds, len(units)), make([]error, len(units))
-	limit := leases.TimingsFor(r.Set).ProposalTimeout.Span()
+	limit := leases.TimingsFor(leases.ConfigFrom(r.Set)).ProposalTimeout.Span()
 	var group errgroup.Group
 	group.SetLimit(asked)
 	for i, p := range units {
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -70,7 +70,7 @@
 
 // New makes a client of the keepers in a process's file. set has fleet.lease; the seed draws the pauses.
 func New(net *peertransport.Net, set map[string]any, seed uint64) *Client {
-	c := &Client{net: net, http: net.Client(), spans: leases.TimingsFor(set), polls: map[*polling]struct{}{}, chance: rand.New(rand.NewPCG(seed, 29))}
+	c := &Client{net: net, http: net.Client(), spans: leases.TimingsFor(leases.ConfigFrom(set)), polls: map[*polling]struct{}{}, chance: rand.New(rand.NewPCG(seed, 29))}
 	for _, p := range net.Peers("keeper") {
 		c.names = append(c.names, p.Name)
 	}
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -94,10 +94,9 @@
 	queue expiryQueue // the nodes that are not expired
 }
 
-// New returns a lessor that has granted nothing. The settings are fleet.lease (seconds) and fleet.drift (a share).
-func New(settings map[string]any) *Lessor {
-	lease, drift := settings["fleet.lease"].(float64), settings["fleet.drift"].(float64)
-	return &Lessor{span: tick.Tick(lease*(1+2*drift)*float64(tick.Second)) + 1, nodes: map[string]*node{}}
+// New returns a lessor that has granted nothing.
+func New(config Config) *Lessor {
+	return &Lessor{span: config.controllerSpan(), nodes: map[string]*node{}}
 }
 
 // OnElected begins a span of leading: each node that may have a lease of an earlier leader, by its agreed incarnation, is
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -23,9 +23,9 @@
 	nextDue  tick.Tick
 }
 
-// NewRecordCounts begins a span of leading with the counts that are agreed. The setting is fleet.lease (seconds).
-func NewRecordCounts(now tick.Tick, settings map[string]any, agreed map[string]uint64) *RecordCounts {
-	interval := tick.Tick(settings["fleet.lease"].(float64) * float64(tick.Second))
+// NewRecordCounts begins a span of leading with the counts that are agreed.
+func NewRecordCounts(now tick.Tick, config Config, agreed map[string]uint64) *RecordCounts {
+	interval := config.Span()
 	return &RecordCounts{interval: interval, known: maps.Clone(agreed), unagreed: map[string]uint64{}, nextDue: now + interval}
 }
 
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -21,9 +21,9 @@
 	commitIntervalMax = tick.Second / 20
 )
 
-// TimingsFor returns the spans for a lease of fleet.lease seconds.
-func TimingsFor(settings map[string]any) Timings {
-	lease := tick.Tick(settings["fleet.lease"].(float64) * float64(tick.Second))
+// TimingsFor returns the spans for a lease.
+func TimingsFor(config Config) Timings {
+	lease := config.Span()
 	return Timings{
 		HeartbeatTimeout:         lease / 4,
 		CommitInterval:           min(max(lease/20, commitIntervalMin), commitIntervalMax),
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -24,14 +24,14 @@
 	}
 	n.NodeStatus, n.reported, n.leaseExpired = status, true, false
 	n.reserved = len(n.incoming)
-	n.recent.rotate(now, p.settings.lease)
+	n.recent.rotate(now, p.config.Lease)
 	p.updateBusy(n)
 	p.updateEligibility(n)
 	if lostCopies {
 		p.onCopiesLost(n)
 	}
 	if status.FreeSlots < 0 && now >= n.nextExcessReview {
-		n.nextExcessReview = now + p.settings.lease
+		n.nextExcessReview = now + p.config.Lease
 		p.markExcess(n)
 	}
 	if !wasReported || wasAway || lostCopies || changesPlans(old, status) {
@@ -156,7 +156,7 @@
 // onPrimaryChanged notes that an instance has another primary, or none, since its old assignment.
 func (p *Planner) onPrimaryChanged(i *instance, old placement.Assignment) {
 	if old.CutOver && i.Epoch == old.Epoch+1 && i.Failures == old.Failures {
-		i.history.moved(p.now, p.settings.dwell)
+		i.history.moved(p.now, p.config.Dwell)
 		p.node(old.Primary).recent.departures[0]++
 		p.node(i.Primary).recent.arrivals[0]++
 	}
@@ -180,7 +180,7 @@
 	}
 	for _, name := range old.Replicas {
 		if !slices.Contains(i.Replicas, name) {
-			i.avoid = avoidance{node: p.node(name), until: p.now + avoidDroppedLeases*p.settings.lease}
+			i.avoid = avoidance{node: p.node(name), until: p.now + avoidDroppedLeases*p.config.Lease}
 			p.backOffRemote(i, i.avoid.node)
 		}
 	}
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -29,7 +29,7 @@
 	if successor != nil && p.leaseEndsSoon(successor) {
 		// Guards against handing all to a replica that failed in the same moment, which counts a failure more and another lease
 		// without a primary. A slow one looks the same; it costs it the rest of its lease.
-		p.scheduleReview(i, p.now+max(1, p.settings.lease/shortLeaseReview))
+		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReview))
 		return
 	}
 	op := placement.Operation{Kind: placement.OpFailOver, Node: i.Primary, Reason: i.Primary + " fell"}
@@ -46,24 +46,24 @@
 // with a replica of its own, until one fails alone; that costs a node's failure or two more.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
-	if failures < p.settings.maxFailures {
+	if failures < p.config.MaxFailures {
 		return false
 	}
 	alone := i.primaryNode.suspects <= 1
-	return alone || failures >= suspectFailureRatio*p.settings.maxFailures
+	return alone || failures >= suspectFailureRatio*p.config.MaxFailures
 }
 
 // countSuspects counts the instances that were at a node that failed and are at their last failure.
 func (p *Planner) countSuspects(n *node) {
 	n.suspects = 0
 	for i := range n.primaryOf {
-		n.suspects += countIf(i.Failures+1 >= p.settings.maxFailures)
+		n.suspects += countIf(i.Failures+1 >= p.config.MaxFailures)
 	}
 }
 
 // leaseEndsSoon reports whether a node may not come to renew its lease.
 func (p *Planner) leaseEndsSoon(n *node) bool {
-	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.settings.lease/shortLeaseFraction
+	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.config.Lease/shortLeaseFraction
 }
 
 // successor is the best living replica, nil for none: of those that are as well off one that is surely there, then one where
@@ -93,7 +93,7 @@
 	if !n.reported || n.leaseExpired || slices.Contains(i.emptyReplicas, n) {
 		return false
 	}
-	return n.LeaseEnd == 0 || n.LeaseEnd+p.settings.lease/shortLeaseFraction > p.now
+	return n.LeaseEnd == 0 || n.LeaseEnd+p.config.Lease/shortLeaseFraction > p.now
 }
 
 // successorRank orders replicas by how well off they are.
@@ -116,7 +116,7 @@
 			Reason: n.Name + " holds all of it and is back"})
 		return
 	}
-	if at := i.primarySince + p.settings.restartAfter; p.now < at {
+	if at := i.primarySince + p.config.RestartAfter; p.now < at {
 		p.scheduleReview(i, at)
 		return
 	}
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -43,7 +43,7 @@
 
 // mayCopyInstead reports whether an instance that can't move may be copied meanwhile, as it lacks a replica as well.
 func (p *Planner) mayCopyInstead(i *instance) bool {
-	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.settings.maxMoves)
+	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.config.MaxMoves)
 }
 
 // parkCopy puts an instance that is only to be copied where it waits for the part of a bound that copies have, and reports
@@ -51,16 +51,16 @@
 func (p *Planner) parkCopy(i *instance) bool {
 	reason, primary := i.need.reason, i.primaryNode
 	switch {
-	case p.copiesFull(reason, p.moves, p.settings.maxMoves):
+	case p.copiesFull(reason, p.moves, p.config.MaxMoves):
 		p.park(&p.parked, i)
-	case p.copiesFull(reason, primary.moves, p.settings.maxMovesPerNode):
+	case p.copiesFull(reason, primary.moves, p.config.MaxMovesPerNode):
 		p.park(&primary.parked, i)
 	default:
 		return false
 	}
-	wait := p.settings.lease / parkedReviewFraction
+	wait := p.config.Lease / parkedReviewFraction
 	if reason == tooFewRemoteReplicas {
-		wait = remoteParkedLeases * p.settings.lease
+		wait = remoteParkedLeases * p.config.Lease
 	}
 	p.scheduleReview(i, earlier(i.review.due, p.now+wait))
 	return true
@@ -78,7 +78,7 @@
 // waitForTarget puts an instance for which there is no node where it waits: for a link that is full, a node in another
 // zone, one in its device's, or any.
 func (p *Planner) waitForTarget(i *instance, fullLink *link) {
-	lease, risk := p.settings.lease, i.primaryNode.Risk
+	lease, risk := p.config.Lease, i.primaryNode.Risk
 	switch {
 	case fullLink != nil:
 		p.enqueue(&fullLink.waiting, i, risk)
@@ -86,7 +86,7 @@
 	case i.need.reason == tooFewRemoteReplicas:
 		// One zone only, or all of the others evacuating or without room: it is reviewed when a zone or a place comes free.
 		p.enqueue(&p.waitingRemote, i, risk)
-		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewSpans*(lease+p.settings.restartAfter)))
+		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewSpans*(lease+p.config.RestartAfter)))
 	case i.need.reason == deviceElsewhere:
 		p.backOff(i)
 		p.enqueue(&p.zone(i.Zone).waiting, i, risk)
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -22,14 +22,14 @@
 	primary := i.primaryNode
 	reason, notBefore := p.reasonToLeave(i)
 	replicas := p.countReplicas(i)
-	i.need.replica = replicas.reliable < p.settings.replicas && primary.reported && !primary.unreliable()
-	i.need.remoteReplica = replicas.remote < p.settings.remoteReplicas && primary.reported && !primary.unreliable()
+	i.need.replica = replicas.reliable < p.config.Replicas && primary.reported && !primary.unreliable()
+	i.need.remoteReplica = replicas.remote < p.config.RemoteReplicas && primary.reported && !primary.unreliable()
 	worst, surplus := p.surplusReplicas(i, replicas)
 	switch {
 	case reason != noMove && p.now >= notBefore && surplus < 2:
 	case i.need.replica:
 		reason = tooFewReplicas
-	case surplus > 0 && (replicas.zonesKnown || p.settings.remoteReplicas == 0):
+	case surplus > 0 && (replicas.zonesKnown || p.config.RemoteReplicas == 0):
 		p.propose(i, placement.Operation{Kind: placement.OpDropReplica, Target: worst.Name, Reason: "a copy too many"})
 		return
 	default:
@@ -56,7 +56,7 @@
 // reasonToLeave is why an instance should leave its primary, noMove for none, and the moment before which it stays still.
 func (p *Planner) reasonToLeave(i *instance) (reason moveReason, notBefore tick.Tick) {
 	primary := i.primaryNode
-	stay := i.history.stayUntil(p.settings.dwell)
+	stay := i.history.stayUntil(p.config.Dwell)
 	switch {
 	case !primary.reported:
 		return noMove, 0
@@ -98,16 +98,16 @@
 // surplusReplicas is how many replicas there are beyond what is wanted, and the one that goes first. There is none where too
 // few that are counted upon would be left. It may be below 0.
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
-	surplus = len(i.replicaNodes) - p.settings.replicas
+	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
-		if c.remote <= p.settings.remoteReplicas && n.farFrom(i.primaryNode) && !n.unreliable() {
+		if c.remote <= p.config.RemoteReplicas && n.farFrom(i.primaryNode) && !n.unreliable() {
 			continue // one in the primary's zone goes for it
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
 			worst = n
 		}
 	}
-	if surplus > 0 && (worst == nil || c.reliable-countIf(!worst.unreliable()) < p.settings.replicas) {
+	if surplus > 0 && (worst == nil || c.reliable-countIf(!worst.unreliable()) < p.config.Replicas) {
 		surplus = 0
 	}
 	return worst, surplus
@@ -165,7 +165,7 @@
 }
 
 func (p *Planner) remoteBackOffSpan(failures int) tick.Tick {
-	return remoteBackOffLeases * p.settings.lease << failures
+	return remoteBackOffLeases * p.config.Lease << failures
 }
 
 // copyTooSlow is why a copy is cancelled that does not end in time.
@@ -182,9 +182,9 @@
 		}
 		fault = copyTooSlow
 	}
-	lease := p.settings.lease
+	lease := p.config.Lease
 	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
-	i.retry.until = p.now + min(lease<<i.retry.attempts/cancelBackOffFraction, max(lease, p.settings.restartAfter))
+	i.retry.until = p.now + min(lease<<i.retry.attempts/cancelBackOffFraction, max(lease, p.config.RestartAfter))
 	i.retry.reason = primaryLeaving
 	i.avoid = avoidance{node: target, until: i.retry.until + lease}
 	if fault == copyTooSlow {
@@ -212,11 +212,11 @@
 
 // copyDeadline is when the copy under way has to have ended.
 func (p *Planner) copyDeadline(i *instance, target *node) tick.Tick {
-	end := i.copySince + p.settings.restartAfter
+	end := i.copySince + p.config.RestartAfter
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
 		// Guards against entries that rest on the primary alone for as long as another zone is not reached. A large state on
 		// a slow link looks the same; it costs it a copy in its own zone first.
-		end = min(end, i.copySince+lonelyCopyLeases*p.settings.lease)
+		end = min(end, i.copySince+lonelyCopyLeases*p.config.Lease)
 	}
 	return end
 }
@@ -225,7 +225,7 @@
 // primary's.
 func (p *Planner) hasNearerTarget(i *instance, target *node) bool {
 	primary := i.primaryNode
-	if p.settings.remoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.farFrom(primary) {
+	if p.config.RemoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.farFrom(primary) {
 		return false
 	}
 	return len(primary.zone.eligible) > countIf(primary.eligible)
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -26,7 +26,7 @@
 type Planner struct {
 	host      Host
 	seed      uint64
-	settings  settings
+	config    Config
 	leads     bool
 	working   bool // guards against work within work: a proposal that is agreed at once tells so
 	now       tick.Tick
@@ -46,10 +46,9 @@
 	parked          parkedAt
 }
 
-// NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed. The settings are those of the
-// operator's block fleet, by "fleet." and their names; an absent one is that block's default.
-func NewPlanner(host Host, now tick.Tick, seed uint64, fleet map[string]any) *Planner {
-	return &Planner{host: host, seed: seed, settings: newSettings(fleet), now: now, nodes: map[string]*node{},
+// NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed.
+func NewPlanner(host Host, now tick.Tick, seed uint64, config Config) *Planner {
+	return &Planner{host: host, seed: seed, config: config, now: now, nodes: map[string]*node{},
 		zones: map[string]*zone{}, links: map[[2]string]*link{}, instances: map[string]*instance{}}
 }
 
@@ -85,7 +84,7 @@
 	if len(p.reviews) > 0 {
 		return max(now+1, p.reviews[0].review.due)
 	}
-	return now + p.settings.lease
+	return now + p.config.Lease
 }
 
 // ChooseNode returns the node at which a new instance should begin, "" where none has room.
@@ -122,7 +121,7 @@
 			}
 		case len(p.reviews) > 0 && p.reviews[0].review.due <= p.now:
 			p.reviewInstance(p.reviews[0])
-		case len(p.busy) > 0 && p.moves < p.settings.maxMoves:
+		case len(p.busy) > 0 && p.moves < p.config.MaxMoves:
 			p.beginMove(p.busy[0].ready[0])
 		default:
 			return true
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -25,7 +25,7 @@
 		i.primaryNode.pendingFailOvers++
 	}
 	i.proposal.operation, i.proposal.proposedAt = op, p.now
-	p.scheduleReview(i, p.now+proposalTimeoutLeases*p.settings.lease)
+	p.scheduleReview(i, p.now+proposalTimeoutLeases*p.config.Lease)
 	if op.Kind == placement.OpStartCopy {
 		p.node(op.Target).reserved++
 	}
@@ -35,7 +35,7 @@
 
 // proposalTimedOut reports whether the result of a proposal counts as lost, and has the instance reviewed then if not yet.
 func (p *Planner) proposalTimedOut(i *instance) bool {
-	timeout := i.proposal.proposedAt + proposalTimeoutLeases*p.settings.lease
+	timeout := i.proposal.proposedAt + proposalTimeoutLeases*p.config.Lease
 	if p.now < timeout {
 		p.scheduleReview(i, timeout)
 		return false
@@ -89,9 +89,9 @@
 
 // backOff puts the next move of an instance off, each time in a row twice as long.
 func (p *Planner) backOff(i *instance) {
-	lease := p.settings.lease
+	lease := p.config.Lease
 	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
-	wait := min(lease<<i.retry.attempts/backOffFraction, max(lease, p.settings.restartAfter/2))
+	wait := min(lease<<i.retry.attempts/backOffFraction, max(lease, p.config.RestartAfter/2))
 	i.retry.until = max(i.retry.until, p.now+wait)
 	i.retry.reason = i.need.reason
 	p.scheduleReview(i, earlier(i.review.due, i.retry.until))
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -62,7 +62,7 @@
 // wake looks again at so many instances that found no node, the most pressing and those most at risk first: those that are
 // reviewed by themselves would come in any order.
 func (p *Planner) wake(q *queue, most int) {
-	for range min(most, p.settings.maxMovesPerNode, len(*q)) {
+	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
 		p.unqueue(i)
 		i.retry.until = 0
@@ -109,7 +109,7 @@
 
 // updateBusy brings up a node's place among those whose instances are ready to move.
 func (p *Planner) updateBusy(n *node) {
-	ready := len(n.ready) > 0 && n.moves < p.settings.maxMovesPerNode
+	ready := len(n.ready) > 0 && n.moves < p.config.MaxMovesPerNode
 	switch {
 	case ready && n.busyPosition == notQueued:
 		heap.Push(&p.busy, n)
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -109,7 +109,7 @@
 // scattersSuspects reports whether a replica is to be anywhere, so that no two instances meet that may fail their primaries.
 func (s *targetSearch) scattersSuspects() bool {
 	i := s.instance
-	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.settings.maxFailures
+	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.config.MaxFailures
 }
 
 // considerZone considers the instance's replicas of a zone, those of its nodes that are least at risk, and a sample of the others.
@@ -161,7 +161,7 @@
 }
 
 func (s *targetSearch) isFull(l *link) bool {
-	bound := s.planner.settings.maxMovesPerLink
+	bound := s.planner.config.MaxMovesPerLink
 	return l.moves >= bound || s.reason.copiesOnly() && s.planner.copiesFull(s.reason, l.moves, bound)
 }
 
@@ -170,7 +170,7 @@
 func (s *targetSearch) suits(n *node) bool {
 	i, p := s.instance, s.planner
 	switch {
-	case !n.eligible, n == i.primaryNode, n.moves >= p.settings.maxMovesPerNode:
+	case !n.eligible, n == i.primaryNode, n.moves >= p.config.MaxMovesPerNode:
 		return false
 	case n == i.avoid.node && p.now < i.avoid.until:
 		return false
@@ -180,7 +180,7 @@
 	switch s.reason {
 	case tooFewReplicas, tooFewRemoteReplicas:
 		return !slices.Contains(i.replicaNodes, n) && n.Risk < maxVoluntaryTargetRisk &&
-			!p.copiesFull(s.reason, n.moves, p.settings.maxMovesPerNode)
+			!p.copiesFull(s.reason, n.moves, p.config.MaxMovesPerNode)
 	case primaryEvacuating:
 		return isBetterOff(n, i.primaryNode)
 	case primaryOverCapacity:
@@ -209,7 +209,7 @@
 func (s *targetSearch) score(n *node) float64 {
 	i := s.instance
 	score := -riskWeight*n.Risk + freeSlotsWeight*min(1, float64(n.FreeSlots-n.reserved)/enoughFreeSlots) -
-		movesWeight*float64(n.moves)/float64(s.planner.settings.maxMovesPerNode)
+		movesWeight*float64(n.moves)/float64(s.planner.config.MaxMovesPerNode)
 	if slices.Contains(i.replicaNodes, n) {
 		score += replicaBonus + min(1, float64(i.Size)/largeState)
 	}
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -7,10 +7,13 @@
 	"unicode/utf8"
 )
 
-// Bounds of an operation's numbers.
+// Bounds of the numbers of operations and assignments.
 const (
 	maxWeight = 100
 	maxCount  = math.MaxInt64 // of an index and an epoch
+
+	// maxStoppedPrimaries are replicas beyond maxReplicas: a primary that has stopped becomes one without being asked for.
+	maxStoppedPrimaries = 2
 )
 
 // CheckSupported returns ErrUnsupportedVersion where an operation is of a later version, or of a kind that this program
@@ -107,7 +110,7 @@
 		return "the copy does not add up"
 	case a.Epoch == 0 || a.Revision == 0 || a.Failures < 0:
 		return "counts do not add up"
-	case len(a.StaleCopies) > maxStaleCopies || len(a.Replicas) > maxReplicas+2: // a replica that fell or stopped comes on top
+	case len(a.StaleCopies) > maxStaleCopies || len(a.Replicas) > maxReplicas+maxStoppedPrimaries:
 		return "counts do not add up"
 	}
 	return ""
