--- a/internal/migration/bench_test.go
+++ b/internal/migration/bench_test.go
@@ -44,6 +44,7 @@
 // newFleet is a planner with a fleet at rest: 20 zones, each instance in its primary's,
 // with a replica there or with fleet.away in another.
 func newFleet(b *testing.B, units, instances int, set map[string]any) (*immediateHost, []NodeStatus) {
+	b.Helper()
 	d := &immediateHost{table: placement.New(), now: 1}
 	d.planner = NewPlanner(d, 1, 3, ConfigFrom(set))
 	d.planner.OnElected(1)
@@ -78,6 +79,7 @@
 var fleets = []struct{ units, instances int }{{100, 10000}, {1000, 10000}, {1000, 100000}, {10000, 100000}}
 
 func benchmarkFleets(b *testing.B, do func(b *testing.B, d *immediateHost, all []NodeStatus)) {
+	b.Helper()
 	for _, away := range []float64{0, 1} {
 		for _, f := range fleets {
 			b.Run(fmt.Sprintf("away=%v/units=%d/instances=%d", away, f.units, f.instances), func(b *testing.B) {
@@ -95,6 +97,7 @@
 // A device moves: all operations of a migration, table and planner together.
 func BenchmarkPlanner_DeviceMove(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
+		b.Helper()
 		n := d.table.Len()
 		d.proposals = 0
 		for i := range b.N {
@@ -107,6 +110,7 @@
 // A node renews its lease and nothing has changed.
 func BenchmarkPlanner_Renewal(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
+		b.Helper()
 		d.proposals = 0
 		for i := range b.N {
 			d.now++
@@ -120,6 +124,7 @@
 // A node fails, its instances fail over and are copied again, and it is back.
 func BenchmarkPlanner_FailOver(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, d *immediateHost, all []NodeStatus) {
+		b.Helper()
 		d.proposals = 0
 		for i := range b.N {
 			d.now += 100 * tick.Second
