--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -21,7 +21,7 @@
 type fleetProcess struct {
 	file  *fleet.File
 	log   zerolog.Logger
-	net   *peertransport.Net
+	net   *peertransport.Network
 	board *membership.Agent
 
 	measures net.Listener // nil: metrics are served nowhere
@@ -29,7 +29,7 @@
 
 // process makes one of a file for a role. The connections work once run is called.
 func process(path, role string) (*fleetProcess, error) {
-	f, err := fleet.As(path, role)
+	f, err := fleet.ReadRole(path, role)
 	if err != nil {
 		return nil, err
 	}
