--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,164 @@
+// Package docs holds the project's pages to the code: what they name has to exist.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// sources are the project's Go files outside tests, by their folder from the root.
+func sources(tb testing.TB) map[string][]*ast.File {
+	tb.Helper()
+	files := token.NewFileSet()
+	all := map[string][]*ast.File{}
+	root := ".."
+	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		name := d.Name()
+		if d.IsDir() && path != root && (strings.HasPrefix(name, ".") || name == "testdata" || name == "bin" || name == "journal" || name == "tools") {
+			return filepath.SkipDir
+		}
+		if d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		folder, err := filepath.Rel(root, filepath.Dir(path))
+		if err != nil {
+			return err
+		}
+		all[folder] = append(all[folder], file)
+		return nil
+	})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return all
+}
+
+// declared are the names of a package's files: Name of what stands by itself, Type.Method and Type.Field.
+func declared(files []*ast.File) map[string]bool {
+	names := map[string]bool{}
+	for _, file := range files {
+		for _, d := range file.Decls {
+			switch d := d.(type) {
+			case *ast.FuncDecl:
+				names[receiver(d)+d.Name.Name] = true
+			case *ast.GenDecl:
+				for _, spec := range d.Specs {
+					addSpec(names, spec)
+				}
+			}
+		}
+	}
+	return names
+}
+
+// receiver is the type that a method belongs to, with a dot; "" for a function.
+func receiver(d *ast.FuncDecl) string {
+	if d.Recv == nil {
+		return ""
+	}
+	t := d.Recv.List[0].Type
+	if pointer, ok := t.(*ast.StarExpr); ok {
+		t = pointer.X
+	}
+	if generic, ok := t.(*ast.IndexExpr); ok {
+		t = generic.X
+	}
+	return t.(*ast.Ident).Name + "."
+}
+
+func addSpec(names map[string]bool, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			names[name.Name] = true
+		}
+	case *ast.TypeSpec:
+		names[s.Name.Name] = true
+		var fields *ast.FieldList
+		switch t := s.Type.(type) {
+		case *ast.StructType:
+			fields = t.Fields
+		case *ast.InterfaceType:
+			fields = t.Methods
+		default:
+			return
+		}
+		for _, field := range fields.List {
+			for _, name := range field.Names {
+				names[s.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+var (
+	folderName = regexp.MustCompile("`((?:balancer|cmd|internal|deploy)(?:/[a-z0-9-]+)*)`")
+	codeName   = regexp.MustCompile("`([a-z][a-z0-9]*)\\.([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)?)`")
+)
+
+// TestPages_NameWhatExists reads the pages that lead through the code. A folder is named by its path, a declaration as
+// package.Name or package.Type.Name, both in backticks.
+func TestPages_NameWhatExists(t *testing.T) {
+	all := sources(t)
+	packages := map[string]map[string]bool{}
+	for folder, files := range all {
+		name := files[0].Name.Name
+		if packages[name] == nil {
+			packages[name] = map[string]bool{}
+		}
+		for n := range declared(files) {
+			packages[name][n] = true
+		}
+		_ = folder
+	}
+	for _, page := range []string{"architecture.md", "glossary.md", "oncall.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		folders := folderName.FindAllStringSubmatch(string(text), -1)
+		for _, m := range folders {
+			if info, err := os.Stat(filepath.Join("..", m[1])); err != nil || !info.IsDir() {
+				t.Errorf("%s: there is no folder %s", page, m[1])
+			}
+		}
+		names := codeName.FindAllStringSubmatch(string(text), -1)
+		for _, m := range names {
+			if known, ok := packages[m[1]]; ok && !known[m[2]] {
+				t.Errorf("%s: package %s declares no %s", page, m[1], m[2])
+			} else if !ok && !strings.Contains("fleet limits rules rollout load go verdicts metadata", m[1]) {
+				t.Errorf("%s: there is no package %s", page, m[1])
+			}
+		}
+		if page == "architecture.md" && (len(folders) < 40 || len(names) < 40) {
+			t.Errorf("%s names %d folders and %d declarations: is its form another one now?", page, len(folders), len(names))
+		}
+	}
+}
+
+// TestArchitecture_NamesEachPackage finds each package of the project on the page.
+func TestArchitecture_NamesEachPackage(t *testing.T) {
+	text, err := os.ReadFile("architecture.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for folder := range sources(t) {
+		if !strings.Contains(string(text), "`"+folder+"`") {
+			t.Errorf("architecture.md does not name %s", folder)
+		}
+	}
+}
