--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -22,6 +22,10 @@
 
 var update = flag.Bool("update", false, "write the golden files below testdata anew")
 
+// Updating reports whether golden files are to be written, for tests that write them in a form of their own. It is to be
+// called once flags are parsed.
+func Updating() bool { return *update }
+
 // File compares got with testdata/name, and fails the test where they differ or the file is not there.
 func File(tb testing.TB, name, got string) {
 	tb.Helper()
