--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -20,13 +20,13 @@
 	"silvercove/internal/placement"
 )
 
-type fleetKeeperCmd struct {
+type fleetControllerCmd struct {
 	File string `arg:"" help:"The operator's file of this process."`
 }
 
 // Run is a keeper until SIGTERM or SIGINT: then it hands its lead over and ends. A second signal ends it at once; what
 // is agreed is on its disk either way.
-func (c *fleetKeeperCmd) Run() error {
+func (c *fleetControllerCmd) Run() error {
 	p, err := process(c.File, "keeper")
 	if err != nil {
 		return err
--- a/cmd/silvercovectl/fleet_edge.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -11,13 +11,13 @@
 	"silvercove/internal/edgenode"
 )
 
-type fleetEdgeCmd struct {
+type fleetNodeCmd struct {
 	File string `arg:"" help:"The operator's file of this process."`
 }
 
 // Run is an edge unit until SIGTERM or SIGINT: then its instances are handed on, and it ends within ten leases. A second
 // signal ends it at once.
-func (c *fleetEdgeCmd) Run() error {
+func (c *fleetNodeCmd) Run() error {
 	p, err := process(c.File, "edge")
 	if err != nil {
 		return err
@@ -25,7 +25,7 @@
 	return p.during(func(alive context.Context) error { return c.serve(p, alive) })
 }
 
-func (c *fleetEdgeCmd) serve(p *fleetProcess, alive context.Context) error {
+func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	e, err := edgenode.Open(edgenode.Options{File: p.file, Net: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return full(err)
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -18,17 +18,17 @@
 
 // commands are all sub-commands.
 type commands struct {
-	Check     checkCmd     `cmd:"" help:"Check an operator's file."`
-	Reference referenceCmd `cmd:"" help:"Print the reference page of the operator's file."`
-	Keys      keysCmd      `cmd:"" help:"Make and list signing keys."`
-	Tuf       tufCmd       `cmd:"" help:"Keep a TUF repository."`
-	Uptane    uptaneCmd    `cmd:"" help:"Look into what a Director tells servers."`
-	Metadata  metadataCmd  `cmd:"" help:"Run or watch the metadata front."`
-	Floor     floorCmd     `cmd:"" help:"Look into a floor, or set its time back."`
-	Verdict   verdictCmd   `cmd:"" help:"Look into a relay's votes, and plan for evidence."`
-	Standin   standinCmd   `cmd:"" help:"Stand-ins for trying things out."`
-	Fleet     fleetCmd     `cmd:"" help:"Processes of a fleet whose parts talk with one another."`
-	Lab       labCmd       `cmd:"" help:"Measurements against stand-ins."`
+	Check        checkCmd        `cmd:"" help:"Check an operator's file."`
+	Reference    referenceCmd    `cmd:"" help:"Print the reference page of the operator's file."`
+	Keys         keysCmd         `cmd:"" help:"Make and list signing keys."`
+	Tuf          tufCmd          `cmd:"" help:"Keep a TUF repository."`
+	Uptane       uptaneCmd       `cmd:"" help:"Look into what a Director tells servers."`
+	Metadata     metadataCmd     `cmd:"" help:"Run or watch the metadata front."`
+	VersionStore versionStoreCmd `cmd:"" aliases:"floor" help:"Look into a store of metadata versions, or set its time back."`
+	Verdict      verdictCmd      `cmd:"" help:"Look into a relay's votes, and plan for evidence."`
+	Standin      standinCmd      `cmd:"" help:"Stand-ins for trying things out."`
+	Fleet        fleetCmd        `cmd:"" help:"Processes of a fleet whose parts talk with one another."`
+	Lab          labCmd          `cmd:"" help:"Measurements against stand-ins."`
 }
 
 func main() {
@@ -38,6 +38,10 @@
 			"or from COVE_PASSPHRASE."))
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
+	if earlier, now := earlierName(os.Args[1:]); earlier != "" {
+		log := logger("info")
+		log.Warn().Str("component", "silvercovectl").Str("earlier", earlier).Str("now", now).Msg("sub-command has a new name")
+	}
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "silvercovectl:", err)
 		os.Exit(1)
@@ -86,3 +90,21 @@
 	}
 	return err
 }
+
+// earlierNames are the sub-commands that have another name now; they still work.
+var earlierNames = map[string]string{
+	"fleet edge":   "fleet node",
+	"fleet keeper": "fleet controller",
+	"floor":        "version-store",
+}
+
+// earlierName finds the earlier name of a sub-command that a command line begins with, and its name now; "" where it has none.
+func earlierName(args []string) (earlier, now string) {
+	for words := 1; words <= min(2, len(args)); words++ {
+		earlier = strings.Join(args[:words], " ")
+		if now, ok := earlierNames[earlier]; ok {
+			return earlier, now
+		}
+	}
+	return "", ""
+}
--- /dev/null
+++ b/cmd/silvercovectl/main_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+func TestEarlierSubCommandsStillWork(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ earlier, now, rest string }{
+		{"fleet keeper", "fleet controller", file},
+		{"fleet edge", "fleet node", file},
+		{"floor", "version-store", "show " + file},
+	} {
+		t.Run(c.earlier, func(t *testing.T) {
+			if earlier, now := earlierName(strings.Fields(c.earlier + " " + c.rest)); earlier != c.earlier || now != c.now {
+				t.Errorf("known as %q, now %q", earlier, now)
+			}
+			if earlier, _ := earlierName(strings.Fields(c.now + " " + c.rest)); earlier != "" {
+				t.Errorf("the present name %q counts as an earlier one", c.now)
+			}
+			if earlier, now := parsed(t, c.earlier+" "+c.rest), parsed(t, c.now+" "+c.rest); earlier != now {
+				t.Errorf("%q runs %s, %q runs %s", c.earlier, earlier, c.now, now)
+			}
+		})
+	}
+}
+
+// parsed is the sub-command that a command line selects.
+func parsed(tb testing.TB, line string) string {
+	tb.Helper()
+	var c commands
+	parser, err := kong.New(&c)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	ctx, err := parser.Parse(strings.Fields(line))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return ctx.Command()
+}
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -228,17 +228,17 @@
 	return show("http://" + c.Address + "/explain/" + c.Server)
 }
 
-type floorCmd struct {
-	Show  floorShowCmd  `cmd:"" help:"List what a floor holds; it must not be in use."`
-	Clock floorClockCmd `cmd:"" help:"Set the floor's time back to now, after a clock was far ahead."`
+type versionStoreCmd struct {
+	Show  versionStoreShowCmd  `cmd:"" help:"List what a floor holds; it must not be in use."`
+	Clock versionStoreClockCmd `cmd:"" help:"Set the floor's time back to now, after a clock was far ahead."`
 }
 
-type floorShowCmd struct {
+type versionStoreShowCmd struct {
 	Paths []string `arg:"" type:"existingfile" help:"The floor's copies."`
 }
 
 // Run lists a floor.
-func (c *floorShowCmd) Run() error {
+func (c *versionStoreShowCmd) Run() error {
 	f, err := monotonic.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
 	if err != nil {
 		return err
@@ -251,13 +251,13 @@
 	return nil
 }
 
-type floorClockCmd struct {
+type versionStoreClockCmd struct {
 	Paths []string `arg:"" type:"existingfile" help:"The floor's copies."`
 	Yes   bool     `help:"Do it: what has expired since may count as current again until its own end."`
 }
 
 // Run sets the time back.
-func (c *floorClockCmd) Run() error {
+func (c *versionStoreClockCmd) Run() error {
 	if !c.Yes {
 		return errors.New("this makes metadata that had expired by the floor's time current again: say --yes if the clock " +
 			"was wrong, and is right now")
--- a/internal/standin/testcluster/crew.go
+++ b/internal/standin/testcluster/crew.go
@@ -78,9 +78,12 @@
 	Env              []string
 }
 
+// subCommands of the control program, by the role that an operator's file names.
+var subCommands = map[string]string{"keeper": "controller", "edge": "node", "relay": "relay"}
+
 // Fleet is the program of each role.
 func Fleet(t Test, role string) []string {
-	return []string{Binary(t, "silvercovectl"), "fleet", role, "FILE"}
+	return []string{Binary(t, "silvercovectl"), "fleet", subCommands[role], "FILE"}
 }
 
 // Cluster is a fleet of processes under test.
