--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -4,7 +4,7 @@
 
 const (
 	lowCharge = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to hand over with
-	idleDraw  = 0.5  // of the draw at full load: measured ones of small computers are 0.4 to 0.6
+	idleDraw  = 0.5  // of the draw at full load
 	mainsOn   = 0.5  // a mains reading from which it counts as on
 )
 
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -11,14 +11,14 @@
 // What is believed of readings. A value that is not believed leaves the last one standing for staleAfter, then the
 // reading is unknown, which means no new work.
 const (
-	staleAfter     = 10 * tick.Second // ten readings of a second: one that fails or jumps is no news
+	staleAfter     = 10 * tick.Second // ten readings of a second: one that fails or jumps means nothing
 	jumpConfirm    = 60 * tick.Second // for so long a value has to stay where it jumped to: the span of a slope of heat
 	jumpMoves      = 2                // and to move there, as a living sensor does
 	minStuck       = 30 * tick.Second // the least time after which a quantity that used to move is stuck
 	stuckPauses    = 10.0             // and how many times its usual pause
 	stuckMinMoves  = 8                // moves from which the usual pause is known
 	stuckDrawShare = 0.03             // of a full battery is drawn, its charge stands: 3 steps of the coarsest gauge
-	confidence     = 1.6              // standard errors: one-sided 95%; above 1.7 a worse reading could look better
+	confidence     = 1.6              // standard errors: one-sided 95%
 	maxSamples     = 32               // of a regression
 	minSamples     = 12               // of a regression
 	upperSamples   = 16               // of an upper value
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -45,8 +45,7 @@
 
 // Heartbeat reports whether the own record is to be sent again: a heartbeat period after it was sent last, so that others
 // know that this process lives, or with changed payloads a part of that. Guards against payloads that change each time
-// that a relay looks, which every member passes on: with 300 relays that is all that the links between members carry.
-// With few members it is never waited for; with 1,000 payloads come up to 1.6 silences late.
+// that a relay looks, which every member passes on: in a large fleet they would fill the links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.spokeAt+t.heartbeatPeriod()/payloadsPerBeat
 	if now < t.heartbeatDue && !changed {
