--- a/internal/instancestore/store_test.go
+++ b/internal/instancestore/store_test.go
@@ -217,3 +217,36 @@
 		}
 	}
 }
+
+func TestStore_RefusesWhatDoesNotFollow(t *testing.T) {
+	s, _, _ := openStore(t, t.TempDir())
+	for name, ask := range map[string]func(done func(error)){
+		"an entry of no instance": func(d func(error)) { s.Append("x", replica.LogEntry{Index: 1}, d) },
+		"a truncation of no log":  func(d func(error)) { s.Truncate("x", 0, d) },
+	} {
+		if err := wait(ask); !errors.Is(err, ErrGap) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+func TestStore_RefusesBeyondTheQueue(t *testing.T) {
+	s, _, _, err := Open("", func(string) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var refused []int
+	for i := range maxQueue + 2 {
+		s.Delete("x", func(err error) {
+			if errors.Is(err, ErrQueueFull) {
+				refused = append(refused, i)
+			}
+		})
+	}
+	stop := make(chan struct{})
+	close(stop)
+	s.Run(stop)
+	if len(refused) != 2 || refused[0] != maxQueue {
+		t.Errorf("refused are %v", refused)
+	}
+}
