--- /dev/null
+++ b/internal/downstream/disconnect_test.go
@@ -0,0 +1,187 @@
+package downstream
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/leakcheck"
+	"silvercove/internal/standin/scriptedbackend"
+)
+
+// TestSession_ClientDisconnects: in whatever state a session is, its client's going is seen at once: nothing more is sent on,
+// and what is in flight is abandoned.
+func TestSession_ClientDisconnects(t *testing.T) {
+	slow := query("51", "read") // at a backend that does not answer
+	ways := map[string]func(c *net.TCPConn){
+		"closes":      func(c *net.TCPConn) { _ = c.Close() },
+		"half-closes": func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"resets":      scriptedbackend.Kill,
+	}
+	for _, c := range []struct{ name, send string }{
+		{"behind nothing", ""},
+		{"behind half a query", query("07", "read")[:30]},
+		{"behind a query", query("07", "read")},
+		{"behind an empty query", emptyQuery},
+		{"behind a malformed query", simpleQuery("BEGIN")},
+		{"behind one of its ID", slow},
+		{"behind one of an unknown request class", query("07", "x")},
+		{"behind an oversized query", simpleQuery(strings.Repeat("x", pgwire.MaxQuery))},
+		{"behind an extended query", scriptedbackend.Message('P', "\x00\x00\x00\x00") + scriptedbackend.Message('S', "")},
+		{"behind an unknown message", scriptedbackend.Message('y', "")},
+		{"behind a malformed message", "Q\x00\x00\x00\x00"},
+		{"behind more than it may be owed", strings.Repeat(emptyQuery, 1000)},
+		{"behind more requests than it may be owed", strings.Repeat(query("07", "read"), 1000)},
+	} {
+		for way, leave := range ways {
+			t.Run(c.name+"/"+way, func(t *testing.T) {
+				leakcheck.Verify(t)
+				backend := silent(t)
+				srv := startFor(t, backend)
+				client := dial(t, srv.address)
+				send(client, startup, slow)
+				until(t, "the backend has the first", func() bool { return backend.QueryCount() == 1 })
+				send(client, c.send)
+				leave(client)
+				srv.wantNothingOpen(t)
+				until(t, "attempts are given up", func() bool { return backend.OpenConnections() == 0 })
+				for _, text := range backend.Queries() {
+					if !strings.Contains(text, "id=51,") && !strings.Contains(text, "id=07,") {
+						t.Errorf("the backend saw %q", text)
+					}
+				}
+			})
+		}
+	}
+}
+
+// TestSession_ClientDisconnectsBeforeAnAttempt: a request that has no attempt in flight when its client goes has none begun
+// any more.
+func TestSession_ClientDisconnectsBeforeAnAttempt(t *testing.T) {
+	t.Run("while it is queued", disconnectWhileQueued)
+	t.Run("while its connection is made", disconnectWhileDialling)
+	t.Run("queued, and its reader has not had the processor since", disconnectWithStalledReader)
+	t.Run("between two attempts", disconnectBetweenAttempts)
+	t.Run("before the relay looks", disconnectBeforeAccept)
+}
+
+func disconnectWhileQueued(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := silent(t)
+	srv := startServer(t, serverOptions{sessions: 64, messageTimeout: generousTimeout, maxAttempts: 3}) // no backend is listed
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	until(t, "it is queued", func() bool { return srv.dispatcher.Snapshot().OpenRequests == 1 })
+	_ = client.Close()
+	srv.wantNothingOpen(t)
+	srv.dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{{Name: "s-1", Address: backend.Address, State: "up", Version: 1}})
+	if n := srv.dispatcher.Snapshot(); n.Classes[0].Abandoned != 1 || n.Attempts != 0 || backend.QueryCount() != 0 {
+		t.Errorf("%+v", n)
+	}
+}
+
+func disconnectWhileDialling(t *testing.T) {
+	leakcheck.Verify(t)
+	proceed := make(chan struct{})
+	backend := scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+		b.ReadStartup(conn)
+		<-proceed
+		scriptedbackend.Write(conn, pgwire.AuthenticationOK())
+		b.Reply(conn, func(string, int) string { return "" })
+	})
+	srv := startFor(t, backend)
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	until(t, "it is dialled", func() bool { return backend.OpenConnections() == 1 })
+	_ = client.Close()
+	srv.wantNothingOpen(t)
+	close(proceed)
+	until(t, "the dial is given up", func() bool { return backend.OpenConnections() == 0 })
+	if n := backend.QueryCount(); n > 0 {
+		t.Errorf("the backend saw %d queries", n)
+	}
+}
+
+func disconnectWithStalledReader(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := silent(t)
+	closeSeen, proceed := make(chan struct{}), make(chan struct{})
+	srv := startServer(t, serverOptions{
+		sessions:       64,
+		messageTimeout: generousTimeout,
+		maxAttempts:    3,
+		wrap: func(l *net.TCPListener) net.Listener {
+			return &hookedListener{TCPListener: l, onEOF: func() {
+				close(closeSeen)
+				<-proceed
+			}}
+		},
+	})
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	until(t, "it is queued", func() bool { return srv.dispatcher.Snapshot().OpenRequests == 1 })
+	_ = client.Close()
+	<-closeSeen // and its reader stands still
+	goOn := sync.OnceFunc(func() { close(proceed) })
+	t.Cleanup(goOn)
+	srv.dispatcher.UpdateEndpoints(true,
+		[]dispatch.Endpoint{{Name: "s-1", Address: backend.Address, State: "up", Weight: 1, Version: 1}})
+	until(t, "its going is seen", func() bool {
+		n := srv.dispatcher.Snapshot()
+		return n.Classes[0].Abandoned == 1 && n.InFlight == 0
+	})
+	goOn()
+	srv.wantNothingOpen(t)
+	if n := backend.QueryCount(); n != 0 {
+		t.Errorf("the backend saw %d queries", n)
+	}
+}
+
+func disconnectBetweenAttempts(t *testing.T) {
+	leakcheck.Verify(t)
+	first, proceed := make(chan struct{}), make(chan struct{})
+	full := errorReply("ERROR", pgwire.StateTooManyConnections, "full") + readyForQuery
+	backend := replying(t, func(number int) string {
+		if number == 1 {
+			close(first)
+			<-proceed
+		}
+		return full
+	})
+	srv := startFor(t, backend)
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	<-first
+	_ = client.Close()
+	until(t, "its going is seen", func() bool { return srv.dispatcher.Snapshot().Classes[0].Abandoned == 1 })
+	close(proceed)
+	srv.wantNothingOpen(t)
+	if n := backend.QueryCount(); n != 1 {
+		t.Errorf("the backend saw %d queries", n)
+	}
+}
+
+func disconnectBeforeAccept(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := silent(t)
+	gone := make(chan struct{})
+	srv := startServer(t, serverOptions{
+		sessions:       64,
+		backend:        backend.Address,
+		messageTimeout: generousTimeout,
+		maxAttempts:    3,
+		wrap:           func(l *net.TCPListener) net.Listener { return &hookedListener{TCPListener: l, hold: gone} },
+	})
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"), query("08", "read"))
+	_ = client.Close()
+	close(gone)
+	until(t, "it is accepted", func() bool { return srv.Accepted.Load() == 1 })
+	srv.wantNothingOpen(t)
+	if n := srv.dispatcher.Snapshot(); n.Attempts != 0 || backend.QueryCount() != 0 {
+		t.Errorf("%d attempts", n.Attempts)
+	}
+}
--- /dev/null
+++ b/internal/downstream/eviction_test.go
@@ -0,0 +1,97 @@
+package downstream
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"silvercove/internal/overload"
+	"silvercove/internal/standin/leakcheck"
+)
+
+// Past its slots the server ends the session idle the longest, and goes on accepting.
+func TestServer_EvictsIdleSessions(t *testing.T) {
+	srv, _ := startOneAttempt(t, 8, rowReply, nil)
+	var clients []net.Conn
+	for range 20 {
+		client := dial(t, srv.address)
+		send(client, startup)
+		want(t, client, greeting)
+		send(client, query("9b1f", "read"))
+		want(t, client, rowReply)
+		clients = append(clients, client)
+		srv.awaitAllIdle(t) // else sessions that are still being taken for idle come behind the next one
+		if srv.Sessions() > 8 {
+			t.Fatalf("%d sessions", srv.Sessions())
+		}
+	}
+	wantEnd(t, clients[0])
+	if srv.Evicted.Load() == 0 {
+		t.Error("no session was evicted")
+	}
+}
+
+// Clients that connect and say nothing, or a part, give way and are closed soon.
+func TestServer_EvictsSilentSessions(t *testing.T) {
+	srv, _ := startOneAttempt(t, 8, rowReply, nil)
+	first := dial(t, srv.address)
+	send(first, startup, query("9b1f", "read")[:20])
+	began := time.Now()
+	for range 7 {
+		dial(t, srv.address)
+	}
+	time.Sleep(overload.LimitsFor(0).ContendedTimeout) // they have had their time
+	client := dial(t, srv.address)
+	send(client, startup, query("9b1f", "read"))
+	want(t, client, greeting, rowReply)
+	wantEnd(t, first)
+	if srv.Evicted.Load() == 0 {
+		t.Error("no session was evicted")
+	}
+	wantEnd(t, client)
+	if took := time.Since(began); took > 2*overload.LimitsFor(0).IdleTimeout {
+		t.Errorf("an idle session ended after %v", took)
+	}
+}
+
+// TestServer_WaitsForContendedSlot: where silent sessions that have just come have all slots, the spare ones too, the next
+// client waits as long as a message may take there, and not as long as they might stay.
+func TestServer_WaitsForContendedSlot(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := replying(t, func(int) string { return rowReply })
+	srv := startServer(t, serverOptions{sessions: 8, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 3})
+	for range 8 {
+		dial(t, srv.address)
+	}
+	began := time.Now()
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	want(t, client, greeting, rowReply)
+	if took := time.Since(began); took > overload.LimitsFor(8).IdleTimeout/2 {
+		t.Errorf("answered after %v, %d sessions", took, srv.Sessions())
+	}
+}
+
+// TestSession_PartialQueryKeepsItsSlot: of a session that was idle for a while and sends its next query in pieces, the slot
+// is not given away between two of them to who has come just then.
+func TestSession_PartialQueryKeepsItsSlot(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := replying(t, func(int) string { return rowReply })
+	srv := startServer(t, serverOptions{sessions: 8, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 3})
+	client := dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	want(t, client, greeting, rowReply)
+	time.Sleep(overload.LimitsFor(8).ContendedTimeout + finalAcceptTime)
+	send(client, query("08", "read")[:20])
+	until(t, "its query has begun", func() bool {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		return srv.incomplete.Len() == 1
+	})
+	for range 7 {
+		dial(t, srv.address)
+	}
+	until(t, "all slots are taken", func() bool { return srv.Accepted.Load() == 8 })
+	send(client, query("08", "read")[20:])
+	want(t, client, rowReply)
+}
--- /dev/null
+++ b/internal/downstream/helpers_test.go
@@ -0,0 +1,255 @@
+package downstream
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/overload"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/settings"
+	"silvercove/internal/standin/backends"
+	"silvercove/internal/standin/scriptedbackend"
+	"silvercove/internal/transport"
+	"silvercove/internal/upstream"
+)
+
+// What tests send and expect.
+var (
+	startup       = string(pgwire.StartupMessage())
+	greeting      = string(pgwire.AuthenticationOK())
+	readyForQuery = string(pgwire.ReadyForQuery())
+	emptyQuery    = scriptedbackend.Message(pgwire.FrontendQuery, "\x00")
+	emptyReply    = string(pgwire.EmptyQueryResponse())
+	row           = scriptedbackend.Row("hi")
+	rowReply      = scriptedbackend.RowReply("hi")
+	largeReply    = string(pgwire.DataRow([]byte(strings.Repeat("v", pgwire.MaxValue)), "SELECT 1"))
+)
+
+const generousTimeout = 4 * time.Second // of a message, in tests that are not about it
+
+// query is a query message of a request class.
+func query(id, class string) string {
+	return simpleQuery("SELECT content FROM kv WHERE name = '7f3a' /* id=" + id + ",c=" + class + ",t=acme,d=3000 */")
+}
+
+func simpleQuery(text string) string {
+	return scriptedbackend.Message(pgwire.FrontendQuery, text+"\x00")
+}
+
+// errorReply is an error without a Retry-After.
+func errorReply(severity, sqlState, text string) string {
+	return string(pgwire.ErrorResponse(severity, sqlState, text, ""))
+}
+
+// serverOptions are what the tests' servers differ in.
+type serverOptions struct {
+	sessions       int
+	backend        string // the address of the one backend; empty: none is listed
+	messageTimeout time.Duration
+	maxAttempts    int
+	wrap           func(*net.TCPListener) net.Listener // nil: the listener itself
+}
+
+// testServer is a server that listens and has a pool and a dispatcher behind it.
+type testServer struct {
+	*Server
+	address string
+}
+
+// startServer serves until the test ends.
+func startServer(tb testing.TB, o serverOptions) testServer {
+	tb.Helper()
+	class := func(name string, idempotency balancer.Idempotency) balancer.RequestClass {
+		return balancer.RequestClass{Name: name, Idempotency: idempotency, LatencyObjective: 1, Deadline: 4, PriorityWeight: 1}
+	}
+	buffers := transport.NewBufferBudget(4 << 20)
+	dispatcher := dispatch.New(1, settings.Site{Balancer: balancer.Settings{
+		Relays:  1,
+		Classes: []balancer.RequestClass{class("read", balancer.Idempotent), class("sell", balancer.AtMostOnce)},
+		Limits:  balancer.Limits{MaxAttempts: o.maxAttempts, MayCancel: true},
+	}}, dispatch.Callbacks{CloseIdle: func(string) {}, WatchEndpoints: func(bool) {}})
+	if o.backend != "" {
+		dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{{Name: "s-1", Address: o.backend, State: "up", Version: 1}})
+	}
+	dispatcher.UpdateStage(dispatch.RolloutStage{Version: 1, Phase: "live", ExposureCap: 1})
+	pool := upstream.New(buffers, 4, time.Second, time.Minute, dispatcher)
+	srv := New(dispatcher, pool, buffers, overload.LimitsFor(o.sessions), o.messageTimeout, time.Second)
+	tcp := listen(tb)
+	var listener net.Listener = tcp
+	if o.wrap != nil {
+		listener = o.wrap(tcp)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var group errgroup.Group
+	group.Go(func() error { return srv.Serve(listener) })
+	group.Go(func() error { return pool.Run(ctx) })
+	group.Go(func() error { return dispatcher.RunTimers(ctx) })
+	tb.Cleanup(func() {
+		srv.CloseIdleSessions()
+		_ = tcp.Close() // the server may have done so at its deadline
+		cancel()
+		if err := group.Wait(); err != nil {
+			tb.Errorf("ended with %v", err)
+		}
+	})
+	return testServer{srv, tcp.Addr().String()}
+}
+
+// startFor is the server of most tests, before one backend.
+func startFor(tb testing.TB, backend *scriptedbackend.Backend) testServer {
+	tb.Helper()
+	return startServer(tb, serverOptions{sessions: 64, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 3})
+}
+
+// startOneAttempt is a server that makes one attempt for each request, at a backend that answers all queries alike.
+func startOneAttempt(tb testing.TB, sessions int, reply string, wrap func(*net.TCPListener) net.Listener) (testServer, *scriptedbackend.Backend) {
+	tb.Helper()
+	backend := replying(tb, func(int) string { return reply })
+	return startServer(tb, serverOptions{
+		sessions:       sessions,
+		backend:        backend.Address,
+		messageTimeout: generousTimeout,
+		maxAttempts:    1,
+		wrap:           wrap,
+	}), backend
+}
+
+// replying is a backend that answers its queries, numbered from 1.
+func replying(tb testing.TB, reply func(number int) string) *scriptedbackend.Backend {
+	tb.Helper()
+	return scriptedbackend.Start(tb, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+		b.Greet(conn)
+		b.Reply(conn, func(_ string, number int) string { return reply(number) })
+	})
+}
+
+// silent is a backend that answers nothing.
+func silent(tb testing.TB) *scriptedbackend.Backend {
+	tb.Helper()
+	return replying(tb, func(int) string { return "" })
+}
+
+func listen(tb testing.TB) *net.TCPListener {
+	tb.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return l.(*net.TCPListener)
+}
+
+// dial connects a client, whose reads and writes fail after five seconds.
+func dial(tb testing.TB, address string) *net.TCPConn {
+	tb.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = c.Close() }) // the test may have done so
+	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		tb.Fatal(err)
+	}
+	return c.(*net.TCPConn)
+}
+
+// send writes for a client. What does not arrive shows in the replies.
+func send(c net.Conn, parts ...string) {
+	_, _ = io.WriteString(c, strings.Join(parts, ""))
+}
+
+// want reads just these bytes.
+func want(tb testing.TB, c net.Conn, parts ...string) {
+	tb.Helper()
+	all := strings.Join(parts, "")
+	got := make([]byte, len(all))
+	if n, err := io.ReadFull(c, got); err != nil || string(got) != all {
+		tb.Fatalf("got %q (%v), want %q", got[:n], err, all)
+	}
+}
+
+// wantEnd checks that the server closes the connection and sends nothing more.
+func wantEnd(tb testing.TB, c net.Conn) {
+	tb.Helper()
+	if b, err := io.ReadAll(c); err != nil || len(b) > 0 {
+		tb.Errorf("before its end it got %q, %v", b, err)
+	}
+}
+
+// replyState reads one whole reply and gives its SQLSTATE: a backend that warms up gets no more than a few requests at once,
+// and the others are rejected.
+func replyState(tb testing.TB, c net.Conn) string {
+	tb.Helper()
+	var in []byte
+	for b := make([]byte, 1); ; {
+		var reply pgwire.Response
+		if err := reply.Read(in); err != nil {
+			tb.Fatal(err)
+		}
+		if reply.Ready {
+			return reply.SQLState
+		}
+		n, err := c.Read(b)
+		in = append(in, b[:n]...)
+		if err != nil {
+			tb.Fatalf("%q: %v", in, err)
+		}
+	}
+}
+
+// until waits for what has to come about.
+func until(tb testing.TB, what string, holds func() bool) {
+	tb.Helper()
+	backends.Until(tb, what, holds)
+}
+
+// staysOpen checks that the one session goes on for a while.
+func (s testServer) staysOpen(tb testing.TB) {
+	tb.Helper()
+	end := time.Now().Add(overload.LimitsFor(0).ContendedTimeout / 5)
+	for ; time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if s.Sessions() == 0 {
+			tb.Fatal("its session has ended")
+		}
+	}
+}
+
+// awaitAllIdle waits until no session is between two states.
+func (s testServer) awaitAllIdle(tb testing.TB) {
+	tb.Helper()
+	until(tb, "all sessions are idle", func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.sessions == s.idle.Len()
+	})
+}
+
+// wantNothingOpen waits for the end of the sessions and checks that no request is left.
+func (s testServer) wantNothingOpen(tb testing.TB) {
+	tb.Helper()
+	const most = 500 * time.Millisecond
+	began := time.Now()
+	until(tb, "the session ends", func() bool { return s.Sessions() == 0 })
+	if took := time.Since(began); took > most {
+		tb.Errorf("its session ended after %v", took)
+	}
+	if n := s.dispatcher.Snapshot(); n.OpenRequests != 0 || n.InFlight != 0 {
+		tb.Errorf("%d requests are open, %d attempts in flight", n.OpenRequests, n.InFlight)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.requestIDs) != 0 {
+		tb.Errorf("%d IDs are taken", len(s.requestIDs))
+	}
+}
+
+// requestID is the ID of a test's n-th request.
+func requestID(prefix string, n int) string { return fmt.Sprint(prefix, n) }
--- /dev/null
+++ b/internal/downstream/pipelining_test.go
@@ -0,0 +1,115 @@
+package downstream
+
+import (
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/leakcheck"
+)
+
+// Queries written behind one another are in work at once and answered in their order.
+func TestSession_PipelinesQueries(t *testing.T) {
+	var together atomic.Int64 // queries up to this one are answered once all of them have come
+	var all sync.WaitGroup
+	backend := replying(t, func(number int) string {
+		if int64(number) <= together.Load() {
+			all.Done()
+			all.Wait()
+		}
+		return rowReply
+	})
+	srv := startServer(t, serverOptions{sessions: 16, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 1})
+	client := dial(t, srv.address)
+	send(client, startup, query("9b1f", "read")) // a reply has the backend get more requests at once
+	want(t, client, greeting, rowReply)
+	send(client, query("07", "read"))
+	want(t, client, rowReply)
+	all.Add(2)
+	together.Store(int64(backend.QueryCount()) + 2)
+	send(client, query("9b1f", "read"), query("07", "read"), emptyQuery)
+	want(t, client, rowReply, rowReply, emptyReply)
+}
+
+// TestSession_MalformedQueryKeepsItsTurn: what is answered at once waits for its turn, without holding up what comes behind
+// it.
+func TestSession_MalformedQueryKeepsItsTurn(t *testing.T) {
+	leakcheck.Verify(t)
+	proceed := make(chan struct{})
+	backend := replying(t, func(number int) string {
+		if number == 3 {
+			<-proceed
+		}
+		return rowReply
+	})
+	srv := startFor(t, backend)
+	client := dial(t, srv.address)
+	refusal := errorReply("ERROR", pgwire.StateSyntaxError, "no statement of the two forms") + readyForQuery
+	send(client, startup, query("01", "read")) // a reply has the backend get more requests at once
+	want(t, client, greeting, rowReply)
+	send(client, query("02", "read"))
+	want(t, client, rowReply)
+	send(client, query("01", "read"), simpleQuery("BEGIN"), query("02", "read"), emptyQuery)
+	until(t, "both are at the backend", func() bool { return backend.QueryCount() == 4 })
+	close(proceed)
+	want(t, client, rowReply, refusal, rowReply, emptyReply)
+}
+
+// TestSession_LimitsPendingReplies: what one client writes behind a request that takes its time is not kept but left to wait:
+// then all is answered in its order.
+func TestSession_LimitsPendingReplies(t *testing.T) {
+	leakcheck.Verify(t)
+	proceed := make(chan struct{})
+	backend := replying(t, func(int) string {
+		<-proceed
+		return rowReply
+	})
+	srv := startFor(t, backend)
+	client := dial(t, srv.address)
+	const queries = 5000
+	var written sync.WaitGroup
+	written.Go(func() {
+		send(client, startup, query("01", "read"), strings.Repeat(emptyQuery, queries))
+	})
+	defer written.Wait()
+	until(t, "the backend has the first", func() bool { return backend.QueryCount() == 1 })
+	srv.staysOpen(t)
+	if _, kept := srv.buffers.InUse(); kept > 64<<10 {
+		t.Errorf("%d bytes are kept", kept)
+	}
+	close(proceed)
+	want(t, client, greeting, rowReply, strings.Repeat(emptyReply, queries))
+}
+
+// TestSession_AbortsClientThatDoesNotRead: a client that takes no reply within its limit loses its session at once, and not a
+// reply at a time.
+func TestSession_AbortsClientThatDoesNotRead(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := replying(t, func(int) string { return largeReply })
+	const limit = 400 * time.Millisecond
+	srv := startServer(t, serverOptions{
+		sessions:       64,
+		backend:        backend.Address,
+		messageTimeout: limit,
+		maxAttempts:    3,
+		wrap: func(l *net.TCPListener) net.Listener {
+			return &hookedListener{TCPListener: l, onAccept: func(conn *net.TCPConn) { _ = conn.SetWriteBuffer(4 << 10) }}
+		},
+	})
+	client := dial(t, srv.address)
+	_ = client.SetReadBuffer(4 << 10) // a larger one only takes longer to fill
+	send(client, startup)
+	for i := range 40 {
+		send(client, query(requestID("b", i), "read"))
+	}
+	until(t, "it is in", func() bool { return srv.Sessions() == 1 })
+	began := time.Now()
+	until(t, "it is out", func() bool { return srv.Sessions() == 0 })
+	if took := time.Since(began); took > 4*limit {
+		t.Errorf("it kept its session for %v", took)
+	}
+}
--- /dev/null
+++ b/internal/downstream/request.go
@@ -0,0 +1,192 @@
+package downstream
+
+import (
+	"bytes"
+	"time"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/upstream"
+)
+
+// handleQuery reads one query and starts its request, or answers what is none; false ends the session.
+func (s *session) handleQuery(size int) bool {
+	if size > pgwire.MaxQuery {
+		return s.skipMessage(size) && s.refuseQuery(pgwire.StateLimitExceeded, textQueryTooLong)
+	}
+	if s.overLimit || !s.server.buffers.Reserve(size) {
+		return s.skipMessage(size) && s.rejectForSpace()
+	}
+	if !s.readMessage(size) {
+		s.server.buffers.Release(size)
+		return false
+	}
+	text, terminated := bytes.CutSuffix(bytes.Clone(s.conn.Buffered()[pgwire.HeaderSize:size]), []byte{0})
+	s.conn.Discard(size)
+	started, ok := s.startRequest(text, terminated, size)
+	if !started {
+		s.server.buffers.Release(size)
+	}
+	return ok
+}
+
+// startRequest has a query's request worked on by a goroutine of its own, which then releases the buffer of so many bytes.
+// What is no request is answered at once: started is false. ok false ends the session.
+func (s *session) startRequest(text []byte, terminated bool, size int) (started, ok bool) {
+	if terminated && len(bytes.Trim(text, " ;\t\r\n")) == 0 {
+		return false, s.reply(pgwire.EmptyQueryResponse())
+	}
+	query, fault := pgwire.ParseQuery(text)
+	switch {
+	case fault != nil:
+		return false, s.refuseQuery(fault.SQLState, fault.Text)
+	case !terminated:
+		return false, s.refuseQuery(pgwire.StateProtocolViolation, textUnterminatedQuery)
+	}
+	call, known := s.server.dispatcher.Accept(s.newRequest(query))
+	if !known {
+		return false, s.refuseQuery(pgwire.StateInvalidParameter, textUnknownClass)
+	}
+	switch s.register(call, query.ID) {
+	case duplicateID: // a reply must not go to whoever names another's request
+		return false, s.refuseQuery(pgwire.StateInvalidParameter, textDuplicateID)
+	case tooManyRequests:
+		return false, s.rejectForSpace()
+	}
+	turn, done := s.reserveTurn()
+	s.workers.Go(func() {
+		s.serveRequest(call, query, turn)
+		done()
+		s.unregister(call)
+		s.server.buffers.Release(size)
+	})
+	return true, true
+}
+
+// newRequest is the dispatcher's request of a query. It times out before the process may be killed, which would find it
+// unanswered.
+func (s *session) newRequest(query *pgwire.Query) dispatch.Request {
+	timeout := time.Duration(query.WaitMs) * time.Millisecond
+	s.server.mu.Lock()
+	if !s.server.stopAt.IsZero() {
+		timeout = min(timeout, s.server.stopAt.Sub(s.receivedAt))
+	}
+	s.server.mu.Unlock()
+	return dispatch.Request{
+		Class:         query.Class,
+		Tenant:        query.Tenant,
+		Key:           query.Key,
+		ReceivedAt:    s.receivedAt,
+		Timeout:       timeout,
+		EstimatedWork: time.Duration(query.EstimatedWorkUs) * time.Microsecond,
+		Write:         query.Write,
+		ClientRetry:   query.ClientRetry,
+		ClientClosed:  s.conn.PeerClosed,
+	}
+}
+
+// registration is whether a request may be worked on.
+type registration uint8
+
+const (
+	registered registration = iota
+	duplicateID
+	tooManyRequests
+)
+
+// register notes a request as in work, if its ID is free and there is a slot.
+func (s *session) register(call *dispatch.Call, id string) registration {
+	srv := s.server
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if _, taken := srv.requestIDs[id]; taken {
+		return duplicateID
+	}
+	if len(srv.requestIDs) >= srv.limits.MaxRequests {
+		return tooManyRequests
+	}
+	srv.requestIDs[id] = struct{}{}
+	s.calls[call] = struct{}{}
+	s.hadRequest = true
+	s.updateList()
+	return registered
+}
+
+// unregister ends a request's work. The session's last one may let the session end.
+func (s *session) unregister(call *dispatch.Call) {
+	srv := s.server
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	delete(s.calls, call)
+	if len(s.calls) > 0 {
+		return
+	}
+	s.quietSince = time.Now()
+	s.updateList()
+	if s.awaitingMessage && (s.closing >= closingBetweenRequests || srv.closingIdle) {
+		s.conn.InterruptRead()
+	}
+}
+
+// releaseID lets the client use a request's ID again: before it has the reply, as it may do so at once then.
+func (s *session) releaseID(id string) {
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	delete(s.server.requestIDs, id)
+}
+
+// serveRequest makes the attempts that the dispatcher asks for, and writes the reply in its turn.
+func (s *session) serveRequest(call *dispatch.Call, query *pgwire.Query, turn <-chan struct{}) {
+	dispatcher := s.server.dispatcher
+	step := dispatcher.Next(call)
+	for step.Attempt != nil {
+		reply := s.server.pool.Attempt(step.Attempt, query)
+		if dispatcher.Report(step.Attempt, reply.SQLState, reply.End, reply.Load) {
+			s.forwardReply(query.ID, reply, turn)
+			return
+		}
+		reply.Release()
+		step = dispatcher.Next(call)
+	}
+	switch step.Answer {
+	case dispatch.ClientGone:
+		<-turn
+		s.releaseID(query.ID)
+	case dispatch.Rejected:
+		retryAfter := ""
+		if step.RetryAfter > 0 {
+			retryAfter = milliseconds(step.RetryAfter)
+		}
+		s.writeReply(query.ID, turn,
+			pgwire.ErrorResponse(pgwire.SeverityError, pgwire.StateTooManyConnections, textRejected, retryAfter))
+	case dispatch.Failed:
+		s.writeReply(query.ID, turn, pgwire.ErrorResponse(pgwire.SeverityError, pgwire.StateInternalError, textFailed, ""))
+	}
+}
+
+// forwardReply passes a backend's reply on. The backend's connection waits for the replies before it only where there is no
+// buffer for a copy; it is released before the client has the reply, as the client may then ask again at once.
+func (s *session) forwardReply(id string, reply upstream.Reply, turn <-chan struct{}) {
+	select {
+	case <-turn:
+	default:
+		rows := bytes.Join(reply.Rows, nil)
+		if s.server.buffers.Reserve(len(rows)) {
+			defer s.server.buffers.Release(len(rows))
+			reply.Release()
+			s.writeReply(id, turn, rows)
+			return
+		}
+	}
+	<-turn
+	s.conn.Append(reply.Rows...)
+	reply.Release()
+	s.writeReply(id, turn)
+}
+
+// writeReply writes a request's reply in its turn.
+func (s *session) writeReply(id string, turn <-chan struct{}, parts ...[]byte) {
+	<-turn
+	s.releaseID(id)
+	s.write(append(parts, pgwire.ReadyForQuery())...)
+}
--- /dev/null
+++ b/internal/downstream/server_test.go
@@ -0,0 +1,172 @@
+package downstream
+
+import (
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"silvercove/internal/overload"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/scriptedbackend"
+)
+
+func TestServer_AnswersEachMessage(t *testing.T) {
+	read, other, sell := query("9b1f", "read"), query("07", "read"), query("9b1f", "sell")
+	message := scriptedbackend.Message
+	for _, c := range []struct{ name, backend, send, want string }{
+		{"empty query right behind the startup", rowReply, emptyQuery, emptyReply},
+		{"row byte for byte", rowReply, read, rowReply},
+		{"two queries at once", rowReply, read + other, rowReply + rowReply},
+		{"two queries of one ID at once", rowReply, read + read,
+			rowReply + errorReply("ERROR", pgwire.StateInvalidParameter, "a command of this id is open") + readyForQuery},
+		{"no backend answers an at-most-once request", "", sell,
+			errorReply("ERROR", pgwire.StateInternalError, "no answer; it may have run") + readyForQuery},
+		{"unknown request class", rowReply, query("9b1f", "x"),
+			errorReply("ERROR", pgwire.StateInvalidParameter, "unknown op type") + readyForQuery},
+		{"other statement", rowReply, simpleQuery("BEGIN"),
+			errorReply("ERROR", pgwire.StateSyntaxError, "no statement of the two forms") + readyForQuery},
+		{"extended query", rowReply,
+			message(pgwire.FrontendParse, "\x00\x00\x00\x00") + message(pgwire.FrontendDescribe, "S\x00") + message(pgwire.FrontendSync, ""),
+			errorReply("ERROR", pgwire.StateNotSupported, "only simple queries are served") + readyForQuery},
+		{"overlong query, then another", rowReply,
+			simpleQuery(strings.Repeat("x", pgwire.MaxQuery)) + emptyQuery,
+			errorReply("ERROR", pgwire.StateLimitExceeded, "query too long") + readyForQuery + emptyReply},
+		{"unknown message", rowReply, message('y', ""), errorReply("FATAL", pgwire.StateProtocolViolation, "unknown message")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			backend := scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				b.Greet(conn)
+				for {
+					if _, _, ok := b.ReadQuery(conn); !ok || c.backend == "" {
+						return
+					}
+					send(conn, c.backend)
+				}
+			})
+			srv := startServer(t, serverOptions{sessions: 16, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 1})
+			client := dial(t, srv.address)
+			send(client, startup, c.send)
+			want(t, client, greeting, c.want)
+		})
+	}
+}
+
+func TestServer_StartupForms(t *testing.T) {
+	srv, _ := startOneAttempt(t, 16, row, nil)
+	for _, code := range []string{"\x04\xd2\x16\x2f", "\x04\xd2\x16\x30"} {
+		client := dial(t, srv.address)
+		send(client, "\x00\x00\x00\x08", code)
+		want(t, client, "N")
+		send(client, startup)
+		want(t, client, greeting)
+	}
+	client := dial(t, srv.address)
+	send(client, "\x00\x00\x00\x10\x04\xd2\x16\x2e12345678") // a cancel request is not answered
+	wantEnd(t, client)
+}
+
+// An attempt's context is cancelled when it is reported; that must not cost its connection.
+func TestServer_ReusesBackendConnections(t *testing.T) {
+	var server atomic.Pointer[Server]
+	var stillInUse atomic.Int64
+	hooks := &hookedListener{onWrite: func(p []byte) {
+		srv := server.Load()
+		if srv == nil {
+			return
+		}
+		if open, idle := srv.pool.InUse(); strings.Contains(string(p), row) && idle != open {
+			stillInUse.Add(1)
+		}
+	}}
+	srv, backend := startOneAttempt(t, 16, rowReply, func(l *net.TCPListener) net.Listener {
+		hooks.TCPListener = l
+		return hooks
+	})
+	server.Store(srv.Server)
+	client := dial(t, srv.address)
+	send(client, startup)
+	want(t, client, greeting)
+	const rounds = 5
+	for range rounds {
+		send(client, query("9b1f", "read"))
+		want(t, client, rowReply)
+	}
+	if n := stillInUse.Load(); n > 0 { // a client that asks at once would cost a further connection
+		t.Errorf("%d replies were written while the backend's connection was in use", n)
+	}
+	if n, q := backend.Accepted(), backend.QueryCount(); n > 2 || q != rounds { // half of the pool's four until one has settled
+		t.Errorf("%d connections for %d queries", n, q)
+	}
+}
+
+// TestServer_AcceptErrors: where others than sessions have all descriptors or buffers, the server waits for some; it does not
+// spin, and what accept tells of one connection does not end the relay.
+func TestServer_AcceptErrors(t *testing.T) {
+	const span = 300 * time.Millisecond
+	for _, c := range []struct {
+		errno syscall.Errno
+		waits bool
+	}{{syscall.EMFILE, true}, {syscall.ENFILE, true}, {syscall.ENOBUFS, true}, {syscall.ENOMEM, true},
+		{syscall.ECONNABORTED, false}, {syscall.EPROTO, false}, {syscall.ENETDOWN, false}, {syscall.EHOSTUNREACH, false}} {
+		t.Run(c.errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			var listener *failingListener
+			srv, _ := startOneAttempt(t, 16, rowReply, func(l *net.TCPListener) net.Listener {
+				listener = &failingListener{Listener: l, errno: c.errno, until: time.Now().Add(span)}
+				return listener
+			})
+			client := dial(t, srv.address)
+			send(client, startup, query("9b1f", "read"))
+			want(t, client, greeting, rowReply)
+			if n := listener.accepts.Load(); c.waits && n > 2+int64(span/(overload.LimitsFor(64).ContendedTimeout/10)) {
+				t.Errorf("it accepted %d times in %v", n, span)
+			}
+		})
+	}
+}
+
+// TestServer_AnswersBurstOfNewSessions: among clients that come all at once, say what they want a moment later, and leave
+// early or come again, no more than one in 200 finds its new connection closed with no answer.
+func TestServer_AnswersBurstOfNewSessions(t *testing.T) {
+	srv, _ := startOneAttempt(t, 64, rowReply, nil)
+	const rounds, clients = 10, 40
+	var closed atomic.Int64
+	for round := range rounds {
+		var all, greeted sync.WaitGroup
+		greeted.Add(clients)
+		for i := range clients {
+			client := dial(t, srv.address)
+			all.Go(func() {
+				defer func() { _ = client.Close() }()
+				send(client, startup)
+				_, err := io.ReadFull(client, make([]byte, len(greeting)))
+				greeted.Done()
+				greeted.Wait() // none has asked anything by now
+				if err == nil {
+					_, err = io.WriteString(client, query(requestID("a", round*clients+i), "read"))
+				}
+				if i%4 == 0 && err == nil {
+					return // it gives up early
+				}
+				if err == nil {
+					_, err = io.ReadFull(client, make([]byte, 1))
+				}
+				if err != nil {
+					closed.Add(1)
+				}
+			})
+		}
+		all.Wait()
+	}
+	if n := closed.Load(); n > rounds*clients/200 {
+		t.Errorf("%d of %d new connections were closed with no answer", n, rounds*clients)
+	}
+	if srv.Accepted.Load() != rounds*clients {
+		t.Errorf("%d sessions", srv.Accepted.Load())
+	}
+}
--- /dev/null
+++ b/internal/downstream/shutdown_test.go
@@ -0,0 +1,333 @@
+package downstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"silvercove/internal/overload"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/leakcheck"
+	"silvercove/internal/standin/scriptedbackend"
+)
+
+// TestSession_QueryCrossesItsClose: a query whose last byte comes as its idle session is to end is answered first, be it at
+// the end of all sessions or because another needs the slot.
+func TestSession_QueryCrossesItsClose(t *testing.T) {
+	t.Run("end of all", func(t *testing.T) { queryCrossesClose(t, testServer.CloseIdleSessions) })
+	t.Run("evicted", func(t *testing.T) {
+		queryCrossesClose(t, func(srv testServer) {
+			srv.mu.Lock()
+			defer srv.mu.Unlock()
+			if !srv.evictOne() {
+				t.Error("it is not evicted")
+			}
+		})
+	})
+}
+
+func queryCrossesClose(t *testing.T, end func(srv testServer)) {
+	t.Helper()
+	var client net.Conn
+	var once sync.Once
+	srv, _ := startOneAttempt(t, 16, rowReply, func(l *net.TCPListener) net.Listener {
+		return &hookedListener{TCPListener: l, onExpired: func(conn *net.TCPConn) {
+			once.Do(func() {
+				send(client, query("9b1f", "read"))
+				scriptedbackend.AwaitBytes(conn)
+			})
+		}}
+	})
+	client = dial(t, srv.address)
+	send(client, startup, query("07", "read"))
+	want(t, client, greeting, rowReply)
+	srv.awaitAllIdle(t)
+	end(srv)
+	want(t, client, rowReply)
+	wantEnd(t, client)
+}
+
+// TestServer_CloseIdleSessionsSparesWhatHasBegun: at the end of all sessions one that has come and asked nothing yet has a
+// moment for its first query, a message that has begun is waited for, and queries behind one another are all answered to a
+// slow reader.
+func TestServer_CloseIdleSessionsSparesWhatHasBegun(t *testing.T) {
+	t.Run("a new session", func(t *testing.T) {
+		srv, _ := startOneAttempt(t, 16, rowReply, nil)
+		client := dial(t, srv.address)
+		send(client, startup)
+		want(t, client, greeting)
+		srv.CloseIdleSessions()
+		srv.staysOpen(t)
+		send(client, query("9b1f", "read"))
+		want(t, client, rowReply)
+		wantEnd(t, client)
+	})
+	t.Run("half a message", func(t *testing.T) {
+		srv, _ := startOneAttempt(t, 16, rowReply, nil)
+		client := dial(t, srv.address)
+		text := query("9b1f", "read")
+		send(client, startup, query("07", "read"), text[:20])
+		want(t, client, greeting, rowReply)
+		srv.CloseIdleSessions()
+		srv.CloseIdleSessions()
+		srv.staysOpen(t)
+		send(client, text[20:40])
+		srv.staysOpen(t)
+		send(client, text[40:])
+		want(t, client, rowReply)
+	})
+	t.Run("pipelined, to a slow reader", func(t *testing.T) {
+		large := scriptedbackend.RowReply(strings.Repeat("v", pgwire.MaxValue))
+		srv, backend := startOneAttempt(t, 16, large, nil)
+		client := dial(t, srv.address)
+		_ = client.SetReadBuffer(64 << 10) // a larger one is only less slow
+		send(client, startup)
+		want(t, client, greeting)
+		const queries = 64
+		for i := range queries {
+			send(client, query(requestID("a", i), "read"))
+		}
+		until(t, "the backend has one", func() bool { return backend.QueryCount() > 0 })
+		srv.StopBefore(time.Now().Add(3 * time.Second))
+		srv.CloseIdleSessions()
+		readReplies(t, client, queries)
+	})
+}
+
+// readReplies reads so many whole replies.
+func readReplies(tb testing.TB, client net.Conn, replies int) {
+	tb.Helper()
+	var in []byte
+	for n, b := 0, make([]byte, 8<<10); n < replies; {
+		var reply pgwire.Response
+		if err := reply.Read(in); err != nil {
+			tb.Fatal(err)
+		}
+		if reply.Ready {
+			in = in[reply.Consumed:]
+			n++
+			continue
+		}
+		k, err := client.Read(b)
+		in = append(in, b[:k]...)
+		if err != nil {
+			tb.Fatalf("%d of %d are answered: %v", n, replies, err)
+		}
+	}
+}
+
+// TestServer_StopBeforeBoundsTheWait: a query that comes on an open connection after SIGTERM and would wait past SIGKILL is
+// answered before that, whatever its client would wait.
+func TestServer_StopBeforeBoundsTheWait(t *testing.T) {
+	var stalled atomic.Bool
+	release := make(chan struct{})
+	backend := replying(t, func(int) string {
+		if stalled.Load() {
+			<-release
+		}
+		return rowReply
+	})
+	srv := startServer(t, serverOptions{sessions: 16, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 1})
+	client := dial(t, srv.address)
+	send(client, startup, query("9b1f", "read"))
+	want(t, client, greeting, rowReply)
+	stalled.Store(true)
+	t.Cleanup(func() { close(release) })
+	const left = 700 * time.Millisecond
+	srv.StopBefore(time.Now().Add(left))
+	began := time.Now()
+	send(client, query("07", "read"))
+	first := make([]byte, 1)
+	if _, err := io.ReadFull(client, first); err != nil || first[0] != pgwire.BackendErrorResponse {
+		t.Errorf("it got %q, %v", first, err)
+	}
+	if took := time.Since(began); took > 2*left {
+		t.Errorf("answered after %v", took)
+	}
+}
+
+// TestServer_StopBeforeInThePast: a query that comes when SIGKILL may be there already is answered at once.
+func TestServer_StopBeforeInThePast(t *testing.T) {
+	srv, backend := startOneAttempt(t, 16, rowReply, nil)
+	client := dial(t, srv.address)
+	send(client, startup, query("9b1f", "read"))
+	want(t, client, greeting, rowReply)
+	srv.StopBefore(time.Now().Add(-time.Second))
+	began := time.Now()
+	send(client, query("07", "read"))
+	if state := replyState(t, client); state != pgwire.StateTooManyConnections {
+		t.Errorf("answered %s", state)
+	}
+	if took, n := time.Since(began), backend.QueryCount(); took > 100*time.Millisecond || n != 1 {
+		t.Errorf("answered after %v, %d effects", took, n)
+	}
+}
+
+// TestServer_ServesWhatTheKernelAccepted: what came before the listener's end and was not accepted by then is answered.
+func TestServer_ServesWhatTheKernelAccepted(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := replying(t, func(int) string { return rowReply })
+	proceed := make(chan struct{})
+	listener := &hookedListener{hold: proceed}
+	srv := startServer(t, serverOptions{
+		sessions:       64,
+		backend:        backend.Address,
+		messageTimeout: generousTimeout,
+		maxAttempts:    3,
+		wrap: func(l *net.TCPListener) net.Listener {
+			listener.TCPListener = l
+			return listener
+		},
+	})
+	var clients [20]net.Conn
+	for i := range clients {
+		clients[i] = dial(t, srv.address)
+		send(clients[i], startup, query(requestID("a", i), "read"))
+	}
+	srv.CloseIdleSessions()
+	if err := listener.SetDeadline(time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	close(proceed)
+	for _, client := range clients {
+		want(t, client, greeting)
+		if state := replyState(t, client); state != pgwire.StateSuccess && state != pgwire.StateTooManyConnections {
+			t.Errorf("answered %s", state)
+		}
+		wantEnd(t, client)
+	}
+	until(t, "it accepts no more", func() bool {
+		client, err := net.Dial("tcp", srv.address)
+		if err == nil {
+			_ = client.Close() // nothing was sent
+		}
+		return err != nil
+	})
+}
+
+// TestSession_QueryAfterCloseHasNoEffect: at the end of all sessions a client that is still reading its reply sends the next
+// query: the reply comes whole, and the query, which is not read, has no effect.
+func TestSession_QueryAfterCloseHasNoEffect(t *testing.T) {
+	leakcheck.Verify(t)
+	proceed := make(chan struct{})
+	backend := replying(t, func(int) string {
+		<-proceed
+		return largeReply
+	})
+	srv := startFor(t, backend)
+	client := dial(t, srv.address)
+	_ = client.SetReadBuffer(4 << 10) // a larger one leaves less on the way
+	send(client, startup, query("01", "read"))
+	until(t, "the backend has it", func() bool { return backend.QueryCount() == 1 })
+	srv.CloseIdleSessions()
+	close(proceed)
+	until(t, "it is written", func() bool {
+		srv.mu.Lock()
+		defer srv.mu.Unlock()
+		return len(srv.requestIDs) == 0 && srv.dispatcher.Snapshot().Classes[0].Succeeded == 1
+	})
+	srv.staysOpen(t) // while its reply is on the way
+	send(client, query("02", "read"))
+	want(t, client, greeting, largeReply)
+	if b, _ := io.ReadAll(client); len(b) > 0 { // how it ends is open: the query that nobody reads resets it
+		t.Errorf("then it got %q", b)
+	}
+	if n := backend.QueryCount(); n != 1 {
+		t.Errorf("%d effects", n)
+	}
+}
+
+// TestSession_MessagesSplitAnywhere: a startup and a query that come in two pieces are answered, wherever they are cut, also
+// where the end of all sessions comes in between.
+func TestSession_MessagesSplitAnywhere(t *testing.T) {
+	for _, ends := range []bool{false, true} {
+		t.Run(fmt.Sprint("ends ", ends), func(t *testing.T) { splitMessages(t, ends) })
+	}
+}
+
+func splitMessages(t *testing.T, ends bool) {
+	t.Helper()
+	leakcheck.Verify(t)
+	text := startup + query("07", "read")
+	pieces := func(at int) (string, string) {
+		own := strings.Replace(text, "id=07", fmt.Sprintf("id=%02x", at), 1)
+		return own[:at], own[at:]
+	}
+	backend := replying(t, func(int) string { return rowReply })
+	srv := startServer(t, serverOptions{sessions: 1024, backend: backend.Address, messageTimeout: generousTimeout, maxAttempts: 3})
+	clients := make([]net.Conn, len(text))
+	for i := range clients {
+		clients[i] = dial(t, srv.address)
+		first, _ := pieces(i)
+		send(clients[i], first)
+	}
+	until(t, "all are in", func() bool { return srv.Sessions() == len(clients) })
+	if ends {
+		srv.StopBefore(time.Now().Add(4 * time.Second))
+		srv.CloseIdleSessions()
+	}
+	for i, client := range clients {
+		_, second := pieces(i)
+		send(client, second)
+	}
+	succeeded := 0
+	for i, client := range clients {
+		want(t, client, greeting)
+		switch state := replyState(t, client); state {
+		case pgwire.StateSuccess:
+			succeeded++
+		case pgwire.StateTooManyConnections:
+		default:
+			t.Errorf("cut at %d: answered %s", i, state)
+		}
+		if ends {
+			wantEnd(t, client)
+			continue
+		}
+		_ = client.Close() // it has its reply
+	}
+	if n := backend.QueryCount(); n != succeeded || succeeded == 0 {
+		t.Errorf("%d effects, %d succeeded", n, succeeded)
+	}
+}
+
+// TestSession_LateStartupHasTimeForItsQuery: who has come a while before the end of all sessions, and is greeted behind it,
+// has a moment for its query.
+func TestSession_LateStartupHasTimeForItsQuery(t *testing.T) {
+	leakcheck.Verify(t)
+	srv := startFor(t, replying(t, func(int) string { return rowReply }))
+	client := dial(t, srv.address)
+	send(client, startup[:9])
+	until(t, "it is in", func() bool { return srv.Sessions() == 1 })
+	time.Sleep(overload.LimitsFor(64).ContendedTimeout + finalAcceptTime) // its moment is over
+	srv.CloseIdleSessions()
+	send(client, startup[9:])
+	want(t, client, greeting)
+	srv.staysOpen(t)
+	send(client, query("07", "read"))
+	want(t, client, rowReply)
+}
+
+// TestSession_FirstQueryAtTheIdleTimeout: a first query that begins just before a new session is given up has as long to be
+// complete as any other.
+func TestSession_FirstQueryAtTheIdleTimeout(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := replying(t, func(int) string { return rowReply })
+	srv := startServer(t, serverOptions{sessions: 64, backend: backend.Address, messageTimeout: time.Second, maxAttempts: 3})
+	client := dial(t, srv.address)
+	send(client, startup)
+	want(t, client, greeting)
+	time.Sleep(overload.LimitsFor(64).IdleTimeout - 300*time.Millisecond)
+	send(client, query("07", "read")[:20])
+	time.Sleep(500 * time.Millisecond)
+	if srv.Sessions() == 0 {
+		t.Fatal("its session has ended")
+	}
+	send(client, query("07", "read")[20:])
+	want(t, client, rowReply)
+}
