--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -8,7 +8,7 @@
 )
 
 // expired is a read deadline that has long passed.
-var expired = time.Unix(1, 0)
+func expired() time.Time { return time.Unix(1, 0) }
 
 // messageDeadline is when a message that begins now has to be complete.
 func (s *session) messageDeadline() time.Time { return time.Now().Add(s.server.messageTimeout) }
@@ -79,11 +79,11 @@
 	limits := &s.server.limits
 	switch {
 	case s.closing == aborted:
-		return expired
+		return expired()
 	case len(s.calls) > 0:
 		return time.Now().Add(limits.IdleTimeout)
 	case s.closing == closingBetweenRequests, s.server.closingIdle && s.hadRequest:
-		return expired
+		return expired()
 	case s.server.closingIdle:
 		return s.quietSince.Add(limits.ContendedTimeout)
 	}
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -141,7 +141,7 @@
 	step := dispatcher.Next(call)
 	for step.Attempt != nil {
 		reply := s.server.pool.Attempt(step.Attempt, query)
-		if dispatcher.Report(step.Attempt, reply.SQLState, reply.End, reply.Load) {
+		if dispatcher.Report(step.Attempt, reply.SQLState, reply.Status, reply.Load) {
 			s.forwardReply(query.ID, reply, turn)
 			return
 		}
--- /dev/null
+++ b/internal/upstream/attempt_test.go
@@ -0,0 +1,259 @@
+package upstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/leakcheck"
+	"silvercove/internal/standin/scriptedbackend"
+)
+
+// TestPool_LateSecondReplies: a backend that answers each query again some milliseconds later never has that taken for the
+// reply to the next one, however soon that comes.
+func TestPool_LateSecondReplies(t *testing.T) {
+	backend := scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+		b.Greet(conn)
+		b.Reply(conn, func(text string, _ int) string {
+			reply := scriptedbackend.RowReply(keyOf(text))
+			time.AfterFunc(5*time.Millisecond, func() { scriptedbackend.Write(conn, []byte(reply)) })
+			return reply
+		})
+	})
+	p := newTestPool(t, oneAttempt(64, time.Minute), backend.Address)
+	end := time.Now().Add(20 * time.Second)
+	for i := 0; i < 100 || p.Unsolicited.Load() == 0 && time.Now().Before(end); i++ {
+		key := fmt.Sprint("k", i)
+		r := p.request("read", key, time.Second, nil)
+		if len(r.outcomes) == 0 {
+			t.Fatal("no attempt")
+		}
+		if r.last.SQLState != pgwire.StateSuccess || r.value != key {
+			t.Errorf("request %d got %q, %v, %q", i, r.last.SQLState, r.last.Status.Reason, r.value)
+		}
+	}
+	if p.Unsolicited.Load() == 0 {
+		t.Error("no second reply was seen")
+	}
+}
+
+// attemptCase is a backend and how an attempt at it ends.
+type attemptCase struct {
+	name    string
+	address string                 // of a backend
+	script  scriptedbackend.Script // or what one does
+	state   string
+	want    balancer.Outcome
+}
+
+// TestPool_AttemptOutcomes: each way in which an attempt ends, and the outcome that it is to the balancer.
+func TestPool_AttemptOutcomes(t *testing.T) {
+	for _, c := range append([]attemptCase{
+		{name: "a row", address: startBackend(t, false, 0).Address(), state: pgwire.StateSuccess, want: balancer.Succeeded},
+		{name: "an error", address: startBackend(t, true, 0).Address(), state: "XX000", want: balancer.Errored},
+		{name: "past its time", address: startBackend(t, false, time.Second).Address(), want: balancer.TimedOut},
+		{name: "nothing listens", address: "127.0.0.1:1", want: balancer.ConnectFailed},
+	}, scriptedOutcomes(t)...) {
+		t.Run(c.name, func(t *testing.T) {
+			if c.script != nil {
+				c.address = scriptedbackend.Start(t, c.script).Address
+			}
+			p := newTestPool(t, oneAttempt(4, time.Minute), c.address)
+			reply := p.attempt(500 * time.Millisecond)
+			if got := dispatch.AttemptOutcome(reply.SQLState, reply.Status); got != c.want || reply.SQLState != c.state {
+				t.Errorf("outcome %d, wanted %d: state %q, %v, flushed %v", got, c.want, reply.SQLState, reply.Status.Reason,
+					reply.Status.Flushed)
+			}
+		})
+	}
+}
+
+func scriptedOutcomes(t *testing.T) []attemptCase {
+	t.Helper()
+	connectIn := func(took time.Duration) func(b *scriptedbackend.Backend, conn net.Conn) {
+		return func(b *scriptedbackend.Backend, conn net.Conn) {
+			b.ReadStartup(conn)
+			<-time.After(took)
+			scriptedbackend.Write(conn, pgwire.AuthenticationOK())
+		}
+	}
+	// answers is a backend that writes some bytes after a query and then nothing.
+	answers := func(bytes string) scriptedbackend.Script {
+		return func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+			b.Greet(conn)
+			if _, _, ok := b.ReadQuery(conn); ok {
+				scriptedbackend.Write(conn, []byte(bytes))
+				_, _ = io.Copy(io.Discard, conn) // until its end, whichever it is
+			}
+		}
+	}
+	return []attemptCase{
+		{name: "it closes at once", want: balancer.ConnectFailed, script: func(*scriptedbackend.Backend, int, *net.TCPConn) {}},
+		{name: "no startup answer", want: balancer.ConnectFailed,
+			script: func(_ *scriptedbackend.Backend, _ int, conn *net.TCPConn) { _, _ = io.Copy(io.Discard, conn) }},
+		{name: "it comes up late", state: pgwire.StateSuccess, want: balancer.Succeeded,
+			script: func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				connectIn(shortConnectTimeout/2)(b, conn)
+				echo(b, conn)
+			}},
+		{name: "it comes up after the connect timeout", want: balancer.ConnectFailed,
+			script: func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				connectIn(shortConnectTimeout*4/3)(b, conn)
+				if n, _ := conn.Read(make([]byte, 1<<10)); n > 0 {
+					t.Error("a query was sent on a connection that came up too late")
+				}
+			}},
+		{name: "at capacity", state: pgwire.StateTooManyConnections, want: balancer.AtCapacity,
+			script: func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				b.ReadStartup(conn)
+				scriptedbackend.Write(conn, pgwire.ErrorResponse("FATAL", pgwire.StateTooManyConnections, "full", ""))
+			}},
+		{name: "it resets after the query", want: balancer.Reset,
+			script: func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				b.Greet(conn)
+				if _, _, ok := b.ReadQuery(conn); ok {
+					scriptedbackend.Kill(conn)
+				}
+			}},
+		{name: "it closes after the query", want: balancer.Reset,
+			script: func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				b.Greet(conn)
+				b.ReadQuery(conn)
+			}},
+		{name: "bytes that make no sense", want: balancer.Reset, script: answers("HTTP/1.1 200 OK\r\n\r\n")},
+		{name: "ready without an answer", want: balancer.Reset, script: answers(string(pgwire.ReadyForQuery()))},
+		{name: "a length that is too large", want: balancer.Reset, script: answers("D\x7f\xff\xff\xff")},
+	}
+}
+
+// forwardedTime matches the time that a backend is told to have left, in milliseconds.
+var forwardedTime = regexp.MustCompile(`d=(\d+) `)
+
+// TestPool_ForwardsTheTimeLeft: at the write of each attempt the backend is told no more than is left to the client, and with
+// nothing left nothing is sent.
+func TestPool_ForwardsTheTimeLeft(t *testing.T) {
+	leakcheck.Verify(t)
+	const (
+		timeout     = patience
+		connectTime = 100 * time.Millisecond
+		tolerance   = 50 // milliseconds
+	)
+	began := time.Now()
+	left := func() int64 { return (timeout - time.Since(began)).Milliseconds() }
+	var mu sync.Mutex
+	var faults []string
+	attempts := 0
+	addresses := []string{}
+	for range 3 {
+		addresses = append(addresses, scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+			b.ReadStartup(conn)
+			<-time.After(connectTime) // it comes up late
+			most := left()
+			scriptedbackend.Write(conn, pgwire.AuthenticationOK())
+			text, _, ok := b.ReadQuery(conn)
+			if !ok {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			if d, _ := strconv.ParseInt(forwardedTime.FindStringSubmatch(text)[1], 10, 64); d > most || d < left()-tolerance {
+				faults = append(faults, fmt.Sprintf("attempt %d is told %d, with %d left at the most", attempts, d, most))
+			}
+			attempts++
+			if attempts < 3 {
+				scriptedbackend.Kill(conn)
+				return
+			}
+			scriptedbackend.Write(conn, []byte(scriptedbackend.RowReply("v")))
+		}).Address)
+	}
+	p := newPatientPool(t, nil, addresses...)
+	began = time.Now()
+	if r := p.request("read", "k", timeout, nil); r.value != "v" || len(r.outcomes) != 3 {
+		t.Errorf("%+v", r)
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	for _, fault := range faults {
+		t.Error(fault)
+	}
+}
+
+// TestPool_SendsNothingWithoutTimeLeft: what has no time left once its connection is there is not sent.
+func TestPool_SendsNothingWithoutTimeLeft(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := startEcho(t)
+	p := newPatientPool(t, nil, backend.Address)
+	r := p.request("read", "k", 400*time.Millisecond, func(_ *dispatch.Call, attempt *dispatch.Attempt) {
+		over := make(chan struct{})
+		time.AfterFunc(time.Until(attempt.Deadline), func() { close(over) })
+		p.holdLock(over)
+	})
+	if r.answer != dispatch.Rejected || backend.QueryCount() != 0 {
+		t.Errorf("%+v, %d effects", r, backend.QueryCount())
+	}
+}
+
+// TestPool_RetryPastTheDedupWindow: a retry whose connection comes up past its deduplication window is not sent, and one that
+// comes up within it is.
+func TestPool_RetryPastTheDedupWindow(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		t.Run(fmt.Sprint(late), func(t *testing.T) {
+			leakcheck.Verify(t)
+			var first sync.Once
+			windowOver := make(chan struct{})
+			script := func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+				b.ReadStartup(conn)
+				resets := false
+				first.Do(func() { resets = true })
+				if !resets && late {
+					<-windowOver
+				}
+				scriptedbackend.Write(conn, pgwire.AuthenticationOK())
+				if resets {
+					b.ReadQuery(conn)
+					scriptedbackend.Kill(conn)
+					return
+				}
+				echo(b, conn)
+			}
+			one, other := scriptedbackend.Start(t, script), scriptedbackend.Start(t, script)
+			p := newPatientPool(t, nil, one.Address, other.Address)
+			time.AfterFunc(dedupWindow+50*time.Millisecond, func() { close(windowOver) })
+			r := p.request("edit", "k", patience, nil)
+			n := one.QueryCount() + other.QueryCount()
+			if late && (r.answer == dispatch.NoAnswer || n != 1) || !late && (r.value != "k" || n != 2) {
+				t.Errorf("%+v, %d effects", r, n)
+			}
+		})
+	}
+}
+
+// TestPool_ReplyWithoutReadyForQuery: a reply that is complete is not kept from its client by a backend that hangs behind it.
+func TestPool_ReplyWithoutReadyForQuery(t *testing.T) {
+	leakcheck.Verify(t)
+	backend := scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+		b.Greet(conn)
+		if _, _, ok := b.ReadQuery(conn); ok {
+			scriptedbackend.Write(conn, []byte(scriptedbackend.Row("v")))
+			b.ReadStartup(conn) // until its end
+		}
+	})
+	p := newPatientPool(t, nil, backend.Address)
+	began := time.Now()
+	r := p.request("sell", "k", patience, nil)
+	if took := time.Since(began); r.value != "v" || took > patience/2 {
+		t.Errorf("%+v after %v", r, took)
+	}
+	if open, _ := p.InUse(); open != 0 {
+		t.Errorf("%d connections are kept", open)
+	}
+}
--- /dev/null
+++ b/internal/upstream/connect.go
@@ -0,0 +1,147 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/transport"
+)
+
+// acquire gives an idle connection to a backend or makes a new one. Without one the reply tells why.
+func (p *Pool) acquire(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
+	for c := p.takeIdle(backend.Name); c != nil; c = p.takeIdle(backend.Name) {
+		if c.backend == backend && time.Since(c.idleSince) < p.maxIdleTime && c.Reusable() {
+			p.Reused.Add(1)
+			return c, Reply{}
+		}
+		p.discard(c)
+	}
+	if reason := p.reserveSlot(ctx); reason != transport.StillOpen {
+		return nil, replyWithout(reason)
+	}
+	c, reply := p.dial(ctx, backend)
+	if c == nil {
+		p.Failed.Add(1)
+		<-p.slots
+	}
+	return c, reply
+}
+
+// reserveSlot takes a slot for a new connection, and closes the one that has been idle the longest where there is none.
+func (p *Pool) reserveSlot(ctx context.Context) transport.CloseReason {
+	select {
+	case p.slots <- struct{}{}:
+		return transport.StillOpen
+	default:
+	}
+	if !p.closeOldest() {
+		p.Failed.Add(1)
+		return transport.Refused
+	}
+	select {
+	case p.slots <- struct{}{}:
+		return transport.StillOpen
+	case <-ctx.Done():
+		return transport.Canceled // which says nothing of the backend
+	}
+}
+
+// dial opens a connection up to the backend's word that it is ready, within the connect timeout. The caller has its slot.
+func (p *Pool) dial(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
+	p.Opened.Add(1)
+	limited, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
+	raw, status := transport.Dial(limited, backend.Address, p.connectTimeout, p.buffers)
+	if status.Closed() {
+		return nil, Reply{Status: status}
+	}
+	c := &conn{Conn: raw, backend: backend}
+	reply, ready := p.startSession(limited, c)
+	if ready {
+		return c, Reply{}
+	}
+	c.Close()
+	switch {
+	case reply.SQLState == pgwire.StateTooManyConnections:
+		return nil, Reply{SQLState: reply.SQLState}
+	case reply.Status.Closed():
+		return nil, replyWithout(reply.Status.Reason) // no query was written
+	case errors.Is(ctx.Err(), context.Canceled): // given up just as it came up, which says nothing of the backend
+		return nil, replyWithout(transport.Canceled)
+	}
+	return nil, replyWithout(transport.ConnectTimeout)
+}
+
+// startSession sends the startup message and reads the backend's answer (PostgreSQL manual, "Start-up"); ready says whether
+// queries may follow.
+func (p *Pool) startSession(ctx context.Context, c *conn) (reply Reply, ready bool) {
+	c.BindContext(ctx)
+	c.Append(pgwire.StartupMessage())
+	if status := c.Flush(); status.Closed() {
+		return Reply{Status: status}, false
+	}
+	reply = p.readReply(c)
+	if reply.SQLState != "" || reply.Status.Closed() || !reply.reusable || !c.ReleaseContext() {
+		return reply, false
+	}
+	c.Discard(len(c.Buffered()))
+	return reply, true
+}
+
+// Prewarm opens connections to backends that have just been listed, a part of the slots to each, so that the first requests
+// after a start need not wait for them. All relays together open no more at a backend than one of them might alone: many
+// that start at once would spend the backends' work on connections that few requests use. It waits at most for the connect
+// timeout, and not beyond the context: what is not up by then is given up.
+func (p *Pool) Prewarm(ctx context.Context, to []dispatch.Backend, relays int) {
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
+	slots := cap(p.slots) / prewarmSlotsDivisor
+	perBackend := min(slots/max(1, len(to)), slots/max(1, relays))
+	var dials sync.WaitGroup
+	for i := range perBackend * len(to) {
+		dials.Go(func() { p.prewarmOne(ctx, to[i%len(to)]) })
+	}
+	dials.Wait()
+}
+
+func (p *Pool) prewarmOne(ctx context.Context, backend dispatch.Backend) {
+	select {
+	case p.slots <- struct{}{}:
+	case <-ctx.Done():
+		return
+	}
+	c, _ := p.dial(ctx, backend)
+	if c == nil {
+		<-p.slots
+		return
+	}
+	p.addIdle(c)
+}
+
+// Probe checks a backend with a query of its own and reports the result to the dispatcher. It does not block.
+func (p *Pool) Probe(backend dispatch.Backend) {
+	p.probes.Go(func() {
+		began := time.Now()
+		ctx, cancel := context.WithTimeout(context.Background(), p.connectTimeout)
+		defer cancel()
+		c, reply := p.acquire(ctx, backend)
+		if c != nil {
+			c.BindContext(ctx)
+			c.Append(pgwire.SimpleQuery(probeQuery))
+			reply.Status = c.Flush()
+			if !reply.Status.Closed() {
+				reply = p.readReply(c)
+			}
+			p.bind(&reply, c)
+			reply.Release()
+		}
+		p.dispatcher.ProbeEnded(backend.Name, reply.SQLState, reply.Status, time.Since(began), reply.Load)
+	})
+}
+
+// probeQuery is a query that costs a backend next to nothing.
+const probeQuery = "SELECT 1"
--- /dev/null
+++ b/internal/upstream/helpers_test.go
@@ -0,0 +1,233 @@
+package upstream
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/settings"
+	"silvercove/internal/standin/backends"
+	"silvercove/internal/standin/scriptedbackend"
+	"silvercove/internal/transport"
+)
+
+const (
+	shortConnectTimeout = 300 * time.Millisecond
+	patience            = 8 * time.Second // for connections and clients in tests that are not about a limit
+	dedupWindow         = 400 * time.Millisecond
+)
+
+// poolOptions are what the tests' pools differ in.
+type poolOptions struct {
+	maxConnections int
+	idleTimeout    time.Duration
+	connectTimeout time.Duration            // 0: shortConnectTimeout
+	objective      time.Duration            // the latency objective, and half of the deadline; 0: a second
+	configure      func(*balancer.Settings) // further settings, or nil
+}
+
+// testPool is a pool before some backends, with a dispatcher that chooses among them.
+type testPool struct {
+	*Pool
+	tb         testing.TB
+	dispatcher *dispatch.Dispatcher
+	buffers    *transport.BufferBudget
+	idPadding  int // bytes that the IDs of requests are longer by
+}
+
+// newTestPool runs a pool until the test ends, and checks that no connection is left then.
+func newTestPool(tb testing.TB, o poolOptions, addresses ...string) *testPool {
+	tb.Helper()
+	if o.objective == 0 {
+		o.objective = time.Second
+	}
+	if o.connectTimeout == 0 {
+		o.connectTimeout = shortConnectTimeout
+	}
+	p := &testPool{tb: tb, buffers: transport.NewBufferBudget(1 << 20)}
+	p.dispatcher = dispatch.New(1, settings.Site{Balancer: balancerSettings(o)}, dispatch.Callbacks{
+		WatchEndpoints: func(bool) {},
+		CloseIdle:      func(backend string) { p.CloseIdle(backend) },
+	})
+	p.Pool = New(p.buffers, o.maxConnections, o.connectTimeout, o.idleTimeout, p.dispatcher)
+	var endpoints []dispatch.Endpoint
+	for i, address := range addresses {
+		endpoints = append(endpoints, endpoint(i, address))
+	}
+	p.dispatcher.UpdateEndpoints(true, endpoints)
+	p.dispatcher.UpdateStage(dispatch.RolloutStage{Version: 1, Phase: "live", ExposureCap: 1})
+	ctx, cancel := context.WithCancel(context.Background())
+	var group errgroup.Group
+	group.Go(func() error { return p.Run(ctx) })
+	group.Go(func() error { return p.dispatcher.RunTimers(ctx) })
+	tb.Cleanup(func() {
+		cancel()
+		if err := group.Wait(); err != nil {
+			tb.Errorf("ended with %v", err)
+		}
+		if open, _ := p.InUse(); open != 0 {
+			tb.Errorf("%d connections are left open", open)
+		}
+	})
+	return p
+}
+
+// oneAttempt are the options of pools whose requests have one attempt each.
+func oneAttempt(maxConnections int, idleTimeout time.Duration) poolOptions {
+	return poolOptions{
+		maxConnections: maxConnections,
+		idleTimeout:    idleTimeout,
+		configure:      func(s *balancer.Settings) { s.Limits.MaxAttempts = 1 },
+	}
+}
+
+// newPatientPool is a pool whose clients and connections have time: the test is not about a limit.
+func newPatientPool(tb testing.TB, configure func(*balancer.Settings), addresses ...string) *testPool {
+	tb.Helper()
+	return newTestPool(tb, poolOptions{
+		maxConnections: 8,
+		idleTimeout:    time.Minute,
+		connectTimeout: patience,
+		objective:      patience,
+		configure:      configure,
+	}, addresses...)
+}
+
+func balancerSettings(o poolOptions) balancer.Settings {
+	class := func(name string, idempotency balancer.Idempotency) balancer.RequestClass {
+		return balancer.RequestClass{
+			Name:             name,
+			Idempotency:      idempotency,
+			DedupScope:       balancer.DedupEverywhere,
+			DedupWindow:      balancer.Seconds(dedupWindow.Seconds()),
+			LatencyObjective: balancer.Seconds(o.objective.Seconds()),
+			Deadline:         balancer.Seconds(2 * o.objective.Seconds()),
+			PriorityWeight:   1,
+		}
+	}
+	s := balancer.Settings{
+		Relays: 1,
+		Classes: []balancer.RequestClass{class("read", balancer.Idempotent), class("edit", balancer.IdempotentWithKey),
+			class("sell", balancer.AtMostOnce)},
+		Limits: balancer.Limits{MayCancel: true, MaxAttempts: 3},
+	}
+	if o.configure != nil {
+		o.configure(&s)
+	}
+	return s
+}
+
+// endpoint is the n-th backend.
+func endpoint(n int, address string) dispatch.Endpoint {
+	return dispatch.Endpoint{Name: fmt.Sprint("s-", n), Address: address, State: "up", Version: 1}
+}
+
+// parseQuery is a query for a key, whose ID has so many bytes more than one.
+func parseQuery(tb testing.TB, class, key string, idPadding int) *pgwire.Query {
+	tb.Helper()
+	id := "1" + strings.Repeat("1", idPadding)
+	query, fault := pgwire.ParseQuery([]byte("SELECT content FROM kv WHERE name = '" + key + "' /* id=" + id + ",c=" + class + ",t=a,d=2000 */"))
+	if fault != nil {
+		tb.Fatal(fault)
+	}
+	return query
+}
+
+// result is what became of a request.
+type result struct {
+	answer   dispatch.FinalAnswer // of the relay itself; none after a row
+	value    string               // of its row
+	outcomes []balancer.Outcome   // of its attempts
+	last     Reply                // of its last attempt; its rows are not valid any more
+}
+
+// request makes a request whose client waits for so long, up to its final answer. The hook, if there is one, is called
+// before each attempt.
+func (p *testPool) request(class, key string, timeout time.Duration, hook func(*dispatch.Call, *dispatch.Attempt)) (r result) {
+	p.tb.Helper()
+	query := parseQuery(p.tb, class, key, p.idPadding)
+	call, _ := p.dispatcher.Accept(dispatch.Request{Class: class, ReceivedAt: time.Now(), Timeout: timeout})
+	step := p.dispatcher.Next(call)
+	for step.Attempt != nil {
+		if hook != nil {
+			hook(call, step.Attempt)
+		}
+		reply := p.Attempt(step.Attempt, query)
+		r.last = reply
+		r.outcomes = append(r.outcomes, dispatch.AttemptOutcome(reply.SQLState, reply.Status))
+		succeeded := p.dispatcher.Report(step.Attempt, reply.SQLState, reply.Status, reply.Load)
+		if succeeded {
+			if len(reply.Rows) != rowMessages {
+				p.tb.Fatalf("a row of %d messages", len(reply.Rows))
+			}
+			value, _ := pgwire.RowValue(reply.Rows[1])
+			r.value = string(value)
+		}
+		reply.Release()
+		if succeeded {
+			return r
+		}
+		step = p.dispatcher.Next(call)
+	}
+	r.answer = step.Answer
+	return r
+}
+
+// attempt makes a request of one attempt and gives how that ended.
+func (p *testPool) attempt(timeout time.Duration) Reply {
+	p.tb.Helper()
+	r := p.request("read", "k", timeout, nil)
+	if len(r.outcomes) != 1 {
+		p.tb.Fatalf("%d attempts", len(r.outcomes))
+	}
+	return r.last
+}
+
+// holdLock holds the dispatcher until a channel is closed: what is asked of it meanwhile waits.
+func (p *testPool) holdLock(until <-chan struct{}) {
+	held := make(chan struct{})
+	go p.dispatcher.WithLock(func() {
+		close(held)
+		<-until
+	})
+	<-held
+}
+
+// startBackend is a backend that answers after some time, with a row or an error.
+func startBackend(tb testing.TB, fails bool, took time.Duration) *backends.Backend {
+	tb.Helper()
+	b, err := backends.NewBackend("u", 1, func(*backends.Backend, string, uint16, time.Time) (bool, time.Duration) { return fails, took })
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(b.Close)
+	return b
+}
+
+// echo answers each query with the key that it asks for.
+func echo(b *scriptedbackend.Backend, conn net.Conn) {
+	b.Reply(conn, func(text string, _ int) string { return scriptedbackend.RowReply(keyOf(text)) })
+}
+
+// startEcho is a backend that answers each query with the key that it asks for.
+func startEcho(tb testing.TB) *scriptedbackend.Backend {
+	tb.Helper()
+	return scriptedbackend.Start(tb, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
+		b.Greet(conn)
+		echo(b, conn)
+	})
+}
+
+var keyPattern = regexp.MustCompile("name = '([a-z0-9]+)'")
+
+// keyOf is the key that a query asks for.
+func keyOf(text string) string { return keyPattern.FindStringSubmatch(text)[1] }
