--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -92,16 +92,13 @@
 		retryShare:    number("repeats"),
 		floor:         number("floor"),
 		probesPerSec:  number("probes"),
-		startupWindow: tick.Tick(number("ramp") * float64(tick.Second)),
+		startupWindow: tick.FromSeconds(number("ramp")),
 	}
 }
 
 // unitInterval maps a hash to a number from 0 up to 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// seconds converts a span.
-func seconds(span tick.Tick) float64 { return float64(span) / float64(tick.Second) }
-
 // standalone reports whether there is no fleet.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
@@ -117,14 +114,14 @@
 // admission rises.
 func (m *Manager) coverage() float64 { return float64(len(m.fleet.fresh)+1) / m.fleetSize() }
 
-// advance brings the clock on, drops reports that have expired, and recomputes what is due.
+// advance moves the clock forward, drops reports that have expired, and recomputes what is due.
 func (m *Manager) advance(now tick.Tick) {
 	m.now = max(m.now, now)
 	m.expireReports()
 	if m.now-m.recomputedAt < recomputeInterval {
 		return
 	}
-	elapsed := seconds(m.now - m.recomputedAt)
+	elapsed := (m.now - m.recomputedAt).Seconds()
 	m.recomputedAt = m.now
 	m.admission.decay(elapsed)
 	m.budget.decay(elapsed)
