--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -194,14 +194,26 @@
 		return nil, err
 	}
 	if address, ok := r["discovery"].(string); ok {
-		watch := discovery.New(transport.NewAddress(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := m.newWatcher(address)
 		watch.Fetch()
-		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), true) })
+		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), discovery.Pushed) })
 	}
 	m.repos[name] = out
 	return out, nil
 }
 
+// newWatcher follows the list of servers that an agent at an address has.
+func (m *Service) newWatcher(address string) *discovery.Watcher {
+	return discovery.New(discovery.Config{
+		Address:       transport.NewAddress(address),
+		PollWait:      time.Second,
+		AnswerTimeout: time.Second / 2,
+		OpenTimeout:   time.Second,
+		Buffers:       m.room,
+		Log:           logging.Component(m.log, "discovery"),
+	})
+}
+
 // mirrors are the mirror lines of a repository. One that was not there before is new, and cold.
 func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Endpoint) {
 	was := map[string]bool{}
@@ -282,9 +294,9 @@
 		m.watches = append(m.watches, func(ctx context.Context) error { return desk.Run(ctx, g) })
 	}
 	if discoveryAddress != "" {
-		watch := discovery.New(transport.NewAddress(discoveryAddress), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := m.newWatcher(discoveryAddress)
 		watch.Fetch()
-		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, true) })
+		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, discovery.Pushed) })
 	}
 	return nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -88,11 +88,15 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.gate.RunTimers(ctx) })
 	group.Go(func() error { return r.pools.Run(ctx) })
-	pushed := !t.FollowsPlacements && t.site.Balancer.Discovery != balancer.DiscoverySubscribe
+	mode := discovery.Pushed
+	if t.site.Balancer.Discovery == balancer.DiscoverySubscribe {
+		mode = discovery.Subscribe
+	}
+	pushed := !t.FollowsPlacements && mode == discovery.Pushed
 	if t.FollowsPlacements {
 		r.gate.FollowPlacements()
 	} else {
-		group.Go(func() error { return r.watch.Run(ctx, r.gate, pushed) })
+		group.Go(func() error { return r.watch.Run(ctx, r.gate, mode) })
 	}
 	if t.platform != "" {
 		group.Go(func() error { return r.desk.Run(ctx, r.gate) })
@@ -224,7 +228,15 @@
 	if grace == 0 {
 		grace = calls
 	}
-	r.watch = discovery.New(r.discovery, t.seq, grace, grace/2, calls, r.room, say)
+	r.watch = discovery.New(discovery.Config{
+		Address:       r.discovery,
+		Version:       t.seq,
+		PollWait:      grace,
+		AnswerTimeout: grace / 2,
+		OpenTimeout:   calls,
+		Buffers:       r.room,
+		Log:           logging.Component(r.log, "discovery"),
+	})
 	r.desk = releaseapi.New(r.platform, calls, r.room, say)
 	hands := dispatch.Callbacks{
 		Vote: r.desk.Vote, WatchEndpoints: r.watch.SetWatching, FetchEndpoints: r.watch.Fetch, Log: logging.Component(r.log, "dispatch"),
--- a/internal/relay/told.go
+++ b/internal/relay/told.go
@@ -160,7 +160,8 @@
 	if t.news, err = releaseapi.ParseStage(c.Release.News); err != nil {
 		return fmt.Errorf("release_api.news: %w", err)
 	}
-	if t.seq, _, t.known, err = discovery.ParsePage(c.Known); err != nil && (!t.FollowsPlacements || c.Known != nil) {
+	page, err := discovery.ParsePage(c.Known)
+	if t.seq, t.known = page.Version, page.Endpoints; err != nil && (!t.FollowsPlacements || c.Known != nil) {
 		return fmt.Errorf("known: %w", err)
 	}
 	t.site, err = settings.Read(c.Settings)
