--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -6,13 +6,13 @@
 // only queue; Run does what is queued, in order, many requests by one write and one fsync, and calls each one's done.
 //
 // A record that is cut short at the end of the file was never acknowledged and is cut off; anything else that does not
-// add up refuses the file whole, as what follows it may have been acknowledged. On a full disk requests are refused and
+// add up refuses the whole file, as what follows it may have been acknowledged. On a full disk requests are refused and
 // the file stays as it was.
 //
-// A disk put back to an earlier time looks whole. So the file counts the records that it has ever taken, and who keeps an
-// earlier count elsewhere, as the controllers do, finds that there were more. What a run writes counts only once
-// ConfirmCurrent has said that the file is the newest one known, so that an old one never catches up with what was
-// counted.
+// A disk put back to an earlier time looks intact. So the file counts the records that it has ever taken, and who
+// keeps an earlier count elsewhere, as the controllers do, finds that there were more. What a run writes counts only
+// once ConfirmCurrent has said that the file is the newest one known, so that an old one never catches up with what
+// was counted.
 //
 // Files: store.go (opening and requests), run.go (the queue), write.go (what a request changes, in memory and in the
 // file), compaction.go, format.go (records).
@@ -31,8 +31,6 @@
 	"sync"
 	"sync/atomic"
 
-	"golang.org/x/sys/unix"
-
 	"silvercove/internal/recordlog"
 	"silvercove/internal/replica"
 )
@@ -41,9 +39,9 @@
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
-	ErrInUse        = errors.New("in use by another process")
+	ErrInUse        = recordlog.ErrInUse
 	ErrGap          = errors.New("does not follow what is kept")
-	ErrWriteFailed  = errors.New("an earlier write failed half-way: restart to go on")
+	ErrWriteFailed  = recordlog.ErrWriteFailed
 	ErrQueueFull    = errors.New("too much waits for the disk")
 )
 
@@ -103,10 +101,14 @@
 		return nil, nil, nil, err
 	}
 	s.path = filepath.Join(folder, logName)
-	var err error
-	if s.lock, err = os.OpenFile(filepath.Join(folder, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	lock, err := recordlog.Lock(filepath.Join(folder, lockName))
+	if errors.Is(err, ErrInUse) {
+		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
+	}
+	if err != nil {
 		return nil, nil, nil, err
 	}
+	s.lock = lock
 	if err := s.load(); err != nil {
 		_ = s.lock.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", s.path, err)
@@ -114,21 +116,18 @@
 	return s, s.copyLogs(), bytes.Clone(s.note), nil
 }
 
-// load locks the file, reads it, and opens it for appending.
+// load reads the file and opens it for appending.
 func (s *Store) load() error {
-	if unix.Flock(int(s.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil {
-		return ErrInUse
-	}
 	text, err := os.ReadFile(s.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	whole, err := s.read(text)
+	complete, err := s.read(text)
 	if err != nil {
 		return err
 	}
-	if whole < len(text) {
-		s.logf(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(text)-whole))
+	if complete < len(text) {
+		s.logf(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(text)-complete))
 	}
 	file, err := os.OpenFile(s.path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -136,7 +135,7 @@
 	}
 	s.file = file
 	s.durableCount.Store(s.count.records)
-	if err := s.prepareFile(int64(whole)); err != nil {
+	if err := s.prepareFile(int64(complete)); err != nil {
 		_ = file.Close()
 		return err
 	}
@@ -147,16 +146,16 @@
 	return nil
 }
 
-// read takes in what is whole, and returns how many bytes that is.
-func (s *Store) read(text []byte) (whole int, err error) {
+// read applies the complete records of a file, and returns how many bytes they are.
+func (s *Store) read(text []byte) (complete int, err error) {
 	refused := false
-	whole, err = format.ReadRecords(text, func(payload []byte) error {
+	complete, err = format.ReadRecords(text, func(payload []byte) error {
 		r, err := decode(payload)
 		if err == nil {
 			err = s.apply(r)
 		}
 		refused = err != nil
-		if refused && !errors.Is(err, ErrNewerVersion) { // else it is whole, and nothing to be moved away
+		if refused && !errors.Is(err, ErrNewerVersion) { // else it is complete, and nothing to be moved away
 			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		return err
@@ -164,30 +163,25 @@
 	if errors.Is(err, ErrCorrupt) && !refused {
 		err = fmt.Errorf("%w; moved away, this unit starts without its instances", err)
 	}
-	return whole, err
+	return complete, err
 }
 
-// prepareFile begins a file, or cuts off what did not come whole, and makes both durable.
-func (s *Store) prepareFile(whole int64) error {
-	if err := s.file.Truncate(whole); err != nil {
+// prepareFile begins a file, or cuts off a record that is not complete, and makes both durable.
+func (s *Store) prepareFile(complete int64) error {
+	if err := s.file.Truncate(complete); err != nil {
 		return err
 	}
-	if whole == 0 {
+	if complete == 0 {
 		if _, err := s.file.Write(format.Header()); err != nil {
 			return err
 		}
-		whole = recordlog.HeaderSize
+		complete = recordlog.HeaderSize
 	}
 	if err := s.file.Sync(); err != nil {
 		return err
 	}
-	s.fileSize = whole
-	folder, err := os.Open(filepath.Dir(s.path))
-	if err != nil {
-		return err
-	}
-	defer func() { _ = folder.Close() }()
-	return folder.Sync()
+	s.fileSize = complete
+	return recordlog.SyncFolder(filepath.Dir(s.path))
 }
 
 // copyLogs is the logs in the order of their instances' names, for the caller to keep.
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -3,7 +3,7 @@
 // on different disks, of which the furthest counts.
 //
 // A record is durable in all copies before Raise or Pass returns. A record that is cut short at the end of a file was
-// never acknowledged and is cut off; anything else that does not add up refuses the file whole, as what it said could be
+// never acknowledged and is cut off; anything else that does not add up refuses the whole file, as what it said could be
 // newer than what is left. A copy that lags behind another was put back or replaced, and is repaired. All copies put back
 // at once cannot be told from the file: see docs/metadata.md for what guards then.
 //
@@ -21,8 +21,6 @@
 	"slices"
 	"sync"
 
-	"golang.org/x/sys/unix"
-
 	"silvercove/internal/recordlog"
 	"silvercove/internal/tufverify"
 )
@@ -31,11 +29,11 @@
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
-	ErrInUse        = errors.New("in use by another process")
+	ErrInUse        = recordlog.ErrInUse
 	ErrOlderVersion = errors.New("older than what was seen")
 	ErrConflict     = errors.New("this version was seen with other content")
 	ErrFull         = errors.New("as many entries as are allowed")
-	ErrWriteFailed  = errors.New("an earlier write failed half-way: restart to go on")
+	ErrWriteFailed  = recordlog.ErrWriteFailed
 )
 
 // Store is open for one process at a time. Its methods are safe for concurrent use; the exported fields are written
@@ -124,7 +122,7 @@
 
 // loadCopy locks one copy and reads it.
 func (s *Store) loadCopy(path string) (storedCopy, error) {
-	lock, err := lockFile(path)
+	lock, err := recordlog.Lock(path + ".lock")
 	if err != nil {
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
@@ -137,18 +135,18 @@
 		return storedCopy{}, fmt.Errorf("floor: %w", err)
 	}
 	s.Created = false
-	c, whole, err := decode(text)
+	c, complete, err := decode(text)
 	if err != nil {
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
-	if truncated := len(text) - whole; truncated > 0 {
+	if truncated := len(text) - complete; truncated > 0 {
 		s.TruncatedBytes += truncated
 		s.logf(fmt.Sprintf("floor %s: %d bytes of a record cut short at its end were cut off", path, truncated))
 	}
 	return storedCopy{contents: c, exists: true}, nil
 }
 
-// merge takes what a copy holds that is further than what is known.
+// merge merges what a copy holds that is newer than what is known.
 func (s *Store) merge(c contents) error {
 	for key, e := range c.entries {
 		known, ok := s.entries[key]
@@ -163,19 +161,6 @@
 	return nil
 }
 
-// lockFile keeps other processes out.
-func lockFile(path string) (*os.File, error) {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = lock.Close()
-		return nil, ErrInUse
-	}
-	return lock, nil
-}
-
 // unlockFiles lets other processes in.
 func (s *Store) unlockFiles() {
 	for _, lock := range s.locks {
--- a/internal/tick/tick.go
+++ b/internal/tick/tick.go
@@ -14,3 +14,9 @@
 
 // Duration is the time that so many ticks are.
 func (t Tick) Duration() time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+
+// FromSeconds is a span of seconds in ticks, rounded towards zero.
+func FromSeconds(seconds float64) Tick { return Tick(seconds * float64(Second)) }
+
+// Seconds is the span in seconds.
+func (t Tick) Seconds() float64 { return float64(t) / float64(Second) }
