--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -281,7 +281,12 @@
 	}
 	var desk *releaseapi.Client
 	if address != "" {
-		desk = releaseapi.New(transport.NewAddress(address), time.Second, m.room, m.say)
+		desk = releaseapi.New(releaseapi.Config{
+			Address: transport.NewAddress(address),
+			Timeout: time.Second,
+			Buffers: m.room,
+			Log:     logging.Component(m.log, "releaseapi"),
+		})
 	}
 	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
 	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -212,7 +212,6 @@
 // build puts the parts together and hands the module what is known at the start.
 func build(t Config) *relay {
 	r := &relay{log: zerolog.New(os.Stderr).With().Timestamp().Logger()}
-	say := func(text string) { r.log.Info().Msg(text) }
 	limits, rollout := t.site.Balancer.Limits, t.site.Balancer.Rollout
 	longest := time.Duration(0)
 	for _, class := range t.site.Balancer.Classes {
@@ -237,7 +236,12 @@
 		Buffers:       r.room,
 		Log:           logging.Component(r.log, "discovery"),
 	})
-	r.desk = releaseapi.New(r.platform, calls, r.room, say)
+	r.desk = releaseapi.New(releaseapi.Config{
+		Address: r.platform,
+		Timeout: calls,
+		Buffers: r.room,
+		Log:     logging.Component(r.log, "releaseapi"),
+	})
 	hands := dispatch.Callbacks{
 		Vote: r.desk.Vote, WatchEndpoints: r.watch.SetWatching, FetchEndpoints: r.watch.Fetch, Log: logging.Component(r.log, "dispatch"),
 		LoadShedder: t.LoadShedder,
--- /dev/null
+++ b/internal/releaseapi/stage.go
@@ -0,0 +1,58 @@
+package releaseapi
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"silvercove/internal/dispatch"
+)
+
+// ErrNoRevision tells that a stage names no version.
+var ErrNoRevision = errors.New("no Revision")
+
+// InvalidStageError tells that a stage is not one that a rollout can be at.
+type InvalidStageError struct {
+	Phase       string
+	ExposureCap float64 // a fraction
+}
+
+// Error names the phase and the cap.
+func (e *InvalidStageError) Error() string {
+	return fmt.Sprintf("the state %q with share %v makes no sense", e.Phase, e.ExposureCap)
+}
+
+// wireStage is where the newest version stands, as the platform words it.
+type wireStage struct {
+	Version     *uint16 `json:"Revision"`
+	Stage       int     `json:"Wave"`
+	Phase       string  `json:"State"`
+	ExposureCap float64 `json:"MaxShare"`
+	AgeMs       float64 `json:"AgeMs"`
+}
+
+// ParseStage reads where the newest version stands. It returns an error of encoding/json, ErrNoRevision or an
+// *InvalidStageError.
+func ParseStage(text []byte) (dispatch.RolloutStage, error) {
+	var wire wireStage
+	if err := json.Unmarshal(text, &wire); err != nil {
+		return dispatch.RolloutStage{}, err
+	}
+	if wire.Version == nil {
+		return dispatch.RolloutStage{}, ErrNoRevision
+	}
+	stage := dispatch.RolloutStage{
+		Version:     *wire.Version,
+		Stage:       wire.Stage,
+		Phase:       wire.Phase,
+		ExposureCap: wire.ExposureCap,
+		Age:         milliseconds(wire.AgeMs),
+	}
+	if !stage.Valid() {
+		return dispatch.RolloutStage{}, &InvalidStageError{Phase: wire.Phase, ExposureCap: wire.ExposureCap}
+	}
+	return stage, nil
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/releaseapi/stream_test.go
@@ -0,0 +1,143 @@
+package releaseapi
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/standin/backends"
+	"silvercove/internal/transport"
+)
+
+// TestKeepAliveLines: a stream on which nothing comes but the keep-alive line, every second, stays open, however short a call
+// may be.
+func TestKeepAliveLines(t *testing.T) {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		for {
+			_, _ = fmt.Fprint(w, "{}\n")
+			_ = http.NewResponseController(w).Flush()
+			select {
+			case <-time.After(time.Second):
+			case <-req.Context().Done():
+				return
+			}
+		}
+	}))
+	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	client, _, _, _ := start(t, s.Listener.Addr().String())
+	backends.Until(t, "three lines have come", func() bool { return client.Lines.Load() >= 3 })
+	if n := client.Streams.Load(); n != 1 {
+		t.Errorf("%d streams were opened", n)
+	}
+}
+
+// TestStreamIsOpenedAgain: a stream that breaks, is silent or makes no sense is opened again; what came before stays.
+func TestStreamIsOpenedAgain(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		bad  func(w http.ResponseWriter, req *http.Request)
+	}{
+		{"a cut stream", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }},
+		{"a line that makes no sense", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "{\n") }},
+		{"a stage that makes no sense", func(w http.ResponseWriter, _ *http.Request) {
+			_, _ = fmt.Fprint(w, strings.Replace(liveStage, "live", "asleep", 1))
+		}},
+		{"a line without an end", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxLineBytes+1)) }},
+		{"silence", func(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }},
+		{"an end in order", func(http.ResponseWriter, *http.Request) {}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			var bad atomic.Bool
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+				_, _ = fmt.Fprint(w, `{"type":"unknown","object":{}}`+"\n"+liveStage)
+				if _ = http.NewResponseController(w).Flush(); bad.Load() {
+					c.bad(w, req)
+					return
+				}
+				<-req.Context().Done()
+			}))
+			t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+			bad.Store(true)
+			client, _, _, stages := start(t, s.Listener.Addr().String())
+			backends.Until(t, "it is opened again", func() bool { return client.Streams.Load() >= 3 })
+			for len(stages) > 0 {
+				if is := <-stages; is.Version != 1 || is.Phase != "live" {
+					t.Errorf("%+v was taken", is)
+				}
+			}
+			bad.Store(false)
+			waitStage(t, stages, "a good one again", func(s dispatch.RolloutStage) bool { return s.Version == 1 })
+		})
+	}
+}
+
+// TestMoveBetweenTwoChanges: SIGHUP that comes while a change is being taken, not while the stream is read, moves the
+// stream too, although the old platform goes on sending keep-alive lines; and so does the end of the relay.
+func TestMoveBetweenTwoChanges(t *testing.T) {
+	var left sync.WaitGroup
+	left.Add(1)
+	old := newPlatform(t, func(w io.Writer, req *http.Request) {
+		defer left.Done()
+		for _, _ = io.WriteString(w, liveStage); req.Context().Err() == nil; time.Sleep(10 * time.Millisecond) {
+			_, _ = io.WriteString(w, "{}\n")
+		}
+	}, nil)
+	came := make(chan struct{}, 16)
+	next := newPlatform(t, func(w io.Writer, req *http.Request) {
+		came <- struct{}{}
+		for _, _ = io.WriteString(w, liveStage); req.Context().Err() == nil; time.Sleep(10 * time.Millisecond) {
+			_, _ = io.WriteString(w, "{}\n")
+		}
+	}, nil)
+	var address *transport.Address
+	ready := make(chan struct{})
+	var once sync.Once
+	_, _, address = startChecked(t, old, 400*time.Millisecond, func() {
+		once.Do(func() {
+			<-ready
+			address.Update(next)
+			time.Sleep(50 * time.Millisecond) // for what calls the stream off to have run before the change is taken
+		})
+	})
+	close(ready)
+	select {
+	case <-came:
+	case <-time.After(10 * time.Second):
+		t.Fatal("the stream stays where it was")
+	}
+	left.Wait()
+}
+
+// TestStreamTrickles: bytes that end no line show no life, nor is one silence longer than another, however
+// long a call may take; and the stream is opened again soon after it was found silent or cut.
+func TestStreamTrickles(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		limit time.Duration
+		write func(w io.Writer, req *http.Request)
+	}{
+		{"a line", 400 * time.Millisecond, func(w io.Writer, req *http.Request) {
+			for _, _ = io.WriteString(w, liveStage); req.Context().Err() == nil; time.Sleep(20 * time.Millisecond) {
+				_, _ = io.WriteString(w, " ")
+			}
+		}},
+		{"silence, and calls that may take an hour", time.Hour, func(w io.Writer, req *http.Request) {
+			_, _ = io.WriteString(w, liveStage)
+			<-req.Context().Done()
+		}},
+		{"cut, and calls that may take an hour", time.Hour, func(w io.Writer, _ *http.Request) { _, _ = io.WriteString(w, liveStage) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client, _, _ := startChecked(t, newPlatform(t, c.write, nil), c.limit, func() {})
+			backends.Until(t, "it is opened again", func() bool { return client.Streams.Load() >= 2 })
+		})
+	}
+}
--- /dev/null
+++ b/internal/releaseapi/vote.go
@@ -0,0 +1,91 @@
+package releaseapi
+
+import (
+	"context"
+	"encoding/json"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/http1"
+	"silvercove/internal/transport"
+)
+
+// votesPath is the platform's resource that takes votes.
+const votesPath = "/judgements"
+
+// statusOK is that of a vote that was taken; its answer tells the stage after it.
+const statusOK = 200
+
+// wireVote is a vote as the platform words it.
+type wireVote struct {
+	Version uint16 `json:"Revision"`
+	Stage   int    `json:"Wave"`
+	Verdict string `json:"Decision"`
+}
+
+// voteResult is how a vote ended.
+type voteResult struct {
+	httpStatus int // 0: there was no whole answer
+	stage      dispatch.RolloutStage
+	status     transport.CloseStatus // ClosedLocally where there was one
+}
+
+// castVotes casts one vote after the other until the context ends.
+func (c *Client) castVotes(ctx context.Context) {
+	for {
+		select {
+		case vote := <-c.votes:
+			result := c.castVote(ctx, vote)
+			c.dispatcher.VoteAnswered(result.httpStatus, result.stage, result.status)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// castVote makes one call on a connection of its own, so that none stands idle until it is closed.
+func (c *Client) castVote(ctx context.Context, vote dispatch.Vote) voteResult {
+	limited, cancel := context.WithTimeout(ctx, c.timeout)
+	defer cancel()
+	address, _, release := c.address.Current(ctx) // a vote under way ends where it was cast
+	defer release()
+	conn, status := transport.Dial(limited, address, c.timeout, c.buffers)
+	if status.Closed() {
+		return voteResult{status: status}
+	}
+	defer conn.Close()
+	conn.BindContext(limited)
+	body, _ := json.Marshal(wireVote{Version: vote.Version, Stage: vote.Stage, Verdict: vote.Verdict})
+	conn.Append(http1.FormatRequest("POST", votesPath, address, string(body)))
+	if status := conn.Flush(); status.Closed() {
+		return voteResult{status: status}
+	}
+	return readVoteResult(conn)
+}
+
+func readVoteResult(conn *transport.Conn) voteResult {
+	var response http1.Response
+	var body []byte
+	for {
+		used, read, err := response.Read(conn.Buffered(), body)
+		conn.Discard(used)
+		body = read
+		if err != nil {
+			return voteResult{status: closed(transport.Malformed)}
+		}
+		if response.Done {
+			break
+		}
+		if status := conn.Fill(0); status.Closed() {
+			return voteResult{status: status}
+		}
+	}
+	result := voteResult{httpStatus: response.Status, status: closed(transport.ClosedLocally)}
+	if response.Status == statusOK {
+		stage, err := ParseStage(body)
+		if err != nil {
+			return voteResult{status: closed(transport.Malformed)}
+		}
+		result.stage = stage
+	}
+	return result
+}
--- /dev/null
+++ b/internal/releaseapi/vote_test.go
@@ -0,0 +1,86 @@
+package releaseapi
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"silvercove/balancer"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/standin/backends"
+)
+
+// TestVoteEndings: each way in which a vote can end.
+func TestVoteEndings(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		do   func(w http.ResponseWriter)
+		want balancer.Outcome
+	}{
+		{"turned away", func(w http.ResponseWriter) { w.WriteHeader(429) }, balancer.AtCapacity},
+		{"an error", func(w http.ResponseWriter) { w.WriteHeader(500) }, balancer.Errored},
+		{"nothing that can be read", func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "{") }, balancer.TimedOut},
+		{"cut", func(w http.ResponseWriter) { panic(http.ErrAbortHandler) }, balancer.TimedOut},
+		{"silence", func(w http.ResponseWriter) { time.Sleep(600 * time.Millisecond) }, balancer.TimedOut},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+				if req.Method == http.MethodPost {
+					c.do(w)
+					return
+				}
+				<-req.Context().Done()
+			}))
+			t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+			client, dispatcher, _, _ := start(t, s.Listener.Addr().String())
+			client.Vote(dispatch.Vote{Version: 1, Verdict: "HOLD"})
+			backends.Until(t, "it ended so", func() bool { return dispatcher.Snapshot().VoteOutcomes[c.want] == 1 })
+		})
+	}
+	client, dispatcher, _, _ := start(t, "127.0.0.1:1")
+	client.Vote(dispatch.Vote{Version: 1, Verdict: "HOLD"})
+	backends.Until(t, "it could not be cast", func() bool { return dispatcher.Snapshot().VoteOutcomes[balancer.ConnectFailed] == 1 })
+}
+
+// TestVoteAmidAMove: a vote under way as the platform moves ends where it was cast, once; those behind it are cast at the
+// new place, each once, and each has one answer.
+func TestVoteAmidAMove(t *testing.T) {
+	open := func(w io.Writer, req *http.Request) {
+		_, _ = io.WriteString(w, liveStage)
+		<-req.Context().Done()
+	}
+	cast, answer := make(chan struct{}), make(chan struct{})
+	var first, second atomic.Int64
+	const state = `{"Revision":1,"Wave":0,"State":"live","MaxShare":1.0,"AgeMs":0}`
+	old := newPlatform(t, open, func(w http.ResponseWriter, _ *http.Request) {
+		first.Add(1)
+		close(cast)
+		<-answer
+		_, _ = fmt.Fprint(w, state)
+	})
+	moved := make(chan struct{}, 4)
+	next := newPlatform(t, func(w io.Writer, req *http.Request) {
+		moved <- struct{}{}
+		open(w, req)
+	}, func(w http.ResponseWriter, req *http.Request) {
+		second.Add(1)
+		_, _ = fmt.Fprint(w, strings.Replace(state, "live", "testing", 1))
+	})
+	client, dispatcher, address := startChecked(t, old, 5*time.Second, func() {})
+	client.Vote(dispatch.Vote{Version: 1, Verdict: "PROCEED"})
+	<-cast
+	client.Vote(dispatch.Vote{Version: 1, Verdict: "HOLD"})
+	address.Update(next)
+	<-moved // the stream has moved under the vote
+	close(answer)
+	backends.Until(t, "both are answered", func() bool { return dispatcher.Snapshot().VoteOutcomes[balancer.Succeeded] == 2 })
+	if first.Load() != 1 || second.Load() != 1 {
+		t.Errorf("%d votes at the old place, %d at the new one", first.Load(), second.Load())
+	}
+}
