--- /dev/null
+++ b/internal/relay/config_file.go
@@ -0,0 +1,116 @@
+package relay
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"strconv"
+
+	"silvercove/internal/discovery"
+	"silvercove/internal/releaseapi"
+	"silvercove/internal/settings"
+)
+
+// The most of each limit that is accepted: more is a typing error, and would leave the whole numbers below.
+const (
+	maxCores    = 4096
+	maxMemoryMB = 1 << 30
+	maxSockets  = 1 << 20
+)
+
+// configFile is the configuration, with the keys of the JSON file.
+type configFile struct {
+	Discovery string `json:"discovery"` // host:port
+	Seed      string `json:"seed"`      // 64 bits in hexadecimal
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	ReleaseAPI struct {
+		Address string          `json:"address"` // host:port
+		Stage   json.RawMessage `json:"news"`
+	} `json:"release_api"`
+	Endpoints json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+// LimitError tells that a limit of the configuration is out of range.
+type LimitError struct {
+	Key     string
+	Value   string // as it was read
+	Allowed string // what it may be, in words
+}
+
+// Error names the key, the value and what is allowed.
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("%s: %s, %s are allowed", e.Key, e.Value, e.Allowed)
+}
+
+// parse reads the text of a configuration.
+func (c *Config) parse(text []byte) error {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return err
+	}
+	var err error
+	if c.seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return fmt.Errorf("seed: %w", err)
+	}
+	if err := c.takeLimits(&file); err != nil {
+		return err
+	}
+	if err := c.takeAddresses(&file); err != nil {
+		return err
+	}
+	if c.stage, err = releaseapi.ParseStage(file.ReleaseAPI.Stage); err != nil {
+		return fmt.Errorf("release_api.news: %w", err)
+	}
+	page, err := discovery.ParsePage(file.Endpoints)
+	if err != nil && (!c.FollowsPlacements || file.Endpoints != nil) {
+		return fmt.Errorf("known: %w", err)
+	}
+	c.listVersion, c.endpoints = page.Version, page.Endpoints
+	c.site, err = settings.Read(file.Settings)
+	return err
+}
+
+func (c *Config) takeLimits(file *configFile) error {
+	limits := file.Limits
+	switch {
+	case limits.Cores <= 0 || limits.Cores > maxCores:
+		return &LimitError{
+			Key:     "limits.cores",
+			Value:   fmt.Sprint(limits.Cores),
+			Allowed: fmt.Sprintf("above 0 and up to %d", maxCores),
+		}
+	case limits.MemoryMB <= 0 || limits.MemoryMB > maxMemoryMB:
+		return &LimitError{
+			Key:     "limits.memory_mb",
+			Value:   fmt.Sprint(limits.MemoryMB),
+			Allowed: fmt.Sprintf("1 to %d", maxMemoryMB),
+		}
+	case limits.Sockets < minSockets || limits.Sockets > maxSockets:
+		return &LimitError{
+			Key:     "limits.sockets",
+			Value:   fmt.Sprint(limits.Sockets),
+			Allowed: fmt.Sprintf("%d to %d", minSockets, maxSockets),
+		}
+	}
+	c.cores, c.memoryBytes, c.sockets = limits.Cores, limits.MemoryMB<<20, limits.Sockets
+	return nil
+}
+
+func (c *Config) takeAddresses(file *configFile) error {
+	if file.Discovery != "" { // the file is newer than the environment once it was replaced
+		c.discovery = file.Discovery
+	}
+	if _, _, err := net.SplitHostPort(c.discovery); err != nil && !c.FollowsPlacements {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	c.platform = file.ReleaseAPI.Address
+	if _, _, err := net.SplitHostPort(c.platform); err != nil && (!c.FollowsPlacements || c.platform != "") {
+		return fmt.Errorf("release_api.address: %w", err)
+	}
+	return nil
+}
