--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_keeper.go
@@ -35,7 +35,7 @@
 	defer stop()
 	defer context.AfterFunc(ctx, stop)() // the second signal finds the ordinary end of a process
 	return p.during(func(alive context.Context) error {
-		k, err := controller.Open(controller.Options{Net: p.net, Data: p.file.Data, Set: p.file.Set, Log: p.log})
+		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.Data, Settings: p.file.Set, Log: p.log})
 		if err != nil {
 			return full(err)
 		}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -22,30 +22,30 @@
 
 // RebuildOptions is how a keeper's disk is written anew after a majority of them was lost.
 type RebuildOptions struct {
-	Net         *peertransport.Network // of the keeper that begins; its Run is the caller's
-	Data        string                 // its folder; what is there is set aside
-	Set         map[string]any
+	Network     *peertransport.Network // of the keeper that begins; its Run is the caller's
+	DataDir     string                 // its folder; what is there is set aside
+	Settings    map[string]any
 	Client      *controllerclient.Client
 	Backup      io.Reader // an earlier state, nil: none
 	AllowSilent []string  // units that may be silent
 	Progress    func(string)
 }
 
-const asked = 64 // units at a time
+const inventoryParallelism = 64 // units at a time
 
 // termGap is by how much terms are raised with each generation. It guards against a keeper that led before the rebuild and
 // was only stopped: its terms are below those of the rebuilt log, so that none of its entries is taken, and the rebuilt
 // keepers' word on their term confirms no lease of it. A million elections within one generation would reach it.
 const termGap = 1 << 20
 
-var keyTerm = []byte("CurrentTerm") // raft's own
+var raftTermKey = []byte("CurrentTerm") // raft's own
 
 // Rebuild writes a disk whose log begins with what the edge units have. The generation is one above all that was seen,
 // so that no keeper and no owner of before is believed; the other keepers' disks have to be emptied, and are let in by
 // this one. It waits for one lease as keepers count it before it asks, so that nobody acts by a word of before.
 func Rebuild(ctx context.Context, r RebuildOptions) error {
-	self := r.Net.Self().Name
-	for _, p := range r.Net.Peers("keeper") {
+	self := r.Network.Self().Name
+	for _, p := range r.Network.Peers("keeper") {
 		each, cancel := context.WithTimeout(ctx, 2*time.Second)
 		s, err := r.Client.Status(each, p.Name)
 		cancel()
@@ -56,16 +56,16 @@
 				p.Name)
 		}
 	}
-	h := head{V: storeVersion, Generation: 1, Runs: map[string]uint64{}}
+	h := snapshotHeader{FormatVersion: storeVersion, Generation: 1, Incarnations: map[string]uint64{}}
 	var old []placement.Assignment
 	if r.Backup != nil {
 		was, t, err := readSnapshot(r.Backup)
 		if err != nil {
 			return fmt.Errorf("the backup: %w", err)
 		}
-		h.Generation, h.Runs, h.Kept, h.more, old = was.Generation, was.Runs, was.Kept, was.more, t.All()
+		h.Generation, h.Incarnations, h.RecordCounts, h.unknown, old = was.Generation, was.Incarnations, was.RecordCounts, was.unknown, t.All()
 	}
-	book := leases.New(leases.ConfigFrom(r.Set))
+	book := leases.New(leases.ConfigFrom(r.Settings))
 	book.ExpectRenewal(0, "any")
 	over, _ := book.NextExpiry()
 	r.Progress(fmt.Sprintf("waits %s for leases of before to be over", over.Duration()))
@@ -76,11 +76,11 @@
 	}
 	var found []migration.NodeInventory
 	var silent []string
-	units := r.Net.Peers("edge")
+	units := r.Network.Peers("edge")
 	all, errs := make([]controllerclient.Inventory, len(units)), make([]error, len(units))
-	limit := leases.TimingsFor(leases.ConfigFrom(r.Set)).ProposalTimeout.Duration()
+	limit := leases.TimingsFor(leases.ConfigFrom(r.Settings)).ProposalTimeout.Duration()
 	var group errgroup.Group
-	group.SetLimit(asked)
+	group.SetLimit(inventoryParallelism)
 	for i, p := range units {
 		group.Go(func() error {
 			each, cancel := context.WithTimeout(ctx, min(5*time.Second, limit))
@@ -99,7 +99,7 @@
 		}
 		found = append(found, migration.NodeInventory{Node: p.Name, Zone: p.Zone, Copies: holds.Copies})
 		h.Generation = max(h.Generation, holds.Lineage.Generation)
-		h.Runs[p.Name] = max(h.Runs[p.Name], holds.Incarnation)
+		h.Incarnations[p.Name] = max(h.Incarnations[p.Name], holds.Incarnation)
 		r.Progress(fmt.Sprintf("%s has %d instances", p.Name, len(holds.Copies)))
 	}
 	if more := slices.DeleteFunc(slices.Clone(silent), func(s string) bool { return slices.Contains(r.AllowSilent, s) }); len(more) > 0 {
@@ -114,52 +114,52 @@
 	if err != nil {
 		return err
 	}
-	d, err := openDisk(r.Data, r.Net.Fleet(), self)
+	d, err := openStoreDir(r.DataDir, r.Network.Fleet(), self)
 	if err != nil {
 		return err
 	}
-	h.Generation = max(h.Generation, d.now().Line) // it was rebuilt before, and no unit has heard of that
-	if err := d.aside(); err != nil {
+	h.Generation = max(h.Generation, d.currentMarker().Generation) // it was rebuilt before, and no unit has heard of that
+	if err := d.setAside(); err != nil {
 		return err
 	}
 	h.Generation++
 	h.Applied = 1
-	m := d.now()
-	h.Birth = &controllerclient.LogOrigin{ID: identity(), Stores: map[string]string{self: m.Store}}
-	h.Stores = h.Birth.Stores
+	m := d.currentMarker()
+	h.Origin = &controllerclient.LogOrigin{ID: newIdentity(), Stores: map[string]string{self: m.StoreID}}
+	h.StoreIDs = h.Origin.Stores
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(d.dir, 2, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
 	term := (h.Generation - 1) * termGap
 	sink, err := snaps.Create(1, 1, term, raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(self),
-		Address: raft.ServerAddress(self)}}}, 1, named{})
+		Address: raft.ServerAddress(self)}}}, 1, addressCodec{})
 	if err != nil {
 		return err
 	}
-	if err := (&frozen{h, table.Freeze()}).Persist(sink); err != nil {
+	if err := (&frozenState{h, table.Freeze()}).Persist(sink); err != nil {
 		return err
 	}
 	store, err := d.openLog()
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(store.SetUint64(keyTerm, term), store.Close()); err != nil {
+	if err := errors.Join(store.SetUint64(raftTermKey, term), store.Close()); err != nil {
 		return err
 	}
-	m.Birth, m.Found, m.Begun, m.Line = h.Birth, true, true, h.Generation
-	if err := d.put(m); err != nil {
+	m.Origin, m.Founding, m.Started, m.Generation = h.Origin, true, true, h.Generation
+	if err := d.putMarker(m); err != nil {
 		return err
 	}
 	r.Progress(fmt.Sprintf("%d instances of generation %d are in %s: start %s, then the other keepers with emptied folders",
-		len(places), h.Generation, r.Data, self))
+		len(places), h.Generation, r.DataDir, self))
 	return nil
 }
 
-// named is a transport of which names alone are wanted.
-type named struct{ raft.Transport }
+// addressCodec is a transport of which names alone are wanted.
+type addressCodec struct{ raft.Transport }
 
-func (named) EncodePeer(_ raft.ServerID, a raft.ServerAddress) []byte { return []byte(a) }
+func (addressCodec) EncodePeer(_ raft.ServerID, a raft.ServerAddress) []byte { return []byte(a) }
 
 // CheckBackup reads a backup whole.
 func CheckBackup(from io.Reader) (instances int, err error) {
