--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -9,133 +9,124 @@
 	"github.com/hashicorp/raft"
 )
 
-// leadershipConfirmer finds out whether a majority still follows this keeper's lead, for many units at once. raft's VerifyLeader
-// counts an answer to an earlier message, too, which a slow link may hold back until after another one was elected;
-// here each keeper is asked after the unit's request came: a keeper that is in this term then has not voted for
-// another leader before. It costs a round trip between keepers a lease.
+// errNoMajority means that too few controllers have answered in time; the caller may ask again.
+var errNoMajority = errors.New("a majority of keepers has not confirmed the lead")
+
+// leadershipConfirmer finds out whether a majority still follows this controller's leadership, for many lease requests with
+// one round trip. It is safe for concurrent use.
+//
+// Guards against a leader that grants leases while another one is elected already: raft's VerifyLeader also counts an
+// answer to an earlier message, which a slow link may hold back until then. Holds because each controller is asked after the
+// lease request came, and one that is in the leader's term then has not voted for another leader before.
 type leadershipConfirmer struct {
 	controller *Controller
+	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that asks it
 
-	mu            sync.Mutex
-	lastQuestion  uint64                   // number of the last question
-	confirmations map[string]confirmation  // by keeper: the last question that was asked before its answer
-	wakeups       map[string]chan struct{} // rings the keeper's goroutine
-	changed       chan struct{}
-	waiting       int
+	mu            sync.Mutex              // guards the fields below
+	lastQuestion  uint64                  // number of the last question
+	confirmations map[string]confirmation // by controller
+	changed       chan struct{}           // closed at the next confirmation
+	waiting       int                     // calls of confirm
 }
 
+// confirmation is a controller's answer: the last question that was asked before it, and the term that it was in.
 type confirmation struct{ question, term uint64 }
 
 func newLeadershipConfirmer(controller *Controller) *leadershipConfirmer {
-	c := &leadershipConfirmer{controller: controller, confirmations: map[string]confirmation{}, wakeups: map[string]chan struct{}{}, changed: make(chan struct{})}
+	l := &leadershipConfirmer{
+		controller:    controller,
+		wakeups:       map[string]chan struct{}{},
+		confirmations: map[string]confirmation{},
+		changed:       make(chan struct{}),
+	}
 	for _, name := range controller.peers {
-		c.wakeups[name] = make(chan struct{}, 1)
+		l.wakeups[name] = make(chan struct{}, 1)
 	}
-	return c
+	return l
 }
 
-// run asks; one question at a time is under way to each keeper.
-func (c *leadershipConfirmer) run(ctx context.Context) {
+// run asks the other controllers until the context ends, each with one question at a time, in goroutines that it waits for.
+func (l *leadershipConfirmer) run(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, name := range c.controller.peers {
+	for _, name := range l.controller.peers {
 		group.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
-				case <-c.wakeups[name]:
+				case <-l.wakeups[name]:
 				}
-				c.mu.Lock()
-				s := confirmation{question: c.lastQuestion}
-				c.mu.Unlock()
-				each, cancel := context.WithTimeout(ctx, c.controller.timings.ConfirmTimeout.Duration())
-				term, err := c.controller.client.Confirm(each, name, c.controller.raft.Load().CurrentTerm())
-				cancel()
-				c.mu.Lock()
-				if err != nil {
-					again := c.waiting > 0
-					c.mu.Unlock()
-					select {
-					case <-ctx.Done():
-						return
-					case <-time.After(c.controller.timings.CommitInterval.Duration()):
-					}
-					if again {
-						c.wake(name)
-					}
-					continue
+				if !l.ask(ctx, name) {
+					l.retryLater(ctx, name)
 				}
-				s.term = term
-				c.confirmations[name] = s
-				close(c.changed)
-				c.changed = make(chan struct{})
-				c.mu.Unlock()
 			}
 		})
 	}
 	group.Wait()
 }
 
-func (c *leadershipConfirmer) wake(name string) {
-	select {
-	case c.wakeups[name] <- struct{}{}:
-	default: // it is rung already, and will ask with the latest number; a nil channel is no peer's
+// ask asks one controller and notes its answer. It returns whether there was one.
+func (l *leadershipConfirmer) ask(ctx context.Context, name string) bool {
+	l.mu.Lock()
+	question := l.lastQuestion
+	l.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, l.controller.timings.ConfirmTimeout.Duration())
+	defer cancel()
+	term, err := l.controller.client.Confirm(ctx, name, l.controller.raft.Load().CurrentTerm())
+	if err != nil {
+		return false
 	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.confirmations[name] = confirmation{question, term}
+	close(l.changed)
+	l.changed = make(chan struct{})
+	return true
 }
 
-var errNoMajority = errors.New("a majority of keepers has not confirmed the lead")
-
-func (c *Controller) voters(r *raft.Raft) (names []string, err error) {
-	f := r.GetConfiguration()
-	if err := f.Error(); err != nil {
-		return nil, err
+// retryLater has a controller that did not answer asked again after a pause, where somebody waits for that.
+func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
+	l.mu.Lock()
+	wanted := l.waiting > 0
+	l.mu.Unlock()
+	select {
+	case <-ctx.Done():
+		return
+	case <-time.After(l.controller.timings.CommitInterval.Duration()):
 	}
-	for _, s := range f.Configuration().Servers {
-		if s.Suffrage == raft.Voter {
-			names = append(names, string(s.ID))
-		}
+	if wanted {
+		l.wake(name)
 	}
-	return names, nil
 }
 
-// majority is how many voters have to confirm a lead. A rebuilt log begins with one voter: two keepers that were rebuilt by
-// mistake, out of each other's sight, would both lead, each for those that hear it first; of the file's keepers only one of
-// them can have a majority.
-func (c *Controller) majority(voters []string) int { return max(len(voters), len(c.peers)+1)/2 + 1 }
+// wake has a controller asked. One that is to be asked already will be with the latest question; a name that is no other
+// controller's has no channel and is passed over.
+func (l *leadershipConfirmer) wake(name string) {
+	select {
+	case l.wakeups[name] <- struct{}{}:
+	default:
+	}
+}
 
-// confirm waits until a majority of the file's keepers, asked after this call began, is in the term.
-func (c *leadershipConfirmer) confirm(ctx context.Context, r *raft.Raft, term uint64) error {
-	voters, err := c.controller.voters(r)
+// confirm waits until a majority of the file's controllers, asked after this call began, is in the term. It fails with
+// errNoMajority, raft.ErrLeadershipLost or an error of raft.
+func (l *leadershipConfirmer) confirm(ctx context.Context, r *raft.Raft, term uint64) error {
+	voters, err := l.controller.voters(r)
 	if err != nil {
 		return err
 	}
-	need := c.controller.majority(voters)
-	ctx, cancel := context.WithTimeout(ctx, c.controller.timings.ConfirmTimeout.Duration())
+	majority := l.controller.majority(voters)
+	ctx, cancel := context.WithTimeout(ctx, l.controller.timings.ConfirmTimeout.Duration())
 	defer cancel()
-	c.mu.Lock()
-	c.lastQuestion++
-	mine := c.lastQuestion
-	c.waiting++
-	c.mu.Unlock()
-	defer func() {
-		c.mu.Lock()
-		c.waiting--
-		c.mu.Unlock()
-	}()
+	question := l.beginQuestion()
+	defer l.endQuestion()
 	for _, name := range voters {
-		c.wake(name)
+		l.wake(name)
 	}
 	for {
-		c.mu.Lock()
-		count, changed := 0, c.changed
-		for _, name := range voters {
-			if name == c.controller.name || c.confirmations[name].question >= mine && c.confirmations[name].term == term {
-				count++
-			}
-		}
-		c.mu.Unlock()
-		if count >= need {
-			if !leadsInTerm(r, term) { // its own word is one of the majority's, and is given last
+		count, changed := l.countConfirmations(voters, question, term)
+		if count >= majority {
+			if !leadsInTerm(r, term) { // its own vote is one of the majority's, and is given last
 				return raft.ErrLeadershipLost
 			}
 			return nil
@@ -147,3 +138,55 @@
 		}
 	}
 }
+
+// beginQuestion numbers a new question.
+func (l *leadershipConfirmer) beginQuestion() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastQuestion++
+	l.waiting++
+	return l.lastQuestion
+}
+
+// endQuestion says that one caller less waits.
+func (l *leadershipConfirmer) endQuestion() {
+	l.mu.Lock()
+	l.waiting--
+	l.mu.Unlock()
+}
+
+// countConfirmations counts the voters that have answered a question or a later one in a term, this controller included, and
+// returns what is closed at the next answer.
+func (l *leadershipConfirmer) countConfirmations(voters []string, question, term uint64) (count int, changed <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, name := range voters {
+		confirmed := l.confirmations[name]
+		if name == l.controller.name || confirmed.question >= question && confirmed.term == term {
+			count++
+		}
+	}
+	return count, l.changed
+}
+
+// voters are the names of the voters in raft's configuration.
+func (c *Controller) voters(r *raft.Raft) (names []string, err error) {
+	future := r.GetConfiguration()
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	for _, server := range future.Configuration().Servers {
+		if server.Suffrage == raft.Voter {
+			names = append(names, string(server.ID))
+		}
+	}
+	return names, nil
+}
+
+// majority is how many voters have to confirm a leadership.
+//
+// Guards against two controllers that were rebuilt by mistake, out of each other's sight: a rebuilt log begins with one voter,
+// so both would lead. Holds because only one of them can have a majority of the file's controllers.
+func (c *Controller) majority(voters []string) int {
+	return max(len(voters), len(c.peers)+1)/2 + 1
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,86 +15,107 @@
 	"silvercove/internal/leases"
 	"silvercove/internal/migration"
 	"silvercove/internal/peertransport"
-	"silvercove/internal/placement"
 	"silvercove/internal/tick"
 	"silvercove/internal/wakeup"
 )
 
-// Planner is handover.Planner as the leading keeper drives it. Calls come one at a time.
-type Planner interface {
-	OnElected(now tick.Tick)
-	OnNodeStatus(now tick.Tick, u migration.NodeStatus)
-	OnLeaseExpired(now tick.Tick, name string)
-	OnAssignment(now tick.Tick, p placement.Assignment)
-	OnProposalRefused(now tick.Tick, e placement.Operation, err error)
-	OnDeviceMoved(now tick.Tick, name, zone string)
-	OnTick(now tick.Tick) (next tick.Tick) // no more than a lease away where there is nothing to wait for
-}
+// Options are what a Controller is made of. Network, DataDir and Settings are required.
+type Options struct {
+	Network  *peertransport.Network // the caller runs it
+	DataDir  string                 // the folder of the log, its snapshots and the marker; made if missing
+	Settings map[string]any         // by their names in the operator's file
+	Log      zerolog.Logger         // the zero value logs nothing
 
-// Host is what a planner acts through.
-type Host interface {
-	Propose(e placement.Operation)
-	Log(text string)
-}
+	// Planner makes the planner of a span of leadership; nil makes a migration.Planner.
+	Planner func(host Host, now tick.Tick) Planner
 
-// Options are what a keeper is made of.
-type Options struct {
-	Network   *peertransport.Network // its Run is the caller's
-	DataDir   string                 // folder
-	Settings  map[string]any
-	Log       zerolog.Logger
-	Planner   func(host Host, now tick.Tick) Planner           // nil: handover's
-	WrapStore func(Store) Store                                // of faults, for tests; nil: none
-	Now       func() tick.Tick                                 // nil: keepers.Now
-	DiskFree  func(dir string) (free, total uint64, err error) // bytes of a folder's disk; nil: as statfs says
-
-	spacePolicy *spacePolicy // nil: newRoom's
-	connLimiter *connLimiter // nil: of mostConns and mostOfOne
+	// WrapStore wraps the log's store, for tests of disk faults; nil leaves it as it is.
+	WrapStore func(Store) Store
+
+	// Now is the time by which leases are counted; nil is controllerclient.Now.
+	Now func() tick.Tick
+
+	// DiskFree is the free and total bytes of the disk that has a folder; nil asks the system.
+	DiskFree func(dir string) (free, total uint64, err error)
+
+	spacePolicy *spacePolicy // nil: that of newSpacePolicy
+	connLimiter *connLimiter // nil: one of maxConns and maxConnsPerProcess
 }
 
-// Bounds, against a crowd of callers.
+// Bounds on what is held in memory, and on what one log entry carries.
 const (
-	maxEntryOperations  = 256     // in one entry of the log
-	maxQueuedOperations = 1 << 17 // steps of the planner that wait
-	maxLongPolls        = 4096    // calls that wait for news
-	maxJoinLag          = 64      // entries of the log that a disk let in anew may lack when it gets its vote
+	maxEntryOperations  = 256     // operations in one entry of the log
+	maxQueuedOperations = 1 << 17 // the planner's operations that wait to be proposed
+	maxLongPolls        = 4096    // calls that wait for a change
 )
 
-// Controller is one keeper.
+// Controller is one controller of a fleet. It is made by Open and serves while Run runs.
 type Controller struct {
 	Options
 	name           string
-	peers          []string // other keepers of the file, sorted
+	peers          []string // the other controllers in the operator's file, sorted
 	timings        leases.Timings
 	disk           *storeDir
 	stateMachine   *stateMachine
 	waker          *wakeup.Waker
-	longPolls      chan struct{}
-	fatalErrors    chan error // the first reason why it can't go on
-	raft           atomic.Pointer[raft.Raft]
-	store          *guardedStore // since raft is set
+	longPolls      chan struct{} // one element for each call that waits
+	fatalErrors    chan error    // holds the first error that the controller can't go on with
 	confirmer      *leadershipConfirmer
 	client         *controllerclient.Client
-	proposalQueued chan struct{} // rings the proposer
-	joinMutex      sync.Mutex
-	minTerm        uint64 // term in which an emptied disk was let in; set before raft runs
-
-	mu           sync.Mutex // of what follows; nothing is waited for under it
-	leadership   *leadership
-	waitReason   string // it waits
-	diskFault    string // its disk
+	proposalQueued chan struct{} // wakes the proposer
+	joinMutex      sync.Mutex    // one disk is admitted at a time
+
+	// raft is nil until this disk may take part in the log. store and minTerm are set before it.
+	raft    atomic.Pointer[raft.Raft]
+	store   *guardedStore
+	minTerm uint64 // the term in which a disk that was emptied was admitted, 0: it was not
+
+	// mu guards the fields below and all fields of the leadership. Nothing is waited for under it.
+	mu           sync.Mutex
+	leadership   *leadership // nil while another controller leads
+	waitReason   string      // why the controller does not take part in the log yet, "": it does
+	diskFault    string      // the error of the last write to the log, "": it succeeded
 	diskSpace    controllerclient.DiskSpace
-	logPositions map[string]controllerclient.LogPosition
+	logPositions map[string]controllerclient.LogPosition // by controller: what it has confirmed to have on its disk
 }
 
-// Open reads the keeper's disk. What stands in the way of a start is said here, or by Run.
+// Open reads the controller's data directory and makes it where there is none. It fails with ErrNewerVersion or ErrCorrupt
+// where the marker can't be read, and where the folder belongs to another controller; faults of the log itself come from
+// Run.
 func Open(o Options) (*Controller, error) {
+	o = o.withDefaults()
+	c := &Controller{
+		Options:        o,
+		name:           o.Network.Self().Name,
+		timings:        leases.TimingsFor(leases.ConfigFrom(o.Settings)),
+		waker:          wakeup.New(),
+		longPolls:      make(chan struct{}, maxLongPolls),
+		fatalErrors:    make(chan error, 1),
+		proposalQueued: make(chan struct{}, 1),
+		logPositions:   map[string]controllerclient.LogPosition{},
+	}
+	for _, peer := range o.Network.Peers(peertransport.RoleController) {
+		c.peers = append(c.peers, peer.Name)
+	}
+	slices.Sort(c.peers)
+	c.connLimiter.byProcess = map[string]int{}
+	c.connLimiter.isController = func(name string) bool { return slices.Contains(c.peers, name) }
+	c.stateMachine = newStateMachine(c.onApplied, c.fatal)
+	c.confirmer = newLeadershipConfirmer(c)
+	c.client = controllerclient.New(o.Network, o.Settings, uint64(o.Now()))
+	var err error
+	c.disk, err = openStoreDir(o.DataDir, o.Network.Fleet(), c.name)
+	return c, err
+}
+
+// withDefaults sets what was left out.
+func (o Options) withDefaults() Options {
 	if o.Now == nil {
 		o.Now = controllerclient.Now
 	}
 	if o.Planner == nil {
-		o.Planner = func(h Host, now tick.Tick) Planner {
-			return migration.NewPlanner(h, now, uint64(now), migration.ConfigFrom(o.Settings))
+		o.Planner = func(host Host, now tick.Tick) Planner {
+			return migration.NewPlanner(host, now, uint64(now), migration.ConfigFrom(o.Settings))
 		}
 	}
 	if o.DiskFree == nil {
@@ -106,23 +127,11 @@
 	if o.connLimiter == nil {
 		o.connLimiter = &connLimiter{limit: maxConns, limitPerProcess: maxConnsPerProcess}
 	}
-	c := &Controller{Options: o, name: o.Network.Self().Name, timings: leases.TimingsFor(leases.ConfigFrom(o.Settings)), waker: wakeup.New(),
-		longPolls: make(chan struct{}, maxLongPolls), fatalErrors: make(chan error, 1), proposalQueued: make(chan struct{}, 1),
-		logPositions: map[string]controllerclient.LogPosition{}}
-	for _, p := range o.Network.Peers("keeper") {
-		c.peers = append(c.peers, p.Name)
-	}
-	slices.Sort(c.peers)
-	c.connLimiter.byProcess, c.connLimiter.isController = map[string]int{}, func(name string) bool { return slices.Contains(c.peers, name) }
-	c.stateMachine = newStateMachine(c.onApplied, c.fatal)
-	c.confirmer = newLeadershipConfirmer(c)
-	c.client = controllerclient.New(o.Network, o.Settings, uint64(o.Now()))
-	var err error
-	c.disk, err = openStoreDir(o.DataDir, o.Network.Fleet(), c.name)
-	return c, err
+	o.Log = o.Log.With().Str("component", "controller").Logger()
+	return o
 }
 
-// fatal ends the keeper for a reason.
+// fatal ends Run with an error. The first one counts.
 func (c *Controller) fatal(err error) {
 	select {
 	case c.fatalErrors <- err:
@@ -130,7 +139,9 @@
 	}
 }
 
-// Run serves until the context ends, hands the lead over then, and waits for its goroutines.
+// Run takes part in the log and answers calls until the context ends; then it hands the leadership over and waits for all
+// goroutines. It returns nil after the context ended, and the reason where the controller can't go on: ErrNewerVersion,
+// ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -143,12 +154,12 @@
 			return nil
 		}
 	})
-	calls, stop := context.WithCancel(context.WithoutCancel(ctx)) // calls are answered until the lead is handed over
-	defer stop()
+	calls, stopCalls := context.WithCancel(context.WithoutCancel(ctx)) // calls are answered until the leadership is handed over
+	defer stopCalls()
 	served := make(chan error, 1)
 	go func() { served <- c.serve(calls) }()
 	group.Go(func() error { return c.runConsensus(ctx) })
 	err := group.Wait()
-	stop()
+	stopCalls()
 	return errors.Join(err, <-served)
 }
--- a/internal/controller/disk_space.go
+++ b/internal/controller/disk_space.go
@@ -10,27 +10,30 @@
 	"silvercove/internal/controllerclient"
 )
 
-// diskFree is the room of the disk that has a folder, in bytes, as any user may have it.
+// diskFree is the free and total bytes, as any user may have them, of the disk that has a folder.
 func diskFree(dir string) (free, total uint64, err error) {
-	var s unix.Statfs_t
-	if err := unix.Statfs(dir, &s); err != nil {
+	var stat unix.Statfs_t
+	if err := unix.Statfs(dir, &stat); err != nil {
 		return 0, 0, err
 	}
-	size := uint64(s.Bsize)
-	return s.Bavail * size, (s.Blocks - s.Bfree + s.Bavail) * size, nil
+	blockBytes := uint64(stat.Bsize)
+	return stat.Bavail * blockBytes, (stat.Blocks - stat.Bfree + stat.Bavail) * blockBytes, nil
 }
 
-// watchDisk has room decide by looks at the disk and the log until the context ends.
+// watchDisk looks at the disk and the log's length until the context ends, and does what the spacePolicy decides.
 func (c *Controller) watchDisk(ctx context.Context, r *raft.Raft) {
-	timer := time.NewTicker(min(c.timings.ConfirmTimeout, maxDiskCheckInterval).Duration())
-	defer timer.Stop()
-	for failed := ""; ; {
+	ticker := time.NewTicker(min(c.timings.ConfirmTimeout, maxDiskCheckInterval).Duration())
+	defer ticker.Stop()
+	logged := "" // the error that was logged last
+	for {
 		free, total, err := c.DiskFree(c.DataDir)
-		if err != nil && err.Error() != failed {
-			c.Log.Warn().Str("event", "disk").Err(err).Msg("the disk's room is not known")
-		}
-		if failed = ""; err != nil {
-			free, total, failed = 0, 0, err.Error()
+		if err != nil {
+			if err.Error() != logged {
+				c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the disk's room is not known").Msg("free disk space unknown")
+			}
+			free, total, logged = 0, 0, err.Error()
+		} else {
+			logged = ""
 		}
 		c.onDiskSpace(r, free, total)
 		c.compactLog(r)
@@ -40,35 +43,36 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// onDiskSpace takes the disk's room over.
+// onDiskSpace takes the disk's free and total bytes over, and logs where it has become low on space, or no longer is.
 func (c *Controller) onDiskSpace(r *raft.Raft, free, total uint64) {
 	changed := c.spacePolicy.OnDiskSpace(free, total)
-	d := c.spacePolicy.disk
+	space := c.spacePolicy.space
 	c.mu.Lock()
-	c.diskSpace = d
+	c.diskSpace = space
 	c.mu.Unlock()
 	if !changed {
 		return
 	}
-	set := r.ReloadableConfig()
-	set.TrailingLogs = c.spacePolicy.TrailingEntries()
-	if err := r.ReloadConfig(set); err != nil {
-		c.Log.Error().Str("event", "disk").Err(err).Send()
+	config := r.ReloadableConfig()
+	config.TrailingLogs = c.spacePolicy.TrailingEntries()
+	if err := r.ReloadConfig(config); err != nil {
+		c.Log.Error().Str("event", "disk").Err(err).Msg("raft configuration reload failed")
 	}
-	if line := c.Log.Info(); !d.LowOnSpace {
-		line.Str("event", "disk").Str("free", d.String()).Msg("there is room again")
-	} else {
-		c.Log.Warn().Str("event", "disk").Str("free", d.String()).
-			Msg("short of room: the log is cut sooner, and the lead goes to a keeper with room")
+	if space.LowOnSpace {
+		c.Log.Warn().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
+			Str("why", "short of room: the log is cut sooner, and the lead goes to a keeper with room").Msg("disk low on space")
+		return
 	}
+	c.Log.Info().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
+		Str("why", "there is room again").Msg("disk no longer low on space")
 }
 
-// compactLog cuts the log by a snapshot. raft's own look comes twice a minute at most, and a log may grow by a
+// compactLog takes a snapshot where the log is too long. raft's own look comes twice a minute at most, and a log may grow by a
 // hundred thousand entries until then.
 func (c *Controller) compactLog(r *raft.Raft) {
 	first, err := c.store.FirstIndex()
@@ -80,31 +84,32 @@
 		return
 	}
 	err = r.Snapshot().Error()
-	if c.spacePolicy.OnCompaction(c.Now(), err); err != nil {
-		c.Log.Warn().Str("event", "disk").Err(err).Msg("the log could not be cut")
+	c.spacePolicy.OnCompaction(c.Now(), err)
+	if err != nil {
+		c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the log could not be cut").Msg("log compaction failed")
 	}
 }
 
-// transferLeadership hands the lead to a keeper with room.
+// transferLeadership hands the leadership to a controller whose disk has space, if there is one.
 func (c *Controller) transferLeadership(ctx context.Context, r *raft.Raft) {
-	others, _ := c.peerStatuses(ctx)
-	f := r.GetConfiguration()
-	if f.Error() != nil {
+	statuses, _ := c.peerStatuses(ctx)
+	future := r.GetConfiguration()
+	if future.Error() != nil {
 		return
 	}
 	var voters []controllerclient.Status
-	for _, s := range f.Configuration().Servers {
-		for _, o := range others {
-			if string(s.ID) == o.Node && s.Suffrage == raft.Voter {
-				voters = append(voters, o)
+	for _, server := range future.Configuration().Servers {
+		for _, status := range statuses {
+			if string(server.ID) == status.Node && server.Suffrage == raft.Voter {
+				voters = append(voters, status)
 			}
 		}
 	}
-	to := c.spacePolicy.TransferTarget(c.Now(), r.CurrentTerm(), voters)
-	if to == "" {
+	target := c.spacePolicy.TransferTarget(c.Now(), r.CurrentTerm(), voters)
+	if target == "" {
 		return
 	}
-	err := r.LeadershipTransferToServer(raft.ServerID(to), raft.ServerAddress(to)).Error()
-	c.Log.Info().Str("event", "disk").Str("to", to).Err(err).Str("free", c.spacePolicy.disk.String()).
-		Msg("hands the lead on")
+	err := r.LeadershipTransferToServer(raft.ServerID(target), raft.ServerAddress(target)).Error()
+	c.Log.Info().Str("event", "disk").Str("to", target).Err(err).Uint64("free_bytes", c.spacePolicy.space.Free).
+		Uint64("total_bytes", c.spacePolicy.space.Total).Str("why", "hands the lead on").Msg("leadership transfer for disk space")
 }
--- /dev/null
+++ b/internal/controller/handle_last_resort.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/placement"
+)
+
+// handleLastResort tells, for each zone whose nodes are all draining, which instances are served on there, those of the
+// greatest priority weight first.
+func (c *Controller) handleLastResort(call[struct{}]) (controllerclient.LastResortPlan, error) {
+	plan := controllerclient.LastResortPlan{Zones: []controllerclient.LastResortZone{}}
+	l, _, err := c.requireLeadership()
+	if err != nil {
+		return plan, err
+	}
+	c.mu.Lock()
+	zones := c.reportsByZone(l)
+	c.mu.Unlock()
+	var assignments []placement.Assignment // read where they are needed: that is rare, and they are many
+	for _, zone := range slices.Sorted(maps.Keys(zones)) {
+		if !devicehealth.AllDraining(zones[zone]) {
+			continue
+		}
+		if assignments == nil {
+			assignments = c.stateMachine.assignments()
+		}
+		plan.Zones = append(plan.Zones, lastResortZone(zone, zones[zone], assignments))
+	}
+	return plan, nil
+}
+
+// reportsByZone is the health reports of all nodes whose leases run, by zone and node. It is called with mu.
+func (c *Controller) reportsByZone(l *leadership) map[string]map[string]devicehealth.Report {
+	zones := map[string]map[string]devicehealth.Report{}
+	for name, ask := range l.nodes {
+		var report devicehealth.Report
+		if _, held := l.lessor.LeaseEnd(c.Now(), name); !held || json.Unmarshal(ask.Report, &report) != nil {
+			continue
+		}
+		zone := c.zoneOf(*ask)
+		if zones[zone] == nil {
+			zones[zone] = map[string]devicehealth.Report{}
+		}
+		zones[zone][name] = report
+	}
+	return zones
+}
+
+// lastResortZone is the plan of one zone.
+func lastResortZone(zone string, reports map[string]devicehealth.Report, assignments []placement.Assignment) controllerclient.LastResortZone {
+	var there []devicehealth.Instance
+	for _, a := range assignments {
+		if _, inZone := reports[a.Primary]; inZone && a.State == placement.Running {
+			there = append(there, devicehealth.Instance{Name: a.Instance, Node: a.Primary, PriorityWeight: a.Weight})
+		}
+	}
+	plan := controllerclient.LastResortZone{Zone: zone, Instances: []controllerclient.LastResortInstance{}}
+	for _, instance := range devicehealth.LastResort(reports, there) {
+		plan.Instances = append(plan.Instances, controllerclient.LastResortInstance{
+			Name:   instance.Name,
+			Node:   instance.Node,
+			Weight: instance.PriorityWeight,
+		})
+	}
+	return plan
+}
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"encoding/json"
+	"context"
 	"errors"
 	"math"
 	"net/http"
@@ -10,170 +10,156 @@
 	"github.com/hashicorp/raft"
 
 	"silvercove/internal/controllerclient"
-	"silvercove/internal/devicehealth"
 	"silvercove/internal/leases"
-	"silvercove/internal/migration"
-	"silvercove/internal/tick"
 )
 
-// handleLease grants a lease, or renews it.
-func (c *Controller) handleLease(req call[controllerclient.LeaseRequest]) (any, error) {
-	came, a := c.Now(), req.body
-	if err := checkVersion(a.Version); err != nil {
-		return nil, err
-	}
-	switch {
-	case a.Node != req.caller:
-		return nil, refuse(http.StatusBadRequest, "%s asks for a lease of %s", req.caller, a.Node)
-	case !c.isEdgeNode(a.Node):
-		return nil, refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", a.Node, c.name)
-	case a.RecordCount > math.MaxInt64:
-		return nil, refuse(http.StatusBadRequest, "kept: %d is beyond any count", a.RecordCount)
-	case a.Incarnation == 0:
-		return nil, refuse(http.StatusBadRequest, "run: the number of the process's start, above 0")
+// handleLease grants a lease, or renews it. The lease counts from the moment at which the request came.
+func (c *Controller) handleLease(req call[controllerclient.LeaseRequest]) (controllerclient.LeaseResponse, error) {
+	received := c.Now()
+	ask := req.body
+	var none controllerclient.LeaseResponse
+	if err := c.checkLeaseRequest(req.caller, ask); err != nil {
+		return none, err
 	}
 	l, r, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	c.mu.Lock()
-	verdict, err := l.lessor.Request(c.Now(), a.Node, a.Incarnation)
-	c.mu.Unlock()
-	if err != nil {
-		return nil, leaseRefusal(a.Node, err)
-	}
-	if verdict == leases.ProposeIncarnation {
-		_, err := c.proposeEntry(logEntry{Term: l.term, EdgeNode: a.Node, Incarnation: a.Incarnation})
-		c.mu.Lock()
-		switch {
-		case err == nil:
-			l.lessor.OnIncarnationAgreed(a.Node, a.Incarnation)
-		case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
-			l.lessor.OnIncarnationDropped(a.Node)
-		} // else it is not known, and the lead is over
-		c.mu.Unlock()
-		if errors.Is(err, leases.ErrStaleIncarnation) {
-			return nil, refuse(http.StatusConflict, "%s: %v", a.Node, err)
-		} else if err != nil {
-			return nil, err
-		}
+	if err := c.agreeIncarnation(l, ask); err != nil {
+		return none, err
 	}
 	if err := c.confirmer.confirm(req.ctx, r, l.term); err != nil {
-		return nil, err
-	}
-	if len(a.Unverified) > controllerclient.MaxUnverified {
-		return nil, refuse(http.StatusBadRequest, "%d doubts, allowed are %d", len(a.Unverified), controllerclient.MaxUnverified)
+		return none, err
 	}
-	if len(a.Unverified) > 0 { // a unit tells each until its lease is granted with it
-		if _, err := c.proposeEntry(logEntry{Term: l.term, Unverified: a.Unverified}); err != nil {
-			return nil, err
-		}
-		for _, d := range a.Unverified {
-			c.Log.Warn().Str("event", "doubts").Str("instance", d.Instance).Uint64("epoch", d.Epoch).Str("from", a.Node).
-				Str("why", d.Reason).Send()
-		}
+	if err := c.agreeUnverified(l, ask); err != nil {
+		return none, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.currentLeadership() == l && l.expiryDependents[a.Node] > 0 {
-		settled := l.dependentsSettled
-		c.mu.Unlock()
-		select {
-		case <-settled:
-		case <-l.ended:
-		case <-req.ctx.Done():
-		}
-		c.mu.Lock()
-		if err := req.ctx.Err(); err != nil {
-			return nil, err
-		}
-	}
-	if c.currentLeadership() != l {
-		return nil, raft.ErrLeadershipLost
+	if err := c.awaitDependents(req.ctx, l, ask.Node); err != nil {
+		return none, err
 	}
 	now := c.Now()
-	until, err := l.lessor.Grant(now, came, a.Node, a.Incarnation)
+	leaseEnd, err := l.lessor.Grant(now, received, ask.Node, ask.Incarnation)
 	if err != nil {
-		return nil, leaseRefusal(a.Node, err)
+		return none, leaseRefusal(ask.Node, err)
+	}
+	response := controllerclient.LeaseResponse{
+		Granted:            true,
+		Controller:         c.name,
+		RecordCount:        l.recordCounts.Report(ask.Node, ask.RecordCount),
+		AcceptedUnverified: len(ask.Unverified),
 	}
-	kept, doubts := l.recordCounts.Report(a.Node, a.RecordCount), len(a.Unverified)
-	a.Unverified = nil
-	a = l.withVerifiedReport(now, c.zoneOf(a), a)
-	if back, known := l.rollingBack[a.SoftwareVersion]; known { // else the unit says what an earlier leader told it
-		a.RollingBack = back
+	ask.Unverified = nil
+	ask = l.withVerifiedReport(now, c.zoneOf(ask), ask)
+	if rollingBack, known := l.rollingBack[ask.SoftwareVersion]; known { // else the node says what an earlier leader told it
+		ask.RollingBack = rollingBack
 	}
-	u := c.nodeStatus(a)
-	u.LeaseEnd = until
+	status := c.nodeStatus(ask)
+	status.LeaseEnd = leaseEnd
 	metrics.GetOrCreateCounter("cove_keeper_leases_granted_total").Inc()
-	l.planner.OnNodeStatus(now, u)
-	before := l.nodes[a.Node]
-	if l.nodes[a.Node] = &a; before == nil || !sameForRouting(nodeFromRequest(a), nodeFromRequest(*before)) {
+	l.planner.OnNodeStatus(now, status)
+	before := l.nodes[ask.Node]
+	l.nodes[ask.Node] = &ask
+	if before == nil || !sameForRouting(nodeFromRequest(ask), nodeFromRequest(*before)) {
 		l.publishNodes()
 	}
 	c.waker.Wake()
-	return controllerclient.LeaseResponse{Granted: true, Controller: c.name, AssignmentsVersion: c.stateMachine.assignmentsVersion(), RecordCount: kept, AcceptedUnverified: doubts,
-		Lineage: c.stateMachine.lineage(), RollingBack: a.RollingBack}, nil
+	response.RollingBack = ask.RollingBack
+	response.AssignmentsVersion = c.stateMachine.assignmentsVersion()
+	response.Lineage = c.stateMachine.lineage()
+	return response, nil
 }
 
-// leaseRefusal refuses a lease: for good, or so that the unit asks again at once.
-func leaseRefusal(unit string, err error) error {
-	if errors.Is(err, leases.ErrExpired) || errors.Is(err, leases.ErrIncarnationPending) {
-		return refuse(http.StatusServiceUnavailable, "%s: %v", unit, err)
+// checkLeaseRequest refuses a request that no leader may grant.
+func (c *Controller) checkLeaseRequest(caller string, ask controllerclient.LeaseRequest) error {
+	if err := checkVersion(ask.Version); err != nil {
+		return err
 	}
-	return refuse(http.StatusConflict, "%s: %v", unit, err)
+	switch {
+	case ask.Node != caller:
+		return refuse(http.StatusBadRequest, "%s asks for a lease of %s", caller, ask.Node)
+	case !c.isEdgeNode(ask.Node):
+		return refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", ask.Node, c.name)
+	case ask.RecordCount > math.MaxInt64:
+		return refuse(http.StatusBadRequest, "kept: %d is beyond any count", ask.RecordCount)
+	case ask.Incarnation == 0:
+		return refuse(http.StatusBadRequest, "run: the number of the process's start, above 0")
+	}
+	return nil
 }
 
-// zoneOf is where a unit is: as it says, or else as this keeper's file does.
-func (c *Controller) zoneOf(a controllerclient.LeaseRequest) string {
-	if a.Zone != "" {
-		return a.Zone
+// agreeIncarnation has a new incarnation of a node agreed before it gets its first lease, so that every later leader refuses
+// the ones before.
+func (c *Controller) agreeIncarnation(l *leadership, ask controllerclient.LeaseRequest) error {
+	c.mu.Lock()
+	verdict, err := l.lessor.Request(c.Now(), ask.Node, ask.Incarnation)
+	c.mu.Unlock()
+	if err != nil {
+		return leaseRefusal(ask.Node, err)
 	}
-	p, _ := c.Network.Peer(a.Node)
-	return p.Zone
-}
-
-// withVerifiedReport puts what counts of a unit's report in the place of what it says.
-func (l *leadership) withVerifiedReport(now tick.Tick, zone string, a controllerclient.LeaseRequest) controllerclient.LeaseRequest {
-	var r devicehealth.Report
-	if json.Unmarshal(a.Report, &r) != nil {
-		return a // read says what becomes of that
+	if verdict != leases.ProposeIncarnation {
+		return nil
 	}
-	if text, err := json.Marshal(l.verifier.Verify(now, a.Node, zone, r)); err == nil {
-		a.Report = text
+	_, err = c.proposeEntry(logEntry{Term: l.term, EdgeNode: ask.Node, Incarnation: ask.Incarnation})
+	c.mu.Lock()
+	switch {
+	case err == nil:
+		l.lessor.OnIncarnationAgreed(ask.Node, ask.Incarnation)
+	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
+		l.lessor.OnIncarnationDropped(ask.Node)
+	} // else it is not known, and the leadership is over
+	c.mu.Unlock()
+	if errors.Is(err, leases.ErrStaleIncarnation) {
+		return refuse(http.StatusConflict, "%s: %v", ask.Node, err)
 	}
-	return a
+	return err
 }
 
-// nodeStatus is a unit in the planner's words. One whose report can't be read takes nothing new, and keeps what it has.
-func (c *Controller) nodeStatus(a controllerclient.LeaseRequest) migration.NodeStatus {
-	r := decodeHealthReport(a)
-	u := migration.NodeStatus{Name: a.Node, Incarnation: a.Incarnation, Risk: r.Risk, FreeSlots: r.SpareCapacity, Draining: a.Draining,
-		Version: a.SoftwareVersion, RollingBack: a.RollingBack, WarmingUp: a.WarmingUp, LostCopies: a.LostCopies}
-	u.Zone = c.zoneOf(a)
-	u.Accepting, u.Limited = r.State == controllerclient.StateAccepting || r.State == controllerclient.StateLimited, r.State == controllerclient.StateLimited
-	u.Evacuating, u.ShuttingDown = r.State == controllerclient.StateDraining || r.State == controllerclient.StateLeaving, r.State == controllerclient.StateLeaving
-	return u
-}
-
-func decodeHealthReport(a controllerclient.LeaseRequest) controllerclient.HealthReport {
-	var r controllerclient.HealthReport
-	if err := json.Unmarshal(a.Report, &r); err != nil {
-		return controllerclient.HealthReport{State: controllerclient.StateHolding, Reasons: []string{"its report can't be read"}}
+// agreeUnverified has the node's unverified copies agreed. A node tells each of them until a lease is granted with it.
+func (c *Controller) agreeUnverified(l *leadership, ask controllerclient.LeaseRequest) error {
+	if len(ask.Unverified) > controllerclient.MaxUnverified {
+		return refuse(http.StatusBadRequest, "%d doubts, allowed are %d", len(ask.Unverified), controllerclient.MaxUnverified)
+	}
+	if len(ask.Unverified) == 0 {
+		return nil
 	}
-	return r
+	if _, err := c.proposeEntry(logEntry{Term: l.term, Unverified: ask.Unverified}); err != nil {
+		return err
+	}
+	for _, unverified := range ask.Unverified {
+		c.Log.Warn().Str("event", "doubts").Str("instance", unverified.Instance).Uint64("epoch", unverified.Epoch).
+			Str("from", ask.Node).Str("why", unverified.Reason).Msg("instance served from an unverified copy")
+	}
+	return nil
 }
 
-// nodeFromRequest is a unit as it is told.
-func nodeFromRequest(a controllerclient.LeaseRequest) controllerclient.Node {
-	r := decodeHealthReport(a)
-	return controllerclient.Node{Name: a.Node, Zone: a.Zone, Incarnation: a.Incarnation, State: r.State, AcceptFraction: r.AcceptFraction, Risk: r.Risk, SpareCapacity: r.SpareCapacity,
-		Reasons: r.Reasons, StartedAtMS: a.StartedAtMS, SoftwareVersion: a.SoftwareVersion, Commands: a.Commands, Draining: a.Draining || a.RollingBack,
-		Accepting: r.State == controllerclient.StateAccepting || r.State == controllerclient.StateLimited}
+// awaitDependents waits until no operation is under way that rests on the end of a node's lease. It is called with mu, which
+// it gives back while it waits. It fails with raft.ErrLeadershipLost, or the context's error.
+func (c *Controller) awaitDependents(ctx context.Context, l *leadership, node string) error {
+	for c.currentLeadership() == l && l.expiryDependents[node] > 0 {
+		settled := l.dependentsSettled
+		c.mu.Unlock()
+		select {
+		case <-settled:
+		case <-l.ended:
+		case <-ctx.Done():
+		}
+		c.mu.Lock()
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+	}
+	if c.currentLeadership() != l {
+		return raft.ErrLeadershipLost
+	}
+	return nil
 }
 
-// sameForRouting tells whether what relays go by is the same.
-func sameForRouting(a, b controllerclient.Node) bool {
-	a.Reasons, b.Reasons, a.Risk, b.Risk = nil, nil, 0, 0
-	return a.Name == b.Name && a.Zone == b.Zone && a.Incarnation == b.Incarnation && a.State == b.State && a.AcceptFraction == b.AcceptFraction &&
-		a.SpareCapacity == b.SpareCapacity && a.SoftwareVersion == b.SoftwareVersion && a.Commands == b.Commands && a.Draining == b.Draining && a.StartedAtMS == b.StartedAtMS
+// leaseRefusal refuses a lease: for good, or with 503 so that the node asks again at once.
+func leaseRefusal(node string, err error) error {
+	if errors.Is(err, leases.ErrExpired) || errors.Is(err, leases.ErrIncarnationPending) {
+		return refuse(http.StatusServiceUnavailable, "%s: %v", node, err)
+	}
+	return refuse(http.StatusConflict, "%s: %v", node, err)
 }
--- a/internal/controller/handle_operation.go
+++ b/internal/controller/handle_operation.go
@@ -10,108 +10,125 @@
 	"silvercove/internal/placement"
 )
 
-// operationResponse is what became of a step that was agreed on.
-func operationResponse(answer any, err error) (any, error) {
-	if err != nil {
-		return nil, err
-	}
-	all, _ := answer.([]operationResult)
-	if len(all) != 1 {
-		return nil, raft.ErrRaftShutdown
-	}
-	r := all[0]
-	if r.err == nil {
-		return r.assignment, nil
-	}
-	code := http.StatusConflict
-	switch {
-	case errors.Is(r.err, placement.ErrNotFound):
-		code = http.StatusNotFound
-	case errors.Is(r.err, placement.ErrInvalid), errors.Is(r.err, placement.ErrUnsupportedVersion):
-		code = http.StatusBadRequest
-	}
-	f := refuse(code, "%v", r.err)
-	if r.assignment.Instance != "" {
-		f.Assignment = &r.assignment
-	}
-	return nil, f
-}
-
-// handleOperation has an owner's or an operator's entry agreed. The planner's own kinds are not taken from outside.
-func (c *Controller) handleOperation(req call[placement.Operation]) (any, error) {
-	e := req.body
-	if e.Version != placement.FormatVersion {
-		return nil, refuse(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is", placement.ErrUnsupportedVersion, e.Version,
-			placement.FormatVersion)
+// handleOperation has an operation of an edge node or an operator agreed. The planner's own kinds are refused.
+func (c *Controller) handleOperation(req call[placement.Operation]) (placement.Assignment, error) {
+	var none placement.Assignment
+	op := req.body
+	if op.Version != placement.FormatVersion {
+		return none, refuse(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is",
+			placement.ErrUnsupportedVersion, op.Version, placement.FormatVersion)
 	}
 	l, _, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	o := logEntry{Operations: []placement.Operation{e}}
-	switch e.Kind {
+	switch op.Kind {
 	case placement.OpReplicaReady, placement.OpDropReplica, placement.OpCutOver, placement.OpCancelCopy, placement.OpMarkServed,
 		placement.OpReportIncomplete:
-		if e.Node != req.caller {
-			return nil, refuse(http.StatusBadRequest, "%s: a step of %s that is by %q", req.caller, e.Kind, e.Node)
+		if op.Node != req.caller {
+			return none, refuse(http.StatusBadRequest, "%s: a step of %s that is by %q", req.caller, op.Kind, op.Node)
 		}
 	case placement.OpCreate, placement.OpRelease:
-		if !c.isEdgeNode(e.Target) {
-			return nil, refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", e.Target, c.name)
+		if !c.isEdgeNode(op.Target) {
+			return none, refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", op.Target, c.name)
 		}
 	case placement.OpDelete, placement.OpQuarantine:
-		p, ok := c.stateMachine.assignment(e.Instance)
-		if !ok {
-			return nil, refuse(http.StatusNotFound, "%v", placement.ErrNotFound)
-		}
-		if e.Epoch == 0 {
-			e.Epoch = p.Epoch
+		return c.stopInstance(l, op)
+	default:
+		return none, refuse(http.StatusBadRequest, "steps of kind %q are made by the leading keeper alone", op.Kind)
+	}
+	return operationResponse(c.proposeEntry(logEntry{Operations: []placement.Operation{op}}))
+}
+
+// stopInstance has an instance deleted or quarantined, which is refused while the lease of its primary runs.
+func (c *Controller) stopInstance(l *leadership, op placement.Operation) (placement.Assignment, error) {
+	var none placement.Assignment
+	current, ok := c.stateMachine.assignment(op.Instance)
+	if !ok {
+		return none, refuse(http.StatusNotFound, "%v", placement.ErrNotFound)
+	}
+	if op.Epoch == 0 {
+		op.Epoch = current.Epoch
+	}
+	op.Node = current.Primary
+	entry := logEntry{Operations: []placement.Operation{op}}
+	if current.Primary != "" {
+		c.mu.Lock()
+		err := l.holdExpiry(c.Now(), current.Primary)
+		c.mu.Unlock()
+		if err != nil {
+			refusal := refuse(http.StatusConflict, "%s runs at %s: %v", op.Instance, current.Primary, err)
+			refusal.Assignment = &current
+			return none, refusal
 		}
-		if e.Node = p.Primary; p.Primary != "" { // its owner must not act any more
+		defer func() {
 			c.mu.Lock()
-			err := l.holdExpiry(c.Now(), p.Primary)
+			l.releaseExpiry(current.Primary)
 			c.mu.Unlock()
-			if err != nil {
-				f := refuse(http.StatusConflict, "%s runs at %s: %v", e.Instance, p.Primary, err)
-				f.Assignment = &p
-				return nil, f
-			}
-			defer func() {
-				c.mu.Lock()
-				l.releaseExpiry(p.Primary)
-				c.mu.Unlock()
-			}()
-			o.Term = l.term
-		}
-		o.Operations[0] = e
-	default:
-		return nil, refuse(http.StatusBadRequest, "steps of kind %q are made by the leading keeper alone", e.Kind)
+		}()
+		entry.Term = l.term
 	}
-	return operationResponse(c.proposeEntry(o))
+	return operationResponse(c.proposeEntry(entry))
 }
 
-// handleDevice says where an instance's device is.
-func (c *Controller) handleDevice(req call[controllerclient.DeviceRequest]) (any, error) {
+// handleDevice notes in which zone an instance's device is.
+func (c *Controller) handleDevice(req call[controllerclient.DeviceRequest]) (placement.Assignment, error) {
+	var none placement.Assignment
 	if err := checkVersion(req.body.Version); err != nil {
-		return nil, err
+		return none, err
 	}
 	l, _, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	p, ok := c.stateMachine.assignment(req.body.Name)
+	current, ok := c.stateMachine.assignment(req.body.Name)
 	if !ok {
-		return nil, refuse(http.StatusNotFound, "%v: %s", placement.ErrNotFound, req.body.Name)
+		return none, refuse(http.StatusNotFound, "%v: %s", placement.ErrNotFound, req.body.Name)
 	}
-	answer, err := operationResponse(c.proposeEntry(logEntry{Operations: []placement.Operation{{Version: placement.FormatVersion, Kind: placement.OpMoveDevice, Instance: p.Instance,
-		Epoch: p.Epoch, Zone: req.body.Zone}}}))
-	if err == nil {
-		c.mu.Lock()
-		if c.currentLeadership() == l {
-			l.planner.OnDeviceMoved(c.Now(), req.body.Name, req.body.Zone)
-		}
-		c.mu.Unlock()
-		c.waker.Wake()
+	op := placement.Operation{
+		Version:  placement.FormatVersion,
+		Kind:     placement.OpMoveDevice,
+		Instance: current.Instance,
+		Epoch:    current.Epoch,
+		Zone:     req.body.Zone,
+	}
+	response, err := operationResponse(c.proposeEntry(logEntry{Operations: []placement.Operation{op}}))
+	if err != nil {
+		return none, err
+	}
+	c.mu.Lock()
+	if c.currentLeadership() == l {
+		l.planner.OnDeviceMoved(c.Now(), req.body.Name, req.body.Zone)
+	}
+	c.mu.Unlock()
+	c.waker.Wake()
+	return response, nil
+}
+
+// operationResponse is the answer to a call by the result of its one operation: the assignment after it, or a refusal with
+// the one that stands.
+func operationResponse(results []operationResult, err error) (placement.Assignment, error) {
+	var none placement.Assignment
+	if err != nil {
+		return none, err
+	}
+	if len(results) != 1 {
+		return none, raft.ErrRaftShutdown
+	}
+	result := results[0]
+	if result.err == nil {
+		return result.assignment, nil
+	}
+	statusCode := http.StatusConflict
+	switch {
+	case errors.Is(result.err, placement.ErrNotFound):
+		statusCode = http.StatusNotFound
+	case errors.Is(result.err, placement.ErrInvalid), errors.Is(result.err, placement.ErrUnsupportedVersion):
+		statusCode = http.StatusBadRequest
+	}
+	refusal := refuse(statusCode, "%v", result.err)
+	if result.assignment.Instance != "" {
+		refusal.Assignment = &result.assignment
 	}
-	return answer, err
+	return none, refusal
 }
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -9,76 +9,103 @@
 	"silvercove/internal/controllerclient"
 )
 
-// handleStatus says how this keeper stands, whatever it does.
-func (c *Controller) handleStatus(call[struct{}]) (any, error) {
-	m := c.disk.currentMarker()
-	s := controllerclient.Status{Version: controllerclient.Version, Node: c.name, Role: "waits", Origin: m.Origin, StoreID: m.StoreID,
-		Controllers: append([]string{c.name}, c.peers...), LogPositions: map[string]controllerclient.LogPosition{},
-		Generation: max(m.Generation, c.stateMachine.lineage().Generation), StoreIDs: c.stateMachine.storeIDs()}
-	slices.Sort(s.Controllers)
+// handleStatus tells how this controller stands, whether it takes part in the log or not.
+func (c *Controller) handleStatus(call[struct{}]) (controllerclient.Status, error) {
+	marker := c.disk.currentMarker()
+	status := controllerclient.Status{
+		Version:      controllerclient.Version,
+		Node:         c.name,
+		Role:         controllerclient.RoleWaiting,
+		Origin:       marker.Origin,
+		StoreID:      marker.StoreID,
+		Controllers:  append([]string{c.name}, c.peers...),
+		LogPositions: map[string]controllerclient.LogPosition{},
+		Generation:   max(marker.Generation, c.stateMachine.lineage().Generation),
+		StoreIDs:     c.stateMachine.storeIDs(),
+	}
+	slices.Sort(status.Controllers)
 	if r := c.raft.Load(); r != nil {
 		_, leader := r.LeaderWithID()
-		s.Role, s.Leader, s.Term, s.Applied, s.Last = map[raft.RaftState]string{raft.Follower: "follower",
-			raft.Candidate: "candidate", raft.Leader: "leader", raft.Shutdown: "ends"}[r.State()], string(leader),
-			r.CurrentTerm(), r.AppliedIndex(), c.store.lastPosition()
+		status.Role = roleOf(r.State())
+		status.Leader = string(leader)
+		status.Term = r.CurrentTerm()
+		status.Applied = r.AppliedIndex()
+		status.Last = c.store.lastPosition()
 	}
-	for _, p := range c.stateMachine.assignments() {
-		s.Assignments++
-		if p.CutOver {
-			s.Migrations++
+	for _, a := range c.stateMachine.assignments() {
+		status.Assignments++
+		if a.CutOver {
+			status.Migrations++
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, mark := range c.logPositions {
-		s.LogPositions[name] = mark
+	for name, position := range c.logPositions {
+		status.LogPositions[name] = position
 	}
 	if c.diskSpace.Total > 0 {
-		d := c.diskSpace
-		s.Disk = &d
+		space := c.diskSpace
+		status.Disk = &space
 	}
-	if s.Reason = c.diskFault; s.Reason == "" {
-		s.Reason = c.waitReason
+	status.Reason = c.diskFault
+	if status.Reason == "" {
+		status.Reason = c.waitReason
 	}
 	if l := c.leadership; l != nil {
-		s.Reasons = slices.Clone(l.decisions)
+		status.Reasons = slices.Clone(l.decisions)
+	}
+	return status, nil
+}
+
+// roleOf is raft's state as the status call tells it.
+func roleOf(state raft.RaftState) string {
+	switch state {
+	case raft.Follower:
+		return controllerclient.RoleFollower
+	case raft.Candidate:
+		return controllerclient.RoleCandidate
+	case raft.Leader:
+		return controllerclient.RoleLeader
+	case raft.Shutdown:
+		return controllerclient.RoleStopping
 	}
-	return s, nil
+	return ""
 }
 
-// handleJoin lets a keeper's disk in.
-func (c *Controller) handleJoin(req call[controllerclient.JoinRequest]) (any, error) {
+// handleJoin admits the disk of another controller.
+func (c *Controller) handleJoin(req call[controllerclient.JoinRequest]) (controllerclient.JoinResponse, error) {
+	var none controllerclient.JoinResponse
 	if err := checkVersion(req.body.Version); err != nil {
-		return nil, err
+		return none, err
 	}
 	l, r, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
 	if req.body.Node != req.caller || !slices.Contains(c.peers, req.caller) || req.body.StoreID == "" {
-		return nil, refuse(http.StatusBadRequest, "%s is no keeper in the file of %s, or speaks for another", req.caller, c.name)
+		return none, refuse(http.StatusBadRequest, "%s is no keeper in the file of %s, or speaks for another", req.caller, c.name)
 	}
 	return c.admitDisk(r, l.term, req.body)
 }
 
-// handleConfirm says in which term this keeper is.
-func (c *Controller) handleConfirm(req call[controllerclient.ConfirmRequest]) (any, error) {
+// handleConfirm tells in which term this controller is.
+func (c *Controller) handleConfirm(req call[controllerclient.ConfirmRequest]) (controllerclient.ConfirmRequest, error) {
 	if err := checkVersion(req.body.Version); err != nil {
-		return nil, err
+		return controllerclient.ConfirmRequest{}, err
 	}
 	r := c.raft.Load()
 	if r == nil {
-		return nil, refuse(http.StatusServiceUnavailable, "%s waits", c.name)
+		return controllerclient.ConfirmRequest{}, refuse(http.StatusServiceUnavailable, "%s waits", c.name)
 	}
 	return controllerclient.ConfirmRequest{Version: controllerclient.Version, Term: r.CurrentTerm()}, nil
 }
 
-// handleBackup writes a snapshot of what is agreed.
-func (c *Controller) handleBackup(w http.ResponseWriter, r *http.Request) {
+// handleBackup writes a snapshot of what is agreed. A caller that went away needs nothing.
+func (c *Controller) handleBackup(w http.ResponseWriter, _ *http.Request) {
 	if _, _, err := c.requireLeadership(); err != nil {
-		handle(func(call[struct{}]) (any, error) { return nil, err })(w, r)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = c.stateMachine.freeze().WriteTo(w) // a caller that went away needs nothing
+	_, _ = c.stateMachine.freeze().WriteTo(w)
 }
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -4,142 +4,165 @@
 	"net/http"
 	"slices"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/hashicorp/raft"
 
 	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
 	"silvercove/internal/placement"
 )
 
-// maxLongPoll is how long a call may wait for news.
+// maxLongPoll is how long a call may wait for a change.
 const maxLongPoll = time.Minute
 
-// waits reads since and timeout_ms, and takes a place among those that wait; done gives it back.
-func (c *Controller) poll(req call[struct{}]) (since uint64, timer *time.Timer, done func(), err error) {
-	number := func(name string) (n uint64) {
-		if text := req.query.Get(name); text != "" && err == nil {
-			if n, err = strconv.ParseUint(text, 10, 63); err != nil {
-				err = refuse(http.StatusBadRequest, "%s: a number is wanted, not %.40q", name, text)
-			}
-		}
-		return n
+// longPoll is a call that waits for a change. end must be called once.
+type longPoll struct {
+	since uint64      // the version that the caller has
+	timer *time.Timer // fires when the call has waited as long as it asked to
+	end   func()
+}
+
+// beginLongPoll reads "since" and "timeout_ms" of the query, and takes one of the places among the calls that wait.
+func (c *Controller) beginLongPoll(req call[struct{}]) (longPoll, error) {
+	since, err := queryNumber(req, "since")
+	if err != nil {
+		return longPoll{}, err
 	}
-	since, wait := number("since"), number("timeout_ms")
+	timeoutMS, err := queryNumber(req, "timeout_ms")
 	if err != nil {
-		return 0, nil, nil, err
+		return longPoll{}, err
 	}
 	select {
 	case c.longPolls <- struct{}{}:
 	default:
-		return 0, nil, nil, refuse(http.StatusServiceUnavailable, "as many calls wait for news as may")
+		return longPoll{}, refuse(http.StatusServiceUnavailable, "as many calls wait for news as may")
+	}
+	timer := time.NewTimer(time.Duration(min(timeoutMS, uint64(maxLongPoll.Milliseconds()))) * time.Millisecond)
+	end := func() {
+		timer.Stop()
+		<-c.longPolls
+	}
+	return longPoll{since, timer, end}, nil
+}
+
+// queryNumber reads a number of a call's query; one that is missing is 0.
+func queryNumber(req call[struct{}], name string) (uint64, error) {
+	text := req.query.Get(name)
+	if text == "" {
+		return 0, nil
+	}
+	number, err := strconv.ParseUint(text, 10, 63)
+	if err != nil {
+		return 0, refuse(http.StatusBadRequest, "%s: a number is wanted, not %.40q", name, text)
+	}
+	return number, nil
+}
+
+// gather waits a moment, so that what changes within it is told together.
+func (p longPoll) gather(req call[struct{}], wait time.Duration) {
+	p.timer.Reset(wait)
+	select {
+	case <-p.timer.C:
+	case <-req.ctx.Done():
 	}
-	timer = time.NewTimer(min(time.Duration(min(wait, uint64(maxLongPoll.Milliseconds())))*time.Millisecond, maxLongPoll))
-	return since, timer, func() { timer.Stop(); <-c.longPolls }, nil
 }
 
-// handleAssignments tells those that changed.
-func (c *Controller) handleAssignments(req call[struct{}]) (any, error) {
+// handleAssignments tells the assignments that changed since the caller's version, once there are any.
+func (c *Controller) handleAssignments(req call[struct{}]) (controllerclient.AssignmentChanges, error) {
+	var none controllerclient.AssignmentChanges
 	l, _, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	since, timer, done, err := c.poll(req)
+	poll, err := c.beginLongPoll(req)
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	defer done()
+	defer poll.end()
 	for {
-		birth := c.stateMachine.lineage().OriginID
+		origin := c.stateMachine.lineage().OriginID
 		if req.query.Has("birth") {
-			birth = req.query.Get("birth")
+			origin = req.query.Get("birth")
 		}
-		p, changed := c.stateMachine.changesSince(since, birth)
-		if p.Version != since || birth != p.OriginID {
-			return p, nil
+		changes, changed := c.stateMachine.changesSince(poll.since, origin)
+		if changes.Version != poll.since || origin != changes.OriginID {
+			return changes, nil
 		}
 		select {
-		case <-changed: // what changes within a moment is told together
-			timer.Reset(c.timings.AssignmentUpdateInterval.Duration())
-			select {
-			case <-timer.C:
-			case <-req.ctx.Done():
-			}
-		case <-timer.C:
-			p.Complete, p.Assignments = false, []placement.Assignment{}
-			return p, nil
+		case <-changed:
+			poll.gather(req, c.timings.AssignmentUpdateInterval.Duration())
+		case <-poll.timer.C:
+			changes.Complete = false
+			changes.Assignments = []placement.Assignment{}
+			return changes, nil
 		case <-l.ended:
 			_, _, err := c.requireLeadership()
-			return p, err
+			return changes, err
 		case <-req.ctx.Done():
-			return nil, req.ctx.Err()
+			return none, req.ctx.Err()
 		}
 	}
 }
 
-// handleNodes tells all edge units.
-func (c *Controller) handleNodes(req call[struct{}]) (any, error) {
+// handleNodes tells all edge nodes, once one of them is not as in the caller's version.
+func (c *Controller) handleNodes(req call[struct{}]) (controllerclient.NodeList, error) {
+	var none controllerclient.NodeList
 	l, _, err := c.requireLeadership()
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	since, timer, done, err := c.poll(req)
+	poll, err := c.beginLongPoll(req)
 	if err != nil {
-		return nil, err
+		return none, err
 	}
-	defer done()
-	for gathered := false; ; {
+	defer poll.end()
+	for waited := false; ; {
 		c.mu.Lock()
-		if l.nodesVersion != since || gathered {
-			u := c.nodeList(l)
+		if l.nodesVersion != poll.since || waited {
+			list := c.nodeList(l)
 			c.mu.Unlock()
-			return u, nil
+			return list, nil
 		}
 		changed := l.nodesChanged
 		c.mu.Unlock()
 		select {
-		case <-changed: // what changes within a moment is told together
-			timer.Reset(min(c.timings.NodeUpdateInterval.Duration(), maxLongPoll))
-			gathered = true
-			select {
-			case <-timer.C:
-			case <-req.ctx.Done():
-			}
-		case <-timer.C:
-			gathered = true
+		case <-changed:
+			poll.gather(req, min(c.timings.NodeUpdateInterval.Duration(), maxLongPoll))
+			waited = true
+		case <-poll.timer.C:
+			waited = true
 		case <-l.ended:
 			if _, _, err := c.requireLeadership(); err != nil {
-				return nil, err
+				return none, err
 			}
-			return nil, raft.ErrLeadershipLost
+			return none, raft.ErrLeadershipLost
 		case <-req.ctx.Done():
-			return nil, req.ctx.Err()
+			return none, req.ctx.Err()
 		}
 	}
 }
 
-// nodeList are all edge units of the file. It is called with mu.
+// nodeList is all edge nodes of the operator's file, by name. It is called with mu.
 func (c *Controller) nodeList(l *leadership) controllerclient.NodeList {
-	u := controllerclient.NodeList{Version: l.nodesVersion, Nodes: []controllerclient.Node{}}
+	list := controllerclient.NodeList{Version: l.nodesVersion, Nodes: []controllerclient.Node{}}
 	now := c.Now()
-	for _, p := range c.Network.Peers("edge") {
-		one := controllerclient.Node{Name: p.Name, Zone: p.Zone}
-		if a := l.nodes[p.Name]; a != nil {
-			if one = nodeFromRequest(*a); one.Zone == "" {
-				one.Zone = p.Zone
-			}
+	for _, peer := range c.Network.Peers(peertransport.RoleEdge) {
+		node := controllerclient.Node{Name: peer.Name}
+		if ask := l.nodes[peer.Name]; ask != nil {
+			node = nodeFromRequest(*ask)
 		}
-		_, one.HasLease = l.lessor.LeaseEnd(now, p.Name)
-		if one.Accepting = one.Accepting && one.HasLease; one.Commands == "" {
-			one.Commands = p.Commands
+		if node.Zone == "" {
+			node.Zone = peer.Zone
 		}
-		u.Nodes = append(u.Nodes, one)
-	}
-	slices.SortFunc(u.Nodes, func(a, b controllerclient.Node) int {
-		if a.Name < b.Name {
-			return -1
+		if node.Commands == "" {
+			node.Commands = peer.Commands
 		}
-		return 1
-	})
-	return u
+		_, node.HasLease = l.lessor.LeaseEnd(now, peer.Name)
+		node.Accepting = node.Accepting && node.HasLease
+		list.Nodes = append(list.Nodes, node)
+	}
+	slices.SortFunc(list.Nodes, func(a, b controllerclient.Node) int { return strings.Compare(a.Name, b.Name) })
+	return list
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -13,27 +14,59 @@
 	"silvercove/internal/tick"
 )
 
-// leadership is a span of leading.
+// maxRecentDecisions is how many of the planner's decisions the status call tells.
+const maxRecentDecisions = 16
+
+// followerTimerInterval is how long a controller that does not lead sleeps; startLeading wakes it.
+const followerTimerInterval = time.Hour
+
+// errLeaseRunning refuses an operation that rests on the end of a lease.
+var errLeaseRunning = errors.New("its owner's lease is not over: it may still act")
+
+// leadership is one span of leading: a term of raft, and what the leader holds in memory. Controller.mu guards all fields
+// but term and ended, which stay as they are.
 type leadership struct {
-	term              uint64
-	lessor            *leases.Lessor
-	planner           Planner
-	verifier          *devicehealth.Verifier
-	recordCounts      *leases.RecordCounts
-	rollingBack       map[uint16]bool                           // builds by whether the platform takes them back, as relays told since this lead began
-	rolloutReports    map[string]rolloutReport                  // by relay, the last that it said of a build
-	nodes             map[string]*controllerclient.LeaseRequest // the last of each
-	nodesVersion      uint64                                    // of units
-	nodesChanged      chan struct{}                             // closed at the next change of units
+	term  uint64
+	ended chan struct{} // closed when the span has ended
+
+	lessor         *leases.Lessor
+	planner        Planner
+	verifier       *devicehealth.Verifier
+	recordCounts   *leases.RecordCounts
+	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as relays told in this span
+	rolloutReports map[string]rolloutReport // by relay: its last report
+
+	nodes        map[string]*controllerclient.LeaseRequest // by edge node: its last request that was granted
+	nodesVersion uint64                                    // of nodes; grows over spans, as the term is in its upper half
+	nodesChanged chan struct{}                             // closed at the next change of nodes
+
 	proposals         []queuedProposal
-	expiryDependents  map[string]int // entries under way that rest on a unit's lease being over
-	dependentsSettled chan struct{}  // closed when fewer are
-	ended             chan struct{}  // closed when the lead is
-	decisions         []string
-	lackedMajority    bool // there were too few voters to grant a lease, when it was looked at last
+	expiryDependents  map[string]int // by edge node: operations under way that rest on the end of its lease
+	dependentsSettled chan struct{}  // closed when there are none left for a node
+
+	decisions      []string // the planner's last ones
+	lackedMajority bool     // at the last look there were too few voters to grant a lease
 }
 
-// startLeading begins a span of leading, once all that earlier leaders had agreed is carried out here.
+// newLeadership is a span that begins in a term, without a planner yet.
+func newLeadership(term uint64, now tick.Tick, config leases.Config, recordCounts map[string]uint64) *leadership {
+	return &leadership{
+		term:              term,
+		ended:             make(chan struct{}),
+		lessor:            leases.New(config),
+		verifier:          devicehealth.NewVerifier(),
+		recordCounts:      leases.NewRecordCounts(now, config, recordCounts),
+		rollingBack:       map[uint16]bool{},
+		rolloutReports:    map[string]rolloutReport{},
+		nodes:             map[string]*controllerclient.LeaseRequest{},
+		nodesVersion:      term << 32,
+		nodesChanged:      make(chan struct{}),
+		expiryDependents:  map[string]int{},
+		dependentsSettled: make(chan struct{}),
+	}
+}
+
+// startLeading begins a span of leadership, once all that earlier leaders had agreed is applied here.
 func (c *Controller) startLeading(r *raft.Raft) {
 	term := r.CurrentTerm()
 	if r.Barrier(0).Error() != nil || !leadsInTerm(r, term) {
@@ -45,35 +78,32 @@
 		}
 	}
 	now := c.Now()
-	runs := c.stateMachine.incarnations()
-	l := &leadership{term: term, lessor: leases.New(leases.ConfigFrom(c.Settings)), nodes: map[string]*controllerclient.LeaseRequest{}, rollingBack: map[uint16]bool{}, rolloutReports: map[string]rolloutReport{}, nodesVersion: term << 32,
-		nodesChanged: make(chan struct{}), expiryDependents: map[string]int{}, dependentsSettled: make(chan struct{}), ended: make(chan struct{})}
+	incarnations := c.stateMachine.incarnations()
+	l := newLeadership(term, now, leases.ConfigFrom(c.Settings), c.stateMachine.recordCounts())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !leadsInTerm(r, term) {
 		return
 	}
-	l.lessor.OnElected(now, runs)
+	l.lessor.OnElected(now, incarnations)
 	l.planner = c.Planner(plannerHost{c, l}, now)
-	l.verifier = devicehealth.NewVerifier()
-	l.recordCounts = leases.NewRecordCounts(now, leases.ConfigFrom(c.Settings), c.stateMachine.recordCounts())
 	c.leadership = l
 	l.planner.OnElected(now)
-	for _, p := range c.stateMachine.assignments() {
-		l.expectRenewals(now, p)
-		l.planner.OnAssignment(now, p)
+	for _, a := range c.stateMachine.assignments() {
+		l.expectRenewals(now, a)
+		l.planner.OnAssignment(now, a)
 	}
 	metrics.GetOrCreateCounter("cove_keeper_leads_total").Inc()
-	c.Log.Info().Str("event", "leads").Uint64("term", term).Send()
+	c.Log.Info().Str("event", "leads").Uint64("term", term).Msg("leadership gained")
 	c.waker.Wake()
 }
 
-// leadsInTerm says whether a keeper leads in a term. A lead that was lost and won again is another term.
+// leadsInTerm reports whether a controller leads in a term. A leadership that was lost and won again is another term.
 func leadsInTerm(r *raft.Raft, term uint64) bool {
 	return r.State() == raft.Leader && r.CurrentTerm() == term
 }
 
-// stopLeading ends a span of leading.
+// stopLeading ends the span of leadership, if there is one.
 func (c *Controller) stopLeading() {
 	c.mu.Lock()
 	l := c.leadership
@@ -81,11 +111,11 @@
 	c.mu.Unlock()
 	if l != nil {
 		close(l.ended)
-		c.Log.Info().Str("event", "follows").Uint64("term", l.term).Send()
+		c.Log.Info().Str("event", "follows").Uint64("term", l.term).Msg("leadership ended")
 	}
 }
 
-// currentLeadership is the present lead, nil where another keeper leads. It is called with mu.
+// currentLeadership is the present span, nil while another controller leads. It is called with mu.
 func (c *Controller) currentLeadership() *leadership {
 	if l, r := c.leadership, c.raft.Load(); l != nil && leadsInTerm(r, l.term) {
 		return l
@@ -93,17 +123,17 @@
 	return nil
 }
 
-// runTimers tells the planner what time brought.
+// runTimers tells the planner what time has brought, and returns how long there is nothing more to do.
 func (c *Controller) runTimers() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.currentLeadership()
 	if l == nil {
-		return time.Hour // leads rings
+		return followerTimerInterval
 	}
 	now := c.Now()
-	// A rebuilt keeper grants no lease before it has a majority of the file's keepers (confirmer.leads), so none may be
-	// counted as over meanwhile: units would be given up that only could not have one.
+	// Guards against leases that count as over though their nodes only could not renew them: a rebuilt controller grants none
+	// before it has a majority (leadershipConfirmer.confirm). Holds because the leases begin anew once there is one.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
@@ -112,12 +142,8 @@
 		l.lessor.OnElected(now, c.stateMachine.incarnations())
 		l.planner.OnElected(now)
 	}
-	for _, name := range l.lessor.Expired(now) {
-		metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
-		c.Log.Info().Str("event", "lapsed").Str("unit", name).Msg("its lease is over")
-		l.planner.OnLeaseExpired(now, name)
-		l.verifier.Remove(name)
-		l.publishNodes()
+	for _, node := range l.lessor.Expired(now) {
+		c.onLeaseExpired(l, now, node)
 	}
 	next := l.planner.OnTick(now)
 	if at, found := l.lessor.NextExpiry(); found && at < next {
@@ -131,44 +157,53 @@
 	return max(next-now, 1).Duration()
 }
 
-// rolloutReport is how a relay says that a build stands.
-type rolloutReport struct {
-	version     uint16
-	rollingBack bool
+// onLeaseExpired tells that a node's lease is over for sure. It is called with mu.
+func (c *Controller) onLeaseExpired(l *leadership, now tick.Tick, node string) {
+	metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
+	c.Log.Info().Str("event", "lapsed").Str("unit", node).Str("why", "its lease is over").Msg("lease expired")
+	l.planner.OnLeaseExpired(now, node)
+	l.verifier.Remove(node)
+	l.publishNodes()
 }
 
-// publishNodes says that the units have changed.
+// publishNodes says that the nodes have changed. It is called with mu, as are the methods below.
 func (l *leadership) publishNodes() {
 	l.nodesVersion++
 	close(l.nodesChanged)
 	l.nodesChanged = make(chan struct{})
 }
 
-// expectRenewals counts on the units of a place.
-func (l *leadership) expectRenewals(now tick.Tick, p placement.Assignment) {
-	if p.State != placement.Running {
+// expectRenewals has the leases counted of the nodes that serve or replicate an instance.
+func (l *leadership) expectRenewals(now tick.Tick, a placement.Assignment) {
+	if a.State != placement.Running {
 		return
 	}
-	for _, name := range append([]string{p.Primary}, p.Replicas...) {
-		l.lessor.ExpectRenewal(now, name)
+	for _, node := range append([]string{a.Primary}, a.Replicas...) {
+		l.lessor.ExpectRenewal(now, node)
 	}
 }
 
-// holdExpiry has a unit's lease stay over until settle: it is not granted again before what rests on that is agreed. It
-// guards against an owner that comes back while its instance is given to another one. A run that began without the
-// copies of the one before, whose lease is over, does not act for what that one owned, and may hold a lease of its own.
-func (l *leadership) holdExpiry(now tick.Tick, unit string) error {
-	if _, held := l.lessor.LeaseEnd(now, unit); held && (l.nodes[unit] == nil || !l.nodes[unit].LostCopies) {
+// holdExpiry keeps a node's lease over until releaseExpiry: it is not granted again before the operation that rests on its
+// end is agreed. It fails with errLeaseRunning while the lease runs.
+//
+// Guards against a primary that comes back while its instance is given to another node; holds because handleLease waits
+// for dependentsSettled. An incarnation that began without the copies of the one before, whose lease is over, does not
+// serve what that one was primary of, and may have a lease of its own.
+func (l *leadership) holdExpiry(now tick.Tick, node string) error {
+	if _, held := l.lessor.LeaseEnd(now, node); held && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
 		return errLeaseRunning
 	}
-	l.expiryDependents[unit]++
+	l.expiryDependents[node]++
 	return nil
 }
 
-func (l *leadership) releaseExpiry(unit string) {
-	if l.expiryDependents[unit]--; l.expiryDependents[unit] <= 0 {
-		delete(l.expiryDependents, unit)
-		close(l.dependentsSettled)
-		l.dependentsSettled = make(chan struct{})
+// releaseExpiry ends what holdExpiry began.
+func (l *leadership) releaseExpiry(node string) {
+	l.expiryDependents[node]--
+	if l.expiryDependents[node] > 0 {
+		return
 	}
+	delete(l.expiryDependents, node)
+	close(l.dependentsSettled)
+	l.dependentsSettled = make(chan struct{})
 }
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -8,31 +8,36 @@
 	"silvercove/internal/replica"
 )
 
-// entryVersion is that of an entry of the agreed log around handover.Entry. A keeper that meets a later one ends: it
-// can neither carry it out nor leave it out as those that can.
+// entryVersion is the version of a log entry; the operations in it have one of their own. A controller that meets a later one
+// ends: it can neither apply the entry nor pass it over as those do that know it.
 const entryVersion = 1
 
-// errTermEnded: the order rested on its maker's lead, which ended before it was agreed.
+// errTermEnded means that an entry rested on its proposer's leadership, which ended before the entry was agreed.
 var errTermEnded = errors.New("the lead that it rested on has ended")
 
-// logEntry is one entry of the agreed log.
+// logEntry is one entry of the agreed log. Its JSON form is stored data.
 type logEntry struct {
-	FormatVersion int                         `json:"v"`
-	Term          uint64                      `json:"term,omitempty"`  // it holds in this term alone; 0: in any
-	Operations    []placement.Operation       `json:"steps,omitempty"` // each is carried out or refused by itself
-	EdgeNode      string                      `json:"unit,omitempty"`  // Run of Unit may have leases from now on, earlier ones may not
-	Incarnation   uint64                      `json:"run,omitempty"`
-	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // the log's beginning, once
-	Controller    string                      `json:"node,omitempty"`  // the keeper Node has the disk Store from now on
-	StoreID       string                      `json:"store,omitempty"`
-
-	// Of these an earlier keeper knows nothing, and passes an entry with them alone over: nothing that it knows rests on them.
-	RecordCounts map[string]uint64        `json:"kept,omitempty"`   // units' counts, as leases.Marks
-	Unverified   []replica.UnverifiedCopy `json:"doubts,omitempty"` // of one unit's
+	FormatVersion int                   `json:"v"`
+	Term          uint64                `json:"term,omitempty"`  // the only term in which it holds, 0: any
+	Operations    []placement.Operation `json:"steps,omitempty"` // each is applied or refused by itself
+
+	// From now on this incarnation of the edge node may have leases, and earlier ones may not.
+	EdgeNode    string `json:"unit,omitempty"`
+	Incarnation uint64 `json:"run,omitempty"`
+
+	Origin *controllerclient.LogOrigin `json:"birth,omitempty"` // the log's beginning, in its first entry
+
+	// From now on the controller has the disk with this identity.
+	Controller string `json:"node,omitempty"`
+	StoreID    string `json:"store,omitempty"`
+
+	// An earlier program passes an entry with nothing but these over: nothing that it knows rests on them.
+	RecordCounts map[string]uint64        `json:"kept,omitempty"`   // by edge node, as in leases.RecordCounts
+	Unverified   []replica.UnverifiedCopy `json:"doubts,omitempty"` // of one edge node
 }
 
-// operationResult is what became of one step.
+// operationResult is the result of one operation of an entry.
 type operationResult struct {
-	assignment placement.Assignment
-	err        error
+	assignment placement.Assignment // after it, or the one that stands where it was refused
+	err        error                // one of placement's, nil: it was applied
 }
--- /dev/null
+++ b/internal/controller/node_status.go
@@ -0,0 +1,111 @@
+package controller
+
+import (
+	"encoding/json"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/tick"
+)
+
+// isEdgeNode reports whether a process is an edge node in this controller's file.
+func (c *Controller) isEdgeNode(name string) bool {
+	peer, ok := c.Network.Peer(name)
+	return ok && peer.Role == peertransport.RoleEdge
+}
+
+// zoneOf is where a node is: as it says, or else as this controller's file does.
+func (c *Controller) zoneOf(ask controllerclient.LeaseRequest) string {
+	if ask.Zone != "" {
+		return ask.Zone
+	}
+	peer, _ := c.Network.Peer(ask.Node)
+	return peer.Zone
+}
+
+// withVerifiedReport replaces a node's health report by what the outcomes that relays have seen leave of it. A report that
+// can't be read stays: decodeHealthReport says what becomes of it. It is called with Controller.mu.
+func (l *leadership) withVerifiedReport(now tick.Tick, zone string, ask controllerclient.LeaseRequest) controllerclient.LeaseRequest {
+	var report devicehealth.Report
+	if json.Unmarshal(ask.Report, &report) != nil {
+		return ask
+	}
+	if text, err := json.Marshal(l.verifier.Verify(now, ask.Node, zone, report)); err == nil {
+		ask.Report = text
+	}
+	return ask
+}
+
+// nodeStatus is a node as the planner takes it, without the end of its lease. One whose report can't be read gets no new
+// instance, and keeps what it has.
+func (c *Controller) nodeStatus(ask controllerclient.LeaseRequest) migration.NodeStatus {
+	report := decodeHealthReport(ask)
+	status := migration.NodeStatus{
+		Name:        ask.Node,
+		Zone:        c.zoneOf(ask),
+		Incarnation: ask.Incarnation,
+		Risk:        report.Risk,
+		FreeSlots:   report.SpareCapacity,
+		Draining:    ask.Draining,
+		Version:     ask.SoftwareVersion,
+		RollingBack: ask.RollingBack,
+		WarmingUp:   ask.WarmingUp,
+		LostCopies:  ask.LostCopies,
+	}
+	switch report.State {
+	case controllerclient.StateAccepting:
+		status.Accepting = true
+	case controllerclient.StateLimited:
+		status.Accepting, status.Limited = true, true
+	case controllerclient.StateDraining:
+		status.Evacuating = true
+	case controllerclient.StateLeaving:
+		status.Evacuating, status.ShuttingDown = true, true
+	}
+	return status
+}
+
+// decodeHealthReport is a node's health report; of one that can't be read, that the node keeps what it has.
+func decodeHealthReport(ask controllerclient.LeaseRequest) controllerclient.HealthReport {
+	var report controllerclient.HealthReport
+	if err := json.Unmarshal(ask.Report, &report); err != nil {
+		return controllerclient.HealthReport{State: controllerclient.StateHolding, Reasons: []string{"its report can't be read"}}
+	}
+	return report
+}
+
+// nodeFromRequest is a node as relays and tools are told of it, without its lease.
+func nodeFromRequest(ask controllerclient.LeaseRequest) controllerclient.Node {
+	report := decodeHealthReport(ask)
+	return controllerclient.Node{
+		Name:            ask.Node,
+		Zone:            ask.Zone,
+		Incarnation:     ask.Incarnation,
+		State:           report.State,
+		Accepting:       report.State == controllerclient.StateAccepting || report.State == controllerclient.StateLimited,
+		AcceptFraction:  report.AcceptFraction,
+		Risk:            report.Risk,
+		SpareCapacity:   report.SpareCapacity,
+		Reasons:         report.Reasons,
+		StartedAtMS:     ask.StartedAtMS,
+		SoftwareVersion: ask.SoftwareVersion,
+		Commands:        ask.Commands,
+		Draining:        ask.Draining || ask.RollingBack,
+	}
+}
+
+// sameForRouting reports whether two states of a node are the same to relays.
+func sameForRouting(a, b controllerclient.Node) bool {
+	return a.Name == b.Name &&
+		a.Zone == b.Zone &&
+		a.Incarnation == b.Incarnation &&
+		a.State == b.State &&
+		a.AcceptFraction == b.AcceptFraction &&
+		a.SpareCapacity == b.SpareCapacity &&
+		a.SoftwareVersion == b.SoftwareVersion &&
+		a.Commands == b.Commands &&
+		a.Draining == b.Draining &&
+		a.StartedAtMS == b.StartedAtMS
+}
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -1,48 +1,45 @@
 package controller
 
 import (
-	"errors"
-
 	"silvercove/internal/placement"
 )
 
-// plannerHost is what the planner acts through. It is called with mu.
+// plannerHost is the Host of the planner of one span of leadership. Its methods are called with Controller.mu.
 type plannerHost struct {
 	controller *Controller
 	leadership *leadership
 }
 
-// errLeaseRunning refuses an entry that rests on the end of a lease.
-var errLeaseRunning = errors.New("its owner's lease is not over: it may still act")
-
-// restsOnExpiry: the entry rests on the lease of its By being over.
-func restsOnExpiry(e placement.Operation) bool {
-	switch e.Kind {
+// restsOnExpiry reports whether an operation may be agreed only while the lease of its Node is over.
+func restsOnExpiry(op placement.Operation) bool {
+	switch op.Kind {
 	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
-		return e.Node != ""
+		return op.Node != ""
 	}
 	return false
 }
 
-// Propose proposes an entry.
-func (h plannerHost) Propose(e placement.Operation) {
-	q := queuedProposal{operation: e}
-	q.operation.Version = placement.FormatVersion
+// Propose queues an operation. One too many is dropped: the planner proposes it again at a later tick.
+func (h plannerHost) Propose(op placement.Operation) {
 	if len(h.leadership.proposals) >= maxQueuedOperations {
-		return // the planner's alarm comes again
+		return
 	}
-	if restsOnExpiry(e) {
-		if q.refusal = h.leadership.holdExpiry(h.controller.Now(), e.Node); q.refusal != nil {
-			h.controller.Log.Error().Str("event", "refused").Str("instance", e.Instance).Err(q.refusal).Send()
+	op.Version = placement.FormatVersion
+	proposal := queuedProposal{operation: op}
+	if restsOnExpiry(op) {
+		proposal.refusal = h.leadership.holdExpiry(h.controller.Now(), op.Node)
+		if proposal.refusal != nil {
+			h.controller.Log.Error().Str("event", "refused").Str("instance", op.Instance).Err(proposal.refusal).
+				Msg("planned operation refused")
 		}
 	}
-	h.leadership.proposals = append(h.leadership.proposals, q)
+	h.leadership.proposals = append(h.leadership.proposals, proposal)
 	h.controller.wakeProposer()
 }
 
-// Log is a word of the planner's.
+// Log notes a decision of the planner.
 func (h plannerHost) Log(text string) {
-	h.leadership.decisions = append(h.leadership.decisions, text)
-	h.leadership.decisions = h.leadership.decisions[max(0, len(h.leadership.decisions)-16):]
-	h.controller.Log.Info().Str("event", "plans").Msg(text)
+	decisions := append(h.leadership.decisions, text)
+	h.leadership.decisions = decisions[max(0, len(decisions)-maxRecentDecisions):]
+	h.controller.Log.Info().Str("event", "plans").Str("why", text).Msg("planner decision")
 }
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -10,13 +10,23 @@
 	"github.com/hashicorp/raft"
 
 	"silvercove/internal/placement"
+	"silvercove/internal/tick"
 )
 
+// queuedProposal is an operation of the planner's that waits to be proposed.
 type queuedProposal struct {
 	operation placement.Operation
-	refusal   error // it is refused before it is proposed
+	refusal   error // why it is refused before it is proposed, nil: it is not
 }
 
+// proposalBatch is what one entry of the log is made of.
+type proposalBatch struct {
+	leadership   *leadership
+	proposals    []queuedProposal
+	recordCounts map[string]uint64 // by edge node; nil: none are due
+}
+
+// wakeProposer has runProposer look for something to propose.
 func (c *Controller) wakeProposer() {
 	select {
 	case c.proposalQueued <- struct{}{}:
@@ -24,7 +34,7 @@
 	}
 }
 
-// runProposer has the planner's steps agreed, many at once.
+// runProposer proposes the planner's operations until the context ends, many in one entry.
 func (c *Controller) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -33,74 +43,98 @@
 		case <-c.proposalQueued:
 		}
 		for {
-			c.mu.Lock()
-			l := c.currentLeadership()
-			if l == nil {
-				c.mu.Unlock()
+			batch, ok := c.nextBatch()
+			if !ok {
 				break
 			}
-			marks := l.recordCounts.Due(c.Now())
-			if len(l.proposals) == 0 && marks == nil {
-				c.mu.Unlock()
-				break
-			}
-			some := l.proposals[:min(maxEntryOperations, len(l.proposals))]
-			if l.proposals = l.proposals[len(some):]; len(l.proposals) == 0 {
-				l.proposals = nil
-			}
-			c.mu.Unlock()
-			o := logEntry{Term: l.term, RecordCounts: marks}
-			for _, q := range some {
-				if q.refusal == nil {
-					o.Operations = append(o.Operations, q.operation)
-				}
-			}
-			var all []operationResult
-			if len(o.Operations) > 0 || marks != nil {
-				answer, err := c.proposeEntry(o)
-				if all, _ = answer.([]operationResult); err != nil && !knownNotAgreed(err) {
-					continue // what became of it is not known, and this lead is over
-				} else if err != nil {
-					c.mu.Lock()
-					l.recordCounts.Requeue(marks)
-					c.mu.Unlock()
-				}
-				for range len(o.Operations) - len(all) {
-					all = append(all, operationResult{err: err})
-				}
-			}
+			c.proposeBatch(batch)
+		}
+	}
+}
+
+// nextBatch takes what is due from the queue; ok is false where nothing is, or another controller leads.
+func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	l := c.currentLeadership()
+	if l == nil {
+		return batch, false
+	}
+	recordCounts := l.recordCounts.Due(c.Now())
+	if len(l.proposals) == 0 && recordCounts == nil {
+		return batch, false
+	}
+	proposals := l.proposals[:min(maxEntryOperations, len(l.proposals))]
+	l.proposals = l.proposals[len(proposals):]
+	if len(l.proposals) == 0 {
+		l.proposals = nil
+	}
+	return proposalBatch{l, proposals, recordCounts}, true
+}
+
+// proposeBatch proposes a batch and tells the planner what was refused. Where the result is not known the leadership is
+// over, and nobody waits for it.
+func (c *Controller) proposeBatch(batch proposalBatch) {
+	entry := logEntry{Term: batch.leadership.term, RecordCounts: batch.recordCounts}
+	for _, proposal := range batch.proposals {
+		if proposal.refusal == nil {
+			entry.Operations = append(entry.Operations, proposal.operation)
+		}
+	}
+	var results []operationResult
+	if len(entry.Operations) > 0 || batch.recordCounts != nil {
+		var err error
+		results, err = c.proposeEntry(entry)
+		if err != nil && !knownNotAgreed(err) {
+			return
+		}
+		if err != nil {
 			c.mu.Lock()
-			if c.leadership == l {
-				now := c.Now()
-				for _, q := range some {
-					err := q.refusal
-					if err == nil {
-						err, all = all[0].err, all[1:]
-						if restsOnExpiry(q.operation) {
-							l.releaseExpiry(q.operation.Node)
-						}
-					}
-					if err != nil {
-						l.planner.OnProposalRefused(now, q.operation, err)
-					}
-				}
-			}
+			batch.leadership.recordCounts.Requeue(batch.recordCounts)
 			c.mu.Unlock()
-			c.waker.Wake()
+		}
+		for len(results) < len(entry.Operations) {
+			results = append(results, operationResult{err: err})
+		}
+	}
+	c.mu.Lock()
+	if c.leadership == batch.leadership {
+		batch.leadership.onBatchResult(c.Now(), batch.proposals, results)
+	}
+	c.mu.Unlock()
+	c.waker.Wake()
+}
+
+// onBatchResult tells the planner which proposals were refused. results are those of the proposals without a refusal, in
+// their order. It is called with Controller.mu.
+func (l *leadership) onBatchResult(now tick.Tick, proposals []queuedProposal, results []operationResult) {
+	for _, proposal := range proposals {
+		err := proposal.refusal
+		if err == nil {
+			err = results[0].err
+			results = results[1:]
+			if restsOnExpiry(proposal.operation) {
+				l.releaseExpiry(proposal.operation.Node)
+			}
+		}
+		if err != nil {
+			l.planner.OnProposalRefused(now, proposal.operation, err)
 		}
 	}
 }
 
-// knownNotAgreed says of an error of apply that the order is not agreed, and that the lead may go on: it waited too long, or
-// another keeper was about to be handed the lead, which may fail.
+// knownNotAgreed reports whether an error of proposeEntry means that the entry is not agreed, and that the leadership may go
+// on: the entry waited too long, or another controller was about to be handed the leadership, which may fail.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// proposeEntry has an order agreed. An error says that it may or may not be, but for those of never: it is not.
-func (c *Controller) proposeEntry(o logEntry) (any, error) {
-	o.FormatVersion = entryVersion
-	text, err := json.Marshal(o)
+// proposeEntry has an entry agreed and applied, and returns the results of its operations. After an error of raft the
+// entry may have been agreed or not, except where knownNotAgreed; errTermEnded and leases.ErrStaleIncarnation mean that it
+// was agreed and changed nothing.
+func (c *Controller) proposeEntry(entry logEntry) ([]operationResult, error) {
+	entry.FormatVersion = entryVersion
+	text, err := json.Marshal(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -108,18 +142,22 @@
 	if r == nil {
 		return nil, raft.ErrNotLeader
 	}
-	f := r.Apply(text, c.timings.ProposalTimeout.Duration())
-	if err := f.Error(); err != nil {
+	future := r.Apply(text, c.timings.ProposalTimeout.Duration())
+	if err := future.Error(); err != nil {
 		return nil, err
 	}
-	if err, is := f.Response().(error); is {
-		return nil, err
+	switch response := future.Response().(type) {
+	case error:
+		return nil, response
+	case []operationResult:
+		return response, nil
 	}
-	return f.Response(), nil
+	return nil, nil
 }
 
-// onApplied has what was agreed told to the planner of the leading keeper, and logged.
-func (c *Controller) onApplied(steps []placement.Operation, all []operationResult) {
+// onApplied tells the leading controller's planner what was applied, and logs it. The state machine calls it for each entry
+// with operations, in their order.
+func (c *Controller) onApplied(ops []placement.Operation, results []operationResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.currentLeadership()
@@ -127,27 +165,34 @@
 		return
 	}
 	now := c.Now()
-	for i, e := range steps {
-		if all[i].err != nil {
+	for i, op := range ops {
+		if results[i].err != nil {
 			continue
 		}
-		p := all[i].assignment
-		metrics.GetOrCreateCounter(fmt.Sprintf("cove_keeper_steps_total{kind=%q}", e.Kind)).Inc()
-		l.expectRenewals(now, p)
-		l.planner.OnAssignment(now, p)
-		switch e.Kind {
-		case placement.OpCreate, placement.OpCutOver, placement.OpFailOver, placement.OpReportIncomplete, placement.OpRestart, placement.OpRelease, placement.OpQuarantine,
-			placement.OpDelete:
-			to := p.Primary
-			if to == "" {
-				to = string(p.State)
-			}
-			if e.Kind == placement.OpDelete {
-				to = "forgotten"
-			}
-			c.Log.Info().Str("event", "placed").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("from", e.Node).
-				Str("to", to).Str("why", e.Reason).Send()
-		}
+		assignment := results[i].assignment
+		metrics.GetOrCreateCounter(fmt.Sprintf("cove_keeper_steps_total{kind=%q}", op.Kind)).Inc()
+		l.expectRenewals(now, assignment)
+		l.planner.OnAssignment(now, assignment)
+		c.logAssignment(op, assignment)
 	}
 	c.waker.Wake()
 }
+
+// logAssignment logs an operation that changed where an instance runs.
+func (c *Controller) logAssignment(op placement.Operation, a placement.Assignment) {
+	switch op.Kind {
+	case placement.OpCreate, placement.OpCutOver, placement.OpFailOver, placement.OpReportIncomplete, placement.OpRestart,
+		placement.OpRelease, placement.OpQuarantine, placement.OpDelete:
+	default:
+		return
+	}
+	to := a.Primary
+	if to == "" {
+		to = string(a.State)
+	}
+	if op.Kind == placement.OpDelete {
+		to = "forgotten"
+	}
+	c.Log.Info().Str("event", "placed").Str("instance", a.Instance).Uint64("epoch", a.Epoch).Str("from", op.Node).
+		Str("to", to).Str("why", op.Reason).Msg("assignment changed")
+}
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/words.go
@@ -217,11 +217,20 @@
 	return m.Term > n.Term || m.Term == n.Term && m.Index > n.Index
 }
 
-// Status of a keeper.
+// The roles of Status.
+const (
+	RoleWaiting   = "waits" // it does not take part in the log yet
+	RoleFollower  = "follower"
+	RoleCandidate = "candidate"
+	RoleLeader    = "leader"
+	RoleStopping  = "ends"
+)
+
+// Status of a controller.
 type Status struct {
 	Version      int                    `json:"v"`
 	Node         string                 `json:"node"`
-	Role         string                 `json:"role"` // waits, follower, candidate, leader
+	Role         string                 `json:"role"` // see the roles above
 	Reason       string                 `json:"why,omitempty"`
 	Leader       string                 `json:"leader,omitempty"`
 	Term         uint64                 `json:"term"`
--- a/internal/peertransport/peers.go
+++ b/internal/peertransport/peers.go
@@ -26,6 +26,13 @@
 	Commands         string // HOST:PORT for commands, of edge units
 }
 
+// The roles of processes, as the operator's file has them.
+const (
+	RoleController = "keeper"
+	RoleEdge       = "edge"
+	RoleRelay      = "relay"
+)
+
 // Kind is what a connection carries.
 type Kind string
 
