--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -165,27 +165,9 @@
 	}
 	der := f.Key
 	if f.Encrypted {
-		if phrase == nil {
-			return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
-		}
-		word, err := phrase()
-		if err != nil {
+		if der, err = f.decrypt(path, phrase); err != nil {
 			return nil, err
 		}
-		if len(word) == 0 {
-			return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
-		}
-		if f.N < 2 || f.N > mostN || f.R < 1 || f.R > 16 || f.P < 1 || f.P > 4 ||
-			len(f.Nonce) != chacha20poly1305.NonceSizeX {
-			return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
-		}
-		box, err := f.box(word)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		if der, err = box.Open(nil, f.Nonce, f.Key, f.bound()); err != nil {
-			return nil, fmt.Errorf("%s: %w", path, ErrPassphrase)
-		}
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(der)
 	private, ok := parsed.(crypto.Signer)
@@ -200,6 +182,33 @@
 	return k, nil
 }
 
+// decrypt opens the sealed private key of an encrypted key file with the pass phrase that phrase returns.
+func (f *file) decrypt(path string, phrase func() ([]byte, error)) ([]byte, error) {
+	if phrase == nil {
+		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
+	}
+	passphrase, err := phrase()
+	if err != nil {
+		return nil, err
+	}
+	if len(passphrase) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
+	}
+	if f.N < 2 || f.N > mostN || f.R < 1 || f.R > 16 || f.P < 1 || f.P > 4 ||
+		len(f.Nonce) != chacha20poly1305.NonceSizeX {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	box, err := f.box(passphrase)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	der, err := box.Open(nil, f.Nonce, f.Key, f.bound())
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, ErrPassphrase)
+	}
+	return der, nil
+}
+
 func readFile(path string) (*file, error) {
 	in, err := os.Open(path)
 	if err != nil {
--- a/internal/operatorconfig/conf.go
+++ b/internal/operatorconfig/conf.go
@@ -271,8 +271,6 @@
 // read reads one value; fault says what is wrong and what is allowed.
 func (v *Value) read(s string) (got any, fault string) {
 	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.allowed()) }
-	var f float64
-	ok := true
 	switch v.Kind {
 	case Word:
 		return s, emptyFault(s, v.Name)
@@ -282,17 +280,12 @@
 		}
 		return s, emptyFault(s, v.Name)
 	case Name:
-		bad := func(r rune) bool {
-			return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(".-_", r))
-		}
-		if s == "" || len(s) > 128 || strings.ContainsFunc(s, bad) || strings.Trim(s, ".") == "" {
+		if !isName(s) {
 			return nil, wrong()
 		}
 		return s, ""
 	case Address:
-		host, port, err := net.SplitHostPort(s)
-		if n, good := number(port, map[string]float64{"": 1}); err != nil || host == "" || !good || n < 0 || n > 65535 ||
-			n != math.Trunc(n) {
+		if !isAddress(s) {
 			return nil, wrong()
 		}
 		return s, ""
@@ -301,6 +294,45 @@
 			return nil, wrong()
 		}
 		return s, ""
+	}
+	f, ok := v.quantity(s)
+	if !ok || (v.Min != 0 || v.Max != 0) && (f < v.Min || f > v.Max) {
+		return nil, wrong()
+	}
+	return f, ""
+}
+
+const (
+	maxNameLength = 128 // bytes
+	maxPort       = 65535
+)
+
+// isName tells whether s may be a value of kind Name.
+func isName(s string) bool {
+	if s == "" || len(s) > maxNameLength || strings.Trim(s, ".") == "" {
+		return false
+	}
+	return !strings.ContainsFunc(s, func(r rune) bool { return !isNameRune(r) })
+}
+
+func isNameRune(r rune) bool {
+	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(".-_", r)
+}
+
+// isAddress tells whether s is HOST:PORT with a port in figures.
+func isAddress(s string) bool {
+	host, port, err := net.SplitHostPort(s)
+	if err != nil || host == "" {
+		return false
+	}
+	n, ok := number(port, map[string]float64{"": 1})
+	return ok && n >= 0 && n <= maxPort && n == math.Trunc(n)
+}
+
+// quantity reads a value of one of the kinds that are figures; its range is not checked yet. A kind that is no figure
+// yields 0.
+func (v *Value) quantity(s string) (f float64, ok bool) {
+	switch v.Kind {
 	case Number:
 		f, ok = number(s, map[string]float64{"": 1})
 		ok = ok && f == math.Trunc(f)
@@ -315,11 +347,10 @@
 	case Fraction:
 		f, ok = number(s, map[string]float64{"": 1, "%": 0.01})
 		ok = ok && f >= 0 && f <= 1
+	default:
+		ok = true
 	}
-	if !ok || (v.Min != 0 || v.Max != 0) && (f < v.Min || f > v.Max) {
-		return nil, wrong()
-	}
-	return f, ""
+	return f, ok
 }
 
 func emptyFault(s, name string) string {
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -8,6 +8,7 @@
 package operatorconfig
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -91,7 +92,8 @@
 	}
 	t, err := grammar().ParseString(name, string(content)+"\n")
 	if err != nil {
-		if p, ok := err.(participle.Error); ok {
+		var p participle.Error
+		if errors.As(err, &p) {
 			return nil, at(p.Position(), "", "%s", explain(p.Message()))
 		}
 		return nil, err
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -5,8 +5,6 @@
 	"strings"
 )
 
-const most = 1 << 40 // a bound for sizes and numbers that have no other
-
 var (
 	opType = []Value{{Name: "target", Kind: Duration, Min: 0.001, Max: 600},
 		{Name: "timeout", Kind: Duration, Min: 0.001, Max: 3600}, {Name: "importance", Kind: Number, Min: 1, Max: 100}}
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -370,7 +370,7 @@
 	return all, nil
 }
 
-// File name of a target in a repository with consistent snapshots (specification 3.1.2): HASH.NAME.
+// StoredName is the file name of a target in a repository with consistent snapshots (specification 3.1.2): HASH.NAME.
 func (r *Repository) StoredName(t *Target) string {
 	if !r.root.Signed.ConsistentSnapshot {
 		return t.Path
@@ -512,8 +512,8 @@
 	return to(p)
 }
 
-// Done: every byte was passed on.
+// Done tells that every byte was passed on.
 func (b *TargetReader) Done() bool { return b.at == b.of.Length && len(b.kept) == 0 }
 
-// Corrupt: what was passed on cannot become right any more.
+// Corrupt tells that what was passed on cannot become right any more.
 func (b *TargetReader) Corrupt() bool { return b.bad }
