--- /dev/null
+++ b/internal/controller/planner_host.go
@@ -0,0 +1,45 @@
+package controller
+
+import (
+	"silvercove/internal/placement"
+)
+
+// plannerHost is the Host of the planner of one span of leadership. Its methods are called with Controller.mu.
+type plannerHost struct {
+	controller *Controller
+	leadership *leadership
+}
+
+// restsOnExpiry reports whether an operation may be agreed only while the lease of its Node is over.
+func restsOnExpiry(op placement.Operation) bool {
+	switch op.Kind {
+	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
+		return op.Node != ""
+	}
+	return false
+}
+
+// Propose queues an operation. One too many is dropped: the planner proposes it again at a later tick.
+func (h plannerHost) Propose(op placement.Operation) {
+	if len(h.leadership.proposals) >= maxQueuedOperations {
+		return
+	}
+	op.Version = placement.FormatVersion
+	proposal := queuedProposal{operation: op}
+	if restsOnExpiry(op) {
+		proposal.refusal = h.leadership.holdExpiry(h.controller.Now(), op.Node)
+		if proposal.refusal != nil {
+			h.controller.Log.Error().Str("event", "refused").Str("instance", op.Instance).Err(proposal.refusal).
+				Msg("planned operation refused")
+		}
+	}
+	h.leadership.proposals = append(h.leadership.proposals, proposal)
+	h.controller.wakeProposer()
+}
+
+// Log notes a decision of the planner.
+func (h plannerHost) Log(text string) {
+	decisions := append(h.leadership.decisions, text)
+	h.leadership.decisions = decisions[max(0, len(decisions)-maxRecentDecisions):]
+	h.controller.Log.Info().Str("event", "plans").Str("why", text).Msg("planner decision")
+}
--- /dev/null
+++ b/internal/controller/proposals.go
@@ -0,0 +1,198 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/hashicorp/raft"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+// queuedProposal is an operation of the planner's that waits to be proposed.
+type queuedProposal struct {
+	operation placement.Operation
+	refusal   error // why it is refused before it is proposed, nil: it is not
+}
+
+// proposalBatch is what one entry of the log is made of.
+type proposalBatch struct {
+	leadership   *leadership
+	proposals    []queuedProposal
+	recordCounts map[string]uint64 // by edge node; nil: none are due
+}
+
+// wakeProposer has runProposer look for something to propose.
+func (c *Controller) wakeProposer() {
+	select {
+	case c.proposalQueued <- struct{}{}:
+	default:
+	}
+}
+
+// runProposer proposes the planner's operations until the context ends, many in one entry.
+func (c *Controller) runProposer(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-c.proposalQueued:
+		}
+		for {
+			batch, ok := c.nextBatch()
+			if !ok {
+				break
+			}
+			c.proposeBatch(batch)
+		}
+	}
+}
+
+// nextBatch takes what is due from the queue; ok is false where nothing is, or another controller leads.
+func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	l := c.currentLeadership()
+	if l == nil {
+		return batch, false
+	}
+	recordCounts := l.recordCounts.Due(c.Now())
+	if len(l.proposals) == 0 && recordCounts == nil {
+		return batch, false
+	}
+	proposals := l.proposals[:min(maxEntryOperations, len(l.proposals))]
+	l.proposals = l.proposals[len(proposals):]
+	if len(l.proposals) == 0 {
+		l.proposals = nil
+	}
+	return proposalBatch{l, proposals, recordCounts}, true
+}
+
+// proposeBatch proposes a batch and tells the planner what was refused. Where the result is not known the leadership is
+// over, and nobody waits for it.
+func (c *Controller) proposeBatch(batch proposalBatch) {
+	entry := logEntry{Term: batch.leadership.term, RecordCounts: batch.recordCounts}
+	for _, proposal := range batch.proposals {
+		if proposal.refusal == nil {
+			entry.Operations = append(entry.Operations, proposal.operation)
+		}
+	}
+	var results []operationResult
+	if len(entry.Operations) > 0 || batch.recordCounts != nil {
+		var err error
+		results, err = c.proposeEntry(entry)
+		if err != nil && !knownNotAgreed(err) {
+			return
+		}
+		if err != nil {
+			c.mu.Lock()
+			batch.leadership.recordCounts.Requeue(batch.recordCounts)
+			c.mu.Unlock()
+		}
+		for len(results) < len(entry.Operations) {
+			results = append(results, operationResult{err: err})
+		}
+	}
+	c.mu.Lock()
+	if c.leadership == batch.leadership {
+		batch.leadership.onBatchResult(c.Now(), batch.proposals, results)
+	}
+	c.mu.Unlock()
+	c.waker.Wake()
+}
+
+// onBatchResult tells the planner which proposals were refused. results are those of the proposals without a refusal, in
+// their order. It is called with Controller.mu.
+func (l *leadership) onBatchResult(now tick.Tick, proposals []queuedProposal, results []operationResult) {
+	for _, proposal := range proposals {
+		err := proposal.refusal
+		if err == nil {
+			err = results[0].err
+			results = results[1:]
+			if restsOnExpiry(proposal.operation) {
+				l.releaseExpiry(proposal.operation.Node)
+			}
+		}
+		if err != nil {
+			l.planner.OnProposalRefused(now, proposal.operation, err)
+		}
+	}
+}
+
+// knownNotAgreed reports whether an error of proposeEntry means that the entry is not agreed, and that the leadership may go
+// on: the entry waited too long, or another controller was about to be handed the leadership, which may fail.
+func knownNotAgreed(err error) bool {
+	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
+}
+
+// proposeEntry has an entry agreed and applied, and returns the results of its operations. After an error of raft the
+// entry may have been agreed or not, except where knownNotAgreed; errTermEnded and leases.ErrStaleIncarnation mean that it
+// was agreed and changed nothing.
+func (c *Controller) proposeEntry(entry logEntry) ([]operationResult, error) {
+	entry.FormatVersion = entryVersion
+	text, err := json.Marshal(entry)
+	if err != nil {
+		return nil, err
+	}
+	r := c.raft.Load()
+	if r == nil {
+		return nil, raft.ErrNotLeader
+	}
+	future := r.Apply(text, c.timings.ProposalTimeout.Duration())
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	switch response := future.Response().(type) {
+	case error:
+		return nil, response
+	case []operationResult:
+		return response, nil
+	}
+	return nil, nil
+}
+
+// onApplied tells the leading controller's planner what was applied, and logs it. The state machine calls it for each entry
+// with operations, in their order.
+func (c *Controller) onApplied(ops []placement.Operation, results []operationResult) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	l := c.currentLeadership()
+	if l == nil {
+		return
+	}
+	now := c.Now()
+	for i, op := range ops {
+		if results[i].err != nil {
+			continue
+		}
+		assignment := results[i].assignment
+		metrics.GetOrCreateCounter(fmt.Sprintf("cove_keeper_steps_total{kind=%q}", op.Kind)).Inc()
+		l.expectRenewals(now, assignment)
+		l.planner.OnAssignment(now, assignment)
+		c.logAssignment(op, assignment)
+	}
+	c.waker.Wake()
+}
+
+// logAssignment logs an operation that changed where an instance runs.
+func (c *Controller) logAssignment(op placement.Operation, a placement.Assignment) {
+	switch op.Kind {
+	case placement.OpCreate, placement.OpCutOver, placement.OpFailOver, placement.OpReportIncomplete, placement.OpRestart,
+		placement.OpRelease, placement.OpQuarantine, placement.OpDelete:
+	default:
+		return
+	}
+	to := a.Primary
+	if to == "" {
+		to = string(a.State)
+	}
+	if op.Kind == placement.OpDelete {
+		to = "forgotten"
+	}
+	c.Log.Info().Str("event", "placed").Str("instance", a.Instance).Uint64("epoch", a.Epoch).Str("from", op.Node).
+		Str("to", to).Str("why", op.Reason).Msg("assignment changed")
+}
