--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -128,6 +128,8 @@
 	for _, page := range []string{
 		"architecture.md", "glossary.md", "oncall.md", "design.md", "relay.md", "fleet.md", "capacity.md",
 		"verdicts-design.md", "verdicts.md", "metadata-design.md", "metadata.md",
+		"fleet-failure-design.md", "fleet-failure.md", "fleet-recovery.md", "fleet-size.md", "fleet-timelines.md",
+		"overload-design.md", "device-health.md", "operators-file.md",
 	} {
 		text, err := os.ReadFile(page)
 		if err != nil {
