--- a/cmd/silvercovectl/fleet_ask.go
+++ b/cmd/silvercovectl/fleet_ask.go
@@ -82,10 +82,10 @@
 		return "", err
 	case a.SQLState == pgwire.StateTooManyConnections:
 		return "", fmt.Errorf("%w: SQLSTATE %s", errRefused, a.SQLState)
-	case a.SQLState != pgwire.StateSuccess || len(a.Rows) != 3:
+	case a.SQLState != pgwire.StateSuccess || len(a.RowMessages) != 3:
 		return "", fmt.Errorf("failed, it may have run: SQLSTATE %s", a.SQLState)
 	}
-	value, ok := pgwire.RowValue(in[a.Rows[1][0]:a.Rows[1][1]])
+	value, ok := pgwire.RowValue(a.RowMessages[1].Of(in))
 	if !ok {
 		return "", fmt.Errorf("the answer holds no value")
 	}
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -66,7 +66,7 @@
 // newRequest is the dispatcher's request of a query. It times out before the process may be killed, which would find it
 // unanswered.
 func (s *session) newRequest(query *pgwire.Query) dispatch.Request {
-	timeout := time.Duration(query.WaitMs) * time.Millisecond
+	timeout := query.Timeout
 	s.server.mu.Lock()
 	if !s.server.stopAt.IsZero() {
 		timeout = min(timeout, s.server.stopAt.Sub(s.receivedAt))
@@ -78,7 +78,7 @@
 		Key:           query.Key,
 		ReceivedAt:    s.receivedAt,
 		Timeout:       timeout,
-		EstimatedWork: time.Duration(query.EstimatedWorkUs) * time.Microsecond,
+		EstimatedWork: query.EstimatedWork,
 		Write:         query.Write,
 		ClientRetry:   query.ClientRetry,
 		ClientClosed:  s.conn.PeerClosed,
@@ -170,7 +170,7 @@
 	select {
 	case <-turn:
 	default:
-		rows := bytes.Join(reply.Rows, nil)
+		rows := bytes.Join(reply.RowMessages, nil)
 		if s.server.buffers.Reserve(len(rows)) {
 			defer s.server.buffers.Release(len(rows))
 			reply.Release()
@@ -179,7 +179,7 @@
 		}
 	}
 	<-turn
-	s.conn.Append(reply.Rows...)
+	s.conn.Append(reply.RowMessages...)
 	reply.Release()
 	s.writeReply(id, turn)
 }
--- a/internal/edgenode/commands.go
+++ b/internal/edgenode/commands.go
@@ -201,7 +201,7 @@
 
 // ask has a command carried out by the owner's decision.
 func (e *Node) ask(ctx context.Context, q *pgwire.Query) replica.Response {
-	wait := min(time.Duration(q.WaitMs)*time.Millisecond, mostWait)
+	wait := min(q.Timeout, mostWait)
 	c := &replica.Request{ID: q.ID, Instance: q.Key, Write: q.Write, Body: q.Value()}
 	done := make(chan replica.Response, 1)
 	e.mu.Lock()
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -3,106 +3,147 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"encoding/hex"
 	"strconv"
+	"time"
 )
 
-// Query is one command as a client's statement words it.
+// Query is one request as a client's statement words it: a SELECT or an INSERT of one key, and a comment with the names and
+// values that say how it is to be routed.
 type Query struct {
-	Write           bool
-	Key             string
-	ID              string
-	Class           string
-	Tenant          string
-	WaitMs          int64 // how long the client waits, counted from when it sent
-	EstimatedWorkUs int64 // its guess at the work; 0: none
-	ClientRetry     bool
-
-	text     []byte // the statement
-	from, to int    // where the value of d stands in it
+	Write         bool
+	Key           string
+	ID            string        // the client's, of the request
+	Class         string        // the request class
+	Tenant        string        // empty where none is named
+	Timeout       time.Duration // how long the client waits, counted from when it sent
+	EstimatedWork time.Duration // the client's guess; 0: none
+	ClientRetry   bool          // the client has sent it before
+
+	text    []byte // the statement
+	timeout Span   // where the value of the timeout stands in it
+}
+
+// Names in the comment.
+const (
+	nameID            = "id"
+	nameClass         = "c"
+	nameTenant        = "t"
+	nameTimeout       = "d" // milliseconds
+	nameEstimatedWork = "h" // microseconds
+	nameClientRetry   = "r" // 1: it is one
+)
+
+// QueryError is why a query is refused.
+type QueryError struct {
+	SQLState string
+	Text     string // for the client
 }
 
-// QueryError is why a query is turned down: a SQLSTATE and a few words.
-type QueryError struct{ SQLState, Text string }
+// Error is the code and the text.
+func (e *QueryError) Error() string { return e.SQLState + " " + e.Text }
 
-func (f *QueryError) Error() string { return f.SQLState + " " + f.Text }
+func errOtherStatement() *QueryError {
+	return &QueryError{StateSyntaxError, "no statement of the two forms"}
+}
 
-var (
-	selects = [2]string{"SELECT content FROM kv WHERE name = '", "' /* "}
-	inserts = [3]string{"INSERT INTO kv (name, content) VALUES ('", `', '\x`, "') RETURNING content /* "}
+// The two forms of a statement: SELECT up to its key and behind it, and INSERT up to its key, between key and value, and
+// behind the value.
+const (
+	selectBeforeKey   = "SELECT content FROM kv WHERE name = '"
+	selectAfterKey    = "' /* "
+	insertBeforeKey   = "INSERT INTO kv (name, content) VALUES ('"
+	insertBeforeValue = `', '\x`
+	insertAfterValue  = "') RETURNING content /* "
+	commentEnd        = " */"
 )
 
-// ParseQuery reads a statement of one of the two forms. Names of the comment may come in any order.
+const maxKey = 256 // bytes
+
+// ParseQuery reads a statement of one of the two forms, which the query keeps. The names of the comment may come in any
+// order; unknown ones are ignored.
 func ParseQuery(text []byte) (*Query, *QueryError) {
 	q := &Query{text: text}
-	at, ok := 0, false
+	commentStart, fault := q.parseStatement()
+	if fault != nil {
+		return nil, fault
+	}
+	comment, ok := bytes.CutSuffix(text[commentStart:], []byte(commentEnd))
+	if !ok || bytes.Contains(comment, []byte("*/")) {
+		return nil, &QueryError{StateSyntaxError, "the comment does not end the statement"}
+	}
+	return q, q.parseComment(Span{commentStart, commentStart + len(comment)})
+}
+
+// parseStatement reads the statement up to its comment, and gives where that starts.
+func (q *Query) parseStatement() (commentStart int, fault *QueryError) {
 	switch {
-	case bytes.HasPrefix(text, []byte(selects[0])):
-		at = len(selects[0])
-		if q.Key, at, ok = quoted(text, at, selects[1]); !ok {
-			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
+	case bytes.HasPrefix(q.text, []byte(selectBeforeKey)):
+		end, ok := q.parseKey(len(selectBeforeKey), selectAfterKey)
+		if !ok {
+			return 0, errOtherStatement()
 		}
-	case bytes.HasPrefix(text, []byte(inserts[0])):
+		return end, nil
+	case bytes.HasPrefix(q.text, []byte(insertBeforeKey)):
 		q.Write = true
-		at = len(inserts[0])
-		if q.Key, at, ok = quoted(text, at, inserts[1]); !ok {
-			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
-		}
-		n := 0
-		for at+n < len(text) && hex(text[at+n]) {
-			n++
-		}
-		if n%2 != 0 || !bytes.HasPrefix(text[at+n:], []byte(inserts[2])) {
-			return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
-		}
-		if n/2 > MaxValue {
-			return nil, &QueryError{StateLimitExceeded, "the value is longer than 64 KiB"}
+		valueStart, ok := q.parseKey(len(insertBeforeKey), insertBeforeValue)
+		if !ok {
+			return 0, errOtherStatement()
 		}
-		at += n + len(inserts[2])
-	default:
-		return nil, &QueryError{StateSyntaxError, "no statement of the two forms"}
+		return q.skipValue(valueStart)
 	}
-	end, ok := bytes.CutSuffix(text[at:], []byte(" */"))
-	if !ok || bytes.Contains(end, []byte("*/")) {
-		return nil, &QueryError{StateSyntaxError, "the comment does not end the statement"}
+	return 0, errOtherStatement()
+}
+
+// parseKey reads the key, a plain name up to its quote, which some text must follow. It gives where that ends.
+func (q *Query) parseKey(start int, follows string) (end int, ok bool) {
+	size := bytes.IndexByte(q.text[start:], '\'')
+	if size < 0 || size > maxKey || !bytes.HasPrefix(q.text[start+size:], []byte(follows)) {
+		return 0, false
 	}
-	return q, q.names(at, at+len(end))
+	q.Key = string(q.text[start : start+size])
+	return start + size + len(follows), true
 }
 
-// names reads the comment's names and values.
-func (q *Query) names(at, end int) *QueryError {
+// skipValue checks the value of an INSERT, whole bytes in hexadecimal, and gives where the comment starts.
+func (q *Query) skipValue(start int) (commentStart int, fault *QueryError) {
+	digits := 0
+	for start+digits < len(q.text) && isHexDigit(q.text[start+digits]) {
+		digits++
+	}
+	end := start + digits
+	if digits%2 != 0 || !bytes.HasPrefix(q.text[end:], []byte(insertAfterValue)) {
+		return 0, errOtherStatement()
+	}
+	if hex.DecodedLen(digits) > MaxValue {
+		return 0, &QueryError{StateLimitExceeded, "the value is longer than 64 KiB"}
+	}
+	return end + len(insertAfterValue), nil
+}
+
+func isHexDigit(c byte) bool {
+	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
+}
+
+// parseComment reads the comment's names and values.
+func (q *Query) parseComment(comment Span) *QueryError {
 	seen := map[string]bool{}
-	for at <= end {
-		stop := end
+	for at := comment.Start; at <= comment.End; {
+		end := comment.End
 		if i := bytes.IndexByte(q.text[at:end], ','); i >= 0 {
-			stop = at + i
+			end = at + i
 		}
-		name, value, ok := bytes.Cut(q.text[at:stop], []byte("="))
+		name, value, ok := bytes.Cut(q.text[at:end], []byte("="))
 		if !ok || len(name) == 0 || seen[string(name)] {
 			return &QueryError{StateSyntaxError, "the comment holds no list of names and values"}
 		}
 		seen[string(name)] = true
-		bad := false
-		switch string(name) {
-		case "id":
-			q.ID, bad = string(value), len(value) == 0
-		case "c":
-			q.Class = string(value)
-		case "t":
-			q.Tenant = string(value)
-		case "d":
-			q.from, q.to = stop-len(value), stop
-			q.WaitMs, bad = number(value)
-		case "h":
-			q.EstimatedWorkUs, bad = number(value)
-		case "r":
-			q.ClientRetry = string(value) == "1"
-		}
-		if bad {
+		if !q.set(string(name), value, end) {
 			return &QueryError{StateInvalidParameter, "bad value of " + string(name) + " in the comment"}
 		}
-		at = stop + 1
+		at = end + 1
 	}
-	for _, name := range []string{"id", "c", "d"} {
+	for _, name := range []string{nameID, nameClass, nameTimeout} {
 		if !seen[name] {
 			return &QueryError{StateInvalidParameter, "the comment names no " + name}
 		}
@@ -110,55 +151,68 @@
 	return nil
 }
 
-// number reads a whole number; a fraction is dropped.
-func number(value []byte) (n int64, bad bool) {
+// set takes one value of the comment, which ends at a place in the statement; false: it is a bad one.
+func (q *Query) set(name string, value []byte, end int) (ok bool) {
+	switch name {
+	case nameID:
+		q.ID = string(value)
+		return len(value) > 0
+	case nameClass:
+		q.Class = string(value)
+	case nameTenant:
+		q.Tenant = string(value)
+	case nameTimeout:
+		q.timeout = Span{end - len(value), end}
+		q.Timeout, ok = parseDuration(value, time.Millisecond)
+		return ok
+	case nameEstimatedWork:
+		q.EstimatedWork, ok = parseDuration(value, time.Microsecond)
+		return ok
+	case nameClientRetry:
+		q.ClientRetry = string(value) == "1"
+	}
+	return true
+}
+
+// durationBits bounds the number of a duration, so that it fits in any unit up to a millisecond.
+const durationBits = 40
+
+// parseDuration reads a number of units; a fraction is dropped.
+func parseDuration(value []byte, unit time.Duration) (d time.Duration, ok bool) {
 	whole, fraction, _ := bytes.Cut(value, []byte("."))
-	for _, c := range append(bytes.Clone(whole), fraction...) {
-		if c < '0' || c > '9' {
-			return 0, true
-		}
+	if !isDigits(whole) || !isDigits(fraction) {
+		return 0, false
 	}
-	n, err := strconv.ParseInt(string(whole), 10, 40)
-	return n, err != nil
+	n, err := strconv.ParseInt(string(whole), 10, durationBits)
+	return time.Duration(n) * unit, err == nil
 }
 
-// quoted reads a plain name up to its quote, which what must follow.
-func quoted(text []byte, at int, follows string) (string, int, bool) {
-	const longest = 256
-	n := bytes.IndexByte(text[at:], '\'')
-	if n < 0 || n > longest || !bytes.HasPrefix(text[at+n:], []byte(follows)) {
-		return "", 0, false
+func isDigits(text []byte) bool {
+	for _, c := range text {
+		if c < '0' || c > '9' {
+			return false
+		}
 	}
-	return string(text[at : at+n]), at + n + len(follows), true
+	return true
 }
 
-// Value is the value that a write's statement holds.
+// Value is the value that a write's statement holds; nil for a read.
 func (q *Query) Value() []byte {
 	if !q.Write {
 		return nil
 	}
-	text := q.text[len(inserts[0])+len(q.Key)+len(inserts[1]):]
-	end := bytes.IndexByte(text, '\'')
-	content := make([]byte, end/2)
-	for i := range content {
-		content[i] = digit(text[2*i])<<4 | digit(text[2*i+1])
-	}
-	return content
+	digits := q.text[len(insertBeforeKey)+len(q.Key)+len(insertBeforeValue):]
+	digits = digits[:bytes.IndexByte(digits, '\'')]
+	value := make([]byte, hex.DecodedLen(len(digits)))
+	_, _ = hex.Decode(value, digits) // ParseQuery has checked the digits
+	return value
 }
 
-func digit(c byte) byte {
-	if c <= '9' {
-		return c - '0'
-	}
-	return c&^0x20 - 'A' + 10
-}
-
-func hex(c byte) bool { return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' }
-
-// Forward is the query for a unit, as it came but for d, in pieces to be written one after another.
-func (q *Query) Forward(waitMs int64) [][]byte {
-	d := strconv.AppendInt(nil, max(1, waitMs), 10)
-	size := 4 + q.from + len(d) + len(q.text) - q.to + 1
-	start := binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(size))
-	return [][]byte{start, q.text[:q.from], d, q.text[q.to:], {0}}
+// Forward is the Query message for a backend, as it came but for the timeout, in pieces to be written one after another. The
+// timeout is rounded down to milliseconds, and up to one.
+func (q *Query) Forward(timeout time.Duration) [][]byte {
+	milliseconds := strconv.AppendInt(nil, max(1, timeout.Milliseconds()), 10)
+	length := lengthSize + len(q.text) - q.timeout.size() + len(milliseconds) + 1
+	header := binary.BigEndian.AppendUint32([]byte{FrontendQuery}, uint32(length))
+	return [][]byte{header, q.text[:q.timeout.Start], milliseconds, q.text[q.timeout.End:], {0}}
 }
--- /dev/null
+++ b/internal/pgwire/response.go
@@ -0,0 +1,219 @@
+package pgwire
+
+import (
+	"bytes"
+	"encoding/binary"
+	"strconv"
+)
+
+// Response reads what a backend answers to one query, or to the startup message. Its zero value is ready for the first byte.
+type Response struct {
+	SQLState    string // StateSuccess for a row with its end or an empty query, else the code of an error; empty while there is none
+	Load        string // the load report, if one came along
+	RowMessages []Span // RowDescription, DataRow and CommandComplete, counted from the reply's start
+	Ready       bool   // the backend waits for the next query
+	Fatal       bool   // the backend ends the connection
+	Consumed    int    // bytes read so far
+
+	stage         rowStage
+	otherMessages int
+}
+
+// rowStage is how much of a row has come.
+type rowStage uint8
+
+const (
+	noRow rowStage = iota
+	rowDescribed
+	rowData
+	rowComplete
+)
+
+// Read goes on with all bytes of a reply from its start on, up to the end that makes it Ready or Fatal. The error is
+// ErrMalformed or ErrTooLong.
+func (r *Response) Read(buf []byte) error {
+	for !r.Ready && !r.Fatal {
+		messageType, size, err := header(buf[r.Consumed:], maxBackendMessage)
+		if err != nil {
+			return err
+		}
+		message := Span{r.Consumed, r.Consumed + size}
+		if size == 0 || message.End > len(buf) {
+			return nil
+		}
+		if err := r.readMessage(messageType, message, buf[message.Start+HeaderSize:message.End]); err != nil {
+			return err
+		}
+		r.Consumed = message.End
+	}
+	return nil
+}
+
+// Need is how many bytes in all are needed to go on.
+func (r *Response) Need(buf []byte) int {
+	if _, size, err := header(buf[r.Consumed:], maxBackendMessage); err == nil && size > 0 {
+		return r.Consumed + size
+	}
+	return r.Consumed + HeaderSize
+}
+
+func (r *Response) readMessage(messageType byte, message Span, body []byte) error {
+	switch messageType {
+	case BackendRowDescription:
+		return r.advanceRow(noRow, message, isOneColumn(body))
+	case BackendDataRow:
+		return r.advanceRow(rowDescribed, message, isOneValue(body))
+	case BackendCommandComplete:
+		if err := r.advanceRow(rowData, message, isTerminated(body)); err != nil {
+			return err
+		}
+		r.SQLState = StateSuccess
+	case BackendErrorResponse:
+		return r.readError(body)
+	case BackendEmptyQueryResponse:
+		if r.SQLState != "" || r.stage != noRow {
+			return ErrMalformed
+		}
+		r.SQLState = StateSuccess
+	case BackendReadyForQuery:
+		if len(body) != 1 || r.stage != noRow && r.SQLState == "" {
+			return ErrMalformed
+		}
+		r.Ready = true
+	case BackendAuthentication:
+		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
+			return ErrMalformed // a password is asked for
+		}
+		return r.countOther()
+	case BackendParameterStatus:
+		r.readParameter(body)
+		return r.countOther()
+	case BackendNoticeResponse, BackendKeyData:
+		return r.countOther()
+	default:
+		return ErrMalformed
+	}
+	return nil
+}
+
+// advanceRow takes the next message of a row, which comes once the row is at a stage.
+func (r *Response) advanceRow(from rowStage, message Span, wellFormed bool) error {
+	if r.SQLState != "" || r.stage != from || !wellFormed {
+		return ErrMalformed
+	}
+	r.stage = from + 1
+	r.RowMessages = append(r.RowMessages, message)
+	return nil
+}
+
+// readError takes an ErrorResponse, which also may come after a part of a row.
+func (r *Response) readError(body []byte) error {
+	sqlState, severity := errorFields(body)
+	if r.SQLState != "" || len(sqlState) != sqlStateSize || sqlState == StateSuccess {
+		return ErrMalformed
+	}
+	r.SQLState = sqlState
+	r.Fatal = severity == SeverityFatal || severity == SeverityPanic
+	return nil
+}
+
+// loadParameter is the parameter in which a backend reports its load.
+const loadParameter = "server_load"
+
+func (r *Response) readParameter(body []byte) {
+	name, value, ok := bytes.Cut(body, []byte{0})
+	if ok && string(name) == loadParameter {
+		r.Load = string(bytes.TrimRight(value, "\x00"))
+	}
+}
+
+// countOther bounds the messages that a reply may hold beside the row.
+func (r *Response) countOther() error {
+	r.otherMessages++
+	if r.otherMessages > maxOtherMessages {
+		return ErrTooLong
+	}
+	return nil
+}
+
+const (
+	columnCountSize     = 2
+	valueLengthSize     = 4
+	nullLength          = -1 // of a value that is NULL
+	columnAttributeSize = 18 // of a column's description behind its name
+)
+
+// isOneColumn checks the body of a RowDescription.
+func isOneColumn(body []byte) bool {
+	name := bytes.IndexByte(body[min(columnCountSize, len(body)):], 0)
+	return name >= 0 && binary.BigEndian.Uint16(body) == 1 && len(body) == columnCountSize+name+1+columnAttributeSize
+}
+
+// isOneValue checks the body of a DataRow.
+func isOneValue(body []byte) bool {
+	const fixed = columnCountSize + valueLengthSize
+	if len(body) < fixed || binary.BigEndian.Uint16(body) != 1 {
+		return false
+	}
+	length := int32(binary.BigEndian.Uint32(body[columnCountSize:]))
+	if length == nullLength {
+		return len(body) == fixed
+	}
+	return int(length) == len(body)-fixed && length <= MaxValue
+}
+
+// isTerminated checks the body of a CommandComplete.
+func isTerminated(body []byte) bool { return len(body) > 0 && body[len(body)-1] == 0 }
+
+// errorFields picks the code and the severity of an ErrorResponse, the one that is never localised if there is one.
+func errorFields(body []byte) (sqlState, severity string) {
+	for len(body) > 1 {
+		value, rest, ok := bytes.Cut(body[1:], []byte{0})
+		if !ok {
+			return "", ""
+		}
+		switch body[0] {
+		case fieldSQLState:
+			sqlState = string(value)
+		case fieldSeverity:
+			if severity == "" {
+				severity = string(value)
+			}
+		case fieldPlainSeverity:
+			severity = string(value)
+		}
+		body = rest
+	}
+	return sqlState, severity
+}
+
+// RowValue is the one column of a whole DataRow message; false where it is NULL or the message makes no sense.
+func RowValue(row []byte) ([]byte, bool) {
+	const fixed = HeaderSize + columnCountSize + valueLengthSize
+	if len(row) < fixed || row[0] != BackendDataRow || binary.BigEndian.Uint16(row[HeaderSize:]) != 1 {
+		return nil, false
+	}
+	length := int32(binary.BigEndian.Uint32(row[HeaderSize+columnCountSize:]))
+	if int64(len(row)) != fixed+int64(length) {
+		return nil, false
+	}
+	return row[fixed:], true
+}
+
+// ParseLoad turns a load report, name=value pairs set apart by commas, into the values of the named columns in their order.
+// Columns without a number are 0; without a report the values are nil.
+func ParseLoad(report string, columns []string) []float64 {
+	if report == "" {
+		return nil
+	}
+	values := make([]float64, len(columns))
+	for pair := range bytes.SplitSeq([]byte(report), []byte(",")) {
+		name, value, _ := bytes.Cut(pair, []byte("="))
+		for i, column := range columns {
+			if column == string(name) {
+				values[i], _ = strconv.ParseFloat(string(value), 64) // what is no number counts as 0
+			}
+		}
+	}
+	return values
+}
--- /dev/null
+++ b/internal/pgwire/write.go
@@ -0,0 +1,72 @@
+package pgwire
+
+import "encoding/binary"
+
+// transactionIdle is the status in ReadyForQuery outside of a transaction.
+const transactionIdle = 'I'
+
+// ReadyForQuery is the ReadyForQuery message, outside of a transaction.
+func ReadyForQuery() []byte {
+	return appendMessage(nil, BackendReadyForQuery, []byte{transactionIdle})
+}
+
+// EmptyQueryResponse answers the empty query.
+func EmptyQueryResponse() []byte {
+	return append(appendMessage(nil, BackendEmptyQueryResponse, nil), ReadyForQuery()...)
+}
+
+// Terminate is the message that ends a session.
+func Terminate() []byte { return appendMessage(nil, FrontendTerminate, nil) }
+
+// Fields of an ErrorResponse (PostgreSQL manual, "Error and Notice Message Fields").
+const (
+	fieldSeverity          = 'S' // may be localised
+	fieldPlainSeverity     = 'V' // never is
+	fieldSQLState          = 'C'
+	fieldMessage           = 'M'
+	fieldDetail            = 'D'
+	errorResponseSizeGuess = 64 // bytes
+)
+
+// ErrorResponse is an ErrorResponse message. The detail is left out if it is empty.
+func ErrorResponse(severity, sqlState, text, detail string) []byte {
+	body := make([]byte, 0, errorResponseSizeGuess)
+	body = appendField(body, fieldSeverity, severity)
+	body = appendField(body, fieldPlainSeverity, severity)
+	body = appendField(body, fieldSQLState, sqlState)
+	body = appendField(body, fieldMessage, text)
+	if detail != "" {
+		body = appendField(body, fieldDetail, detail)
+	}
+	return appendMessage(nil, BackendErrorResponse, append(body, 0))
+}
+
+func appendField(body []byte, field byte, value string) []byte {
+	body = append(body, field)
+	body = append(body, value...)
+	return append(body, 0)
+}
+
+// SimpleQuery is a Query message.
+func SimpleQuery(text string) []byte {
+	return appendMessage(nil, FrontendQuery, append([]byte(text), 0))
+}
+
+// columnDescription is the RowDescription of the one column: no table, type bytea of variable size, no modifier, binary.
+const columnDescription = "\x00\x01content\x00" + // one column, its name
+	"\x00\x00\x00\x00" + "\x00\x00" + // table and attribute
+	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, its size
+	"\xff\xff\xff\xff" + "\x00\x01" // modifier, format
+
+// DataRow answers a query by one row of one column, in binary, and CommandComplete with a tag.
+func DataRow(value []byte, tag string) []byte {
+	b := appendMessage(nil, BackendRowDescription, []byte(columnDescription))
+	body := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
+	b = appendMessage(b, BackendDataRow, append(body, value...))
+	return append(b, CommandComplete(tag)...)
+}
+
+// CommandComplete answers a statement that has no row.
+func CommandComplete(tag string) []byte {
+	return append(appendMessage(nil, BackendCommandComplete, append([]byte(tag), 0)), ReadyForQuery()...)
+}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,10 +14,10 @@
 
 // Reply is how an attempt ended. It is used by one goroutine, which calls Release once.
 type Reply struct {
-	SQLState string                // of the answer; empty where none came
-	Status   transport.CloseStatus // how the connection ended, if it did
-	Load     []float64             // the backend's load report, in the order of the load columns; nil without one
-	Rows     [][]byte              // messages to pass on byte for byte, valid until Release
+	SQLState    string                // of the answer; empty where none came
+	Status      transport.CloseStatus // how the connection ended, if it did
+	Load        []float64             // the backend's load report, in the order of the load columns; nil without one
+	RowMessages [][]byte              // messages to pass on byte for byte, valid until Release
 
 	pool     *Pool
 	conn     *conn // nil where none was used
@@ -48,8 +48,8 @@
 	}
 	c.BindContext(attempt.Context)
 	mayBegin := p.dispatcher.Begin(attempt) // it may have waited for a slot or a dial
-	timeLeft := time.Until(attempt.Deadline).Milliseconds()
-	if !mayBegin || timeLeft < 1 {
+	timeLeft := time.Until(attempt.Deadline)
+	if !mayBegin || timeLeft < time.Millisecond {
 		p.putBackUnused(c)
 		return replyWithout(transport.Canceled), false
 	}
@@ -87,7 +87,7 @@
 	case "":
 		return r.Status.Closed()
 	case pgwire.StateSuccess:
-		return len(r.Rows) == rowMessages
+		return len(r.RowMessages) == rowMessages
 	}
 	return true
 }
@@ -136,8 +136,8 @@
 		reusable: ready && response.Consumed == len(c.Buffered()),
 	}
 	if response.SQLState == pgwire.StateSuccess {
-		for _, span := range response.Rows {
-			reply.Rows = append(reply.Rows, c.Buffered()[span[0]:span[1]])
+		for _, span := range response.RowMessages {
+			reply.RowMessages = append(reply.RowMessages, span.Of(c.Buffered()))
 		}
 	}
 	return reply
