--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -1,37 +1,44 @@
-// Command silvercove is one relay: it takes commands from clients, has the decision module choose
-// what becomes of each, and speaks with units, the list of units and the platform. "silvercove-relay check FILE"
-// checks an operator's file.
+// Command silvercove-relay is one relay: it accepts clients' requests, has the balancer decide where and when each is
+// attempted, and speaks with backends, discovery and the release platform. Its configuration comes from the environment, see
+// package relay. "silvercove-relay check FILE" checks an operator's file.
 package main
 
 import (
 	"fmt"
 	"os"
 
-	_ "silvercove/internal/fdtable" // large before there are threads
+	_ "silvercove/internal/fdtable" // grows the descriptor table before there are threads
 	"silvercove/internal/operatorconfig"
 	"silvercove/internal/relay"
 )
 
+// Exit codes.
+const (
+	exitOK = iota
+	exitFailed
+	exitUsage
+)
+
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(other(os.Args[1:]))
+		os.Exit(runCommand(os.Args[1:]))
 	}
 	if err := relay.Start(os.Getenv); err != nil {
-		fmt.Fprintln(os.Stderr, "silvercove:", err)
-		os.Exit(1)
+		fmt.Fprintln(os.Stderr, "silvercove-relay:", err)
+		os.Exit(exitFailed)
 	}
 }
 
-// other is what the program does with arguments: check an operator's file. Without any it is a relay.
-func other(args []string) (code int) {
+// runCommand does what the arguments ask for: it checks an operator's file. Without any the program is a relay.
+func runCommand(args []string) (exitCode int) {
 	if len(args) != 2 || args[0] != "check" {
-		fmt.Fprintln(os.Stderr, "usage: silvercove, or silvercove-relay check FILE")
-		return 2
+		fmt.Fprintln(os.Stderr, "usage: silvercove-relay, or silvercove-relay check FILE")
+		return exitUsage
 	}
 	if _, err := operatorconfig.Operators.Read(args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return 1
+		return exitFailed
 	}
 	fmt.Println(args[1] + ": in order")
-	return 0
+	return exitOK
 }
--- /dev/null
+++ b/internal/relay/client_test.go
@@ -0,0 +1,149 @@
+package relay
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"silvercove/internal/pgwire"
+)
+
+// client is one session.
+type client struct {
+	*net.TCPConn
+	tb testing.TB
+	in []byte
+}
+
+// answer reads one whole answer and tells its SQLSTATE; empty: the session has ended, with nothing of it.
+func (c *client) answer() string {
+	c.tb.Helper()
+	for b := make([]byte, 4<<10); ; {
+		var a pgwire.Response
+		if err := a.Read(c.in); err != nil {
+			c.tb.Errorf("%q: %v", c.in, err)
+			return "?"
+		}
+		if a.Ready {
+			c.in = c.in[a.Consumed:]
+			return a.SQLState
+		}
+		n, err := c.Read(b)
+		if c.in = append(c.in, b[:n]...); err != nil {
+			if len(c.in) > 0 || os.IsTimeout(err) {
+				c.tb.Errorf("half an answer: %q, %v", c.in, err)
+			}
+			return ""
+		}
+	}
+}
+
+// wantGreeting reads what a new session is greeted with.
+func (c *client) wantGreeting() {
+	c.tb.Helper()
+	got := make([]byte, len(pgwire.AuthenticationOK()))
+	if n, err := io.ReadFull(c, got); err != nil || string(got) != string(pgwire.AuthenticationOK()) {
+		c.tb.Fatalf("greeted with %q, %v", got[:n], err)
+	}
+}
+
+// wantFinal checks that there is one final answer, one of some, and that nothing follows.
+func (c *client) wantFinal(states ...string) string {
+	c.tb.Helper()
+	state := c.answer()
+	if !strings.Contains(strings.Join(states, " "), state) || state == "" {
+		c.tb.Errorf("answered %q, want one of %q", state, states)
+	}
+	if b, err := io.ReadAll(c); err != nil || len(b) > 0 || len(c.in) > 0 {
+		c.tb.Errorf("then it got %q, %v", append(c.in, b...), err)
+	}
+	return state
+}
+
+func query(id any, ms int) string {
+	return string(pgwire.SimpleQuery(fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%v,c=a,t=t,d=%d */", id, ms)))
+}
+
+var startup = string(pgwire.StartupMessage())
+
+type answers struct {
+	succeeded, rejected int
+	err                 error
+}
+
+// send makes one request; its answers come to the channel.
+func send(listen, name string) chan answers {
+	out := make(chan answers, 1)
+	go func() {
+		var a answers
+		a.succeeded, a.rejected, a.err = sendRequests(listen, name, 1)
+		out <- a
+	}()
+	return out
+}
+
+func wantAnswer(tb testing.TB, what string, got chan answers, succeeded, rejected int) {
+	tb.Helper()
+	select {
+	case a := <-got:
+		if a.succeeded != succeeded || a.rejected != rejected || a.err != nil {
+			tb.Errorf("%s: succeeded %d, rejected %d, %v", what, a.succeeded, a.rejected, a.err)
+		}
+	case <-time.After(10 * time.Second):
+		tb.Fatalf("%s has no answer", what)
+	}
+}
+
+// sendRequests sends requests one after the other on one connection until the relay closes it between two, or there are
+// enough. It tells how many were answered, and whether one was not.
+func sendRequests(listen string, name string, most int) (succeeded, rejected int, lost error) {
+	c, err := net.Dial("tcp", listen)
+	if err != nil {
+		return 0, 0, nil // refused: nothing was taken
+	}
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = c.Write(pgwire.StartupMessage())
+	var in []byte
+	read := func() (a pgwire.Response, err error) {
+		b := make([]byte, 4<<10)
+		for {
+			if err := a.Read(in); err != nil {
+				return a, err
+			}
+			if a.Ready || a.Fatal {
+				in = in[a.Consumed:]
+				return a, nil
+			}
+			n, err := c.Read(b)
+			if in = append(in, b[:n]...); err != nil {
+				return a, err
+			}
+		}
+	}
+	if _, err := read(); err != nil {
+		return 0, 0, nil // closed before a request
+	}
+	for i := range most {
+		text := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%s%d,c=a,t=t,d=2000 */", name, i)
+		if _, err := c.Write(pgwire.SimpleQuery(text)); err != nil {
+			return succeeded, rejected, nil
+		}
+		// Between requests a relay may close; that crosses the request, which the client sends again elsewhere.
+		switch a, err := read(); {
+		case err != nil && len(in) > 0:
+			return succeeded, rejected, fmt.Errorf("half an answer: %w", err)
+		case err != nil:
+			return succeeded, rejected, nil
+		case a.SQLState == pgwire.StateSuccess:
+			succeeded++
+		default:
+			rejected++
+		}
+	}
+	return succeeded, rejected, nil
+}
--- /dev/null
+++ b/internal/relay/control_plane_test.go
@@ -0,0 +1,200 @@
+package relay
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"silvercove/internal/standin/backends"
+)
+
+// scriptedDiscovery is discovery and the platform in one. A watch waits until the test tells something newer.
+type scriptedDiscovery struct {
+	*httptest.Server
+	mu      sync.Mutex
+	seq     int
+	all     []string // entries
+	news    string   // the answer to a watch from before seq
+	changed chan struct{}
+	asked   int // the version that was last asked after
+	silent  bool
+}
+
+func newScriptedDiscovery(tb testing.TB, entries ...string) *scriptedDiscovery {
+	tb.Helper()
+	s := &scriptedDiscovery{seq: 3, all: entries, changed: make(chan struct{})}
+	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		if req.URL.Path == "/changes" {
+			_, _ = fmt.Fprintf(w, `{"type":"stage","object":%s}`+"\n", stage)
+			_ = http.NewResponseController(w).Flush()
+			<-req.Context().Done()
+			return
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		since, err := strconv.Atoi(req.URL.Query().Get("since"))
+		if err != nil {
+			_, _ = fmt.Fprint(w, page(s.seq, true, s.all...))
+			return
+		}
+		for s.asked = since; s.silent || since == s.seq; {
+			changed := s.changed
+			s.mu.Unlock()
+			select {
+			case <-changed:
+			case <-req.Context().Done():
+			}
+			if s.mu.Lock(); req.Context().Err() != nil { // the relay has given it up
+				return
+			}
+		}
+		_, _ = fmt.Fprint(w, s.news)
+	}))
+	tb.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	return s
+}
+
+// controlPlane is the scriptedDiscovery's address as startRelay wants it.
+func (s *scriptedDiscovery) controlPlane() *controlPlane { return &controlPlane{Listener: s.Listener} }
+
+// tell tells a watch the next version, and waits until the relay has taken it: it asks what comes after.
+func (s *scriptedDiscovery) tell(tb testing.TB, complete bool, entries ...string) {
+	tb.Helper()
+	s.mu.Lock()
+	s.seq++
+	if complete {
+		s.all = entries
+	} else {
+		s.all = append(slices.Clone(s.all), entries...)
+	}
+	s.news = page(s.seq, complete, entries...)
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.mu.Unlock()
+	s.taken(tb)
+}
+
+func (s *scriptedDiscovery) taken(tb testing.TB) {
+	tb.Helper()
+	backends.Until(tb, "the list is taken", func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.asked == s.seq
+	})
+}
+
+func entry(name, address, state string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"health":%q,"share":1.0,"born_ms":0,"image_id":1}`, name, address, state)
+}
+
+func page(seq int, complete bool, entries ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, complete, strings.Join(entries, ","))
+}
+
+// controlPlane stands in for the list and the platform at one address: each request line that comes goes to lines.
+type controlPlane struct {
+	net.Listener
+	lines   chan string
+	backend string        // address of the backend that the list names
+	hold    chan struct{} // answers to calls for the complete list wait for this to close; nil for none
+}
+
+func newControlPlane(tb testing.TB, backend string) *controlPlane {
+	tb.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = l.Close() })
+	d := &controlPlane{l, make(chan string, 64), backend, nil}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go d.serve(c)
+		}
+	}()
+	return d
+}
+
+const stage = `{"Revision":1,"Wave":0,"State":"live","MaxShare":1.0,"AgeMs":0}`
+
+func (d *controlPlane) page() string {
+	return fmt.Sprintf(`{"seq":3,"whole":true,"hosts":[{"host":"s-1","dial":"%s","health":"up","share":1.0,`+
+		`"born_ms":0,"image_id":1}]}`, d.backend)
+}
+
+func (d *controlPlane) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	in := bufio.NewReader(c)
+	for {
+		first, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		for line := ""; line != "\r\n"; {
+			if line, err = in.ReadString('\n'); err != nil {
+				return
+			}
+		}
+		d.lines <- strings.Join(strings.Fields(first)[:2], " ")
+		switch {
+		case strings.Contains(first, "since="): // nothing changes
+		case strings.Contains(first, "/changes"):
+			line := `{"type":"stage","object":` + stage + "}\n"
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
+		default:
+			if d.hold != nil {
+				<-d.hold
+			}
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(d.page()), d.page())
+		}
+	}
+}
+
+// want waits for a request that starts so.
+func (d *controlPlane) want(tb testing.TB, start string) {
+	tb.Helper()
+	for timer := time.After(5 * time.Second); ; {
+		select {
+		case line := <-d.lines:
+			if strings.HasPrefix(line, start) {
+				return
+			}
+		case <-timer:
+			tb.Fatalf("no %s", start)
+		}
+	}
+}
+
+func configText(discovery, platform, known string) string {
+	return fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f30d27a5be964",
+		"limits":{"cores":1.0,"memory_mb":64,"sockets":128},
+		"release_api":{"address":%q,"news":%s},"known":%s,
+		"settings":{"balancers":1,"discovery":"automatic","limits":{"send_cap":2,"connect_timeout":1.0,"idle_close":5.0},
+		"rules":{"ask_every":20.0,"drain_grace":0.2},"family_info":{"vote_wait":1.0},
+		"grades":[{"name":"a","semantics":"read_like","on_time":1.0,"deadline":2.0,"worth":1.0}]}}`,
+		discovery, platform, stage, known)
+}
+
+func newSilentControlPlane(tb testing.TB, backend string) *controlPlane {
+	tb.Helper()
+	d := newControlPlane(tb, backend)
+	d.hold = make(chan struct{})
+	tb.Cleanup(func() { close(d.hold) })
+	return d
+}
+
+func usualConfig() string {
+	return configText("127.0.0.1:1", "127.0.0.1:2", (&controlPlane{backend: "127.0.0.1:9"}).page())
+}
--- /dev/null
+++ b/internal/relay/fixture_test.go
@@ -0,0 +1,250 @@
+package relay
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"silvercove/internal/standin/backends"
+)
+
+// runningRelay is a relay with a scripted backend, of which nothing may be left.
+type runningRelay struct {
+	tb           testing.TB
+	backend      *scriptedBackend
+	controlPlane *controlPlane
+	replace      func(string)
+	listen       string
+	ended        chan error
+	began        time.Time // when SIGTERM was sent
+	before       int
+	here         goleak.Option
+	all          []*client
+}
+
+func newRunningRelay(tb testing.TB, answer func(int) string) *runningRelay {
+	tb.Helper()
+	c := &runningRelay{tb: tb, backend: newScriptedBackend(tb, answer)}
+	c.controlPlane = newControlPlane(tb, c.backend.Addr().String())
+	c.before, c.here = descriptors(tb), goleak.IgnoreCurrent()
+	c.replace, c.listen, c.ended = startRelay(tb, c.controlPlane, c.controlPlane)
+	return c
+}
+
+func descriptors(tb testing.TB) int {
+	tb.Helper()
+	all, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return len(all)
+}
+
+func (c *runningRelay) signal(s syscall.Signal) {
+	c.tb.Helper()
+	if s == syscall.SIGTERM && c.began.IsZero() {
+		c.began = time.Now()
+	}
+	sendSignal(c.tb, os.Getpid(), s)
+}
+
+// waitNotAccepting waits until no new connections are taken: by then sessions end between requests.
+func (c *runningRelay) waitNotAccepting() {
+	c.tb.Helper()
+	waitNotAccepting(c.tb, c.listen)
+}
+
+// checkEnded checks that the relay ends in order, and that nothing of it is left.
+func (c *runningRelay) checkEnded() {
+	c.tb.Helper()
+	waitEnded(c.tb, c.ended)
+	for _, one := range c.all {
+		_ = one.Close()
+	}
+	if err := goleak.Find(c.here); err != nil {
+		c.tb.Error(err)
+	}
+	backends.Until(c.tb, "no descriptor is left", func() bool { return descriptors(c.tb) <= c.before })
+}
+
+func (c *runningRelay) client(send string) *client {
+	c.tb.Helper()
+	conn, err := net.Dial("tcp", c.listen)
+	if err != nil {
+		c.tb.Fatal(err)
+	}
+	c.tb.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
+	_, _ = io.WriteString(conn, send)
+	one := &client{conn.(*net.TCPConn), c.tb, nil}
+	c.all = append(c.all, one)
+	return one
+}
+
+// stopAndCheck ends the relay, and looks at what it leaves.
+func stopAndCheck(tb testing.TB, ended chan error, before goleak.Option, mostDescriptors int) {
+	tb.Helper()
+	sendSignal(tb, os.Getpid(), syscall.SIGTERM)
+	waitEnded(tb, ended)
+	if err := goleak.Find(before, goleak.IgnoreAnyFunction("net/http.(*conn).serve"), goleak.IgnoreAnyFunction("os/signal.loop")); err != nil {
+		tb.Error(err)
+	}
+	backends.Until(tb, "no more descriptors than before", func() bool { return descriptors(tb) <= mostDescriptors })
+}
+
+// startListed starts a relay that knows what the scriptedDiscovery has.
+func startListed(tb testing.TB, s *scriptedDiscovery) (replace func(string), listen string, done func()) {
+	tb.Helper()
+	before, open := goleak.IgnoreCurrent(), descriptors(tb)
+	replace, listen, ended := startRelayKnowing(tb, s.controlPlane(), s.controlPlane(), page(3, true, s.all...))
+	return replace, listen, func() { stopAndCheck(tb, ended, before, open) }
+}
+
+// startRelay runs a relay whose configuration names these addresses, and knows what discovery would say.
+func startRelay(tb testing.TB, discovery, platform *controlPlane) (replace func(text string), listen string, ended chan error) {
+	tb.Helper()
+	return startRelayKnowing(tb, discovery, platform, discovery.page())
+}
+
+// startRelayKnowing does the same for a relay that knows a page of endpoints.
+func startRelayKnowing(tb testing.TB, discovery, platform *controlPlane, known string) (replace func(text string), listen string, ended chan error) {
+	tb.Helper()
+	replace, listen, env := newEnvironment(tb, discovery, platform, known, func(text string) string { return text })
+	ended = make(chan error, 1)
+	go func() { ended <- Start(env) }()
+	for {
+		if c, err := net.Dial("tcp", listen); err == nil {
+			_ = c.Close()
+			return replace, listen, ended
+		}
+		select {
+		case err := <-ended:
+			tb.Fatal(err)
+		case <-time.After(time.Millisecond):
+		}
+	}
+}
+
+// newEnvironment writes a relay's configuration as change edits it; replace writes another in its place, at once.
+func newEnvironment(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, env func(string) string) {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "config.json")
+	replace = func(text string) {
+		if err := os.WriteFile(path+".new", []byte(change(text)), 0o600); err != nil {
+			tb.Fatal(err)
+		}
+		if err := os.Rename(path+".new", path); err != nil {
+			tb.Fatal(err)
+		}
+	}
+	replace(configText(discovery.Addr().String(), platform.Addr().String(), known))
+	listen = freeAddress(tb)
+	return replace, listen, func(name string) string {
+		return map[string]string{
+			"NODE_NAME":      "n1",
+			"NODE_LISTEN":    listen,
+			"NODE_CONFIG":    path,
+			"NODE_DISCOVERY": discovery.Addr().String(),
+		}[name]
+	}
+}
+
+// accepts tells whether a connection to an address is accepted.
+func accepts(address string) bool {
+	conn, err := net.Dial("tcp", address)
+	if err == nil {
+		_ = conn.Close()
+	}
+	return err == nil
+}
+
+func waitListening(tb testing.TB, address string) {
+	tb.Helper()
+	backends.Until(tb, "it listens", func() bool { return accepts(address) })
+}
+
+func waitNotAccepting(tb testing.TB, address string) {
+	tb.Helper()
+	backends.Until(tb, "it takes no new connections", func() bool { return !accepts(address) })
+}
+
+// freeAddress is an address on which nobody listens now.
+func freeAddress(tb testing.TB) string {
+	tb.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// TestMain is the program itself where a test starts it as a process of its own.
+func TestMain(m *testing.M) {
+	if os.Getenv("SILVERCOVE_ITSELF") != "" {
+		if err := Start(os.Getenv); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+func sendSignal(tb testing.TB, pid int, s syscall.Signal) {
+	tb.Helper()
+	if err := syscall.Kill(pid, s); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+func waitEnded(tb testing.TB, ended chan error) {
+	tb.Helper()
+	select {
+	case err := <-ended:
+		if err != nil {
+			tb.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		tb.Fatal("it does not end")
+	}
+}
+
+// startUnready runs a relay that may not come to listen: change edits its configuration.
+func startUnready(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, ended chan error) {
+	tb.Helper()
+	replace, listen, env := newEnvironment(tb, discovery, platform, known, change)
+	signals := catchSignals()
+	ended = make(chan error, 1)
+	go func() {
+		config, err := ReadConfig(env)
+		if config.signals = signals; err == nil {
+			err = Run(config, env)
+		}
+		ended <- err
+	}()
+	return replace, listen, ended
+}
+
+// withLongTimeouts names waits of a minute and more wherever the settings can.
+func withLongTimeouts(text string) string {
+	return strings.NewReplacer(`"connect_timeout":1.0`, `"connect_timeout":600.0`, `"drain_grace":0.2`, `"drain_grace":1e5`,
+		`"vote_wait":1.0`, `"vote_wait":1e5`, `"idle_close":5.0`, `"idle_close":1e5`, `"ask_every":20.0`, `"ask_every":1e6`).Replace(text)
+}
+
+// checkGoroutines tells whether the goroutines of a relay have ended; those of stand-ins that were there before are left out.
+func checkGoroutines(tb testing.TB, before goleak.Option) {
+	tb.Helper()
+	if err := goleak.Find(before, goleak.IgnoreAnyFunction("silvercove/internal/relay.(*controlPlane).serve"),
+		goleak.IgnoreAnyFunction("os/signal.loop")); err != nil {
+		tb.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/relay/process_test.go
@@ -0,0 +1,240 @@
+package relay
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/backends"
+)
+
+// TestSIGTERMBeforeItListens: a relay that still waits for the agent's list ends in order.
+func TestSIGTERMBeforeItListens(t *testing.T) {
+	d := newControlPlane(t, newBackend(t).Address())
+	d.hold = make(chan struct{})
+	p := newProcess(t, "127.0.0.1:0", d.Addr().String())
+	p.giveConfig(configText(d.Addr().String(), d.Addr().String(), d.page()), func() {})
+	d.want(t, "GET /v1/servers")
+	sendSignal(t, p.Process.Pid, syscall.SIGTERM)
+	close(d.hold)
+	p.waitStopped()
+}
+
+// TestSilentThousands: among 2,000 connections that say nothing a new one is answered, and the descriptors stay in limits.
+func TestSilentThousands(t *testing.T) {
+	const sockets, many = 128, 2000
+	d := newControlPlane(t, newBackend(t).Address())
+	listen := freeAddress(t)
+	p := newProcess(t, listen, d.Addr().String())
+	p.giveConfig(configText(d.Addr().String(), d.Addr().String(), d.page()), func() {})
+	backends.Until(t, "it is ready", func() bool {
+		succeeded, _, _ := sendRequests(listen, "ready", 1)
+		return succeeded == 1
+	})
+	most := 0
+	count := func() {
+		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
+		if err != nil {
+			t.Fatal(err)
+		}
+		most = max(most, len(open))
+	}
+	for i := range many {
+		c, err := net.Dial("tcp", listen)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = c.Close() }()
+		if i%50 == 0 {
+			count()
+		}
+	}
+	began := time.Now()
+	if succeeded, rejected, err := sendRequests(listen, "among", 1); succeeded+rejected != 1 || err != nil {
+		t.Errorf("succeeded %d, rejected %d, %v", succeeded, rejected, err)
+	}
+	count()
+	if took := time.Since(began); took > 15*time.Second {
+		t.Errorf("answered after %v", took)
+	}
+	if most > sockets {
+		t.Errorf("%d descriptors", most)
+	}
+	t.Logf("answered after %v, %d descriptors at the most", time.Since(began), most)
+}
+
+// process is the program as one of its own, whose configuration comes through a pipe: each time it is read, the test says
+// what it holds, and until then the program is held up.
+type process struct {
+	*exec.Cmd
+	tb    testing.TB
+	pipe  string
+	log   bytes.Buffer
+	ended chan error
+}
+
+func newProcess(tb testing.TB, listen, discovery string) *process {
+	tb.Helper()
+	p := &process{tb: tb, pipe: filepath.Join(tb.TempDir(), "config"), ended: make(chan error, 1)}
+	if err := syscall.Mkfifo(p.pipe, 0o600); err != nil {
+		tb.Fatal(err)
+	}
+	p.Cmd = exec.Command(os.Args[0])
+	p.Env = []string{"SILVERCOVE_ITSELF=1", "NODE_NAME=n1", "NODE_LISTEN=" + listen, "NODE_CONFIG=" + p.pipe,
+		"NODE_DISCOVERY=" + discovery}
+	p.Stderr = &p.log
+	if err := p.Start(); err != nil {
+		tb.Fatal(err)
+	}
+	go func() { p.ended <- p.Wait() }()
+	tb.Cleanup(func() {
+		if p.Process.Kill() == nil {
+			if err := <-p.ended; err != nil {
+				tb.Log("ended by the test: ", err)
+			}
+		}
+	})
+	return p
+}
+
+// waitStopped waits until the program has ended in order: without an error, and with its last line logged.
+func (p *process) waitStopped() {
+	p.tb.Helper()
+	select {
+	case err := <-p.ended:
+		p.ended <- nil
+		if err != nil || !strings.Contains(p.log.String(), `"message":"relay stopped"`) {
+			p.tb.Errorf("%v: %s", err, p.log.String())
+		}
+	case <-time.After(10 * time.Second):
+		p.tb.Fatal("it does not end")
+	}
+}
+
+// giveConfig waits until it is read, does something first, and then says what it holds.
+func (p *process) giveConfig(text string, first func()) {
+	p.tb.Helper()
+	opened := make(chan *os.File, 1)
+	go func() {
+		f, err := os.OpenFile(p.pipe, os.O_WRONLY, 0)
+		if err != nil {
+			p.tb.Error(err)
+		}
+		opened <- f
+	}()
+	select {
+	case f := <-opened:
+		first()
+		_, _ = io.WriteString(f, text)
+		_ = f.Close()
+	case <-time.After(10 * time.Second):
+		p.tb.Fatal("it does not read its configuration")
+	}
+}
+
+// TestSignalsBeforeTheStart: a new configuration that comes to a relay that is still reading its first one does not end
+// it, and is taken; SIGTERM then ends it in order, and so it does with indented configurations.
+func TestSignalsBeforeTheStart(t *testing.T) {
+	u := newBackend(t)
+	first, second := newControlPlane(t, u.Address()), newControlPlane(t, u.Address())
+	listen := freeAddress(t)
+	text := func(discovery *controlPlane) string {
+		var b bytes.Buffer
+		_ = json.Indent(&b, []byte(configText(discovery.Addr().String(), first.Addr().String(), first.page())), "", "  ")
+		return b.String()
+	}
+	p := newProcess(t, listen, first.Addr().String())
+	p.giveConfig(text(first), func() { sendSignal(t, p.Process.Pid, syscall.SIGHUP) })
+	first.want(t, "GET /v1/servers") // it has read that to its end
+	p.giveConfig(text(second), func() {})
+	second.want(t, "GET /v1/servers") // taken before it listens: the first request that gets in is served
+	waitListening(t, listen)
+	if succeeded, rejected, err := sendRequests(listen, "one", 1); succeeded != 1 {
+		t.Errorf("succeeded %d, rejected %d, %v", succeeded, rejected, err)
+	}
+	sendSignal(t, p.Process.Pid, syscall.SIGTERM)
+	p.waitStopped()
+}
+
+// TestStopBeforeTheStart: SIGTERM to a relay that has not begun to listen ends it in order.
+func TestStopBeforeTheStart(t *testing.T) {
+	d := newControlPlane(t, newBackend(t).Address())
+	p := newProcess(t, "127.0.0.1:0", d.Addr().String())
+	p.giveConfig(configText(d.Addr().String(), d.Addr().String(), d.page()), func() { sendSignal(t, p.Process.Pid, syscall.SIGTERM) })
+	p.waitStopped()
+}
+
+// TestLimits: a relay at its limit of descriptors, with a connection from each client that there may be, is ready at
+// once, keeps to its descriptors and memory, and waits when there is nothing to do.
+func TestLimits(t *testing.T) {
+	u := newBackend(t)
+	d := newControlPlane(t, u.Address())
+	listen := freeAddress(t)
+	p := newProcess(t, listen, d.Addr().String())
+	began := time.Now()
+	p.giveConfig(configText(d.Addr().String(), d.Addr().String(), d.page()), func() {})
+	backends.Until(t, "it is ready", func() bool {
+		succeeded, _, _ := sendRequests(listen, "ready", 1)
+		return succeeded == 1
+	})
+	if took := time.Since(began); took > 15*time.Second {
+		t.Errorf("ready after %v", took)
+	}
+	const sockets, memory = 128, 64 << 10 // as config has them; memory in kB
+	var all []net.Conn
+	for range 2 * sockets {
+		c, err := net.Dial("tcp", listen)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = c.Close() }()
+		_, _ = c.Write(pgwire.StartupMessage())
+		all = append(all, c)
+		if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid)); err != nil || len(open) > sockets {
+			t.Fatalf("%d descriptors, %v", len(open), err)
+		}
+	}
+	for _, c := range all {
+		_ = c.Close()
+	}
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var kb int
+	for line := range strings.Lines(string(status)) {
+		_, _ = fmt.Sscanf(line, "VmHWM: %d kB", &kb)
+	}
+	if kb == 0 || kb > memory {
+		t.Errorf("%d kB at the most", kb)
+	}
+	// Threads that spin would take a second of processor time each second.
+	spent := func() (ticks int) {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+2:]))
+		var user, system int
+		_, _ = fmt.Sscan(fields[11], &user)
+		_, _ = fmt.Sscan(fields[12], &system)
+		return user + system
+	}
+	before, since := spent(), time.Now()
+	backends.Until(t, "a second has passed", func() bool { return time.Since(since) > time.Second })
+	if took := spent() - before; took > 50 {
+		t.Errorf("%d hundredths of a second of processor time in an idle second", took)
+	}
+	sendSignal(t, p.Process.Pid, syscall.SIGTERM)
+	p.waitStopped()
+}
--- /dev/null
+++ b/internal/relay/signals_test.go
@@ -0,0 +1,269 @@
+package relay
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/backends"
+)
+
+// TestSIGTERM crosses it with a client that is at each step of a session.
+func TestSIGTERM(t *testing.T) {
+	t.Run("between accept and first byte", testSIGTERMBeforeTheFirstByte)
+	t.Run("amid startups and queries, with SIGHUP before and after", testSIGTERMAmidMessages)
+	t.Run("last byte in the last half second", testSIGTERMBeforeTheLastByte)
+	t.Run("pipelined queries behind a slow one", testSIGTERMAmidAPipeline)
+	t.Run("on idle sessions as their queries arrive", testSIGTERMOnIdleSessions)
+	t.Run("twice, with attempts at a backend that never answers, and SIGHUP with it", testSIGTERMTwice)
+	t.Run("with clients that go behind it", testSIGTERMAndClientsThatGo)
+}
+
+func testSIGTERMBeforeTheFirstByte(t *testing.T) {
+	c := newRunningRelay(t, answerGood)
+	one := c.client("")
+	c.signal(syscall.SIGTERM)
+	_, _ = io.WriteString(one, startup+query(1, 2000))
+	one.wantGreeting()
+	one.wantFinal(pgwire.StateSuccess)
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n != 1 {
+		t.Errorf("%d effects", n)
+	}
+}
+
+func testSIGTERMAmidMessages(t *testing.T) {
+	c := newRunningRelay(t, answerGood)
+	text := startup + query("07", 2000)
+	var all []*client
+	for at := 1; at < len(text); at += 7 {
+		all = append(all, c.client(strings.Replace(text, "id=07", fmt.Sprintf("id=%02x", at), 1)[:at]))
+	}
+	c.signal(syscall.SIGHUP)
+	c.signal(syscall.SIGTERM)
+	c.waitNotAccepting()
+	c.signal(syscall.SIGHUP)
+	succeeded := int64(0)
+	for i, one := range all {
+		at := 1 + 7*i
+		_, _ = io.WriteString(one, strings.Replace(text, "id=07", fmt.Sprintf("id=%02x", at), 1)[at:])
+	}
+	for _, one := range all {
+		one.wantGreeting()
+		if one.wantFinal(pgwire.StateSuccess, pgwire.StateTooManyConnections) == pgwire.StateSuccess {
+			succeeded++
+		}
+	}
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n != succeeded || succeeded == 0 {
+		t.Errorf("%d effects, %d succeeded", n, succeeded)
+	}
+}
+
+func testSIGTERMBeforeTheLastByte(t *testing.T) {
+	c := newRunningRelay(t, answerNothing)
+	one := c.client(startup)
+	one.wantGreeting()
+	c.signal(syscall.SIGTERM)
+	time.Sleep(time.Until(c.began.Add(acceptGrace * 4 / 5)))
+	text := query(1, 2000)
+	_, _ = io.WriteString(one, text[:20])
+	time.Sleep(time.Until(c.began.Add(2*time.Second + 200*time.Millisecond))) // SIGKILL may come 0.5 s later
+	_, _ = io.WriteString(one, text[20:])
+	one.wantFinal(pgwire.StateInternalError, pgwire.StateTooManyConnections)
+	if at := time.Since(c.began); at > 2700*time.Millisecond {
+		t.Errorf("answered %v after SIGTERM", at)
+	}
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n > 1 {
+		t.Errorf("%d effects", n)
+	}
+}
+
+func testSIGTERMAmidAPipeline(t *testing.T) {
+	goOn := make(chan struct{})
+	c := newRunningRelay(t, func(n int) string {
+		if n == 1 {
+			<-goOn
+		}
+		return goodAnswer
+	})
+	one := c.client(startup + query(1, 2000))
+	backends.Until(t, "the backend has the first", func() bool { return c.backend.seen.Load() == 1 })
+	_, _ = io.WriteString(one, string(pgwire.SimpleQuery("BEGIN"))+string(pgwire.SimpleQuery(""))+query(2, 2000))
+	c.signal(syscall.SIGTERM)
+	c.waitNotAccepting()
+	close(goOn)
+	one.wantGreeting()
+	for _, state := range []string{pgwire.StateSuccess, pgwire.StateSyntaxError, pgwire.StateSuccess} {
+		if got := one.answer(); got != state {
+			t.Errorf("answered %q, want %q", got, state)
+		}
+	}
+	succeeded := int64(1)
+	if one.wantFinal(pgwire.StateSuccess, pgwire.StateTooManyConnections) == pgwire.StateSuccess {
+		succeeded++
+	}
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n != succeeded {
+		t.Errorf("%d effects, %d succeeded", n, succeeded)
+	}
+}
+
+func testSIGTERMOnIdleSessions(t *testing.T) {
+	c := newRunningRelay(t, answerGood)
+	const many = 16
+	var all [many]*client
+	succeeded, unread := int64(0), 0
+	for i := range all {
+		all[i] = c.client(startup + query(fmt.Sprint("a", i), 2000))
+		all[i].wantGreeting()
+		if all[i].answer() == pgwire.StateSuccess {
+			succeeded++
+		}
+	}
+	c.signal(syscall.SIGTERM)
+	for i, one := range all { // about when sessions begin to end
+		time.Sleep(time.Until(c.began.Add(acceptGrace + time.Duration(i-many/2)*200*time.Microsecond)))
+		_, _ = io.WriteString(one, query(fmt.Sprint("b", i), 2000))
+	}
+	for _, one := range all {
+		switch state := one.answer(); state {
+		case pgwire.StateSuccess:
+			succeeded++
+		case pgwire.StateTooManyConnections:
+		case "": // not read: its client asks once more elsewhere
+			unread++
+		default:
+			t.Errorf("answered %q", state)
+		}
+	}
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n != succeeded {
+		t.Errorf("%d effects, %d succeeded, %d closed", n, succeeded, unread)
+	}
+}
+
+func testSIGTERMTwice(t *testing.T) {
+	c := newRunningRelay(t, answerNothing)
+	one := c.client(startup + query(1, 2000))
+	backends.Until(t, "the backend has it", func() bool { return c.backend.seen.Load() == 1 })
+	other := c.client(startup + query(2, 2000))
+	c.signal(syscall.SIGTERM)
+	c.signal(syscall.SIGHUP)
+	c.signal(syscall.SIGTERM)
+	c.waitNotAccepting()
+	_, _ = io.WriteString(one, query(3, 60000)) // SIGKILL comes long before its client would give up
+	for _, one := range []*client{one, other} {
+		one.wantGreeting()
+	}
+	if state := one.answer(); state != pgwire.StateInternalError && state != pgwire.StateTooManyConnections {
+		t.Errorf("answered %q", state)
+	}
+	for _, one := range []*client{one, other} {
+		one.wantFinal(pgwire.StateInternalError, pgwire.StateTooManyConnections)
+	}
+	if at := time.Since(c.began); at > 2700*time.Millisecond {
+		t.Errorf("answered %v after SIGTERM", at)
+	}
+	c.checkEnded()
+}
+
+func testSIGTERMAndClientsThatGo(t *testing.T) {
+	c := newRunningRelay(t, answerNothing)
+	one := c.client(startup + query(1, 2000) + string(pgwire.SimpleQuery("BEGIN")))
+	backends.Until(t, "the backend has it", func() bool { return c.backend.seen.Load() == 1 })
+	c.signal(syscall.SIGTERM)
+	c.waitNotAccepting()
+	_ = one.Close()
+	c.checkEnded()
+	if n := c.backend.seen.Load(); n != 1 {
+		t.Errorf("%d effects", n)
+	}
+}
+
+func TestSignals(t *testing.T) {
+	first, second, third := newControlPlane(t, "127.0.0.1:9"), newControlPlane(t, "127.0.0.1:9"), newControlPlane(t, "127.0.0.1:9")
+	replace, listen, ended := startRelay(t, first, first)
+	for range 3 { // it never answers these, and is asked again within the grace of drains
+		first.want(t, "GET /v1/servers?since=3")
+	}
+	signal := func(s syscall.Signal) {
+		if err := syscall.Kill(os.Getpid(), s); err != nil {
+			t.Fatal(err)
+		}
+	}
+	replace("{}") // changes nothing
+	signal(syscall.SIGHUP)
+	signal(syscall.SIGUSR1)
+	replace(configText(second.Addr().String(), third.Addr().String(), first.page()))
+	signal(syscall.SIGHUP)
+	second.want(t, "GET /v1/servers") // the list there may count otherwise
+	second.want(t, "GET /v1/servers?since=3")
+	third.want(t, "GET /changes")
+	c, err := net.Dial("tcp", listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = c.Close() }()
+	signal(syscall.SIGTERM)
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it does not end")
+	}
+	if b, err := io.ReadAll(c); err != nil || len(b) > 0 {
+		t.Errorf("an idle session got %q, %v", b, err)
+	}
+}
+
+// TestSignalsAfterSIGTERM: while a session stays open, a second SIGTERM ends nothing, and a new configuration still moves
+// the list: backends that it drains count.
+func TestSignalsAfterSIGTERM(t *testing.T) {
+	u := newBackend(t)
+	first, second := newControlPlane(t, u.Address()), newControlPlane(t, u.Address())
+	replace, listen, ended := startRelay(t, first, first)
+	c, err := net.Dial("tcp", listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
+	query := pgwire.SimpleQuery("SELECT content FROM kv WHERE name = 'k' /* id=1,c=a,t=t,d=2000 */")
+	_, _ = c.Write(append(pgwire.StartupMessage(), query[:30]...))
+	want := func(what []byte) {
+		t.Helper()
+		got := make([]byte, len(what))
+		if n, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, what) {
+			t.Fatalf("%q, %v", got[:n], err)
+		}
+	}
+	sendSignal(t, os.Getpid(), syscall.SIGTERM)
+	waitNotAccepting(t, listen)
+	sendSignal(t, os.Getpid(), syscall.SIGTERM)
+	replace(configText(second.Addr().String(), first.Addr().String(), first.page()))
+	sendSignal(t, os.Getpid(), syscall.SIGHUP)
+	second.want(t, "GET /v1/servers")
+	select {
+	case err := <-ended:
+		t.Fatalf("it ended under half a message: %v", err)
+	case <-time.After(acceptGrace * 6 / 5): // as long as the second SIGTERM could have it wait once more
+	}
+	_, _ = c.Write(query[30:])
+	want(append(pgwire.AuthenticationOK(), 'T'))
+	rest, err := io.ReadAll(c)
+	if err != nil || !bytes.HasSuffix(rest, pgwire.ReadyForQuery()) {
+		t.Errorf("%q, %v", rest, err)
+	}
+	waitEnded(t, ended)
+}
