--- /dev/null
+++ b/internal/controller/handle_outcomes.go
@@ -0,0 +1,54 @@
+package controller
+
+import (
+	"net/http"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/tick"
+)
+
+// maxOutcomeCount is how many outcomes of one node a call may tell; more count as so many.
+const maxOutcomeCount = 1 << 20
+
+// handleOutcomes takes how requests to edge nodes ended, as a relay saw them. A node's own report is judged by it.
+func (c *Controller) handleOutcomes(req call[controllerclient.OutcomeReport]) (struct{}, error) {
+	var none struct{}
+	if err := checkVersion(req.body.Version); err != nil {
+		return none, err
+	}
+	if peer, ok := c.Network.Peer(req.caller); !ok || peer.Role != peertransport.RoleRelay {
+		return none, refuse(http.StatusBadRequest, "%s is no relay in the file of %s", req.caller, c.name)
+	}
+	l, _, err := c.requireLeadership()
+	if err != nil {
+		return none, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	if state := req.body.RolloutState; state != "" {
+		rollingBack := state == controllerclient.VersionRollingBack || state == controllerclient.VersionWithdrawn
+		c.onRolloutReport(l, now, req.caller, rolloutReport{req.body.SoftwareVersion, rollingBack})
+	}
+	for _, outcomes := range req.body.Nodes {
+		if !c.isEdgeNode(outcomes.Node) || outcomes.Successes < 0 || outcomes.Failures < 0 {
+			return none, refuse(http.StatusBadRequest, "outcomes of %.40q: %d good, %d bad", outcomes.Node, outcomes.Successes,
+				outcomes.Failures)
+		}
+		l.recordOutcomes(now, outcomes)
+	}
+	return none, nil
+}
+
+// recordOutcomes records at most controllerclient.MaxOutcomes outcomes of a node, with the share of failures that was told,
+// and the failures spread evenly. It is called with Controller.mu.
+func (l *leadership) recordOutcomes(now tick.Tick, outcomes controllerclient.NodeOutcomes) {
+	successes, failures := min(outcomes.Successes, maxOutcomeCount), min(outcomes.Failures, maxOutcomeCount)
+	count := min(successes+failures, controllerclient.MaxOutcomes)
+	failed := failures * count / max(1, successes+failures)
+	for i := range count {
+		succeeded := (i+1)*failed/count == i*failed/count
+		l.verifier.RecordOutcome(now, outcomes.Node, succeeded)
+	}
+}
