--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(runCommand(os.Args[1:]))
+		os.Exit(runSubcommand(os.Args[1:]))
 	}
 	if err := relay.Start(os.Getenv); err != nil {
 		fmt.Fprintln(os.Stderr, "silvercove-relay:", err)
@@ -29,8 +29,8 @@
 	}
 }
 
-// runCommand does what the arguments ask for: it checks an operator's file. Without any the program is a relay.
-func runCommand(args []string) (exitCode int) {
+// runSubcommand does what the arguments ask for: it checks an operator's file. Without any the program is a relay.
+func runSubcommand(args []string) (exitCode int) {
 	if len(args) != 2 || args[0] != "check" {
 		fmt.Fprintln(os.Stderr, "usage: silvercove-relay, or silvercove-relay check FILE")
 		return exitUsage
--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -41,7 +41,7 @@
 	server           *downstream.Server
 	watcher          *discovery.Watcher
 	releaseClient    *releaseapi.Client
-	evidence         *evidenceKeeper // nil where none is kept
+	evidence         *evidenceSaver // nil where none is kept
 	discoveryAddress *transport.Address
 	platformAddress  *transport.Address
 	stopTimeout      time.Duration // from SIGTERM until every request has to be answered
@@ -123,7 +123,7 @@
 		LoadShedder:    config.LoadShedder,
 	}
 	if config.evidenceRules != nil {
-		r.evidence = newEvidenceKeeper(config, root.With().Str("component", "evidence").Logger())
+		r.evidence = newEvidenceSaver(config, root.With().Str("component", "evidence").Logger())
 		callbacks.Evidence = r.evidence.store
 	}
 	r.dispatcher = dispatch.New(config.seed, config.site, callbacks)
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -58,14 +58,14 @@
 
 func (r *relay) logConnectionCounters() {
 	open, idle := r.pool.InUse()
-	reserved, held := r.buffers.InUse()
+	reserved, buffered := r.buffers.InUse()
 	r.log.Info().Int("backend_connections", open).Int("backend_connections_idle", idle).
 		Int64("backend_connections_opened", r.pool.Opened.Load()).Int64("backend_connections_reused", r.pool.Reused.Load()).
 		Int64("backend_connects_failed", r.pool.Failed.Load()).Int64("backend_unsolicited", r.pool.Unsolicited.Load()).
 		Int("sessions", r.server.Sessions()).Int64("sessions_accepted", r.server.Accepted.Load()).
 		Int64("sessions_malformed", r.server.Malformed.Load()).
 		Int64("sessions_rejected_for_space", r.server.RejectedForSpace.Load()).Int64("sessions_evicted", r.server.Evicted.Load()).
-		Int64("buffer_reserved_bytes", reserved).Int64("buffer_held_bytes", held).Msg("connection counters")
+		Int64("buffer_reserved_bytes", reserved).Int64("buffer_memory_bytes", buffered).Msg("connection counters")
 }
 
 func (r *relay) logProcessCounters() {
--- a/internal/relay/evidence_keeper.go
+++ b/internal/relay/evidence_saver.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/evidence"
 )
 
-// evidenceKeeper keeps what was seen of each version beside the balancer, and over a restart where the rules name a file.
-type evidenceKeeper struct {
+// evidenceSaver keeps what was seen of each version beside the balancer, and over a restart where the rules name a file.
+type evidenceSaver struct {
 	rules      evidenceRules
 	store      *evidence.Store // used under the dispatcher's lock, as the dispatcher records in it
 	dispatcher *dispatch.Dispatcher
@@ -30,30 +30,30 @@
 	failures []int
 }
 
-// newEvidenceKeeper makes a keeper and reads what an earlier process has saved. The dispatcher is set once it is made.
-func newEvidenceKeeper(c Config, log zerolog.Logger) *evidenceKeeper {
+// newEvidenceSaver makes a saver and reads what an earlier process has saved. The dispatcher is set once it is made.
+func newEvidenceSaver(c Config, log zerolog.Logger) *evidenceSaver {
 	var classes []string
 	for _, class := range c.site.Balancer.Classes {
 		classes = append(classes, class.Name)
 	}
-	k := &evidenceKeeper{rules: *c.evidenceRules, store: evidence.New(classes), log: log}
-	if k.rules.path != "" {
-		k.store.Load(k.rules.path)
+	s := &evidenceSaver{rules: *c.evidenceRules, store: evidence.New(classes), log: log}
+	if s.rules.path != "" {
+		s.store.Load(s.rules.path)
 	}
-	return k
+	return s
 }
 
 // recall takes what was known of the canary before this start, before anything new comes.
-func (k *evidenceKeeper) recall(stage dispatch.RolloutStage) {
-	if k.store.LoadError != "" {
-		k.log.Warn().Str("path", k.rules.path).Str("error", k.store.LoadError).Msg("evidence lost")
+func (s *evidenceSaver) recall(stage dispatch.RolloutStage) {
+	if s.store.LoadError != "" {
+		s.log.Warn().Str("path", s.rules.path).Str("error", s.store.LoadError).Msg("evidence lost")
 	}
 	if stage.Phase != "testing" {
 		return
 	}
-	k.recalled.version = stage.Version
-	k.dispatcher.WithLock(func() {
-		k.recalled.outcomes, k.recalled.failures = k.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, k.rules.halfLife)
+	s.recalled.version = stage.Version
+	s.dispatcher.WithLock(func() {
+		s.recalled.outcomes, s.recalled.failures = s.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, s.rules.halfLife)
 	})
 }
 
@@ -65,47 +65,47 @@
 
 // restore hands what was recalled to the balancer: not at once, as that first needs outcomes at the stable version to
 // compare with.
-func (k *evidenceKeeper) restore() {
+func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
-	for class := range k.recalled.outcomes {
-		outcomes += k.recalled.outcomes[class]
-		failures += k.recalled.failures[class]
+	for class := range s.recalled.outcomes {
+		outcomes += s.recalled.outcomes[class]
+		failures += s.recalled.failures[class]
 	}
 	if outcomes > 0 {
-		k.dispatcher.RestoreEvidence(k.recalled.version, k.recalled.outcomes, k.recalled.failures)
-		k.log.Info().Uint16("version", k.recalled.version).Int("outcomes", outcomes).Int("failures", failures).
+		s.dispatcher.RestoreEvidence(s.recalled.version, s.recalled.outcomes, s.recalled.failures)
+		s.log.Info().Uint16("version", s.recalled.version).Int("outcomes", outcomes).Int("failures", failures).
 			Msg("evidence restored")
 	}
-	k.recalled.outcomes, k.recalled.failures = nil, nil
+	s.recalled.outcomes, s.recalled.failures = nil, nil
 }
 
 // run saves the evidence until the context ends, and then once more. Of writes that fail one after the other the first is
 // logged.
-func (k *evidenceKeeper) run(ctx context.Context) error {
-	if k.rules.path == "" {
+func (s *evidenceSaver) run(ctx context.Context) error {
+	if s.rules.path == "" {
 		return nil
 	}
-	ticker := time.NewTicker(k.rules.saveInterval)
+	ticker := time.NewTicker(s.rules.saveInterval)
 	defer ticker.Stop()
 	failing := false
 	for ended := false; !ended; {
 		select {
 		case <-ticker.C:
-			k.restore()
+			s.restore()
 		case <-ctx.Done():
 			ended = true
 		}
-		err := k.save()
+		err := s.save()
 		if err != nil && !failing {
-			k.log.Error().Str("path", k.rules.path).Err(err).Msg("evidence not saved")
+			s.log.Error().Str("path", s.rules.path).Err(err).Msg("evidence not saved")
 		}
 		failing = err != nil
 	}
 	return nil
 }
 
-func (k *evidenceKeeper) save() error {
+func (s *evidenceSaver) save() error {
 	var snapshot []byte
-	k.dispatcher.WithLock(func() { snapshot = k.store.Snapshot() })
-	return evidence.Save(k.rules.path, snapshot)
+	s.dispatcher.WithLock(func() { snapshot = s.store.Snapshot() })
+	return evidence.Save(s.rules.path, snapshot)
 }
