--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_keeper.go
@@ -93,7 +93,7 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		if c.Keepers {
 			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
-			for _, name := range k.Keepers() {
+			for _, name := range k.Controllers() {
 				s, err := k.Status(ctx, name)
 				if err != nil {
 					_, _ = fmt.Fprintf(w, "%s\tsilent\t\t\t\t\t\t\t%v\n", name, err)
--- /dev/null
+++ b/internal/controller/conn_limiter_test.go
@@ -0,0 +1,87 @@
+package controller
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+)
+
+func TestConnLimiter_RefusedCallersTryAgain(t *testing.T) {
+	c := newTestFleet(t, time.Second, 1, 2)
+	seats := &connLimiter{limit: 6, limitPerProcess: 4}
+	c.adjustOptions = func(_ string, o *Options) { o.connLimiter = seats }
+	c.start()
+	c.create("edge-a", "camera-0", "edge-a")
+	c.processes["edge-a"].client.Close()
+	var held []interface{ Close() error }
+	dial := func(from string) error {
+		conn, err := c.processes[from].network.Dial(testContext(t), "keeper-1", peertransport.KindHTTP)
+		if err == nil {
+			held = append(held, conn)
+		}
+		return err
+	}
+	free := func() bool {
+		seats.mu.Lock()
+		defer seats.mu.Unlock()
+		return seats.total == 0
+	}
+	c.waitFor("the first connection is gone", free)
+	for range 4 {
+		if err := dial("edge-b"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := dial("edge-b"); !errors.Is(err, peertransport.ErrRefused) || !strings.Contains(err.Error(), "try again") {
+		t.Errorf("a fifth one of one process: %v", err)
+	}
+	c.create("edge-a", "camera-1", "edge-a") // another process has its call carried out
+	c.processes["edge-a"].client.Close()
+	c.waitFor("two are left", func() bool { seats.mu.Lock(); defer seats.mu.Unlock(); return seats.total == 4 })
+	for range 2 {
+		if err := dial("relay-1"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := dial("edge-a"); !errors.Is(err, peertransport.ErrRefused) {
+		t.Errorf("a seventh one of all: %v", err)
+	}
+	short, cancel := contextWithTimeout(200 * time.Millisecond)
+	defer cancel()
+	e := placement.Operation{Kind: placement.OpCreate, Instance: "camera-2", Target: "edge-a"}
+	if _, err := c.processes["edge-a"].client.Propose(short, e); !errors.Is(err, controllerclient.ErrNoController) ||
+		!strings.Contains(err.Error(), "busy") {
+		t.Errorf("it is not told to try again: %v", err)
+	}
+	later := make(chan error, 1)
+	go func() {
+		_, err := c.processes["edge-a"].client.Propose(testContext(t), placement.Operation{Kind: placement.OpCreate, Instance: "camera-3",
+			Target: "edge-a", Zone: "north", Weight: 3})
+		later <- err
+	}()
+	for _, conn := range held {
+		_ = conn.Close()
+	}
+	if err := <-later; err != nil {
+		t.Errorf("a call that tries again: %v", err)
+	}
+	c.processes["edge-a"].client.Close()
+	c.waitFor("all places are given back", free)
+}
+
+// TestConnLimiter_AdmitsControllersBeyondTheLimit: controllers reach one another, however many others call.
+func TestConnLimiter_AdmitsControllersBeyondTheLimit(t *testing.T) {
+	c := connLimiter{limit: 1, limitPerProcess: 2, byProcess: map[string]int{}, isController: func(name string) bool { return name == "keeper-2" }}
+	admit := func(from string) bool {
+		_, why := c.admit(from)
+		return why == ""
+	}
+	if !admit("edge-a") || admit("edge-b") || !admit("keeper-2") || !admit("keeper-2") || admit("keeper-2") {
+		t.Errorf("%+v", c.byProcess)
+	}
+}
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -61,7 +61,7 @@
 		default:
 			return err
 		}
-		if err := c.disk.setAside(); err != nil {
+		if err := c.disk.archive(); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/internal/controller/disk_space_test.go
@@ -0,0 +1,256 @@
+package controller
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"silvercove/internal/placement"
+)
+
+// freeSpace is, by controller, the free part of its disk, in thousandths.
+type freeSpace map[string]*atomic.Int64
+
+func (f freeSpace) adjust(name string, o *Options) {
+	if f[name] == nil {
+		f[name] = new(atomic.Int64)
+		f[name].Store(500)
+	}
+	o.DiskFree = func(string) (uint64, uint64, error) { return uint64(f[name].Load()), 1000, nil }
+}
+
+func TestDiskSpace_ThreeControllersAt95Percent(t *testing.T) {
+	c := newTestFleet(t, time.Second, 3, 1)
+	room := freeSpace{}
+	c.adjustOptions = func(name string, o *Options) {
+		room.adjust(name, o)
+		o.spacePolicy = newSpacePolicy()
+		o.spacePolicy.snapshotEntries, o.spacePolicy.trailingEntries = 400, 80 // 50 and 10 where the disk is low on space
+	}
+	c.start()
+	made, names := 0, []string{"keeper-1", "keeper-2", "keeper-3"}
+	create := func() {
+		t.Helper()
+		c.create("edge-a", fmt.Sprint("camera-", made), "edge-a")
+		made++
+	}
+	short := func(name string, is bool) {
+		t.Helper()
+		c.waitFor(fmt.Sprint(name, " is short of room: ", is), func() bool {
+			s := c.status(name)
+			return s.Disk != nil && s.Disk.LowOnSpace == is
+		})
+	}
+	for range 10 {
+		create()
+	}
+	first := c.waitForLeader()
+	room[first].Store(50)
+	second := c.waitForLeader(first)
+	short(first, true)
+	if !c.log.contains("hands the lead on") || !c.log.contains(`"event":"disk"`) || !c.log.contains("short of room") {
+		t.Error("it does not say so")
+	}
+	create()
+	c.waitForInstance(first, fmt.Sprint("camera-", made-1)) // it takes part all the same
+	room[second].Store(40)
+	third := c.waitForLeader(first, second)
+	create()
+	room[third].Store(45) // all are short: one leads on
+	for _, name := range names {
+		short(name, true)
+	}
+	term := c.status(third).Term
+	snaps := func(name string) int {
+		all, _ := filepath.Glob(filepath.Join(c.dir, name, snapshotDir, "*"))
+		return len(all)
+	}
+	for _, name := range names {
+		if snaps(name) > 0 {
+			t.Errorf("%s cut its log before that was of use", name)
+		}
+	}
+	for range 80 {
+		create()
+	}
+	for _, name := range names {
+		c.waitForInstance(name, fmt.Sprint("camera-", made-1))
+		c.waitFor(name+" cuts its log", func() bool { return snaps(name) > 0 })
+	}
+	if s := c.status(third); s.Role != "leader" || s.Term != term {
+		t.Errorf("with nobody to hand it to the lead went on: %+v", s)
+	}
+	for _, name := range names {
+		room[name].Store(60) // some, and not enough
+	}
+	c.waitFor("it is seen", func() bool { return c.status(first).Disk.Free == 60 })
+	short(first, true)
+	room[first].Store(300)
+	short(first, false)
+	c.waitForLeader(second, third) // as before: it leads again
+	create()
+	for _, name := range names {
+		room[name].Store(300)
+		short(name, false)
+	}
+	c.partition(true, second) // and its vote makes a majority
+	create()
+	c.partition(false, second)
+	_ = c.stop(second) // the snapshots of then have all
+	c.start(second)
+	for i := range made {
+		for _, name := range names {
+			c.waitForInstance(name, fmt.Sprint("camera-", i))
+		}
+	}
+	if err := c.requestLease("edge-a", 1); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestCompaction_BoundsTheLogWhileServing: the log stays within its bound while calls are served, and what restarts from the snapshots has all.
+func TestCompaction_BoundsTheLogWhileServing(t *testing.T) {
+	const lease = 400 * time.Millisecond
+	c := newTestFleet(t, lease, 1, 1)
+	const every, left, most = 400, 100, 5000
+	c.adjustOptions = func(_ string, o *Options) {
+		o.spacePolicy = newSpacePolicy()
+		o.spacePolicy.snapshotEntries, o.spacePolicy.trailingEntries = every, left
+		o.DiskFree = func(string) (uint64, uint64, error) { return 50, 100, nil }
+	}
+	c.start()
+	if err := c.requestLease("edge-a", 1); err != nil {
+		t.Fatal(err)
+	}
+	c.create("edge-a", "camera-0", "edge-a")
+	c.waitForLeader()
+	ctrl := c.processes["keeper-1"].controller
+	load := &compactionLoad{fleet: c, controller: ctrl, operations: most}
+	load.run(t)
+	c.waitFor("it is cut at the end", func() bool {
+		first, _ := ctrl.store.FirstIndex()
+		last, _ := ctrl.store.LastIndex()
+		return last+1-first <= every+left
+	})
+	t.Logf("%d entries and %d KiB at most, a call took %v at most", load.maxEntries, load.maxBytes>>10,
+		time.Duration(load.longestCall.Load()))
+	// The controller looks each third of a lease: a fast machine agrees much between two looks, and never near all there is.
+	if bound := min(most*9/10, every+left+load.rate*2*(lease/3).Seconds()); float64(load.maxEntries) > max(most/2, bound) || load.maxBytes > 4<<20 {
+		t.Errorf("%d entries at %.0f a second, %d bytes", load.maxEntries, load.rate, load.maxBytes)
+	}
+	snaps, _ := filepath.Glob(filepath.Join(c.dir, "keeper-1", snapshotDir, "*"))
+	if len(snaps) == 0 || len(snaps) > 2 {
+		t.Errorf("snapshots: %v", snaps)
+	}
+	want, applied := ctrl.stateMachine.assignments(), ctrl.stateMachine.lastApplied()
+	if err := c.stop("keeper-1"); err != nil {
+		t.Fatal(err)
+	}
+	c.start("keeper-1")
+	ctrl = c.processes["keeper-1"].controller
+	c.waitFor("all is there again", func() bool { return ctrl.stateMachine.lastApplied() >= applied })
+	got := ctrl.stateMachine.assignments()
+	if len(got) != len(want) {
+		t.Fatalf("%d places, %d before", len(got), len(want))
+	}
+	for i := range got {
+		if a, b := fmt.Sprintf("%+v", got[i]), fmt.Sprintf("%+v", want[i]); a != b {
+			t.Fatalf("%s, before %s", a, b)
+		}
+	}
+}
+
+// compactionLoad proposes operations at a controller as fast as it takes them, and makes calls beside. It watches the log
+// meanwhile.
+type compactionLoad struct {
+	fleet      *testFleet
+	controller *Controller
+	operations int64
+
+	maxEntries  uint64       // that the log had
+	maxBytes    int64        // that its file had
+	rate        float64      // operations a second
+	longestCall atomic.Int64 // nanoseconds
+}
+
+// run returns once all operations are agreed.
+func (l *compactionLoad) run(t *testing.T) {
+	t.Helper()
+	const parallel = 32
+	var proposed atomic.Int64
+	var workers, caller sync.WaitGroup
+	failed := make(chan error, parallel+1)
+	for worker := range parallel {
+		workers.Go(func() { l.propose(worker, &proposed, failed) })
+	}
+	stop := make(chan struct{})
+	caller.Go(func() { l.call(t, stop, failed) })
+	done := make(chan struct{})
+	began := time.Now()
+	go func() {
+		workers.Wait()
+		close(done)
+	}()
+	for ended := false; !ended; l.watch() {
+		select {
+		case <-done:
+			ended = true
+		case <-time.After(5 * time.Millisecond):
+		}
+	}
+	l.rate = float64(l.operations) / time.Since(began).Seconds()
+	close(stop)
+	caller.Wait()
+	select {
+	case err := <-failed:
+		t.Fatal(err)
+	default:
+	}
+}
+
+// propose proposes its part of the operations.
+func (l *compactionLoad) propose(worker int, proposed *atomic.Int64, failed chan<- error) {
+	for proposed.Add(1) <= l.operations {
+		zone := []string{"north", "south"}[(worker+int(proposed.Load()))%2]
+		op := placement.Operation{Version: placement.FormatVersion, Kind: placement.OpMoveDevice, Instance: "camera-0", Epoch: 1,
+			Zone: zone, Reason: strings.Repeat("x", 200)}
+		if _, err := l.controller.proposeEntry(logEntry{Operations: []placement.Operation{op}}); err != nil {
+			failed <- err
+			return
+		}
+	}
+}
+
+// call makes calls, one after the other, until stop is closed.
+func (l *compactionLoad) call(t *testing.T, stop <-chan struct{}, failed chan<- error) {
+	t.Helper()
+	for i := 1; ; i++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		began := time.Now()
+		op := placement.Operation{Kind: placement.OpCreate, Instance: fmt.Sprint("camera-", i), Target: "edge-a", Zone: "north", Weight: 3}
+		if _, err := l.fleet.processes["edge-a"].client.Propose(t.Context(), op); err != nil {
+			failed <- err
+			return
+		}
+		l.longestCall.Store(max(l.longestCall.Load(), int64(time.Since(began))))
+	}
+}
+
+// watch looks at the log.
+func (l *compactionLoad) watch() {
+	first, _ := l.controller.store.FirstIndex()
+	last, _ := l.controller.store.LastIndex()
+	l.maxEntries = max(l.maxEntries, last+1-min(first, last+1))
+	if stat, err := os.Stat(filepath.Join(l.fleet.dir, "keeper-1", logFile)); err == nil {
+		l.maxBytes = max(l.maxBytes, stat.Size())
+	}
+}
--- /dev/null
+++ b/internal/controller/fleet_test.go
@@ -0,0 +1,428 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+	"silvercove/internal/standin/faultproxy"
+	"silvercove/internal/tick"
+)
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait")) // half a second, by itself
+}
+
+// testProcess is a process of the fleet: a controller, or an edge node with a client alone.
+type testProcess struct {
+	name, role   string
+	address      string
+	reservedPort net.Listener // until the first start, so that nobody else gets its port
+	network      *peertransport.Network
+	controller   *Controller
+	cancel       context.CancelFunc
+	done         chan error
+	client       *controllerclient.Client
+}
+
+// testFleet is a fleet over links between any two.
+type testFleet struct {
+	t             testing.TB
+	settings      map[string]any
+	links         *faultproxy.Net
+	processes     map[string]*testProcess
+	names         []string
+	linkBetween   map[[2]string]*faultproxy.Link
+	dir           string
+	wrapStore     map[string]func(Store) Store
+	log           *logBuffer
+	newPlanner    func(Host) Planner
+	adjustOptions func(name string, o *Options) // nil: as options has them
+}
+
+// newTestFleet makes a fleet of so many controllers and edge nodes, which start starts.
+func newTestFleet(tb testing.TB, lease time.Duration, controllers, edges int) *testFleet {
+	tb.Helper()
+	c := &testFleet{t: tb, settings: map[string]any{"fleet.lease": lease.Seconds(), "fleet.drift": 0.02}, processes: map[string]*testProcess{},
+		linkBetween: map[[2]string]*faultproxy.Link{}, dir: tb.TempDir(), wrapStore: map[string]func(Store) Store{}, log: &logBuffer{},
+		links: faultproxy.New(1, func(faultproxy.Event) {})}
+	for i := range controllers {
+		c.names = append(c.names, fmt.Sprintf("keeper-%d", i+1))
+	}
+	for i := range edges {
+		c.names = append(c.names, fmt.Sprintf("edge-%c", 'a'+i))
+	}
+	c.names = append(c.names, "relay-1")
+	for _, name := range c.names {
+		role, _, _ := strings.Cut(name, "-")
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			tb.Fatal(err)
+		}
+		c.processes[name] = &testProcess{name: name, role: role, address: l.Addr().String(), reservedPort: l}
+	}
+	for _, a := range c.names {
+		for _, b := range c.names {
+			if a != b {
+				l, err := c.links.Add(a, b, c.processes[b].address)
+				if err != nil {
+					tb.Fatal(err)
+				}
+				c.linkBetween[[2]string{a, b}] = l
+			}
+		}
+	}
+	tb.Cleanup(func() {
+		for _, name := range c.names {
+			_ = c.stop(name)
+		}
+		c.links.Close()
+		if tb.Failed() && os.Getenv("KEEPER_LOG") != "" {
+			tb.Log(c.log.buf.String())
+		}
+	})
+	return c
+}
+
+// start starts processes by name, all without.
+func (c *testFleet) start(names ...string) {
+	c.t.Helper()
+	if len(names) == 0 {
+		names = c.names
+	}
+	for _, name := range names {
+		c.startProcess(c.processes[name])
+	}
+}
+
+// startProcess starts one process. Its done channel has the error with which it ended.
+func (c *testFleet) startProcess(p *testProcess) {
+	c.t.Helper()
+	_ = p.reservedPort.Close()                  // closed already at a second start
+	c.waitFor("its port is free", func() bool { // a link's connection may have it for a moment
+		var err error
+		self := peertransport.Peer{Name: p.name, Role: p.role, Zone: "north", Address: p.address}
+		p.network, err = peertransport.Open("vans", self, c.peersOf(p.name), func(string) {})
+		return err == nil
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	networkContext, stopNetwork := context.WithCancel(context.Background())
+	p.cancel, p.done = cancel, make(chan error, 1)
+	p.client = controllerclient.New(p.network, c.settings, 7)
+	if p.role != peertransport.RoleController {
+		context.AfterFunc(ctx, stopNetwork)
+		go func() { p.done <- p.network.Run(networkContext) }()
+		return
+	}
+	var err error
+	p.controller, err = Open(c.options(p))
+	if err != nil {
+		cancel()
+		stopNetwork()
+		p.controller = nil
+		p.done <- errors.Join(err, p.network.Run(networkContext))
+		return
+	}
+	networkEnded := make(chan error, 1)
+	go func() { networkEnded <- p.network.Run(networkContext) }()
+	go func() {
+		err := p.controller.Run(ctx)
+		stopNetwork()
+		p.done <- errors.Join(err, <-networkEnded)
+	}()
+}
+
+// peersOf are the other processes as one of them reaches them, each over its link.
+func (c *testFleet) peersOf(name string) (peers []peertransport.Peer) {
+	for _, other := range c.names {
+		if other != name {
+			peers = append(peers, peertransport.Peer{Name: other, Role: c.processes[other].role, Zone: "north",
+				Address: c.linkBetween[[2]string{name, other}].Address()})
+		}
+	}
+	return peers
+}
+
+// options are those of a controller.
+func (c *testFleet) options(p *testProcess) Options {
+	o := Options{
+		Network:   p.network,
+		DataDir:   filepath.Join(c.dir, p.name),
+		Settings:  c.settings,
+		WrapStore: c.wrapStore[p.name],
+		Log:       zerolog.New(c.log).With().Str("node", p.name).Timestamp().Logger(),
+		Planner: func(h Host, _ tick.Tick) Planner {
+			if c.newPlanner != nil {
+				return c.newPlanner(h)
+			}
+			return newFailoverPlanner(h)
+		},
+	}
+	if c.adjustOptions != nil {
+		c.adjustOptions(p.name, &o)
+	}
+	return o
+}
+
+// emptyStore takes a stopped controller's disk away.
+func (c *testFleet) emptyStore(name string) {
+	c.t.Helper()
+	if err := os.RemoveAll(filepath.Join(c.dir, name)); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// copyStore copies a stopped controller's disk; put puts the copy back.
+func (c *testFleet) copyStore(name string) (put func()) {
+	c.t.Helper()
+	dir, kept := filepath.Join(c.dir, name), c.t.TempDir()
+	if err := os.CopyFS(kept, os.DirFS(dir)); err != nil {
+		c.t.Fatal(err)
+	}
+	return func() {
+		c.emptyStore(name)
+		if err := os.CopyFS(dir, os.DirFS(kept)); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+}
+
+func (c *testFleet) role(name string) string {
+	c.t.Helper()
+	return c.status(name).Role
+}
+
+// isVoter reports whether a controller is a voter, as the leader has it.
+func (c *testFleet) isVoter(name string) bool {
+	f := c.processes[c.waitForLeader()].controller.raft.Load().GetConfiguration()
+	if f.Error() != nil {
+		return false
+	}
+	for _, s := range f.Configuration().Servers {
+		if s.ID == raft.ServerID(name) {
+			return s.Suffrage == raft.Voter
+		}
+	}
+	return false
+}
+
+// follower is a controller that does not lead.
+func (c *testFleet) follower() string {
+	c.t.Helper()
+	leader := c.waitForLeader()
+	for _, name := range c.names {
+		if name != leader && c.processes[name].role == peertransport.RoleController {
+			return name
+		}
+	}
+	return ""
+}
+
+// logBuffer is the log of all controllers. It is safe for concurrent use.
+type logBuffer struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
+}
+
+func (t *logBuffer) Write(b []byte) (int, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.buf.Write(b)
+}
+
+func (t *logBuffer) contains(text string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return bytes.Contains(t.buf.Bytes(), []byte(text))
+}
+
+// stop ends a process in order, and returns its error. To have it fail instead, partition it first.
+func (c *testFleet) stop(name string) error {
+	n := c.processes[name]
+	if n.cancel == nil {
+		return nil
+	}
+	n.cancel()
+	n.cancel = nil
+	n.client.Close()
+	select {
+	case err := <-n.done:
+		n.controller = nil
+		return err
+	case <-time.After(20 * time.Second):
+		c.t.Errorf("%s does not end", name)
+		return nil
+	}
+}
+
+// partition silences the links between a process and others, both ways, or heals them.
+func (c *testFleet) partition(silent bool, name string) {
+	for _, b := range c.names {
+		if b == name {
+			continue
+		}
+		for _, l := range []*faultproxy.Link{c.linkBetween[[2]string{name, b}], c.linkBetween[[2]string{b, name}]} {
+			l.Set(faultproxy.Forth, faultproxy.Fault{Silent: silent})
+			l.Set(faultproxy.Back, faultproxy.Fault{Silent: silent})
+		}
+	}
+}
+
+// waitFor waits for a condition.
+func (c *testFleet) waitFor(what string, ok func() bool) {
+	c.t.Helper()
+	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(limit) {
+			if os.Getenv("KEEPER_LOG") != "" {
+				c.t.Log(c.log.buf.String())
+			}
+			c.t.Fatalf("not within 20 s: %s", what)
+		}
+	}
+}
+
+// waitForLeader waits for a controller that leads and is not one of those named.
+func (c *testFleet) waitForLeader(not ...string) (name string) {
+	c.t.Helper()
+	c.waitFor("a leader", func() bool {
+		for _, n := range c.names {
+			ctrl := c.processes[n].controller
+			if ctrl == nil || c.processes[n].cancel == nil || slices.Contains(not, n) {
+				continue
+			}
+			ctrl.mu.Lock()
+			leads := ctrl.currentLeadership() != nil
+			ctrl.mu.Unlock()
+			if leads {
+				name = n
+				return true
+			}
+		}
+		return false
+	})
+	return name
+}
+
+// testContext ends after 20 seconds, or with the test.
+func testContext(tb testing.TB) context.Context {
+	tb.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	tb.Cleanup(cancel)
+	return ctx
+}
+
+// create makes an instance, and fails the test where that is refused.
+func (c *testFleet) create(by, name, unit string) placement.Assignment {
+	c.t.Helper()
+	p, err := c.processes[by].client.Propose(testContext(c.t), placement.Operation{Kind: placement.OpCreate, Instance: name, Target: unit, Zone: "north",
+		Weight: 3})
+	if err != nil && !errors.Is(err, placement.ErrExists) {
+		c.t.Fatal(err)
+	}
+	return p
+}
+
+// requestLease asks for a lease of an incarnation of an edge node.
+func (c *testFleet) requestLease(unit string, run uint64) error {
+	c.t.Helper()
+	_, _, err := c.processes[unit].client.RequestLease(testContext(c.t), controllerclient.LeaseRequest{Node: unit, Incarnation: run})
+	return err
+}
+
+// waitForInstance waits until a controller's own table has an instance.
+func (c *testFleet) waitForInstance(keeper, name string) {
+	c.t.Helper()
+	c.waitFor(keeper+" has "+name, func() bool {
+		_, ok := c.processes[keeper].controller.stateMachine.assignment(name)
+		return ok
+	})
+}
+
+func contextWithTimeout(d time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), d)
+}
+
+// serveInventory has a node answer what it holds.
+func (c *testFleet) serveInventory(unit string, h controllerclient.Inventory) {
+	c.t.Helper()
+	n := c.processes[unit]
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/holds", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(h) })
+	server := &http.Server{Handler: mux}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = server.Serve(n.network.Listener(peertransport.KindHTTP)) // it ends with the test
+	}()
+	c.t.Cleanup(func() {
+		_ = server.Close()
+		<-done
+	})
+}
+
+// status is what a running controller tells of itself.
+func (c *testFleet) status(name string) controllerclient.Status {
+	c.t.Helper()
+	status, err := c.processes[name].controller.handleStatus(call[struct{}]{})
+	if err != nil {
+		c.t.Error(err)
+	}
+	return status
+}
+
+// rewriteSnapshot has the newest snapshot of a stopped controller replaced by one with another text.
+func (c *testFleet) rewriteSnapshot(name string, change func([]byte) []byte) {
+	c.t.Helper()
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(filepath.Join(c.dir, name), 2, hclog.NewNullLogger())
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	list, err := snaps.List()
+	if err != nil || len(list) == 0 {
+		c.t.Fatalf("%v %v", list, err)
+	}
+	m, r, err := snaps.Open(list[0].ID)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	text, err := io.ReadAll(r)
+	_ = r.Close()
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	changed := change(text)
+	if bytes.Equal(changed, text) {
+		c.t.Fatalf("nothing was changed in %s", text)
+	}
+	time.Sleep(2 * time.Millisecond) // a snapshot's name has its millisecond
+	sink, err := snaps.Create(m.Version, m.Index, m.Term, m.Configuration, m.ConfigurationIndex, addressCodec{})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if _, err := sink.Write(changed); err != nil {
+		c.t.Fatal(err)
+	}
+	if err := sink.Close(); err != nil {
+		c.t.Fatal(err)
+	}
+}
--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -39,7 +39,7 @@
 	zones := map[string]map[string]devicehealth.Report{}
 	for name, ask := range l.nodes {
 		var report devicehealth.Report
-		if _, held := l.lessor.LeaseEnd(c.Now(), name); !held || json.Unmarshal(ask.Report, &report) != nil {
+		if _, hasLease := l.lessor.LeaseEnd(c.Now(), name); !hasLease || json.Unmarshal(ask.Report, &report) != nil {
 			continue
 		}
 		zone := c.zoneOf(*ask)
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -36,7 +36,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.awaitDependents(req.ctx, l, ask.Node); err != nil {
+	if err := c.awaitRenewalUnblocked(req.ctx, l, ask.Node); err != nil {
 		return none, err
 	}
 	now := c.Now()
@@ -134,11 +134,11 @@
 	return nil
 }
 
-// awaitDependents waits until no operation is under way that rests on the end of a node's lease. It is called with mu, which
+// awaitRenewalUnblocked waits until no operation is under way that rests on the end of a node's lease. It is called with mu, which
 // it gives back while it waits. It fails with raft.ErrLeadershipLost, or the context's error.
-func (c *Controller) awaitDependents(ctx context.Context, l *leadership, node string) error {
-	for c.currentLeadership() == l && l.expiryDependents[node] > 0 {
-		settled := l.dependentsSettled
+func (c *Controller) awaitRenewalUnblocked(ctx context.Context, l *leadership, node string) error {
+	for c.currentLeadership() == l && l.renewalBlocks[node] > 0 {
+		settled := l.renewalUnblocked
 		c.mu.Unlock()
 		select {
 		case <-settled:
--- /dev/null
+++ b/internal/controller/handle_lease_test.go
@@ -0,0 +1,192 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+)
+
+func TestLease_LaterIncarnationWaitsAndEarlierIsRefused(t *testing.T) {
+	c := newTestFleet(t, 500*time.Millisecond, 3, 1)
+	c.start()
+	granted := time.Now()
+	if err := c.requestLease("edge-a", 5); err != nil {
+		t.Fatal(err)
+	}
+	first := c.waitForLeader()
+	if err := c.requestLease("edge-a", 6); err == nil || !bytes.Contains([]byte(err.Error()), []byte("another run")) {
+		t.Errorf("a second run beside the first: %v", err)
+	}
+	_ = c.stop(first) // the next leader knows the incarnation by the log, and counts its lease as renewed
+	c.waitForLeader(first)
+	if err := c.requestLease("edge-a", 4); err == nil || !bytes.Contains([]byte(err.Error()), []byte("old copy")) {
+		t.Errorf("an old copy: %v", err)
+	}
+	c.waitFor("the later run is let in", func() bool { return c.requestLease("edge-a", 6) == nil })
+	if d := time.Since(granted); d < 500*time.Millisecond {
+		t.Errorf("the other run was let in after %v", d)
+	}
+	if err := c.requestLease("edge-a", 5); err == nil {
+		t.Error("the earlier run is granted beside the later")
+	}
+}
+
+func TestLease_NamesTheVersionAfterAFailover(t *testing.T) {
+	c := newTestFleet(t, 300*time.Millisecond, 1, 2)
+	c.start()
+	a, b := c.processes["edge-a"].client, c.processes["edge-b"].client
+	for _, unit := range []string{"edge-b", "edge-a"} {
+		if err := c.requestLease(unit, 1); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ctrl := c.processes["keeper-1"].controller
+	c.waitFor("it is placed with a holder", func() bool { // at once: edge-a may be late with its next lease at any moment
+		_, err := ctrl.proposeEntry(logEntry{Operations: []placement.Operation{{Version: 1, Kind: placement.OpCreate, Instance: "camera-7", Target: "edge-a", Zone: "north", Weight: 3},
+			{Version: 1, Kind: placement.OpStartCopy, Instance: "camera-7", Epoch: 1, Target: "edge-b"},
+			{Version: 1, Kind: placement.OpReplicaReady, Instance: "camera-7", Epoch: 1, Node: "edge-a", Target: "edge-b"}}})
+		return err == nil
+	})
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	moved, watched := make(chan uint64, 1), make(chan error, 1)
+	go func() {
+		watched <- b.Watch(ctx, func(changes controllerclient.AssignmentChanges) {
+			for _, p := range changes.Assignments {
+				if p.Epoch < 2 {
+					continue
+				}
+				select {
+				case moved <- changes.Version: // later ones are edge-b's own failover, as it does not renew either
+				default:
+				}
+			}
+		})
+	}()
+	var version uint64
+	select {
+	case version = <-moved:
+	case <-time.After(10 * time.Second):
+		t.Fatal("nobody takes over")
+	}
+	cancel()
+	if err := <-watched; !errors.Is(err, context.Canceled) {
+		t.Errorf("the watch ended: %v", err)
+	}
+	answer, _, err := a.RequestLease(testContext(t), controllerclient.LeaseRequest{Node: "edge-a", Incarnation: 1})
+	if err != nil || answer.AssignmentsVersion < version {
+		t.Errorf("the lease names version %d, and its place changed at %d: %v", answer.AssignmentsVersion, version, err)
+	}
+	if p, _ := ctrl.stateMachine.assignment("camera-7"); p.Epoch != 2 || p.Primary != "edge-b" && p.State == placement.Running {
+		t.Errorf("%+v", p)
+	}
+}
+
+// TestLease_AgreesRecordCounts: what a node counts of its disk is known to the next leader a lease later, costs an entry a lease
+// for all nodes, and changes no assignment; an unverified copy is agreed before the lease that told of it is granted.
+func TestLease_AgreesRecordCounts(t *testing.T) {
+	const units = 20
+	c := newTestFleet(t, time.Second, 1, units)
+	c.newPlanner = func(h Host) Planner {
+		return &idlePlanner{*newFailoverPlanner(h)}
+	}
+	c.start()
+	ask := func(unit string, kept uint64, doubts ...replica.UnverifiedCopy) controllerclient.LeaseResponse {
+		t.Helper()
+		a, _, err := c.processes[unit].client.RequestLease(testContext(t), controllerclient.LeaseRequest{Node: unit, Incarnation: 5, RecordCount: kept, Unverified: doubts})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return a
+	}
+	p := c.create("edge-a", "camera-7", "edge-a")
+	ask("edge-b", 1)
+	for _, x := range []struct{ kept, before uint64 }{{100, 0}, {105, 100}, {90, 105}, {90, 105}, {0, 105}, {7, 0}, {120, 7}} {
+		if a := ask("edge-a", x.kept); a.RecordCount != x.before {
+			t.Errorf("%d was told, and %d was known, not %d", x.kept, a.RecordCount, x.before)
+		}
+	}
+	ctrl := c.processes["keeper-1"].controller
+	agreed := func(unit string, kept uint64) {
+		t.Helper()
+		c.waitFor(fmt.Sprintf("%d of %s is agreed", kept, unit), func() bool { return ctrl.stateMachine.recordCounts()[unit] == kept })
+	}
+	agreed("edge-a", 120)
+	for i := range units {
+		ask(fmt.Sprintf("edge-%c", 'a'+i), 200) // the first request of an incarnation is an entry of its own
+	}
+	first := ctrl.raft.Load().LastIndex()
+	began := time.Now()
+	for n := range 20 {
+		for i := range units {
+			ask(fmt.Sprintf("edge-%c", 'a'+i), uint64(300+n))
+		}
+	}
+	agreed("edge-t", 319)
+	most := uint64(2 + time.Since(began)/time.Second)
+	if n := ctrl.raft.Load().LastIndex() - first; n > most {
+		t.Errorf("%d entries, most are %d", n, most)
+	}
+	if a := ask("edge-a", 400, replica.UnverifiedCopy{Instance: "camera-7", Epoch: 1, Index: 3, Reason: "put back"}); a.AcceptedUnverified != 1 || a.AssignmentsVersion != p.Revision {
+		t.Errorf("%+v", a)
+	}
+	agreed("edge-a", 400)
+	if err := ctrl.raft.Load().Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.stop("keeper-1")
+	c.start("keeper-1")
+	if a := ask("edge-a", 5); a.RecordCount != 400 {
+		t.Errorf("after a restart %d is known", a.RecordCount)
+	}
+	all, err := c.processes["edge-a"].client.Assignments(testContext(t), 0)
+	if err != nil || len(all.Assignments) != 1 || !strings.Contains(all.Assignments[0].UnverifiedReason, "put back") || all.Assignments[0].Revision != p.Revision {
+		t.Errorf("%+v %v", all, err)
+	}
+	_, _, err = c.processes["edge-a"].client.RequestLease(testContext(t), controllerclient.LeaseRequest{Node: "edge-a", Incarnation: 5,
+		Unverified: make([]replica.UnverifiedCopy, controllerclient.MaxUnverified+1)})
+	if err == nil {
+		t.Error("as many doubts as anybody likes are taken at once")
+	}
+}
+
+// TestLease_WaitsForAFailoverUnderWay: else the primary would serve again by earlier assignments.
+func TestLease_WaitsForAFailoverUnderWay(t *testing.T) {
+	c := newTestFleet(t, time.Second, 1, 1)
+	c.start()
+	ctrl := c.processes["keeper-1"].controller
+	c.waitForLeader()
+	ctrl.mu.Lock()
+	l := ctrl.leadership
+	if err := l.blockRenewal(ctrl.Now(), "edge-a"); err != nil {
+		t.Error(err)
+	}
+	ctrl.mu.Unlock()
+	granted := make(chan error, 1)
+	go func() { granted <- c.requestLease("edge-a", 1) }()
+	c.waitFor("its run is agreed", func() bool { return ctrl.stateMachine.incarnations()["edge-a"] == 1 })
+	select {
+	case err := <-granted:
+		t.Errorf("granted while its fall is under way: %v", err)
+	case <-time.After(300 * time.Millisecond):
+	}
+	ctrl.mu.Lock()
+	l.unblockRenewal("edge-a")
+	ctrl.mu.Unlock()
+	if err := <-granted; err != nil {
+		t.Error(err)
+	}
+	ctrl.mu.Lock()
+	defer ctrl.mu.Unlock()
+	if err := l.blockRenewal(ctrl.Now(), "edge-a"); !errors.Is(err, errLeaseRunning) {
+		t.Errorf("a step against a unit that holds its lease: %v", err)
+	}
+}
--- a/internal/controller/handle_operation.go
+++ b/internal/controller/handle_operation.go
@@ -54,7 +54,7 @@
 	entry := logEntry{Operations: []placement.Operation{op}}
 	if current.Primary != "" {
 		c.mu.Lock()
-		err := l.holdExpiry(c.Now(), current.Primary)
+		err := l.blockRenewal(c.Now(), current.Primary)
 		c.mu.Unlock()
 		if err != nil {
 			refusal := refuse(http.StatusConflict, "%s runs at %s: %v", op.Instance, current.Primary, err)
@@ -63,7 +63,7 @@
 		}
 		defer func() {
 			c.mu.Lock()
-			l.releaseExpiry(current.Primary)
+			l.unblockRenewal(current.Primary)
 			c.mu.Unlock()
 		}()
 		entry.Term = l.term
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -40,9 +40,9 @@
 	nodesVersion uint64                                    // of nodes; grows over spans, as the term is in its upper half
 	nodesChanged chan struct{}                             // closed at the next change of nodes
 
-	proposals         []queuedProposal
-	expiryDependents  map[string]int // by edge node: operations under way that rest on the end of its lease
-	dependentsSettled chan struct{}  // closed when there are none left for a node
+	proposals        []queuedProposal
+	renewalBlocks    map[string]int // by edge node: operations under way that rest on the end of its lease
+	renewalUnblocked chan struct{}  // closed when there are none left for a node
 
 	decisions      []string // the planner's last ones
 	lackedMajority bool     // at the last look there were too few voters to grant a lease
@@ -51,18 +51,18 @@
 // newLeadership is a span that begins in a term, without a planner yet.
 func newLeadership(term uint64, now tick.Tick, config leases.Config, recordCounts map[string]uint64) *leadership {
 	return &leadership{
-		term:              term,
-		ended:             make(chan struct{}),
-		lessor:            leases.New(config),
-		verifier:          devicehealth.NewVerifier(),
-		recordCounts:      leases.NewRecordCounts(now, config, recordCounts),
-		rollingBack:       map[uint16]bool{},
-		rolloutReports:    map[string]rolloutReport{},
-		nodes:             map[string]*controllerclient.LeaseRequest{},
-		nodesVersion:      term << 32,
-		nodesChanged:      make(chan struct{}),
-		expiryDependents:  map[string]int{},
-		dependentsSettled: make(chan struct{}),
+		term:             term,
+		ended:            make(chan struct{}),
+		lessor:           leases.New(config),
+		verifier:         devicehealth.NewVerifier(),
+		recordCounts:     leases.NewRecordCounts(now, config, recordCounts),
+		rollingBack:      map[uint16]bool{},
+		rolloutReports:   map[string]rolloutReport{},
+		nodes:            map[string]*controllerclient.LeaseRequest{},
+		nodesVersion:     term << 32,
+		nodesChanged:     make(chan struct{}),
+		renewalBlocks:    map[string]int{},
+		renewalUnblocked: make(chan struct{}),
 	}
 }
 
@@ -183,27 +183,27 @@
 	}
 }
 
-// holdExpiry keeps a node's lease over until releaseExpiry: it is not granted again before the operation that rests on its
+// blockRenewal keeps a node's lease over until releaseExpiry: it is not granted again before the operation that rests on its
 // end is agreed. It fails with errLeaseRunning while the lease runs.
 //
 // Guards against a primary that comes back while its instance is given to another node; holds because handleLease waits
 // for dependentsSettled. An incarnation that began without the copies of the one before, whose lease is over, does not
 // serve what that one was primary of, and may have a lease of its own.
-func (l *leadership) holdExpiry(now tick.Tick, node string) error {
-	if _, held := l.lessor.LeaseEnd(now, node); held && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
+func (l *leadership) blockRenewal(now tick.Tick, node string) error {
+	if _, hasLease := l.lessor.LeaseEnd(now, node); hasLease && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
 		return errLeaseRunning
 	}
-	l.expiryDependents[node]++
+	l.renewalBlocks[node]++
 	return nil
 }
 
-// releaseExpiry ends what holdExpiry began.
-func (l *leadership) releaseExpiry(node string) {
-	l.expiryDependents[node]--
-	if l.expiryDependents[node] > 0 {
+// unblockRenewal ends what holdExpiry began.
+func (l *leadership) unblockRenewal(node string) {
+	l.renewalBlocks[node]--
+	if l.renewalBlocks[node] > 0 {
 		return
 	}
-	delete(l.expiryDependents, node)
-	close(l.dependentsSettled)
-	l.dependentsSettled = make(chan struct{})
+	delete(l.renewalBlocks, node)
+	close(l.renewalUnblocked)
+	l.renewalUnblocked = make(chan struct{})
 }
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -27,7 +27,7 @@
 	op.Version = placement.FormatVersion
 	proposal := queuedProposal{operation: op}
 	if restsOnExpiry(op) {
-		proposal.refusal = h.leadership.holdExpiry(h.controller.Now(), op.Node)
+		proposal.refusal = h.leadership.blockRenewal(h.controller.Now(), op.Node)
 		if proposal.refusal != nil {
 			h.controller.Log.Error().Str("event", "refused").Str("instance", op.Instance).Err(proposal.refusal).
 				Msg("planned operation refused")
--- /dev/null
+++ b/internal/controller/planners_test.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/tick"
+)
+
+// recordingPlanner passes on what the planner is told of nodes.
+type recordingPlanner struct {
+	failoverPlanner
+	statuses chan migration.NodeStatus
+}
+
+func (p *recordingPlanner) OnNodeStatus(_ tick.Tick, u migration.NodeStatus) { p.statuses <- u }
+
+// failoverPlanner plans no more than that a replica takes over from a primary whose lease is over.
+type failoverPlanner struct {
+	host        Host
+	assignments map[string]placement.Assignment
+	nodes       map[string]migration.NodeStatus
+}
+
+func (f *failoverPlanner) OnElected(tick.Tick) {}
+
+func (f *failoverPlanner) OnNodeStatus(_ tick.Tick, u migration.NodeStatus) { f.nodes[u.Name] = u }
+
+func (f *failoverPlanner) OnAssignment(_ tick.Tick, p placement.Assignment) {
+	f.assignments[p.Instance] = p
+}
+
+func (f *failoverPlanner) OnProposalRefused(tick.Tick, placement.Operation, error) {}
+
+func (f *failoverPlanner) OnDeviceMoved(tick.Tick, string, string) {}
+
+func (f *failoverPlanner) OnTick(now tick.Tick) tick.Tick { return now + tick.Second }
+
+func (f *failoverPlanner) OnLeaseExpired(_ tick.Tick, name string) {
+	for _, p := range f.assignments {
+		if p.Primary == name {
+			e := placement.Operation{Kind: placement.OpFailOver, Instance: p.Instance, Epoch: p.Epoch, Node: name, Reason: "its lease is over"}
+			if len(p.Replicas) > 0 {
+				e.Target = p.Replicas[0]
+			}
+			f.host.Propose(e)
+		}
+	}
+}
+
+// idlePlanner plans nothing: a lease that a busy machine loses changes no assignment.
+type idlePlanner struct{ failoverPlanner }
+
+func (*idlePlanner) OnLeaseExpired(tick.Tick, string) {}
+
+// replicaPlanner plans as failoverPlanner, and makes the other node a replica wherever there is none.
+type replicaPlanner struct {
+	failoverPlanner
+	replicaOf map[string]string
+}
+
+func (h *replicaPlanner) OnAssignment(now tick.Tick, p placement.Assignment) {
+	h.failoverPlanner.OnAssignment(now, p)
+	if p.State == placement.Running && len(p.Replicas) == 0 && p.CopyTarget == "" {
+		h.host.Propose(placement.Operation{Kind: placement.OpStartCopy, Instance: p.Instance, Epoch: p.Epoch, Target: h.replicaOf[p.Primary]})
+	}
+}
+
+// newFailoverPlanner is one without any assignment.
+func newFailoverPlanner(host Host) *failoverPlanner {
+	return &failoverPlanner{host, map[string]placement.Assignment{}, map[string]migration.NodeStatus{}}
+}
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -114,7 +114,7 @@
 			err = results[0].err
 			results = results[1:]
 			if restsOnExpiry(proposal.operation) {
-				l.releaseExpiry(proposal.operation.Node)
+				l.unblockRenewal(proposal.operation.Node)
 			}
 		}
 		if err != nil {
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -173,7 +173,7 @@
 		return 0, err
 	}
 	header.Generation = max(header.Generation, dir.currentMarker().Generation) // it was rebuilt before, and no node has heard of that
-	if err := dir.setAside(); err != nil {
+	if err := dir.archive(); err != nil {
 		return 0, err
 	}
 	header.Generation++
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -52,16 +52,16 @@
 	if known && before == report.rollingBack {
 		return false
 	}
-	if !known && !l.makeRoomForVersion() {
+	if !known && !l.evictVersion() {
 		return false
 	}
 	l.rollingBack[report.version] = report.rollingBack
 	return true
 }
 
-// makeRoomForVersion forgets the lowest version that is not rolled back, where as many are known as may be. It returns
+// evictVersion forgets the lowest version that is not rolled back, where as many are known as may be. It returns
 // whether another one can be noted.
-func (l *leadership) makeRoomForVersion() bool {
+func (l *leadership) evictVersion() bool {
 	if len(l.rollingBack) < maxRollingBack {
 		return true
 	}
@@ -79,8 +79,8 @@
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.nodes)) {
 		ask := *l.nodes[name]
-		leaseEnd, held := l.lessor.LeaseEnd(now, name)
-		if ask.SoftwareVersion != report.version || ask.RollingBack == report.rollingBack || !held {
+		leaseEnd, hasLease := l.lessor.LeaseEnd(now, name)
+		if ask.SoftwareVersion != report.version || ask.RollingBack == report.rollingBack || !hasLease {
 			continue
 		}
 		ask.RollingBack = report.rollingBack
--- /dev/null
+++ b/internal/controller/state_machine_test.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+
+	"github.com/hashicorp/raft"
+
+	"silvercove/internal/placement"
+)
+
+// TestStateMachine_EndsAtAnEntryOfALaterVersion: a controller that meets an operation that it does not know ends before anything
+// of the entry is applied. To refuse it and go on would leave its table behind those of later controllers, unseen.
+func TestStateMachine_EndsAtAnEntryOfALaterVersion(t *testing.T) {
+	first := placement.Operation{Version: 1, Kind: placement.OpCreate, Instance: "camera-0", Target: "edge-a", Weight: 1}
+	for name, e := range map[string]placement.Operation{
+		"version": {Version: 2, Kind: placement.OpMoveDevice, Instance: "camera-0", Epoch: 1, Zone: "south"},
+		"kind":    {Version: 1, Kind: "merge", Instance: "camera-0", Epoch: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var ended error
+			told := 0
+			m := newStateMachine(func([]placement.Operation, []operationResult) { told++ }, func(err error) { ended = err })
+			text, _ := json.Marshal(logEntry{FormatVersion: entryVersion, Operations: []placement.Operation{first, e}})
+			m.Apply(&raft.Log{Index: 2, Term: 1, Data: text})
+			if !errors.Is(ended, ErrNewerVersion) || told > 0 || m.assignmentsVersion() != 0 || m.lastApplied() != 0 {
+				t.Errorf("%v; told %d, version %d, applied %d", ended, told, m.assignmentsVersion(), m.lastApplied())
+			}
+			text, _ = json.Marshal(logEntry{FormatVersion: entryVersion, Operations: []placement.Operation{first}})
+			if m.Apply(&raft.Log{Index: 3, Term: 1, Data: text}); m.assignmentsVersion() != 0 {
+				t.Error("it steps on")
+			}
+			if _, err := m.Snapshot(); err == nil && m.lastApplied() > 0 {
+				t.Error("it writes a snapshot")
+			}
+		})
+	}
+}
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -104,7 +104,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		d.marker = storeMarker{Fleet: fleet, Node: node}
 		if _, err := os.Stat(d.path(logFile)); err == nil {
-			return d, d.setAside()
+			return d, d.archive()
 		}
 		return d, d.reset()
 	}
@@ -119,7 +119,7 @@
 		return nil, fmt.Errorf("%s is of %s of fleet %s, not of %s of fleet %s", folder, d.marker.Node, d.marker.Fleet, node, fleet)
 	}
 	if _, err := os.Stat(d.path(logFile)); d.marker.Origin != nil && errors.Is(err, os.ErrNotExist) {
-		return d, d.setAside()
+		return d, d.archive()
 	}
 	return d, nil
 }
@@ -145,8 +145,8 @@
 	return d.putMarker(storeMarker{FormatVersion: storeVersion, Fleet: marker.Fleet, Node: marker.Node, StoreID: newIdentity()})
 }
 
-// setAside moves the log and the snapshots out of the way and makes the disk an empty one.
-func (d *storeDir) setAside() error {
+// archive moves the log and the snapshots out of the way and makes the disk an empty one.
+func (d *storeDir) archive() error {
 	if err := d.reset(); err != nil { // first: what is moved is never taken for this disk's again
 		return err
 	}
--- /dev/null
+++ b/internal/controller/store_dir_test.go
@@ -0,0 +1,171 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"silvercove/internal/controllerclient"
+)
+
+// openedPosition opens a folder as a controller does, and is the last entry that it has.
+func openedPosition(dir string) (controllerclient.LogPosition, error) {
+	d, err := openStoreDir(dir, "vans", "keeper-1")
+	if err != nil {
+		return controllerclient.LogPosition{}, err
+	}
+	log, err := d.openLog()
+	if err != nil {
+		return controllerclient.LogPosition{}, err
+	}
+	_, last, err := d.openSnapshots(log, hclog.NewNullLogger())
+	if err == nil && last.Index == 0 {
+		err = ErrCorrupt // as openStore finds it
+	}
+	return last, errors.Join(err, log.Close())
+}
+
+// storedFiles are the paths of a folder's files but the marker, from the folder on.
+func storedFiles(t *testing.T, dir string) (files []string) {
+	t.Helper()
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || filepath.Base(path) == markerFile {
+			return err
+		}
+		relative, err := filepath.Rel(dir, path)
+		files = append(files, relative)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return files
+}
+
+// TestStoreDir_TruncatedFileIsWholeOrCorrupt: what is left is either all that was there, or damaged, never a shorter past.
+func TestStoreDir_TruncatedFileIsWholeOrCorrupt(t *testing.T) {
+	c := newTestFleet(t, time.Second, 1, 1)
+	c.start()
+	for i := range 50 {
+		c.create("edge-a", fmt.Sprint("camera-", i), "edge-a")
+	}
+	ctrl := c.processes["keeper-1"].controller
+	if err := ctrl.raft.Load().Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	for i := range 20 {
+		c.create("edge-a", fmt.Sprint("more-", i), "edge-a")
+	}
+	want := ctrl.store.lastPosition()
+	_ = c.stop("keeper-1")
+	dir := filepath.Join(c.dir, "keeper-1")
+	if last, err := openedPosition(dir); err != nil || last != want {
+		t.Fatalf("whole: %+v %v, not %+v", last, err, want)
+	}
+	chance := rand.New(rand.NewPCG(4, 4))
+	damaged, whole := 0, 0
+	for _, file := range storedFiles(t, dir) {
+		text, err := os.ReadFile(filepath.Join(dir, file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		cuts := []int{0, 1, len(text) - 1}
+		for range 25 {
+			cuts = append(cuts, chance.IntN(len(text)))
+		}
+		for i := 4096; i < len(text) && i < 20*4096; i += 4096 {
+			cuts = append(cuts, i)
+		}
+		for _, at := range cuts {
+			other := t.TempDir()
+			if err := os.CopyFS(other, os.DirFS(dir)); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.Truncate(filepath.Join(other, file), int64(at)); err != nil {
+				t.Fatal(err)
+			}
+			switch last, err := openedPosition(other); {
+			case err == nil && last == want:
+				whole++
+			case errors.Is(err, ErrCorrupt):
+				damaged++
+			default:
+				t.Errorf("%s cut at %d of %d: %+v %v", file, at, len(text), last, err)
+			}
+		}
+	}
+	if damaged == 0 || whole == 0 {
+		t.Errorf("%d damaged, %d whole: the cuts try nothing", damaged, whole)
+	}
+	t.Logf("%d damaged, %d whole", damaged, whole)
+	if err := os.Truncate(filepath.Join(dir, logFile), 5000); err != nil {
+		t.Fatal(err)
+	}
+	c.start("keeper-1") // a single controller has nobody to get it from
+	if err := <-c.processes["keeper-1"].done; !errors.Is(err, ErrCorrupt) {
+		t.Errorf("a cut log of a single keeper: %v", err)
+	}
+	c.processes["keeper-1"].cancel()
+	c.processes["keeper-1"].cancel = nil
+}
+
+func TestStoreDir_NewerVersionIsRefused(t *testing.T) {
+	for _, what := range []string{"marker", "snapshot", "entry"} {
+		t.Run(what, func(t *testing.T) {
+			c := newTestFleet(t, time.Second, 1, 1)
+			c.start()
+			c.create("edge-a", "camera-0", "edge-a")
+			ctrl := c.processes["keeper-1"].controller
+			dir := filepath.Join(c.dir, "keeper-1")
+			end := func() error {
+				select {
+				case err := <-c.processes["keeper-1"].done:
+					c.processes["keeper-1"].cancel()
+					c.processes["keeper-1"].cancel = nil
+					return err
+				case <-time.After(20 * time.Second):
+					t.Fatal("it goes on")
+					return nil
+				}
+			}
+			switch what {
+			case "marker":
+				_ = c.stop("keeper-1")
+				m := ctrl.disk.currentMarker()
+				m.FormatVersion = 2
+				_ = ctrl.disk.putMarker(m)
+				c.start("keeper-1")
+			case "snapshot":
+				ctrl.stateMachine.mu.Lock()
+				ctrl.stateMachine.header.FormatVersion = 2
+				ctrl.stateMachine.mu.Unlock()
+				if err := ctrl.raft.Load().Snapshot().Error(); err != nil {
+					t.Fatal(err)
+				}
+				_ = c.stop("keeper-1")
+				c.start("keeper-1")
+			case "entry":
+				if err := ctrl.raft.Load().Apply([]byte(`{"v":2,"steps":"of another kind"}`), time.Second).Error(); err != nil {
+					t.Fatal(err)
+				}
+				if err := end(); !errors.Is(err, ErrNewerVersion) {
+					t.Errorf("it meets one: %v", err)
+				}
+				c.start("keeper-1") // and again
+			}
+			if err := end(); !errors.Is(err, ErrNewerVersion) {
+				t.Errorf("%v", err)
+			}
+			if files, _ := filepath.Glob(filepath.Join(dir, "*aside*")); len(files) > 0 {
+				t.Errorf("set aside: %v", files)
+			}
+		})
+	}
+}
--- a/internal/controllerclient/words.go
+++ b/internal/controllerclient/messages.go
@@ -1,56 +1,50 @@
-// Package controllerclient has the words of the keepers' calls, and the client that edge units, relays and tools make them
-// with. It is lean; a keeper itself is in package keeper.
 package controllerclient
 
 import (
 	"encoding/json"
 	"fmt"
-	"time"
-
-	"golang.org/x/sys/unix"
 
 	"silvercove/internal/placement"
 	"silvercove/internal/replica"
-	"silvercove/internal/tick"
 )
 
-// Version of the calls. A later one is refused with 400.
+// Version is the version of the calls. A controller refuses another one with 400.
 const Version = 1
 
-// MaxBody is how many bytes a call may have.
+// MaxBody is how many bytes the body of a call may have.
 const MaxBody = 256 << 10
 
-// LeaseRequest asks for a lease, or renews it.
+// LeaseRequest asks for a lease, or renews it. Its JSON names are those of the wire, as are those of all types here.
 type LeaseRequest struct {
 	Version         int                      `json:"v"`
 	Node            string                   `json:"unit"`
-	Incarnation     uint64                   `json:"run"` // larger at each start of the process
+	Incarnation     uint64                   `json:"run"` // of the process, above 0 and greater at each start
 	Report          json.RawMessage          `json:"report,omitempty"`
-	Commands        string                   `json:"commands,omitempty"` // HOST:PORT
+	Commands        string                   `json:"commands,omitempty"` // where requests are taken, HOST:PORT
 	Zone            string                   `json:"zone,omitempty"`
 	SoftwareVersion uint16                   `json:"build,omitempty"`
-	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of its process, for lists; no decision rests on it
+	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of the process, ms since 1970, for lists; no decision rests on it
 	Draining        bool                     `json:"draining,omitempty"`
-	RollingBack     bool                     `json:"going_back,omitempty"` // its build is on the way back, as a keeper told it last
+	RollingBack     bool                     `json:"going_back,omitempty"` // its software version is rolled back, as a controller told it last
 	WarmingUp       bool                     `json:"cold,omitempty"`
-	LostCopies      bool                     `json:"fresh,omitempty"`  // this run began without the copies of the one before
-	RecordCount     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instances.Store.Count); 0: not known
-	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // what it goes on with though effects may be missing
+	LostCopies      bool                     `json:"fresh,omitempty"`  // this incarnation began without the copies of the one before
+	RecordCount     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instancestore.Store.RecordCount); 0: not known
+	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // copies that it serves from though entries may be missing
 }
 
-// MaxUnverified is how many of them one call tells; the others follow with the next one.
+// MaxUnverified is how many unverified copies one call tells; the others follow with the next one.
 const MaxUnverified = 64
 
-// HealthReport is what a keeper reads of LeaseAsk.Report, the report of the unit's strength; the rest is handed on.
+// HealthReport is what a controller reads of LeaseRequest.Report, which is a devicehealth.Report; the rest is passed on.
 type HealthReport struct {
-	State          string   `json:"state"` // see the states below
+	State          string   `json:"state"` // one of the states below
 	AcceptFraction float64  `json:"share"`
 	Risk           float64  `json:"danger"`
 	SpareCapacity  int      `json:"room"`
 	Reasons        []string `json:"reasons,omitempty"`
 }
 
-// States of a unit's strength.
+// The states of a node's health.
 const (
 	StateAccepting = "accepts"
 	StateLimited   = "trickle"
@@ -59,34 +53,35 @@
 	StateLeaving   = "leaves"
 )
 
-// LeaseResponse grants. A unit whose earlier lease was over, or that had none, begins to act only once it has the places
-// of this version or a later one: it may have lost some meanwhile.
+// LeaseResponse grants a lease. A node whose earlier lease was over, or that had none, begins to serve only once it has the
+// assignments of AssignmentsVersion or a later one: it may have lost some meanwhile.
 type LeaseResponse struct {
 	Granted            bool   `json:"granted"`
 	Controller         string `json:"keeper"`
-	RollingBack        bool   `json:"going_back,omitempty"` // the unit's build is on the way back: told again to whoever leads next
+	RollingBack        bool   `json:"going_back,omitempty"` // the node's software version is rolled back; the node tells it to whichever controller leads next
 	AssignmentsVersion uint64 `json:"places"`
-	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest of LeaseAsk.Kept that was known of this unit until then
-	AcceptedUnverified int    `json:"doubts,omitempty"` // so many of LeaseAsk.Doubts are agreed, the first ones
+	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest LeaseRequest.RecordCount of this node that was known until then
+	AcceptedUnverified int    `json:"doubts,omitempty"` // so many of LeaseRequest.Unverified are agreed, the first ones
 	Lineage
 }
 
-// Lineage is which line of placement a keeper speaks for. The generation is raised where placement was rebuilt after a loss
-// of disks: what is of a smaller one stops. Birth names the beginning of the log: the same generation with another
-// birth is that of keepers whose disks were all emptied, and is not believed either.
+// Lineage is which line of assignments a controller speaks for. The generation is raised where the assignments were rebuilt
+// after a loss of disks: what is of a smaller one stops. OriginID names the beginning of the log: the same generation with
+// another origin is that of controllers whose disks were all emptied, and is not believed either.
 type Lineage struct {
 	Generation uint64 `json:"generation"`
 	OriginID   string `json:"birth"`
 }
 
-// ErrorBody is the body of all answers but 200.
+// ErrorBody is the body of every answer but 200.
 type ErrorBody struct {
 	Error      string                `json:"error,omitempty"`
-	Assignment *placement.Assignment `json:"place,omitempty"`  // what stands instead
-	Leader     string                `json:"leader,omitempty"` // with 421
+	Assignment *placement.Assignment `json:"place,omitempty"`  // the one that stands instead
+	Leader     string                `json:"leader,omitempty"` // with 421: the controller that leads, "" where none is known
 }
 
-// AssignmentChanges are those that changed since a version, or all of them.
+// AssignmentChanges are the assignments that changed since a version. Where Complete is set they are all that there are: what is
+// not among them is deleted.
 type AssignmentChanges struct {
 	Version uint64 `json:"version"`
 	Lineage
@@ -95,12 +90,12 @@
 	Deleted     []string               `json:"gone,omitempty"`
 }
 
-// Node is an edge unit as the leading keeper has it.
+// Node is an edge node as the leading controller has it.
 type Node struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone,omitempty"`
 	Incarnation     uint64   `json:"run,omitempty"`
-	HasLease        bool     `json:"held"` // its lease is not over
+	HasLease        bool     `json:"held"` // its lease runs
 	State           string   `json:"state,omitempty"`
 	Accepting       bool     `json:"accepts"`
 	AcceptFraction  float64  `json:"share"`
@@ -113,85 +108,85 @@
 	Draining        bool     `json:"draining,omitempty"`
 }
 
-// NodeList are all edge units.
+// NodeList is all edge nodes.
 type NodeList struct {
 	Version uint64 `json:"version"`
 	Nodes   []Node `json:"units"`
 }
 
-// MaxOutcomes is how many of one unit's in one call count; the rest says no more.
+// MaxOutcomes is how many outcomes of one node count in one call; more are scaled down.
 const MaxOutcomes = 64
 
-// OutcomeReport are how commands at units ended, as a relay saw them since it told last. Refusals are none.
+// OutcomeReport is how requests at edge nodes ended, as a relay saw them since its last report. Rejections don't count.
 type OutcomeReport struct {
 	Version         int            `json:"v"`
 	Nodes           []NodeOutcomes `json:"units"`
-	SoftwareVersion uint16         `json:"build,omitempty"` // the newest of which the platform told the relay, and where it stands
-	RolloutState    string         `json:"state,omitempty"` // in the platform's words; "" where it told nothing
+	SoftwareVersion uint16         `json:"build,omitempty"` // the newest of which the release API told the relay
+	RolloutState    string         `json:"state,omitempty"` // of that version, as the release API names it; "" where it told nothing
 }
 
-// States of a build that is on its way back, or has been taken back.
+// The rollout states of a version that is being rolled back, and that was withdrawn.
 const (
 	VersionRollingBack = "recalling"
 	VersionWithdrawn   = "recalled"
 )
 
-// NodeOutcomes counts those of one unit.
+// NodeOutcomes counts the outcomes at one node.
 type NodeOutcomes struct {
 	Node      string `json:"unit"`
 	Successes int    `json:"good"`
 	Failures  int    `json:"bad"`
 }
 
-// LastResortPlan is what is served on in zones whose units are all tired, the most important first.
+// LastResortPlan is what is served on in zones whose nodes are all draining, the greatest weight first.
 type LastResortPlan struct {
 	Zones []LastResortZone `json:"zones"`
 }
 
-// LastResortZone is one of them.
+// LastResortZone is the plan of one zone.
 type LastResortZone struct {
 	Zone      string               `json:"zone"`
 	Instances []LastResortInstance `json:"instances"`
 }
 
-// LastResortInstance is one instance; Unit is "" where none serves it on.
+// LastResortInstance is one instance; Node is "" where none serves it on.
 type LastResortInstance struct {
 	Name   string  `json:"name"`
 	Node   string  `json:"unit"`
 	Weight float64 `json:"weight"`
 }
 
-// DeviceRequest says where an instance's device is now.
+// DeviceRequest says in which zone an instance's device is now.
 type DeviceRequest struct {
 	Version int    `json:"v"`
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 }
 
-// LogOrigin is the beginning of a fleet's log: which disks it began on.
+// LogOrigin is the beginning of a fleet's log, and which disks it began on.
 type LogOrigin struct {
 	ID     string            `json:"id"`
-	Stores map[string]string `json:"stores"` // identity of the disk of each keeper
+	Stores map[string]string `json:"stores"` // by controller: the identity of its disk
 }
 
-// JoinRequest is an emptied keeper's wish to be let in again, or that one let in has caught up.
+// JoinRequest asks that a controller's emptied disk be admitted, or says that it has caught up.
 type JoinRequest struct {
 	Version  int    `json:"v"`
 	Node     string `json:"node"`
 	StoreID  string `json:"store"`
-	CaughtUp bool   `json:"ready,omitempty"` // it has all up to the Index of an earlier answer
+	CaughtUp bool   `json:"ready,omitempty"` // it has all entries up to the Index of an earlier answer
 }
 
-// JoinResponse says how a keeper takes part.
+// JoinResponse says how a controller takes part in the log.
 type JoinResponse struct {
 	Voter      bool       `json:"votes"`
-	Index      uint64     `json:"index"`          // of the log, which it needs before it votes
-	Term       uint64     `json:"term,omitempty"` // in which it was let in; it takes nothing of an earlier one
+	Index      uint64     `json:"index"`          // of the last entry that it needs before it votes
+	Term       uint64     `json:"term,omitempty"` // in which it was admitted; it takes no entry of an earlier one
 	Origin     *LogOrigin `json:"birth"`
 	Generation uint64     `json:"line,omitempty"` // generation of the log
 }
 
-// Inventory is what an edge unit has, whatever the keepers say: its answer to GET /v1/holds.
+// Inventory is what an edge node has, whatever the controllers say: its answer to GET /v1/holds.
 type Inventory struct {
 	Version     int                  `json:"v"`
 	Node        string               `json:"unit"`
@@ -200,21 +195,21 @@
 	Copies      []replica.CopyStatus `json:"holds"`
 }
 
-// ConfirmRequest asks a keeper whether it knows of a later term; its answer has the term that it is in.
+// ConfirmRequest asks a controller for its term; the answer is of the same form.
 type ConfirmRequest struct {
 	Version int    `json:"v"`
 	Term    uint64 `json:"term"`
 }
 
-// LogPosition is the last entry of the log that a keeper is known to have had on its disk.
+// LogPosition is the last entry of a log. The zero value is that of an empty one.
 type LogPosition struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// Later says whether a log that ends here is later than one that ends at n, as raft compares them.
-func (m LogPosition) Later(n LogPosition) bool {
-	return m.Term > n.Term || m.Term == n.Term && m.Index > n.Index
+// Later reports whether a log that ends here is later than one that ends at other, as raft compares them.
+func (p LogPosition) Later(other LogPosition) bool {
+	return p.Term > other.Term || p.Term == other.Term && p.Index > other.Index
 }
 
 // The roles of Status.
@@ -237,28 +232,28 @@
 	Applied      uint64                 `json:"applied"`
 	Last         LogPosition            `json:"last"`
 	Assignments  int                    `json:"places"`
-	Migrations   int                    `json:"moves"` // handovers under way
+	Migrations   int                    `json:"moves"` // under way
 	Reasons      []string               `json:"reasons,omitempty"`
 	Generation   uint64                 `json:"generation"`
 	Origin       *LogOrigin             `json:"birth,omitempty"`
 	StoreID      string                 `json:"store"`            // identity of its disk
-	StoreIDs     map[string]string      `json:"stores,omitempty"` // as agreed
-	Controllers  []string               `json:"keepers"`          // of its file, sorted
-	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // what it knows to be on other keepers' disks
-	Disk         *DiskSpace             `json:"disk,omitempty"`   // none: not known, or of an earlier version
+	StoreIDs     map[string]string      `json:"stores,omitempty"` // by controller: the identity of its disk that is agreed
+	Controllers  []string               `json:"keepers"`          // in its file, sorted
+	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller: what it is known to have on its disk
+	Disk         *DiskSpace             `json:"disk,omitempty"`   // nil: not known, or of an earlier version
 }
 
-// DiskSpace is the room of the disk that has a keeper's folder, in bytes.
+// DiskSpace is the space of the disk that has a controller's data directory, in bytes.
 type DiskSpace struct {
 	Free       uint64 `json:"free"`
 	Total      uint64 `json:"total"`
-	LowOnSpace bool   `json:"short,omitempty"` // of room: it cuts its log sooner, and leads only where no other one has room
+	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only where no other has space
 }
 
-// FreeFraction is the part that is free.
+// FreeFraction is the part of the disk that is free, 0 where the size is not known.
 func (d DiskSpace) FreeFraction() float64 { return float64(d.Free) / float64(max(1, d.Total)) }
 
-// String is for those who read: "41% free", "4.2% free, short of room".
+// String is for operators: "41% free", "4.2% free, short of room", or "" where the size is not known.
 func (d DiskSpace) String() string {
 	switch share := 100 * d.FreeFraction(); {
 	case d.Total == 0:
@@ -269,10 +264,3 @@
 		return fmt.Sprintf("%.0f%% free", share)
 	}
 }
-
-// Now is this machine's time since its start, its sleep included, by which leases are counted.
-func Now() tick.Tick {
-	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) // it can't fail with a clock that Linux has had since 2.6.39
-	return tick.FromDuration(time.Duration(t.Nano()))
-}
--- a/internal/edgenode/edge.go
+++ b/internal/edgenode/edge.go
@@ -248,7 +248,8 @@
 }
 
 // told takes in news of places.
-func (e *Node) told(version uint64, places []placement.Assignment, gone []string, whole bool) {
+func (e *Node) told(changes controllerclient.AssignmentChanges) {
+	version, places, gone, whole := changes.Version, changes.Assignments, changes.Deleted, changes.Complete
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := controllerclient.Now()
--- a/internal/routing/guide.go
+++ b/internal/routing/guide.go
@@ -18,8 +18,8 @@
 
 // Controllers tell places and units; a *keepers.Client does.
 type Controllers interface {
-	Watch(ctx context.Context, tell func(version uint64, places []placement.Assignment, gone []string, whole bool)) error
-	WatchNodes(ctx context.Context, tell func(version uint64, units []controllerclient.Node)) error
+	Watch(ctx context.Context, notify func(controllerclient.AssignmentChanges)) error
+	WatchNodes(ctx context.Context, notify func(controllerclient.NodeList)) error
 }
 
 // Router follows keepers for one relay.
@@ -41,19 +41,19 @@
 func (g *Router) Run(ctx context.Context, at *dispatch.Dispatcher) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		return g.keepers.WatchNodes(ctx, func(_ uint64, units []controllerclient.Node) { at.UpdateEndpoints(true, g.hosts(units)) })
+		return g.keepers.WatchNodes(ctx, func(list controllerclient.NodeList) { at.UpdateEndpoints(true, g.hosts(list.Nodes)) })
 	})
 	group.Go(func() error {
-		return g.keepers.Watch(ctx, func(_ uint64, places []placement.Assignment, gone []string, whole bool) {
-			all := make([]dispatch.Placement, 0, len(places))
-			for _, p := range places {
+		return g.keepers.Watch(ctx, func(changes controllerclient.AssignmentChanges) {
+			all := make([]dispatch.Placement, 0, len(changes.Assignments))
+			for _, p := range changes.Assignments {
 				one := dispatch.Placement{Instance: p.Instance, Backend: p.Primary, Epoch: p.Epoch, Revision: p.Revision}
 				if p.State != placement.Running {
 					one.Backend = ""
 				}
 				all = append(all, one)
 			}
-			for _, p := range at.UpdatePlacements(whole, all, gone) {
+			for _, p := range at.UpdatePlacements(changes.Complete, all, changes.Deleted) {
 				routes.Inc()
 				g.log.Info().Str("event", "routes").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("to", p.Backend).Msg("routes")
 			}
