--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -14,6 +15,7 @@
 	"syscall"
 	"time"
 
+	"silvercove/balancer"
 	"silvercove/internal/keys"
 	"silvercove/internal/metadataservice"
 	"silvercove/internal/monotonic"
@@ -117,7 +119,7 @@
 		return text, err
 	}
 	now := tufverify.FromTime(time.Now())
-	r, err := tufverify.New("repository", monotonic.NewMemoryStore(1<<16, func(string) {}), now, pinned)
+	r, err := tufverify.New("repository", monotonic.NewMemoryStore(1<<16), now, pinned)
 	if err != nil {
 		return err
 	}
@@ -233,13 +235,18 @@
 	Clock versionStoreClockCmd `cmd:"" help:"Set the floor's time back to now, after a clock was far ahead."`
 }
 
+// logToStderr writes a log line for a person at a terminal.
+func logToStderr(_ slog.Level, message string, fields ...slog.Attr) {
+	fmt.Fprintln(os.Stderr, balancer.LogLine(message, fields...))
+}
+
 type versionStoreShowCmd struct {
 	Paths []string `arg:"" type:"existingfile" help:"The floor's copies."`
 }
 
 // Run lists a floor.
 func (c *versionStoreShowCmd) Run() error {
-	f, err := monotonic.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
+	f, err := monotonic.Open(c.Paths, 1<<30, logToStderr)
 	if err != nil {
 		return err
 	}
@@ -262,7 +269,7 @@
 		return errors.New("this makes metadata that had expired by the floor's time current again: say --yes if the clock " +
 			"was wrong, and is right now")
 	}
-	f, err := monotonic.Open(c.Paths, 1<<30, func(text string) { fmt.Fprintln(os.Stderr, text) })
+	f, err := monotonic.Open(c.Paths, 1<<30, logToStderr)
 	if err != nil {
 		return err
 	}
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -16,6 +16,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"runtime"
 	"slices"
@@ -28,6 +29,7 @@
 
 	"silvercove/internal/dispatch"
 	"silvercove/internal/keys"
+	"silvercove/internal/logging"
 	"silvercove/internal/metadatarefresh"
 	"silvercove/internal/monotonic"
 	"silvercove/internal/stagedrollout"
@@ -58,7 +60,7 @@
 	now      func() time.Time
 	last     time.Duration // that issued metadata last
 	packages map[uint16]string
-	log      func(string)
+	log      logging.Func
 
 	rootMu sync.RWMutex
 	root   *metadata.Metadata[metadata.RootType]
@@ -99,7 +101,7 @@
 // New makes a Director with its root chain by file name and its online keys. A metadata file lasts as long
 // as last, whole seconds; packages are paths by build; running is what all servers are on if nothing is known.
 func New(chain map[string][]byte, online []*keys.Key, f VersionStore, image ImageLookup, now func() time.Time, last time.Duration,
-	packages map[uint16]string, running uint16, log func(string)) (*Director, error) {
+	packages map[uint16]string, running uint16, log logging.Func) (*Director, error) {
 	d := &Director{floor: f, image: image, now: now, last: last.Truncate(time.Second), packages: packages, log: log,
 		seen: map[string]*tufverify.Target{}, servers: map[string]*server{}, bell: wakeup.New(), released: running}
 	if v, _ := f.Recorded("director/released"); v > 0 {
@@ -231,8 +233,10 @@
 	}
 }
 
-// Log writes a line of the module.
-func (d *Director) Log(text string) { d.log(text) }
+// Log writes a line of the rollout.
+func (d *Director) Log(level slog.Level, message string, fields ...slog.Attr) {
+	d.log(level, message, fields...)
+}
 
 // UpdateServers takes the list of servers, or changes of it.
 func (d *Director) UpdateServers(whole bool, hosts []dispatch.Endpoint) {
@@ -302,7 +306,8 @@
 	}
 	if d.waits != is.Version {
 		d.waits = is.Version
-		d.log(fmt.Sprintf("director: build %d waits: %v", is.Version, refusal))
+		d.log(slog.LevelWarn, "package waits for the image repository", append([]slog.Attr{slog.Int("version", int(is.Version))},
+			refusal.LogFields()...)...)
 	}
 	return []string{""}, false
 }
@@ -313,7 +318,7 @@
 		return
 	}
 	if err := d.floor.Record("director/released", int64(build), tufverify.Digest{}); err != nil {
-		d.log(fmt.Sprintf("director: that build %d was released is not kept: %v", build, err))
+		d.log(slog.LevelError, "released version could not be recorded", slog.Int("version", int(build)), slog.String("error", err.Error()))
 	}
 	d.released = build
 }
@@ -337,7 +342,7 @@
 	}
 	d.Reports++
 	if r.Attack != "" {
-		d.log(fmt.Sprintf("%s refused metadata: %s", r.Server, r.Attack))
+		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.Attack))
 	}
 	tried, ended := uint16(0), map[string]stagedrollout.InstallResult{"ok": stagedrollout.InstallSucceeded, "failed": stagedrollout.InstallFailed,
 		"declined": stagedrollout.InstallDeclined}[r.Installed]
@@ -592,7 +597,8 @@
 	}
 	next := time.Hour
 	if err != nil {
-		d.log(fmt.Sprintf("director: metadata not issued, tried again: %v", err))
+		d.log(slog.LevelWarn, "metadata could not be issued and is retried", slog.String("error", err.Error()),
+			slog.Duration("wait_ms", time.Duration(metadatarefresh.IssueRetryDelay)*tick))
 		for _, s := range owed {
 			if s.stale && s.files != nil {
 				d.dirty = append(d.dirty, s)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,3 +23,19 @@
 		t.Errorf("got  %s\nwant %s", out.String(), want)
 	}
 }
+
+func TestLeveled(t *testing.T) {
+	var out bytes.Buffer
+	log := logging.Leveled(zerolog.New(&out).Level(zerolog.InfoLevel), "director")
+	log(slog.LevelDebug, "below the logger's level")
+	log(slog.LevelInfo, "an event")
+	log(slog.LevelWarn, "a fault that is retried", slog.String("server", "s-1"))
+	log(slog.LevelError, "a fault that stays")
+	want := `{"level":"info","component":"director","message":"an event"}
+{"level":"warn","component":"director","server":"s-1","message":"a fault that is retried"}
+{"level":"error","component":"director","message":"a fault that stays"}
+`
+	if out.String() != want {
+		t.Errorf("got  %s\nwant %s", out.String(), want)
+	}
+}
--- a/internal/metadataproxy/carrier.go
+++ b/internal/metadataproxy/carrier.go
@@ -17,6 +17,7 @@
 	"fmt"
 	"hash/fnv"
 	"io"
+	"log/slog"
 	"maps"
 	"math"
 	"net"
@@ -32,6 +33,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"silvercove/internal/director"
+	"silvercove/internal/logging"
 	"silvercove/internal/metadatarefresh"
 	"silvercove/internal/tufverify"
 )
@@ -45,7 +47,7 @@
 // Proxy is the front.
 type Proxy struct {
 	now      func() time.Time
-	log      func(string)
+	log      logging.Func
 	repos    map[string]*Repository
 	director *director.Director
 	image    string // the repository that the Director's packages are of
@@ -68,7 +70,7 @@
 
 // New makes a front for repositories. At most so many connections are open, and so many requests wait for
 // mirrors or are being passed a package.
-func New(repos []*Repository, now func() time.Time, log func(string), connections, waiting int) *Proxy {
+func New(repos []*Repository, now func() time.Time, log logging.Func, connections, waiting int) *Proxy {
 	c := &Proxy{now: now, log: log, repos: map[string]*Repository{}, most: connections,
 		doors: metadatarefresh.NewClientLimiter(waiting)}
 	for _, r := range repos {
@@ -262,25 +264,29 @@
 		is, refusal := r.agrees.Find(t.Path)
 		if refusal != nil && refusal.Reason == tufverify.ReasonUnnamed {
 			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
-			c.log(refusal.Error())
+			c.logDisagreement(refusal)
 		}
 		if refusal != nil {
 			return refusal
 		}
 		for _, kind := range slices.Sorted(maps.Values(t.Custom.ECUs)) {
 			if refusal := r.compare(t, is, kind); refusal != nil {
-				c.log(refusal.Error())
+				c.logDisagreement(refusal)
 				return refusal
 			}
 		}
 		if refusal := r.compare(t, is, ""); len(t.Custom.ECUs) == 0 && refusal != nil {
-			c.log(refusal.Error())
+			c.logDisagreement(refusal)
 			return refusal
 		}
 	}
 	return nil
 }
 
+func (c *Proxy) logDisagreement(refusal *tufverify.RefusalError) {
+	c.log(slog.LevelWarn, "director and image repository disagree", refusal.LogFields()...)
+}
+
 // directed answers for a metadata file of the Director for one server.
 func (c *Proxy) directed(w http.ResponseWriter, req *http.Request, server, name string) {
 	f, ok := tufverify.ParseFile(name)
@@ -295,7 +301,7 @@
 	case errors.Is(err, director.ErrUnknownFile):
 		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
 	case err != nil:
-		c.log(fmt.Sprintf("director: %s: %v", server, err))
+		c.log(slog.LevelWarn, "director metadata unavailable", slog.String("server", server), slog.String("error", err.Error()))
 		c.answer(w, c.repos[c.image], metadatarefresh.Response{Status: 503, Text: "not to be had now", RetryLater: true})
 	default:
 		c.file(w, req, data)
@@ -327,14 +333,14 @@
 	s.mu.Unlock()
 	a := metadatarefresh.ReportResponse(refusal)
 	if a.Status != 200 {
-		c.log(refusal.Error())
+		c.log(slog.LevelWarn, "version report refused", refusal.LogFields()...)
 		c.answer(w, nil, a)
 		return
 	}
 	if r != nil {
 		c.Counts.Reports.Add(1)
 		if err := c.director.OnReport(r); err != nil {
-			c.log(fmt.Sprintf("report of %s: %v", server, err))
+			c.log(slog.LevelWarn, "version report could not be applied", slog.String("server", server), slog.String("error", err.Error()))
 		}
 	}
 	w.Header().Set("Content-Type", "text/plain")
--- a/internal/metadataproxy/repo.go
+++ b/internal/metadataproxy/repo.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sync/singleflight"
 
-	"silvercove/balancer"
 	"silvercove/internal/dispatch"
+	"silvercove/internal/logging"
 	"silvercove/internal/metadatarefresh"
 	"silvercove/internal/settings"
 	"silvercove/internal/transport"
@@ -39,7 +39,7 @@
 type Repository struct {
 	name     string
 	now      func() time.Time
-	log      func(string)
+	log      logging.Func
 	timeouts map[string]time.Duration // by op type
 	connect  time.Duration
 	every    time.Duration
@@ -68,14 +68,16 @@
 	UnconfirmedFor time.Duration // and for so long while no mirror can be asked
 	Survey         bool          // ask a majority of the mirrors after the start
 	Endpoints      []dispatch.Endpoint
+	DispatchLog    func(message string, fields ...slog.Attr) // writes the lines of the mirrors' dispatcher
 }
 
 // NewRepository makes a repository from its pinned root.
-func NewRepository(name string, pinned []byte, floor tufverify.VersionStore, m MirrorConfig, now func() time.Time, log func(string)) (*Repository, error) {
+func NewRepository(name string, pinned []byte, floor tufverify.VersionStore, m MirrorConfig, now func() time.Time, log logging.Func) (*Repository, error) {
 	believed, err := tufverify.New(name, floor, tufverify.FromTime(now()), pinned)
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: pinned root: %w", name, err)
 	}
+	believed.Log = log
 	r := &Repository{name: name, now: now, log: log, timeouts: map[string]time.Duration{}, trust: believed,
 		every: m.FreshFor, refresh: metadatarefresh.NewRefresh(ticks(m.FreshFor), ticks(m.UnconfirmedFor), m.Seed),
 		survey: metadatarefresh.NewMirrorSurvey(m.Survey), mirrors: map[string]*http.Transport{}, counts: &Counts{}}
@@ -90,7 +92,7 @@
 	r.connect = m.Settings.Balancer.Limits.ConnectTimeout.Duration()
 	r.gate = dispatch.New(m.Seed, m.Settings, dispatch.Callbacks{Vote: func(dispatch.Vote) {}, WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
 		Probe: func(dispatch.Backend) {}, CloseIdle: r.closeIdle,
-		Log: func(message string, fields ...slog.Attr) { log(name + ": " + balancer.LogLine(message, fields...)) }})
+		Log: m.DispatchLog})
 	r.UpdateMirrors(m.Endpoints)
 	return r, nil
 }
@@ -256,7 +258,7 @@
 		next := r.refresh.RetryAfter(r.tick())
 		r.mu.Unlock()
 		if done {
-			r.log(fmt.Sprintf("%s: a majority of %d mirrors has shown its timestamp", r.name, len(ready)))
+			r.log(slog.LevelInfo, "mirror survey complete", slog.String("repository", r.name), slog.Int("mirrors", len(ready)))
 			return nil
 		}
 		wait.Reset(spanOf(next))
@@ -319,7 +321,7 @@
 		defer r.mu.Unlock()
 		if err != nil {
 			r.refresh.OnFailed(r.tick())
-			r.log(fmt.Sprintf("%s: nothing current: %v", r.name, err))
+			r.log(slog.LevelWarn, "metadata refresh failed", slog.String("repository", r.name), slog.String("error", err.Error()))
 		} else {
 			r.refresh.OnRefreshed(r.tick())
 		}
@@ -535,7 +537,8 @@
 		a := work(d)
 		if a.fault != nil {
 			last = fmt.Errorf("mirror %s: %w", d.Name, a.fault)
-			r.log(fmt.Sprintf("%s: %v", r.name, last))
+			r.log(slog.LevelWarn, "mirror attempt failed", slog.String("repository", r.name), slog.String("mirror", d.Name),
+				slog.String("request_class", op), slog.String("error", a.fault.Error()))
 		}
 		switch {
 		case r.gate.ReportMirror(d, a.status, a.believed, a.end), a.believed:
--- a/internal/metadataservice/assign.go
+++ b/internal/metadataservice/assign.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, refusal := tufverify.VerifyPartial(tufverify.FromTime(at), monotonic.NewMemoryStore(16, func(string) {}), "director", root, text, server)
+	all, refusal := tufverify.VerifyPartial(tufverify.FromTime(at), monotonic.NewMemoryStore(16), "director", root, text, server)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -64,7 +64,7 @@
 // Assignment asks a front what its Director tells a server, and verifies that from the Director's pinned root.
 func Assignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	now := tufverify.FromTime(at)
-	r, err := tufverify.New("director", monotonic.NewMemoryStore(1<<10, func(string) {}), now, pinned)
+	r, err := tufverify.New("director", monotonic.NewMemoryStore(1<<10), now, pinned)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -95,8 +96,6 @@
 // Director is the Director, nil without one.
 func (m *Service) Director() *director.Director { return m.director }
 
-func (m *Service) say(text string) { m.log.Info().Msg(text) }
-
 // file gives a path as it stands from the operator's file.
 func (m *Service) file(path any) string {
 	p, _ := path.(string)
@@ -123,7 +122,7 @@
 		}
 		repos = append(repos, r)
 	}
-	m.Proxy = metadataproxy.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
+	m.Proxy = metadataproxy.New(repos, m.now, logging.Leveled(m.log, "metadataproxy"), int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
 	for _, v := range m.all["repository"].([]any) {
 		if image, ok := v.(map[string]any)["agree"].(string); ok {
 			if err := m.Proxy.RequireAgreement(v.(map[string]any)["name"].(string), image); err != nil {
@@ -141,21 +140,22 @@
 func (m *Service) openFloor() error {
 	paths, _ := m.all["floor"].([]any)
 	most := int(m.all["floor_entries"].(float64))
+	log := logging.Leveled(m.log, "metadataservice")
 	if len(paths) == 0 {
-		m.log.Warn().Msg("no floor is named: after a restart older metadata are known only by what mirrors show")
-		m.floor = monotonic.NewMemoryStore(most, m.say)
+		log(slog.LevelWarn, "no version store configured")
+		m.floor = monotonic.NewMemoryStore(most)
 		return nil
 	}
 	var all []string
 	for _, p := range paths {
 		all = append(all, m.file(p))
 	}
-	f, err := monotonic.Open(all, most, m.say)
+	f, err := monotonic.Open(all, most, logging.Leveled(m.log, "monotonic"))
 	if err != nil {
 		return err
 	}
 	if f.Created {
-		m.log.Warn().Strs("paths", all).Msg("a new floor was begun: nothing is known from before")
+		log(slog.LevelWarn, "version store created", slog.Any("paths", all))
 	}
 	m.floor, m.close = f, f.Close
 	return nil
@@ -189,7 +189,9 @@
 		m.all["max_come_back"].(float64), classes)
 	out, err := metadataproxy.NewRepository(name, pinned, m.floor, metadataproxy.MirrorConfig{Seed: seed(host, m.all["listen"].(string), name),
 		Settings: rules, FreshFor: span(m.all["refresh"]), UnconfirmedFor: span(m.all["unconfirmed"]),
-		Survey: m.all["survey"] == "always", Endpoints: hosts}, m.now, m.say)
+		Survey: m.all["survey"] == "always", Endpoints: hosts,
+		DispatchLog: logging.Component(m.log.With().Str("repository", name).Logger(), "dispatch")}, m.now,
+		logging.Leveled(m.log, "metadataproxy"))
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +253,7 @@
 	image.KeepLookedUp(paths)
 	running, _ := d["running"].(float64)
 	m.director, err = director.New(chain, online, m.floor, image.Known, m.now, span(d["lasts"]), packages,
-		uint16(running), m.say)
+		uint16(running), logging.Leveled(m.log, "director"))
 	if err != nil {
 		return err
 	}
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"maps"
 	"os"
 	"path/filepath"
@@ -105,7 +106,7 @@
 	}
 	if err := s.rewrite(); err != nil {
 		s.broken = true
-		s.logf(err.Error())
+		s.log(slog.LevelError, "version store could not be rewritten", slog.String("error", err.Error()))
 	}
 }
 
--- a/internal/monotonic/memory.go
+++ b/internal/monotonic/memory.go
@@ -11,7 +11,6 @@
 // concurrent use.
 type MemoryStore struct {
 	maxEntries int
-	logf       func(string)
 
 	mu      sync.Mutex // guards all below
 	entries map[string]entry
@@ -19,8 +18,8 @@
 }
 
 // NewMemoryStore makes a store of at most maxEntries entries.
-func NewMemoryStore(maxEntries int, log func(string)) *MemoryStore {
-	return &MemoryStore{maxEntries: maxEntries, logf: log, entries: map[string]entry{}}
+func NewMemoryStore(maxEntries int) *MemoryStore {
+	return &MemoryStore{maxEntries: maxEntries, entries: map[string]entry{}}
 }
 
 // Recorded is the highest version of a key, 0 for none.
@@ -61,9 +60,6 @@
 	return nil
 }
 
-// Log passes a line on.
-func (s *MemoryStore) Log(text string) { s.logf(text) }
-
 // Entries lists what is kept, by key.
 func (s *MemoryStore) Entries() []Entry {
 	s.mu.Lock()
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -16,6 +16,7 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"maps"
 	"os"
 	"slices"
@@ -41,7 +42,7 @@
 type Store struct {
 	maxEntries int
 	paths      []string
-	logf       func(string)
+	log        func(level slog.Level, message string, fields ...slog.Attr)
 
 	mu        sync.Mutex // guards all below
 	committed *sync.Cond // a batch has ended
@@ -72,14 +73,15 @@
 
 // Open reads the copies of a store, repairs those that lag, and keeps them for writing. At most maxEntries entries are
 // kept. The folders must exist.
-func Open(paths []string, maxEntries int, log func(string)) (*Store, error) {
+func Open(paths []string, maxEntries int,
+	log func(level slog.Level, message string, fields ...slog.Attr)) (*Store, error) {
 	if len(paths) == 0 {
 		return nil, errors.New("floor: no path")
 	}
 	s := &Store{
 		maxEntries: maxEntries,
 		paths:      paths,
-		logf:       log,
+		log:        log,
 		entries:    map[string]entry{},
 		pending:    map[string]entry{},
 		next:       newBatch(),
@@ -114,7 +116,7 @@
 	for i, c := range copies {
 		if c.exists && (c.contents.latest != s.latest || !maps.Equal(c.contents.entries, s.entries)) {
 			s.RepairedCopies++
-			s.logf(fmt.Sprintf("floor %s lags behind its other copy: it was put back, and is brought up", s.paths[i]))
+			s.log(slog.LevelWarn, "version store copy lagged and was repaired", slog.String("path", s.paths[i]))
 		}
 	}
 	return s.rewrite()
@@ -141,7 +143,7 @@
 	}
 	if truncated := len(text) - complete; truncated > 0 {
 		s.TruncatedBytes += truncated
-		s.logf(fmt.Sprintf("floor %s: %d bytes of a record cut short at its end were cut off", path, truncated))
+		s.log(slog.LevelWarn, "incomplete record cut off version store", slog.String("path", path), slog.Int("bytes", truncated))
 	}
 	return storedCopy{contents: c, exists: true}, nil
 }
@@ -193,9 +195,6 @@
 	return s.latest
 }
 
-// Log passes a line on.
-func (s *Store) Log(text string) { s.logf(text) }
-
 // Len is the number of entries.
 func (s *Store) Len() int {
 	s.mu.Lock()
--- a/internal/stagedrollout/waves.go
+++ b/internal/stagedrollout/waves.go
@@ -14,11 +14,12 @@
 
 import (
 	"cmp"
-	"fmt"
 	"hash/fnv"
+	"log/slog"
 	"math"
 	"slices"
 	"strconv"
+	"time"
 )
 
 // Tick is a moment or a span in whole tenths of a millisecond.
@@ -38,11 +39,14 @@
 	kept       = 16
 )
 
+// installTimeout is installing as a duration.
+const installTimeout = time.Duration(installing) * (time.Second / time.Duration(Second))
+
 // Host is what the module acts through.
 type Host interface {
 	Assign(s *Server, build uint16) // its metadata are to name this build, at once
 	SetTimer(at Tick)               // Alarm at or after the time
-	Log(text string)
+	Log(level slog.Level, message string, fields ...slog.Attr)
 }
 
 // Phase is where a package stands.
@@ -189,13 +193,19 @@
 			w.failed(now, s)
 		case InstallDeclined:
 			s.out = true
-			w.host.Log(fmt.Sprintf("%s draws back from build %d: it is left out", s.Name, w.build))
+			w.log("server declined the version and is excluded", s)
 			w.back(now, s)
 		}
 	}
 	w.settle(now)
 }
 
+// log writes a warning about a server and the newest build.
+func (w *Rollout) log(message string, s *Server, fields ...slog.Attr) {
+	all := []slog.Attr{slog.String("server", s.Name), slog.Int("version", int(w.build))}
+	w.host.Log(slog.LevelWarn, message, append(all, fields...)...)
+}
+
 // InstallResult tells how an installation ended.
 type InstallResult uint8
 
@@ -212,7 +222,7 @@
 	s.tries++
 	if s.tries >= mostTries {
 		s.out = true
-		w.host.Log(fmt.Sprintf("%s failed to install build %d %d times: it is left out", s.Name, w.build, s.tries))
+		w.log("server failed too many installations and is excluded", s, slog.Int("failures", s.tries))
 	}
 	s.again = now + min(mostWait, firstWait<<(s.tries-1))
 	w.back(now, s)
@@ -233,7 +243,7 @@
 	w.wakeAt = 0
 	for _, s := range w.servers {
 		if w.pending(s) && now >= s.since+installing {
-			w.host.Log(fmt.Sprintf("%s was not heard to run build %d", s.Name, w.build))
+			w.log("installation not reported in time", s, slog.Duration("wait_ms", installTimeout))
 			w.failed(now, s)
 		}
 	}
--- a/internal/tufrepo/repo.go
+++ b/internal/tufrepo/repo.go
@@ -17,6 +17,7 @@
 	"fmt"
 	"io"
 	"io/fs"
+	"log/slog"
 	"maps"
 	"os"
 	"path"
@@ -109,7 +110,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrNotInitialized)
 	}
-	f, err := monotonic.Open([]string{filepath.Join(dir, "issued.floor")}, 1<<16, func(string) {})
+	f, err := monotonic.Open([]string{filepath.Join(dir, "issued.floor")}, 1<<16, func(slog.Level, string, ...slog.Attr) {})
 	if err != nil {
 		return nil, err
 	}
