--- /dev/null
+++ b/internal/http1/response.go
@@ -0,0 +1,142 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// Response reads one response. Its zero value is ready for the first byte. Informational responses before it are skipped.
+type Response struct {
+	Status int  // 0 until the header section has come
+	Close  bool // the connection ends with it
+	Done   bool // it is complete
+
+	state     state
+	remaining int  // bytes of the body or the chunk that are still to come
+	bodySize  int  // bytes of the body that have come
+	unbounded bool // a chunked body may be longer than MaxBody
+}
+
+// state is what of a response comes next.
+type state uint8
+
+const (
+	inHeader    state = iota // the status line and the header fields
+	inBody                   // a body whose length is known
+	inChunkSize              // the size line of a chunk
+	inChunk                  // a chunk's data
+	inChunkEnd               // the line end behind a chunk's data
+	inTrailer                // trailer fields, up to an empty line
+)
+
+// NewStream is a response whose chunks may go on for ever.
+func NewStream() *Response { return &Response{unbounded: true} }
+
+// Read takes what it can of the bytes that have come, and is given the rest again with what follows. It tells how many bytes it
+// used and appends what belongs to the body to body. The error is ErrMalformed or ErrTooLong.
+func (r *Response) Read(in, body []byte) (used int, out []byte, err error) {
+	for !r.Done {
+		n, more, err := r.step(in[used:], &body)
+		if err != nil {
+			return used, body, err
+		}
+		used += n
+		if !more {
+			break
+		}
+	}
+	return used, body, nil
+}
+
+// step takes the header section, one line, or one stretch of the body; more: another may follow at once.
+func (r *Response) step(in []byte, body *[]byte) (used int, more bool, err error) {
+	switch r.state {
+	case inHeader:
+		return r.takeHeader(in)
+	case inBody, inChunk:
+		return r.takeData(in, body)
+	}
+	return r.takeLine(in)
+}
+
+func (r *Response) takeHeader(in []byte) (used int, more bool, err error) {
+	const end = lineEnd + lineEnd
+	size, err := indexWithin(in, end, MaxHeader)
+	if err != nil || size < 0 {
+		return 0, false, err
+	}
+	return size + len(end), true, r.parseHeader(string(in[:size]))
+}
+
+// indexWithin is where a separator stands among the first so many bytes; -1 where it is still to come, ErrTooLong where it
+// can't come there any more.
+func indexWithin(in []byte, separator string, limit int) (int, error) {
+	at := bytes.Index(in[:min(len(in), limit)], []byte(separator))
+	if at < 0 && len(in) >= limit {
+		return at, ErrTooLong
+	}
+	return at, nil
+}
+
+// takeData takes bytes of a body or a chunk.
+func (r *Response) takeData(in []byte, body *[]byte) (used int, more bool, err error) {
+	n := min(r.remaining, len(in))
+	r.bodySize += n
+	if r.bodySize > MaxBody && !r.unbounded {
+		return 0, false, ErrTooLong
+	}
+	*body = append(*body, in[:n]...)
+	r.remaining -= n
+	if r.remaining > 0 {
+		return n, false, nil
+	}
+	if r.state == inBody {
+		r.Done = true
+		return n, true, nil
+	}
+	r.state = inChunkEnd
+	return n, true, nil
+}
+
+// takeLine takes a line between chunks or behind them.
+func (r *Response) takeLine(in []byte) (used int, more bool, err error) {
+	size, err := indexWithin(in, lineEnd, maxChunkLine)
+	if err != nil || size < 0 {
+		return 0, false, err
+	}
+	line := string(in[:size])
+	switch r.state {
+	case inChunkEnd:
+		if line != "" {
+			return 0, false, ErrMalformed
+		}
+		r.state = inChunkSize
+	case inChunkSize:
+		if err := r.parseChunkSize(line); err != nil {
+			return 0, false, err
+		}
+	case inTrailer:
+		r.Done = line == ""
+	}
+	return size + len(lineEnd), true, nil
+}
+
+// parseChunkSize takes the size line of a chunk, whose extensions are ignored (RFC 9112, section 7.1). A size of 0 ends the
+// body.
+func (r *Response) parseChunkSize(line string) error {
+	digits, _, _ := strings.Cut(line, ";")
+	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
+	if err != nil {
+		return ErrMalformed
+	}
+	if size > MaxBody {
+		return ErrTooLong
+	}
+	r.remaining = int(size)
+	r.state = inChunk
+	if size == 0 {
+		r.state = inTrailer
+	}
+	return nil
+}
