--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -35,7 +35,7 @@
 	defer stop()
 	defer context.AfterFunc(ctx, stop)() // the second signal finds the ordinary end of a process
 	return p.during(func(alive context.Context) error {
-		k, err := controller.Open(controller.Options{Net: p.net, Data: p.file.Data, Set: p.file.Set, Log: p.log})
+		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.Data, Settings: p.file.Set, Log: p.log})
 		if err != nil {
 			return full(err)
 		}
@@ -93,7 +93,7 @@
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		if c.Keepers {
 			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
-			for _, name := range k.Keepers() {
+			for _, name := range k.Controllers() {
 				s, err := k.Status(ctx, name)
 				if err != nil {
 					_, _ = fmt.Fprintf(w, "%s\tsilent\t\t\t\t\t\t\t%v\n", name, err)
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -95,8 +96,6 @@
 // Director is the Director, nil without one.
 func (m *Service) Director() *director.Director { return m.director }
 
-func (m *Service) say(text string) { m.log.Info().Msg(text) }
-
 // file gives a path as it stands from the operator's file.
 func (m *Service) file(path any) string {
 	p, _ := path.(string)
@@ -123,7 +122,7 @@
 		}
 		repos = append(repos, r)
 	}
-	m.Proxy = metadataproxy.New(repos, m.now, m.say, int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
+	m.Proxy = metadataproxy.New(repos, m.now, logging.Leveled(m.log, "metadataproxy"), int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
 	for _, v := range m.all["repository"].([]any) {
 		if image, ok := v.(map[string]any)["agree"].(string); ok {
 			if err := m.Proxy.RequireAgreement(v.(map[string]any)["name"].(string), image); err != nil {
@@ -141,21 +140,22 @@
 func (m *Service) openFloor() error {
 	paths, _ := m.all["floor"].([]any)
 	most := int(m.all["floor_entries"].(float64))
+	log := logging.Leveled(m.log, "metadataservice")
 	if len(paths) == 0 {
-		m.log.Warn().Msg("no floor is named: after a restart older metadata are known only by what mirrors show")
-		m.floor = monotonic.NewMemoryStore(most, m.say)
+		log(slog.LevelWarn, "no version store configured")
+		m.floor = monotonic.NewMemoryStore(most)
 		return nil
 	}
 	var all []string
 	for _, p := range paths {
 		all = append(all, m.file(p))
 	}
-	f, err := monotonic.Open(all, most, m.say)
+	f, err := monotonic.Open(all, most, logging.Leveled(m.log, "monotonic"))
 	if err != nil {
 		return err
 	}
 	if f.Created {
-		m.log.Warn().Strs("paths", all).Msg("a new floor was begun: nothing is known from before")
+		log(slog.LevelWarn, "version store created", slog.Any("paths", all))
 	}
 	m.floor, m.close = f, f.Close
 	return nil
@@ -189,19 +189,33 @@
 		m.all["max_come_back"].(float64), classes)
 	out, err := metadataproxy.NewRepository(name, pinned, m.floor, metadataproxy.MirrorConfig{Seed: seed(host, m.all["listen"].(string), name),
 		Settings: rules, FreshFor: span(m.all["refresh"]), UnconfirmedFor: span(m.all["unconfirmed"]),
-		Survey: m.all["survey"] == "always", Endpoints: hosts}, m.now, m.say)
+		Survey: m.all["survey"] == "always", Endpoints: hosts,
+		DispatchLog: logging.Component(m.log.With().Str("repository", name).Logger(), "dispatch")}, m.now,
+		logging.Leveled(m.log, "metadataproxy"))
 	if err != nil {
 		return nil, err
 	}
 	if address, ok := r["discovery"].(string); ok {
-		watch := discovery.New(transport.NewAddress(address), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := m.newWatcher(address)
 		watch.Fetch()
-		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), true) })
+		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), discovery.Pushed) })
 	}
 	m.repos[name] = out
 	return out, nil
 }
 
+// newWatcher follows the list of servers that an agent at an address has.
+func (m *Service) newWatcher(address string) *discovery.Watcher {
+	return discovery.New(discovery.Config{
+		Address:       transport.NewAddress(address),
+		PollWait:      time.Second,
+		AnswerTimeout: time.Second / 2,
+		OpenTimeout:   time.Second,
+		Buffers:       m.room,
+		Log:           logging.Component(m.log, "discovery"),
+	})
+}
+
 // mirrors are the mirror lines of a repository. One that was not there before is new, and cold.
 func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Endpoint) {
 	was := map[string]bool{}
@@ -239,7 +253,7 @@
 	image.KeepLookedUp(paths)
 	running, _ := d["running"].(float64)
 	m.director, err = director.New(chain, online, m.floor, image.Known, m.now, span(d["lasts"]), packages,
-		uint16(running), m.say)
+		uint16(running), logging.Leveled(m.log, "director"))
 	if err != nil {
 		return err
 	}
@@ -269,7 +283,12 @@
 	}
 	var desk *releaseapi.Client
 	if address != "" {
-		desk = releaseapi.New(transport.NewAddress(address), time.Second, m.room, m.say)
+		desk = releaseapi.New(releaseapi.Config{
+			Address: transport.NewAddress(address),
+			Timeout: time.Second,
+			Buffers: m.room,
+			Log:     logging.Component(m.log, "releaseapi"),
+		})
 	}
 	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
 	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
@@ -282,9 +301,9 @@
 		m.watches = append(m.watches, func(ctx context.Context) error { return desk.Run(ctx, g) })
 	}
 	if discoveryAddress != "" {
-		watch := discovery.New(transport.NewAddress(discoveryAddress), 0, time.Second, time.Second/2, time.Second, m.room, m.say)
+		watch := m.newWatcher(discoveryAddress)
 		watch.Fetch()
-		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, true) })
+		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, g, discovery.Pushed) })
 	}
 	return nil
 }
