--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -44,12 +44,12 @@
 // scrypt's costs for new files (RFC 7914; N as its paper gives for files), and the most that a file may
 // ask for: memory is 128·N·r bytes.
 const (
-	costN, costR, costP = 1 << 15, 8, 1
-	mostN               = 1 << 20
-	mostFile            = 64 << 10
+	scryptN, scryptR, scryptP = 1 << 15, 8, 1
+	maxScryptN                = 1 << 20
+	maxFileSize               = 64 << 10
 )
 
-type file struct {
+type keyFile struct {
 	Form      string `json:"form"` // "silvercove-key-1"
 	Type      string `json:"type"`
 	ID        string `json:"id"`
@@ -62,7 +62,7 @@
 	Key       []byte `json:"key"` // PKCS #8, sealed where it is encrypted
 }
 
-const form = "silvercove-key-1"
+const keyFileForm = "silvercove-key-1"
 
 // Key is a key that can sign.
 type Key struct {
@@ -95,10 +95,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return of(private)
+	return newKey(private)
 }
 
-func of(private crypto.Signer) (*Key, error) {
+func newKey(private crypto.Signer) (*Key, error) {
 	public, err := metadata.KeyFromPublicKey(private.Public())
 	if err != nil {
 		return nil, err
@@ -117,17 +117,17 @@
 	if err != nil {
 		return fmt.Errorf("%s: the key cannot be written", path)
 	}
-	f := file{Form: form, Type: k.Public.Type, ID: k.ID, Key: der}
+	f := keyFile{Form: keyFileForm, Type: k.Public.Type, ID: k.ID, Key: der}
 	if len(phrase) > 0 {
-		f.Encrypted, f.N, f.R, f.P = true, costN, costR, costP
+		f.Encrypted, f.N, f.R, f.P = true, scryptN, scryptR, scryptP
 		f.Salt, f.Nonce = make([]byte, 16), make([]byte, chacha20poly1305.NonceSizeX)
 		rand.Read(f.Salt)
 		rand.Read(f.Nonce)
-		box, err := f.box(phrase)
+		box, err := f.cipher(phrase)
 		if err != nil {
 			return err
 		}
-		f.Key = box.Seal(nil, f.Nonce, der, f.bound())
+		f.Key = box.Seal(nil, f.Nonce, der, f.associatedData())
 	}
 	text, _ := json.MarshalIndent(f, "", "  ")
 	if err := renameio.WriteFile(path, append(text, '\n'), 0o600, renameio.WithTempDir(filepath.Dir(path)),
@@ -143,7 +143,7 @@
 // PublicPath is where the public part of a key file stands.
 func PublicPath(path string) string { return strings.TrimSuffix(path, Suffix) + PublicSuffix }
 
-func (f *file) box(phrase []byte) (interface {
+func (f *keyFile) cipher(phrase []byte) (interface {
 	Seal(dst, nonce, plain, bound []byte) []byte
 	Open(dst, nonce, sealed, bound []byte) ([]byte, error)
 }, error) {
@@ -154,8 +154,8 @@
 	return chacha20poly1305.NewX(secret)
 }
 
-// bound ties the open parts of the file to the sealed one.
-func (f *file) bound() []byte { return []byte(f.Form + "/" + f.Type + "/" + f.ID) }
+// associatedData ties the open parts of the file to the sealed one.
+func (f *keyFile) associatedData() []byte { return []byte(f.Form + "/" + f.Type + "/" + f.ID) }
 
 // Load reads a key file. The phrase is asked for only where it is encrypted.
 func Load(path string, phrase func() ([]byte, error)) (*Key, error) {
@@ -174,7 +174,7 @@
 	if err != nil || !ok {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
-	k, err := of(private)
+	k, err := newKey(private)
 	if err != nil || k.ID != f.ID {
 		return nil, fmt.Errorf("%s: its identifier is another key's: %w", path, ErrNotKeyFile)
 	}
@@ -183,7 +183,7 @@
 }
 
 // decrypt opens the sealed private key of an encrypted key file with the pass phrase that phrase returns.
-func (f *file) decrypt(path string, phrase func() ([]byte, error)) ([]byte, error) {
+func (f *keyFile) decrypt(path string, phrase func() ([]byte, error)) ([]byte, error) {
 	if phrase == nil {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
 	}
@@ -194,22 +194,22 @@
 	if len(passphrase) == 0 {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
 	}
-	if f.N < 2 || f.N > mostN || f.R < 1 || f.R > 16 || f.P < 1 || f.P > 4 ||
+	if f.N < 2 || f.N > maxScryptN || f.R < 1 || f.R > 16 || f.P < 1 || f.P > 4 ||
 		len(f.Nonce) != chacha20poly1305.NonceSizeX {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
-	box, err := f.box(passphrase)
+	box, err := f.cipher(passphrase)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	der, err := box.Open(nil, f.Nonce, f.Key, f.bound())
+	der, err := box.Open(nil, f.Nonce, f.Key, f.associatedData())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, ErrPassphrase)
 	}
 	return der, nil
 }
 
-func readFile(path string) (*file, error) {
+func readFile(path string) (*keyFile, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -222,17 +222,17 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return nil, fmt.Errorf("%s: mode %04o: %w", path, info.Mode().Perm(), ErrMode)
 	}
-	if !info.Mode().IsRegular() || info.Size() > mostFile {
+	if !info.Mode().IsRegular() || info.Size() > maxFileSize {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
 	text := make([]byte, info.Size())
 	if _, err := io.ReadFull(in, text); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
-	f := &file{}
+	f := &keyFile{}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(f); err != nil || f.Form != form {
+	if err := dec.Decode(f); err != nil || f.Form != keyFileForm {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
 	return f, nil
--- a/internal/metadataproxy/carrier.go
+++ b/internal/metadataproxy/carrier.go
@@ -40,41 +40,47 @@
 
 // Counts are what went through the front since the start.
 type Counts struct {
-	Asked, Held, Given, Refused, Spoilt, Crowded, Reports atomic.Int64
-	Bytes                                                 atomic.Int64
+	Requests   atomic.Int64 // requests received
+	CacheHits  atomic.Int64 // metadata files answered without asking a mirror
+	Served     atomic.Int64 // files served whole
+	Refused    atomic.Int64 // requests answered without a file
+	Aborted    atomic.Int64 // downloads broken off after their header was sent
+	Overloaded atomic.Int64 // requests turned away, as too many waited
+	Reports    atomic.Int64 // version reports accepted
+	Bytes      atomic.Int64 // bytes of bodies sent
 }
 
 // Proxy is the front.
 type Proxy struct {
-	now      func() time.Time
-	log      logging.Func
-	repos    map[string]*Repository
-	director *director.Director
-	image    string // the repository that the Director's packages are of
-	shards   []*shard
-	most     int // connections
+	now             func() time.Time
+	log             logging.Func
+	repositories    map[string]*Repository
+	director        *director.Director
+	imageRepository string // the repository that the Director's packages are of
+	reportShards    []*reportShard
+	maxConnections  int // connections
 
-	mu    sync.Mutex
-	doors *metadatarefresh.ClientLimiter
+	mu      sync.Mutex
+	limiter *metadatarefresh.ClientLimiter
 
 	Counts Counts
 }
 
-// shard is a part of the fleet whose reports are taken one at a time.
-type shard struct {
-	mu    sync.Mutex
-	fleet *tufverify.ReportVerifier
+// reportShard is a part of the fleet whose reports are taken one at a time.
+type reportShard struct {
+	mu       sync.Mutex
+	verifier *tufverify.ReportVerifier
 }
 
-const shards = 64 // so that the reports of many servers are made durable together
+const reportShardCount = 64 // so that the reports of many servers are made durable together
 
 // New makes a front for repositories. At most so many connections are open, and so many requests wait for
 // mirrors or are being passed a package.
 func New(repos []*Repository, now func() time.Time, log logging.Func, connections, waiting int) *Proxy {
-	c := &Proxy{now: now, log: log, repos: map[string]*Repository{}, most: connections,
-		doors: metadatarefresh.NewClientLimiter(waiting)}
+	c := &Proxy{now: now, log: log, repositories: map[string]*Repository{}, maxConnections: connections,
+		limiter: metadatarefresh.NewClientLimiter(waiting)}
 	for _, r := range repos {
-		c.repos[r.name] = r
+		c.repositories[r.name] = r
 		r.counts = &c.Counts
 	}
 	return c
@@ -82,50 +88,50 @@
 
 // SetDirector adds a Director: its packages are those of the image repository, keys are its servers' by name.
 func (c *Proxy) SetDirector(d *director.Director, image string, floor tufverify.VersionStore, keys map[string]crypto.PublicKey) error {
-	if c.repos[image] == nil {
+	if c.repositories[image] == nil {
 		return fmt.Errorf("director: no repository %s", image)
 	}
-	c.director, c.image = d, image
-	for range shards {
-		c.shards = append(c.shards, &shard{fleet: tufverify.NewReportVerifier(floor, keys)})
+	c.director, c.imageRepository = d, image
+	for range reportShardCount {
+		c.reportShards = append(c.reportShards, &reportShard{verifier: tufverify.NewReportVerifier(floor, keys)})
 	}
 	return nil
 }
 
 // SetKeys replaces the servers' keys.
 func (c *Proxy) SetKeys(keys map[string]crypto.PublicKey) {
-	for _, s := range c.shards {
+	for _, s := range c.reportShards {
 		s.mu.Lock()
-		s.fleet.SetKeys(keys)
+		s.verifier.SetKeys(keys)
 		s.mu.Unlock()
 	}
 }
 
 // RequireAgreement has the targets of one repository passed on only where another agrees with each of them.
 func (c *Proxy) RequireAgreement(director, image string) error {
-	a, b := c.repos[director], c.repos[image]
+	a, b := c.repositories[director], c.repositories[image]
 	if a == nil || b == nil || a == b {
 		return fmt.Errorf("agree: %s and %s are not two repositories", director, image)
 	}
-	a.agrees = b
+	a.agreesWith = b
 	return nil
 }
 
 // Run serves until the context ends, then lets requests under way end within their own limits.
 func (c *Proxy) Run(ctx context.Context, listener net.Listener, longest time.Duration) error {
-	server := &http.Server{Handler: c, ReadHeaderTimeout: spanOf(metadatarefresh.ClientHeaderTimeout),
-		ReadTimeout: spanOf(metadatarefresh.ClientBodyTimeout), IdleTimeout: spanOf(metadatarefresh.ClientIdleTimeout), MaxHeaderBytes: 16 << 10}
+	server := &http.Server{Handler: c, ReadHeaderTimeout: toDuration(metadatarefresh.ClientHeaderTimeout),
+		ReadTimeout: toDuration(metadatarefresh.ClientBodyTimeout), IdleTimeout: toDuration(metadatarefresh.ClientIdleTimeout), MaxHeaderBytes: 16 << 10}
 	base, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, inner := errgroup.WithContext(base)
-	for _, r := range c.repos {
+	for _, r := range c.repositories {
 		group.Go(func() error { return r.run(inner) })
 	}
 	if c.director != nil {
 		group.Go(func() error { return c.director.Run(inner) })
 	}
 	group.Go(func() error {
-		err := server.Serve(netutil.LimitListener(listener, c.most))
+		err := server.Serve(netutil.LimitListener(listener, c.maxConnections))
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
@@ -149,34 +155,34 @@
 
 // ServeHTTP is the path of one request.
 func (c *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c.Counts.Asked.Add(1)
+	c.Counts.Requests.Add(1)
 	path := strings.TrimPrefix(req.URL.EscapedPath(), "/")
 	first, rest, _ := strings.Cut(path, "/")
 	name, rest, _ := strings.Cut(rest, "/")
 	kind, file, _ := strings.Cut(rest, "/")
 	switch {
 	case first == "status" && name == "" && req.Method == http.MethodGet:
-		c.status(w)
+		c.serveStatus(w)
 	case first == "director" && kind == "manifest" && file == "" && c.director != nil:
-		c.report(w, req, name)
+		c.receiveReport(w, req, name)
 	case req.Method != http.MethodGet && req.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
-		c.answer(w, nil, metadatarefresh.Response{Status: 405, Text: "only GET and HEAD here"})
-	case first == "r" && kind == "metadata" && c.repos[name] != nil:
-		c.metadata(w, req, c.repos[name], file)
-	case first == "r" && kind == "targets" && c.repos[name] != nil:
-		c.target(w, req, c.repos[name], req.URL.Path[len("/r/"+name+"/targets/"):])
+		c.respond(w, nil, metadatarefresh.Response{Status: 405, Text: "only GET and HEAD here"})
+	case first == "r" && kind == "metadata" && c.repositories[name] != nil:
+		c.serveMetadata(w, req, c.repositories[name], file)
+	case first == "r" && kind == "targets" && c.repositories[name] != nil:
+		c.serveTarget(w, req, c.repositories[name], req.URL.Path[len("/r/"+name+"/targets/"):])
 	case first == "director" && kind == "metadata" && c.director != nil:
-		c.directed(w, req, name, file)
+		c.serveDirectorMetadata(w, req, name, file)
 	case first == "explain" && c.director != nil && kind == "":
-		c.explain(w, name)
+		c.serveExplanation(w, name)
 	default:
-		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such path"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such path"})
 	}
 }
 
-// answer gives the one final answer of a request that gets no file.
-func (c *Proxy) answer(w http.ResponseWriter, r *Repository, a metadatarefresh.Response) {
+// respond gives the one final answer of a request that gets no file.
+func (c *Proxy) respond(w http.ResponseWriter, r *Repository, a metadatarefresh.Response) {
 	c.Counts.Refused.Add(1)
 	h := w.Header()
 	for _, name := range []string{"Etag", "Content-Range", "Content-Length", "Accept-Ranges"} {
@@ -186,7 +192,7 @@
 	if a.RetryLater {
 		wait := time.Second
 		if r != nil {
-			wait = r.comeBack()
+			wait = r.retryAfter()
 		}
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 		h.Set("Retry-After-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
@@ -194,74 +200,74 @@
 	http.Error(w, a.Text, a.Status)
 }
 
-// enter lets a request in that may wait, or answers it at once.
-func (c *Proxy) enter(w http.ResponseWriter, req *http.Request, r *Repository) (leave func(), ok bool) {
+// acquire lets a request in that may wait, or answers it at once.
+func (c *Proxy) acquire(w http.ResponseWriter, req *http.Request, r *Repository) (leave func(), ok bool) {
 	client, _, _ := net.SplitHostPort(req.RemoteAddr)
 	c.mu.Lock()
-	ok = c.doors.Acquire(client)
+	ok = c.limiter.Acquire(client)
 	c.mu.Unlock()
 	if !ok {
-		c.Counts.Crowded.Add(1)
-		c.answer(w, r, metadatarefresh.Response{Status: 503, Text: "too many wait", RetryLater: true})
+		c.Counts.Overloaded.Add(1)
+		c.respond(w, r, metadatarefresh.Response{Status: 503, Text: "too many wait", RetryLater: true})
 		return nil, false
 	}
 	return func() {
 		c.mu.Lock()
-		c.doors.Release(client)
+		c.limiter.Release(client)
 		c.mu.Unlock()
 	}, true
 }
 
-// metadata answers for one metadata file of a repository.
-func (c *Proxy) metadata(w http.ResponseWriter, req *http.Request, r *Repository, name string) {
+// serveMetadata answers for one metadata file of a repository.
+func (c *Proxy) serveMetadata(w http.ResponseWriter, req *http.Request, r *Repository, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, r, metadatarefresh.Response{Status: 404, Text: "no such file"})
+		c.respond(w, r, metadatarefresh.Response{Status: 404, Text: "no such file"})
 		return
 	}
-	data, refusal := r.held(f)
+	data, refusal := r.cached(f)
 	if data == nil {
-		leave, ok := c.enter(w, req, r)
+		leave, ok := c.acquire(w, req, r)
 		if !ok {
 			return
 		}
-		data, refusal = r.have(f)
+		data, refusal = r.currentFile(f)
 		leave()
 	} else {
-		c.Counts.Held.Add(1)
+		c.Counts.CacheHits.Add(1)
 	}
-	if data != nil && r.agrees != nil && f.Kind() == "targets" {
-		if refusal = c.agreed(r); refusal != nil {
+	if data != nil && r.agreesWith != nil && f.Kind() == "targets" {
+		if refusal = c.checkAgreement(r); refusal != nil {
 			data = nil
 		}
 	}
 	if data == nil {
-		c.answer(w, r, metadatarefresh.RefusalResponse(refusal))
+		c.respond(w, r, metadatarefresh.RefusalResponse(refusal))
 		return
 	}
-	c.file(w, req, data)
+	c.serveFile(w, req, data)
 }
 
-// file gives a file that is held, with its validator.
-func (c *Proxy) file(w http.ResponseWriter, req *http.Request, data []byte) {
+// serveFile gives a file that is held, with its validator.
+func (c *Proxy) serveFile(w http.ResponseWriter, req *http.Request, data []byte) {
 	sum := sha256.Sum256(data)
 	h := w.Header()
 	h.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-cache") // held by a cache on the way it would be passed on past its end
-	c.Counts.Given.Add(1)
+	c.Counts.Served.Add(1)
 	c.Counts.Bytes.Add(int64(len(data)))
 	http.ServeContent(w, req, "", time.Time{}, bytes.NewReader(data))
 }
 
-// agreed holds a carried Director's targets against its Image repository.
-func (c *Proxy) agreed(r *Repository) *tufverify.RefusalError {
+// checkAgreement holds a carried Director's targets against its Image repository.
+func (c *Proxy) checkAgreement(r *Repository) *tufverify.RefusalError {
 	all, refusal := r.assigned()
 	if refusal != nil {
 		return refusal
 	}
 	for _, t := range all {
-		is, refusal := r.agrees.Find(t.Path)
+		is, refusal := r.agreesWith.Find(t.Path)
 		if refusal != nil && refusal.Reason == tufverify.ReasonUnnamed {
 			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
 			c.logDisagreement(refusal)
@@ -287,54 +293,54 @@
 	c.log(slog.LevelWarn, "director and image repository disagree", refusal.LogFields()...)
 }
 
-// directed answers for a metadata file of the Director for one server.
-func (c *Proxy) directed(w http.ResponseWriter, req *http.Request, server, name string) {
+// serveDirectorMetadata answers for a metadata file of the Director for one server.
+func (c *Proxy) serveDirectorMetadata(w http.ResponseWriter, req *http.Request, server, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such file"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such file"})
 		return
 	}
 	data, err := c.director.File(server, f)
 	switch {
 	case errors.Is(err, director.ErrUnknownServer):
-		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "no such server"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such server"})
 	case errors.Is(err, director.ErrUnknownFile):
-		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
 	case err != nil:
 		c.log(slog.LevelWarn, "director metadata unavailable", slog.String("server", server), slog.String("error", err.Error()))
-		c.answer(w, c.repos[c.image], metadatarefresh.Response{Status: 503, Text: "not to be had now", RetryLater: true})
+		c.respond(w, c.repositories[c.imageRepository], metadatarefresh.Response{Status: 503, Text: "not to be had now", RetryLater: true})
 	default:
-		c.file(w, req, data)
+		c.serveFile(w, req, data)
 	}
 }
 
-// report takes a version report. A repeat of it gets the same answer, and nothing is done twice.
-func (c *Proxy) report(w http.ResponseWriter, req *http.Request, server string) {
+// receiveReport takes a version report. A repeat of it gets the same answer, and nothing is done twice.
+func (c *Proxy) receiveReport(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
-		c.answer(w, nil, metadatarefresh.Response{Status: 405, Text: "only POST here"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 405, Text: "only POST here"})
 		return
 	}
-	leave, ok := c.enter(w, req, nil)
+	leave, ok := c.acquire(w, req, nil)
 	if !ok {
 		return
 	}
 	defer leave()
 	data, err := io.ReadAll(io.LimitReader(req.Body, tufverify.MaxReportSize+1))
 	if err != nil {
-		c.answer(w, nil, metadatarefresh.Response{Status: 400, Text: "the report did not come whole"})
+		c.respond(w, nil, metadatarefresh.Response{Status: 400, Text: "the report did not come whole"})
 		return
 	}
 	h := fnv.New32a()
 	h.Write([]byte(server))
-	s := c.shards[h.Sum32()%shards]
+	s := c.reportShards[h.Sum32()%reportShardCount]
 	s.mu.Lock()
-	r, refusal := s.fleet.VerifyReport(server, data)
+	r, refusal := s.verifier.VerifyReport(server, data)
 	s.mu.Unlock()
 	a := metadatarefresh.ReportResponse(refusal)
 	if a.Status != 200 {
 		c.log(slog.LevelWarn, "version report refused", refusal.LogFields()...)
-		c.answer(w, nil, a)
+		c.respond(w, nil, a)
 		return
 	}
 	if r != nil {
@@ -347,10 +353,10 @@
 	_, _ = fmt.Fprintln(w, a.Text)
 }
 
-func (c *Proxy) explain(w http.ResponseWriter, server string) {
+func (c *Proxy) serveExplanation(w http.ResponseWriter, server string) {
 	lines, err := c.director.Explain(server)
 	if err != nil {
-		c.answer(w, nil, metadatarefresh.Response{Status: 404, Text: err.Error()})
+		c.respond(w, nil, metadatarefresh.Response{Status: 404, Text: err.Error()})
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -359,32 +365,42 @@
 
 // Status is what the front tells of itself.
 type Status struct {
-	Asked, Held, Given, Refused, Spoilt, Crowded, Reports, Bytes int64
-	In                                                           int
-	Repositories                                                 []RepoStatus
-	Fleet, Told, MayAct                                          int
-	Issued                                                       int64
+	Requests     int64 `json:"Asked"`   // requests received
+	CacheHits    int64 `json:"Held"`    // metadata files answered without asking a mirror
+	Served       int64 `json:"Given"`   // files served whole
+	Refused      int64 `json:"Refused"` // requests answered without a file
+	Aborted      int64 `json:"Spoilt"`  // downloads broken off after their header was sent
+	Overloaded   int64 `json:"Crowded"` // requests turned away, as too many waited
+	Reports      int64 `json:"Reports"` // version reports accepted
+	Bytes        int64 `json:"Bytes"`   // bytes of bodies sent
+	InFlight     int   `json:"In"`      // requests that wait for mirrors or are being passed a package
+	Repositories []RepoStatus
+
+	Servers    int   `json:"Fleet"`  // servers listed
+	Assigned   int   `json:"Told"`   // servers assigned the newest version
+	MayInstall int   `json:"MayAct"` // servers that may install the newest version
+	Issued     int64 `json:"Issued"` // versions of servers' metadata issued
 }
 
 // Status gives the counters.
 func (c *Proxy) Status() Status {
 	c.mu.Lock()
-	in := c.doors.InUse()
+	in := c.limiter.InUse()
 	c.mu.Unlock()
 	n := &c.Counts
-	s := Status{Asked: n.Asked.Load(), Held: n.Held.Load(), Given: n.Given.Load(), Refused: n.Refused.Load(),
-		Spoilt: n.Spoilt.Load(), Crowded: n.Crowded.Load(), Reports: n.Reports.Load(), Bytes: n.Bytes.Load(), In: in}
-	for _, name := range slices.Sorted(maps.Keys(c.repos)) {
-		s.Repositories = append(s.Repositories, c.repos[name].status())
+	s := Status{Requests: n.Requests.Load(), CacheHits: n.CacheHits.Load(), Served: n.Served.Load(), Refused: n.Refused.Load(),
+		Aborted: n.Aborted.Load(), Overloaded: n.Overloaded.Load(), Reports: n.Reports.Load(), Bytes: n.Bytes.Load(), InFlight: in}
+	for _, name := range slices.Sorted(maps.Keys(c.repositories)) {
+		s.Repositories = append(s.Repositories, c.repositories[name].status())
 	}
 	if c.director != nil {
-		s.Fleet, s.Told, s.MayAct = c.director.Count()
+		s.Servers, s.Assigned, s.MayInstall = c.director.Count()
 		s.Issued = c.director.IssuedCount()
 	}
 	return s
 }
 
-func (c *Proxy) status(w http.ResponseWriter) {
+func (c *Proxy) serveStatus(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
@@ -418,16 +434,16 @@
 	return from, min(to, length-1), false, from < length
 }
 
-// target answers for a package.
-func (c *Proxy) target(w http.ResponseWriter, req *http.Request, r *Repository, path string) {
-	leave, ok := c.enter(w, req, r)
+// serveTarget answers for a package.
+func (c *Proxy) serveTarget(w http.ResponseWriter, req *http.Request, r *Repository, path string) {
+	leave, ok := c.acquire(w, req, r)
 	if !ok {
 		return
 	}
 	defer leave()
 	t, refusal := r.Stored(path)
 	if refusal != nil {
-		c.answer(w, r, metadatarefresh.RefusalResponse(refusal))
+		c.respond(w, r, metadatarefresh.RefusalResponse(refusal))
 		return
 	}
 	h, tag := w.Header(), fmt.Sprintf(`"%x"`, t.Sum)
@@ -460,74 +476,75 @@
 			start, from, to, whole = 0, 0, t.Length-1, true
 		}
 	}
-	out := &client{w: w, control: http.NewResponseController(w), from: from, to: to, at: start, status: 200,
+	out := &rangeWriter{response: w, control: http.NewResponseController(w), first: from, last: to, offset: start, status: 200,
 		length: to - from + 1, counts: &c.Counts}
 	if !whole {
 		out.status = http.StatusPartialContent
-		out.ranged = fmt.Sprintf("bytes %d-%d/%d", from, to, t.Length)
+		out.contentRange = fmt.Sprintf("bytes %d-%d/%d", from, to, t.Length)
 	}
 	if req.Method == http.MethodHead || out.length <= 0 {
-		out.begin()
+		out.sendHeader()
 		return
 	}
-	switch err := r.bring(req.Context(), t, body, out); {
+	switch err := r.streamTarget(req.Context(), t, body, out); {
 	case err == nil:
-		c.Counts.Given.Add(1)
-	case !out.begun:
-		c.answer(w, r, metadatarefresh.Response{Status: 503, Text: "no mirror has it now", RetryLater: true})
+		c.Counts.Served.Add(1)
+	case !out.headerSent:
+		c.respond(w, r, metadatarefresh.Response{Status: 503, Text: "no mirror has it now", RetryLater: true})
 	default: // the client can tell, as fewer bytes come than it was told
-		c.Counts.Spoilt.Add(1)
+		c.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// client is where a package goes: only the bytes that were asked for.
-type client struct {
-	w        http.ResponseWriter
-	control  *http.ResponseController
-	from, to int64 // first and last byte asked for
-	at       int64 // of the next byte that comes
-	length   int64
-	status   int
-	ranged   string
-	begun    bool
-	gone     bool
-	counts   *Counts
+// rangeWriter is where a package goes: only the bytes that were asked for.
+type rangeWriter struct {
+	response     http.ResponseWriter
+	control      *http.ResponseController
+	first        int64 // first byte asked for
+	last         int64 // last byte asked for
+	offset       int64 // of the next byte that comes
+	length       int64
+	status       int
+	contentRange string
+	headerSent   bool
+	disconnected bool
+	counts       *Counts
 }
 
-func (c *client) begin() {
-	if c.begun {
+func (c *rangeWriter) sendHeader() {
+	if c.headerSent {
 		return
 	}
-	c.begun = true
-	h := c.w.Header()
+	c.headerSent = true
+	h := c.response.Header()
 	h.Set("Content-Length", strconv.FormatInt(max(0, c.length), 10))
-	if c.ranged != "" {
-		h.Set("Content-Range", c.ranged)
+	if c.contentRange != "" {
+		h.Set("Content-Range", c.contentRange)
 	}
-	c.w.WriteHeader(c.status)
+	c.response.WriteHeader(c.status)
 }
 
-// pass writes what was verified, within the patience for one stretch.
-func (c *client) pass(p []byte) error {
-	first, last := max(c.from-c.at, 0), min(c.to+1-c.at, int64(len(p)))
-	c.at += int64(len(p))
+// write writes what was verified, within the patience for one stretch.
+func (c *rangeWriter) write(p []byte) error {
+	first, last := max(c.first-c.offset, 0), min(c.last+1-c.offset, int64(len(p)))
+	c.offset += int64(len(p))
 	if first >= last {
 		return nil
 	}
-	c.begin()
-	_ = c.control.SetWriteDeadline(time.Now().Add(spanOf(metadatarefresh.ClientWriteTimeout)))
-	n, err := c.w.Write(p[first:last])
+	c.sendHeader()
+	_ = c.control.SetWriteDeadline(time.Now().Add(toDuration(metadatarefresh.ClientWriteTimeout)))
+	n, err := c.response.Write(p[first:last])
 	c.counts.Bytes.Add(int64(n))
 	if err != nil {
-		c.gone = true
-		return errGone
+		c.disconnected = true
+		return errClientGone
 	}
 	return nil
 }
 
-func (c *client) done() bool { return c.at > c.to }
+func (c *rangeWriter) done() bool { return c.offset > c.last }
 
-var errGone = errors.New("the client has gone")
+var errClientGone = errors.New("the client has gone")
 
-func spanOf(t tufverify.Tick) time.Duration { return time.Duration(t) * (100 * time.Microsecond) }
+func toDuration(t tufverify.Tick) time.Duration { return time.Duration(t) * (100 * time.Microsecond) }
--- a/internal/metadatarefresh/exchange.go
+++ b/internal/metadatarefresh/exchange.go
@@ -19,62 +19,62 @@
 type Tick = tufverify.Tick
 
 const (
-	firstBack   = tufverify.Second / 5  // until mirrors are asked again after they had nothing
-	mostBack    = 10 * tufverify.Second // it doubles up to this
-	leastBytes  = 4 << 10               // a transfer brings within one span
-	slowSpan    = 2 * tufverify.Second
-	firstByte   = 2 * tufverify.Second // until the first byte of a transfer
-	staleSend   = tufverify.Second / 2 // a delivery chosen longer ago is not sent: its mirror may drain since
-	spreadShare = 2                    // come-back times are drawn up to so many times the least
+	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after they had nothing
+	maxBackoff       = 10 * tufverify.Second // it doubles up to this
+	minWindowBytes   = 4 << 10               // a transfer brings within one span
+	rateWindow       = 2 * tufverify.Second
+	firstByteTimeout = 2 * tufverify.Second // until the first byte of a transfer
+	maxChoiceAge     = tufverify.Second / 2 // a delivery chosen longer ago is not sent: its mirror may drain since
+	retryAfterSpread = 2                    // come-back times are drawn up to so many times the least
 )
 
 // Refresh decides when the mirrors of one repository are asked for something newer.
 type Refresh struct {
-	every Tick // a timestamp is taken for current for so long
-	alone Tick // and for so long where no mirror can be asked
-	last  Tick // when one was last had
-	next  Tick // after failures: not before
-	wait  Tick
-	rand  *rand.Rand
+	freshFor       Tick // a timestamp is taken for current for so long
+	unconfirmedFor Tick // and for so long where no mirror can be asked
+	refreshedAt    Tick // when one was last had
+	notBefore      Tick // after failures: not before
+	backoff        Tick
+	random         *rand.Rand
 }
 
 // NewRefresh makes one; a timestamp that was had every ago is asked for again, and one that was had alone ago
 // is no longer passed on, also if no mirror can be asked.
 func NewRefresh(every, alone Tick, seed uint64) *Refresh {
-	return &Refresh{every: every, alone: max(every, alone), last: -1 << 40, rand: rand.New(rand.NewPCG(seed, seed>>32))}
+	return &Refresh{freshFor: every, unconfirmedFor: max(every, alone), refreshedAt: -1 << 40, random: rand.New(rand.NewPCG(seed, seed>>32))}
 }
 
 // Due tells whether the mirrors are to be asked before a timestamp is passed on. lacking: what is held
 // will not do anyhow.
 func (r *Refresh) Due(now Tick, lacking bool) bool {
-	return (lacking || now >= r.last+r.every) && now >= r.next
+	return (lacking || now >= r.refreshedAt+r.freshFor) && now >= r.notBefore
 }
 
 // OnRefreshed takes that the mirrors showed a current timestamp.
-func (r *Refresh) OnRefreshed(now Tick) { r.last, r.next, r.wait = now, 0, 0 }
+func (r *Refresh) OnRefreshed(now Tick) { r.refreshedAt, r.notBefore, r.backoff = now, 0, 0 }
 
 // OnFailed takes that they did not. They are asked again after a while that doubles, drawn by a half, so that
 // a dead repository is not asked by each client, nor by all relays at once.
 func (r *Refresh) OnFailed(now Tick) {
-	r.wait = min(mostBack, max(firstBack, 2*r.wait))
-	r.next = now + r.wait/2 + Tick(r.rand.Int64N(int64(r.wait/2)+1))
+	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
+	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
 }
 
 // Stale tells whether what is held may no longer be taken for the newest: the mirrors are to be asked, or
 // have had nothing for too long. Between its two times a newer one may be out that no mirror showed: the end
 // of the metadata bounds that anyhow, and an installation chooses how much earlier to stop.
 func (r *Refresh) Stale(now Tick) bool {
-	if r.wait > 0 {
-		return now >= r.last+r.alone
+	if r.backoff > 0 {
+		return now >= r.refreshedAt+r.unconfirmedFor
 	}
-	return now >= r.last+r.every
+	return now >= r.refreshedAt+r.freshFor
 }
 
 // RetryAfter is how long a client is to wait that got nothing: until the mirrors are asked again, and a drawn
 // while more, so that those who wait do not come at once.
 func (r *Refresh) RetryAfter(now Tick) Tick {
-	least := max(firstBack, r.next-now)
-	return least + Tick(r.rand.Int64N(int64(least)*(spreadShare-1)+1))
+	least := max(minBackoff, r.notBefore-now)
+	return least + Tick(r.random.Int64N(int64(least)*(retryAfterSpread-1)+1))
 }
 
 // Response is what a client is told in place of a file.
@@ -128,77 +128,77 @@
 
 // AttemptTooLate tells whether a delivery that was chosen at a moment is no longer to be sent. It guards against
 // a process that stood still between the choice and the sending, while its mirror began to drain.
-func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+staleSend }
+func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxChoiceAge }
 
 // Transfer decides whether the body of an answer still comes fast enough. It guards against mirrors that
 // send endlessly or a byte now and then; it hurts where a link is honestly slower than its least rate.
 type Transfer struct {
-	from Tick
-	came int64
-	any  bool
+	windowStart Tick
+	windowBytes int64
+	started     bool
 }
 
 // Begin takes that a delivery was sent.
-func (t *Transfer) Begin(now Tick) { *t = Transfer{from: now} }
+func (t *Transfer) Begin(now Tick) { *t = Transfer{windowStart: now} }
 
 // OnBytes takes bytes. tooSlow: another mirror is to be asked.
 func (t *Transfer) OnBytes(now Tick, n int64) (tooSlow bool) {
-	t.any = true
-	t.came += n
-	if now < t.from+slowSpan {
+	t.started = true
+	t.windowBytes += n
+	if now < t.windowStart+rateWindow {
 		return false
 	}
-	tooSlow = t.came < leastBytes
-	t.from, t.came = now, 0
+	tooSlow = t.windowBytes < minWindowBytes
+	t.windowStart, t.windowBytes = now, 0
 	return tooSlow
 }
 
 // OnClientStall takes that the client, not the mirror, has held things up for a while.
-func (t *Transfer) OnClientStall(span Tick) { t.from += span }
+func (t *Transfer) OnClientStall(span Tick) { t.windowStart += span }
 
 // NextCheck is when to look again should nothing come.
 func (t *Transfer) NextCheck() Tick {
-	if !t.any {
-		return t.from + firstByte
+	if !t.started {
+		return t.windowStart + firstByteTimeout
 	}
-	return t.from + 2*slowSpan
+	return t.windowStart + 2*rateWindow
 }
 
 // ClientLimiter decides how many clients are let in: requests that wait for mirrors or are being passed a
 // package need memory, files that are held cost next to none.
 type ClientLimiter struct {
-	Limit   int // at once
-	in      int
-	perEach map[string]int // of one client address, while there is any
-	each    int
+	Limit        int // at once
+	inUse        int
+	perClient    map[string]int // of one client address, while there is any
+	maxPerClient int
 }
 
 // NewClientLimiter lets in so many at once, and of one client a quarter of them at most.
 func NewClientLimiter(most int) *ClientLimiter {
-	return &ClientLimiter{Limit: most, perEach: map[string]int{}, each: max(1, most/4)}
+	return &ClientLimiter{Limit: most, perClient: map[string]int{}, maxPerClient: max(1, most/4)}
 }
 
 // Acquire takes that a client wants in; false: it is told to come back. One client alone can't fill
 // all places while others want in: past a half of them each has its own bound.
 func (d *ClientLimiter) Acquire(client string) bool {
-	if d.in >= d.Limit || d.in >= d.Limit/2 && d.perEach[client] >= d.each {
+	if d.inUse >= d.Limit || d.inUse >= d.Limit/2 && d.perClient[client] >= d.maxPerClient {
 		return false
 	}
-	d.in++
-	d.perEach[client]++
+	d.inUse++
+	d.perClient[client]++
 	return true
 }
 
 // Release takes that it is through.
 func (d *ClientLimiter) Release(client string) {
-	d.in--
-	if d.perEach[client]--; d.perEach[client] <= 0 {
-		delete(d.perEach, client)
+	d.inUse--
+	if d.perClient[client]--; d.perClient[client] <= 0 {
+		delete(d.perClient, client)
 	}
 }
 
 // InUse tells how many are in.
-func (d *ClientLimiter) InUse() int { return d.in }
+func (d *ClientLimiter) InUse() int { return d.inUse }
 
 // ClientWriteTimeout is how long a client may take to accept one stretch of a package: past it the client is
 // let go, as it holds a mirror's connection.
@@ -255,20 +255,20 @@
 // Issue is what a Director holds for a server: whether there is any, from and until when it counts, and whether it
 // still is what the server is told, and what the Image repository says of the package.
 type Issue struct {
-	Held                bool
-	IssuedAt, ExpiresAt Tick
-	Told, Agreed        bool
+	Held                  bool
+	IssuedAt, ExpiresAt   Tick
+	Assigned, ImageAgrees bool
 }
 
 // MustRenew tells whether it is to be issued anew before it is given: at half its life at the latest, so that a server
 // that asks in that time never finds it expired.
 func (i Issue) MustRenew(now Tick) bool {
-	return !i.Held || !i.Told || !i.Agreed || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
+	return !i.Held || !i.Assigned || !i.ImageAgrees || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
 
 // MayServeStale tells whether it may be given all the same if it could not be issued anew: never what the server is no
 // longer told, nor what has expired.
-func (i Issue) MayServeStale(now Tick) bool { return i.Held && i.Told && now < i.ExpiresAt }
+func (i Issue) MayServeStale(now Tick) bool { return i.Held && i.Assigned && now < i.ExpiresAt }
 
 // LastAnswerMayServe tells whether what the Image repository said last of a package may stand in for what it says now: while
 // it can't be had, so that servers can be told back; not where it says something else.
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -37,32 +37,32 @@
 
 // Service is the metadata front of one operator's file.
 type Service struct {
-	path     string
-	log      zerolog.Logger
-	env      func(string) string
-	now      func() time.Time
-	all      map[string]any // the block
-	floor    floors
-	close    func() error
-	repos    map[string]*metadataproxy.Repository
-	director *director.Director
-	Proxy    *metadataproxy.Proxy
-	room     *transport.BufferBudget
-	public   map[string]publicFile // by path
-	watches  []func(ctx context.Context) error
-	mu       sync.Mutex
-	listener net.Listener
+	path         string
+	log          zerolog.Logger
+	env          func(string) string
+	now          func() time.Time
+	config       map[string]any // the block
+	store        versionStore
+	close        func() error
+	repositories map[string]*metadataproxy.Repository
+	director     *director.Director
+	Proxy        *metadataproxy.Proxy
+	buffers      *transport.BufferBudget
+	publicKeys   map[string]publicKeyFile // by path
+	watches      []func(ctx context.Context) error
+	mu           sync.Mutex
+	listener     net.Listener
 }
 
-// publicFile is a public key as it was read from a file.
-type publicFile struct {
-	key  crypto.PublicKey
-	at   time.Time
-	size int64
+// publicKeyFile is a public key as it was read from a file.
+type publicKeyFile struct {
+	key        crypto.PublicKey
+	modifiedAt time.Time
+	size       int64
 }
 
-// floors is what both kinds of floor do.
-type floors interface {
+// versionStore is what both kinds of floor do.
+type versionStore interface {
 	tufverify.VersionStore
 	Entries() []monotonic.Entry
 }
@@ -77,9 +77,9 @@
 	if !ok {
 		return nil, fmt.Errorf("%s: no metadata block: nothing is switched on", path)
 	}
-	m := &Service{path: path, log: log, env: env, now: now, all: block, repos: map[string]*metadataproxy.Repository{},
-		close: func() error { return nil }, room: transport.NewBufferBudget(64 << 20)}
-	if err := m.build(); err != nil {
+	m := &Service{path: path, log: log, env: env, now: now, config: block, repositories: map[string]*metadataproxy.Repository{},
+		close: func() error { return nil }, buffers: transport.NewBufferBudget(64 << 20)}
+	if err := m.assemble(); err != nil {
 		_ = m.close()
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 // Director is the Director, nil without one.
 func (m *Service) Director() *director.Director { return m.director }
 
-// file gives a path as it stands from the operator's file.
-func (m *Service) file(path any) string {
+// resolvePath gives a path as it stands from the operator's file.
+func (m *Service) resolvePath(path any) string {
 	p, _ := path.(string)
 	if filepath.IsAbs(p) {
 		return p
@@ -105,50 +105,50 @@
 	return filepath.Join(filepath.Dir(m.path), p)
 }
 
-func span(v any) time.Duration {
+func toDuration(v any) time.Duration {
 	f, _ := v.(float64)
 	return time.Duration(f * float64(time.Second))
 }
 
-func (m *Service) build() error {
-	if err := m.openFloor(); err != nil {
+func (m *Service) assemble() error {
+	if err := m.openVersionStore(); err != nil {
 		return err
 	}
 	var repos []*metadataproxy.Repository
-	for _, v := range m.all["repository"].([]any) {
+	for _, v := range m.config["repository"].([]any) {
 		r, err := m.repository(v.(map[string]any))
 		if err != nil {
 			return err
 		}
 		repos = append(repos, r)
 	}
-	m.Proxy = metadataproxy.New(repos, m.now, logging.Leveled(m.log, "metadataproxy"), int(m.all["connections"].(float64)), int(m.all["waiting"].(float64)))
-	for _, v := range m.all["repository"].([]any) {
+	m.Proxy = metadataproxy.New(repos, m.now, logging.Leveled(m.log, "metadataproxy"), int(m.config["connections"].(float64)), int(m.config["waiting"].(float64)))
+	for _, v := range m.config["repository"].([]any) {
 		if image, ok := v.(map[string]any)["agree"].(string); ok {
 			if err := m.Proxy.RequireAgreement(v.(map[string]any)["name"].(string), image); err != nil {
 				return err
 			}
 		}
 	}
-	if d, ok := m.all["director"].(map[string]any); ok {
-		return m.direct(d)
+	if d, ok := m.config["director"].(map[string]any); ok {
+		return m.setUpDirector(d)
 	}
 	return nil
 }
 
-// openFloor opens the files that are named, or keeps what may only grow in memory.
-func (m *Service) openFloor() error {
-	paths, _ := m.all["floor"].([]any)
-	most := int(m.all["floor_entries"].(float64))
+// openVersionStore opens the files that are named, or keeps what may only grow in memory.
+func (m *Service) openVersionStore() error {
+	paths, _ := m.config["floor"].([]any)
+	most := int(m.config["floor_entries"].(float64))
 	log := logging.Leveled(m.log, "metadataservice")
 	if len(paths) == 0 {
 		log(slog.LevelWarn, "no version store configured")
-		m.floor = monotonic.NewMemoryStore(most)
+		m.store = monotonic.NewMemoryStore(most)
 		return nil
 	}
 	var all []string
 	for _, p := range paths {
-		all = append(all, m.file(p))
+		all = append(all, m.resolvePath(p))
 	}
 	f, err := monotonic.Open(all, most, logging.Leveled(m.log, "monotonic"))
 	if err != nil {
@@ -157,12 +157,12 @@
 	if f.Created {
 		log(slog.LevelWarn, "version store created", slog.Any("paths", all))
 	}
-	m.floor, m.close = f, f.Close
+	m.store, m.close = f, f.Close
 	return nil
 }
 
-// seed tells relays and repositories apart by their names alone.
-func seed(parts ...string) uint64 {
+// seedFrom tells relays and repositories apart by their names alone.
+func seedFrom(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		h.Write([]byte(p + "/"))
@@ -172,24 +172,24 @@
 
 func (m *Service) repository(r map[string]any) (*metadataproxy.Repository, error) {
 	name := r["name"].(string)
-	pinned, err := os.ReadFile(m.file(r["root"]))
+	pinned, err := os.ReadFile(m.resolvePath(r["root"]))
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: %w", name, err)
 	}
 	var classes []balancer.RequestClass
 	for _, op := range metadataproxy.RequestClasses {
-		v := m.all[op].([]any)
+		v := m.config[op].([]any)
 		figure := func(i int) float64 { f, _ := v[i].(float64); return f }
 		classes = append(classes, balancer.RequestClass{Name: op, LatencyObjective: balancer.Seconds(figure(0)),
 			Deadline: balancer.Seconds(figure(1)), PriorityWeight: figure(2)})
 	}
-	hosts := mirrors(r, nil, time.Now())
+	hosts := mirrorEndpoints(r, nil, time.Now())
 	host, _ := os.Hostname()
-	rules := metadatarefresh.Rules(m.all["relays"].(float64), m.all["connect_timeout"].(float64),
-		m.all["max_come_back"].(float64), classes)
-	out, err := metadataproxy.NewRepository(name, pinned, m.floor, metadataproxy.MirrorConfig{Seed: seed(host, m.all["listen"].(string), name),
-		Settings: rules, FreshFor: span(m.all["refresh"]), UnconfirmedFor: span(m.all["unconfirmed"]),
-		Survey: m.all["survey"] == "always", Endpoints: hosts,
+	rules := metadatarefresh.Rules(m.config["relays"].(float64), m.config["connect_timeout"].(float64),
+		m.config["max_come_back"].(float64), classes)
+	out, err := metadataproxy.NewRepository(name, pinned, m.store, metadataproxy.MirrorConfig{Seed: seedFrom(host, m.config["listen"].(string), name),
+		Settings: rules, FreshFor: toDuration(m.config["refresh"]), UnconfirmedFor: toDuration(m.config["unconfirmed"]),
+		Survey: m.config["survey"] == "always", Endpoints: hosts,
 		DispatchLog: logging.Component(m.log.With().Str("repository", name).Logger(), "dispatch")}, m.now,
 		logging.Leveled(m.log, "metadataproxy"))
 	if err != nil {
@@ -200,7 +200,7 @@
 		watch.Fetch()
 		m.watches = append(m.watches, func(ctx context.Context) error { return watch.Run(ctx, out.Dispatcher(), discovery.Pushed) })
 	}
-	m.repos[name] = out
+	m.repositories[name] = out
 	return out, nil
 }
 
@@ -211,13 +211,13 @@
 		PollWait:      time.Second,
 		AnswerTimeout: time.Second / 2,
 		OpenTimeout:   time.Second,
-		Buffers:       m.room,
+		Buffers:       m.buffers,
 		Log:           logging.Component(m.log, "discovery"),
 	})
 }
 
-// mirrors are the mirror lines of a repository. One that was not there before is new, and cold.
-func mirrors(r, before map[string]any, now time.Time) (hosts []dispatch.Endpoint) {
+// mirrorEndpoints are the mirror lines of a repository. One that was not there before is new, and cold.
+func mirrorEndpoints(r, before map[string]any, now time.Time) (hosts []dispatch.Endpoint) {
 	was := map[string]bool{}
 	if before != nil {
 		old, _ := before["mirror"].([]any)
@@ -238,12 +238,12 @@
 	return hosts
 }
 
-func (m *Service) direct(d map[string]any) error {
+func (m *Service) setUpDirector(d map[string]any) error {
 	chain, online, err := m.directorKeys(d)
 	if err != nil {
 		return err
 	}
-	image := m.repos[d["image"].(string)]
+	image := m.repositories[d["image"].(string)]
 	packages, paths := map[uint16]string{}, []string{}
 	for _, v := range d["package"].([]any) {
 		l := v.([]any)
@@ -252,30 +252,30 @@
 	}
 	image.KeepLookedUp(paths)
 	running, _ := d["running"].(float64)
-	m.director, err = director.New(chain, online, m.floor, image.Known, m.now, span(d["lasts"]), packages,
+	m.director, err = director.New(chain, online, m.store, image.Known, m.now, toDuration(d["lasts"]), packages,
 		uint16(running), logging.Leveled(m.log, "director"))
 	if err != nil {
 		return err
 	}
-	servers, err := m.servers(d)
+	servers, err := m.serverKeys(d)
 	if err != nil {
 		return err
 	}
-	if err := m.Proxy.SetDirector(m.director, d["image"].(string), m.floor, servers); err != nil {
+	if err := m.Proxy.SetDirector(m.director, d["image"].(string), m.store, servers); err != nil {
 		return err
 	}
 	if d["discovery"] == nil {
-		m.director.UpdateServers(true, listed(d))
+		m.director.UpdateServers(true, serverEndpoints(d))
 	}
 	if w, ok := d["wave"].([]any); ok {
-		m.director.OnStage(wave(w))
+		m.director.OnStage(stageOf(w))
 	}
-	return m.outside(d)
+	return m.connectDirector(d)
 }
 
-// outside joins the Director to the platform and the list of servers, by a gate of its own that hands on what it
+// connectDirector joins the Director to the platform and the list of servers, by a gate of its own that hands on what it
 // hears. No commands go through it, so its module has nothing to vote by, and no vote is cast.
-func (m *Service) outside(d map[string]any) error {
+func (m *Service) connectDirector(d map[string]any) error {
 	discoveryAddress, _ := d["discovery"].(string)
 	address, _ := d["platform"].(string)
 	if discoveryAddress == "" && address == "" {
@@ -286,14 +286,14 @@
 		desk = releaseapi.New(releaseapi.Config{
 			Address: transport.NewAddress(address),
 			Timeout: time.Second,
-			Buffers: m.room,
+			Buffers: m.buffers,
 			Log:     logging.Component(m.log, "releaseapi"),
 		})
 	}
 	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
 	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
 	site.Balancer.Rollout.Control = balancer.AdvanceByClock
-	g := dispatch.New(seed(discoveryAddress, address), site, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
+	g := dispatch.New(seedFrom(discoveryAddress, address), site, dispatch.Callbacks{WatchEndpoints: func(bool) {}, FetchEndpoints: func() {},
 		Probe: func(dispatch.Backend) {}, CloseIdle: func(string) {}, Log: logging.Component(m.log, "dispatch"), OnEndpoints: m.director.UpdateServers,
 		Vote: m.director.OnVote, OnStage: m.director.OnStage})
 	m.watches = append(m.watches, g.RunTimers)
@@ -308,12 +308,12 @@
 	return nil
 }
 
-func wave(w []any) dispatch.RolloutStage {
+func stageOf(w []any) dispatch.RolloutStage {
 	return dispatch.RolloutStage{Version: uint16(w[0].(float64)), Phase: w[1].(string), ExposureCap: w[2].(float64)}
 }
 
-// listed are the servers of the file, as a list of those that are there.
-func listed(d map[string]any) (hosts []dispatch.Endpoint) {
+// serverEndpoints are the servers of the file, as a list of those that are there.
+func serverEndpoints(d map[string]any) (hosts []dispatch.Endpoint) {
 	lines, _ := d["server"].([]any)
 	for _, v := range lines {
 		l := v.([]any)
@@ -322,19 +322,19 @@
 	return hosts
 }
 
-func (m *Service) servers(d map[string]any) (map[string]crypto.PublicKey, error) {
+func (m *Service) serverKeys(d map[string]any) (map[string]crypto.PublicKey, error) {
 	out := map[string]crypto.PublicKey{}
 	lines, _ := d["server"].([]any)
-	read := map[string]publicFile{}
+	read := map[string]publicKeyFile{}
 	for _, v := range lines {
 		l := v.([]any)
-		path := m.file(l[3])
+		path := m.resolvePath(l[3])
 		info, err := os.Stat(path)
 		if err != nil {
 			return nil, fmt.Errorf("server %s: %w", l[0], err)
 		}
 		is, known := read[path]
-		if was := m.public[path]; !known && was.at.Equal(info.ModTime()) && was.size == info.Size() {
+		if was := m.publicKeys[path]; !known && was.modifiedAt.Equal(info.ModTime()) && was.size == info.Size() {
 			is, known = was, true // thousands of files take long to read, and a cap may wait for it
 		}
 		if !known {
@@ -345,22 +345,22 @@
 			if is.key, err = k.ToPublicKey(); err != nil {
 				return nil, fmt.Errorf("server %s: %w", l[0], err)
 			}
-			is.at, is.size = info.ModTime(), info.Size()
+			is.modifiedAt, is.size = info.ModTime(), info.Size()
 		}
 		read[path], out[l[0].(string)] = is, is.key
 	}
-	m.public = read
+	m.publicKeys = read
 	return out, nil
 }
 
 func (m *Service) directorKeys(d map[string]any) (map[string][]byte, []*keys.Key, error) {
-	chain, _, err := tufrepo.Files(m.file(d["chain"]))
+	chain, _, err := tufrepo.Files(m.resolvePath(d["chain"]))
 	if err != nil {
 		return nil, nil, fmt.Errorf("director: chain: %w", err)
 	}
 	var online []*keys.Key
 	for _, path := range d["key"].([]any) {
-		k, err := keys.Load(m.file(path), keys.PassphraseFrom(m.env))
+		k, err := keys.Load(m.resolvePath(path), keys.PassphraseFrom(m.env))
 		if err != nil {
 			return nil, nil, fmt.Errorf("director: %w", err)
 		}
@@ -376,7 +376,7 @@
 		group.Go(func() error { return w(inner) })
 	}
 	group.Go(func() error {
-		err := m.Proxy.Run(inner, m.listener, span(m.all["package"].([]any)[1]))
+		err := m.Proxy.Run(inner, m.listener, toDuration(m.config["package"].([]any)[1]))
 		if err == nil && ctx.Err() == nil {
 			return errors.New("the front has ended by itself")
 		}
@@ -396,7 +396,7 @@
 		return err
 	}
 	next, _ := all["metadata"].(map[string]any)
-	if fault := fixed(m.all, next); fault != "" {
+	if fault := fixedDirectiveChanged(m.config, next); fault != "" {
 		return fmt.Errorf("%s: metadata.%s can't change in service: restart", m.path, fault)
 	}
 	d, _ := next["director"].(map[string]any)
@@ -407,7 +407,7 @@
 		if chain, online, err = m.directorKeys(d); err != nil {
 			return err
 		}
-		if servers, err = m.servers(d); err != nil {
+		if servers, err = m.serverKeys(d); err != nil {
 			return err
 		}
 		if err := m.director.Keys(chain, online); err != nil {
@@ -415,30 +415,30 @@
 		}
 	}
 	old := map[string]map[string]any{}
-	for _, v := range m.all["repository"].([]any) {
+	for _, v := range m.config["repository"].([]any) {
 		old[v.(map[string]any)["name"].(string)] = v.(map[string]any)
 	}
 	for _, v := range next["repository"].([]any) {
 		r := v.(map[string]any)
 		if name := r["name"].(string); r["discovery"] == nil {
-			m.repos[name].UpdateMirrors(mirrors(r, old[name], time.Now())) // the gate's clock
+			m.repositories[name].UpdateMirrors(mirrorEndpoints(r, old[name], time.Now())) // the gate's clock
 		}
 	}
 	if d != nil {
 		m.Proxy.SetKeys(servers)
 		if d["discovery"] == nil {
-			m.director.UpdateServers(true, listed(d))
+			m.director.UpdateServers(true, serverEndpoints(d))
 		}
 		if w, ok := d["wave"].([]any); ok {
-			m.director.OnStage(wave(w))
+			m.director.OnStage(stageOf(w))
 		}
 	}
-	m.all = next
+	m.config = next
 	return nil
 }
 
-// fixed finds a directive that differs and that can't change in service.
-func fixed(a, b map[string]any) string {
+// fixedDirectiveChanged finds a directive that differs and that can't change in service.
+func fixedDirectiveChanged(a, b map[string]any) string {
 	if b == nil {
 		return "the block itself"
 	}
@@ -457,7 +457,7 @@
 		return "repository"
 	}
 	for i := range x {
-		if same := without(x[i], y[i], "mirror"); same != "" {
+		if same := differingDirective(x[i], y[i], "mirror"); same != "" {
 			return "repository." + same
 		}
 	}
@@ -465,15 +465,15 @@
 		return "director"
 	}
 	if a["director"] != nil {
-		if same := without(a["director"], b["director"], "chain", "key", "server", "wave"); same != "" {
+		if same := differingDirective(a["director"], b["director"], "chain", "key", "server", "wave"); same != "" {
 			return "director." + same
 		}
 	}
 	return ""
 }
 
-// without compares two blocks but for some directives.
-func without(a, b any, but ...string) string {
+// differingDirective compares two blocks but for some directives.
+func differingDirective(a, b any, but ...string) string {
 	x, y := a.(map[string]any), b.(map[string]any)
 	for _, m := range []map[string]any{x, y} {
 		for name := range m {
--- a/internal/operatorconfig/conf.go
+++ b/internal/operatorconfig/conf.go
@@ -27,13 +27,13 @@
 	Words                // one word or more; only as the last value
 )
 
-var kinds = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
+var kindNames = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
 	"a duration such as 250ms, 10s, 5m, 2h or 7d", "a size such as 512, 64K, 16M or 1G",
 	"a share such as 0.1 or 10%", "HOST:PORT", "a path", "one of a list", "a number of 0 or more", "one word or more"}
 
 var (
-	spans = map[string]float64{"ms": 0.001, "s": 1, "m": 60, "h": 3600, "d": 86400}
-	sizes = map[string]float64{"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
+	durationUnits = map[string]float64{"ms": 0.001, "s": 1, "m": 60, "h": 3600, "d": 86400}
+	sizeUnits     = map[string]float64{"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
 )
 
 // Value is one value of a directive.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.whole(path, lines)
+	return t.evaluate(path, lines)
 }
 
 // ReadText reads a text that includes nothing.
@@ -85,27 +85,27 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.whole(name, lines)
+	return t.evaluate(name, lines)
 }
 
 type reader struct {
-	table  *Table
-	faults []error
-	where  map[string]*line // the first line of each directive, by path
+	table     *Table
+	faults    []error
+	positions map[string]*line // the first line of each directive, by path
 }
 
-func (t *Table) whole(name string, lines []*line) (map[string]any, error) {
-	r := &reader{table: t, where: map[string]*line{}}
+func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
+	r := &reader{table: t, positions: map[string]*line{}}
 	out := r.block("", lines, &line{})
 	if len(r.faults) == 0 {
 		for _, rule := range t.Rules {
 			if directive, fault := rule(out); fault != "" {
-				l := r.where[directive]
+				l := r.positions[directive]
 				if l == nil {
 					l = &line{}
 					l.Pos.Filename, l.Pos.Line, l.Pos.Column = name, 1, 1
 				}
-				r.faults = append(r.faults, at(l.Pos, directive, "%s", fault))
+				r.faults = append(r.faults, errorAt(l.Pos, directive, "%s", fault))
 			}
 		}
 	}
@@ -124,18 +124,18 @@
 		}
 		d := r.table.find(in, l.Name)
 		if d == nil {
-			r.faults = append(r.faults, at(l.Pos, l.Name, "%s", r.unknown(in, l.Name)))
+			r.faults = append(r.faults, errorAt(l.Pos, l.Name, "%s", r.unknownDirective(in, l.Name)))
 			continue
 		}
 		if first := seen[l.Name]; first != nil && !d.Repeatable {
-			r.faults = append(r.faults, at(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line))
+			r.faults = append(r.faults, errorAt(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line))
 			continue
 		}
 		seen[l.Name] = l
-		if r.where[d.path()] == nil {
-			r.where[d.path()] = l
+		if r.positions[d.path()] == nil {
+			r.positions[d.path()] = l
 		}
-		got, ok := r.one(d, l)
+		got, ok := r.evaluateDirective(d, l)
 		if !ok {
 			continue
 		}
@@ -157,14 +157,14 @@
 				pos = lines[0].Pos
 				pos.Line, pos.Column = 1, 1
 			}
-			r.faults = append(r.faults, at(pos, d.path(), "is missing"))
+			r.faults = append(r.faults, errorAt(pos, d.path(), "is missing"))
 		}
 		if d.Default != "" {
 			l := &line{Name: d.Name}
 			for _, w := range strings.Fields(d.Default) {
 				l.Args = append(l.Args, &value{Text: w})
 			}
-			out[d.Name], _ = r.one(d, l)
+			out[d.Name], _ = r.evaluateDirective(d, l)
 		}
 	}
 	return out
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// unknown says where a directive would be allowed, or which names are.
-func (r *reader) unknown(in, name string) string {
+// unknownDirective says where a directive would be allowed, or which names are.
+func (r *reader) unknownDirective(in, name string) string {
 	var here, there []string
 	for _, d := range r.table.Directives {
 		if d.Parent == in {
@@ -204,21 +204,21 @@
 	return b
 }
 
-// one reads the values and the block of one directive. One with a single value and no block gives that
+// evaluateDirective reads the values and the block of one directive. One with a single value and no block gives that
 // value, one with several a list; one with a block gives a map, with its values by their names.
-func (r *reader) one(d *Directive, l *line) (any, bool) {
+func (r *reader) evaluateDirective(d *Directive, l *line) (any, bool) {
 	faults := len(r.faults)
 	if (l.Block != nil) != d.Block {
 		fault := "takes no block"
 		if d.Block {
 			fault = `needs a block: "{" at the end of its line`
 		}
-		r.faults = append(r.faults, at(l.Pos, d.path(), "%s", fault))
+		r.faults = append(r.faults, errorAt(l.Pos, d.path(), "%s", fault))
 		return nil, false
 	}
 	n, open := len(d.Values), len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
 	if len(l.Args) < n || len(l.Args) > n && !open {
-		r.faults = append(r.faults, at(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage()))
+		r.faults = append(r.faults, errorAt(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage()))
 		return nil, false
 	}
 	named, list := map[string]any{}, []any{}
@@ -233,7 +233,7 @@
 		}
 		got, fault := v.read(unquote(l.Args[i].Text))
 		if fault != "" {
-			r.faults = append(r.faults, at(l.Args[i].Pos, d.path(), "%s", fault))
+			r.faults = append(r.faults, errorAt(l.Args[i].Pos, d.path(), "%s", fault))
 		}
 		named[v.Name], list = got, append(list, got)
 	}
@@ -325,7 +325,7 @@
 	if err != nil || host == "" {
 		return false
 	}
-	n, ok := number(port, map[string]float64{"": 1})
+	n, ok := parseNumber(port, map[string]float64{"": 1})
 	return ok && n >= 0 && n <= maxPort && n == math.Trunc(n)
 }
 
@@ -334,18 +334,18 @@
 func (v *Value) quantity(s string) (f float64, ok bool) {
 	switch v.Kind {
 	case Number:
-		f, ok = number(s, map[string]float64{"": 1})
+		f, ok = parseNumber(s, map[string]float64{"": 1})
 		ok = ok && f == math.Trunc(f)
 	case Decimal:
-		f, ok = number(s, map[string]float64{"": 1})
+		f, ok = parseNumber(s, map[string]float64{"": 1})
 		ok = ok && f >= 0
 	case Duration:
-		f, ok = number(s, spans)
+		f, ok = parseNumber(s, durationUnits)
 	case Size:
-		f, ok = number(s, sizes)
+		f, ok = parseNumber(s, sizeUnits)
 		ok = ok && f == math.Trunc(f)
 	case Fraction:
-		f, ok = number(s, map[string]float64{"": 1, "%": 0.01})
+		f, ok = parseNumber(s, map[string]float64{"": 1, "%": 0.01})
 		ok = ok && f >= 0 && f <= 1
 	default:
 		ok = true
@@ -366,17 +366,17 @@
 		return strings.Join(v.Choices, ", ")
 	}
 	if v.Min == 0 && v.Max == 0 {
-		return kinds[v.Kind]
+		return kindNames[v.Kind]
 	}
-	return fmt.Sprintf("%s, from %s to %s", kinds[v.Kind], v.figure(v.Min), v.figure(v.Max))
+	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.figure(v.Min), v.figure(v.Max))
 }
 
 // figure writes a figure with the largest unit in which it is whole.
 func (v *Value) figure(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
-	scales := spans
+	scales := durationUnits
 	if v.Kind == Size {
-		scales = sizes
+		scales = sizeUnits
 	}
 	for _, u := range units {
 		if n := f / scales[u]; f != 0 && math.Abs(n-math.Round(n)) < 1e-9 {
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -22,11 +22,11 @@
 
 // Limits on what is read.
 const (
-	mostBytes    = 4 << 20 // of one file
-	mostIncludes = 16      // one inside another
+	maxFileBytes    = 4 << 20 // of one file
+	maxIncludeDepth = 16      // one inside another
 )
 
-var words = []lexer.SimpleRule{
+var tokens = []lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Quoted", Pattern: `"(\\["\\]|[^"\\\n])*"`},
 	{Name: "Open", Pattern: `\{`},
@@ -36,8 +36,8 @@
 	{Name: "Blank", Pattern: `[ \t\r]+`},
 }
 
-// text is a whole file.
-type text struct {
+// file is a whole file.
+type file struct {
 	Lines []*line `parser:"@@*"`
 }
 
@@ -60,8 +60,8 @@
 }
 
 // grammar is built once it is needed: a relay without an operator's file never pays for it.
-var grammar = sync.OnceValue(func() *participle.Parser[text] {
-	return participle.MustBuild[text](participle.Lexer(lexer.MustSimple(words)), participle.Elide("Comment", "Blank"),
+var grammar = sync.OnceValue(func() *participle.Parser[file] {
+	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokens)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
 })
 
@@ -80,21 +80,21 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Text)
 }
 
-func at(pos lexer.Position, directive, form string, args ...any) *Error {
+func errorAt(pos lexer.Position, directive, form string, args ...any) *Error {
 	return &Error{File: pos.Filename, Line: pos.Line, Column: pos.Column, Directive: directive,
 		Text: fmt.Sprintf(form, args...)}
 }
 
 // parse reads the lines of one text, without its includes.
 func parse(name string, content []byte) ([]*line, error) {
-	if len(content) > mostBytes {
-		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("longer than %d bytes", mostBytes)}
+	if len(content) > maxFileBytes {
+		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("longer than %d bytes", maxFileBytes)}
 	}
 	t, err := grammar().ParseString(name, string(content)+"\n")
 	if err != nil {
 		var p participle.Error
 		if errors.As(err, &p) {
-			return nil, at(p.Position(), "", "%s", explain(p.Message()))
+			return nil, errorAt(p.Position(), "", "%s", explain(p.Message()))
 		}
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 			continue
 		}
 		if len(l.Args) != 1 || l.Block != nil {
-			return nil, at(l.Pos, "include", "takes one path")
+			return nil, errorAt(l.Pos, "include", "takes one path")
 		}
 		path := unquote(l.Args[0].Text)
 		if !filepath.IsAbs(path) {
@@ -159,15 +159,15 @@
 		}
 		for _, earlier := range chain {
 			if earlier == filepath.Clean(path) {
-				return nil, at(l.Pos, "include", "%s includes itself", path)
+				return nil, errorAt(l.Pos, "include", "%s includes itself", path)
 			}
 		}
-		if len(chain) >= mostIncludes {
-			return nil, at(l.Pos, "include", "more than %d files one inside another", mostIncludes)
+		if len(chain) >= maxIncludeDepth {
+			return nil, errorAt(l.Pos, "include", "more than %d files one inside another", maxIncludeDepth)
 		}
 		more, err := load(path, chain)
 		if os.IsNotExist(err) || os.IsPermission(err) {
-			return nil, at(l.Pos, "include", "%s cannot be read: %v", path, err)
+			return nil, errorAt(l.Pos, "include", "%s cannot be read: %v", path, err)
 		} else if err != nil {
 			return nil, err
 		}
@@ -176,8 +176,8 @@
 	return out, nil
 }
 
-// number reads a figure with a unit out of a list; the longest unit that fits counts.
-func number(s string, units map[string]float64) (float64, bool) {
+// parseNumber reads a figure with a unit out of a list; the longest unit that fits counts.
+func parseNumber(s string, units map[string]float64) (float64, bool) {
 	end := len(s)
 	for end > 0 && (s[end-1] < '0' || s[end-1] > '9') && s[end-1] != '.' {
 		end--
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -6,9 +6,9 @@
 )
 
 var (
-	opType = []Value{{Name: "target", Kind: Duration, Min: 0.001, Max: 600},
+	requestClassValues = []Value{{Name: "target", Kind: Duration, Min: 0.001, Max: 600},
 		{Name: "timeout", Kind: Duration, Min: 0.001, Max: 3600}, {Name: "importance", Kind: Number, Min: 1, Max: 100}}
-	build = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
+	buildValue = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
 )
 
 // Operators is the table of the operator's own file. Nothing is switched on without it.
@@ -46,7 +46,7 @@
 		{Name: "address", Kind: Address}}, Text: "Another process, and where this one reaches it."},
 	{Parent: "fleet", Name: "commands", Repeatable: true, Values: []Value{{Name: "unit", Kind: Name}, {Name: "address", Kind: Address}},
 		Text: "Where an edge unit takes commands as this process reaches it; its own: where it listens for them."},
-	{Parent: "fleet", Name: "build", Values: []Value{build}, Default: "1", Text: "What an edge unit runs."},
+	{Parent: "fleet", Name: "build", Values: []Value{buildValue}, Default: "1", Text: "What an edge unit runs."},
 	{Parent: "fleet", Name: "metrics", Values: []Value{{Name: "address", Kind: Address}},
 		Text: "Where metrics are served, as GET /metrics in the text format of Prometheus. Without: nowhere."},
 	{Parent: "fleet", Name: "data", Values: []Value{{Name: "folder", Kind: Path}},
@@ -116,11 +116,11 @@
 		Default: "300ms", Text: "How long a new connection to a mirror may take; less than the grace of drains, 1s."},
 	{Parent: "metadata", Name: "max_come_back", Values: []Value{{Name: "span", Kind: Duration, Min: 0.1, Max: 3600}},
 		Default: "10s", Text: "The longest time to come back that is told."},
-	{Parent: "metadata", Name: "root", Values: opType, Default: "300ms 2s 4", Text: "Op type: the next root."},
-	{Parent: "metadata", Name: "timestamp", Values: opType, Default: "300ms 2s 4", Text: "Op type: a timestamp."},
-	{Parent: "metadata", Name: "snapshot", Values: opType, Default: "500ms 2s 3", Text: "Op type: a snapshot."},
-	{Parent: "metadata", Name: "targets", Values: opType, Default: "500ms 2s 2", Text: "Op type: targets of any role."},
-	{Parent: "metadata", Name: "package", Values: opType, Default: "60s 120s 1", Text: "Op type: the bytes of a package."},
+	{Parent: "metadata", Name: "root", Values: requestClassValues, Default: "300ms 2s 4", Text: "Op type: the next root."},
+	{Parent: "metadata", Name: "timestamp", Values: requestClassValues, Default: "300ms 2s 4", Text: "Op type: a timestamp."},
+	{Parent: "metadata", Name: "snapshot", Values: requestClassValues, Default: "500ms 2s 3", Text: "Op type: a snapshot."},
+	{Parent: "metadata", Name: "targets", Values: requestClassValues, Default: "500ms 2s 2", Text: "Op type: targets of any role."},
+	{Parent: "metadata", Name: "package", Values: requestClassValues, Default: "60s 120s 1", Text: "Op type: the bytes of a package."},
 	{Parent: "metadata", Name: "repository", Values: []Value{{Name: "name", Kind: Name}}, Repeatable: true, Block: true, Required: true,
 		Text: "A repository that is carried, under /r/NAME/."},
 	{Parent: "metadata", Name: "director", Block: true, Text: "Tells each server which package it is to run."},
@@ -143,8 +143,8 @@
 		TakesEffect: "at SIGHUP", Text: "An online key for its targets, snapshots or timestamps."},
 	{Parent: "metadata.director", Name: "lasts", Values: []Value{{Name: "span", Kind: Duration, Min: 2, Max: 7 * 86400}},
 		Default: "60s", Text: "How long what a server was told lasts, whole seconds."},
-	{Parent: "metadata.director", Name: "running", Values: []Value{build}, Text: "The build that all servers run at first."},
-	{Parent: "metadata.director", Name: "package", Values: []Value{build, {Name: "path", Kind: Path}}, Repeatable: true, Required: true,
+	{Parent: "metadata.director", Name: "running", Values: []Value{buildValue}, Text: "The build that all servers run at first."},
+	{Parent: "metadata.director", Name: "package", Values: []Value{buildValue, {Name: "path", Kind: Path}}, Repeatable: true, Required: true,
 		Text: "The path of a build's package in the image repository."},
 	{Parent: "metadata.director", Name: "server", Repeatable: true, TakesEffect: "at SIGHUP", Values: []Value{{Name: "name", Kind: Name},
 		{Name: "zone", Kind: Name}, {Name: "kind", Kind: Name}, {Name: "key", Kind: Path}},
@@ -153,13 +153,13 @@
 		Text: "An agent that tells which servers are there; server lines then give keys only."},
 	{Parent: "metadata.director", Name: "platform", Values: []Value{{Name: "address", Kind: Address}},
 		Text: "The platform that tells how far a build may go."},
-	{Parent: "metadata.director", Name: "wave", TakesEffect: "at SIGHUP", Values: []Value{build,
+	{Parent: "metadata.director", Name: "wave", TakesEffect: "at SIGHUP", Values: []Value{buildValue,
 		{Name: "state", Kind: Choice, Choices: []string{"testing", "recalling", "live", "recalled"}}, {Name: "cap", Kind: Fraction}},
 		Text: "How far a build may go, in place of platform."},
-}, Rules: []Rule{sound, oneFleet}}
+}, Rules: []Rule{checkMetadata, checkFleet}}
 
-// oneFleet are the checks of a fleet's block.
-func oneFleet(all map[string]any) (directive, fault string) {
+// checkFleet are the checks of a fleet's block.
+func checkFleet(all map[string]any) (directive, fault string) {
 	f, ok := all["fleet"].(map[string]any)
 	if !ok {
 		return "", ""
@@ -204,8 +204,8 @@
 	return "", ""
 }
 
-// sound are the checks between directives.
-func sound(all map[string]any) (directive, fault string) {
+// checkMetadata are the checks between directives.
+func checkMetadata(all map[string]any) (directive, fault string) {
 	m, ok := all["metadata"].(map[string]any)
 	if !ok {
 		return "", ""
@@ -236,7 +236,7 @@
 		if (len(mirrors) == 0) == (r["discovery"] == nil) {
 			return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery are wanted", r["name"])
 		}
-		if twice := doubled(mirrors); twice != "" {
+		if twice := firstDuplicate(mirrors); twice != "" {
 			return "metadata.repository.mirror", fmt.Sprintf("%s is given twice", twice)
 		}
 		if image, ok := r["agree"].(string); ok && (!repos[image] || image == r["name"]) {
@@ -249,7 +249,7 @@
 	}
 	servers, _ := d["server"].([]any)
 	packages, _ := d["package"].([]any)
-	switch twiceServer, twiceBuild := doubled(servers), doubled(packages); {
+	switch twiceServer, twiceBuild := firstDuplicate(servers), firstDuplicate(packages); {
 	case !repos[d["image"].(string)]:
 		return "metadata.director.image", fmt.Sprintf("%s is no repository of this file", d["image"])
 	case twiceServer != "":
@@ -263,17 +263,17 @@
 	case m["floor"] == nil:
 		return "metadata.director", "a Director needs a floor: without one it would give version numbers twice"
 	}
-	if w, ok := d["wave"].([]any); ok && !names(packages, w[0]) {
+	if w, ok := d["wave"].([]any); ok && !containsFirst(packages, w[0]) {
 		return "metadata.director.wave", fmt.Sprintf("build %v has no package", w[0])
 	}
-	if b := d["running"]; b != nil && !names(packages, b) {
+	if b := d["running"]; b != nil && !containsFirst(packages, b) {
 		return "metadata.director.running", fmt.Sprintf("build %v has no package", b)
 	}
 	return "", ""
 }
 
-// doubled finds a directive whose first value comes twice.
-func doubled(list []any) string {
+// firstDuplicate finds a directive whose first value comes twice.
+func firstDuplicate(list []any) string {
 	seen := map[string]bool{}
 	for _, v := range list {
 		name := strings.TrimSpace(fmt.Sprint(v.([]any)[0]))
@@ -285,7 +285,7 @@
 	return ""
 }
 
-func names(list []any, first any) bool {
+func containsFirst(list []any, first any) bool {
 	for _, v := range list {
 		if v.([]any)[0] == first {
 			return true
--- a/internal/tufrepo/repo.go
+++ b/internal/tufrepo/repo.go
@@ -55,7 +55,7 @@
 // Repo is one repository that is open for work.
 type Repo struct {
 	dir         string
-	floor       *monotonic.Store
+	versions    *monotonic.Store
 	Life        Lifetimes
 	Now         func() time.Time
 	CrashBefore func(step string) bool // in tests: the program dies before this step
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	r.Life = life
-	root := metadata.Root(r.until(life.Root))
+	root := metadata.Root(r.expiry(life.Root))
 	root.Signed.ConsistentSnapshot = consistent
 	for _, name := range metadata.TOP_LEVEL_ROLE_NAMES {
 		role := roles[name]
@@ -98,11 +98,11 @@
 		}
 		root.Signed.Roles[name].Threshold = role.Threshold
 	}
-	if err := stage(r, metadata.ROOT, root); err != nil {
+	if err := stageMetadata(r, metadata.ROOT, root); err != nil {
 		return nil, err
 	}
-	targets := metadata.Targets(r.until(life.Targets))
-	return r, stage(r, metadata.TARGETS, targets)
+	targets := metadata.Targets(r.expiry(life.Targets))
+	return r, stageMetadata(r, metadata.TARGETS, targets)
 }
 
 // Open opens a repository that Init made. One process at a time may have it open.
@@ -114,47 +114,47 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Repo{dir: dir, floor: f, Life: Lives, Now: time.Now, CrashBefore: func(string) bool { return false }}, nil
+	return &Repo{dir: dir, versions: f, Life: Lives, Now: time.Now, CrashBefore: func(string) bool { return false }}, nil
 }
 
 // Close lets others open it.
-func (r *Repo) Close() error { return r.floor.Close() }
+func (r *Repo) Close() error { return r.versions.Close() }
 
-func (r *Repo) until(life time.Duration) time.Time {
+func (r *Repo) expiry(life time.Duration) time.Time {
 	return r.Now().Add(life).UTC().Truncate(time.Second)
 }
 
-func (r *Repo) published(name string) string { return filepath.Join(r.dir, "metadata", name) }
+func (r *Repo) publishedPath(name string) string { return filepath.Join(r.dir, "metadata", name) }
 
-func (r *Repo) staged(role string) string {
+func (r *Repo) stagedPath(role string) string {
 	return filepath.Join(r.dir, "staged", tufverify.File{Role: role}.String())
 }
 
-func write(name string, text []byte) error {
+func writeFile(name string, text []byte) error {
 	return renameio.WriteFile(name, text, 0o644, renameio.WithTempDir(filepath.Dir(name)))
 }
 
-func stage[T metadata.Roles](r *Repo, role string, m *metadata.Metadata[T]) error {
+func stageMetadata[T metadata.Roles](r *Repo, role string, m *metadata.Metadata[T]) error {
 	text, err := m.ToBytes(true)
 	if err != nil {
 		return err
 	}
-	return write(r.staged(role), text)
+	return writeFile(r.stagedPath(role), text)
 }
 
-// load reads what is staged of a role, or else its newest published metadata.
-func load[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
+// loadMetadata reads what is staged of a role, or else its newest published metadata.
+func loadMetadata[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
 	m = &metadata.Metadata[T]{}
-	text, err := os.ReadFile(r.staged(role))
+	text, err := os.ReadFile(r.stagedPath(role))
 	if staged = err == nil; !staged {
-		f, newest, err := r.newest(role)
+		f, newest, err := r.newestFile(role)
 		if err != nil {
 			return nil, false, err
 		}
 		if newest == 0 {
 			return nil, false, fmt.Errorf("%s: %w", role, ErrNotStaged)
 		}
-		if text, err = os.ReadFile(r.published(f)); err != nil {
+		if text, err = os.ReadFile(r.publishedPath(f)); err != nil {
 			return nil, false, err
 		}
 	}
@@ -164,8 +164,8 @@
 	return m, staged, nil
 }
 
-// newest finds the highest published version of a role, 0 for none.
-func (r *Repo) newest(role string) (file string, version int64, err error) {
+// newestFile finds the highest published version of a role, 0 for none.
+func (r *Repo) newestFile(role string) (file string, version int64, err error) {
 	all, err := os.ReadDir(filepath.Join(r.dir, "metadata"))
 	if err != nil {
 		return "", 0, err
@@ -177,7 +177,7 @@
 		}
 		v := f.Version
 		if v == 0 {
-			if v, err = r.versionIn(e.Name()); err != nil {
+			if v, err = r.versionOf(e.Name()); err != nil {
 				return "", 0, err
 			}
 		}
@@ -188,32 +188,32 @@
 	return file, version, nil
 }
 
-func (r *Repo) versionIn(file string) (int64, error) {
+func (r *Repo) versionOf(file string) (int64, error) {
 	var m struct{ Signed struct{ Version int64 } }
-	text, err := os.ReadFile(r.published(file))
+	text, err := os.ReadFile(r.publishedPath(file))
 	if err == nil {
 		err = json.Unmarshal(text, &m)
 	}
 	return m.Signed.Version, err
 }
 
-// next is the version that comes after all that were published or ever reserved.
-func (r *Repo) next(role string) (int64, error) {
-	_, newest, err := r.newest(role)
-	reserved, _ := r.floor.Recorded(role)
+// nextVersion is the version that comes after all that were published or ever reserved.
+func (r *Repo) nextVersion(role string) (int64, error) {
+	_, newest, err := r.newestFile(role)
+	reserved, _ := r.versions.Recorded(role)
 	return max(newest, reserved) + 1, err
 }
 
-// open gives the metadata of a role to change: what is staged, with its signatures taken off, as they no longer
+// openForChange gives the metadata of a role to change: what is staged, with its signatures taken off, as they no longer
 // fit, or a next version.
-func open[T metadata.Roles](r *Repo, role string, set func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
-	m, staged, err := load[T](r, role)
+func openForChange[T metadata.Roles](r *Repo, role string, set func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
+	m, staged, err := loadMetadata[T](r, role)
 	if err != nil {
 		return nil, err
 	}
 	m.ClearSignatures()
 	if !staged {
-		v, err := r.next(role)
+		v, err := r.nextVersion(role)
 		if err != nil {
 			return nil, err
 		}
@@ -223,8 +223,8 @@
 }
 
 func (r *Repo) openTargets(role string) (*metadata.Metadata[metadata.TargetsType], error) {
-	return open(r, role, func(m *metadata.Metadata[metadata.TargetsType], v int64) {
-		m.Signed.Version, m.Signed.Expires = v, r.until(r.Life.Targets)
+	return openForChange(r, role, func(m *metadata.Metadata[metadata.TargetsType], v int64) {
+		m.Signed.Version, m.Signed.Expires = v, r.expiry(r.Life.Targets)
 	})
 }
 
@@ -247,11 +247,11 @@
 	if err != nil {
 		return err
 	}
-	if err := r.store(in, t); err != nil {
+	if err := r.storeTarget(in, t); err != nil {
 		return err
 	}
 	m.Signed.Targets[as] = t
-	return stage(r, role, m)
+	return stageMetadata(r, role, m)
 }
 
 // describe reads a file through and gives length, sums and our own fields of it.
@@ -285,8 +285,8 @@
 	return t, err
 }
 
-// store puts a file where targets are served from, under its plain name and its hash's.
-func (r *Repo) store(in io.ReadSeeker, t *metadata.TargetFiles) error {
+// storeTarget puts a file where targets are served from, under its plain name and its hash's.
+func (r *Repo) storeTarget(in io.ReadSeeker, t *metadata.TargetFiles) error {
 	dir, base := path.Split(t.Path)
 	folder := filepath.Join(r.dir, "targets", filepath.FromSlash(dir))
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -323,7 +323,7 @@
 		return fmt.Errorf("%s has no target %s", role, as)
 	}
 	delete(m.Signed.Targets, as)
-	return stage(r, role, m)
+	return stageMetadata(r, role, m)
 }
 
 // Delegate stages targets of a role that delegate paths to another, and the first targets of that one.
@@ -351,23 +351,23 @@
 		one.KeyIDs = append(one.KeyIDs, id)
 	}
 	d.Roles = append(d.Roles, one)
-	if err := stage(r, role, m); err != nil {
+	if err := stageMetadata(r, role, m); err != nil {
 		return err
 	}
-	if _, newest, err := r.newest(to); err != nil || newest > 0 {
+	if _, newest, err := r.newestFile(to); err != nil || newest > 0 {
 		return err
 	}
-	if _, err := os.Stat(r.staged(to)); err == nil {
+	if _, err := os.Stat(r.stagedPath(to)); err == nil {
 		return nil
 	}
-	return stage(r, to, metadata.Targets(r.until(r.Life.Targets)))
+	return stageMetadata(r, to, metadata.Targets(r.expiry(r.Life.Targets)))
 }
 
 // Rotate stages the next root: keys that come into a role, keys (by identifier) that leave it, and its
 // threshold, 0 for the present one. A key that leaves is revoked: what it signed no longer counts.
 func (r *Repo) Rotate(role string, in []*metadata.Key, out []string, threshold int) error {
-	m, err := open(r, metadata.ROOT, func(m *metadata.Metadata[metadata.RootType], v int64) {
-		m.Signed.Version, m.Signed.Expires = v, r.until(r.Life.Root)
+	m, err := openForChange(r, metadata.ROOT, func(m *metadata.Metadata[metadata.RootType], v int64) {
+		m.Signed.Version, m.Signed.Expires = v, r.expiry(r.Life.Root)
 	})
 	if err != nil {
 		return err
@@ -400,7 +400,7 @@
 	if is := m.Signed.Roles[role]; len(is.KeyIDs) < is.Threshold {
 		return fmt.Errorf("role %s would have %d keys for a threshold of %d", role, len(is.KeyIDs), is.Threshold)
 	}
-	return stage(r, metadata.ROOT, m)
+	return stageMetadata(r, metadata.ROOT, m)
 }
 
 // Renew stages a next version of a role with the same content and a new end.
@@ -412,16 +412,16 @@
 	if err != nil {
 		return err
 	}
-	m.Signed.Expires = r.until(r.Life.Targets)
-	return stage(r, role, m)
+	m.Signed.Expires = r.expiry(r.Life.Targets)
+	return stageMetadata(r, role, m)
 }
 
 // Sign adds a signature to what is staged of a role. A key that nothing knows for the role is refused.
 func (r *Repo) Sign(role string, k *keys.Key) error {
-	if _, err := os.Stat(r.staged(role)); err != nil {
+	if _, err := os.Stat(r.stagedPath(role)); err != nil {
 		return fmt.Errorf("%s: %w", role, ErrNotStaged)
 	}
-	known, err := r.knows(role, k.ID)
+	known, err := r.isRoleKey(role, k.ID)
 	if err != nil {
 		return err
 	}
@@ -435,17 +435,17 @@
 }
 
 func sign[T metadata.Roles](r *Repo, role string, k *keys.Key) error {
-	m, _, err := load[T](r, role)
+	m, _, err := loadMetadata[T](r, role)
 	if err != nil {
 		return err
 	}
-	if err := signOnce(m, k); err != nil {
+	if err := addSignature(m, k); err != nil {
 		return err
 	}
-	return stage(r, role, m)
+	return stageMetadata(r, role, m)
 }
 
-func signOnce[T metadata.Roles](m *metadata.Metadata[T], k *keys.Key) error {
+func addSignature[T metadata.Roles](m *metadata.Metadata[T], k *keys.Key) error {
 	m.Signatures = slices.DeleteFunc(m.Signatures, func(s metadata.Signature) bool { return s.KeyID == k.ID })
 	signer, err := k.Signer()
 	if err == nil {
@@ -454,10 +454,10 @@
 	return err
 }
 
-// knows: the staged or the published root, or a delegation, names the key for the role.
-func (r *Repo) knows(role, id string) (bool, error) {
+// isRoleKey: the staged or the published root, or a delegation, names the key for the role.
+func (r *Repo) isRoleKey(role, id string) (bool, error) {
 	for _, staged := range []bool{true, false} {
-		root, err := r.root(staged)
+		root, err := r.loadRoot(staged)
 		if err != nil {
 			return false, err
 		}
@@ -465,12 +465,12 @@
 			return true, nil
 		}
 	}
-	names, err := r.roles()
+	names, err := r.targetsRoles()
 	if err != nil {
 		return false, err
 	}
 	for _, name := range names {
-		m, _, err := load[metadata.TargetsType](r, name)
+		m, _, err := loadMetadata[metadata.TargetsType](r, name)
 		if err != nil || m.Signed.Delegations == nil {
 			continue
 		}
@@ -483,15 +483,15 @@
 	return false, nil
 }
 
-// root reads the staged root, or the published one; none: nil.
-func (r *Repo) root(staged bool) (*metadata.Metadata[metadata.RootType], error) {
-	name := r.staged(metadata.ROOT)
+// loadRoot reads the staged root, or the published one; none: nil.
+func (r *Repo) loadRoot(staged bool) (*metadata.Metadata[metadata.RootType], error) {
+	name := r.stagedPath(metadata.ROOT)
 	if !staged {
-		file, v, err := r.newest(metadata.ROOT)
+		file, v, err := r.newestFile(metadata.ROOT)
 		if err != nil || v == 0 {
 			return nil, err
 		}
-		name = r.published(file)
+		name = r.publishedPath(file)
 	}
 	text, err := os.ReadFile(name)
 	if os.IsNotExist(err) {
@@ -503,8 +503,8 @@
 	return (&metadata.Metadata[metadata.RootType]{}).FromBytes(text)
 }
 
-// roles are the names of all roles of targets, staged or published.
-func (r *Repo) roles() ([]string, error) {
+// targetsRoles are the names of all roles of targets, staged or published.
+func (r *Repo) targetsRoles() ([]string, error) {
 	found := map[string]bool{}
 	for _, sub := range []string{"metadata", "staged"} {
 		all, err := os.ReadDir(filepath.Join(r.dir, sub))
@@ -532,7 +532,7 @@
 // timestamp last, so that a client never finds a name without its file. Snapshot and timestamp are
 // signed by the online keys. What is staged but not signed enough refuses the whole.
 func (r *Repo) Publish(online []*keys.Key) error {
-	root, fresh, err := r.ready()
+	root, fresh, err := r.rootToPublish()
 	if err != nil {
 		return err
 	}
@@ -548,7 +548,7 @@
 	}
 	files = append(files, targets...)
 	for _, f := range files { // a number that was given to another content is not given again
-		if err := r.floor.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
+		if err := r.versions.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
 			return err
 		}
 	}
@@ -565,18 +565,18 @@
 
 // targetsToPublish gives the staged files of targets roles, and the entries of all of them for the snapshot.
 func (r *Repo) targetsToPublish(root *metadata.Metadata[metadata.RootType]) ([]publication, map[string]*metadata.MetaFiles, error) {
-	names, err := r.roles()
+	names, err := r.targetsRoles()
 	if err != nil {
 		return nil, nil, err
 	}
 	meta := map[string]*metadata.MetaFiles{}
 	var files []publication
 	for _, name := range names {
-		m, staged, err := load[metadata.TargetsType](r, name)
+		m, staged, err := loadMetadata[metadata.TargetsType](r, name)
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := r.vouched(root, name, m, names); err != nil {
+		if err := r.checkSigned(root, name, m, names); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", name, err)
 		}
 		text, err := r.targetsText(name, m, staged)
@@ -600,37 +600,37 @@
 	if staged || err != nil {
 		return text, err
 	}
-	file, _, err := r.newest(name)
+	file, _, err := r.newestFile(name)
 	if err != nil {
 		return nil, err
 	}
-	return os.ReadFile(r.published(file))
+	return os.ReadFile(r.publishedPath(file))
 }
 
 // signSnapshot makes the next snapshot, which names the files of meta.
 func (r *Repo) signSnapshot(root *metadata.Metadata[metadata.RootType], meta map[string]*metadata.MetaFiles,
 	online []*keys.Key) (publication, error) {
-	version, err := r.next(metadata.SNAPSHOT)
+	version, err := r.nextVersion(metadata.SNAPSHOT)
 	if err != nil {
 		return publication{}, err
 	}
-	snapshot := metadata.Snapshot(r.until(r.Life.Snapshot))
+	snapshot := metadata.Snapshot(r.expiry(r.Life.Snapshot))
 	snapshot.Signed.Version, snapshot.Signed.Meta = version, meta
-	text, err := finish(r, root, metadata.SNAPSHOT, version, snapshot, online)
+	text, err := signAndRecord(r, root, metadata.SNAPSHOT, version, snapshot, online)
 	return publication{metadata.SNAPSHOT, fileName(root, metadata.SNAPSHOT, version), version, text}, err
 }
 
 // signTimestamp makes the next timestamp, which names a snapshot.
 func (r *Repo) signTimestamp(root *metadata.Metadata[metadata.RootType], snapshot publication,
 	online []*keys.Key) (publication, error) {
-	version, err := r.next(metadata.TIMESTAMP)
+	version, err := r.nextVersion(metadata.TIMESTAMP)
 	if err != nil {
 		return publication{}, err
 	}
-	timestamp := metadata.Timestamp(r.until(r.Life.Timestamp))
+	timestamp := metadata.Timestamp(r.expiry(r.Life.Timestamp))
 	timestamp.Signed.Version = version
 	timestamp.Signed.Meta["snapshot.json"] = metaFile(snapshot.version, snapshot.text)
-	text, err := finish(r, root, metadata.TIMESTAMP, version, timestamp, online)
+	text, err := signAndRecord(r, root, metadata.TIMESTAMP, version, timestamp, online)
 	return publication{metadata.TIMESTAMP, "timestamp.json", version, text}, err
 }
 
@@ -640,10 +640,10 @@
 		if r.CrashBefore(f.role) {
 			return errors.New("halted before " + f.role)
 		}
-		if err := write(r.published(f.name), f.text); err != nil {
+		if err := writeFile(r.publishedPath(f.name), f.text); err != nil {
 			return err
 		}
-		if err := os.Remove(r.staged(f.role)); err != nil && !os.IsNotExist(err) {
+		if err := os.Remove(r.stagedPath(f.role)); err != nil && !os.IsNotExist(err) {
 			return err
 		}
 	}
@@ -665,12 +665,12 @@
 	return &metadata.MetaFiles{Version: version, Length: int64(len(text)), Hashes: metadata.Hashes{"sha256": sum[:]}}
 }
 
-// finish signs with the online keys that a role has, reserves the version, and gives the text.
-func finish[T metadata.Roles](r *Repo, root *metadata.Metadata[metadata.RootType], role string, version int64,
+// signAndRecord signs with the online keys that a role has, reserves the version, and gives the text.
+func signAndRecord[T metadata.Roles](r *Repo, root *metadata.Metadata[metadata.RootType], role string, version int64,
 	m *metadata.Metadata[T], online []*keys.Key) ([]byte, error) {
 	for _, k := range online {
 		if slices.Contains(root.Signed.Roles[role].KeyIDs, k.ID) {
-			if err := signOnce(m, k); err != nil {
+			if err := addSignature(m, k); err != nil {
 				return nil, err
 			}
 		}
@@ -682,17 +682,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return text, r.floor.Record(role, version, sha256.Sum256(text))
+	return text, r.versions.Record(role, version, sha256.Sum256(text))
 }
 
-// ready gives the root that is to be in force, and whether it is yet to be published: signed by enough of
+// rootToPublish gives the root that is to be in force, and whether it is yet to be published: signed by enough of
 // its own keys and of those of the root before it.
-func (r *Repo) ready() (root *metadata.Metadata[metadata.RootType], fresh bool, err error) {
-	old, err := r.root(false)
+func (r *Repo) rootToPublish() (root *metadata.Metadata[metadata.RootType], fresh bool, err error) {
+	old, err := r.loadRoot(false)
 	if err != nil {
 		return nil, false, err
 	}
-	root, err = r.root(true)
+	root, err = r.loadRoot(true)
 	if err != nil {
 		return nil, false, err
 	}
@@ -711,7 +711,7 @@
 	return root, true, nil
 }
 
-func (r *Repo) vouched(root *metadata.Metadata[metadata.RootType], name string,
+func (r *Repo) checkSigned(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
 		if root.VerifyDelegate(name, m) != nil {
@@ -720,7 +720,7 @@
 		return nil
 	}
 	for _, by := range names {
-		from, _, err := load[metadata.TargetsType](r, by)
+		from, _, err := loadMetadata[metadata.TargetsType](r, by)
 		if err == nil && by != name && from.VerifyDelegate(name, m) == nil {
 			return nil
 		}
@@ -796,13 +796,13 @@
 
 func (r *Repo) threshold(role string) int {
 	for _, staged := range []bool{true, false} {
-		if root, err := r.root(staged); err == nil && root != nil && root.Signed.Roles[role] != nil {
+		if root, err := r.loadRoot(staged); err == nil && root != nil && root.Signed.Roles[role] != nil {
 			return root.Signed.Roles[role].Threshold
 		}
 	}
-	names, _ := r.roles()
+	names, _ := r.targetsRoles()
 	for _, name := range names {
-		if m, _, err := load[metadata.TargetsType](r, name); err == nil && m.Signed.Delegations != nil {
+		if m, _, err := loadMetadata[metadata.TargetsType](r, name); err == nil && m.Signed.Delegations != nil {
 			for _, to := range m.Signed.Delegations.Roles {
 				if to.Name == role {
 					return to.Threshold
