--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -132,6 +132,16 @@
 	})
 }
 
+// replyingLater is a backend that answers all queries alike once proceed is closed.
+func replyingLater(tb testing.TB, reply string) (backend *scriptedbackend.Backend, proceed chan struct{}) {
+	tb.Helper()
+	proceed = make(chan struct{})
+	return replying(tb, func(int) string {
+		<-proceed
+		return reply
+	}), proceed
+}
+
 // silent is a backend that answers nothing.
 func silent(tb testing.TB) *scriptedbackend.Backend {
 	tb.Helper()
