--- /dev/null
+++ b/internal/tufverify/parse.go
@@ -0,0 +1,135 @@
+package tufverify
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/secure-systems-lab/go-securesystemslib/cjson"
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+)
+
+// parse reads one piece of metadata without believing it.
+func parse[T metadata.Roles](r *Repository, role string, data []byte, most int) (*verified[T], *RefusalError) {
+	if len(data) > most {
+		return nil, r.refuse(ReasonTooLarge, role, "%d bytes, %d are allowed", len(data), most)
+	}
+	sum, err := canonicalDigest(data)
+	if err != nil {
+		return nil, r.refuse(ReasonMalformed, role, "%v", err)
+	}
+	m, err := (&metadata.Metadata[T]{}).FromBytes(data)
+	if err != nil {
+		return nil, r.refuse(ReasonMalformed, role, "%v", err)
+	}
+	h := &verified[T]{Metadata: m, raw: bytes.Clone(data), digest: sum}
+	spec := ""
+	switch s := any(&m.Signed).(type) {
+	case *metadata.RootType:
+		h.version, h.expires, spec = s.Version, FromTime(s.Expires), s.SpecVersion
+	case *metadata.TimestampType:
+		h.version, h.expires, spec = s.Version, FromTime(s.Expires), s.SpecVersion
+	case *metadata.SnapshotType:
+		h.version, h.expires, spec = s.Version, FromTime(s.Expires), s.SpecVersion
+	case *metadata.TargetsType:
+		h.version, h.expires, spec = s.Version, FromTime(s.Expires), s.SpecVersion
+	}
+	signed, err := cjson.EncodeCanonical(m.Signed)
+	switch {
+	case err != nil:
+		return nil, r.refuse(ReasonMalformed, role, "%v", err)
+	case sha256.Sum256(signed) != sum:
+		return nil, r.refuse(ReasonMalformed, role, "its bytes can be read in two ways")
+	case h.version < 1:
+		return nil, r.refuse(ReasonMalformed, role, "version %d", h.version)
+	case !strings.HasPrefix(spec, "1."):
+		return nil, r.refuse(ReasonMalformed, role, "specification version %q, 1.x is understood", spec)
+	}
+	return h, nil
+}
+
+// canonicalDigest reads the bytes as clients may, and gives the sum of the canonical form of the signed part. An
+// object that names a member twice is refused: readers differ in which one they take.
+func canonicalDigest(data []byte) (sum Digest, err error) {
+	dec := json.NewDecoder(bytes.NewReader(data))
+	dec.UseNumber()
+	if err := checkUniqueMembers(dec, 0); err != nil {
+		return sum, err
+	}
+	if _, err := dec.Token(); err != io.EOF {
+		return sum, fmt.Errorf("bytes behind its end")
+	}
+	var outer map[string]json.RawMessage
+	if err := json.Unmarshal(data, &outer); err != nil {
+		return sum, err
+	}
+	var signed any
+	dec = json.NewDecoder(bytes.NewReader(outer["signed"]))
+	dec.UseNumber()
+	if err := dec.Decode(&signed); err != nil {
+		return sum, err
+	}
+	text, err := cjson.EncodeCanonical(signed)
+	return sha256.Sum256(text), err
+}
+
+// checkUniqueMembers walks one value and refuses members that come twice. Names that only case parts, which the library
+// takes for one, show in the canonical form.
+func checkUniqueMembers(dec *json.Decoder, depth int) error {
+	const deepest = 32
+	t, err := dec.Token()
+	if err != nil {
+		return err
+	}
+	d, ok := t.(json.Delim)
+	if !ok {
+		return nil
+	}
+	if depth >= deepest {
+		return fmt.Errorf("more than %d values one inside another", deepest)
+	}
+	names := map[string]bool{}
+	for dec.More() {
+		if d == '{' {
+			t, err := dec.Token()
+			if err != nil {
+				return err
+			}
+			name, _ := t.(string)
+			if names[name] {
+				return fmt.Errorf("member %q comes twice", name)
+			}
+			names[name] = true
+		}
+		if err := checkUniqueMembers(dec, depth+1); err != nil {
+			return err
+		}
+	}
+	_, err = dec.Token()
+	return err
+}
+
+// checkMetaFile checks length and hashes that a parent gives for a file, where it gives any (5.5.2, 5.6.2).
+func (r *Repository) checkMetaFile(role string, named *metadata.MetaFiles, data []byte, most int) *RefusalError {
+	if len(data) > most {
+		return r.refuse(ReasonTooLarge, role, "%d bytes, %d are allowed", len(data), most)
+	}
+	if err := named.VerifyLengthHashes(data); err != nil {
+		return r.refuse(ReasonHashMismatch, role, "%v", err)
+	}
+	return nil
+}
+
+// heldRoles are the roles of targets that are held, the top-level ones first, else by name.
+func (r *Repository) heldRoles() []string {
+	names := slices.Sorted(maps.Keys(r.targets))
+	if at := slices.Index(names, metadata.TARGETS); at > 0 {
+		names = append([]string{metadata.TARGETS}, slices.Delete(names, at, at+1)...)
+	}
+	return names
+}
