--- a/cmd/silvercovectl/fleet_edge.go
+++ b/cmd/silvercovectl/fleet_edge.go
@@ -26,7 +26,7 @@
 }
 
 func (c *fleetEdgeCmd) serve(p *fleetProcess, alive context.Context) error {
-	e, err := edgenode.Open(edgenode.Options{File: p.file, Net: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
+	e, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return full(err)
 	}
@@ -50,7 +50,7 @@
 			}
 		}
 	}()
-	p.log.Info().Str("event", "starts").Str("why", "commands at "+e.Commands().String()).Send()
+	p.log.Info().Str("event", "starts").Str("why", "commands at "+e.Addr().String()).Send()
 	err = e.Run(leave, now)
 	close(over)
 	<-watched
--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_keeper.go
@@ -35,7 +35,7 @@
 	defer stop()
 	defer context.AfterFunc(ctx, stop)() // the second signal finds the ordinary end of a process
 	return p.during(func(alive context.Context) error {
-		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.Data, Settings: p.file.Set, Log: p.log})
+		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
 			return full(err)
 		}
@@ -73,7 +73,7 @@
 	ran := make(chan error, 1)
 	go func() { ran <- network.Run(nets) }()
 	defer func() { cut(); <-ran }()
-	k := controllerclient.New(network, f.Set, uint64(time.Now().UnixNano()))
+	k := controllerclient.New(network, f.Settings, uint64(time.Now().UnixNano()))
 	defer k.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -34,20 +34,20 @@
 		return nil, err
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00"
-	p := &fleetProcess{file: f, log: logger(f.Level).With().Str("node", f.Self.Name).Logger()}
+	p := &fleetProcess{file: f, log: logger(f.LogLevel).With().Str("node", f.Self.Name).Logger()}
 	if p.net, err = peertransport.Open(f.Fleet, f.Self, f.Peers, func(text string) { p.log.Warn().Msg(text) }); err != nil {
 		return nil, err
 	}
-	if f.Metrics != "" {
-		if p.measures, err = net.Listen("tcp", f.Metrics); err != nil {
+	if f.MetricsAddress != "" {
+		if p.measures, err = net.Listen("tcp", f.MetricsAddress); err != nil {
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	run, fresh, err := membership.NextIncarnation(f.Data, time.Now())
+	run, fresh, err := membership.NextIncarnation(f.DataDir, time.Now())
 	if err != nil {
 		return nil, full(err)
 	}
-	p.board, err = membership.Open(p.net, run, fresh, f.Set, func(m membership.Member) {
+	p.board, err = membership.Open(p.net, run, fresh, f.Settings, func(m membership.Member) {
 		p.log.Info().Str("event", "member").Str("from", m.Name).Str("why", string(m.State)).Uint64("run", m.Incarnation).Send()
 	})
 	if err == nil && p.measures != nil {
--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -66,7 +66,7 @@
 		if s, err := k.Status(ctx, f.Self.Name); err == nil {
 			return fmt.Errorf("%s runs (%s): stop it first", f.Self.Name, s.Role)
 		}
-		return full(controller.Rebuild(ctx, controller.RebuildOptions{Network: net, DataDir: f.Data, Settings: f.Set, Client: k, Backup: backup,
+		return full(controller.Rebuild(ctx, controller.RebuildOptions{Network: net, DataDir: f.DataDir, Settings: f.Settings, Client: k, Backup: backup,
 			AllowSilent: c.Without, Progress: func(text string) { fmt.Println(text) }}))
 	})
 }
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -30,14 +30,14 @@
 		return err
 	}
 	cores, memory := told.Limits()
-	strain := routing.NewOverloadAgent(p.board, f.Self.Name, told.Seed(), f.Set, cores, memory, log)
+	strain := routing.NewOverloadAgent(p.board, f.Self.Name, told.Seed(), f.Settings, cores, memory, log)
 	told.LoadShedder, told.OnStage = strain, strain.OnStage
 	told.WaitTurn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
 	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
 		group.Go(func() error { return strain.Run(ctx, g) })
-		client := controllerclient.New(p.net, f.Set, told.Seed())
+		client := controllerclient.New(p.net, f.Settings, told.Seed())
 		defer client.Close()
 		group.Go(func() error { return strain.Report(ctx, client) })
 		group.Go(func() error {
@@ -55,9 +55,9 @@
 		case "NODE_NAME":
 			return f.Self.Name
 		case "NODE_LISTEN":
-			return f.Clients
+			return f.ClientAddress
 		case "NODE_CONFIG":
-			return f.Settings
+			return f.SettingsPath
 		case "NODE_OPERATOR":
 			return os.Getenv(name)
 		}
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -156,8 +156,8 @@
 		if node.Zone == "" {
 			node.Zone = peer.Zone
 		}
-		if node.Commands == "" {
-			node.Commands = peer.Commands
+		if node.RequestAddress == "" {
+			node.RequestAddress = peer.RequestAddress
 		}
 		_, node.HasLease = l.lessor.LeaseEnd(now, peer.Name)
 		node.Accepting = node.Accepting && node.HasLease
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -91,7 +91,7 @@
 		Reasons:         report.Reasons,
 		StartedAtMS:     ask.StartedAtMS,
 		SoftwareVersion: ask.SoftwareVersion,
-		Commands:        ask.Commands,
+		RequestAddress:  ask.RequestAddress,
 		Draining:        ask.Draining || ask.RollingBack,
 	}
 }
@@ -105,7 +105,7 @@
 		a.AcceptFraction == b.AcceptFraction &&
 		a.SpareCapacity == b.SpareCapacity &&
 		a.SoftwareVersion == b.SoftwareVersion &&
-		a.Commands == b.Commands &&
+		a.RequestAddress == b.RequestAddress &&
 		a.Draining == b.Draining &&
 		a.StartedAtMS == b.StartedAtMS
 }
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -20,7 +20,7 @@
 	Node            string                   `json:"unit"`
 	Incarnation     uint64                   `json:"run"` // of the process, above 0 and greater at each start
 	Report          json.RawMessage          `json:"report,omitempty"`
-	Commands        string                   `json:"commands,omitempty"` // where requests are taken, HOST:PORT
+	RequestAddress  string                   `json:"commands,omitempty"` // where requests are taken, HOST:PORT
 	Zone            string                   `json:"zone,omitempty"`
 	SoftwareVersion uint16                   `json:"build,omitempty"`
 	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of the process, ms since 1970, for lists; no decision rests on it
@@ -104,7 +104,7 @@
 	Reasons         []string `json:"reasons,omitempty"`
 	StartedAtMS     int64    `json:"born_ms,omitempty"`
 	SoftwareVersion uint16   `json:"build,omitempty"`
-	Commands        string   `json:"commands,omitempty"`
+	RequestAddress  string   `json:"commands,omitempty"`
 	Draining        bool     `json:"draining,omitempty"`
 }
 
--- /dev/null
+++ b/internal/edgenode/failover_test.go
@@ -0,0 +1,110 @@
+package edgenode
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/standin/faultproxy"
+)
+
+func TestFailover_ReplicaTakesOverAndFormerPrimaryReturns(t *testing.T) {
+	for _, files := range []bool{true, false} {
+		t.Run(fmt.Sprint("disk ", files), func(t *testing.T) {
+			c := newServingFleet(t, 2, files, "edge-b")
+			a := dialNode(t, c.processes["edge-a"].peer.RequestAddress)
+			if v, _ := a.write("acked", "camera-7", []byte("x")); v != "2 1 edge-a" {
+				t.Fatal(v)
+			}
+			c.kill("edge-a")
+			b := dialNode(t, c.processes["edge-b"].peer.RequestAddress)
+			c.waitFor("edge-b acts", func() bool { v, _ := b.read(); return v == "2 1 edge-a" })
+			if v, _ := b.write("acked", "camera-7", nil); v != "2 1 edge-a" {
+				t.Errorf("acked before the fall: %s", v)
+			}
+			if v, _ := b.write("next", "camera-7", nil); v != "3 2 edge-b" {
+				t.Error(v)
+			}
+			c.start("edge-a")
+			a = dialNode(t, c.processes["edge-a"].peer.RequestAddress)
+			c.waitFor("edge-a has a lease", func() bool {
+				_, state, _ := a.exchange(pgwire.SimpleQuery("SELECT 1"))
+				return state == pgwire.StateSuccess
+			})
+			if v, state := a.read(); state != pgwire.StateTooManyConnections {
+				t.Errorf("%s %s", v, state)
+			}
+		})
+	}
+}
+
+func TestReplica_CutOffIsDroppedBeforeWritesGoOn(t *testing.T) {
+	c := newServingFleet(t, 2, false, "edge-b")
+	for _, pair := range [][2]string{{"edge-a", "edge-b"}, {"edge-b", "edge-a"}} {
+		c.linkBetween[pair].Set(faultproxy.Forth, faultproxy.Fault{Silent: true})
+		c.linkBetween[pair].Set(faultproxy.Back, faultproxy.Fault{Silent: true})
+	}
+	a := dialNode(t, c.processes["edge-a"].peer.RequestAddress)
+	v, state := a.write("cut", "camera-7", nil)
+	if state != pgwire.StateSuccess || v != "2 1 edge-a" {
+		t.Fatalf("%s %s", v, state)
+	}
+	if p := c.assignment("camera-7"); len(p.Replicas) != 0 {
+		t.Errorf("acked while %v was held to have it", p.Replicas)
+	}
+}
+
+// TestNode_CutOffFromControllersStops: its requests that wait for a replica then end as indeterminate, which says nothing of its
+// health.
+func TestNode_CutOffFromControllersStops(t *testing.T) {
+	c := newServingFleet(t, 2, false, "edge-b")
+	a := dialNode(t, c.processes["edge-a"].peer.RequestAddress)
+	ways := [][2]string{{"edge-a", "keeper-1"}, {"edge-a", "edge-b"}}
+	for _, pair := range ways {
+		c.linkBetween[pair].Set(faultproxy.Forth, faultproxy.Fault{Silent: true})
+		c.linkBetween[pair].Set(faultproxy.Back, faultproxy.Fault{Silent: true})
+	}
+	var waits sync.WaitGroup
+	for i := range 24 {
+		k := dialNode(t, c.processes["edge-a"].peer.RequestAddress)
+		waits.Go(func() {
+			if _, state := k.write(fmt.Sprint("waits", i), "camera-7", nil); state != pgwire.StateInternalError && state != pgwire.StateTooManyConnections {
+				t.Errorf("a command that waited for a holder: %s", state)
+			}
+		})
+	}
+	waits.Wait()
+	b := dialNode(t, c.processes["edge-b"].peer.RequestAddress)
+	c.waitFor("edge-b acts", func() bool { _, state := b.read(); return state == pgwire.StateSuccess })
+	if _, state := a.read(); state != pgwire.StateTooManyConnections {
+		t.Errorf("both answer: %s", state)
+	}
+	for _, pair := range ways {
+		c.linkBetween[pair].Set(faultproxy.Forth, faultproxy.Fault{})
+		c.linkBetween[pair].Set(faultproxy.Back, faultproxy.Fault{})
+	}
+	if r := c.processes["edge-a"].node.assessHealth(&loadMeter{since: time.Now()}); r.State != controllerclient.StateAccepting {
+		t.Errorf("it takes no work as its keepers were away: %+v", r)
+	}
+	c.waitFor("edge-a has a lease", func() bool {
+		_, state, _ := a.exchange(pgwire.SimpleQuery("SELECT 1"))
+		return state == pgwire.StateSuccess
+	})
+	if _, state := a.read(); state != pgwire.StateTooManyConnections {
+		t.Errorf("an older owner answers: %s", state)
+	}
+}
+
+func TestReplica_WithoutItsCopySaysSo(t *testing.T) {
+	c := newServingFleet(t, 2, false, "edge-b")
+	c.kill("edge-b")
+	c.start("edge-b")
+	c.waitFor("it holds no more", func() bool { return len(c.assignment("camera-7").Replicas) == 0 })
+	if !strings.Contains(c.log.String(), `"event":"lacks"`) {
+		t.Error("nothing told")
+	}
+}
--- /dev/null
+++ b/internal/edgenode/faults_test.go
@@ -0,0 +1,168 @@
+package edgenode
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"silvercove/internal/pgwire"
+	"silvercove/internal/placement"
+	"silvercove/internal/standin/faultproxy"
+)
+
+// succeededWrite is a write that was answered as succeeded, and the value that it was answered with.
+type succeededWrite struct{ id, value string }
+
+// TestFaults_BySeedLoseNothing has clients write to three instances while nodes fail, come back, and links fail, one fault
+// at a time so that no more than one copy is ever lost.
+func TestFaults_BySeedLoseNothing(t *testing.T) {
+	span := 6 * time.Second
+	if s, err := time.ParseDuration(os.Getenv("EDGE_SOAK")); err == nil {
+		span = s
+	}
+	seed := uint64(3) // the same in each run; EDGE_SEED plays others
+	if s, err := strconv.ParseUint(os.Getenv("EDGE_SEED"), 10, 64); err == nil {
+		seed = s
+	}
+	t.Logf("EDGE_SEED=%d", seed)
+	random := rand.New(rand.NewPCG(seed, 1))
+	c := newTestFleet(t, 4, true, func(c *testFleet) {
+		c.realPlanner = true
+		for name, v := range map[string]float64{"copies": 1, "dwell": 0.2, "restart_after": 5, "silence": 1, "moves.unit": 8,
+			"moves.link": 4, "moves.all": 64, "falls": 100, "edges": 4, "keepers": 1} {
+			c.settings["fleet."+name] = v
+		}
+	})
+	names := []string{"camera-1", "camera-2", "camera-3"}
+	succeeded := make([][]succeededWrite, len(names))
+	ctx, stop := context.WithCancel(t.Context())
+	var writers sync.WaitGroup
+	for i, name := range names {
+		c.propose(placement.Operation{Kind: placement.OpCreate, Instance: name, Target: "edge-a", Zone: "north", Weight: 3})
+		writers.Go(func() { succeeded[i] = c.writeUntil(ctx, name) })
+	}
+	replicated := func() bool {
+		for _, name := range names {
+			a := c.assignment(name)
+			if a.State != placement.Running || !a.EverServed || len(a.Replicas) == 0 || a.CopyTarget != "" {
+				return false
+			}
+		}
+		return true
+	}
+	for end := time.Now().Add(span); time.Now().Before(end); {
+		c.waitFor("each instance runs and has a replica", replicated)
+		c.injectFault(ctx, random, names)
+	}
+	c.waitFor("each instance runs and has a replica", replicated)
+	stop()
+	writers.Wait()
+	moves := 0
+	for i, name := range names {
+		moves += c.checkSucceeded(name, succeeded[i])
+	}
+	t.Logf("%d moves", moves-len(names)) // how many faults fit into the span is the machine's
+}
+
+// writeUntil writes to an instance until the context ends, each write again until it succeeds, wherever the instance runs.
+func (c *testFleet) writeUntil(ctx context.Context, instance string) (succeeded []succeededWrite) {
+	connections := map[string]*sqlClient{}
+	defer func() {
+		for _, client := range connections {
+			_ = client.conn.Close()
+		}
+	}()
+	primary := "edge-a"
+	for ctx.Err() == nil {
+		if connections[primary] == nil {
+			conn, err := net.DialTimeout("tcp", c.processes[primary].peer.RequestAddress, time.Second)
+			client := &sqlClient{conn: conn}
+			if err == nil {
+				_, _, err = client.exchange(pgwire.StartupMessage())
+			}
+			if err != nil {
+				time.Sleep(5 * time.Millisecond)
+				primary = c.primaryOf(ctx, instance, primary)
+				continue
+			}
+			connections[primary] = client
+		}
+		id := fmt.Sprint(instance, "-", len(succeeded))
+		value, state := connections[primary].write(id, instance, []byte("some state"))
+		switch state {
+		case pgwire.StateSuccess:
+			succeeded = append(succeeded, succeededWrite{id, value})
+			continue
+		case "":
+			_ = connections[primary].conn.Close()
+			delete(connections, primary)
+		}
+		time.Sleep(2 * time.Millisecond)
+		primary = c.primaryOf(ctx, instance, primary)
+	}
+	return succeeded
+}
+
+// injectFault has one node or link fail for a while, or one device move, as drawn.
+func (c *testFleet) injectFault(ctx context.Context, random *rand.Rand, instances []string) {
+	c.t.Helper()
+	from, to := fmt.Sprintf("edge-%c", 'a'+random.IntN(4)), fmt.Sprintf("edge-%c", 'a'+random.IntN(4))
+	if random.IntN(3) == 0 || from == to {
+		to = "keeper-1"
+	}
+	duration := time.Duration(50+random.IntN(1500)) * time.Millisecond
+	switch random.IntN(4) {
+	case 0:
+		c.kill(from)
+		time.Sleep(duration)
+		c.start(from)
+	case 1:
+		link := c.linkBetween[[2]string{from, to}]
+		link.Set(faultproxy.Forth, faultproxy.Fault{Silent: true})
+		time.Sleep(duration)
+		link.Set(faultproxy.Forth, faultproxy.Fault{})
+	case 2:
+		link := c.linkBetween[[2]string{from, to}]
+		link.Set(faultproxy.Back, faultproxy.Fault{Silent: true})
+		time.Sleep(duration)
+		link.Set(faultproxy.Back, faultproxy.Fault{})
+	case 3:
+		zone := []string{"north", "south"}[random.IntN(2)]
+		if _, err := c.client.MoveDevice(ctx, instances[random.IntN(3)], zone); err != nil {
+			c.t.Error(err)
+		}
+	}
+}
+
+// checkSucceeded checks that each write that succeeded is an entry of its own, and is answered as before where it is repeated.
+// It returns the instance's epoch.
+func (c *testFleet) checkSucceeded(instance string, succeeded []succeededWrite) (epoch int) {
+	c.t.Helper()
+	assignment := c.assignment(instance)
+	if assignment.MissingEntries > 0 {
+		c.t.Errorf("%+v", assignment)
+	}
+	repeats := newWorkload(c)
+	byIndex := map[string]string{}
+	for i, write := range succeeded {
+		index, _, _ := strings.Cut(write.value, " ")
+		if other := byIndex[index]; other != "" {
+			c.t.Errorf("%s: %s and %s are both entry %s", instance, other, write.id, index)
+		}
+		byIndex[index] = write.id
+		if i >= len(succeeded)-200 { // as far as they are remembered for sure
+			if value := repeats.repeatAt(instance, write.id); value != write.value {
+				c.t.Errorf("%s: %s, was %s", write.id, value, write.value)
+			}
+		}
+	}
+	c.t.Logf("%s: %d succeeded, epoch %d", instance, len(succeeded), assignment.Epoch)
+	return int(assignment.Epoch)
+}
--- /dev/null
+++ b/internal/edgenode/fleet_test.go
@@ -0,0 +1,321 @@
+package edgenode
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"silvercove/internal/controller"
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/fleet"
+	"silvercove/internal/migration"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/placement"
+	"silvercove/internal/standin/faultproxy"
+	"silvercove/internal/tick"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testLease is one that a node does not lose on a busy machine: an instance without a replica is given up then by the planner of
+// most tests.
+const testLease = time.Second
+
+// logBuffer is the log of all processes. It is safe for concurrent use.
+type logBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
+}
+
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// testProcess is one process of the fleet.
+type testProcess struct {
+	peer      peertransport.Peer
+	node      *Node
+	terminate context.CancelFunc
+	kill      context.CancelFunc
+	done      chan error
+}
+
+// testFleet is one controller and some edge nodes over links, all in this process; client makes calls as the process desk.
+type testFleet struct {
+	t           testing.TB
+	dir         string
+	settings    map[string]any
+	names       []string
+	processes   map[string]*testProcess
+	linkBetween map[[2]string]*faultproxy.Link
+	log         *logBuffer
+	client      *controllerclient.Client
+	withDisk    bool
+	realPlanner bool // migration.Planner, not failoverPlanner
+
+	mu         sync.Mutex
+	operations []placement.Operation // for the planner to propose
+}
+
+// addressesGiven counts the addresses that freeAddress has given.
+var addressesGiven atomic.Uint32
+
+// freeAddress is a loopback address of this test's own, with a port below those that systems hand out.
+func freeAddress(testing.TB) string {
+	n := addressesGiven.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d:7001", 64+os.Getpid()%128, os.Getpid()/128%256^int(n>>8), n%250+1)
+}
+
+// newTestFleet starts a fleet of one controller and some edge nodes, with or without disks.
+func newTestFleet(tb testing.TB, edges int, withDisk bool, adjust ...func(*testFleet)) *testFleet {
+	tb.Helper()
+	c := &testFleet{t: tb, dir: tb.TempDir(), processes: map[string]*testProcess{}, linkBetween: map[[2]string]*faultproxy.Link{}, log: &logBuffer{}, withDisk: withDisk,
+		settings: map[string]any{"fleet.lease": testLease.Seconds(), "fleet.drift": 0.02, "fleet.state": float64(1 << 20)}}
+	for _, f := range adjust {
+		f(c)
+	}
+	c.names = []string{"desk", "keeper-1"}
+	for i := range edges {
+		c.names = append(c.names, fmt.Sprintf("edge-%c", 'a'+i))
+	}
+	all := faultproxy.New(1, nil)
+	for _, name := range c.names {
+		p := peertransport.Peer{Name: name, Role: peertransport.RoleEdge, Zone: "north", Address: freeAddress(tb)}
+		if name > "edge-b" && name < "f" {
+			p.Zone = "south"
+		}
+		switch name {
+		case "desk":
+			p.Role = peertransport.RoleRelay
+		case "keeper-1":
+			p.Role = peertransport.RoleController
+		default:
+			p.RequestAddress = freeAddress(tb)
+		}
+		c.processes[name] = &testProcess{peer: p}
+	}
+	for _, a := range c.names {
+		for _, b := range c.names {
+			if a != b {
+				l, err := all.Add(a, b, c.processes[b].peer.Address)
+				if err != nil {
+					tb.Fatal(err)
+				}
+				c.linkBetween[[2]string{a, b}] = l
+			}
+		}
+	}
+	tb.Cleanup(func() {
+		for _, name := range slices.Backward(c.names) {
+			c.kill(name)
+		}
+		all.Close()
+		if tb.Failed() {
+			tb.Log(c.log.String())
+		}
+	})
+	for _, name := range c.names {
+		c.start(name)
+	}
+	return c
+}
+
+// start starts a process. Its done channel has the error with which it ended.
+func (c *testFleet) start(name string) {
+	c.t.Helper()
+	p := c.processes[name]
+	peers := c.peersOf(name)
+	network, err := peertransport.Open("vans", p.peer, peers, func(string) {})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	terminateContext, terminate := context.WithCancel(context.Background())
+	killContext, kill := context.WithCancel(context.Background())
+	networkContext, stopNetwork := context.WithCancel(context.Background())
+	p.terminate, p.done = terminate, make(chan error, 1)
+	p.kill = func() {
+		kill()
+		terminate()
+	}
+	networkEnded := make(chan error, 1)
+	go func() { networkEnded <- network.Run(networkContext) }()
+	run := c.open(p, network, peers)
+	go func() {
+		err := run(terminateContext, killContext)
+		stopNetwork()
+		err = errors.Join(err, <-networkEnded)
+		kill()
+		p.done <- err
+	}()
+}
+
+// open makes what a process runs, and returns its Run.
+func (c *testFleet) open(p *testProcess, network *peertransport.Network, peers []peertransport.Peer) func(terminate, now context.Context) error {
+	c.t.Helper()
+	log := zerolog.New(c.log).With().Str("node", p.peer.Name).Logger()
+	switch p.peer.Role {
+	case peertransport.RoleRelay:
+		client := controllerclient.New(network, c.settings, 3)
+		c.client = client
+		return func(terminate, _ context.Context) error {
+			<-terminate.Done()
+			client.Close()
+			return nil
+		}
+	case peertransport.RoleController:
+		opened, err := controller.Open(controller.Options{Network: network, DataDir: filepath.Join(c.dir, p.peer.Name),
+			Settings: c.settings, Log: log, Planner: c.newPlanner})
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		return func(terminate, _ context.Context) error { return opened.Run(terminate) }
+	}
+	file := &fleet.File{Fleet: "vans", Self: p.peer, Peers: peers, Settings: c.settings}
+	if c.withDisk {
+		file.DataDir = filepath.Join(c.dir, p.peer.Name)
+	}
+	var err error
+	p.node, err = Open(Options{File: file, Network: network, Log: log, Seed: 5})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return p.node.Run
+}
+
+// newPlanner is the planner of the fleet's controller.
+func (c *testFleet) newPlanner(host controller.Host, now tick.Tick) controller.Planner {
+	if c.realPlanner {
+		return migration.NewPlanner(host, now, 7, migration.ConfigFrom(c.settings))
+	}
+	return &failoverPlanner{c, host, map[string]placement.Assignment{}, map[string]migration.NodeStatus{}}
+}
+
+// peersOf are the other processes as one of them reaches them, each over its link.
+func (c *testFleet) peersOf(name string) (peers []peertransport.Peer) {
+	for _, other := range c.names {
+		if other != name {
+			peer := c.processes[other].peer
+			peer.Address = c.linkBetween[[2]string{name, other}].Address()
+			peers = append(peers, peer)
+		}
+	}
+	return peers
+}
+
+// kill ends a process at once, if it runs.
+func (c *testFleet) kill(name string) {
+	c.t.Helper()
+	if n := c.processes[name]; n.kill != nil {
+		n.kill()
+		n.kill = nil
+		select {
+		case err := <-n.done:
+			if err != nil {
+				c.t.Errorf("%s: %v", name, err)
+			}
+		case <-time.After(20 * time.Second):
+			c.t.Fatalf("%s does not end", name)
+		}
+	}
+}
+
+// waitFor waits for a condition.
+func (c *testFleet) waitFor(what string, ok func() bool) {
+	c.t.Helper()
+	for limit := time.Now().Add(40 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(limit) {
+			c.t.Fatalf("not within 40 s: %s", what)
+		}
+	}
+}
+
+// propose has an operation agreed.
+func (c *testFleet) propose(e placement.Operation) {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	if _, err := c.client.Propose(ctx, e); err != nil {
+		c.t.Fatalf("%v: %v", e, err)
+	}
+}
+
+// assignment is that of an instance, the zero value where there is none.
+func (c *testFleet) assignment(name string) placement.Assignment {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	p, err := c.client.Assignments(ctx, 0)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	for _, one := range p.Assignments {
+		if one.Instance == name {
+			return one
+		}
+	}
+	return placement.Assignment{}
+}
+
+// startCopy has the planner of the controller propose a copy, as the controllers' calls don't take it.
+func (c *testFleet) startCopy(name, to string, moves bool) {
+	c.t.Helper()
+	p := c.assignment(name)
+	e := placement.Operation{Kind: placement.OpStartCopy, Instance: name, Epoch: p.Epoch, Target: to, CutOver: moves}
+	c.mu.Lock()
+	c.operations = append(c.operations, e)
+	c.mu.Unlock()
+}
+
+// newServingFleet starts with an instance at edge-a, and a holder where that is asked for.
+func newServingFleet(tb testing.TB, edges int, withDisk bool, replicaNode string) *testFleet {
+	tb.Helper()
+	c := newTestFleet(tb, edges, withDisk)
+	c.waitFor("edge-a has a lease", func() bool { return c.processes["edge-a"].node.unreadyReason() == "" }) // else it falls where it is slow
+	c.propose(placement.Operation{Kind: placement.OpCreate, Instance: "camera-7", Target: "edge-a", Zone: "north", Weight: 3})
+	k := dialNode(tb, c.processes["edge-a"].peer.RequestAddress)
+	c.waitFor("edge-a acts", func() bool {
+		_, state := k.write("first", "camera-7", []byte("x"))
+		return state == pgwire.StateSuccess
+	})
+	if replicaNode != "" {
+		c.startCopy("camera-7", replicaNode, false)
+		c.waitFor(replicaNode+" is a replica", func() bool { return slices.Contains(c.assignment("camera-7").Replicas, replicaNode) })
+	}
+	return c
+}
+
+// primaryOf is where an instance runs, or the one before where nobody says.
+func (c *testFleet) primaryOf(ctx context.Context, name, before string) string {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	p, err := c.client.Assignments(ctx, 0)
+	if err == nil {
+		for _, one := range p.Assignments {
+			if one.Instance == name && one.Primary != "" {
+				return one.Primary
+			}
+		}
+	}
+	return before
+}
--- /dev/null
+++ b/internal/edgenode/health.go
@@ -0,0 +1,62 @@
+package edgenode
+
+import (
+	"syscall"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+)
+
+// loadMeter measures the process's use of the CPU between two calls. It is not safe for concurrent use.
+type loadMeter struct {
+	used  time.Duration // CPU time at the last call, 0: there was none
+	since time.Time     // of the last call
+}
+
+// measure is the CPU time since the last call as a part of the time that has passed; 0 at the first call, and where the
+// system does not tell.
+func (m *loadMeter) measure() (load float64) {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
+		return 0
+	}
+	used := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	if span := time.Since(m.since); m.used > 0 && span > 0 {
+		load = float64(used-m.used) / float64(span)
+	}
+	m.used, m.since = used, time.Now()
+	return load
+}
+
+// assessHealth tells the health monitor what there is, and returns its report.
+func (n *Node) assessHealth(meter *loadMeter) devicehealth.Report {
+	readings := n.powerReader.Latest()
+	load := min(1, meter.measure())
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := controllerclient.Now()
+	for _, reading := range readings {
+		n.health.AddReading(now, reading)
+	}
+	count, size := 0, 0
+	for _, c := range n.replicas.Copies(now) {
+		if c.IsPrimary {
+			count++
+			size += c.Size
+		}
+	}
+	n.health.SetInstances(now, count, size)
+	n.health.SetLoad(now, load, load)
+	report := n.health.Assess(now)
+	if report.State != n.report.State {
+		reason := ""
+		if len(report.Reasons) > 0 {
+			reason = report.Reasons[0]
+		}
+		n.options.Log.Info().Str("event", "strength").Str("from", string(n.report.State)).Str("state", string(report.State)).
+			Str("why", reason).Msg("health state changed")
+	}
+	n.report = report
+	return report
+}
--- /dev/null
+++ b/internal/edgenode/lease.go
@@ -0,0 +1,97 @@
+package edgenode
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// renewalsPerLease is how often a lease is renewed while it runs.
+const renewalsPerLease = 3
+
+// renewLease keeps the lease until the context ends: it asks for it each third of it, and at once where renewSoon says so.
+func (n *Node) renewLease(ctx context.Context) {
+	ticker := time.NewTicker(n.leaseDuration.Duration() / renewalsPerLease)
+	defer ticker.Stop()
+	meter := loadMeter{since: time.Now()}
+	fault := ""          // why the lease is not renewed, as last logged
+	rollingBack := false // this node's software version, as a controller told it last
+	for {
+		report, began := n.assessHealth(&meter), time.Now()
+		granted := false
+		text, err := json.Marshal(report)
+		if err == nil {
+			granted, err = n.requestLease(ctx, text, &rollingBack)
+		}
+		switch {
+		case granted:
+			fault = ""
+		case err != nil && ctx.Err() == nil && err.Error() != fault:
+			fault = err.Error()
+			n.options.Log.Warn().Str("event", "lease").Str("why", "not renewed: "+fault).
+				Int64("elapsed_ms", time.Since(began).Milliseconds()).Msg("lease not renewed")
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case <-n.renewNow:
+		}
+	}
+}
+
+// requestLease asks for the lease once, and takes the answer in.
+func (n *Node) requestLease(ctx context.Context, report []byte, rollingBack *bool) (granted bool, err error) {
+	n.mu.Lock()
+	unverified := n.replicas.UnverifiedCopies(controllerclient.MaxUnverified)
+	n.mu.Unlock()
+	requestContext, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
+	response, sent, err := n.client.RequestLease(requestContext, controllerclient.LeaseRequest{
+		Node:            n.name,
+		Incarnation:     n.incarnation,
+		Report:          report,
+		RequestAddress:  n.listener.Addr().String(),
+		Zone:            n.options.File.Self.Zone,
+		SoftwareVersion: n.options.File.SoftwareVersion,
+		RollingBack:     *rollingBack,
+		StartedAtMS:     int64(n.incarnation / 1000),
+		RecordCount:     n.store.RecordCount(),
+		Unverified:      unverified,
+	})
+	cancel()
+	if err != nil || !response.Granted {
+		return false, err
+	}
+	*rollingBack = response.RollingBack
+	lineage, changed := n.onLeaseGranted(response, sent, unverified)
+	if changed {
+		_ = n.writeNote(ctx, lineage) // a full disk: the lineage is learned anew after a restart
+	}
+	return true, nil
+}
+
+// onLeaseGranted takes a lease in, and returns the controllers' lineage and whether it is not the stored one.
+func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sent tick.Tick, reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.checkDisk(response, reported)
+	if response.Lineage == n.lineage { // else the assignments were rebuilt, and are to be told first
+		n.replicas.OnLease(controllerclient.Now(), sent+n.leaseDuration, response.AssignmentsVersion)
+	}
+	lineage = n.client.Lineage()
+	changed = lineage != n.storedLineage
+	n.storedLineage = lineage
+	return lineage, changed
+}
+
+// renewSoon has the lease asked for at once.
+func (n *Node) renewSoon() {
+	select {
+	case n.renewNow <- struct{}{}:
+	default:
+	}
+}
--- /dev/null
+++ b/internal/edgenode/node.go
@@ -0,0 +1,241 @@
+package edgenode
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/devicepower"
+	"silvercove/internal/fleet"
+	"silvercove/internal/instancestore"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// Bounds of one process.
+const (
+	maxQueuedProposals = 1024 // operations on their way to the controllers; of each instance there is one at most
+	maxQueuedMessages  = 256  // messages that wait for one other node; what is beyond is lost
+	senders            = 4    // messages under way to one other node at a time
+	proposers          = 16   // operations under way to the controllers at a time
+
+	powerReadInterval = time.Second
+)
+
+// Options are what a Node is made of. All are required.
+type Options struct {
+	File    *fleet.File
+	Network *peertransport.Network // the caller runs it, and has to outlast Run with it
+	Log     zerolog.Logger
+	Seed    uint64 // of the controllers' client
+}
+
+// Node is one edge node. It is made by Open and works while Run runs.
+type Node struct {
+	options       Options
+	name          string
+	incarnation   uint64 // greater at each start; microseconds since 1970 where the clock goes forward
+	leaseDuration tick.Tick
+	client        *controllerclient.Client
+	store         *instancestore.Store
+	listener      net.Listener // for requests
+	powerReader   *devicepower.Reader
+	outgoing      map[string]chan replica.Message // by node
+	proposals     chan placement.Operation
+	renewNow      chan struct{} // has an element where the lease is to be asked for at once
+	changed       chan struct{} // has an element where something may have changed that termination waits for
+
+	mu                sync.Mutex       // guards the fields below; nothing is waited for under it
+	replicas          *replica.Manager // nil before the first assignments are known
+	logsAtStart       []replica.Log    // what the disk had, until replicas has it
+	health            *devicehealth.Monitor
+	report            devicehealth.Report // the last one
+	requests          map[*replica.Request]chan replica.Response
+	replies           map[uint64]chan replica.Message // by ReplyTo: other nodes' calls that wait for an answer
+	lastReplyID       uint64
+	inFlight          int                      // requests
+	lineage           controllerclient.Lineage // of the assignments that replicas has
+	storedLineage     controllerclient.Lineage // in the note on the disk
+	unknownNoteFields placement.UnknownFields
+	disk              diskCheck
+	terminating       bool
+}
+
+// Open reads the node's disk and listens for requests. It fails where the disk can't be read, or is of another lineage, and
+// where the address is taken.
+func Open(o Options) (*Node, error) {
+	o.Log = o.Log.With().Str("component", "edgenode").Logger()
+	leaseSeconds, _ := o.File.Settings["fleet.lease"].(float64)
+	n := &Node{
+		options:       o,
+		name:          o.File.Self.Name,
+		leaseDuration: tick.Tick(leaseSeconds * float64(tick.Second)),
+		client:        controllerclient.New(o.Network, o.File.Settings, o.Seed),
+		powerReader:   devicepower.Open(o.File.PowerDir),
+		outgoing:      map[string]chan replica.Message{},
+		proposals:     make(chan placement.Operation, maxQueuedProposals),
+		renewNow:      make(chan struct{}, 1),
+		changed:       make(chan struct{}, 1),
+		requests:      map[*replica.Request]chan replica.Response{},
+		replies:       map[uint64]chan replica.Message{},
+	}
+	for _, peer := range o.Network.Peers(peertransport.RoleEdge) {
+		n.outgoing[peer.Name] = make(chan replica.Message, maxQueuedMessages)
+	}
+	warn := func(text string) { o.Log.Warn().Str("why", text).Msg("instance store warning") }
+	var text []byte
+	var err error
+	n.store, n.logsAtStart, text, err = instancestore.Open(o.File.DataDir, warn)
+	if err != nil {
+		return nil, err
+	}
+	if err := n.openStored(text); err != nil {
+		n.closeStore()
+		return nil, err
+	}
+	n.health = devicehealth.NewMonitor(controllerclient.Now(), o.File.Settings)
+	return n, nil
+}
+
+// openStored takes over what the disk has, and listens.
+func (n *Node) openStored(noteText []byte) error {
+	stored, err := readNote(noteText)
+	if err != nil {
+		return fmt.Errorf("%s: its note: %w", n.options.File.DataDir, err)
+	}
+	if err := n.client.CheckLineage(stored.Lineage); err != nil {
+		return err
+	}
+	n.disk.recordCountAtStart = n.store.RecordCount()
+	n.storedLineage = stored.Lineage
+	n.unknownNoteFields = stored.unknown
+	n.incarnation = max(stored.Incarnation+1, uint64(time.Now().UnixMicro()))
+	n.listener, err = net.Listen("tcp", n.options.File.Self.RequestAddress)
+	return err
+}
+
+// closeStore closes a store that was never run.
+func (n *Node) closeStore() {
+	stop := make(chan struct{})
+	close(stop)
+	n.store.Run(stop)
+}
+
+// Addr is where the node listens for requests.
+func (n *Node) Addr() net.Addr { return n.listener.Addr() }
+
+// Run works until terminate ends, then has its instances handed on and returns within maxTerminationLeases leases; or until
+// now ends, then it returns at once. It returns nil after either.
+func (n *Node) Run(terminate, now context.Context) error {
+	ctx, cancel := context.WithCancel(now)
+	defer cancel()
+	stop, stored := make(chan struct{}), make(chan struct{})
+	go func() {
+		n.store.Run(stop)
+		close(stored)
+	}()
+	defer func() {
+		close(stop)
+		<-stored
+	}()
+	defer n.client.Close()
+	if err := n.writeNote(ctx, n.storedLineage); err != nil {
+		_ = n.listener.Close() // nothing was accepted
+		if errors.Is(err, syscall.ENOSPC) {
+			return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
+		}
+		return err
+	}
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return n.serveRequests(ctx) })
+	group.Go(func() error { return n.servePeers(ctx) })
+	group.Go(func() error { n.powerReader.Run(ctx, powerReadInterval); return nil })
+	peerClient := n.options.Network.Client()
+	defer peerClient.CloseIdleConnections()
+	for to, queue := range n.outgoing {
+		for range senders {
+			group.Go(func() error { n.sendMessages(ctx, peerClient, to, queue); return nil })
+		}
+	}
+	for range proposers {
+		group.Go(func() error { n.runProposer(ctx); return nil })
+	}
+	group.Go(func() error { return n.followControllers(ctx) })
+	group.Go(func() error {
+		select {
+		case <-ctx.Done():
+		case <-terminate.Done():
+			n.terminate(ctx)
+			cancel()
+		}
+		return nil
+	})
+	err := group.Wait()
+	if errors.Is(err, context.Canceled) {
+		return nil
+	}
+	return err
+}
+
+// followControllers learns the assignments, and then keeps the lease and follows the changes until the context ends.
+func (n *Node) followControllers(ctx context.Context) error {
+	if err := n.loadAssignments(ctx); err != nil {
+		return nil // the context ended before a controller answered
+	}
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
+		err := n.client.Watch(ctx, n.onAssignmentChanges)
+		if ctx.Err() != nil {
+			return nil
+		}
+		return err
+	})
+	group.Go(func() error { n.renewLease(ctx); return nil })
+	group.Go(func() error { n.runTimers(ctx); return nil })
+	return group.Wait()
+}
+
+// runTimers tells replicas what time has brought, until the context ends.
+func (n *Node) runTimers(ctx context.Context) {
+	for {
+		n.mu.Lock()
+		now := controllerclient.Now()
+		next := n.replicas.OnTick(now)
+		n.mu.Unlock()
+		n.signalChange()
+		if !sleep(ctx, max(time.Millisecond, (next-now).Duration())) {
+			return
+		}
+	}
+}
+
+// signalChange has terminate look again.
+func (n *Node) signalChange() {
+	select {
+	case n.changed <- struct{}{}:
+	default:
+	}
+}
+
+// sleep waits, and returns false where the context ended first.
+func sleep(ctx context.Context, span time.Duration) bool {
+	timer := time.NewTimer(span)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- /dev/null
+++ b/internal/edgenode/peer_client.go
@@ -0,0 +1,60 @@
+package edgenode
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/replica"
+)
+
+// maxMessage is the most bytes of a message between nodes.
+const maxMessage = 4 << 20
+
+// sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. A message without an
+// answer is lost: the replica.Manager sends again.
+func (n *Node) sendMessages(ctx context.Context, client *http.Client, to string, queue <-chan replica.Message) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case m := <-queue:
+			answer, err := n.sendMessage(ctx, client, to, m)
+			if err != nil {
+				continue
+			}
+			n.mu.Lock()
+			n.replicas.OnMessage(controllerclient.Now(), to, answer)
+			n.mu.Unlock()
+			n.signalChange()
+		}
+	}
+}
+
+// sendMessage sends a message and returns the answer, whatever its status code.
+func (n *Node) sendMessage(ctx context.Context, client *http.Client, to string, m replica.Message) (answer replica.Message, err error) {
+	ctx, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
+	defer cancel()
+	text, err := json.Marshal(m)
+	if err != nil {
+		return answer, err
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/"+m.Kind, bytes.NewReader(text))
+	if err != nil {
+		return answer, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return answer, err
+	}
+	defer func() { _ = response.Body.Close() }() // it was read as far as it is wanted
+	text, err = io.ReadAll(io.LimitReader(response.Body, maxMessage))
+	if err != nil {
+		return answer, err
+	}
+	err = json.Unmarshal(text, &answer)
+	return answer, err
+}
--- /dev/null
+++ b/internal/edgenode/peer_server.go
@@ -0,0 +1,185 @@
+package edgenode
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+)
+
+// Limits of the HTTP server for other processes.
+const (
+	maxPeerCalls      = 1024 // at a time
+	peerHeaderTimeout = 2 * time.Second
+	peerIdleTimeout   = 30 * time.Second
+	maxPeerHeader     = 8 << 10 // bytes
+)
+
+// callerKey is the key of a request's context under which the name of the calling process stands.
+type callerKey struct{}
+
+// servePeers answers other processes' calls until the context ends, and returns nil then.
+func (n *Node) servePeers(ctx context.Context) error {
+	mux := http.NewServeMux()
+	for _, kind := range []string{replica.MessageCatchUp, replica.MessageAppend, replica.MessageFinalAppend} {
+		mux.HandleFunc("POST /v1/"+kind, func(w http.ResponseWriter, r *http.Request) { n.handleMessage(w, r, kind) })
+	}
+	mux.HandleFunc("GET /v1/holds", n.handleInventory)
+	server := &http.Server{
+		Handler:           limitCalls(mux, maxPeerCalls),
+		ReadHeaderTimeout: peerHeaderTimeout,
+		IdleTimeout:       peerIdleTimeout,
+		MaxHeaderBytes:    maxPeerHeader,
+		BaseContext:       func(net.Listener) context.Context { return ctx },
+		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			if peer, ok := conn.(*peertransport.Conn); ok {
+				ctx = context.WithValue(ctx, callerKey{}, peer.From)
+			}
+			return ctx
+		},
+	}
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // what its connections were doing has ended with the context
+	defer stop()
+	err := server.Serve(n.options.Network.Listener(peertransport.KindHTTP))
+	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
+		return nil
+	}
+	return err
+}
+
+// limitCalls refuses calls beyond so many at a time with 503.
+func limitCalls(next http.Handler, limit int) http.Handler {
+	calls := make(chan struct{}, limit)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case calls <- struct{}{}:
+			defer func() { <-calls }()
+			next.ServeHTTP(w, r)
+		default:
+			http.Error(w, "too many calls", http.StatusServiceUnavailable)
+		}
+	})
+}
+
+// writeJSON answers a call. A caller that went away needs nothing.
+func writeJSON(w http.ResponseWriter, statusCode int, body any) {
+	text, err := json.Marshal(body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(statusCode)
+	_, _ = w.Write(text)
+}
+
+// handleInventory tells what this node has.
+func (n *Node) handleInventory(w http.ResponseWriter, _ *http.Request) {
+	inventory := controllerclient.Inventory{
+		Version:     placement.FormatVersion,
+		Node:        n.name,
+		Incarnation: n.incarnation,
+		Lineage:     n.client.Lineage(),
+		Copies:      []replica.CopyStatus{},
+	}
+	n.mu.Lock()
+	if n.replicas != nil {
+		inventory.Copies = append(inventory.Copies, n.replicas.Copies(controllerclient.Now())...)
+	}
+	for _, log := range n.logsAtStart { // no assignment was told since the start: whether they are counted on is not known
+		inventory.Copies = append(inventory.Copies, replica.CopyStatus{
+			Instance:  log.Instance,
+			Epoch:     log.LastEpoch(),
+			Index:     log.LastIndex(),
+			LastEpoch: log.LastEpoch(),
+			Checksum:  log.Checksum(),
+			Size:      log.Size(),
+		})
+	}
+	n.mu.Unlock()
+	writeJSON(w, http.StatusOK, inventory)
+}
+
+// handleMessage answers a message of another node once all that it brought is on the disk.
+func (n *Node) handleMessage(w http.ResponseWriter, r *http.Request, kind string) {
+	caller, _ := r.Context().Value(callerKey{}).(string)
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+	if err != nil {
+		n.refuseMessage(w, http.StatusRequestEntityTooLarge, err.Error())
+		return
+	}
+	var m replica.Message
+	if err := json.Unmarshal(text, &m); err != nil {
+		n.refuseMessage(w, http.StatusBadRequest, err.Error())
+		return
+	}
+	if m.Kind != kind {
+		n.refuseMessage(w, http.StatusBadRequest, fmt.Sprintf("a message %q at %s", m.Kind, kind))
+		return
+	}
+	id, reply := n.receiveMessage(caller, m)
+	if reply == nil {
+		n.refuseMessage(w, http.StatusServiceUnavailable, "the keepers' places are not known yet")
+		return
+	}
+	timer := time.NewTimer(n.leaseDuration.Duration())
+	defer timer.Stop()
+	select {
+	case answer := <-reply:
+		writeJSON(w, messageStatusCode(answer), answer)
+		return
+	case <-timer.C:
+	case <-r.Context().Done():
+	}
+	n.mu.Lock()
+	delete(n.replies, id)
+	n.mu.Unlock()
+	n.refuseMessage(w, http.StatusServiceUnavailable, "the disk is slow")
+}
+
+// receiveMessage hands a message to the replica.Manager. reply is where its answer comes, nil before the first assignments are
+// known.
+func (n *Node) receiveMessage(caller string, m replica.Message) (id uint64, reply <-chan replica.Message) {
+	done := make(chan replica.Message, 1)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replicas == nil {
+		return 0, nil
+	}
+	n.lastReplyID++
+	m.ReplyTo = n.lastReplyID
+	n.replies[m.ReplyTo] = done
+	n.replicas.OnMessage(controllerclient.Now(), caller, m)
+	return m.ReplyTo, done
+}
+
+// messageStatusCode is the status code of HTTP with which an answer goes.
+func messageStatusCode(answer replica.Message) int {
+	switch answer.Kind {
+	case replica.MessageStaleEpoch:
+		return http.StatusConflict
+	case replica.MessageRejected:
+		return http.StatusUnprocessableEntity
+	}
+	return http.StatusOK
+}
+
+// refuseMessage answers a message that did not come to the replica.Manager, or waited too long.
+func (n *Node) refuseMessage(w http.ResponseWriter, statusCode int, reason string) {
+	writeJSON(w, statusCode, replica.Message{
+		Version:           placement.FormatVersion,
+		Kind:              replica.MessageRejected,
+		Instance:          "?",
+		SenderIncarnation: n.incarnation,
+		Reason:            reason,
+	})
+}
--- /dev/null
+++ b/internal/edgenode/query.go
@@ -0,0 +1,117 @@
+package edgenode
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/pgwire"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// maxRequestWait is how long one request may take, whatever it asks for.
+const maxRequestWait = time.Minute
+
+// outcomeCounters are the names of the counters of requests, by outcome.
+var outcomeCounters = [...]string{
+	replica.Rejected:      `cove_edge_commands_total{end="never ran"}`,
+	replica.Succeeded:     `cove_edge_commands_total{end="acked"}`,
+	replica.Indeterminate: `cove_edge_commands_total{end="unknown"}`,
+	replica.TooLarge:      `cove_edge_commands_total{end="too large"}`,
+}
+
+// answerQuery executes a query and returns the answer's messages.
+func (n *Node) answerQuery(ctx context.Context, text string) []byte {
+	switch command, _, _ := strings.Cut(text, " "); {
+	case strings.TrimSpace(text) == "":
+		return pgwire.EmptyQueryResponse()
+	case command == "SET" || command == "RESET" || command == "DISCARD":
+		return pgwire.CommandComplete(command)
+	case text == "SELECT 1":
+		if reason := n.unreadyReason(); reason != "" {
+			return queryError(pgwire.StateCannotConnectNow, reason)
+		}
+		return pgwire.DataRow([]byte("1"), "SELECT 1")
+	case text == "SHOW server_load":
+		n.mu.Lock()
+		load := fmt.Sprintf("inflight=%d", n.inFlight)
+		n.mu.Unlock()
+		return pgwire.DataRow([]byte(load), "SHOW")
+	}
+	query, fault := pgwire.ParseQuery([]byte(text))
+	if fault != nil {
+		return queryError(fault.SQLState, fault.Text)
+	}
+	response := n.execute(ctx, query)
+	metrics.GetOrCreateCounter(outcomeCounters[response.Outcome]).Inc()
+	switch response.Outcome {
+	case replica.Succeeded:
+		tag := "SELECT 1"
+		if query.Write {
+			tag = "INSERT 0 1"
+		}
+		return pgwire.DataRow(fmt.Appendf(nil, "%d %d %s", response.Index, response.Epoch, response.Node), tag)
+	case replica.Rejected:
+		return queryError(pgwire.StateTooManyConnections, response.Detail)
+	case replica.TooLarge:
+		return queryError(pgwire.StateLimitExceeded, response.Detail)
+	}
+	return queryError(pgwire.StateInternalError, response.Detail)
+}
+
+// unreadyReason is why a health check is refused, "" where it is not.
+func (n *Node) unreadyReason() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	switch {
+	case n.replicas == nil || !n.replicas.HoldsLease(controllerclient.Now()):
+		return "no lease"
+	case n.terminating || n.report.State == devicehealth.StateLeaving:
+		return "it leaves"
+	}
+	return ""
+}
+
+// execute has a request executed by the replica.Manager, and waits for its response or the context's end.
+func (n *Node) execute(ctx context.Context, query *pgwire.Query) replica.Response {
+	timeout := min(time.Duration(query.WaitMs)*time.Millisecond, maxRequestWait)
+	request := &replica.Request{ID: query.ID, Instance: query.Key, Write: query.Write, Body: query.Value()}
+	done := make(chan replica.Response, 1)
+	n.mu.Lock()
+	if n.replicas == nil {
+		n.mu.Unlock()
+		return replica.Response{Outcome: replica.Rejected, Detail: "the keepers' places are not known yet: never ran"}
+	}
+	n.inFlight++
+	n.requests[request] = done
+	now := controllerclient.Now()
+	request.Deadline = now + tick.FromDuration(timeout)
+	n.replicas.OnRequest(now, request)
+	n.mu.Unlock()
+	var response replica.Response
+	select {
+	case response = <-done:
+	case <-ctx.Done():
+		response = replica.Response{Outcome: replica.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
+	}
+	n.mu.Lock()
+	delete(n.requests, request)
+	n.inFlight--
+	switch response.Outcome {
+	case replica.Succeeded:
+		n.health.RecordOutcome(now, true)
+	case replica.Indeterminate:
+		if !response.LeaseLost { // that the controllers were away, or that another node is primary now, says nothing of this node's health
+			n.health.RecordOutcome(now, false)
+		}
+	}
+	n.mu.Unlock()
+	n.signalChange()
+	return response
+}
--- /dev/null
+++ b/internal/edgenode/replica_host.go
@@ -0,0 +1,121 @@
+package edgenode
+
+import (
+	"github.com/rs/zerolog"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+)
+
+// replicaHost is what the replica.Manager acts through. Its methods are called with Node.mu, and wait for nothing.
+type replicaHost struct{ node *Node }
+
+// Send queues a message to another node, or brings an answer to the call that waits for it. A message to nobody of that name,
+// or beyond the queue, is lost.
+func (h replicaHost) Send(to string, m replica.Message) {
+	if m.ReplyTo != 0 {
+		if reply := h.node.replies[m.ReplyTo]; reply != nil {
+			delete(h.node.replies, m.ReplyTo)
+			reply <- m
+		}
+		return
+	}
+	select {
+	case h.node.outgoing[to] <- m:
+	default:
+	}
+}
+
+// Propose queues an operation for the controllers. One beyond the queue is lost.
+func (h replicaHost) Propose(op placement.Operation) {
+	select {
+	case h.node.proposals <- op:
+	default:
+	}
+}
+
+// Respond ends a request.
+func (h replicaHost) Respond(r *replica.Request, response replica.Response) {
+	if done := h.node.requests[r]; done != nil {
+		delete(h.node.requests, r)
+		done <- response
+	}
+}
+
+// AppendEntry has the store append an entry.
+func (h replicaHost) AppendEntry(instance string, e replica.LogEntry) {
+	h.node.store.Append(instance, e, h.onStored(instance, e.Index))
+}
+
+// TruncateLog has the store leave the entries up to an index.
+func (h replicaHost) TruncateLog(instance string, index uint64) {
+	h.node.store.Truncate(instance, index, h.onStored(instance, index))
+}
+
+// ResetLog has the store replace a log by one without entries.
+func (h replicaHost) ResetLog(instance string, base, checksum uint64) {
+	h.node.store.Reset(instance, base, checksum, h.onStored(instance, base))
+}
+
+// DeleteLog has the store delete a log.
+func (h replicaHost) DeleteLog(instance string) {
+	h.node.store.Delete(instance, h.onStored(instance, 0))
+}
+
+// onStored tells the replica.Manager that the store has done what it was asked for, or why not.
+func (h replicaHost) onStored(instance string, index uint64) func(error) {
+	return func(err error) {
+		h.node.mu.Lock()
+		defer h.node.mu.Unlock()
+		if err != nil {
+			h.node.replicas.OnDiskError(controllerclient.Now(), instance, err)
+			return
+		}
+		h.node.replicas.OnDurable(controllerclient.Now(), instance, index)
+	}
+}
+
+// eventMessages are the log messages of the replica.Manager's events, by kind.
+var eventMessages = map[string]string{
+	replica.EventLease:      "lease gained or lost",
+	replica.EventDisk:       "disk write failed or disk restored",
+	replica.EventIncomplete: "copy is incomplete",
+	replica.EventUnverified: "copy is unverified",
+	replica.EventServing:    "instance serving begun",
+	replica.EventStopped:    "instance serving ended",
+	replica.EventCaughtUp:   "copy has caught up",
+	replica.EventDropped:    "replica dropped",
+	replica.EventRefused:    "proposal refused",
+}
+
+// Notify logs an event, and has the controllers told of an unverified copy at once.
+func (h replicaHost) Notify(e replica.Event) {
+	if e.Kind == replica.EventUnverified {
+		h.node.renewSoon()
+	}
+	level := zerolog.InfoLevel
+	if e.Kind == replica.EventRefused {
+		level = zerolog.DebugLevel
+	}
+	line := h.node.options.Log.WithLevel(level).Str("event", e.Kind)
+	if e.Instance != "" {
+		line = line.Str("instance", e.Instance)
+	}
+	if e.Epoch > 0 {
+		line = line.Uint64("epoch", e.Epoch)
+	}
+	if e.From != "" {
+		line = line.Str("from", e.From)
+	}
+	if e.To != "" {
+		line = line.Str("to", e.To)
+	}
+	if e.Reason != "" {
+		line = line.Str("why", e.Reason)
+	}
+	if e.Kind == replica.EventStopped {
+		line = line.Int64("late_ms", e.SinceLeaseEnd.Duration().Milliseconds())
+	}
+	line.Msg(eventMessages[e.Kind])
+}
--- a/internal/peertransport/peers.go
+++ b/internal/peertransport/peers.go
@@ -23,7 +23,7 @@
 type Peer struct {
 	Name, Role, Zone string
 	Address          string // HOST:PORT for all kinds
-	Commands         string // HOST:PORT for commands, of edge units
+	RequestAddress   string // HOST:PORT for commands, of edge units
 }
 
 // The roles of processes, as the operator's file has them.
@@ -47,18 +47,18 @@
 const Version = 1
 
 const (
-	mostHello = 512             // bytes of a hello
-	helloTime = 2 * time.Second // for a hello to come whole
-	mostNew   = 256             // connections whose hello has not come
+	maxHello         = 512             // bytes of a hello
+	helloTimeout     = 2 * time.Second // for a hello to come whole
+	maxPendingHellos = 256             // connections whose hello has not come
 )
 
 // hello goes first on each connection, as one line of JSON, and is answered by one: empty where it is taken.
 type hello struct {
-	V     int    `json:"v"`
-	Kind  Kind   `json:"kind"`
-	Fleet string `json:"fleet"`
-	From  string `json:"from"`
-	To    string `json:"to"`
+	Version int    `json:"v"`
+	Kind    Kind   `json:"kind"`
+	Fleet   string `json:"fleet"`
+	From    string `json:"from"`
+	To      string `json:"to"`
 }
 
 // ErrRefused is wrapped by what Dial returns where the other side does not take the connection, with its reason.
@@ -66,14 +66,14 @@
 
 // Network is one process's connections to others.
 type Network struct {
-	self  Peer
-	reach string // where its own name is, if not here
-	fleet string
-	log   func(string)
-	peers []Peer
-	main  net.Listener
-	in    map[Kind]*Listener
-	young chan struct{} // one for each connection whose hello has not come
+	self     Peer
+	reach    string // where its own name is, if not here
+	fleet    string
+	log      func(string)
+	peers    []Peer
+	listener net.Listener
+	in       map[Kind]*Listener
+	young    chan struct{} // one for each connection whose hello has not come
 }
 
 // Open listens at the process's own address. peers are the others; each name and address has to be told apart.
@@ -89,8 +89,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Network{self: self, fleet: fleet, log: log, peers: slices.Clone(peers), main: l, in: map[Kind]*Listener{},
-		young: make(chan struct{}, mostNew)}
+	n := &Network{self: self, fleet: fleet, log: log, peers: slices.Clone(peers), listener: l, in: map[Kind]*Listener{},
+		young: make(chan struct{}, maxPendingHellos)}
 	for _, k := range []Kind{KindLog, KindMembership, KindHTTP} {
 		n.in[k] = &Listener{addr: l.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 	}
@@ -100,7 +100,7 @@
 // Self is this process; Address is where it listens.
 func (n *Network) Self() Peer {
 	self := n.self
-	self.Address = n.main.Addr().String()
+	self.Address = n.listener.Addr().String()
 	return self
 }
 
@@ -137,7 +137,7 @@
 // Run takes connections in until the context ends, then closes all listeners and waits for its goroutines.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.main.Close()
+		_ = n.listener.Close()
 		for _, l := range n.in {
 			_ = l.Close()
 		}
@@ -146,7 +146,7 @@
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
 	for {
-		conn, err := n.main.Accept()
+		conn, err := n.listener.Accept()
 		switch {
 		case err != nil && ctx.Err() != nil:
 			return nil
@@ -156,7 +156,7 @@
 			n.log("peers: " + err.Error())
 			select {
 			case <-ctx.Done():
-			case <-time.After(helloTime / 20):
+			case <-time.After(helloTimeout / 20):
 			}
 			continue
 		}
@@ -176,9 +176,9 @@
 
 // take reads a hello and hands the connection on, or says why not.
 func (n *Network) take(ctx context.Context, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTime))
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	var h hello
-	text, err := line(conn)
+	text, err := readLine(conn)
 	if err == nil {
 		err = json.Unmarshal(text, &h)
 	}
@@ -189,8 +189,8 @@
 	case err != nil:
 		_ = conn.Close()
 		return
-	case h.V != Version:
-		why = fmt.Sprintf("version %d is not spoken here, %d is", h.V, Version)
+	case h.Version != Version:
+		why = fmt.Sprintf("version %d is not spoken here, %d is", h.Version, Version)
 	case h.Fleet != n.fleet:
 		why = fmt.Sprintf("this is fleet %s, not %s", n.fleet, h.Fleet)
 	case h.To != n.self.Name:
@@ -219,10 +219,10 @@
 	l.put(ctx, taken)
 }
 
-// line reads up to a newline, byte by byte, so that nothing behind it is taken.
-func line(conn net.Conn) (text []byte, err error) {
+// readLine reads up to a newline, byte by byte, so that nothing behind it is taken.
+func readLine(conn net.Conn) (text []byte, err error) {
 	var b [1]byte
-	for len(text) < mostHello {
+	for len(text) < maxHello {
 		if _, err = conn.Read(b[:]); err != nil {
 			return nil, err
 		}
@@ -256,7 +256,7 @@
 	if !ok {
 		return nil, fmt.Errorf("no process named %s", name)
 	}
-	ctx, cancel := context.WithTimeout(ctx, helloTime)
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	if name == n.self.Name && n.reach != "" {
 		p.Address = n.reach
@@ -272,7 +272,7 @@
 	var why string
 	if _, err = conn.Write(append(h, '\n')); err == nil {
 		var text []byte
-		if text, err = line(conn); err == nil {
+		if text, err = readLine(conn); err == nil {
 			err = json.Unmarshal(text, &why)
 		}
 	}
@@ -332,7 +332,7 @@
 }
 
 func (l *Listener) put(ctx context.Context, conn net.Conn) {
-	timer := time.NewTimer(helloTime)
+	timer := time.NewTimer(helloTimeout)
 	defer timer.Stop()
 	select {
 	case l.conns <- conn:
--- /dev/null
+++ b/internal/routing/outcome_reports.go
@@ -0,0 +1,55 @@
+package routing
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"silvercove/internal/controllerclient"
+)
+
+// reportInterval is the time between two reports of outcomes to the controllers, and the timeout of one.
+const reportInterval = time.Second
+
+// OutcomeReporter takes reports of outcomes. A *controllerclient.Client does.
+type OutcomeReporter interface {
+	ReportOutcomes(ctx context.Context, report controllerclient.OutcomeReport) error
+}
+
+// Report reports to the controllers how requests at edge nodes ended, until the context ends, and returns nil then. What a call
+// that failed would have told is dropped: outcomes speak for the moment.
+func (a *OverloadAgent) Report(ctx context.Context, to OutcomeReporter) error {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+		report := a.takeOutcomes()
+		if len(report.Nodes) == 0 && report.RolloutState == "" {
+			continue
+		}
+		callContext, cancel := context.WithTimeout(ctx, reportInterval)
+		err := to.ReportOutcomes(callContext, report)
+		cancel()
+		if err != nil && ctx.Err() == nil {
+			a.log.Debug().Err(err).Msg("outcomes not reported")
+		}
+	}
+}
+
+// takeOutcomes returns the outcomes since the last call, by node, and the newest version's state.
+func (a *OverloadAgent) takeOutcomes() controllerclient.OutcomeReport {
+	a.mu.Lock()
+	outcomes, stage := a.outcomes, a.stage
+	a.outcomes = make(map[string]*controllerclient.NodeOutcomes, len(outcomes))
+	a.mu.Unlock()
+	nodes := make([]controllerclient.NodeOutcomes, 0, len(outcomes))
+	for _, name := range slices.Sorted(maps.Keys(outcomes)) {
+		nodes = append(nodes, *outcomes[name])
+	}
+	return controllerclient.OutcomeReport{Nodes: nodes, SoftwareVersion: stage.Version, RolloutState: stage.Phase}
+}
--- /dev/null
+++ b/internal/routing/pressure_meter.go
@@ -0,0 +1,52 @@
+package routing
+
+import (
+	runtimemetrics "runtime/metrics"
+	"syscall"
+	"time"
+
+	"silvercove/internal/overload"
+	"silvercove/internal/tick"
+)
+
+// minCores and minMemory bound what a relay is said to have, so that nothing is divided by zero.
+const (
+	minCores  = 0.01
+	minMemory = 1 // bytes
+)
+
+// pressureMeter measures a relay's own load between two calls. It is not safe for concurrent use.
+type pressureMeter struct {
+	cores  float64
+	memory float64 // bytes
+	usage  syscall.Rusage
+	at     time.Time // of usage
+}
+
+// newPressureMeter makes the meter of a relay that has so many cores and bytes of memory. Where the system does not tell the
+// CPU time it counts as unused.
+func newPressureMeter(cores float64, memory int64) pressureMeter {
+	m := pressureMeter{cores: max(minCores, cores), memory: max(minMemory, float64(memory)), at: time.Now()}
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &m.usage)
+	return m
+}
+
+// measure returns the load since the last call. backendUtilization is the dispatcher's; delay is how much later than wanted
+// the caller was scheduled.
+func (m *pressureMeter) measure(backendUtilization float64, delay time.Duration) overload.Pressure {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	now := time.Now()
+	spent := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
+	cpu := float64(spent) / (float64(now.Sub(m.at)) * m.cores)
+	m.usage, m.at = usage, now
+	samples := []runtimemetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	runtimemetrics.Read(samples)
+	used := samples[0].Value.Uint64() - samples[1].Value.Uint64()
+	return overload.Pressure{
+		SchedulingDelay:    tick.FromDuration(delay),
+		CPU:                cpu,
+		BackendUtilization: backendUtilization,
+		Memory:             float64(used) / m.memory,
+	}
+}
--- /dev/null
+++ b/internal/routing/router.go
@@ -0,0 +1,116 @@
+package routing
+
+import (
+	"context"
+	"errors"
+	"sync"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/internal/controllerclient"
+	"silvercove/internal/dispatch"
+	"silvercove/internal/peertransport"
+	"silvercove/internal/placement"
+)
+
+var routesChanged = metrics.NewCounter("cove_relay_routes_changed_total")
+
+// Controllers tell assignments and nodes until their context ends. A *controllerclient.Client does.
+type Controllers interface {
+	Watch(ctx context.Context, notify func(controllerclient.AssignmentChanges)) error
+	WatchNodes(ctx context.Context, notify func(controllerclient.NodeList)) error
+}
+
+// Router follows the controllers for one relay.
+type Router struct {
+	controllers Controllers
+	network     *peertransport.Network
+	log         zerolog.Logger
+
+	mu    sync.Mutex
+	alive map[string]bool // by node that was told: whether its lease ran; guarded by mu
+}
+
+// New makes a router. A node's address for requests is what this process's own file says, and else what the node told.
+func New(controllers Controllers, network *peertransport.Network, log zerolog.Logger) *Router {
+	log = log.With().Str("component", "routing").Str("node", network.Self().Name).Logger()
+	return &Router{controllers: controllers, network: network, log: log, alive: map[string]bool{}}
+}
+
+// Run follows until the context ends, and returns nil then.
+func (r *Router) Run(ctx context.Context, dispatcher *dispatch.Dispatcher) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
+		return r.controllers.WatchNodes(ctx, func(list controllerclient.NodeList) {
+			dispatcher.UpdateEndpoints(true, r.endpoints(list.Nodes))
+		})
+	})
+	group.Go(func() error {
+		return r.controllers.Watch(ctx, func(changes controllerclient.AssignmentChanges) {
+			r.updatePlacements(dispatcher, changes)
+		})
+	})
+	if err := group.Wait(); !errors.Is(err, context.Canceled) {
+		return err
+	}
+	return nil
+}
+
+// updatePlacements hands changes of assignments to the dispatcher, and logs the routes that changed.
+func (r *Router) updatePlacements(dispatcher *dispatch.Dispatcher, changes controllerclient.AssignmentChanges) {
+	placements := make([]dispatch.Placement, 0, len(changes.Assignments))
+	for _, a := range changes.Assignments {
+		p := dispatch.Placement{Instance: a.Instance, Backend: a.Primary, Epoch: a.Epoch, Revision: a.Revision}
+		if a.State != placement.Running {
+			p.Backend = ""
+		}
+		placements = append(placements, p)
+	}
+	for _, p := range dispatcher.UpdatePlacements(changes.Complete, placements, changes.Deleted) {
+		routesChanged.Inc()
+		r.log.Info().Str("event", "routes").Str("instance", p.Instance).Uint64("epoch", p.Epoch).Str("to", p.Backend).
+			Msg("route changed")
+	}
+}
+
+// endpoints are the nodes whose leases run, as the dispatcher takes them. One that is draining or leaving is listed as up: its
+// instances are served there until they have been moved, and the controllers place no new ones there.
+func (r *Router) endpoints(nodes []controllerclient.Node) (endpoints []dispatch.Endpoint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, node := range nodes {
+		r.noteLease(node)
+		address := node.RequestAddress
+		if peer, ok := r.network.Peer(node.Name); ok && peer.RequestAddress != "" {
+			address = peer.RequestAddress
+		}
+		endpoint := dispatch.Endpoint{
+			Name:        node.Name,
+			Address:     address,
+			Zone:        node.Zone,
+			State:       "up",
+			Weight:      node.AcceptFraction,
+			StartedAtMs: node.StartedAtMS,
+			Version:     node.SoftwareVersion,
+		}
+		if node.HasLease && endpoint.Valid() {
+			endpoints = append(endpoints, endpoint)
+		}
+	}
+	return endpoints
+}
+
+// noteLease logs where a node's lease was granted or has ended. It is called with mu.
+func (r *Router) noteLease(node controllerclient.Node) {
+	if before, known := r.alive[node.Name]; known && before == node.HasLease {
+		return
+	}
+	r.alive[node.Name] = node.HasLease
+	state := "dead"
+	if node.HasLease {
+		state = "alive"
+	}
+	r.log.Info().Str("event", "member").Str("from", node.Name).Str("why", state+", say the keepers").Msg("node lease changed")
+}
