--- a/cmd/silvercovectl/fleet_keeper.go
+++ b/cmd/silvercovectl/fleet_keeper.go
@@ -13,6 +13,8 @@
 	"text/tabwriter"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"silvercove/internal/controller"
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/fleet"
@@ -64,7 +66,7 @@
 	}
 	at, self := f.Self.Address, f.Self
 	self.Address = "127.0.0.1:0"
-	network, err := peertransport.Open(f.Fleet, self, f.Peers, func(string) {})
+	network, err := peertransport.Open(f.Fleet, self, f.Peers, zerolog.Nop())
 	if err != nil {
 		return err
 	}
--- a/internal/standin/testcluster/crew.go
+++ b/internal/standin/testcluster/crew.go
@@ -23,6 +23,8 @@
 	"syscall"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/peertransport"
 	"silvercove/internal/standin/faultproxy"
@@ -342,7 +344,7 @@
 		}
 	}
 	c.desk, err = peertransport.Open(c.fleet, peertransport.Peer{Name: as.Name, Role: as.Role, Zone: as.Zone, Address: "127.0.0.1:0"}, others,
-		func(string) {})
+		zerolog.Nop())
 	return err
 }
 
