--- /dev/null
+++ b/internal/devicepower/files.go
@@ -0,0 +1,140 @@
+package devicepower
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"syscall"
+)
+
+const (
+	maxFile    = 4096 // bytes: a page, the most that the kernel gives for an attribute
+	maxEntries = 256  // of a folder
+)
+
+// fileSource is where files are read from. Errors name the file without its folder.
+type fileSource interface {
+	// line is a file's first line.
+	line(path string) (string, error)
+
+	// names are the names in a folder, in order.
+	names(dir string) ([]string, error)
+}
+
+// device is the folder of one device.
+type device struct {
+	fileSource
+	path string
+}
+
+// text is a file's first line.
+func (d device) text(file string) (string, error) { return d.line(d.path + "/" + file) }
+
+// number is a file's whole number.
+func (d device) number(file string) (float64, error) {
+	text, err := d.text(file)
+	if err != nil {
+		return 0, err
+	}
+	number, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %q is no whole number", file, text[:min(len(text), 40)])
+	}
+	return float64(number), nil
+}
+
+// fraction is one file's number as a part of another's.
+func (d device) fraction(file, fullFile string) (float64, error) {
+	value, err := d.number(file)
+	if err != nil {
+		return 0, err
+	}
+	full, err := d.number(fullFile)
+	if err == nil && !(full > 0) {
+		err = fmt.Errorf("%s: %.4g", fullFile, full)
+	}
+	return value / full, err
+}
+
+// diskFiles is a folder on a disk.
+type diskFiles string
+
+// line reads a regular file. What is there may also be a pipe, a folder, or endless.
+func (root diskFiles) line(path string) (string, error) {
+	name := filepath.Base(path)
+	f, err := os.OpenFile(filepath.Join(string(root), path), os.O_RDONLY|syscall.O_NONBLOCK, 0)
+	if err != nil {
+		return "", withoutPath(name, err)
+	}
+	defer func() { _ = f.Close() }() // it was read alone
+	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
+		return "", fmt.Errorf("%s: no regular file", name)
+	}
+	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	if err != nil {
+		return "", withoutPath(name, err)
+	}
+	return firstLine(name, string(text))
+}
+
+func (root diskFiles) names(dir string) ([]string, error) {
+	f, err := os.OpenFile(filepath.Join(string(root), dir), os.O_RDONLY|syscall.O_NONBLOCK|syscall.O_DIRECTORY, 0)
+	if err != nil {
+		return nil, withoutPath(dir, err)
+	}
+	defer func() { _ = f.Close() }() // it was read alone
+	names, err := f.Readdirnames(maxEntries)
+	if err != nil && !errors.Is(err, io.EOF) {
+		return nil, withoutPath(dir, err)
+	}
+	slices.Sort(names)
+	return names, nil
+}
+
+// memoryFiles are files in memory, by their paths.
+type memoryFiles map[string]string
+
+func (m memoryFiles) line(path string) (string, error) {
+	text, ok := m[path]
+	if !ok {
+		return "", withoutPath(filepath.Base(path), syscall.ENOENT)
+	}
+	return firstLine(filepath.Base(path), text)
+}
+
+func (m memoryFiles) names(dir string) (names []string, err error) {
+	for path := range m {
+		if rest, ok := strings.CutPrefix(path, dir+"/"); ok {
+			names = append(names, strings.Split(rest, "/")[0])
+		}
+	}
+	if len(names) == 0 {
+		return nil, withoutPath(dir, syscall.ENOENT)
+	}
+	slices.Sort(names)
+	return slices.Compact(names), nil
+}
+
+// firstLine is the first line of a file's text, which is bounded.
+func firstLine(name, text string) (string, error) {
+	if len(text) > maxFile {
+		return "", fmt.Errorf("%s: more than %d bytes", name, maxFile)
+	}
+	line, _, _ := strings.Cut(strings.TrimSpace(text), "\n")
+	return line, nil
+}
+
+// withoutPath leaves the path out of an error, which is long and the same for all.
+func withoutPath(name string, err error) error {
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		err = pathError.Err
+	}
+	return fmt.Errorf("%s: %w", name, err)
+}
--- /dev/null
+++ b/internal/devicepower/power_supply.go
@@ -0,0 +1,152 @@
+package devicepower
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"math"
+
+	"silvercove/internal/devicehealth"
+)
+
+const (
+	micro          = 1e-6
+	secondsPerHour = 3600
+
+	// maxAgedCharge: a gauge whose full value has aged shows a charge of up to so much, which counts as full.
+	maxAgedCharge = 1.1
+)
+
+// readPowerSupplies reads the folder power_supply.
+func readPowerSupplies(files fileSource) (readings []devicehealth.Reading) {
+	supplies, err := files.names("power_supply")
+	if err != nil {
+		readings = append(readings, devicehealth.Reading{Name: "power_supply", Kind: devicehealth.KindMains, Reason: err.Error()})
+	}
+	for _, name := range supplies {
+		readings = append(readings, readPowerSupply(device{files, "power_supply/" + name}, name)...)
+	}
+	return readings
+}
+
+// readPowerSupply reads one supply: a battery of this machine, or a source such as mains.
+func readPowerSupply(d device, name string) []devicehealth.Reading {
+	kind, err := d.text("type")
+	if err != nil {
+		return []devicehealth.Reading{newReading(name, devicehealth.KindCharge, 0, err)}
+	}
+	if scope, err := d.text("scope"); err == nil && scope == "Device" {
+		return nil // of a mouse or a keyboard
+	}
+	if kind != "Battery" {
+		online, err := d.number("online")
+		if online > 0 {
+			online = 1 // 2 is a source whose voltage is programmed
+		}
+		return []devicehealth.Reading{newReading(name, devicehealth.KindMains, online, err)}
+	}
+	if present, err := d.number("present"); err == nil && present == 0 {
+		return nil
+	}
+	return readBattery(d, name)
+}
+
+// readBattery reads a battery. What can't be computed as its files were never there is left out; what could be once is told as
+// gone by the Reader.
+func readBattery(d device, name string) (readings []devicehealth.Reading) {
+	microvolts, voltsErr := d.number("voltage_now")
+	if voltsErr == nil && !(microvolts > 0) {
+		voltsErr = fmt.Errorf("voltage_now: %.4g", microvolts)
+	}
+	charge, err := batteryCharge(d)
+	readings = append(readings, newReading(name, devicehealth.KindCharge, charge, err))
+	if joules, err := batteryFullCharge(d, microvolts, voltsErr); !errors.Is(err, fs.ErrNotExist) {
+		readings = append(readings, newReading(name, devicehealth.KindFullCharge, joules, err))
+	}
+	status, statusErr := d.text("status")
+	if watts, err := batteryDraw(d, microvolts, voltsErr, status, statusErr); !errors.Is(err, fs.ErrNotExist) {
+		readings = append(readings, newReading(name, devicehealth.KindDraw, watts, err))
+	}
+	if statusErr == nil && status != "Unknown" {
+		charging := 0.0
+		if status == "Charging" {
+			charging = 1
+		}
+		readings = append(readings, newReading(name, devicehealth.KindCharging, charging, nil))
+	}
+	if degrees, err := d.number("temp"); !errors.Is(err, fs.ErrNotExist) {
+		readings = append(readings, cellTemperature(d, name, degrees, err))
+	}
+	return readings
+}
+
+// batteryCharge is the charge as a part of the full one.
+func batteryCharge(d device) (fraction float64, err error) {
+	fraction, err = d.fraction("energy_now", "energy_full")
+	if errors.Is(err, fs.ErrNotExist) {
+		fraction, err = d.fraction("charge_now", "charge_full")
+	}
+	if errors.Is(err, fs.ErrNotExist) {
+		fraction, err = d.number("capacity") // percent
+		fraction /= 100
+	}
+	if fraction > 1 && fraction < maxAgedCharge {
+		fraction = 1
+	}
+	return fraction, err
+}
+
+// batteryFullCharge is the full charge in joules, of energy_full (micro-watt-hours), or of charge_full (micro-ampere-hours) and
+// the voltage.
+func batteryFullCharge(d device, microvolts float64, voltsErr error) (joules float64, err error) {
+	energy, err := d.number("energy_full")
+	if !errors.Is(err, fs.ErrNotExist) {
+		return energy * (secondsPerHour * micro), err
+	}
+	charge, err := d.number("charge_full")
+	if err != nil {
+		return 0, err
+	}
+	return charge * (secondsPerHour * micro) * microvolts * micro, voltsErr
+}
+
+// batteryDraw is how many watts are drawn from the battery, negative while it is charged, of power_now (micro-watts), or of
+// current_now (micro-amperes) and the voltage.
+func batteryDraw(d device, microvolts float64, voltsErr error, status string, statusErr error) (watts float64, err error) {
+	signed, err := d.number("power_now")
+	watts = signed * micro
+	if errors.Is(err, fs.ErrNotExist) {
+		signed, err = d.number("current_now")
+		if err == nil {
+			watts, err = signed*micro*microvolts*micro, voltsErr
+		}
+	}
+	watts = math.Abs(watts)
+	switch {
+	case errors.Is(statusErr, fs.ErrNotExist), status == "Unknown":
+		if signed > 0 { // the sign is all there is: below 0 it is drawn from
+			watts = -watts
+		}
+	case statusErr != nil:
+		err = statusErr
+	case status == "Charging":
+		watts = -watts
+	case status == "Full", status == "Not charging":
+		watts = 0
+	case status != "Discharging":
+		err = fmt.Errorf("status: %q", status)
+	}
+	return watts, err
+}
+
+// cellTemperature is the cells' temperature and the lower of its limits, all in tenths of a degree in their files.
+func cellTemperature(d device, name string, tenths float64, err error) devicehealth.Reading {
+	reading := newReading(name, devicehealth.KindCellTemperature, tenths/10, err)
+	for _, file := range []string{"temp_max", "temp_alert_max"} {
+		limit, err := d.number(file)
+		if err == nil && limit > 0 && (reading.Limit == 0 || limit/10 < reading.Limit) {
+			reading.Limit = limit / 10
+		}
+	}
+	return reading
+}
--- /dev/null
+++ b/internal/devicepower/radio.go
@@ -0,0 +1,25 @@
+package devicepower
+
+import "silvercove/internal/devicehealth"
+
+// radioUnblocked is the state of an rfkill switch that is on; 0 is blocked by software, 2 by hardware.
+const radioUnblocked = 1
+
+// readRadios reads the folder rfkill: whether each radio for data is on. Where there is no folder, no radio is expected.
+func readRadios(files fileSource) (readings []devicehealth.Reading) {
+	names, _ := files.names("rfkill")
+	for _, name := range names {
+		d := device{files, "rfkill/" + name}
+		kind, err := d.text("type")
+		if err != nil || kind != "wlan" && kind != "wwan" {
+			continue
+		}
+		state, err := d.number("state")
+		on := 0.0
+		if state == radioUnblocked {
+			on = 1
+		}
+		readings = append(readings, newReading(name, devicehealth.KindRadio, on, err))
+	}
+	return readings
+}
--- /dev/null
+++ b/internal/devicepower/reader.go
@@ -0,0 +1,108 @@
+package devicepower
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/tick"
+)
+
+// maxReadings is how many readings a Reader keeps with those that are gone.
+const maxReadings = 4 * maxEntries
+
+// Reader keeps the newest readings of one folder. It is safe for concurrent use.
+type Reader struct {
+	root string
+
+	mu     sync.Mutex
+	latest []timedReading // guarded by mu
+}
+
+// timedReading is a reading and when it was made.
+type timedReading struct {
+	devicehealth.Reading
+	at    time.Time
+	wasOK bool // it was OK once: it is missed when it is gone
+}
+
+// Open makes a reader of a folder that has power_supply and thermal. With root "" it reads that the node is on mains, as an
+// operator's file that names no folder says.
+func Open(root string) *Reader { return &Reader{root: root} }
+
+// Run reads at each interval until the context ends. A driver that hangs blocks this alone: the readings of Latest grow old.
+func (r *Reader) Run(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		r.ReadOnce()
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// Latest are the newest readings with their ages, and those that were there once and are not any more. It waits for no file.
+func (r *Reader) Latest() []devicehealth.Reading {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	readings := make([]devicehealth.Reading, len(r.latest))
+	for i, reading := range r.latest {
+		readings[i] = reading.Reading
+		readings[i].Age = tick.FromDuration(now.Sub(reading.at))
+	}
+	return readings
+}
+
+// ReadOnce reads the folder once and returns the readings without ages, and those that are gone.
+func (r *Reader) ReadOnce() []devicehealth.Reading {
+	found := readFolder(diskFiles(r.root), r.root)
+	now := time.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	next := make([]timedReading, 0, len(found))
+	for _, reading := range found {
+		next = append(next, timedReading{reading, now, reading.OK})
+	}
+	for _, old := range r.latest {
+		i := slices.IndexFunc(found, func(f devicehealth.Reading) bool { return f.Name == old.Name && f.Kind == old.Kind })
+		switch {
+		case i >= 0:
+			next[i].wasOK = next[i].wasOK || old.wasOK
+		case old.wasOK && len(next) < maxReadings:
+			gone := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Reason: "its file is gone"}
+			found = append(found, gone)
+			next = append(next, timedReading{gone, now, true})
+		}
+	}
+	r.latest = next
+	return found
+}
+
+// FromFiles are the readings of files in memory, by their paths from the root.
+func FromFiles(files map[string]string) []devicehealth.Reading {
+	return readFolder(memoryFiles(files), "memory")
+}
+
+// readFolder reads a folder once. With root "" it has no files, and says that the node is on mains.
+func readFolder(files fileSource, root string) (readings []devicehealth.Reading) {
+	if root == "" {
+		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.KindMains, Value: 1, OK: true}}
+	}
+	readings = append(readings, readPowerSupplies(files)...)
+	readings = append(readings, readThermal(files)...)
+	return append(readings, readRadios(files)...)
+}
+
+// newReading is a value that was read, or why it could not be.
+func newReading(name string, kind devicehealth.Kind, value float64, err error) devicehealth.Reading {
+	if err != nil {
+		return devicehealth.Reading{Name: name, Kind: kind, Reason: err.Error()}
+	}
+	return devicehealth.Reading{Name: name, Kind: kind, Value: value, OK: true}
+}
--- /dev/null
+++ b/internal/devicepower/thermal.go
@@ -0,0 +1,90 @@
+package devicepower
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"strings"
+
+	"silvercove/internal/devicehealth"
+)
+
+const (
+	maxTripPoints  = 32   // of a thermal zone
+	milliPerDegree = 1000 // thousandths of a degree
+	maxTripDegrees = 200  // a trip point above it, or not above 0, is not in use
+)
+
+// readThermal reads the folder thermal. Where there is none, none is expected.
+func readThermal(files fileSource) (readings []devicehealth.Reading) {
+	names, err := files.names("thermal")
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		readings = append(readings, devicehealth.Reading{Name: "thermal", Kind: devicehealth.KindTemperature, Reason: err.Error()})
+	}
+	for _, name := range names {
+		d := device{files, "thermal/" + name}
+		switch {
+		case strings.HasPrefix(name, "thermal_zone"):
+			readings = append(readings, readThermalZone(d, name)...)
+		case strings.HasPrefix(name, "cooling_device"):
+			readings = append(readings, readCoolingDevice(d, name)...)
+		}
+	}
+	return readings
+}
+
+// readThermalZone reads a zone's temperature. Its limit is the lowest trip point at which the machine stops itself, or, where no
+// types stand beside, the highest one.
+func readThermalZone(d device, name string) []devicehealth.Reading {
+	if mode, err := d.text("mode"); err == nil && mode == "disabled" {
+		return nil
+	}
+	temperature, err := d.number("temp")
+	label := name
+	if kind, err := d.text("type"); err == nil && kind != "" {
+		label = name + " " + kind
+	}
+	reading := newReading(label, devicehealth.KindTemperature, temperature/milliPerDegree, err)
+	highest := 0.0
+	for i := range maxTripPoints {
+		degrees, err := d.number(fmt.Sprintf("trip_point_%d_temp", i))
+		if errors.Is(err, fs.ErrNotExist) {
+			break
+		}
+		degrees /= milliPerDegree
+		if err != nil || degrees <= 0 || degrees > maxTripDegrees {
+			continue
+		}
+		kind, err := d.text(fmt.Sprintf("trip_point_%d_type", i))
+		switch {
+		case err != nil:
+			highest = max(highest, degrees)
+		case (kind == "critical" || kind == "hot") && (reading.Limit == 0 || degrees < reading.Limit):
+			reading.Limit = degrees
+		}
+	}
+	if reading.Limit == 0 {
+		reading.Limit = highest
+	}
+	return []devicehealth.Reading{reading}
+}
+
+// readCoolingDevice reads by what part a processor is throttled for heat. Fans don't count.
+func readCoolingDevice(d device, name string) []devicehealth.Reading {
+	kind, err := d.text("type")
+	if err != nil || !throttlesProcessor(strings.ToLower(kind)) {
+		return nil
+	}
+	state, err := d.number("cur_state")
+	maxState, maxErr := d.number("max_state")
+	if err = errors.Join(err, maxErr); err == nil && maxState <= 0 {
+		err = fmt.Errorf("max_state: %.4g", maxState)
+	}
+	return []devicehealth.Reading{newReading(name+" "+kind, devicehealth.KindThrottle, max(0, state)/max(1, maxState), err)}
+}
+
+// throttlesProcessor reports whether a cooling device of a kind slows a processor.
+func throttlesProcessor(kind string) bool {
+	return kind == "processor" || strings.Contains(kind, "cpu") || strings.Contains(kind, "devfreq") ||
+		strings.Contains(kind, "powerclamp")
+}
