--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet reads what an operator's file says of the fleet that a process belongs to.
+// Package fleet reads what an operator's file says of the fleet that a process belongs to. It maps the file's directives,
+// which keep their names, to typed fields; the settings of the decision packages go on by name (File.Settings).
 package fleet
 
 import (
@@ -11,76 +12,60 @@
 
 // File is the block fleet of an operator's file.
 type File struct {
-	Fleet    string
-	Self     peertransport.Peer
-	Peers    []peertransport.Peer
-	DataDir  string // folder, "" for none
-	PowerDir string // folder, "" for none
-	LogLevel string // of log lines
+	Fleet string // its name
+	Self  peertransport.Peer
+	Peers []peertransport.Peer // in the file's order
 
-	ClientAddress, SettingsPath string // of a relay: where its clients connect; its JSON file
-	MetricsAddress              string // where they are served, "" for nowhere
-	SoftwareVersion             uint16 // of an edge unit: what it runs
+	DataDir  string // "": none
+	PowerDir string // in the layout of package devicepower, "": none
+	LogLevel string // of the least log lines that are written
 
-	// What decision modules are handed: spans in seconds, shares in parts of 1, named fleet.lease and so on as the
-	// directives are; fleet.moves.unit, .link and .all; fleet.keepers, fleet.relays and fleet.edges count processes,
-	// this one included.
+	ClientAddress   string // of a relay: where its clients connect, HOST:PORT
+	SettingsPath    string // of a relay: its JSON file
+	MetricsAddress  string // where metrics are served, HOST:PORT; "": nowhere
+	SoftwareVersion uint16 // of an edge node: what it runs
+
+	// Settings are what decision packages are handed: spans in seconds, shares as fractions, named "fleet.lease" and so on
+	// as the directives are; "fleet.moves.unit", ".link" and ".all"; "fleet.keepers", "fleet.relays" and "fleet.edges" count
+	// processes, this one included. Each value is a float64.
 	Settings map[string]any
 }
 
-// Read reads a file. It has to have a block fleet.
+// block is the block fleet as operatorconfig has read and checked it.
+type block map[string]any
+
+// Read reads a file. It fails where the file can't be read, contradicts itself, or has no block fleet.
 func Read(path string) (*File, error) {
-	all, err := operatorconfig.Operators.Read(path)
+	directives, err := operatorconfig.Operators.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	b, ok := all["fleet"].(map[string]any)
+	fields, ok := directives["fleet"].(map[string]any)
 	if !ok {
 		return nil, fmt.Errorf("%s: no block fleet", path)
 	}
-	word := func(name string) string { s, _ := b[name].(string); return s }
-	f := &File{Fleet: word("name"), Self: peertransport.Peer{Name: word("node"), Role: word("role"), Zone: word("zone"),
-		Address: word("listen")}, Settings: map[string]any{}}
-	f.LogLevel, _ = all["log_level"].(string)
-	f.ClientAddress, f.MetricsAddress = word("clients"), word("metrics")
-	for name, to := range map[string]*string{"data": &f.DataDir, "power": &f.PowerDir, "settings": &f.SettingsPath} {
-		if *to = word(name); *to != "" && !filepath.IsAbs(*to) {
-			*to = filepath.Join(filepath.Dir(path), *to)
-		}
-	}
-	for name, v := range b {
-		if n, ok := v.(float64); ok {
-			f.Settings["fleet."+name] = n
-		}
-	}
-	n, _ := b["build"].(float64)
-	f.SoftwareVersion = uint16(n)
-	for i, part := range []string{"unit", "link", "all"} {
-		f.Settings["fleet.moves."+part] = b["moves"].([]any)[i]
-	}
-	commands := map[string]string{}
-	list, _ := b["commands"].([]any)
-	for _, v := range list {
-		c := v.([]any)
-		commands[c[0].(string)] = c[1].(string)
-	}
-	f.Self.RequestAddress = commands[f.Self.Name]
-	counts := map[string]float64{f.Self.Role: 1}
-	list, _ = b["peer"].([]any)
-	for _, v := range list {
-		p := v.([]any)
-		name := p[0].(string)
-		f.Peers = append(f.Peers, peertransport.Peer{Name: name, Role: p[1].(string), Zone: p[2].(string),
-			Address: p[3].(string), RequestAddress: commands[name]})
-		counts[p[1].(string)]++
-	}
-	for role, name := range map[string]string{"keeper": "keepers", "relay": "relays", "edge": "edges"} {
-		f.Settings["fleet."+name] = counts[role]
+	b := block(fields)
+	requestAddresses := b.requestAddresses()
+	self := peertransport.Peer{Name: b.text("node"), Role: b.text("role"), Zone: b.text("zone"), Address: b.text("listen")}
+	self.RequestAddress = requestAddresses[self.Name]
+	version, _ := b["build"].(float64)
+	f := &File{
+		Fleet:           b.text("name"),
+		Self:            self,
+		Peers:           b.peers(requestAddresses),
+		DataDir:         b.path("data", filepath.Dir(path)),
+		PowerDir:        b.path("power", filepath.Dir(path)),
+		ClientAddress:   b.text("clients"),
+		SettingsPath:    b.path("settings", filepath.Dir(path)),
+		MetricsAddress:  b.text("metrics"),
+		SoftwareVersion: uint16(version),
 	}
+	f.LogLevel, _ = directives["log_level"].(string)
+	f.Settings = b.settings(f)
 	return f, nil
 }
 
-// ReadRole reads a file for a process of a role; one of another role is an error.
+// ReadRole reads a file for a process of a role, and fails where it is for another one.
 func ReadRole(path, role string) (*File, error) {
 	f, err := Read(path)
 	if err == nil && f.Self.Role != role {
@@ -88,3 +73,72 @@
 	}
 	return f, err
 }
+
+// text is a directive's word, "" where it is not there.
+func (b block) text(name string) string {
+	text, _ := b[name].(string)
+	return text
+}
+
+// path is a directive's path, "" where it is not there. One that is relative begins at a folder.
+func (b block) path(name, folder string) string {
+	path := b.text(name)
+	if path == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(folder, path)
+}
+
+// rows are the words of each line of a directive that may stand on several. Operatorconfig has checked their number and kinds.
+func (b block) rows(name string) (rows [][]any) {
+	list, _ := b[name].([]any)
+	for _, row := range list {
+		rows = append(rows, row.([]any))
+	}
+	return rows
+}
+
+// requestAddresses are the edge nodes' addresses for requests, by node.
+func (b block) requestAddresses() map[string]string {
+	addresses := map[string]string{}
+	for _, row := range b.rows("commands") {
+		addresses[row[0].(string)] = row[1].(string)
+	}
+	return addresses
+}
+
+// peers are the other processes.
+func (b block) peers(requestAddresses map[string]string) (peers []peertransport.Peer) {
+	for _, row := range b.rows("peer") {
+		name := row[0].(string)
+		peers = append(peers, peertransport.Peer{
+			Name:           name,
+			Role:           row[1].(string),
+			Zone:           row[2].(string),
+			Address:        row[3].(string),
+			RequestAddress: requestAddresses[name],
+		})
+	}
+	return peers
+}
+
+// settings are File.Settings.
+func (b block) settings(f *File) map[string]any {
+	settings := map[string]any{}
+	for name, value := range b {
+		if number, ok := value.(float64); ok {
+			settings["fleet."+name] = number
+		}
+	}
+	for i, part := range []string{"unit", "link", "all"} {
+		settings["fleet.moves."+part] = b["moves"].([]any)[i]
+	}
+	counts := map[string]float64{f.Self.Role: 1}
+	for _, peer := range f.Peers {
+		counts[peer.Role]++
+	}
+	settings["fleet.keepers"] = counts[peertransport.RoleController]
+	settings["fleet.relays"] = counts[peertransport.RoleRelay]
+	settings["fleet.edges"] = counts[peertransport.RoleEdge]
+	return settings
+}
