--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -13,6 +13,8 @@
 	"text/tabwriter"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"silvercove/internal/controller"
 	"silvercove/internal/controllerclient"
 	"silvercove/internal/fleet"
@@ -35,7 +37,7 @@
 	defer stop()
 	defer context.AfterFunc(ctx, stop)() // the second signal finds the ordinary end of a process
 	return p.during(func(alive context.Context) error {
-		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.Data, Settings: p.file.Set, Log: p.log})
+		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
 			return full(err)
 		}
@@ -64,7 +66,7 @@
 	}
 	at, self := f.Self.Address, f.Self
 	self.Address = "127.0.0.1:0"
-	network, err := peertransport.Open(f.Fleet, self, f.Peers, func(string) {})
+	network, err := peertransport.Open(f.Fleet, self, f.Peers, zerolog.Nop())
 	if err != nil {
 		return err
 	}
@@ -73,7 +75,7 @@
 	ran := make(chan error, 1)
 	go func() { ran <- network.Run(nets) }()
 	defer func() { cut(); <-ran }()
-	k := controllerclient.New(network, f.Set, uint64(time.Now().UnixNano()))
+	k := controllerclient.New(network, f.Settings, uint64(time.Now().UnixNano()))
 	defer k.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
