--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -19,52 +19,53 @@
 	"silvercove/internal/tufverify"
 )
 
-// mirrorResponse is how one exchange with a mirror went.
+// mirrorResponse is a mirror's answer to one request. data is nil unless the status is 200 and the body came whole.
 type mirrorResponse struct {
 	status int
 	data   []byte
 	closed transport.CloseStatus
 }
 
-// download asks a mirror for a whole file.
-func (r *Repository) download(ctx context.Context, u dispatch.Backend, path string, most int) (s mirrorResponse) {
-	s.status, s.closed = r.roundTrip(ctx, u, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
-		if status != 200 {
+// download gets a whole file of at most maxSize bytes from a mirror.
+func (r *Repository) download(ctx context.Context, mirror dispatch.Backend, path string, maxSize int) (answer mirrorResponse) {
+	answer.status, answer.closed = r.roundTrip(ctx, mirror, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
+		if status != http.StatusOK {
 			return transport.CloseStatus{}
 		}
-		if length > int64(most) {
+		if length > int64(maxSize) {
 			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		}
-		data, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
+		data, err := io.ReadAll(io.LimitReader(body, int64(maxSize)+1))
 		switch {
 		case err != nil:
 			return closeStatus(ctx, err, true)
-		case len(data) > most:
+		case len(data) > maxSize:
 			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		}
-		s.data = data
+		answer.data = data
 		return transport.CloseStatus{}
 	})
-	return s
+	return answer
 }
 
-// roundTrip makes one request at a mirror and has its body read, as long as that comes fast enough.
-func (r *Repository) roundTrip(ctx context.Context, u dispatch.Backend, path string, from int64,
-	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, end transport.CloseStatus) {
+// roundTrip sends one request to a mirror, for the bytes from an offset on, and has read take the body. It ends once the
+// body comes too slowly; status is 0 without an answer.
+func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, from int64,
+	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sent atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { sent.Store(info.Err == nil) }})
 	req, err := http.NewRequestWithContext(traced, http.MethodGet,
-		(&url.URL{Scheme: "http", Host: u.Address, Path: "/" + path}).String(), nil)
+		(&url.URL{Scheme: "http", Host: mirror.Address, Path: "/" + path}).String(), nil)
 	if err != nil {
 		return 0, transport.CloseStatus{Reason: transport.Malformed}
 	}
 	if from > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", from))
 	}
-	if !r.dispatcher.IsCurrent(u) { // it drains since it was chosen
+	if !r.dispatcher.IsCurrent(mirror) { // it began to drain after it was chosen
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
 	}
 	r.Attempts.Add(1)
@@ -72,7 +73,7 @@
 	p.transfer.Begin(p.tick())
 	p.timer = time.AfterFunc(toDuration(p.transfer.NextCheck()-p.tick()), p.stop)
 	defer p.timer.Stop()
-	resp, err := r.transport(u).RoundTrip(req)
+	resp, err := r.transport(mirror).RoundTrip(req)
 	if err != nil && p.slow.Load() {
 		return 0, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: sent.Load()}
 	} else if err != nil {
@@ -80,21 +81,22 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	p.Reader = resp.Body
-	end = read(resp.StatusCode, resp.ContentLength, p)
+	closed = read(resp.StatusCode, resp.ContentLength, p)
 	if p.slow.Load() {
 		return resp.StatusCode, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: true}
 	}
-	return resp.StatusCode, end
+	return resp.StatusCode, closed
 }
 
-// pacedReader reads a body and calls the exchange off once that comes too slowly.
+// pacedReader reads a body, and cancels the request once that comes too slowly (see metadatarefresh.Transfer). Read and
+// addClientStall belong to one goroutine; stop is also the timer's.
 type pacedReader struct {
 	io.Reader
 	transfer metadatarefresh.Transfer
 	timer    *time.Timer
 	cancel   func()
 	tick     func() tufverify.Tick
-	slow     atomic.Bool
+	slow     atomic.Bool // the request was cancelled as too slow
 }
 
 func (p *pacedReader) Read(b []byte) (int, error) {
@@ -107,7 +109,7 @@
 	return n, err
 }
 
-// addClientStall leaves out what the client, not the mirror, has held things up.
+// addClientStall leaves the time since a moment out of the mirror's rate, as the client was slow to accept bytes.
 func (p *pacedReader) addClientStall(since tufverify.Tick) {
 	now := p.tick()
 	p.transfer.OnClientStall(now - since)
@@ -119,7 +121,7 @@
 	p.cancel()
 }
 
-// closeStatus maps an error of the HTTP library to the way in which the connection ended.
+// closeStatus maps an error of net/http to the way in which the connection ended. sent: the request was written.
 func closeStatus(ctx context.Context, err error, sent bool) transport.CloseStatus {
 	var op *net.OpError
 	var timeout interface{ Timeout() bool }
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -8,32 +8,36 @@
 	"silvercove/internal/tufverify"
 )
 
-// KeepLookedUp has targets looked up again and again, so that Known can tell of them without asking anyone.
+// minLookUpInterval is the least time between two look-ups of a path that is kept looked up.
+const minLookUpInterval = 50 * time.Millisecond
+
+// KeepLookedUp has targets looked up periodically, so that Known finds them without asking a mirror.
 func (r *Repository) KeepLookedUp(paths []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchedPaths = paths
 }
 
+// lookUpWatched looks the paths of KeepLookedUp up at once, and then twice in the time that a timestamp counts as current.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
-	beat := time.NewTicker(max(r.freshFor/2, 50*time.Millisecond))
-	defer beat.Stop()
+	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
+	defer ticker.Stop()
 	for {
 		r.mu.Lock()
-		kept := r.watchedPaths
+		paths := r.watchedPaths
 		r.mu.Unlock()
-		for _, path := range kept {
+		for _, path := range paths {
 			_, _ = r.Find(path)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-beat.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Known looks a target up in what is held and has not expired.
+// Known looks a target up in what is held and has not expired, without asking a mirror.
 func (r *Repository) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,15 +48,15 @@
 	return t, refusal
 }
 
-// Find looks up a target, asking for what is lacking.
+// Find looks a target up, and asks mirrors for the metadata that are missing on the way (TUF 1.0.31, section 5.6.7).
 func (r *Repository) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.refreshIfDue(true)
 	for {
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
-		lately := tufverify.File{Role: "timestamp"} // what a package hangs on must count as the newest
-		if refusal = metadatarefresh.Confirmed(now, lately, refusal, r.survey, r.refresh, r.name); refusal != nil {
+		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, as the package depends on it
+		if refusal = metadatarefresh.Confirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
 		r.mu.Unlock()
@@ -65,7 +69,7 @@
 	}
 }
 
-// Stored looks up a target by the name that clients of consistent snapshots ask for.
+// Stored looks a target up by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section 3.1.2).
 func (r *Repository) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	path, sum, hashed := r.verified.ParseStoredPath(name)
@@ -83,10 +87,10 @@
 	return r.verified.Assigned(r.tick())
 }
 
-func (r *Repository) compare(told, is *tufverify.Target, kind string) *tufverify.RefusalError {
+func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verified.Compare(told, is, kind)
+	return r.verified.Compare(assigned, image, hardware)
 }
 
 func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -14,24 +14,27 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateMirrors takes the whole list of mirrors.
-func (r *Repository) UpdateMirrors(hosts []dispatch.Endpoint) {
-	r.dispatcher.UpdateEndpoints(true, hosts)
-	here := map[string]bool{}
-	for _, h := range hosts {
-		here[h.Name] = h.State != "removed"
+// UpdateMirrors replaces the list of mirrors, and closes the connections to those that are gone.
+func (r *Repository) UpdateMirrors(mirrors []dispatch.Endpoint) {
+	r.dispatcher.UpdateEndpoints(true, mirrors)
+	listed := map[string]bool{}
+	for _, mirror := range mirrors {
+		listed[mirror.Name] = mirror.State != "removed"
 	}
 	r.transportMu.Lock()
 	defer r.transportMu.Unlock()
 	for name, t := range r.transports {
-		if !here[name] {
+		if !listed[name] {
 			t.CloseIdleConnections()
 			delete(r.transports, name)
 		}
 	}
 }
 
-// Dispatcher is the mirrors' gate, for a watch of their list.
+// maxResponseHeader bounds the header of a mirror's answer, in bytes.
+const maxResponseHeader = 16 << 10
+
+// Dispatcher is the mirrors' dispatcher, for a watcher of their list.
 func (r *Repository) Dispatcher() *dispatch.Dispatcher { return r.dispatcher }
 
 func (r *Repository) closeIdle(name string) {
@@ -42,16 +45,21 @@
 	}
 }
 
-// transport is the connections to one mirror.
-func (r *Repository) transport(u dispatch.Backend) *http.Transport {
+// transport is the connection pool of one mirror.
+func (r *Repository) transport(mirror dispatch.Backend) *http.Transport {
 	r.transportMu.Lock()
 	defer r.transportMu.Unlock()
-	t := r.transports[u.Name]
+	t := r.transports[mirror.Name]
 	if t == nil {
-		t = &http.Transport{DialContext: (&net.Dialer{Timeout: r.connectTimeout}).DialContext, MaxIdleConnsPerHost: metadatarefresh.MaxIdleMirrorConns,
-			MaxIdleConns: metadatarefresh.MaxIdleMirrorConns, IdleConnTimeout: toDuration(metadatarefresh.MirrorIdleTimeout), DisableCompression: true,
-			MaxResponseHeaderBytes: 16 << 10}
-		r.transports[u.Name] = t
+		t = &http.Transport{
+			DialContext:            (&net.Dialer{Timeout: r.connectTimeout}).DialContext,
+			MaxIdleConnsPerHost:    metadatarefresh.MaxIdleMirrorConns,
+			MaxIdleConns:           metadatarefresh.MaxIdleMirrorConns,
+			IdleConnTimeout:        toDuration(metadatarefresh.MirrorIdleTimeout),
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: maxResponseHeader,
+		}
+		r.transports[mirror.Name] = t
 	}
 	return t
 }
@@ -74,22 +82,22 @@
 		}
 		ready := r.dispatcher.ReadyBackends()
 		var names []string
-		for _, u := range ready {
-			names = append(names, u.Name)
+		for _, mirror := range ready {
+			names = append(names, mirror.Name)
 		}
 		var group errgroup.Group
 		group.SetLimit(metadatarefresh.SurveyWidth)
-		for _, u := range ready {
+		for _, mirror := range ready {
 			group.Go(func() error {
 				limited, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
 				defer cancel()
-				s := r.download(limited, u, "metadata/timestamp.json", tufverify.MaxTimestampSize)
-				if s.status != 200 || s.closed.Closed() {
+				s := r.download(limited, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
+				if s.status != http.StatusOK || s.closed.Closed() {
 					return nil
 				}
-				refusal := r.acceptTimestamp(limited, u, s.data)
+				refusal := r.acceptTimestamp(limited, mirror, s.data)
 				r.mu.Lock()
-				r.survey.OnTimestamp(u.Name, refusal, names)
+				r.survey.OnTimestamp(mirror.Name, refusal, names)
 				r.mu.Unlock()
 				return nil
 			})
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,26 +12,29 @@
 	"silvercove/internal/tufverify"
 )
 
-// cached gives a file if it may be passed on without asking anyone.
+// errKeysKeepChanging is the error of a refresh that new roots have begun again too often.
+var errKeysKeepChanging = errors.New("the keys change all the time")
+
+// cached gives a file if it may be served without asking a mirror.
 func (r *Repository) cached(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentLocked(f)
 }
 
-// currentLocked is held with the lock taken. A timestamp, and the word on which root is the newest, count only as
-// long as mirrors were asked lately.
+// currentLocked is cached with r.mu held. A timestamp, and which root is the newest, count only while mirrors were asked
+// recently.
 func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
-	data, says := r.verified.Current(now, f)
-	refusal := metadatarefresh.Confirmed(now, f, says, r.survey, r.refresh, r.name)
+	data, refusal := r.verified.Current(now, f)
+	refusal = metadatarefresh.Confirmed(now, f, refusal, r.survey, r.refresh, r.name)
 	if refusal != nil {
 		return nil, refusal
 	}
 	return data, nil
 }
 
-// currentFile gives a file if it may be passed on, after asking the mirrors for what is lacking.
+// currentFile gives a file if it may be served, after asking the mirrors for what is missing.
 func (r *Repository) currentFile(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.refreshIfDue(f.Role == "timestamp" || f.Role == "root")
 	data, refusal := r.cached(f)
@@ -44,12 +47,13 @@
 	return data, refusal
 }
 
-// refreshIfDue asks the mirrors for a whole current set, if it is due; all who need it wait for one.
-func (r *Repository) refreshIfDue(fresh bool) {
+// refreshIfDue asks the mirrors for a complete current set of metadata if that is due. Concurrent callers wait for one
+// refresh. confirm: what is held may be complete, but is to be confirmed as the newest.
+func (r *Repository) refreshIfDue(confirm bool) {
 	r.mu.Lock()
 	now := r.tick()
-	_, _, lacking := r.verified.NextFile(now)
-	due := (lacking || fresh) && r.refresh.Due(now, lacking)
+	_, _, incomplete := r.verified.NextFile(now)
+	due := (incomplete || confirm) && r.refresh.Due(now, incomplete)
 	r.mu.Unlock()
 	if !due {
 		return
@@ -57,10 +61,10 @@
 	_, _, _ = r.shared.Do("set", func() (any, error) {
 		r.mu.Lock()
 		now := r.tick()
-		_, _, lacking := r.verified.NextFile(now)
-		due := r.refresh.Due(now, lacking)
+		_, _, incomplete := r.verified.NextFile(now)
+		due := r.refresh.Due(now, incomplete)
 		r.mu.Unlock()
-		if !due { // another has just done it
+		if !due { // another caller has just done it
 			return nil, nil
 		}
 		err := r.fetchSet()
@@ -76,8 +80,16 @@
 	})
 }
 
-// fetchSet asks for the next root, a timestamp, and what it names.
+// fetchSet fetches newer roots, a timestamp, and what that names (TUF 1.0.31, sections 5.3 to 5.6).
 func (r *Repository) fetchSet() error {
+	if err := r.fetchRoots(); err != nil {
+		return err
+	}
+	return r.fetchMetadata()
+}
+
+// fetchRoots fetches the roots after the one held, until there is no next one.
+func (r *Repository) fetchRoots() error {
 	for range metadatarefresh.MaxRootsPerRequest {
 		r.mu.Lock()
 		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
@@ -93,16 +105,21 @@
 			return err
 		}
 		if none {
-			break
+			return nil
 		}
 	}
-	stamped := false
+	return nil
+}
+
+// fetchMetadata fetches a timestamp, and then each file that a complete set lacks.
+func (r *Repository) fetchMetadata() error {
+	fetchedTimestamp := false
 	for range metadatarefresh.MaxRounds { // new keys may make it begin again
 		r.mu.Lock()
-		f, most, ok := r.verified.NextFile(r.tick())
+		f, maxSize, ok := r.verified.NextFile(r.tick())
 		r.mu.Unlock()
-		if !stamped {
-			f, most, ok = tufverify.File{Role: "timestamp"}, tufverify.MaxTimestampSize, true
+		if !fetchedTimestamp {
+			f, maxSize, ok = tufverify.File{Role: "timestamp"}, tufverify.MaxTimestampSize, true
 		}
 		switch {
 		case !ok:
@@ -110,57 +127,57 @@
 		case f.Role == "root":
 			return fmt.Errorf("%s is needed, and no mirror has it", f)
 		}
-		stamped = true
-		err := r.fetchFile(f.Role, f, most, func(ctx context.Context, u dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
-			return r.accept(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.Update(now, f, data) })
+		fetchedTimestamp = true
+		err := r.fetchFile(f.Role, f, maxSize, func(ctx context.Context, mirror dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+			return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.Update(now, f, data) })
 		})
 		if err != nil {
 			return err
 		}
 	}
-	return errors.New("the keys change all the time")
+	return errKeysKeepChanging
 }
 
-// acceptTimestamp takes a timestamp of a mirror.
-func (r *Repository) acceptTimestamp(ctx context.Context, u dispatch.Backend, data []byte) *tufverify.RefusalError {
-	return r.accept(ctx, u, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTimestamp(now, data) })
+// acceptTimestamp verifies a mirror's timestamp, and holds it if it is newer.
+func (r *Repository) acceptTimestamp(ctx context.Context, mirror dispatch.Backend, data []byte) *tufverify.RefusalError {
+	return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTimestamp(now, data) })
 }
 
-// accept hands what a mirror gave to trust. What is signed by unknown keys may hang on a newer root, which
-// the same mirror is asked for. A root that came so may make what is held void: the mirror is not to blame then.
-func (r *Repository) accept(ctx context.Context, u dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+// accept has take verify what a mirror sent. What is signed by unknown keys may depend on newer roots, which the same
+// mirror is asked for. Those may invalidate what is held; the mirror is not to blame then.
+func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	refusal := r.update(take)
-	chased := false
-	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.FetchNewerRoots(refusal, chased); n++ {
+	foundNewerRoot := false
+	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.FetchNewerRoots(refusal, foundNewerRoot); n++ {
 		r.mu.Lock()
 		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
 		r.mu.Unlock()
-		s := r.download(ctx, u, "metadata/"+f.String(), tufverify.MaxRootSize)
-		if s.status != 200 || s.closed.Closed() ||
-			r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, s.data) }) != nil {
+		answer := r.download(ctx, mirror, "metadata/"+f.String(), tufverify.MaxRootSize)
+		if answer.status != http.StatusOK || answer.closed.Closed() ||
+			r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, answer.data) }) != nil {
 			break
 		}
-		chased = true
+		foundNewerRoot = true
 		refusal = r.update(take)
 	}
-	if metadatarefresh.MirrorBlameless(refusal, chased) {
+	if metadatarefresh.MirrorBlameless(refusal, foundNewerRoot) {
 		return nil
 	}
 	return refusal
 }
 
-// update hands something to trust; what is held already is as good as new.
-func (r *Repository) update(what func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+// update calls take with the lock held and the time. What is held already counts as taken.
+func (r *Repository) update(take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	refusal := what(r.tick())
+	refusal := take(r.tick())
 	if refusal != nil && refusal.Reason == tufverify.ReasonAlreadyHeld {
 		return nil
 	}
 	return refusal
 }
 
-// fetchRole asks for the targets of a delegated role, and for those of roles that may delegate to it.
+// fetchRole fetches the targets of a delegated role, and if need be of the roles that may delegate to it.
 func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
 	v, _, _ := r.shared.Do("role "+role, func() (any, error) {
 		refusal := r.fetchTargets(role)
@@ -181,14 +198,15 @@
 	return refusal
 }
 
+// fetchTargets fetches the targets of one role.
 func (r *Repository) fetchTargets(role string) *tufverify.RefusalError {
 	r.mu.Lock()
-	f, most, refusal := r.verified.TargetsFile(r.tick(), role)
+	f, maxSize, refusal := r.verified.TargetsFile(r.tick(), role)
 	r.mu.Unlock()
 	if refusal != nil {
 		return refusal
 	}
-	err := r.fetchFile(classTargets, f, most, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+	err := r.fetchFile(classTargets, f, maxSize, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
 		refusal = r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTargets(now, role, data) })
 		if refusal != nil && refusal.Reason == tufverify.ReasonMissing {
 			return nil // the mirror is not to blame
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// RepoStatus is how one repository stands.
+// RepoStatus is the state of one repository on the status page. The JSON names are part of that interface.
 type RepoStatus struct {
 	Name      string
 	Root      int64 // versions held, 0 for none
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -22,7 +22,11 @@
 	"silvercove/internal/tufverify"
 )
 
-// ServeHTTP is the path of one request.
+// defaultRetryAfter is the time to retry after of an answer that belongs to no repository.
+const defaultRetryAfter = time.Second
+
+// ServeHTTP answers one request. The paths are /r/REPOSITORY/metadata/FILE, /r/REPOSITORY/targets/PATH,
+// /director/SERVER/metadata/FILE, /director/SERVER/manifest (POST), /explain/SERVER and /status.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	p.Counts.Requests.Add(1)
 	path := strings.TrimPrefix(req.URL.EscapedPath(), "/")
@@ -36,7 +40,7 @@
 		p.receiveReport(w, req, name)
 	case req.Method != http.MethodGet && req.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
-		p.respond(w, nil, metadatarefresh.Response{Status: 405, Text: "only GET and HEAD here"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusMethodNotAllowed, Text: "only GET and HEAD here"})
 	case first == "r" && kind == "metadata" && p.repositories[name] != nil:
 		p.serveMetadata(w, req, p.repositories[name], file)
 	case first == "r" && kind == "targets" && p.repositories[name] != nil:
@@ -46,38 +50,40 @@
 	case first == "explain" && p.director != nil && kind == "":
 		p.serveExplanation(w, name)
 	default:
-		p.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such path"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusNotFound, Text: "no such path"})
 	}
 }
 
-// respond gives the one final answer of a request that gets no file.
-func (p *Proxy) respond(w http.ResponseWriter, r *Repository, a metadatarefresh.Response) {
+// respond gives the one final answer of a request that gets no file. The time to retry after is the repository's, or
+// defaultRetryAfter where r is nil.
+func (p *Proxy) respond(w http.ResponseWriter, r *Repository, answer metadatarefresh.Response) {
 	p.Counts.Refused.Add(1)
-	h := w.Header()
+	header := w.Header()
 	for _, name := range []string{"Etag", "Content-Range", "Content-Length", "Accept-Ranges"} {
-		h.Del(name)
+		header.Del(name)
 	}
-	h.Set("Cache-Control", "no-store")
-	if a.RetryLater {
-		wait := time.Second
+	header.Set("Cache-Control", "no-store")
+	if answer.RetryLater {
+		wait := defaultRetryAfter
 		if r != nil {
 			wait = r.retryAfter()
 		}
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
-		h.Set("Retry-After-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
+		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
+		header.Set("Retry-After-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	}
-	http.Error(w, a.Text, a.Status)
+	http.Error(w, answer.Text, answer.Status)
 }
 
-// acquire lets a request in that may wait, or answers it at once.
-func (p *Proxy) acquire(w http.ResponseWriter, req *http.Request, r *Repository) (leave func(), ok bool) {
+// acquire admits a request that may wait for mirrors; the caller calls release at its end. Where too many are admitted
+// already it answers the request and ok is false.
+func (p *Proxy) acquire(w http.ResponseWriter, req *http.Request, r *Repository) (release func(), ok bool) {
 	client, _, _ := net.SplitHostPort(req.RemoteAddr)
 	p.mu.Lock()
 	ok = p.limiter.Acquire(client)
 	p.mu.Unlock()
 	if !ok {
 		p.Counts.Overloaded.Add(1)
-		p.respond(w, r, metadatarefresh.Response{Status: 503, Text: "too many wait", RetryLater: true})
+		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "too many wait", RetryLater: true})
 		return nil, false
 	}
 	return func() {
@@ -87,21 +93,21 @@
 	}, true
 }
 
-// serveMetadata answers for one metadata file of a repository.
+// serveMetadata answers with one metadata file of a repository, asking its mirrors where what is held will not do.
 func (p *Proxy) serveMetadata(w http.ResponseWriter, req *http.Request, r *Repository, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		p.respond(w, r, metadatarefresh.Response{Status: 404, Text: "no such file"})
+		p.respond(w, r, metadatarefresh.Response{Status: http.StatusNotFound, Text: "no such file"})
 		return
 	}
 	data, refusal := r.cached(f)
 	if data == nil {
-		leave, ok := p.acquire(w, req, r)
+		release, ok := p.acquire(w, req, r)
 		if !ok {
 			return
 		}
 		data, refusal = r.currentFile(f)
-		leave()
+		release()
 	} else {
 		p.Counts.CacheHits.Add(1)
 	}
@@ -117,40 +123,41 @@
 	p.serveFile(w, req, data)
 }
 
-// serveFile gives a file that is held, with its validator.
+// serveFile answers with a metadata file and its entity tag.
 func (p *Proxy) serveFile(w http.ResponseWriter, req *http.Request, data []byte) {
 	sum := sha256.Sum256(data)
-	h := w.Header()
-	h.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
-	h.Set("Content-Type", "application/json")
-	h.Set("Cache-Control", "no-cache") // held by a cache on the way it would be passed on past its end
+	header := w.Header()
+	header.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
+	header.Set("Content-Type", "application/json")
+	header.Set("Cache-Control", "no-cache") // a cache on the way might serve it after its expiry
 	p.Counts.Served.Add(1)
 	p.Counts.Bytes.Add(int64(len(data)))
 	http.ServeContent(w, req, "", time.Time{}, bytes.NewReader(data))
 }
 
-// checkAgreement holds a carried Director's targets against its Image repository.
+// checkAgreement refuses where the image repository does not agree with a target of a mirrored Director repository.
 func (p *Proxy) checkAgreement(r *Repository) *tufverify.RefusalError {
-	all, refusal := r.assigned()
+	targets, refusal := r.assigned()
 	if refusal != nil {
 		return refusal
 	}
-	for _, t := range all {
-		is, refusal := r.agreesWith.Find(t.Path)
+	for _, target := range targets {
+		image, refusal := r.agreesWith.Find(target.Path)
 		if refusal != nil && refusal.Reason == tufverify.ReasonUnnamed {
-			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: t.Path, Text: "the other does not know it"}
+			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: target.Path,
+				Text: "the other does not know it"}
 			p.logDisagreement(refusal)
 		}
 		if refusal != nil {
 			return refusal
 		}
-		for _, kind := range slices.Sorted(maps.Values(t.Custom.ECUs)) {
-			if refusal := r.compare(t, is, kind); refusal != nil {
+		for _, kind := range slices.Sorted(maps.Values(target.Custom.ECUs)) {
+			if refusal := r.compare(target, image, kind); refusal != nil {
 				p.logDisagreement(refusal)
 				return refusal
 			}
 		}
-		if refusal := r.compare(t, is, ""); len(t.Custom.ECUs) == 0 && refusal != nil {
+		if refusal := r.compare(target, image, ""); len(target.Custom.ECUs) == 0 && refusal != nil {
 			p.logDisagreement(refusal)
 			return refusal
 		}
@@ -162,70 +169,79 @@
 	p.log(slog.LevelWarn, "director and image repository disagree", refusal.LogFields()...)
 }
 
-// serveDirectorMetadata answers for a metadata file of the Director for one server.
+// serveDirectorMetadata answers with a metadata file that the Director issues for one server.
 func (p *Proxy) serveDirectorMetadata(w http.ResponseWriter, req *http.Request, server, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
-		p.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such file"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusNotFound, Text: "no such file"})
 		return
 	}
 	data, err := p.director.File(server, f)
 	switch {
 	case errors.Is(err, director.ErrUnknownServer):
-		p.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "no such server"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusNotFound, Text: "no such server"})
 	case errors.Is(err, director.ErrUnknownFile):
-		p.respond(w, nil, metadatarefresh.Response{Status: 404, Text: "superseded or not there: begin again with timestamp.json"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusNotFound, Text: "superseded or not there: begin again with timestamp.json"})
 	case err != nil:
 		p.log(slog.LevelWarn, "director metadata unavailable", slog.String("server", server), slog.String("error", err.Error()))
-		p.respond(w, p.repositories[p.imageRepository], metadatarefresh.Response{Status: 503, Text: "not to be had now", RetryLater: true})
+		p.respond(w, p.repositories[p.imageRepository], metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "not to be had now", RetryLater: true})
 	default:
 		p.serveFile(w, req, data)
 	}
 }
 
-// receiveReport takes a version report. A repeat of it gets the same answer, and nothing is done twice.
+// receiveReport takes a server's version report (Uptane Standard 2.1, section 5.4.2.1). It is idempotent: a report that
+// was accepted before gets the same answer and has no further effect.
 func (p *Proxy) receiveReport(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
-		p.respond(w, nil, metadatarefresh.Response{Status: 405, Text: "only POST here"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusMethodNotAllowed, Text: "only POST here"})
 		return
 	}
-	leave, ok := p.acquire(w, req, nil)
+	release, ok := p.acquire(w, req, nil)
 	if !ok {
 		return
 	}
-	defer leave()
+	defer release()
 	data, err := io.ReadAll(io.LimitReader(req.Body, tufverify.MaxReportSize+1))
 	if err != nil {
-		p.respond(w, nil, metadatarefresh.Response{Status: 400, Text: "the report did not come whole"})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusBadRequest, Text: "the report did not come whole"})
 		return
 	}
-	h := fnv.New32a()
-	h.Write([]byte(server))
-	s := p.reportShards[h.Sum32()%reportShardCount]
-	s.mu.Lock()
-	r, refusal := s.verifier.VerifyReport(server, data)
-	s.mu.Unlock()
-	a := metadatarefresh.ReportResponse(refusal)
-	if a.Status != 200 {
+	report, refusal := p.shardOf(server).verify(server, data)
+	answer := metadatarefresh.ReportResponse(refusal)
+	if answer.Status != http.StatusOK {
 		p.log(slog.LevelWarn, "version report refused", refusal.LogFields()...)
-		p.respond(w, nil, a)
+		p.respond(w, nil, answer)
 		return
 	}
-	if r != nil {
+	if report != nil {
 		p.Counts.Reports.Add(1)
-		if err := p.director.OnReport(r); err != nil {
+		if err := p.director.OnReport(report); err != nil {
 			p.log(slog.LevelWarn, "version report could not be applied", slog.String("server", server), slog.String("error", err.Error()))
 		}
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	_, _ = fmt.Fprintln(w, a.Text)
+	_, _ = fmt.Fprintln(w, answer.Text)
+}
+
+func (p *Proxy) shardOf(server string) *reportShard {
+	hash := fnv.New32a()
+	hash.Write([]byte(server))
+	return p.reportShards[hash.Sum32()%reportShardCount]
+}
+
+func (s *reportShard) verify(server string, data []byte) (*tufverify.Report, *tufverify.RefusalError) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.verifier.VerifyReport(server, data)
 }
 
+// serveExplanation answers in plain text why a server is assigned what it is.
 func (p *Proxy) serveExplanation(w http.ResponseWriter, server string) {
 	lines, err := p.director.Explain(server)
 	if err != nil {
-		p.respond(w, nil, metadatarefresh.Response{Status: 404, Text: err.Error()})
+		p.respond(w, nil, metadatarefresh.Response{Status: http.StatusNotFound, Text: err.Error()})
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/metadataproxy/status.go
+++ b/internal/metadataproxy/status.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Counts are what went through the front since the start.
+// Counts are the proxy's counters since its start. They are safe for concurrent use; the zero value is ready.
 type Counts struct {
 	Requests   atomic.Int64 // requests received
 	CacheHits  atomic.Int64 // metadata files answered without asking a mirror
@@ -20,7 +20,7 @@
 	Bytes      atomic.Int64 // bytes of bodies sent
 }
 
-// Status is what the front tells of itself.
+// Status is the answer of /status. The JSON names are part of that interface.
 type Status struct {
 	Requests     int64 `json:"Asked"`   // requests received
 	CacheHits    int64 `json:"Held"`    // metadata files answered without asking a mirror
@@ -39,7 +39,7 @@
 	Issued     int64 `json:"Issued"` // versions of servers' metadata issued
 }
 
-// Status gives the counters.
+// Status reads the counters and the state of the repositories and the Director.
 func (p *Proxy) Status() Status {
 	p.mu.Lock()
 	in := p.limiter.InUse()
--- a/internal/metadataproxy/time.go
+++ b/internal/metadataproxy/time.go
@@ -6,4 +6,9 @@
 	"silvercove/internal/tufverify"
 )
 
-func toDuration(t tufverify.Tick) time.Duration { return time.Duration(t) * (100 * time.Microsecond) }
+// tickLength is the length of a tufverify.Tick.
+const tickLength = 100 * time.Microsecond
+
+func toDuration(t tufverify.Tick) time.Duration { return time.Duration(t) * tickLength }
+
+func toTicks(d time.Duration) tufverify.Tick { return tufverify.Tick(d / tickLength) }
