--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -70,9 +70,15 @@
 	}
 	network.OverrideSelf(at)
 	nets, cut := context.WithCancel(context.Background())
-	ran := make(chan error, 1)
-	go func() { ran <- network.Run(nets) }()
-	defer func() { cut(); <-ran }()
+	ran := make(chan struct{})
+	go func() {
+		defer close(ran)
+		_ = network.Run(nets) // it says only that the context was cancelled
+	}()
+	defer func() {
+		cut()
+		<-ran
+	}()
 	k := controllerclient.New(network, f.Set, uint64(time.Now().UnixNano()))
 	defer k.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/silvercovectl/lab.go
+++ b/cmd/silvercovectl/lab.go
@@ -27,8 +27,7 @@
 
 // Run plays it.
 func (c *labOverloadCmd) Run() error {
-	lab.OverloadTables(os.Stdout, c.Seed, c.Whole)
-	return nil
+	return lab.OverloadTables(os.Stdout, c.Seed, c.Whole)
 }
 
 type labMetadataCmd struct {
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -70,8 +70,8 @@
 
 // Run prints the page.
 func (c *referenceCmd) Run() error {
-	fmt.Print(operatorconfig.Operators.Reference())
-	return nil
+	_, err := fmt.Print(operatorconfig.Operators.Reference())
+	return err
 }
 
 // logger writes structured lines to standard error, at a level of the operator's file.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -101,3 +101,18 @@
 func (l latencies) at(percent float64) time.Duration {
 	return time.Duration(l.ValueAtPercentile(percent)) * time.Microsecond
 }
+
+// stickyWriter passes on what is written until an error, which it keeps and gives to each later write.
+type stickyWriter struct {
+	to  io.Writer
+	err error
+}
+
+func (w *stickyWriter) Write(p []byte) (int, error) {
+	if w.err != nil {
+		return 0, w.err
+	}
+	n, err := w.to.Write(p)
+	w.err = err
+	return n, err
+}
--- a/internal/standin/battery/power.go
+++ b/internal/standin/battery/power.go
@@ -200,7 +200,7 @@
 
 func (v *Van) throttled() float64 { return min(1, max(0, math.Floor(v.Temp-slowsAt)/10)) }
 
-// Dead: the battery is empty, the machine is off.
+// Dead reports whether the battery is empty: the machine is off.
 func (v *Van) Dead() bool { return v.dead }
 
 // Shows are the files as a reader sees them now: a frozen van's are those of before, a dead one has none.
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -82,13 +82,17 @@
 	}
 }
 
-// Write asks an instance for an effect; Read for its last one. Again asks once more for the effect of an id.
+// Write asks an instance for an effect.
 func (k *Client) Write(instance string, wait time.Duration) Request {
 	return k.ask(instance, "", true, wait)
 }
+
+// Read asks an instance for its last effect.
 func (k *Client) Read(instance string, wait time.Duration) Request {
 	return k.ask(instance, "", false, wait)
 }
+
+// Retry asks once more for the effect of an earlier request, by its ID.
 func (k *Client) Retry(first Request, wait time.Duration) Request {
 	return k.ask(first.Instance, first.ID, true, wait)
 }
--- a/internal/standin/testcluster/course_test.go
+++ b/internal/standin/testcluster/course_test.go
@@ -15,6 +15,7 @@
 var courses = flag.String("courses", "", "folder for what the processes of each test caused")
 
 func (c *Cluster) course(t *testing.T) {
+	t.Helper()
 	if *courses == "" {
 		return
 	}
--- a/internal/standin/testcluster/recovery_test.go
+++ b/internal/standin/testcluster/recovery_test.go
@@ -122,6 +122,30 @@
 	c.ordered(t, "edge-a stop", "desk rebuild", lost[0]+" leads", p.Primary+" acts cam-1", "edge-a wake", "edge-a stops cam-1@1")
 }
 
+// rebuildRefused checks that a rebuild is refused, and writes nothing, while a unit is silent, and from a backup that a
+// later version has written.
+func (c *Cluster) rebuildRefused(t *testing.T, backup string) {
+	t.Helper()
+	if said, err := c.tool(t, "rebuild", "keeper-2", "--backup", backup); err == nil ||
+		!strings.Contains(said, "edge-c: what they alone have would be lost") {
+		t.Errorf("with a silent unit: %v %s", err, said)
+	}
+	text, err := os.ReadFile(backup)
+	if err == nil {
+		err = os.WriteFile(backup+".later", bytes.Replace(text, []byte(`{"v":1,`), []byte(`{"v":2,`), 1), 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if said, err := c.tool(t, "rebuild", "keeper-2", "--backup", backup+".later"); err == nil ||
+		!strings.Contains(said, "the backup: the store was written by a later version of this program") {
+		t.Errorf("with a backup of a later version: %v %s", err, said)
+	}
+	if _, err := os.Stat(filepath.Join(c.data(t, "keeper-2"), "keeper.json")); err == nil {
+		t.Error("a refused rebuild has written a disk")
+	}
+}
+
 // All keepers' disks and one unit are lost, and the backup is of before: what has changed since comes from the units, what
 // they don't have is told by name, and what nobody knows of is not told.
 func TestRebuiltWithAnOldBackup(t *testing.T) {
@@ -172,24 +196,7 @@
 	for _, name := range []string{"keeper-1", "keeper-2", "keeper-3", "edge-c"} {
 		c.play(t, "kill "+name+"\nwipe "+name)
 	}
-	if said, err := c.tool(t, "rebuild", "keeper-2", "--backup", backup); err == nil ||
-		!strings.Contains(said, "edge-c: what they alone have would be lost") {
-		t.Errorf("with a silent unit: %v %s", err, said)
-	}
-	text, err := os.ReadFile(backup)
-	if err == nil {
-		err = os.WriteFile(backup+".later", bytes.Replace(text, []byte(`{"v":1,`), []byte(`{"v":2,`), 1), 0o600)
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if said, err := c.tool(t, "rebuild", "keeper-2", "--backup", backup+".later"); err == nil ||
-		!strings.Contains(said, "the backup: the store was written by a later version of this program") {
-		t.Errorf("with a backup of a later version: %v %s", err, said)
-	}
-	if _, err := os.Stat(filepath.Join(c.data(t, "keeper-2"), "keeper.json")); err == nil {
-		t.Error("a refused rebuild has written a disk")
-	}
+	c.rebuildRefused(t, backup)
 	said, err := c.tool(t, "rebuild", "keeper-2", "--backup", backup, "--without", "edge-c")
 	if err != nil {
 		t.Fatalf("%v %s", err, said)
