--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -4,9 +4,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Current gives a file that is held, if it may be passed on now: everything that it hangs on is held, fits
-// together and has not expired, and the version asked for is the one that counts. Roots of the chain
-// are passed on whatever their age, as clients walk them (5.3.4 to 5.3.9); the newest must not have expired.
+// Current gives a file that is held, if it may be served now: everything that it depends on is held, fits together and has
+// not expired, and the version asked for is the current one. Earlier roots of the chain are served whatever their age, as
+// clients walk through them (sections 5.3.4 to 5.3.9); the newest must not have expired.
 func (r *Repository) Current(now Tick, f File) ([]byte, *RefusalError) {
 	r.advance(now)
 	switch f.Role {
@@ -25,7 +25,7 @@
 		}
 		return r.root.raw, nil
 	case metadata.TIMESTAMP:
-		// Not before all that it names is held: clients would find no snapshot that fits.
+		// Not before all that it names is held: else clients would find no snapshot that fits.
 		if f.Version != 0 {
 			return nil, r.refuse(ReasonUnnamed, f.Role, "timestamps have no versioned name")
 		}
@@ -55,7 +55,8 @@
 	return r.checkVersion(f, t.raw, t.version)
 }
 
-// checkComplete: timestamp, snapshot and top-level targets are held, fit together and have not expired.
+// checkComplete refuses unless a complete set is held, fits together and has not expired: root, timestamp, snapshot and
+// top-level targets.
 func (r *Repository) checkComplete() *RefusalError {
 	if refusal := r.checkSnapshot(metadata.TARGETS); refusal != nil {
 		return refusal
@@ -66,7 +67,7 @@
 	return r.checkDelegationChain(metadata.TARGETS)
 }
 
-// checkDelegationChain: neither a role of targets nor any that it was delegated by has expired.
+// checkDelegationChain refuses if a role of targets, or one of those that delegated to it, has expired.
 func (r *Repository) checkDelegationChain(role string) *RefusalError {
 	for name := role; name != metadata.ROOT; name = r.targets[name].delegator {
 		t := r.targets[name]
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// checkVersion holds a versioned name against the version that counts, and an unversioned one against the
-// repository's way of naming.
+// checkVersion gives data if a file name asks for its version, or has none in a repository without consistent snapshots
+// (section 6.2).
 func (r *Repository) checkVersion(f File, data []byte, version int64) ([]byte, *RefusalError) {
 	switch {
 	case f.Version == version:
--- a/internal/tufverify/lookup.go
+++ b/internal/tufverify/lookup.go
@@ -9,9 +9,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Find looks a target up through the delegations: in their order, depth first, ended by a terminating
-// one (5.6.7). Where a role on the way is not held, need names it: it is to be fetched, and the search
-// made again.
+// Find looks a target up through the delegations: in their order, depth first, ended by a terminating one (section 5.6.7).
+// Where a role on the way is not held, need names it: the caller fetches it and calls Find again.
 func (r *Repository) Find(now Tick, path string) (t *Target, need string, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkComplete(); refusal != nil {
--- a/internal/tufverify/refresh.go
+++ b/internal/tufverify/refresh.go
@@ -6,7 +6,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Update takes a file by its role.
+// Update verifies and holds a file of any role.
 func (r *Repository) Update(now Tick, f File, data []byte) *RefusalError {
 	switch f.Role {
 	case metadata.ROOT:
@@ -19,11 +19,11 @@
 	return r.UpdateTargets(now, f.Role, data)
 }
 
-// Get has a file for a walk; nil bytes without an error: there is none of this name.
+// Get fetches a file for Refresh or LookUp. Nil bytes without an error mean that there is no file of this name.
 type Get func(f File) ([]byte, error)
 
-// Refresh walks the client workflow (specification 5.3 to 5.6) from what is held: the chain of roots to its end, then
-// what a whole set lacks. Its error is a Refusal, or that of get.
+// Refresh is the client workflow (sections 5.3 to 5.6) from what is held: the chain of roots to its end, then what a complete
+// set lacks. Its error is a RefusalError, get's, or tells which file is missing.
 func (r *Repository) Refresh(now Tick, get Get) error {
 	for {
 		f := File{metadata.ROOT, r.NextRootVersion()}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// LookUp finds a target, having what is lacking of the roles on the way.
+// LookUp finds a target, and fetches the roles on the way that are not held. Its error is as Refresh's.
 func (r *Repository) LookUp(now Tick, path string, get Get) (*Target, error) {
 	for {
 		t, need, refusal := r.Find(now, path)
--- a/internal/tufverify/refusal.go
+++ b/internal/tufverify/refusal.go
@@ -4,10 +4,10 @@
 	"log/slog"
 )
 
-// Reason tells what is wrong with a piece of metadata.
+// Reason is why something was refused. Its zero value is ReasonNone.
 type Reason uint8
 
-// The reasons. Same is no fault: it is the version that is held already.
+// The reasons. ReasonAlreadyHeld is no fault: nothing changes.
 const (
 	ReasonNone            Reason = iota
 	ReasonAlreadyHeld            // it is held already
@@ -19,29 +19,32 @@
 	ReasonHashMismatch           // its length or hash is not what its parent says
 	ReasonVersionMismatch        // its version is not what its parent says
 	ReasonConflict               // the version was seen with other content
-	ReasonMalformed              // it makes no sense
+	ReasonMalformed              // it can't be parsed, or its parts contradict
 	ReasonTooLarge               // more than is allowed
-	ReasonMissing                // what it hangs on is not held
+	ReasonMissing                // something that it depends on is not held
 	ReasonNotDurable             // what must outlive a restart could not be written
-	ReasonDisagreement           // Director and Image repository do not say the same
+	ReasonDisagreement           // Director and image repository differ
 	ReasonOtherServer            // for another server or another kind of hardware
 	ReasonUnnamed                // nothing that is held names it
-	ReasonCount
+	ReasonCount                  // how many there are, no reason itself
 )
 
-var whys = [ReasonCount]string{"fine", "the same version", "older than what was seen", "expired", "wrongly signed",
+var reasonTexts = [ReasonCount]string{"fine", "the same version", "older than what was seen", "expired", "wrongly signed",
 	"under its threshold", "not of this repository's keys", "not as long or not of the hash its parent says",
 	"not the version its parent says", "seen with other content", "malformed", "too long",
 	"not had yet", "not kept: the floor cannot be written", "not agreed on by both repositories",
 	"for another server", "not named by anything"}
 
-func (w Reason) String() string { return whys[min(w, ReasonCount-1)] }
+// String is part of what clients are answered.
+func (w Reason) String() string { return reasonTexts[min(w, ReasonCount-1)] }
 
-// RefusalError says why something is not believed or not passed on.
+// RefusalError tells why something was not held, or may not be served. Methods return it by its own type, so that nil means
+// that nothing was refused; errors.As finds it where it is wrapped.
 type RefusalError struct {
-	Reason           Reason
-	Repository, Role string
-	Text             string
+	Reason     Reason
+	Repository string
+	Role       string // or the path of a target, or the server of a report
+	Text       string // details, may be empty
 }
 
 func (r *RefusalError) Error() string {
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -9,7 +9,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Target is one file that a repository vouches for.
+// Target is one file that a repository's targets name.
 type Target struct {
 	Path   string
 	Length int64
