--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -106,8 +106,10 @@
 }
 
 var (
-	folderName = regexp.MustCompile("`((?:balancer|cmd|internal|deploy)(?:/[a-z0-9-]+)*)`")
-	codeName   = regexp.MustCompile("`([a-z][a-z0-9]*)\\.([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)?)`")
+	folderName      = regexp.MustCompile("`((?:balancer|cmd|internal|deploy)(?:/[a-z0-9-]+)*)`")
+	codeName        = regexp.MustCompile("`([a-z][a-z0-9]*)\\.([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)?)`")
+	testName        = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Z]\\w*)(?:/[^`]*)?`")
+	testDeclaration = regexp.MustCompile("(?m)^func ((?:Test|Fuzz|Benchmark)\\w+)\\(")
 )
 
 // TestPages_NameWhatExists reads the pages that lead through the code. A folder is named by its path, a declaration as
@@ -155,6 +157,39 @@
 	}
 }
 
+// TestPages_NameTestsThatExist finds each test that a page names, with its case where one is named as Test/case, in a test file.
+func TestPages_NameTestsThatExist(t *testing.T) {
+	declared := map[string]bool{}
+	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		text, err := os.ReadFile(path)
+		for _, m := range testDeclaration.FindAllStringSubmatch(string(text), -1) {
+			declared[m[1]] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	pages, err := filepath.Glob("*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, page := range pages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range testName.FindAllStringSubmatch(string(text), -1) {
+			if !declared[m[1]] {
+				t.Errorf("%s: there is no test %s", page, m[1])
+			}
+		}
+	}
+}
+
 // TestArchitecture_NamesEachPackage finds each package of the project on the page.
 func TestArchitecture_NamesEachPackage(t *testing.T) {
 	text, err := os.ReadFile("architecture.md")
