--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"silvercove/internal/stagedrollout"
 	"silvercove/internal/tufverify"
 )
 
@@ -21,8 +22,8 @@
 	return s.Kind, true
 }
 
-// Count tells how many servers there are, how many are told the newest package, and how many may act on it.
-func (d *Director) Count() (fleet, told, counted int) {
+// Count counts the servers.
+func (d *Director) Count() stagedrollout.Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rollout.Count(d.tick())
--- a/internal/metadataproxy/status.go
+++ b/internal/metadataproxy/status.go
@@ -51,7 +51,8 @@
 		s.Repositories = append(s.Repositories, p.repositories[name].status())
 	}
 	if p.director != nil {
-		s.Servers, s.Assigned, s.MayInstall = p.director.Count()
+		counts := p.director.Count()
+		s.Servers, s.Assigned, s.MayInstall = counts.Servers, counts.Assigned, counts.MayInstall
 		s.Issued = p.director.IssuedCount()
 	}
 	return s
--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -8,52 +8,53 @@
 // installTimeout is installing as a duration.
 const installTimeout = time.Duration(installWindow) * (time.Second / time.Duration(Second))
 
-// OnReport takes a server's report: what it runs, and how an installation of a build went, if one ended.
-func (w *Rollout) OnReport(now Tick, s *Server, running, tried uint16, ended InstallResult) {
+// OnReport records a server's report: the version it runs, and how the installation of a version ended, if one did.
+func (r *Rollout) OnReport(now Tick, s *Server, running, tried uint16, result InstallResult) {
 	s.running = running
-	if tried == w.version && s.assigned == w.version && ended != InstallPending && w.version != w.releasedVersion {
-		bad := 1.0
-		if ended == InstallSucceeded {
-			bad = 0
+	if tried == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
+		failed := 1.0
+		if result == InstallSucceeded {
+			failed = 0
 		}
-		w.results = append(w.results, bad)
-		w.results = w.results[max(0, len(w.results)-recentResults):]
-		switch ended {
+		r.results = append(r.results, failed)
+		r.results = r.results[max(0, len(r.results)-recentResults):]
+		switch result {
 		case InstallFailed:
-			w.recordFailure(now, s)
+			r.recordFailure(now, s)
 		case InstallDeclined:
 			s.excluded = true
-			w.log("server declined the version and is excluded", s)
-			w.rollBack(now, s)
+			r.log("server declined the version and is excluded", s)
+			r.rollBack(now, s)
 		}
 	}
-	w.reconcile(now)
+	r.reconcile(now)
 }
 
-// log writes a warning about a server and the newest build.
-func (w *Rollout) log(message string, s *Server, fields ...slog.Attr) {
-	all := []slog.Attr{slog.String("server", s.Name), slog.Int("version", int(w.version))}
-	w.host.Log(slog.LevelWarn, message, append(all, fields...)...)
+// log writes a warning about a server and the newest version.
+func (r *Rollout) log(message string, s *Server, fields ...slog.Attr) {
+	all := []slog.Attr{slog.String("server", s.Name), slog.Int("version", int(r.version))}
+	r.host.Log(slog.LevelWarn, message, append(all, fields...)...)
 }
 
-// InstallResult tells how an installation ended.
+// InstallResult is how an installation ended.
 type InstallResult uint8
 
-// The endings of an installation.
+// The results of an installation.
 const (
-	InstallPending InstallResult = iota
-	InstallSucceeded
-	InstallFailed
-	InstallDeclined
+	InstallPending   InstallResult = iota // none has ended
+	InstallSucceeded                      // the server runs the version
+	InstallFailed                         // the server may retry later
+	InstallDeclined                       // the server does not want the version
 )
 
-// recordFailure puts a server off: for longer each time, and for good after some. Its place goes to another.
-func (w *Rollout) recordFailure(now Tick, s *Server) {
+// recordFailure rolls a server back after a failed installation, with a retry delay that doubles; after maxFailures it is
+// excluded. Another server is assigned the version in its place.
+func (r *Rollout) recordFailure(now Tick, s *Server) {
 	s.failures++
 	if s.failures >= maxFailures {
 		s.excluded = true
-		w.log("server failed too many installations and is excluded", s, slog.Int("failures", s.failures))
+		r.log("server failed too many installations and is excluded", s, slog.Int("failures", s.failures))
 	}
 	s.retryAt = now + min(maxRetryDelay, minRetryDelay<<(s.failures-1))
-	w.rollBack(now, s)
+	r.rollBack(now, s)
 }
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -7,32 +7,34 @@
 	"strconv"
 )
 
-// sortServers sorts the fleet by the order of the package: drawn for each package anew, the same at every start,
-// and spread evenly over zones and kinds, so that the first tenth has a tenth of each. Servers that
-// were told stay told whatever comes in before them.
-func (w *Rollout) sortServers() {
-	if w.ordered {
+// sortServers sorts the servers by the order in which they are assigned the newest version: drawn for each version anew, the
+// same at every start, and spread evenly over zones and kinds of hardware, so that the first tenth has a tenth of each. A
+// server that comes into the list does not take the assignment of another.
+func (r *Rollout) sortServers() {
+	if r.ordered {
 		return
 	}
-	w.ordered = true
-	groups := map[[2]string][]*Server{}
-	drawn := make(map[*Server]uint64, len(w.servers))
-	for _, s := range w.servers {
+	r.ordered = true
+	type group struct{ zone, kind string }
+	groups := map[group][]*Server{}
+	drawn := make(map[*Server]uint64, len(r.servers))
+	for _, s := range r.servers {
 		h := fnv.New64a()
-		h.Write([]byte(strconv.Itoa(int(w.version)) + "/" + s.Name))
+		h.Write([]byte(strconv.Itoa(int(r.version)) + "/" + s.Name))
 		drawn[s] = mixBits(h.Sum64())
-		groups[[2]string{s.Zone, s.Kind}] = append(groups[[2]string{s.Zone, s.Kind}], s)
+		key := group{s.Zone, s.Kind}
+		groups[key] = append(groups[key], s)
 	}
-	for _, g := range groups {
-		slices.SortFunc(g, func(a, b *Server) int {
+	for _, members := range groups {
+		slices.SortFunc(members, func(a, b *Server) int {
 			return cmp.Or(cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
 		})
-		start := float64(mixBits(drawn[g[0]])%1024) / 1024 // groups of one do not all come at once
-		for i, s := range g {
-			s.rank = (float64(i) + start) / float64(len(g))
+		start := float64(mixBits(drawn[members[0]])%1024) / 1024 // groups of one are not all first
+		for i, s := range members {
+			s.rank = (float64(i) + start) / float64(len(members))
 		}
 	}
-	slices.SortFunc(w.servers, func(a, b *Server) int {
+	slices.SortFunc(r.servers, func(a, b *Server) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
 	})
 }
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -5,94 +5,101 @@
 	"slices"
 )
 
-// rollBack tells a server the released build that it comes from.
-func (w *Rollout) rollBack(now Tick, s *Server) {
+// rollBack assigns a server the released version that it comes from. It may act on the newest version until its metadata
+// expire.
+func (r *Rollout) rollBack(now Tick, s *Server) {
 	if s.assigned == s.released {
 		return
 	}
-	s.assigned, s.assignedAt, s.mayInstallUntil = s.released, now, now+w.metadataLifetime
-	w.host.Assign(s, s.released)
+	s.assigned, s.assignedAt, s.mayInstallUntil = s.released, now, now+r.metadataLifetime
+	r.host.Assign(s, s.released)
 }
 
-// pending: told the package and not yet heard to run it.
-func (w *Rollout) pending(s *Server) bool {
-	return w.version != w.releasedVersion && s.listed && s.assigned == w.version && s.running != w.version
+// pending tells whether a server is assigned the newest version and has not reported that it runs it.
+func (r *Rollout) pending(s *Server) bool {
+	return r.version != r.releasedVersion && s.listed && s.assigned == r.version && s.running != r.version
 }
 
-// mayInstall: it may act on metadata that name the package.
-func (w *Rollout) mayInstall(now Tick, s *Server) bool {
-	return s.assigned == w.version || now < s.mayInstallUntil
+// mayInstall tells whether a server may still act on metadata that name the newest version.
+func (r *Rollout) mayInstall(now Tick, s *Server) bool {
+	return s.assigned == r.version || now < s.mayInstallUntil
 }
 
-// reconcile is the ordinary path: who is told back, who is told next.
-func (w *Rollout) reconcile(now Tick) {
-	if w.version == w.releasedVersion {
+// reconcile assigns the released version to servers above the limit, and the newest version to more servers below it.
+func (r *Rollout) reconcile(now Tick) {
+	if r.version == r.releasedVersion {
 		return
 	}
-	w.sortServers()
-	fleet, told, counted, pending := 0, 0, 0, 0
-	for _, s := range w.servers {
-		if s.listed {
-			fleet++
-		}
-		if s.assigned == w.version {
-			told++
-		}
-		if w.mayInstall(now, s) {
-			counted++
-		}
-		if w.pending(s) {
-			pending++
-		}
+	r.sortServers()
+	counts := r.Count(now)
+	limit := r.maxAssigned(counts.Servers)
+	r.rollBackExcess(now, counts.Assigned-limit)
+	if limit > 0 && (!r.paused || r.phase != Canary) {
+		r.assignMore(now, counts, limit)
 	}
-	most := fleet
-	switch w.phase {
+	r.scheduleTimer(now)
+}
+
+// maxAssigned is how many of the listed servers may be assigned the newest version in its phase.
+func (r *Rollout) maxAssigned(servers int) int {
+	switch r.phase {
 	case Canary:
-		most = int(math.Floor(w.exposureCap*float64(fleet) + 1e-9))
-	case RollingBack, Withdrawn:
-		most = 0
+		return int(math.Floor(r.exposureCap*float64(servers) + roundingTolerance))
+	case Released:
+		return servers
 	}
-	for i := len(w.servers) - 1; i >= 0 && told > most; i-- { // the last of the order first
-		if s := w.servers[i]; s.assigned == w.version {
-			w.rollBack(now, s)
-			told--
+	return 0
+}
+
+// rollBackExcess rolls back some servers that are assigned the newest version, the last of the order first.
+func (r *Rollout) rollBackExcess(now Tick, excess int) {
+	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
+		if s := r.servers[i]; s.assigned == r.version {
+			r.rollBack(now, s)
+			excess--
 		}
 	}
-	if most == 0 || w.paused && w.phase == Canary {
-		w.scheduleTimer(now)
-		return
-	}
-	once := max(minPending, int(maxPendingShare*float64(fleet)))
-	if n := len(w.results); n >= recentResults/2 && sum(w.results) > maxFailedShare*float64(n) {
-		once = 1 // most of the last ended badly: one after the other, until some go well
-	}
-	for _, s := range w.servers {
-		if pending >= once || w.phase == Canary && counted >= most {
-			break
+}
+
+// assignMore assigns the newest version to servers in their order, within the limit and the number of pending installations.
+func (r *Rollout) assignMore(now Tick, counts Counts, limit int) {
+	maxPending := r.maxPending(counts.Servers)
+	for _, s := range r.servers {
+		if counts.pending >= maxPending || r.phase == Canary && counts.MayInstall >= limit {
+			return
 		}
-		if !s.listed || s.assigned == w.version || s.excluded || now < s.retryAt || !w.compatible(s) {
+		if !s.listed || s.assigned == r.version || s.excluded || now < s.retryAt || !r.compatible(s) {
 			continue
 		}
-		if w.phase == Canary && now < s.mayInstallUntil {
-			counted-- // it counts already
+		if r.phase == Canary && now < s.mayInstallUntil {
+			counts.MayInstall-- // it is counted already
 		}
-		s.assigned, s.assignedAt, s.mayInstallUntil = w.version, now, 0
-		w.host.Assign(s, w.version)
-		counted++
-		pending++
+		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
+		r.host.Assign(s, r.version)
+		counts.MayInstall++
+		counts.pending++
+	}
+}
+
+// maxPending is how many installations may be pending at once. Where most of the recent ones failed it is one, until some
+// succeed.
+func (r *Rollout) maxPending(servers int) int {
+	if n := len(r.results); n >= recentResults/2 && sum(r.results) > maxFailedShare*float64(n) {
+		return 1
 	}
-	w.scheduleTimer(now)
+	return max(minPending, int(maxPendingShare*float64(servers)))
 }
 
-func (w *Rollout) compatible(s *Server) bool {
-	return len(w.hardwareKinds) == 0 || slices.Contains(w.hardwareKinds, s.Kind)
+// compatible tells whether the newest version's package fits a server's kind of hardware.
+func (r *Rollout) compatible(s *Server) bool {
+	return len(r.hardwareKinds) == 0 || slices.Contains(r.hardwareKinds, s.Kind)
 }
 
-// scheduleTimer asks for the next alarm that can change anything.
-func (w *Rollout) scheduleTimer(now Tick) {
+// scheduleTimer sets the timer to the next moment at which time alone can change anything.
+func (r *Rollout) scheduleTimer(now Tick) {
 	next := Tick(math.MaxInt64)
-	for _, s := range w.servers {
-		if w.pending(s) {
+	for _, s := range r.servers {
+		if r.pending(s) {
 			next = min(next, s.assignedAt+installWindow)
 		}
 		if s.retryAt > now && !s.excluded {
@@ -102,9 +109,9 @@
 			next = min(next, s.mayInstallUntil)
 		}
 	}
-	if next != math.MaxInt64 && (w.timerAt == 0 || next < w.timerAt) {
-		w.timerAt = next
-		w.host.SetTimer(next)
+	if next != math.MaxInt64 && (r.timerAt == 0 || next < r.timerAt) {
+		r.timerAt = next
+		r.host.SetTimer(next)
 	}
 }
 
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -1,13 +1,14 @@
-// Package stagedrollout decides which servers are told to run an unreleased package while it goes out in waves:
-// which, in what order, how many at once, and what becomes of those that fail or draw back.
+// Package stagedrollout decides which servers of a fleet are assigned a version that is not released yet: which, in what
+// order, how many at once, and what becomes of those whose installation fails or that decline it.
 //
-// How to call it: New makes the Waves of one fleet. Call the one method that names what has happened, with
-// the time; it acts at once through the Host. How far a package goes is not decided here: the cap comes with
-// Stage, and the number of servers that are told never exceeds the cap's share of the fleet, rounded down.
+// New makes the Rollout of one fleet. The caller calls the method that names what has happened, with the time; the Rollout
+// acts at once through its Host. How far a version goes is not decided here: the exposure cap comes with OnStage.
 //
-// A server counts against the cap while its newest metadata name the package, and after it was told back
-// until it has fetched newer metadata or those that named the package have expired: until then it may
-// still act on them.
+// Invariant: the number of servers that may install a canary version never exceeds the exposure cap's share of the listed
+// servers, rounded down, when one more is assigned. A server may install it while its newest metadata name the version, and
+// after a roll-back until it has fetched newer metadata or those that named the version have expired.
+//
+// It reads no clock, does no I/O and is not safe for concurrent use.
 //
 // Kind: decision
 package stagedrollout
@@ -24,142 +25,145 @@
 const Second Tick = 10000
 
 const (
-	maxFailures     = 3           // installations that a server may fail before it is left out
-	minRetryDelay   = 60 * Second // after the first that failed; it doubles
-	maxRetryDelay   = 1800 * Second
-	installWindow   = 300 * Second // without a report an installation counts as failed
-	maxPendingShare = 0.1          // of the fleet: told and not yet heard to run it
-	minPending      = 2
-	maxFailedShare  = 0.5 // of the last ended installations: none is begun but one at a time
-	recentResults   = 16
+	maxFailures       = 3             // installations of a version that a server may fail before it is excluded
+	minRetryDelay     = 60 * Second   // after the first failed installation; it doubles
+	maxRetryDelay     = 1800 * Second // of that
+	installWindow     = 300 * Second  // an installation that is not reported in this time counts as failed
+	maxPendingShare   = 0.1           // of the listed servers: installations pending at once
+	minPending        = 2             // and at least so many
+	maxFailedShare    = 0.5           // of the recent installations: above it, one is pending at a time
+	recentResults     = 16            // installations that are recent
+	roundingTolerance = 1e-9          // added to cap times servers, so that a product of floats is not rounded down by error
 )
 
-// Host is what the module acts through.
+// Host carries out what a Rollout decides. It must not call back into the Rollout.
 type Host interface {
-	Assign(s *Server, build uint16) // its metadata are to name this build, at once
-	SetTimer(at Tick)               // Alarm at or after the time
+	// Assign has a server's metadata name a version, at once.
+	Assign(s *Server, version uint16)
+	// SetTimer asks for OnTimer at a time, or after it.
+	SetTimer(at Tick)
+	// Log writes a log line: a constant message with typed fields.
 	Log(level slog.Level, message string, fields ...slog.Attr)
 }
 
-// Phase is where a package stands.
+// Phase is how far the newest version is.
 type Phase uint8
 
-// The phases of a package.
+// The phases of a version.
 const (
-	Canary Phase = iota
-	RollingBack
-	Released
-	Withdrawn
+	Canary      Phase = iota // it goes to servers up to the exposure cap
+	RollingBack              // it is taken back from all servers
+	Released                 // it goes to all servers
+	Withdrawn                // it was taken back
 )
 
-// Rollout decides for one fleet.
+// Rollout is the state of one fleet's servers and its newest version.
 type Rollout struct {
 	host             Host
-	metadataLifetime Tick // how long metadata that name a package last
+	metadataLifetime Tick // how long metadata that name a version last
 	servers          []*Server
-	version          uint16 // the newest package
-	releasedVersion  uint16 // what all others run
+	version          uint16 // the newest version
+	releasedVersion  uint16 // what all other servers run; the newest version itself once nothing newer is out
 	phase            Phase
-	exposureCap      float64
-	hardwareKinds    []string // that the package fits, all of them if none is named
-	paused           bool     // the module has voted back: nobody new is told
-	results          []float64
-	ordered          bool
-	timerAt          Tick
+	exposureCap      float64   // share of the listed servers
+	hardwareKinds    []string  // that the newest version's package fits, all of them if none is named
+	paused           bool      // no further server is assigned it until a later stage
+	results          []float64 // of recent installations of the newest version: 1 for one that failed or was declined
+	ordered          bool      // servers are in the order of the newest version
+	timerAt          Tick      // 0 for none
 }
 
-// New makes the module of a fleet whose metadata last so long. Before any news every server is told the
-// earlier build, 0 for none.
-func New(host Host, last Tick, earlier uint16) *Rollout {
-	return &Rollout{host: host, metadataLifetime: last, releasedVersion: earlier, phase: Withdrawn, version: earlier}
+// New makes the Rollout of a fleet. Until OnStage every server is assigned the released version, 0 for none.
+func New(host Host, metadataLifetime Tick, released uint16) *Rollout {
+	return &Rollout{host: host, metadataLifetime: metadataLifetime, releasedVersion: released, phase: Withdrawn, version: released}
 }
 
-// Restore puts a server in as it was known before a restart: what it was told, and until when it may hold
-// metadata that name that. Before the first Stage and Listed only.
-func (w *Rollout) Restore(now Tick, s *Server, told uint16, holds Tick) {
-	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = told, w.releasedVersion, holds, now
-	w.servers, s.tracked = append(w.servers, s), true
-	w.ordered = false
+// Restore adds a server as it was known before a restart: the version it was assigned, and until when it may act on metadata
+// that name a later one. Call it before OnStage and OnListed only.
+func (r *Rollout) Restore(now Tick, s *Server, assigned uint16, mayInstallUntil Tick) {
+	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = assigned, r.releasedVersion, mayInstallUntil, now
+	r.servers, s.tracked = append(r.servers, s), true
+	r.ordered = false
 }
 
-// OnListed takes that a server is in the fleet, or no longer. Settled ends a piece of such news.
-func (w *Rollout) OnListed(now Tick, s *Server, here bool) {
+// OnListed records that a server is in the fleet, or no longer. OnListComplete ends a list, or its changes.
+func (r *Rollout) OnListed(now Tick, s *Server, listed bool) {
 	if !s.tracked {
-		w.servers, s.tracked = append(w.servers, s), true
-		s.assigned, s.released = w.releasedVersion, w.releasedVersion
+		r.servers, s.tracked = append(r.servers, s), true
+		s.assigned, s.released = r.releasedVersion, r.releasedVersion
 	}
-	if s.listed != here {
-		s.listed, w.ordered = here, false
+	if s.listed != listed {
+		s.listed, r.ordered = listed, false
 	}
 }
 
-// OnListComplete takes the end of news of the list. A server that is gone is told the earlier build, should it
-// come back unlisted, and forgotten once it can't hold anything else.
-func (w *Rollout) OnListComplete(now Tick) {
-	for _, s := range w.servers {
+// OnListComplete records the end of a list. A server that is gone is assigned the released version, should it still ask, and
+// dropped once it can't act on anything else.
+func (r *Rollout) OnListComplete(now Tick) {
+	for _, s := range r.servers {
 		if !s.listed && s.assigned != s.released {
-			w.rollBack(now, s)
+			r.rollBack(now, s)
 		}
 	}
-	w.dropGone(now)
-	w.reconcile(now)
+	r.dropGone(now)
+	r.reconcile(now)
 }
 
-// dropGone drops servers that are gone and can't act on anything any more.
-func (w *Rollout) dropGone(now Tick) {
-	w.servers = slices.DeleteFunc(w.servers, func(s *Server) bool {
+// dropGone drops the servers that are not listed and can't act on the newest version any more.
+func (r *Rollout) dropGone(now Tick) {
+	r.servers = slices.DeleteFunc(r.servers, func(s *Server) bool {
 		s.tracked = s.listed || now < s.mayInstallUntil
 		return !s.tracked
 	})
 }
 
-// OnStage takes news of the newest package: the build before it, where it stands, and the share of the fleet
-// that may be told of it. kinds are those that it fits; none: all.
-func (w *Rollout) OnStage(now Tick, build, earlier uint16, phase Phase, share float64, kinds []string) {
-	if build != w.version || earlier != w.releasedVersion {
-		for _, s := range w.servers {
+// OnStage records the stage of the newest version: the released version before it, its phase, and the share of the fleet that
+// may be assigned it. hardwareKinds are those that its package fits, all of them if there are none.
+func (r *Rollout) OnStage(now Tick, version, released uint16, phase Phase, exposureCap float64, hardwareKinds []string) {
+	if version != r.version || released != r.releasedVersion {
+		for _, s := range r.servers {
 			s.failures, s.retryAt, s.excluded = 0, 0, false
 			switch {
-			case s.assigned == earlier, s.assigned == w.version && w.phase == Released:
+			case s.assigned == released, s.assigned == r.version && r.phase == Released:
 				s.released = s.assigned
-			case s.assigned == s.released: // left out of a package that was released: it stays where it is
-			case s.assigned != build: // of a package that was never released
-				s.released = earlier
-				w.rollBack(now, s)
+			case s.assigned == s.released: // excluded from a version that was released: it stays where it is
+			case s.assigned != version: // a version that was never released
+				s.released = released
+				r.rollBack(now, s)
 			default:
-				s.released = earlier
+				s.released = released
 			}
 		}
-		w.results, w.ordered, w.paused = nil, false, false
+		r.results, r.ordered, r.paused = nil, false, false
 	}
-	if phase == Canary && share > w.exposureCap && w.phase == Canary {
-		w.paused = false // it went on in spite of the vote
+	if phase == Canary && exposureCap > r.exposureCap && r.phase == Canary {
+		r.paused = false // it is promoted in spite of the vote
 	}
-	w.version, w.releasedVersion, w.phase, w.exposureCap, w.hardwareKinds = build, earlier, phase, share, kinds
-	w.reconcile(now)
+	r.version, r.releasedVersion, r.phase, r.exposureCap, r.hardwareKinds = version, released, phase, exposureCap, hardwareKinds
+	r.reconcile(now)
 }
 
-// Pause takes that the module has voted to go back, or to hold: nobody new is told until a later stage.
-func (w *Rollout) Pause(now Tick) { w.paused = true }
+// Pause stops assigning the newest version to further servers, as a vote to hold or roll back asks, until a later stage.
+func (r *Rollout) Pause(now Tick) { r.paused = true }
 
-// OnFetched takes that a server has got metadata that name a build: it holds no others any more.
-func (w *Rollout) OnFetched(now Tick, s *Server, build uint16) {
-	if s.assigned == build && build != w.version {
+// OnFetched records that a server has fetched metadata that name a version: it can't act on earlier ones any more.
+func (r *Rollout) OnFetched(now Tick, s *Server, version uint16) {
+	if s.assigned == version && version != r.version {
 		s.mayInstallUntil = 0
-		w.reconcile(now)
+		r.reconcile(now)
 	}
 }
 
-// OnTimer lets time go on: installations that were not heard of end, servers that were put off may try again,
-// and metadata that were told back expire.
-func (w *Rollout) OnTimer(now Tick) {
-	w.timerAt = 0
-	for _, s := range w.servers {
-		if w.pending(s) && now >= s.assignedAt+installWindow {
-			w.log("installation not reported in time", s, slog.Duration("wait_ms", installTimeout))
-			w.recordFailure(now, s)
+// OnTimer is called at the time of SetTimer: installations that were not reported count as failed, servers may retry, and
+// metadata that a roll-back replaced expire.
+func (r *Rollout) OnTimer(now Tick) {
+	r.timerAt = 0
+	for _, s := range r.servers {
+		if r.pending(s) && now >= s.assignedAt+installWindow {
+			r.log("installation not reported in time", s, slog.Duration("wait_ms", installTimeout))
+			r.recordFailure(now, s)
 		}
 	}
-	w.dropGone(now)
-	w.reconcile(now)
+	r.dropGone(now)
+	r.reconcile(now)
 }
--- a/internal/stagedrollout/server.go
+++ b/internal/stagedrollout/server.go
@@ -1,21 +1,23 @@
 package stagedrollout
 
-// Server is one server of the fleet. Its Name is the front's own name for it.
+// Server is one server of the fleet. The caller sets the exported fields before the first call with it.
 type Server struct {
-	Name, Zone, Kind string
+	Name string // the Director's name for it
+	Zone string
+	Kind string // of hardware
 
-	tracked         bool // among the servers of the module
-	listed          bool
-	assigned        uint16  // the build that its newest metadata name
-	released        uint16  // the released build that it goes back to
-	assignedAt      Tick    // when it was told
-	mayInstallUntil Tick    // told back: until then it may act on what it was told
-	running         uint16  // by its last report
-	rank            float64 // in the order of the package
-	failures        int     // installations of the package that failed
-	retryAt         Tick    // not before
-	excluded        bool    // of this package, for good
+	tracked         bool    // in Rollout.servers
+	listed          bool    // in the list of servers
+	assigned        uint16  // the version that its newest metadata name
+	assignedAt      Tick    // when it was assigned that
+	released        uint16  // the version that it is rolled back to
+	mayInstallUntil Tick    // after a roll-back: until then it may act on the newest version
+	running         uint16  // the version by its last report
+	rank            float64 // in the order of the newest version, from 0 to 1
+	failures        int     // failed installations of the newest version
+	retryAt         Tick    // after a failure: not assigned the newest version before
+	excluded        bool    // from the newest version, for good
 }
 
-// Assigned is the build that a server's metadata name.
+// Assigned is the version that a server's metadata are to name, 0 for none.
 func (s *Server) Assigned() uint16 { return s.assigned }
