--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -4,42 +4,45 @@
 	"silvercove/internal/tufverify"
 )
 
-// ClientLimiter decides how many clients are let in: requests that wait for mirrors or are being passed a
-// package need memory, files that are held cost next to none.
+// ClientLimiter bounds the requests that wait for mirrors or are being sent a package, as they need memory. Files that are
+// held cost next to none and are not counted.
 type ClientLimiter struct {
-	Limit        int // at once
+	Limit        int // requests at once
 	inUse        int
-	perClient    map[string]int // of one client address, while there is any
-	maxPerClient int
+	perClient    map[string]int // requests by client address, where there are any
+	maxPerClient int            // bound of one client while more than half of Limit is in use
 }
 
-// NewClientLimiter lets in so many at once, and of one client a quarter of them at most.
-func NewClientLimiter(most int) *ClientLimiter {
-	return &ClientLimiter{Limit: most, perClient: map[string]int{}, maxPerClient: max(1, most/4)}
+// clientShare is the part of the limit that one client may use while others want in: one in so many.
+const clientShare = 4
+
+// NewClientLimiter admits limit requests at once.
+func NewClientLimiter(limit int) *ClientLimiter {
+	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShare)}
 }
 
-// Acquire takes that a client wants in; false: it is told to come back. One client alone can't fill
-// all places while others want in: past a half of them each has its own bound.
-func (d *ClientLimiter) Acquire(client string) bool {
-	if d.inUse >= d.Limit || d.inUse >= d.Limit/2 && d.perClient[client] >= d.maxPerClient {
+// Acquire admits a request of a client, or refuses it. One client alone can't use up the limit: past its half, each client has
+// a bound of its own.
+func (l *ClientLimiter) Acquire(client string) bool {
+	if l.inUse >= l.Limit || l.inUse >= l.Limit/2 && l.perClient[client] >= l.maxPerClient {
 		return false
 	}
-	d.inUse++
-	d.perClient[client]++
+	l.inUse++
+	l.perClient[client]++
 	return true
 }
 
-// Release takes that it is through.
-func (d *ClientLimiter) Release(client string) {
-	d.inUse--
-	if d.perClient[client]--; d.perClient[client] <= 0 {
-		delete(d.perClient, client)
+// Release records the end of a request that was admitted.
+func (l *ClientLimiter) Release(client string) {
+	l.inUse--
+	if l.perClient[client]--; l.perClient[client] <= 0 {
+		delete(l.perClient, client)
 	}
 }
 
-// InUse tells how many are in.
-func (d *ClientLimiter) InUse() int { return d.inUse }
+// InUse is the number of requests admitted.
+func (l *ClientLimiter) InUse() int { return l.inUse }
 
-// ClientWriteTimeout is how long a client may take to accept one stretch of a package: past it the client is
-// let go, as it holds a mirror's connection.
+// ClientWriteTimeout is how long a client may take to accept one write of a package. Past it its connection is closed, as it
+// holds a mirror's.
 const ClientWriteTimeout = 10 * tufverify.Second
--- a/internal/metadatarefresh/limits.go
+++ b/internal/metadatarefresh/limits.go
@@ -4,14 +4,14 @@
 	"silvercove/internal/tufverify"
 )
 
-// Limits of a front's exchanges, beside those of trust.
+// Limits of a metadata proxy, beside those of tufverify.
 const (
-	MaxRootsPerRequest  = 64                    // of a chain, for one request
-	MaxRounds           = 8                     // in which a whole set must be had, though keys may change meanwhile
-	SurveyWidth         = 4                     // mirrors asked at once after a start
-	MaxIdleMirrorConns  = 8                     // connections to a mirror that are kept
-	MirrorIdleTimeout   = 10 * tufverify.Second // for so long
-	ClientHeaderTimeout = 5 * tufverify.Second  // a client's request may take to come
-	ClientBodyTimeout   = 30 * tufverify.Second // and its report
-	ClientIdleTimeout   = 30 * tufverify.Second // a client's connection may stand idle
+	MaxRootsPerRequest  = 64                    // roots of a chain that are fetched for one request
+	MaxRounds           = 8                     // files in which a set must be complete, though new keys may begin it again
+	SurveyWidth         = 4                     // mirrors asked at once in a survey
+	MaxIdleMirrorConns  = 8                     // idle connections to a mirror
+	MirrorIdleTimeout   = 10 * tufverify.Second // of such a connection
+	ClientHeaderTimeout = 5 * tufverify.Second  // until the header of a client's request has come
+	ClientBodyTimeout   = 30 * tufverify.Second // until its body has come
+	ClientIdleTimeout   = 30 * tufverify.Second // of a client's idle connection
 )
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -1,8 +1,9 @@
-// Package metadatarefresh decides about exchanges of metadata at a front: whether what is held will do or mirrors are
-// to be asked, when they are asked again after they had nothing, what a client is told, when a transfer
-// is too slow to wait for, and how many clients are let in at once.
+// Package metadatarefresh holds the rules of a metadata proxy: when mirrors are asked, and when again after a failure; what a
+// client is answered; when a transfer is too slow to wait for; how many clients are admitted at once; when a Director
+// issues a server's metadata anew.
 //
-// It knows no socket and no clock: each method names what has happened, with the time.
+// It does no I/O and reads no clock: each method names what has happened, with the time. Nothing here is safe for concurrent
+// use.
 //
 // Kind: decision
 package metadatarefresh
@@ -17,16 +18,12 @@
 type Tick = tufverify.Tick
 
 const (
-	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after they had nothing
+	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after a failure
 	maxBackoff       = 10 * tufverify.Second // it doubles up to this
-	minWindowBytes   = 4 << 10               // a transfer brings within one span
-	rateWindow       = 2 * tufverify.Second
-	firstByteTimeout = 2 * tufverify.Second // until the first byte of a transfer
-	maxChoiceAge     = tufverify.Second / 2 // a delivery chosen longer ago is not sent: its mirror may drain since
-	retryAfterSpread = 2                    // come-back times are drawn up to so many times the least
+	retryAfterSpread = 2                     // times to retry after are drawn up to so many times the least
 )
 
-// Refresh decides when the mirrors of one repository are asked for something newer.
+// Refresh decides when the mirrors of one repository are asked for newer metadata.
 type Refresh struct {
 	freshFor       Tick // a timestamp is taken for current for so long
 	unconfirmedFor Tick // and for so long where no mirror can be asked
@@ -36,31 +33,34 @@
 	random         *rand.Rand
 }
 
-// NewRefresh makes one; a timestamp that was had every ago is asked for again, and one that was had alone ago
-// is no longer passed on, also if no mirror can be asked.
-func NewRefresh(every, alone Tick, seed uint64) *Refresh {
-	return &Refresh{freshFor: every, unconfirmedFor: max(every, alone), refreshedAt: -1 << 40, random: rand.New(rand.NewPCG(seed, seed>>32))}
+// neverRefreshed is a time long before any other.
+const neverRefreshed Tick = -1 << 40
+
+// NewRefresh makes a Refresh that was never refreshed. A timestamp counts as current for freshFor, and for unconfirmedFor
+// while no mirror can be asked; seed is that of the random draws.
+func NewRefresh(freshFor, unconfirmedFor Tick, seed uint64) *Refresh {
+	return &Refresh{freshFor: freshFor, unconfirmedFor: max(freshFor, unconfirmedFor), refreshedAt: neverRefreshed, random: rand.New(rand.NewPCG(seed, seed>>32))}
 }
 
-// Due tells whether the mirrors are to be asked before a timestamp is passed on. lacking: what is held
-// will not do anyhow.
-func (r *Refresh) Due(now Tick, lacking bool) bool {
-	return (lacking || now >= r.refreshedAt+r.freshFor) && now >= r.notBefore
+// Due tells whether the mirrors are to be asked before a timestamp is served. incomplete: what is held is not a complete
+// current set.
+func (r *Refresh) Due(now Tick, incomplete bool) bool {
+	return (incomplete || now >= r.refreshedAt+r.freshFor) && now >= r.notBefore
 }
 
-// OnRefreshed takes that the mirrors showed a current timestamp.
+// OnRefreshed records that a mirror showed a current timestamp.
 func (r *Refresh) OnRefreshed(now Tick) { r.refreshedAt, r.notBefore, r.backoff = now, 0, 0 }
 
-// OnFailed takes that they did not. They are asked again after a while that doubles, drawn by a half, so that
-// a dead repository is not asked by each client, nor by all relays at once.
+// OnFailed records that no mirror did. They are asked again after a backoff that doubles, half of it drawn, so that a dead
+// repository is not asked for each client, nor by all processes at once.
 func (r *Refresh) OnFailed(now Tick) {
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
 }
 
-// Stale tells whether what is held may no longer be taken for the newest: the mirrors are to be asked, or
-// have had nothing for too long. Between its two times a newer one may be out that no mirror showed: the end
-// of the metadata bounds that anyhow, and an installation chooses how much earlier to stop.
+// Stale tells whether what is held may no longer be taken for the newest: the mirrors are to be asked, or have failed for too
+// long. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed; the expiry of the metadata
+// bounds that anyhow, and unconfirmedFor is how much earlier an operator chooses to stop.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
@@ -68,8 +68,8 @@
 	return now >= r.refreshedAt+r.freshFor
 }
 
-// RetryAfter is how long a client is to wait that got nothing: until the mirrors are asked again, and a drawn
-// while more, so that those who wait do not come at once.
+// RetryAfter is how long a client that got no file is to wait: until the mirrors are asked again, and a random time more, so
+// that the clients do not retry at once.
 func (r *Refresh) RetryAfter(now Tick) Tick {
 	least := max(minBackoff, r.notBefore-now)
 	return least + Tick(r.random.Int64N(int64(least)*(retryAfterSpread-1)+1))
--- a/internal/metadatarefresh/response.go
+++ b/internal/metadatarefresh/response.go
@@ -1,54 +1,55 @@
 package metadatarefresh
 
 import (
+	"net/http"
+
 	"silvercove/internal/tufverify"
 )
 
-// Response is what a client is told in place of a file.
+// Response is the answer of a request that gets no file.
 type Response struct {
-	Status     int
-	Text       string
-	RetryLater bool // with a time to come back
+	Status     int    // of HTTP
+	Text       string // body
+	RetryLater bool   // with a Retry-After header
 }
 
-// RefusalResponse decides what a refusal means for the client. Never an old answer: what is not current now is
-// answered 503 with a time to come back, what will never be is 404, what came too late 404 with the word
-// that the exchange is to be begun again.
+// RefusalResponse is the answer for a refusal. A client never gets an old file: what is not current now is answered 503 with
+// a time to retry after, what does not exist 404, what was superseded 404 with the advice to begin again.
 func RefusalResponse(r *tufverify.RefusalError) Response {
 	switch r.Reason {
 	case tufverify.ReasonOlderVersion:
-		return Response{404, "superseded: begin again with timestamp.json", false}
+		return Response{http.StatusNotFound, "superseded: begin again with timestamp.json", false}
 	case tufverify.ReasonUnnamed:
-		return Response{404, "no such file", false}
+		return Response{http.StatusNotFound, "no such file", false}
 	case tufverify.ReasonMissing:
 		if r.Role == "root" { // how clients learn that they have the newest (specification 5.3.3)
-			return Response{404, "no such root", false}
+			return Response{http.StatusNotFound, "no such root", false}
 		}
-		return Response{503, "not to be had now", true}
+		return Response{http.StatusServiceUnavailable, "not to be had now", true}
 	case tufverify.ReasonDisagreement, tufverify.ReasonOtherServer:
-		return Response{503, "the repositories do not agree", true}
+		return Response{http.StatusServiceUnavailable, "the repositories do not agree", true}
 	case tufverify.ReasonExpired:
-		return Response{503, "expired", true}
+		return Response{http.StatusServiceUnavailable, "expired", true}
 	case tufverify.ReasonNotDurable:
-		return Response{503, "what must be kept cannot be written", true}
+		return Response{http.StatusServiceUnavailable, "what must be kept cannot be written", true}
 	}
-	return Response{503, "nothing current", true}
+	return Response{http.StatusServiceUnavailable, "nothing current", true}
 }
 
-// ReportResponse decides what a server is told that sent a report.
+// ReportResponse is the answer to a server's report; r is nil for one that was accepted.
 func ReportResponse(r *tufverify.RefusalError) Response {
 	if r == nil || r.Reason == tufverify.ReasonAlreadyHeld {
-		return Response{200, "taken", false} // a repeat gets the same answer, and does nothing
+		return Response{http.StatusOK, "taken", false} // idempotent: a repeated report gets the same answer
 	}
 	switch r.Reason {
 	case tufverify.ReasonTooLarge:
-		return Response{413, r.Reason.String(), false}
+		return Response{http.StatusRequestEntityTooLarge, r.Reason.String(), false}
 	case tufverify.ReasonMalformed:
-		return Response{400, r.Reason.String(), false}
+		return Response{http.StatusBadRequest, r.Reason.String(), false}
 	case tufverify.ReasonUnknownKey, tufverify.ReasonBadSignature, tufverify.ReasonOtherServer:
-		return Response{403, r.Reason.String(), false}
+		return Response{http.StatusForbidden, r.Reason.String(), false}
 	case tufverify.ReasonOlderVersion, tufverify.ReasonConflict:
-		return Response{409, r.Reason.String(), false}
+		return Response{http.StatusConflict, r.Reason.String(), false}
 	}
-	return Response{503, r.Reason.String(), true}
+	return Response{http.StatusServiceUnavailable, r.Reason.String(), true}
 }
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -4,21 +4,23 @@
 	"silvercove/internal/tufverify"
 )
 
-// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. The floor may have been put
-// back with its disk, or there may be none: what a majority shows, or more of them than half can hide,
-// stands in for it. It does not guard against a majority that is old.
+// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. Guards against a version store that was
+// restored from a backup, or that there is none: seen as mirrors that serve older metadata; holds because a majority of the
+// mirrors shows the newest. It does not guard against a majority that is old.
 type MirrorSurvey struct {
-	shown map[string]bool
-	Done  bool
+	shown map[string]bool // by mirror
+
+	// Done tells that the survey is complete. It stays true.
+	Done bool
 }
 
-// NewMirrorSurvey starts one; not wanted: it is done at once.
+// NewMirrorSurvey starts a survey; one that is not wanted is done at once.
 func NewMirrorSurvey(wanted bool) *MirrorSurvey {
 	return &MirrorSurvey{shown: map[string]bool{}, Done: !wanted}
 }
 
-// OnTimestamp takes what a mirror answered: a timestamp that trust took, had already or found too old counts,
-// as it is signed well.
+// OnTimestamp records what came of a mirror's timestamp: one that was held, was held already or is too old counts, as it is
+// signed. listed are the names of all mirrors.
 func (s *MirrorSurvey) OnTimestamp(mirror string, refusal *tufverify.RefusalError, listed []string) {
 	if refusal == nil || refusal.Reason == tufverify.ReasonAlreadyHeld || refusal.Reason == tufverify.ReasonOlderVersion {
 		s.shown[mirror] = true
