--- a/cmd/silvercovectl/fleetsim.go
+++ b/cmd/silvercovectl/fleetsim.go
@@ -43,7 +43,7 @@
 	case c.Crew != "":
 		fleetsim.CompareTable(os.Stdout, c.Crew)
 	case len(c.Members) > 0:
-		fleetsim.SightTable(os.Stdout, c.Seed, c.Members)
+		fleetsim.MembershipTable(os.Stdout, c.Seed, c.Members)
 	case c.Search > 0:
 		s := fleetsim.Search(c.Search, c.Seed, runtime.GOMAXPROCS(0), nil)
 		s.Report(os.Stdout)
@@ -52,10 +52,10 @@
 		}
 	case c.Event > 0:
 		s := fleetsim.Large(c.Units[len(c.Units)-1])
-		s.Away = c.Away
-		fleetsim.Hour(os.Stdout, c.Seed, s, tick.FromDuration(c.Event))
+		s.RemoteReplicas = c.Away
+		fleetsim.PlayEvent(os.Stdout, c.Seed, s, tick.FromDuration(c.Event))
 	default:
-		fleetsim.CalmTable(os.Stdout, c.Seed, c.Units, c.Away)
+		fleetsim.SettleTable(os.Stdout, c.Seed, c.Units, c.Away)
 	}
 	return nil
 }
