--- /dev/null
+++ b/internal/lab/fleetsim/controller_log.go
@@ -0,0 +1,163 @@
+package fleetsim
+
+import (
+	"silvercove/internal/leases"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/standin/testcluster"
+	"silvercove/internal/tick"
+)
+
+// maxOperations is how many of the planner's steps are in one entry of the log, as at a keeper.
+const maxOperations = 256
+
+// logEntry is one entry of the log. done is called once: with what became of it, or that this is not known.
+type logEntry struct {
+	leader       *leadership
+	operations   []placement.Operation
+	node         string
+	incarnation  uint64
+	recordCounts map[string]uint64
+	unverified   []replica.UnverifiedCopy
+	commitAt     tick.Tick
+	done         func(all []proposalResult, err error)
+	laterVersion bool // a keeper of a later program let it in
+}
+
+type proposalResult struct {
+	assignment placement.Assignment
+	err        error
+}
+
+// appendEntry puts an entry into the leader's log.
+func (c *cluster) appendEntry(o *logEntry) {
+	c.inFlight = append(c.inFlight, o)
+	if len(c.inFlight) == 1 {
+		c.commitNext()
+	} else {
+		c.scheduleCommit(o)
+	}
+}
+
+// scheduleCommit says when an entry will be on a majority's disks, if that can be said.
+func (c *cluster) scheduleCommit(o *logEntry) bool {
+	span, ok := c.majorityDelay(o.leader.controller, true)
+	if ok {
+		c.lastAgreed = max(c.lastAgreed, c.fleet.now+span)
+		o.commitAt = c.lastAgreed
+	}
+	return ok
+}
+
+// commitNext carries out the first entry under way when a majority has it, and then the next.
+func (c *cluster) commitNext() {
+	if len(c.inFlight) == 0 || c.leader == nil {
+		return
+	}
+	o, l := c.inFlight[0], c.leader
+	if (o.commitAt == 0 || o.commitAt < c.fleet.now) && !c.scheduleCommit(o) {
+		c.fleet.after(c.timings.CommitInterval, func() {
+			if c.leader == l && len(c.inFlight) > 0 && c.inFlight[0] == o {
+				c.commitNext()
+			}
+		})
+		return
+	}
+	c.fleet.after(o.commitAt-c.fleet.now, func() {
+		if c.leader != l || len(c.inFlight) == 0 || c.inFlight[0] != o {
+			return
+		}
+		if _, ok := c.majorityDelay(l.controller, true); !ok {
+			o.commitAt = 0
+			c.commitNext()
+			return
+		}
+		c.inFlight = c.inFlight[1:]
+		if len(c.inFlight) == 0 {
+			c.inFlight = nil
+		}
+		all, err := c.apply(o, true)
+		o.done(all, err)
+		c.commitNext()
+	})
+}
+
+// apply carries an agreed entry out, at every keeper; led: its lead still is, and hears of it.
+func (c *cluster) apply(o *logEntry, led bool) (all []proposalResult, err error) {
+	f := c.fleet
+	c.Entries++
+	if o.node != "" {
+		if o.incarnation < c.incarnations[o.node] {
+			return nil, leases.ErrStaleIncarnation
+		}
+		c.incarnations[o.node] = o.incarnation
+	}
+	c.Steps += len(o.operations)
+	leases.MergeRecordCounts(c.recordCounts, o.recordCounts)
+	for _, d := range o.unverified {
+		c.table.SetUnverified(d.Instance, d.Epoch, d.Reason)
+	}
+	for _, e := range o.operations {
+		before, _ := c.table.Get(e.Instance)
+		if placement.CheckSupported(e) != nil {
+			c.onUnknownStep(o, e)
+			all = append(all, proposalResult{assignment: before})
+			continue
+		}
+		p, err := c.table.Apply(e)
+		all = append(all, proposalResult{p, err})
+		if err == nil && (p.Revision != before.Revision || p.Epoch != before.Epoch) {
+			f.onPlaced(o.leader.controller, e, before, p)
+		}
+	}
+	if l := o.leader; led && c.leader == l {
+		now := l.now()
+		for _, r := range all {
+			if r.err == nil {
+				l.expectRenewals(now, r.assignment)
+				l.planner.OnAssignment(now, r.assignment)
+			}
+		}
+		l.wakeSoon()
+	}
+	return all, nil
+}
+
+// onPlaced tells everyone whom an agreed change concerns.
+func (f *Fleet) onPlaced(k *controller, e placement.Operation, before, p placement.Assignment) {
+	c := f.deviceByName[p.Instance]
+	what := string(e.Kind)
+	switch {
+	case e.Kind == placement.OpStartCopy && e.CutOver:
+		what = "move"
+	case e.Kind == placement.OpFailOver && e.Target == "":
+		what = "fail-lost"
+	}
+	f.recordDecision(p.Instance, decision(what), p)
+	ev := testcluster.Event{Node: k.endpoint.name, Name: what, Instance: p.Instance, Epoch: p.Epoch, From: e.Node, To: e.Target,
+		Why: firstWords(e.Reason)}
+	if e.Kind == placement.OpMoveDevice {
+		ev.To = e.Zone
+	}
+	f.logEvent(ev)
+	f.checker.onAgreed(e, before, p)
+	f.checker.onPlaced(before, p)
+	if before.Primary != p.Primary || before.Epoch != p.Epoch {
+		if n := len(c.owners); n >= 6 {
+			copy(c.owners, c.owners[1:])
+			c.owners = c.owners[:n-1]
+		}
+		c.owners = append(c.owners, ownership{f.now, p.Primary})
+	}
+	c.addInterested(f.nodeByName[p.Primary])
+	c.addInterested(f.nodeByName[p.CopyTarget])
+	for _, h := range p.Replicas {
+		c.addInterested(f.nodeByName[h])
+	}
+	for _, u := range c.interested {
+		u.placementChanged(p.Instance)
+	}
+	for _, u := range f.nodes[f.Nodes:] { // copies beside
+		u.placementChanged(p.Instance)
+	}
+}
--- /dev/null
+++ b/internal/lab/fleetsim/controllers.go
@@ -0,0 +1,210 @@
+package fleetsim
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/leases"
+	"silvercove/internal/migration"
+	"silvercove/internal/placement"
+	"silvercove/internal/standin/testcluster"
+	"silvercove/internal/tick"
+)
+
+// Why a call to the keepers brings nothing.
+var (
+	errLeadOver = errors.New("the lead is over")
+	errNoAnswer = errors.New("no answer in time")
+)
+
+// controller is one of them.
+type controller struct {
+	endpoint     *endpoint
+	downCount    int       // falls under way
+	diskDelay    tick.Tick // for one write
+	clockRate    float64
+	clockOffset  tick.Tick
+	laterVersion int // it runs a later program
+}
+
+func (k *controller) clock(now tick.Tick) tick.Tick {
+	return k.clockOffset + tick.Tick(float64(now)*k.clockRate)
+}
+
+// cluster is the keepers' agreed log: an entry is agreed once a majority has it on disk.
+type cluster struct {
+	fleet           *Fleet
+	controllers     []*controller
+	table           *placement.Table
+	incarnations    map[string]uint64
+	recordCounts    map[string]uint64 // units' counts, as agreed
+	heardRecords    map[string]heardRecord
+	term            uint64
+	leader          *leadership
+	inFlight        []*logEntry
+	lastAgreed      tick.Tick // when the last entry was agreed
+	election        int       // counts elections, so that an earlier one's end is passed over
+	leaderSince     tick.Tick // the lead began
+	inheritedAt     tick.Tick // an earlier lead's entries were agreed then
+	timings         leases.Timings
+	Elections       int
+	Entries         int
+	Steps           int
+	CountEntries    int  // orders with units' counts
+	fieldAdded      bool // a later keeper added a field to places
+	laterStepAgreed bool // a step that only later ones know was agreed
+}
+
+// heardRecord is which record of a unit's was the last that a leader heard of, in truth, and the number of its lead.
+type heardRecord struct {
+	serial   uint64
+	election int
+}
+
+func (f *Fleet) addControllers(table *placement.Table) {
+	c := &cluster{fleet: f, table: table, incarnations: map[string]uint64{}, recordCounts: map[string]uint64{}, heardRecords: map[string]heardRecord{}, timings: leases.TimingsFor(leases.ConfigFrom(f.settings))}
+	for i := range f.Controllers {
+		c.controllers = append(c.controllers, &controller{endpoint: f.addEndpoint(fmt.Sprintf("keeper-%d", i+1), nil), diskDelay: 2 * milli,
+			clockRate: 1 + (f.rng.Float64()-0.5)*0.01, clockOffset: tick.Tick(f.rng.IntN(int(1000 * tick.Second)))})
+	}
+	f.cluster = c
+	c.becomeLeader(c.controllers[0])
+}
+
+// majorityDelay is after how long a majority has answered a keeper, with or without its disks; false if none does.
+func (c *cluster) majorityDelay(k *controller, disks bool) (tick.Tick, bool) {
+	if k.downCount > 0 {
+		return 0, false
+	}
+	var spans []tick.Tick
+	for _, o := range c.controllers {
+		if o == k || o.downCount > 0 || c.fleet.isCut(k.endpoint, o.endpoint) || c.fleet.isCut(o.endpoint, k.endpoint) {
+			continue
+		}
+		span := 2*milli + tick.Tick(c.fleet.rng.IntN(int(milli)))
+		if disks {
+			span += o.diskDelay
+		}
+		spans = append(spans, span)
+	}
+	need := len(c.controllers) / 2
+	if len(spans) < need {
+		return 0, false
+	}
+	if need == 0 {
+		return k.diskDelay, true
+	}
+	slices.Sort(spans)
+	span := spans[need-1]
+	if disks {
+		span = max(span, k.diskDelay)
+	}
+	return span, true
+}
+
+// checkLeader is called when the keepers or their links may have changed: a leader that lost its majority ends, and another
+// one is looked for.
+func (c *cluster) checkLeader() {
+	heartbeat := c.timings.HeartbeatTimeout
+	if l := c.leader; l != nil {
+		if _, ok := c.majorityDelay(l.controller, false); ok {
+			return
+		}
+		if l.controller.downCount == 0 {
+			c.fleet.after(heartbeat, func() {
+				if _, ok := c.majorityDelay(l.controller, false); c.leader == l && !ok {
+					c.stepDown()
+				}
+			})
+			return
+		}
+		c.stepDown()
+	}
+	c.election++
+	mine := c.election
+	c.fleet.after(heartbeat+tick.Tick(c.fleet.rng.IntN(int(heartbeat))), func() {
+		if c.leader != nil || c.election != mine {
+			return
+		}
+		first := c.fleet.rng.IntN(len(c.controllers))
+		for i := range c.controllers {
+			k := c.controllers[(first+i)%len(c.controllers)]
+			if span, ok := c.majorityDelay(k, true); ok {
+				c.fleet.after(2*span, func() {
+					if _, ok := c.majorityDelay(k, true); ok && c.leader == nil && c.election == mine {
+						c.becomeLeader(k)
+					} else if c.leader == nil && c.election == mine {
+						c.checkLeader()
+					}
+				})
+				return
+			}
+		} // else a change of what stands in the way looks again
+	})
+}
+
+// onLinksChanged is called when links have changed: without a leader or with one, it is looked at whether that stands.
+func (c *cluster) onLinksChanged() {
+	if l := c.leader; l == nil {
+		c.checkLeader()
+	} else if _, ok := c.majorityDelay(l.controller, false); !ok {
+		c.checkLeader()
+	}
+}
+
+// stepDown ends the lead. Of what was under way the first entries may be agreed by the next leader, the others are lost.
+func (c *cluster) stepDown() {
+	l := c.leader
+	c.leader = nil
+	c.fleet.logEvent(testcluster.Event{Node: l.controller.endpoint.name, Name: "follows"})
+	waits := l.waitingGrants
+	l.waitingGrants = nil
+	keep := 0
+	if len(c.inFlight) > 0 {
+		keep = c.fleet.rng.IntN(len(c.inFlight) + 1)
+	}
+	for _, o := range c.inFlight[keep:] {
+		o.done(nil, errLeadOver)
+	}
+	c.inFlight = c.inFlight[:keep]
+	for _, name := range slices.Sorted(maps.Keys(waits)) {
+		for _, do := range waits[name] {
+			do()
+		}
+	}
+	c.checkLeader()
+}
+
+// becomeLeader begins a lead: all that was agreed before is carried out first.
+func (c *cluster) becomeLeader(k *controller) {
+	f := c.fleet
+	c.term++
+	if len(c.inFlight) > 0 {
+		c.inheritedAt = f.now
+	}
+	for _, o := range c.inFlight {
+		_, _ = c.apply(o, false)
+		o.done(nil, errLeadOver) // whoever asked does not know
+	}
+	c.inFlight = nil
+	now := k.clock(f.now)
+	l := &leadership{cluster: c, controller: k, term: c.term, lessor: leases.New(leases.ConfigFrom(f.settings)), nodeStatus: map[string]migration.NodeStatus{},
+		reportedStatus: map[string]migration.NodeStatus{}, expiredPending: map[string]int{},
+		waitingGrants: map[string][]func(){}}
+	l.verifier = devicehealth.NewVerifier()
+	l.lessor.OnElected(now, c.incarnations)
+	l.recordCounts = leases.NewRecordCounts(now, leases.ConfigFrom(f.settings), c.recordCounts)
+	l.planner = migration.NewPlanner(l, now, uint64(now), migration.ConfigFrom(f.settings))
+	c.leader, c.leaderSince = l, f.now
+	c.Elections++
+	l.planner.OnElected(now)
+	for _, p := range c.table.All() {
+		l.expectRenewals(now, p)
+		l.planner.OnAssignment(now, p)
+	}
+	f.logEvent(testcluster.Event{Node: k.endpoint.name, Name: "leads", Why: fmt.Sprint(l.term)})
+	l.wakeSoon()
+}
--- /dev/null
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -0,0 +1,154 @@
+package fleetsim
+
+import (
+	"silvercove/internal/membership"
+	"silvercove/internal/overload"
+	"silvercove/internal/tick"
+)
+
+// update is a record on its way to all, or that a member is down, or up after all.
+type update struct {
+	member int
+	raw    []byte
+	record *membership.Record // raw, read
+	down   bool
+	up     bool
+	since  tick.Tick
+}
+
+func (w *update) size() int { return updateOverheadBytes + len(w.raw) }
+
+// newestSlot is where the newest word of its member and kind is.
+func (w *update) newestSlot() int {
+	if w.raw == nil {
+		return 2*w.member + 1
+	}
+	return 2 * w.member
+}
+
+// publish passes the own record on.
+func (m *member) publish() {
+	raw := m.table.OwnRecord()
+	r, err := membership.DecodeRecord(raw)
+	if err != nil {
+		m.group.fleet.checker.fail("%s can't read its own record: %v", m.endpoint.name, err)
+	}
+	m.ownRecord = &update{member: m.id, raw: raw, record: &r}
+	m.enqueue(m.ownRecord)
+}
+
+// enqueue has a word passed on from now on, in place of an earlier one of its member and kind.
+func (m *member) enqueue(w *update) {
+	m.newest[w.newestSlot()] = w
+	m.queue[0] = append(m.queue[0], w)
+}
+
+// packet is what goes to one member now: what was passed on the fewest times comes first.
+func (m *member) packet() (some []*update, size int) {
+	var taken [maxTiers]int // those that stay, of each tier in some
+	for i := range m.group.maxTransmissions {
+		q := m.queue[i]
+		n := 0
+		for ; n < len(q); n++ {
+			w := q[n]
+			if m.newest[w.newestSlot()] != w {
+				continue // a later one has taken its place
+			}
+			if size+w.size() > maxPacketBytes {
+				break
+			}
+			size += w.size()
+			some = append(some, w)
+		}
+		taken[i] = len(some)
+		if m.queue[i] = q[n:]; n < len(q) {
+			for j := i + 1; j < m.group.maxTransmissions; j++ {
+				taken[j] = len(some)
+			}
+			break // it is full
+		}
+		m.queue[i] = q[:0]
+	}
+	from := 0
+	for i, to := range taken[:m.group.maxTransmissions] {
+		if i+1 < m.group.maxTransmissions {
+			m.queue[i+1] = append(m.queue[i+1], some[from:to]...)
+		}
+		from = to
+	}
+	return some, size
+}
+
+// gossip passes words on to a few.
+func (m *member) gossip() {
+	c := m.group
+	c.fleet.after(c.timeout/gossipsPerTimeout, m.gossip)
+	if !m.isRunning() {
+		return
+	}
+	for range gossipFanOut {
+		o := m.randomPeer()
+		if o == nil {
+			return
+		}
+		some, size := m.packet()
+		if len(some) == 0 {
+			return
+		}
+		m.send(o, size, func() {
+			for _, w := range some {
+				o.receive(w)
+			}
+		})
+	}
+}
+
+// receive takes a word in and passes it on if it is news.
+func (m *member) receive(w *update) {
+	f, name := m.group.fleet, m.group.members[w.member].endpoint.name
+	if w.raw != nil {
+		if old := m.records[w.member]; old != nil && &old.raw[0] == &w.raw[0] {
+			return // the very bytes once more: members.ErrOld
+		}
+		if m.table.MergeDecoded(f.now, *w.record, w.raw) != nil {
+			return
+		}
+		m.records[w.member] = w
+		m.enqueue(w)
+		if m.relay != nil && m.group.members[w.member].relay != nil {
+			m.updateRelayPeer(name)
+		}
+		return
+	}
+	seen, known := m.table.Member(name)
+	switch {
+	case name == m.endpoint.name: // it lives
+		if w.down && f.now-m.lastRefuted > m.group.timeout {
+			m.lastRefuted = f.now
+			m.enqueue(&update{member: w.member, up: true, since: f.now})
+		}
+	case !known || seen.LastHeard > w.since:
+	case w.down && seen.State != membership.StateDead:
+		m.table.MarkDown(f.now, name, false)
+		m.enqueue(w)
+	case w.up && seen.State == membership.StateDead:
+		m.table.MarkUp(f.now, name)
+		m.enqueue(w)
+	}
+}
+
+// updateRelayPeer hands another relay's news to what decides by it, as a relay's process does.
+func (m *member) updateRelayPeer(name string) {
+	seen, _ := m.table.Member(name)
+	if data := seen.Payloads["overload"]; data != nil {
+		if told, err := overload.DecodeReport(data); err == nil {
+			m.relay.overload.UpdatePeer(m.relay.now(), overload.PeerUpdate{
+				Name:        name,
+				Incarnation: seen.Incarnation,
+				Report:      told,
+				Age:         m.group.fleet.now - seen.LastHeard,
+				State:       overload.PeerState(seen.State),
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/fleetsim/member_probe.go
@@ -0,0 +1,69 @@
+package fleetsim
+
+import (
+	"math"
+
+	"silvercove/internal/membership"
+	"silvercove/internal/tick"
+)
+
+// ping asks a member whether it is there.
+func (m *member) ping(o *member) {
+	f, name, born, sent, over := m.group.fleet, o.endpoint.name, m.starts, m.group.fleet.now, false
+	ends := func(good bool) {
+		if over || m.starts != born {
+			return
+		}
+		over = true
+		delete(m.probing, name)
+		if good {
+			m.table.RecordReply(f.now, name, f.now-sent)
+		} else {
+			m.table.RecordTimeout(f.now, name)
+		}
+	}
+	f.after(m.group.timeout/2, func() { ends(false) })
+	m.send(o, pingBytes, func() {
+		f.after(o.replyDelay, func() {
+			o.send(m, pingBytes, func() { ends(true) })
+		})
+	})
+}
+
+// probe is the library's look at one other member each silence: one that neither answers this process nor any of three
+// others it asks, and of which nothing is heard, is told to be down.
+func (m *member) probe() {
+	c, f := m.group, m.group.fleet
+	f.after(c.timeout, m.probe)
+	if !m.isRunning() {
+		return
+	}
+	o := m.randomPeer()
+	if o == nil {
+		return
+	}
+	since, born, answered := f.now, m.starts, false
+	hears := func() { answered = true }
+	m.send(o, pingBytes, func() { o.send(m, pingBytes, hears) })
+	f.after(c.timeout/2, func() {
+		if answered || m.starts != born || !m.isRunning() {
+			return
+		}
+		for range 3 {
+			if by := m.randomPeer(); by != nil && by != o {
+				m.send(by, pingBytes, func() {
+					by.send(o, pingBytes, func() { o.send(by, pingBytes, func() { by.send(m, pingBytes, hears) }) })
+				})
+			}
+		}
+		wait := c.timeout * tick.Tick(2*math.Ceil(math.Log10(float64(len(c.members)+1))))
+		f.after(wait, func() {
+			seen, _ := m.table.Member(o.endpoint.name)
+			if answered || m.starts != born || !m.isRunning() || seen.LastHeard > since || seen.State == membership.StateDead {
+				return
+			}
+			m.table.MarkDown(f.now, o.endpoint.name, false)
+			m.enqueue(&update{member: o.id, down: true, since: since})
+		})
+	})
+}
--- /dev/null
+++ b/internal/lab/fleetsim/member_sync.go
@@ -0,0 +1,73 @@
+package fleetsim
+
+import (
+	"silvercove/internal/membership"
+)
+
+// rejoin exchanges whole states with some of those that are held to be gone.
+func (m *member) rejoin() {
+	c, f := m.group, m.group.fleet
+	f.after(c.timeout, m.rejoin)
+	if !m.isRunning() {
+		return
+	}
+	var gone []*member
+	for _, o := range c.members {
+		if seen, known := m.table.Member(o.endpoint.name); known && seen.State == membership.StateDead && o.endpoint != m.endpoint {
+			gone = append(gone, o)
+		}
+	}
+	n := membership.SyncCount(len(c.members)-len(gone), len(gone), c.rng.Float64())
+	if f.disabled.rejoinAll {
+		n = min(4, len(gone))
+	}
+	c.rng.Shuffle(len(gone), func(i, j int) { gone[i], gone[j] = gone[j], gone[i] })
+	for _, o := range gone[:n] {
+		m.syncWith(o)
+	}
+}
+
+// syncRandom exchanges whole states with any other member, as the library does by itself.
+func (m *member) syncRandom() {
+	m.group.fleet.after(m.group.syncInterval(), m.syncRandom)
+	if m.isRunning() {
+		if o := m.randomPeer(); o != nil {
+			m.syncWith(o)
+		}
+	}
+}
+
+// syncWith has two members tell each other all that they know.
+func (m *member) syncWith(o *member) {
+	if o == m || o.endpoint == m.endpoint {
+		return
+	}
+	mine, size := m.fullState()
+	born := m.starts
+	m.send(o, size, func() {
+		theirs, size := o.fullState()
+		for _, w := range mine {
+			o.receive(w)
+		}
+		o.send(m, size, func() {
+			if m.starts == born {
+				for _, w := range theirs {
+					m.receive(w)
+				}
+			}
+		})
+	})
+}
+
+func (m *member) fullState() (all []*update, size int) {
+	all = append(all, m.ownRecord)
+	for _, w := range m.records {
+		if w != nil {
+			all = append(all, w)
+		}
+	}
+	for _, w := range all {
+		size += w.size()
+	}
+	return all, size
+}
--- /dev/null
+++ b/internal/lab/fleetsim/node.go
@@ -0,0 +1,225 @@
+package fleetsim
+
+import (
+	"maps"
+	"slices"
+
+	"silvercove/internal/devicehealth"
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/standin/battery"
+	"silvercove/internal/standin/testcluster"
+	"silvercove/internal/tick"
+)
+
+// edgeNode is one edge unit: its process, where one runs, its disk, its clock and its van.
+type edgeNode struct {
+	fleet       *Fleet
+	id          int
+	name        string
+	displayName string // in the timeline: copies beside another one are told apart
+	endpoint    *endpoint
+	zone        *zone
+	clockRate   float64
+	clockOffset tick.Tick
+
+	manager          *replica.Manager // nil: it is down
+	incarnation      uint64
+	lostDisk         bool
+	downCount        int // falls under way
+	stalls           int // stalls under way
+	diskFull         int // spans of a full disk
+	rollingBack      int // its build is on its way back
+	draining         int // it ends
+	laterVersion     int // it runs a later program
+	refusing         int // it refuses connections for commands
+	waiting          []func()
+	logs             map[string]*replica.Log
+	backupLogs       map[string]*replica.Log // a disk of some time ago
+	mark             recordCount             // of disk
+	backupMark       recordCount
+	recordsWritten   *uint64     // records that all processes of the name ever wrote
+	startMark        recordCount // mark at the start of the run
+	diskChecked      bool        // whether its disk was put back is known to it
+	countRaised      bool
+	highestCount     uint64
+	diskQueue        []func() func()
+	placementVersion uint64          // news seen
+	unseen           map[string]bool // news that it has not seen
+	unseenOrder      []string        // of them
+	watching         bool
+	watchNumber      int
+	leaseEnd         tick.Tick // the last lease, by its own clock
+	instances        int       // instances, as agreed
+	leaseSince       tick.Tick // its lease runs since
+	serving          map[string]bool
+	duplicate        *edgeNode // a copy that runs beside it
+
+	monitor     *devicehealth.Monitor
+	health      devicehealth.Report
+	battery     *battery.Van
+	lastReading tick.Tick // when the van was last stepped
+	extraLoad   float64   // more load, of a crowd
+	requests    map[*replica.Request]*pendingRequest
+}
+
+// recordCount is a disk's count of records as instances.Store keeps it; serial is the truth, which no process knows: the last
+// record written under the unit's name up to which this disk has all, or has settled what it lacks.
+type recordCount struct {
+	count, serial uint64
+	settled       bool
+}
+
+// countsPerIncarnation is that of instances.Store.
+const countsPerIncarnation = 1 << 20
+
+// newNode is a unit that is in no list yet.
+func (f *Fleet) newNode(name string, z *zone) *edgeNode {
+	u := &edgeNode{fleet: f, id: len(f.nodes), name: name, displayName: name, endpoint: f.endpointByName[name], zone: z,
+		clockRate: 1 + (f.rng.Float64()-0.5)*0.02, clockOffset: tick.Tick(1 + f.rng.IntN(int(1000*tick.Second))),
+		logs: map[string]*replica.Log{}, unseen: map[string]bool{}, requests: map[*replica.Request]*pendingRequest{},
+		serving: map[string]bool{}, mark: recordCount{count: 1, settled: true}, recordsWritten: new(uint64)}
+	u.battery, _ = battery.New(f.seed+uint64(u.id), "")
+	u.battery.Charge = 0.6 + 0.4*f.rng.Float64()
+	u.battery.Mains = f.rng.IntN(4) == 0
+	return u
+}
+
+func (f *Fleet) addNode(name string, z *zone) {
+	f.addEndpoint(name, z)
+	u := f.newNode(name, z)
+	f.nodes, f.nodeByName[name] = append(f.nodes, u), u
+	z.nodes = append(z.nodes, u)
+}
+
+// now is the unit's own clock, of which none is set back by the wall clock's jumps.
+func (u *edgeNode) now() tick.Tick {
+	return u.clockOffset + tick.Tick(float64(u.fleet.now)*u.clockRate)
+}
+
+// answering is the one that answers at the unit's address: a copy beside it where it is down.
+func (u *edgeNode) answering() *edgeNode {
+	if u.manager == nil && u.duplicate != nil {
+		return u.duplicate
+	}
+	return u
+}
+
+// realSpan is a span of the unit's clock.
+func (u *edgeNode) realSpan(s tick.Tick) tick.Tick { return tick.Tick(float64(s)/u.clockRate) + 1 }
+
+// deliver has a run of the unit do something now, or when it is woken.
+func (u *edgeNode) deliver(run uint64, do func()) {
+	switch {
+	case u.incarnation != run || u.manager == nil:
+	case u.stalls > 0:
+		if len(u.waiting) < 1<<14 {
+			u.waiting = append(u.waiting, do)
+		}
+	default:
+		do()
+	}
+}
+
+func (u *edgeNode) logEvent(what, instance string, epoch uint64, to, why string) {
+	u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: what, Instance: instance, Epoch: epoch, To: to, Why: firstWords(why)})
+}
+
+// start is a process's beginning: it learns what the keepers count on it for before they know of its run.
+func (u *edgeNode) start() {
+	if u.manager != nil || u.downCount > 0 {
+		return
+	}
+	f := u.fleet
+	u.incarnation = max(u.incarnation, uint64(f.now)) + 1
+	run := u.incarnation
+	u.monitor = devicehealth.NewMonitor(u.now(), f.settings)
+	u.lastReading = f.now
+	u.fetchAssignments(run)
+}
+
+// fetchAssignments asks the keepers for all places until they answer.
+func (u *edgeNode) fetchAssignments(run uint64) {
+	f, c := u.fleet, u.fleet.cluster
+	if u.incarnation != run || u.manager != nil || u.downCount > 0 {
+		return
+	}
+	lease := tick.Tick(f.Lease * float64(tick.Second))
+	c.call(u.endpoint, lease, func(l *leadership, answer func(func())) {
+		var places []placement.Assignment // those that concern it; of the others it keeps nothing
+		places = append(places, c.table.ByPrimary(u.name)...)
+		places = append(places, c.table.ByReplica(u.name)...)
+		for _, name := range slices.Sorted(maps.Keys(u.logs)) {
+			if p, ok := c.table.Get(name); ok && !slices.Contains(p.Replicas, u.name) && p.Primary != u.name {
+				places = append(places, p)
+			}
+		}
+		version := c.table.Version()
+		u.unseen, u.unseenOrder = map[string]bool{}, nil // what changes from now on is told after the start
+		answer(func() {
+			if u.incarnation != run || u.manager != nil || u.downCount > 0 {
+				return
+			}
+			var records []replica.Log
+			for _, name := range slices.Sorted(maps.Keys(u.logs)) {
+				records = append(records, *u.logs[name])
+				records[len(records)-1].Entries = slices.Clone(u.logs[name].Entries)
+			}
+			u.placementVersion, u.watching, u.leaseEnd = version, false, 0
+			u.watchNumber++
+			u.startMark, u.diskChecked, u.countRaised, u.highestCount = u.mark, false, false, 0
+			u.mark.settled = false
+			base := f.disabled.counted(places)
+			u.manager = replica.NewManager(u, u.now(), replica.ConfigFrom(u.name, run, f.settings),
+				replica.Start{Logs: records, Assignments: base, Version: version})
+			for _, p := range places[len(base):] {
+				u.manager.OnAssignment(u.now(), p)
+			}
+			u.lostDisk = u.manager.LostAllCopies()
+			u.logEvent("starts", "", 0, "", "")
+			u.renewLease(run)
+			u.scheduleTick(run)
+			if len(u.unseenOrder) > 0 {
+				u.watchPlacements()
+			}
+		})
+	}, func(error) {
+		if u.incarnation == run && u.manager == nil {
+			f.after(lease/4, func() { u.fetchAssignments(run) })
+		}
+	})
+}
+
+// counted is what a unit is told at its start of what is counted on it for.
+func (w disabledDefences) counted(places []placement.Assignment) []placement.Assignment {
+	if w.noBaseline {
+		return nil
+	}
+	if w.trustDisk {
+		places = slices.Clone(places)
+		for i := range places {
+			places[i].Replicas, places[i].Index = nil, 0
+		}
+	}
+	return places
+}
+
+func (u *edgeNode) scheduleTick(run uint64) {
+	now := u.now()
+	next := u.manager.OnTick(now)
+	u.fleet.after(u.realSpan(next-now), func() { u.deliver(run, func() { u.scheduleTick(run) }) })
+}
+
+// crash ends the process; wipe: with its disk.
+func (u *edgeNode) crash(wipe bool) {
+	if u.manager != nil {
+		u.logEvent("FALLS", "", 0, "", map[bool]string{true: "and loses its disk"}[wipe])
+	}
+	u.fleet.checker.onCrash(u)
+	u.manager, u.waiting, u.diskQueue = nil, nil, nil
+	u.incarnation++
+	if wipe {
+		u.logs, u.mark = map[string]*replica.Log{}, recordCount{count: 1, settled: true}
+	}
+	clear(u.requests)
+}
--- /dev/null
+++ b/internal/lab/fleetsim/node_host.go
@@ -0,0 +1,107 @@
+package fleetsim
+
+import (
+	"slices"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// Send is the owner's, as are those after it.
+func (u *edgeNode) Send(to string, m replica.Message) {
+	f, from := u.fleet, u
+	v := f.nodeByName[to]
+	if m.ReplyTo != 0 { // an answer goes to the process that asked
+		v, m.ReplyTo = f.nodes[m.ReplyTo-1], 0
+	} else if m.Kind == replica.MessageCatchUp || m.Kind == replica.MessageAppend || m.Kind == replica.MessageFinalAppend {
+		m.ReplyTo = uint64(u.id) + 1
+	}
+	if v == nil {
+		return
+	}
+	if f.disabled.ackWithoutReplicas && m.ReplyTo == uint64(u.id)+1 {
+		end, sum, run := m.PrevIndex, m.PrevChecksum, u.incarnation
+		if n := len(m.Entries); n > 0 {
+			end, sum = m.Entries[n-1].Index, m.Entries[n-1].Checksum
+		}
+		f.after(0, func() {
+			u.deliver(run, func() {
+				u.manager.OnMessage(u.now(), to, replica.Message{Version: 1, Kind: replica.MessageAck, Instance: m.Instance,
+					Epoch: m.Epoch, SenderIncarnation: 1 << 60, Index: end, Checksum: sum})
+			})
+		})
+	}
+	if u.laterVersion > 0 && v.laterVersion == 0 {
+		m.Version++
+	}
+	size := 200 + 100*len(m.Entries)
+	run := v.incarnation
+	bring := func() {
+		v := v
+		got := m
+		got.Entries = slices.Clone(m.Entries)
+		if m.Kind == replica.MessageCatchUp || m.Kind == replica.MessageAppend || m.Kind == replica.MessageFinalAppend {
+			v = v.answering()
+			run = v.incarnation
+		}
+		v.deliver(run, func() { v.manager.OnMessage(v.now(), from.name, got) })
+	}
+	f.send(u.endpoint, v.endpoint, size, bring)
+	if u.endpoint.lossRate > 0 && f.rng.IntN(8) == 0 { // and again
+		f.send(u.endpoint, v.endpoint, size, bring)
+	}
+}
+
+func (u *edgeNode) Propose(e placement.Operation) {
+	run := u.incarnation
+	u.fleet.cluster.proposeStep(u.endpoint, e, func(p placement.Assignment, err error) {
+		u.deliver(run, func() {
+			if p.Instance != "" {
+				u.manager.OnAssignment(u.now(), p)
+			}
+			if err != nil {
+				u.manager.OnProposalRefused(u.now(), e, err)
+			}
+		})
+	})
+}
+
+func (u *edgeNode) Respond(c *replica.Request, a replica.Response) {
+	s := u.requests[c]
+	if s == nil {
+		u.fleet.checker.fail("a command at %s was answered twice: %+v", u.displayName, a)
+		return
+	}
+	delete(u.requests, c)
+	s.respond(a)
+}
+
+func (u *edgeNode) Notify(e replica.Event) {
+	f := u.fleet
+	if i := slices.Index(decisions, e.Kind); i > 0 && e.Instance != "" {
+		p, _ := f.cluster.table.Get(e.Instance)
+		f.recordDecision(e.Instance, uint8(i), p)
+	}
+	if e.Kind != "refused" {
+		u.logEvent(e.Kind, e.Instance, e.Epoch, e.To, e.Reason)
+	}
+	switch e.Kind {
+	case "acts":
+		f.checker.onServing(u, e)
+		if c := f.deviceByName[e.Instance]; c.poisoned && u.manager != nil {
+			run := u.incarnation
+			f.after(tick.Second/2, func() {
+				if u.incarnation == run && c.poisoned {
+					u.downCount++
+					u.crash(false)
+					f.after(tick.Second, func() { u.downCount--; u.start() })
+				}
+			})
+		}
+	case "stops":
+		f.checker.onStopped(u, e)
+	case "doubts":
+		f.checker.onUnverified(u, e.Instance)
+	}
+}
--- /dev/null
+++ b/internal/lab/fleetsim/request.go
@@ -0,0 +1,199 @@
+package fleetsim
+
+import (
+	"fmt"
+
+	"silvercove/internal/replica"
+	"silvercove/internal/tick"
+)
+
+// request is one of a camera's, on its way through a relay.
+type request struct {
+	fleet          *Fleet
+	device         *device
+	relay          *relay
+	id             string
+	write          bool
+	tries          int // times that its camera has asked for it
+	deadline       tick.Tick
+	minIndex       uint64 // effects that were acked when it began: it has to show them
+	reportedLosses int    // of told losses, when it began
+	final          bool
+	mayHaveEffect  bool // a delivery of it may have an effect
+	attempt        int
+}
+
+// pendingRequest is a command at a unit.
+type pendingRequest struct {
+	request     *request
+	node        *edgeNode
+	incarnation uint64
+	respond     func(replica.Response)
+}
+
+// nextRequest begins the next command of the sample.
+func (f *Fleet) nextRequest() {
+	f.after(tick.Tick(f.rng.ExpFloat64()*float64(tick.Second)/f.RequestRate), f.nextRequest)
+	tracked := min(len(f.devices), max(12, int(f.RequestRate)*4)) // so that one has many
+	c := f.devices[f.rng.IntN(tracked)*7919%len(f.devices)]       // of all zones
+	c.requests++
+	cmd := &request{fleet: f, device: c, id: fmt.Sprintf("%s-%d", c.name, c.requests), write: f.rng.IntN(4) > 0}
+	cmd.begin()
+}
+
+func (m *request) begin() {
+	f := m.fleet
+	m.deadline, m.final, m.mayHaveEffect = f.now+requestTimeout, false, false
+	m.minIndex, m.reportedLosses = m.device.highestIndex, m.device.reportedLosses
+	m.relay = f.relays[f.rng.IntN(len(f.relays))]
+	m.tries++
+	f.checker.Requests++
+	f.after(requestTimeout+checkSlack, func() {
+		if !m.final {
+			f.checker.fail("command %s has no final answer in time", m.id)
+		}
+	})
+	if m.relay.downCount > 0 {
+		m.finish("nacked")
+		return
+	}
+	if ok, _ := m.relay.overload.Admit(m.relay.now(), 0, m.device.weight, m.device.name); !ok {
+		f.checker.Shed++
+		m.finish("nacked")
+		return
+	}
+	m.relay.overload.RecordFirstAttempt(m.relay.now())
+	m.sendAttempt()
+}
+
+// sendAttempt tries to have a command carried out where its instance is held to run.
+func (m *request) sendAttempt() {
+	f := m.fleet
+	if m.final {
+		return
+	}
+	left := m.deadline - f.now
+	if left <= attemptTimeout/4 {
+		m.giveUp()
+		return
+	}
+	hold := func() { f.after(retryInterval, m.sendAttempt) }
+	name := m.relay.route(m.device)
+	u := f.nodeByName[name]
+	if u == nil || m.relay.downCount > 0 {
+		hold()
+		return
+	}
+	m.attempt++
+	mine := m.attempt
+	m.relay.inFlight++
+	back := func() {
+		if mine >= 0 {
+			m.relay.inFlight--
+			mine = -1
+		}
+	}
+	f.send(m.relay.endpoint, u.endpoint, 300, func() {
+		u := u.answering()
+		if u.refusing > 0 {
+			f.send(u.endpoint, m.relay.endpoint, 100, func() {
+				if mine != m.attempt {
+					return
+				}
+				back()
+				m.attempt++
+				m.relay.recordOutcome(u.name, false)
+				f.after(retryInterval, m.sendAttempt)
+			})
+			return
+		}
+		run := u.incarnation
+		u.deliver(run, func() {
+			a := &replica.Request{ID: m.id, Instance: m.device.name, Write: m.write,
+				Deadline: u.now() + tick.Tick(float64(m.deadline-f.now-attemptTimeout/4)*0.98)}
+			s := &pendingRequest{request: m, node: u, incarnation: run}
+			f.after(max(0, m.deadline-f.now)+tick.Tick(f.Lease*float64(tick.Second)/5)+checkSlack, func() {
+				if u.requests[a] == s && u.incarnation == run && u.stalls == 0 && len(u.waiting) == 0 {
+					f.checker.fail("%s has not answered %s in time", u.displayName, m.id)
+				}
+			})
+			s.respond = func(ans replica.Response) {
+				f.checker.onResponse(u, m, ans)
+				f.send(u.endpoint, m.relay.endpoint, 200, func() {
+					if mine != m.attempt {
+						return // too late: the relay has given it up
+					}
+					back()
+					m.onResponse(u, ans)
+				})
+			}
+			u.requests[a] = s
+			u.manager.OnRequest(u.now(), a)
+		})
+	})
+	f.after(min(left-attemptTimeout/8, attemptTimeout), func() {
+		if mine != m.attempt || m.final {
+			back()
+			return
+		}
+		back()
+		m.attempt++ // what comes later is passed over
+		m.mayHaveEffect = m.mayHaveEffect || m.write
+		m.relay.recordOutcome(u.name, false)
+		if m.relay.overload.AllowRetry(m.relay.now(), m.tries > 1) {
+			f.checker.Retries++
+			m.sendAttempt() // with the same id: an effect is not applied twice
+			return
+		}
+		m.giveUp()
+	})
+}
+
+// onResponse takes a unit's answer in.
+func (m *request) onResponse(u *edgeNode, a replica.Response) {
+	f := m.fleet
+	if m.final {
+		return
+	}
+	switch a.Outcome {
+	case replica.Succeeded:
+		m.relay.recordOutcome(u.name, true)
+		m.relay.overload.RecordServiceTime(m.relay.now(), 0, serviceTime)
+		m.finish("acked")
+	case replica.Rejected:
+		m.attempt++
+		f.after(retryInterval, m.sendAttempt) // held until the news come
+	case replica.TooLarge:
+		m.finish("nacked")
+	default:
+		m.mayHaveEffect = m.mayHaveEffect || m.write
+		m.giveUp()
+	}
+}
+
+// giveUp ends a command that can't be carried out in time.
+func (m *request) giveUp() {
+	if m.mayHaveEffect {
+		m.finish("unknown")
+		return
+	}
+	m.finish("nacked")
+}
+
+// finish is its one final answer.
+func (m *request) finish(how string) {
+	f := m.fleet
+	if m.final {
+		f.checker.fail("command %s has two final answers", m.id)
+		return
+	}
+	m.final = true
+	m.attempt++
+	f.checker.countOutcome(how)
+	if how != "acked" && m.write && m.tries < 4 && f.rng.IntN(2) == 0 {
+		f.after(tick.Second/2+tick.Tick(f.rng.IntN(int(tick.Second))), func() {
+			n := *m
+			n.begin()
+		})
+	}
+}
--- /dev/null
+++ b/internal/lab/fleetsim/size.go
@@ -0,0 +1,49 @@
+package fleetsim
+
+import (
+	"silvercove/internal/tick"
+)
+
+// Size is how large a fleet is, and how it is set.
+type Size struct {
+	Relays, Nodes, Zones, Instances, Controllers int
+	Lease, Dwell, RestartAfter                   float64 // seconds
+	Replicas, RemoteReplicas                     int
+	RequestRate                                  float64   // a second, over the whole fleet: the sample that is played
+	ReportInterval                               tick.Tick // between two pieces of news of a relay
+	UplinkRate                                   float64   // bytes a second of a zone's uplink
+	KeepTimeline                                 bool      // keep the events for a timeline
+	MembershipTimeout                            float64   // seconds, of members' tables; 0: they are not played
+	AllAtFirst                                   bool      // all instances are at the first unit
+	VerifyClaims                                 bool      // relays tell keepers how commands end, and these believe units by it
+	PowerReadInterval                            tick.Tick // between two readings of a unit's power; 0: at each renewal
+}
+
+// Small is the fleet that schedules are searched with.
+func Small() Size {
+	return Size{Relays: 2, Nodes: 6, Zones: 3, Instances: 12, Controllers: 3, Lease: 1, Dwell: 5, RestartAfter: 4,
+		Replicas: 1, RequestRate: 20,
+		ReportInterval: tick.Second, UplinkRate: 1e6, KeepTimeline: true}
+}
+
+// Large is a fleet of so many units, with relays, zones and instances in proportion to 1,000.
+func Large(units int) Size {
+	return Size{Relays: max(2, units*3/10), Nodes: units, Zones: max(2, units/50), Instances: units * 100,
+		Controllers: 5, Lease: 5,
+		Dwell: 30, RestartAfter: 30, Replicas: 1, RequestRate: float64(units) / 4, ReportInterval: 5 * tick.Second / 2, UplinkRate: 4e6,
+		PowerReadInterval: 4 * tick.Second}
+}
+
+// disabledDefences are defences taken out, to show that the rules are looked at.
+type disabledDefences struct {
+	longLease          bool // a unit takes its lease for longer than it is
+	blindPlanner       bool // the planner takes all units to be well
+	ackWithoutReplicas bool // an owner takes each holder to have all
+	ignoreRecordCounts bool // a unit takes its disk as it is
+	acceptUnknownSteps bool // keepers take steps that they don't know
+	rejoinAll          bool // each member asks all of a zone that is back for whole states
+	grantWhileExpiring bool // a lease is granted while its end is being agreed on
+	noBaseline         bool // a restarted unit isn't told what was counted on before its start
+	staleAssignments   bool // a lease is enough to act, whatever news are on their way
+	trustDisk          bool // a restarted owner trusts its disk, which may have been put back
+}
--- /dev/null
+++ b/internal/lab/fleetsim/timeline.go
@@ -0,0 +1,88 @@
+package fleetsim
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"silvercove/internal/placement"
+	"silvercove/internal/standin/testcluster"
+)
+
+// logEvent notes an event for the timeline.
+func (f *Fleet) logEvent(e testcluster.Event) {
+	e.At = timelineStart.Add(f.now.Duration())
+	_, _ = fmt.Fprintf(f.digest, "%d %s %s\n", f.now, e.Node, e.Text())
+	if f.KeepTimeline {
+		f.timeline = append(f.timeline, e)
+	}
+}
+
+var timelineStart = time.Unix(0, 0)
+
+// Digest sums the timeline up: the same for the same seed.
+func (f *Fleet) Digest() uint64 { return f.digest.Sum64() }
+
+// Timeline draws what happened, one column a node.
+func (f *Fleet) Timeline() string {
+	columns := []string{"script"}
+	for _, k := range f.cluster.controllers {
+		columns = append(columns, k.endpoint.name)
+	}
+	for _, u := range f.nodes {
+		if !slices.Contains(columns, u.displayName) {
+			columns = append(columns, u.displayName)
+		}
+	}
+	for _, r := range f.relays {
+		columns = append(columns, r.endpoint.name)
+	}
+	return testcluster.Draw(columns, timelineStart, f.timeline)
+}
+
+// recordDecision notes a decision for an instance after the one before it, beside the faults under way.
+func (f *Fleet) recordDecision(name string, decision uint8, place placement.Assignment) {
+	before := f.lastDecision[name]
+	f.lastDecision[name] = decision
+	kinds := uint64(0)
+	if f.KeepTimeline {
+		for kind := range f.activeFaults {
+			kinds += xxhash.Sum64String(kind) // a sum: in any order
+		}
+	}
+	holders := min(3, len(place.Replicas))
+	key := fmt.Sprintf("%d %d %d %v %v %d", before, decision, holders, place.CopyTarget != "", place.State, kinds)
+	f.situations[xxhash.Sum64String(key)] = struct{}{}
+	f.situations[uint64(before)<<8|uint64(decision)] = struct{}{}
+}
+
+// decisions numbers what is agreed, and what units do, for pairs of them.
+var decisions = []string{"", string(placement.OpCreate), string(placement.OpStartCopy), "move", string(placement.OpReplicaReady),
+	string(placement.OpDropReplica),
+	string(placement.OpCutOver), string(placement.OpCancelCopy), string(placement.OpFailOver), "fail-lost", string(placement.OpRestart), string(placement.OpMoveDevice),
+	string(placement.OpResetFailures), string(placement.OpMarkServed), string(placement.OpReportIncomplete), string(placement.OpQuarantine), string(placement.OpRelease),
+	string(placement.OpDelete), "acts", "stops", "drops", "refused"}
+
+func decision(name string) uint8 { return uint8(slices.Index(decisions, name)) }
+
+// Pairs are the pairs of decisions that were reached, one after the other for one instance.
+func (f *Fleet) Pairs() (all []string) {
+	for key := range f.situations {
+		if key < 1<<16 {
+			all = append(all, decisions[key>>8]+">"+decisions[key&255])
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// firstWords is text of the first words, for timelines.
+func firstWords(text string) string {
+	if first, _, ok := strings.Cut(text, ":"); ok && len(text) > 24 {
+		return first
+	}
+	return text
+}
