--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// requestLease is a unit's call for its lease: the order of things is that of a keeper.
+// requestLease is a node's call for its lease: the order of things is that of a controller.
 func (c *cluster) requestLease(u *edgeNode, run uint64, ask, said migration.NodeStatus, kept recordCount, doubts []replica.UnverifiedCopy,
 	granted func(version, known uint64)) {
 
@@ -113,7 +113,7 @@
 	}, func(error) {})
 }
 
-// proposeStep is an owner's entry, or an operator's.
+// proposeStep is a primary's entry, or an operator's.
 func (c *cluster) proposeStep(from *endpoint, e placement.Operation, told func(p placement.Assignment, err error)) {
 	c.call(from, tick.Tick(c.fleet.Lease*float64(tick.Second)), func(l *leadership, answer func(func())) {
 		if err := l.checkSupported(e); err != nil {
@@ -130,7 +130,7 @@
 	}, func(err error) { told(placement.Assignment{}, err) })
 }
 
-// reportDevice says where a camera is, again and again until it is agreed.
+// reportDevice says where a device is, again and again until it is agreed.
 func (c *cluster) reportDevice(cam *device, z *zone) {
 	f := c.fleet
 	p, ok := c.table.Get(cam.name)
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -12,7 +12,7 @@
 	"silvercove/internal/tick"
 )
 
-// leadership is a span of leading, as at a keeper.
+// leadership is a span of leading, as at a controller.
 type leadership struct {
 	cluster        *cluster
 	controller     *controller
@@ -101,7 +101,7 @@
 	}
 }
 
-// Log is the planner's; its words are in the places' reasons already.
+// Log is the planner's; its words are in the assignments' reasons already.
 func (l *leadership) Log(string) {}
 
 // restsOnExpiry: the entry rests on the lease of its By being over.
@@ -110,7 +110,7 @@
 		e.Node != ""
 }
 
-// holdLease has a unit's lease stay over until what rests on it is agreed, as at a keeper.
+// holdLease has a node's lease stay over until what rests on it is agreed, as at a controller.
 func (l *leadership) holdLease(unit string) error {
 	if _, held := l.lessor.LeaseEnd(l.now(), unit); held && !l.cluster.fleet.disabled.grantWhileExpiring {
 		if u, known := l.nodeStatus[unit]; !known || !u.LostCopies {
--- a/internal/lab/fleetsim/controller_log.go
+++ b/internal/lab/fleetsim/controller_log.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxOperations is how many of the planner's steps are in one entry of the log, as at a keeper.
+// maxOperations is how many of the planner's steps are in one entry of the log, as at a controller.
 const maxOperations = 256
 
 // logEntry is one entry of the log. done is called once: with what became of it, or that this is not known.
@@ -21,7 +21,7 @@
 	unverified   []replica.UnverifiedCopy
 	commitAt     tick.Tick
 	done         func(all []proposalResult, err error)
-	laterVersion bool // a keeper of a later program let it in
+	laterVersion bool // a controller of a later program let it in
 }
 
 type proposalResult struct {
@@ -82,7 +82,7 @@
 	})
 }
 
-// apply carries an agreed entry out, at every keeper; led: its lead still is, and hears of it.
+// apply carries an agreed entry out, at every controller; led: its lead still is, and hears of it.
 func (c *cluster) apply(o *logEntry, led bool) (all []proposalResult, err error) {
 	f := c.fleet
 	c.Entries++
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -14,7 +14,7 @@
 	"silvercove/internal/tick"
 )
 
-// Why a call to the keepers brings nothing.
+// Why a call to the controllers brings nothing.
 var (
 	errLeadOver = errors.New("the lead is over")
 	errNoAnswer = errors.New("no answer in time")
@@ -34,13 +34,13 @@
 	return k.clockOffset + tick.Tick(float64(now)*k.clockRate)
 }
 
-// cluster is the keepers' agreed log: an entry is agreed once a majority has it on disk.
+// cluster is the controllers' agreed log: an entry is agreed once a majority has it on disk.
 type cluster struct {
 	fleet           *Fleet
 	controllers     []*controller
 	table           *placement.Table
 	incarnations    map[string]uint64
-	recordCounts    map[string]uint64 // units' counts, as agreed
+	recordCounts    map[string]uint64 // nodes' counts, as agreed
 	heardRecords    map[string]heardRecord
 	term            uint64
 	leader          *leadership
@@ -53,12 +53,12 @@
 	Elections       int
 	Entries         int
 	Steps           int
-	CountEntries    int  // orders with units' counts
-	fieldAdded      bool // a later keeper added a field to places
+	CountEntries    int  // orders with nodes' counts
+	fieldAdded      bool // a later controller added a field to assignments
 	laterStepAgreed bool // a step that only later ones know was agreed
 }
 
-// heardRecord is which record of a unit's was the last that a leader heard of, in truth, and the number of its lead.
+// heardRecord is which record of a node's was the last that a leader heard of, in truth, and the number of its lead.
 type heardRecord struct {
 	serial   uint64
 	election int
@@ -74,7 +74,7 @@
 	c.becomeLeader(c.controllers[0])
 }
 
-// majorityDelay is after how long a majority has answered a keeper, with or without its disks; false if none does.
+// majorityDelay is after how long a majority has answered a controller, with or without its disks; false if none does.
 func (c *cluster) majorityDelay(k *controller, disks bool) (tick.Tick, bool) {
 	if k.downCount > 0 {
 		return 0, false
@@ -105,7 +105,7 @@
 	return span, true
 }
 
-// checkLeader is called when the keepers or their links may have changed: a leader that lost its majority ends, and another
+// checkLeader is called when the controllers or their links may have changed: a leader that lost its majority ends, and another
 // one is looked for.
 func (c *cluster) checkLeader() {
 	heartbeat := c.timings.HeartbeatTimeout
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -15,10 +15,10 @@
 type Fault struct {
 	At       tick.Tick
 	Kind     string
-	Target   string // a node, a zone or a camera
+	Target   string // a node, a zone or a device
 	To       string // for a cut of a pair and a swarm
 	Duration tick.Tick
-	Amount   float64 // loss, heat, cameras of a swarm in parts of a zone's
+	Amount   float64 // loss, heat, devices of a swarm in parts of a zone's
 }
 
 func (x Fault) String() string {
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -1,6 +1,6 @@
-// Package fleetsim plays a whole fleet in simulated time: relays, edge units, keepers, their links, disks, clocks and
-// batteries around the very decision modules that the processes run (handover.Planner and Owner, leases.Book,
-// placement.Table, overload.Fleet, strength.Unit), and checks the fleet's rules as it goes. Nothing is polled that is
+// Package fleetsim plays a whole fleet in simulated time: relays, edge nodes, controllers, their links, disks, clocks and
+// batteries around the very decision modules that the processes run (migration.Planner, replica.Manager, leases.Lessor,
+// placement.Table, overload.Manager, devicehealth.Monitor), and checks the fleet's rules as it goes. Nothing is polled that is
 // idle: what happens is an event, and the same seed gives the same timeline line for line.
 package fleetsim
 
@@ -52,8 +52,8 @@
 	activeFaults                   map[string]int      // faults under way by kind
 	faultsUnderway                 int                 // under way
 	lastHealed                     tick.Tick           // the last one ended
-	refusedSteps, snapshotsChecked int                 // steps that keepers did not know; snapshots that were read back
-	forcedDrains                   int                 // units that were made to hand all on
+	refusedSteps, snapshotsChecked int                 // steps that controllers did not know; snapshots that were read back
+	forcedDrains                   int                 // nodes that were made to hand all on
 	ReportedLosses                 []string            // losses that were told
 	disabled                       disabledDefences
 }
--- a/internal/lab/fleetsim/fleet_test.go
+++ b/internal/lab/fleetsim/fleet_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-// One camera crosses into another zone: its instance follows it, and every rule holds.
+// One device crosses into another zone: its instance follows it, and every rule holds.
 func TestOneHandover(t *testing.T) {
 	s := Small()
 	s.Instances = 3
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -108,7 +108,7 @@
 	f, name := m.group.fleet, m.group.members[w.member].endpoint.name
 	if w.raw != nil {
 		if old := m.records[w.member]; old != nil && &old.raw[0] == &w.raw[0] {
-			return // the very bytes once more: members.ErrOld
+			return // the very bytes once more: membership.ErrStale
 		}
 		if m.table.MergeDecoded(f.now, *w.record, w.raw) != nil {
 			return
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/tick"
 )
 
-// What stands in for the library of membership. Tables decide (members.Table: whom to ask, what is news, who is dead, cut
-// or slow, how often own news is told; members.Rejoins: whole states); their news travel as here, by words in packets.
+// What stands in for the library of membership. Tables decide (membership.Table: whom to ask, what is news, who is dead, cut
+// or slow, how often own news is told; membership.SyncCount: whole states); their news travel as here, by words in packets.
 const (
 	gossipFanOut        = 3  // members that one sends a packet to at a time, drawn from those it does not hold to be gone
 	gossipsPerTimeout   = 10 // times within a silence
--- a/internal/lab/fleetsim/network.go
+++ b/internal/lab/fleetsim/network.go
@@ -4,7 +4,7 @@
 	"silvercove/internal/tick"
 )
 
-// zone is where units, relays and cameras are; what goes in or out of it shares one uplink.
+// zone is where nodes, relays and devices are; what goes in or out of it shares one uplink.
 type zone struct {
 	name       string
 	uplinkRate float64 // bytes a second
@@ -16,11 +16,11 @@
 	partitions int // cuts of all that goes in or out
 }
 
-// endpoint is a place on the network.
+// endpoint is an end of the network's links: a process of any kind.
 type endpoint struct {
 	id       int
 	name     string
-	zone     *zone // nil: the keepers', with a good link to all
+	zone     *zone // nil: the controllers', with a good link to all
 	outCuts  int   // cuts of all that it sends
 	inCuts   int
 	lossRate float64
--- a/internal/lab/fleetsim/node_host.go
+++ b/internal/lab/fleetsim/node_host.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// Send is the owner's, as are those after it.
+// Send is the primary's, as are those after it.
 func (u *edgeNode) Send(to string, m replica.Message) {
 	f, from := u.fleet, u
 	v := f.nodeByName[to]
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -51,7 +51,7 @@
 	f.after(u.realSpan(lease/3), func() { u.deliver(run, func() { u.renewLease(run) }) })
 }
 
-// onLeaseGranted takes in what a lease says of the disk, as a unit's process does.
+// onLeaseGranted takes in what a lease says of the disk, as a node's process does.
 func (u *edgeNode) onLeaseGranted(run, known uint64, told []replica.UnverifiedCopy) {
 	if !u.diskChecked {
 		u.diskChecked = true
@@ -77,7 +77,7 @@
 	}
 }
 
-// placementChanged notes that a place has changed that the unit is to be told.
+// placementChanged notes that an assignment has changed that the node is to be told.
 func (u *edgeNode) placementChanged(name string) {
 	if !u.unseen[name] {
 		u.unseen[name] = true
@@ -86,7 +86,7 @@
 	u.watchPlacements()
 }
 
-// watchPlacements brings the news: what is asked for while nothing is new waits at the keepers.
+// watchPlacements brings the news: what is asked for while nothing is new waits at the controllers.
 func (u *edgeNode) watchPlacements() {
 	if u.watching || u.manager == nil {
 		return
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/standin/testcluster"
 )
 
-// updateHealth reads the van and works the report out.
+// updateHealth reads the battery and works the report out.
 func (u *edgeNode) updateHealth() {
 	f := u.fleet
 	if u.monitor == nil {
--- a/internal/lab/fleetsim/remote_replicas_test.go
+++ b/internal/lab/fleetsim/remote_replicas_test.go
@@ -6,8 +6,8 @@
 	"silvercove/internal/tick"
 )
 
-// A zone of 10 units and 500 instances is cut off for six times restart_after, twice, as cameras cross into it: with holders
-// away nothing is lost and nobody waits longer than two leases for the next owner; without, the zone's instances begin anew.
+// A zone of 10 nodes and 500 instances is cut off for six times restart_after, twice, as devices cross into it: with replicas
+// away nothing is lost and nobody waits longer than two leases for the next primary; without, the zone's instances begin anew.
 func TestAZoneCutOffForLongLosesNothing(t *testing.T) {
 	script := "10000 split zone-1 for 60000\n40000 swarm zone-2 zone-1 for 100000 by 0.3\n90000 split zone-1 for 60000"
 	for _, away := range []int{1, 0} {
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -40,9 +40,9 @@
 
 // Settled is how a fleet came to rest after one trouble.
 type Settled struct {
-	Quiet, Idle tick.Tick // until all was quiet; the longest that an instance was without an owner
+	Quiet, Idle tick.Tick // until all was quiet; the longest that an instance was without a primary
 	Moves       int       // at once, at the most
-	Steps       int       // that the keepers agreed on
+	Steps       int       // that the controllers agreed on
 	Lost        int
 	Broken      string
 }
@@ -77,7 +77,7 @@
 	return c
 }
 
-// SettleTable writes how long fleets of several sizes take to be quiet after each trouble, with so many holders away.
+// SettleTable writes how long fleets of several sizes take to be quiet after each trouble, with so many replicas away.
 func SettleTable(w io.Writer, seed uint64, units []int, away int) {
 	_, _ = fmt.Fprintf(w, "| trouble | units | quiet after, s | longest without an owner, s | moves at once | steps agreed | lost |\n")
 	_, _ = fmt.Fprintf(w, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |\n")
@@ -98,7 +98,7 @@
 
 func seconds(t tick.Tick) float64 { return float64(t) / float64(tick.Second) }
 
-// EventScript is a script of an event: cameras arrive, cross at half-time, and leave, while things fail as they do.
+// EventScript is a script of an event: devices arrive, cross at half-time, and leave, while things fail as they do.
 func EventScript(f *Fleet, span tick.Tick) (s Script) {
 	at := func(part float64) tick.Tick { return tick.Tick(part * float64(span)) }
 	s = append(s, Fault{At: at(0.1), Kind: "swarm", Target: "zone-1", To: "zone-2", Duration: at(0.8), Amount: 0.3},
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -59,7 +59,7 @@
 	f.situations[uint64(before)<<8|uint64(decision)] = struct{}{}
 }
 
-// decisions numbers what is agreed, and what units do, for pairs of them.
+// decisions numbers what is agreed, and what nodes do, for pairs of them.
 var decisions = []string{"", string(placement.OpCreate), string(placement.OpStartCopy), "move", string(placement.OpReplicaReady),
 	string(placement.OpDropReplica),
 	string(placement.OpCutOver), string(placement.OpCancelCopy), string(placement.OpFailOver), "fail-lost", string(placement.OpRestart), string(placement.OpMoveDevice),
