--- /dev/null
+++ b/internal/lab/day_relay.go
@@ -0,0 +1,213 @@
+package lab
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+
+	"silvercove/balancer"
+)
+
+const atMostOnce = 2 // its request class
+
+// dayRelay is one relay with its host.
+type dayRelay struct {
+	*balancer.Balancer
+	day        *fleetDay
+	known      []*balancer.Backend
+	accepted   map[*balancer.Request]balancer.Tick
+	attempts   map[*balancer.Request][]*dayAttempt
+	dead       bool
+	leaving    bool
+	drainSince []balancer.Tick // when it was told that a backend drains
+	rate       float64
+}
+
+// dayAttempt is one attempt.
+type dayAttempt struct {
+	sentAt     balancer.Tick
+	backend    *dayBackend
+	attempt    *balancer.Attempt
+	ended      bool
+	mayHaveRun bool // it may have run
+	relay      *dayRelay
+	workLeft   float64 // seconds of work of one core
+}
+
+// startRelay starts a relay, and its clients.
+func (f *fleetDay) startRelay() {
+	n := &dayRelay{day: f, accepted: map[*balancer.Request]balancer.Tick{}, attempts: map[*balancer.Request][]*dayAttempt{}, drainSince: make([]balancer.Tick, len(f.backends)), rate: dayRate}
+	host := f.wrapHost.apply(n, len(f.relays), func() balancer.Tick { return f.now })
+	n.Balancer = balancer.New(host, f.now, f.rand.Uint64(), f.balancerSettings)
+	f.relays = append(f.relays, n)
+	for i, u := range f.backends {
+		n.known = append(n.known, &balancer.Backend{ID: uint32(i)})
+		n.OnEndpoint(f.now, n.known[i], u.Endpoint)
+	}
+	n.OnListSynced(f.now, true)
+	n.OnReleaseStatus(f.now, balancer.ReleaseStatus{Version: stableVersion, Phase: balancer.Released, ExposureCap: 1, Outcome: balancer.Succeeded})
+	f.after(f.rand.ExpFloat64()/dayRate, n.nextRequest)
+}
+
+// nextRequest has a client ask, and the next one come later.
+func (n *dayRelay) nextRequest() {
+	f := n.day
+	if n.dead || n.leaving {
+		return
+	}
+	f.after(f.rand.ExpFloat64()/n.rate, n.nextRequest)
+	c := &balancer.Request{Class: f.rand.IntN(3), Deadline: f.now + ticksOf(2)}
+	n.attempts[c], n.accepted[c] = nil, f.now
+	f.result.Accepted++
+	f.result.second(f.now).Accepted++
+	f.result.ByClass[c.Class].Taken++
+	f.after(2.05, func() {
+		if _, open := n.attempts[c]; open && !n.dead {
+			f.violation("a command without an answer by its time")
+		}
+	})
+	n.OnRequest(f.now, c)
+}
+
+// StartAttempt checks what the rules say of a send, and has the backend work.
+func (n *dayRelay) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
+	f, u := n.day, n.day.backends[d.Backend.ID]
+	for _, before := range n.attempts[d.Request] {
+		if before.mayHaveRun && d.Request.Class == atMostOnce || !before.ended {
+			f.violation("a second delivery of what may run twice")
+		}
+	}
+	if told := n.drainSince[d.Backend.ID]; told > 0 && f.now > told+ticksOf(1) {
+		f.violation("a delivery at a drained unit")
+	}
+	if !n.BeginAttempt(f.now, d) {
+		f.violation("a delivery that may not be written at once")
+	}
+	drawn := 0.5 + f.rand.ExpFloat64()
+	if u.StartedAt > 0 && f.now < u.StartedAt+ticksOf(warmUp) && !u.overloaded {
+		f.result.WarmUpAttempts++
+		f.result.second(f.now).WarmUpAttempts++
+		u.warmUpAttempts = slices.DeleteFunc(append(u.warmUpAttempts, warmUpAttempt{f.now, drawn / 1.5, n.known[d.Backend.ID].StartedAt == u.StartedAt}),
+			func(s warmUpAttempt) bool { return s.at < f.now-ticksOf(1) })
+		warmth := 0.5 + 0.5*float64(f.now-u.StartedAt)/(warmUp*second)
+		var broken bool
+		if u.overloaded, broken = overloads(u.warmUpAttempts, 2*warmth*f.capacity); broken {
+			f.violation("a cold unit falls")
+		}
+	}
+	u.inFlight++
+	took := ticksOf(drawn * 0.03 * float64(4+u.inFlight) / 4)
+	ending := balancer.Succeeded
+	switch p := f.rand.Float64(); {
+	case f.now+took > stopAt || f.now < u.silentUntil:
+		took, ending = stopAt-f.now, balancer.TimedOut
+	case p < f.resetShare:
+		ending = balancer.Reset
+	case p < f.resetShare+f.errorShare:
+		ending = balancer.Errored
+	}
+	s := &dayAttempt{sentAt: f.now, backend: u, attempt: d, relay: n, mayHaveRun: true, workLeft: drawn / 1.5 * f.cores / f.capacity}
+	n.attempts[d.Request] = append(n.attempts[d.Request], s)
+	if f.cores > 0 {
+		u.run(f, s)
+		f.at(stopAt, func() { n.finish(s, balancer.TimedOut) })
+		return
+	}
+	f.at(f.now+took, func() { n.finish(s, ending) })
+}
+
+func (n *dayRelay) finish(s *dayAttempt, ending balancer.Outcome) {
+	if s.ended || n.dead {
+		return
+	}
+	s.ended = true
+	s.backend.inFlight--
+	_, open := n.attempts[s.attempt.Request]
+	if ending == balancer.Succeeded && open {
+		n.day.result.Served++
+		if taken := n.accepted[s.attempt.Request]; n.day.now <= taken+ticksOf(0.5) {
+			n.day.result.second(taken).OnTime++
+		}
+		n.day.result.ByClass[s.attempt.Request.Class].Served++
+		delete(n.attempts, s.attempt.Request)
+	}
+	n.OnOutcome(n.day.now, s.attempt, ending, n.day.now-s.sentAt, ending == balancer.Succeeded || !open, nil)
+}
+
+// Reject promises that trying again is harmless.
+func (n *dayRelay) Reject(c *balancer.Request, _ balancer.Tick) {
+	if len(n.attempts[c]) > 0 && c.Class == atMostOnce {
+		n.day.violation("a nack of what may have run")
+	}
+	n.Fail(c)
+}
+
+// Fail ends a request.
+func (n *dayRelay) Fail(c *balancer.Request) {
+	if _, open := n.attempts[c]; !open {
+		n.day.violation("a second answer")
+	}
+	delete(n.attempts, c)
+}
+
+// CancelAttempt ends an attempt, which may have run.
+func (n *dayRelay) CancelAttempt(d *balancer.Attempt) {
+	for _, s := range n.attempts[d.Request] {
+		if s.attempt == d {
+			n.day.after(0, func() { n.finish(s, balancer.Cancelled) })
+		}
+	}
+}
+
+// SetTimer sets an alarm.
+func (n *dayRelay) SetTimer(at balancer.Tick, tag uint32) {
+	n.day.at(at, func() {
+		if !n.dead {
+			n.OnTimer(n.day.now, tag)
+		}
+	})
+}
+
+// CastVote: on these days nothing speaks against the version that all run.
+func (n *dayRelay) CastVote(_ uint16, _ int, v balancer.Verdict) {
+	n.day.violation(fmt.Sprintf("a vote %d on a good build", v))
+}
+
+// What a day has no use for.
+func (n *dayRelay) Probe(*balancer.Backend) {}
+
+func (n *dayRelay) CloseIdle(*balancer.Backend) {}
+
+func (n *dayRelay) SendGossip(uint32, []byte) {}
+
+func (n *dayRelay) Log(string, ...slog.Attr) {}
+
+func (n *dayRelay) WatchEndpoints(bool) {}
+
+func (n *dayRelay) FetchEndpoints() {}
+
+// killRelay ends a relay at once; what it had taken is lost with it, and another starts in its place.
+func (f *fleetDay) killRelay(n *dayRelay) {
+	n.dead = true
+	f.result.Accepted -= len(n.attempts)
+	for _, sends := range n.attempts {
+		for _, s := range sends {
+			if !s.ended {
+				s.backend.inFlight--
+			}
+		}
+	}
+	f.after(1, f.startRelay)
+}
+
+// drainRelay has a relay take nothing new; by the time that its requests have, it has answered all, and another starts.
+func (f *fleetDay) drainRelay(n *dayRelay) {
+	n.leaving = true
+	f.after(2.5, func() {
+		if len(n.attempts) > 0 {
+			f.violation("a command left by a relay that ends in order")
+		}
+		n.dead = true
+		f.startRelay()
+	})
+}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -29,7 +29,7 @@
 	for _, c := range cells {
 		switch v := c.(type) {
 		case time.Duration:
-			row = append(row, short(v))
+			row = append(row, shortDuration(v))
 		case float64:
 			row = append(row, fmt.Sprintf("%.4g", v))
 		default:
@@ -39,8 +39,8 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// short gives a duration with three digits.
-func short(d time.Duration) string {
+// shortDuration gives a duration with three digits.
+func shortDuration(d time.Duration) string {
 	switch {
 	case d >= time.Second:
 		return fmt.Sprintf("%.3gs", d.Seconds())
--- /dev/null
+++ b/internal/lab/metadata_front.go
@@ -0,0 +1,164 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"silvercove/internal/keys"
+	"silvercove/internal/metadataservice"
+	"silvercove/internal/standin/repository"
+	"silvercove/internal/tufrepo"
+)
+
+// frontFixture is a front with mirrors and a fleet.
+type frontFixture struct {
+	dir      string
+	front    *metadataservice.Service
+	clock    *repository.Clock
+	stop     func()
+	key      *keys.Key
+	waveLine string
+	write    func() error
+	director *repository.Publisher
+}
+
+func (w *frontFixture) close() {
+	if w.stop != nil {
+		w.stop()
+	}
+	_ = os.RemoveAll(w.dir)
+}
+
+func (m Metadata) world(n int) (w *frontFixture, err error) {
+	w = &frontFixture{clock: repository.NewClock(true), waveLine: "wave 2 testing 35%"}
+	if w.dir, err = os.MkdirTemp("", "lab"); err != nil {
+		return nil, err
+	}
+	defer func() {
+		if err != nil {
+			w.close()
+		}
+	}()
+	var config strings.Builder
+	mirrors, err := w.addImage(&config)
+	if err != nil {
+		return nil, err
+	}
+	if err := w.addDirector(&config, n); err != nil {
+		return nil, err
+	}
+	text := config.String()
+	w.write = func() error {
+		return os.WriteFile(filepath.Join(w.dir, "cove.conf"), []byte(text+"  "+w.waveLine+"\n }\n}\n"), 0o600)
+	}
+	if err := w.write(); err != nil {
+		return nil, err
+	}
+	if err := w.start(mirrors); err != nil {
+		return nil, err
+	}
+	return w, w.waitCurrent()
+}
+
+// addImage makes the image repository with its mirrors, and adds them to the configuration.
+func (w *frontFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
+	image, err := repository.NewPublisher(filepath.Join(w.dir, "image"), w.clock, tufrepo.Lifetimes{}, true)
+	if err != nil {
+		return nil, err
+	}
+	for b := uint16(1); b <= 2; b++ {
+		body := make([]byte, 10_000)
+		body[0] = byte(b)
+		if err := image.Add(fmt.Sprintf("app/%d.tar", b), b, body); err != nil {
+			return nil, err
+		}
+	}
+	fmt.Fprintf(config, "metadata {\n listen 127.0.0.1:0\n floor floor\n waiting 20000\n connections 20000\n"+
+		" repository image {\n  root root.json\n")
+	if err := os.WriteFile(filepath.Join(w.dir, "root.json"), image.Root(1), 0o600); err != nil {
+		return nil, err
+	}
+	for i := range 4 {
+		mirror, err := repository.NewMirror(fmt.Sprint("m", i), image, nil)
+		if err != nil {
+			return nil, err
+		}
+		mirrors = append(mirrors, mirror)
+		fmt.Fprintf(config, "  mirror m%d %s z up\n", i, mirror.Address())
+	}
+	return mirrors, nil
+}
+
+// addDirector makes the director's keys and the servers' key, and adds the director with n servers to the configuration.
+func (w *frontFixture) addDirector(config *strings.Builder, n int) (err error) {
+	if w.director, err = repository.NewPublisher(filepath.Join(w.dir, "director"), w.clock, tufrepo.Lifetimes{}, true); err != nil {
+		return err
+	}
+	config.WriteString(" }\n director {\n  image image\n  chain director\n  lasts 10m\n  running 1\n" +
+		"  package 1 app/1.tar\n  package 2 app/2.tar\n")
+	for _, role := range []string{"targets", "snapshot", "timestamp"} {
+		for i, k := range w.director.Keys[role] {
+			name := fmt.Sprintf("%s%d.key", role, i)
+			if err := k.Save(filepath.Join(w.dir, name), nil); err != nil {
+				return err
+			}
+			config.WriteString("  key " + name + "\n")
+		}
+	}
+	if w.key, err = keys.Generate("ed25519"); err != nil {
+		return err
+	}
+	if err := w.key.Save(filepath.Join(w.dir, "server.key"), nil); err != nil {
+		return err
+	}
+	for i := range n {
+		fmt.Fprintf(config, "  server s%d z%d large server.pub\n", i, i%3)
+	}
+	return nil
+}
+
+// start runs the front until stop is called, which closes the mirrors too.
+func (w *frontFixture) start(mirrors []*repository.Mirror) (err error) {
+	w.front, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
+		zerolog.Nop())
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = w.front.Run(ctx)
+	}()
+	w.stop = func() {
+		cancel()
+		<-ended
+		for _, mirror := range mirrors {
+			mirror.Close()
+		}
+	}
+	return nil
+}
+
+// waitCurrent waits until the front serves the image repository.
+func (w *frontFixture) waitCurrent() error {
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		resp, err := http.Get("http://" + w.front.Address() + "/r/image/metadata/timestamp.json")
+		if err == nil {
+			_ = resp.Body.Close()
+			if resp.StatusCode == 200 {
+				return nil
+			}
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("the front has nothing current within 20 s")
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/metadata_pollers.go
@@ -0,0 +1,154 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"silvercove/internal/tufverify"
+)
+
+// lowered has all servers poll, lowers the cap, and takes how long each of those told back waits until it has
+// fetched metadata that name the earlier package.
+func (m Metadata) lowered(ctx context.Context, w *frontFixture, n int) (count int, issued int64, h latencies, err error) {
+	way := &http.Transport{MaxIdleConnsPerHost: m.Width, MaxConnsPerHost: m.Width}
+	defer way.CloseIdleConnections()
+	p := &pollers{Metadata: m, frontFixture: w, way: way, url: "http://" + w.front.Address(), has: make([]uint16, n)}
+	want := int(0.35 * float64(n))
+	for end := time.Now().Add(2 * time.Minute); p.count(2) < want; {
+		if err := p.round(ctx); err != nil {
+			return 0, 0, h, err
+		}
+		if time.Now().After(end) {
+			return 0, 0, h, fmt.Errorf("%d of %d servers told after two minutes", p.count(2), want)
+		}
+	}
+	before := w.front.Director().IssuedCount()
+	h = newLatencies()
+	w.waveLine = "wave 2 testing 10%"
+	if err := w.write(); err != nil {
+		return 0, 0, h, err
+	}
+	began := time.Now()
+	if err := w.front.Reload(); err != nil {
+		return 0, 0, h, err
+	}
+	var mu sync.Mutex
+	var all sync.WaitGroup
+	for i := range n {
+		if p.has[i] != 2 {
+			continue
+		}
+		all.Go(func() {
+			if p.waitTaken(ctx, i, began) {
+				mu.Lock()
+				h.add(time.Since(began))
+				count++
+				mu.Unlock()
+			}
+		})
+	}
+	all.Wait()
+	if gone := p.count(2) - n/10; count < gone {
+		return count, 0, h, fmt.Errorf("%d servers were told back, %d should have been", count, gone)
+	}
+	return count, w.front.Director().IssuedCount() - before, h, ctx.Err()
+}
+
+// pollers are servers that ask the front what to run. Its methods are called by one goroutine at a time, but waitTaken.
+type pollers struct {
+	Metadata
+	*frontFixture
+	way     http.RoundTripper
+	url     string
+	has     []uint16 // the package that each was told last, 0 for none
+	counter int64    // of the servers' reports
+}
+
+// count is how many were told a package last.
+func (p *pollers) count(build uint16) (n int) {
+	for _, b := range p.has {
+		if b == build {
+			n++
+		}
+	}
+	return n
+}
+
+// round has each server ask once. Those that are told a new package say that they run it, so that the next are told.
+func (p *pollers) round(ctx context.Context) error {
+	var mu sync.Mutex
+	var all sync.WaitGroup
+	limit := make(chan struct{}, p.Width)
+	p.counter++
+	for i := range p.has {
+		limit <- struct{}{}
+		all.Go(func() {
+			defer func() { <-limit }()
+			b := toldPackage(p.way, p.url, i)
+			mu.Lock()
+			changed := p.has[i] != b
+			p.has[i] = b
+			mu.Unlock()
+			if changed && b != 0 {
+				p.report(i, b)
+			}
+		})
+	}
+	all.Wait()
+	return ctx.Err()
+}
+
+// report has a server say that it runs a package.
+func (p *pollers) report(server int, build uint16) {
+	path := fmt.Sprintf("app/%d.tar", build)
+	text, err := tufverify.SignReport(tufverify.Report{Server: fmt.Sprint("s", server), Hardware: "large", Counter: p.counter,
+		Running: path, Build: build, Installed: "ok", Tried: path}, p.key.Private)
+	if err == nil {
+		httpRequest(p.way, http.MethodPost, fmt.Sprintf("%s/director/s%d/manifest", p.url, server), string(text), discardBody)
+	}
+}
+
+// waitTaken has a server poll, at a moment of its own, until it is told the earlier package; false where it keeps the
+// later one, or the time that is given is over.
+func (p *pollers) waitTaken(ctx context.Context, server int, began time.Time) bool {
+	wait := time.Duration(server%97) * p.Poll / 97
+	for time.Since(began) < 20*p.Poll+5*time.Second && ctx.Err() == nil {
+		time.Sleep(wait)
+		if toldPackage(p.way, p.url, server) == 1 {
+			return true
+		}
+		if _, told, _ := p.front.Director().Count(); told <= len(p.has)/10 && time.Since(began) > 3*p.Poll+time.Second {
+			return false
+		}
+		wait = p.Poll
+	}
+	return false
+}
+
+// toldPackage asks what a server is told now, without verifying it.
+func toldPackage(way http.RoundTripper, front string, i int) uint16 {
+	var stamp struct {
+		Signed struct {
+			Version int64
+		}
+	}
+	base := fmt.Sprintf("%s/director/s%d/metadata/", front, i)
+	if httpRequest(way, http.MethodGet, base+"timestamp.json", "", decodeInto(&stamp)) != 200 {
+		return 0
+	}
+	var targets struct {
+		Signed struct {
+			Targets map[string]struct{ Custom tufverify.Custom }
+		}
+	}
+	if httpRequest(way, http.MethodGet, fmt.Sprintf("%s%d.targets.json", base, stamp.Signed.Version), "", decodeInto(&targets)) != 200 {
+		return 0
+	}
+	for _, t := range targets.Signed.Targets {
+		return t.Custom.Build
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/lab/model_relay.go
@@ -0,0 +1,276 @@
+package lab
+
+import (
+	"log/slog"
+	"slices"
+
+	"silvercove/balancer"
+)
+
+// relayNode is one relay.
+type relayNode struct {
+	*model
+	number      int
+	balancer    *balancer.Balancer
+	known       []*balancer.Backend
+	incarnation int
+	isBlind     bool
+	acceptedAt  []balancer.Tick
+	canarySent  []balancer.Tick
+	attempts    map[*balancer.Attempt]bool
+	stageCap    float64
+	capSince    balancer.Tick
+	capVersion  uint16 // the version that it is of
+	previousCap float64
+	outcomes    int
+}
+
+// start starts a relay's process: nothing is known from before.
+func (n *relayNode) start() {
+	n.incarnation++
+	n.attempts = map[*balancer.Attempt]bool{}
+	n.known = make([]*balancer.Backend, len(n.backends))
+	host := n.wrapHost.apply(n, n.number, func() balancer.Tick { return n.now })
+	n.balancer = balancer.New(host, n.now, n.Seed<<8^uint64(n.number)<<1^uint64(n.incarnation), n.balancerSettings)
+	for i, u := range n.backends {
+		n.known[i] = &balancer.Backend{ID: uint32(i)}
+		n.announce(u)
+	}
+	n.balancer.OnListSynced(n.now, true)
+	n.onRelease(false, balancer.Succeeded)
+}
+
+// announce tells a relay of a backend.
+func (n *relayNode) announce(u *backend) {
+	n.balancer.OnEndpoint(n.now, n.known[u.number], balancer.Endpoint{Zone: u.zone, State: u.state, NominalWeight: 1, StartedAt: u.started,
+		Version: u.version})
+}
+
+// onRelease tells it where the package stands.
+func (n *relayNode) onRelease(answer bool, ending balancer.Outcome) {
+	build, stageCap := n.newest, 1.0
+	if build == 0 {
+		build = stableVersion
+	} else {
+		stageCap = n.capNow()
+	}
+	if build != stableVersion && (stageCap != n.stageCap || build != n.capVersion) {
+		n.previousCap, n.stageCap, n.capSince, n.capVersion = n.stageCap, stageCap, n.now, build
+	}
+	n.balancer.OnReleaseStatus(n.now, balancer.ReleaseStatus{Version: build, Stage: max(0, n.stage), Phase: n.phase, ExposureCap: stageCap, VoteReply: answer,
+		Outcome: ending, Age: n.now - n.stageStart})
+}
+
+// nextRequest takes the next request at a relay.
+func (n *relayNode) nextRequest() {
+	c := n.Condition
+	since := (n.now - ticksOf(1003))
+	rate := 1.0
+	if c.Burst > 0 && since >= ticksOf(c.From) && since < ticksOf(c.From+c.Duration) {
+		rate = c.Burst
+	}
+	n.after(n.arrivals.Rand()/rate, n.nextRequest)
+	draw, op := n.rand.Float64(), 0
+	for draw >= n.Classes[op].Share && op < len(n.Classes)-1 {
+		draw -= n.Classes[op].Share
+		op++
+	}
+	n.nextID++
+	cmd := &balancer.Request{ID: n.nextID, Class: op, Deadline: n.now + ticksOf(2), Write: op > 0}
+	n.result.Requests++
+	n.acceptedAt = append(n.acceptedAt, n.now)
+	n.balancer.OnRequest(n.now, cmd)
+}
+
+// StartAttempt works a request at a backend.
+func (n *relayNode) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
+	u := n.backends[d.Backend.ID]
+	n.attempts[d] = true
+	if !n.balancer.BeginAttempt(n.now, d) {
+		n.result.ExposureBreaks++ // written at once it always may be
+	}
+	n.checkExposure(u)
+	life, own, build := u.incarnation, n.incarnation, u.version
+	p, of := n.packages[build]
+	shows := of && n.now >= u.started+ticksOf(p.After)
+	end := u.occupy(n.now, n.serviceTime(u, p, shows))
+	fails := n.failureShare(u, p, shows, n.Classes[d.Request.Class].Name)
+	ending := balancer.Succeeded
+	if n.rand.Float64() < fails {
+		ending = balancer.Errored
+	}
+	wrong := ending == balancer.Succeeded && shows && n.rand.Float64() < p.Wrong
+	if n.number < n.Condition.GarbageRelays && n.now >= ticksOf(1003+n.Condition.GarbageFrom) {
+		if n.outcomes++; n.outcomes%10 == 0 {
+			ending = balancer.Errored
+		}
+	}
+	if shows && p.Silent > 0 && n.rand.Float64() < p.Silent {
+		end = stopAt + 1
+	}
+	if end > stopAt {
+		end, ending = stopAt, balancer.TimedOut
+	}
+	sent := n.now
+	n.at(end, func() {
+		if n.incarnation != own || !n.attempts[d] {
+			return
+		}
+		if u.incarnation != life {
+			ending = balancer.Reset
+		}
+		delete(n.attempts, d)
+		n.countOutcome(build, d.Request.Class, ending, n.now-sent)
+		if ending == balancer.Succeeded && wrong {
+			n.flagWrongAnswer(d.Backend, d.Request.Class, build)
+		}
+		n.balancer.OnOutcome(n.now, d, ending, n.now-sent, ending == balancer.Succeeded, nil)
+	})
+}
+
+// serviceTime draws the seconds that a request takes at a backend once it is worked; shows says whether the faults of
+// the version that it runs show by now.
+func (n *relayNode) serviceTime(u *backend, p Package, shows bool) float64 {
+	took := n.serviceTimes.Rand()
+	if shows && p.Slow > 0 {
+		took *= p.Slow
+	}
+	if n.Condition.SlowZoneFactor > 0 && u.zone == 0 {
+		took *= n.Condition.SlowZoneFactor
+	}
+	if u.started > 0 && n.now < u.started+ticksOf(warmUp) {
+		took /= 0.5 + 0.5*float64(n.now-u.started)/(warmUp*second)
+	}
+	return took
+}
+
+// occupy has the slot that is free first work for so many seconds, and returns when it is done.
+func (u *backend) occupy(now balancer.Tick, took float64) balancer.Tick {
+	slot := 0
+	for i := range u.slots {
+		if u.slots[i] < u.slots[slot] {
+			slot = i
+		}
+	}
+	u.slots[slot] = max(now, u.slots[slot]) + ticksOf(took)
+	return u.slots[slot]
+}
+
+// failureShare is the chance that a backend fails a request of a class.
+func (n *relayNode) failureShare(u *backend, p Package, shows bool, class string) float64 {
+	fails := n.BaseFailures
+	if u.version == stableVersion { // packages are in order but for what they are said to do
+		fails += n.Condition.MoreBaseFailures
+	}
+	if shows {
+		more := p.Errors["all"] + p.Errors[class]
+		if n.Condition.ClumpShare > 0 { // most of it at one backend of each six
+			if u.number%6 == 0 {
+				more = min(0.95, more*6*n.Condition.ClumpShare)
+			} else {
+				more *= (1 - n.Condition.ClumpShare) * 6 / 5
+			}
+		}
+		fails += more
+	}
+	if u.isSick && n.now >= ticksOf(1003+n.Condition.SickFrom) {
+		fails = max(fails, n.Condition.SickFailures)
+	}
+	return fails
+}
+
+// flagWrongAnswer has a client find a wrong answer later, and maybe report it to any relay.
+func (n *relayNode) flagWrongAnswer(to *balancer.Backend, op int, build uint16) {
+	if n.rand.Float64() >= n.FoundShare || n.rand.Float64() < n.Condition.LostFlags {
+		return
+	}
+	at, door := n.now, to.ID
+	other := n.nodes[n.rand.IntN(n.Relays)]
+	n.after(n.flagDelays.Rand(), func() {
+		if u := other.known[door]; u.Version == build { // one of another process is no longer known
+			other.balancer.OnWrongAnswer(n.now, u, op, n.now-at)
+		}
+	})
+}
+
+// checkExposure counts a send at the package while it is on trial, and holds it against the rule.
+func (n *relayNode) checkExposure(u *backend) {
+	if u.version != n.newest || u.version == n.stable || n.phase == balancer.Released {
+		return
+	}
+	n.result.CanaryAttempts++
+	from := n.now - ticksOf(exposureWindow)
+	n.canarySent = slices.DeleteFunc(n.canarySent, func(t balancer.Tick) bool { return t < from })
+	n.acceptedAt = slices.DeleteFunc(n.acceptedAt, func(t balancer.Tick) bool { return t < from })
+	n.canarySent = append(n.canarySent, n.now)
+	stageCap := n.stageCap
+	if n.capVersion != n.newest { // a relay that has not heard of the package holds it for one in its first stage
+		stageCap = n.Stages[0].Cap
+	}
+	if n.now < n.capSince+ticksOf(1+exposureWindow) {
+		stageCap = max(stageCap, n.previousCap)
+	}
+	// Under a cap of all there is nothing else to send to, and a second attempt alone would exceed it.
+	if stageCap < 1 && float64(len(n.canarySent)) > 4+stageCap*float64(len(n.acceptedAt))+1e-9 && n.now > n.capSince+ticksOf(1) {
+		n.result.ExposureBreaks++
+	}
+}
+
+// Reject, Fail: the client has no answer.
+func (n *relayNode) Reject(*balancer.Request, balancer.Tick) { n.result.Failed++ }
+
+func (n *relayNode) Fail(*balancer.Request) { n.result.Failed++ }
+
+// CancelAttempt ends an attempt at once.
+func (n *relayNode) CancelAttempt(d *balancer.Attempt) {
+	own := n.incarnation
+	n.after(0, func() {
+		if n.incarnation != own || !n.attempts[d] {
+			return
+		}
+		delete(n.attempts, d)
+		n.balancer.OnOutcome(n.now, d, balancer.Cancelled, 0, false, nil)
+	})
+}
+
+// SetTimer sets an alarm.
+func (n *relayNode) SetTimer(at balancer.Tick, tag uint32) {
+	own := n.incarnation
+	n.at(at, func() {
+		if n.incarnation == own {
+			n.balancer.OnTimer(n.now, tag)
+		}
+	})
+}
+
+// What the model has no use for.
+func (n *relayNode) Probe(*balancer.Backend) {}
+
+func (n *relayNode) CloseIdle(*balancer.Backend) {}
+
+func (n *relayNode) SendGossip(uint32, []byte) {}
+
+func (n *relayNode) Log(string, ...slog.Attr) {}
+
+func (n *relayNode) WatchEndpoints(bool) {}
+
+func (n *relayNode) FetchEndpoints() {}
+
+// CastVote brings a vote to the platform, where one decides.
+func (n *relayNode) CastVote(build uint16, stage int, verdict balancer.Verdict) {
+	own := n.incarnation
+	n.after(releaseLag, func() {
+		counts := build == n.newest && build != 0 && (n.phase == balancer.Canary && stage == n.stage || n.phase == balancer.Released)
+		if counts {
+			n.countVerdict(verdict)
+		}
+		if n.incarnation != own {
+			return
+		}
+		ending := balancer.Succeeded
+		if !counts {
+			ending = balancer.Discarded
+		}
+		n.onRelease(true, ending)
+	})
+}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -130,7 +130,7 @@
 	for i, l := range lines {
 		s := l.Wrong.Share()
 		points = append(points, plotter.XY{X: float64(i), Y: s})
-		low = append(low, struct{ Low, High float64 }{s - l.Wrong.Low, l.Wrong.Top - s})
+		low = append(low, struct{ Low, High float64 }{s - l.Wrong.Low, l.Wrong.High - s})
 		labels = append(labels, fmt.Sprint(i+1))
 	}
 	top = low
@@ -152,7 +152,7 @@
 }
 
 // Elapsed words how long something took.
-func Elapsed(since time.Time) string { return short(time.Since(since)) }
+func Elapsed(since time.Time) string { return shortDuration(time.Since(since)) }
 
 func sortFloats(v []float64) { slices.Sort(v) }
 
