--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -57,7 +57,7 @@
 
 	monitor     *devicehealth.Monitor
 	health      devicehealth.Report
-	battery     *battery.Van
+	battery     *battery.Machine
 	lastReading tick.Tick // when the battery was last stepped
 	extraLoad   float64   // more load, of a crowd
 	requests    map[*replica.Request]*pendingRequest
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -33,7 +33,7 @@
 		{Name: "BAT0", Kind: devicehealth.KindFullCharge, Value: battery.FullJoules},
 		{Name: "BAT0", Kind: devicehealth.KindDraw, Value: drawn - gained},
 		{Name: "AC", Kind: devicehealth.KindMains, Value: mains},
-		{Name: "thermal_zone0", Kind: devicehealth.KindTemperature, Value: u.battery.Temp, Limit: battery.Critical},
+		{Name: "thermal_zone0", Kind: devicehealth.KindTemperature, Value: u.battery.Temperature, Limit: battery.CriticalDegrees},
 	} {
 		r.OK = true
 		u.monitor.AddReading(now, r)
--- a/internal/lab/fleetsim/replay.go
+++ b/internal/lab/fleetsim/replay.go
@@ -33,7 +33,7 @@
 			var warm func()
 			warm = func() {
 				for _, u := range f.zoneByName(x.Target).nodes {
-					u.battery.Temp = min(89, u.battery.Temp+0.8)
+					u.battery.Temperature = min(89, u.battery.Temperature+0.8)
 				}
 				if !over {
 					f.after(tick.Second/10, warm)
@@ -194,7 +194,7 @@
 	}
 	mine = append(head, mine[first:]...)
 	c := testcluster.Summarize(mine, w.Until)
-	if c.Cut {
+	if c.Incomplete {
 		return c, fmt.Errorf("no %q", w.Until)
 	}
 	// Where a machine is so busy that the controllers change their lead by themselves, it is another script that was played.
@@ -202,7 +202,7 @@
 		slices.ContainsFunc(mine[:until], func(e testcluster.Event) bool { return e.Name == "leads" }) {
 		return c, errors.New("the keepers' lead changed, which the script does not ask for")
 	}
-	return c, testcluster.Order(all, w.Order...)
+	return c, testcluster.CheckOrder(all, w.Order...)
 }
 
 // Compared is one script by the model and by processes.
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -94,9 +94,9 @@
 		return nil
 	})
 	err = group.Wait()
-	result.StagesPassed, result.Released, result.RolledBack = plat.Advanced, plat.Released, plat.Back
-	result.VerdictSeconds = plat.Verdict.Seconds()
-	result.Undecided = !plat.Released && !plat.Back
+	result.StagesPassed, result.Released, result.RolledBack = plat.StagesPassed, plat.Released, plat.RolledBack
+	result.VerdictSeconds = plat.TimeToVerdict.Seconds()
+	result.Undecided = !plat.Released && !plat.RolledBack
 	result.Requests, result.Failed = int(commands.Load()), int(failed.Load())
 	return result, err
 }
@@ -122,12 +122,12 @@
 		Probe: func(u dispatch.Backend) { n.pools.Probe(u) }, CloseIdle: func(name string) { n.pools.CloseIdle(name) }})
 	n.pools = upstream.New(room, 256, time.Second/2, 5*time.Second, n.gate)
 	n.front = downstream.New(n.gate, n.pools, room, overload.LimitsFor(256), 2*time.Second, time.Second)
-	page, err := discovery.ParsePage([]byte(plat.Page()))
+	page, err := discovery.ParsePage([]byte(plat.EndpointList()))
 	if err != nil {
 		return nil, err
 	}
 	n.gate.UpdateEndpoints(true, page.Endpoints)
-	stage, err := releaseapi.ParseStage(json.RawMessage(plat.Stage()))
+	stage, err := releaseapi.ParseStage(json.RawMessage(plat.StageText()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/repository/keeper.go
+++ b/internal/standin/repository/keeper.go
@@ -229,7 +229,7 @@
 func (k *Publisher) Version(role string) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return newest(k.history[len(k.history)-1].Files, role)
+	return newestVersion(k.history[len(k.history)-1].Files, role)
 }
 
 // TestLifetimes for tests in which things expire.
--- a/internal/standin/testcluster/binary.go
+++ b/internal/standin/testcluster/binary.go
@@ -44,7 +44,7 @@
 	root := filepath.Dir(strings.TrimSpace(string(mod)))
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("silvercove-crew-%d-%x", os.Getuid(), sha256.Sum256([]byte(root)))[:64])
 	args := []string{"build"}
-	if raced {
+	if raceDetector {
 		dir += "-race"
 		args = append(args, "-race")
 	}
--- a/internal/standin/testcluster/norace.go
+++ b/internal/standin/testcluster/norace.go
@@ -2,4 +2,4 @@
 
 package testcluster
 
-const raced = false
+const raceDetector = false
