--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -48,7 +48,8 @@
 		return nil, full(err)
 	}
 	p.board, err = membership.Open(p.net, run, fresh, f.Settings, func(m membership.Member) {
-		p.log.Info().Str("event", "member").Str("from", m.Name).Str("why", string(m.State)).Uint64("run", m.Incarnation).Send()
+		p.log.Info().Str("event", "member").Str("component", "membership").Str("from", m.Name).Str("why", string(m.State)).
+			Uint64("run", m.Incarnation).Msg("member state changed")
 	})
 	if err == nil && p.measures != nil {
 		p.gauges()
@@ -98,7 +99,8 @@
 	group.Go(func() error {
 		select {
 		case <-p.board.Superseded():
-			p.log.Error().Str("event", "outrun").Str("why", "a later start of this name runs; others take this one for an old copy").Send()
+			p.log.Error().Str("event", "outrun").Str("component", "membership").
+				Str("why", "a later start of this name runs; others take this one for an old copy").Msg("process superseded")
 		case <-ctx.Done():
 		}
 		return nil
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -40,6 +40,7 @@
 	}
 	level, _ := all["log_level"].(string)
 	log := logger(level)
+	own := log.With().Str("component", "metadataservice").Logger()
 	m, err := metadataservice.New(c.File, os.Getenv, time.Now, log)
 	if err != nil {
 		return full(err)
@@ -51,18 +52,18 @@
 	defer signal.Stop(hup)
 	ended := make(chan error, 1)
 	go func() { ended <- m.Run(ctx) }()
-	log.Info().Str("listen", m.Address()).Msg("serving metadata")
+	own.Info().Str("listen", m.Address()).Msg("metadata front serving")
 	for {
 		select {
 		case err := <-ended:
-			log.Info().Msg("stopped")
+			own.Info().Msg("metadata front stopped")
 			return err
 		case <-hup:
 			if err := m.Reload(); err != nil {
-				log.Error().Err(err).Msg("the file was not taken, what was in force stays")
+				own.Error().Err(err).Msg("operator's file refused")
 				continue
 			}
-			log.Info().Msg("the file was taken")
+			own.Info().Msg("operator's file reloaded")
 		}
 	}
 }
