--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -9,92 +9,112 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateServers takes the list of servers, or changes of it.
-func (d *Director) UpdateServers(whole bool, hosts []dispatch.Endpoint) {
+// UpdateServers replaces the list of servers, or, if it is not complete, changes the servers in it.
+func (d *Director) UpdateServers(complete bool, endpoints []dispatch.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, named := d.tick(), map[string]bool{}
-	for _, h := range hosts {
-		named[h.Name] = true
-		s := d.servers[h.Name]
-		fresh := s == nil
-		if fresh {
-			s = &server{}
-			s.Name = h.Name
-			d.servers[h.Name] = s
-		}
-		s.Zone, s.Kind = h.Zone, h.MachineKind
-		if here := h.State != "removed"; here || !fresh {
-			d.rollout.OnListed(now, &s.Server, here)
-		}
+	now := d.tick()
+	named := map[string]bool{}
+	for _, endpoint := range endpoints {
+		named[endpoint.Name] = true
+		d.updateServer(now, endpoint)
 	}
 	for name, s := range d.servers {
-		if whole && !named[name] {
+		if complete && !named[name] {
 			d.rollout.OnListed(now, &s.Server, false)
 		}
 	}
 	d.rollout.OnListComplete(now)
 }
 
-var phases = map[string]stagedrollout.Phase{"testing": stagedrollout.Canary, "recalling": stagedrollout.RollingBack,
-	"live": stagedrollout.Released, "recalled": stagedrollout.Withdrawn}
+// updateServer adds or changes one server of a list.
+func (d *Director) updateServer(now stagedrollout.Tick, endpoint dispatch.Endpoint) {
+	s := d.servers[endpoint.Name]
+	added := s == nil
+	if added {
+		s = &server{}
+		s.Name = endpoint.Name
+		d.servers[endpoint.Name] = s
+	}
+	s.Zone, s.Kind = endpoint.Zone, endpoint.MachineKind
+	if listed := endpoint.State != "removed"; listed || !added {
+		d.rollout.OnListed(now, &s.Server, listed)
+	}
+}
+
+// phases are the rollout's phases by the names of the release API.
+var phases = map[string]stagedrollout.Phase{
+	"testing":   stagedrollout.Canary,
+	"recalling": stagedrollout.RollingBack,
+	"live":      stagedrollout.Released,
+	"recalled":  stagedrollout.Withdrawn,
+}
+
+// phaseLive is the name of the phase of a released version.
+const phaseLive = "live"
+
+// noHardwareKind is a list of kinds that no server's hardware is of.
+var noHardwareKind = []string{""}
 
-// OnStage takes what the platform says of the newest build. News of a build that went before is left aside.
-func (d *Director) OnStage(is dispatch.RolloutStage) {
+// OnStage records the stage of the newest version. A stage of an earlier version is ignored, as is one of a version that was
+// released before a restart.
+func (d *Director) OnStage(stage dispatch.RolloutStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if is.Version < d.stage.Version || !is.Valid() {
+	if stage.Version < d.stage.Version || !stage.Valid() {
 		return
 	}
-	if is.Version <= d.released && is.Phase != "live" {
-		return // it was released before a restart, and is no longer news
+	if stage.Version <= d.released && stage.Phase != phaseLive {
+		return
 	}
-	fits, known := d.hardwareKinds(is)
-	if d.stage.Phase == "live" && d.stage.Version != is.Version {
+	kinds, known := d.hardwareKinds(stage)
+	if d.stage.Phase == phaseLive && d.stage.Version != stage.Version {
 		d.recordReleased(d.stage.Version)
 	}
-	d.stage, d.stageKinds, d.deferredStage = is, fits, nil
+	d.stage, d.stageKinds, d.deferredStage = stage, kinds, nil
 	now := d.tick()
-	if !known { // told ones may go back, nobody new is told
-		d.deferredStage = &is
-		d.SetTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
+	if !known { // servers may be rolled back, and none is assigned the version
+		d.deferredStage = &stage
+		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
-	if is.Version == d.released { // nothing newer is out
-		d.rollout.OnStage(now, is.Version, is.Version, stagedrollout.Released, 1, fits)
+	if stage.Version == d.released { // there is no newer version
+		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
 		return
 	}
-	d.rollout.OnStage(now, is.Version, d.released, phases[is.Phase], is.ExposureCap, fits)
+	d.rollout.OnStage(now, stage.Version, d.released, phases[stage.Phase], stage.ExposureCap, kinds)
 }
 
-// hardwareKinds tells which kinds of hardware a build's package fits. Until the Image repository says so it is none.
-func (d *Director) hardwareKinds(is dispatch.RolloutStage) (kinds []string, known bool) {
-	if is.Version == d.stage.Version && d.deferredStage == nil {
+// hardwareKinds are the kinds of hardware that the package of a stage's version fits. Until the image repository has it they
+// are noHardwareKind, and known is false.
+func (d *Director) hardwareKinds(stage dispatch.RolloutStage) (kinds []string, known bool) {
+	if stage.Version == d.stage.Version && d.deferredStage == nil {
 		return d.stageKinds, true
 	}
-	t, refusal := d.lookUp(d.packages[is.Version])
+	target, refusal := d.lookUp(d.packages[stage.Version])
 	if refusal == nil {
-		return t.Custom.Kinds, true
+		return target.Custom.Kinds, true
 	}
-	if d.waitingVersion != is.Version {
-		d.waitingVersion = is.Version
-		d.log(slog.LevelWarn, "package waits for the image repository", append([]slog.Attr{slog.Int("version", int(is.Version))},
-			refusal.LogFields()...)...)
+	if d.waitingVersion != stage.Version {
+		d.waitingVersion = stage.Version
+		d.log(slog.LevelWarn, "package waits for the image repository",
+			append([]slog.Attr{slog.Int("version", int(stage.Version))}, refusal.LogFields()...)...)
 	}
-	return []string{""}, false
+	return noHardwareKind, false
 }
 
-// recordReleased makes durable that a build was released.
-func (d *Director) recordReleased(build uint16) {
-	if build <= d.released {
+// recordReleased records a version as released.
+func (d *Director) recordReleased(version uint16) {
+	if version <= d.released {
 		return
 	}
-	if err := d.store.Record("director/released", int64(build), tufverify.Digest{}); err != nil {
-		d.log(slog.LevelError, "released version could not be recorded", slog.Int("version", int(build)), slog.String("error", err.Error()))
+	if err := d.store.Record(releasedKey, int64(version), tufverify.Digest{}); err != nil {
+		d.log(slog.LevelError, "released version could not be recorded", slog.Int("version", int(version)),
+			slog.String("error", err.Error()))
 	}
-	d.released = build
+	d.released = version
 }
 
-// OnVote takes a vote of this installation's own: nobody new is told while one to hold or go back stands.
+// OnVote records a vote of this installation. While one to hold or roll back stands, no further server is assigned the version.
 func (d *Director) OnVote(v dispatch.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +123,14 @@
 	}
 }
 
-// OnReport takes a report that was found good.
+// installResults are the results of an installation by the words of a report; any other word is InstallPending.
+var installResults = map[string]stagedrollout.InstallResult{
+	"ok":       stagedrollout.InstallSucceeded,
+	"failed":   stagedrollout.InstallFailed,
+	"declined": stagedrollout.InstallDeclined,
+}
+
+// OnReport records a verified report. Its error is ErrUnknownServer.
 func (d *Director) OnReport(r *tufverify.Report) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,13 +142,12 @@
 	if r.Attack != "" {
 		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.Attack))
 	}
-	tried, ended := uint16(0), map[string]stagedrollout.InstallResult{"ok": stagedrollout.InstallSucceeded, "failed": stagedrollout.InstallFailed,
-		"declined": stagedrollout.InstallDeclined}[r.Installed]
-	for build, path := range d.packages {
+	tried := uint16(0)
+	for version, path := range d.packages {
 		if path == r.Tried && path != "" {
-			tried = build
+			tried = version
 		}
 	}
-	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, ended)
+	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, installResults[r.Installed])
 	return nil
 }
--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -11,7 +11,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Kind tells what kind of hardware a server is listed as.
+// Kind is the kind of hardware that a server is listed with; ok is false for an unknown server.
 func (d *Director) Kind(name string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,14 +29,14 @@
 	return d.rollout.Count(d.tick())
 }
 
-// IssuedCount tells how many versions were issued.
+// IssuedCount is how many versions of servers' metadata were issued.
 func (d *Director) IssuedCount() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.Issued
 }
 
-// Explain says in plain sentences why a server may run what it is told.
+// Explain tells in sentences why a server is assigned what it is. Its error wraps ErrUnknownServer.
 func (d *Director) Explain(name string) ([]string, error) {
 	d.mu.Lock()
 	s := d.servers[name]
@@ -85,6 +85,7 @@
 	return out, nil
 }
 
+// firstNames lists the first names of servers, for an error.
 func firstNames(all map[string]*server) string {
 	names := slices.Sorted(maps.Keys(all))
 	if len(names) > 10 {
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -7,24 +7,39 @@
 	"silvercove/internal/tufverify"
 )
 
-// issueRecord is what must outlive a restart of one issue: the build that it names and when it ends, and the build
-// that the issue before named, if the server may still act on that, and until when.
+// issueRecord is what must outlive a restart of one issue: the version that it assigns and its expiry; and the version that the
+// issue before assigned, if the server may still act on that, and until when.
 type issueRecord struct {
-	assigned, previous       uint16
-	expiresAt, previousUntil tufverify.Tick
+	assigned      uint16
+	previous      uint16
+	expiresAt     tufverify.Tick
+	previousUntil tufverify.Tick
 }
 
-// digest puts it into the front of the issue's sum; the rest of the sum tells contents apart.
-func (i issueRecord) digest(content []byte) (sum tufverify.Digest) {
-	sum = sha256.Sum256(content)
-	binary.BigEndian.PutUint16(sum[:], i.assigned)
-	binary.BigEndian.PutUint64(sum[2:], uint64(i.expiresAt))
-	binary.BigEndian.PutUint16(sum[10:], i.previous)
-	binary.BigEndian.PutUint64(sum[12:], uint64(i.previousUntil))
-	return sum
+// Offsets of the fields in a recorded digest, big-endian. They are part of the stored form.
+const (
+	assignedOffset      = 0
+	expiresAtOffset     = 2
+	previousOffset      = 10
+	previousUntilOffset = 12
+)
+
+// digest is the record in the front of a digest of the issue's content, whose rest tells contents apart.
+func (r issueRecord) digest(content []byte) (digest tufverify.Digest) {
+	digest = sha256.Sum256(content)
+	binary.BigEndian.PutUint16(digest[assignedOffset:], r.assigned)
+	binary.BigEndian.PutUint64(digest[expiresAtOffset:], uint64(r.expiresAt))
+	binary.BigEndian.PutUint16(digest[previousOffset:], r.previous)
+	binary.BigEndian.PutUint64(digest[previousUntilOffset:], uint64(r.previousUntil))
+	return digest
 }
 
-func decodeIssue(sum tufverify.Digest) issueRecord {
-	return issueRecord{binary.BigEndian.Uint16(sum[:]), binary.BigEndian.Uint16(sum[10:]),
-		tufverify.Tick(binary.BigEndian.Uint64(sum[2:])), tufverify.Tick(binary.BigEndian.Uint64(sum[12:]))}
+// decodeIssue reads the record in the front of a recorded digest.
+func decodeIssue(digest tufverify.Digest) issueRecord {
+	return issueRecord{
+		assigned:      binary.BigEndian.Uint16(digest[assignedOffset:]),
+		previous:      binary.BigEndian.Uint16(digest[previousOffset:]),
+		expiresAt:     tufverify.Tick(binary.BigEndian.Uint64(digest[expiresAtOffset:])),
+		previousUntil: tufverify.Tick(binary.BigEndian.Uint64(digest[previousUntilOffset:])),
+	}
 }
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -12,34 +12,34 @@
 	"silvercove/internal/tufverify"
 )
 
-// Run issues what is owed and rings the module's alarms until the context ends.
+// Run issues metadata that are due, and calls the rollout's timer, until the context ends.
 func (d *Director) Run(ctx context.Context) error { return d.waker.Run(ctx, d.runDue) }
 
-// runDue rings the alarm that is due, issues what is owed, and tells how long it is until the next.
+// runDue does what is due now, and returns the time until something is due next.
 func (d *Director) runDue() time.Duration {
 	d.mu.Lock()
 	if now := d.tick(); d.timerAt != 0 && now >= d.timerAt {
 		d.timerAt = 0
 		d.rollout.OnTimer(now)
 	}
-	if later := d.deferredStage; later != nil {
+	if deferred := d.deferredStage; deferred != nil {
 		d.mu.Unlock()
-		d.OnStage(*later)
+		d.OnStage(*deferred)
 		d.mu.Lock()
 	}
-	owed := d.pendingIssues
+	pending := d.pendingIssues
 	d.pendingIssues = nil
 	d.mu.Unlock()
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
-	for _, s := range owed {
+	for _, s := range pending {
 		group.Go(func() error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			d.mu.Lock()
 			stale := s.reissue
 			d.mu.Unlock()
-			if !stale || s.files == nil { // one that never asked is told when it does
+			if !stale || s.files == nil { // one that has not asked yet gets it when it does
 				return nil
 			}
 			if err := d.issue(s, tufverify.FromTime(d.now())); err != nil {
@@ -51,14 +51,14 @@
 	err := group.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(owed) > 0 {
+	if len(pending) > 0 {
 		d.Changed = d.now()
 	}
 	next := time.Hour
 	if err != nil {
 		d.log(slog.LevelWarn, "metadata could not be issued and is retried", slog.String("error", err.Error()),
 			slog.Duration("wait_ms", time.Duration(metadatarefresh.IssueRetryDelay)*tickLength))
-		for _, s := range owed {
+		for _, s := range pending {
 			if s.reissue && s.files != nil {
 				d.pendingIssues = append(d.pendingIssues, s)
 			}
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -49,8 +49,17 @@
 	}
 	image := s.repositories[c.image]
 	image.KeepLookedUp(paths)
-	s.director, err = director.New(loaded.chain, loaded.online, s.store, image.Known, s.now, c.lifetime, packages, c.running,
-		logging.Leveled(s.log, "director"))
+	s.director, err = director.New(director.Config{
+		Chain:    loaded.chain,
+		Keys:     loaded.online,
+		Store:    s.store,
+		Image:    image.Known,
+		Now:      s.now,
+		Lifetime: c.lifetime,
+		Packages: packages,
+		Running:  c.running,
+		Log:      logging.Leveled(s.log, "director"),
+	})
 	if err != nil {
 		return err
 	}
