--- a/internal/director/sign.go
+++ b/internal/director/sign.go
@@ -1,7 +1,6 @@
 package director
 
 import (
-	"crypto/sha256"
 	"encoding/json"
 	"time"
 
@@ -11,7 +10,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// sign makes the three files of one version.
+// sign makes the three metadata files of one version, by file name. target is nil for a server that is assigned none.
 func sign(online map[string][]*keys.Key, version int64, end time.Time, t *tufverify.Target) (map[string][]byte, error) {
 	targets := metadata.Targets(end)
 	targets.Signed.Version = version
@@ -35,14 +34,14 @@
 	out[tufverify.File{Role: metadata.TARGETS, Version: version}.String()] = text
 	snap := metadata.Snapshot(end)
 	snap.Signed.Version = version
-	snap.Signed.Meta["targets.json"] = metaFile(version, text)
+	snap.Signed.Meta["targets.json"] = tufverify.NewMetaFile(version, text)
 	if text, err = signed(snap, online[metadata.SNAPSHOT]); err != nil {
 		return nil, err
 	}
 	out[tufverify.File{Role: metadata.SNAPSHOT, Version: version}.String()] = text
 	stamp := metadata.Timestamp(end)
 	stamp.Signed.Version = version
-	stamp.Signed.Meta["snapshot.json"] = metaFile(version, text)
+	stamp.Signed.Meta["snapshot.json"] = tufverify.NewMetaFile(version, text)
 	if text, err = signed(stamp, online[metadata.TIMESTAMP]); err != nil {
 		return nil, err
 	}
@@ -50,11 +49,7 @@
 	return out, nil
 }
 
-func metaFile(version int64, text []byte) *metadata.MetaFiles {
-	sum := sha256.Sum256(text)
-	return &metadata.MetaFiles{Version: version, Length: int64(len(text)), Hashes: metadata.Hashes{"sha256": sum[:]}}
-}
-
+// signed signs metadata with all keys and gives the text.
 func signed[T metadata.Roles](m *metadata.Metadata[T], by []*keys.Key) ([]byte, error) {
 	for _, k := range by {
 		signer, err := k.Signer()
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -21,16 +21,16 @@
 	text    []byte
 }
 
-// Publish puts what is staged and signed by enough keys in front of clients: first what others hang on, the
-// timestamp last, so that a client never finds a name without its file. Snapshot and timestamp are
-// signed by the online keys. What is staged but not signed enough refuses the whole.
+// Publish publishes what is staged, with a new snapshot and timestamp that the online keys sign. Files are written in the order
+// in which they depend on each other, the timestamp last, so that a client never finds a name without its file. Its error
+// wraps ErrUnsigned, and nothing is published, if any staged file has fewer signatures than its threshold.
 func (r *Repo) Publish(online []*keys.Key) error {
-	root, fresh, err := r.rootToPublish()
+	root, staged, err := r.rootToPublish()
 	if err != nil {
 		return err
 	}
 	var files []publication
-	if fresh {
+	if staged {
 		text, _ := root.ToBytes(true)
 		files = append(files, publication{metadata.ROOT, tufverify.File{Role: metadata.ROOT, Version: root.Signed.Version}.String(),
 			root.Signed.Version, text})
@@ -40,7 +40,7 @@
 		return err
 	}
 	files = append(files, targets...)
-	for _, f := range files { // a number that was given to another content is not given again
+	for _, f := range files { // a version that was recorded with another content is an error
 		if err := r.versions.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		meta[name+".json"] = metaFile(m.Signed.Version, text)
+		meta[name+".json"] = tufverify.NewMetaFile(m.Signed.Version, text)
 		if staged {
 			files = append(files, publication{name, fileName(root, name, m.Signed.Version), m.Signed.Version, text})
 		}
@@ -122,7 +122,7 @@
 	}
 	timestamp := metadata.Timestamp(r.expiry(r.Life.Timestamp))
 	timestamp.Signed.Version = version
-	timestamp.Signed.Meta["snapshot.json"] = metaFile(snapshot.version, snapshot.text)
+	timestamp.Signed.Meta["snapshot.json"] = tufverify.NewMetaFile(snapshot.version, snapshot.text)
 	text, err := signAndRecord(r, root, metadata.TIMESTAMP, version, timestamp, online)
 	return publication{metadata.TIMESTAMP, "timestamp.json", version, text}, err
 }
@@ -152,13 +152,7 @@
 	return f.String()
 }
 
-// metaFile names a file by version, length and hash.
-func metaFile(version int64, text []byte) *metadata.MetaFiles {
-	sum := sha256.Sum256(text)
-	return &metadata.MetaFiles{Version: version, Length: int64(len(text)), Hashes: metadata.Hashes{"sha256": sum[:]}}
-}
-
-// signAndRecord signs with the online keys that a role has, reserves the version, and gives the text.
+// signAndRecord signs metadata with the online keys that a role has, records the version, and gives the text.
 func signAndRecord[T metadata.Roles](r *Repo, root *metadata.Metadata[metadata.RootType], role string, version int64,
 	m *metadata.Metadata[T], online []*keys.Key) ([]byte, error) {
 	for _, k := range online {
@@ -178,9 +172,9 @@
 	return text, r.versions.Record(role, version, sha256.Sum256(text))
 }
 
-// rootToPublish gives the root that is to be in force, and whether it is yet to be published: signed by enough of
-// its own keys and of those of the root before it.
-func (r *Repo) rootToPublish() (root *metadata.Metadata[metadata.RootType], fresh bool, err error) {
+// rootToPublish is the root that is to be current, and whether it is staged. A staged one must be signed by enough of its own
+// keys and of those of the root before it.
+func (r *Repo) rootToPublish() (root *metadata.Metadata[metadata.RootType], staged bool, err error) {
 	old, err := r.loadRoot(false)
 	if err != nil {
 		return nil, false, err
@@ -204,6 +198,8 @@
 	return root, true, nil
 }
 
+// checkSigned checks that the root, or a role of names that delegates to it, has enough keys that signed targets. Its error is
+// ErrUnsigned.
 func (r *Repo) checkSigned(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
--- a/internal/tufrepo/repository.go
+++ b/internal/tufrepo/repository.go
@@ -1,9 +1,10 @@
-// Package tufrepo owns a TUF repository on disk as its keepers work on it: what is published, what is staged
-// and waits for signatures, and the steps between. Each version number is reserved in a floor of
-// the repository's own before anything signed with it can be seen, so that a number is never given to
-// two contents, also when the program is killed between signing and publishing.
+// Package tufrepo maintains a TUF repository on disk (TUF specification 1.0.31, sections 4 and 6): what is published, what is
+// staged and waits for signatures, and the steps between.
 //
-// The folder holds metadata/ and targets/, which are served as they are, staged/, and issued.floor.
+// The folder holds metadata/ and targets/, which are served as they are, staged/, and issued.floor, the version store.
+//
+// Invariant: a version number is recorded in the version store, with the digest of its content, before that is published. A
+// number is never used for two contents, also when the program is killed between signing and publishing.
 //
 // Kind: state
 package tufrepo
@@ -21,7 +22,7 @@
 	"silvercove/internal/monotonic"
 )
 
-// Errors of a repository.
+// Errors of a repository. Methods wrap them with the role or folder that they are about.
 var (
 	ErrNotInitialized = errors.New("no repository here: run tuf init first")
 	ErrExists         = errors.New("a repository is here already")
@@ -30,25 +31,34 @@
 	ErrKey            = errors.New("the role does not know this key")
 )
 
-// PieceSize is how many bytes of a target each sum is of that is published beside the whole's.
+// PieceSize is the length in bytes of the pieces whose digests are published beside that of the whole target.
 const PieceSize = 256 << 10
 
-// Lifetimes is how long each role's metadata last from their signing.
-type Lifetimes struct{ Root, Targets, Snapshot, Timestamp time.Duration }
+// Lifetimes are how long each role's metadata are valid from when they are made.
+type Lifetimes struct {
+	Root      time.Duration
+	Targets   time.Duration // also of delegated roles
+	Snapshot  time.Duration
+	Timestamp time.Duration
+}
+
+const day = 24 * time.Hour
 
-// Lives are what TUF's own repositories commonly use: long for offline keys, short for online ones.
-var Lives = Lifetimes{365 * 24 * time.Hour, 90 * 24 * time.Hour, 7 * 24 * time.Hour, 24 * time.Hour}
+// Lives are the default: long for roles with offline keys, short for those with online keys.
+var Lives = Lifetimes{Root: 365 * day, Targets: 90 * day, Snapshot: 7 * day, Timestamp: day}
 
-// Repo is one repository that is open for work.
+// Repo is one repository that is open for changes. It is not safe for concurrent use.
 type Repo struct {
-	dir         string
-	versions    *monotonic.Store
-	Life        Lifetimes
-	Now         func() time.Time
-	CrashBefore func(step string) bool // in tests: the program dies before this step
+	Life        Lifetimes              // of metadata that are made from now on; Lives by default
+	Now         func() time.Time       // time.Now by default
+	CrashBefore func(role string) bool // in tests: Publish stops before it writes the file of a role
+
+	dir      string
+	versions *monotonic.Store // by role
 }
 
-// Init makes the folders of a repository and stages its first root.
+// Init makes the folders of a repository and stages its first root and targets. consistent: clients ask for files by version and
+// digest (section 6.2). Its error wraps ErrExists where there is a repository.
 func Init(dir string, roles map[string]Role, consistent bool, life Lifetimes) (*Repo, error) {
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err == nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrExists)
@@ -86,21 +96,36 @@
 	return r, stageMetadata(r, metadata.TARGETS, targets)
 }
 
-// Open opens a repository that Init made. One process at a time may have it open.
+// The version store of a repository.
+const (
+	versionStoreName = "issued.floor"
+	maxRoles         = 1 << 16
+)
+
+// Open opens a repository that Init made, for one process at a time; the caller must call Close. Its error wraps
+// ErrNotInitialized or is of the version store.
 func Open(dir string) (*Repo, error) {
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrNotInitialized)
 	}
-	f, err := monotonic.Open([]string{filepath.Join(dir, "issued.floor")}, 1<<16, func(slog.Level, string, ...slog.Attr) {})
+	path := filepath.Join(dir, versionStoreName)
+	versions, err := monotonic.Open([]string{path}, maxRoles, func(slog.Level, string, ...slog.Attr) {})
 	if err != nil {
 		return nil, err
 	}
-	return &Repo{dir: dir, versions: f, Life: Lives, Now: time.Now, CrashBefore: func(string) bool { return false }}, nil
+	return &Repo{
+		Life:        Lives,
+		Now:         time.Now,
+		CrashBefore: func(string) bool { return false },
+		dir:         dir,
+		versions:    versions,
+	}, nil
 }
 
-// Close lets others open it.
+// Close lets another process open the repository.
 func (r *Repo) Close() error { return r.versions.Close() }
 
+// expiry is when metadata of a lifetime expire that are made now, in whole seconds of UTC.
 func (r *Repo) expiry(life time.Duration) time.Time {
 	return r.Now().Add(life).UTC().Truncate(time.Second)
 }
--- a/internal/tufrepo/staging.go
+++ b/internal/tufrepo/staging.go
@@ -14,16 +14,20 @@
 	"silvercove/internal/tufverify"
 )
 
+// publishedPath is where the metadata file of a name is served from.
 func (r *Repo) publishedPath(name string) string { return filepath.Join(r.dir, "metadata", name) }
 
+// stagedPath is where the staged metadata of a role are.
 func (r *Repo) stagedPath(role string) string {
 	return filepath.Join(r.dir, "staged", tufverify.File{Role: role}.String())
 }
 
+// writeFile writes a file in one step, so that a reader never sees a part of it.
 func writeFile(name string, text []byte) error {
 	return renameio.WriteFile(name, text, 0o644, renameio.WithTempDir(filepath.Dir(name)))
 }
 
+// stageMetadata replaces the staged metadata of a role.
 func stageMetadata[T metadata.Roles](r *Repo, role string, m *metadata.Metadata[T]) error {
 	text, err := m.ToBytes(true)
 	if err != nil {
@@ -32,7 +36,8 @@
 	return writeFile(r.stagedPath(role), text)
 }
 
-// loadMetadata reads what is staged of a role, or else its newest published metadata.
+// loadMetadata reads the staged metadata of a role, or else the newest published ones. Its error wraps ErrNotStaged where there
+// are neither.
 func loadMetadata[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
 	m = &metadata.Metadata[T]{}
 	text, err := os.ReadFile(r.stagedPath(role))
@@ -54,7 +59,7 @@
 	return m, staged, nil
 }
 
-// newestFile finds the highest published version of a role, 0 for none.
+// newestFile finds the highest published version of a role and its file; 0 for none.
 func (r *Repo) newestFile(role string) (file string, version int64, err error) {
 	all, err := os.ReadDir(filepath.Join(r.dir, "metadata"))
 	if err != nil {
@@ -65,19 +70,20 @@
 		if !ok || f.Role != role {
 			continue
 		}
-		v := f.Version
-		if v == 0 {
-			if v, err = r.versionOf(e.Name()); err != nil {
+		published := f.Version
+		if published == 0 {
+			if published, err = r.versionOf(e.Name()); err != nil {
 				return "", 0, err
 			}
 		}
-		if v > version {
-			file, version = e.Name(), v
+		if published > version {
+			file, version = e.Name(), published
 		}
 	}
 	return file, version, nil
 }
 
+// versionOf reads the version in a published file whose name has none.
 func (r *Repo) versionOf(file string) (int64, error) {
 	var m struct{ Signed struct{ Version int64 } }
 	text, err := os.ReadFile(r.publishedPath(file))
@@ -87,32 +93,33 @@
 	return m.Signed.Version, err
 }
 
-// nextVersion is the version that comes after all that were published or ever reserved.
+// nextVersion is the version after all that were published or ever recorded.
 func (r *Repo) nextVersion(role string) (int64, error) {
 	_, newest, err := r.newestFile(role)
-	reserved, _ := r.versions.Recorded(role)
-	return max(newest, reserved) + 1, err
+	recorded, _ := r.versions.Recorded(role)
+	return max(newest, recorded) + 1, err
 }
 
-// openForChange gives the metadata of a role to change: what is staged, with its signatures taken off, as they no longer
-// fit, or a next version.
-func openForChange[T metadata.Roles](r *Repo, role string, set func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
+// openForChange gives the metadata of a role to change: what is staged, without the signatures, which a change invalidates; or
+// else what is published, with the next version that setVersion sets.
+func openForChange[T metadata.Roles](r *Repo, role string,
+	setVersion func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
 	m, staged, err := loadMetadata[T](r, role)
 	if err != nil {
 		return nil, err
 	}
 	m.ClearSignatures()
 	if !staged {
-		v, err := r.nextVersion(role)
+		version, err := r.nextVersion(role)
 		if err != nil {
 			return nil, err
 		}
-		set(m, v)
+		setVersion(m, version)
 	}
 	return m, nil
 }
 
-// loadRoot reads the staged root, or the published one; none: nil.
+// loadRoot reads the staged or the newest published root, nil if there is none.
 func (r *Repo) loadRoot(staged bool) (*metadata.Metadata[metadata.RootType], error) {
 	name := r.stagedPath(metadata.ROOT)
 	if !staged {
--- a/internal/tufrepo/status.go
+++ b/internal/tufrepo/status.go
@@ -15,7 +15,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Files gives the published metadata by name, and where targets stand, for a server of them.
+// Files are the published metadata by file name, and the folder that targets are served from.
 func Files(dir string) (map[string][]byte, string, error) {
 	out := map[string][]byte{}
 	all, err := os.ReadDir(filepath.Join(dir, "metadata"))
@@ -35,18 +35,18 @@
 	return out, filepath.Join(dir, "targets"), nil
 }
 
-// RoleStatus is one role as it stands.
+// RoleStatus is the state of one metadata file.
 type RoleStatus struct {
 	Role      string
 	Version   int64
 	Expires   time.Time
-	Signed    int
+	Signed    int // signatures
 	Threshold int
 	Staged    bool
-	Targets   []string
+	Targets   []string // paths, by name
 }
 
-// Status tells how each role stands, staged ones last.
+// Status lists the published metadata files, then the staged ones.
 func (r *Repo) Status() (all []RoleStatus, err error) {
 	for _, sub := range []string{"metadata", "staged"} {
 		entries, err := os.ReadDir(filepath.Join(r.dir, sub))
@@ -81,6 +81,7 @@
 	return all, nil
 }
 
+// threshold is the threshold of a role by the staged root, the published one or a delegation; 0 if none names the role.
 func (r *Repo) threshold(role string) int {
 	for _, staged := range []bool{true, false} {
 		if root, err := r.loadRoot(staged); err == nil && root != nil && root.Signed.Roles[role] != nil {
--- a/internal/tufverify/parse.go
+++ b/internal/tufverify/parse.go
@@ -136,3 +136,9 @@
 	}
 	return names
 }
+
+// NewMetaFile names a metadata file in its parent by version, length and digest (section 4.4).
+func NewMetaFile(version int64, data []byte) *metadata.MetaFiles {
+	digest := sha256.Sum256(data)
+	return &metadata.MetaFiles{Version: version, Length: int64(len(data)), Hashes: metadata.Hashes{"sha256": digest[:]}}
+}
