--- a/internal/keys/key_file.go
+++ b/internal/keys/key_file.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"crypto"
+	"crypto/cipher"
 	"crypto/rand"
 	"crypto/x509"
 	"encoding/json"
@@ -24,32 +25,44 @@
 	PublicSuffix = ".pub"
 )
 
-// scrypt's costs for new files (RFC 7914; N as its paper gives for files), and the most that a file may
-// ask for: memory is 128·N·r bytes.
+// Costs of scrypt for new files (RFC 7914; N as its paper gives for files).
 const (
-	scryptN, scryptR, scryptP = 1 << 15, 8, 1
-	maxScryptN                = 1 << 20
-	maxFileSize               = 64 << 10
+	scryptN = 1 << 15
+	scryptR = 8
+	scryptP = 1
 )
 
+// Limits of a key file: its size in bytes, and the costs that it may ask for. scrypt takes 128·N·r bytes of memory.
+const (
+	maxFileSize = 64 << 10
+	maxScryptN  = 1 << 20
+	maxScryptR  = 16
+	maxScryptP  = 4
+)
+
+// saltSize is the length of a new file's salt in bytes.
+const saltSize = 16
+
+// keyFile is the stored form of a key.
 type keyFile struct {
 	Form      string `json:"form"` // "silvercove-key-1"
 	Type      string `json:"type"`
 	ID        string `json:"id"`
 	Encrypted bool   `json:"encrypted"`
-	N         int    `json:"n,omitempty"`
+	N         int    `json:"n,omitempty"` // costs of scrypt
 	R         int    `json:"r,omitempty"`
 	P         int    `json:"p,omitempty"`
 	Salt      []byte `json:"salt,omitempty"`
 	Nonce     []byte `json:"nonce,omitempty"`
-	Key       []byte `json:"key"` // PKCS #8, sealed where it is encrypted
+	Key       []byte `json:"key"` // PKCS #8, encrypted with XChaCha20-Poly1305 where Encrypted
 }
 
+// keyFileForm is the name of the stored form.
 const keyFileForm = "silvercove-key-1"
 
-// Save writes a key and its public part beside it. Without a pass phrase it is not encrypted: only
-// for keys that must be at hand at any time.
-func (k *Key) Save(path string, phrase []byte) error {
+// Save writes a key file and the public key beside it (see PublicPath). With an empty passphrase the key is not encrypted: only
+// for online keys. Its error wraps ErrExists where there is a file.
+func (k *Key) Save(path string, passphrase []byte) error {
 	if _, err := os.Lstat(path); err == nil {
 		return fmt.Errorf("%s: %w", path, ErrExists)
 	}
@@ -58,12 +71,12 @@
 		return fmt.Errorf("%s: the key cannot be written", path)
 	}
 	f := keyFile{Form: keyFileForm, Type: k.Public.Type, ID: k.ID, Key: der}
-	if len(phrase) > 0 {
+	if len(passphrase) > 0 {
 		f.Encrypted, f.N, f.R, f.P = true, scryptN, scryptR, scryptP
-		f.Salt, f.Nonce = make([]byte, 16), make([]byte, chacha20poly1305.NonceSizeX)
+		f.Salt, f.Nonce = make([]byte, saltSize), make([]byte, chacha20poly1305.NonceSizeX)
 		rand.Read(f.Salt)
 		rand.Read(f.Nonce)
-		box, err := f.cipher(phrase)
+		box, err := f.cipher(passphrase)
 		if err != nil {
 			return err
 		}
@@ -80,32 +93,31 @@
 		renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// PublicPath is where the public part of a key file stands.
+// PublicPath is the path of the public key beside a key file.
 func PublicPath(path string) string { return strings.TrimSuffix(path, Suffix) + PublicSuffix }
 
-func (f *keyFile) cipher(phrase []byte) (interface {
-	Seal(dst, nonce, plain, bound []byte) []byte
-	Open(dst, nonce, sealed, bound []byte) ([]byte, error)
-}, error) {
-	secret, err := scrypt.Key(phrase, f.Salt, f.N, f.R, f.P, chacha20poly1305.KeySize)
+// cipher is the cipher of the private key by a passphrase.
+func (f *keyFile) cipher(passphrase []byte) (cipher.AEAD, error) {
+	secret, err := scrypt.Key(passphrase, f.Salt, f.N, f.R, f.P, chacha20poly1305.KeySize)
 	if err != nil {
 		return nil, fmt.Errorf("costs of the pass phrase: %w", ErrNotKeyFile)
 	}
 	return chacha20poly1305.NewX(secret)
 }
 
-// associatedData ties the open parts of the file to the sealed one.
+// associatedData authenticates the parts of the file that are not encrypted.
 func (f *keyFile) associatedData() []byte { return []byte(f.Form + "/" + f.Type + "/" + f.ID) }
 
-// Load reads a key file. The phrase is asked for only where it is encrypted.
-func Load(path string, phrase func() ([]byte, error)) (*Key, error) {
+// Load reads a key file. passphrase is called only where the key is encrypted. Its error wraps ErrMode, ErrNotKeyFile,
+// ErrNoPassphrase, ErrPassphrase, or is passphrase's or the file system's.
+func Load(path string, passphrase func() ([]byte, error)) (*Key, error) {
 	f, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
 	der := f.Key
 	if f.Encrypted {
-		if der, err = f.decrypt(path, phrase); err != nil {
+		if der, err = f.decrypt(path, passphrase); err != nil {
 			return nil, err
 		}
 	}
@@ -122,19 +134,19 @@
 	return k, nil
 }
 
-// decrypt opens the sealed private key of an encrypted key file with the pass phrase that phrase returns.
-func (f *keyFile) decrypt(path string, phrase func() ([]byte, error)) ([]byte, error) {
-	if phrase == nil {
+// decrypt decrypts the private key with the passphrase that ask returns.
+func (f *keyFile) decrypt(path string, ask func() ([]byte, error)) ([]byte, error) {
+	if ask == nil {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
 	}
-	passphrase, err := phrase()
+	passphrase, err := ask()
 	if err != nil {
 		return nil, err
 	}
 	if len(passphrase) == 0 {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
 	}
-	if f.N < 2 || f.N > maxScryptN || f.R < 1 || f.R > 16 || f.P < 1 || f.P > 4 ||
+	if f.N < 2 || f.N > maxScryptN || f.R < 1 || f.R > maxScryptR || f.P < 1 || f.P > maxScryptP ||
 		len(f.Nonce) != chacha20poly1305.NonceSizeX {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
@@ -149,6 +161,7 @@
 	return der, nil
 }
 
+// readFile reads a key file whose mode lets no others read it. Nothing is decrypted.
 func readFile(path string) (*keyFile, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -178,7 +191,8 @@
 	return f, nil
 }
 
-// Public reads the public part of a key, from its own file or from a key file's neighbour.
+// Public reads a public key and its identifier, by the path of its own file or of the key file. Its error wraps ErrNotKeyFile
+// or is the file system's.
 func Public(path string) (*metadata.Key, string, error) {
 	if strings.HasSuffix(path, Suffix) {
 		path = PublicPath(path)
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -5,14 +5,16 @@
 	"slices"
 )
 
-// KeyInfo is one key of a folder.
+// KeyInfo is one key file of a folder.
 type KeyInfo struct {
-	Path, Type, ID string
-	Encrypted      bool
-	Fault          string
+	Path      string
+	Type      string
+	ID        string
+	Encrypted bool
+	Fault     string // why it was refused, empty for a good one; Type and ID are empty then
 }
 
-// List tells what keys a folder has, by path. A file that is refused is listed with its fault.
+// List lists the key files of a folder by path. One that is refused is listed with its fault.
 func List(dir string) ([]KeyInfo, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
 	if err != nil {
--- a/internal/keys/passphrase.go
+++ b/internal/keys/passphrase.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// PassphraseFrom reads the pass phrase from the file that a variable of the environment names, or
-// from the variable itself.
+// PassphraseFrom gives a function that reads the passphrase from the file that COVE_PASSPHRASE_FILE names, which others must
+// not be able to read (ErrMode), or else from COVE_PASSPHRASE. env gives the environment's variables.
 func PassphraseFrom(env func(string) string) func() ([]byte, error) {
 	return func() ([]byte, error) {
 		if path := env("COVE_PASSPHRASE_FILE"); path != "" {
--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -5,121 +5,150 @@
 	"strings"
 )
 
-// checkFleet are the checks of a fleet's block.
+// Roles of a process in the fleet block, as the file names them.
+const (
+	roleController = "keeper"
+	roleRelay      = "relay"
+	roleEdge       = "edge"
+)
+
+// maxClockDrift is a share by which clocks may drift apart at most: leases last longer than it allows for.
+const maxClockDrift = 0.5
+
+// checkFleet checks the fleet block.
 func checkFleet(all map[string]any) (directive, fault string) {
-	f, ok := all["fleet"].(map[string]any)
+	block, ok := all["fleet"].(map[string]any)
 	if !ok {
 		return "", ""
 	}
-	node, _ := f["node"].(string)
-	role := f["role"].(string)
-	seen, keepers := map[string]bool{node: true}, 0
-	peers, _ := f["peer"].([]any)
+	node, _ := block["node"].(string)
+	role := block["role"].(string)
+	nodes, controllers := map[string]bool{node: true}, 0
+	peers, _ := block["peer"].([]any)
 	for _, v := range peers {
-		p := v.([]any)
-		if name := p[0].(string); seen[name] {
+		peer := v.([]any)
+		name := peer[0].(string)
+		if nodes[name] {
 			return "fleet.peer", "two processes are named " + name
-		} else if seen[name] = true; p[1] == "keeper" {
-			keepers++
+		}
+		nodes[name] = true
+		if peer[1] == roleController {
+			controllers++
 		}
 	}
-	commands, _ := f["commands"].([]any)
-	own := false
-	for _, v := range commands {
+	requestAddresses, _ := block["commands"].([]any)
+	hasOwn := false
+	for _, v := range requestAddresses {
 		name := v.([]any)[0].(string)
-		if !seen[name] {
+		if !nodes[name] {
 			return "fleet.commands", "no process named " + name + " is in this file"
 		}
-		own = own || name == node
+		hasOwn = hasOwn || name == node
 	}
 	switch {
-	case role == "keeper" && f["data"] == nil:
+	case role == roleController && block["data"] == nil:
 		return "fleet.data", "a keeper needs a folder for its log"
-	case role == "relay" && f["clients"] == nil:
+	case role == roleRelay && block["clients"] == nil:
 		return "fleet.clients", "a relay's file says where its clients connect"
-	case role == "relay" && f["settings"] == nil:
+	case role == roleRelay && block["settings"] == nil:
 		return "fleet.settings", "a relay needs its JSON file"
-	case role != "keeper" && keepers == 0:
+	case role != roleController && controllers == 0:
 		return "fleet.peer", "no keeper is named"
-	case role == "edge" && !own:
+	case role == roleEdge && !hasOwn:
 		return "fleet.commands", "an edge unit's file says where it takes commands: commands " + node + " HOST:PORT"
-	case f["drift"].(float64) >= 0.5:
+	case block["drift"].(float64) >= maxClockDrift:
 		return "fleet.drift", "allowed: less than 50%"
-	case f["away"].(float64) > f["copies"].(float64):
-		return "fleet.away", fmt.Sprintf("%v holders in another zone are more than copies, which is %v", f["away"], f["copies"])
+	case block["away"].(float64) > block["copies"].(float64):
+		return "fleet.away", fmt.Sprintf("%v holders in another zone are more than copies, which is %v", block["away"], block["copies"])
 	}
 	return "", ""
 }
 
-// checkMetadata are the checks between directives.
+// checkMetadata checks the metadata block.
 func checkMetadata(all map[string]any) (directive, fault string) {
-	m, ok := all["metadata"].(map[string]any)
+	block, ok := all["metadata"].(map[string]any)
 	if !ok {
 		return "", ""
 	}
-	if m["connect_timeout"].(float64) >= 1 {
+	if block["connect_timeout"].(float64) >= drainGrace {
 		return "metadata.connect_timeout", "a connection that takes longer than the grace of drains, 1s, could reach a " +
 			"mirror that was drained meanwhile; allowed: less than 1s"
 	}
 	for _, name := range []string{"root", "timestamp", "snapshot", "targets", "package"} {
-		if op := m[name].([]any); op[0].(float64) > op[1].(float64) {
+		if class := block[name].([]any); class[0].(float64) > class[1].(float64) {
 			return "metadata." + name, "its target is longer than its timeout"
 		}
 	}
-	if m["refresh"].(float64) > m["unconfirmed"].(float64) && m["unconfirmed"].(float64) > 0 {
+	refresh, unconfirmed := block["refresh"].(float64), block["unconfirmed"].(float64)
+	if refresh > unconfirmed && unconfirmed > 0 {
 		return "metadata.unconfirmed", "shorter than refresh; allowed: 0s, or no shorter than refresh"
 	}
-	repos := map[string]bool{}
-	for _, v := range m["repository"].([]any) {
+	repositories := block["repository"].([]any)
+	names := map[string]bool{}
+	for _, v := range repositories {
 		name := v.(map[string]any)["name"].(string)
-		if repos[name] {
+		if names[name] {
 			return "metadata.repository", fmt.Sprintf("%s is given twice", name)
 		}
-		repos[name] = true
+		names[name] = true
 	}
-	for _, v := range m["repository"].([]any) {
-		r := v.(map[string]any)
-		mirrors, _ := r["mirror"].([]any)
-		if (len(mirrors) == 0) == (r["discovery"] == nil) {
-			return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery are wanted", r["name"])
-		}
-		if twice := firstDuplicate(mirrors); twice != "" {
-			return "metadata.repository.mirror", fmt.Sprintf("%s is given twice", twice)
-		}
-		if image, ok := r["agree"].(string); ok && (!repos[image] || image == r["name"]) {
-			return "metadata.repository.agree", fmt.Sprintf("%s is no other repository of this file", image)
+	for _, v := range repositories {
+		if directive, fault = checkRepository(v.(map[string]any), names); fault != "" {
+			return directive, fault
 		}
 	}
-	d, ok := m["director"].(map[string]any)
-	if !ok {
-		return "", ""
+	if director, ok := block["director"].(map[string]any); ok {
+		return checkDirector(director, names, block["floor"] != nil)
+	}
+	return "", ""
+}
+
+// drainGrace is how long a mirror that is drained may still be reached, in seconds.
+const drainGrace = 1
+
+// checkRepository checks a repository block; repositories are the names of all.
+func checkRepository(block map[string]any, repositories map[string]bool) (directive, fault string) {
+	mirrors, _ := block["mirror"].([]any)
+	if (len(mirrors) == 0) == (block["discovery"] == nil) {
+		return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery are wanted", block["name"])
+	}
+	if mirror := firstDuplicate(mirrors); mirror != "" {
+		return "metadata.repository.mirror", fmt.Sprintf("%s is given twice", mirror)
 	}
-	servers, _ := d["server"].([]any)
-	packages, _ := d["package"].([]any)
-	switch twiceServer, twiceBuild := firstDuplicate(servers), firstDuplicate(packages); {
-	case !repos[d["image"].(string)]:
-		return "metadata.director.image", fmt.Sprintf("%s is no repository of this file", d["image"])
-	case twiceServer != "":
-		return "metadata.director.server", twiceServer + " is given twice"
-	case twiceBuild != "":
-		return "metadata.director.package", "build " + twiceBuild + " is given twice"
-	case d["platform"] != nil && d["wave"] != nil:
+	if image, ok := block["agree"].(string); ok && (!repositories[image] || image == block["name"]) {
+		return "metadata.repository.agree", fmt.Sprintf("%s is no other repository of this file", image)
+	}
+	return "", ""
+}
+
+// checkDirector checks the director block; repositories are the names of all. versionStore: one is named.
+func checkDirector(block map[string]any, repositories map[string]bool, versionStore bool) (directive, fault string) {
+	servers, _ := block["server"].([]any)
+	packages, _ := block["package"].([]any)
+	switch server, version := firstDuplicate(servers), firstDuplicate(packages); {
+	case !repositories[block["image"].(string)]:
+		return "metadata.director.image", fmt.Sprintf("%s is no repository of this file", block["image"])
+	case server != "":
+		return "metadata.director.server", server + " is given twice"
+	case version != "":
+		return "metadata.director.package", "build " + version + " is given twice"
+	case block["platform"] != nil && block["wave"] != nil:
 		return "metadata.director.wave", "contradicts platform: only one of them may say how far a build goes"
-	case d["platform"] == nil && d["wave"] == nil:
+	case block["platform"] == nil && block["wave"] == nil:
 		return "metadata.director", "either platform or wave is wanted"
-	case m["floor"] == nil:
+	case !versionStore:
 		return "metadata.director", "a Director needs a floor: without one it would give version numbers twice"
 	}
-	if w, ok := d["wave"].([]any); ok && !containsFirst(packages, w[0]) {
-		return "metadata.director.wave", fmt.Sprintf("build %v has no package", w[0])
+	if stage, ok := block["wave"].([]any); ok && !containsFirst(packages, stage[0]) {
+		return "metadata.director.wave", fmt.Sprintf("build %v has no package", stage[0])
 	}
-	if b := d["running"]; b != nil && !containsFirst(packages, b) {
-		return "metadata.director.running", fmt.Sprintf("build %v has no package", b)
+	if running := block["running"]; running != nil && !containsFirst(packages, running) {
+		return "metadata.director.running", fmt.Sprintf("build %v has no package", running)
 	}
 	return "", ""
 }
 
-// firstDuplicate finds a directive whose first value comes twice.
+// firstDuplicate is the first value that two lines of a repeatable directive have in common, empty for none.
 func firstDuplicate(list []any) string {
 	seen := map[string]bool{}
 	for _, v := range list {
@@ -132,6 +161,7 @@
 	return ""
 }
 
+// containsFirst tells whether a line of a repeatable directive has a first value.
 func containsFirst(list []any, first any) bool {
 	for _, v := range list {
 		if v.([]any)[0] == first {
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -17,20 +17,22 @@
 	Text        string
 }
 
+// path is the directive's name after those of its blocks, with dots.
 func (d *Directive) path() string { return strings.TrimPrefix(d.Parent+"."+d.Name, ".") }
 
-// Rule is a check between directives: it gets the whole map and says what contradicts, naming the
-// directive as it stands in the file.
+// Rule is a check between directives of a file: it names a directive, by its path, and what contradicts another, or gives an
+// empty fault.
 type Rule func(all map[string]any) (directive, fault string)
 
-// Table is all that a program understands.
+// Table is what a program understands of an operator's file.
 type Table struct {
 	Directives []Directive
-	Rules      []Rule
+	Rules      []Rule // checked once the directives have no fault
 }
 
-// Read reads a file with all that it includes.
-// Its error is an Error, several of them joined, or why the file could not be read.
+// Read reads a file and what it includes. The map has the values of the outermost block, with a map for each block, a list for
+// each repeatable directive, and the defaults of what is absent. Its error is an *Error, several of them joined, or why the
+// file could not be read.
 func (t *Table) Read(path string) (map[string]any, error) {
 	lines, err := load(path, nil)
 	if err != nil {
@@ -39,7 +41,7 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText reads a text that includes nothing.
+// ReadText is Read for a text that includes nothing; name stands for the file in errors.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
@@ -48,22 +50,22 @@
 	return t.evaluate(name, lines)
 }
 
-func (t *Table) find(in, name string) *Directive {
+// find is the row of a directive in the block with a path, nil for none.
+func (t *Table) find(path, name string) *Directive {
 	for i := range t.Directives {
-		if d := &t.Directives[i]; d.Parent == in && d.Name == name {
+		if d := &t.Directives[i]; d.Parent == path && d.Name == name {
 			return d
 		}
 	}
 	return nil
 }
 
-func cmpOr(a, b string) string {
-	if a != "" {
-		return a
-	}
-	return b
+// isOpenEnded tells whether the last value takes all the words that are left.
+func (d *Directive) isOpenEnded() bool {
+	return len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
 }
 
+// usage names the values that the directive takes.
 func (d *Directive) usage() string {
 	if len(d.Values) == 0 {
 		return "none"
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -26,6 +26,7 @@
 	maxIncludeDepth = 16      // one inside another
 )
 
+// tokens are those of the file's format.
 var tokens = []lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Quoted", Pattern: `"(\\["\\]|[^"\\\n])*"`},
@@ -49,28 +50,31 @@
 	Block *block   `parser:"  @@? )? EOL"`
 }
 
+// value is one value of a directive, as it is written.
 type value struct {
 	Pos  lexer.Position
 	Text string `parser:"@( Word | Quoted )"`
 }
 
+// block is the block of a directive.
 type block struct {
 	Pos   lexer.Position
 	Lines []*line `parser:"Open EOL @@* Close"`
 }
 
-// grammar is built once it is needed: a relay without an operator's file never pays for it.
+// grammar is built at its first use, as a process without an operator's file does not need it.
 var grammar = sync.OnceValue(func() *participle.Parser[file] {
 	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokens)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
 })
 
-// Error is one fault of a file: where it is, in which directive, what is wrong and what is allowed.
+// Error is one fault of a file.
 type Error struct {
-	File         string
-	Line, Column int
-	Directive    string
-	Text         string
+	File      string
+	Line      int    // from 1
+	Column    int    // from 1
+	Directive string // by its path, empty for a fault of the syntax
+	Text      string // what is wrong, and what is allowed
 }
 
 func (e *Error) Error() string {
@@ -80,9 +84,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Text)
 }
 
-func errorAt(pos lexer.Position, directive, form string, args ...any) *Error {
+// errorAt is the Error at a position.
+func errorAt(pos lexer.Position, directive, format string, args ...any) *Error {
 	return &Error{File: pos.Filename, Line: pos.Line, Column: pos.Column, Directive: directive,
-		Text: fmt.Sprintf(form, args...)}
+		Text: fmt.Sprintf(format, args...)}
 }
 
 // parse reads the lines of one text, without its includes.
@@ -90,18 +95,18 @@
 	if len(content) > maxFileBytes {
 		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("longer than %d bytes", maxFileBytes)}
 	}
-	t, err := grammar().ParseString(name, string(content)+"\n")
+	parsed, err := grammar().ParseString(name, string(content)+"\n")
 	if err != nil {
-		var p participle.Error
-		if errors.As(err, &p) {
-			return nil, errorAt(p.Position(), "", "%s", explain(p.Message()))
+		var syntax participle.Error
+		if errors.As(err, &syntax) {
+			return nil, errorAt(syntax.Position(), "", "%s", explain(syntax.Message()))
 		}
 		return nil, err
 	}
-	return t.Lines, nil
+	return parsed.Lines, nil
 }
 
-// explain says in the words of the file's format what the parser missed.
+// explain is a message of the parser in the terms of the file's format.
 func explain(message string) string {
 	switch {
 	case strings.Contains(message, "invalid input text"):
@@ -116,7 +121,7 @@
 	return message
 }
 
-// unquote gives what a value means.
+// unquote is a value without its quotes and escapes.
 func unquote(s string) string {
 	if strings.HasPrefix(s, `"`) {
 		s = s[1 : len(s)-1]
@@ -126,7 +131,8 @@
 	return s
 }
 
-// load reads a file and what it includes. An included path is taken from its includer's folder.
+// load reads the lines of a file and of those that it includes. An included path is from its includer's folder; chain are the
+// files that include this one.
 func load(path string, chain []string) ([]*line, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -139,6 +145,7 @@
 	return include(lines, filepath.Dir(path), append(chain, filepath.Clean(path)))
 }
 
+// include replaces the include directives of lines by what they include.
 func include(lines []*line, dir string, chain []string) (out []*line, err error) {
 	for _, l := range lines {
 		if l.Name != "include" {
@@ -176,7 +183,7 @@
 	return out, nil
 }
 
-// parseNumber reads a figure with a unit out of a list; the longest unit that fits counts.
+// parseNumber reads a number with a unit out of a list; the longest unit that fits counts.
 func parseNumber(s string, units map[string]float64) (float64, bool) {
 	end := len(s)
 	for end > 0 && (s[end-1] < '0' || s[end-1] > '9') && s[end-1] != '.' {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -1,106 +1,121 @@
 package operatorconfig
 
 import (
+	"cmp"
 	"errors"
+	"maps"
 	"slices"
 	"strings"
+
+	"github.com/alecthomas/participle/v2/lexer"
 )
 
+// reader evaluates the lines of one file against a table.
 type reader struct {
 	table     *Table
-	faults    []error
+	faults    []error          // all that were found
 	positions map[string]*line // the first line of each directive, by path
 }
 
+// evaluate gives the values of a file's lines, if neither they nor the rules have a fault.
 func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
 	r := &reader{table: t, positions: map[string]*line{}}
-	out := r.block("", lines, &line{})
+	values := r.block("", lines, &line{})
 	if len(r.faults) == 0 {
 		for _, rule := range t.Rules {
-			if directive, fault := rule(out); fault != "" {
+			if directive, fault := rule(values); fault != "" {
 				l := r.positions[directive]
 				if l == nil {
 					l = &line{}
 					l.Pos.Filename, l.Pos.Line, l.Pos.Column = name, 1, 1
 				}
-				r.faults = append(r.faults, errorAt(l.Pos, directive, "%s", fault))
+				r.addFault(l.Pos, directive, "%s", fault)
 			}
 		}
 	}
 	if len(r.faults) > 0 {
 		return nil, errors.Join(r.faults...)
 	}
-	return out, nil
+	return values, nil
 }
 
-// block reads the lines of one block into a map.
-func (r *reader) block(in string, lines []*line, opened *line) map[string]any {
-	out, seen := map[string]any{}, map[string]*line{}
+// block evaluates the lines of the block with a path, which the line opened begins.
+func (r *reader) block(path string, lines []*line, opened *line) map[string]any {
+	values := map[string]any{}
+	given := map[string]*line{}
 	for _, l := range lines {
 		if l.Name == "" {
 			continue
 		}
-		d := r.table.find(in, l.Name)
+		d := r.table.find(path, l.Name)
 		if d == nil {
-			r.faults = append(r.faults, errorAt(l.Pos, l.Name, "%s", r.unknownDirective(in, l.Name)))
+			r.addFault(l.Pos, l.Name, "%s", r.unknownDirective(path, l.Name))
 			continue
 		}
-		if first := seen[l.Name]; first != nil && !d.Repeatable {
-			r.faults = append(r.faults, errorAt(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line))
+		if first := given[l.Name]; first != nil && !d.Repeatable {
+			r.addFault(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line)
 			continue
 		}
-		seen[l.Name] = l
+		given[l.Name] = l
 		if r.positions[d.path()] == nil {
 			r.positions[d.path()] = l
 		}
-		got, ok := r.evaluateDirective(d, l)
+		value, ok := r.evaluateDirective(d, l)
 		if !ok {
 			continue
 		}
 		if d.Repeatable {
-			all, _ := out[d.Name].([]any)
-			out[d.Name] = append(all, got)
+			earlier, _ := values[d.Name].([]any)
+			values[d.Name] = append(earlier, value)
 		} else {
-			out[d.Name] = got
+			values[d.Name] = value
 		}
 	}
 	for i := range r.table.Directives {
 		d := &r.table.Directives[i]
-		if d.Parent != in || seen[d.Name] != nil {
-			continue
-		}
-		if d.Required {
-			pos := opened.Pos
-			if pos.Line == 0 && len(lines) > 0 {
-				pos = lines[0].Pos
-				pos.Line, pos.Column = 1, 1
-			}
-			r.faults = append(r.faults, errorAt(pos, d.path(), "is missing"))
+		if d.Parent == path && given[d.Name] == nil {
+			r.absent(d, values, lines, opened)
 		}
-		if d.Default != "" {
-			l := &line{Name: d.Name}
-			for _, w := range strings.Fields(d.Default) {
-				l.Args = append(l.Args, &value{Text: w})
-			}
-			out[d.Name], _ = r.evaluateDirective(d, l)
+	}
+	return values
+}
+
+// absent sets the default of a directive that a block does not have.
+func (r *reader) absent(d *Directive, values map[string]any, lines []*line, opened *line) {
+	if d.Required {
+		position := opened.Pos
+		if position.Line == 0 && len(lines) > 0 { // no line opens the outermost block
+			position = lines[0].Pos
+			position.Line, position.Column = 1, 1
+		}
+		r.addFault(position, d.path(), "is missing")
+	}
+	if d.Default != "" {
+		l := &line{Name: d.Name}
+		for _, word := range strings.Fields(d.Default) {
+			l.Args = append(l.Args, &value{Text: word})
 		}
+		values[d.Name], _ = r.evaluateDirective(d, l)
 	}
-	return out
 }
 
-// unknownDirective says where a directive would be allowed, or which names are.
-func (r *reader) unknownDirective(in, name string) string {
-	var here, there []string
+func (r *reader) addFault(position lexer.Position, directive, format string, args ...any) {
+	r.faults = append(r.faults, errorAt(position, directive, format, args...))
+}
+
+// unknownDirective tells in which blocks a directive would be allowed, or which names are allowed in the block with a path.
+func (r *reader) unknownDirective(path, name string) string {
+	var here, elsewhere []string
 	for _, d := range r.table.Directives {
-		if d.Parent == in {
+		if d.Parent == path {
 			here = append(here, d.Name)
 		}
 		if d.Name == name {
-			there = append(there, "in "+cmpOr(d.Parent, "no block"))
+			elsewhere = append(elsewhere, "in "+cmp.Or(d.Parent, "no block"))
 		}
 	}
-	if len(there) > 0 {
-		return "does not belong here; it is allowed " + strings.Join(there, " or ")
+	if len(elsewhere) > 0 {
+		return "does not belong here; it is allowed " + strings.Join(elsewhere, " or ")
 	}
 	slices.Sort(here)
 	return "unknown; allowed here: " + strings.Join(here, ", ")
@@ -115,42 +130,48 @@
 		if d.Block {
 			fault = `needs a block: "{" at the end of its line`
 		}
-		r.faults = append(r.faults, errorAt(l.Pos, d.path(), "%s", fault))
+		r.addFault(l.Pos, d.path(), "%s", fault)
 		return nil, false
 	}
-	n, open := len(d.Values), len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
-	if len(l.Args) < n || len(l.Args) > n && !open {
-		r.faults = append(r.faults, errorAt(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage()))
+	if len(l.Args) < len(d.Values) || len(l.Args) > len(d.Values) && !d.isOpenEnded() {
+		r.addFault(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage())
 		return nil, false
 	}
-	named, list := map[string]any{}, []any{}
-	for i, v := range d.Values {
-		if v.Kind == Words {
-			var rest []any
-			for _, a := range l.Args[i:] {
-				rest = append(rest, unquote(a.Text))
-			}
-			named[v.Name], list = rest, append(list, rest)
-			break
-		}
-		got, fault := v.read(unquote(l.Args[i].Text))
-		if fault != "" {
-			r.faults = append(r.faults, errorAt(l.Args[i].Pos, d.path(), "%s", fault))
-		}
-		named[v.Name], list = got, append(list, got)
-	}
+	list := r.evaluateValues(d, l)
 	switch {
 	case len(r.faults) > faults:
 		return nil, false
 	case d.Block:
-		for k, v := range r.block(d.path(), l.Block.Lines, l) {
-			named[k] = v
+		named := map[string]any{}
+		for i, v := range d.Values {
+			named[v.Name] = list[i]
 		}
+		maps.Copy(named, r.block(d.path(), l.Block.Lines, l))
 		return named, len(r.faults) == faults
-	case n == 0:
+	case len(list) == 0:
 		return true, true
-	case n == 1:
+	case len(list) == 1:
 		return list[0], true
 	}
 	return list, true
 }
+
+// evaluateValues reads the values of a directive, one for each of its row in the table; the last may be a list of words.
+func (r *reader) evaluateValues(d *Directive, l *line) []any {
+	list := []any{}
+	for i, v := range d.Values {
+		if v.Kind == Words {
+			var words []any
+			for _, arg := range l.Args[i:] {
+				words = append(words, unquote(arg.Text))
+			}
+			return append(list, words)
+		}
+		value, fault := v.read(unquote(l.Args[i].Text))
+		if fault != "" {
+			r.addFault(l.Args[i].Pos, d.path(), "%s", fault)
+		}
+		list = append(list, value)
+	}
+	return list
+}
--- a/internal/operatorconfig/reference.go
+++ b/internal/operatorconfig/reference.go
@@ -1,11 +1,12 @@
 package operatorconfig
 
 import (
+	"cmp"
 	"fmt"
 	"strings"
 )
 
-// Reference writes the reference page of a table, in Markdown.
+// Reference is the reference page of a table, a Markdown table with a row a directive.
 func (t *Table) Reference() string {
 	var b strings.Builder
 	b.WriteString("| directive | values | default | block | takes effect | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -15,7 +16,7 @@
 		for _, v := range d.Values {
 			values = append(values, strings.ToUpper(v.Name)+": "+v.allowed())
 		}
-		def := cmpOr(d.Default, "none")
+		def := cmp.Or(d.Default, "none")
 		if d.Required {
 			def = "must be given"
 		}
@@ -26,8 +27,8 @@
 		if d.Block {
 			name += " { }"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", name, cmpOr(strings.Join(values, "; "), "none"), def,
-			cmpOr(d.Parent, "-"), cmpOr(d.TakesEffect, "at the start"), d.Text)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", name, cmp.Or(strings.Join(values, "; "), "none"), def,
+			cmp.Or(d.Parent, "-"), cmp.Or(d.TakesEffect, "at the start"), d.Text)
 	}
 	return b.String()
 }
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// Kind is what a value must be.
+// Kind is what a value must be. The zero value is Word.
 type Kind uint8
 
-// The kinds of values. Spans come out in seconds, sizes in bytes, shares as parts of 1; all as float64.
+// The kinds of values. A Duration is read as seconds, a Size as bytes, a Fraction as a part of 1, each as a float64, as are
+// Number and Decimal; all others are strings, but Words, which is a list of strings.
 const (
 	Word     Kind = iota // any text
 	Name                 // letters, digits, ".", "-", "_"
@@ -26,6 +27,7 @@
 	Words                // one word or more; only as the last value
 )
 
+// kindNames are what is allowed by each kind, for people.
 var kindNames = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
 	"a duration such as 250ms, 10s, 5m, 2h or 7d", "a size such as 512, 64K, 16M or 1G",
 	"a share such as 0.1 or 10%", "HOST:PORT", "a path", "one of a list", "a number of 0 or more", "one word or more"}
@@ -37,14 +39,15 @@
 
 // Value is one value of a directive.
 type Value struct {
-	Name     string
-	Kind     Kind
-	Min, Max float64  // of a figure; both 0: as its kind allows
-	Choices  []string // of a choice
+	Name    string
+	Kind    Kind
+	Min     float64 // of a number, in the unit of its kind; with Max 0, too, what its kind allows
+	Max     float64
+	Choices []string // of a Choice
 }
 
-// read reads one value; fault says what is wrong and what is allowed.
-func (v *Value) read(s string) (got any, fault string) {
+// read reads one value; fault tells what is wrong with it and what is allowed, empty for nothing.
+func (v *Value) read(s string) (read any, fault string) {
 	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.allowed()) }
 	switch v.Kind {
 	case Word:
@@ -128,6 +131,7 @@
 	return f, ok
 }
 
+// emptyFault is the fault of a value that must not be empty.
 func emptyFault(s, name string) string {
 	if s == "" {
 		return name + " is empty"
@@ -135,7 +139,7 @@
 	return ""
 }
 
-// allowed words what a value may be.
+// allowed tells what a value may be.
 func (v *Value) allowed() string {
 	if v.Kind == Choice {
 		return strings.Join(v.Choices, ", ")
@@ -143,11 +147,11 @@
 	if v.Min == 0 && v.Max == 0 {
 		return kindNames[v.Kind]
 	}
-	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.figure(v.Min), v.figure(v.Max))
+	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.withUnit(v.Min), v.withUnit(v.Max))
 }
 
-// figure writes a figure with the largest unit in which it is whole.
-func (v *Value) figure(f float64) string {
+// withUnit writes a number with the largest unit in which it is a whole one.
+func (v *Value) withUnit(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := durationUnits
 	if v.Kind == Size {
