--- a/internal/controller/planners_test.go
+++ b/internal/controller/planners_test.go
@@ -1,6 +1,9 @@
 package controller
 
 import (
+	"testing"
+	"time"
+
 	"silvercove/internal/migration"
 	"silvercove/internal/placement"
 	"silvercove/internal/tick"
@@ -69,3 +72,16 @@
 func newFailoverPlanner(host Host) *failoverPlanner {
 	return &failoverPlanner{host, map[string]placement.Assignment{}, map[string]migration.NodeStatus{}}
 }
+
+// newRecordingFleet starts a fleet of one controller, with a recordingPlanner, and edge nodes.
+func newRecordingFleet(tb testing.TB, lease time.Duration, edges int) (*testFleet, *recordingPlanner) {
+	tb.Helper()
+	c := newTestFleet(tb, lease, 1, edges)
+	planner := &recordingPlanner{statuses: make(chan migration.NodeStatus, 64)}
+	c.newPlanner = func(host Host) Planner {
+		planner.failoverPlanner = *newFailoverPlanner(host)
+		return planner
+	}
+	c.start()
+	return c, planner
+}
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -96,7 +96,9 @@
 
 // decideEmpty decides for a disk that is of no log yet: it finds its identity in the log's origin, is admitted to a log that
 // others have, or begins one with all others.
-func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status, silent []string) (startDecision, error) {
+func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
+	silent []string) (startDecision, error) {
+
 	var origin *controllerclient.LogOrigin
 	var generation uint64
 	for _, s := range statuses {
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -75,7 +75,9 @@
 }
 
 // onLeaseGranted takes a lease in, and returns the controllers' lineage and whether it is not the stored one.
-func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sent tick.Tick, reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
+func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sent tick.Tick,
+	reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
+
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -61,7 +61,9 @@
 
 // NewOverloadAgent makes the agent of a relay that has so many cores and bytes of memory. The seed draws what overload.Manager
 // draws.
-func NewOverloadAgent(members Membership, name string, seed uint64, settings map[string]any, cores float64, memory int64, log zerolog.Logger) *OverloadAgent {
+func NewOverloadAgent(members Membership, name string, seed uint64, settings map[string]any, cores float64, memory int64,
+	log zerolog.Logger) *OverloadAgent {
+
 	return &OverloadAgent{
 		membership: members,
 		log:        log.With().Str("component", "overload").Logger(),
