--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -41,13 +41,13 @@
 		if err != nil {
 			return full(err)
 		}
-		p.log.Info().Str("event", "starts").Str("why", "peers at "+p.net.Self().Address).Send()
+		p.log.Info().Str("event", "starts").Str("component", "controller").Str("why", "peers at "+p.net.Self().Address).Msg("process started")
 		ctx, end := context.WithCancel(ctx)
 		defer context.AfterFunc(alive, end)()
 		if err := k.Run(ctx); err != nil {
 			return full(err)
 		}
-		p.log.Info().Str("event", "ends").Send()
+		p.log.Info().Str("event", "ends").Str("component", "controller").Msg("process ended")
 		return nil
 	})
 }
--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -7,10 +7,11 @@
 	"strings"
 	"time"
 
+	"silvercove/internal/stagedrollout"
 	"silvercove/internal/tufverify"
 )
 
-// Kind tells what kind of hardware a server is listed as.
+// Kind is the kind of hardware that a server is listed with; ok is false for an unknown server.
 func (d *Director) Kind(name string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -21,21 +22,21 @@
 	return s.Kind, true
 }
 
-// Count tells how many servers there are, how many are told the newest package, and how many may act on it.
-func (d *Director) Count() (fleet, told, counted int) {
+// Count counts the servers.
+func (d *Director) Count() stagedrollout.Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rollout.Count(d.tick())
 }
 
-// IssuedCount tells how many versions were issued.
+// IssuedCount is how many versions of servers' metadata were issued.
 func (d *Director) IssuedCount() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.Issued
 }
 
-// Explain says in plain sentences why a server may run what it is told.
+// Explain tells in sentences why a server is assigned what it is. Its error wraps ErrUnknownServer.
 func (d *Director) Explain(name string) ([]string, error) {
 	d.mu.Lock()
 	s := d.servers[name]
@@ -84,6 +85,7 @@
 	return out, nil
 }
 
+// firstNames lists the first names of servers, for an error.
 func firstNames(all map[string]*server) string {
 	names := slices.Sorted(maps.Keys(all))
 	if len(names) > 10 {
--- a/internal/standin/faultproxy/mesh.go
+++ b/internal/standin/faultproxy/mesh.go
@@ -11,7 +11,7 @@
 }
 
 // NewMesh makes the links of processes that listen at their peers' addresses. The network ends them.
-func NewMesh(network *Net, peers []peertransport.Peer) (*Mesh, error) {
+func NewMesh(network *Network, peers []peertransport.Peer) (*Mesh, error) {
 	m := &Mesh{peers: peers, links: map[[2]string]*Link{}}
 	for _, from := range peers {
 		for _, to := range peers {
@@ -54,6 +54,6 @@
 
 // SetBoth sets a fault of both ways of a link. The zero Fault heals it.
 func (l *Link) SetBoth(f Fault) {
-	l.Set(Forth, f)
-	l.Set(Back, f)
+	l.Set(Forward, f)
+	l.Set(Backward, f)
 }
