--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -30,25 +30,7 @@
 	pending := d.pendingIssues
 	d.pendingIssues = nil
 	d.mu.Unlock()
-	var group errgroup.Group
-	group.SetLimit(runtime.GOMAXPROCS(0))
-	for _, s := range pending {
-		group.Go(func() error {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			d.mu.Lock()
-			stale := s.reissue
-			d.mu.Unlock()
-			if !stale || s.files == nil { // one that has not asked yet gets it when it does
-				return nil
-			}
-			if err := d.issue(s, tufverify.FromTime(d.now())); err != nil {
-				return err
-			}
-			return nil
-		})
-	}
-	err := group.Wait()
+	err := d.issueAll(pending)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(pending) > 0 {
@@ -70,3 +52,26 @@
 	}
 	return next
 }
+
+// issueAll issues the metadata of several servers at once, and waits for all. Its error is that of the first that failed.
+func (d *Director) issueAll(servers []*server) error {
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for _, s := range servers {
+		group.Go(func() error { return d.reissue(s) })
+	}
+	return group.Wait()
+}
+
+// reissue issues a server's metadata if its assignment has changed. A server that has not asked yet gets them when it does.
+func (d *Director) reissue(s *server) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	d.mu.Lock()
+	reissue := s.reissue
+	d.mu.Unlock()
+	if !reissue || s.files == nil {
+		return nil
+	}
+	return d.issue(s, tufverify.FromTime(d.now()))
+}
--- a/internal/metadataservice/assignment.go
+++ b/internal/metadataservice/assignment.go
@@ -13,9 +13,12 @@
 	"silvercove/internal/tufverify"
 )
 
-// Fetcher has metadata files from below a URL, for a walk of the client workflow.
+// fetchTimeout bounds the fetch of one metadata file.
+const fetchTimeout = 10 * time.Second
+
+// Fetcher fetches metadata files from below a URL, for tufverify's client workflow.
 func Fetcher(base string) tufverify.Get {
-	client := &http.Client{Timeout: 10 * time.Second}
+	client := &http.Client{Timeout: fetchTimeout}
 	return func(f tufverify.File) ([]byte, error) {
 		resp, err := client.Get(base + f.String())
 		if err != nil {
@@ -35,21 +38,21 @@
 	}
 }
 
-// PartialAssignment is what a server finds that verifies the Director's targets alone (partial verification): it
-// trusts the timestamp and snapshot for no more than the version to ask for.
-func PartialAssignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
-	get := Fetcher(front + "/director/" + server + "/metadata/")
+// PartialAssignment is what a server finds that verifies the Director's targets alone (Uptane Standard 2.1, section 5.4.4.1):
+// the timestamp tells it the version to ask for, and is not verified. pinned is the Director's root, at the time.
+func PartialAssignment(proxyURL, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
+	get := Fetcher(proxyURL + "/director/" + server + "/metadata/")
 	root, err := (&metadata.Metadata[metadata.RootType]{}).FromBytes(pinned)
 	if err != nil {
 		return nil, err
 	}
-	var stamp struct{ Signed struct{ Version int64 } }
+	var timestamp struct{ Signed struct{ Version int64 } }
 	text, err := get(tufverify.File{Role: "timestamp"})
 	if err == nil {
-		err = json.Unmarshal(text, &stamp)
+		err = json.Unmarshal(text, &timestamp)
 	}
 	if err == nil {
-		text, err = get(tufverify.File{Role: "targets", Version: stamp.Signed.Version})
+		text, err = get(tufverify.File{Role: "targets", Version: timestamp.Signed.Version})
 	}
 	if err != nil {
 		return nil, err
@@ -61,14 +64,14 @@
 	return all, nil
 }
 
-// Assignment asks a front what its Director tells a server, and verifies that from the Director's pinned root.
-func Assignment(front, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
+// Assignment asks a proxy what its Director assigns a server, and verifies that from the Director's pinned root.
+func Assignment(proxyURL, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	now := tufverify.FromTime(at)
 	r, err := tufverify.New("director", monotonic.NewMemoryStore(1<<10), now, pinned)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.Refresh(now, Fetcher(front+"/director/"+server+"/metadata/")); err != nil {
+	if err := r.Refresh(now, Fetcher(proxyURL+"/director/"+server+"/metadata/")); err != nil {
 		return nil, err
 	}
 	all, refusal := r.Assigned(now)
