--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -26,7 +26,7 @@
 }
 
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
-	e, err := edgenode.Open(edgenode.Options{File: p.file, Net: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
+	e, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return full(err)
 	}
@@ -50,13 +50,13 @@
 			}
 		}
 	}()
-	p.log.Info().Str("event", "starts").Str("why", "commands at "+e.Commands().String()).Send()
+	p.log.Info().Str("event", "starts").Str("component", "edgenode").Str("why", "requests at "+e.Addr().String()).Msg("process started")
 	err = e.Run(leave, now)
 	close(over)
 	<-watched
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return full(err)
 	}
-	p.log.Info().Str("event", "ends").Send()
+	p.log.Info().Str("event", "ends").Str("component", "edgenode").Msg("process ended")
 	return nil
 }
--- /dev/null
+++ b/internal/lab/fleetsim/fault_kinds.go
@@ -0,0 +1,372 @@
+package fleetsim
+
+import (
+	"maps"
+	"slices"
+
+	"silvercove/internal/standin/testcluster"
+	"silvercove/internal/tick"
+)
+
+// faultKind is a kind of fault: what it is done to, and what it does. What do returns ends it.
+type faultKind struct {
+	target, to string // as scripts name it: unit, node, zone, keeper, relay, camera, all
+	amount     [2]float64
+	apply      func(f *Fleet, x Fault) (undo func())
+}
+
+var faultKinds map[string]faultKind
+
+func init() {
+	faultKinds = map[string]faultKind{}
+	for _, group := range []map[string]faultKind{linkFaults(), processFaults(), powerFaults(), controllerFaults(),
+		laterVersionFaults(), replayFaults()} {
+		maps.Copy(faultKinds, group)
+	}
+	faultNames = slices.Sorted(maps.Keys(faultKinds))
+}
+
+// linkFaults are faults of what is between nodes.
+func linkFaults() map[string]faultKind {
+	return map[string]faultKind{
+		"cut": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // one way
+			a, b := f.endpointByName[x.Target], f.endpointByName[x.To]
+			f.blockedLinks[[2]int{a.id, b.id}]++
+			return func() { f.blockedLinks[[2]int{a.id, b.id}]-- }
+		}},
+		"part": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // both ways
+			a, b := f.endpointByName[x.Target], f.endpointByName[x.To]
+			f.blockBoth(a, b, 1)
+			return func() { f.blockBoth(a, b, -1) }
+		}},
+		"mute": {target: "node", apply: func(f *Fleet, x Fault) func() {
+			n := f.endpointByName[x.Target]
+			n.outCuts++
+			return func() { n.outCuts-- }
+		}},
+		"deaf": {target: "node", apply: func(f *Fleet, x Fault) func() {
+			n := f.endpointByName[x.Target]
+			n.inCuts++
+			return func() { n.inCuts-- }
+		}},
+		"alone": {target: "node", apply: func(f *Fleet, x Fault) func() {
+			n := f.endpointByName[x.Target]
+			n.inCuts++
+			n.outCuts++
+			return func() { n.inCuts--; n.outCuts-- }
+		}},
+		"loss": {target: "node", amount: [2]float64{0.02, 0.6}, apply: func(f *Fleet, x Fault) func() {
+			n := f.endpointByName[x.Target]
+			n.lossRate += x.Amount
+			return func() { n.lossRate -= x.Amount }
+		}},
+		"radio": {target: "zone", amount: [2]float64{0.05, 0.5}, apply: degradeUplink},
+		"split": {target: "zone", apply: partitionZone},
+	}
+}
+
+// processFaults are faults of nodes' processes and disks, and of what they may run.
+func processFaults() map[string]faultKind {
+	return map[string]faultKind{
+		"stall":   {target: "unit", apply: stallNode},
+		"crash":   {target: "unit", apply: func(f *Fleet, x Fault) func() { return crashNode(f, x, false, false) }},
+		"wipe":    {target: "unit", apply: func(f *Fleet, x Fault) func() { return crashNode(f, x, true, false) }},
+		"putback": {target: "unit", apply: func(f *Fleet, x Fault) func() { return crashNode(f, x, false, true) }},
+		// All that have a device's instance: its primary and its replicas.
+		"putbacks": {target: "camera", apply: func(f *Fleet, x Fault) func() {
+			p, _ := f.cluster.table.Get(x.Target)
+			var undo []func()
+			for _, name := range append([]string{p.Primary}, p.Replicas...) {
+				if f.nodeByName[name] != nil {
+					f.checker.nodeFaults++
+					undo = append(undo, crashNode(f, Fault{Target: name}, false, true))
+				}
+			}
+			return func() {
+				for _, do := range undo {
+					do()
+				}
+			}
+		}},
+		"full": {target: "unit", apply: func(f *Fleet, x Fault) func() {
+			u := f.nodeByName[x.Target]
+			u.diskFull++
+			return func() { u.diskFull-- }
+		}},
+		"twin": {target: "unit", apply: startDuplicate},
+		"poison": {target: "camera", apply: func(f *Fleet, x Fault) func() {
+			c := f.deviceByName[x.Target]
+			c.poisoned = true
+			f.checker.nodeFaults += 2
+			p, _ := f.cluster.table.Get(c.name)
+			if u := f.nodeByName[p.Primary]; u != nil && u.manager != nil && len(f.checker.serving[c.name]) > 0 {
+				u.downCount++
+				u.crash(false)
+				f.after(tick.Second, func() { u.downCount--; u.start() })
+			}
+			return func() { c.poisoned = false }
+		}},
+		"clock": {target: "relay", amount: [2]float64{0.5, 1}, apply: func(f *Fleet, x Fault) func() {
+			f.jumpClocks(x.Target, tick.Tick(x.Amount*3600*float64(tick.Second)))
+			return nil
+		}},
+		"relaydown": {target: "relay", apply: func(f *Fleet, x Fault) func() {
+			r := f.relayByName(x.Target)
+			r.downCount++
+			return func() { r.downCount--; r.incarnation++ }
+		}},
+	}
+}
+
+// powerFaults are what has nodes refuse or hand over their instances, and what moves load.
+func powerFaults() map[string]faultKind {
+	return map[string]faultKind{
+		"bad": {target: "unit", apply: func(f *Fleet, x Fault) func() {
+			u := f.nodeByName[x.Target]
+			u.rollingBack++
+			f.forcedDrains++
+			return func() { u.rollingBack-- }
+		}},
+		"drain": {target: "unit", apply: func(f *Fleet, x Fault) func() {
+			u := f.nodeByName[x.Target]
+			u.draining++
+			f.forcedDrains++
+			return func() { u.draining-- }
+		}},
+		"tired": {target: "unit", apply: func(f *Fleet, x Fault) func() { return drainBattery(f, f.nodeByName[x.Target]) }},
+		"tiredzone": {target: "zone", apply: func(f *Fleet, x Fault) func() {
+			var undo []func()
+			for _, u := range f.zoneByName(x.Target).nodes {
+				undo = append(undo, drainBattery(f, u))
+			}
+			return func() {
+				for _, do := range undo {
+					do()
+				}
+			}
+		}},
+		"sun": {target: "zone", amount: [2]float64{0.3, 1}, apply: func(f *Fleet, x Fault) func() {
+			z := f.zoneByName(x.Target)
+			z.sunshine += x.Amount
+			f.forcedDrains++
+			return func() { z.sunshine -= x.Amount }
+		}},
+		"crowd": {target: "zone", amount: [2]float64{0.2, 0.9}, apply: addLoad},
+		"swarm": {target: "zone", to: "zone", amount: [2]float64{0.1, 1}, apply: moveDevices},
+	}
+}
+
+// controllerFaults are faults of the controllers.
+func controllerFaults() map[string]faultKind {
+	return map[string]faultKind{
+		"leader": {target: "all", apply: stopLeader},
+		"keeper": {target: "keeper", apply: func(f *Fleet, x Fault) func() {
+			return stopControllers(f, []*controller{f.controllerByName(x.Target)})
+		}},
+		"majority": {target: "all", apply: func(f *Fleet, x Fault) func() {
+			return stopControllers(f, f.cluster.controllers[:len(f.cluster.controllers)/2+1])
+		}},
+		"slowdisk": {target: "keeper", amount: [2]float64{0.05, 1}, apply: func(f *Fleet, x Fault) func() {
+			k, more := f.controllerByName(x.Target), tick.Tick(x.Amount*float64(tick.Second))
+			k.diskDelay += more
+			return func() { k.diskDelay -= more }
+		}},
+	}
+}
+
+var faultNames []string // of kinds, sorted
+
+func (f *Fleet) zoneByName(name string) *zone {
+	for _, z := range f.zones {
+		if z.name == name {
+			return z
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) controllerByName(name string) *controller {
+	for _, k := range f.cluster.controllers {
+		if k.endpoint.name == name {
+			return k
+		}
+	}
+	return nil
+}
+
+func (f *Fleet) relayByName(name string) *relay {
+	for _, r := range f.relays {
+		if r.endpoint.name == name {
+			return r
+		}
+	}
+	return nil
+}
+
+// jumpClocks sets the clock that one relay decides by forward, or with "all" each one's, as after a sleep of its machine.
+func (f *Fleet) jumpClocks(name string, by tick.Tick) {
+	for _, r := range f.relays {
+		if name == "all" || r.endpoint.name == name {
+			r.clockOffset += by
+		}
+	}
+}
+
+// degradeUplink halves a zone's uplink and more, with loss and delay.
+func degradeUplink(f *Fleet, x Fault) func() {
+	z := f.zoneByName(x.Target)
+	for _, u := range z.nodes {
+		f.checker.disturbed[u.name] = true
+		f.checker.nodeFaults++
+	}
+	by, slow := 2+8*x.Amount, tick.Tick(x.Amount*200*float64(milli))
+	z.uplinkRate /= by
+	z.extraDelay += slow
+	z.lossRate += x.Amount / 4
+	return func() { z.uplinkRate *= by; z.extraDelay -= slow; z.lossRate -= x.Amount / 4 }
+}
+
+// partitionZone cuts a zone off all others and the controllers.
+func partitionZone(f *Fleet, x Fault) func() {
+	z := f.zoneByName(x.Target)
+	z.partitions++
+	for _, u := range z.nodes {
+		f.checker.disturbed[u.name] = true
+		if f.RemoteReplicas == 0 {
+			f.checker.nodeFaults++
+		}
+	}
+	if f.RemoteReplicas > 0 {
+		f.checker.partitionedZones[z.name] = true
+	}
+	return func() { z.partitions-- }
+}
+
+func stallNode(f *Fleet, x Fault) func() {
+	u := f.nodeByName[x.Target]
+	u.stalls++
+	f.checker.disturbed[u.name] = true
+	return func() {
+		if u.stalls--; u.stalls > 0 || u.manager == nil {
+			return
+		}
+		some := u.waiting
+		u.waiting = nil
+		for _, do := range some {
+			if u.manager == nil {
+				return
+			}
+			do()
+		}
+	}
+}
+
+// crashNode ends a process; it is begun again at the end of the span, with its disk, without it, or with an older one.
+func crashNode(f *Fleet, x Fault, wipe, back bool) func() {
+	u := f.nodeByName[x.Target]
+	f.checker.disturbed[u.name] = true
+	if wipe || back {
+		f.checker.diskReplaced[u.name] = true
+	}
+	u.downCount++
+	u.stalls = 0
+	u.crash(wipe)
+	if wipe && f.members != nil {
+		f.members.byName[u.name].emptied = true
+	}
+	if back && u.backupLogs != nil {
+		u.logs, u.mark = cloneLogs(u.backupLogs), u.backupMark
+	}
+	return func() {
+		u.downCount--
+		u.start()
+	}
+}
+
+func drainBattery(f *Fleet, u *edgeNode) func() {
+	charge, mains := u.battery.Charge, u.battery.Mains
+	u.battery.Charge, u.battery.Mains = 0.0515, false
+	f.forcedDrains++
+	return func() { u.battery.Charge, u.battery.Mains = max(charge, 0.5), mains }
+}
+
+func addLoad(f *Fleet, x Fault) func() {
+	z := f.zoneByName(x.Target)
+	for _, u := range z.nodes {
+		u.extraLoad += x.Amount
+	}
+	return func() {
+		for _, u := range z.nodes {
+			u.extraLoad -= x.Amount
+		}
+	}
+}
+
+// moveDevices moves devices of a zone to another one, over a tenth of the span or 10 s; at its end they go back.
+func moveDevices(f *Fleet, x Fault) func() {
+	from, to := f.zoneByName(x.Target), f.zoneByName(x.To)
+	var some []*device
+	for _, c := range f.devices {
+		if c.zone == from {
+			some = append(some, c)
+		}
+	}
+	some = some[:int(x.Amount*float64(len(some)))]
+	go1 := func(z *zone) {
+		over := min(x.Duration/10, 10*tick.Second) + 1
+		for _, c := range some {
+			f.after(tick.Tick(f.rng.Int64N(int64(over))), func() { c.zone = z; f.cluster.reportDevice(c, z) })
+		}
+	}
+	go1(to)
+	return func() { go1(from) }
+}
+
+// stopLeader fells the controller that leads.
+func stopLeader(f *Fleet, x Fault) func() {
+	if f.cluster.leader == nil {
+		return nil
+	}
+	return stopControllers(f, []*controller{f.cluster.leader.controller})
+}
+
+func stopControllers(f *Fleet, some []*controller) func() {
+	for _, k := range some {
+		k.downCount++
+		f.logEvent(testcluster.Event{Node: k.endpoint.name, Name: "FALLS"})
+	}
+	f.cluster.checkLeader()
+	return func() {
+		for _, k := range some {
+			k.downCount--
+		}
+		f.cluster.checkLeader()
+	}
+}
+
+// startDuplicate runs a node restored from an image beside it, under its name.
+func startDuplicate(f *Fleet, x Fault) func() {
+	u := f.nodeByName[x.Target]
+	v := f.newNode(u.name, u.zone)
+	u.duplicate = v
+	v.displayName = u.name + "'"
+	v.logs, v.mark, v.recordsWritten = cloneLogs(u.logs), u.mark, u.recordsWritten
+	v.incarnation = u.incarnation
+	f.checker.disturbed[u.name] = true
+	f.checker.diskReplaced[u.name] = true // its disk is as of now, whenever it comes to have the name
+	f.nodes = append(f.nodes, v)
+	v.start()
+	return func() {
+		v.downCount++
+		v.crash(false)
+		if u.duplicate == v {
+			u.duplicate = nil
+		}
+	}
+}
+
+// blockBoth adds n cuts to the links between two nodes, in both directions.
+func (f *Fleet) blockBoth(a, b *endpoint, n int) {
+	f.blockedLinks[[2]int{a.id, b.id}] += n
+	f.blockedLinks[[2]int{b.id, a.id}] += n
+}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -29,7 +29,7 @@
 	for _, c := range cells {
 		switch v := c.(type) {
 		case time.Duration:
-			row = append(row, short(v))
+			row = append(row, shortDuration(v))
 		case float64:
 			row = append(row, fmt.Sprintf("%.4g", v))
 		default:
@@ -39,8 +39,8 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// short gives a duration with three digits.
-func short(d time.Duration) string {
+// shortDuration gives a duration with three digits.
+func shortDuration(d time.Duration) string {
 	switch {
 	case d >= time.Second:
 		return fmt.Sprintf("%.3gs", d.Seconds())
@@ -101,3 +101,18 @@
 func (l latencies) at(percent float64) time.Duration {
 	return time.Duration(l.ValueAtPercentile(percent)) * time.Microsecond
 }
+
+// stickyWriter passes on what is written until an error, which it keeps and gives to each later write.
+type stickyWriter struct {
+	to  io.Writer
+	err error
+}
+
+func (w *stickyWriter) Write(p []byte) (int, error) {
+	if w.err != nil {
+		return 0, w.err
+	}
+	n, err := w.to.Write(p)
+	w.err = err
+	return n, err
+}
