--- /dev/null
+++ b/internal/director/errors_test.go
@@ -0,0 +1,52 @@
+package director
+
+import (
+	"errors"
+	"log/slog"
+	"slices"
+	"strings"
+	"testing"
+
+	"silvercove/balancer"
+	"silvercove/internal/tufverify"
+)
+
+// record keeps a log line with its level.
+func (h *testDirector) record(level slog.Level, message string, fields ...slog.Attr) {
+	h.logMu.Lock()
+	defer h.logMu.Unlock()
+	h.lines = append(h.lines, level.String()+" "+balancer.LogLine(message, fields...))
+}
+
+// The image repository can't be asked and has not answered before: the caller finds that by ErrUnavailable, and the refusal.
+func TestDirector_FileIsUnavailable(t *testing.T) {
+	h := newTestDirector(t)
+	h.image = func(path string) (*tufverify.Target, *tufverify.RefusalError) {
+		return nil, &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: "image", Role: path}
+	}
+	_, err := h.File("s0", tufverify.File{Role: "timestamp"})
+	var refusal *tufverify.RefusalError
+	if !errors.Is(err, ErrUnavailable) || !errors.As(err, &refusal) || refusal.Role != "app/1" {
+		t.Errorf("%v", err)
+	}
+	if _, err := h.File("nobody", tufverify.File{Role: "timestamp"}); !errors.Is(err, ErrUnknownServer) {
+		t.Errorf("an unknown server: %v", err)
+	}
+	if _, err := h.File("s0", tufverify.File{Role: "root", Version: 99}); !errors.Is(err, ErrUnknownFile) {
+		t.Errorf("a root that is not there: %v", err)
+	}
+}
+
+// A package that the image repository does not have is logged once, with what refused it.
+func TestDirector_LogsThePackageThatWaits(t *testing.T) {
+	h := newTestDirector(t)
+	h.setStage(9, "testing", 1)
+	h.runDue()
+	h.logMu.Lock()
+	defer h.logMu.Unlock()
+	waiting := slices.DeleteFunc(slices.Clone(h.lines), func(line string) bool { return !strings.Contains(line, "package waits") })
+	want := `WARN package waits for the image repository: version=9 repository="" role="" reason="not had yet" detail="not held"`
+	if len(waiting) != 1 || waiting[0] != want {
+		t.Errorf("%q, wanted %q", waiting, want)
+	}
+}
--- a/internal/director/stored_test.go
+++ b/internal/director/stored_test.go
@@ -32,7 +32,7 @@
 	Until   tufverify.Tick `json:"until"`
 }
 
-// stateOf is what a house's file has now.
+// stateOf is what the version store has now.
 func stateOf(h *testDirector) storedState {
 	is := storedState{Passed: h.TrustedTime(), Servers: map[string]storedIssue{}}
 	released, _ := h.Recorded("director/released")
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -52,7 +52,7 @@
 		p.Counts.Served.Add(1)
 	case !out.headerSent:
 		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "no mirror has it now", RetryLater: true})
-	default: // the client can tell, as fewer bytes come than it was told
+	default: // the client can tell, as fewer bytes come than the header names
 		p.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/metadatarefresh/refresh_test.go
+++ b/internal/metadatarefresh/refresh_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// TestResponses_EveryReason goes through every reason once for each decision that hangs on one.
+// TestResponses_EveryReason goes through every reason once for each function that depends on one.
 func TestResponses_EveryReason(t *testing.T) {
 	in := func(why tufverify.Reason, of ...tufverify.Reason) bool {
 		for _, w := range of {
--- a/internal/metadataservice/helpers_test.go
+++ b/internal/metadataservice/helpers_test.go
@@ -20,7 +20,7 @@
 	"silvercove/internal/tufrepo"
 )
 
-// testService is a keeper, mirrors, a front and servers on loopback.
+// testService is a service on loopback with publishers, mirrors and servers.
 type testService struct {
 	*testing.T
 	dir               string
@@ -71,7 +71,7 @@
 	}
 }
 
-// newTestService makes keepers and mirrors; nothing is served yet.
+// newTestService makes publishers and mirrors; the service does not run yet.
 func newTestService(t *testing.T, mirrors int, life tufrepo.Lifetimes) *testService {
 	t.Helper()
 	w := &testService{T: t, dir: t.TempDir(), clock: repository.NewClock(true), keys: map[string]*keys.Key{}, lifetime: "60s",
@@ -146,7 +146,7 @@
 	w.must(os.WriteFile(filepath.Join(w.dir, "cove.conf"), []byte(b.String()), 0o600))
 }
 
-// start runs the front.
+// start runs the service.
 func (w *testService) start() {
 	w.Helper()
 	w.writeConfig()
@@ -178,7 +178,7 @@
 
 func (w *testService) url() string { return "http://" + w.service.Address() }
 
-// get asks the front as one client.
+// get asks the service as one client.
 func (w *testService) get(client, path string) (int, []byte, http.Header) {
 	w.Helper()
 	way := w.checker.Transport(client, "/r/image", http.DefaultTransport)
--- a/internal/metadataservice/mirrors_test.go
+++ b/internal/metadataservice/mirrors_test.go
@@ -82,7 +82,7 @@
 }
 
 // TestMirror_OlderVersionIsNotServed: a mirror presents an older, validly signed version; most mirrors do; all do;
-// after the front restarted; after it restarted with its disk put back.
+// after a restart; after a restart with the disk restored from a backup.
 func TestMirror_OlderVersionIsNotServed(t *testing.T) {
 	for _, c := range []struct {
 		old     int
--- a/internal/stagedrollout/rollout_test.go
+++ b/internal/stagedrollout/rollout_test.go
@@ -11,7 +11,7 @@
 	"silvercove/balancer"
 )
 
-// testFleet is a Host that keeps what servers were told.
+// testFleet is a Host that records assignments.
 type testFleet struct {
 	*Rollout
 	servers          []*Server
@@ -45,7 +45,7 @@
 	return f
 }
 
-// reportRunning has every server that is told a build install it, until nothing changes.
+// reportRunning has every server install its assigned version, until nothing changes.
 func (f *testFleet) reportRunning(now Tick) Tick {
 	for range 200 {
 		before := f.assignments
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestRollout_RolledBackServersCount: one that was told back counts until it has fetched, or until what it holds has expired.
+// TestRollout_RolledBackServersCount: one that was rolled back counts until it has fetched, or until what it holds has expired.
 func TestRollout_RolledBackServersCount(t *testing.T) {
 	f := newTestFleet(10)
 	f.OnStage(1, 2, 1, Canary, 0.4, nil)
--- a/internal/stagedrollout/standing.go
+++ b/internal/stagedrollout/standing.go
@@ -8,14 +8,14 @@
 type Standing struct {
 	Assigned        uint16 // version that its metadata name
 	Running         uint16 // version by its last report
-	Failures        int
-	Excluded        bool
-	NotBefore       Tick
-	MayInstallUntil Tick
-	Rank            int // in the order, from 0
-	Servers         int
-	MaxAssigned     int // servers that may be told
-	MayInstall      int // servers that count
+	Failures        int    // of installations of the newest version
+	Excluded        bool   // from the newest version, for good
+	NotBefore       Tick   // not assigned the newest version again before
+	MayInstallUntil Tick   // after a roll-back
+	Rank            int    // in the order, from 0
+	Servers         int    // in the order
+	MaxAssigned     int    // servers that may be assigned the newest version
+	MayInstall      int    // servers that may act on metadata that name it
 }
 
 // Explain tells why a server is assigned what it is.
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -13,7 +13,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// publication is one file that Publish puts in front of clients.
+// publication is one file that Publish publishes.
 type publication struct {
 	role    string
 	name    string // of the file
--- a/internal/tufrepo/stored_test.go
+++ b/internal/tufrepo/stored_test.go
@@ -19,7 +19,7 @@
 
 var storedRoles = []string{"root", "targets", "snapshot", "timestamp"}
 
-// A repository that an earlier program made is read, publishes on, and vouches for what it had.
+// A repository that an earlier program made is read, is continued, and still has the targets that it had.
 func TestStoredRepositoryIsReadAndContinued(t *testing.T) {
 	stored := filepath.Join("testdata", "stored")
 	if *updateStored {
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -96,7 +96,7 @@
 	return data, nil
 }
 
-// Version tells the version of a role that is held, 0 for none.
+// Version is the version of a role that is held, 0 for none.
 func (r *Repository) Version(role string) int64 {
 	switch {
 	case role == metadata.ROOT:
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// Expires tells the earliest moment at which any of what a whole set hangs on expires.
+// Expires is the earliest expiry of the files of a complete set that are held.
 func (r *Repository) Expires() Tick {
 	at := r.root.expires
 	if r.timestamp != nil {
--- a/internal/tufverify/file.go
+++ b/internal/tufverify/file.go
@@ -15,7 +15,7 @@
 	Version int64
 }
 
-// ParseFile reads the name of a metadata file (specification 3.1.2 and 7.3): ROLE.json, or N.ROLE.json.
+// ParseFile reads the name of a metadata file (sections 3.1.2 and 7.3): ROLE.json, or N.ROLE.json.
 func ParseFile(name string) (f File, ok bool) {
 	name, ok = strings.CutSuffix(name, ".json")
 	if !ok || name == "" || len(name) > 256 {
--- a/internal/tufverify/repository_test.go
+++ b/internal/tufverify/repository_test.go
@@ -230,7 +230,7 @@
 	})
 }
 
-// TestRepository_AgreesWithGoTUF holds what the module relies on in the public library.
+// TestRepository_AgreesWithGoTUF checks what is relied on of go-tuf.
 func TestRepository_AgreesWithGoTUF(t *testing.T) {
 	b := newTestRepository(t)
 	text := b.timestamp(1, day, 1, nil)
--- a/internal/tufverify/signatures.go
+++ b/internal/tufverify/signatures.go
@@ -6,13 +6,15 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
+// delegationVerifier is metadata that name keys of roles: a root, or targets with delegations.
 type delegationVerifier interface {
 	VerifyDelegate(role string, of any) error
 }
 
-// verifySignatures verifies that enough keys of a role have signed, and tells the ways apart in which they have not.
-func (r *Repository) verifySignatures(by delegationVerifier, role string, what any, signatures []metadata.Signature) *RefusalError {
-	err := by.VerifyDelegate(role, what)
+// verifySignatures verifies that as many keys of a role have signed as its threshold asks for, by the root or the targets that
+// name the keys; a refusal tells in which way they have not.
+func (r *Repository) verifySignatures(by delegationVerifier, role string, signed any, signatures []metadata.Signature) *RefusalError {
+	err := by.VerifyDelegate(role, signed)
 	if err == nil {
 		return nil
 	}
@@ -32,6 +34,7 @@
 	return r.refuse(ReasonBadSignature, role, "%v", err)
 }
 
+// roleKeys are the key identifiers and the threshold of a role.
 func roleKeys(by delegationVerifier, role string) (ids []string, threshold int) {
 	switch by := by.(type) {
 	case *metadata.Metadata[metadata.RootType]:
--- a/internal/tufverify/validate.go
+++ b/internal/tufverify/validate.go
@@ -7,7 +7,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// validateRoot checks what the library takes for granted: every role with keys that are there.
+// validateRoot checks what the library leaves open: that every role has keys for its threshold, and that they are there.
 func validateRoot(r *Repository, h *verified[metadata.RootType]) *RefusalError {
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
 		is := h.Signed.Roles[role]
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// validateTargets does the same for targets and their delegations.
+// validateTargets checks what the library leaves open: length and SHA-256 of each target, and well-formed delegations.
 func validateTargets(r *Repository, role string, h *verified[metadata.TargetsType]) *RefusalError {
 	for path, t := range h.Signed.Targets {
 		if t == nil || t.Length < 0 || len(t.Hashes["sha256"]) != sha256.Size {
