--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -64,7 +64,7 @@
 	return t
 }
 
-// surveyMirrors asks every mirror for its timestamp until enough have shown one.
+// surveyMirrors asks every mirror for its timestamp, again and again, until enough have shown one.
 func (r *Repository) surveyMirrors(ctx context.Context) error {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
@@ -74,43 +74,57 @@
 			return nil
 		case <-wait.C:
 		}
-		r.mu.Lock()
-		done := r.survey.Done
-		r.mu.Unlock()
-		if done {
+		if r.surveyDone() {
 			return nil
 		}
-		ready := r.dispatcher.ReadyBackends()
-		var names []string
-		for _, mirror := range ready {
-			names = append(names, mirror.Name)
-		}
-		var group errgroup.Group
-		group.SetLimit(metadatarefresh.SurveyWidth)
-		for _, mirror := range ready {
-			group.Go(func() error {
-				limited, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
-				defer cancel()
-				s := r.download(limited, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
-				if s.status != http.StatusOK || s.closed.Closed() {
-					return nil
-				}
-				refusal := r.acceptTimestamp(limited, mirror, s.data)
-				r.mu.Lock()
-				r.survey.OnTimestamp(mirror.Name, refusal, names)
-				r.mu.Unlock()
-				return nil
-			})
-		}
-		_ = group.Wait()
+		asked := r.surveyRound(ctx)
 		r.mu.Lock()
-		done = r.survey.Done
+		done := r.survey.Done
 		next := r.refresh.RetryAfter(r.tick())
 		r.mu.Unlock()
 		if done {
-			r.log(slog.LevelInfo, "mirror survey complete", slog.String("repository", r.name), slog.Int("mirrors", len(ready)))
+			r.log(slog.LevelInfo, "mirror survey complete", slog.String("repository", r.name), slog.Int("mirrors", asked))
 			return nil
 		}
 		wait.Reset(toDuration(next))
 	}
 }
+
+func (r *Repository) surveyDone() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.survey.Done
+}
+
+// surveyRound asks each mirror that is ready once, SurveyWidth of them at a time, and returns their number.
+func (r *Repository) surveyRound(ctx context.Context) (asked int) {
+	ready := r.dispatcher.ReadyBackends()
+	var names []string
+	for _, mirror := range ready {
+		names = append(names, mirror.Name)
+	}
+	var group errgroup.Group
+	group.SetLimit(metadatarefresh.SurveyWidth)
+	for _, mirror := range ready {
+		group.Go(func() error {
+			r.surveyMirror(ctx, mirror, names)
+			return nil
+		})
+	}
+	_ = group.Wait()
+	return len(ready)
+}
+
+// surveyMirror asks one mirror for its timestamp. names are those of all mirrors that are ready.
+func (r *Repository) surveyMirror(ctx context.Context, mirror dispatch.Backend, names []string) {
+	ctx, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
+	defer cancel()
+	answer := r.download(ctx, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
+	if answer.status != http.StatusOK || answer.closed.Closed() {
+		return
+	}
+	refusal := r.acceptTimestamp(ctx, mirror, answer.data)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.survey.OnTimestamp(mirror.Name, refusal, names)
+}
