--- /dev/null
+++ b/internal/standin/faultproxy/script.go
@@ -0,0 +1,153 @@
+package faultproxy
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Verbs are what Do understands.
+var Verbs = []string{"cut", "reset", "stall", "delay", "rate", "drop", "heal", "split"}
+
+// Do carries out one line of a script. A and B are names, lists a,b or * for any; a fault holds for what A sends B and,
+// without oneway, for what B sends A too, whoever connected.
+//
+//	cut A B [oneway]            bytes come to nothing
+//	reset A B                   connections are reset, and new ones refused
+//	stall A B [oneway]          bytes wait
+//	delay A B 20ms [oneway]
+//	rate A B 65536 [oneway]     bytes a second
+//	drop A B 5% [oneway]        each piece breaks its connection with this chance
+//	heal A B [oneway]
+//	split A,B C,D               as cut, for each of the one with each of the other
+func (n *Network) Do(line string) error {
+	c, ok := parseLine(line)
+	if !ok {
+		return fmt.Errorf("links: %q: not one of %s, with two names", line, strings.Join(Verbs, ", "))
+	}
+	n.mu.Lock()
+	all := slices.Clone(n.links)
+	n.mu.Unlock()
+	found := false
+	for _, l := range all {
+		forth, back := c.directions(l)
+		if forth || back {
+			found = true
+			c.apply(l, forth, back)
+		}
+	}
+	if !found {
+		return fmt.Errorf("links: %q: no link between these", line)
+	}
+	return nil
+}
+
+// scriptLine is one line of a script.
+type scriptLine struct {
+	verb   string
+	from   string // names, as a list or *
+	to     string
+	oneWay bool
+	change func(Fault) Fault
+}
+
+// parseLine reads a line; ok is false for one that Do does not understand.
+func parseLine(line string) (c scriptLine, ok bool) {
+	w := strings.Fields(line)
+	if len(w) < 3 || !slices.Contains(Verbs, w[0]) {
+		return c, false
+	}
+	oneWay := w[len(w)-1] == "oneway"
+	if oneWay {
+		w = w[:len(w)-1]
+	}
+	needs := 3
+	value := ""
+	switch w[0] {
+	case "delay", "rate", "drop":
+		needs = 4
+	case "reset", "split":
+		if oneWay {
+			return c, false
+		}
+	}
+	if len(w) != needs {
+		return c, false
+	}
+	if needs == 4 {
+		value = w[3]
+	}
+	change, ok := faultChange(w[0], value)
+	return scriptLine{verb: w[0], from: w[1], to: w[2], oneWay: oneWay, change: change}, ok
+}
+
+// faultChange is what a verb with its value, if it has one, makes of a direction's fault.
+func faultChange(verb, value string) (change func(Fault) Fault, ok bool) {
+	switch verb {
+	case "cut", "split":
+		return func(f Fault) Fault {
+			f.Silent = true
+			return f
+		}, true
+	case "stall":
+		return func(f Fault) Fault {
+			f.Stall = true
+			return f
+		}, true
+	case "delay":
+		delay, err := time.ParseDuration(value)
+		return func(f Fault) Fault {
+			f.Delay = delay
+			return f
+		}, err == nil && delay >= 0
+	case "rate":
+		rate, err := strconv.ParseFloat(value, 64)
+		return func(f Fault) Fault {
+			f.Rate = rate
+			return f
+		}, err == nil && !(rate < 0)
+	case "drop":
+		text, percent := strings.CutSuffix(value, "%")
+		share, err := strconv.ParseFloat(text, 64)
+		return func(f Fault) Fault {
+			f.BreakChance = share / 100
+			return f
+		}, err == nil && percent && !(share < 0) && !(share > 100)
+	}
+	return func(Fault) Fault { return Fault{} }, true // heal, and reset, which changes no fault
+}
+
+// directions are those of a link that the line concerns.
+func (c scriptLine) directions(l *Link) (forth, back bool) {
+	forth = listHas(c.from, l.From) && listHas(c.to, l.To)
+	back = listHas(c.from, l.To) && listHas(c.to, l.From)
+	if !c.oneWay {
+		forth = forth || back
+		back = forth
+	}
+	return forth, back
+}
+
+// apply carries the line out at one link.
+func (c scriptLine) apply(l *Link, forth, back bool) {
+	if c.verb == "reset" {
+		l.Refuse(true)
+		return
+	}
+	if forth {
+		l.Set(Forward, c.change(l.Fault(Forward)))
+	}
+	if back {
+		l.Set(Backward, c.change(l.Fault(Backward)))
+	}
+	if c.verb == "heal" && forth {
+		l.Refuse(false)
+	}
+}
+
+// listHas tells whether a list a,b or * has a name.
+func listHas(list, name string) bool {
+	return list == "*" || slices.Contains(strings.Split(list, ","), name)
+}
--- a/internal/standin/testcluster/fleet_test.go
+++ b/internal/standin/testcluster/fleet_test.go
@@ -23,7 +23,7 @@
 	return []string{"lease " + ms(lease), "silence " + ms(lease/2), "dwell 0s", "restart_after " + ms(scaled(time.Second))}
 }
 
-// vans is three keepers, and edge units in two zones.
+// batteries is three controllers, and edge nodes in two zones.
 func vans(t *testing.T, seed uint64, north, south int, more ...Node) *Cluster {
 	t.Helper()
 	if testing.Short() {
@@ -91,7 +91,7 @@
 	t.Logf("commands: %v", n)
 }
 
-// make makes an instance. It may be there already: where an answer was lost, the keepers are asked again.
+// make makes an instance. It may be there already: where an answer was lost, the controllers are asked again.
 func (c *Cluster) make(ctx context.Context, instance, unit, zone string) error {
 	_, err := c.Create(ctx, instance, unit, zone)
 	if errors.Is(err, placement.ErrExists) {
@@ -100,7 +100,7 @@
 	return err
 }
 
-// served has an instance at edge-a with a second copy elsewhere, and clients that write to it through all units.
+// served has an instance at edge-a with a second copy elsewhere, and clients that write to it through all nodes.
 func (c *Cluster) served(t *testing.T, instance string, units ...string) (stop func()) {
 	t.Helper()
 	if err := c.make(t.Context(), instance, "edge-a", "north"); err != nil {
@@ -112,8 +112,8 @@
 	return stop
 }
 
-// held waits until the keepers have agreed that another unit than its owner holds an instance: before, one crash may cost
-// what was acked.
+// held waits until the controllers have agreed that another node than its primary holds an instance: before, one crash may cost
+// what was acknowledged.
 func (c *Cluster) held(t *testing.T, instance string) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// leader is the keeper that has become leader last and still runs.
+// leader is the controller that has become leader last and still runs.
 func (c *Cluster) leader() (name string) {
 	for _, e := range c.Events() {
 		if p, err := c.node(e.Node); err == nil && e.Name == "leads" && p.command != nil {
@@ -191,7 +191,7 @@
 		"edge-b acts cam-1@2", "desk acked cam-1@2")
 }
 
-// The owner's word that it has stopped is lost, and then it is killed: a holder takes over once its lease is over.
+// The primary's word that it has stopped is lost, and then it is killed: a replica takes over once its lease is over.
 func TestOwnerKilledBetweenStopAndSwitch(t *testing.T) {
 	t.Parallel()
 	c := vans(t, 2, 1, 1)
@@ -210,7 +210,7 @@
 	c.ordered(t, "edge-a stops cam-1@1", "edge-a kill", "* placed cam-1@2 edge-b", "edge-b acts cam-1@2")
 }
 
-// An effect is held, its ack is lost, and the owner is killed: asked for again it has its first answer.
+// An effect is held, its ack is lost, and the primary is killed: asked for again it has its first answer.
 func TestOwnerKilledBetweenEffectAndAck(t *testing.T) {
 	t.Parallel()
 	c := vans(t, 3, 1, 1)
@@ -252,7 +252,7 @@
 	c.ordered(t, "edge-a stops cam-1@1", owner+" acts cam-1@2", owner+" kill", "* placed cam-1@3", "* acts cam-1@3")
 }
 
-// acts waits for a unit to act for an instance at an epoch.
+// acts waits for a node to act for an instance at an epoch.
 func (c *Cluster) acts(instance string) string {
 	c.test.Helper()
 	after := c.Wait(0, "* acts "+instance)
@@ -280,7 +280,7 @@
 	c.ordered(t, "edge-a stops cam-1@1", leader+" kill", "* leads", "* placed cam-1@2", "* acts cam-1@2")
 }
 
-// Owner, new owner and the keepers' leader, one after the other, each started again with its disk.
+// Owner, new primary and the controllers' leader, one after the other, each started again with its disk.
 func TestAllThreeKilledInTurn(t *testing.T) {
 	t.Parallel()
 	c := vans(t, 6, 1, 2)
@@ -323,7 +323,7 @@
 	}
 }
 
-// What waits at an owner that was stopped past its lease is refused when it is woken.
+// What waits at a primary that was stopped past its lease is refused when it is woken.
 func TestOwnerStoppedPastItsLeaseAndWoken(t *testing.T) {
 	t.Parallel()
 	c := vans(t, 8, 1, 1)
@@ -350,7 +350,7 @@
 	c.ordered(t, "edge-a stop", "* placed cam-1@2 edge-b", "edge-b acts cam-1@2", "edge-a wake", "edge-a stops cam-1@1")
 }
 
-// The zones do not hear each other for ten seconds while cameras cross; what goes between units comes late, all at once.
+// The zones do not hear each other for ten seconds while devices cross; what goes between nodes comes late, all at once.
 func TestTwoZonesApartWhileCamerasCross(t *testing.T) {
 	t.Parallel()
 	c := vans(t, 9, 2, 2)
@@ -379,7 +379,7 @@
 	c.judge(t)
 }
 
-// Without a majority, for 20 s, nothing is placed and leases end, so that all stops; then all goes on. One keeper comes back with
+// Without a majority, for 20 s, nothing is placed and leases end, so that all stops; then all goes on. One controller comes back with
 // an old disk.
 func TestKeepersMajorityGoneAndOneBackWithAnOldDisk(t *testing.T) {
 	t.Parallel()
@@ -420,7 +420,7 @@
 	c.judge(t)
 }
 
-// The leading keeper is stopped past elections, the owner is cut off and falls under the next one, and the old leader is
+// The leading controller is stopped past elections, the primary is cut off and falls under the next one, and the old leader is
 // woken: it confirms nothing of its own time, neither a step nor a lease.
 func TestLeadingKeeperStoppedAndWoken(t *testing.T) {
 	t.Parallel()
@@ -439,7 +439,7 @@
 	c.play(t, "stop "+old)
 	c.Wait(from, "* leads")
 	next := c.leader()
-	// The owner and the desk reach the stopped keeper alone: it has their calls in its buffers when it wakes.
+	// The primary and the desk reach the stopped controller alone: it has their calls in its buffers when it wakes.
 	c.play(t, "cut edge-a "+apart+"\ncut desk "+apart)
 	step, healed := make(chan error, 1), make(chan struct{})
 	go func() {
--- /dev/null
+++ b/internal/standin/testcluster/layout.go
@@ -0,0 +1,114 @@
+package testcluster
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"silvercove/internal/peertransport"
+)
+
+// relaySettings is a relay's JSON file; its one op type is that of Client.
+const relaySettings = `{"seed": "8c1f30d27a5be964",
+	"limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
+	"release_api": {%s"news": {"Revision": 1, "Wave": 0, "State": "live", "MaxShare": 1.0, "AgeMs": 0}},
+	"settings": {"balancers": %d, "limits": {"send_cap": 6, "connect_timeout": 0.3, "idle_close": 5.0, "retry_after": true,
+		"max_retry_after": 1.0, "may_cancel": true},
+	"grades": [{"name": "a", "semantics": "idempotency_key", "dedup_scope": "all", "window": 60.0, "on_time": 1.0,
+		"deadline": 2.0, "worth": 1.0}]}}
+`
+
+// writeFiles makes the links and writes the files.
+func (c *Cluster) writeFiles(lines []string) error {
+	relays := 0
+	for _, p := range c.nodes {
+		if p.Role == "relay" {
+			relays++
+		}
+	}
+	for _, p := range c.nodes {
+		if p.Role == "relay" {
+			platform := ""
+			if p.Platform != "" {
+				platform = fmt.Sprintf("%q: %q, ", "address", p.Platform)
+			}
+			path := filepath.Join(c.dir, p.Name+".json")
+			if err := os.WriteFile(path, fmt.Appendf(nil, relaySettings, platform, relays), 0o600); err != nil {
+				return err
+			}
+		}
+		var b strings.Builder
+		fmt.Fprintf(&b, "fleet {\n  name %s\n  node %s\n  role %s\n  zone %s\n  listen %s\n", c.fleetName, p.Name, p.Role, p.Zone,
+			net.JoinHostPort(p.address, fleetPort))
+		for _, line := range append(slices.Clone(lines), p.Directives...) {
+			fmt.Fprintf(&b, "  %s\n", line)
+		}
+		if !p.Diskless && p.Role != "relay" {
+			fmt.Fprintf(&b, "  data %s\n", p.dataDir)
+		}
+		if p.Role == "relay" {
+			fmt.Fprintf(&b, "  clients %s\n  settings %s.json\n", net.JoinHostPort(p.address, requestPort), p.Name)
+		}
+		for _, q := range c.nodes {
+			at := net.JoinHostPort(q.address, requestPort)
+			if p != q {
+				l, err := c.Links.Add(p.Name, q.Name, net.JoinHostPort(q.address, fleetPort))
+				if err != nil {
+					return err
+				}
+				fmt.Fprintf(&b, "  peer %s %s %s %s\n", q.Name, q.Role, q.Zone, l.Address())
+				if q.Role == "edge" {
+					if at, err = c.addRequestLink(p.Name, q); err != nil {
+						return err
+					}
+				}
+			}
+			if q.Role == "edge" {
+				fmt.Fprintf(&b, "  commands %s %s\n", q.Name, at)
+			}
+		}
+		if err := os.WriteFile(p.file, []byte(b.String()+"}\n"), 0o600); err != nil {
+			return err
+		}
+	}
+	return c.openNetwork()
+}
+
+// addRequestLink makes the link by which one sends requests to a process.
+func (c *Cluster) addRequestLink(from string, q *process) (address string, err error) {
+	l, err := c.Links.Add(from, q.Name, net.JoinHostPort(q.address, requestPort))
+	if err != nil {
+		return "", err
+	}
+	q.requestLinks[from] = l
+	return l.Address(), nil
+}
+
+// openNetwork opens the desk's links. As only processes of the file are heard, the desk speaks by the name of one that is no
+// controller, over links of its own; it is no member.
+func (c *Cluster) openNetwork() (err error) {
+	as := c.nodes[len(c.nodes)-1]
+	var others []peertransport.Peer
+	for _, q := range c.nodes {
+		if q.Role != "keeper" {
+			as = q
+			if _, err := c.addRequestLink(TestNode, q); err != nil {
+				return err
+			}
+			continue
+		}
+		l, err := c.Links.Add(TestNode, q.Name, net.JoinHostPort(q.address, fleetPort))
+		if err != nil {
+			return err
+		}
+		if q != as {
+			others = append(others, peertransport.Peer{Name: q.Name, Role: q.Role, Zone: q.Zone, Address: l.Address()})
+		}
+	}
+	c.network, err = peertransport.Open(c.fleetName, peertransport.Peer{Name: as.Name, Role: as.Role, Zone: as.Zone, Address: "127.0.0.1:0"}, others,
+		func(string) {})
+	return err
+}
--- a/internal/standin/testcluster/relay_test.go
+++ b/internal/standin/testcluster/relay_test.go
@@ -20,7 +20,7 @@
 	return all
 }
 
-// goodput is the share of commands that were acked, of those that began in a span.
+// goodput is the share of requests that were acknowledged, of those that began in a span.
 func goodput(all []Request, from, to time.Time) (share float64, n int) {
 	good := 0
 	for _, m := range all {
@@ -94,7 +94,7 @@
 	c.judge(t)
 }
 
-// A unit that refuses all connections is probed a few times a second by all relays together, though each has commands for it;
+// A node that refuses all connections is probed a few times a second by all relays together, though each has requests for it;
 // one relay stalls and the relays are split meanwhile.
 func TestSickUnitUnderManyRelays(t *testing.T) {
 	t.Parallel()
@@ -106,7 +106,7 @@
 	for i := range 3 {
 		fleet = append(fleet, Node{Name: fmt.Sprintf("keeper-%d", i+1), Role: "keeper", Zone: "north"})
 	}
-	// A lease long enough that keepers do not lose their lead beside so many processes.
+	// A lease long enough that controllers do not lose their lead beside so many processes.
 	c := New(t, 41, []string{"lease 6s", "silence 1s", "dwell 0s", "restart_after 1s"}, append(fleet, relays(n)...)...)
 	for _, p := range fleet { // so many processes that start at once keep one another from it
 		c.Start(p.Name)
--- a/internal/standin/testcluster/away_test.go
+++ b/internal/standin/testcluster/remote_replicas_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/placement"
 )
 
-// apart is two edge units in each of two zones, the keepers in the south, and so many holders away.
+// apart is two edge nodes in each of two zones, the controllers in the south, and so many replicas away.
 func apart(tb testing.TB, away int) (c *Cluster, units []string) {
 	tb.Helper()
 	units = []string{"edge-a", "edge-b", "edge-c", "edge-d"}
@@ -29,8 +29,8 @@
 	return c, units
 }
 
-// A zone is cut off from the other one and from the keepers, for longer than restart_after, while clients write to an
-// instance there. With a holder away it goes on elsewhere with every acked effect, and home once the zone is back; without, it is
+// A zone is cut off from the other one and from the controllers, for longer than restart_after, while clients write to an
+// instance there. With a replica away it goes on elsewhere with every acknowledged effect, and home once the zone is back; without, it is
 // begun anew.
 func TestAZoneCutOffForLongLosesNothing(t *testing.T) {
 	for _, away := range []int{1, 0} {
@@ -81,7 +81,7 @@
 	}
 }
 
-// What an ack costs: a client writes one command after the other to an instance whose holder is in its zone, or in another one
+// What an ack costs: a client writes one request after the other to an instance whose replica is in its zone, or in another one
 // that is so far.
 func BenchmarkAcks(b *testing.B) {
 	for _, away := range []int{0, 1} {
--- /dev/null
+++ b/internal/standin/testcluster/stalls.go
@@ -0,0 +1,54 @@
+package testcluster
+
+import (
+	"context"
+	"time"
+)
+
+// stall is a span in which this process, and with it its clients, was not run.
+type stall struct{ from, to time.Time }
+
+// recordStalls notes stalls, so that an answer is not held to be late that only its reader was late for.
+func (c *Cluster) recordStalls(ctx context.Context) {
+	const every = 20 * time.Millisecond
+	tick := time.NewTicker(every)
+	defer tick.Stop()
+	for last := time.Now(); ; {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		now := time.Now()
+		if now.Sub(last) > 5*every {
+			c.mu.Lock()
+			c.stalls = append(c.stalls, stall{last.Add(every), now})
+			c.mu.Unlock()
+		}
+		last = now
+	}
+}
+
+// RequestsWithoutStalls are the requests that have ended, without the time for which this process was stalled.
+func (c *Cluster) RequestsWithoutStalls() []Request {
+	all := c.Requests()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i := range all {
+		m := &all[i]
+		start, end := m.Start, m.End
+		for _, s := range c.stalls {
+			from, to := s.from, s.to
+			if from.Before(start) {
+				from = start
+			}
+			if to.After(end) {
+				to = end
+			}
+			if to.After(from) {
+				m.End = m.End.Add(from.Sub(to))
+			}
+		}
+	}
+	return all
+}
--- a/internal/standin/testcluster/versions_test.go
+++ b/internal/standin/testcluster/versions_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// mixed is vans with relays, of which some processes are of the earlier version, and waits until all serve.
+// mixed is batteries with relays, of which some processes are of the earlier version, and waits until all serve.
 func mixed(t *testing.T, seed uint64, old ...string) *Cluster {
 	t.Helper()
 	if testing.Short() {
@@ -138,7 +138,7 @@
 	return c
 }
 
-// loaded makes an instance at edge-a, and has clients write to it through units and relays.
+// loaded makes an instance at edge-a, and has clients write to it through nodes and relays.
 func (c *Cluster) loaded(t *testing.T, instance string) (stop func()) {
 	t.Helper()
 	units := c.served(t, instance, "edge-a", "edge-b")
@@ -180,7 +180,7 @@
 				when * leads
 				ask load 2500ms                  # units that lost their leases meanwhile act again
 			`)
-			// Earlier owners drop a holder that could not confirm while nobody had a lease. On a busy machine edge-b may have lost
+			// Earlier primaries drop a replica that could not confirm while nobody had a lease. On a busy machine edge-b may have lost
 			// its own meanwhile, and come back: epochs count on.
 			before := c.at(t, "cam-1", "edge-b")
 			c.play(t, "kill edge-b")
@@ -195,7 +195,7 @@
 	}
 }
 
-// All processes go to the later version one after the other, keepers first, then edge units, then relays; and back in the
+// All processes go to the later version one after the other, controllers first, then edge nodes, then relays; and back in the
 // other order.
 func TestTheWholeFleetIsRolledUnderLoad(t *testing.T) {
 	order := []string{"keeper-1", "keeper-2", "keeper-3", "edge-a", "edge-b", "relay-1", "relay-2"}
@@ -245,7 +245,7 @@
 	}
 }
 
-// at waits until an instance is at a unit, where its device is, with a holder.
+// at waits until an instance is at a node, where its device is, with a replica.
 func (c *Cluster) at(t *testing.T, instance, unit string) placement.Assignment {
 	t.Helper()
 	return c.place(t, instance, func(p placement.Assignment) bool {
@@ -253,7 +253,7 @@
 	})
 }
 
-// votes waits until a keeper follows or leads, and all the others do.
+// votes waits until a controller follows or leads, and all the others do.
 func (c *Cluster) votes(t *testing.T, keeper string) {
 	t.Helper()
 	why := ""
--- a/internal/standin/testcluster/zone_test.go
+++ b/internal/standin/testcluster/zone_test.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/standin/battery"
 )
 
-// van stands in for an edge unit's power and heat by a script, which begins when start is called; until then its battery
+// battery stands in for an edge node's power and heat by a script, which begins when start is called; until then its battery
 // is full.
 func van(t *testing.T, seed uint64, script string) (dir string, start func()) {
 	t.Helper()
@@ -32,16 +32,16 @@
 	return Node{Name: name, Role: "edge", Zone: zone, Directives: []string{"power " + dir}}
 }
 
-// fleetOf starts three keepers and the nodes, and waits until they are there.
+// fleetOf starts three controllers and the nodes, and waits until they are there.
 func fleetOf(t *testing.T, seed uint64, more ...Node) *Cluster {
 	t.Helper()
 	return vans(t, seed, 0, 0, more...)
 }
 
-// climb is how a van left in the sun warms, much faster than one would; near 85 degrees a unit hands on.
+// climb is how a battery left in the sun warms, much faster than one would; near 85 degrees a node hands on.
 const climb = "0 temp 50\n1 temp 58\n2 temp 66\n3 temp 74\n4 temp 82\n5 temp 88\n6 temp 89\n7 temp 88\n8 temp 89\n"
 
-// Both units of the north are too hot within the same two seconds: what they run goes south, and nothing stands still.
+// Both nodes of the north are too hot within the same two seconds: what they run goes south, and nothing stands still.
 func TestAllUnitsOfAZoneTiredAtOnce(t *testing.T) {
 	t.Parallel()
 	north1, tire1 := van(t, 1, climb)
@@ -84,7 +84,7 @@
 	}
 }
 
-// A unit whose readings are gone takes nothing new, and is not dead: what it runs goes on there.
+// A node whose readings are gone takes nothing new, and is not dead: what it runs goes on there.
 func TestReadingsThatAreGoneAreNotDeath(t *testing.T) {
 	t.Parallel()
 	north, gone := van(t, 3, "0 miss power_supply\n0 miss thermal\n")
@@ -101,7 +101,7 @@
 	c.judge(t)
 }
 
-// Heat swings around the limit: the unit hands on once and stays so for its dwell time, and nothing swings with it.
+// Heat swings around the limit: the node hands on once and stays so for its dwell time, and nothing swings with it.
 func TestHeatThatSwingsAroundALimit(t *testing.T) {
 	t.Parallel()
 	north, swing := van(t, 4, "0 temp 52\n1 temp 64\n2 temp 76\n3 temp 88\n5 temp 80\n7 temp 88\n9 temp 80\n11 temp 88\n")
