--- a/cmd/silvercovectl/fleet_ask.go
+++ b/cmd/silvercovectl/fleet_ask.go
@@ -13,7 +13,7 @@
 type fleetAskCmd struct {
 	Relay    string        `arg:"" help:"HOST:PORT where the relay's clients connect."`
 	Instance string        `arg:"" help:"The instance, such as camera-7."`
-	OpType   string        `default:"crop" help:"Op type of the command."`
+	Class    string        `name:"op-type" default:"crop" help:"Request class."`
 	Read     bool          `help:"Ask for the last effect in place of making one."`
 	Wait     time.Duration `default:"2s" help:"How long to wait for each answer."`
 	For      time.Duration `default:"10s" help:"For how long to ask again after a refusal, which did nothing."`
@@ -22,7 +22,7 @@
 // Run sends one command as a client would, again while it is refused, and prints the answer.
 func (c *fleetAskCmd) Run() error {
 	for end := time.Now().Add(c.For); ; time.Sleep(again) {
-		answer, err := ask(c.Relay, c.Instance, c.OpType, c.Read, c.Wait)
+		answer, err := ask(c.Relay, c.Instance, c.Class, c.Read, c.Wait)
 		if err == nil {
 			fmt.Println(answer)
 			return nil
--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -53,7 +53,7 @@
 // fleetCall is what calls to the keepers need.
 type fleetCall struct {
 	File string        `arg:"" help:"The operator's file of any process of the fleet."`
-	Wait time.Duration `default:"10s" help:"How long to wait for the keepers."`
+	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
 // with calls with a client that reaches others as the file's process does. It does not take that one's place.
@@ -90,14 +90,14 @@
 
 type fleetShowCmd struct {
 	fleetCall
-	Keepers bool `help:"Show how each keeper stands in place of units and instances."`
+	Controllers bool `name:"keepers" help:"Show how each controller stands in place of nodes and instances."`
 }
 
 // Run shows where instances run, and the units.
 func (c *fleetShowCmd) Run() error {
 	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		if c.Keepers {
+		if c.Controllers {
 			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
 			for _, name := range k.Controllers() {
 				s, err := k.Status(ctx, name)
@@ -182,14 +182,14 @@
 type fleetCreateCmd struct {
 	fleetCall
 	Name   string  `arg:"" help:"The instance."`
-	Unit   string  `arg:"" help:"The edge unit where it begins."`
+	Node   string  `name:"unit" arg:"" help:"The edge node where it begins."`
 	Zone   string  `arg:"" help:"Where its device is."`
-	Weight float64 `arg:"" help:"Importance, 1 to 100."`
+	Weight float64 `arg:"" help:"Priority weight, 1 to 100."`
 }
 
 // Run makes an instance.
 func (c *fleetCreateCmd) Run() error {
-	return c.step(placement.Operation{Kind: placement.OpCreate, Instance: c.Name, Target: c.Unit, Zone: c.Zone, Weight: c.Weight,
+	return c.step(placement.Operation{Kind: placement.OpCreate, Instance: c.Name, Target: c.Node, Zone: c.Zone, Weight: c.Weight,
 		Reason: "an operator made it"})
 }
 
@@ -214,17 +214,17 @@
 type fleetReleaseCmd struct {
 	fleetCall
 	Name string `arg:"" help:"A quarantined instance."`
-	Unit string `arg:"" help:"Where it runs again."`
+	Node string `name:"unit" arg:"" help:"Where it runs again."`
 }
 
 // Run releases an instance.
 func (c *fleetReleaseCmd) Run() error {
-	return c.step(placement.Operation{Kind: placement.OpRelease, Instance: c.Name, Target: c.Unit, Reason: "an operator released it"})
+	return c.step(placement.Operation{Kind: placement.OpRelease, Instance: c.Name, Target: c.Node, Reason: "an operator released it"})
 }
 
 type fleetForgetCmd struct {
 	fleetCall
-	Name string `arg:"" help:"The instance. Where its owner may still act, it has to be stopped first."`
+	Name string `arg:"" help:"The instance. Where its primary may still serve it, it has to be stopped first."`
 }
 
 // Run forgets an instance.
--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -42,8 +42,8 @@
 
 type fleetRebuildCmd struct {
 	fleetCall
-	Backup  string   `type:"existingfile" help:"What silvercovectl fleet backup wrote: importance, zones and what no unit has come from it."`
-	Without []string `help:"Edge units to go on without, where they are silent."`
+	Backup  string   `type:"existingfile" help:"What silvercovectl fleet backup wrote: priority weights, zones and what no node has come from it."`
+	Without []string `help:"Edge nodes to go on without, where they are silent."`
 }
 
 // Run writes a keeper's disk anew from what the edge units have, after a majority of the keepers' disks was lost. The
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -27,7 +27,7 @@
 	VersionStore versionStoreCmd `cmd:"" aliases:"floor" help:"Look into a store of metadata versions, or set its time back."`
 	Verdict      verdictCmd      `cmd:"" help:"Look into a relay's votes, and plan for evidence."`
 	Standin      standinCmd      `cmd:"" help:"Stand-ins for trying things out."`
-	Fleet        fleetCmd        `cmd:"" help:"Processes of a fleet whose parts talk with one another."`
+	Fleet        fleetCmd        `cmd:"" help:"Processes of a fleet that work together."`
 	Lab          labCmd          `cmd:"" help:"Measurements against stand-ins."`
 }
 
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -149,7 +149,7 @@
 	Address string `arg:"" help:"HOST:PORT of the front."`
 	Server  string `arg:"" help:"Name of the server."`
 	Root    string `required:"" type:"existingfile" help:"The Director's pinned root."`
-	Partial bool   `help:"Verify the Director's targets alone, as a small server does."`
+	Partial bool   `help:"Verify the Director's targets alone, as a server with little memory does."`
 }
 
 // Run verifies and prints the assignment.
@@ -231,8 +231,8 @@
 }
 
 type versionStoreCmd struct {
-	Show  versionStoreShowCmd  `cmd:"" help:"List what a floor holds; it must not be in use."`
-	Clock versionStoreClockCmd `cmd:"" help:"Set the floor's time back to now, after a clock was far ahead."`
+	Show  versionStoreShowCmd  `cmd:"" help:"List what a version store holds; it must not be in use."`
+	Clock versionStoreClockCmd `cmd:"" help:"Set the version store's time back to now, after a clock was far ahead."`
 }
 
 // logToStderr writes a log line for a person at a terminal.
@@ -241,7 +241,7 @@
 }
 
 type versionStoreShowCmd struct {
-	Paths []string `arg:"" type:"existingfile" help:"The floor's copies."`
+	Paths []string `arg:"" type:"existingfile" help:"The version store's copies."`
 }
 
 // Run lists a floor.
@@ -259,7 +259,7 @@
 }
 
 type versionStoreClockCmd struct {
-	Paths []string `arg:"" type:"existingfile" help:"The floor's copies."`
+	Paths []string `arg:"" type:"existingfile" help:"The version store's copies."`
 	Yes   bool     `help:"Do it: what has expired since may count as current again until its own end."`
 }
 
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -181,7 +181,7 @@
 type labLoopbackCmd struct {
 	File     string `arg:"" type:"existingfile" help:"The experiment's file."`
 	Rollouts int    `default:"6" help:"Of each package."`
-	Width    int    `default:"6" help:"Rollouts at once; each has real relays, units and clients."`
+	Width    int    `default:"6" help:"Rollouts at once; each has real relays, backends and clients."`
 }
 
 // Run plays rollouts with real relays and in the model.
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -14,12 +14,12 @@
 )
 
 type verdictCmd struct {
-	Explain verdictExplainCmd `cmd:"" help:"Tell why each vote was cast, from a relay's ledger."`
+	Explain verdictExplainCmd `cmd:"" help:"Tell why each vote was cast, from a relay's evidence file."`
 	Plan    verdictPlanCmd    `cmd:"" help:"Tell how long evidence takes at an installation's traffic."`
 }
 
 type verdictExplainCmd struct {
-	File string `arg:"" type:"existingfile" help:"The ledger that the operator's file of a relay names."`
+	File string `arg:"" type:"existingfile" help:"The evidence file that the operator's file of a relay names."`
 }
 
 // Run prints the reasons.
@@ -33,12 +33,12 @@
 }
 
 type verdictPlanCmd struct {
-	Rates  map[string]float64 `arg:"" help:"Commands a second of each op type at all relays, such as read=300 sell=2."`
-	Relays int                `default:"1" help:"Relays that share them and don't tell each other."`
-	Caps   []float64          `default:"0.1,0.35,1" help:"Caps of the waves."`
+	Rates  map[string]float64 `arg:"" help:"Requests a second of each request class at all relays, such as read=300 sell=2."`
+	Relays int                `default:"1" help:"Relays that share them and exchange nothing."`
+	Caps   []float64          `default:"0.1,0.35,1" help:"Exposure caps of the stages."`
 	Base   float64            `default:"0.01" help:"Failure share of the earlier package."`
 	Effect float64            `default:"0.2" help:"Failures beyond it that are to be ruled out."`
-	Miss   float64            `default:"0.05" help:"Chance of a miss, for one op type at one relay."`
+	Miss   float64            `default:"0.05" help:"Chance of a miss, for one request class at one relay."`
 }
 
 // Run prints the table: outcomes and time for each op type in each wave.
