--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -27,7 +27,7 @@
 	if u.mark.settled {
 		kept = u.mark
 	}
-	f.cluster.requestLease(u, run, ask, said, kept, doubts, func(version, known uint64) {
+	granted := func(version, known uint64) {
 		u.deliver(run, func() {
 			u.onLeaseGranted(run, known, doubts)
 			now, until := u.now(), sent+lease
@@ -47,7 +47,9 @@
 				u.watchPlacements()
 			}
 		})
-	})
+	}
+	f.cluster.requestLease(&leaseRequest{node: u, incarnation: run, status: ask, reported: said, records: kept, unverified: doubts,
+		granted: granted})
 	f.after(u.realSpan(lease/3), func() { u.deliver(run, func() { u.renewLease(run) }) })
 }
 
