--- a/cmd/silvercovectl/fleetsim.go
+++ b/cmd/silvercovectl/fleetsim.go
@@ -55,7 +55,7 @@
 		s.RemoteReplicas = c.RemoteReplicas
 		fleetsim.PlayEvent(os.Stdout, c.Seed, s, tick.FromDuration(c.Event))
 	default:
-		fleetsim.SettleTable(os.Stdout, c.Seed, c.Nodes, c.RemoteReplicas)
+		fleetsim.RecoveryTable(os.Stdout, c.Seed, c.Nodes, c.RemoteReplicas)
 	}
 	return nil
 }
--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -173,17 +173,21 @@
 	n.day.violation(fmt.Sprintf("a vote %d on a good build", v))
 }
 
-// What a day has no use for.
 func (n *dayRelay) Probe(*balancer.Backend) {}
 
+// CloseIdle does nothing: connections are not simulated.
 func (n *dayRelay) CloseIdle(*balancer.Backend) {}
 
+// SendGossip does nothing: relays here do not gossip by the balancer.
 func (n *dayRelay) SendGossip(uint32, []byte) {}
 
+// Log drops log lines.
 func (n *dayRelay) Log(string, ...slog.Attr) {}
 
+// WatchEndpoints does nothing: every relay is told of changes.
 func (n *dayRelay) WatchEndpoints(bool) {}
 
+// FetchEndpoints does nothing: every relay is told of changes.
 func (n *dayRelay) FetchEndpoints() {}
 
 // killRelay ends a relay at once; what it had taken is lost with it, and another starts in its place.
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -192,7 +192,7 @@
 	c.inFlight = nil
 	now := k.clock(f.now)
 	l := &leadership{cluster: c, controller: k, term: c.term, lessor: leases.New(leases.ConfigFrom(f.settings)), nodeStatus: map[string]migration.NodeStatus{},
-		reportedStatus: map[string]migration.NodeStatus{}, expiredPending: map[string]int{},
+		reportedStatus: map[string]migration.NodeStatus{}, blockedGrants: map[string]int{},
 		waitingGrants: map[string][]func(){}}
 	l.verifier = devicehealth.NewVerifier()
 	l.lessor.OnElected(now, c.incarnations)
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -21,6 +21,7 @@
 	Amount   float64 // loss, heat, devices of a swarm in parts of a zone's
 }
 
+// String is the text of it in scripts and reports.
 func (x Fault) String() string {
 	text := fmt.Sprintf("%d %s %s", x.At/milli, x.Kind, x.Target)
 	if x.To != "" {
@@ -38,6 +39,7 @@
 // Script is faults, which may overlap.
 type Script []Fault
 
+// String is the text of it in scripts and reports.
 func (s Script) String() string {
 	var lines []string
 	for _, x := range s {
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -146,7 +146,7 @@
 	}
 	p, _ := table.Get(c.name)
 	f.checker.onPlaced(placement.Assignment{}, p)
-	c.owners = append(c.owners, ownership{at: 0, node: primary.name})
+	c.primaries = append(c.primaries, ownership{at: 0, node: primary.name})
 	f.checker.idleSince[c.name] = 1
 	for _, name := range append([]string{p.Primary}, p.Replicas...) {
 		c.addInterested(f.nodeByName[name])
--- a/internal/lab/fleetsim/member_probe.go
+++ b/internal/lab/fleetsim/member_probe.go
@@ -63,7 +63,7 @@
 				return
 			}
 			m.table.MarkDown(f.now, o.endpoint.name, false)
-			m.enqueue(&update{member: o.id, down: true, since: since})
+			m.enqueue(&update{member: o.id, isDown: true, since: since})
 		})
 	})
 }
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -122,7 +122,7 @@
 }
 
 func (u *edgeNode) logEvent(what, instance string, epoch uint64, to, why string) {
-	u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: what, Instance: instance, Epoch: epoch, To: to, Why: firstWords(why)})
+	u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: what, Instance: instance, Epoch: epoch, To: to, Why: reasonTitle(why)})
 }
 
 // start is a process's beginning: it learns what the controllers count on it for before they know of its run.
@@ -169,7 +169,7 @@
 			u.watchNumber++
 			u.startMark, u.diskChecked, u.countRaised, u.highestCount = u.mark, false, false, 0
 			u.mark.settled = false
-			base := f.disabled.counted(places)
+			base := f.disabled.baseline(places)
 			u.manager = replica.NewManager(u, u.now(), replica.ConfigFrom(u.name, run, f.settings),
 				replica.Start{Logs: records, Assignments: base, Version: version})
 			for _, p := range places[len(base):] {
@@ -190,8 +190,8 @@
 	})
 }
 
-// counted is what a node is told at its start of what is counted on it for.
-func (w disabledDefences) counted(places []placement.Assignment) []placement.Assignment {
+// baseline is what a node is told at its start of what is counted on it for.
+func (w disabledDefences) baseline(places []placement.Assignment) []placement.Assignment {
 	if w.noBaseline {
 		return nil
 	}
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -72,6 +72,7 @@
 	})
 }
 
+// AppendEntry asks the disk to append an entry to an instance's log.
 func (u *edgeNode) AppendEntry(name string, e replica.LogEntry) {
 	u.queueWrite(name, e.Index, func(rec *replica.Log) bool {
 		if rec == nil || !rec.Continues(e) {
@@ -82,6 +83,7 @@
 	})
 }
 
+// TruncateLog asks the disk to cut a log off after an index.
 func (u *edgeNode) TruncateLog(name string, seq uint64) {
 	u.queueWrite(name, seq, func(rec *replica.Log) bool {
 		if rec == nil {
@@ -92,6 +94,7 @@
 	})
 }
 
+// ResetLog asks the disk to begin a log anew after a base.
 func (u *edgeNode) ResetLog(name string, base, sum uint64) {
 	u.queueWrite(name, base, func(*replica.Log) bool {
 		u.logs[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
@@ -99,6 +102,7 @@
 	})
 }
 
+// DeleteLog asks the disk to delete a log.
 func (u *edgeNode) DeleteLog(name string) {
 	u.queueWrite(name, 0, func(*replica.Log) bool { delete(u.logs, name); return true })
 }
--- a/internal/lab/fleetsim/node_host.go
+++ b/internal/lab/fleetsim/node_host.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// Propose sends an operation to the controllers.
 func (u *edgeNode) Propose(e placement.Operation) {
 	run := u.incarnation
 	u.fleet.cluster.proposeStep(u.endpoint, e, func(p placement.Assignment, err error) {
@@ -67,6 +68,7 @@
 	})
 }
 
+// Respond answers a request at this node.
 func (u *edgeNode) Respond(c *replica.Request, a replica.Response) {
 	s := u.requests[c]
 	if s == nil {
@@ -77,6 +79,7 @@
 	s.respond(a)
 }
 
+// Notify notes what the replica manager did.
 func (u *edgeNode) Notify(e replica.Event) {
 	f := u.fleet
 	if i := slices.Index(decisions, e.Kind); i > 0 && e.Instance != "" {
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -48,7 +48,7 @@
 			why = u.health.Reasons[0]
 		}
 		if was != "" {
-			u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: "strength", State: string(u.health.State), Why: firstWords(why)})
+			u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: "strength", State: string(u.health.State), Why: reasonTitle(why)})
 		}
 	}
 }
--- a/internal/lab/fleetsim/request.go
+++ b/internal/lab/fleetsim/request.go
@@ -54,12 +54,12 @@
 		}
 	})
 	if m.relay.downCount > 0 {
-		m.finish("nacked")
+		m.end("nacked")
 		return
 	}
 	if ok, _ := m.relay.overload.Admit(m.relay.now(), 0, m.device.weight, m.device.name); !ok {
 		f.checker.Shed++
-		m.finish("nacked")
+		m.end("nacked")
 		return
 	}
 	m.relay.overload.RecordFirstAttempt(m.relay.now())
@@ -175,12 +175,12 @@
 	case replica.Succeeded:
 		m.relay.recordOutcome(u.name, true)
 		m.relay.overload.RecordServiceTime(m.relay.now(), 0, serviceTime)
-		m.finish("acked")
+		m.end("acked")
 	case replica.Rejected:
 		m.attempt++
 		f.after(retryInterval, m.sendAttempt) // held until the news come
 	case replica.TooLarge:
-		m.finish("nacked")
+		m.end("nacked")
 	default:
 		m.mayHaveEffect = m.mayHaveEffect || m.write
 		m.giveUp()
@@ -190,14 +190,14 @@
 // giveUp ends a request that can't be carried out in time.
 func (m *request) giveUp() {
 	if m.mayHaveEffect {
-		m.finish("unknown")
+		m.end("unknown")
 		return
 	}
-	m.finish("nacked")
+	m.end("nacked")
 }
 
-// finish is its one final answer.
-func (m *request) finish(how string) {
+// end is its one final answer.
+func (m *request) end(how string) {
 	f := m.fleet
 	if m.final {
 		f.checker.fail("command %s has two final answers", m.id)
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -79,8 +79,8 @@
 	return all
 }
 
-// firstWords is text of the first words, for timelines.
-func firstWords(text string) string {
+// reasonTitle is text of the first words, for timelines.
+func reasonTitle(text string) string {
 	if first, _, ok := strings.Cut(text, ":"); ok && len(text) > 24 {
 		return first
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -108,6 +108,7 @@
 	err error
 }
 
+// Write writes p unless an earlier write failed.
 func (w *stickyWriter) Write(p []byte) (int, error) {
 	if w.err != nil {
 		return 0, w.err
--- a/internal/lab/model_relay.go
+++ b/internal/lab/model_relay.go
@@ -219,6 +219,7 @@
 // Reject, Fail: the client has no answer.
 func (n *relayNode) Reject(*balancer.Request, balancer.Tick) { n.result.Failed++ }
 
+// Fail ends a request that got no answer in time.
 func (n *relayNode) Fail(*balancer.Request) { n.result.Failed++ }
 
 // CancelAttempt ends an attempt at once.
@@ -246,14 +247,19 @@
 // What the model has no use for.
 func (n *relayNode) Probe(*balancer.Backend) {}
 
+// CloseIdle does nothing: connections are not simulated.
 func (n *relayNode) CloseIdle(*balancer.Backend) {}
 
+// SendGossip does nothing: relays here do not gossip by the balancer.
 func (n *relayNode) SendGossip(uint32, []byte) {}
 
+// Log drops log lines.
 func (n *relayNode) Log(string, ...slog.Attr) {}
 
+// WatchEndpoints does nothing: every relay is told of changes.
 func (n *relayNode) WatchEndpoints(bool) {}
 
+// FetchEndpoints does nothing: every relay is told of changes.
 func (n *relayNode) FetchEndpoints() {}
 
 // CastVote brings a vote to the platform, where one decides.
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -45,6 +45,7 @@
 	AllParts     = Parts{true, true, true, true}
 )
 
+// String is the text of it in tables.
 func (p Parts) String() string {
 	switch p {
 	case WithoutFleet:
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -270,17 +270,22 @@
 	return !n.model.Parts.Probes || n.overload.AllowProbe(n.model.clock(), fmt.Sprint("unit-", u.ID))
 }
 
-// What has no use here.
 func (n *overloadRelay) Probe(*balancer.Backend) {}
 
+// CloseIdle does nothing: connections are not simulated.
 func (n *overloadRelay) CloseIdle(*balancer.Backend) {}
 
+// SendGossip does nothing: relays here do not gossip by the balancer.
 func (n *overloadRelay) SendGossip(uint32, []byte) {}
 
+// Log drops log lines.
 func (n *overloadRelay) Log(string, ...slog.Attr) {}
 
+// WatchEndpoints does nothing: every relay is told of changes.
 func (n *overloadRelay) WatchEndpoints(bool) {}
 
+// FetchEndpoints does nothing: every relay is told of changes.
 func (n *overloadRelay) FetchEndpoints() {}
 
+// CastVote does nothing: no version is rolled out.
 func (n *overloadRelay) CastVote(uint16, int, balancer.Verdict) {}
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -49,6 +49,7 @@
 // Share is the rate itself.
 func (r Rate) Share() float64 { return float64(r.Count) / float64(max(1, r.Total)) }
 
+// String is the text of it in tables.
 func (r Rate) String() string {
 	if r.Total == 0 {
 		return "-"
--- a/internal/standin/faultproxy/network.go
+++ b/internal/standin/faultproxy/network.go
@@ -43,6 +43,7 @@
 	BreakChance float64       // each piece breaks its connection with this chance
 }
 
+// String is the text of it in scripts and reports.
 func (f Fault) String() string {
 	var w []string
 	if f.Silent {
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -116,6 +116,7 @@
 	r.trace.add(kind, r.balancer, append(values, uint64(r.now()))...)
 }
 
+// StartAttempt records an attempt.
 func (r *recorder) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
 	request, backend := attempt.Request, attempt.Backend
 	r.add(callStartAttempt, r.trace.request(request), request.ID, uint64(request.Class), uint64(request.Tenant),
@@ -124,37 +125,44 @@
 	r.host.StartAttempt(attempt, deadline)
 }
 
+// Reject records a rejection.
 func (r *recorder) Reject(request *balancer.Request, retryAfter balancer.Tick) {
 	r.add(callReject, r.trace.request(request), request.ID, uint64(retryAfter))
 	r.host.Reject(request, retryAfter)
 }
 
+// Fail records a failure.
 func (r *recorder) Fail(request *balancer.Request) {
 	r.add(callFail, r.trace.request(request), request.ID)
 	r.host.Fail(request)
 }
 
+// CancelAttempt records a cancellation.
 func (r *recorder) CancelAttempt(attempt *balancer.Attempt) {
 	request := attempt.Request
 	r.add(callCancelAttempt, r.trace.request(request), request.ID, uint64(attempt.Number), uint64(attempt.Backend.ID))
 	r.host.CancelAttempt(attempt)
 }
 
+// SetTimer records a timer.
 func (r *recorder) SetTimer(at balancer.Tick, tag uint32) {
 	r.add(callSetTimer, uint64(at), uint64(tag))
 	r.host.SetTimer(at, tag)
 }
 
+// Probe records a probe.
 func (r *recorder) Probe(backend *balancer.Backend) {
 	r.add(callProbe, uint64(backend.ID))
 	r.host.Probe(backend)
 }
 
+// CloseIdle records that idle connections are closed.
 func (r *recorder) CloseIdle(backend *balancer.Backend) {
 	r.add(callCloseIdle, uint64(backend.ID))
 	r.host.CloseIdle(backend)
 }
 
+// SendGossip records a gossip message.
 func (r *recorder) SendGossip(peer uint32, data []byte) {
 	sum := fnv.New64a()
 	sum.Write(data)
@@ -162,18 +170,22 @@
 	r.host.SendGossip(peer, data)
 }
 
+// Log passes a log line on; its wording is no decision.
 func (r *recorder) Log(message string, fields ...slog.Attr) { r.host.Log(message, fields...) }
 
+// WatchEndpoints records whether endpoint changes are watched.
 func (r *recorder) WatchEndpoints(on bool) {
 	r.add(callWatchEndpoints, bit(on))
 	r.host.WatchEndpoints(on)
 }
 
+// FetchEndpoints records a fetch of the endpoint list.
 func (r *recorder) FetchEndpoints() {
 	r.add(callFetchEndpoints)
 	r.host.FetchEndpoints()
 }
 
+// CastVote records a vote.
 func (r *recorder) CastVote(version uint16, stage int, verdict balancer.Verdict) {
 	r.add(callCastVote, uint64(version), uint64(stage), uint64(verdict))
 	r.host.CastVote(version, stage, verdict)
@@ -184,18 +196,21 @@
 	fleet fleet
 }
 
+// MayRetry records an answer of the retry budget.
 func (r *fleetRecorder) MayRetry(request *balancer.Request) bool {
 	may := r.fleet.MayRetry(request)
 	r.add(callMayRetry, r.trace.request(request), request.ID, bit(may))
 	return may
 }
 
+// AvoidsBackend records whether a backend is avoided.
 func (r *fleetRecorder) AvoidsBackend(backend *balancer.Backend) bool {
 	avoids := r.fleet.AvoidsBackend(backend)
 	r.add(callAvoidsBackend, uint64(backend.ID), bit(avoids))
 	return avoids
 }
 
+// MayProbe records whether a backend may be probed.
 func (r *fleetRecorder) MayProbe(backend *balancer.Backend) bool {
 	may := r.fleet.MayProbe(backend)
 	r.add(callMayProbe, uint64(backend.ID), bit(may))
