--- /dev/null
+++ b/internal/director/events.go
@@ -0,0 +1,153 @@
+package director
+
+import (
+	"log/slog"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/stagedrollout"
+	"silvercove/internal/tufverify"
+)
+
+// UpdateServers replaces the list of servers, or, if it is not complete, changes the servers in it.
+func (d *Director) UpdateServers(complete bool, endpoints []dispatch.Endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.tick()
+	named := map[string]bool{}
+	for _, endpoint := range endpoints {
+		named[endpoint.Name] = true
+		d.updateServer(now, endpoint)
+	}
+	for name, s := range d.servers {
+		if complete && !named[name] {
+			d.rollout.OnListed(now, &s.Server, false)
+		}
+	}
+	d.rollout.OnListComplete(now)
+}
+
+// updateServer adds or changes one server of a list.
+func (d *Director) updateServer(now stagedrollout.Tick, endpoint dispatch.Endpoint) {
+	s := d.servers[endpoint.Name]
+	added := s == nil
+	if added {
+		s = &server{}
+		s.Name = endpoint.Name
+		d.servers[endpoint.Name] = s
+	}
+	s.Zone, s.Kind = endpoint.Zone, endpoint.MachineKind
+	if listed := endpoint.State != "removed"; listed || !added {
+		d.rollout.OnListed(now, &s.Server, listed)
+	}
+}
+
+// phases are the rollout's phases by the names of the release API.
+var phases = map[string]stagedrollout.Phase{
+	"testing":   stagedrollout.Canary,
+	"recalling": stagedrollout.RollingBack,
+	"live":      stagedrollout.Released,
+	"recalled":  stagedrollout.Withdrawn,
+}
+
+// phaseLive is the name of the phase of a released version.
+const phaseLive = "live"
+
+// noHardwareKind is a list of kinds that no server's hardware is of.
+var noHardwareKind = []string{""}
+
+// OnStage records the stage of the newest version. A stage of an earlier version is ignored, as is one of a version that was
+// released before a restart.
+func (d *Director) OnStage(stage dispatch.RolloutStage) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if stage.Version < d.stage.Version || !stage.Valid() {
+		return
+	}
+	if stage.Version <= d.released && stage.Phase != phaseLive {
+		return
+	}
+	kinds, known := d.hardwareKinds(stage)
+	if d.stage.Phase == phaseLive && d.stage.Version != stage.Version {
+		d.recordReleased(d.stage.Version)
+	}
+	d.stage, d.stageKinds, d.deferredStage = stage, kinds, nil
+	now := d.tick()
+	if !known { // servers may be rolled back, and none is assigned the version
+		d.deferredStage = &stage
+		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
+	}
+	if stage.Version == d.released { // there is no newer version
+		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
+		return
+	}
+	d.rollout.OnStage(now, stage.Version, d.released, phases[stage.Phase], stage.ExposureCap, kinds)
+}
+
+// hardwareKinds are the kinds of hardware that the package of a stage's version fits. Until the image repository has it they
+// are noHardwareKind, and known is false.
+func (d *Director) hardwareKinds(stage dispatch.RolloutStage) (kinds []string, known bool) {
+	if stage.Version == d.stage.Version && d.deferredStage == nil {
+		return d.stageKinds, true
+	}
+	target, refusal := d.lookUp(d.packages[stage.Version])
+	if refusal == nil {
+		return target.Custom.Kinds, true
+	}
+	if d.waitingVersion != stage.Version {
+		d.waitingVersion = stage.Version
+		d.log(slog.LevelWarn, "package waits for the image repository",
+			append([]slog.Attr{slog.Int("version", int(stage.Version))}, refusal.LogFields()...)...)
+	}
+	return noHardwareKind, false
+}
+
+// recordReleased records a version as released.
+func (d *Director) recordReleased(version uint16) {
+	if version <= d.released {
+		return
+	}
+	if err := d.store.Record(releasedKey, int64(version), tufverify.Digest{}); err != nil {
+		d.log(slog.LevelError, "released version could not be recorded", slog.Int("version", int(version)),
+			slog.String("error", err.Error()))
+	}
+	d.released = version
+}
+
+// OnVote records a vote of this installation. While one to hold or roll back stands, no further server is assigned the version.
+func (d *Director) OnVote(v dispatch.Vote) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if v.Version == d.stage.Version && (v.Verdict == "HOLD" || v.Verdict == "ROLLBACK") {
+		d.rollout.Pause(d.tick())
+	}
+}
+
+// installResults are the results of an installation by the words of a report; any other word is InstallPending.
+var installResults = map[string]stagedrollout.InstallResult{
+	"ok":       stagedrollout.InstallSucceeded,
+	"failed":   stagedrollout.InstallFailed,
+	"declined": stagedrollout.InstallDeclined,
+}
+
+// OnReport records a verified report. Its error is ErrUnknownServer.
+func (d *Director) OnReport(r *tufverify.Report) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.servers[r.Server]
+	if s == nil {
+		return ErrUnknownServer
+	}
+	d.Reports++
+	if r.Attack != "" {
+		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.Attack))
+	}
+	tried := uint16(0)
+	for version, path := range d.packages {
+		if path == r.Tried && path != "" {
+			tried = version
+		}
+	}
+	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, installResults[r.Installed])
+	return nil
+}
--- /dev/null
+++ b/internal/keys/key_file.go
@@ -0,0 +1,213 @@
+package keys
+
+import (
+	"bytes"
+	"crypto"
+	"crypto/cipher"
+	"crypto/rand"
+	"crypto/x509"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/google/renameio/v2"
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+	"golang.org/x/crypto/chacha20poly1305"
+	"golang.org/x/crypto/scrypt"
+)
+
+// Suffix of key files, and of the files with public parts beside them.
+const (
+	Suffix       = ".key"
+	PublicSuffix = ".pub"
+)
+
+// Costs of scrypt for new files (RFC 7914; N as its paper gives for files).
+const (
+	scryptN = 1 << 15
+	scryptR = 8
+	scryptP = 1
+)
+
+// Limits of a key file: its size in bytes, and the costs that it may ask for. scrypt takes 128·N·r bytes of memory.
+const (
+	maxFileSize = 64 << 10
+	maxScryptN  = 1 << 20
+	maxScryptR  = 16
+	maxScryptP  = 4
+)
+
+// saltSize is the length of a new file's salt in bytes.
+const saltSize = 16
+
+// keyFile is the stored form of a key.
+type keyFile struct {
+	Form      string `json:"form"` // "silvercove-key-1"
+	Type      string `json:"type"`
+	ID        string `json:"id"`
+	Encrypted bool   `json:"encrypted"`
+	N         int    `json:"n,omitempty"` // costs of scrypt
+	R         int    `json:"r,omitempty"`
+	P         int    `json:"p,omitempty"`
+	Salt      []byte `json:"salt,omitempty"`
+	Nonce     []byte `json:"nonce,omitempty"`
+	Key       []byte `json:"key"` // PKCS #8, encrypted with XChaCha20-Poly1305 where Encrypted
+}
+
+// keyFileForm is the name of the stored form.
+const keyFileForm = "silvercove-key-1"
+
+// Save writes a key file and the public key beside it (see PublicPath). With an empty passphrase the key is not encrypted: only
+// for online keys. Its error wraps ErrExists where there is a file.
+func (k *Key) Save(path string, passphrase []byte) error {
+	if _, err := os.Lstat(path); err == nil {
+		return fmt.Errorf("%s: %w", path, ErrExists)
+	}
+	der, err := x509.MarshalPKCS8PrivateKey(k.Private)
+	if err != nil {
+		return fmt.Errorf("%s: the key cannot be written", path)
+	}
+	f := keyFile{Form: keyFileForm, Type: k.Public.Type, ID: k.ID, Key: der}
+	if len(passphrase) > 0 {
+		f.Encrypted, f.N, f.R, f.P = true, scryptN, scryptR, scryptP
+		f.Salt, f.Nonce = make([]byte, saltSize), make([]byte, chacha20poly1305.NonceSizeX)
+		rand.Read(f.Salt)
+		rand.Read(f.Nonce)
+		box, err := f.cipher(passphrase)
+		if err != nil {
+			return err
+		}
+		f.Key = box.Seal(nil, f.Nonce, der, f.associatedData())
+	}
+	text, _ := json.MarshalIndent(f, "", "  ")
+	if err := renameio.WriteFile(path, append(text, '\n'), 0o600, renameio.WithTempDir(filepath.Dir(path)),
+		renameio.IgnoreUmask()); err != nil {
+		return err
+	}
+	k.Path = path
+	public, _ := json.MarshalIndent(k.Public, "", "  ")
+	return renameio.WriteFile(PublicPath(path), append(public, '\n'), 0o644,
+		renameio.WithTempDir(filepath.Dir(path)))
+}
+
+// PublicPath is the path of the public key beside a key file.
+func PublicPath(path string) string { return strings.TrimSuffix(path, Suffix) + PublicSuffix }
+
+// cipher is the cipher of the private key by a passphrase.
+func (f *keyFile) cipher(passphrase []byte) (cipher.AEAD, error) {
+	secret, err := scrypt.Key(passphrase, f.Salt, f.N, f.R, f.P, chacha20poly1305.KeySize)
+	if err != nil {
+		return nil, fmt.Errorf("costs of the pass phrase: %w", ErrNotKeyFile)
+	}
+	return chacha20poly1305.NewX(secret)
+}
+
+// associatedData authenticates the parts of the file that are not encrypted.
+func (f *keyFile) associatedData() []byte { return []byte(f.Form + "/" + f.Type + "/" + f.ID) }
+
+// Load reads a key file. passphrase is called only where the key is encrypted. Its error wraps ErrMode, ErrNotKeyFile,
+// ErrNoPassphrase, ErrPassphrase, or is passphrase's or the file system's.
+func Load(path string, passphrase func() ([]byte, error)) (*Key, error) {
+	f, err := readFile(path)
+	if err != nil {
+		return nil, err
+	}
+	der := f.Key
+	if f.Encrypted {
+		if der, err = f.decrypt(path, passphrase); err != nil {
+			return nil, err
+		}
+	}
+	parsed, err := x509.ParsePKCS8PrivateKey(der)
+	private, ok := parsed.(crypto.Signer)
+	if err != nil || !ok {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	k, err := newKey(private)
+	if err != nil || k.ID != f.ID {
+		return nil, fmt.Errorf("%s: its identifier is another key's: %w", path, ErrNotKeyFile)
+	}
+	k.Path = path
+	return k, nil
+}
+
+// decrypt decrypts the private key with the passphrase that ask returns.
+func (f *keyFile) decrypt(path string, ask func() ([]byte, error)) ([]byte, error) {
+	if ask == nil {
+		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
+	}
+	passphrase, err := ask()
+	if err != nil {
+		return nil, err
+	}
+	if len(passphrase) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
+	}
+	if f.N < 2 || f.N > maxScryptN || f.R < 1 || f.R > maxScryptR || f.P < 1 || f.P > maxScryptP ||
+		len(f.Nonce) != chacha20poly1305.NonceSizeX {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	box, err := f.cipher(passphrase)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	der, err := box.Open(nil, f.Nonce, f.Key, f.associatedData())
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, ErrPassphrase)
+	}
+	return der, nil
+}
+
+// readFile reads a key file whose mode lets no others read it. Nothing is decrypted.
+func readFile(path string) (*keyFile, error) {
+	in, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = in.Close() }()
+	info, err := in.Stat()
+	if err != nil {
+		return nil, err
+	}
+	if info.Mode().Perm()&0o077 != 0 {
+		return nil, fmt.Errorf("%s: mode %04o: %w", path, info.Mode().Perm(), ErrMode)
+	}
+	if !info.Mode().IsRegular() || info.Size() > maxFileSize {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	text := make([]byte, info.Size())
+	if _, err := io.ReadFull(in, text); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	f := &keyFile{}
+	dec := json.NewDecoder(bytes.NewReader(text))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(f); err != nil || f.Form != keyFileForm {
+		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	return f, nil
+}
+
+// Public reads a public key and its identifier, by the path of its own file or of the key file. Its error wraps ErrNotKeyFile
+// or is the file system's.
+func Public(path string) (*metadata.Key, string, error) {
+	if strings.HasSuffix(path, Suffix) {
+		path = PublicPath(path)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, "", err
+	}
+	k := &metadata.Key{}
+	if err := json.Unmarshal(text, k); err != nil {
+		return nil, "", fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	if _, err := k.ToPublicKey(); err != nil {
+		return nil, "", fmt.Errorf("%s: %w", path, ErrNotKeyFile)
+	}
+	id, err := k.ID()
+	return k, id, err
+}
--- /dev/null
+++ b/internal/keys/passphrase.go
@@ -0,0 +1,26 @@
+package keys
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+)
+
+// PassphraseFrom gives a function that reads the passphrase from the file that COVE_PASSPHRASE_FILE names, which others must
+// not be able to read (ErrMode), or else from COVE_PASSPHRASE. env gives the environment's variables.
+func PassphraseFrom(env func(string) string) func() ([]byte, error) {
+	return func() ([]byte, error) {
+		if path := env("COVE_PASSPHRASE_FILE"); path != "" {
+			info, err := os.Stat(path)
+			if err != nil {
+				return nil, err
+			}
+			if info.Mode().Perm()&0o077 != 0 {
+				return nil, fmt.Errorf("%s: %w", path, ErrMode)
+			}
+			text, err := os.ReadFile(path)
+			return bytes.TrimRight(text, "\r\n"), err
+		}
+		return []byte(env("COVE_PASSPHRASE")), nil
+	}
+}
--- /dev/null
+++ b/internal/metadataproxy/exchange.go
@@ -0,0 +1,143 @@
+package metadataproxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"net/url"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/transport"
+	"silvercove/internal/tufverify"
+)
+
+// mirrorResponse is a mirror's answer to one request. data is nil unless the status is 200 and the body came whole.
+type mirrorResponse struct {
+	status int
+	data   []byte
+	closed transport.CloseStatus
+}
+
+// download gets a whole file of at most maxSize bytes from a mirror.
+func (r *Repository) download(ctx context.Context, mirror dispatch.Backend, path string, maxSize int) (answer mirrorResponse) {
+	answer.status, answer.closed = r.roundTrip(ctx, mirror, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
+		if status != http.StatusOK {
+			return transport.CloseStatus{}
+		}
+		if length > int64(maxSize) {
+			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
+		}
+		data, err := io.ReadAll(io.LimitReader(body, int64(maxSize)+1))
+		switch {
+		case err != nil:
+			return closeStatus(ctx, err, true)
+		case len(data) > maxSize:
+			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
+		}
+		answer.data = data
+		return transport.CloseStatus{}
+	})
+	return answer
+}
+
+// roundTrip sends one request to a mirror, for the bytes from an offset on, and has read take the body. It ends once the
+// body comes too slowly; status is 0 without an answer.
+func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, from int64,
+	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var sent atomic.Bool
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		WroteRequest: func(info httptrace.WroteRequestInfo) { sent.Store(info.Err == nil) }})
+	req, err := http.NewRequestWithContext(traced, http.MethodGet,
+		(&url.URL{Scheme: "http", Host: mirror.Address, Path: "/" + path}).String(), nil)
+	if err != nil {
+		return 0, transport.CloseStatus{Reason: transport.Malformed}
+	}
+	if from > 0 {
+		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", from))
+	}
+	if !r.dispatcher.IsCurrent(mirror) { // it began to drain after it was chosen
+		return 0, transport.CloseStatus{Reason: transport.Canceled}
+	}
+	r.Attempts.Add(1)
+	p := &pacedReader{cancel: cancel, tick: func() tufverify.Tick { return tufverify.FromTime(time.Now()) }}
+	p.transfer.Begin(p.tick())
+	p.timer = time.AfterFunc(toDuration(p.transfer.NextCheck()-p.tick()), p.stop)
+	defer p.timer.Stop()
+	resp, err := r.transport(mirror).RoundTrip(req)
+	if err != nil && p.slow.Load() {
+		return 0, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: sent.Load()}
+	} else if err != nil {
+		return 0, closeStatus(ctx, err, sent.Load())
+	}
+	defer func() { _ = resp.Body.Close() }()
+	p.Reader = resp.Body
+	closed = read(resp.StatusCode, resp.ContentLength, p)
+	if p.slow.Load() {
+		return resp.StatusCode, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: true}
+	}
+	return resp.StatusCode, closed
+}
+
+// pacedReader reads a body, and cancels the request once that comes too slowly (see metadatarefresh.Transfer). Read and
+// addClientStall belong to one goroutine; stop is also the timer's.
+type pacedReader struct {
+	io.Reader
+	transfer metadatarefresh.Transfer
+	timer    *time.Timer
+	cancel   func()
+	tick     func() tufverify.Tick
+	slow     atomic.Bool // the request was cancelled as too slow
+}
+
+func (p *pacedReader) Read(b []byte) (int, error) {
+	n, err := p.Reader.Read(b)
+	now := p.tick()
+	if p.transfer.OnBytes(now, int64(n)) && err == nil {
+		p.stop()
+	}
+	p.timer.Reset(toDuration(p.transfer.NextCheck() - now))
+	return n, err
+}
+
+// addClientStall leaves the time since a moment out of the mirror's rate, as the client was slow to accept bytes.
+func (p *pacedReader) addClientStall(since tufverify.Tick) {
+	now := p.tick()
+	p.transfer.OnClientStall(now - since)
+	p.timer.Reset(toDuration(p.transfer.NextCheck() - now))
+}
+
+func (p *pacedReader) stop() {
+	p.slow.Store(true)
+	p.cancel()
+}
+
+// closeStatus maps an error of net/http to the way in which the connection ended. sent: the request was written.
+func closeStatus(ctx context.Context, err error, sent bool) transport.CloseStatus {
+	var op *net.OpError
+	var timeout interface{ Timeout() bool }
+	switch {
+	case errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: sent}
+	case ctx.Err() != nil:
+		return transport.CloseStatus{Reason: transport.Canceled, Flushed: sent}
+	case errors.As(err, &op) && op.Op == "dial" && errors.As(err, &timeout) && timeout.Timeout():
+		return transport.CloseStatus{Reason: transport.ConnectTimeout}
+	case errors.As(err, &op) && op.Op == "dial":
+		return transport.CloseStatus{Reason: transport.Refused}
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+		return transport.CloseStatus{Reason: transport.ClosedByPeer, Flushed: sent}
+	case strings.Contains(err.Error(), "malformed"), strings.Contains(err.Error(), "headers exceeded"):
+		return transport.CloseStatus{Reason: transport.Malformed, Flushed: sent}
+	}
+	return transport.CloseStatus{Reason: transport.ConnectionReset, Flushed: sent}
+}
--- /dev/null
+++ b/internal/metadataproxy/lookup.go
@@ -0,0 +1,100 @@
+package metadataproxy
+
+import (
+	"context"
+	"time"
+
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/tufverify"
+)
+
+// minLookUpInterval is the least time between two look-ups of a path that is kept looked up.
+const minLookUpInterval = 50 * time.Millisecond
+
+// KeepLookedUp has targets looked up periodically, so that Known finds them without asking a mirror.
+func (r *Repository) KeepLookedUp(paths []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.watchedPaths = paths
+}
+
+// lookUpWatched looks the paths of KeepLookedUp up at once, and then twice in the time that a timestamp counts as current.
+func (r *Repository) lookUpWatched(ctx context.Context) error {
+	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
+	defer ticker.Stop()
+	for {
+		r.mu.Lock()
+		paths := r.watchedPaths
+		r.mu.Unlock()
+		for _, path := range paths {
+			_, _ = r.Find(path)
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+	}
+}
+
+// Known looks a target up in what is held and has not expired, without asking a mirror.
+func (r *Repository) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t, need, refusal := r.verified.Find(r.tick(), path)
+	if need != "" {
+		refusal = &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: r.name, Role: need, Text: "not held"}
+	}
+	return t, refusal
+}
+
+// Find looks a target up, and asks mirrors for the metadata that are missing on the way (TUF 1.0.31, section 5.6.7).
+func (r *Repository) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
+	r.refreshIfDue(true)
+	for {
+		r.mu.Lock()
+		now := r.tick()
+		t, need, refusal := r.verified.Find(now, path)
+		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, as the package depends on it
+		if refusal = metadatarefresh.Confirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
+			t, need = nil, ""
+		}
+		r.mu.Unlock()
+		if refusal != nil || t != nil {
+			return t, refusal
+		}
+		if refusal := r.fetchRole(need); refusal != nil {
+			return nil, refusal
+		}
+	}
+}
+
+// Stored looks a target up by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section 3.1.2).
+func (r *Repository) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
+	r.mu.Lock()
+	path, sum, hashed := r.verified.ParseStoredPath(name)
+	r.mu.Unlock()
+	t, refusal := r.Find(path)
+	if refusal == nil && hashed && t.Sum != sum {
+		return nil, &tufverify.RefusalError{Reason: tufverify.ReasonOlderVersion, Repository: r.name, Role: path, Text: "other bytes count now"}
+	}
+	return t, refusal
+}
+
+func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.verified.Assigned(r.tick())
+}
+
+func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.verified.Compare(assigned, image, hardware)
+}
+
+func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.verified.Open(t)
+}
--- /dev/null
+++ b/internal/metadataproxy/mirrors.go
@@ -0,0 +1,116 @@
+package metadataproxy
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"net/http"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/tufverify"
+)
+
+// UpdateMirrors replaces the list of mirrors, and closes the connections to those that are gone.
+func (r *Repository) UpdateMirrors(mirrors []dispatch.Endpoint) {
+	r.dispatcher.UpdateEndpoints(true, mirrors)
+	listed := map[string]bool{}
+	for _, mirror := range mirrors {
+		listed[mirror.Name] = mirror.State != "removed"
+	}
+	r.transportMu.Lock()
+	defer r.transportMu.Unlock()
+	for name, t := range r.transports {
+		if !listed[name] {
+			t.CloseIdleConnections()
+			delete(r.transports, name)
+		}
+	}
+}
+
+// maxResponseHeader bounds the header of a mirror's answer, in bytes.
+const maxResponseHeader = 16 << 10
+
+// Dispatcher is the mirrors' dispatcher, for a watcher of their list.
+func (r *Repository) Dispatcher() *dispatch.Dispatcher { return r.dispatcher }
+
+func (r *Repository) closeIdle(name string) {
+	r.transportMu.Lock()
+	defer r.transportMu.Unlock()
+	if t := r.transports[name]; t != nil {
+		t.CloseIdleConnections()
+	}
+}
+
+// transport is the connection pool of one mirror.
+func (r *Repository) transport(mirror dispatch.Backend) *http.Transport {
+	r.transportMu.Lock()
+	defer r.transportMu.Unlock()
+	t := r.transports[mirror.Name]
+	if t == nil {
+		t = &http.Transport{
+			DialContext:            (&net.Dialer{Timeout: r.connectTimeout}).DialContext,
+			MaxIdleConnsPerHost:    metadatarefresh.MaxIdleMirrorConns,
+			MaxIdleConns:           metadatarefresh.MaxIdleMirrorConns,
+			IdleConnTimeout:        toDuration(metadatarefresh.MirrorIdleTimeout),
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: maxResponseHeader,
+		}
+		r.transports[mirror.Name] = t
+	}
+	return t
+}
+
+// surveyMirrors asks every mirror for its timestamp until enough have shown one.
+func (r *Repository) surveyMirrors(ctx context.Context) error {
+	wait := time.NewTimer(0)
+	defer wait.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-wait.C:
+		}
+		r.mu.Lock()
+		done := r.survey.Done
+		r.mu.Unlock()
+		if done {
+			return nil
+		}
+		ready := r.dispatcher.ReadyBackends()
+		var names []string
+		for _, mirror := range ready {
+			names = append(names, mirror.Name)
+		}
+		var group errgroup.Group
+		group.SetLimit(metadatarefresh.SurveyWidth)
+		for _, mirror := range ready {
+			group.Go(func() error {
+				limited, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
+				defer cancel()
+				s := r.download(limited, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
+				if s.status != http.StatusOK || s.closed.Closed() {
+					return nil
+				}
+				refusal := r.acceptTimestamp(limited, mirror, s.data)
+				r.mu.Lock()
+				r.survey.OnTimestamp(mirror.Name, refusal, names)
+				r.mu.Unlock()
+				return nil
+			})
+		}
+		_ = group.Wait()
+		r.mu.Lock()
+		done = r.survey.Done
+		next := r.refresh.RetryAfter(r.tick())
+		r.mu.Unlock()
+		if done {
+			r.log(slog.LevelInfo, "mirror survey complete", slog.String("repository", r.name), slog.Int("mirrors", len(ready)))
+			return nil
+		}
+		wait.Reset(toDuration(next))
+	}
+}
--- /dev/null
+++ b/internal/metadataproxy/refresh.go
@@ -0,0 +1,220 @@
+package metadataproxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+
+	"silvercove/internal/dispatch"
+	"silvercove/internal/metadatarefresh"
+	"silvercove/internal/tufverify"
+)
+
+// errKeysKeepChanging is the error of a refresh that new roots have begun again too often.
+var errKeysKeepChanging = errors.New("the keys change all the time")
+
+// cached gives a file if it may be served without asking a mirror.
+func (r *Repository) cached(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.currentLocked(f)
+}
+
+// currentLocked is cached with r.mu held. A timestamp, and which root is the newest, count only while mirrors were asked
+// recently.
+func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+	now := r.tick()
+	data, refusal := r.verified.Current(now, f)
+	refusal = metadatarefresh.Confirmed(now, f, refusal, r.survey, r.refresh, r.name)
+	if refusal != nil {
+		return nil, refusal
+	}
+	return data, nil
+}
+
+// currentFile gives a file if it may be served, after asking the mirrors for what is missing.
+func (r *Repository) currentFile(f tufverify.File) ([]byte, *tufverify.RefusalError) {
+	r.refreshIfDue(f.Role == "timestamp" || f.Role == "root")
+	data, refusal := r.cached(f)
+	if refusal != nil && refusal.Reason == tufverify.ReasonMissing && f.Kind() == "targets" && f.Role != "targets" {
+		if refusal := r.fetchRole(f.Role); refusal != nil {
+			return nil, refusal
+		}
+		data, refusal = r.cached(f)
+	}
+	return data, refusal
+}
+
+// refreshIfDue asks the mirrors for a complete current set of metadata if that is due. Concurrent callers wait for one
+// refresh. confirm: what is held may be complete, but is to be confirmed as the newest.
+func (r *Repository) refreshIfDue(confirm bool) {
+	r.mu.Lock()
+	now := r.tick()
+	_, _, incomplete := r.verified.NextFile(now)
+	due := (incomplete || confirm) && r.refresh.Due(now, incomplete)
+	r.mu.Unlock()
+	if !due {
+		return
+	}
+	_, _, _ = r.shared.Do("set", func() (any, error) {
+		r.mu.Lock()
+		now := r.tick()
+		_, _, incomplete := r.verified.NextFile(now)
+		due := r.refresh.Due(now, incomplete)
+		r.mu.Unlock()
+		if !due { // another caller has just done it
+			return nil, nil
+		}
+		err := r.fetchSet()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if err != nil {
+			r.refresh.OnFailed(r.tick())
+			r.log(slog.LevelWarn, "metadata refresh failed", slog.String("repository", r.name), slog.String("error", err.Error()))
+		} else {
+			r.refresh.OnRefreshed(r.tick())
+		}
+		return nil, nil
+	})
+}
+
+// fetchSet fetches newer roots, a timestamp, and what that names (TUF 1.0.31, sections 5.3 to 5.6).
+func (r *Repository) fetchSet() error {
+	if err := r.fetchRoots(); err != nil {
+		return err
+	}
+	return r.fetchMetadata()
+}
+
+// fetchRoots fetches the roots after the one held, until there is no next one.
+func (r *Repository) fetchRoots() error {
+	for range metadatarefresh.MaxRootsPerRequest {
+		r.mu.Lock()
+		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
+		r.mu.Unlock()
+		none := false
+		err := r.fetchFile(classRoot, f, tufverify.MaxRootSize, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.RefusalError {
+			if none = status == http.StatusNotFound; none {
+				return nil
+			}
+			return r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, data) })
+		})
+		if err != nil {
+			return err
+		}
+		if none {
+			return nil
+		}
+	}
+	return nil
+}
+
+// fetchMetadata fetches a timestamp, and then each file that a complete set lacks.
+func (r *Repository) fetchMetadata() error {
+	fetchedTimestamp := false
+	for range metadatarefresh.MaxRounds { // new keys may make it begin again
+		r.mu.Lock()
+		f, maxSize, ok := r.verified.NextFile(r.tick())
+		r.mu.Unlock()
+		if !fetchedTimestamp {
+			f, maxSize, ok = tufverify.File{Role: "timestamp"}, tufverify.MaxTimestampSize, true
+		}
+		switch {
+		case !ok:
+			return nil
+		case f.Role == "root":
+			return fmt.Errorf("%s is needed, and no mirror has it", f)
+		}
+		fetchedTimestamp = true
+		err := r.fetchFile(f.Role, f, maxSize, func(ctx context.Context, mirror dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+			return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.Update(now, f, data) })
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return errKeysKeepChanging
+}
+
+// acceptTimestamp verifies a mirror's timestamp, and holds it if it is newer.
+func (r *Repository) acceptTimestamp(ctx context.Context, mirror dispatch.Backend, data []byte) *tufverify.RefusalError {
+	return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTimestamp(now, data) })
+}
+
+// accept has take verify what a mirror sent. What is signed by unknown keys may depend on newer roots, which the same
+// mirror is asked for. Those may invalidate what is held; the mirror is not to blame then.
+func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+	refusal := r.update(take)
+	foundNewerRoot := false
+	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.FetchNewerRoots(refusal, foundNewerRoot); n++ {
+		r.mu.Lock()
+		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
+		r.mu.Unlock()
+		answer := r.download(ctx, mirror, "metadata/"+f.String(), tufverify.MaxRootSize)
+		if answer.status != http.StatusOK || answer.closed.Closed() ||
+			r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, answer.data) }) != nil {
+			break
+		}
+		foundNewerRoot = true
+		refusal = r.update(take)
+	}
+	if metadatarefresh.MirrorBlameless(refusal, foundNewerRoot) {
+		return nil
+	}
+	return refusal
+}
+
+// update calls take with the lock held and the time. What is held already counts as taken.
+func (r *Repository) update(take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	refusal := take(r.tick())
+	if refusal != nil && refusal.Reason == tufverify.ReasonAlreadyHeld {
+		return nil
+	}
+	return refusal
+}
+
+// fetchRole fetches the targets of a delegated role, and if need be of the roles that may delegate to it.
+func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
+	v, _, _ := r.shared.Do("role "+role, func() (any, error) {
+		refusal := r.fetchTargets(role)
+		if refusal == nil || refusal.Reason != tufverify.ReasonMissing {
+			return refusal, nil
+		}
+		r.mu.Lock()
+		others := r.verified.MissingRoles()
+		r.mu.Unlock()
+		for _, other := range others {
+			if other != role {
+				_ = r.fetchTargets(other)
+			}
+		}
+		return r.fetchTargets(role), nil
+	})
+	refusal, _ := v.(*tufverify.RefusalError)
+	return refusal
+}
+
+// fetchTargets fetches the targets of one role.
+func (r *Repository) fetchTargets(role string) *tufverify.RefusalError {
+	r.mu.Lock()
+	f, maxSize, refusal := r.verified.TargetsFile(r.tick(), role)
+	r.mu.Unlock()
+	if refusal != nil {
+		return refusal
+	}
+	err := r.fetchFile(classTargets, f, maxSize, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
+		refusal = r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTargets(now, role, data) })
+		if refusal != nil && refusal.Reason == tufverify.ReasonMissing {
+			return nil // the mirror is not to blame
+		}
+		return refusal
+	})
+	if err != nil && refusal == nil {
+		refusal = &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: r.name, Role: role, Text: err.Error()}
+	}
+	return refusal
+}
--- /dev/null
+++ b/internal/operatorconfig/reader.go
@@ -0,0 +1,177 @@
+package operatorconfig
+
+import (
+	"cmp"
+	"errors"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/alecthomas/participle/v2/lexer"
+)
+
+// reader evaluates the lines of one file against a table.
+type reader struct {
+	table     *Table
+	faults    []error          // all that were found
+	positions map[string]*line // the first line of each directive, by path
+}
+
+// evaluate gives the values of a file's lines, if neither they nor the rules have a fault.
+func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
+	r := &reader{table: t, positions: map[string]*line{}}
+	values := r.block("", lines, &line{})
+	if len(r.faults) == 0 {
+		for _, rule := range t.Rules {
+			if directive, fault := rule(values); fault != "" {
+				l := r.positions[directive]
+				if l == nil {
+					l = &line{}
+					l.Pos.Filename, l.Pos.Line, l.Pos.Column = name, 1, 1
+				}
+				r.addFault(l.Pos, directive, "%s", fault)
+			}
+		}
+	}
+	if len(r.faults) > 0 {
+		return nil, errors.Join(r.faults...)
+	}
+	return values, nil
+}
+
+// block evaluates the lines of the block with a path, which the line opened begins.
+func (r *reader) block(path string, lines []*line, opened *line) map[string]any {
+	values := map[string]any{}
+	given := map[string]*line{}
+	for _, l := range lines {
+		if l.Name == "" {
+			continue
+		}
+		d := r.table.find(path, l.Name)
+		if d == nil {
+			r.addFault(l.Pos, l.Name, "%s", r.unknownDirective(path, l.Name))
+			continue
+		}
+		if first := given[l.Name]; first != nil && !d.Repeatable {
+			r.addFault(l.Pos, d.path(), "given twice, first on line %d", first.Pos.Line)
+			continue
+		}
+		given[l.Name] = l
+		if r.positions[d.path()] == nil {
+			r.positions[d.path()] = l
+		}
+		value, ok := r.evaluateDirective(d, l)
+		if !ok {
+			continue
+		}
+		if d.Repeatable {
+			earlier, _ := values[d.Name].([]any)
+			values[d.Name] = append(earlier, value)
+		} else {
+			values[d.Name] = value
+		}
+	}
+	for i := range r.table.Directives {
+		d := &r.table.Directives[i]
+		if d.Parent == path && given[d.Name] == nil {
+			r.absent(d, values, lines, opened)
+		}
+	}
+	return values
+}
+
+// absent sets the default of a directive that a block does not have.
+func (r *reader) absent(d *Directive, values map[string]any, lines []*line, opened *line) {
+	if d.Required {
+		position := opened.Pos
+		if position.Line == 0 && len(lines) > 0 { // no line opens the outermost block
+			position = lines[0].Pos
+			position.Line, position.Column = 1, 1
+		}
+		r.addFault(position, d.path(), "is missing")
+	}
+	if d.Default != "" {
+		l := &line{Name: d.Name}
+		for _, word := range strings.Fields(d.Default) {
+			l.Args = append(l.Args, &value{Text: word})
+		}
+		values[d.Name], _ = r.evaluateDirective(d, l)
+	}
+}
+
+func (r *reader) addFault(position lexer.Position, directive, format string, args ...any) {
+	r.faults = append(r.faults, errorAt(position, directive, format, args...))
+}
+
+// unknownDirective tells in which blocks a directive would be allowed, or which names are allowed in the block with a path.
+func (r *reader) unknownDirective(path, name string) string {
+	var here, elsewhere []string
+	for _, d := range r.table.Directives {
+		if d.Parent == path {
+			here = append(here, d.Name)
+		}
+		if d.Name == name {
+			elsewhere = append(elsewhere, "in "+cmp.Or(d.Parent, "no block"))
+		}
+	}
+	if len(elsewhere) > 0 {
+		return "does not belong here; it is allowed " + strings.Join(elsewhere, " or ")
+	}
+	slices.Sort(here)
+	return "unknown; allowed here: " + strings.Join(here, ", ")
+}
+
+// evaluateDirective reads the values and the block of one directive. One with a single value and no block gives that
+// value, one with several a list; one with a block gives a map, with its values by their names.
+func (r *reader) evaluateDirective(d *Directive, l *line) (any, bool) {
+	faults := len(r.faults)
+	if (l.Block != nil) != d.Block {
+		fault := "takes no block"
+		if d.Block {
+			fault = `needs a block: "{" at the end of its line`
+		}
+		r.addFault(l.Pos, d.path(), "%s", fault)
+		return nil, false
+	}
+	if len(l.Args) < len(d.Values) || len(l.Args) > len(d.Values) && !d.isOpenEnded() {
+		r.addFault(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage())
+		return nil, false
+	}
+	list := r.evaluateValues(d, l)
+	switch {
+	case len(r.faults) > faults:
+		return nil, false
+	case d.Block:
+		named := map[string]any{}
+		for i, v := range d.Values {
+			named[v.Name] = list[i]
+		}
+		maps.Copy(named, r.block(d.path(), l.Block.Lines, l))
+		return named, len(r.faults) == faults
+	case len(list) == 0:
+		return true, true
+	case len(list) == 1:
+		return list[0], true
+	}
+	return list, true
+}
+
+// evaluateValues reads the values of a directive, one for each of its row in the table; the last may be a list of words.
+func (r *reader) evaluateValues(d *Directive, l *line) []any {
+	list := []any{}
+	for i, v := range d.Values {
+		if v.Kind == Words {
+			var words []any
+			for _, arg := range l.Args[i:] {
+				words = append(words, unquote(arg.Text))
+			}
+			return append(list, words)
+		}
+		value, fault := v.read(unquote(l.Args[i].Text))
+		if fault != "" {
+			r.addFault(l.Args[i].Pos, d.path(), "%s", fault)
+		}
+		list = append(list, value)
+	}
+	return list
+}
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -1,14 +1,9 @@
 package operatorconfig
 
-import (
-	"fmt"
-	"strings"
-)
-
 var (
-	opType = []Value{{Name: "target", Kind: Duration, Min: 0.001, Max: 600},
+	requestClassValues = []Value{{Name: "target", Kind: Duration, Min: 0.001, Max: 600},
 		{Name: "timeout", Kind: Duration, Min: 0.001, Max: 3600}, {Name: "importance", Kind: Number, Min: 1, Max: 100}}
-	build = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
+	buildValue = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
 )
 
 // Operators is the table of the operator's own file. Nothing is switched on without it.
@@ -46,7 +41,7 @@
 		{Name: "address", Kind: Address}}, Text: "Another process, and where this one reaches it."},
 	{Parent: "fleet", Name: "commands", Repeatable: true, Values: []Value{{Name: "unit", Kind: Name}, {Name: "address", Kind: Address}},
 		Text: "Where an edge unit takes commands as this process reaches it; its own: where it listens for them."},
-	{Parent: "fleet", Name: "build", Values: []Value{build}, Default: "1", Text: "What an edge unit runs."},
+	{Parent: "fleet", Name: "build", Values: []Value{buildValue}, Default: "1", Text: "What an edge unit runs."},
 	{Parent: "fleet", Name: "metrics", Values: []Value{{Name: "address", Kind: Address}},
 		Text: "Where metrics are served, as GET /metrics in the text format of Prometheus. Without: nowhere."},
 	{Parent: "fleet", Name: "data", Values: []Value{{Name: "folder", Kind: Path}},
@@ -116,11 +111,11 @@
 		Default: "300ms", Text: "How long a new connection to a mirror may take; less than the grace of drains, 1s."},
 	{Parent: "metadata", Name: "max_come_back", Values: []Value{{Name: "span", Kind: Duration, Min: 0.1, Max: 3600}},
 		Default: "10s", Text: "The longest time to come back that is told."},
-	{Parent: "metadata", Name: "root", Values: opType, Default: "300ms 2s 4", Text: "Op type: the next root."},
-	{Parent: "metadata", Name: "timestamp", Values: opType, Default: "300ms 2s 4", Text: "Op type: a timestamp."},
-	{Parent: "metadata", Name: "snapshot", Values: opType, Default: "500ms 2s 3", Text: "Op type: a snapshot."},
-	{Parent: "metadata", Name: "targets", Values: opType, Default: "500ms 2s 2", Text: "Op type: targets of any role."},
-	{Parent: "metadata", Name: "package", Values: opType, Default: "60s 120s 1", Text: "Op type: the bytes of a package."},
+	{Parent: "metadata", Name: "root", Values: requestClassValues, Default: "300ms 2s 4", Text: "Op type: the next root."},
+	{Parent: "metadata", Name: "timestamp", Values: requestClassValues, Default: "300ms 2s 4", Text: "Op type: a timestamp."},
+	{Parent: "metadata", Name: "snapshot", Values: requestClassValues, Default: "500ms 2s 3", Text: "Op type: a snapshot."},
+	{Parent: "metadata", Name: "targets", Values: requestClassValues, Default: "500ms 2s 2", Text: "Op type: targets of any role."},
+	{Parent: "metadata", Name: "package", Values: requestClassValues, Default: "60s 120s 1", Text: "Op type: the bytes of a package."},
 	{Parent: "metadata", Name: "repository", Values: []Value{{Name: "name", Kind: Name}}, Repeatable: true, Block: true, Required: true,
 		Text: "A repository that is carried, under /r/NAME/."},
 	{Parent: "metadata", Name: "director", Block: true, Text: "Tells each server which package it is to run."},
@@ -143,8 +138,8 @@
 		TakesEffect: "at SIGHUP", Text: "An online key for its targets, snapshots or timestamps."},
 	{Parent: "metadata.director", Name: "lasts", Values: []Value{{Name: "span", Kind: Duration, Min: 2, Max: 7 * 86400}},
 		Default: "60s", Text: "How long what a server was told lasts, whole seconds."},
-	{Parent: "metadata.director", Name: "running", Values: []Value{build}, Text: "The build that all servers run at first."},
-	{Parent: "metadata.director", Name: "package", Values: []Value{build, {Name: "path", Kind: Path}}, Repeatable: true, Required: true,
+	{Parent: "metadata.director", Name: "running", Values: []Value{buildValue}, Text: "The build that all servers run at first."},
+	{Parent: "metadata.director", Name: "package", Values: []Value{buildValue, {Name: "path", Kind: Path}}, Repeatable: true, Required: true,
 		Text: "The path of a build's package in the image repository."},
 	{Parent: "metadata.director", Name: "server", Repeatable: true, TakesEffect: "at SIGHUP", Values: []Value{{Name: "name", Kind: Name},
 		{Name: "zone", Kind: Name}, {Name: "kind", Kind: Name}, {Name: "key", Kind: Path}},
@@ -153,143 +148,7 @@
 		Text: "An agent that tells which servers are there; server lines then give keys only."},
 	{Parent: "metadata.director", Name: "platform", Values: []Value{{Name: "address", Kind: Address}},
 		Text: "The platform that tells how far a build may go."},
-	{Parent: "metadata.director", Name: "wave", TakesEffect: "at SIGHUP", Values: []Value{build,
+	{Parent: "metadata.director", Name: "wave", TakesEffect: "at SIGHUP", Values: []Value{buildValue,
 		{Name: "state", Kind: Choice, Choices: []string{"testing", "recalling", "live", "recalled"}}, {Name: "cap", Kind: Fraction}},
 		Text: "How far a build may go, in place of platform."},
-}, Rules: []Rule{sound, oneFleet}}
-
-// oneFleet are the checks of a fleet's block.
-func oneFleet(all map[string]any) (directive, fault string) {
-	f, ok := all["fleet"].(map[string]any)
-	if !ok {
-		return "", ""
-	}
-	node, _ := f["node"].(string)
-	role := f["role"].(string)
-	seen, keepers := map[string]bool{node: true}, 0
-	peers, _ := f["peer"].([]any)
-	for _, v := range peers {
-		p := v.([]any)
-		if name := p[0].(string); seen[name] {
-			return "fleet.peer", "two processes are named " + name
-		} else if seen[name] = true; p[1] == "keeper" {
-			keepers++
-		}
-	}
-	commands, _ := f["commands"].([]any)
-	own := false
-	for _, v := range commands {
-		name := v.([]any)[0].(string)
-		if !seen[name] {
-			return "fleet.commands", "no process named " + name + " is in this file"
-		}
-		own = own || name == node
-	}
-	switch {
-	case role == "keeper" && f["data"] == nil:
-		return "fleet.data", "a keeper needs a folder for its log"
-	case role == "relay" && f["clients"] == nil:
-		return "fleet.clients", "a relay's file says where its clients connect"
-	case role == "relay" && f["settings"] == nil:
-		return "fleet.settings", "a relay needs its JSON file"
-	case role != "keeper" && keepers == 0:
-		return "fleet.peer", "no keeper is named"
-	case role == "edge" && !own:
-		return "fleet.commands", "an edge unit's file says where it takes commands: commands " + node + " HOST:PORT"
-	case f["drift"].(float64) >= 0.5:
-		return "fleet.drift", "allowed: less than 50%"
-	case f["away"].(float64) > f["copies"].(float64):
-		return "fleet.away", fmt.Sprintf("%v holders in another zone are more than copies, which is %v", f["away"], f["copies"])
-	}
-	return "", ""
-}
-
-// sound are the checks between directives.
-func sound(all map[string]any) (directive, fault string) {
-	m, ok := all["metadata"].(map[string]any)
-	if !ok {
-		return "", ""
-	}
-	if m["connect_timeout"].(float64) >= 1 {
-		return "metadata.connect_timeout", "a connection that takes longer than the grace of drains, 1s, could reach a " +
-			"mirror that was drained meanwhile; allowed: less than 1s"
-	}
-	for _, name := range []string{"root", "timestamp", "snapshot", "targets", "package"} {
-		if op := m[name].([]any); op[0].(float64) > op[1].(float64) {
-			return "metadata." + name, "its target is longer than its timeout"
-		}
-	}
-	if m["refresh"].(float64) > m["unconfirmed"].(float64) && m["unconfirmed"].(float64) > 0 {
-		return "metadata.unconfirmed", "shorter than refresh; allowed: 0s, or no shorter than refresh"
-	}
-	repos := map[string]bool{}
-	for _, v := range m["repository"].([]any) {
-		name := v.(map[string]any)["name"].(string)
-		if repos[name] {
-			return "metadata.repository", fmt.Sprintf("%s is given twice", name)
-		}
-		repos[name] = true
-	}
-	for _, v := range m["repository"].([]any) {
-		r := v.(map[string]any)
-		mirrors, _ := r["mirror"].([]any)
-		if (len(mirrors) == 0) == (r["discovery"] == nil) {
-			return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery are wanted", r["name"])
-		}
-		if twice := doubled(mirrors); twice != "" {
-			return "metadata.repository.mirror", fmt.Sprintf("%s is given twice", twice)
-		}
-		if image, ok := r["agree"].(string); ok && (!repos[image] || image == r["name"]) {
-			return "metadata.repository.agree", fmt.Sprintf("%s is no other repository of this file", image)
-		}
-	}
-	d, ok := m["director"].(map[string]any)
-	if !ok {
-		return "", ""
-	}
-	servers, _ := d["server"].([]any)
-	packages, _ := d["package"].([]any)
-	switch twiceServer, twiceBuild := doubled(servers), doubled(packages); {
-	case !repos[d["image"].(string)]:
-		return "metadata.director.image", fmt.Sprintf("%s is no repository of this file", d["image"])
-	case twiceServer != "":
-		return "metadata.director.server", twiceServer + " is given twice"
-	case twiceBuild != "":
-		return "metadata.director.package", "build " + twiceBuild + " is given twice"
-	case d["platform"] != nil && d["wave"] != nil:
-		return "metadata.director.wave", "contradicts platform: only one of them may say how far a build goes"
-	case d["platform"] == nil && d["wave"] == nil:
-		return "metadata.director", "either platform or wave is wanted"
-	case m["floor"] == nil:
-		return "metadata.director", "a Director needs a floor: without one it would give version numbers twice"
-	}
-	if w, ok := d["wave"].([]any); ok && !names(packages, w[0]) {
-		return "metadata.director.wave", fmt.Sprintf("build %v has no package", w[0])
-	}
-	if b := d["running"]; b != nil && !names(packages, b) {
-		return "metadata.director.running", fmt.Sprintf("build %v has no package", b)
-	}
-	return "", ""
-}
-
-// doubled finds a directive whose first value comes twice.
-func doubled(list []any) string {
-	seen := map[string]bool{}
-	for _, v := range list {
-		name := strings.TrimSpace(fmt.Sprint(v.([]any)[0]))
-		if seen[name] {
-			return name
-		}
-		seen[name] = true
-	}
-	return ""
-}
-
-func names(list []any, first any) bool {
-	for _, v := range list {
-		if v.([]any)[0] == first {
-			return true
-		}
-	}
-	return false
-}
+}, Rules: []Rule{checkMetadata, checkFleet}}
--- /dev/null
+++ b/internal/stagedrollout/order.go
@@ -0,0 +1,47 @@
+package stagedrollout
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+	"strconv"
+)
+
+// sortServers sorts the servers by the order in which they are assigned the newest version: drawn for each version anew, the
+// same at every start, and spread evenly over zones and kinds of hardware, so that the first tenth has a tenth of each. A
+// server that comes into the list does not take the assignment of another.
+func (r *Rollout) sortServers() {
+	if r.ordered {
+		return
+	}
+	r.ordered = true
+	type group struct{ zone, kind string }
+	groups := map[group][]*Server{}
+	drawn := make(map[*Server]uint64, len(r.servers))
+	for _, s := range r.servers {
+		h := fnv.New64a()
+		h.Write([]byte(strconv.Itoa(int(r.version)) + "/" + s.Name))
+		drawn[s] = mixBits(h.Sum64())
+		key := group{s.Zone, s.Kind}
+		groups[key] = append(groups[key], s)
+	}
+	for _, members := range groups {
+		slices.SortFunc(members, func(a, b *Server) int {
+			return cmp.Or(cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
+		})
+		start := float64(mixBits(drawn[members[0]])%1024) / 1024 // groups of one are not all first
+		for i, s := range members {
+			s.rank = (float64(i) + start) / float64(len(members))
+		}
+	}
+	slices.SortFunc(r.servers, func(a, b *Server) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
+	})
+}
+
+// mixBits spreads the bits of a hash (the finalizer of MurmurHash3).
+func mixBits(h uint64) uint64 {
+	h = (h ^ h>>33) * 0xff51afd7ed558ccd
+	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
+	return h ^ h>>33
+}
--- /dev/null
+++ b/internal/stagedrollout/reconcile.go
@@ -0,0 +1,123 @@
+package stagedrollout
+
+import (
+	"math"
+	"slices"
+)
+
+// rollBack assigns a server the released version that it comes from. It may act on the newest version until its metadata
+// expire.
+func (r *Rollout) rollBack(now Tick, s *Server) {
+	if s.assigned == s.released {
+		return
+	}
+	s.assigned, s.assignedAt, s.mayInstallUntil = s.released, now, now+r.metadataLifetime
+	r.host.Assign(s, s.released)
+}
+
+// pending tells whether a server is assigned the newest version and has not reported that it runs it.
+func (r *Rollout) pending(s *Server) bool {
+	return r.version != r.releasedVersion && s.listed && s.assigned == r.version && s.running != r.version
+}
+
+// mayInstall tells whether a server may still act on metadata that name the newest version.
+func (r *Rollout) mayInstall(now Tick, s *Server) bool {
+	return s.assigned == r.version || now < s.mayInstallUntil
+}
+
+// reconcile assigns the released version to servers above the limit, and the newest version to more servers below it.
+func (r *Rollout) reconcile(now Tick) {
+	if r.version == r.releasedVersion {
+		return
+	}
+	r.sortServers()
+	counts := r.Count(now)
+	limit := r.maxAssigned(counts.Servers)
+	r.rollBackExcess(now, counts.Assigned-limit)
+	if limit > 0 && (!r.paused || r.phase != Canary) {
+		r.assignMore(now, counts, limit)
+	}
+	r.scheduleTimer(now)
+}
+
+// maxAssigned is how many of the listed servers may be assigned the newest version in its phase.
+func (r *Rollout) maxAssigned(servers int) int {
+	switch r.phase {
+	case Canary:
+		return int(math.Floor(r.exposureCap*float64(servers) + roundingTolerance))
+	case Released:
+		return servers
+	}
+	return 0
+}
+
+// rollBackExcess rolls back some servers that are assigned the newest version, the last of the order first.
+func (r *Rollout) rollBackExcess(now Tick, excess int) {
+	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
+		if s := r.servers[i]; s.assigned == r.version {
+			r.rollBack(now, s)
+			excess--
+		}
+	}
+}
+
+// assignMore assigns the newest version to servers in their order, within the limit and the number of pending installations.
+func (r *Rollout) assignMore(now Tick, counts Counts, limit int) {
+	maxPending := r.maxPending(counts.Servers)
+	for _, s := range r.servers {
+		if counts.pending >= maxPending || r.phase == Canary && counts.MayInstall >= limit {
+			return
+		}
+		if !s.listed || s.assigned == r.version || s.excluded || now < s.retryAt || !r.compatible(s) {
+			continue
+		}
+		if r.phase == Canary && now < s.mayInstallUntil {
+			counts.MayInstall-- // it is counted already
+		}
+		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
+		r.host.Assign(s, r.version)
+		counts.MayInstall++
+		counts.pending++
+	}
+}
+
+// maxPending is how many installations may be pending at once. Where most of the recent ones failed it is one, until some
+// succeed.
+func (r *Rollout) maxPending(servers int) int {
+	if n := len(r.results); n >= recentResults/2 && sum(r.results) > maxFailedShare*float64(n) {
+		return 1
+	}
+	return max(minPending, int(maxPendingShare*float64(servers)))
+}
+
+// compatible tells whether the newest version's package fits a server's kind of hardware.
+func (r *Rollout) compatible(s *Server) bool {
+	return len(r.hardwareKinds) == 0 || slices.Contains(r.hardwareKinds, s.Kind)
+}
+
+// scheduleTimer sets the timer to the next moment at which time alone can change anything.
+func (r *Rollout) scheduleTimer(now Tick) {
+	next := Tick(math.MaxInt64)
+	for _, s := range r.servers {
+		if r.pending(s) {
+			next = min(next, s.assignedAt+installWindow)
+		}
+		if s.retryAt > now && !s.excluded {
+			next = min(next, s.retryAt)
+		}
+		if s.mayInstallUntil > now {
+			next = min(next, s.mayInstallUntil)
+		}
+	}
+	if next != math.MaxInt64 && (r.timerAt == 0 || next < r.timerAt) {
+		r.timerAt = next
+		r.host.SetTimer(next)
+	}
+}
+
+func sum(x []float64) (s float64) {
+	for _, v := range x {
+		s += v
+	}
+	return s
+}
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 
+	"github.com/rs/zerolog"
+
 	"silvercove/internal/peertransport"
 )
 
@@ -109,6 +111,6 @@
 		}
 	}
 	c.network, err = peertransport.Open(c.fleetName, peertransport.Peer{Name: as.Name, Role: as.Role, Zone: as.Zone, Address: "127.0.0.1:0"}, others,
-		func(string) {})
+		zerolog.Nop())
 	return err
 }
--- /dev/null
+++ b/internal/tufrepo/roles.go
@@ -0,0 +1,68 @@
+package tufrepo
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+)
+
+// Role is one top-level role of a new root: its public keys and how many of them must sign.
+type Role struct {
+	Keys      []*metadata.Key
+	Threshold int
+}
+
+// Rotate stages the next root: public keys that are added to a role, identifiers (or their beginnings) of keys that are revoked,
+// and the role's threshold, 0 for the present one. What a revoked key signed no longer counts. Its error wraps ErrKey where
+// the role does not have a key that is to be revoked.
+func (r *Repo) Rotate(role string, added []*metadata.Key, revoked []string, threshold int) error {
+	m, err := openForChange(r, metadata.ROOT, func(m *metadata.Metadata[metadata.RootType], version int64) {
+		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Life.Root)
+	})
+	if err != nil {
+		return err
+	}
+	if m.Signed.Roles[role] == nil {
+		return fmt.Errorf("role %q, allowed: %s", role, strings.Join(metadata.TOP_LEVEL_ROLE_NAMES[:], ", "))
+	}
+	for _, k := range added {
+		if err := m.Signed.AddKey(k, role); err != nil {
+			return err
+		}
+	}
+	for _, id := range revoked {
+		full := ""
+		for _, keyID := range m.Signed.Roles[role].KeyIDs {
+			if strings.HasPrefix(keyID, id) && id != "" {
+				full = keyID
+			}
+		}
+		if full == "" {
+			return fmt.Errorf("key %s of %s: %w", id, role, ErrKey)
+		}
+		if err := m.Signed.RevokeKey(full, role); err != nil {
+			return err
+		}
+	}
+	if threshold > 0 {
+		m.Signed.Roles[role].Threshold = threshold
+	}
+	if changed := m.Signed.Roles[role]; len(changed.KeyIDs) < changed.Threshold {
+		return fmt.Errorf("role %s would have %d keys for a threshold of %d", role, len(changed.KeyIDs), changed.Threshold)
+	}
+	return stageMetadata(r, metadata.ROOT, m)
+}
+
+// Renew stages the next version of a role with the same content and a new expiry.
+func (r *Repo) Renew(role string) error {
+	if role == metadata.ROOT {
+		return r.Rotate(metadata.ROOT, nil, nil, 0)
+	}
+	m, err := r.openTargets(role)
+	if err != nil {
+		return err
+	}
+	m.Signed.Expires = r.expiry(r.Life.Targets)
+	return stageMetadata(r, role, m)
+}
--- /dev/null
+++ b/internal/tufrepo/staging.go
@@ -0,0 +1,157 @@
+package tufrepo
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"github.com/google/renameio/v2"
+	"github.com/theupdateframework/go-tuf/v2/metadata"
+
+	"silvercove/internal/tufverify"
+)
+
+// publishedPath is where the metadata file of a name is served from.
+func (r *Repo) publishedPath(name string) string { return filepath.Join(r.dir, "metadata", name) }
+
+// stagedPath is where the staged metadata of a role are.
+func (r *Repo) stagedPath(role string) string {
+	return filepath.Join(r.dir, "staged", tufverify.File{Role: role}.String())
+}
+
+// writeFile writes a file in one step, so that a reader never sees a part of it.
+func writeFile(name string, text []byte) error {
+	return renameio.WriteFile(name, text, 0o644, renameio.WithTempDir(filepath.Dir(name)))
+}
+
+// stageMetadata replaces the staged metadata of a role.
+func stageMetadata[T metadata.Roles](r *Repo, role string, m *metadata.Metadata[T]) error {
+	text, err := m.ToBytes(true)
+	if err != nil {
+		return err
+	}
+	return writeFile(r.stagedPath(role), text)
+}
+
+// loadMetadata reads the staged metadata of a role, or else the newest published ones. Its error wraps ErrNotStaged where there
+// are neither.
+func loadMetadata[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
+	m = &metadata.Metadata[T]{}
+	text, err := os.ReadFile(r.stagedPath(role))
+	if staged = err == nil; !staged {
+		f, newest, err := r.newestFile(role)
+		if err != nil {
+			return nil, false, err
+		}
+		if newest == 0 {
+			return nil, false, fmt.Errorf("%s: %w", role, ErrNotStaged)
+		}
+		if text, err = os.ReadFile(r.publishedPath(f)); err != nil {
+			return nil, false, err
+		}
+	}
+	if _, err := m.FromBytes(text); err != nil {
+		return nil, false, fmt.Errorf("%s: %w", role, err)
+	}
+	return m, staged, nil
+}
+
+// newestFile finds the highest published version of a role and its file; 0 for none.
+func (r *Repo) newestFile(role string) (file string, version int64, err error) {
+	all, err := os.ReadDir(filepath.Join(r.dir, "metadata"))
+	if err != nil {
+		return "", 0, err
+	}
+	for _, e := range all {
+		f, ok := tufverify.ParseFile(e.Name())
+		if !ok || f.Role != role {
+			continue
+		}
+		published := f.Version
+		if published == 0 {
+			if published, err = r.versionOf(e.Name()); err != nil {
+				return "", 0, err
+			}
+		}
+		if published > version {
+			file, version = e.Name(), published
+		}
+	}
+	return file, version, nil
+}
+
+// versionOf reads the version in a published file whose name has none.
+func (r *Repo) versionOf(file string) (int64, error) {
+	var m struct{ Signed struct{ Version int64 } }
+	text, err := os.ReadFile(r.publishedPath(file))
+	if err == nil {
+		err = json.Unmarshal(text, &m)
+	}
+	return m.Signed.Version, err
+}
+
+// nextVersion is the version after all that were published or ever recorded.
+func (r *Repo) nextVersion(role string) (int64, error) {
+	_, newest, err := r.newestFile(role)
+	recorded, _ := r.versions.Recorded(role)
+	return max(newest, recorded) + 1, err
+}
+
+// openForChange gives the metadata of a role to change: what is staged, without the signatures, which a change invalidates; or
+// else what is published, with the next version that setVersion sets.
+func openForChange[T metadata.Roles](r *Repo, role string,
+	setVersion func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
+	m, staged, err := loadMetadata[T](r, role)
+	if err != nil {
+		return nil, err
+	}
+	m.ClearSignatures()
+	if !staged {
+		version, err := r.nextVersion(role)
+		if err != nil {
+			return nil, err
+		}
+		setVersion(m, version)
+	}
+	return m, nil
+}
+
+// loadRoot reads the staged or the newest published root, nil if there is none.
+func (r *Repo) loadRoot(staged bool) (*metadata.Metadata[metadata.RootType], error) {
+	name := r.stagedPath(metadata.ROOT)
+	if !staged {
+		file, v, err := r.newestFile(metadata.ROOT)
+		if err != nil || v == 0 {
+			return nil, err
+		}
+		name = r.publishedPath(file)
+	}
+	text, err := os.ReadFile(name)
+	if os.IsNotExist(err) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	return (&metadata.Metadata[metadata.RootType]{}).FromBytes(text)
+}
+
+// targetsRoles are the names of all roles of targets, staged or published.
+func (r *Repo) targetsRoles() ([]string, error) {
+	found := map[string]bool{}
+	for _, sub := range []string{"metadata", "staged"} {
+		all, err := os.ReadDir(filepath.Join(r.dir, sub))
+		if err != nil {
+			return nil, err
+		}
+		for _, e := range all {
+			if f, ok := tufverify.ParseFile(e.Name()); ok && f.Kind() == metadata.TARGETS {
+				found[f.Role] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(found)), nil
+}
