--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -18,8 +18,8 @@
 	// blockedLimit ends a pass through the queue: after so many requests without a backend the others find none either,
 	// but for the odd class, which waits for the next pass.
 	blockedLimit = 4
-	// unansweredLimit is how long a class may go without an answer or a try. A relay that turns away all that it gets for
-	// 4 s on end counts as dead, so one request is tried well before.
+	// unansweredLimit is how long a class may go without an answer or a try. The bench holds a relay for dead that turns
+	// away all that it gets for 4 s on end (its standing test), so one request is tried well before.
 	unansweredLimit = 3 * Second / 2
 	// answerMargin is how long before the client stops waiting an answer has to be there: two timers, as the one that
 	// finds a request late may come an interval late itself.
@@ -45,7 +45,7 @@
 // enqueue puts a request into the queue at its place, unless it is past saving.
 func (b *Balancer) enqueue(r *Request) {
 	r.usefulUntil = min(r.Deadline-answerMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
-	if b.pastSaving(r) {
+	if b.pastSaving(r) && !b.takeLastChance(r) {
 		b.shed(r)
 		return
 	}
@@ -58,25 +58,29 @@
 
 // pastSaving tells whether a request could hardly be answered in time any more. One that had to wait is tried as long as
 // nine in ten answers would be in time. One that has just come is tried as long as half of them would be.
-//
-// Guards against a class that is turned away for good: seen as clients with little patience, after slow answers, that are
-// never tried, so that no answer shows that backends are fast again; holds because one is tried all the same when no answer
-// has come for unansweredLimit, and that try counts as one.
 func (b *Balancer) pastSaving(r *Request) bool {
 	if b.now != r.receivedAt {
 		return b.now >= r.usefulUntil-b.p90Latency[r.Class]
 	}
-	if b.now < r.usefulUntil-b.medianLatency[r.Class] {
+	return b.now >= r.usefulUntil-b.medianLatency[r.Class]
+}
+
+// takeLastChance tells whether a request that is past saving is tried all the same, and counts that as a try of its class. It
+// is one that has just come and whose answer may still be of use, while its class has had neither an answer nor such a try
+// for unansweredLimit. Asked again at the same time the answer stays.
+//
+// Guards against a class that is turned away for good: seen as clients with little patience, after slow answers, that are
+// never tried, so that no answer shows that backends are fast again; holds because one is tried each unansweredLimit.
+func (b *Balancer) takeLastChance(r *Request) bool {
+	if b.now != r.receivedAt || b.now >= r.usefulUntil {
 		return false
 	}
-	if b.now >= r.usefulUntil {
-		return true
-	}
-	if !r.triedDespiteDelay && b.now <= b.latencyKnownAt[r.Class]+unansweredLimit {
-		return true
+	if !r.triedDespiteDelay && b.now <= b.lastAnswerOrTry[r.Class]+unansweredLimit {
+		return false
 	}
-	r.triedDespiteDelay, b.latencyKnownAt[r.Class] = true, b.now
-	return false
+	r.triedDespiteDelay = true
+	b.lastAnswerOrTry[r.Class] = b.now
+	return true
 }
 
 // serveQueue routes what is queued, the most urgent first, until a few find no backend.
@@ -87,7 +91,7 @@
 		r := b.queue[seen]
 		switch {
 		case r.state == requestAnswered:
-		case b.pastSaving(r):
+		case b.pastSaving(r) && !b.takeLastChance(r):
 			b.shed(r)
 		case b.route(r):
 			r.state = requestInFlight
@@ -101,7 +105,7 @@
 // shedPastSaving answers what is queued and past saving; serveQueue drops it from the queue.
 func (b *Balancer) shedPastSaving() {
 	for _, r := range b.queue {
-		if r.state != requestAnswered && b.pastSaving(r) {
+		if r.state != requestAnswered && b.pastSaving(r) && !b.takeLastChance(r) {
 			b.shed(r)
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -61,6 +61,7 @@
 	concurrency
 	latencyEstimates
 	ejection
+	cancellation
 	exposureState
 	rollout
 	vote vote
@@ -74,6 +75,7 @@
 	b.concurrency = newConcurrency()
 	b.latencyEstimates = newLatencyEstimates(settings.Classes)
 	b.ejection = newEjection()
+	b.cancellation = newCancellation()
 	b.exposureState = newExposureState(settings)
 	b.rollout = newRollout(len(settings.Classes))
 	b.updateLatencies()
@@ -128,7 +130,7 @@
 func (b *Balancer) recordSuccess(a *Attempt, latency Tick) {
 	a.Backend.successTimes = appendBounded(a.Backend.successTimes, b.now, backendSampleSize)
 	b.successTimes = append(b.successTimes, b.now)
-	b.cancelBudget = min(b.cancelBudget+cancelShare, float64(b.choiceSize))
+	b.earnCancellation()
 	b.recordLatency(a.Request.Class, latency)
 	b.rememberAnswer(a)
 }
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -79,16 +79,16 @@
 func (b *Balancer) updateConcurrency() {
 	b.successTimes = dropBefore(b.successTimes, b.now-rateWindow)
 	b.arrivals = dropBefore(b.arrivals, b.now-rateWindow)
-	warm, suspects, all := 0.0, 0.0, float64(len(b.backends))
+	warm, onProbation, all := 0.0, 0.0, float64(len(b.backends))
 	b.warmCapacity, b.canaryCapacity = 0, 0
 	for _, backend := range b.backends {
 		fraction := b.warmUpFraction(backend)
 		b.warmCapacity += fraction
 		warm += math.Floor(fraction)
-		suspects += indicator(b.suspect(backend))
+		onProbation += indicator(b.onProbation(backend))
 		b.canaryCapacity += fraction * indicator(b.isCanary(backend.Version))
 	}
-	b.mostSuspect = mostSuspectParts*suspects >= (mostSuspectParts-1)*all
+	b.mostOnProbation = mostOnProbationParts*onProbation >= (mostOnProbationParts-1)*all
 	b.updateRatePerBackend(warm, all)
 	b.choiceSize = minChoiceSize + len(b.arrivals)*int(b.shortestObjective)/int(rateWindow)
 }
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -15,9 +15,9 @@
 	CancelAttempt(a *Attempt)
 	// SetTimer asks for OnTimer with this tag at or after a time.
 	SetTimer(at Tick, tag uint32)
-	// Probe checks a backend, where the settings allow it.
+	// Probe checks a backend, where the settings allow it. Not asked for today: attempts show how a backend is.
 	Probe(b *Backend)
-	// CloseIdle closes idle connections to a backend.
+	// CloseIdle closes idle connections to a backend. Not asked for today.
 	CloseIdle(b *Backend)
 	// SendGossip sends a message to one relay, or to AllPeers.
 	SendGossip(peer uint32, data []byte)
@@ -25,7 +25,7 @@
 	Log(message string, fields ...slog.Attr)
 	// WatchEndpoints asks for changes of the endpoint list.
 	WatchEndpoints(on bool)
-	// FetchEndpoints asks for the whole endpoint list once.
+	// FetchEndpoints asks for the whole endpoint list once. Not asked for today: WatchEndpoints brings it.
 	FetchEndpoints()
 	// CastVote casts this relay's vote on a stage of a version.
 	CastVote(version uint16, stage int, verdict Verdict)
@@ -34,12 +34,13 @@
 // AllPeers names every relay of the tier in SendGossip.
 const AllPeers = ^uint32(0)
 
-// fleet is what a host may offer beside. Where one does not, retries and probation are up to this package's rules alone.
-type fleet interface {
-	// MayRetry tells whether a request may have one more attempt.
-	MayRetry(r *Request) bool
-	// AvoidsBackend tells whether other relays have found a backend out of order.
-	AvoidsBackend(b *Backend) bool
-	// MayProbe tells whether this relay may try a backend that is suspect.
-	MayProbe(b *Backend) bool
+// fleetPolicy is what the host of a relay in a fleet offers beside: what all its relays together decide. Where a host has
+// none, retries and probation are up to this package's rules alone.
+type fleetPolicy interface {
+	// AllowRetry tells whether a request may have one more attempt.
+	AllowRetry(r *Request) bool
+	// IsEjected tells whether the fleet's other relays have ejected a backend.
+	IsEjected(b *Backend) bool
+	// AllowProbe tells whether an attempt of this relay may try a backend that is on probation.
+	AllowProbe(b *Backend) bool
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -38,7 +38,7 @@
 // latencyEstimates are how long attempts take, by class.
 type latencyEstimates struct {
 	latencies         [][]Tick // of the last answers
-	latencyKnownAt    []Tick   // when the last of them came
+	lastAnswerOrTry   []Tick   // when the last of them came, or a request was tried by takeLastChance
 	p90Latency        []Tick
 	medianLatency     []Tick
 	shortestObjective Tick // the least latency objective of a class
@@ -46,7 +46,7 @@
 
 func newLatencyEstimates(classes []RequestClass) latencyEstimates {
 	n := len(classes)
-	l := latencyEstimates{latencies: make([][]Tick, n), latencyKnownAt: make([]Tick, n), p90Latency: make([]Tick, n),
+	l := latencyEstimates{latencies: make([][]Tick, n), lastAnswerOrTry: make([]Tick, n), p90Latency: make([]Tick, n),
 		medianLatency: make([]Tick, n), shortestObjective: Tick(math.MaxInt64)}
 	for i := range classes {
 		l.shortestObjective = min(l.shortestObjective, classes[i].LatencyObjective.Ticks())
@@ -57,7 +57,7 @@
 // recordLatency takes the latency of an answer.
 func (b *Balancer) recordLatency(class int, latency Tick) {
 	b.latencies[class] = appendBounded(b.latencies[class], latency, sampleSize)
-	b.latencyKnownAt[class] = b.now
+	b.lastAnswerOrTry[class] = b.now
 }
 
 // updateLatencies works the estimates out anew. What no answer has borne out for a while is forgotten.
@@ -69,7 +69,7 @@
 		if n < backendSampleSize {
 			continue
 		}
-		if b.now > b.latencyKnownAt[class]+estimateLifetime {
+		if b.now > b.lastAnswerOrTry[class]+estimateLifetime {
 			b.latencies[class] = latencies[n-1:]
 			continue
 		}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -8,7 +8,7 @@
 // The rule: a backend is ejected by a sequential test on its outcomes, which bets that it fails most of its attempts
 // against that it fails as this relay's last ones did. An ejected backend is on probation: it gets single attempts, the
 // more often the longer they succeed, and is back in use when they come close enough. A backend that has owed an answer for
-// long is suspect in the same way, and one that failed of late more than others is degraded: it comes last.
+// long is on probation in the same way, and one that failed of late more than others is degraded: it comes last.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
 // answer in ticks; in a fleet, what other relays say.
@@ -20,7 +20,8 @@
 const (
 	// ejectionFailureShare is the failure share of a backend that is to be ejected.
 	ejectionFailureShare = 0.75
-	// ejectionWealth is the wealth of the test at which it is.
+	// ejectionWealth is the wealth of the test at which it is. It lies below the 53 that three failures in a row reach
+	// where the usual share is at usualLeast, and above the 14 of two.
 	ejectionWealth = 27.0
 	// usualLeast and usualMost bound the failure share that the test takes for usual, and usualMultiple is it in
 	// multiples of the relay's own: few failures in a small sample eject nothing, and a share near that of a bad backend
@@ -37,12 +38,12 @@
 	probationFirst   = Second / 2
 	probationLongest = 4 * Second
 	probationDone    = Second / 20
-	// probationInFlight is how much may be in flight at a suspect backend.
+	// probationInFlight is how much may be in flight at a backend on probation.
 	probationInFlight = 2
 	// degradedFor is how long after its last failure a backend may be degraded.
 	degradedFor = 2 * probationLongest
-	// mostSuspectParts: where all but one in so many backends are suspect, the trouble is this relay's own.
-	mostSuspectParts = 8
+	// mostOnProbationParts: where all but one in so many backends are on probation, the trouble is this relay's own.
+	mostOnProbationParts = 8
 	// avoidedParts: up to one in so many backends are avoided for the sake of other relays.
 	avoidedParts = 4
 	// backendSampleSize is the number of outcomes of one backend that are kept.
@@ -64,14 +65,13 @@
 
 // ejection is what the relay knows of all its backends together.
 type ejection struct {
-	recentFailures []float64 // the last outcomes at any backend, 1 for a failure
-	mostSuspect    bool      // nearly every backend is suspect, as in a stall of this relay
-	cancelBudget   float64   // attempts at silent backends that may be called off now
+	recentFailures  []float64 // the last outcomes at any backend, 1 for a failure
+	mostOnProbation bool      // nearly every backend is on probation, as in a stall of this relay
 }
 
 // newEjection begins with a sample of good outcomes: backends are held to be good.
 func newEjection() ejection {
-	return ejection{recentFailures: make([]float64, backendSampleSize), cancelBudget: minChoiceSize}
+	return ejection{recentFailures: make([]float64, backendSampleSize)}
 }
 
 // degraded tells whether a backend failed of late, and more of its last attempts than others did.
@@ -80,8 +80,9 @@
 		mean(backend.recentFailures) > degradedMargin+mean(b.recentFailures)
 }
 
-// suspect tells whether a backend is ejected, owes an answer for longer than is usual, or is avoided.
-func (b *Balancer) suspect(backend *Backend) bool {
+// onProbation tells whether a backend is ejected, owes an answer for longer than is usual, or is avoided: it gets single
+// attempts alone.
+func (b *Balancer) onProbation(backend *Backend) bool {
 	return backend.ejected || b.silent(backend) || b.now < backend.avoidedUntil
 }
 
@@ -94,23 +95,24 @@
 	return silence > silenceShare*float64(b.shortestObjective)
 }
 
-// dueForProbation tells whether a suspect backend may get a request that can be tried again.
+// dueForProbation tells whether a backend on probation may get a request that can be tried again.
 func (b *Balancer) dueForProbation(r *Request, backend *Backend) bool {
 	return b.now >= backend.nextProbation && backend.inFlight < probationInFlight &&
 		b.class(r).Idempotency != AtMostOnce
 }
 
-// mayProbe asks the fleet whether this relay is to try a backend that it or other relays suspect. If not, it leaves it alone
-// for a moment. Where more than a few are ejected it is no backend's doing, and what others say counts for nothing.
+// mayProbe asks the fleet whether this relay is to try a backend that is on probation here or ejected by others. If not, it
+// leaves it alone for a moment. Where more than a few are ejected it is no backend's doing, and what others say counts for
+// nothing.
 func (b *Balancer) mayProbe(backend *Backend) bool {
-	f, ok := b.host.(fleet)
+	policy, ok := b.host.(fleetPolicy)
 	if !ok {
 		return true
 	}
-	if !b.suspect(backend) && (!f.AvoidsBackend(backend) || avoidedParts*b.ejectedCount() >= len(b.backends)) {
+	if !b.onProbation(backend) && (!policy.IsEjected(backend) || avoidedParts*b.ejectedCount() >= len(b.backends)) {
 		return true
 	}
-	if f.MayProbe(backend) {
+	if policy.AllowProbe(backend) {
 		return true
 	}
 	backend.nextProbation, backend.avoidedUntil = b.now+probationFirst, b.now+probationFirst
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -10,45 +10,86 @@
 // the backend.
 //
 // Guards against retries that multiply a load: seen as more attempts than requests while backends fail; holds because the
-// fleet's budget is a part of what succeeds, and cancelled attempts are a small part of it.
+// fleet's budget of retries is a share of first attempts (package overload), and cancelled attempts are a small share of
+// what succeeds. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
 
 // cancelShare is the part of an attempt that each success allows to call off.
 // Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
 // than one in 25 is called off.
 const cancelShare = 0.04
 
+// cancellation is what may be called off.
+type cancellation struct {
+	cancelBudget float64 // attempts at silent backends that may be called off now
+}
+
+// newCancellation begins with as many as the least number of backends that a relay chooses from.
+func newCancellation() cancellation { return cancellation{cancelBudget: minChoiceSize} }
+
+// earnCancellation adds what one success allows to call off, up to one attempt for each backend to choose from.
+func (b *Balancer) earnCancellation() {
+	b.cancelBudget = min(b.cancelBudget+cancelShare, float64(b.choiceSize))
+}
+
 // retryOrShed queues a request for another attempt, or answers it.
 func (b *Balancer) retryOrShed(r *Request) {
 	canRetry := !r.failedTwice && slices.ContainsFunc(b.backends, func(backend *Backend) bool {
 		return b.safeToRepeat(r, r.attempts, backend)
 	})
-	if canRetry && b.allowRetry(r, true) {
+	if canRetry && b.takeRetry(r) {
 		b.enqueue(r)
 	} else {
 		b.shed(r)
 	}
 }
 
-// allowRetry asks the fleet for one more attempt of a request, whose last one has ended or is to be called off. Where there
-// is to be none, a failure that waits for the next answer speaks for its version at once: no answer will come.
-func (b *Balancer) allowRetry(r *Request, ended bool) bool {
-	f, ok := b.host.(fleet)
-	if !ok || b.refusedByFormerHolder(r) {
+// takeRetry asks the fleet for one more attempt of a request whose last one has ended, unless one is reserved for it. Where
+// there is to be none, a failure that waits for the next answer speaks for its version at once: no answer will come.
+func (b *Balancer) takeRetry(r *Request) bool {
+	policy := b.retryPolicy(r)
+	if policy == nil {
+		return true
+	}
+	if r.retryReserved {
+		r.retryReserved = false
 		return true
 	}
-	if r.retryGranted && ended { // as it was called off
-		r.retryGranted = false
+	if policy.AllowRetry(r) {
 		return true
 	}
-	if f.MayRetry(r) {
-		r.retryGranted = !ended
+	b.recordDeferredFailure(r)
+	return false
+}
+
+// reserveRetry asks the fleet for one more attempt of a request whose last one is to be called off. The request keeps it
+// until that one has ended.
+func (b *Balancer) reserveRetry(r *Request) bool {
+	policy := b.retryPolicy(r)
+	if policy == nil {
 		return true
 	}
-	if failure := r.deferredFailure; ended && failure != nil {
+	if !policy.AllowRetry(r) {
+		return false
+	}
+	r.retryReserved = true
+	return true
+}
+
+// retryPolicy is what decides on a retry of a request; nil where no more than this package's rules do.
+func (b *Balancer) retryPolicy(r *Request) fleetPolicy {
+	policy, ok := b.host.(fleetPolicy)
+	if !ok || b.refusedByFormerHolder(r) {
+		return nil
+	}
+	return policy
+}
+
+// recordDeferredFailure holds the failure of a request that waits for the next answer, if any, against its version.
+func (b *Balancer) recordDeferredFailure(r *Request) {
+	if failure := r.deferredFailure; failure != nil {
 		r.deferredFailure = nil
 		b.recordForVersion(failure, false)
 	}
-	return false
 }
 
 // refusedByFormerHolder tells whether the last attempt of a request came to where its instance does not run any more:
@@ -61,7 +102,7 @@
 // Guards against backends that are dead or hang and links that are cut: seen as requests that wait for their time-out;
 // holds because silence is found out well before it.
 func (b *Balancer) cancelAndRetry(a *Attempt) {
-	if b.cancelBudget < 1 || !b.cancellable(a) || !b.allowRetry(a.Request, false) {
+	if b.cancelBudget < 1 || !b.cancellable(a) || !b.reserveRetry(a.Request) {
 		return
 	}
 	b.cancelBudget--
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -38,7 +38,7 @@
 	RefusedByEndpoint            // not ready, or not where the request's instance runs
 	RefusedByIdempotency         // another attempt could have an effect twice, or the key is a later version's
 	RefusedByLastAttempt         // it had the last attempt
-	RefusedByEjection            // it is suspect, and not due for probation
+	RefusedByEjection            // it is on probation, and not due for an attempt
 	RefusedBySlowStart           // it warms up, and has had its budget
 	RefusedByCapacity            // it has as much in flight as it can answer
 	RefusedByDegradation         // it failed of late, and others are there
@@ -70,7 +70,7 @@
 			return false
 		}
 		backend := b.pickLeastLoaded(choices)
-		if b.mostSuspect || b.mayProbe(backend) {
+		if b.mostOnProbation || b.mayProbe(backend) {
 			r.refusal = NotRefused
 			b.startAttempt(r, backend)
 			return true
@@ -112,15 +112,15 @@
 	if refusal := b.forbids(r, r.attempts, backend); refusal != NotRefused {
 		return refusal
 	}
-	onProbation := !b.mostSuspect && b.suspect(backend)
+	restricted := !b.mostOnProbation && b.onProbation(backend)
 	switch {
 	case b.hadLastAttempt(r, backend):
 		return RefusedByLastAttempt
-	case onProbation && !b.dueForProbation(r, backend):
+	case restricted && !b.dueForProbation(r, backend):
 		return RefusedByEjection
 	case !b.slowStartAllows(backend):
 		return RefusedBySlowStart
-	case !onProbation && float64(backend.inFlight) >= b.capacity(backend):
+	case !restricted && float64(backend.inFlight) >= b.capacity(backend):
 		return RefusedByCapacity
 	}
 	return NotRefused
@@ -184,7 +184,7 @@
 	if backend.inFlight == 0 {
 		backend.waitingSince = b.now
 	}
-	if b.suspect(backend) {
+	if b.onProbation(backend) {
 		backend.nextProbation = b.now + max(backend.probationInterval, probationDone)
 	}
 	backend.inFlight++
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -61,8 +61,8 @@
 	state             requestState
 	streaming         bool // its answer is being passed on
 	failedTwice       bool // at two backends, so that it is no backend's doing
-	triedDespiteDelay bool // see pastSaving
-	retryGranted      bool // the fleet has allowed an attempt that has not started yet
+	triedDespiteDelay bool // see takeLastChance
+	retryReserved     bool // the fleet has allowed an attempt that waits for the end of the last one
 	deferredFailure   *Attempt
 	refusal           Refusal
 }
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -90,20 +90,20 @@
 	d.callbacks.Vote(Vote{Version: version, Stage: stage, Verdict: platformVerdicts[verdict]})
 }
 
-// MayRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
-func (h host) MayRetry(request *balancer.Request) bool {
+// AllowRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
+func (h host) AllowRetry(request *balancer.Request) bool {
 	shedder := h.dispatcher.callbacks.LoadShedder
 	return shedder == nil || shedder.AllowRetry(request.ClientRetry)
 }
 
-// AvoidsBackend tells whether a backend has failed for other relays of the fleet.
-func (h host) AvoidsBackend(b *balancer.Backend) bool {
+// IsEjected tells whether a backend has failed for other relays of the fleet.
+func (h host) IsEjected(b *balancer.Backend) bool {
 	shedder := h.dispatcher.callbacks.LoadShedder
 	return shedder != nil && shedder.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
-// MayProbe tells whether an attempt may try a suspect backend, as far as the fleet is concerned.
-func (h host) MayProbe(b *balancer.Backend) bool {
+// AllowProbe tells whether an attempt may try a suspect backend, as far as the fleet is concerned.
+func (h host) AllowProbe(b *balancer.Backend) bool {
 	shedder := h.dispatcher.callbacks.LoadShedder
 	return shedder == nil || shedder.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
 }
