--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -18,8 +18,8 @@
 	// blockedLimit ends a pass through the queue: after so many requests without a backend the others find none either,
 	// but for the odd class, which waits for the next pass.
 	blockedLimit = 4
-	// unansweredLimit is how long a class may go without an answer or a try. The bench holds a relay for dead that turns
-	// away all that it gets for 4 s on end (its standing test), so one request is tried well before.
+	// unansweredLimit is how long a class may go without an answer or a try. A relay that turns away all that it gets for 4 s
+	// on end counts as dead to its site (docs/fleet.md), so one request is tried well before.
 	unansweredLimit = 3 * Second / 2
 	// answerMargin is how long before the client stops waiting an answer has to be there: two timers, as the one that
 	// finds a request late may come an interval late itself.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -157,13 +157,14 @@
 	}
 }
 
-// OnInstancesMoved takes that PinnedTo of requests that are queued has changed.
+// OnInstancesMoved routes queued requests again, after PinnedTo of some of them has changed.
 func (b *Balancer) OnInstancesMoved(now Tick) {
 	b.now = now
 	b.serveQueue()
 }
 
-// OnProbe takes the result of a probe. It changes nothing: backends are judged by the outcomes of attempts.
+// OnProbe takes the result of a probe. It changes nothing, as Host.Probe is not asked for today: backends are judged by the
+// outcomes of attempts.
 func (b *Balancer) OnProbe(now Tick, _ *Backend, _ Outcome, _ Tick, _ []float64) { b.now = now }
 
 // OnTimer takes the one timer: what is overdue counts, and estimates are worked out anew.
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -8,8 +8,9 @@
 // Inputs: the settings' poll interval, whether the last call succeeded.
 //
 // Guards against a discovery service that is overbooked: seen as calls that are turned away; holds because relays ask
-// less and less often, and those that were turned away together do not come again together. A change of the list counts
-// as known 6 s after discovery has it, so the pause has a bound that leaves a call two seconds.
+// less and less often, and those that were turned away together do not come again together. A relay
+// answers for a change of the list from 6 s after discovery has it (docs/fleet.md), so the pause has a bound that leaves a
+// call two seconds.
 
 const (
 	// longestPoll is the longest pause in the middle; up to a quarter more is drawn.
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -15,8 +15,13 @@
 	highestBound = 0.9
 	// resetsFreshness is how long ago the baseline may have shown an attempt for resets to be compared.
 	resetsFreshness = Second
-	// metricsFreshness is the same for fleet metrics, in their periods.
+	// metricsFreshness is the same for the release API's counts, in their periods.
 	metricsFreshness = 2
+	// resetsMargin is how much more of its attempts may break at a canary than at the baseline. It is wider than that of
+	// failures, as one network that breaks connections breaks many at once.
+	resetsMargin = 0.25
+	// minShareSample is the least number of the baseline's outcomes that say something of its share of bad ones.
+	minShareSample = 16
 )
 
 // recordForVersion takes the end of an attempt as evidence on the version that it went to. Errors and answers count in the
@@ -49,7 +54,7 @@
 	e := b.evaluation
 	e.samples.resets = appendBounded(e.samples.resets, broken, rareSampleSize)
 	if b.now-b.baselineTimedAt <= resetsFreshness {
-		b.observe(stream{kind: resets}, broken, b.baseline.resetShare()+degradedMargin)
+		b.observe(stream{kind: resets}, broken, b.baseline.resetShare()+resetsMargin)
 	}
 	e.samples.class[class] = appendBounded(e.samples.class[class], errored, sampleSize)
 	e.effects[class].Observe(errored, b.baselineShare(class), ruledOutEffect)
@@ -99,7 +104,7 @@
 }
 
 func knownShare(outcomes []float64) float64 {
-	if len(outcomes) < backendSampleSize {
+	if len(outcomes) < minShareSample {
 		return margin
 	}
 	return smoothedShare(failures(outcomes))
@@ -157,7 +162,7 @@
 }
 
 // OnMetrics takes what the release API counted of all relays' outcomes of one version and class in a period: a stream of
-// its own, one and the same for the fleet, against its counts of the baseline in the same periods, raised for the load of
+// its own, one and the same for all relays, against its counts of the baseline in the same periods, raised for the load of
 // the canary's backends. Bad outcomes are spread evenly among the others.
 // Guards against versions whose backends stop answering: seen as silence, which speaks for backends where each relay
 // sees next to nothing of one; holds because the counts of all relays show it. Hurts where the canary's backends alone are
@@ -173,7 +178,7 @@
 			b.baseline.metrics = appendBounded(b.baseline.metrics, x, rareSampleSize)
 			b.baselineMetricsAt = now
 		case version == e.version && b.baselineMetricsAt > 0 && now-b.baselineMetricsAt <= metricsFreshness*period:
-			b.observe(stream{kind: fleetMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+margin)
+			b.observe(stream{kind: releaseMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+margin)
 		}
 	}
 	b.considerVote()
@@ -191,9 +196,8 @@
 	}
 }
 
-// missingEvidence is the first stream with traffic for which the effect is not ruled out.
+// missingEvidence is the first stream with traffic for which the effect is not ruled out. Call matureReports first.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
-	b.matureReports()
 	e := b.evaluation
 	for class := range e.effects {
 		if len(b.latencies[class]) > 0 && !e.effects[class].RuledOut() {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -1,8 +1,8 @@
 package balancer
 
 // The rule: in any window, the attempts at a canary are at most a free number and the cap's share of the requests that have
-// arrived. First attempts keep to a little less, so that retries have some left, and to the part of the fleet that the
-// canary's warm backends are.
+// arrived. First attempts keep to a little less, so that retries have some left, and to the part of all warm
+// backends that the canary's are.
 //
 // Inputs: the times of arrivals and of attempts at canaries within the site's window, the cap of the stage, the warm
 // capacity of the canary's backends and of all.
@@ -16,10 +16,9 @@
 	exposureUse = 0.9
 	// exposureRounding keeps a sum of shares that is a whole number in theory from counting as one more.
 	exposureRounding = 1e-5
-	// fleetSlowdownMargin is how much more of a canary's attempts are slow than of the others' when it gets no more than
-	// its part of the fleet. It is also how far the others' slow share may rise in a rollout before that is held against
-	// the canary.
-	fleetSlowdownMargin = 0.1
+	// canarySlowdownMargin is how much more of a canary's attempts are slow than of the others' when it gets no more than
+	// the part of all backends that its own are.
+	canarySlowdownMargin = 0.1
 	// leastStageShare bounds the share of the first stage from below where the settings name none.
 	leastStageShare = 0.01
 )
@@ -89,7 +88,7 @@
 	}
 }
 
-// updateCanaryFraction works out what first attempts give the canary: its part of the fleet, with the slack of the first
+// updateCanaryFraction works out what first attempts give the canary: its part of the backends, with the slack of the first
 // stage's cap over its share. While its backends answer more slowly than the others that slack is given back, so that the
 // version is judged at the load that the others carry.
 func (b *Balancer) updateCanaryFraction() {
@@ -101,7 +100,7 @@
 	}
 	share, _ := b.exposureCapOf(b.evaluation.version)
 	slower := max(0, mean(b.evaluation.samples.slow)-b.baseline.slowShare())
-	b.canaryFraction = exposureUse * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slower/fleetSlowdownMargin))
+	b.canaryFraction = exposureUse * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slower/canarySlowdownMargin))
 }
 
 func first(list []float64) float64 {
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// rememberKey keeps a key of a version. Of more versions at once than can be under way, the earliest is let go.
+// rememberKey keeps a key of a version. Of more versions at once than can be under way, the earliest is dropped.
 func (b *Balancer) rememberKey(key uint64, version uint16) {
 	if b.answeredKeys[version] == nil {
 		b.answeredKeys[version] = &keySet{}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -13,7 +13,7 @@
 // rollout and now.
 //
 // Guards against versions that are slow, turn slow, or slow all backends with what they get: seen as answers that still
-// come, but late; holds because the rise of the fleet itself is excused up to a margin alone. A burst of requests or a new
+// come, but late; holds because the rise of the baseline itself is excused up to a margin alone. A burst of requests or a new
 // connection speaks for itself and is left out.
 
 const (
@@ -31,8 +31,13 @@
 	// estimate is longer than all of them but one.
 	// Guards against slow answers that keep away what alone can show faster ones.
 	estimateParts = 4
-	// estimateLifetime is how long the last answer of a class says something.
-	estimateLifetime = probationLongest
+	// estimateLifetime is how long the last answer of a class says something: load and backends may have changed since.
+	estimateLifetime = 4 * Second
+	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th percentile.
+	minLatencySample = 16
+	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise is held against the
+	// canary, which may be what slows all backends.
+	baselineSlowdownMargin = 0.1
 )
 
 // latencyEstimates are how long attempts take, by class.
@@ -66,7 +71,7 @@
 		part := b.settings.Classes[class].LatencyObjective.Ticks() / estimateParts
 		b.p90Latency[class], b.medianLatency[class] = part, part
 		n := len(latencies)
-		if n < backendSampleSize {
+		if n < minLatencySample {
 			continue
 		}
 		if b.now > b.lastAnswerOrTry[class]+estimateLifetime {
@@ -117,5 +122,5 @@
 
 // slownessBound is the slow share that a canary is held against.
 func (b *Balancer) slownessBound() float64 {
-	return min(b.baseline.slowShare(), b.evaluation.slowShareBefore+fleetSlowdownMargin) + canaryLoadMargin + margin
+	return min(b.baseline.slowShare(), b.evaluation.slowShareBefore+baselineSlowdownMargin) + canaryLoadMargin + margin
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -38,6 +38,9 @@
 	probationFirst   = Second / 2
 	probationLongest = 4 * Second
 	probationDone    = Second / 20
+	// minProbationPause is the least pause after an attempt on probation. A backend that is silent or avoided, but has not
+	// failed, has no interval of its own.
+	minProbationPause = Second / 20
 	// probationInFlight is how much may be in flight at a backend on probation.
 	probationInFlight = 2
 	// degradedFor is how long after its last failure a backend may be degraded.
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -52,21 +52,23 @@
 	Canary RolloutPhase = iota
 	// RollingBack: it is being replaced.
 	RollingBack
-	// Released: all of the fleet may run it.
+	// Released: all backends may run it.
 	Released
 	// Withdrawn: it was rolled back, or replaced by the next one.
 	Withdrawn
 )
 
-// ReleaseStatus is what the release API says of the newest version.
+// ReleaseStatus is what the release API says of the newest version: news of where it stands, or its reply to a vote of this
+// relay (VoteReply), which tells in passing where the version stands.
 type ReleaseStatus struct {
 	Version uint16
 	// Stage is its stage, from 0.
 	Stage int
 	Phase RolloutPhase
-	// VoteReply tells that this answers a vote of this relay.
+	// VoteReply tells that this is the reply to this relay's vote. Outcome then tells how the vote ended.
 	VoteReply bool
-	// Outcome is Succeeded if the other fields hold; see Outcome for the others.
+	// Outcome is Succeeded if the other fields hold. With any other one, as of a vote that does not count, none of them but
+	// VoteReply is read.
 	Outcome Outcome
 	// ExposureCap is the share of the requests whose attempts may go to the version.
 	ExposureCap float64
@@ -127,7 +129,7 @@
 		return &d.slow
 	case resets:
 		return &d.resets
-	case fleetMetrics:
+	case releaseMetrics:
 		return &d.metrics
 	}
 	return &d.all
--- a/balancer/rollout_test.go
+++ b/balancer/rollout_test.go
@@ -93,11 +93,13 @@
 	for range 60 {
 		b.recordAnswer(2, 0)
 	}
+	b.matureReports()
 	if open, missing := b.missingEvidence(); !missing || open.kind != wrongAnswers {
 		t.Errorf("%v is open, wanted the reports", open)
 	}
 	b.now += 5*Second + 1
 	b.Balancer.now = b.now
+	b.matureReports()
 	if open, _ := b.missingEvidence(); open.kind == wrongAnswers {
 		t.Error("the reports are still waited for after their time")
 	}
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -185,7 +185,7 @@
 		backend.waitingSince = b.now
 	}
 	if b.onProbation(backend) {
-		backend.nextProbation = b.now + max(backend.probationInterval, probationDone)
+		backend.nextProbation = b.now + max(backend.probationInterval, minProbationPause)
 	}
 	backend.inFlight++
 	r.attempts = append(r.attempts, a)
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -6,12 +6,12 @@
 type streamKind uint8
 
 const (
-	allRequests  streamKind = iota // failures of requests of any class
-	oneClass                       // of one class
-	wrongAnswers                   // reports of wrong answers, among answers
-	slowness                       // slow attempts
-	resets                         // connections that broke
-	fleetMetrics                   // what the release API counted of all relays
+	allRequests    streamKind = iota // failures of requests of any class
+	oneClass                         // of one class
+	wrongAnswers                     // reports of wrong answers, among answers
+	slowness                         // slow attempts
+	resets                           // connections that broke
+	releaseMetrics                   // what the release API counted of all relays
 )
 
 // stream names one stream of outcomes.
@@ -31,7 +31,7 @@
 		return "slowness"
 	case resets:
 		return "resets"
-	case fleetMetrics:
+	case releaseMetrics:
 		return "fleet metrics"
 	}
 	return "request class " + strconv.Itoa(s.class)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -128,7 +128,7 @@
 type Rollout struct {
 	// Control tells what takes a rollout from stage to stage. Missing or unknown: votes.
 	Control RolloutControl
-	// StageShares is, for each stage, the part of the fleet that runs the new version. Range of each: 0 to 1.
+	// StageShares is, for each stage, the share of the backends that run the new version. Range of each: 0 to 1.
 	StageShares []float64
 	// StageCaps is, for each stage, the exposure cap: the part of the requests whose attempts may go to the new version.
 	// Range of each: 0 to 1. Missing: 0, nothing may.
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -36,17 +36,17 @@
 	ID uint64
 	// Class is the request's class, by its place in the settings.
 	Class int
-	// Tenant is the client's tenant, by its place in the settings.
+	// Tenant is the client's tenant, by its place in the settings. Not read by the balancer.
 	Tenant int
 	// Key is what the request is about; 0 is no key.
 	Key uint64
 	// Deadline is when the client stops waiting.
 	Deadline Tick
-	// EstimatedWork is the time that a usual backend would work on it; 0 if not known.
+	// EstimatedWork is the time that a usual backend would work on it; 0 if not known. Not read by the balancer.
 	EstimatedWork Tick
 	// ClientRetry tells that the client has asked the same before.
 	ClientRetry bool
-	// Write tells that the request changes something.
+	// Write tells that the request changes something. Not read by the balancer.
 	Write bool
 	// Pinned requests go only to the backend that their instance runs at.
 	Pinned bool
@@ -128,10 +128,10 @@
 
 // Endpoint is what the endpoint list says of one backend.
 type Endpoint struct {
-	// Zone, Cell and MachineKind are numbers that the caller gives to names.
+	// Zone, Cell and MachineKind are numbers that the caller gives to names. MachineKind is not read by the balancer.
 	Zone, Cell, MachineKind int
 	State                   EndpointState
-	// NominalWeight compares backends with each other, without a unit.
+	// NominalWeight compares backends with each other, without a unit. Not read by the balancer.
 	NominalWeight float64
 	// StartedAt is when its process started; 0 for long ago.
 	StartedAt Tick
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -6,7 +6,7 @@
 )
 
 // The rule: an alarm votes to roll back. Without one, and where votes move the rollout, the relay votes to promote after a
-// few outcomes in the stage if the effect is ruled out, or after a time, unless a detector is half-way to an alarm. Where
+// few outcomes in the stage if the effect is ruled out, or after a time (a timed vote), unless a detector is half-way to an alarm. Where
 // the clock moves the rollout, such a detector votes to pause. Votes are drawn with the chance, and cast at a random moment,
 // for which the release API has room if all relays vote.
 //
@@ -19,11 +19,11 @@
 const (
 	// minOutcomes is the number of outcomes in a stage before a vote to promote.
 	minOutcomes = 20
-	// minOutcomesIfSlow is the number while the fleet is slower than before the rollout, or the canary looks slow.
+	// minOutcomesIfSlow is the number while the baseline is slower than before the rollout, or the canary looks slow.
 	minOutcomesIfSlow = 60
-	// minOutcomesTimed is the number before a vote by the clock, if few relays share the sample.
+	// minOutcomesTimed is the number before a timed vote, if few relays share the sample.
 	minOutcomesTimed = 6
-	// timedVoteAfter is the time after which a vote goes by the clock.
+	// timedVoteAfter is how long a stage has lasted before a timed vote, which needs fewer outcomes.
 	timedVoteAfter = 3 * Second
 	// leastVoteRate stands for a rate of votes a second that the settings lack.
 	leastVoteRate = 0.1
@@ -64,10 +64,12 @@
 type voteState uint8
 
 const (
-	voteNone   voteState = iota // there is nothing to vote
-	voteDrawn                   // it goes out at its time
-	voteCast                    // the reply is waited for, until its time
-	voteStands                  // it counts, or this time none is cast; until its time
+	voteNone      voteState = iota // there is nothing to vote
+	voteDrawn                      // it is cast when due
+	voteSkipped                    // by the draw none is cast; one is drawn again when due
+	voteCast                       // the reply is waited for; without one it is drawn again when due
+	voteCounted                    // the release API took it; one is drawn again when due, as it no longer stands then
+	voteUncounted                  // by the reply it may not count; one is drawn again when due
 )
 
 // vote is this relay's vote.
@@ -76,7 +78,7 @@
 	stage   int
 	verdict Verdict
 	state   voteState
-	until   Tick // when it goes out, is no longer waited for, or no longer stands
+	due     Tick // when the state ends; see the states
 }
 
 // verdict is what the evidence says now.
@@ -85,49 +87,52 @@
 	if !b.releaseKnown || e == nil || e.version != b.release.Version || b.release.Phase != Canary && b.release.Phase != Released {
 		return NoVote
 	}
-	byClock := b.settings.Rollout.Control == AdvanceByClock
-	suspicious, need, timed := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
+	clockedRollout := b.settings.Rollout.Control == AdvanceByClock
+	suspicious, need, timedVote := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
 	if b.slowdownObserved() {
-		suspicious, need, timed = suspicious || byClock, minOutcomesIfSlow, false
+		suspicious, need, timedVote = suspicious || clockedRollout, minOutcomesIfSlow, false
 	}
 	switch {
 	case e.alarm != nil:
 		return RollBack
-	case b.release.Phase == Released || !suspicious && byClock:
+	case b.release.Phase == Released || !suspicious && clockedRollout:
 		return NoVote
-	case byClock:
+	case clockedRollout:
 		return Pause
-	case !suspicious && b.maturedForPromotion(need, timed):
+	case !suspicious && b.maturedForPromotion(need, timedVote):
 		return Promote
 	}
 	return NoVote
 }
 
-// timedVoteDue tells whether the stage has lasted long enough for a vote by the clock, with a few outcomes of the version
-// at least, as a vote on none would be a vote of the clock alone.
+// timedVoteDue tells whether the stage has lasted long enough for a timed vote, with a few outcomes of the version at least,
+// as a vote on none would say no more than the time.
 func (b *Balancer) timedVoteDue() bool {
 	least := max(1, min(minOutcomesTimed, minOutcomes/max(1, b.settings.Relays)))
 	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= least
 }
 
-// slowdownObserved tells whether the fleet is much slower than before the rollout, or the canary is past its bound so far.
+// slowdownObserved tells whether the baseline is much slower than before the rollout, or the canary is past its bound so far.
 func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
-	return b.baseline.slowShare() > e.slowShareBefore+fleetSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
+	return b.baseline.slowShare() > e.slowShareBefore+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
 
-// maturedForPromotion tells whether there is enough evidence for a vote to promote; by the clock there is less.
-func (b *Balancer) maturedForPromotion(need int, timed bool) bool {
-	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= need || timed) {
+// maturedForPromotion tells whether there is enough evidence for a vote to promote; a timed vote needs less. Reports that
+// would have come by now are counted first.
+func (b *Balancer) maturedForPromotion(need int, timedVote bool) bool {
+	b.matureReports()
+	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= need || timedVote) {
 		return true
 	}
-	return timed && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
+	return timedVote && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
 }
 
-// currentStage is where the newest version stands: as the release API told, or as far as the endpoint list shows more
-// backends of it than the told stage has, or replies to votes found stages passed.
+// advanceStage finds out where the newest version stands: at the stage that the release API told, or as far as the endpoint
+// list shows more backends of it than the told stage has, or replies to votes found stages passed. A stage that is reached
+// this way begins now, and its outcomes are counted anew.
 // Where backends of the version start anew under other names, votes may come too early.
-func (b *Balancer) currentStage() int {
+func (b *Balancer) advanceStage() int {
 	e, at := b.evaluation, b.release.Stage
 	if e == nil || e.version != b.release.Version || b.release.Phase != Canary {
 		return at
@@ -145,12 +150,12 @@
 // stageCount is the number of stages of a version.
 func (b *Balancer) stageCount() int { return max(1, len(b.settings.Rollout.StageShares)) }
 
-// stageShare is the part of the fleet that runs a version in a stage.
+// stageShare is the share of the backends that run a version in a stage.
 func (b *Balancer) stageShare(stage int) float64 { return b.settings.Rollout.StageShares[stage] }
 
 // considerVote draws, casts or drops this relay's vote.
 func (b *Balancer) considerVote() {
-	stage, verdict, v := b.currentStage(), b.verdict(), &b.vote
+	stage, verdict, v := b.advanceStage(), b.verdict(), &b.vote
 	if verdict == NoVote {
 		if v.state == voteDrawn {
 			v.state = voteNone
@@ -160,12 +165,12 @@
 	if v.state == voteNone || v.verdict != verdict || v.version != b.release.Version || v.stage != stage {
 		b.drawVote(stage, verdict)
 	}
-	if b.now < v.until {
+	if b.now < v.due {
 		return
 	}
 	if v.state == voteDrawn {
 		b.castVote()
-	} else { // no reply came, or it no longer stands: it is drawn again
+	} else { // it is drawn again
 		v.state = voteNone
 	}
 }
@@ -177,16 +182,16 @@
 	life := b.settings.Rollout.VoteLifetime.Ticks()
 	spread := min(life, Tick(relays/rate*float64(Second)))
 	b.vote = vote{version: b.release.Version, stage: stage, verdict: verdict, state: voteDrawn}
-	b.vote.until = b.now + Tick(b.random.intN(int(spread)+1))
+	b.vote.due = b.now + Tick(b.random.intN(int(spread)+1))
 	chance := rate * float64(life) / float64(Second) / relays
 	if float64(b.random.intN(votePrecision)) >= votePrecision*chance {
-		b.vote.state, b.vote.until = voteStands, b.now+life // not this time
+		b.vote.state, b.vote.due = voteSkipped, b.now+life
 	}
 }
 
 func (b *Balancer) castVote() {
 	v := &b.vote
-	v.state, v.until = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
+	v.state, v.due = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
 	fields := []slog.Attr{slog.String("verdict", v.verdict.String()), slog.Int("version", int(v.version)),
 		slog.Int("stage", v.stage), slog.Int("outcomes", b.evaluation.outcomesInStage)}
 	if v.verdict == Promote {
@@ -209,16 +214,16 @@
 	if !status.VoteReply || v.state != voteCast {
 		return
 	}
-	v.state, v.until = voteStands, b.now+b.settings.Rollout.VoteLifetime.Ticks()
+	v.state, v.due = voteCounted, b.now+b.settings.Rollout.VoteLifetime.Ticks()
 	if status.Outcome == Discarded && v.verdict == RollBack { // that stage has passed
 		b.evaluation.stagePassed = (v.stage + 1) % b.stageCount()
 	}
-	if status.Outcome != Succeeded { // it may not count: again, after a moment
-		v.until = b.now + recastFirst + Tick(b.random.intN(int(recastSpread)))
+	if status.Outcome != Succeeded {
+		v.state, v.due = voteUncounted, b.now+recastFirst+Tick(b.random.intN(int(recastSpread)))
 	}
 }
 
-// VoteReason says why a vote with this verdict is cast now.
+// VoteReason says why a vote with this verdict is cast now. It changes nothing; see Host on when to ask.
 func (b *Balancer) VoteReason(v Verdict) string {
 	s, missing := b.missingEvidence()
 	switch {
