--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,5 +1,7 @@
 package balancer
 
+import "slices"
+
 // The rule: where relays may send each other messages, each tells its counts of outcomes at the version under evaluation,
 // and takes those of others for its own. A relay sees a part of the traffic; together they see a bad version sooner.
 //
@@ -13,25 +15,56 @@
 const (
 	// gossipInterval is the time between two messages.
 	gossipInterval = Second / 2
-	// gossipMost is the most outcomes of a stream in a message; more are left out.
-	gossipMost = 254
-	// gossipHeader is the size of the version.
-	gossipHeader = 2
+	// MaxGossipOutcomes is the most outcomes of a stream in a message; a relay leaves more out.
+	MaxGossipOutcomes = 254
+	// gossipHeader is the size of the version in a message, and gossipCountSize that of one GossipCount.
+	gossipHeader    = 2
+	gossipCountSize = 2
 )
 
+// GossipCount counts outcomes of one stream since the last message.
+type GossipCount struct {
+	// Outcomes is how many there were, MaxGossipOutcomes at the most.
+	Outcomes uint8
+	// Bad is how many of them were bad.
+	Bad uint8
+}
+
+// EncodeGossip makes a message about a version: a count for each class in the settings' order, and one of wrong answers.
+func EncodeGossip(version uint16, counts []GossipCount) []byte {
+	message := make([]byte, 0, gossipHeader+gossipCountSize*len(counts))
+	message = append(message, byte(version), byte(version>>8))
+	for _, count := range counts {
+		message = append(message, count.Outcomes, count.Bad)
+	}
+	return message
+}
+
+// decodeGossip reads a message with so many counts; ok is false for one of another length.
+func decodeGossip(message []byte, counts int) (version uint16, decoded []GossipCount, ok bool) {
+	if len(message) != gossipHeader+gossipCountSize*counts {
+		return 0, nil, false
+	}
+	version = uint16(message[0]) | uint16(message[1])<<8
+	for pair := range slices.Chunk(message[gossipHeader:], gossipCountSize) {
+		decoded = append(decoded, GossipCount{Outcomes: pair[0], Bad: pair[1]})
+	}
+	return version, decoded, true
+}
+
 // gossip is what the next message is to say.
 type gossip struct {
-	gossipCounts []byte // outcomes and bad ones, by class and then of wrong answers
+	gossipCounts []GossipCount // by class, and then of wrong answers
 	nextGossip   Tick
 }
 
-func (b *Balancer) resetGossip() { b.gossipCounts = make([]byte, 2*len(b.settings.Classes)+2) }
+func (b *Balancer) resetGossip() { b.gossipCounts = make([]GossipCount, len(b.settings.Classes)+1) }
 
 // addToGossip counts an outcome at the version under evaluation, of a class or, behind the last one, of wrong answers.
 func (b *Balancer) addToGossip(which int, x float64) {
-	counts := b.gossipCounts[2*which : 2*which+2]
-	counts[0] = min(counts[0]+1, gossipMost)
-	counts[1] = min(counts[1]+byte(x), counts[0])
+	count := &b.gossipCounts[which]
+	count.Outcomes = min(count.Outcomes+1, MaxGossipOutcomes)
+	count.Bad = min(count.Bad+uint8(x), count.Outcomes)
 }
 
 // sendGossip sends a message to all relays when it is due.
@@ -40,8 +73,7 @@
 		return
 	}
 	b.nextGossip = b.now + gossipInterval
-	version := b.evaluation.version
-	b.host.SendGossip(AllPeers, append([]byte{byte(version), byte(version >> 8)}, b.gossipCounts...))
+	b.host.SendGossip(AllPeers, EncodeGossip(b.evaluation.version, b.gossipCounts))
 	clear(b.gossipCounts)
 }
 
@@ -49,12 +81,12 @@
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
-	if e == nil || len(data) != gossipHeader+2*classes+2 || uint16(data[0])|uint16(data[1])<<8 != e.version {
+	version, counts, ok := decodeGossip(data, classes+1)
+	if !ok || e == nil || version != e.version {
 		return
 	}
-	counts := data[gossipHeader:]
-	for class := range classes {
-		n, bad := int(counts[2*class]), int(counts[2*class+1])
+	for class, count := range counts[:classes] {
+		n, bad := int(count.Outcomes), int(count.Bad)
 		e.outcomesInStage += n
 		for i := range n {
 			x := spread(i, bad, n)
@@ -62,7 +94,7 @@
 			b.observeFailure(class, x)
 		}
 	}
-	n, bad := int(counts[2*classes]), int(counts[2*classes+1])
+	n, bad := int(counts[classes].Outcomes), int(counts[classes].Bad)
 	for i := range n {
 		b.observe(stream{kind: wrongAnswers}, spread(i, bad, n), b.wrongAnswerBound())
 	}
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -15,3 +15,16 @@
 	check(t, "alarm", b.evaluation.alarm != nil, true)
 	check(t, "in the stage: own outcomes and those told", b.evaluation.outcomesInStage, 200)
 }
+
+// A message is read as it was written, and one of another length is not read at all.
+func TestGossip_Format(t *testing.T) {
+	counts := []GossipCount{{Outcomes: 200, Bad: 90}, {}, {Outcomes: MaxGossipOutcomes, Bad: 1}}
+	message := EncodeGossip(0x0102, counts)
+	checkAll(t, "message", message, []byte{2, 1, 200, 90, 0, 0, 254, 1})
+	version, decoded, ok := decodeGossip(message, len(counts))
+	check(t, "read", ok, true)
+	check(t, "version", version, 0x0102)
+	checkAll(t, "counts", decoded, counts)
+	_, _, ok = decodeGossip(message[1:], len(counts))
+	check(t, "read when cut short", ok, false)
+}
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -31,7 +31,7 @@
 	}
 	cores, memory := told.Limits()
 	strain := routing.NewOverloadAgent(p.board, f.Self.Name, told.Seed(), f.Settings, cores, memory, log)
-	told.LoadShedder, told.OnStage = strain, strain.OnStage
+	told.FleetPolicy, told.OnStage = strain, strain.OnStage
 	told.WaitTurn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
 	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -84,20 +84,20 @@
 	return succeeded
 }
 
-// recordOutcome hands an outcome to the evidence recorder and to the load shedder, where there are any.
+// recordOutcome hands an outcome to the evidence recorder and to the load policy, where there are any.
 func (d *Dispatcher) recordOutcome(now balancer.Tick, a *Attempt, outcome balancer.Outcome) {
 	succeeded := outcome == balancer.Succeeded
 	class := a.attempt.Request.Class
 	if evidence := d.callbacks.Evidence; evidence != nil && (succeeded || outcome == balancer.Errored) {
 		evidence.RecordOutcome(now, a.version, class, d.stage, !succeeded)
 	}
-	shedder := d.callbacks.LoadShedder
-	if shedder == nil || !reflectsOnBackend(outcome) {
+	policy := d.callbacks.FleetPolicy
+	if policy == nil || !reflectsOnBackend(outcome) {
 		return
 	}
-	shedder.RecordOutcome(a.Name, succeeded)
+	policy.RecordOutcome(a.Name, succeeded)
 	if succeeded {
-		shedder.RecordServiceTime(class, time.Since(a.chosenAt))
+		policy.RecordServiceTime(class, time.Since(a.chosenAt))
 	}
 }
 
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -27,7 +27,7 @@
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // the balancer or the load shedder has it
+	submitted    bool      // the balancer or the load policy has it
 	abandoned    bool      // its client went before that; guarded by the dispatcher's lock
 	steps        chan Step // at most one attempt and one final answer are ever waiting, so that a send never blocks
 }
@@ -112,10 +112,10 @@
 
 // admit asks the fleet about a call that has just come. Nothing of it has been sent, so a rejection keeps its promise.
 func (d *Dispatcher) admit(c *Call) (retryAfter time.Duration, ok bool) {
-	if d.callbacks.LoadShedder == nil {
+	if d.callbacks.FleetPolicy == nil {
 		return 0, true
 	}
-	ok, retryAfter = d.callbacks.LoadShedder.Admit(c.class, d.priorityWeight[c.class], c.tenant, c.request.ClientRetry)
+	ok, retryAfter = d.callbacks.FleetPolicy.Admit(c.class, d.priorityWeight[c.class], c.tenant, c.request.ClientRetry)
 	if !ok {
 		d.counters.Shed++
 	}
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -14,9 +14,9 @@
 	Vote func(Vote)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends that.
 	WatchEndpoints func(on bool)
-	// FetchEndpoints asks for the whole endpoint list once.
+	// FetchEndpoints asks for the whole endpoint list once. The balancer does not ask for it today.
 	FetchEndpoints func()
-	// Probe checks a backend. ProbeEnded takes how that ended.
+	// Probe checks a backend. ProbeEnded takes how that ended. The balancer does not ask for it today.
 	Probe func(Backend)
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle func(backend string)
@@ -31,16 +31,16 @@
 	// Evidence keeps what was seen of each version; nil for none.
 	Evidence EvidenceRecorder
 
-	// LoadShedder decides for the fleet what is shed, retried and probed; nil for a relay on its own.
-	LoadShedder LoadShedder
+	// FleetPolicy decides for the fleet what is shed, retried and probed; nil for a relay on its own.
+	FleetPolicy FleetPolicy
 }
 
-// LoadShedder is what a relay of a fleet asks before it acts. It is called while the dispatcher is locked, and may not
+// FleetPolicy is what a relay of a fleet asks before it acts. It is called while the dispatcher is locked, and may not
 // block.
-type LoadShedder interface {
+type FleetPolicy interface {
 	// Admit tells whether a request goes to the balancer. One that does not is rejected at once, with a time to come back.
 	Admit(class int, priorityWeight float64, tenant string, clientRetry bool) (ok bool, retryAfter time.Duration)
-	// RecordFirstAttempt takes that the first attempt of a request goes out which its client does not repeat.
+	// RecordFirstAttempt records the first attempt of a request that is not its client's retry.
 	RecordFirstAttempt()
 	// AllowRetry tells whether one more attempt of a request may go out.
 	AllowRetry(clientRetry bool) bool
@@ -48,23 +48,23 @@
 	RecordOutcome(backend string, good bool)
 	// RecordServiceTime takes how long a backend took for an attempt that succeeded.
 	RecordServiceTime(class int, took time.Duration)
-	// IsEjected tells whether a backend that this relay does not suspect has failed for others.
+	// IsEjected tells whether the other relays have ejected a backend. Asked only of one that is not on probation here.
 	IsEjected(backend string) bool
-	// AllowProbe tells whether an attempt of this relay may try a suspect backend now.
+	// AllowProbe tells whether an attempt of this relay may try a backend that is on probation or that others have ejected.
 	AllowProbe(backend string) bool
 }
 
 // EvidenceRecorder takes what the balancer learns of versions, and each vote with its reason. It is called while the
 // dispatcher is locked, and may not block.
 type EvidenceRecorder interface {
-	// UpdateVersion takes what the release platform says of the newest version.
+	// UpdateVersion takes what the release API says of the newest version.
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
 	// RecordOutcome takes the outcome of an attempt of this relay.
 	RecordOutcome(now balancer.Tick, version uint16, class, stage int, bad bool)
 	// RecordFlag takes a client's report of a wrong answer, which was sent so long ago.
 	RecordFlag(now balancer.Tick, version uint16, class, stage int, delay balancer.Tick)
-	// RecordPlatformCount takes what the release platform counted.
-	RecordPlatformCount(now balancer.Tick, version uint16, class, stage, attempts, failed int)
+	// RecordReleaseMetrics takes what the release API counted.
+	RecordReleaseMetrics(now balancer.Tick, version uint16, class, stage, attempts, failed int)
 	// RecordVote takes a vote of this relay.
 	RecordVote(now balancer.Tick, version uint16, stage int, verdict, reason string)
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -24,7 +24,7 @@
 	Shed            int64 // requests, by the fleet
 	EndpointUpdates int64
 	StageUpdates    int64
-	PlatformCounts  int64
+	ReleaseMetrics  int64
 	WrongAnswers    int64
 	OpenRequests    int64
 	InFlight        int64 // attempts
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -4,7 +4,7 @@
 // A listener drives it so: Accept makes a Call of a request, Next blocks until the call has something to do, which is an
 // attempt or a final answer of the relay's own. An attempt is announced with Begin before its first byte is written, and ends
 // with Report. Abandon tells that the client has gone. Beside requests come the news: UpdateEndpoints of the endpoint list,
-// UpdatePlacements of where instances run, UpdateStage and the Record methods of the release platform.
+// UpdatePlacements of where instances run, UpdateStage and the Record methods of the release API.
 //
 // Every exported method of Dispatcher may be called from any goroutine. None but Next and RunTimers blocks. The package
 // starts no goroutine; whoever runs RunTimers owns it.
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -15,8 +15,8 @@
 func (h host) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
 	d := h.dispatcher
 	call, backend := d.calls[attempt.Request], d.backendsByID[attempt.Backend.ID]
-	if shedder := d.callbacks.LoadShedder; shedder != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
-		shedder.RecordFirstAttempt()
+	if policy := d.callbacks.FleetPolicy; policy != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
+		policy.RecordFirstAttempt()
 	}
 	at := d.clock.timeAt(deadline)
 	ctx, cancel := context.WithDeadline(context.Background(), at)
@@ -56,12 +56,12 @@
 	h.dispatcher.timerWaker.Wake()
 }
 
-// Probe checks a backend.
+// Probe checks a backend. Not asked for today.
 func (h host) Probe(b *balancer.Backend) {
 	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
 }
 
-// CloseIdle closes the idle connections to a backend.
+// CloseIdle closes the idle connections to a backend. Not asked for today.
 func (h host) CloseIdle(b *balancer.Backend) {
 	h.dispatcher.callbacks.CloseIdle(h.dispatcher.backendsByID[b.ID].name)
 }
@@ -77,7 +77,7 @@
 // WatchEndpoints subscribes to changes of the endpoint list, or ends that.
 func (h host) WatchEndpoints(on bool) { h.dispatcher.callbacks.WatchEndpoints(on) }
 
-// FetchEndpoints asks for the whole endpoint list once.
+// FetchEndpoints asks for the whole endpoint list once. Not asked for today.
 func (h host) FetchEndpoints() { h.dispatcher.callbacks.FetchEndpoints() }
 
 // CastVote casts a vote on a version.
@@ -87,23 +87,23 @@
 	if evidence := d.callbacks.Evidence; evidence != nil {
 		evidence.RecordVote(d.clock.now(), version, stage, verdictNames[verdict], d.balancer.VoteReason(verdict))
 	}
-	d.callbacks.Vote(Vote{Version: version, Stage: stage, Verdict: platformVerdicts[verdict]})
+	d.callbacks.Vote(Vote{Version: version, Stage: stage, Verdict: releaseVerdicts[verdict]})
 }
 
 // AllowRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
 func (h host) AllowRetry(request *balancer.Request) bool {
-	shedder := h.dispatcher.callbacks.LoadShedder
-	return shedder == nil || shedder.AllowRetry(request.ClientRetry)
+	policy := h.dispatcher.callbacks.FleetPolicy
+	return policy == nil || policy.AllowRetry(request.ClientRetry)
 }
 
-// IsEjected tells whether a backend has failed for other relays of the fleet.
+// IsEjected tells whether other relays of the fleet have ejected a backend.
 func (h host) IsEjected(b *balancer.Backend) bool {
-	shedder := h.dispatcher.callbacks.LoadShedder
-	return shedder != nil && shedder.IsEjected(h.dispatcher.backendsByID[b.ID].name)
+	policy := h.dispatcher.callbacks.FleetPolicy
+	return policy != nil && policy.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
-// AllowProbe tells whether an attempt may try a suspect backend, as far as the fleet is concerned.
+// AllowProbe tells whether an attempt may try a backend on probation, as far as the fleet is concerned.
 func (h host) AllowProbe(b *balancer.Backend) bool {
-	shedder := h.dispatcher.callbacks.LoadShedder
-	return shedder == nil || shedder.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
+	policy := h.dispatcher.callbacks.FleetPolicy
+	return policy == nil || policy.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
 }
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/transport"
 )
 
-// RolloutStage is what the release platform says of the newest version.
+// RolloutStage is what the release API says of the newest version.
 type RolloutStage struct {
 	Version     uint16
 	Stage       int    // counted from 0
@@ -17,7 +17,7 @@
 	Age         time.Duration // of the stage
 }
 
-// rolloutPhases are the phases by their names on the release platform.
+// rolloutPhases are the phases by their names on the release API.
 var rolloutPhases = map[string]balancer.RolloutPhase{
 	"testing":   balancer.Canary,
 	"recalling": balancer.RollingBack,
@@ -43,15 +43,15 @@
 	}
 }
 
-// Vote is one vote as the release platform words it.
+// Vote is one vote as the release API words it.
 type Vote struct {
 	Version uint16
 	Stage   int
 	Verdict string // PROCEED, HOLD, ROLLBACK or WITHDRAW
 }
 
-// platformVerdicts are the release platform's names of the verdicts.
-var platformVerdicts = map[balancer.Verdict]string{
+// releaseVerdicts are the release API's names of the verdicts.
+var releaseVerdicts = map[balancer.Verdict]string{
 	balancer.NoVote:   "WITHDRAW",
 	balancer.Promote:  "PROCEED",
 	balancer.Pause:    "HOLD",
@@ -103,18 +103,18 @@
 	d.balancer.OnReleaseStatus(d.clock.now(), reply)
 }
 
-// RecordPlatformCount takes what the release platform counted of a version and class: its attempts, those that failed and
+// RecordReleaseMetrics takes what the release API counted of a version and class: its attempts, those that failed and
 // the mean time of the others, in a period that ended so long ago.
-func (d *Dispatcher) RecordPlatformCount(version uint16, class string, attempts, failed int, took, age time.Duration) {
+func (d *Dispatcher) RecordReleaseMetrics(version uint16, class string, attempts, failed int, took, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.counters.PlatformCounts++
+	d.counters.ReleaseMetrics++
 	if !known {
 		return
 	}
 	if evidence := d.callbacks.Evidence; evidence != nil {
-		evidence.RecordPlatformCount(d.clock.now(), version, index, d.stage, attempts, failed)
+		evidence.RecordReleaseMetrics(d.clock.now(), version, index, d.stage, attempts, failed)
 	}
 	d.balancer.OnMetrics(d.clock.now(), version, index, attempts, failed, ticksOf(took), ticksOf(age))
 }
@@ -135,11 +135,9 @@
 	d.balancer.OnWrongAnswer(d.clock.now(), &b.Backend, index, ticksOf(age))
 }
 
-// Evidence of an earlier run enters the balancer as gossip does, a byte for each count.
-const (
-	maxGossipCount    = 254
-	maxGossipMessages = 64 // beyond these what is left of the evidence is dropped
-)
+// maxGossipMessages is the most messages in which evidence of an earlier run enters the balancer. What is left of it beyond
+// these is dropped.
+const maxGossipMessages = 64
 
 // RestoreEvidence hands the balancer what was known of a version before a restart: outcomes of each class in the settings'
 // order, and how many of them were bad. They enter as another relay's counts do, in messages of what fits into one.
@@ -148,33 +146,28 @@
 	defer d.mu.Unlock()
 	outcomes, bad = slices.Clone(outcomes), slices.Clone(bad)
 	for range maxGossipMessages {
-		message := gossipMessage(version, len(d.classes), outcomes, bad)
-		if message == nil {
+		counts, left := takeGossipCounts(len(d.classes), outcomes, bad)
+		if !left {
 			return
 		}
-		d.balancer.OnGossip(d.clock.now(), 0, message)
+		d.balancer.OnGossip(d.clock.now(), 0, balancer.EncodeGossip(version, counts))
 	}
 }
 
-// gossipMessage takes as much off the counts as one message has room for: the version in two bytes, then for each class and
-// for wrong answers the outcomes and the bad ones among them. nil: nothing is left.
-func gossipMessage(version uint16, classes int, outcomes, bad []int) []byte {
-	message := make([]byte, 4+2*classes)
-	message[0], message[1] = byte(version), byte(version>>8)
-	left := false
+// takeGossipCounts takes as much off the outcomes of each class as one message has room for. The count of wrong answers
+// stays empty. left is false once nothing was left to take.
+func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, left bool) {
+	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
-		part := min(outcomes[class], maxGossipCount)
+		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		wrong := 0
 		if outcomes[class] > 0 { // its share of the bad ones, rounded up
 			wrong = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
-		message[2+2*class], message[3+2*class] = byte(part), byte(wrong)
+		counts[class] = balancer.GossipCount{Outcomes: uint8(part), Bad: uint8(wrong)}
 		outcomes[class] -= part
 		bad[class] = max(0, bad[class]-wrong)
 		left = left || part > 0
 	}
-	if !left {
-		return nil
-	}
-	return message
+	return counts, left
 }
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// RecordPlatformCount adds what the platform counted at a version. Counts that make no sense are ignored.
-func (s *Store) RecordPlatformCount(now balancer.Tick, number uint16, class, wave, outcomes, failures int) {
+// RecordReleaseMetrics adds what the release API counted at a version. Counts that make no sense are ignored.
+func (s *Store) RecordReleaseMetrics(now balancer.Tick, number uint16, class, wave, outcomes, failures int) {
 	v := s.reported(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
 		v.add(class, wave, SourcePlatform, float64(outcomes), float64(failures))
--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -120,7 +120,7 @@
 		CloseIdle:      func(backend string) { r.pool.CloseIdle(backend) },
 		Log:            logging.Component(root, "dispatch"),
 		OnStage:        config.OnStage,
-		LoadShedder:    config.LoadShedder,
+		FleetPolicy:    config.FleetPolicy,
 	}
 	if config.evidenceRules != nil {
 		r.evidence = newEvidenceSaver(config, root.With().Str("component", "evidence").Logger())
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -49,11 +49,11 @@
 	// FollowsPlacements: the endpoint list and where instances run come from a fleet's controllers, by a part that runs beside
 	// the relay.
 	FollowsPlacements bool
-	// LoadShedder decides for the fleet what is shed; nil for a relay on its own.
-	LoadShedder dispatch.LoadShedder
+	// FleetPolicy decides for the fleet what is shed, retried and probed; nil for a relay on its own.
+	FleetPolicy dispatch.FleetPolicy
 	// WaitTurn blocks until this relay may accept clients, or the context ends; nil: at once.
 	WaitTurn func(context.Context)
-	// OnStage hears the stages that the platform announces; nil: nobody does.
+	// OnStage hears the stages that the release API announces; nil: nobody does.
 	OnStage func(dispatch.RolloutStage)
 }
 
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -41,7 +41,7 @@
 	r.log.Info().Int64("attempts", c.Attempts).Dict("attempt_outcomes", outcomeDict(c.Outcomes[:])).
 		Int64("votes", c.Votes).Dict("vote_outcomes", outcomeDict(c.VoteOutcomes[:])).Int64("shed", c.Shed).
 		Int64("endpoint_updates", c.EndpointUpdates).Int64("stage_updates", c.StageUpdates).
-		Int64("platform_counts", c.PlatformCounts).Int64("wrong_answers", c.WrongAnswers).
+		Int64("platform_counts", c.ReleaseMetrics).Int64("wrong_answers", c.WrongAnswers).
 		Int64("open_requests", c.OpenRequests).Int64("in_flight", c.InFlight).Int64("backends", c.Backends).
 		Int64("timer_calls", c.Wakeups).Dur("timer_delay_mean_ms", c.WakeupDelayMean).Dur("timer_delay_max_ms", c.WakeupDelayMax).
 		Dur("timer_call_mean_ms", c.TimerCallMean).Dur("timer_call_max_ms", c.TimerCallMax).Msg("dispatch counters")
--- a/internal/releaseapi/change.go
+++ b/internal/releaseapi/change.go
@@ -53,7 +53,7 @@
 			c.dispatcher.RecordWrongAnswer(seen.Backend, seen.Class, age)
 			return nil
 		}
-		c.dispatcher.RecordPlatformCount(seen.Version, seen.Class, seen.Samples, seen.Errors, milliseconds(seen.MeanMs), age)
+		c.dispatcher.RecordReleaseMetrics(seen.Version, seen.Class, seen.Samples, seen.Errors, milliseconds(seen.MeanMs), age)
 	}
 	return nil
 }
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -43,7 +43,7 @@
 }
 
 // OverloadAgent joins one relay to its fleet's decisions on overload: it measures what they need, exchanges reports, and is the
-// dispatcher's load shedder. It is safe for concurrent use, Run by one goroutine.
+// dispatcher's fleet policy. It is safe for concurrent use, Run by one goroutine.
 type OverloadAgent struct {
 	membership Membership
 	log        zerolog.Logger
