--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -61,6 +61,7 @@
 	concurrency
 	latencyEstimates
 	ejection
+	cancellation
 	exposureState
 	rollout
 	vote vote
@@ -74,6 +75,7 @@
 	b.concurrency = newConcurrency()
 	b.latencyEstimates = newLatencyEstimates(settings.Classes)
 	b.ejection = newEjection()
+	b.cancellation = newCancellation()
 	b.exposureState = newExposureState(settings)
 	b.rollout = newRollout(len(settings.Classes))
 	b.updateLatencies()
@@ -128,7 +130,7 @@
 func (b *Balancer) recordSuccess(a *Attempt, latency Tick) {
 	a.Backend.successTimes = appendBounded(a.Backend.successTimes, b.now, backendSampleSize)
 	b.successTimes = append(b.successTimes, b.now)
-	b.cancelBudget = min(b.cancelBudget+cancelShare, float64(b.choiceSize))
+	b.earnCancellation()
 	b.recordLatency(a.Request.Class, latency)
 	b.rememberAnswer(a)
 }
@@ -155,13 +157,14 @@
 	}
 }
 
-// OnInstancesMoved takes that PinnedTo of requests that are queued has changed.
+// OnInstancesMoved routes queued requests again, after PinnedTo of some of them has changed.
 func (b *Balancer) OnInstancesMoved(now Tick) {
 	b.now = now
 	b.serveQueue()
 }
 
-// OnProbe takes the result of a probe. It changes nothing: backends are judged by the outcomes of attempts.
+// OnProbe takes the result of a probe. It changes nothing, as Host.Probe is not asked for today: backends are judged by the
+// outcomes of attempts.
 func (b *Balancer) OnProbe(now Tick, _ *Backend, _ Outcome, _ Tick, _ []float64) { b.now = now }
 
 // OnTimer takes the one timer: what is overdue counts, and estimates are worked out anew.
