--- a/internal/keys/key_file.go
+++ b/internal/keys/key_file.go
@@ -49,9 +49,9 @@
 	Type      string `json:"type"`
 	ID        string `json:"id"`
 	Encrypted bool   `json:"encrypted"`
-	N         int    `json:"n,omitempty"` // costs of scrypt
-	R         int    `json:"r,omitempty"`
-	P         int    `json:"p,omitempty"`
+	ScryptN   int    `json:"n,omitempty"` // costs of scrypt
+	ScryptR   int    `json:"r,omitempty"`
+	ScryptP   int    `json:"p,omitempty"`
 	Salt      []byte `json:"salt,omitempty"`
 	Nonce     []byte `json:"nonce,omitempty"`
 	Key       []byte `json:"key"` // PKCS #8, encrypted with XChaCha20-Poly1305 where Encrypted
@@ -72,7 +72,7 @@
 	}
 	f := keyFile{Form: keyFileForm, Type: k.Public.Type, ID: k.ID, Key: der}
 	if len(passphrase) > 0 {
-		f.Encrypted, f.N, f.R, f.P = true, scryptN, scryptR, scryptP
+		f.Encrypted, f.ScryptN, f.ScryptR, f.ScryptP = true, scryptN, scryptR, scryptP
 		f.Salt, f.Nonce = make([]byte, saltSize), make([]byte, chacha20poly1305.NonceSizeX)
 		rand.Read(f.Salt)
 		rand.Read(f.Nonce)
@@ -98,7 +98,7 @@
 
 // cipher is the cipher of the private key by a passphrase.
 func (f *keyFile) cipher(passphrase []byte) (cipher.AEAD, error) {
-	secret, err := scrypt.Key(passphrase, f.Salt, f.N, f.R, f.P, chacha20poly1305.KeySize)
+	secret, err := scrypt.Key(passphrase, f.Salt, f.ScryptN, f.ScryptR, f.ScryptP, chacha20poly1305.KeySize)
 	if err != nil {
 		return nil, fmt.Errorf("costs of the pass phrase: %w", ErrNotKeyFile)
 	}
@@ -146,7 +146,7 @@
 	if len(passphrase) == 0 {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
 	}
-	if f.N < 2 || f.N > maxScryptN || f.R < 1 || f.R > maxScryptR || f.P < 1 || f.P > maxScryptP ||
+	if f.ScryptN < 2 || f.ScryptN > maxScryptN || f.ScryptR < 1 || f.ScryptR > maxScryptR || f.ScryptP < 1 || f.ScryptP > maxScryptP ||
 		len(f.Nonce) != chacha20poly1305.NonceSizeX {
 		return nil, fmt.Errorf("%s: %w", path, ErrNotKeyFile)
 	}
--- a/internal/tufverify/target_reader.go
+++ b/internal/tufverify/target_reader.go
@@ -12,14 +12,14 @@
 // else. It is not safe for concurrent use; its refusals are counted at the Repository.
 type TargetReader struct {
 	target       *Target
-	repo         *Repository
-	digest       hash.Hash // of what was passed on; nil where it can't be had
-	buffered     []byte    // come, but not passed on yet
-	passed       int64     // passed on
-	holdBack     int64
-	hasPieces    bool
-	singleMirror bool // a piece may not be put together from several mirrors
-	corrupt      bool
+	repo         *Repository // counts the refusals
+	digest       hash.Hash   // of what was passed on; nil where it can't be computed
+	buffered     []byte      // came, and was not passed on yet
+	passed       int64       // bytes passed on, from the target's start
+	holdBack     int64       // bytes that are buffered at most: a piece, or the last bytes
+	hasPieces    bool        // the target has digests of pieces
+	singleMirror bool        // a piece may not come from several mirrors
+	corrupt      bool        // what was passed on can't become right any more
 }
 
 // holdBackSize are the bytes that are kept back to the end where there are no sums of pieces.
@@ -128,12 +128,13 @@
 	return nil
 }
 
-func (t *TargetReader) forward(p []byte, to func([]byte) error) error {
+// forward passes verified bytes on.
+func (t *TargetReader) forward(data []byte, pass func([]byte) error) error {
 	if t.digest != nil {
-		t.digest.Write(p)
+		t.digest.Write(data)
 	}
-	t.passed += int64(len(p))
-	return to(p)
+	t.passed += int64(len(data))
+	return pass(data)
 }
 
 // Done tells that every byte was passed on.
