--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -19,14 +19,14 @@
 
 // frontFixture is a front with mirrors and a fleet.
 type frontFixture struct {
-	dir      string
-	front    *metadataservice.Service
-	clock    *repository.Clock
-	stop     func()
-	key      *keys.Key
-	waveLine string
-	write    func() error
-	director *repository.Publisher
+	dir       string
+	front     *metadataservice.Service
+	clock     *repository.Clock
+	stop      func()
+	key       *keys.Key
+	stageLine string
+	write     func() error
+	director  *repository.Publisher
 }
 
 func (w *frontFixture) close() {
@@ -37,7 +37,7 @@
 }
 
 func (m Metadata) world(n int) (w *frontFixture, err error) {
-	w = &frontFixture{clock: repository.NewClock(true), waveLine: "wave 2 testing 35%"}
+	w = &frontFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
 	if w.dir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	}
 	text := config.String()
 	w.write = func() error {
-		return os.WriteFile(filepath.Join(w.dir, "cove.conf"), []byte(text+"  "+w.waveLine+"\n }\n}\n"), 0o600)
+		return os.WriteFile(filepath.Join(w.dir, "cove.conf"), []byte(text+"  "+w.stageLine+"\n }\n}\n"), 0o600)
 	}
 	if err := w.write(); err != nil {
 		return nil, err
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -27,7 +27,7 @@
 	}
 	before := w.front.Director().IssuedCount()
 	h = newLatencies()
-	w.waveLine = "wave 2 testing 10%"
+	w.stageLine = "wave 2 testing 10%"
 	if err := w.write(); err != nil {
 		return 0, 0, h, err
 	}
