--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -23,7 +23,7 @@
 	c.mu.Unlock()
 	var assignments []placement.Assignment // read where they are needed: that is rare, and they are many
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if !devicehealth.AllDraining(zones[zone]) {
+		if !devicehealth.AllEvacuating(zones[zone]) {
 			continue
 		}
 		if assignments == nil {
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -43,25 +43,25 @@
 func (c *Controller) nodeStatus(ask controllerclient.LeaseRequest) migration.NodeStatus {
 	report := decodeHealthReport(ask)
 	status := migration.NodeStatus{
-		Name:        ask.Node,
-		Zone:        c.zoneOf(ask),
-		Incarnation: ask.Incarnation,
-		Risk:        report.Risk,
-		FreeSlots:   report.SpareCapacity,
-		Draining:    ask.Draining,
-		Version:     ask.SoftwareVersion,
-		RollingBack: ask.RollingBack,
-		WarmingUp:   ask.WarmingUp,
-		LostCopies:  ask.LostCopies,
+		Name:           ask.Node,
+		Zone:           c.zoneOf(ask),
+		Incarnation:    ask.Incarnation,
+		Risk:           report.Risk,
+		FreeSlots:      report.SpareCapacity,
+		ListedDraining: ask.Draining,
+		Version:        ask.SoftwareVersion,
+		RollingBack:    ask.RollingBack,
+		WarmingUp:      ask.WarmingUp,
+		LostCopies:     ask.LostCopies,
 	}
 	switch report.State {
 	case controllerclient.StateAccepting:
 		status.Accepting = true
 	case controllerclient.StateLimited:
 		status.Accepting, status.Limited = true, true
-	case controllerclient.StateDraining:
+	case controllerclient.StateEvacuating:
 		status.Evacuating = true
-	case controllerclient.StateLeaving:
+	case controllerclient.StateShuttingDown:
 		status.Evacuating, status.ShuttingDown = true, true
 	}
 	return status
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -46,11 +46,11 @@
 
 // The states of a node's health.
 const (
-	StateAccepting = "accepts"
-	StateLimited   = "trickle"
-	StateHolding   = "keeps"
-	StateDraining  = "hands-on"
-	StateLeaving   = "leaves"
+	StateAccepting    = "accepts"
+	StateLimited      = "trickle"
+	StateHolding      = "keeps"
+	StateEvacuating   = "hands-on"
+	StateShuttingDown = "leaves"
 )
 
 // LeaseResponse grants a lease. A node whose earlier lease was over, or that had none, begins to serve only once it has the
--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,14 +7,14 @@
 	"silvercove/internal/tick"
 )
 
-// What is needed for handing over, times these, has to be left for a state. A node drains at twice, as the copies of the
+// What is needed for handing over, times these, has to be left for a state. A node evacuates at twice, as the copies of the
 // other nodes of its zone may be under way; it holds at five times, as an instance taken in would be handed over at
-// once; probation is at ten. Below half nothing can be finished.
+// once; a node takes few instances below ten. Below half nothing can be finished.
 const (
-	leavingRatio   = 0.5
-	drainingRatio  = 2.0
-	holdingRatio   = 5.0
-	probationRatio = 10.0
+	shuttingDownRatio = 0.5
+	evacuatingRatio   = 2.0
+	holdingRatio      = 5.0
+	limitedRatio      = 10.0
 )
 
 // assessment is what a node's readings allow at one moment.
@@ -70,8 +70,8 @@
 		distrusted:         map[*series]bool{},
 		strictness:         strictness,
 	}
-	if m.terminating {
-		a.limit(levelLeaving, "told to end")
+	if m.shutdownRequested {
+		a.limit(levelShuttingDown, "told to end")
 	}
 	m.distrustReadings(a)
 	m.assessBattery(a)
@@ -119,7 +119,7 @@
 	case m.failures.waiting(m.now):
 		a.limit(levelHolding, "its readings are well, but it fails its work")
 	case m.failures.failing():
-		a.limit(levelProbation, "it failed its work, and is tried again")
+		a.limit(levelLimited, "it failed its work, and is tried again")
 	}
 }
 
@@ -127,14 +127,14 @@
 func levelFor(present, offered, handover tick.Tick, strictness float64) level {
 	lasts := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(handover) }
 	switch {
-	case !lasts(present, leavingRatio):
-		return levelLeaving
-	case !lasts(present, drainingRatio):
-		return levelDraining
+	case !lasts(present, shuttingDownRatio):
+		return levelShuttingDown
+	case !lasts(present, evacuatingRatio):
+		return levelEvacuating
 	case !lasts(offered, holdingRatio):
 		return levelHolding
-	case !lasts(offered, probationRatio):
-		return levelProbation
+	case !lasts(offered, limitedRatio):
+		return levelLimited
 	}
 	return levelAccepting
 }
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	claimShare     = 0.5               // of a zone's nodes at most drain by claim alone: a version's fault shows in all at once
+	claimShare     = 0.5               // of a zone's nodes at most evacuate by claim alone: a version's fault shows in all at once
 	claimRetention = 600 * tick.Second // for which a claim counts after it was withdrawn, so that nodes do not take turns
 )
 
 // verifyClaim checks a claim that nothing but the node's word supports. Guards against a fault that makes all nodes of a
-// zone say that they must drain, which would empty the zone. Nodes with readings that the controller cannot check look
-// the same; half of them drain, the others hold what they have.
+// zone say that they must evacuate, which would empty the zone. Nodes with readings that the controller cannot check look
+// the same; half of them evacuate, the others hold what they have.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -17,9 +17,9 @@
 		case s.kind == KindThrottle && value >= slowThrottle:
 			a.limit(levelHolding, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
 		case s.kind == KindThrottle && value > 0:
-			a.limit(levelProbation, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+			a.limit(levelLimited, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
 		case s.kind == KindLid && value < switchOn:
-			a.limit(levelDraining, "%s is shut: the machine may sleep at any moment", s.name)
+			a.limit(levelEvacuating, "%s is shut: the machine may sleep at any moment", s.name)
 		case s.kind == KindRadio:
 			radios++
 			if value < switchOn {
--- a/internal/devicehealth/last_resort.go
+++ b/internal/devicehealth/last_resort.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// Instance is one instance in the order in which a fleet serves on where all nodes of a zone must drain.
+// Instance is one instance in the order in which a fleet serves on where all nodes of a zone must evacuate.
 type Instance struct {
 	Name           string
 	Node           string  // which has it; after LastResort: which serves it on, "" for none
 	PriorityWeight float64 // 1 to 100
 }
 
-// AllDraining reports whether the instances of each of these nodes are to go, so that none of them can take another
+// AllEvacuating reports whether the instances of each of these nodes are to go, so that none of them can take another
 // one's. It is false of no nodes.
-func AllDraining(reports map[string]Report) bool {
+func AllEvacuating(reports map[string]Report) bool {
 	for _, r := range reports {
-		if !r.MustDrain() {
+		if !r.MustEvacuate() {
 			return false
 		}
 	}
 	return len(reports) > 0
 }
 
-// LastResort ranks the instances of nodes that must all drain: the highest priority weight first, by name among equals.
+// LastResort ranks the instances of nodes that must all evacuate: the highest priority weight first, by name among equals.
 // Each stays where it is while its node can serve one more, else it goes to the node at the least risk that can; those
 // for which there is none are last, served by none. Each node that does not end serves at least one, so a zone serves on
 // until its last node is gone.
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -1,6 +1,6 @@
 // Package devicehealth decides, for one edge node on battery, how much work it takes (Monitor), and for the leading
 // controller which nodes' reports to believe (Verifier) and which instances are served on where all nodes of a zone must
-// drain (LastResort).
+// evacuate (LastResort).
 //
 // How to drive a Monitor: hand in the node's readings (AddReading), its load (SetLoad), the instances it has
 // (SetInstances) and how its requests ended (RecordOutcome), and call Assess about once a second, which returns the
@@ -53,11 +53,11 @@
 	series    []*series
 	truncated bool // there are more readings than maxTrackedReadings
 
-	load        float64 // present load, a share of what the node can do
-	offeredLoad float64 // the load if it took all that is asked of it; at least load
-	instances   int
-	stateBytes  int // of all instances
-	terminating bool
+	load              float64 // present load, a share of what the node can do
+	offeredLoad       float64 // the load if it took all that is asked of it; at least load
+	instances         int
+	stateBytes        int // of all instances
+	shutdownRequested bool
 
 	hysteresis hysteresis
 	failures   failureDetector
@@ -140,8 +140,8 @@
 	m.now, m.instances, m.stateBytes = now, max(0, instances), max(0, stateBytes)
 }
 
-// SetTerminating records that the process was asked to end.
-func (m *Monitor) SetTerminating(now tick.Tick) { m.now, m.terminating = now, true }
+// RequestShutdown records that the process was asked to end.
+func (m *Monitor) RequestShutdown(now tick.Tick) { m.now, m.shutdownRequested = now, true }
 
 // RecordOutcome records how one of the node's requests ended: whether it did what it was asked for in time. Rejections
 // are no outcomes. Guards against a node that reads well and fails. A bad version looks the same, which the relays'
@@ -204,11 +204,11 @@
 		TimeToLimitOffered: a.timeToLimitOffered,
 		HandoverTime:       a.handoverTime,
 		UnknownReadings:    a.unknown,
-		Terminating:        m.terminating,
+		ShutdownRequested:  m.shutdownRequested,
 		Readings:           a.readings,
 		SpareCapacity:      m.spareCapacity(a, state),
 	}
-	if !m.terminating {
+	if !m.shutdownRequested {
 		r.LastResortCapacity = max(1, int(math.Ceil(float64(max(1, m.instances))*(1-r.Risk))))
 	}
 	slices.SortStableFunc(a.constraints, func(x, y constraint) int { return int(x.level) - int(y.level) })
@@ -223,12 +223,12 @@
 
 // risk is how near the node is to failing, 0 to 1.
 func (m *Monitor) risk(a *assessment) float64 {
-	if m.terminating {
+	if m.shutdownRequested {
 		return 1
 	}
 	risk := 0.0
 	if left := min(a.timeToEmpty, a.timeToOverheat); left < Never {
-		risk = max(0, 1-float64(left)/(probationRatio*float64(a.handoverTime)))
+		risk = max(0, 1-float64(left)/(limitedRatio*float64(a.handoverTime)))
 	}
 	if len(a.unknown) > 0 || m.failures.failing() {
 		risk = max(risk, unknownRisk)
@@ -245,11 +245,11 @@
 
 // spareCapacity is how many more instances could still be handed over in time.
 func (m *Monitor) spareCapacity(a *assessment, at level) int {
-	if at < levelProbation {
+	if at < levelLimited {
 		return 0
 	}
 	most := max(0, m.settings.maxInstances-m.instances)
-	if at == levelProbation {
+	if at == levelLimited {
 		most = min(most, 1)
 	}
 	average := 0
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -27,14 +27,14 @@
 	AcceptFraction     float64     `json:"share"`             // of its places, that it offers to new instances
 	Risk               float64     `json:"danger"`            // 0 to 1: how near it is to failing
 	SpareCapacity      int         `json:"room"`              // instances that it takes beside those it has
-	LastResortCapacity int         `json:"serves"`            // instances that it could serve on if its whole zone had to drain
+	LastResortCapacity int         `json:"serves"`            // instances that it could serve on if its whole zone had to evacuate
 	Reasons            []string    `json:"reasons,omitempty"` // sentences, the one that decides first
 	TimeToEmpty        tick.Tick   `json:"empty"`             // of the battery at the present load: lower bound, or Never
 	TimeToOverheat     tick.Tick   `json:"hot"`               // at the present load: lower bound, or Never
 	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of the two at the offered load
 	HandoverTime       tick.Tick   `json:"need"`              // what it takes to hand all its instances over
 	UnknownReadings    []string    `json:"unknown,omitempty"` // names of readings that cannot be relied on
-	Terminating        bool        `json:"ends,omitempty"`    // it was told to end: a fact, no forecast
+	ShutdownRequested  bool        `json:"ends,omitempty"`    // it was told to end: a fact, no forecast
 	Readings           KeyReadings `json:"shown"`             // the readings that decided
 
 	unknownFields map[string]json.RawMessage // of a later version
@@ -114,12 +114,14 @@
 
 // ApplyTo sets what a report says of a node in the migration planner's terms.
 func (r Report) ApplyTo(u *migration.NodeStatus) {
-	u.Accepting = r.State == StateAccepting || r.State == StateProbation
-	u.Limited = r.State == StateProbation
-	u.Evacuating = r.MustDrain()
-	u.ShuttingDown = r.State == StateLeaving
+	u.Accepting = r.State == StateAccepting || r.State == StateLimited
+	u.Limited = r.State == StateLimited
+	u.Evacuating = r.MustEvacuate()
+	u.ShuttingDown = r.State == StateShuttingDown
 	u.Risk, u.FreeSlots = r.Risk, r.SpareCapacity
 }
 
-// MustDrain reports whether the node's instances are to go.
-func (r Report) MustDrain() bool { return r.State == StateDraining || r.State == StateLeaving }
+// MustEvacuate reports whether the node's instances are to go.
+func (r Report) MustEvacuate() bool {
+	return r.State == StateEvacuating || r.State == StateShuttingDown
+}
--- a/internal/devicehealth/state.go
+++ b/internal/devicehealth/state.go
@@ -5,11 +5,11 @@
 
 // The states of an edge node, the strongest first. Their values are part of the report's form.
 const (
-	StateAccepting State = "accepts"  // takes new instances
-	StateProbation State = "trickle"  // takes a few of them
-	StateHolding   State = "keeps"    // serves those it has, takes no new ones
-	StateDraining  State = "hands-on" // its instances are to go, the most important first
-	StateLeaving   State = "leaves"   // it ends, on purpose or because it has to
+	StateAccepting    State = "accepts"  // takes new instances
+	StateLimited      State = "trickle"  // takes a few of them
+	StateHolding      State = "keeps"    // serves those it has, takes no new ones
+	StateEvacuating   State = "hands-on" // its instances are to go, the most important first
+	StateShuttingDown State = "leaves"   // it ends, on purpose or because it has to
 )
 
 // level orders the states, the weakest first. What several things allow is the lowest of their levels.
@@ -17,17 +17,17 @@
 
 const (
 	levelUnknown level = iota - 1
-	levelLeaving
-	levelDraining
+	levelShuttingDown
+	levelEvacuating
 	levelHolding
-	levelProbation
+	levelLimited
 	levelAccepting
 )
 
 // states are the states by level.
-var states = []State{StateLeaving, StateDraining, StateHolding, StateProbation, StateAccepting}
+var states = []State{StateShuttingDown, StateEvacuating, StateHolding, StateLimited, StateAccepting}
 
-// acceptFractions are the shares of its places that a node offers to new instances, by level. Probation is a tenth:
+// acceptFractions are the shares of its places that a node offers to new instances, by level. A node that is limited offers a tenth:
 // enough to see outcomes, too little to exhaust the node.
 var acceptFractions = []float64{0, 0, 0, 0.1, 1}
 
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -52,9 +52,9 @@
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	at := max(levelFor(present, offered, a.handoverTime, a.strictness), levelDraining) // without its instances it cools
+	at := max(levelFor(present, offered, a.handoverTime, a.strictness), levelEvacuating) // without its instances it cools
 	if s.limit > 0 && value >= s.limit {
-		at = levelLeaving // the machine is about to stop itself
+		at = levelShuttingDown // the machine is about to stop itself
 	}
 	a.limit(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
 		s.name, value, limit, span(present), span(offered))
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -72,7 +72,7 @@
 	switch {
 	case n.replicas == nil || !n.replicas.HoldsLease(controllerclient.Now()):
 		return "no lease"
-	case n.terminating || n.report.State == devicehealth.StateLeaving:
+	case n.terminating || n.report.State == devicehealth.StateShuttingDown:
 		return "it leaves"
 	}
 	return ""
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -26,7 +26,7 @@
 func (n *Node) terminate(ctx context.Context) {
 	n.mu.Lock()
 	n.terminating = true
-	n.health.SetTerminating(controllerclient.Now())
+	n.health.RequestShutdown(controllerclient.Now())
 	n.mu.Unlock()
 	n.renewSoon()
 	n.options.Log.Info().Str("event", "leaves").Str("why", "told to end").Msg("termination begun")
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -17,7 +17,7 @@
 	}
 	sent := u.now()
 	ask := migration.NodeStatus{Name: u.name, Zone: u.zone.name, Incarnation: run, RollingBack: u.rollingBack > 0,
-		Draining: u.draining > 0, LostCopies: u.lostDisk}
+		ListedDraining: u.draining > 0, LostCopies: u.lostDisk}
 	u.health.ApplyTo(&ask)
 	said := ask
 	if f.disabled.blindPlanner {
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -42,7 +42,7 @@
 
 // changesPlans reports whether what a node reports may change what its instances need.
 func changesPlans(old, status NodeStatus) bool {
-	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.Draining != status.Draining ||
+	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.ListedDraining != status.ListedDraining ||
 		old.RollingBack != status.RollingBack || old.Accepting != status.Accepting || old.Zone != status.Zone ||
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
@@ -97,7 +97,7 @@
 		i.review.position = notQueued
 		p.instances[a.Instance] = i
 	}
-	if i.assigned && !isNewer(a, i.Assignment) {
+	if i.assigned && !a.NewerThan(i.Assignment) {
 		return
 	}
 	old := i.Assignment
@@ -126,10 +126,6 @@
 	p.work(maxWorkPerFact)
 }
 
-func isNewer(a, than placement.Assignment) bool {
-	return a.Epoch > than.Epoch || a.Epoch == than.Epoch && a.Revision > than.Revision
-}
-
 // assign replaces an instance's assignment, and the nodes that it is known at.
 func (p *Planner) assign(i *instance, a placement.Assignment) {
 	if i.primaryNode != nil {
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -126,7 +126,7 @@
 	}
 	target, index := p.bestStaleCopy(i)
 	if target == nil {
-		target, _ = p.chooseTarget(i, primaryLeaving)
+		target, _ = p.chooseTarget(i, primaryOnItsWayOut)
 	}
 	if target == nil {
 		p.backOff(i)
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -9,20 +9,20 @@
 
 // NodeStatus is what the leading controller knows of a node.
 type NodeStatus struct {
-	Name, Zone   string
-	Incarnation  uint64    // number of its process's start; another one has another memory
-	LeaseEnd     tick.Tick // of its lease, by the controller's clock, drift added: later it does not act; 0 for not known
-	Accepting    bool      // it takes new instances
-	Limited      bool      // of those a few only
-	Evacuating   bool      // its instances are to go
-	ShuttingDown bool      // it ends on purpose
-	Risk         float64   // 0 to 1: how near it is to failing; instances of the nodes most at risk go first
-	FreeSlots    int       // instances that it takes beside those it has; below 0: so many too many
-	Draining     bool      // by the endpoint list
-	Version      uint16    // that it runs
-	RollingBack  bool      // that version is being rolled back
-	WarmingUp    bool      // it has just started; FreeSlots is its slow-start budget then
-	LostCopies   bool      // this incarnation began without the copies of the one before
+	Name, Zone     string
+	Incarnation    uint64    // number of its process's start; another one has another memory
+	LeaseEnd       tick.Tick // of its lease, by the controller's clock, drift added: later it does not act; 0 for not known
+	Accepting      bool      // it takes new instances
+	Limited        bool      // of those a few only
+	Evacuating     bool      // its instances are to go
+	ShuttingDown   bool      // it ends on purpose
+	Risk           float64   // 0 to 1: how near it is to failing; instances of the nodes most at risk go first
+	FreeSlots      int       // instances that it takes beside those it has; below 0: so many too many
+	ListedDraining bool      // by the endpoint list
+	Version        uint16    // that it runs
+	RollingBack    bool      // that version is being rolled back
+	WarmingUp      bool      // it has just started; FreeSlots is its slow-start budget then
+	LostCopies     bool      // this incarnation began without the copies of the one before
 }
 
 // node is a node as the planner knows it.
@@ -82,7 +82,7 @@
 }
 
 // onItsWayOut reports whether a node ends, is drained, or runs a version that is rolled back.
-func (n *node) onItsWayOut() bool { return n.ShuttingDown || n.Draining || n.RollingBack }
+func (n *node) onItsWayOut() bool { return n.ShuttingDown || n.ListedDraining || n.RollingBack }
 
 // wasAway reports whether a node's lease had ended, before what it reports now.
 func (n *node) wasAway(now tick.Tick) bool {
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -61,7 +61,7 @@
 	case !primary.reported:
 		return noMove, 0
 	case primary.onItsWayOut():
-		return primaryLeaving, 0
+		return primaryOnItsWayOut, 0
 	case primary.Evacuating && i.history.streak > 0:
 		// Two evacuating nodes would hand it to and fro: each time in a row it stays twice as long.
 		return primaryEvacuating, stay
@@ -185,7 +185,7 @@
 	lease := p.config.Lease
 	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
 	i.retry.until = p.now + min(lease<<i.retry.attempts/cancelBackOffFraction, max(lease, p.config.RestartAfter))
-	i.retry.reason = primaryLeaving
+	i.retry.reason = primaryOnItsWayOut
 	i.avoid = avoidance{node: target, until: i.retry.until + lease}
 	if fault == copyTooSlow {
 		p.backOffRemote(i, target)
@@ -200,7 +200,7 @@
 		return "fell"
 	case !target.reported:
 		return ""
-	case target.ShuttingDown, target.Draining:
+	case target.ShuttingDown, target.ListedDraining:
 		return "drains"
 	case target.RollingBack:
 		return "runs a build on its way back"
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -90,7 +90,7 @@
 // ChooseNode returns the node at which a new instance should begin, "" where none has room.
 func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
-	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryLeaving)
+	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryOnItsWayOut)
 	if n == nil {
 		return ""
 	}
--- a/internal/placement/assignment.go
+++ b/internal/placement/assignment.go
@@ -38,6 +38,11 @@
 	Extension        []byte      `json:"more,omitempty"`    // what a later version added; kept as it is
 }
 
+// NewerThan reports whether an assignment is newer than another one of the same instance.
+func (a Assignment) NewerThan(other Assignment) bool {
+	return a.Epoch > other.Epoch || a.Epoch == other.Epoch && a.Revision > other.Revision
+}
+
 // StaleCopy is a copy of an instance that is no longer brought up to date: its first Index entries at least.
 type StaleCopy struct {
 	Node  string `json:"unit"`
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -38,10 +38,7 @@
 
 // supersededBy tells whether an assignment is newer than what is known.
 func (a *assignment) supersededBy(p placement.Assignment) bool {
-	if !a.known() {
-		return true
-	}
-	return p.Epoch > a.agreed.Epoch || p.Epoch == a.agreed.Epoch && p.Revision > a.agreed.Revision
+	return !a.known() || p.NewerThan(a.agreed)
 }
 
 // names tells whether the assignment has a node in some part.
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -85,23 +85,23 @@
 		m.beginServing(now, inst)
 	}
 	switch cuttingOver := inst.assignment.cuttingOver(); {
-	case may && !cuttingOver && s.state == draining:
+	case may && !cuttingOver && s.state == paused:
 		m.host.Notify(Event{Kind: EventServing, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch,
 			Reason: inst.assignment.agreed.Reason})
 		s.state = leased
 	case may && cuttingOver && s.state == leased:
 		m.notifyStopped(now, inst, "handed over")
-		s.state = draining
+		s.state = paused
 	}
 	return may
 }
 
-// beginServing makes the node ready to serve: draining, until updateServing finds that no cut-over is under way.
+// beginServing makes the node ready to serve: paused, until updateServing finds that no cut-over is under way.
 func (m *Manager) beginServing(now tick.Tick, inst *instance) {
 	if inst.recovery.unverified {
 		m.proceedUnverified(inst)
 	}
-	inst.serving.state = draining
+	inst.serving.state = paused
 	if !inst.local.present && !inst.local.failed {
 		m.resetLog(inst, 0, 0)
 	}
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -10,9 +10,9 @@
 type servingState uint8
 
 const (
-	stopped  servingState = iota // it is not the lease holder
-	leased                       // it executes requests
-	draining                     // it is the lease holder, and between the stop and the cut-over to the next primary
+	stopped servingState = iota // it is not the lease holder
+	leased                      // it executes requests
+	paused                      // it is the lease holder and executes none: it has yet to begin, or is to cut over to the next primary
 )
 
 // serving is the lease holder's part. The zero value is stopped.
