--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// What is needed for handing over, times these, has to be left for a state. A node evacuates at twice, as the copies of the
-// other nodes of its zone may be under way; it holds at five times, as an instance taken in would be handed over at
+// What migrating all instances takes, times these, has to be left for a state. A node evacuates at twice, as the copies of the
+// other nodes of its zone may be under way; it holds at five times, as an instance taken in would migrate again at
 // once; a node takes few instances below ten. Below half nothing can be finished.
 const (
 	shuttingDownRatio = 0.5
@@ -22,7 +22,7 @@
 	timeToEmpty        tick.Tick // at the present load, Never if not foreseen
 	timeToOverheat     tick.Tick // at the present load, Never if not foreseen
 	timeToLimitOffered tick.Tick // the lesser of both at the offered load
-	handoverTime       tick.Tick // for all instances
+	migrationTime      tick.Tick // for all instances
 	unknown            []string  // readings that cannot be relied on
 	readings           KeyReadings
 	constraints        []constraint
@@ -66,7 +66,7 @@
 		timeToEmpty:        Never,
 		timeToOverheat:     Never,
 		timeToLimitOffered: Never,
-		handoverTime:       m.handoverTimeOf(m.instances, m.stateBytes),
+		migrationTime:      m.migrationTimeOf(m.instances, m.stateBytes),
 		distrusted:         map[*series]bool{},
 		strictness:         strictness,
 	}
@@ -124,8 +124,8 @@
 }
 
 // levelFor is the level that the time left allows, at the present and at the offered load.
-func levelFor(present, offered, handover tick.Tick, strictness float64) level {
-	lasts := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(handover) }
+func levelFor(present, offered, migration tick.Tick, strictness float64) level {
+	lasts := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
 	case !lasts(present, shuttingDownRatio):
 		return levelShuttingDown
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,7 +3,7 @@
 import "silvercove/internal/tick"
 
 const (
-	lowCharge = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to hand over with
+	lowCharge = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to migrate with
 	idleDraw  = 0.5  // of the draw at full load
 	mainsOn   = 0.5  // a mains reading from which it counts as on
 )
@@ -49,10 +49,10 @@
 	}
 	// Copies go at full load, which draws more than the present one: what is needed is given in time at the present
 	// load.
-	handover := tick.Tick(float64(a.handoverTime) * m.drawFactor(1))
-	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, handover, a.strictness)
+	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
+	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.limit(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
-		span(a.timeToEmpty), span(a.timeToLimitOffered), span(handover), m.instances)
+		span(a.timeToEmpty), span(a.timeToLimitOffered), span(migration), m.instances)
 	if charge < lowCharge*a.strictness {
 		a.limit(levelHolding, "battery at %.1f%% above empty, too little to stand a loss of mains", 100*charge)
 	}
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -5,7 +5,7 @@
 // How to drive a Monitor: hand in the node's readings (AddReading), its load (SetLoad), the instances it has
 // (SetInstances) and how its requests ended (RecordOutcome), and call Assess about once a second, which returns the
 // node's report. The report's state is the lowest of those that each reading allows: by the time until the battery is
-// empty or the machine too hot, forecast by the lower confidence bound, against the time that handing all instances over
+// empty or the machine too hot, forecast by the lower confidence bound, against the time that migrating all instances
 // takes. The state falls at once and rises after a dwell time.
 //
 // Files: monitor.go (inputs and reports), assessment.go, battery.go, temperature.go and condition.go (what each reading
@@ -25,14 +25,14 @@
 )
 
 const (
-	// handoverTime is how long a handover may take for each instance: it holds the instance's requests for 0.3 s at
+	// timePerMigration is how long a migration may take beside the copying: it holds the instance's requests for 0.3 s at
 	// most over a good link, three times that over a radio.
-	handoverTime = tick.Second
-	// handoverRate is the rate at which state is copied, in bytes a second: copies share an uplink of 2 Mbit/s, a weak
+	timePerMigration = tick.Second
+	// copyRate is the rate at which state is copied, in bytes a second: copies share an uplink of 2 Mbit/s, a weak
 	// mobile one.
-	handoverRate = 250e3
-	// handoverMargin doubles the sum of both, so that a second attempt at each fits in.
-	handoverMargin = 2.0
+	copyRate = 250e3
+	// migrationMargin doubles the sum of both, so that a second attempt at each fits in.
+	migrationMargin = 2.0
 
 	// unknownRisk is the least risk of a node of which something is not known, or that fails its work.
 	unknownRisk = 0.5
@@ -65,11 +65,11 @@
 
 // settings are the fleet's directives, in the units of this package.
 type settings struct {
-	reserve           float64 // seconds that are kept to hand instances over, at least
-	temperatureCap    float64 // degrees C that no sensor may reach
-	emptyCharge       float64 // share of a full battery at which it counts as empty
-	maxInstances      int
-	parallelHandovers float64 // handovers of one node under way at once
+	reserve            float64 // seconds that are kept for migrating instances, at least
+	temperatureCap     float64 // degrees C that no sensor may reach
+	emptyCharge        float64 // share of a full battery at which it counts as empty
+	maxInstances       int
+	parallelMigrations float64 // of one node, under way at once
 }
 
 // defaultSettings are those of the operator's file, for what it does not say.
@@ -83,11 +83,11 @@
 		return defaultSettings[name]
 	}
 	return settings{
-		reserve:           number("reserve"),
-		temperatureCap:    number("hot"),
-		emptyCharge:       number("empty"),
-		maxInstances:      int(number("places")),
-		parallelHandovers: max(1, number("moves.unit")),
+		reserve:            number("reserve"),
+		temperatureCap:     number("hot"),
+		emptyCharge:        number("empty"),
+		maxInstances:       int(number("places")),
+		parallelMigrations: max(1, number("moves.unit")),
 	}
 }
 
@@ -202,7 +202,7 @@
 		TimeToEmpty:        a.timeToEmpty,
 		TimeToOverheat:     a.timeToOverheat,
 		TimeToLimitOffered: a.timeToLimitOffered,
-		HandoverTime:       a.handoverTime,
+		MigrationTime:      a.migrationTime,
 		UnknownReadings:    a.unknown,
 		ShutdownRequested:  m.shutdownRequested,
 		Readings:           a.readings,
@@ -228,7 +228,7 @@
 	}
 	risk := 0.0
 	if left := min(a.timeToEmpty, a.timeToOverheat); left < Never {
-		risk = max(0, 1-float64(left)/(limitedRatio*float64(a.handoverTime)))
+		risk = max(0, 1-float64(left)/(limitedRatio*float64(a.migrationTime)))
 	}
 	if len(a.unknown) > 0 || m.failures.failing() {
 		risk = max(risk, unknownRisk)
@@ -236,14 +236,14 @@
 	return risk
 }
 
-// handoverTimeOf is the time that handing so many instances over takes, kept in reserve.
-func (m *Monitor) handoverTimeOf(instances, stateBytes int) tick.Tick {
-	rounds := math.Ceil(float64(instances) / m.settings.parallelHandovers)
-	copying := float64(stateBytes) / handoverRate
-	return ticks(max(1, m.settings.reserve, handoverMargin*(rounds*handoverTime.Seconds()+copying)))
+// migrationTimeOf is the time that migrating so many instances takes, kept in reserve.
+func (m *Monitor) migrationTimeOf(instances, stateBytes int) tick.Tick {
+	rounds := math.Ceil(float64(instances) / m.settings.parallelMigrations)
+	copying := float64(stateBytes) / copyRate
+	return ticks(max(1, m.settings.reserve, migrationMargin*(rounds*timePerMigration.Seconds()+copying)))
 }
 
-// spareCapacity is how many more instances could still be handed over in time.
+// spareCapacity is how many more instances could still migrate in time.
 func (m *Monitor) spareCapacity(a *assessment, at level) int {
 	if at < levelLimited {
 		return 0
@@ -258,7 +258,7 @@
 	}
 	return sort.Search(most, func(k int) bool { // what more instances need only grows
 		more := k + 1
-		needed := tick.Tick(float64(m.handoverTimeOf(m.instances+more, m.stateBytes+more*average)) * m.drawFactor(1))
+		needed := tick.Tick(float64(m.migrationTimeOf(m.instances+more, m.stateBytes+more*average)) * m.drawFactor(1))
 		return levelFor(Never, a.timeToLimitOffered, needed, 1) < at
 	})
 }
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -32,7 +32,7 @@
 	TimeToEmpty        tick.Tick   `json:"empty"`             // of the battery at the present load: lower bound, or Never
 	TimeToOverheat     tick.Tick   `json:"hot"`               // at the present load: lower bound, or Never
 	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of the two at the offered load
-	HandoverTime       tick.Tick   `json:"need"`              // what it takes to hand all its instances over
+	MigrationTime      tick.Tick   `json:"need"`              // what migrating all its instances takes
 	UnknownReadings    []string    `json:"unknown,omitempty"` // names of readings that cannot be relied on
 	ShutdownRequested  bool        `json:"ends,omitempty"`    // it was told to end: a fact, no forecast
 	Readings           KeyReadings `json:"shown"`             // the readings that decided
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -52,7 +52,7 @@
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	at := max(levelFor(present, offered, a.handoverTime, a.strictness), levelEvacuating) // without its instances it cools
+	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // without its instances it cools
 	if s.limit > 0 && value >= s.limit {
 		at = levelShuttingDown // the machine is about to stop itself
 	}
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -61,8 +61,8 @@
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
 	// RecordOutcome takes the outcome of an attempt of this relay.
 	RecordOutcome(now balancer.Tick, version uint16, class, stage int, bad bool)
-	// RecordFlag takes a client's report of a wrong answer, which was sent so long ago.
-	RecordFlag(now balancer.Tick, version uint16, class, stage int, delay balancer.Tick)
+	// RecordWrongAnswer takes a client's report of a wrong answer, which was sent so long ago.
+	RecordWrongAnswer(now balancer.Tick, version uint16, class, stage int, delay balancer.Tick)
 	// RecordPlatformCount takes what the release platform counted.
 	RecordPlatformCount(now balancer.Tick, version uint16, class, stage, attempts, failed int)
 	// RecordVote takes a vote of this relay.
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if evidence := d.callbacks.Evidence; evidence != nil {
-		evidence.RecordFlag(d.clock.now(), b.Version, index, d.stage, ticksOf(age))
+		evidence.RecordWrongAnswer(d.clock.now(), b.Version, index, d.stage, ticksOf(age))
 	}
 	d.balancer.OnWrongAnswer(d.clock.now(), &b.Backend, index, ticksOf(age))
 }
--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -88,7 +88,7 @@
 
 // validate checks what was read of a version, of so many request classes.
 func (v *Version) validate(classes int) error {
-	if v == nil || v.Counts == nil || len(v.Votes) > maxVotes || len(v.Counts) > maxClasses*maxWaves*int(sourceCount) {
+	if v == nil || v.Counts == nil || len(v.Votes) > maxVotes || len(v.Counts) > maxClasses*maxStages*int(sourceCount) {
 		return fmt.Errorf("ledger: a build of it: %w", ErrCorrupt)
 	}
 	for _, c := range v.Counts {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -1,5 +1,5 @@
-// Package evidence keeps what a relay knows of each version of the backends: outcomes by request class, wave and source,
-// flags of wrong answers by how late they came, and each vote with the bounds that led to it. It is bounded whatever the
+// Package evidence keeps what a relay knows of each version of the backends: outcomes by request class, stage and source,
+// wrong answers by how late they were reported, and each vote with the bounds that led to it. It is bounded whatever the
 // number of versions, classes and backends, and outlives a restart as a snapshot where there is a lasting disk.
 //
 // How to drive it: New makes a Store of the request classes, Load takes a snapshot over, UpdateVersion and the Record
@@ -21,7 +21,7 @@
 // Bounds of what is kept.
 const (
 	maxVersions = 8
-	maxWaves    = 16
+	maxStages   = 16
 	maxVotes    = 64
 	maxClasses  = 256
 )
@@ -32,26 +32,26 @@
 // Source tells where an outcome was seen.
 type Source uint8
 
-// The sources. Flags and the platform's counts may be of outcomes that this relay saw itself: they are told beside its
-// own, and no bound is taken from them.
+// The sources. Reports of wrong answers and the platform's counts may be of outcomes that this relay saw itself: they are
+// told beside its own, and no bound is taken from them.
 const (
-	SourceRelay    Source = iota // this relay
-	SourceFlag                   // a flag of a wrong answer
-	SourcePlatform               // the release platform's counts
+	SourceRelay       Source = iota // this relay
+	SourceWrongAnswer               // a client's report of a wrong answer
+	SourcePlatform                  // the release platform's counts
 	sourceCount
 )
 
-// Count counts outcomes of one request class in one wave from one source.
+// Count counts outcomes of one request class in one stage from one source.
 type Count struct {
 	Class    int     `json:"op"`
-	Wave     int     `json:"wave"`
+	Stage    int     `json:"wave"`
 	Source   Source  `json:"from"`
 	Outcomes float64 `json:"n"`
 	Failures float64 `json:"bad"`
 }
 
-// FlagDelays counts flags by how late they came: within 1 s, 10 s, 1 min, 10 min, and later.
-type FlagDelays [5]int64
+// WrongAnswerDelays counts wrong answers by how late they were reported: within 1 s, 10 s, 1 min, 10 min, and later.
+type WrongAnswerDelays [5]int64
 
 // delayLimits are the ends of the first four ranges of FlagDelays.
 var delayLimits = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
@@ -76,15 +76,15 @@
 
 // Version is what is kept of one version.
 type Version struct {
-	Number        uint16            `json:"build"`
-	FirstSeen     balancer.Tick     `json:"first"`
-	LastSeen      balancer.Tick     `json:"last"`
-	State         string            `json:"state"`
-	Counts        map[string]*Count `json:"cells"` // by countKey
-	FlagDelays    FlagDelays        `json:"late"`
-	Votes         []Vote            `json:"votes"`
-	DroppedVotes  int64             `json:"dropped"`  // beyond what is kept
-	FlagsAfterEnd int64             `json:"afterend"` // that came after it was rolled back
+	Number               uint16            `json:"build"`
+	FirstSeen            balancer.Tick     `json:"first"`
+	LastSeen             balancer.Tick     `json:"last"`
+	State                string            `json:"state"`
+	Counts               map[string]*Count `json:"cells"` // by countKey
+	WrongAnswerDelays    WrongAnswerDelays `json:"late"`
+	Votes                []Vote            `json:"votes"`
+	DroppedVotes         int64             `json:"dropped"`  // beyond what is kept
+	WrongAnswersAfterEnd int64             `json:"afterend"` // that came after it was rolled back
 }
 
 // Store is what one relay keeps. It is not safe for concurrent use.
@@ -104,12 +104,12 @@
 	}
 }
 
-// keptWave is the wave under which an outcome is counted.
-func keptWave(wave int) int { return min(max(0, wave), maxWaves-1) }
+// keptStage is the stage under which an outcome is counted.
+func keptStage(stage int) int { return min(max(0, stage), maxStages-1) }
 
 // countKey is part of a snapshot's form.
-func countKey(class, wave int, source Source) string {
-	return strconv.Itoa(class) + "/" + strconv.Itoa(keptWave(wave)) + "/" + strconv.Itoa(int(source))
+func countKey(class, stage int, source Source) string {
+	return strconv.Itoa(class) + "/" + strconv.Itoa(keptStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
 // find is the version of a number, nil if it is not kept.
@@ -136,21 +136,21 @@
 }
 
 // RecordOutcome records an outcome of this relay's own, of a request class at a version.
-func (s *Store) RecordOutcome(now balancer.Tick, number uint16, class, wave int, failed bool) {
+func (s *Store) RecordOutcome(now balancer.Tick, number uint16, class, stage int, failed bool) {
 	failures := 0.0
 	if failed {
 		failures = 1
 	}
 	if v := s.reported(now, number, class); v != nil {
-		v.add(class, wave, SourceRelay, 1, failures)
+		v.add(class, stage, SourceRelay, 1, failures)
 	}
 }
 
 // RecordPlatformCount adds what the platform counted at a version. Counts that make no sense are ignored.
-func (s *Store) RecordPlatformCount(now balancer.Tick, number uint16, class, wave, outcomes, failures int) {
+func (s *Store) RecordPlatformCount(now balancer.Tick, number uint16, class, stage, outcomes, failures int) {
 	v := s.reported(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
-		v.add(class, wave, SourcePlatform, float64(outcomes), float64(failures))
+		v.add(class, stage, SourcePlatform, float64(outcomes), float64(failures))
 	}
 }
 
@@ -165,20 +165,20 @@
 	return v
 }
 
-func (v *Version) add(class, wave int, source Source, outcomes, failures float64) {
-	key := countKey(class, wave, source)
+func (v *Version) add(class, stage int, source Source, outcomes, failures float64) {
+	key := countKey(class, stage, source)
 	c := v.Counts[key]
 	if c == nil {
-		c = &Count{Class: class, Wave: keptWave(wave), Source: source}
+		c = &Count{Class: class, Stage: keptStage(stage), Source: source}
 		v.Counts[key] = c
 	}
 	c.Outcomes += outcomes
 	c.Failures += failures
 }
 
-// RecordFlag records a wrong answer that was found so long after it was given. It belongs to the version that gave it,
-// also after that was judged; one of a version that is not kept is an orphan.
-func (s *Store) RecordFlag(now balancer.Tick, number uint16, class, wave int, delay balancer.Tick) {
+// RecordWrongAnswer records a wrong answer that was found so long after it was given. It belongs to the version that gave
+// it, also after that was judged; one of a version that is not kept is an orphan.
+func (s *Store) RecordWrongAnswer(now balancer.Tick, number uint16, class, stage int, delay balancer.Tick) {
 	v := s.reported(now, number, class)
 	if v == nil {
 		return
@@ -187,10 +187,10 @@
 	for i < len(delayLimits) && delay > delayLimits[i] {
 		i++
 	}
-	v.FlagDelays[i]++
-	v.add(class, wave, SourceFlag, 1, 1)
+	v.WrongAnswerDelays[i]++
+	v.add(class, stage, SourceWrongAnswer, 1, 1)
 	if v.rolledBack() {
-		v.FlagsAfterEnd++
+		v.WrongAnswersAfterEnd++
 	}
 }
 
@@ -217,7 +217,7 @@
 	v.Votes = append(v.Votes, vote)
 }
 
-// Estimates is what this relay itself has seen of each request class at a version, over all waves. It is nil of a version
+// Estimates is what this relay itself has seen of each request class at a version, over all stages. It is nil of a version
 // that is not kept.
 func (s *Store) Estimates(number uint16) []Estimate {
 	v := s.find(number)
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -52,7 +52,7 @@
 // markOf is the mark that says of a file what its count is.
 func markOf(c recordCount) request {
 	r := request{kind: kindMark, number: c.records}
-	if c.counts {
+	if c.nextCounts {
 		r.sum = countingMark
 	}
 	return r
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -9,7 +9,7 @@
 // add up refuses the whole file, as what follows it may have been acknowledged. On a full disk requests are refused and
 // the file stays as it was.
 //
-// A disk put back to an earlier time looks intact. So the file counts the records that it has ever taken, and who
+// A disk that was restored from an older image looks intact. So the file counts the records that it has ever taken, and who
 // keeps an earlier count elsewhere, as the controllers do, finds that there were more. What a run writes counts only
 // once ConfirmCurrent has said that the file is the newest one known, so that an old one never catches up with what
 // was counted.
@@ -81,8 +81,8 @@
 
 // recordCount is how many records the file has taken.
 type recordCount struct {
-	records uint64
-	counts  bool // whether the next one counts
+	records    uint64
+	nextCounts bool // whether the next record counts: not before ConfirmCurrent
 }
 
 // Open reads what a folder keeps, "" for none. The logs and the note are the caller's own. Its error wraps ErrInUse,
@@ -92,7 +92,7 @@
 		logf:  log,
 		logs:  map[string]*replica.Log{},
 		wake:  make(chan struct{}, 1),
-		count: recordCount{records: 1, counts: true},
+		count: recordCount{records: 1, nextCounts: true},
 	}
 	if folder == "" {
 		return s, nil, nil, nil
@@ -196,7 +196,7 @@
 }
 
 // RecordCount is how many records the file is known to have taken when it was last confirmed, and since: above 0, and
-// never less than it was but where the file was put back. It is 0 in memory, where nothing is ever put back.
+// never less than it was but where the disk was restored from an older image. It is 0 in memory, where that can't happen.
 func (s *Store) RecordCount() uint64 { return s.durableCount.Load() }
 
 // The methods below ask for something to be kept. done, if any, is called by Run, in the order of the requests, with nil
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -14,7 +14,7 @@
 // apply makes one request's change in memory, if it follows what is there. Its error wraps ErrGap or ErrNewerVersion.
 func (s *Store) apply(r request) error {
 	if r.kind == kindMark {
-		s.count = recordCount{records: r.number, counts: r.sum == countingMark}
+		s.count = recordCount{records: r.number, nextCounts: r.sum == countingMark}
 		return nil
 	}
 	l := s.logs[r.instance]
@@ -41,7 +41,7 @@
 	default:
 		return fmt.Errorf("%w: kind %d", ErrNewerVersion, r.kind)
 	}
-	if s.count.counts {
+	if s.count.nextCounts {
 		s.count.records++
 	}
 	return nil
@@ -88,7 +88,7 @@
 	before := s.newUndo()
 	var out []byte
 	if !s.runMarked {
-		s.count.counts = false
+		s.count.nextCounts = false
 		out = appendRecord(out, markOf(s.count))
 	}
 	markSize := len(out)
@@ -133,7 +133,7 @@
 // meanwhile.
 func (s *Store) nextCount(least uint64) uint64 {
 	count := max(least, s.count.records)
-	if !s.count.counts {
+	if !s.count.nextCounts {
 		count += confirmStep
 	}
 	return count
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -11,7 +11,7 @@
 const maxCountsPerOperation = 1024
 
 // RecordCounts are the greatest counts of records that nodes have told of their disks, each with its lease. A node that has
-// less than that at its start knows that its disk was put back to an earlier time.
+// less than that at its start knows that its disk was restored from an older image.
 //
 // The leading controller hears the counts each third of a lease; the others agree on them once a lease, all that changed at
 // once, so that the next leader knows what was so a lease ago. That costs an entry of the log a lease, however many nodes
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -54,7 +54,7 @@
 // Merge merges a record that was received by any way. Its error is nil where the record is worth passing on; else its
 // error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
-// A smaller incarnation is refused: a process's disk or machine that was put back, or a slow message of before a restart.
+// A smaller incarnation is refused: a process's disk or machine that was restored from an older image, or a slow message of before a restart.
 // Where the clock that the incarnation was drawn from was set back, a true restart looks like that too, and stays refused
 // until its incarnation is drawn above; it counts on where the process has a disk.
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -50,7 +50,7 @@
 // onCopiesLost notes that a node has lost its memory: what it was the primary of may only go on at a replica, and it is a
 // replica of nothing.
 func (p *Planner) onCopiesLost(n *node) {
-	p.countSuspects(n)
+	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
 		i.orphaned = true
 	}
@@ -78,7 +78,7 @@
 	p.now = now
 	n := p.node(name)
 	n.leaseExpired = true
-	p.countSuspects(n)
+	p.countPoisonCandidates(n)
 	p.updateEligibility(n)
 	p.queueReviewsOf(n)
 	p.work(maxWorkPerFact)
@@ -101,7 +101,7 @@
 		return
 	}
 	old := i.Assignment
-	p.unqueue(i)
+	p.dequeue(i)
 	p.assign(i, a)
 	if i.assigned && a.Epoch != old.Epoch || a.State != old.State {
 		p.onPrimaryChanged(i, old)
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -10,9 +10,9 @@
 
 // Of fail-overs.
 const (
-	shortLeaseFraction  = 3 // of a lease: a replica with less of it left is waited for
-	suspectFailureRatio = 2 // times maxFailures: an instance fails no more primaries, whatever others failed with it
-	shortLeaseReview    = 6 // of a lease: how often a replica with little of it left is looked at
+	shortLeaseFraction = 3 // of a lease: a replica with less of it left is waited for
+	poisonFailureRatio = 2 // times maxFailures: an instance fails no more primaries, whatever others failed with it
+	shortLeaseReview   = 6 // of a lease: how often a replica with little of it left is looked at
 )
 
 // failOver lets a replica take over from a primary that does not act any more, or quarantines the instance.
@@ -49,15 +49,15 @@
 	if failures < p.config.MaxFailures {
 		return false
 	}
-	alone := i.primaryNode.suspects <= 1
-	return alone || failures >= suspectFailureRatio*p.config.MaxFailures
+	alone := i.primaryNode.poisonCandidates <= 1
+	return alone || failures >= poisonFailureRatio*p.config.MaxFailures
 }
 
-// countSuspects counts the instances that were at a node that failed and are at their last failure.
-func (p *Planner) countSuspects(n *node) {
-	n.suspects = 0
+// countPoisonCandidates counts the instances that were at a node that failed and are at their last failure.
+func (p *Planner) countPoisonCandidates(n *node) {
+	n.poisonCandidates = 0
 	for i := range n.primaryOf {
-		n.suspects += countIf(i.Failures+1 >= p.config.MaxFailures)
+		n.poisonCandidates += countIf(i.Failures+1 >= p.config.MaxFailures)
 	}
 }
 
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -104,7 +104,7 @@
 	queue    *queue // nil for none
 	position int
 	risk     float64 // of its primary when it began to wait for a node or a link
-	parked   bool    // it waits for a part of a bound, at its primary or for all
+	forBound bool    // it waits for a part of a bound, at its primary or for all
 }
 
 // review is when an instance is looked at next.
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -10,16 +10,16 @@
 
 // Waits of instances that are woken when a place comes free, for where the place was not taken by the one that it woke.
 const (
-	parkedReviewFraction = 4 // of a lease
-	fullLinkReviewLeases = 4
-	remoteReviewSpans    = 4 // of a lease and restartAfter
-	remoteParkedLeases   = 4
+	boundReviewFraction     = 4 // of a lease
+	fullLinkReviewLeases    = 4
+	remoteReviewSpans       = 4 // of a lease and restartAfter
+	remoteBoundReviewLeases = 4
 )
 
 // beginMove begins the move of an instance at the head of its primary's queue, or puts it where it waits.
 func (p *Planner) beginMove(i *instance) {
-	p.unqueue(i)
-	if i.need.reason.copiesOnly() && p.parkCopy(i) {
+	p.dequeue(i)
+	if i.need.reason.copiesOnly() && p.waitForCopyBound(i) {
 		return
 	}
 	target, fullLink := p.chooseTarget(i, i.need.reason)
@@ -46,21 +46,21 @@
 	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.config.MaxMoves)
 }
 
-// parkCopy puts an instance that is only to be copied where it waits for the part of a bound that copies have, and reports
+// waitForCopyBound puts an instance that is only to be copied where it waits for the part of a bound that copies have, and reports
 // whether it waits.
-func (p *Planner) parkCopy(i *instance) bool {
+func (p *Planner) waitForCopyBound(i *instance) bool {
 	reason, primary := i.need.reason, i.primaryNode
 	switch {
 	case p.copiesFull(reason, p.moves, p.config.MaxMoves):
-		p.park(&p.parked, i)
+		p.waitForBound(&p.waitingForBound, i)
 	case p.copiesFull(reason, primary.moves, p.config.MaxMovesPerNode):
-		p.park(&primary.parked, i)
+		p.waitForBound(&primary.waitingForBound, i)
 	default:
 		return false
 	}
-	wait := p.config.Lease / parkedReviewFraction
+	wait := p.config.Lease / boundReviewFraction
 	if reason == tooFewRemoteReplicas {
-		wait = remoteParkedLeases * p.config.Lease
+		wait = remoteBoundReviewLeases * p.config.Lease
 	}
 	p.scheduleReview(i, earlier(i.review.due, p.now+wait))
 	return true
@@ -146,13 +146,13 @@
 	delete(ended.target.incoming, i)
 	if ended.link != nil && len(ended.link.waiting) > 0 {
 		next := ended.link.waiting[0]
-		p.unqueue(next)
+		p.dequeue(next)
 		p.queueReview(next)
 	}
 	p.updateEligibility(ended.target)
 	p.updateBusy(ended.source)
 	p.updateBusy(ended.target)
-	p.unpark(&ended.source.parked)
-	p.unpark(&p.parked)
+	p.reviewNextWaiting(&ended.source.waitingForBound)
+	p.reviewNextWaiting(&p.waitingForBound)
 	p.wake(&p.waitingRemote, 1)
 }
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -39,13 +39,13 @@
 	reserved int                    // of its FreeSlots since it reported them
 	recent   recentMoves
 
-	suspects         int // instances that it ran when it failed, and that may have failed it and the primaries before it
+	poisonCandidates int // instances that it ran when it failed, and that may have failed it and the primaries before it
 	pendingFailOvers int // operations on their way that say that its lease is over
 
-	ready            queue    // instances that are to move, the most pressing first
-	parked           parkedAt // instances that wait for a part of its moves
-	eligible         bool     // may be handed an instance: it is in its zone's list
-	busyPosition     int      // in Planner.busy, notQueued for not
+	ready            queue        // instances that are to move, the most pressing first
+	waitingForBound  boundWaiters // instances that wait for a part of its moves
+	eligible         bool         // may be handed an instance: it is in its zone's list
+	busyPosition     int          // in Planner.busy, notQueued for not
 	nextExcessReview tick.Tick
 }
 
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -10,11 +10,11 @@
 
 // Of what running instances need.
 const (
-	resetFailuresAfter    = 60 * tick.Second // without a failure: an instance's failures count anew
-	remoteBackOffLeases   = 4                // between two tries to get a replica in another zone, doubled each time in a row
-	maxMoveStreak         = 8                // doublings of the dwell and of the wait for a replica in another zone
-	lonelyCopyLeases      = 2                // that an instance without any replica waits for one in another zone
-	cancelBackOffFraction = 4                // of a lease: the wait after a first cancelled copy is twice that
+	resetFailuresAfter       = 60 * tick.Second // without a failure: an instance's failures count anew
+	remoteBackOffLeases      = 4                // between two tries to get a replica in another zone, doubled each time in a row
+	maxMoveStreak            = 8                // doublings of the dwell and of the wait for a replica in another zone
+	copyWithoutReplicaLeases = 2                // that an instance without any replica waits for one in another zone
+	cancelBackOffFraction    = 4                // of a lease: the wait after a first cancelled copy is twice that
 )
 
 // planMove puts a running instance into the queue of what it needs, or proposes what takes no move.
@@ -216,7 +216,7 @@
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
 		// Guards against entries that rest on the primary alone for as long as another zone is not reached. A large state on
 		// a slow link looks the same; it costs it a copy in its own zone first.
-		end = min(end, i.copySince+lonelyCopyLeases*p.config.Lease)
+		end = min(end, i.copySince+copyWithoutReplicaLeases*p.config.Lease)
 	}
 	return end
 }
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -43,7 +43,7 @@
 
 	waitingAnywhere queue // instances that would go anywhere, and found no node
 	waitingRemote   queue // the same that would have a replica in another zone
-	parked          parkedAt
+	waitingForBound boundWaiters
 }
 
 // NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed.
@@ -132,7 +132,7 @@
 
 // reviewInstance finds what one instance needs now, and does it or puts it where it waits.
 func (p *Planner) reviewInstance(i *instance) {
-	p.unqueue(i)
+	p.dequeue(i)
 	p.scheduleReview(i, 0)
 	if i.proposal.pending() && !p.proposalTimedOut(i) {
 		return
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -47,8 +47,8 @@
 	heap.Push(q, i)
 }
 
-// unqueue takes an instance out of the queue that it waits in, if any.
-func (p *Planner) unqueue(i *instance) {
+// dequeue takes an instance out of the queue that it waits in, if any.
+func (p *Planner) dequeue(i *instance) {
 	if i.wait.queue == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 func (p *Planner) wake(q *queue, most int) {
 	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
-		p.unqueue(i)
+		p.dequeue(i)
 		i.retry.until = 0
 		p.queueReview(i)
 	}
@@ -196,28 +196,28 @@
 	}
 }
 
-// parkedAt are instances that wait for a part of a bound on moves, in the order in which they came.
-type parkedAt struct {
+// boundWaiters are instances that wait for a part of a bound on moves, in the order in which they came.
+type boundWaiters struct {
 	replicas       []*instance // of those that lack one
 	remoteReplicas []*instance // of those that only lack one in another zone
 }
 
-// park puts an instance where it waits for a part of a bound.
-func (p *Planner) park(at *parkedAt, i *instance) {
+// waitForBound puts an instance where it waits for a part of a bound.
+func (p *Planner) waitForBound(at *boundWaiters, i *instance) {
 	list := &at.replicas
 	if i.need.reason == tooFewRemoteReplicas {
 		list = &at.remoteReplicas
 	}
-	if !i.wait.parked {
-		i.wait.parked = true
+	if !i.wait.forBound {
+		i.wait.forBound = true
 		*list = append(*list, i)
 	}
 }
 
-// unpark looks again at the first instance that waited for a part of a bound: a node whose instances all lost a replica has
-// them copied one after the other, and not a few each time that they are reviewed by themselves. Those that lack a replica
-// come first.
-func (p *Planner) unpark(at *parkedAt) {
+// reviewNextWaiting looks again at the first instance that waited for a part of a bound: a node whose instances all lost a
+// replica has them copied one after the other, and not a few each time that they are reviewed by themselves. Those that
+// lack a replica come first.
+func (p *Planner) reviewNextWaiting(at *boundWaiters) {
 	for len(at.replicas)+len(at.remoteReplicas) > 0 {
 		list := &at.replicas
 		if len(*list) == 0 {
@@ -228,7 +228,7 @@
 		if len(*list) == 0 {
 			*list = nil
 		}
-		i.wait.parked = false
+		i.wait.forBound = false
 		if p.instances[i.Instance] == i && (i.need.replica || i.need.remoteReplica) {
 			p.queueReview(i)
 			return
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -90,7 +90,7 @@
 	if deviceZone != nil {
 		s.considerZone(deviceZone)
 	}
-	scatter := s.scattersSuspects()
+	scatter := s.scattersPoisonCandidates()
 	if s.best != nil && !scatter || s.reason == deviceElsewhere {
 		return
 	}
@@ -106,8 +106,9 @@
 	}
 }
 
-// scattersSuspects reports whether a replica is to be anywhere, so that no two instances meet that may fail their primaries.
-func (s *targetSearch) scattersSuspects() bool {
+// scattersPoisonCandidates reports whether a replica is to be anywhere, so that no two instances meet that may fail their
+// primaries.
+func (s *targetSearch) scattersPoisonCandidates() bool {
 	i := s.instance
 	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.config.MaxFailures
 }
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -46,8 +46,8 @@
 	admission admission
 	budget    retryBudget
 
-	suspects        map[uint64]*suspect // by the hash of the backend's name
-	byVerdict       []*suspect          // the same, the one with the newest verdict last
+	questioned      map[uint64]*questionedBackend // by the hash of the backend's name
+	byVerdict       []*questionedBackend          // the same, the one with the newest verdict last
 	window          outcomeWindow
 	retryAfterPhase float64 // of the next Retry-After, 0 to 1
 }
@@ -67,7 +67,7 @@
 		fleet:           fleetView{peers: map[string]*peer{}, lastHeard: now},
 		admission:       newAdmission(now),
 		budget:          retryBudget{share: s.retryShare},
-		suspects:        map[uint64]*suspect{},
+		questioned:      map[uint64]*questionedBackend{},
 		retryAfterPhase: unitInterval(id),
 	}
 }
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxSuspects        = 256     // backends that are suspect, or were of late
+	maxQuestioned      = 256     // backends that are in question, or were of late
 	healthyRun         = 2       // successes in a row: a verdict of healthy, for relays of an earlier version
 	failingRun         = 2       // failures in a row: a verdict of failing, also for those
 	runChance          = 1.0 / 8 // highest chance of such a run at a backend like all, for that verdict
@@ -20,7 +20,7 @@
 	failingShare       = 0.8     // of its attempts that a failing backend fails
 	minUsualShare      = 0.2     // that any backend may fail
 	maxUsualShare      = 0.5
-	usualMargin        = 1.5               // times the share elsewhere is usual
+	usualMultiple      = 1.5               // times the share elsewhere is usual
 	maxDoublings       = 4.0               // a second, of the relays that use an ejected backend again
 	ejectionLogOdds    = 6.9               // ln 1000: odds at which a backend is ejected; one relay brings ln 16 at the most
 	evidenceTTL        = 10 * tick.Second  // for so long an outcome counts
@@ -28,8 +28,8 @@
 	never              = math.MinInt64 / 2 // a time before all others, from which spans can be taken
 )
 
-// suspect is a backend that is in question: it failed an attempt here, or at another relay.
-type suspect struct {
+// questionedBackend is a backend that is in question: it failed an attempt here, or at another relay.
+type questionedBackend struct {
 	id        uint64 // hash of the backend's name
 	ownWeight uint64 // this relay's rendezvous weight for it
 
@@ -98,8 +98,8 @@
 	return o
 }
 
-// countInWindow counts one of the window's outcomes, by 1 or -1. A nil suspect counts none.
-func (s *suspect) countInWindow(o outcome, by int) {
+// countInWindow counts one of the window's outcomes, by 1 or -1. A nil one counts none.
+func (s *questionedBackend) countInWindow(o outcome, by int) {
 	if s == nil {
 		return
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// recordInWindow adds an outcome at a backend, which may be suspect, to the window.
-func (m *Manager) recordInWindow(o outcome, s *suspect) {
+// recordInWindow adds an outcome at a backend, which may be in question, to the window.
+func (m *Manager) recordInWindow(o outcome, s *questionedBackend) {
 	if m.window.size == windowSize {
 		m.dropOldestOutcome()
 	}
@@ -120,11 +120,11 @@
 
 func (m *Manager) dropOldestOutcome() {
 	o := m.window.pop()
-	m.suspects[o.backend].countInWindow(o, -1)
+	m.questioned[o.backend].countInWindow(o, -1)
 }
 
 // failureShareElsewhere is the share of failures among the window's outcomes at other backends.
-func (m *Manager) failureShareElsewhere(s *suspect) float64 {
+func (m *Manager) failureShareElsewhere(s *questionedBackend) float64 {
 	return float64(m.window.failures-s.windowFailures) / float64(max(minWindow, m.window.size-s.windowOutcomes))
 }
 
@@ -135,13 +135,13 @@
 		return
 	}
 	o := outcome{backend: xxhash.Sum64String(backend), endedAt: m.now, failed: !succeeded}
-	s := m.suspects[o.backend]
+	s := m.questioned[o.backend]
 	m.recordInWindow(o, s)
 	switch {
 	case s == nil && succeeded:
 		return
 	case s == nil: // the failure that puts a backend in question is no evidence: it was chosen for being one
-		s = m.addSuspect(o.backend)
+		s = m.addQuestioned(o.backend)
 		s.healthy = true // until there is a verdict
 	default:
 		copy(s.own[:], s.own[1:])
@@ -156,7 +156,7 @@
 }
 
 // judgeRuns gives a verdict by the own outcomes in a row.
-func (m *Manager) judgeRuns(s *suspect) {
+func (m *Manager) judgeRuns(s *questionedBackend) {
 	if s.successRun >= healthyRun {
 		m.setVerdict(s, true, true, m.now)
 		return
@@ -166,15 +166,15 @@
 	}
 }
 
-// addSuspect puts a backend in question. Where there are too many, one is forgotten that is not ejected, the one with
+// addQuestioned puts a backend in question. Where there are too many, one is forgotten that is not ejected, the one with
 // the oldest verdict.
-func (m *Manager) addSuspect(backend uint64) *suspect {
-	if len(m.suspects) >= maxSuspects {
-		i := max(0, slices.IndexFunc(m.byVerdict, func(s *suspect) bool { return !s.ejected }))
-		delete(m.suspects, m.byVerdict[i].id)
+func (m *Manager) addQuestioned(backend uint64) *questionedBackend {
+	if len(m.questioned) >= maxQuestioned {
+		i := max(0, slices.IndexFunc(m.byVerdict, func(s *questionedBackend) bool { return !s.ejected }))
+		delete(m.questioned, m.byVerdict[i].id)
 		m.byVerdict = slices.Delete(m.byVerdict, i, i+1)
 	}
-	s := &suspect{id: backend, ownWeight: rendezvousWeight(backend, m.id), verdictAt: m.now, questionedAt: never,
+	s := &questionedBackend{id: backend, ownWeight: rendezvousWeight(backend, m.id), verdictAt: m.now, questionedAt: never,
 		lastEvidence: m.now}
 	for _, p := range m.fleet.peers {
 		if p.alive && rendezvousWeight(backend, p.id) > s.ownWeight {
@@ -186,7 +186,7 @@
 			s.countInWindow(o, 1)
 		}
 	}
-	m.suspects[backend] = s
+	m.questioned[backend] = s
 	m.byVerdict = append(m.byVerdict, s)
 	return s
 }
@@ -197,10 +197,10 @@
 // others.
 func (m *Manager) IsEjected(now tick.Tick, backend string) bool {
 	m.advance(now)
-	if m.isolated() || len(m.suspects) == 0 {
+	if m.isolated() || len(m.questioned) == 0 {
 		return false
 	}
-	s := m.suspects[xxhash.Sum64String(backend)]
+	s := m.questioned[xxhash.Sum64String(backend)]
 	if s == nil {
 		return false
 	}
@@ -226,8 +226,8 @@
 // choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until successes
 // outweigh failures by what one relay can bring; meanwhile so many relays come to use it, some more at each round of
 // reports, that they do not come all at once.
-func (m *Manager) assessEvidence(s *suspect) odds {
-	usual := min(max(minUsualShare, usualMargin*m.failureShareElsewhere(s)), maxUsualShare)
+func (m *Manager) assessEvidence(s *questionedBackend) odds {
+	usual := min(max(minUsualShare, usualMultiple*m.failureShareElsewhere(s)), maxUsualShare)
 	perFailure := math.Log(failingShare / usual)
 	perSuccess := math.Log((1 - failingShare) / (1 - usual))
 	peerFailures, peerSuccesses := s.peerCounts(m.now)
@@ -250,14 +250,14 @@
 
 // updateUsers works out how many relays may use the backend: each success doubles them, and so does each failure that
 // expires without another, at a bounded rate.
-func (m *Manager) updateUsers(s *suspect, o odds) {
+func (m *Manager) updateUsers(s *questionedBackend, o odds) {
 	allowed := min(m.fleetSize(), probers*math.Exp2(max(0, maxOutcomes-o.logOdds/o.perFailure)))
 	s.users = min(allowed, max(probers, s.users)*math.Exp2(maxDoublings*float64(m.now-s.usersAt)/float64(tick.Second)))
 	s.usersAt = m.now
 }
 
 // ownCounts are this relay's outcomes at the backend that have not expired.
-func (s *suspect) ownCounts(now tick.Tick) (failures, successes int) {
+func (s *questionedBackend) ownCounts(now tick.Tick) (failures, successes int) {
 	for _, o := range s.own {
 		switch {
 		case o.backend == 0 || now-o.endedAt > evidenceTTL:
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -16,18 +16,18 @@
 
 // peerEvidence is what one other relay counts of one backend. The zero value counts nothing.
 type peerEvidence struct {
-	suspect   *suspect
-	second    tick.Tick // of its newest outcome
-	failures  int
-	successes int
+	questioned *questionedBackend
+	second     tick.Tick // of its newest outcome
+	failures   int
+	successes  int
 }
 
 // count adds the evidence to the tally of its second, or takes it out again with by -1.
 func (e peerEvidence) count(by int) {
-	if e.suspect == nil {
+	if e.questioned == nil {
 		return
 	}
-	t := &e.suspect.others[int(e.second)%len(e.suspect.others)]
+	t := &e.questioned.others[int(e.second)%len(e.questioned.others)]
 	if t.second < e.second && by > 0 {
 		*t = secondTally{second: e.second}
 	}
@@ -38,7 +38,7 @@
 }
 
 // peerCounts are the other relays' outcomes at the backend that have not expired.
-func (s *suspect) peerCounts(now tick.Tick) (failures, successes int) {
+func (s *questionedBackend) peerCounts(now tick.Tick) (failures, successes int) {
 	from := (now - evidenceTTL) / tick.Second
 	for i := range s.others {
 		if t := &s.others[i]; t.second > from {
@@ -76,15 +76,15 @@
 		if slices.ContainsFunc(reported[:i], func(o Evidence) bool { return o.Backend == e.Backend }) {
 			continue
 		}
-		s := m.suspects[e.Backend]
+		s := m.questioned[e.Backend]
 		if s == nil && e.Failures == 0 && e.Successes > 0 {
 			continue // in question at no relay that this one knows of
 		}
 		if s == nil {
-			s = m.addSuspect(e.Backend)
+			s = m.addQuestioned(e.Backend)
 			s.healthy, s.verdictAt = true, never
 		}
-		all = append(all, peerEvidence{suspect: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
+		all = append(all, peerEvidence{questioned: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
 	}
 	p.replaceEvidence(all)
 }
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -41,7 +41,7 @@
 	id          uint64 // hash of its name
 	incarnation uint64
 	state       PeerState
-	alive       bool // counted so in the suspects' ranks
+	alive       bool // counted so in the ranks of the backends in question
 	departedAt  tick.Tick
 	inherited   bool // its retry credit has passed to the heir, or to another relay
 
@@ -52,7 +52,7 @@
 	queueIndex int       // in fleetView.fresh
 	bucket     int       // in fleetView.fractions, noBucket for none
 
-	evidence [maxEvidence]peerEvidence // as counted in the suspects' tallies
+	evidence [maxEvidence]peerEvidence // as counted in the tallies of the backends in question
 }
 
 const noBucket = -1
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	probers         = 2    // relays that probe a failing backend
-	views           = 2.5  // views of which relays live that may stand at once, with the probes still within their rate
-	minProbesPerSec = 0.01 // that are reckoned with
+	probers            = 2    // relays that probe a failing backend
+	maxMembershipViews = 2.5  // different views of which relays live, each with probers of its own, that keep the probes within their rate
+	minProbesPerSec    = 0.01 // that are reckoned with
 )
 
 // rendezvousWeight is a relay's weight for a key: the relay with the highest one has it.
@@ -36,9 +36,9 @@
 		return true
 	}
 	id := xxhash.Sum64String(backend)
-	s := m.suspects[id]
+	s := m.questioned[id]
 	if s == nil {
-		s = m.addSuspect(id)
+		s = m.addQuestioned(id)
 	}
 	if m.failureShareElsewhere(s) > commonFailureShare && !s.ejected {
 		return true
@@ -61,7 +61,7 @@
 
 // allowEjectedProbe is AllowProbe of an ejected backend: as many relays try it as may use it, not more often together
 // while it gives no answer.
-func (m *Manager) allowEjectedProbe(s *suspect, o odds, interval tick.Tick) bool {
+func (m *Manager) allowEjectedProbe(s *questionedBackend, o odds, interval tick.Tick) bool {
 	if !o.answers {
 		interval = tick.Tick(float64(interval) * max(1, s.users/probers))
 	}
@@ -78,7 +78,7 @@
 
 // allowLoneProbe is AllowProbe of a backend of which the probers report nothing: it may fail for this relay alone, which
 // tries it seldom.
-func (m *Manager) allowLoneProbe(s *suspect, interval tick.Tick) bool {
+func (m *Manager) allowLoneProbe(s *questionedBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probers))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(s.id, ^m.id)) * float64(interval))
 	if m.now < s.verdictAt+verdictTTL+jitter {
@@ -88,7 +88,7 @@
 }
 
 // takeProbe reports whether the next probe is due, and notes it.
-func (m *Manager) takeProbe(s *suspect, interval tick.Tick) bool {
+func (m *Manager) takeProbe(s *questionedBackend, interval tick.Tick) bool {
 	if m.now < s.nextProbe || s.lastProbe > 0 && m.now-s.lastProbe < interval {
 		return false
 	}
@@ -98,12 +98,12 @@
 
 // probeInterval is the least time between two probes of one relay at one backend.
 func (m *Manager) probeInterval() tick.Tick {
-	return tick.Tick(float64(tick.Second) * probers * views / max(minProbesPerSec, m.settings.probesPerSec))
+	return tick.Tick(float64(tick.Second) * probers * maxMembershipViews / max(minProbesPerSec, m.settings.probesPerSec))
 }
 
 // isProber reports whether this relay is one of the first few in a backend's order of relays. One that has just become
 // it waits for a random part of the interval: the one before may have probed just now.
-func (m *Manager) isProber(s *suspect, relays float64, interval tick.Tick) bool {
+func (m *Manager) isProber(s *questionedBackend, relays float64, interval tick.Tick) bool {
 	was := s.prober
 	s.prober = float64(s.higherRanked) < relays
 	if s.prober && !was {
@@ -112,7 +112,7 @@
 	return s.prober
 }
 
-// updateRanks counts a peer that has come to life, or has fallen silent, in the order of relays of each suspect.
+// updateRanks counts a peer that has come to life, or has fallen silent, in the order of relays of each backend in question.
 func (m *Manager) updateRanks(p *peer) {
 	for _, s := range m.byVerdict {
 		if rendezvousWeight(s.id, p.id) <= s.ownWeight {
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -18,7 +18,7 @@
 	SpilledCredit  float64    // retries that it could not keep, since its start
 	OfferedWork    []float64  // by request class; the first 12
 	Verdicts       []Verdict  // newest first, at most 8; for relays of an earlier version, which go by them
-	Evidence       []Evidence // of the suspect backends that look worst, at most 6; nil: of an earlier version
+	Evidence       []Evidence // of the backends in question that look worst, at most 6; nil: of an earlier version
 	UnknownFields  []byte     // of a later version, as they came
 }
 
@@ -29,7 +29,7 @@
 	Age     tick.Tick
 }
 
-// Evidence is what a relay counts of its last two outcomes at a suspect backend. None of both asks the others for
+// Evidence is what a relay counts of its last two outcomes at a backend in question. None of both asks the others for
 // theirs.
 type Evidence struct {
 	Backend   uint64 // hash of its name
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -10,7 +10,7 @@
 const verdictTTL = 20 * tick.Second
 
 // setVerdict keeps a verdict that is no older than the last, and puts the backend at the end of byVerdict.
-func (m *Manager) setVerdict(s *suspect, healthy, own bool, at tick.Tick) {
+func (m *Manager) setVerdict(s *questionedBackend, healthy, own bool, at tick.Tick) {
 	if at < s.verdictAt {
 		return
 	}
@@ -24,12 +24,12 @@
 // learnVerdicts adopts another relay's newer verdicts, reported at madeAt.
 func (m *Manager) learnVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
-		s := m.suspects[v.Backend]
+		s := m.questioned[v.Backend]
 		if s == nil && v.Healthy {
 			continue
 		}
 		if s == nil {
-			s = m.addSuspect(v.Backend)
+			s = m.addQuestioned(v.Backend)
 			s.verdictAt = never
 		}
 		if at := madeAt - v.Age; at > s.verdictAt {
