--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -42,7 +42,7 @@
 
 // changesPlans reports whether what a node reports may change what its instances need.
 func changesPlans(old, status NodeStatus) bool {
-	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.Draining != status.Draining ||
+	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.ListedDraining != status.ListedDraining ||
 		old.RollingBack != status.RollingBack || old.Accepting != status.Accepting || old.Zone != status.Zone ||
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
@@ -50,7 +50,7 @@
 // onCopiesLost notes that a node has lost its memory: what it was the primary of may only go on at a replica, and it is a
 // replica of nothing.
 func (p *Planner) onCopiesLost(n *node) {
-	p.countSuspects(n)
+	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
 		i.orphaned = true
 	}
@@ -78,7 +78,7 @@
 	p.now = now
 	n := p.node(name)
 	n.leaseExpired = true
-	p.countSuspects(n)
+	p.countPoisonCandidates(n)
 	p.updateEligibility(n)
 	p.queueReviewsOf(n)
 	p.work(maxWorkPerFact)
@@ -97,11 +97,11 @@
 		i.review.position = notQueued
 		p.instances[a.Instance] = i
 	}
-	if i.assigned && !isNewer(a, i.Assignment) {
+	if i.assigned && !a.NewerThan(i.Assignment) {
 		return
 	}
 	old := i.Assignment
-	p.unqueue(i)
+	p.dequeue(i)
 	p.assign(i, a)
 	if i.assigned && a.Epoch != old.Epoch || a.State != old.State {
 		p.onPrimaryChanged(i, old)
@@ -126,10 +126,6 @@
 	p.work(maxWorkPerFact)
 }
 
-func isNewer(a, than placement.Assignment) bool {
-	return a.Epoch > than.Epoch || a.Epoch == than.Epoch && a.Revision > than.Revision
-}
-
 // assign replaces an instance's assignment, and the nodes that it is known at.
 func (p *Planner) assign(i *instance, a placement.Assignment) {
 	if i.primaryNode != nil {
