--- /dev/null
+++ b/docs/logs_test.go
@@ -0,0 +1,211 @@
+package docs
+
+import (
+	"go/ast"
+	"go/token"
+	"os"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logFunctions are the names of the functions and methods that write a line of the log: the message, then typed fields.
+var logFunctions = []string{"Log", "Msg", "log", "logAt", "logSampled"}
+
+// TestOncall_ListsEachLogMessage finds each message of the programs' log in the table of docs/oncall.md, and each message
+// of the table in the code. A message is constant: a literal or a string constant, or what a function that forwards lines
+// calls message.
+func TestOncall_ListsEachLogMessage(t *testing.T) {
+	listed := messagesOfPage(t)
+	used := map[string]string{}
+	for folder, files := range sources(t) {
+		if strings.HasPrefix(folder, "internal/standin") || strings.HasPrefix(folder, "internal/lab") || strings.HasPrefix(folder, "deploy") {
+			continue // not part of what an engineer on call runs
+		}
+		constants := stringConstants(files)
+		for _, file := range files {
+			ast.Inspect(file, func(n ast.Node) bool {
+				for _, message := range namedMessages(n) {
+					used[message] = folder
+				}
+				call, ok := n.(*ast.CallExpr)
+				if ok && calledName(call) == "Send" && len(call.Args) == 0 {
+					t.Errorf("%s: a log line has no message", folder)
+				}
+				if !ok || !writesLog(call) {
+					return true
+				}
+				message, constant := constantString(messageOf(call), constants)
+				switch {
+				case constant:
+					used[message] = folder
+				case !forwards(messageOf(call)):
+					t.Errorf("%s: a log line of %s has no constant message", folder, calledName(call))
+				}
+				return true
+			})
+		}
+	}
+	for message, folder := range used {
+		if !listed[message] {
+			t.Errorf("docs/oncall.md does not list %q of %s", message, folder)
+		}
+	}
+	for message := range listed {
+		if used[message] == "" {
+			t.Errorf("docs/oncall.md lists %q, which no program logs", message)
+		}
+	}
+}
+
+// messagesOfPage are the first cells of the table below the heading "Log messages", each in backticks.
+func messagesOfPage(tb testing.TB) map[string]bool {
+	tb.Helper()
+	text, err := os.ReadFile("oncall.md")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	_, section, found := strings.Cut(string(text), "\n## Log messages\n")
+	if !found {
+		tb.Fatal("docs/oncall.md has no heading Log messages")
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	listed := map[string]bool{}
+	for _, row := range regexp.MustCompile("(?m)^\\| `([^`]+)` \\|").FindAllStringSubmatch(section, -1) {
+		if listed[row[1]] {
+			tb.Errorf("docs/oncall.md lists %q twice", row[1])
+		}
+		listed[row[1]] = true
+	}
+	return listed
+}
+
+// writesLog tells whether a call writes a log line: by the function's name, or as it passes fields of log/slog behind a
+// literal.
+func writesLog(call *ast.CallExpr) bool {
+	if len(call.Args) == 0 || calledName(call) == "append" || calledPackage(call) == "math" {
+		return false
+	}
+	literal, ok := messageOf(call).(*ast.BasicLit)
+	return slices.Contains(logFunctions, calledName(call)) || passesFields(call) && ok && literal.Kind == token.STRING
+}
+
+// messageOf is the message of a call: its first argument behind the level, if one is given.
+func messageOf(call *ast.CallExpr) ast.Expr {
+	if level, ok := call.Args[0].(*ast.SelectorExpr); ok && strings.HasPrefix(level.Sel.Name, "Level") && len(call.Args) > 1 {
+		return call.Args[1]
+	}
+	if level, ok := call.Args[0].(*ast.Ident); ok && level.Name == "level" && len(call.Args) > 1 {
+		return call.Args[1]
+	}
+	return call.Args[0]
+}
+
+// namedMessages are those that a variable is given: message, or the table eventMessages.
+func namedMessages(n ast.Node) (messages []string) {
+	switch n := n.(type) {
+	case *ast.AssignStmt:
+		for i, name := range n.Lhs {
+			if id, ok := name.(*ast.Ident); ok && id.Name == "message" && i < len(n.Rhs) {
+				if text, constant := constantString(n.Rhs[i], nil); constant {
+					messages = append(messages, text)
+				}
+			}
+		}
+	case *ast.ValueSpec:
+		if n.Names[0].Name != "eventMessages" || len(n.Values) == 0 {
+			return nil
+		}
+		for _, element := range n.Values[0].(*ast.CompositeLit).Elts {
+			if text, constant := constantString(element.(*ast.KeyValueExpr).Value, nil); constant {
+				messages = append(messages, text)
+			}
+		}
+	}
+	return messages
+}
+
+// calledPackage is what stands before the dot of a call, "" for anything but a name.
+func calledPackage(call *ast.CallExpr) string {
+	if s, ok := call.Fun.(*ast.SelectorExpr); ok {
+		if id, ok := s.X.(*ast.Ident); ok {
+			return id.Name
+		}
+	}
+	return ""
+}
+
+func calledName(call *ast.CallExpr) string {
+	switch f := call.Fun.(type) {
+	case *ast.Ident:
+		return f.Name
+	case *ast.SelectorExpr:
+		return f.Sel.Name
+	}
+	return ""
+}
+
+func passesFields(call *ast.CallExpr) bool {
+	for _, arg := range call.Args[1:] {
+		field, ok := arg.(*ast.CallExpr)
+		if !ok {
+			continue
+		}
+		if s, ok := field.Fun.(*ast.SelectorExpr); ok {
+			if pkg, ok := s.X.(*ast.Ident); ok && pkg.Name == "slog" {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// forwards tells whether an expression is a message that was named elsewhere: a caller's, or one of the table.
+func forwards(e ast.Expr) bool {
+	switch e := e.(type) {
+	case *ast.Ident:
+		return e.Name == "message"
+	case *ast.IndexExpr:
+		table, ok := e.X.(*ast.Ident)
+		return ok && table.Name == "eventMessages"
+	}
+	return false
+}
+
+func constantString(e ast.Expr, constants map[string]string) (string, bool) {
+	switch e := e.(type) {
+	case *ast.BasicLit:
+		text, err := strconv.Unquote(e.Value)
+		return text, err == nil && e.Kind == token.STRING
+	case *ast.Ident:
+		text, ok := constants[e.Name]
+		return text, ok
+	}
+	return "", false
+}
+
+// stringConstants are the package's constants whose value is a literal.
+func stringConstants(files []*ast.File) map[string]string {
+	all := map[string]string{}
+	for _, file := range files {
+		for _, d := range file.Decls {
+			g, ok := d.(*ast.GenDecl)
+			if !ok || g.Tok != token.CONST {
+				continue
+			}
+			for _, spec := range g.Specs {
+				s := spec.(*ast.ValueSpec)
+				for i, name := range s.Names {
+					if i < len(s.Values) {
+						if text, ok := constantString(s.Values[i], nil); ok {
+							all[name.Name] = text
+						}
+					}
+				}
+			}
+		}
+	}
+	return all
+}
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -37,6 +37,6 @@
 	// with the leadership.
 	Propose(op placement.Operation)
 
-	// Log notes a decision for the log and for the status call.
-	Log(text string)
+	// Explain notes a decision for the log and for the status call.
+	Explain(text string)
 }
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -37,8 +37,8 @@
 	h.controller.wakeProposer()
 }
 
-// Log notes a decision of the planner.
-func (h plannerHost) Log(text string) {
+// Explain notes a decision of the planner.
+func (h plannerHost) Explain(text string) {
 	decisions := append(h.leadership.decisions, text)
 	h.leadership.decisions = decisions[max(0, len(decisions)-maxRecentDecisions):]
 	h.controller.Log.Info().Str("event", "plans").Str("why", text).Msg("planner decision")
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Log is the planner's; its words are in the assignments' reasons already.
-func (l *leadership) Log(string) {}
+// Explain is the planner's; its words are in the assignments' reasons already.
+func (l *leadership) Explain(string) {}
 
 // restsOnExpiry: the entry rests on the lease of its By being over.
 func restsOnExpiry(e placement.Operation) bool {
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -197,7 +197,7 @@
 	if pending.Kind != op.Kind || pending.Epoch != op.Epoch || pending.Target != op.Target {
 		return
 	}
-	p.host.Log(fmt.Sprintf("%s: %s to %q refused: %v", op.Instance, op.Kind, op.Target, reason))
+	p.host.Explain(fmt.Sprintf("%s: %s to %q refused: %v", op.Instance, op.Kind, op.Target, reason))
 	i.proposal.operation = placement.Operation{}
 	p.countMove(i)
 	p.backOff(i)
@@ -209,7 +209,7 @@
 	p.now = now
 	i := p.instances[name]
 	if i == nil {
-		p.host.Log(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
+		p.host.Explain(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
 		return
 	}
 	i.deviceZone = zone
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -18,7 +18,7 @@
 	// Propose takes an operation to the agreed log. Its result comes back by OnAssignment or OnProposalRefused, at once or
 	// later.
 	Propose(op placement.Operation)
-	Log(text string)
+	Explain(text string)
 }
 
 // Planner decides at the leading controller when an instance is moved to another node, whither and how. The package
