--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -18,6 +18,7 @@
 	// Propose takes an operation to the agreed log. Its result comes back by OnAssignment or OnProposalRefused, at once or
 	// later.
 	Propose(op placement.Operation)
+	// Explain notes why the planner has decided something, for those who run the fleet. It carries no decision.
 	Explain(text string)
 }
 
