--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -19,13 +19,19 @@
 
 // longPoll is a call that waits for a change. end must be called once.
 type longPoll struct {
-	since uint64      // the version that the caller has
-	timer *time.Timer // fires when the call has waited as long as it asked to
-	end   func()
+	leadership *leadership // under which it waits
+	since      uint64      // the version that the caller has
+	timer      *time.Timer // fires when the call has waited as long as it asked to
+	end        func()
 }
 
-// beginLongPoll reads "since" and "timeout_ms" of the query, and takes one of the places among the calls that wait.
+// beginLongPoll reads "since" and "timeout_ms" of the query, and takes one of the slots of the calls that wait. It refuses the
+// call where another controller leads.
 func (c *Controller) beginLongPoll(req call[struct{}]) (longPoll, error) {
+	l, _, err := c.requireLeadership()
+	if err != nil {
+		return longPoll{}, err
+	}
 	since, err := queryNumber(req, "since")
 	if err != nil {
 		return longPoll{}, err
@@ -44,7 +50,7 @@
 		timer.Stop()
 		<-c.longPolls
 	}
-	return longPoll{since, timer, end}, nil
+	return longPoll{l, since, timer, end}, nil
 }
 
 // queryNumber reads a number of a call's query; one that is missing is 0.
@@ -72,15 +78,12 @@
 // handleAssignments tells the assignments that changed since the caller's version, once there are any.
 func (c *Controller) handleAssignments(req call[struct{}]) (controllerclient.AssignmentChanges, error) {
 	var none controllerclient.AssignmentChanges
-	l, _, err := c.requireLeadership()
-	if err != nil {
-		return none, err
-	}
 	poll, err := c.beginLongPoll(req)
 	if err != nil {
 		return none, err
 	}
 	defer poll.end()
+	l := poll.leadership
 	for {
 		origin := c.stateMachine.lineage().OriginID
 		if req.query.Has("birth") {
@@ -109,15 +112,12 @@
 // handleNodes tells all edge nodes, once one of them is not as in the caller's version.
 func (c *Controller) handleNodes(req call[struct{}]) (controllerclient.NodeList, error) {
 	var none controllerclient.NodeList
-	l, _, err := c.requireLeadership()
-	if err != nil {
-		return none, err
-	}
 	poll, err := c.beginLongPoll(req)
 	if err != nil {
 		return none, err
 	}
 	defer poll.end()
+	l := poll.leadership
 	for waited := false; ; {
 		c.mu.Lock()
 		if l.nodesVersion != poll.since || waited {
