--- a/internal/standin/backends/backend.go
+++ b/internal/standin/backends/backend.go
@@ -1,4 +1,4 @@
-// Package backends stands in for what a relay deals with: units that speak PostgreSQL's wire protocol, the agent that tells
+// Package backends stands in for what a relay deals with: backends that speak PostgreSQL's wire protocol, the agent that tells
 // their list, and the platform that takes votes and moves a package on or back. All on loopback. The frames are
 // written from the protocol's documentation (PostgreSQL 15, "Message Formats").
 package backends
@@ -30,7 +30,7 @@
 	closed      bool
 }
 
-// NewBackend starts a unit on a build. answer says how each query goes: whether it fails, and how long it takes.
+// NewBackend starts a backend on a version. answer says how each query goes: whether it fails, and how long it takes.
 func NewBackend(name string, build uint16, answer func(u *Backend, opType string, build uint16, since time.Time) (bool, time.Duration)) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,7 +77,7 @@
 // Address is where it listens.
 func (u *Backend) Address() string { return u.listener.Addr().String() }
 
-// Set puts it into a state: up, draining or removed. Up on another build is another process.
+// Set puts it into a state: up, draining or removed. Up on another version is another process.
 func (u *Backend) Set(state string, build uint16) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -32,11 +32,11 @@
 	StagesPassed   int
 	Released       bool
 	RolledBack     bool
-	TimeToVerdict  time.Duration // from the first wave on
+	TimeToVerdict  time.Duration // from the first stage on
 	offered        time.Time
 }
 
-// NewPlatform starts one with its units, all on the earlier build, which is released.
+// NewPlatform starts one with its backends, all on the earlier version, which is released.
 func NewPlatform(units []*Backend, build uint16, waves []float64, bake time.Duration) (*Platform, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,7 @@
 	p.goroutines.Wait()
 }
 
-// Changed has those who wait for changes look again, after a unit was set.
+// Changed has those who wait for changes look again, after a backend was set.
 func (p *Platform) Changed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +207,7 @@
 	}
 }
 
-// Offer rolls a package out, wave by wave as votes say, until it is released and watched for a while, taken back, or
+// Offer rolls a package out, stage by stage as votes say, until it is released and watched for a while, taken back, or
 // the context ends.
 func (p *Platform) Offer(ctx context.Context, build uint16, watch time.Duration) {
 	p.mu.Lock()
@@ -247,7 +247,7 @@
 	waitFor(ctx, watch)
 }
 
-// replaceBackends has units run a build until so many do.
+// replaceBackends has backends run a version until so many do.
 func (p *Platform) replaceBackends(ctx context.Context, build uint16, upTo int) bool {
 	var moved []*Backend
 	has := 0
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -57,7 +57,7 @@
 	Path string
 }
 
-// Mirror serves a keeper's repository.
+// Mirror serves a publisher's repository.
 type Mirror struct {
 	Name      string
 	publisher *Publisher
@@ -75,12 +75,12 @@
 }
 
 // NewMirror starts a mirror on loopback; other may be nil.
-func NewMirror(name string, keeper, other *Publisher, faults ...Fault) (*Mirror, error) {
+func NewMirror(name string, publisher, other *Publisher, faults ...Fault) (*Mirror, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	m := &Mirror{Name: name, publisher: keeper, foreign: other, listener: l, faults: faults, frozen: -1,
+	m := &Mirror{Name: name, publisher: publisher, foreign: other, listener: l, faults: faults, frozen: -1,
 		quit: make(chan struct{})}
 	m.server = &http.Server{Handler: m}
 	m.done.Add(1)
--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -1,4 +1,4 @@
-// Package repository stands in for what the metadata front deals with: keepers who publish a TUF repository,
+// Package repository stands in for what the metadata front deals with: a publisher of a TUF repository,
 // mirrors that serve it with faults by script, and picture servers that update from it. It is written from the TUF
 // specification (1.0.31) and the Uptane Standard (2.1); the servers verify by the public TUF library's own
 // workflow, which the product does not use, so that a fault of ours shows.
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -36,7 +36,7 @@
 	Requests       int
 }
 
-// NewChecker makes one for the repository of a keeper.
+// NewChecker makes one for the repository of a publisher.
 func NewChecker(k *Publisher) *Checker {
 	return &Checker{Now: k.Clock.Now, Root: k.Root, newestGiven: map[string]int64{}, newestByClient: map[string]int64{},
 		Answers: map[int]int{}}
@@ -46,7 +46,7 @@
 	c.Faults = append(c.Faults, fmt.Sprintf(form, args...))
 }
 
-// Reset forgets what clients were given: the keepers have given a role new keys, and versions count anew.
+// Reset forgets what clients were given: the publishers have given a role new keys, and versions count anew.
 func (c *Checker) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
