--- a/internal/lab/day_backend.go
+++ b/internal/lab/day_backend.go
@@ -19,14 +19,14 @@
 	overloaded     bool
 }
 
-// warmUpAttempt is an attempt at a cold backend. Work is in requests of mean work; told: its relay had been told of the start.
+// warmUpAttempt is an attempt at a cold backend. Work is in requests of mean work; announced: its relay knew of the start.
 type warmUpAttempt struct {
 	at        balancer.Tick
 	work      float64
 	announced bool
 }
 
-// overloads tells whether a cold backend falls under what it got of late, N being what the settings allow it then, and
+// overloads reports whether a cold backend falls under what it got of late, N being what the settings allow it then, and
 // whether that breaks the rule.
 func overloads(sends []warmUpAttempt, n float64) (falls, broken bool) {
 	sum, told := 0.0, 0.0
--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -19,7 +19,7 @@
 	attempts   map[*balancer.Request][]*dayAttempt
 	dead       bool
 	leaving    bool
-	drainSince []balancer.Tick // when it was told that a backend drains
+	drainSince []balancer.Tick // when it was notified that a backend drains
 	rate       float64
 }
 
@@ -184,10 +184,10 @@
 // Log drops log lines.
 func (n *dayRelay) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is told of changes.
+// WatchEndpoints does nothing: every relay is notified of changes.
 func (n *dayRelay) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is told of changes.
+// FetchEndpoints does nothing: every relay is notified of changes.
 func (n *dayRelay) FetchEndpoints() {}
 
 // killRelay ends a relay at once; what it had taken is lost with it, and another starts in its place.
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -8,7 +8,7 @@
 	"silvercove/balancer"
 )
 
-// Day is the hard part of one whole-fleet day: what is done to the backends and the relays, beginning at second 0.
+// Day is the hard part of one day of a fleet: what is done to the backends and the relays, beginning at second 0.
 type Day struct {
 	Name             string
 	plan             func(f *fleetDay)
@@ -58,7 +58,7 @@
 	}},
 }
 
-// Whole is the day on which cold backends fall most easily, at the size of the whole fleet: relays see from a quarter to
+// Whole is the day on which backends that warm up are overloaded most easily, at the size of the whole fleet: relays see from a quarter to
 // three times of the mean, a fifth of the backends returns cold, and the others pause for 3 s: all want to go to those few.
 var Whole = Day{Name: "whole", relays: 300, backends: 150, plan: func(f *fleetDay) {
 	for i, n := range f.relays {
@@ -182,7 +182,7 @@
 
 func (f *fleetDay) violation(what string) { f.result.Violations[what]++ }
 
-// announce tells all relays of a backend, each a little later than the list lags.
+// announce notifies all relays of a backend, each a little later than the list lags.
 func (f *fleetDay) announce(i int) {
 	is := f.backends[i].Endpoint
 	for _, n := range f.relays {
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Log is the planner's; its words are in the assignments' reasons already.
+// Log drops the planner's lines: the assignments' reasons say the same.
 func (l *leadership) Log(string) {}
 
 // restsOnExpiry: the entry rests on the lease of its By being over.
--- a/internal/lab/fleetsim/controller_log.go
+++ b/internal/lab/fleetsim/controller_log.go
@@ -123,7 +123,7 @@
 	return all, nil
 }
 
-// onPlaced tells everyone whom an agreed change concerns.
+// onPlaced notifies everyone whom an agreed change concerns.
 func (f *Fleet) onPlaced(k *controller, e placement.Operation, before, p placement.Assignment) {
 	c := f.deviceByName[p.Instance]
 	what := string(e.Kind)
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -54,7 +54,7 @@
 	lastHealed                     tick.Tick           // the last one ended
 	refusedSteps, snapshotsChecked int                 // steps that controllers did not know; snapshots that were read back
 	forcedDrains                   int                 // nodes that were made to hand all on
-	ReportedLosses                 []string            // losses that were told
+	ReportedLosses                 []string            // losses that were reported
 	disabled                       disabledDefences
 }
 
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -95,7 +95,7 @@
 	c.fleet.snapshotsChecked++
 }
 
-// checkSupported tells whether the leading controller knows a step; of one that it doesn't nothing may move.
+// checkSupported reports whether the leading controller knows a step; of one that it doesn't nothing may move.
 func (l *leadership) checkSupported(e placement.Operation) error {
 	if l.controller.laterVersion > 0 || l.cluster.fleet.disabled.acceptUnknownSteps {
 		return nil
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -18,7 +18,7 @@
 
 func (w *update) size() int { return updateOverheadBytes + len(w.raw) }
 
-// newestSlot is where the newest word of its member and kind is.
+// newestSlot is the index of the newest update of its member and kind.
 func (w *update) newestSlot() int {
 	if w.raw == nil {
 		return 2*w.member + 1
@@ -37,7 +37,7 @@
 	m.enqueue(m.ownRecord)
 }
 
-// enqueue has a word passed on from now on, in place of an earlier one of its member and kind.
+// enqueue has an update gossiped from now on, in place of an earlier one of its member and kind.
 func (m *member) enqueue(w *update) {
 	m.newest[w.newestSlot()] = w
 	m.queue[0] = append(m.queue[0], w)
@@ -79,7 +79,7 @@
 	return some, size
 }
 
-// gossip passes words on to a few.
+// gossip sends updates to a few members.
 func (m *member) gossip() {
 	c := m.group
 	c.fleet.after(c.timeout/gossipsPerTimeout, m.gossip)
@@ -103,7 +103,7 @@
 	}
 }
 
-// receive takes a word in and passes it on if it is news.
+// receive merges an update, and gossips it on if it is new.
 func (m *member) receive(w *update) {
 	f, name := m.group.fleet, m.group.members[w.member].endpoint.name
 	if w.raw != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-// updateRelayPeer hands another relay's news to what decides by it, as a relay's process does.
+// updateRelayPeer hands another relay's report to the overload manager, as a relay's process does.
 func (m *member) updateRelayPeer(name string) {
 	seen, _ := m.table.Member(name)
 	if data := seen.Payloads["overload"]; data != nil {
--- a/internal/lab/fleetsim/member_probe.go
+++ b/internal/lab/fleetsim/member_probe.go
@@ -31,7 +31,7 @@
 }
 
 // probe is the library's look at one other member each silence: one that neither answers this process nor any of three
-// others it asks, and of which nothing is heard, is told to be down.
+// others it asks, and of which nothing is heard, is reported down.
 func (m *member) probe() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.probe)
--- a/internal/lab/fleetsim/member_sync.go
+++ b/internal/lab/fleetsim/member_sync.go
@@ -4,7 +4,7 @@
 	"silvercove/internal/membership"
 )
 
-// rejoin exchanges whole states with some of those that are held to be gone.
+// rejoin exchanges full states with some of those that are held to be gone.
 func (m *member) rejoin() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.rejoin)
@@ -27,7 +27,7 @@
 	}
 }
 
-// syncRandom exchanges whole states with any other member, as the library does by itself.
+// syncRandom exchanges full states with any other member, as the library does by itself.
 func (m *member) syncRandom() {
 	m.group.fleet.after(m.group.syncInterval(), m.syncRandom)
 	if m.isRunning() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// syncWith has two members tell each other all that they know.
+// syncWith has two members exchange all that they know.
 func (m *member) syncWith(o *member) {
 	if o == m || o.endpoint == m.endpoint {
 		return
--- a/internal/lab/fleetsim/network.go
+++ b/internal/lab/fleetsim/network.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-// isCut tells whether nothing passes from one node to another.
+// isCut reports whether nothing passes from one node to another.
 func (f *Fleet) isCut(from, to *endpoint) bool {
 	if from.zone != to.zone && (from.zone != nil && from.zone.partitions > 0 || to.zone != nil &&
 		to.zone.partitions > 0) {
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -17,7 +17,7 @@
 	fleet       *Fleet
 	id          int
 	name        string
-	displayName string // in the timeline: copies beside another one are told apart
+	displayName string // in the timeline: a duplicate has a name of its own
 	endpoint    *endpoint
 	zone        *zone
 	clockRate   float64
@@ -44,8 +44,8 @@
 	countRaised      bool
 	highestCount     uint64
 	diskQueue        []func() func()
-	placementVersion uint64          // news seen
-	unseen           map[string]bool // news that it has not seen
+	placementVersion uint64          // that it has seen
+	unseen           map[string]bool // changed assignments that it has not seen
 	unseenOrder      []string        // of them
 	watching         bool
 	watchNumber      int
@@ -155,7 +155,7 @@
 			}
 		}
 		version := c.table.Version()
-		u.unseen, u.unseenOrder = map[string]bool{}, nil // what changes from now on is told after the start
+		u.unseen, u.unseenOrder = map[string]bool{}, nil // what changes from now on is notified after the start
 		answer(func() {
 			if u.incarnation != run || u.manager != nil || u.downCount > 0 {
 				return
@@ -190,7 +190,7 @@
 	})
 }
 
-// baseline is what a node is told at its start of what is counted on it for.
+// baseline are the assignments that a node gets at its start, as it counts for them already.
 func (w disabledDefences) baseline(places []placement.Assignment) []placement.Assignment {
 	if w.noBaseline {
 		return nil
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// placementChanged notes that an assignment has changed that the node is to be told.
+// placementChanged notes that an assignment has changed of which the node is to be notified.
 func (u *edgeNode) placementChanged(name string) {
 	if !u.unseen[name] {
 		u.unseen[name] = true
@@ -88,7 +88,7 @@
 	u.watchPlacements()
 }
 
-// watchPlacements brings the news: what is asked for while nothing is new waits at the controllers.
+// watchPlacements brings changed assignments: a watch waits at the controllers while nothing has changed.
 func (u *edgeNode) watchPlacements() {
 	if u.watching || u.manager == nil {
 		return
--- a/internal/lab/fleetsim/replay.go
+++ b/internal/lab/fleetsim/replay.go
@@ -54,7 +54,7 @@
 	RequestRate     float64 // a second
 	Script          string
 	Instance        string   // whose course is held against the other
-	From, Until     string   // the words of its first and last event
+	From, Until     string   // the first and the last event, as Event.Is takes them
 	Order           []string // what has to come after one another in both
 }
 
@@ -116,7 +116,7 @@
 	return f
 }
 
-// processEvents are the model's events in the words of processes.
+// processEvents are the model's events by the names that processes have.
 func (f *Fleet) processEvents() (all []testcluster.Event) {
 	as := map[string]string{"zone-1": "north", "zone-2": "south"}
 	for i, u := range f.nodes[:f.Nodes] {
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -79,7 +79,7 @@
 	return all
 }
 
-// reasonTitle is text of the first words, for timelines.
+// reasonTitle is a reason up to its first colon, for timelines.
 func reasonTitle(text string) string {
 	if first, _, ok := strings.Cut(text, ":"); ok && len(text) > 24 {
 		return first
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -115,7 +115,7 @@
 	return float64(h.TotalCount()) / time.Since(began).Seconds(), h, wrong.Load(), ctx.Err()
 }
 
-// httpRequest makes one request and has its answer read; it gives the status, 0 where that did not come whole.
+// httpRequest makes one request and has its answer read; it gives the status, 0 where that did not come complete.
 func httpRequest(way http.RoundTripper, method, url, text string, read func(io.Reader) error) int {
 	req, err := http.NewRequest(method, url, strings.NewReader(text))
 	if err != nil {
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -22,7 +22,7 @@
 	warmUp          = 4.0 // seconds until it is warm
 	slotsPerBackend = 8
 	meanServiceTime = 0.02 // seconds that a backend works on a request, in the middle
-	metricsLag      = 1.0  // seconds until the platform tells what it counted
+	metricsLag      = 1.0  // seconds until the platform reports what it counted
 )
 
 // model is one rollout under way.
@@ -159,7 +159,7 @@
 	return s
 }
 
-// idempotencyOf is what an experiment's file says of a request class. Any other word is at most once.
+// idempotencyOf is what an experiment's file says of a request class. Anything else is at most once.
 var idempotencyOf = map[string]balancer.Idempotency{"redeliverable": balancer.Idempotent,
 	"deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.AtMostOnce}
 
--- a/internal/lab/model_relay.go
+++ b/internal/lab/model_relay.go
@@ -40,13 +40,13 @@
 	n.onRelease(false, balancer.Succeeded)
 }
 
-// announce tells a relay of a backend.
+// announce notifies a relay of a backend.
 func (n *relayNode) announce(u *backend) {
 	n.balancer.OnEndpoint(n.now, n.known[u.number], balancer.Endpoint{Zone: u.zone, State: u.state, NominalWeight: 1, StartedAt: u.started,
 		Version: u.version})
 }
 
-// onRelease tells it where the package stands.
+// onRelease notifies it where the package stands.
 func (n *relayNode) onRelease(answer bool, ending balancer.Outcome) {
 	build, stageCap := n.newest, 1.0
 	if build == 0 {
@@ -256,10 +256,10 @@
 // Log drops log lines.
 func (n *relayNode) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is told of changes.
+// WatchEndpoints does nothing: every relay is notified of changes.
 func (n *relayNode) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is told of changes.
+// FetchEndpoints does nothing: every relay is notified of changes.
 func (n *relayNode) FetchEndpoints() {}
 
 // CastVote brings a vote to the platform, where one decides.
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -16,7 +16,7 @@
 	return 0
 }
 
-// announceRelease tells every relay where the package stands, after a while; the blind hear of it late.
+// announceRelease notifies every relay where the package stands, after a while; the blind hear of it late.
 func (m *model) announceRelease() {
 	for _, n := range m.nodes {
 		lag, life := releaseLag, n.incarnation
@@ -89,7 +89,7 @@
 	}
 }
 
-// announceBackend tells every relay of a backend, after a while.
+// announceBackend notifies every relay of a backend, after a while.
 func (m *model) announceBackend(u *backend) {
 	is := *u
 	for _, n := range m.nodes {
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -281,10 +281,10 @@
 // Log drops log lines.
 func (n *overloadRelay) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is told of changes.
+// WatchEndpoints does nothing: every relay is notified of changes.
 func (n *overloadRelay) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is told of changes.
+// FetchEndpoints does nothing: every relay is notified of changes.
 func (n *overloadRelay) FetchEndpoints() {}
 
 // CastVote does nothing: no version is rolled out.
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -132,7 +132,7 @@
 	return NewRate(f, fn), NewRate(m, mn)
 }
 
-// Held tells whether a measured rate is within a declared one: its interval does not lie above it.
+// Held reports whether a measured rate is within a declared one: its interval does not lie above it.
 func (r Rate) Held(declared float64) bool { return r.Low <= declared }
 
 // table puts lines into a table.
