--- a/internal/standin/faultproxy/script.go
+++ b/internal/standin/faultproxy/script.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// listHas tells whether a list a,b or * has a name.
+// listHas reports whether a list a,b or * has a name.
 func listHas(list, name string) bool {
 	return list == "*" || slices.Contains(strings.Split(list, ","), name)
 }
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -134,7 +134,7 @@
 	return m
 }
 
-// firstSuccess tells whether a request is the first that was acknowledged of its instance's epoch: timelines show that one.
+// firstSuccess reports whether a request is the first that was acknowledged of its instance's epoch: timelines show it.
 func (c *Cluster) firstSuccess(m Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,7 +262,7 @@
 // Controllers makes calls to the fleet's controllers as the desk.
 func (c *Cluster) Controllers() *controllerclient.Client { return c.controllers }
 
-// Create makes an instance at a node; Cross tells that its device is in a zone now.
+// Create makes an instance at a node.
 func (c *Cluster) Create(ctx context.Context, instance, unit, zone string) (p placement.Assignment, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
@@ -270,7 +270,7 @@
 		Reason: "asked for"})
 }
 
-// MoveDevice tells the controllers that an instance's device is in a zone now.
+// MoveDevice reports to the controllers that an instance's device is in a zone now.
 func (c *Cluster) MoveDevice(ctx context.Context, instance, zone string) (p placement.Assignment, err error) {
 	c.addEvent(Event{At: time.Now(), Node: TestNode, Name: "crosses", Instance: instance, To: zone})
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -84,7 +84,7 @@
 	faults       []string
 }
 
-// TestNode is where the test itself and its clients are, for links and timelines.
+// TestNode is the node that the test itself and its clients stand for, for links and timelines.
 const TestNode = "desk"
 
 // New lays out a fleet and starts none of it. lines go into each process's block fleet.
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -13,7 +13,7 @@
 	"silvercove/internal/peertransport"
 )
 
-// relaySettings is a relay's JSON file; its one op type is that of Client.
+// relaySettings is a relay's JSON file; its one request class is that of Client.
 const relaySettings = `{"seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
 	"release_api": {%s"news": {"Revision": 1, "Wave": 0, "State": "live", "MaxShare": 1.0, "AgeMs": 0}},
--- a/internal/standin/testcluster/script.go
+++ b/internal/standin/testcluster/script.go
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// isStopped tells whether a process stands still: the signal to stop takes a moment.
+// isStopped reports whether a process stands still: the signal to stop takes a moment.
 func isStopped(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, state, ok := strings.Cut(string(text), ") ")
--- a/internal/standin/testcluster/timeline.go
+++ b/internal/standin/testcluster/timeline.go
@@ -59,7 +59,7 @@
 	return strings.Join(w, " ")
 }
 
-// Is tells whether an event is as words say: the process or *, the event or *, then any of the instance (with @EPOCH,
+// Is reports whether an event is as words say: the process or *, the event or *, then any of the instance (with @EPOCH,
 // if that matters), from, to, state, or a word of the reason. "* placed cam-1@5 edge-b".
 func (e Event) Is(words string) bool {
 	w := strings.Fields(words)
