--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Log drops the planner's lines: the assignments' reasons say the same.
-func (l *leadership) Log(string) {}
+// Explain drops the planner's explanations: the assignments' reasons say the same.
+func (l *leadership) Explain(string) {}
 
 // restsOnExpiry: the entry rests on the lease of its By being over.
 func restsOnExpiry(e placement.Operation) bool {
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -18,7 +18,7 @@
 	// Propose takes an operation to the agreed log. Its result comes back by OnAssignment or OnProposalRefused, at once or
 	// later.
 	Propose(op placement.Operation)
-	Log(text string)
+	Explain(text string)
 }
 
 // Planner decides at the leading controller when an instance is moved to another node, whither and how. The package
@@ -43,7 +43,7 @@
 
 	waitingAnywhere queue // instances that would go anywhere, and found no node
 	waitingRemote   queue // the same that would have a replica in another zone
-	parked          parkedAt
+	waitingForBound boundWaiters
 }
 
 // NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed.
@@ -90,7 +90,7 @@
 // ChooseNode returns the node at which a new instance should begin, "" where none has room.
 func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
-	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryLeaving)
+	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryOnItsWayOut)
 	if n == nil {
 		return ""
 	}
@@ -132,7 +132,7 @@
 
 // reviewInstance finds what one instance needs now, and does it or puts it where it waits.
 func (p *Planner) reviewInstance(i *instance) {
-	p.unqueue(i)
+	p.dequeue(i)
 	p.scheduleReview(i, 0)
 	if i.proposal.pending() && !p.proposalTimedOut(i) {
 		return
