--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Explain is the planner's; its words are in the assignments' reasons already.
+// Explain drops the planner's explanations: the assignments' reasons say the same.
 func (l *leadership) Explain(string) {}
 
 // restsOnExpiry: the entry rests on the lease of its By being over.
