--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -46,24 +46,14 @@
 		Name:           ask.Node,
 		Zone:           c.zoneOf(ask),
 		Incarnation:    ask.Incarnation,
-		Risk:           report.Risk,
-		FreeSlots:      report.SpareCapacity,
 		ListedDraining: ask.Draining,
 		Version:        ask.SoftwareVersion,
 		RollingBack:    ask.RollingBack,
 		WarmingUp:      ask.WarmingUp,
 		LostCopies:     ask.LostCopies,
 	}
-	switch report.State {
-	case controllerclient.StateAccepting:
-		status.Accepting = true
-	case controllerclient.StateLimited:
-		status.Accepting, status.Limited = true, true
-	case controllerclient.StateEvacuating:
-		status.Evacuating = true
-	case controllerclient.StateShuttingDown:
-		status.Evacuating, status.ShuttingDown = true, true
-	}
+	health := devicehealth.Report{State: devicehealth.State(report.State), Risk: report.Risk, SpareCapacity: report.SpareCapacity}
+	health.ApplyTo(&status)
 	return status
 }
 
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -1,20 +1,30 @@
 package devicehealth
 
-import "silvercove/internal/tick"
+import (
+	"silvercove/balancer/sequential"
+	"silvercove/internal/tick"
+)
 
-// goodRun is how many outcomes without an alarm a node needs to be believed again.
-const goodRun = 20
+const (
+	// falseAlarmChance bounds the chance of any false alarm of one node.
+	falseAlarmChance = 0.01
+	// goodRun is how many outcomes without an alarm a node needs to be believed again.
+	goodRun = 20
+)
 
-// failureDetector finds a node whose requests fail more often than usual. Once it has, the node waits, is tried again,
-// and is believed after goodRun outcomes; each alarm meanwhile doubles the wait.
+// failureDetector finds a node whose requests fail more often than usual, by the sequential test with which a relay watches a
+// canary. Once it has, the node waits, is tried again, and is believed after goodRun outcomes; each alarm meanwhile doubles
+// the wait.
 type failureDetector struct {
-	test     sequentialTest
+	test     sequential.Detector
 	failedAt tick.Tick // of the last alarm; 0 for none that still counts
 	outcomes int       // since the last alarm
 	wait     tick.Tick
 }
 
-func newFailureDetector() failureDetector { return failureDetector{wait: minDwell} }
+func newFailureDetector() failureDetector {
+	return failureDetector{test: sequential.NewDetector(falseAlarmChance), wait: minDwell}
+}
 
 // record records one outcome, tested against a usual share of failures.
 func (d *failureDetector) record(now tick.Tick, succeeded bool, usualShare float64) {
@@ -22,16 +32,16 @@
 	if !succeeded {
 		outcome = 1
 	}
-	alarm := d.test.record(outcome, usualShare)
+	_, alarm := d.test.Observe(outcome, usualShare)
 	d.outcomes++
 	if alarm {
 		if d.failing() {
 			d.wait = min(2*d.wait, maxDwell)
 		}
-		d.failedAt, d.outcomes, d.test = now, 0, sequentialTest{}
+		d.failedAt, d.outcomes, d.test = now, 0, sequential.NewDetector(falseAlarmChance)
 		return
 	}
-	if d.failing() && now-d.failedAt >= d.wait && d.outcomes >= goodRun && !d.test.suspicious() {
+	if d.failing() && now-d.failedAt >= d.wait && d.outcomes >= goodRun && !d.test.Suspicious() {
 		d.failedAt, d.wait = 0, minDwell
 	}
 }
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -10,9 +10,9 @@
 //
 // Files: monitor.go (inputs and reports), assessment.go, battery.go, temperature.go and condition.go (what each reading
 // allows), hysteresis.go (falls and rises), reading.go and series.go (which readings are believed),
-// failure_detector.go and sequential.go (outcomes), report.go and state.go, verifier.go and claims.go, last_resort.go.
+// failure_detector.go (outcomes), report.go and state.go, verifier.go and claims.go, last_resort.go.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package devicehealth
 
 import (
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -7,7 +7,7 @@
 //
 // Files: store.go (what is kept), bounds.go (the confidence sequence), snapshot.go (the file), explain.go (in sentences).
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package evidence
 
 import (
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -17,7 +17,7 @@
 // Files: store.go (opening and requests), run.go (the queue), write.go (what a request changes, in memory and in the
 // file), compaction.go, format.go (records).
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package instancestore
 
 import (
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -13,7 +13,7 @@
 // Invariants: no two incarnations of a node have a lease at once; a lease is never shortened; a node is named by Expired
 // only after everything that was granted to it is over.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package leases
 
 import (
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,7 +13,7 @@
 // and how often to speak), agent.go and incarnation.go (one process's member), gossip.go, transport.go and packets.go
 // (the library and its connections).
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package membership
 
 import (
--- a/internal/migration/doc.go
+++ b/internal/migration/doc.go
@@ -25,5 +25,5 @@
 //   - A replica is dropped as surplus only where as many as are wanted are left that are counted upon.
 //   - The same facts in the same order give the same operations: what is drawn is drawn by the seed.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package migration
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -15,7 +15,7 @@
 // shed), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (which backends fail), probing.go,
 // report.go and codec.go (messages between relays), listener_limits.go.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package overload
 
 import (
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -15,7 +15,7 @@
 // An operation costs no more than the replicas of its one instance, whatever the number of instances. A Table has no
 // lock: one goroutine steps it. What it hands out may be read by any, and is never written again.
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package placement
 
 import (
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -28,4 +28,6 @@
 // Each instance at a node has an assignment (what the controllers say), a localLog (the copy and its disk), a recovery
 // (whether the copy may be trusted), a serving state with the pending requests, and as primary a followerProgress for
 // each replica, as in raft's Progress.
+//
+// Kind: decision (see docs/architecture.md)
 package replica
