--- a/internal/devicehealth/state.go
+++ b/internal/devicehealth/state.go
@@ -27,8 +27,8 @@
 // states are the states by level.
 var states = []State{StateShuttingDown, StateEvacuating, StateHolding, StateLimited, StateAccepting}
 
-// acceptFractions are the shares of its places that a node offers to new instances, by level. A node that is limited offers a tenth:
-// enough to see outcomes, too little to exhaust the node.
+// acceptFractions are the shares of its places that a node offers to new instances, by level. A node that is limited
+// offers a tenth: enough to see outcomes, too little to exhaust the node.
 var acceptFractions = []float64{0, 0, 0, 0.1, 1}
 
 func (l level) state() State { return states[l] }
--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -39,10 +39,11 @@
 	if outcomes, failures := v.platformCounts(); outcomes > 0 {
 		out = append(out, fmt.Sprintf("  The platform counted %g failures among %g outcomes.", failures, outcomes))
 	}
-	if flags := v.WrongAnswerDelays.total(); flags > 0 {
+	if wrongAnswers := v.WrongAnswerDelays.total(); wrongAnswers > 0 {
 		d := v.WrongAnswerDelays
 		out = append(out, fmt.Sprintf("  %d wrong answers were flagged: %d within 1 s, %d within 10 s, %d within 1 min, "+
-			"%d within 10 min, %d later; %d of them after it was sent back.", flags, d[0], d[1], d[2], d[3], d[4], v.WrongAnswersAfterEnd))
+			"%d within 10 min, %d later; %d of them after it was sent back.",
+			wrongAnswers, d[0], d[1], d[2], d[3], d[4], v.WrongAnswersAfterEnd))
 	}
 	for _, vote := range v.Votes {
 		out = append(out, vote.explain()...)
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -42,7 +42,8 @@
 
 // changesPlans reports whether what a node reports may change what its instances need.
 func changesPlans(old, status NodeStatus) bool {
-	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown || old.ListedDraining != status.ListedDraining ||
+	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown ||
+		old.ListedDraining != status.ListedDraining ||
 		old.RollingBack != status.RollingBack || old.Accepting != status.Accepting || old.Zone != status.Zone ||
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -113,7 +113,9 @@
 	return worst, surplus
 }
 
-// droppedBefore reports whether a replica is let go before another one.
+// droppedBefore reports whether a replica is let go before another one: an unreliable one first, then one at a node that
+// evacuates, then one far from the primary, then one that is not in the device's zone. Each weight is more than all after
+// it together, so that only their order counts. Among equals the one most at risk goes.
 func droppedBefore(i *instance, a, b *node) bool {
 	demerits := func(n *node) int {
 		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.farFrom(i.primaryNode)) +
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -23,21 +23,26 @@
 	maxLimitedIncoming     = 1   // instances on their way to a node that takes a few only
 )
 
-// Weights of a node's score.
+// Weights of the parts of a node's score (targetSearch.score), each of a part from 0 to 1 but where it says otherwise. Risk
+// counts first, then free slots and moves under way.
+const (
+	riskWeight      = 2.0     // of the node's risk
+	freeSlotsWeight = 0.5     // of its free slots, as a part of enoughFreeSlots
+	enoughFreeSlots = 16      // more count no more
+	movesWeight     = 0.5     // of the moves that it takes part in, as a part of those that it may
+	replicaBonus    = 0.5     // for a replica: it has the state already
+	largeState      = 1 << 20 // bytes: a replica of as much counts one more, of less a part of it
+	limitedPenalty  = 0.5     // for a node that takes a few instances only
+	crowdingWeight  = 0.5     // of its replicas, by the instances of the primary, for a replica in another zone; beyond 1 too
+	tieBreakWeight  = 0.1     // of a hash of node and instance; 1 for an instance that failed primaries
+)
+
+// Constants of the hash by which an instance that failed its primaries is scattered.
 const (
-	riskWeight         = 2.0
-	freeSlotsWeight    = 0.5
-	enoughFreeSlots    = 16 // more count no more
-	movesWeight        = 0.5
-	replicaBonus       = 0.5
-	largeState         = 1 << 20 // bytes: a replica of as much counts one more, of less a part of it
-	limitedPenalty     = 0.5
-	crowdingWeight     = 0.5 // of a remote replica that has as many as the primary is the primary of
-	tieBreakWeight     = 0.1
 	scatterMultiplier1 = 0x9e3779b97f4a7c15
 	scatterMultiplier2 = 0xbf58476d1ce4e5b9
 	scatterShift       = 29
-	fractionBits       = 24
+	fractionBits       = 24 // of it that make a fraction from 0 to 1
 	fractionShift      = 64 - fractionBits
 )
 
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -9,23 +9,47 @@
 	"silvercove/internal/tick"
 )
 
+// Ejection here is the fleet's: it rests on what all relays count of a backend (docs/overload-design.md, "A failing
+// backend"). The balancer's own, in balancer/outlier.go, rests on one relay's attempts; its test is another one, with
+// numbers of its own.
 const (
-	maxQuestioned      = 256     // backends that are in question, or were of late
-	healthyRun         = 2       // successes in a row: a verdict of healthy, for relays of an earlier version
-	failingRun         = 2       // failures in a row: a verdict of failing, also for those
-	runChance          = 1.0 / 8 // highest chance of such a run at a backend like all, for that verdict
-	commonFailureShare = 0.3     // of the outcomes at other backends, from which on no single backend is to blame
-	windowSize         = 64      // own outcomes of which that share is taken
-	minWindow          = 5       // outcomes that the share is taken of at least: with fewer it is low
-	failingShare       = 0.8     // of its attempts that a failing backend fails
-	minUsualShare      = 0.2     // that any backend may fail
-	maxUsualShare      = 0.5
-	usualMultiple      = 1.5               // times the share elsewhere is usual
-	maxDoublings       = 4.0               // a second, of the relays that use an ejected backend again
-	ejectionLogOdds    = 6.9               // ln 1000: odds at which a backend is ejected; one relay brings ln 16 at the most
-	evidenceTTL        = 10 * tick.Second  // for so long an outcome counts
-	maxEjection        = 600 * tick.Second // without any outcome, after which a backend is not ejected any more
-	never              = math.MinInt64 / 2 // a time before all others, from which spans can be taken
+	// failingShare is the failure share of a failing backend, that the evidence is held for.
+	failingShare = 0.8
+	// minUsualShare and maxUsualShare bound the failure share that the evidence is held against, and usualMultiple is it
+	// in multiples of the share at other backends. One failure brings odds of failingShare over minUsualShare at most.
+	minUsualShare = 0.2
+	maxUsualShare = 0.5
+	usualMultiple = 1.5
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay brings ln 16 at the
+	// most, by maxOutcomes failures, so that two (256) eject none and three (4096) may.
+	ejectionLogOdds = 6.9
+	// commonFailureShare is the failure share at other backends from which on no single backend is to blame.
+	commonFailureShare = 0.3
+	// windowSize is how many of the own last outcomes that share is taken of, and minWindow how many at least: with fewer
+	// it comes out low.
+	windowSize = 64
+	minWindow  = 5
+	// evidenceTTL is for how long an outcome counts.
+	evidenceTTL = 10 * tick.Second
+	// maxDoublings is how often a second the number of relays that use an ejected backend again may double: it is taken
+	// back within seconds, and not at once.
+	maxDoublings = 4.0
+	// maxEjection is how long without any outcome a backend stays ejected.
+	maxEjection = 600 * tick.Second
+	// maxQuestioned is how many backends are kept that are in question, or were of late.
+	maxQuestioned = 256
+
+	// never is a time before all others, from which spans can be taken.
+	never = math.MinInt64 / 2
+)
+
+// Relays of an earlier version know no evidence, only verdicts by outcomes in a row.
+const (
+	healthyRun = 2 // successes for a verdict of healthy
+	failingRun = 2 // failures for a verdict of failing
+	// runChance is the highest chance of such a run of failures, at a backend that fails as the others do, for that
+	// verdict.
+	runChance = 1.0 / 8
 )
 
 // questionedBackend is a backend that is in question: it failed an attempt here, or at another relay.
@@ -99,23 +123,23 @@
 }
 
 // countInWindow counts one of the window's outcomes, by 1 or -1. A nil one counts none.
-func (s *questionedBackend) countInWindow(o outcome, by int) {
-	if s == nil {
+func (b *questionedBackend) countInWindow(o outcome, by int) {
+	if b == nil {
 		return
 	}
-	s.windowOutcomes += by
+	b.windowOutcomes += by
 	if o.failed {
-		s.windowFailures += by
+		b.windowFailures += by
 	}
 }
 
 // recordInWindow adds an outcome at a backend, which may be in question, to the window.
-func (m *Manager) recordInWindow(o outcome, s *questionedBackend) {
+func (m *Manager) recordInWindow(o outcome, b *questionedBackend) {
 	if m.window.size == windowSize {
 		m.dropOldestOutcome()
 	}
 	m.window.push(o)
-	s.countInWindow(o, 1)
+	b.countInWindow(o, 1)
 }
 
 func (m *Manager) dropOldestOutcome() {
@@ -124,8 +148,8 @@
 }
 
 // failureShareElsewhere is the share of failures among the window's outcomes at other backends.
-func (m *Manager) failureShareElsewhere(s *questionedBackend) float64 {
-	return float64(m.window.failures-s.windowFailures) / float64(max(minWindow, m.window.size-s.windowOutcomes))
+func (m *Manager) failureShareElsewhere(b *questionedBackend) float64 {
+	return float64(m.window.failures-b.windowFailures) / float64(max(minWindow, m.window.size-b.windowOutcomes))
 }
 
 // RecordOutcome records how an attempt or a probe at a backend ended.
@@ -135,34 +159,34 @@
 		return
 	}
 	o := outcome{backend: xxhash.Sum64String(backend), endedAt: m.now, failed: !succeeded}
-	s := m.questioned[o.backend]
-	m.recordInWindow(o, s)
+	b := m.questioned[o.backend]
+	m.recordInWindow(o, b)
 	switch {
-	case s == nil && succeeded:
+	case b == nil && succeeded:
 		return
-	case s == nil: // the failure that puts a backend in question is no evidence: it was chosen for being one
-		s = m.addQuestioned(o.backend)
-		s.healthy = true // until there is a verdict
+	case b == nil: // the failure that puts a backend in question is no evidence: it was chosen for being one
+		b = m.addQuestioned(o.backend)
+		b.healthy = true // until there is a verdict
 	default:
-		copy(s.own[:], s.own[1:])
-		s.own[maxOutcomes-1] = o
+		copy(b.own[:], b.own[1:])
+		b.own[maxOutcomes-1] = o
 	}
 	if succeeded {
-		s.successRun, s.failureRun = s.successRun+1, 0
+		b.successRun, b.failureRun = b.successRun+1, 0
 	} else {
-		s.successRun, s.failureRun, s.questionedAt = 0, s.failureRun+1, m.now
+		b.successRun, b.failureRun, b.questionedAt = 0, b.failureRun+1, m.now
 	}
-	m.judgeRuns(s)
+	m.judgeRuns(b)
 }
 
 // judgeRuns gives a verdict by the own outcomes in a row.
-func (m *Manager) judgeRuns(s *questionedBackend) {
-	if s.successRun >= healthyRun {
-		m.setVerdict(s, true, true, m.now)
+func (m *Manager) judgeRuns(b *questionedBackend) {
+	if b.successRun >= healthyRun {
+		m.setVerdict(b, true, true, m.now)
 		return
 	}
-	if s.failureRun >= failingRun && math.Pow(m.failureShareElsewhere(s), float64(s.failureRun)) < runChance {
-		m.setVerdict(s, false, true, m.now)
+	if b.failureRun >= failingRun && math.Pow(m.failureShareElsewhere(b), float64(b.failureRun)) < runChance {
+		m.setVerdict(b, false, true, m.now)
 	}
 }
 
@@ -170,25 +194,25 @@
 // the oldest verdict.
 func (m *Manager) addQuestioned(backend uint64) *questionedBackend {
 	if len(m.questioned) >= maxQuestioned {
-		i := max(0, slices.IndexFunc(m.byVerdict, func(s *questionedBackend) bool { return !s.ejected }))
+		i := max(0, slices.IndexFunc(m.byVerdict, func(b *questionedBackend) bool { return !b.ejected }))
 		delete(m.questioned, m.byVerdict[i].id)
 		m.byVerdict = slices.Delete(m.byVerdict, i, i+1)
 	}
-	s := &questionedBackend{id: backend, ownWeight: rendezvousWeight(backend, m.id), verdictAt: m.now, questionedAt: never,
+	b := &questionedBackend{id: backend, ownWeight: rendezvousWeight(backend, m.id), verdictAt: m.now, questionedAt: never,
 		lastEvidence: m.now}
 	for _, p := range m.fleet.peers {
-		if p.alive && rendezvousWeight(backend, p.id) > s.ownWeight {
-			s.higherRanked++
+		if p.alive && rendezvousWeight(backend, p.id) > b.ownWeight {
+			b.higherRanked++
 		}
 	}
 	for i := range m.window.size {
 		if o := m.window.newest(i); o.backend == backend {
-			s.countInWindow(o, 1)
+			b.countInWindow(o, 1)
 		}
 	}
-	m.questioned[backend] = s
-	m.byVerdict = append(m.byVerdict, s)
-	return s
+	m.questioned[backend] = b
+	m.byVerdict = append(m.byVerdict, b)
+	return b
 }
 
 // IsEjected reports whether a backend that this relay itself does not doubt is to be left alone: by what all relays count
@@ -200,12 +224,12 @@
 	if m.isolated() || len(m.questioned) == 0 {
 		return false
 	}
-	s := m.questioned[xxhash.Sum64String(backend)]
-	if s == nil {
+	b := m.questioned[xxhash.Sum64String(backend)]
+	if b == nil {
 		return false
 	}
-	m.assessEvidence(s)
-	return s.ejected
+	m.assessEvidence(b)
+	return b.ejected
 }
 
 // odds is what the evidence says of a backend.
@@ -226,39 +250,39 @@
 // choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until successes
 // outweigh failures by what one relay can bring; meanwhile so many relays come to use it, some more at each round of
 // reports, that they do not come all at once.
-func (m *Manager) assessEvidence(s *questionedBackend) odds {
-	usual := min(max(minUsualShare, usualMultiple*m.failureShareElsewhere(s)), maxUsualShare)
+func (m *Manager) assessEvidence(b *questionedBackend) odds {
+	usual := min(max(minUsualShare, usualMultiple*m.failureShareElsewhere(b)), maxUsualShare)
 	perFailure := math.Log(failingShare / usual)
 	perSuccess := math.Log((1 - failingShare) / (1 - usual))
-	peerFailures, peerSuccesses := s.peerCounts(m.now)
-	ownFailures, ownSuccesses := s.ownCounts(m.now)
+	peerFailures, peerSuccesses := b.peerCounts(m.now)
+	ownFailures, ownSuccesses := b.ownCounts(m.now)
 	logOdds := perFailure*float64(peerFailures+ownFailures) + perSuccess*float64(peerSuccesses+ownSuccesses)
 	if peerFailures+peerSuccesses+ownFailures+ownSuccesses > 0 {
-		s.lastEvidence = m.now
+		b.lastEvidence = m.now
 	}
 	result := odds{logOdds: logOdds, perFailure: perFailure, answers: peerSuccesses+ownSuccesses > 0}
-	m.updateUsers(s, result)
+	m.updateUsers(b, result)
 	switch {
-	case logOdds >= ejectionLogOdds && m.failureShareElsewhere(s) <= commonFailureShare:
-		s.ejected = true
-	case !s.ejected:
-	case result.refuted(maxOutcomes) && s.users >= m.fleetSize(), m.now-s.lastEvidence > maxEjection:
-		s.ejected = false
+	case logOdds >= ejectionLogOdds && m.failureShareElsewhere(b) <= commonFailureShare:
+		b.ejected = true
+	case !b.ejected:
+	case result.refuted(maxOutcomes) && b.users >= m.fleetSize(), m.now-b.lastEvidence > maxEjection:
+		b.ejected = false
 	}
 	return result
 }
 
 // updateUsers works out how many relays may use the backend: each success doubles them, and so does each failure that
 // expires without another, at a bounded rate.
-func (m *Manager) updateUsers(s *questionedBackend, o odds) {
+func (m *Manager) updateUsers(b *questionedBackend, o odds) {
 	allowed := min(m.fleetSize(), probers*math.Exp2(max(0, maxOutcomes-o.logOdds/o.perFailure)))
-	s.users = min(allowed, max(probers, s.users)*math.Exp2(maxDoublings*float64(m.now-s.usersAt)/float64(tick.Second)))
-	s.usersAt = m.now
+	b.users = min(allowed, max(probers, b.users)*math.Exp2(maxDoublings*float64(m.now-b.usersAt)/float64(tick.Second)))
+	b.usersAt = m.now
 }
 
 // ownCounts are this relay's outcomes at the backend that have not expired.
-func (s *questionedBackend) ownCounts(now tick.Tick) (failures, successes int) {
-	for _, o := range s.own {
+func (b *questionedBackend) ownCounts(now tick.Tick) (failures, successes int) {
+	for _, o := range b.own {
 		switch {
 		case o.backend == 0 || now-o.endedAt > evidenceTTL:
 		case o.failed:
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -38,10 +38,10 @@
 }
 
 // peerCounts are the other relays' outcomes at the backend that have not expired.
-func (s *questionedBackend) peerCounts(now tick.Tick) (failures, successes int) {
+func (b *questionedBackend) peerCounts(now tick.Tick) (failures, successes int) {
 	from := (now - evidenceTTL) / tick.Second
-	for i := range s.others {
-		if t := &s.others[i]; t.second > from {
+	for i := range b.others {
+		if t := &b.others[i]; t.second > from {
 			failures += t.failures
 			successes += t.successes
 		}
@@ -76,15 +76,15 @@
 		if slices.ContainsFunc(reported[:i], func(o Evidence) bool { return o.Backend == e.Backend }) {
 			continue
 		}
-		s := m.questioned[e.Backend]
-		if s == nil && e.Failures == 0 && e.Successes > 0 {
+		b := m.questioned[e.Backend]
+		if b == nil && e.Failures == 0 && e.Successes > 0 {
 			continue // in question at no relay that this one knows of
 		}
-		if s == nil {
-			s = m.addQuestioned(e.Backend)
-			s.healthy, s.verdictAt = true, never
+		if b == nil {
+			b = m.addQuestioned(e.Backend)
+			b.healthy, b.verdictAt = true, never
 		}
-		all = append(all, peerEvidence{questioned: s, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
+		all = append(all, peerEvidence{questioned: b, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
 	}
 	p.replaceEvidence(all)
 }
@@ -110,16 +110,16 @@
 		surplus int // of failures over successes at the other relays
 	}
 	var candidates []candidate
-	for _, s := range slices.Backward(m.byVerdict) {
-		failures, successes := s.ownCounts(m.now)
-		expired := failures+successes == 0 && m.now-s.questionedAt > evidenceTTL
-		if expired || m.failureShareElsewhere(s) > commonFailureShare {
+	for _, b := range slices.Backward(m.byVerdict) {
+		failures, successes := b.ownCounts(m.now)
+		expired := failures+successes == 0 && m.now-b.questionedAt > evidenceTTL
+		if expired || m.failureShareElsewhere(b) > commonFailureShare {
 			continue
 		}
-		peerFailures, peerSuccesses := s.peerCounts(m.now)
-		newest := max(s.questionedAt, s.own[maxOutcomes-1].endedAt)
+		peerFailures, peerSuccesses := b.peerCounts(m.now)
+		newest := max(b.questionedAt, b.own[maxOutcomes-1].endedAt)
 		candidates = append(candidates, candidate{
-			Evidence: Evidence{Backend: s.id, Failures: failures, Successes: successes, Age: m.now - newest},
+			Evidence: Evidence{Backend: b.id, Failures: failures, Successes: successes, Age: m.now - newest},
 			surplus:  peerFailures - peerSuccesses,
 		})
 	}
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -9,9 +9,13 @@
 )
 
 const (
-	probers            = 2    // relays that probe a failing backend
-	maxMembershipViews = 2.5  // different views of which relays live, each with probers of its own, that keep the probes within their rate
-	minProbesPerSec    = 0.01 // that are reckoned with
+	// probers is how many relays probe a failing backend.
+	probers = 2
+	// maxMembershipViews is how many views of which relays live may differ, each with probers of its own, with the probes
+	// still within their rate.
+	maxMembershipViews = 2.5
+	// minProbesPerSec is the least rate that is reckoned with.
+	minProbesPerSec = 0.01
 )
 
 // rendezvousWeight is a relay's weight for a key: the relay with the highest one has it.
@@ -36,63 +40,63 @@
 		return true
 	}
 	id := xxhash.Sum64String(backend)
-	s := m.questioned[id]
-	if s == nil {
-		s = m.addQuestioned(id)
+	b := m.questioned[id]
+	if b == nil {
+		b = m.addQuestioned(id)
 	}
-	if m.failureShareElsewhere(s) > commonFailureShare && !s.ejected {
+	if m.failureShareElsewhere(b) > commonFailureShare && !b.ejected {
 		return true
 	}
-	s.questionedAt = max(s.questionedAt, m.now)
-	o := m.assessEvidence(s)
+	b.questionedAt = max(b.questionedAt, m.now)
+	o := m.assessEvidence(b)
 	interval := m.probeInterval()
 	switch {
-	case s.ejected:
-		return m.allowEjectedProbe(s, o, interval)
-	case s.healthy, o.refuted(maxOutcomes):
+	case b.ejected:
+		return m.allowEjectedProbe(b, o, interval)
+	case b.healthy, o.refuted(maxOutcomes):
 		return true // other relays get answers from it
-	case m.isProber(s, probers, interval):
-		return m.takeProbe(s, interval)
-	case m.now-s.verdictAt < verdictTTL:
+	case m.isProber(b, probers, interval):
+		return m.takeProbe(b, interval)
+	case m.now-b.verdictAt < verdictTTL:
 		return false
 	}
-	return m.allowLoneProbe(s, interval)
+	return m.allowLoneProbe(b, interval)
 }
 
 // allowEjectedProbe is AllowProbe of an ejected backend: as many relays try it as may use it, not more often together
 // while it gives no answer.
-func (m *Manager) allowEjectedProbe(s *questionedBackend, o odds, interval tick.Tick) bool {
+func (m *Manager) allowEjectedProbe(b *questionedBackend, o odds, interval tick.Tick) bool {
 	if !o.answers {
-		interval = tick.Tick(float64(interval) * max(1, s.users/probers))
+		interval = tick.Tick(float64(interval) * max(1, b.users/probers))
 	}
-	if !m.isProber(s, s.users, interval) {
+	if !m.isProber(b, b.users, interval) {
 		return false
 	}
-	last := s.own[maxOutcomes-1]
+	last := b.own[maxOutcomes-1]
 	answeredHere := last.backend != 0 && !last.failed && m.now-last.endedAt <= evidenceTTL
 	if o.refuted(1) || answeredHere {
 		return true
 	}
-	return m.takeProbe(s, interval)
+	return m.takeProbe(b, interval)
 }
 
 // allowLoneProbe is AllowProbe of a backend of which the probers report nothing: it may fail for this relay alone, which
 // tries it seldom.
-func (m *Manager) allowLoneProbe(s *questionedBackend, interval tick.Tick) bool {
+func (m *Manager) allowLoneProbe(b *questionedBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probers))
-	jitter := tick.Tick(unitInterval(rendezvousWeight(s.id, ^m.id)) * float64(interval))
-	if m.now < s.verdictAt+verdictTTL+jitter {
+	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
+	if m.now < b.verdictAt+verdictTTL+jitter {
 		return false
 	}
-	return m.takeProbe(s, interval)
+	return m.takeProbe(b, interval)
 }
 
 // takeProbe reports whether the next probe is due, and notes it.
-func (m *Manager) takeProbe(s *questionedBackend, interval tick.Tick) bool {
-	if m.now < s.nextProbe || s.lastProbe > 0 && m.now-s.lastProbe < interval {
+func (m *Manager) takeProbe(b *questionedBackend, interval tick.Tick) bool {
+	if m.now < b.nextProbe || b.lastProbe > 0 && m.now-b.lastProbe < interval {
 		return false
 	}
-	s.lastProbe = m.now
+	b.lastProbe = m.now
 	return true
 }
 
@@ -103,25 +107,25 @@
 
 // isProber reports whether this relay is one of the first few in a backend's order of relays. One that has just become
 // it waits for a random part of the interval: the one before may have probed just now.
-func (m *Manager) isProber(s *questionedBackend, relays float64, interval tick.Tick) bool {
-	was := s.prober
-	s.prober = float64(s.higherRanked) < relays
-	if s.prober && !was {
-		s.nextProbe = m.now + tick.Tick(m.rng.Float64()*float64(interval))
+func (m *Manager) isProber(b *questionedBackend, relays float64, interval tick.Tick) bool {
+	was := b.prober
+	b.prober = float64(b.higherRanked) < relays
+	if b.prober && !was {
+		b.nextProbe = m.now + tick.Tick(m.rng.Float64()*float64(interval))
 	}
-	return s.prober
+	return b.prober
 }
 
 // updateRanks counts a peer that has come to life, or has fallen silent, in the order of relays of each backend in question.
 func (m *Manager) updateRanks(p *peer) {
-	for _, s := range m.byVerdict {
-		if rendezvousWeight(s.id, p.id) <= s.ownWeight {
+	for _, b := range m.byVerdict {
+		if rendezvousWeight(b.id, p.id) <= b.ownWeight {
 			continue
 		}
 		if p.alive {
-			s.higherRanked++
+			b.higherRanked++
 		} else {
-			s.higherRanked--
+			b.higherRanked--
 		}
 	}
 }
