--- a/cmd/silvercovectl/fleet_ask.go
+++ b/cmd/silvercovectl/fleet_ask.go
@@ -21,8 +21,8 @@
 
 // Run sends one command as a client would, again while it is refused, and prints the answer.
 func (c *fleetAskCmd) Run() error {
-	for end := time.Now().Add(c.For); ; time.Sleep(again) {
-		answer, err := ask(c.Relay, c.Instance, c.Class, c.Read, c.Wait)
+	for end := time.Now().Add(c.For); ; time.Sleep(askRetryInterval) {
+		answer, err := sendRequest(c.Relay, c.Instance, c.Class, c.Read, c.Wait)
 		if err == nil {
 			fmt.Println(answer)
 			return nil
@@ -33,20 +33,20 @@
 	}
 }
 
-const again = 200 * time.Millisecond
+const askRetryInterval = 200 * time.Millisecond
 
-// errRefused: the command never ran.
+// errRefused: the request never ran.
 var errRefused = errors.New("refused")
 
-// ask makes one command at a relay; its error is a refusal, a failure or a connection's.
-func ask(relay, instance, opType string, read bool, wait time.Duration) (string, error) {
+// sendRequest makes one request to a relay; its error is a refusal, a failure or a connection's.
+func sendRequest(relay, instance, class string, read bool, wait time.Duration) (string, error) {
 	var id [8]byte
 	rand.Read(id[:])
 	text := fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', '\\x00') RETURNING content", instance)
 	if read {
 		text = fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", instance)
 	}
-	text += fmt.Sprintf(" /* id=%x,c=%s,t=covectl,d=%d */", id, opType, wait.Milliseconds())
+	text += fmt.Sprintf(" /* id=%x,c=%s,t=covectl,d=%d */", id, class, wait.Milliseconds())
 	if _, fault := pgwire.ParseQuery([]byte(text)); fault != nil {
 		return "", fmt.Errorf("%s: %s", instance, fault.Text)
 	}
--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -29,7 +29,7 @@
 // Run is a keeper until SIGTERM or SIGINT: then it hands its lead over and ends. A second signal ends it at once; what
 // is agreed is on its disk either way.
 func (c *fleetControllerCmd) Run() error {
-	p, err := process(c.File, "keeper")
+	p, err := openProcess(c.File, "keeper")
 	if err != nil {
 		return err
 	}
@@ -39,13 +39,13 @@
 	return p.during(func(alive context.Context) error {
 		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
-			return full(err)
+			return withDiskFull(err)
 		}
 		p.log.Info().Str("event", "starts").Str("component", "controller").Str("why", "peers at "+p.net.Self().Address).Msg("process started")
 		ctx, end := context.WithCancel(ctx)
 		defer context.AfterFunc(alive, end)()
 		if err := k.Run(ctx); err != nil {
-			return full(err)
+			return withDiskFull(err)
 		}
 		p.log.Info().Str("event", "ends").Str("component", "controller").Msg("process ended")
 		return nil
@@ -58,8 +58,8 @@
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
-// with calls with a client that reaches others as the file's process does. It does not take that one's place.
-func (c *fleetCall) with(call func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error) error {
+// withClient calls with a client that reaches others as the file's process does. It does not take that one's place.
+func (c *fleetCall) withClient(call func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error) error {
 	f, err := fleet.Read(c.File)
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 
 // Run shows where instances run, and the units.
 func (c *fleetShowCmd) Run() error {
-	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		if c.Controllers {
 			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
@@ -163,7 +163,7 @@
 
 // Run says where a device is.
 func (c *fleetDeviceCmd) Run() error {
-	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
 		p, err := k.MoveDevice(ctx, c.Name, c.Zone)
 		return shown(p, err)
 	})
@@ -196,7 +196,7 @@
 }
 
 func (c *fleetCall) step(e placement.Operation) error {
-	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
 		if e.Kind != placement.OpCreate { // of the epoch that stands
 			all, err := k.Assignments(ctx, 0)
 			if err != nil {
--- a/cmd/silvercovectl/fleet_example.go
+++ b/cmd/silvercovectl/fleet_example.go
@@ -79,9 +79,9 @@
 		}
 		b.WriteString(commands.String() + "}\n")
 		if err := os.WriteFile(filepath.Join(c.Folder, p.name+".conf"), []byte(b.String()), 0o644); err != nil {
-			return full(err)
+			return withDiskFull(err)
 		}
 	}
 	err := os.WriteFile(filepath.Join(c.Folder, "relay.json"), fmt.Appendf(nil, exampleSettings, c.Relays), 0o644)
-	return full(err)
+	return withDiskFull(err)
 }
--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -18,7 +18,7 @@
 // Run is an edge unit until SIGTERM or SIGINT: then its instances are handed on, and it ends within ten leases. A second
 // signal ends it at once.
 func (c *fleetNodeCmd) Run() error {
-	p, err := process(c.File, "edge")
+	p, err := openProcess(c.File, "edge")
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	e, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	signals := make(chan os.Signal, 2) // the second one may come before the first was looked at
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -55,7 +55,7 @@
 	close(over)
 	<-watched
 	if err != nil && !errors.Is(err, context.Canceled) {
-		return full(err)
+		return withDiskFull(err)
 	}
 	p.log.Info().Str("event", "ends").Str("component", "edgenode").Msg("process ended")
 	return nil
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -17,18 +17,18 @@
 	"silvercove/internal/peertransport"
 )
 
-// fleetProcess is what each process of a fleet has: its file, its log, its connections and its members' board.
+// fleetProcess is what each process of a fleet has: its file, its log, its connections and its view of the members.
 type fleetProcess struct {
-	file  *fleet.File
-	log   zerolog.Logger
-	net   *peertransport.Network
-	board *membership.Agent
+	file    *fleet.File
+	log     zerolog.Logger
+	net     *peertransport.Network
+	members *membership.Agent
 
-	measures net.Listener // nil: metrics are served nowhere
+	metricsListener net.Listener // nil: metrics are served nowhere
 }
 
-// process makes one of a file for a role. The connections work once run is called.
-func process(path, role string) (*fleetProcess, error) {
+// openProcess makes one of a file for a role. The connections work once run is called.
+func openProcess(path, role string) (*fleetProcess, error) {
 	f, err := fleet.ReadRole(path, role)
 	if err != nil {
 		return nil, err
@@ -39,19 +39,19 @@
 		return nil, err
 	}
 	if f.MetricsAddress != "" {
-		if p.measures, err = net.Listen("tcp", f.MetricsAddress); err != nil {
+		if p.metricsListener, err = net.Listen("tcp", f.MetricsAddress); err != nil {
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
 	run, fresh, err := membership.NextIncarnation(f.DataDir, time.Now())
 	if err != nil {
-		return nil, full(err)
+		return nil, withDiskFull(err)
 	}
-	p.board, err = membership.Open(p.net, run, fresh, f.Settings, func(m membership.Member) {
+	p.members, err = membership.Open(p.net, run, fresh, f.Settings, func(m membership.Member) {
 		p.log.Info().Str("event", "member").Str("component", "membership").Str("from", m.Name).Str("why", string(m.State)).
 			Uint64("run", m.Incarnation).Msg("member state changed")
 	})
-	if err == nil && p.measures != nil {
+	if err == nil && p.metricsListener != nil {
 		p.gauges()
 	}
 	return p, err
@@ -62,7 +62,7 @@
 	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
 			n := 0.0
-			for _, m := range p.board.Members() {
+			for _, m := range p.members.Members() {
 				if m.State == state {
 					n++
 				}
@@ -92,13 +92,13 @@
 	ran := make(chan error, 1)
 	go func() { ran <- p.net.Run(nets) }()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return p.board.Run(ctx) })
-	if p.measures != nil {
-		group.Go(func() error { return serveMetrics(ctx, p.measures) })
+	group.Go(func() error { return p.members.Run(ctx) })
+	if p.metricsListener != nil {
+		group.Go(func() error { return serveMetrics(ctx, p.metricsListener) })
 	}
 	group.Go(func() error {
 		select {
-		case <-p.board.Superseded():
+		case <-p.members.Superseded():
 			p.log.Error().Str("event", "outrun").Str("component", "membership").
 				Str("why", "a later start of this name runs; others take this one for an old copy").Msg("process superseded")
 		case <-ctx.Done():
--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -23,7 +23,7 @@
 
 // Run writes what the keepers agreed to a file, whole or not at all.
 func (c *fleetBackupCmd) Run() error {
-	return c.with(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
 		var b bytes.Buffer
 		if err := k.Backup(ctx, &b); err != nil {
 			return err
@@ -33,7 +33,7 @@
 			return fmt.Errorf("it came cut short, and nothing was written: %w", err)
 		}
 		if err := renameio.WriteFile(c.Out, b.Bytes(), 0o600); err != nil {
-			return full(err)
+			return withDiskFull(err)
 		}
 		fmt.Printf("%s: %d instances\n", c.Out, n)
 		return nil
@@ -58,7 +58,7 @@
 		}
 		backup = bytes.NewReader(text)
 	}
-	return c.with(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
 		if f.Self.Role != "keeper" {
 			return fmt.Errorf("%s: %s is a process of role %s; give the file of the keeper that is to begin", c.File, f.Self.Name,
 				f.Self.Role)
@@ -66,7 +66,7 @@
 		if s, err := k.Status(ctx, f.Self.Name); err == nil {
 			return fmt.Errorf("%s runs (%s): stop it first", f.Self.Name, s.Role)
 		}
-		return full(controller.Rebuild(ctx, controller.RebuildOptions{Network: net, DataDir: f.DataDir, Settings: f.Settings, Client: k, Backup: backup,
+		return withDiskFull(controller.Rebuild(ctx, controller.RebuildOptions{Network: net, DataDir: f.DataDir, Settings: f.Settings, Client: k, Backup: backup,
 			AllowSilent: c.Without, Progress: func(text string) { fmt.Println(text) }}))
 	})
 }
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -20,28 +20,28 @@
 
 // Run is one relay of a fleet.
 func (c *fleetRelayCmd) Run() error {
-	p, err := process(c.File, "relay")
+	p, err := openProcess(c.File, "relay")
 	if err != nil {
 		return err
 	}
 	f, log := p.file, p.log
-	told, err := relay.ReadFleetConfig(relayEnv(f))
+	config, err := relay.ReadFleetConfig(relayEnv(f))
 	if err != nil {
 		return err
 	}
-	cores, memory := told.Limits()
-	strain := routing.NewOverloadAgent(p.board, f.Self.Name, told.Seed(), f.Settings, cores, memory, log)
-	told.FleetPolicy, told.OnStage = strain, strain.OnStage
-	told.WaitTurn = func(ctx context.Context) { strain.Wait(ctx, overload.StepAccept) }
-	return relay.Run(told, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
+	cores, memory := config.Limits()
+	agent := routing.NewOverloadAgent(p.members, f.Self.Name, config.Seed(), f.Settings, cores, memory, log)
+	config.FleetPolicy, config.OnStage = agent, agent.OnStage
+	config.WaitTurn = func(ctx context.Context) { agent.Wait(ctx, overload.StepAccept) }
+	return relay.Run(config, relayEnv(f), func(ctx context.Context, g *dispatch.Dispatcher) error {
 		group, ctx := errgroup.WithContext(ctx)
 		group.Go(func() error { return p.run(ctx) })
-		group.Go(func() error { return strain.Run(ctx, g) })
-		client := controllerclient.New(p.net, f.Settings, told.Seed())
+		group.Go(func() error { return agent.Run(ctx, g) })
+		client := controllerclient.New(p.net, f.Settings, config.Seed())
 		defer client.Close()
-		group.Go(func() error { return strain.Report(ctx, client) })
+		group.Go(func() error { return agent.Report(ctx, client) })
 		group.Go(func() error {
-			strain.Wait(ctx, overload.StepList)
+			agent.Wait(ctx, overload.StepList)
 			return routing.New(client, p.net, log).Run(ctx, g)
 		})
 		return group.Wait()
--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if err := k.Save(c.Path, phrase); err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	fmt.Printf("%s %s %s\n", c.Path, k.Public.Type, k.ID)
 	return nil
@@ -105,7 +105,7 @@
 		return err
 	}
 	if err := r.Rotate(c.Role, in, c.Out, c.Threshold); err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	fmt.Println("staged the next root: sign it by the keys of the root before it and by its own, then publish")
 	return nil
@@ -164,7 +164,7 @@
 	}
 	defer func() { _ = r.Close() }()
 	r.Life = l.life()
-	return full(step(r))
+	return withDiskFull(step(r))
 }
 
 type tufInitCmd struct {
@@ -195,7 +195,7 @@
 	}
 	r, err := tufrepo.Init(c.Repo, roles, !c.Inconsistent, c.life())
 	if err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	defer func() { _ = r.Close() }()
 	fmt.Printf("%s: staged root 1 and targets 1: sign both, then publish\n", c.Repo)
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -16,8 +16,8 @@
 	"silvercove/internal/operatorconfig"
 )
 
-// commands are all sub-commands.
-type commands struct {
+// commandLine are all sub-commands.
+type commandLine struct {
 	Check        checkCmd        `cmd:"" help:"Check an operator's file."`
 	Reference    referenceCmd    `cmd:"" help:"Print the reference page of the operator's file."`
 	Keys         keysCmd         `cmd:"" help:"Make and list signing keys."`
@@ -32,7 +32,7 @@
 }
 
 func main() {
-	var c commands
+	var c commandLine
 	parser := kong.Must(&c, kong.Name("silvercovectl"), kong.UsageOnError(),
 		kong.Description("Control program of silvercove. Pass phrases come from the file that COVE_PASSPHRASE_FILE names, "+
 			"or from COVE_PASSPHRASE."))
@@ -83,8 +83,8 @@
 	return zerolog.New(os.Stderr).Level(l).With().Timestamp().Logger()
 }
 
-// full tells a full disk from other errors, for a plain word about it.
-func full(err error) error {
+// withDiskFull tells a full disk from other errors, for a plain word about it.
+func withDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
 	}
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -43,7 +43,7 @@
 	own := log.With().Str("component", "metadataservice").Logger()
 	m, err := metadataservice.New(c.File, os.Getenv, time.Now, log)
 	if err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -112,7 +112,7 @@
 	if strings.HasPrefix(c.From, "http://") {
 		get = metadataservice.Fetcher(c.From + "/metadata/")
 	}
-	told := func(f tufverify.File) ([]byte, error) {
+	fetch := func(f tufverify.File) ([]byte, error) {
 		text, err := get(f)
 		if text != nil {
 			fmt.Printf("%s is there\n", f)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.Refresh(now, told); err != nil {
+	if err := r.Refresh(now, fetch); err != nil {
 		return err
 	}
 	fmt.Printf("root %d, timestamp %d, snapshot %d and targets %d are in order; all of it lasts until %s\n", r.Version("root"),
@@ -132,7 +132,7 @@
 	if c.Path == "" {
 		return nil
 	}
-	t, err := r.LookUp(now, c.Path, told)
+	t, err := r.LookUp(now, c.Path, fetch)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 		return nil
 	}
 	if err := f.ResetTime(now); err != nil {
-		return full(err)
+		return withDiskFull(err)
 	}
 	fmt.Printf("set back from %s to %s\n", was.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
 	return nil
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return all, full(out.Close())
+	return all, withDiskFull(out.Close())
 }
 
 type labSweepCmd struct {
@@ -173,9 +173,9 @@
 	}
 	if err := write(out); err != nil {
 		_ = out.Close()
-		return full(err)
+		return withDiskFull(err)
 	}
-	return full(out.Close())
+	return withDiskFull(out.Close())
 }
 
 type labLoopbackCmd struct {
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -58,9 +58,9 @@
 	}},
 }
 
-// Whole is the day on which backends that warm up are overloaded most easily, at the size of the whole fleet: relays see from a quarter to
+// FullSizeDay is the day on which backends that warm up are overloaded most easily, at the size of the whole fleet: relays see from a quarter to
 // three times of the mean, a fifth of the backends returns cold, and the others pause for 3 s: all want to go to those few.
-var Whole = Day{Name: "whole", relays: 300, backends: 150, plan: func(f *fleetDay) {
+var FullSizeDay = Day{Name: "whole", relays: 300, backends: 150, plan: func(f *fleetDay) {
 	for i, n := range f.relays {
 		n.rate = dayRate * []float64{0.3, 0.5, 0.7, 1, 4}[i%5] / 1.3
 	}
@@ -73,9 +73,9 @@
 	}
 }}
 
-// Release is a good version that goes from a third of the fleet to all of it: the other backends are replaced at once, so that
+// ReleaseDay is a good version that goes from a third of the fleet to all of it: the other backends are replaced at once, so that
 // two thirds are cold. Backends share their cores among what they have in work, and are warm sooner than the settings say.
-var Release = Day{Name: "release", relays: 120, backends: 60, span: 11, plan: func(f *fleetDay) {
+var ReleaseDay = Day{Name: "release", relays: 120, backends: 60, span: 11, plan: func(f *fleetDay) {
 	f.cores, f.capacity, f.warmUp = 3, 28, 1.5
 	for _, n := range f.relays {
 		n.rate = 0.62 * f.capacity * float64(len(f.backends)) / float64(len(f.relays))
@@ -136,8 +136,8 @@
 
 // Run plays a day. The same day and seed always go the same way.
 func (d Day) Run(seed uint64) DayResult {
-	ops := []RequestClass{{"read", 0.4, "redeliverable"}, {"edit", 0.3, "deduplicated"}, {"sell", 0.3, "at_most_once"}}
-	m := model{Rollout: Rollout{Relays: cmp.Or(d.relays, dayRelays), Classes: ops, Stages: []Stage{{1, 1}}}}
+	classes := []RequestClass{{"read", 0.4, "redeliverable"}, {"edit", 0.3, "deduplicated"}, {"sell", 0.3, "at_most_once"}}
+	m := model{Rollout: Rollout{Relays: cmp.Or(d.relays, dayRelays), Classes: classes, Stages: []Stage{{1, 1}}}}
 	f := &fleetDay{wrapHost: d.wrapHost, capacity: dayCapacity, rand: rand.New(rand.NewPCG(seed, 7)), now: ticksOf(100), balancerSettings: m.settings()}
 	f.result.Violations, f.result.Seconds = map[string]int{}, make([]daySecond, int(daySpan)+3)
 	for i := range cmp.Or(d.backends, dayBackends) {
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -157,9 +157,9 @@
 			f.after(min(span/2, 300*milli), func() { undo() })
 		})
 	}
-	units := f.nodes[:f.Nodes]
-	tenths(len(units), func(i int, span tick.Tick) {
-		u := units[i]
+	nodes := f.nodes[:f.Nodes]
+	tenths(len(nodes), func(i int, span tick.Tick) {
+		u := nodes[i]
 		f.checker.disturbed[u.name] = true
 		f.checker.nodeFaults++
 		f.forcedDrains++
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -12,8 +12,8 @@
 	if u.monitor == nil {
 		return
 	}
-	room := max(8, 2*f.Instances/f.Nodes)
-	load := min(1, u.extraLoad+0.6*float64(u.instances)/float64(room))
+	slots := max(8, 2*f.Instances/f.Nodes)
+	load := min(1, u.extraLoad+0.6*float64(u.instances)/float64(slots))
 	u.battery.Load, u.battery.Sun = load, u.zone.sunshine
 	for left := (f.now - u.lastReading).Duration(); left > 0; {
 		step := min(left, 2*1e9)
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -119,14 +119,14 @@
 func (r Rollout) node(no int, plat *backends.Platform) (*measuredRelay, error) {
 	n := &measuredRelay{}
 	set := (&model{Rollout: r}).settings()
-	room := transport.NewBufferBudget(16 << 20)
+	buffers := transport.NewBufferBudget(16 << 20)
 	n.watcher = discovery.New(discovery.Config{Address: transport.NewAddress(plat.Address()), PollWait: time.Second,
-		AnswerTimeout: time.Second / 2, OpenTimeout: time.Second, Buffers: room})
-	n.releases = releaseapi.New(releaseapi.Config{Address: transport.NewAddress(plat.Address()), Timeout: time.Second, Buffers: room})
+		AnswerTimeout: time.Second / 2, OpenTimeout: time.Second, Buffers: buffers})
+	n.releases = releaseapi.New(releaseapi.Config{Address: transport.NewAddress(plat.Address()), Timeout: time.Second, Buffers: buffers})
 	n.dispatcher = dispatch.New(r.Seed<<8^uint64(no), settings.Site{Balancer: set}, dispatch.Callbacks{Vote: n.releases.Vote, WatchEndpoints: n.watcher.SetWatching, FetchEndpoints: n.watcher.Fetch,
 		Probe: func(u dispatch.Backend) { n.pool.Probe(u) }, CloseIdle: func(name string) { n.pool.CloseIdle(name) }})
-	n.pool = upstream.New(room, 256, time.Second/2, 5*time.Second, n.dispatcher)
-	n.server = downstream.New(n.dispatcher, n.pool, room, overload.LimitsFor(256), 2*time.Second, time.Second)
+	n.pool = upstream.New(buffers, 256, time.Second/2, 5*time.Second, n.dispatcher)
+	n.server = downstream.New(n.dispatcher, n.pool, buffers, overload.LimitsFor(256), 2*time.Second, time.Second)
 	page, err := discovery.ParsePage([]byte(plat.EndpointList()))
 	if err != nil {
 		return nil, err
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -88,7 +88,7 @@
 		n.falsify(&told)
 		told, _ = overload.DecodeReport(told.Encode())
 	}
-	deliver := func() {
+	send := func() {
 		for _, o := range m.relays {
 			switch {
 			case o == n || !o.alive, o.number < int(m.DeafShare*float64(m.Relays)), m.LostNews > 0 && m.rand.Float64() < m.LostNews:
@@ -105,10 +105,10 @@
 		}
 	}
 	if m.NewsDelay > 0 {
-		m.after(m.NewsDelay, deliver)
+		m.after(m.NewsDelay, send)
 		return
 	}
-	deliver()
+	send()
 }
 
 // falsify has the first relay tell what is not so, if it is to.
