--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -73,9 +73,9 @@
 	}
 }}
 
-// ReleaseDay is a good version that goes from a third of the fleet to all of it: the other backends are replaced at once, so that
+// Release is a good version that goes from a third of the fleet to all of it: the other backends are replaced at once, so that
 // two thirds are cold. Backends share their cores among what they have in work, and are warm sooner than the settings say.
-var ReleaseDay = Day{Name: "release", relays: 120, backends: 60, span: 11, plan: func(f *fleetDay) {
+var Release = Day{Name: "release", relays: 120, backends: 60, span: 11, plan: func(f *fleetDay) {
 	f.cores, f.capacity, f.warmUp = 3, 28, 1.5
 	for _, n := range f.relays {
 		n.rate = 0.62 * f.capacity * float64(len(f.backends)) / float64(len(f.relays))
