--- a/balancer/host.go
+++ b/balancer/host.go
@@ -39,7 +39,7 @@
 type fleetPolicy interface {
 	// AllowRetry tells whether a request may have one more attempt.
 	AllowRetry(r *Request) bool
-	// IsEjected tells whether the fleet's other relays have ejected a backend.
+	// IsEjected tells whether the relays of the fleet together have ejected a backend.
 	IsEjected(b *Backend) bool
 	// AllowProbe tells whether an attempt of this relay may try a backend that is on probation.
 	AllowProbe(b *Backend) bool
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -31,7 +31,7 @@
 	// estimate is longer than all of them but one.
 	// Guards against slow answers that keep away what alone can show faster ones.
 	estimateParts = 4
-	// estimateLifetime is how long the last answer of a class says something: load and backends may have changed since.
+	// estimateLifetime is how long the last answer of a class, or the last try without one, says something: load and backends may have changed since.
 	estimateLifetime = 4 * Second
 	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th percentile.
 	minLatencySample = 16
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,7 +4,7 @@
 
 // The rule: a request whose attempt has failed gets another one, where its class allows one at any backend and the fleet's
 // budget of retries has one left. An attempt at a silent backend is called off early, to serve the request elsewhere in
-// time. A request that fails at two backends is held to be at fault itself.
+// time. A request that fails twice, at two backends unless it is pinned to one, is held to be at fault itself.
 //
 // Inputs: the outcomes of a request's attempts, the settings' limit on them, the fleet's answer to each retry, silence of
 // the backend.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -47,8 +47,8 @@
 	Name string
 	// Idempotency tells what a second attempt could do. Missing or unknown: at most once.
 	Idempotency Idempotency
-	// DedupScope tells which backends drop repeats of one idempotency key. Missing or unknown: none but the one
-	// that has seen it is sure to, which counts as no scope at all.
+	// DedupScope tells which backends drop repeats of one idempotency key. Missing or unknown: no backend
+	// is relied on to drop them.
 	DedupScope DedupScope
 	// DedupWindow is how long they do, from the first attempt that may have run. Missing: no time.
 	DedupWindow Seconds
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -60,7 +60,7 @@
 
 	state             requestState
 	streaming         bool // its answer is being passed on
-	failedTwice       bool // at two backends, so that it is no backend's doing
+	failedTwice       bool // at two backends, a pinned request at the one it has: held to be its own doing
 	triedDespiteDelay bool // see takeLastChance
 	retryReserved     bool // the fleet has allowed an attempt that waits for the end of the last one
 	deferredFailure   *Attempt
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -18,7 +18,7 @@
 // (leadershipConfirmer). So two leaders never grant at the same time.
 //
 // An operation that takes an instance from a node rests on the end of that node's lease. From its proposal until its
-// result is known the node's lease is not granted again (leadership.holdExpiry), and the log entry holds in the
+// result is known the node's lease is not granted again (leadership.blockRenewal), and the log entry holds in the
 // proposer's term alone.
 //
 // What was applied is never taken back: a log or a snapshot that ends before the last applied entry ends the controller
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -183,11 +183,11 @@
 	}
 }
 
-// blockRenewal keeps a node's lease over until releaseExpiry: it is not granted again before the operation that rests on its
+// blockRenewal keeps a node's lease over until unblockRenewal: it is not granted again before the operation that rests on its
 // end is agreed. It fails with errLeaseRunning while the lease runs.
 //
 // Guards against a primary that comes back while its instance is given to another node; holds because handleLease waits
-// for dependentsSettled. An incarnation that began without the copies of the one before, whose lease is over, does not
+// for awaitRenewalUnblocked. An incarnation that began without the copies of the one before, whose lease is over, does not
 // serve what that one was primary of, and may have a lease of its own.
 func (l *leadership) blockRenewal(now tick.Tick, node string) error {
 	if _, hasLease := l.lessor.LeaseEnd(now, node); hasLease && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// unblockRenewal ends what holdExpiry began.
+// unblockRenewal ends what blockRenewal began.
 func (l *leadership) unblockRenewal(node string) {
 	l.renewalBlocks[node]--
 	if l.renewalBlocks[node] > 0 {
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -48,7 +48,7 @@
 	RecordOutcome(backend string, good bool)
 	// RecordServiceTime takes how long a backend took for an attempt that succeeded.
 	RecordServiceTime(class int, took time.Duration)
-	// IsEjected tells whether the other relays have ejected a backend. Asked only of one that is not on probation here.
+	// IsEjected tells whether the relays of the fleet together have ejected a backend. Asked only of one that is not on probation here.
 	IsEjected(backend string) bool
 	// AllowProbe tells whether an attempt of this relay may try a backend that is on probation or that others have ejected.
 	AllowProbe(backend string) bool
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -47,7 +47,7 @@
 type Vote struct {
 	Version uint16
 	Stage   int
-	Verdict string // PROCEED, HOLD, ROLLBACK or WITHDRAW
+	Verdict string // PROCEED, HOLD or ROLLBACK; WITHDRAW is not cast today
 }
 
 // releaseVerdicts are the release API's names of the verdicts.
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -53,7 +53,7 @@
 // WrongAnswerDelays counts wrong answers by how late they were reported: within 1 s, 10 s, 1 min, 10 min, and later.
 type WrongAnswerDelays [5]int64
 
-// delayLimits are the ends of the first four ranges of FlagDelays.
+// delayLimits are the ends of the first four ranges of WrongAnswerDelays.
 var delayLimits = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
 
 // Vote is one vote as it was cast.
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -12,7 +12,7 @@
 type Day struct {
 	Name             string
 	plan             func(f *fleetDay)
-	relays, backends int     // 0: dayRelays, dayUnits
+	relays, backends int     // 0: as many as a day has by default
 	span             float64 // seconds; 0: daySpan
 	wrapHost         hostWrapper
 }
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -12,7 +12,7 @@
 const (
 	boundReviewFraction     = 4 // of a lease
 	fullLinkReviewLeases    = 4
-	remoteReviewSpans       = 4 // of a lease and restartAfter
+	remoteReviewSpans       = 4 // of a lease and Config.RestartAfter
 	remoteBoundReviewLeases = 4
 )
 
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -43,7 +43,7 @@
 const (
 	StateSuccess            = "00000"
 	StateTooManyConnections = "53300" // a rejection, and a backend at capacity
-	StateCannotConnectNow   = "57P03" // the other code of a rejection
+	StateCannotConnectNow   = "57P03" // of an edge node that is not ready, to the health check alone
 	StateInternalError      = "XX000"
 	StateSyntaxError        = "42601"
 	StateNotSupported       = "0A000"
