--- a/internal/edgenode/assignments.go
+++ b/internal/edgenode/assignments.go
@@ -34,7 +34,7 @@
 	defer n.mu.Unlock()
 	n.lineage = changes.Lineage
 	config := replica.ConfigFrom(n.name, n.incarnation, n.options.File.Settings)
-	start := replica.Start{Logs: n.logsAtStart, Assignments: changes.Assignments, Version: changes.Version}
+	start := replica.InitialState{Logs: n.logsAtStart, Assignments: changes.Assignments, Version: changes.Version}
 	n.replicas = replica.NewManager(replicaHost{n}, controllerclient.Now(), config, start)
 	n.logsAtStart = nil
 }
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -33,7 +33,7 @@
 	}
 	n.replicas.OnUnverifiedReported(now, reported[:min(response.AcceptedUnverified, len(reported))])
 	n.disk.maxRecordCount = max(n.disk.maxRecordCount, response.RecordCount)
-	if n.disk.state == diskChecked && n.replicas.Verified() {
+	if n.disk.state == diskChecked && n.replicas.AllVerified() {
 		n.disk.state = diskConfirming
 		n.store.ConfirmCurrent(n.disk.maxRecordCount, n.onDiskConfirmed)
 	}
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -20,7 +20,7 @@
 	l := s.logs[r.instance]
 	switch r.kind {
 	case kindEntry:
-		if l == nil || !l.Continues(r.entry) {
+		if l == nil || !l.IsNext(r.entry) {
 			return ErrGap
 		}
 		l.Append(r.entry)
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -171,7 +171,7 @@
 			u.mark.settled = false
 			base := f.disabled.baseline(places)
 			u.manager = replica.NewManager(u, u.now(), replica.ConfigFrom(u.name, run, f.settings),
-				replica.Start{Logs: records, Assignments: base, Version: version})
+				replica.InitialState{Logs: records, Assignments: base, Version: version})
 			for _, p := range places[len(base):] {
 				u.manager.OnAssignment(u.now(), p)
 			}
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -42,17 +42,19 @@
 }
 
 // names tells whether the assignment has a node in some part.
-func (a *assignment) names(node string) bool {
+func (a *assignment) involves(node string) bool {
 	return a.known() && (a.agreed.Primary == node || a.agreed.CopyTarget == node || a.isReplica(node))
 }
 
 func (a *assignment) isReplica(node string) bool { return slices.Contains(a.agreed.Replicas, node) }
 
 // countsOn tells whether the controllers count on a node's copy.
-func (a *assignment) countsOn(node string) bool { return a.agreed.Primary == node || a.isReplica(node) }
+func (a *assignment) requiresCopyOn(node string) bool {
+	return a.agreed.Primary == node || a.isReplica(node)
+}
 
 // keepsOldCopy tells whether the controllers know of a node's older copy.
-func (a *assignment) keepsOldCopy(node string) bool {
+func (a *assignment) hasStaleCopyOn(node string) bool {
 	return slices.ContainsFunc(a.agreed.StaleCopies, func(c placement.StaleCopy) bool { return c.Node == node })
 }
 
@@ -63,10 +65,10 @@
 // OnAssignment tells where an instance runs: news, or the result of a proposal. What is older than what is known changes
 // nothing. What concerns other nodes alone is not kept: a node's memory grows with what it has, not with the fleet.
 func (m *Manager) OnAssignment(now tick.Tick, p placement.Assignment) {
-	if m.instances[p.Instance] == nil && !m.concerns(p) {
+	if m.instances[p.Instance] == nil && !m.involvesSelf(p) {
 		return
 	}
-	inst := m.instance(p.Instance)
+	inst := m.ensureInstance(p.Instance)
 	if !inst.assignment.supersededBy(p) {
 		return
 	}
@@ -74,10 +76,10 @@
 	wasKnown, old := inst.assignment.known(), inst.assignment.agreed
 	unconfirmed := inst.recovery.awaitsConfirmation() && !inst.recovery.confirmedByReplica
 	if wasKnown && (old.Epoch != p.Epoch || old.Primary != p.Primary) {
-		m.abandon(now, inst, "another epoch")
+		m.stopServing(now, inst, "another epoch")
 		clear(inst.followers)
 		inst.serving.committed = 0
-		inst.recovery.confirmers = nil
+		inst.recovery.awaitedReplicas = nil
 	}
 	if old.Epoch != p.Epoch {
 		inst.serving.acknowledged = inst.local.log.LastIndex()
@@ -86,8 +88,8 @@
 	inst.lastUsed = now
 	inst.proposal.done()
 	m.retargetCopy(now, inst, old)
-	m.reassessCopy(inst, old.Epoch != p.Epoch, unconfirmed)
-	m.track(inst)
+	m.updateRecovery(inst, old.Epoch != p.Epoch, unconfirmed)
+	m.updateTracking(inst)
 	m.advance(now, inst)
 }
 
@@ -105,24 +107,24 @@
 
 // reassessCopy has the recovery follow a new assignment. unconfirmed tells that before it this node waited for replicas
 // to confirm its copy, and none had.
-func (m *Manager) reassessCopy(inst *instance, newEpoch, unconfirmed bool) {
+func (m *Manager) updateRecovery(inst *instance, newEpoch, unconfirmed bool) {
 	p, r := &inst.assignment.agreed, &inst.recovery
-	countedOn := inst.assignment.countsOn(m.self)
-	if !countedOn {
+	required := inst.assignment.requiresCopyOn(m.self)
+	if !required {
 		r.incomplete = false
 	}
-	r.keepConfirmers(p.Replicas)
-	r.unverified = (r.unverified || unconfirmed && !r.awaitsConfirmation()) && p.EverServed && countedOn
+	r.retainAwaited(p.Replicas)
+	r.unverified = (r.unverified || unconfirmed && !r.awaitsConfirmation()) && p.EverServed && required
 	if p.Primary == m.self && newEpoch {
 		r.confirmedByReplica = false
 		if r.unverified && m.disk == diskRestored {
-			r.verify(p.Replicas) // one of them may have more, or know that this is all
+			r.startVerification(p.Replicas) // one of them may have more, or know that this is all
 		}
 		if p.Index > inst.local.log.LastIndex() {
 			r.incomplete = true // a disk that was restored, or a replica that never was one
 		}
 	}
-	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isGone() && inst.assignment.isReplica(m.self) {
+	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
 		r.incomplete = true // another process of this name took the copy
 	}
 }
@@ -154,7 +156,7 @@
 func (m *Manager) OnPlacementRebuilt(now tick.Tick, assignments []placement.Assignment, version uint64) {
 	for _, name := range m.KnownInstances() {
 		inst := m.instances[name]
-		m.abandon(now, inst, "placement was rebuilt")
+		m.stopServing(now, inst, "placement was rebuilt")
 		inst.withdraw()
 		inst.recovery.fencedEpoch = 0
 	}
@@ -163,7 +165,7 @@
 		m.OnAssignment(now, p)
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.instances)) {
-		m.track(m.instances[name])
+		m.updateTracking(m.instances[name])
 	}
 }
 
@@ -173,30 +175,30 @@
 	if inst == nil {
 		return
 	}
-	const why = "the instance is forgotten"
-	m.abandon(now, inst, why)
+	const reason = "the instance is forgotten"
+	m.stopServing(now, inst, reason)
 	m.deleteLog(inst)
-	m.rejectPendingAcks(inst, why)
+	m.rejectPendingAcks(inst, reason)
 	inst.withdraw()
-	m.track(inst)
+	m.updateTracking(inst)
 }
 
 // withdraw forgets the assignment and what rests on it.
 func (inst *instance) withdraw() {
 	inst.assignment.withdraw()
 	inst.recovery.incomplete = false
-	inst.recovery.confirmers = nil
+	inst.recovery.awaitedReplicas = nil
 	inst.proposal.done()
 	clear(inst.followers)
 }
 
 // OnProposalRefused tells that a proposal has changed nothing, or may not have: the next one is made at the earliest a
 // tenth of a lease later.
-func (m *Manager) OnProposalRefused(now tick.Tick, e placement.Operation, err error) {
-	inst := m.instances[e.Instance]
-	if inst == nil || !inst.proposal.underWay() || inst.proposal.operation != e {
+func (m *Manager) OnProposalRefused(now tick.Tick, op placement.Operation, err error) {
+	inst := m.instances[op.Instance]
+	if inst == nil || !inst.proposal.inProgress() || inst.proposal.operation != op {
 		return
 	}
-	inst.proposal.at = now - m.leaseDuration/proposalsPerLease + m.leaseDuration/retriesPerLease
-	m.host.Notify(Event{Kind: EventRefused, Instance: e.Instance, Epoch: e.Epoch, To: e.Target, Reason: string(e.Kind) + ": " + err.Error()})
+	inst.proposal.at = now - m.leaseDuration/proposalTimeoutsPerLease + m.leaseDuration/proposalRetriesPerLease
+	m.host.Notify(Event{Kind: EventRefused, Instance: op.Instance, Epoch: op.Epoch, To: op.Target, Reason: string(op.Kind) + ": " + err.Error()})
 }
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -13,11 +13,11 @@
 
 // Spans as parts of a lease, so that all of them scale with it.
 const (
-	ticksPerLease     = 20 // OnTick comes so often at least
-	resendsPerLease   = 10 // a message without an answer is sent again so often
-	retriesPerLease   = 10 // a refused proposal is made again after one such part
-	proposalsPerLease = 2  // one without a result is made again after one such part
-	confirmsPerLease  = 3  // a replica that does not confirm for one such part is dropped
+	ticksPerLease            = 20 // OnTick comes so often at least
+	resendsPerLease          = 10 // a message without an answer is sent again so often
+	proposalRetriesPerLease  = 10 // a refused proposal is made again after one such part
+	proposalTimeoutsPerLease = 2  // one without a result is made again after one such part
+	confirmTimeoutsPerLease  = 3  // a replica that does not confirm for one such part is dropped
 )
 
 // Spans in leases.
@@ -47,8 +47,8 @@
 	return config
 }
 
-// Start is what a node begins with.
-type Start struct {
+// InitialState is what a node begins with.
+type InitialState struct {
 	Logs []Log // that its disk kept
 
 	// Assignments are the controllers' as they stood at Version, before the first lease was asked for in this
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -24,21 +24,21 @@
 
 // followerProgress is a replica, or the node that is copied to, as the primary knows it. The zero value is probing.
 type followerProgress struct {
-	state       progressState
-	incarnation uint64    // of its process, as last heard
-	next        uint64    // index up to which it is taken to have entries
-	match       uint64    // index up to which it has confirmed
-	inFlight    bool      // a message is under way
-	sentAt      tick.Tick // the last message
-	progressAt  tick.Tick // it last got on, or had nothing to do
-	offersLeft  uint8     // this incarnation of it is to be told so often what there is, so that it knows its copy complete
+	state             progressState
+	incarnation       uint64    // of its process, as last heard
+	next              uint64    // index up to which it is taken to have entries
+	match             uint64    // index up to which it has confirmed
+	inFlight          bool      // a message is under way
+	sentAt            tick.Tick // the last message
+	progressAt        tick.Tick // it last got on, or had nothing to do
+	announcementsLeft uint8     // this incarnation of it is to be told so often what there is, so that it knows its copy complete
 
 	// Of truncating and resetting: the last entry of what gives way.
 	replacedIndex    uint64
 	replacedChecksum uint64
 
-	fruitlessAcks int    // answers in a row that brought nothing on
-	rejection     string // why it did not take a message last
+	acksWithoutProgress int    // answers in a row that brought nothing on
+	rejection           string // why it did not take a message last
 }
 
 // hasConfirmed tells whether it has confirmed all up to an index.
@@ -47,8 +47,8 @@
 }
 
 // isAtRest tells whether there is nothing to send and nothing to wait for.
-func (f *followerProgress) isAtRest(durable uint64) bool {
-	return f.state == replicating && !f.inFlight && f.offersLeft == 0 && f.match >= durable && f.next >= durable
+func (f *followerProgress) isIdle(durable uint64) bool {
+	return f.state == replicating && !f.inFlight && f.announcementsLeft == 0 && f.match >= durable && f.next >= durable
 }
 
 // needsMessage tells whether it is to be sent something now.
@@ -56,19 +56,19 @@
 	if f.inFlight && now-f.sentAt < retryAfter {
 		return false
 	}
-	upToDate := f.state == replicating && f.offersLeft == 0 && f.match >= durable && f.next >= durable
+	upToDate := f.state == replicating && f.announcementsLeft == 0 && f.match >= durable && f.next >= durable
 	return !upToDate
 }
 
 // heardFrom takes in that an incarnation has answered, and tells whether it is the newest that is known.
-func (f *followerProgress) heardFrom(incarnation uint64) bool {
+func (f *followerProgress) observeIncarnation(incarnation uint64) bool {
 	switch {
 	case incarnation < f.incarnation:
 		return false
 	case incarnation > f.incarnation:
-		*f = followerProgress{incarnation: incarnation, progressAt: f.progressAt, offersLeft: 1}
-	case f.offersLeft > 0:
-		f.offersLeft--
+		*f = followerProgress{incarnation: incarnation, progressAt: f.progressAt, announcementsLeft: 1}
+	case f.announcementsLeft > 0:
+		f.announcementsLeft--
 	}
 	return true
 }
@@ -78,13 +78,13 @@
 // Guards against sending as fast as a node answers that takes nothing: seen as answers in a row without progress, by a
 // fault of it or a copy that changes meanwhile; holds because after maxFruitlessAcks the next message waits as long as
 // after a lost one. Answers that were overtaken look the same and cost that wait.
-func (f *followerProgress) answered(now tick.Tick, index uint64) {
+func (f *followerProgress) recordAnswer(now tick.Tick, index uint64) {
 	f.inFlight = false
-	f.fruitlessAcks++
+	f.acksWithoutProgress++
 	if index > f.match || f.state == probing {
-		f.fruitlessAcks = 0
+		f.acksWithoutProgress = 0
 	}
-	if f.fruitlessAcks > maxFruitlessAcks {
+	if f.acksWithoutProgress > maxAcksWithoutProgress {
 		f.pause(now)
 	}
 }
@@ -93,13 +93,13 @@
 func (f *followerProgress) pause(now tick.Tick) { f.inFlight, f.sentAt = true, now }
 
 // rejected takes in that it does not take what it was sent.
-func (f *followerProgress) rejected(now tick.Tick, why string) {
+func (f *followerProgress) recordRejection(now tick.Tick, reason string) {
 	f.pause(now)
-	f.rejection = why
+	f.rejection = reason
 }
 
 // confirmed takes in that it has the entries up to an index, and tells whether it got on.
-func (f *followerProgress) confirmed(now tick.Tick, index uint64) bool {
+func (f *followerProgress) recordConfirmation(now tick.Tick, index uint64) bool {
 	f.state = replicating
 	f.next = index
 	if index <= f.match {
@@ -111,7 +111,7 @@
 }
 
 // diverged has it give way what it has after the last entry that is known to be the same in both logs.
-func (f *followerProgress) diverged(log *Log, durable uint64, msg *Message) {
+func (f *followerProgress) resolveDivergence(log *Log, durable uint64, msg *Message) {
 	f.state = resetting
 	f.replacedIndex, f.replacedChecksum = msg.Index, msg.Checksum
 	f.next = log.BaseIndex
@@ -126,7 +126,7 @@
 }
 
 // follower is the progress of a node, made where there is none.
-func (inst *instance) follower(now tick.Tick, name string) *followerProgress {
+func (inst *instance) ensureFollower(now tick.Tick, name string) *followerProgress {
 	f := inst.followers[name]
 	if f == nil {
 		f = &followerProgress{progressAt: now}
@@ -139,7 +139,7 @@
 }
 
 // restartFollowerTimes begins each follower's time to confirm anew.
-func (inst *instance) restartFollowerTimes(now tick.Tick) {
+func (inst *instance) resetProgressTimes(now tick.Tick) {
 	for _, f := range inst.followers {
 		f.progressAt = now
 	}
@@ -158,7 +158,7 @@
 
 // sendEntries sends a node what comes next for it, if anything.
 func (m *Manager) sendEntries(now tick.Tick, inst *instance, name string) {
-	f := inst.follower(now, name)
+	f := inst.ensureFollower(now, name)
 	durable := inst.local.durable
 	if f.hasConfirmed(durable) && f.state == replicating {
 		f.progressAt = now
@@ -174,7 +174,7 @@
 		SenderIncarnation:   m.incarnation,
 		ReceiverIncarnation: f.incarnation,
 		LastIndex:           durable,
-		Unverified:          inst.recovery.unverified || inst.recovery.report != "",
+		Unverified:          inst.recovery.unverified || inst.recovery.pendingReport != "",
 		PrevIndex:           durable,
 	}
 	if f.state != probing {
@@ -216,14 +216,14 @@
 }
 
 // offerCatchUp has each replica told what there is: it may be relied on now.
-func (m *Manager) offerCatchUp(now tick.Tick, inst *instance) {
+func (m *Manager) announceLog(now tick.Tick, inst *instance) {
 	for _, f := range inst.followers {
-		f.offersLeft = 1
+		f.announcementsLeft = 1
 		if f.inFlight {
-			f.offersLeft = 2 // the first answer is to a message from before
+			f.announcementsLeft = 2 // the first answer is to a message from before
 		}
 	}
-	inst.atRest = false
+	inst.idle = false
 	m.advance(now, inst)
 }
 
@@ -238,27 +238,27 @@
 		return
 	}
 	f := inst.followers[from]
-	if f == nil || msg.Epoch != p.Epoch || p.Primary != m.self || !f.heardFrom(msg.SenderIncarnation) {
+	if f == nil || msg.Epoch != p.Epoch || p.Primary != m.self || !f.observeIncarnation(msg.SenderIncarnation) {
 		return
 	}
-	f.answered(now, msg.Index)
+	f.recordAnswer(now, msg.Index)
 	switch {
 	case msg.Kind == MessageRejected:
-		f.rejected(now, msg.Reason)
+		f.recordRejection(now, msg.Reason)
 	case inst.local.log.matches(msg.Index, msg.Checksum):
 		m.onConfirmed(now, inst, from, msg)
-	case slices.Contains(inst.recovery.confirmers, from):
-		m.yieldTo(now, inst, from, "a holder has effects that this unit's disk does not")
+	case slices.Contains(inst.recovery.awaitedReplicas, from):
+		m.proposeYield(now, inst, from, "a holder has effects that this unit's disk does not")
 		return
 	case len(msg.Checksums) > 0 || msg.Index < inst.local.log.BaseIndex:
-		f.diverged(&inst.local.log, inst.local.durable, msg)
+		f.resolveDivergence(&inst.local.log, inst.local.durable, msg)
 	}
 	m.advance(now, inst)
 }
 
 // onConfirmed takes in that a node has what this one has up to an index.
 func (m *Manager) onConfirmed(now tick.Tick, inst *instance, from string, msg *Message) {
-	if inst.followers[from].confirmed(now, msg.Index) {
+	if inst.followers[from].recordConfirmation(now, msg.Index) {
 		inst.catchUp.progressAt = now
 	}
 	r := &inst.recovery
@@ -269,6 +269,6 @@
 	r.confirmedByReplica = true
 	if r.unverified && !msg.Unverified {
 		r.unverified = false
-		m.offerCatchUp(now, inst)
+		m.announceLog(now, inst)
 	}
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -12,7 +12,7 @@
 
 	// Propose proposes an entry of the controllers' log. Its result comes back by OnAssignment or OnProposalRefused, or
 	// is lost.
-	Propose(e placement.Operation)
+	Propose(op placement.Operation)
 
 	// Respond ends a request. It is called once for each request that OnRequest was given.
 	Respond(r *Request, response Response)
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -80,7 +80,7 @@
 	s := &inst.serving
 	switch {
 	case !may && s.state != stopped:
-		m.abandon(now, inst, "the lease is over, or another one owns it")
+		m.stopServing(now, inst, "the lease is over, or another one owns it")
 	case may && s.state == stopped:
 		m.beginServing(now, inst)
 	}
@@ -99,19 +99,19 @@
 // beginServing makes the node ready to serve: paused, until updateServing finds that no cut-over is under way.
 func (m *Manager) beginServing(now tick.Tick, inst *instance) {
 	if inst.recovery.unverified {
-		m.proceedUnverified(inst)
+		m.serveUnverified(inst)
 	}
 	inst.serving.state = paused
 	if !inst.local.present && !inst.local.failed {
 		m.resetLog(inst, 0, 0)
 	}
-	inst.restartFollowerTimes(now) // while it did not serve it asked them for nothing
+	inst.resetProgressTimes(now) // while it did not serve it asked them for nothing
 }
 
 // abandon ends serving an instance: what is not durable on all replicas may be kept or dropped.
-func (m *Manager) abandon(now tick.Tick, inst *instance, why string) {
+func (m *Manager) stopServing(now tick.Tick, inst *instance, reason string) {
 	if inst.serving.state == leased {
-		m.notifyStopped(now, inst, why)
+		m.notifyStopped(now, inst, reason)
 	}
 	inst.serving.state = stopped
 	for _, w := range inst.serving.pending {
@@ -124,7 +124,7 @@
 	inst.serving.pending = nil
 }
 
-func (m *Manager) notifyStopped(now tick.Tick, inst *instance, why string) {
-	m.host.Notify(Event{Kind: EventStopped, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch, Reason: why,
+func (m *Manager) notifyStopped(now tick.Tick, inst *instance, reason string) {
+	m.host.Notify(Event{Kind: EventStopped, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch, Reason: reason,
 		SinceLeaseEnd: max(0, now-m.lease.lastEnd())})
 }
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -10,7 +10,7 @@
 	// diskFullPause is how long nothing is written after a write has failed.
 	diskFullPause = tick.Second
 
-	diskFull = "the disk is full"
+	diskFullReason = "the disk is full"
 )
 
 // localLog is this node's copy of an instance: the log as it will be once the disk has done what it was asked, and what
@@ -27,10 +27,10 @@
 
 // diskWrite is something that was asked of the disk.
 type diskWrite struct {
-	index   uint64 // of the last entry once it is done
-	deletes bool   // the copy
-	undo    Log    // the log before
-	present bool   // and whether there was one
+	index      uint64 // of the last entry once it is done
+	deletes    bool   // the copy
+	before     Log    // the log before
+	wasPresent bool   // and whether there was one
 }
 
 // restore takes in what the disk kept at the start.
@@ -41,18 +41,18 @@
 }
 
 // isGone tells that there is no copy, on the disk or on its way there.
-func (l *localLog) isGone() bool { return !l.present && len(l.pending) == 0 }
+func (l *localLog) isAbsent() bool { return !l.present && len(l.pending) == 0 }
 
 // reaches tells whether there is a copy with the entries up to an index.
 func (l *localLog) reaches(index uint64) bool { return l.present && l.log.LastIndex() >= index }
 
 // ends tells whether there is a copy whose last entry has an index and a checksum.
-func (l *localLog) ends(index, checksum uint64) bool {
+func (l *localLog) endsAt(index, checksum uint64) bool {
 	return l.present && l.log.LastIndex() == index && l.log.Checksum() == checksum
 }
 
 // has tells whether all of some entries are there, and that there is one at least.
-func (l *localLog) has(entries []LogEntry) bool {
+func (l *localLog) containsAll(entries []LogEntry) bool {
 	for _, e := range entries {
 		if !l.log.matches(e.Index, e.Checksum) {
 			return false
@@ -72,15 +72,15 @@
 }
 
 // write notes that something is asked of the disk. It is called before the log changes.
-func (l *localLog) write(index uint64, deletes bool) {
-	undo := l.log
-	undo.Entries = slices.Clip(undo.Entries) // what is appended to one is not seen in the other
-	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, undo: undo, present: l.present})
+func (l *localLog) addPending(index uint64, deletes bool) {
+	before := l.log
+	before.Entries = slices.Clip(before.Entries) // what is appended to one is not seen in the other
+	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, before: before, wasPresent: l.present})
 }
 
 // append takes the next entry in, and with it forgets the request of the one that the log drops.
 func (l *localLog) append(e LogEntry) {
-	l.write(e.Index, false)
+	l.addPending(e.Index, false)
 	if len(l.log.Entries) == LogCapacity {
 		first := l.log.Entries[0]
 		l.bytes -= first.Size()
@@ -97,27 +97,27 @@
 }
 
 func (l *localLog) truncate(index uint64) {
-	l.write(index, false)
+	l.addPending(index, false)
 	log := l.log
 	log.Truncate(index)
 	l.replace(log)
 }
 
 func (l *localLog) reset(base, checksum uint64) {
-	l.write(base, false)
+	l.addPending(base, false)
 	l.replace(Log{Instance: l.log.Instance, BaseIndex: base, BaseChecksum: checksum})
 	l.present = true
 }
 
 func (l *localLog) delete() {
-	l.write(0, true)
+	l.addPending(0, true)
 	l.replace(Log{Instance: l.log.Instance})
 	l.present = false
 }
 
 // done takes in that the first pending write is durable.
-func (l *localLog) done() {
-	first := l.next()
+func (l *localLog) completeWrite() {
+	first := l.popPending()
 	l.durable = first.index
 	if first.deletes {
 		l.durable = 0
@@ -125,7 +125,7 @@
 }
 
 // next takes the first pending write out.
-func (l *localLog) next() diskWrite {
+func (l *localLog) popPending() diskWrite {
 	first := l.pending[0]
 	l.pending = l.pending[1:]
 	if len(l.pending) == 0 {
@@ -135,10 +135,10 @@
 }
 
 // undo puts the log back to what it was before a write that failed. What is pending rests on it, and fails too.
-func (l *localLog) undo(w diskWrite) {
+func (l *localLog) rollBack(w diskWrite) {
 	l.failed = true
-	l.replace(w.undo)
-	l.present = w.present
+	l.replace(w.before)
+	l.present = w.wasPresent
 }
 
 // bytesWith is the size of the log with one more entry.
@@ -179,9 +179,9 @@
 	if inst == nil || len(inst.local.pending) == 0 {
 		return
 	}
-	inst.local.done()
+	inst.local.completeWrite()
 	m.advance(now, inst)
-	m.track(inst)
+	m.updateTracking(inst)
 }
 
 // OnDiskError tells that the disk did not take the first thing that was asked of it for an instance, and will take
@@ -192,33 +192,33 @@
 	if inst == nil || len(inst.local.pending) == 0 {
 		return
 	}
-	failed := inst.local.next()
+	failed := inst.local.popPending()
 	if !inst.local.failed {
 		m.diskFullUntil = now + diskFullPause
 		m.host.Notify(Event{Kind: EventDisk, Instance: name, Epoch: inst.assignment.agreed.Epoch, Reason: err.Error()})
-		inst.local.undo(failed)
+		inst.local.rollBack(failed)
 		m.rejectUnwritten(inst)
-		if !inst.local.present && inst.assignment.countsOn(m.self) {
+		if !inst.local.present && inst.assignment.requiresCopyOn(m.self) {
 			inst.recovery.incomplete = true
 		}
 	}
 	if len(inst.local.pending) == 0 {
 		inst.local.failed = false
-		m.rejectPendingAcks(inst, diskFull)
+		m.rejectPendingAcks(inst, diskFullReason)
 	}
 	m.advance(now, inst)
-	m.track(inst)
+	m.updateTracking(inst)
 }
 
 // rejectUnwritten answers the requests whose entries the disk did not take.
 func (m *Manager) rejectUnwritten(inst *instance) {
-	var left []pendingRequest
+	var remaining []pendingRequest
 	for _, w := range inst.serving.pending {
 		if w.index <= inst.local.log.LastIndex() {
-			left = append(left, w)
+			remaining = append(remaining, w)
 			continue
 		}
-		m.reject(w.request, diskFull+": never ran")
+		m.reject(w.request, diskFullReason+": never ran")
 	}
-	inst.serving.pending = left
+	inst.serving.pending = remaining
 }
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -94,8 +94,8 @@
 // entryAt is the entry at an index, which has to be kept.
 func (l *Log) entryAt(index uint64) LogEntry { return l.Entries[index-l.BaseIndex-1] }
 
-// Continues tells whether an entry is the next one.
-func (l *Log) Continues(e LogEntry) bool {
+// IsNext tells whether an entry is the next one.
+func (l *Log) IsNext(e LogEntry) bool {
 	return e.Index == l.LastIndex()+1 && e.Checksum == e.ChainChecksum(l.Checksum())
 }
 
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -19,7 +19,7 @@
 	leaseDuration tick.Tick
 	lease         nodeLease
 	instances     map[string]*instance
-	ordered       []*instance // by name, those that concern this node
+	tracked       []*instance // by name, those that concern this node
 	active        []*instance // by name, those of them that time may change something about
 	disk          diskState
 	diskFullUntil tick.Tick // after a write has failed: nothing is written before
@@ -39,40 +39,40 @@
 	lastUsed    tick.Tick // an assignment or a primary's message came
 	tracked     bool      // in Manager.ordered
 	scheduled   bool      // in Manager.active
-	atRest      bool      // nothing was left to do when it was looked at last
+	idle        bool      // nothing was left to do when it was looked at last
 }
 
 // NewManager is a node after its start.
-func NewManager(host Host, now tick.Tick, config Config, start Start) *Manager {
+func NewManager(host Host, now tick.Tick, config Config, initial InitialState) *Manager {
 	m := &Manager{
 		host:          host,
 		self:          config.Node,
 		incarnation:   config.Incarnation,
 		maxStateBytes: config.MaxStateBytes,
 		leaseDuration: config.Lease,
-		lease:         nodeLease{seenVersion: start.Version},
+		lease:         nodeLease{seenVersion: initial.Version},
 		instances:     map[string]*instance{},
 	}
-	for _, log := range start.Logs {
+	for _, log := range initial.Logs {
 		m.restoreLog(log)
 	}
-	assignments := slices.SortedFunc(slices.Values(start.Assignments), func(a, b placement.Assignment) int {
+	assignments := slices.SortedFunc(slices.Values(initial.Assignments), func(a, b placement.Assignment) int {
 		return cmp.Compare(a.Instance, b.Instance)
 	})
 	for _, p := range assignments {
-		if m.instances[p.Instance] != nil || m.concerns(p) {
+		if m.instances[p.Instance] != nil || m.involvesSelf(p) {
 			m.restoreAssignment(now, p)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.instances)) {
-		m.track(m.instances[name])
+		m.updateTracking(m.instances[name])
 	}
 	return m
 }
 
 // restoreLog takes in a log that the disk kept.
 func (m *Manager) restoreLog(log Log) {
-	inst := m.instance(log.Instance)
+	inst := m.ensureInstance(log.Instance)
 	inst.local.restore(log)
 	inst.serving.acknowledged = log.LastIndex()
 	inst.assignment.state = orphaned
@@ -80,7 +80,7 @@
 
 // restoreAssignment takes in an assignment from before this incarnation.
 func (m *Manager) restoreAssignment(now tick.Tick, p placement.Assignment) {
-	inst := m.instance(p.Instance)
+	inst := m.ensureInstance(p.Instance)
 	inst.assignment.set(p)
 	inst.lastUsed = now
 	inst.catchUp.progressAt = now
@@ -91,19 +91,19 @@
 		m.host.Notify(Event{Kind: EventIncomplete, Instance: p.Instance, Epoch: p.Epoch, Reason: "no whole copy outlived the restart"})
 	}
 	if isPrimary {
-		inst.recovery.verify(p.Replicas)
+		inst.recovery.startVerification(p.Replicas)
 	}
 	inst.recovery.primaryAtStart = isPrimary
 	inst.recovery.unverified = !isPrimary && p.EverServed && isReplica
 }
 
 // concerns tells whether an assignment names this node.
-func (m *Manager) concerns(p placement.Assignment) bool {
+func (m *Manager) involvesSelf(p placement.Assignment) bool {
 	return p.Primary == m.self || p.CopyTarget == m.self || slices.Contains(p.Replicas, m.self)
 }
 
 // instance is that of a name, made where there is none.
-func (m *Manager) instance(name string) *instance {
+func (m *Manager) ensureInstance(name string) *instance {
 	inst := m.instances[name]
 	if inst == nil {
 		inst = &instance{name: name, local: localLog{log: Log{Instance: name}}}
@@ -114,21 +114,21 @@
 
 // track has an instance among those that concern this node, or no longer; of others the assignment alone is known. What
 // nothing is left of is released.
-func (m *Manager) track(inst *instance) {
-	if !inst.assignment.known() && inst.local.isGone() && m.instances[inst.name] == inst {
+func (m *Manager) updateTracking(inst *instance) {
+	if !inst.assignment.known() && inst.local.isAbsent() && m.instances[inst.name] == inst {
 		delete(m.instances, inst.name)
 	}
-	tracked := !inst.local.isGone() || inst.assignment.names(m.self)
+	tracked := !inst.local.isAbsent() || inst.assignment.involves(m.self)
 	if tracked == inst.tracked {
 		return
 	}
 	inst.tracked = tracked
-	at, _ := slices.BinarySearchFunc(m.ordered, inst.name, compareName)
+	at, _ := slices.BinarySearchFunc(m.tracked, inst.name, compareName)
 	if tracked {
-		m.ordered = slices.Insert(m.ordered, at, inst)
+		m.tracked = slices.Insert(m.tracked, at, inst)
 		return
 	}
-	m.ordered = slices.Delete(m.ordered, at, at+1)
+	m.tracked = slices.Delete(m.tracked, at, at+1)
 	inst.local.requests = nil
 	inst.followers = nil
 }
@@ -148,7 +148,7 @@
 
 // advanceAll does for every tracked instance what can be done now.
 func (m *Manager) advanceAll(now tick.Tick) {
-	for _, inst := range m.ordered {
+	for _, inst := range m.tracked {
 		m.advance(now, inst)
 	}
 }
@@ -170,12 +170,12 @@
 
 // advance does for one instance what can be done now, and schedules another look where time alone may bring more.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
-	if inst.atRest { // its replicas had nothing to do until now
-		inst.restartFollowerTimes(now)
+	if inst.idle { // its replicas had nothing to do until now
+		inst.resetProgressTimes(now)
 	}
 	m.advanceOnce(now, inst)
-	inst.atRest = m.isAtRest(now, inst)
-	if inst.tracked && !inst.atRest && !inst.scheduled {
+	inst.idle = m.isIdle(now, inst)
+	if inst.tracked && !inst.idle && !inst.scheduled {
 		inst.scheduled = true
 		at, _ := slices.BinarySearchFunc(m.active, inst.name, compareName)
 		m.active = slices.Insert(m.active, at, inst)
@@ -186,15 +186,15 @@
 // proposals, in that order.
 func (m *Manager) advanceOnce(now tick.Tick, inst *instance) {
 	m.deleteUnusedCopy(now, inst)
-	if m.proposeRecovery(now, inst) || m.proposeBegin(now, inst) {
+	if m.proposeReportIncomplete(now, inst) || m.proposeMarkServed(now, inst) {
 		return
 	}
 	mayServe := m.updateServing(now, inst)
 	if inst.assignment.agreed.Primary != m.self {
-		m.acknowledge(inst)
+		m.sendPendingAcks(inst)
 		return
 	}
-	if verifies := inst.recovery.awaitsConfirmation() && m.HoldsLease(now); !mayServe && !verifies {
+	if awaiting := inst.recovery.awaitsConfirmation() && m.HoldsLease(now); !mayServe && !awaiting {
 		return
 	}
 	m.replicate(now, inst)
@@ -203,25 +203,25 @@
 }
 
 // isAtRest tells whether nothing is left to be done for an instance but by a call that names it, or by the lease's end.
-func (m *Manager) isAtRest(now tick.Tick, inst *instance) bool {
-	if inst.hasWorkUnderWay() {
+func (m *Manager) isIdle(now tick.Tick, inst *instance) bool {
+	if inst.hasPendingWork() {
 		return false
 	}
 	p := &inst.assignment.agreed
-	if !inst.assignment.names(m.self) { // else it is deleted after a while
+	if !inst.assignment.involves(m.self) { // else it is deleted after a while
 		return !inst.local.present || !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 ||
-			inst.assignment.keepsOldCopy(m.self)
+			inst.assignment.hasStaleCopyOn(m.self)
 	}
 	if p.Primary != m.self {
 		return true
 	}
-	acts := inst.serving.state != stopped
-	serves := inst.serving.state == leased
-	if p.State != placement.Running || !p.EverServed || p.CopyTarget != "" || acts != serves || acts != m.mayServe(now, inst) {
+	started := inst.serving.state != stopped
+	executing := inst.serving.state == leased
+	if p.State != placement.Running || !p.EverServed || p.CopyTarget != "" || started != executing || started != m.mayServe(now, inst) {
 		return false
 	}
 	for _, name := range p.Replicas {
-		if f := inst.followers[name]; f == nil || !f.isAtRest(inst.local.durable) {
+		if f := inst.followers[name]; f == nil || !f.isIdle(inst.local.durable) {
 			return false
 		}
 	}
@@ -229,16 +229,16 @@
 }
 
 // hasWorkUnderWay tells whether something waits for the disk, the replicas, the controllers or the recovery.
-func (inst *instance) hasWorkUnderWay() bool {
+func (inst *instance) hasPendingWork() bool {
 	return len(inst.local.pending) > 0 || inst.local.failed || len(inst.serving.pending) > 0 || len(inst.pendingAcks) > 0 ||
-		inst.proposal.underWay() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
+		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
 }
 
 // deleteUnusedCopy deletes a copy that nobody counts on any more, while others have it.
 func (m *Manager) deleteUnusedCopy(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
-	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.names(m.self) ||
-		inst.assignment.keepsOldCopy(m.self) {
+	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.involves(m.self) ||
+		inst.assignment.hasStaleCopyOn(m.self) {
 		return
 	}
 	if inst.local.present && !inst.local.failed && now-inst.lastUsed >= unusedCopyLeases*m.leaseDuration {
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	maxRequestID       = 256       // bytes of a request's id
-	maxNameLength      = 256       // bytes of a node's or instance's name in a message
-	maxReasonLength    = 1024      // bytes of a message's reason
-	maxBatchBytes      = 256 << 10 // bytes of log entries after which a message takes no more
-	maxPendingAcks     = 4         // messages of a primary that wait for this node's disk; the oldest go unanswered
-	maxFruitlessAcks   = 4         // acknowledgements in a row without progress, before a replica is sent to more slowly
-	maxPendingRequests = 256       // requests that wait for the disk and the replicas
+	maxRequestID           = 256       // bytes of a request's id
+	maxNameLength          = 256       // bytes of a node's or instance's name in a message
+	maxReasonLength        = 1024      // bytes of a message's reason
+	maxBatchBytes          = 256 << 10 // bytes of log entries after which a message takes no more
+	maxPendingAcks         = 4         // messages of a primary that wait for this node's disk; the oldest go unanswered
+	maxAcksWithoutProgress = 4         // acknowledgements in a row without progress, before a replica is sent to more slowly
+	maxPendingRequests     = 256       // requests that wait for the disk and the replicas
 )
 
 // The kinds of messages, as they stand on the wire.
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -9,7 +9,7 @@
 
 // catchUpGap is how many entries the node that is copied to may lack when it is said to have caught up; it gets them as
 // a replica.
-const catchUpGap = 32
+const maxCatchUpLag = 32
 
 // proposal is the operation that was last proposed to the controllers for an instance. The zero value is none.
 type proposal struct {
@@ -17,19 +17,19 @@
 	at        tick.Tick // 0: none is under way
 }
 
-func (p *proposal) underWay() bool { return p.at != 0 }
+func (p *proposal) inProgress() bool { return p.at != 0 }
 
 func (p *proposal) done() { p.at = 0 }
 
 // catchUp is how far the copy to another node has come.
 type catchUp struct {
-	announced  uint64    // revision of the assignment at which the copy was said to be complete
-	progressAt tick.Tick // when it last got on, or began
+	readyRevision uint64    // revision of the assignment at which the copy was said to be complete
+	progressAt    tick.Tick // when it last got on, or began
 }
 
 // propose proposes an operation, unless one is under way.
 func (m *Manager) propose(now tick.Tick, inst *instance, operation placement.Operation) {
-	if inst.proposal.underWay() && now-inst.proposal.at < m.leaseDuration/proposalsPerLease {
+	if inst.proposal.inProgress() && now-inst.proposal.at < m.leaseDuration/proposalTimeoutsPerLease {
 		return
 	}
 	operation.Version = placement.FormatVersion
@@ -43,12 +43,12 @@
 }
 
 // proposeRecovery tells the controllers that this node hasn't what they count on, and whether it did.
-func (m *Manager) proposeRecovery(now tick.Tick, inst *instance) bool {
-	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.names(m.self) {
+func (m *Manager) proposeReportIncomplete(now tick.Tick, inst *instance) bool {
+	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
 	}
 	if inst.serving.state != stopped { // the disk failed since: others may own it before the controllers' answer comes
-		m.abandon(now, inst, "it is not on the disk")
+		m.stopServing(now, inst, "it is not on the disk")
 	}
 	operation := placement.Operation{Kind: placement.OpReportIncomplete, Reason: "no copy outlived the restart"}
 	if p := &inst.assignment.agreed; p.Primary == m.self && len(p.Replicas) > 0 {
@@ -60,7 +60,7 @@
 
 // proposeBegin has the controllers note that the instance is about to be served for the first time, so that a copy that
 // was lost is told from one that never was. It tells whether that is still to come.
-func (m *Manager) proposeBegin(now tick.Tick, inst *instance) bool {
+func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
 		return false
@@ -70,8 +70,8 @@
 }
 
 // yieldTo has the controllers make a replica the primary in place of this node.
-func (m *Manager) yieldTo(now tick.Tick, inst *instance, replica, why string) {
-	m.propose(now, inst, placement.Operation{Kind: placement.OpReportIncomplete, Target: replica, Reason: why})
+func (m *Manager) proposeYield(now tick.Tick, inst *instance, replica, reason string) {
+	m.propose(now, inst, placement.Operation{Kind: placement.OpReportIncomplete, Target: replica, Reason: reason})
 }
 
 // proposeNext proposes what has to be agreed next: to drop a replica that does not confirm, or what the copy to another
@@ -88,17 +88,17 @@
 func (m *Manager) proposeDrop(now tick.Tick, inst *instance) bool {
 	for _, name := range inst.assignment.agreed.Replicas {
 		f := inst.followers[name]
-		if f == nil || f.hasConfirmed(inst.local.durable) || now-f.progressAt < m.leaseDuration/confirmsPerLease {
+		if f == nil || f.hasConfirmed(inst.local.durable) || now-f.progressAt < m.leaseDuration/confirmTimeoutsPerLease {
 			continue
 		}
-		why := "does not confirm"
+		reason := "does not confirm"
 		if f.rejection != "" {
-			why += ": " + f.rejection
+			reason += ": " + f.rejection
 		}
-		if !inst.proposal.underWay() {
-			m.host.Notify(Event{Kind: EventDropped, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch, To: name, Reason: why})
+		if !inst.proposal.inProgress() {
+			m.host.Notify(Event{Kind: EventDropped, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch, To: name, Reason: reason})
 		}
-		m.propose(now, inst, placement.Operation{Kind: placement.OpDropReplica, Target: name, Index: inst.serving.committed, Reason: why})
+		m.propose(now, inst, placement.Operation{Kind: placement.OpDropReplica, Target: name, Index: inst.serving.committed, Reason: reason})
 		return true
 	}
 	return false
@@ -118,11 +118,11 @@
 	}
 	f := inst.followers[p.CopyTarget]
 	switch {
-	case f != nil && f.state == replicating && f.match >= inst.serving.acknowledged && last-f.match <= catchUpGap:
-		if inst.catchUp.announced != p.Revision {
+	case f != nil && f.state == replicating && f.match >= inst.serving.acknowledged && last-f.match <= maxCatchUpLag:
+		if inst.catchUp.readyRevision != p.Revision {
 			m.host.Notify(Event{Kind: EventCaughtUp, Instance: inst.name, Epoch: p.Epoch, To: p.CopyTarget})
 		}
-		inst.catchUp.announced = p.Revision
+		inst.catchUp.readyRevision = p.Revision
 		m.propose(now, inst, placement.Operation{Kind: placement.OpReplicaReady, Target: p.CopyTarget, Index: inst.serving.committed})
 	case now-inst.catchUp.progressAt > stalledCopyLeases*m.leaseDuration:
 		m.propose(now, inst, placement.Operation{Kind: placement.OpCancelCopy, Target: p.CopyTarget, Reason: "the copy does not get on"})
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -35,7 +35,7 @@
 
 // onAppend takes in what a primary sent to a replica, or to a node that is to become one.
 func (m *Manager) onAppend(now tick.Tick, from string, msg *Message) {
-	inst := m.instance(msg.Instance)
+	inst := m.ensureInstance(msg.Instance)
 	if epoch, stale := inst.isStale(from, msg.Epoch); stale {
 		m.host.Send(from, m.answer(msg, MessageStaleEpoch, epoch, ""))
 		return
@@ -47,26 +47,26 @@
 	m.discardOrphan(inst)
 	inst.lastUsed = now
 	if inst.local.failed || now < m.diskFullUntil && len(msg.Entries) > 0 {
-		m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, diskFull))
-		m.track(inst)
+		m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, diskFullReason))
+		m.updateTracking(inst)
 		return
 	}
 	if msg.ReceiverIncarnation == m.incarnation { // else it goes on from what an earlier incarnation had
-		if why := m.takeEntries(inst, msg); why != "" {
-			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, why))
+		if reason := m.applyEntries(inst, msg); reason != "" {
+			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, reason))
 			return
 		}
 		inst.checkComplete(msg)
 	}
-	inst.awaitDisk(pendingAck{to: from, replyTo: msg.ReplyTo, epoch: msg.Epoch, index: msg.endIndex(), checksum: msg.endChecksum()})
-	m.acknowledge(inst)
-	m.track(inst)
+	inst.queueAck(pendingAck{to: from, replyTo: msg.ReplyTo, epoch: msg.Epoch, index: msg.endIndex(), checksum: msg.endChecksum()})
+	m.sendPendingAcks(inst)
+	m.updateTracking(inst)
 }
 
 // answer is an answer to a message, without what is there.
-func (m *Manager) answer(to *Message, kind string, epoch uint64, why string) Message {
+func (m *Manager) answer(to *Message, kind string, epoch uint64, reason string) Message {
 	return Message{Version: placement.FormatVersion, Kind: kind, Instance: to.Instance, Epoch: epoch,
-		SenderIncarnation: m.incarnation, ReplyTo: to.ReplyTo, Reason: why}
+		SenderIncarnation: m.incarnation, ReplyTo: to.ReplyTo, Reason: reason}
 }
 
 // isStale tells whether a sender is not the primary of the latest epoch that is known, and that epoch.
@@ -80,8 +80,8 @@
 }
 
 // takeEntries takes a message's entries in as far as they fit, and says why where they are refused.
-func (m *Manager) takeEntries(inst *instance, msg *Message) (why string) {
-	m.makeWay(inst, msg)
+func (m *Manager) applyEntries(inst *instance, msg *Message) (reason string) {
+	m.prepareLog(inst, msg)
 	l := &inst.local
 	if !l.present || !l.log.matches(msg.PrevIndex, msg.PrevChecksum) {
 		return ""
@@ -90,7 +90,7 @@
 		if l.log.matches(e.Index, e.Checksum) {
 			continue
 		}
-		if !l.log.Continues(e) {
+		if !l.log.IsNext(e) {
 			return ""
 		}
 		if l.bytes+e.Size() > m.maxStateBytes+maxBatchBytes {
@@ -102,7 +102,7 @@
 }
 
 // makeWay begins a copy, or takes away of it what the primary's message replaces.
-func (m *Manager) makeWay(inst *instance, msg *Message) {
+func (m *Manager) prepareLog(inst *instance, msg *Message) {
 	l := &inst.local
 	if !l.present && msg.PrevIndex == 0 && msg.PrevChecksum == 0 {
 		m.resetLog(inst, 0, 0)
@@ -110,7 +110,7 @@
 	if !msg.Truncate {
 		return
 	}
-	if !l.ends(msg.ReplacedIndex, msg.ReplacedChecksum) {
+	if !l.endsAt(msg.ReplacedIndex, msg.ReplacedChecksum) {
 		if msg.Reset && !l.present {
 			m.resetLog(inst, msg.PrevIndex, msg.PrevChecksum)
 		}
@@ -119,7 +119,7 @@
 	switch sharesPrev := l.log.matches(msg.PrevIndex, msg.PrevChecksum); {
 	case msg.Reset && !sharesPrev:
 		m.resetLog(inst, msg.PrevIndex, msg.PrevChecksum)
-	case sharesPrev && l.log.LastIndex() > msg.PrevIndex && !l.has(msg.Entries):
+	case sharesPrev && l.log.LastIndex() > msg.PrevIndex && !l.containsAll(msg.Entries):
 		m.truncateLog(inst, msg.PrevIndex)
 	}
 }
@@ -130,12 +130,12 @@
 		return
 	}
 	if inst.local.reaches(msg.LastIndex) && inst.local.log.matches(msg.endIndex(), msg.endChecksum()) {
-		inst.recovery.completed(msg.Unverified)
+		inst.recovery.markComplete(msg.Unverified)
 	}
 }
 
 // awaitDisk has a message answered once the disk has all; of too many the oldest is not.
-func (inst *instance) awaitDisk(ack pendingAck) {
+func (inst *instance) queueAck(ack pendingAck) {
 	inst.pendingAcks = append(inst.pendingAcks, ack)
 	if len(inst.pendingAcks) > maxPendingAcks {
 		inst.pendingAcks = inst.pendingAcks[1:]
@@ -143,7 +143,7 @@
 }
 
 // acknowledge answers primaries once all is durable.
-func (m *Manager) acknowledge(inst *instance) {
+func (m *Manager) sendPendingAcks(inst *instance) {
 	if len(inst.local.pending) > 0 {
 		return
 	}
@@ -152,7 +152,7 @@
 		msg := Message{Version: placement.FormatVersion, Kind: MessageAck, Instance: inst.name, Epoch: ack.epoch,
 			SenderIncarnation: m.incarnation, ReplyTo: ack.replyTo, Index: log.LastIndex(), Checksum: log.Checksum(),
 			ChecksumsFrom: log.BaseIndex,
-			Unverified:    r.incomplete || (r.unverified || r.primaryAtStart) && m.disk != diskNewest}
+			Unverified:    r.incomplete || (r.unverified || r.primaryAtStart) && m.disk != diskCurrent}
 		if msg.Index != ack.index || msg.Checksum != ack.checksum {
 			msg.Checksums = log.checksums()
 		}
@@ -162,10 +162,10 @@
 }
 
 // rejectPendingAcks answers each primary that waits for the disk.
-func (m *Manager) rejectPendingAcks(inst *instance, why string) {
+func (m *Manager) rejectPendingAcks(inst *instance, reason string) {
 	for _, ack := range inst.pendingAcks {
 		m.host.Send(ack.to, Message{Version: placement.FormatVersion, Kind: MessageRejected, Instance: inst.name,
-			Epoch: inst.assignment.agreed.Epoch, SenderIncarnation: m.incarnation, ReplyTo: ack.replyTo, Reason: why})
+			Epoch: inst.assignment.agreed.Epoch, SenderIncarnation: m.incarnation, ReplyTo: ack.replyTo, Reason: reason})
 	}
 	inst.pendingAcks = nil
 }
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -30,9 +30,9 @@
 	unverified         bool
 	confirmedByReplica bool // a replica of this epoch has shown what it has
 	incomplete         bool
-	confirmers         []string // replicas that have yet to show that they have nothing more
+	awaitedReplicas    []string // replicas that have yet to show that they have nothing more
 	fencedEpoch        uint64   // the latest epoch that another node told of
-	report             string   // why the copy may lack entries, while the controllers are to be told
+	pendingReport      string   // why the copy may lack entries, while the controllers are to be told
 }
 
 // state is the most severe of what holds at an epoch.
@@ -53,23 +53,23 @@
 // trusted tells whether a primary of an epoch may serve from the copy.
 func (r *recovery) trusted(epoch uint64) bool { return r.state(epoch) <= unverified }
 
-func (r *recovery) awaitsConfirmation() bool { return len(r.confirmers) > 0 }
+func (r *recovery) awaitsConfirmation() bool { return len(r.awaitedReplicas) > 0 }
 
 // verify has all replicas show what they have.
-func (r *recovery) verify(replicas []string) { r.confirmers = slices.Clone(replicas) }
+func (r *recovery) startVerification(replicas []string) { r.awaitedReplicas = slices.Clone(replicas) }
 
 // keepConfirmers waits no longer for nodes that are no replicas.
-func (r *recovery) keepConfirmers(replicas []string) {
-	r.confirmers = slices.DeleteFunc(r.confirmers, func(name string) bool { return !slices.Contains(replicas, name) })
+func (r *recovery) retainAwaited(replicas []string) {
+	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(name string) bool { return !slices.Contains(replicas, name) })
 }
 
 // confirmedBy waits no longer for a replica that has shown that it has nothing more.
 func (r *recovery) confirmedBy(name string) {
-	r.confirmers = slices.DeleteFunc(r.confirmers, func(n string) bool { return n == name })
+	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(n string) bool { return n == name })
 }
 
 // completed takes in that a primary has shown all that it has to be there; its own copy may be unverified.
-func (r *recovery) completed(primaryUnverified bool) {
+func (r *recovery) markComplete(primaryUnverified bool) {
 	r.incomplete = false
 	r.unverified = r.unverified && primaryUnverified
 	r.primaryAtStart = r.primaryAtStart && primaryUnverified
@@ -80,7 +80,7 @@
 
 const (
 	diskUnchecked diskState = iota // whether it was restored before this start
-	diskNewest                     // no later state of it is known
+	diskCurrent                    // no later state of it is known
 	diskRestored                   // it is an older image
 )
 
@@ -92,19 +92,19 @@
 // of, of primary and replica at once, or of a primary without replicas; holds because only a node with a later copy can
 // tell. A count that is not of this disk has copies told as unverified for nothing.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
-	m.disk = diskNewest
+	m.disk = diskCurrent
 	if !restored {
 		return
 	}
 	m.disk = diskRestored
 	m.host.Notify(Event{Kind: EventDisk, Reason: "it was put back: the keepers have heard of more on it than there is"})
-	for _, inst := range m.ordered {
+	for _, inst := range m.tracked {
 		r := &inst.recovery
 		a := &inst.assignment
-		r.unverified = r.unverified || r.primaryAtStart && a.agreed.EverServed && a.names(m.self)
+		r.unverified = r.unverified || r.primaryAtStart && a.agreed.EverServed && a.involves(m.self)
 		r.primaryAtStart = false
 		if r.unverified && a.agreed.Primary == m.self && inst.serving.state == stopped {
-			r.verify(a.agreed.Replicas)
+			r.startVerification(a.agreed.Replicas)
 		}
 	}
 }
@@ -117,20 +117,20 @@
 	Reason   string `json:"why"`
 }
 
-// Verified tells whether no copy on this disk is unverified any more, nor to be told: what is written from now on counts.
-func (m *Manager) Verified() bool {
-	return m.disk == diskNewest || m.disk == diskRestored && !slices.ContainsFunc(m.ordered, func(inst *instance) bool {
-		return inst.recovery.report != "" || inst.recovery.unverified && inst.assignment.names(m.self)
+// AllVerified tells whether no copy on this disk is unverified any more, nor to be told: what is written from now on counts.
+func (m *Manager) AllVerified() bool {
+	return m.disk == diskCurrent || m.disk == diskRestored && !slices.ContainsFunc(m.tracked, func(inst *instance) bool {
+		return inst.recovery.pendingReport != "" || inst.recovery.unverified && inst.assignment.involves(m.self)
 	})
 }
 
 // UnverifiedCopies are the instances that the node goes on with though they may lack entries, at most so many, by name:
 // the controllers are to be told. OnUnverifiedReported says that they were.
 func (m *Manager) UnverifiedCopies(limit int) (copies []UnverifiedCopy) {
-	for _, inst := range m.ordered {
-		if inst.recovery.report != "" && len(copies) < limit {
+	for _, inst := range m.tracked {
+		if inst.recovery.pendingReport != "" && len(copies) < limit {
 			copies = append(copies, UnverifiedCopy{Instance: inst.name, Epoch: inst.assignment.agreed.Epoch,
-				Index: inst.local.log.LastIndex(), Reason: inst.recovery.report})
+				Index: inst.local.log.LastIndex(), Reason: inst.recovery.pendingReport})
 		}
 	}
 	return copies
@@ -139,9 +139,9 @@
 // OnUnverifiedReported tells that the controllers have been told of unverified copies.
 func (m *Manager) OnUnverifiedReported(now tick.Tick, copies []UnverifiedCopy) {
 	for _, c := range copies {
-		if inst := m.instances[c.Instance]; inst != nil && inst.recovery.report == c.Reason {
-			inst.recovery.report = ""
-			m.offerCatchUp(now, inst)
+		if inst := m.instances[c.Instance]; inst != nil && inst.recovery.pendingReport == c.Reason {
+			inst.recovery.pendingReport = ""
+			m.announceLog(now, inst)
 		}
 	}
 }
@@ -149,15 +149,15 @@
 // proceedUnverified has a primary serve from an unverified copy. A disk that was restored within an incarnation is told
 // from one that is complete by a node that has all, and by nothing else: where none can be reached the primary goes on,
 // as after a mere restart, and tells that entries may be missing.
-func (m *Manager) proceedUnverified(inst *instance) {
+func (m *Manager) serveUnverified(inst *instance) {
 	epoch := inst.assignment.agreed.Epoch
-	why := "its copy is of before its restart, and nobody has shown since that it is whole"
+	reason := "its copy is of before its restart, and nobody has shown since that it is whole"
 	if m.disk == diskRestored {
-		why = "its disk was put back, and nobody has shown that its copy is whole"
+		reason = "its disk was put back, and nobody has shown that its copy is whole"
 	}
-	m.host.Notify(Event{Kind: EventUnverified, Instance: inst.name, Epoch: epoch, Reason: why})
+	m.host.Notify(Event{Kind: EventUnverified, Instance: inst.name, Epoch: epoch, Reason: reason})
 	inst.recovery.unverified = false
 	if m.disk != diskUnchecked {
-		inst.recovery.report = fmt.Sprintf("%s went on from effect %d at epoch %d: %s", m.self, inst.local.log.LastIndex(), epoch, why)
+		inst.recovery.pendingReport = fmt.Sprintf("%s went on from effect %d at epoch %d: %s", m.self, inst.local.log.LastIndex(), epoch, reason)
 	}
 }
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -32,8 +32,8 @@
 const notPrimary = "not its owner now: never ran"
 
 // reject answers a request that did nothing and never will.
-func (m *Manager) reject(request *Request, why string) {
-	m.host.Respond(request, Response{Outcome: Rejected, Detail: why})
+func (m *Manager) reject(request *Request, reason string) {
+	m.host.Respond(request, Response{Outcome: Rejected, Detail: reason})
 }
 
 // OnRequest begins a request. Its answer comes by Host.Respond, at once or later.
@@ -49,18 +49,18 @@
 		m.reject(request, notPrimary)
 		return
 	}
-	if why := inst.refuses(now, request); why != "" {
-		m.reject(request, why)
+	if reason := inst.rejectionReason(now, request); reason != "" {
+		m.reject(request, reason)
 		return
 	}
 	m.advance(now, inst)
 	index, repeated := inst.local.requests[request.ID]
 	switch {
 	case !request.Write:
-		inst.serving.await(request, inst.local.log.LastIndex())
+		inst.serving.addPending(request, inst.local.log.LastIndex())
 		m.completeRequests(now, inst)
 	case repeated:
-		inst.serving.await(request, index)
+		inst.serving.addPending(request, index)
 		m.completeRequests(now, inst)
 	default:
 		m.execute(now, inst, request)
@@ -68,7 +68,7 @@
 }
 
 // refuses says why a lease holder does not begin a request, "" where it does.
-func (inst *instance) refuses(now tick.Tick, request *Request) (why string) {
+func (inst *instance) rejectionReason(now tick.Tick, request *Request) (reason string) {
 	switch {
 	case inst.assignment.cuttingOver():
 		return "handed over: never ran"
@@ -80,7 +80,7 @@
 	return ""
 }
 
-func (s *serving) await(request *Request, index uint64) {
+func (s *serving) addPending(request *Request, index uint64) {
 	s.pending = append(s.pending, pendingRequest{request, index})
 }
 
@@ -96,11 +96,11 @@
 		m.host.Respond(request, Response{Outcome: TooLarge, Detail: m.stateTooLarge()})
 		return
 	case inst.local.failed || now < m.diskFullUntil:
-		m.reject(request, diskFull+": never ran")
+		m.reject(request, diskFullReason+": never ran")
 		return
 	}
 	e.Checksum = e.ChainChecksum(inst.local.log.Checksum())
-	inst.serving.await(request, e.Index)
+	inst.serving.addPending(request, e.Index)
 	m.appendEntry(inst, e)
 	m.advance(now, inst)
 }
@@ -116,26 +116,26 @@
 		return
 	}
 	s.committed = inst.committedIndex()
-	left := s.pending[:0]
+	remaining := s.pending[:0]
 	for _, w := range s.pending {
 		switch {
 		case w.index <= s.committed:
 			s.acknowledged = max(s.acknowledged, w.index)
-			m.host.Respond(w.request, m.success(inst, w.index))
+			m.host.Respond(w.request, m.successResponse(inst, w.index))
 		case now >= w.request.Deadline && w.request.Write:
 			m.host.Respond(w.request, Response{Outcome: Indeterminate, Detail: "not held by all holders in time"})
 		case now >= w.request.Deadline:
 			m.reject(w.request, "over already: never ran")
 		default:
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
 	}
-	clear(s.pending[len(left):])
-	s.pending = left
+	clear(s.pending[len(remaining):])
+	s.pending = remaining
 }
 
 // success is the answer by the entry at an index, as it was answered at first.
-func (m *Manager) success(inst *instance, index uint64) Response {
+func (m *Manager) successResponse(inst *instance, index uint64) Response {
 	log := &inst.local.log
 	switch {
 	case index > log.BaseIndex:
@@ -171,5 +171,5 @@
 
 // caughtUp tells whether the node that is copied to was said to have all that is acknowledged.
 func (inst *instance) caughtUp() bool {
-	return inst.catchUp.announced != 0 && inst.catchUp.announced == inst.assignment.agreed.Revision
+	return inst.catchUp.readyRevision != 0 && inst.catchUp.readyRevision == inst.assignment.agreed.Revision
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -22,7 +22,7 @@
 
 // Copies are all instances of which this node has something or should have, by name.
 func (m *Manager) Copies(now tick.Tick) (copies []CopyStatus) {
-	for _, inst := range m.ordered {
+	for _, inst := range m.tracked {
 		log := &inst.local.log
 		c := CopyStatus{
 			Instance:   inst.name,
@@ -68,8 +68,8 @@
 // lacks some, as a disk that was restored does, serves what it has, and reports the others as incomplete.
 func (m *Manager) LostAllCopies() bool {
 	counted := false
-	for _, inst := range m.ordered {
-		if !inst.assignment.known() || !inst.assignment.agreed.EverServed || !inst.assignment.countsOn(m.self) {
+	for _, inst := range m.tracked {
+		if !inst.assignment.known() || !inst.assignment.agreed.EverServed || !inst.assignment.requiresCopyOn(m.self) {
 			continue
 		}
 		if !inst.recovery.incomplete {
