--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -41,7 +41,7 @@
 		defer client.Close()
 		group.Go(func() error { return agent.Report(ctx, client) })
 		group.Go(func() error {
-			agent.Wait(ctx, overload.StepList)
+			agent.Wait(ctx, overload.StepListEndpoints)
 			return routing.New(client, p.net, log).Run(ctx, g)
 		})
 		return group.Wait()
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -140,7 +140,7 @@
 	m := n.model
 	wait := 0.0
 	if m.Parts.Ramp {
-		wait = float64(n.overload.StartupDelay(m.clock(), overload.StepList)) / second
+		wait = float64(n.overload.StartupDelay(m.clock(), overload.StepListEndpoints)) / second
 	}
 	m.after(wait, func() { n.callList(run, 0.5) })
 }
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -18,16 +18,16 @@
 	maxClasses           = 64              // request classes that are told apart
 	serviceTimeSmoothing = 64              // the weight of a new service time is one in so many
 	minServiceTime       = 1e-3            // seconds, of a request
-	unknownServiceTime   = 0.01            // seconds, of a request of a class that was never answered
+	defaultServiceTime   = 0.01            // seconds, of a request of a class that was never answered
 )
 
 // admission is what of the offered work is admitted, and by which thresholds.
 type admission struct {
-	localFraction  float64 // admitted by this process's own strength
-	sharedFraction float64 // admitted by the backends' strength
-	pressureAt     tick.Tick
+	localFraction     float64 // admitted by this process's own strength
+	sharedFraction    float64 // admitted by the backends' strength
+	pressureUpdatedAt tick.Tick
 
-	dueWork      float64 // seconds of work that the thresholds were to admit, decayed over admittedWindow
+	targetWork   float64 // seconds of work that the thresholds were to admit, decayed over admittedWindow
 	admittedWork float64 // and that they did
 
 	classes    []classState
@@ -44,7 +44,7 @@
 }
 
 func newAdmission(now tick.Tick) admission {
-	return admission{localFraction: 1, sharedFraction: 1, pressureAt: now}
+	return admission{localFraction: 1, sharedFraction: 1, pressureUpdatedAt: now}
 }
 
 // decay decays the counts by so many seconds.
@@ -53,7 +53,7 @@
 		a.classes[i].offered *= math.Exp(-elapsed / rateWindow)
 		a.classes[i].completed *= math.Exp(-elapsed / rateWindow)
 	}
-	a.dueWork *= math.Exp(-elapsed / admittedWindow)
+	a.targetWork *= math.Exp(-elapsed / admittedWindow)
 	a.admittedWork *= math.Exp(-elapsed / admittedWindow)
 }
 
@@ -73,17 +73,17 @@
 // again, those that are admitted do not, so after a while most of what is offered is of those that are shed. Guards
 // against a fraction that is cut below what backends can do, again and again, as long as they come back.
 func (a *admission) admittedShare() float64 {
-	if a.dueWork <= 0 {
+	if a.targetWork <= 0 {
 		return 1
 	}
-	return min(1, max(minAdmittedShare, a.admittedWork/a.dueWork))
+	return min(1, max(minAdmittedShare, a.admittedWork/a.targetWork))
 }
 
 // offeredWork is the work offered of a class at this relay, in seconds of work a second.
 func (c *classState) offeredWork() float64 {
 	serviceTime := c.serviceTime
 	if serviceTime == 0 {
-		serviceTime = unknownServiceTime
+		serviceTime = defaultServiceTime
 	}
 	return c.offered / rateWindow * serviceTime
 }
@@ -126,15 +126,15 @@
 		return true, 0
 	}
 	work := max(c.serviceTime, minServiceTime)
-	a.dueWork += work * c.threshold
+	a.targetWork += work * c.threshold
 	if unitInterval(xxhash.Sum64String(tenant)) < c.threshold {
 		a.admittedWork += work
 		return true, 0
 	}
-	shed := 1 - m.AdmittedFraction()
-	least := minRetryAfter/2 + tick.Tick(shed*float64(minRetryAfter))
-	most := minRetryAfter + tick.Tick(shed*float64(maxRetryAfterExtra))
-	return false, m.RetryAfter(now, least, most)
+	shedFraction := 1 - m.AdmittedFraction()
+	minDelay := minRetryAfter/2 + tick.Tick(shedFraction*float64(minRetryAfter))
+	maxDelay := minRetryAfter + tick.Tick(shedFraction*float64(maxRetryAfterExtra))
+	return false, m.RetryAfter(now, minDelay, maxDelay)
 }
 
 // recomputeThresholds works out which share of the tenants of each class is admitted, from the work offered to the whole
@@ -160,15 +160,15 @@
 	for i := range a.classes {
 		total += a.classes[i].offeredWork() + m.fleet.offeredWork[i]
 	}
-	floor := m.settings.floor
-	left := total * (fraction - floor) // to be shared out beside the floors
+	floor := m.settings.admissionFloor
+	remaining := total * (fraction - floor) // to be shared out beside the floors
 	for _, i := range a.byPriority {
 		aboveFloor := (a.classes[i].offeredWork() + m.fleet.offeredWork[i]) * (1 - floor)
 		share := 1.0
 		if aboveFloor > 0 {
-			share = min(1, max(0, left/aboveFloor))
+			share = min(1, max(0, remaining/aboveFloor))
 		}
 		a.classes[i].threshold = floor + share*(1-floor)
-		left = max(0, left-aboveFloor)
+		remaining = max(0, remaining-aboveFloor)
 	}
 }
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -182,7 +182,9 @@
 }
 
 // isList reports whether data is a list of at most so many elements of a size.
-func isList(data []byte, size, most int) bool { return len(data)%size == 0 && len(data) <= size*most }
+func isList(data []byte, elementSize, maxElements int) bool {
+	return len(data)%elementSize == 0 && len(data) <= elementSize*maxElements
+}
 
 func (r *Report) decodeOfferedWork(data []byte) bool {
 	if !isList(data, workSize, maxReportClasses) {
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -46,17 +46,17 @@
 	admission admission
 	budget    retryBudget
 
-	questioned      map[uint64]*questionedBackend // by the hash of the backend's name
-	byVerdict       []*questionedBackend          // the same, the one with the newest verdict last
+	suspects        map[uint64]*suspectBackend // by the hash of the backend's name
+	byVerdict       []*suspectBackend          // the same, the one with the newest verdict last
 	window          outcomeWindow
 	retryAfterPhase float64 // of the next Retry-After, 0 to 1
 }
 
 // NewManager makes the Manager of the relay named self, which starts now. The settings are those of the directives
 // fleet.relays, fleet.repeats, fleet.floor, fleet.probes and fleet.ramp: numbers, the ramp in seconds.
-func NewManager(now tick.Tick, seed uint64, self string, set map[string]any) *Manager {
+func NewManager(now tick.Tick, seed uint64, self string, directives map[string]any) *Manager {
 	id := xxhash.Sum64String(self)
-	s := parseSettings(set)
+	s := parseSettings(directives)
 	return &Manager{
 		settings:        s,
 		id:              id,
@@ -64,35 +64,35 @@
 		now:             now,
 		startedAt:       now,
 		recomputedAt:    now,
-		fleet:           fleetView{peers: map[string]*peer{}, lastHeard: now},
+		fleet:           fleetView{peers: map[string]*peer{}, newestReportAt: now},
 		admission:       newAdmission(now),
 		budget:          retryBudget{share: s.retryShare},
-		questioned:      map[uint64]*questionedBackend{},
+		suspects:        map[uint64]*suspectBackend{},
 		retryAfterPhase: unitInterval(id),
 	}
 }
 
 // settings are the fleet's directives, in the units of this package.
 type settings struct {
-	relays        float64   // relays of the fleet, at least 1
-	retryShare    float64   // retries for each first attempt
-	floor         float64   // share of each class's tenants that is always admitted
-	probesPerSec  float64   // probes of one failing backend, by the whole fleet
-	startupWindow tick.Tick // over which a common restart is spread
+	relays         float64   // relays of the fleet, at least 1
+	retryShare     float64   // retries for each first attempt
+	admissionFloor float64   // share of each class's tenants that is always admitted
+	probesPerSec   float64   // probes of one failing backend, by the whole fleet
+	startupWindow  tick.Tick // over which a common restart is spread
 }
 
 // parseSettings reads the directives; one that is missing is 0.
-func parseSettings(set map[string]any) settings {
+func parseSettings(directives map[string]any) settings {
 	number := func(name string) float64 {
-		value, _ := set["fleet."+name].(float64)
+		value, _ := directives["fleet."+name].(float64)
 		return value
 	}
 	return settings{
-		relays:        max(1, number("relays")),
-		retryShare:    number("repeats"),
-		floor:         number("floor"),
-		probesPerSec:  number("probes"),
-		startupWindow: tick.FromSeconds(number("ramp")),
+		relays:         max(1, number("relays")),
+		retryShare:     number("repeats"),
+		admissionFloor: number("floor"),
+		probesPerSec:   number("probes"),
+		startupWindow:  tick.FromSeconds(number("ramp")),
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // isolated reports whether there is no fleet, or none that can be heard.
 func (m *Manager) isolated() bool {
-	return m.standalone() || m.now-m.fleet.lastHeard >= isolationTimeout
+	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
 
 // fleetSize is the number of relays.
@@ -134,14 +134,14 @@
 // Each Retry-After is the last one's phase plus the golden section, which spreads any number of them evenly, and a
 // little by chance.
 const (
-	goldenSection    = 0.6180339887498949
-	retryAfterJitter = 0.05
+	inverseGoldenRatio = 0.6180339887498949
+	retryAfterJitter   = 0.05
 )
 
 // RetryAfter is a time to come back, from least up to most. The times are spread evenly over what one relay gives, and
 // over the relays, which each start at a phase of their own. Guards against clients that come back in step.
-func (m *Manager) RetryAfter(now tick.Tick, least, most tick.Tick) tick.Tick {
+func (m *Manager) RetryAfter(now tick.Tick, minDelay, maxDelay tick.Tick) tick.Tick {
 	m.advance(now)
-	_, m.retryAfterPhase = math.Modf(m.retryAfterPhase + goldenSection + retryAfterJitter*m.rng.Float64())
-	return least + tick.Tick(m.retryAfterPhase*float64(max(0, most-least)))
+	_, m.retryAfterPhase = math.Modf(m.retryAfterPhase + inverseGoldenRatio + retryAfterJitter*m.rng.Float64())
+	return minDelay + tick.Tick(m.retryAfterPhase*float64(max(0, maxDelay-minDelay)))
 }
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// secondTally is what other relays count of a backend, of those whose newest outcome there was in one second.
-type secondTally struct {
+// outcomeTally is what other relays count of a backend, of those whose newest outcome there was in one second.
+type outcomeTally struct {
 	second    tick.Tick // seconds of the clock
 	failures  int
 	successes int
@@ -16,20 +16,20 @@
 
 // peerEvidence is what one other relay counts of one backend. The zero value counts nothing.
 type peerEvidence struct {
-	questioned *questionedBackend
-	second     tick.Tick // of its newest outcome
-	failures   int
-	successes  int
+	suspect   *suspectBackend
+	second    tick.Tick // of its newest outcome
+	failures  int
+	successes int
 }
 
-// count adds the evidence to the tally of its second, or takes it out again with by -1.
-func (e peerEvidence) count(by int) {
-	if e.questioned == nil {
+// addToTally adds the evidence to the tally of its second, or takes it out again with by -1.
+func (e peerEvidence) addToTally(by int) {
+	if e.suspect == nil {
 		return
 	}
-	t := &e.questioned.others[int(e.second)%len(e.questioned.others)]
+	t := &e.suspect.peerTallies[int(e.second)%len(e.suspect.peerTallies)]
 	if t.second < e.second && by > 0 {
-		*t = secondTally{second: e.second}
+		*t = outcomeTally{second: e.second}
 	}
 	if t.second == e.second {
 		t.failures += by * e.failures
@@ -38,10 +38,10 @@
 }
 
 // peerCounts are the other relays' outcomes at the backend that have not expired.
-func (b *questionedBackend) peerCounts(now tick.Tick) (failures, successes int) {
+func (b *suspectBackend) peerCounts(now tick.Tick) (failures, successes int) {
 	from := (now - evidenceTTL) / tick.Second
-	for i := range b.others {
-		if t := &b.others[i]; t.second > from {
+	for i := range b.peerTallies {
+		if t := &b.peerTallies[i]; t.second > from {
 			failures += t.failures
 			successes += t.successes
 		}
@@ -52,12 +52,12 @@
 // replaceEvidence has what a relay counts now take the place of what it counted before.
 func (p *peer) replaceEvidence(all []peerEvidence) {
 	for i := range p.evidence {
-		p.evidence[i].count(-1)
+		p.evidence[i].addToTally(-1)
 		p.evidence[i] = peerEvidence{}
 	}
 	for i := range all {
 		p.evidence[i] = all[i]
-		all[i].count(1)
+		all[i].addToTally(1)
 	}
 }
 
@@ -76,15 +76,15 @@
 		if slices.ContainsFunc(reported[:i], func(o Evidence) bool { return o.Backend == e.Backend }) {
 			continue
 		}
-		b := m.questioned[e.Backend]
+		b := m.suspects[e.Backend]
 		if b == nil && e.Failures == 0 && e.Successes > 0 {
 			continue // in question at no relay that this one knows of
 		}
 		if b == nil {
-			b = m.addQuestioned(e.Backend)
+			b = m.addSuspect(e.Backend)
 			b.healthy, b.verdictAt = true, never
 		}
-		all = append(all, peerEvidence{questioned: b, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
+		all = append(all, peerEvidence{suspect: b, second: at / tick.Second, failures: e.Failures, successes: e.Successes})
 	}
 	p.replaceEvidence(all)
 }
@@ -93,9 +93,9 @@
 func evidenceOf(verdicts []Verdict) []Evidence {
 	var all []Evidence
 	for _, v := range verdicts[:min(len(verdicts), maxEvidence)] {
-		e := Evidence{Backend: v.Backend, Failures: maxOutcomes, Age: v.Age}
+		e := Evidence{Backend: v.Backend, Failures: maxOutcomesPerRelay, Age: v.Age}
 		if v.Healthy {
-			e.Failures, e.Successes = 0, maxOutcomes
+			e.Failures, e.Successes = 0, maxOutcomesPerRelay
 		}
 		all = append(all, e)
 	}
@@ -112,12 +112,12 @@
 	var candidates []candidate
 	for _, b := range slices.Backward(m.byVerdict) {
 		failures, successes := b.ownCounts(m.now)
-		expired := failures+successes == 0 && m.now-b.questionedAt > evidenceTTL
-		if expired || m.failureShareElsewhere(b) > commonFailureShare {
+		expired := failures+successes == 0 && m.now-b.suspectedAt > evidenceTTL
+		if expired || m.failureRateElsewhere(b) > commonFailureRate {
 			continue
 		}
 		peerFailures, peerSuccesses := b.peerCounts(m.now)
-		newest := max(b.questionedAt, b.own[maxOutcomes-1].endedAt)
+		newest := max(b.suspectedAt, b.ownOutcomes[maxOutcomesPerRelay-1].endedAt)
 		candidates = append(candidates, candidate{
 			Evidence: Evidence{Backend: b.id, Failures: failures, Successes: successes, Age: m.now - newest},
 			surplus:  peerFailures - peerSuccesses,
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -38,19 +38,19 @@
 
 // peer is one other relay.
 type peer struct {
-	id          uint64 // hash of its name
-	incarnation uint64
-	state       PeerState
-	alive       bool // counted so in the ranks of the backends in question
-	departedAt  tick.Tick
-	inherited   bool // its retry credit has passed to the heir, or to another relay
+	id              uint64 // hash of its name
+	incarnation     uint64
+	state           PeerState
+	alive           bool // counted so in the ranks of the backends in question
+	departedAt      tick.Tick
+	creditInherited bool // its retry credit has passed to the heir, or to another relay
 
 	report     Report
 	hasReport  bool
 	reportedAt tick.Tick // when its report was made
 	fresh      bool      // the report is counted in the fleet's sums
 	queueIndex int       // in fleetView.fresh
-	bucket     int       // in fleetView.fractions, noBucket for none
+	bucket     int       // in fleetView.fractionHistogram, noBucket for none
 
 	evidence [maxEvidence]peerEvidence // as counted in the tallies of the backends in question
 }
@@ -60,47 +60,47 @@
 // fleetView is what is known of the other relays, with sums over those whose reports are fresh. A report is added to
 // the sums and taken out again in time logarithmic in their number.
 type fleetView struct {
-	peers     map[string]*peer
-	lastHeard tick.Tick // when the newest report of any peer was made
-	lowerIDs  int       // peers whose IDs are below this relay's
+	peers          map[string]*peer
+	newestReportAt tick.Tick // when the newest report of any peer was made
+	lowerIDs       int       // peers whose IDs are below this relay's
 
-	fresh         reportQueue
-	warmedUp      int // of the fresh ones, those that have run for longer than the startup window
-	fractions     [fractionBuckets]int
-	voters        int                 // peers counted in fractions
-	offeredWork   [maxClasses]float64 // seconds of work a second, by class
-	completedWork float64             // seconds of work a second
+	fresh             reportQueue
+	warmedUp          int // of the fresh ones, those that have run for longer than the startup window
+	fractionHistogram [fractionBuckets]int
+	voters            int                 // peers counted in fractionHistogram
+	offeredWork       [maxClasses]float64 // seconds of work a second, by class
+	completedWork     float64             // seconds of work a second
 }
 
 // UpdatePeer updates what is known of another relay.
 func (m *Manager) UpdatePeer(now tick.Tick, u PeerUpdate) {
 	m.advance(now)
-	p := m.peerFor(u)
+	p := m.findOrAddPeer(u)
 	if p == nil {
 		return
 	}
 	defer m.updateLiveness(p)
 	if u.Incarnation > p.incarnation {
-		m.fleet.remove(p, m.settings)
-		p.incarnation, p.inherited = u.Incarnation, false
+		m.fleet.removeReport(p, m.settings)
+		p.incarnation, p.creditInherited = u.Incarnation, false
 		p.hasReport, p.report = false, Report{}
 	}
 	p.state = u.State
 	if u.State == PeerDead || u.State == PeerLeft {
 		m.inheritCredit(p)
-		m.fleet.remove(p, m.settings)
+		m.fleet.removeReport(p, m.settings)
 		if p.departedAt == 0 {
 			p.departedAt = now
 		}
-		m.forgetDeparted()
+		m.removeDeparted()
 		return
 	}
 	p.departedAt = 0
 	m.applyReport(now, p, u.Report, now-max(0, u.Age))
 }
 
-// peerFor finds the peer of an update, or adds it. It is nil where the update is to be ignored.
-func (m *Manager) peerFor(u PeerUpdate) *peer {
+// findOrAddPeer finds the peer of an update, or adds it. It is nil where the update is to be ignored.
+func (m *Manager) findOrAddPeer(u PeerUpdate) *peer {
 	p := m.fleet.peers[u.Name]
 	if p != nil {
 		if u.Incarnation < p.incarnation {
@@ -131,18 +131,18 @@
 	if p.hasReport {
 		m.absorbSpilled(p.report.SpilledCredit, report.SpilledCredit)
 	}
-	m.fleet.remove(p, m.settings)
+	m.fleet.removeReport(p, m.settings)
 	p.report, p.hasReport, p.reportedAt = report, true, madeAt
-	m.fleet.lastHeard = max(m.fleet.lastHeard, madeAt)
+	m.fleet.newestReportAt = max(m.fleet.newestReportAt, madeAt)
 	if now-madeAt < reportTTL {
-		m.fleet.add(p, m.settings)
+		m.fleet.addReport(p, m.settings)
 	}
-	m.learnVerdicts(madeAt, report.Verdicts)
+	m.applyVerdicts(madeAt, report.Verdicts)
 	m.applyEvidence(p, madeAt, report)
 }
 
-// forgetDeparted drops peers that left or died long ago.
-func (m *Manager) forgetDeparted() {
+// removeDeparted drops peers that left or died long ago.
+func (m *Manager) removeDeparted() {
 	for name, p := range m.fleet.peers {
 		if p.departedAt > 0 && m.now-p.departedAt > departedTTL {
 			delete(m.fleet.peers, name)
@@ -157,7 +157,7 @@
 func (m *Manager) expireReports() {
 	for len(m.fleet.fresh) > 0 && m.now-m.fleet.fresh[0].reportedAt >= reportTTL {
 		p := m.fleet.fresh[0]
-		m.fleet.remove(p, m.settings)
+		m.fleet.removeReport(p, m.settings)
 		m.updateLiveness(p)
 	}
 }
@@ -173,8 +173,8 @@
 	m.updateRanks(p)
 }
 
-// add counts a peer's report in the sums.
-func (v *fleetView) add(p *peer, s settings) {
+// addReport counts a peer's report in the sums.
+func (v *fleetView) addReport(p *peer, s settings) {
 	p.fresh = true
 	heap.Push(&v.fresh, p)
 	if p.report.Uptime > s.startupWindow {
@@ -188,13 +188,13 @@
 	}
 	if offered > 0 { // a relay without requests has no vote on the admitted fraction
 		p.bucket = min(fractionBuckets-1, int(p.report.SharedFraction*fractionBuckets))
-		v.fractions[p.bucket]++
+		v.fractionHistogram[p.bucket]++
 		v.voters++
 	}
 }
 
-// remove removes a peer's report from the sums, if it is counted.
-func (v *fleetView) remove(p *peer, s settings) {
+// removeReport removes a peer's report from the sums, if it is counted.
+func (v *fleetView) removeReport(p *peer, s settings) {
 	if !p.fresh {
 		return
 	}
@@ -207,7 +207,7 @@
 		v.offeredWork[class] = max(0, v.offeredWork[class]-work)
 	}
 	if p.bucket != noBucket {
-		v.fractions[p.bucket]--
+		v.fractionHistogram[p.bucket]--
 		v.voters--
 		p.bucket = noBucket
 	}
@@ -221,7 +221,7 @@
 // medianFraction is what half of the voters admit at the most.
 func (v *fleetView) medianFraction() float64 {
 	counted := 0
-	for bucket, peers := range v.fractions {
+	for bucket, peers := range v.fractionHistogram {
 		if counted += peers; 2*counted >= v.voters {
 			return float64(bucket+1) / fractionBuckets
 		}
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -14,7 +14,7 @@
 	decreaseRate       = 2.0                     // a second: part by which less is admitted, for each 1 of pressure above 1
 	increaseRate       = 1.5                     // a second: part by which more is admitted
 	consensusRate      = 1.0                     // a second: part of the way toward the median of the relays
-	maxPressureStep    = 0.5                     // seconds: a longer pause between two calls counts as this one
+	maxUpdateInterval  = 0.5                     // seconds: a longer pause between two calls counts as this one
 	minCoverage        = 0.25                    // of the fleet, that is reckoned with at least
 	minFraction        = 0.01                    // that is always admitted
 	minAdmittedShare   = 0.25                    // of the work that is due, that is reckoned with at least
@@ -43,8 +43,8 @@
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
-	elapsed := min(maxPressureStep, (m.now - a.pressureAt).Seconds())
-	a.pressureAt = m.now
+	elapsed := min(maxUpdateInterval, (m.now - a.pressureUpdatedAt).Seconds())
+	a.pressureUpdatedAt = m.now
 	if m.isolated() {
 		a.localFraction, a.sharedFraction = 1, 1
 		m.recomputeThresholds()
@@ -53,33 +53,33 @@
 	coverage := max(minCoverage, m.coverage())
 	a.localFraction = m.nextFraction(a.localFraction, p.local(), elapsed, coverage, 0)
 	completed, offered := m.workRates()
-	least := completedMargin * (completed + m.fleet.completedWork) / max(minWork, offered*a.admittedShare())
-	a.sharedFraction = m.nextFraction(a.sharedFraction, p.BackendUtilization, elapsed, coverage, least)
+	lowerBound := completedMargin * (completed + m.fleet.completedWork) / max(minWork, offered*a.admittedShare())
+	a.sharedFraction = m.nextFraction(a.sharedFraction, p.BackendUtilization, elapsed, coverage, lowerBound)
 	if m.fleet.voters > 0 {
 		step := (m.fleet.medianFraction() - a.sharedFraction) * consensusRate * elapsed
 		if step > 0 {
 			step *= coverage
 		}
-		a.sharedFraction = m.boundFraction(a.sharedFraction + step)
+		a.sharedFraction = m.clampFraction(a.sharedFraction + step)
 	}
 	m.recomputeThresholds()
 }
 
 // nextFraction is an admitted fraction after some seconds: less where the pressure is above 1, but no less than the
 // least, and more where it is low.
-func (m *Manager) nextFraction(fraction, pressure, elapsed, coverage, least float64) float64 {
+func (m *Manager) nextFraction(fraction, pressure, elapsed, coverage, lowerBound float64) float64 {
 	switch {
 	case math.IsNaN(pressure):
 	case pressure > 1:
-		fraction = max(min(fraction, least), fraction*(1-decreaseRate*min(1, pressure-1)*elapsed))
+		fraction = max(min(fraction, lowerBound), fraction*(1-decreaseRate*min(1, pressure-1)*elapsed))
 	case pressure < lowPressure:
-		fraction = max(fraction*(1+increaseRate*coverage*elapsed), min(1, least))
+		fraction = max(fraction*(1+increaseRate*coverage*elapsed), min(1, lowerBound))
 	}
-	return m.boundFraction(fraction)
+	return m.clampFraction(fraction)
 }
 
-func (m *Manager) boundFraction(fraction float64) float64 {
-	return min(1, max(fraction, m.settings.floor, minFraction))
+func (m *Manager) clampFraction(fraction float64) float64 {
+	return min(1, max(fraction, m.settings.admissionFloor, minFraction))
 }
 
 // workRates are the work that backends completed for this relay and the work offered to the fleet, in seconds of work a
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// probers is how many relays probe a failing backend.
-	probers = 2
+	// probersPerBackend is how many relays probe a failing backend.
+	probersPerBackend = 2
 	// maxMembershipViews is how many views of which relays live may differ, each with probers of its own, with the probes
 	// still within their rate.
 	maxMembershipViews = 2.5
@@ -40,39 +40,39 @@
 		return true
 	}
 	id := xxhash.Sum64String(backend)
-	b := m.questioned[id]
+	b := m.suspects[id]
 	if b == nil {
-		b = m.addQuestioned(id)
+		b = m.addSuspect(id)
 	}
-	if m.failureShareElsewhere(b) > commonFailureShare && !b.ejected {
+	if m.failureRateElsewhere(b) > commonFailureRate && !b.ejected {
 		return true
 	}
-	b.questionedAt = max(b.questionedAt, m.now)
+	b.suspectedAt = max(b.suspectedAt, m.now)
 	o := m.assessEvidence(b)
 	interval := m.probeInterval()
 	switch {
 	case b.ejected:
 		return m.allowEjectedProbe(b, o, interval)
-	case b.healthy, o.refuted(maxOutcomes):
+	case b.healthy, o.refuted(maxOutcomesPerRelay):
 		return true // other relays get answers from it
-	case m.isProber(b, probers, interval):
+	case m.isProber(b, probersPerBackend, interval):
 		return m.takeProbe(b, interval)
 	case m.now-b.verdictAt < verdictTTL:
 		return false
 	}
-	return m.allowLoneProbe(b, interval)
+	return m.allowFallbackProbe(b, interval)
 }
 
 // allowEjectedProbe is AllowProbe of an ejected backend: as many relays try it as may use it, not more often together
 // while it gives no answer.
-func (m *Manager) allowEjectedProbe(b *questionedBackend, o odds, interval tick.Tick) bool {
-	if !o.answers {
-		interval = tick.Tick(float64(interval) * max(1, b.users/probers))
+func (m *Manager) allowEjectedProbe(b *suspectBackend, o odds, interval tick.Tick) bool {
+	if !o.anySuccess {
+		interval = tick.Tick(float64(interval) * max(1, b.permittedRelays/probersPerBackend))
 	}
-	if !m.isProber(b, b.users, interval) {
+	if !m.isProber(b, b.permittedRelays, interval) {
 		return false
 	}
-	last := b.own[maxOutcomes-1]
+	last := b.ownOutcomes[maxOutcomesPerRelay-1]
 	answeredHere := last.backend != 0 && !last.failed && m.now-last.endedAt <= evidenceTTL
 	if o.refuted(1) || answeredHere {
 		return true
@@ -80,10 +80,10 @@
 	return m.takeProbe(b, interval)
 }
 
-// allowLoneProbe is AllowProbe of a backend of which the probers report nothing: it may fail for this relay alone, which
+// allowFallbackProbe is AllowProbe of a backend of which the probers report nothing: it may fail for this relay alone, which
 // tries it seldom.
-func (m *Manager) allowLoneProbe(b *questionedBackend, interval tick.Tick) bool {
-	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probers))
+func (m *Manager) allowFallbackProbe(b *suspectBackend, interval tick.Tick) bool {
+	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probersPerBackend))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
 	if m.now < b.verdictAt+verdictTTL+jitter {
 		return false
@@ -92,7 +92,7 @@
 }
 
 // takeProbe reports whether the next probe is due, and notes it.
-func (m *Manager) takeProbe(b *questionedBackend, interval tick.Tick) bool {
+func (m *Manager) takeProbe(b *suspectBackend, interval tick.Tick) bool {
 	if m.now < b.nextProbe || b.lastProbe > 0 && m.now-b.lastProbe < interval {
 		return false
 	}
@@ -102,15 +102,15 @@
 
 // probeInterval is the least time between two probes of one relay at one backend.
 func (m *Manager) probeInterval() tick.Tick {
-	return tick.Tick(float64(tick.Second) * probers * maxMembershipViews / max(minProbesPerSec, m.settings.probesPerSec))
+	return tick.Tick(float64(tick.Second) * probersPerBackend * maxMembershipViews / max(minProbesPerSec, m.settings.probesPerSec))
 }
 
 // isProber reports whether this relay is one of the first few in a backend's order of relays. One that has just become
 // it waits for a random part of the interval: the one before may have probed just now.
-func (m *Manager) isProber(b *questionedBackend, relays float64, interval tick.Tick) bool {
-	was := b.prober
-	b.prober = float64(b.higherRanked) < relays
-	if b.prober && !was {
+func (m *Manager) isProber(b *suspectBackend, proberCount float64, interval tick.Tick) bool {
+	wasProber := b.prober
+	b.prober = float64(b.higherRanked) < proberCount
+	if b.prober && !wasProber {
 		b.nextProbe = m.now + tick.Tick(m.rng.Float64()*float64(interval))
 	}
 	return b.prober
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -40,15 +40,15 @@
 
 // Bounds of a report.
 const (
-	ReportVersion    = 1
-	MaxReportSize    = 300 // bytes
-	maxReportClasses = 12
-	maxVerdicts      = 8
-	maxEvidence      = 6
-	maxOutcomes      = 2 // of one relay at one backend: what it can bring for or against it
-	maxUnknownBytes  = 64
-	maxRate          = 1e9
-	maxSpilled       = 1e15
+	ReportVersion       = 1
+	MaxReportSize       = 300 // bytes
+	maxReportClasses    = 12
+	maxVerdicts         = 8
+	maxEvidence         = 6
+	maxOutcomesPerRelay = 2 // of one relay at one backend: what it can bring for or against it
+	maxUnknownBytes     = 64
+	maxRate             = 1e9
+	maxSpilled          = 1e15
 )
 
 // ErrMalformedReport is wrapped by the errors of DecodeReport: nothing of the message was taken.
@@ -80,12 +80,12 @@
 		len(r.Evidence) > maxEvidence || len(r.UnknownFields) > maxUnknownBytes {
 		return fmt.Errorf("%w: out of bounds", ErrMalformedReport)
 	}
-	if !within(r.LocalFraction, 1) || !within(r.SharedFraction, 1) || !within(r.CompletedWork, maxRate) ||
-		!within(r.FirstAttempts, maxRate) || !within(r.RetryCredit, maxRate) || !within(r.SpilledCredit, maxSpilled) {
+	if !inRange(r.LocalFraction, 1) || !inRange(r.SharedFraction, 1) || !inRange(r.CompletedWork, maxRate) ||
+		!inRange(r.FirstAttempts, maxRate) || !inRange(r.RetryCredit, maxRate) || !inRange(r.SpilledCredit, maxSpilled) {
 		return fmt.Errorf("%w: a value out of bounds", ErrMalformedReport)
 	}
 	for _, work := range r.OfferedWork {
-		if !within(work, maxRate) {
+		if !inRange(work, maxRate) {
 			return fmt.Errorf("%w: work out of bounds", ErrMalformedReport)
 		}
 	}
@@ -95,12 +95,12 @@
 		}
 	}
 	for _, e := range r.Evidence {
-		if e.Age < 0 || e.Failures < 0 || e.Successes < 0 || e.Failures+e.Successes > maxOutcomes {
+		if e.Age < 0 || e.Failures < 0 || e.Successes < 0 || e.Failures+e.Successes > maxOutcomesPerRelay {
 			return fmt.Errorf("%w: counts out of bounds", ErrMalformedReport)
 		}
 	}
 	return nil
 }
 
-// within is false for what is no number.
-func within(value, most float64) bool { return value >= 0 && value <= most }
+// inRange is false for what is no number.
+func inRange(value, limit float64) bool { return value >= 0 && value <= limit }
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -81,13 +81,13 @@
 // inheritCredit adds the credit that a dead relay had left, if this one is its heir: the first by rendezvous hashing
 // over the living, so that each side of a split has one at the most.
 func (m *Manager) inheritCredit(dead *peer) {
-	if dead.inherited {
+	if dead.creditInherited {
 		return
 	}
-	dead.inherited = true
-	own := rendezvousWeight(dead.id, m.id)
+	dead.creditInherited = true
+	ownWeight := rendezvousWeight(dead.id, m.id)
 	for _, p := range m.fleet.peers {
-		if p != dead && p.alive && rendezvousWeight(dead.id, p.id) > own {
+		if p != dead && p.alive && rendezvousWeight(dead.id, p.id) > ownWeight {
 			return
 		}
 	}
--- a/internal/overload/startup.go
+++ b/internal/overload/startup.go
@@ -11,9 +11,9 @@
 
 // The steps that are spread.
 const (
-	StepAccept  StartupStep = iota // accepting requests
-	StepList                       // a call for the whole endpoint list
-	StepConnect                    // a connection to a backend
+	StepAccept        StartupStep = iota // accepting requests
+	StepListEndpoints                    // a call for the whole endpoint list
+	StepConnect                          // a connection to a backend
 )
 
 // stepOffset is the part of the startup window by which a relay's places in two steps differ.
@@ -33,19 +33,19 @@
 		return 0
 	}
 	window := float64(m.settings.startupWindow) * (m.fleetSize() - float64(m.fleet.warmedUp)) / m.fleetSize()
-	left := window - float64(m.now-m.startedAt)
-	if left <= 0 {
+	remaining := window - float64(m.now-m.startedAt)
+	if remaining <= 0 {
 		return 0
 	}
 	if step == StepConnect {
-		return tick.Tick(m.rng.Float64() * left)
+		return tick.Tick(m.rng.Float64() * remaining)
 	}
-	_, place := math.Modf(m.startupPlace() + stepOffset*float64(step))
-	return max(0, m.startedAt+tick.Tick(place*window)-m.now)
+	_, position := math.Modf(m.startupPosition() + stepOffset*float64(step))
+	return max(0, m.startedAt+tick.Tick(position*window)-m.now)
 }
 
-// startupPlace is this relay's place among all, from 0 to 1. As long as few are known it is taken from the ID.
-func (m *Manager) startupPlace() float64 {
+// startupPosition is this relay's place among all, from 0 to 1. As long as few are known it is taken from the ID.
+func (m *Manager) startupPosition() float64 {
 	known := len(m.fleet.peers) + 1
 	if float64(2*known) < m.fleetSize() {
 		return unitInterval(m.id)
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -10,7 +10,7 @@
 const verdictTTL = 20 * tick.Second
 
 // setVerdict keeps a verdict that is no older than the last, and puts the backend at the end of byVerdict.
-func (m *Manager) setVerdict(b *questionedBackend, healthy, own bool, at tick.Tick) {
+func (m *Manager) setVerdict(b *suspectBackend, healthy, own bool, at tick.Tick) {
 	if at < b.verdictAt {
 		return
 	}
@@ -21,15 +21,15 @@
 	}
 }
 
-// learnVerdicts adopts another relay's newer verdicts, reported at madeAt.
-func (m *Manager) learnVerdicts(madeAt tick.Tick, verdicts []Verdict) {
+// applyVerdicts adopts another relay's newer verdicts, reported at madeAt.
+func (m *Manager) applyVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
-		b := m.questioned[v.Backend]
+		b := m.suspects[v.Backend]
 		if b == nil && v.Healthy {
 			continue
 		}
 		if b == nil {
-			b = m.addQuestioned(v.Backend)
+			b = m.addSuspect(v.Backend)
 			b.verdictAt = never
 		}
 		if at := madeAt - v.Age; at > b.verdictAt {
