--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -13,7 +13,7 @@
 func (p *Planner) OnNodeStatus(now tick.Tick, status NodeStatus) {
 	p.now = now
 	n := p.node(status.Name)
-	old, wasReported, wasAway := n.NodeStatus, n.reported, n.wasAway(now)
+	old, wasReported, leaseHadEnded := n.NodeStatus, n.reported, n.leaseHadEnded(now)
 	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
 		status.LeaseEnd = old.LeaseEnd // it was overtaken by a later renewal
 	}
@@ -25,7 +25,7 @@
 	n.NodeStatus, n.reported, n.leaseExpired = status, true, false
 	n.reserved = len(n.incoming)
 	n.recent.rotate(now, p.config.Lease)
-	p.updateBusy(n)
+	p.updateReadyNode(n)
 	p.updateEligibility(n)
 	if lostCopies {
 		p.onCopiesLost(n)
@@ -34,14 +34,14 @@
 		n.nextExcessReview = now + p.config.Lease
 		p.markExcess(n)
 	}
-	if !wasReported || wasAway || lostCopies || changesPlans(old, status) {
+	if !wasReported || leaseHadEnded || lostCopies || affectsInstances(old, status) {
 		p.queueReviewsOf(n)
 	}
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
 
-// changesPlans reports whether what a node reports may change what its instances need.
-func changesPlans(old, status NodeStatus) bool {
+// affectsInstances reports whether what a node reports may change what its instances need.
+func affectsInstances(old, status NodeStatus) bool {
 	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown ||
 		old.ListedDraining != status.ListedDraining ||
 		old.RollingBack != status.RollingBack || old.Accepting != status.Accepting || old.Zone != status.Zone ||
@@ -53,7 +53,7 @@
 func (p *Planner) onCopiesLost(n *node) {
 	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
-		i.orphaned = true
+		i.primaryLostCopy = true
 	}
 	for i := range n.replicaOf {
 		if !slices.Contains(i.emptyReplicas, n) {
@@ -82,7 +82,7 @@
 	p.countPoisonCandidates(n)
 	p.updateEligibility(n)
 	p.queueReviewsOf(n)
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
 
 // OnAssignment tells an assignment as it was agreed: each change, and after OnElected all of them. An older one is passed
@@ -103,7 +103,7 @@
 	}
 	old := i.Assignment
 	p.dequeue(i)
-	p.assign(i, a)
+	p.setAssignment(i, a)
 	if i.assigned && a.Epoch != old.Epoch || a.State != old.State {
 		p.onPrimaryChanged(i, old)
 	}
@@ -115,20 +115,20 @@
 	if i.deviceZone == a.Zone {
 		i.deviceZone = ""
 	}
-	p.noteDroppedReplicas(i, old)
+	p.avoidDroppedReplicas(i, old)
 	i.emptyReplicas = slices.DeleteFunc(i.emptyReplicas, func(n *node) bool { return !slices.Contains(i.replicaNodes, n) })
-	p.countMove(i)
+	p.updateMoveCounts(i)
 	if a.State == placement.Deleted {
 		p.scheduleReview(i, 0)
 		delete(p.instances, a.Instance)
 		return
 	}
 	p.queueReview(i)
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
 
-// assign replaces an instance's assignment, and the nodes that it is known at.
-func (p *Planner) assign(i *instance, a placement.Assignment) {
+// setAssignment replaces an instance's assignment, and the nodes that it is known at.
+func (p *Planner) setAssignment(i *instance, a placement.Assignment) {
 	if i.primaryNode != nil {
 		delete(i.primaryNode.primaryOf, i)
 	}
@@ -153,13 +153,13 @@
 // onPrimaryChanged notes that an instance has another primary, or none, since its old assignment.
 func (p *Planner) onPrimaryChanged(i *instance, old placement.Assignment) {
 	if old.CutOver && i.Epoch == old.Epoch+1 && i.Failures == old.Failures {
-		i.history.moved(p.now, p.config.Dwell)
+		i.history.recordMove(p.now, p.config.Dwell)
 		p.node(old.Primary).recent.departures[0]++
 		p.node(i.Primary).recent.arrivals[0]++
 	}
-	i.primarySince, i.orphaned, i.excess = p.now, false, false
+	i.primarySince, i.primaryLostCopy, i.excess = p.now, false, false
 	i.retry.attempts, i.retry.until = 0, 0
-	i.remote = remoteBackoff{}
+	i.remoteBackoff = remoteBackoff{}
 }
 
 // onCopyChanged notes that another copy is under way than in the old assignment, or none.
@@ -170,8 +170,8 @@
 	}
 }
 
-// noteDroppedReplicas has replicas avoided that are none any more: the primary can't reach them.
-func (p *Planner) noteDroppedReplicas(i *instance, old placement.Assignment) {
+// avoidDroppedReplicas has replicas avoided that are none any more: the primary can't reach them.
+func (p *Planner) avoidDroppedReplicas(i *instance, old placement.Assignment) {
 	if i.proposal.operation.Kind == placement.OpDropReplica || i.Epoch != old.Epoch {
 		return
 	}
@@ -191,7 +191,7 @@
 	if i == nil {
 		return
 	}
-	if n := i.proposal.failing; n != nil && isFailOver(op) && op.Node == n.Name {
+	if n := i.proposal.failOverFrom; n != nil && isFailOver(op) && op.Node == n.Name {
 		p.endFailOver(i)
 	}
 	pending := i.proposal.operation
@@ -200,9 +200,9 @@
 	}
 	p.host.Explain(fmt.Sprintf("%s: %s to %q refused: %v", op.Instance, op.Kind, op.Target, reason))
 	i.proposal.operation = placement.Operation{}
-	p.countMove(i)
+	p.updateMoveCounts(i)
 	p.backOff(i)
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
 
 // OnDeviceMoved says in which zone an instance's device is.
@@ -218,5 +218,5 @@
 		i.deviceZone = ""
 	}
 	p.queueReview(i)
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -10,9 +10,9 @@
 
 // Of fail-overs.
 const (
-	shortLeaseFraction = 3 // of a lease: a replica with less of it left is waited for
-	poisonFailureRatio = 2 // times maxFailures: an instance fails no more primaries, whatever others failed with it
-	shortLeaseReview   = 6 // of a lease: how often a replica with little of it left is looked at
+	shortLeaseDivisor       = 3 // of a lease: a replica with less of it left is waited for
+	poisonFailureFactor     = 2 // times maxFailures: an instance fails no more primaries, whatever others failed with it
+	shortLeaseReviewDivisor = 6 // of a lease: how often a replica with little of it left is looked at
 )
 
 // failOver lets a replica take over from a primary that does not act any more, or quarantines the instance.
@@ -29,7 +29,7 @@
 	if successor != nil && p.leaseEndsSoon(successor) {
 		// Guards against handing all to a replica that failed in the same moment, which counts a failure more and another lease
 		// without a primary. A slow one looks the same; it costs it the rest of its lease.
-		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReview))
+		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReviewDivisor))
 		return
 	}
 	op := placement.Operation{Kind: placement.OpFailOver, Node: i.Primary, Reason: i.Primary + " fell"}
@@ -50,7 +50,7 @@
 		return false
 	}
 	alone := i.primaryNode.poisonCandidates <= 1
-	return alone || failures >= poisonFailureRatio*p.config.MaxFailures
+	return alone || failures >= poisonFailureFactor*p.config.MaxFailures
 }
 
 // countPoisonCandidates counts the instances that were at a node that failed and are at their last failure.
@@ -63,7 +63,7 @@
 
 // leaseEndsSoon reports whether a node may not come to renew its lease.
 func (p *Planner) leaseEndsSoon(n *node) bool {
-	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.config.Lease/shortLeaseFraction
+	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.config.Lease/shortLeaseDivisor
 }
 
 // successor is the best living replica, nil for none: of those that are as well off one that is surely there, then one where
@@ -78,7 +78,7 @@
 			cmp.Compare(countIf(a.Zone != i.Zone), countIf(b.Zone != i.Zone)), cmp.Compare(a.Risk, b.Risk))
 	}
 	for _, n := range i.replicaNodes {
-		if !p.maySucceed(i, n) {
+		if !p.canTakeOver(i, n) {
 			continue
 		}
 		if best == nil || compare(n, best) < 0 {
@@ -88,12 +88,12 @@
 	return best
 }
 
-// maySucceed reports whether a replica may take over: it lives, and has what it is counted on for.
-func (p *Planner) maySucceed(i *instance, n *node) bool {
+// canTakeOver reports whether a replica may take over: it lives, and has what it is counted on for.
+func (p *Planner) canTakeOver(i *instance, n *node) bool {
 	if !n.reported || n.leaseExpired || slices.Contains(i.emptyReplicas, n) {
 		return false
 	}
-	return n.LeaseEnd == 0 || n.LeaseEnd+p.config.Lease/shortLeaseFraction > p.now
+	return n.LeaseEnd == 0 || n.LeaseEnd+p.config.Lease/shortLeaseDivisor > p.now
 }
 
 // successorRank orders replicas by how well off they are.
@@ -101,9 +101,9 @@
 	switch {
 	case n.eligible:
 		return 0
-	case !n.onItsWayOut() && !n.Evacuating:
+	case !n.isLeaving() && !n.Evacuating:
 		return 1
-	case !n.onItsWayOut():
+	case !n.isLeaving():
 		return 2
 	}
 	return 3
@@ -126,7 +126,7 @@
 	}
 	target, index := p.bestStaleCopy(i)
 	if target == nil {
-		target, _ = p.chooseTarget(i, primaryOnItsWayOut)
+		target, _ = p.chooseTarget(i, primaryLeaving)
 	}
 	if target == nil {
 		p.backOff(i)
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -16,22 +16,22 @@
 	primaryNode  *node
 	replicaNodes []*node
 
-	primarySince  tick.Tick // the primary came, or was lost
-	copySince     tick.Tick // the copy under way was begun
-	deviceZone    string    // where its device is, while the table says otherwise
-	orphaned      bool      // its primary began anew without it
-	excess        bool      // one of the lightest of a node that has too many
-	emptyReplicas []*node   // replicas that began anew without it
-
-	history  moveHistory
-	remote   remoteBackoff
-	proposal proposal
-	retry    retry
-	avoid    avoidance
-	need     need
-	wait     wait
-	review   review
-	move     move
+	primarySince    tick.Tick // the primary came, or was lost
+	copySince       tick.Tick // the copy under way was begun
+	deviceZone      string    // where its device is, while the table says otherwise
+	primaryLostCopy bool      // its primary began anew without it
+	excess          bool      // one of the lightest of a node that has too many
+	emptyReplicas   []*node   // replicas that began anew without it
+
+	history       moveHistory
+	remoteBackoff remoteBackoff
+	proposal      proposal
+	retry         retry
+	avoid         avoidance
+	need          need
+	wait          wait
+	review        review
+	move          move
 }
 
 // moveHistory is what is known of the moves of an instance.
@@ -48,8 +48,8 @@
 	return h.last + dwell<<h.streak
 }
 
-// moved notes a cut-over.
-func (h *moveHistory) moved(now, dwell tick.Tick) {
+// recordMove notes a cut-over.
+func (h *moveHistory) recordMove(now, dwell tick.Tick) {
 	if h.last != 0 && now-h.last <= 2*dwell<<h.streak {
 		h.streak = min(h.streak+1, maxMoveStreak)
 	} else {
@@ -66,9 +66,9 @@
 
 // proposal is an operation whose result is waited for.
 type proposal struct {
-	operation  placement.Operation // Kind "" for none
-	proposedAt tick.Tick
-	failing    *node // of which an operation on its way says that its lease is over
+	operation    placement.Operation // Kind "" for none
+	proposedAt   tick.Tick
+	failOverFrom *node // of which an operation on its way says that its lease is over
 }
 
 func (p *proposal) pending() bool { return p.operation.Kind != "" }
@@ -111,7 +111,7 @@
 type review struct {
 	queued   bool      // among those that are looked at now
 	due      tick.Tick // by itself, 0 for never
-	position int       // in Planner.reviews, notQueued for not
+	position int       // in Planner.scheduledReviews, notQueued for not
 }
 
 // move is a move under way, or asked for.
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -10,9 +10,9 @@
 
 // Waits of instances that are woken when a place comes free, for where the place was not taken by the one that it woke.
 const (
-	boundReviewFraction     = 4 // of a lease
+	boundReviewDivisor      = 4 // of a lease
 	fullLinkReviewLeases    = 4
-	remoteReviewSpans       = 4 // of a lease and Config.RestartAfter
+	remoteReviewFactor      = 4 // of a lease and Config.RestartAfter
 	remoteBoundReviewLeases = 4
 )
 
@@ -58,7 +58,7 @@
 	default:
 		return false
 	}
-	wait := p.config.Lease / boundReviewFraction
+	wait := p.config.Lease / boundReviewDivisor
 	if reason == tooFewRemoteReplicas {
 		wait = remoteBoundReviewLeases * p.config.Lease
 	}
@@ -86,7 +86,7 @@
 	case i.need.reason == tooFewRemoteReplicas:
 		// One zone only, or all of the others evacuating or without room: it is reviewed when a zone or a place comes free.
 		p.enqueue(&p.waitingRemote, i, risk)
-		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewSpans*(lease+p.config.RestartAfter)))
+		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewFactor*(lease+p.config.RestartAfter)))
 	case i.need.reason == deviceElsewhere:
 		p.backOff(i)
 		p.enqueue(&p.zone(i.Zone).waiting, i, risk)
@@ -96,8 +96,8 @@
 	}
 }
 
-// countMove brings up what a move under way or asked for takes of the bounds.
-func (p *Planner) countMove(i *instance) {
+// updateMoveCounts brings up what a move under way or asked for takes of the bounds.
+func (p *Planner) updateMoveCounts(i *instance) {
 	from, to := p.moveOf(i)
 	if from == i.move.source && to == i.move.target {
 		return
@@ -113,8 +113,8 @@
 	p.addMoves(i.move, 1)
 	to.incoming[i] = struct{}{}
 	p.updateEligibility(to)
-	p.updateBusy(from)
-	p.updateBusy(to)
+	p.updateReadyNode(from)
+	p.updateReadyNode(to)
 }
 
 // moveOf is the move of an instance that is under way or asked for, nil for none.
@@ -150,8 +150,8 @@
 		p.queueReview(next)
 	}
 	p.updateEligibility(ended.target)
-	p.updateBusy(ended.source)
-	p.updateBusy(ended.target)
+	p.updateReadyNode(ended.source)
+	p.updateReadyNode(ended.target)
 	p.reviewNextWaiting(&ended.source.waitingForBound)
 	p.reviewNextWaiting(&p.waitingForBound)
 	p.wake(&p.waitingRemote, 1)
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -45,7 +45,7 @@
 	ready            queue        // instances that are to move, the most pressing first
 	waitingForBound  boundWaiters // instances that wait for a part of its moves
 	eligible         bool         // may be handed an instance: it is in its zone's list
-	busyPosition     int          // in Planner.busy, notQueued for not
+	readyPosition    int          // in Planner.readyNodes, notQueued for not
 	nextExcessReview tick.Tick
 }
 
@@ -78,23 +78,23 @@
 
 // unreliable reports whether a replica, or a primary, is not counted upon to keep a copy.
 func (n *node) unreliable() bool {
-	return n.leaseExpired || n.reported && n.onItsWayOut()
+	return n.leaseExpired || n.reported && n.isLeaving()
 }
 
-// onItsWayOut reports whether a node ends, is drained, or runs a version that is rolled back.
-func (n *node) onItsWayOut() bool { return n.ShuttingDown || n.ListedDraining || n.RollingBack }
+// isLeaving reports whether a node ends, is drained, or runs a version that is rolled back.
+func (n *node) isLeaving() bool { return n.ShuttingDown || n.ListedDraining || n.RollingBack }
 
-// wasAway reports whether a node's lease had ended, before what it reports now.
-func (n *node) wasAway(now tick.Tick) bool {
+// leaseHadEnded reports whether a node's lease had ended, before what it reports now.
+func (n *node) leaseHadEnded(now tick.Tick) bool {
 	return n.leaseExpired || n.LeaseEnd != 0 && n.LeaseEnd <= now
 }
 
-// farFrom reports whether a replica is in another zone than a primary. One whose zone is not known is taken for it.
-func (n *node) farFrom(primary *node) bool { return n.Zone != primary.Zone }
+// isRemoteTo reports whether a replica is in another zone than a primary. One whose zone is not known is taken for it.
+func (n *node) isRemoteTo(primary *node) bool { return n.Zone != primary.Zone }
 
-// mayBeEligible reports whether a node may be handed an instance by what is known of it.
-func (n *node) mayBeEligible() bool {
-	return n.reported && !n.leaseExpired && n.Accepting && !n.Evacuating && !n.onItsWayOut() && n.FreeSlots-n.reserved > 0
+// qualifies reports whether a node may be handed an instance by what is known of it.
+func (n *node) qualifies() bool {
+	return n.reported && !n.leaseExpired && n.Accepting && !n.Evacuating && !n.isLeaving() && n.FreeSlots-n.reserved > 0
 }
 
 // byRisk orders the eligible nodes of a zone.
@@ -108,7 +108,7 @@
 	n := p.nodes[name]
 	if n == nil {
 		n = &node{NodeStatus: NodeStatus{Name: name}, primaryOf: map[*instance]struct{}{}, replicaOf: map[*instance]struct{}{},
-			incoming: map[*instance]struct{}{}, busyPosition: notQueued}
+			incoming: map[*instance]struct{}{}, readyPosition: notQueued}
 		p.nodes[name] = n
 	}
 	return n
@@ -135,7 +135,7 @@
 
 // updateEligibility brings up whether a node may be handed an instance. One that comes wakes instances that found no node.
 func (p *Planner) updateEligibility(n *node) {
-	if !n.mayBeEligible() {
+	if !n.qualifies() {
 		p.makeIneligible(n)
 		return
 	}
@@ -144,8 +144,8 @@
 	}
 	z := n.zone
 	if len(z.eligible) == 0 {
-		at, _ := slices.BinarySearchFunc(p.openZones, z, byZoneName)
-		p.openZones = slices.Insert(p.openZones, at, z)
+		at, _ := slices.BinarySearchFunc(p.eligibleZones, z, byZoneName)
+		p.eligibleZones = slices.Insert(p.eligibleZones, at, z)
 	}
 	at, _ := slices.BinarySearchFunc(z.eligible, n, byRisk)
 	z.eligible = slices.Insert(z.eligible, at, n)
@@ -166,7 +166,7 @@
 	z.eligible = slices.Delete(z.eligible, at, at+1)
 	n.eligible = false
 	if len(z.eligible) == 0 {
-		at := slices.Index(p.openZones, z)
-		p.openZones = slices.Delete(p.openZones, at, at+1)
+		at := slices.Index(p.eligibleZones, z)
+		p.eligibleZones = slices.Delete(p.eligibleZones, at, at+1)
 	}
 }
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -10,11 +10,11 @@
 
 // Of what running instances need.
 const (
-	resetFailuresAfter       = 60 * tick.Second // without a failure: an instance's failures count anew
-	remoteBackOffLeases      = 4                // between two tries to get a replica in another zone, doubled each time in a row
-	maxMoveStreak            = 8                // doublings of the dwell and of the wait for a replica in another zone
-	copyWithoutReplicaLeases = 2                // that an instance without any replica waits for one in another zone
-	cancelBackOffFraction    = 4                // of a lease: the wait after a first cancelled copy is twice that
+	resetFailuresAfter     = 60 * tick.Second // without a failure: an instance's failures count anew
+	remoteBackOffLeases    = 4                // between two tries to get a replica in another zone, doubled each time in a row
+	maxMoveStreak          = 8                // doublings of the dwell and of the wait for a replica in another zone
+	unreplicatedCopyLeases = 2                // that an instance without any replica waits for one in another zone
+	cancelBackOffDivisor   = 4                // of a lease: the wait after a first cancelled copy is twice that
 )
 
 // planMove puts a running instance into the queue of what it needs, or proposes what takes no move.
@@ -50,7 +50,7 @@
 	}
 	i.need.reason = reason
 	p.enqueue(&primary.ready, i, 0)
-	p.updateBusy(primary)
+	p.updateReadyNode(primary)
 }
 
 // reasonToLeave is why an instance should leave its primary, noMove for none, and the moment before which it stays still.
@@ -60,8 +60,8 @@
 	switch {
 	case !primary.reported:
 		return noMove, 0
-	case primary.onItsWayOut():
-		return primaryOnItsWayOut, 0
+	case primary.isLeaving():
+		return primaryLeaving, 0
 	case primary.Evacuating && i.history.streak > 0:
 		// Two evacuating nodes would hand it to and fro: each time in a row it stays twice as long.
 		return primaryEvacuating, stay
@@ -89,7 +89,7 @@
 			continue
 		}
 		c.reliable++
-		c.remote += countIf(n.farFrom(i.primaryNode))
+		c.remote += countIf(n.isRemoteTo(i.primaryNode))
 		c.zonesKnown = c.zonesKnown && n.reported
 	}
 	return c
@@ -100,7 +100,7 @@
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
-		if c.remote <= p.config.RemoteReplicas && n.farFrom(i.primaryNode) && !n.unreliable() {
+		if c.remote <= p.config.RemoteReplicas && n.isRemoteTo(i.primaryNode) && !n.unreliable() {
 			continue // one in the primary's zone goes for it
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
@@ -118,7 +118,7 @@
 // it together, so that only their order counts. Among equals the one most at risk goes.
 func droppedBefore(i *instance, a, b *node) bool {
 	demerits := func(n *node) int {
-		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.farFrom(i.primaryNode)) +
+		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.isRemoteTo(i.primaryNode)) +
 			countIf(n.Zone != i.Zone)
 	}
 	return cmp.Or(cmp.Compare(demerits(b), demerits(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
@@ -130,8 +130,8 @@
 	if !i.need.remoteReplica || surplus > 0 {
 		return noMove
 	}
-	if p.now < i.remote.until {
-		p.scheduleReview(i, earlier(i.review.due, i.remote.until))
+	if p.now < i.remoteBackoff.until {
+		p.scheduleReview(i, earlier(i.review.due, i.remoteBackoff.until))
 		return noMove
 	}
 	return tooFewRemoteReplicas
@@ -154,10 +154,10 @@
 // rest on the primary alone in between: none is tried for some leases, twice as long each time in a row. A short cut of the
 // zones looks the same; it hurts then, as the replica stays in the zone for so long.
 func (p *Planner) backOffRemote(i *instance, n *node) {
-	if i.primaryNode == nil || !n.farFrom(i.primaryNode) {
+	if i.primaryNode == nil || !n.isRemoteTo(i.primaryNode) {
 		return
 	}
-	r := &i.remote
+	r := &i.remoteBackoff
 	if r.until != 0 && p.now < r.until+p.remoteBackOffSpan(r.failures) {
 		r.failures = min(r.failures+1, maxMoveStreak)
 	} else {
@@ -185,9 +185,9 @@
 		fault = copyTooSlow
 	}
 	lease := p.config.Lease
-	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
-	i.retry.until = p.now + min(lease<<i.retry.attempts/cancelBackOffFraction, max(lease, p.config.RestartAfter))
-	i.retry.reason = primaryOnItsWayOut
+	i.retry.attempts = min(i.retry.attempts+1, maxBackOffDoublings)
+	i.retry.until = p.now + min(lease<<i.retry.attempts/cancelBackOffDivisor, max(lease, p.config.RestartAfter))
+	i.retry.reason = primaryLeaving
 	i.avoid = avoidance{node: target, until: i.retry.until + lease}
 	if fault == copyTooSlow {
 		p.backOffRemote(i, target)
@@ -218,7 +218,7 @@
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
 		// Guards against entries that rest on the primary alone for as long as another zone is not reached. A large state on
 		// a slow link looks the same; it costs it a copy in its own zone first.
-		end = min(end, i.copySince+copyWithoutReplicaLeases*p.config.Lease)
+		end = min(end, i.copySince+unreplicatedCopyLeases*p.config.Lease)
 	}
 	return end
 }
@@ -227,7 +227,7 @@
 // primary's.
 func (p *Planner) hasNearerTarget(i *instance, target *node) bool {
 	primary := i.primaryNode
-	if p.config.RemoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.farFrom(primary) {
+	if p.config.RemoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.isRemoteTo(primary) {
 		return false
 	}
 	return len(primary.zone.eligible) > countIf(primary.eligible)
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -9,8 +9,8 @@
 
 // Work that one call does at most, in reviews and moves. What is left is done by OnTick.
 const (
-	maxWorkPerTick = 1024
-	maxWorkPerFact = 64
+	maxWorkPerTick  = 1024
+	maxWorkPerEvent = 64
 )
 
 // Host is what a planner acts through.
@@ -25,22 +25,22 @@
 // Planner decides at the leading controller when an instance is moved to another node, whither and how. The package
 // documentation says how it is driven.
 type Planner struct {
-	host      Host
-	seed      uint64
-	config    Config
-	leads     bool
-	working   bool // guards against work within work: a proposal that is agreed at once tells so
-	now       tick.Tick
-	nodes     map[string]*node
-	zones     map[string]*zone
-	openZones []*zone // zones with an eligible node, by name
-	links     map[[2]string]*link
-	instances map[string]*instance
-	moves     int // under way
+	host          Host
+	seed          uint64
+	config        Config
+	leads         bool
+	processing    bool // guards against work within work: a proposal that is agreed at once tells so
+	now           tick.Tick
+	nodes         map[string]*node
+	zones         map[string]*zone
+	eligibleZones []*zone // zones with an eligible node, by name
+	links         map[[2]string]*link
+	instances     map[string]*instance
+	moves         int // under way
 
-	queued  []*instance // to be looked at, in their order
-	reviews reviewQueue // to be looked at by themselves
-	busy    busyQueue   // nodes with instances that are ready to move
+	pendingReviews   []*instance    // to be looked at, in their order
+	scheduledReviews reviewQueue    // to be looked at by themselves
+	readyNodes       readyNodeQueue // nodes with instances that are ready to move
 
 	waitingAnywhere queue // instances that would go anywhere, and found no node
 	waitingRemote   queue // the same that would have a replica in another zone
@@ -66,10 +66,10 @@
 		i.primarySince, i.copySince = now, now
 		i.retry, i.avoid = retry{}, avoidance{}
 		i.history.last = lastMoveOf(i.Assignment, now)
-		p.countMove(i)
+		p.updateMoveCounts(i)
 		p.queueReview(i)
 	}
-	p.work(maxWorkPerFact)
+	p.processPending(maxWorkPerEvent)
 }
 
 // OnDeposed says that this controller no longer leads. The planner goes on to learn and proposes nothing.
@@ -79,11 +79,11 @@
 // which is later than now.
 func (p *Planner) OnTick(now tick.Tick) (next tick.Tick) {
 	p.now = now
-	if !p.work(maxWorkPerTick) {
+	if !p.processPending(maxWorkPerTick) {
 		return now + 1
 	}
-	if len(p.reviews) > 0 {
-		return max(now+1, p.reviews[0].review.due)
+	if len(p.scheduledReviews) > 0 {
+		return max(now+1, p.scheduledReviews[0].review.due)
 	}
 	return now + p.config.Lease
 }
@@ -91,7 +91,7 @@
 // ChooseNode returns the node at which a new instance should begin, "" where none has room.
 func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
-	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryOnItsWayOut)
+	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryLeaving)
 	if n == nil {
 		return ""
 	}
@@ -107,23 +107,23 @@
 	return p.nodes[name] != nil && p.nodes[name].pendingFailOvers > 0
 }
 
-// work does queued reviews, those that have fallen due, and the most pressing moves, and reports whether all was done.
-func (p *Planner) work(budget int) bool {
-	if !p.leads || p.working {
+// processPending does queued reviews, those that have fallen due, and the most pressing moves, and reports whether all was done.
+func (p *Planner) processPending(budget int) bool {
+	if !p.leads || p.processing {
 		return true
 	}
-	p.working = true
-	defer func() { p.working = false }()
+	p.processing = true
+	defer func() { p.processing = false }()
 	for ; budget > 0; budget-- {
 		switch {
-		case len(p.queued) > 0:
-			if i := p.nextQueued(); p.instances[i.Instance] == i {
+		case len(p.pendingReviews) > 0:
+			if i := p.nextPendingReview(); p.instances[i.Instance] == i {
 				p.reviewInstance(i)
 			}
-		case len(p.reviews) > 0 && p.reviews[0].review.due <= p.now:
-			p.reviewInstance(p.reviews[0])
-		case len(p.busy) > 0 && p.moves < p.config.MaxMoves:
-			p.beginMove(p.busy[0].ready[0])
+		case len(p.scheduledReviews) > 0 && p.scheduledReviews[0].review.due <= p.now:
+			p.reviewInstance(p.scheduledReviews[0])
+		case len(p.readyNodes) > 0 && p.moves < p.config.MaxMoves:
+			p.beginMove(p.readyNodes[0].ready[0])
 		default:
 			return true
 		}
@@ -145,7 +145,7 @@
 	case i.State == placement.Lost:
 		p.recoverLost(i)
 	case i.State != placement.Running:
-	case i.primaryNode.leaseExpired || i.orphaned:
+	case i.primaryNode.leaseExpired || i.primaryLostCopy:
 		p.failOver(i)
 	case len(i.emptyReplicas) > 0 && !i.cutsOverTo(i.emptyReplicas[0]):
 		name := i.emptyReplicas[0].Name
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -10,8 +10,8 @@
 const (
 	proposalTimeoutLeases = 2 // for the result of a proposal
 	avoidDroppedLeases    = 2 // for which a replica that was dropped is avoided
-	maxAttempts           = 10
-	backOffFraction       = 8 // of a lease: the wait after a first attempt is twice that
+	maxBackOffDoublings   = 10
+	backOffDivisor        = 8 // of a lease: the wait after a first attempt is twice that
 )
 
 // propose sends an operation for an instance, at most one at a time.
@@ -20,8 +20,8 @@
 		return
 	}
 	op.Version, op.Instance, op.Epoch = placement.FormatVersion, i.Instance, i.Epoch
-	if isFailOver(op) && i.proposal.failing == nil {
-		i.proposal.failing = i.primaryNode
+	if isFailOver(op) && i.proposal.failOverFrom == nil {
+		i.proposal.failOverFrom = i.primaryNode
 		i.primaryNode.pendingFailOvers++
 	}
 	i.proposal.operation, i.proposal.proposedAt = op, p.now
@@ -29,7 +29,7 @@
 	if op.Kind == placement.OpStartCopy {
 		p.node(op.Target).reserved++
 	}
-	p.countMove(i)
+	p.updateMoveCounts(i)
 	p.host.Propose(op)
 }
 
@@ -44,28 +44,28 @@
 	if i.deviceZone == i.Zone {
 		i.deviceZone = ""
 	}
-	p.countMove(i)
+	p.updateMoveCounts(i)
 	return true
 }
 
 // settleProposal ends what is waited for where the assignment that came shows its result.
 func (p *Planner) settleProposal(i *instance, old placement.Assignment) {
-	if i.proposal.pending() && isDone(i.proposal.operation, i.Assignment) {
+	if i.proposal.pending() && isApplied(i.proposal.operation, i.Assignment) {
 		i.proposal.operation = placement.Operation{}
 	}
-	if n := i.proposal.failing; n != nil && (i.Primary != n.Name || i.Epoch != old.Epoch) {
+	if n := i.proposal.failOverFrom; n != nil && (i.Primary != n.Name || i.Epoch != old.Epoch) {
 		p.endFailOver(i)
 	}
 }
 
 // endFailOver notes that no operation of an instance is on its way any more that says that its primary's lease is over.
 func (p *Planner) endFailOver(i *instance) {
-	i.proposal.failing.pendingFailOvers--
-	i.proposal.failing = nil
+	i.proposal.failOverFrom.pendingFailOvers--
+	i.proposal.failOverFrom = nil
 }
 
-// isDone reports whether an assignment shows what an operation was to bring.
-func isDone(op placement.Operation, a placement.Assignment) bool {
+// isApplied reports whether an assignment shows what an operation was to bring.
+func isApplied(op placement.Operation, a placement.Assignment) bool {
 	switch {
 	case op.Kind == placement.OpMoveDevice:
 		return a.Zone == op.Zone
@@ -90,8 +90,8 @@
 // backOff puts the next move of an instance off, each time in a row twice as long.
 func (p *Planner) backOff(i *instance) {
 	lease := p.config.Lease
-	i.retry.attempts = min(i.retry.attempts+1, maxAttempts)
-	wait := min(lease<<i.retry.attempts/backOffFraction, max(lease, p.config.RestartAfter/2))
+	i.retry.attempts = min(i.retry.attempts+1, maxBackOffDoublings)
+	wait := min(lease<<i.retry.attempts/backOffDivisor, max(lease, p.config.RestartAfter/2))
 	i.retry.until = max(i.retry.until, p.now+wait)
 	i.retry.reason = i.need.reason
 	p.scheduleReview(i, earlier(i.review.due, i.retry.until))
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -55,7 +55,7 @@
 	heap.Remove(i.wait.queue, i.wait.position)
 	i.wait.queue = nil
 	if i.primaryNode != nil {
-		p.updateBusy(i.primaryNode)
+		p.updateReadyNode(i.primaryNode)
 	}
 }
 
@@ -70,15 +70,15 @@
 	}
 }
 
-// busyQueue is a heap of nodes with instances that are ready and room for a move, the most pressing and those most at risk
+// readyNodeQueue is a heap of nodes with instances that are ready and room for a move, the most pressing and those most at risk
 // first.
-type busyQueue []*node
+type readyNodeQueue []*node
 
 // Len implements heap.Interface.
-func (q busyQueue) Len() int { return len(q) }
+func (q readyNodeQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q busyQueue) Less(i, j int) bool {
+func (q readyNodeQueue) Less(i, j int) bool {
 	a, b := q[i], q[j]
 	first, second := a.ready[0], b.ready[0]
 	return cmp.Or(cmp.Compare(first.need.reason, second.need.reason), cmp.Compare(b.Risk, a.Risk),
@@ -86,37 +86,37 @@
 }
 
 // Swap implements heap.Interface.
-func (q busyQueue) Swap(i, j int) {
+func (q readyNodeQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].busyPosition, q[j].busyPosition = i, j
+	q[i].readyPosition, q[j].readyPosition = i, j
 }
 
 // Push implements heap.Interface; heap.Push calls it.
-func (q *busyQueue) Push(x any) {
+func (q *readyNodeQueue) Push(x any) {
 	n := x.(*node)
-	n.busyPosition = len(*q)
+	n.readyPosition = len(*q)
 	*q = append(*q, n)
 }
 
 // Pop implements heap.Interface; heap.Pop calls it.
-func (q *busyQueue) Pop() any {
+func (q *readyNodeQueue) Pop() any {
 	last := len(*q) - 1
 	n := (*q)[last]
 	*q = (*q)[:last]
-	n.busyPosition = notQueued
+	n.readyPosition = notQueued
 	return n
 }
 
-// updateBusy brings up a node's place among those whose instances are ready to move.
-func (p *Planner) updateBusy(n *node) {
+// updateReadyNode brings up a node's place among those whose instances are ready to move.
+func (p *Planner) updateReadyNode(n *node) {
 	ready := len(n.ready) > 0 && n.moves < p.config.MaxMovesPerNode
 	switch {
-	case ready && n.busyPosition == notQueued:
-		heap.Push(&p.busy, n)
+	case ready && n.readyPosition == notQueued:
+		heap.Push(&p.readyNodes, n)
 	case ready:
-		heap.Fix(&p.busy, n.busyPosition)
-	case n.busyPosition != notQueued:
-		heap.Remove(&p.busy, n.busyPosition)
+		heap.Fix(&p.readyNodes, n.readyPosition)
+	case n.readyPosition != notQueued:
+		heap.Remove(&p.readyNodes, n.readyPosition)
 	}
 }
 
@@ -160,11 +160,11 @@
 	scheduled := i.review.position != notQueued
 	switch {
 	case at == 0 && scheduled:
-		heap.Remove(&p.reviews, i.review.position)
+		heap.Remove(&p.scheduledReviews, i.review.position)
 	case at != 0 && scheduled:
-		heap.Fix(&p.reviews, i.review.position)
+		heap.Fix(&p.scheduledReviews, i.review.position)
 	case at != 0:
-		heap.Push(&p.reviews, i)
+		heap.Push(&p.scheduledReviews, i)
 	}
 }
 
@@ -172,16 +172,16 @@
 func (p *Planner) queueReview(i *instance) {
 	if !i.review.queued {
 		i.review.queued = true
-		p.queued = append(p.queued, i)
+		p.pendingReviews = append(p.pendingReviews, i)
 	}
 }
 
-// nextQueued takes the first of those that are reviewed now.
-func (p *Planner) nextQueued() *instance {
-	i := p.queued[0]
-	p.queued = p.queued[1:]
-	if len(p.queued) == 0 {
-		p.queued = nil
+// nextPendingReview takes the first of those that are reviewed now.
+func (p *Planner) nextPendingReview() *instance {
+	i := p.pendingReviews[0]
+	p.pendingReviews = p.pendingReviews[1:]
+	if len(p.pendingReviews) == 0 {
+		p.pendingReviews = nil
 	}
 	i.review.queued = false
 	return i
--- a/internal/migration/reasons.go
+++ b/internal/migration/reasons.go
@@ -5,7 +5,7 @@
 
 // The reasons.
 const (
-	primaryOnItsWayOut   moveReason = iota // its primary ends, drains, or runs a version that is rolled back
+	primaryLeaving       moveReason = iota // its primary ends, drains, or runs a version that is rolled back
 	primaryEvacuating                      // its primary hands its instances on
 	primaryOverCapacity                    // its primary has more than it has slots for
 	tooFewReplicas                         // it stays and is copied
@@ -16,7 +16,7 @@
 
 // moveReasonTexts stand in operations. One for deviceElsewhere names the zone.
 var moveReasonTexts = map[moveReason]string{
-	primaryOnItsWayOut:   "its owner goes",
+	primaryLeaving:       "its owner goes",
 	primaryEvacuating:    "its owner is tired",
 	primaryOverCapacity:  "its owner has too many",
 	tooFewReplicas:       "too few copies",
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -30,22 +30,22 @@
 // instance goes on at a node that has every acknowledged entry for sure: one that was its primary or a replica by the latest
 // word that anyone has, or the one that has most where no node is silent. Else it is lost: it waits for a node that has it,
 // and is restarted from an older copy that is known. The notes say by name what is lost, or may be.
-func Rebuild(found []NodeInventory, silent []string, old []placement.Assignment) (all []placement.Assignment, notes []string) {
-	r := &rebuild{silent: silent, copies: map[string][]foundCopy{}}
-	for _, f := range found {
-		for _, c := range f.Copies {
-			r.copies[c.Instance] = append(r.copies[c.Instance], foundCopy{c, f.Node, f.Zone})
+func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
+	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
+	for _, n := range nodes {
+		for _, c := range n.Copies {
+			r.copies[c.Instance] = append(r.copies[c.Instance], foundCopy{c, n.Node, n.Zone})
 		}
 	}
-	before := map[string]placement.Assignment{}
-	for _, a := range old {
-		before[a.Instance] = a
+	previousByName := map[string]placement.Assignment{}
+	for _, a := range previous {
+		previousByName[a.Instance] = a
 	}
-	names := slices.AppendSeq(slices.Collect(maps.Keys(before)), maps.Keys(r.copies))
+	names := slices.AppendSeq(slices.Collect(maps.Keys(previousByName)), maps.Keys(r.copies))
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		was, known := before[name]
-		all = append(all, r.instance(name, was, known))
+		assignment, known := previousByName[name]
+		all = append(all, r.instance(name, assignment, known))
 	}
 	return all, r.notes
 }
@@ -57,9 +57,9 @@
 }
 
 type rebuild struct {
-	silent []string // nodes that have not answered
-	copies map[string][]foundCopy
-	notes  []string
+	unresponsive []string // nodes that have not answered
+	copies       map[string][]foundCopy
+	notes        []string
 }
 
 func (r *rebuild) note(format string, args ...any) {
@@ -67,36 +67,36 @@
 }
 
 // instance makes the assignment of one instance, from what it was where that is known.
-func (r *rebuild) instance(name string, was placement.Assignment, known bool) placement.Assignment {
-	latest := was.Epoch // that anyone heard of
+func (r *rebuild) instance(name string, previous placement.Assignment, known bool) placement.Assignment {
+	latestEpoch := previous.Epoch // that anyone heard of
 	for _, c := range r.copies[name] {
-		latest = max(latest, c.Epoch)
+		latestEpoch = max(latestEpoch, c.Epoch)
 	}
-	a := placement.Assignment{Instance: name, State: placement.Lost, Epoch: latest + rebuildEpochGap, Revision: 1, Zone: was.Zone,
-		Weight: max(1, was.Weight), Size: was.Size, Index: was.Index, Extension: was.Extension, EverServed: true,
+	a := placement.Assignment{Instance: name, State: placement.Lost, Epoch: latestEpoch + rebuildEpochGap, Revision: 1, Zone: previous.Zone,
+		Weight: max(1, previous.Weight), Size: previous.Size, Index: previous.Index, Extension: previous.Extension, EverServed: true,
 		Reason: "placement was rebuilt"}
-	if copies := bestFirst(r.copies[name], latest); len(copies) > 0 {
-		r.continueFrom(&a, copies, latest, known)
+	if copies := bestFirst(r.copies[name], latestEpoch); len(copies) > 0 {
+		r.continueFrom(&a, copies, latestEpoch, known)
 	} else {
-		r.awaitSilent(&a, was)
+		r.awaitUnresponsive(&a, previous)
 	}
-	if was.State == placement.Quarantined {
+	if previous.State == placement.Quarantined {
 		keepQuarantined(&a)
 	}
 	return a
 }
 
-// isCountedOn reports whether a node was the primary or a replica by the latest word, and has what it was counted on for.
-func (c foundCopy) isCountedOn(latest uint64) bool {
-	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latest
+// isAuthoritative reports whether a node was the primary or a replica by the latest word, and has what it was counted on for.
+func (c foundCopy) isAuthoritative(latestEpoch uint64) bool {
+	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latestEpoch
 }
 
 // bestFirst returns the copies that have something, those that are counted on and have most first.
-func bestFirst(all []foundCopy, latest uint64) []foundCopy {
+func bestFirst(all []foundCopy, latestEpoch uint64) []foundCopy {
 	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
 	slices.SortFunc(copies, func(a, b foundCopy) int {
 		return cmp.Or(
-			-cmp.Compare(countIf(a.isCountedOn(latest)), countIf(b.isCountedOn(latest))),
+			-cmp.Compare(countIf(a.isAuthoritative(latestEpoch)), countIf(b.isAuthoritative(latestEpoch))),
 			-cmp.Compare(countIf(a.IsPrimary), countIf(b.IsPrimary)),
 			-cmp.Compare(a.LastEpoch, b.LastEpoch),
 			-cmp.Compare(a.Index, b.Index),
@@ -107,7 +107,7 @@
 
 // continueFrom lets an instance go on at the node of the best copy, if that has everything for sure, with those that have
 // the same as replicas.
-func (r *rebuild) continueFrom(a *placement.Assignment, copies []foundCopy, latest uint64, known bool) {
+func (r *rebuild) continueFrom(a *placement.Assignment, copies []foundCopy, latestEpoch uint64, known bool) {
 	best := copies[0]
 	a.Index, a.Size = best.Index, best.Size
 	if a.Zone == "" {
@@ -116,16 +116,16 @@
 	if !known {
 		r.note("%s: its importance and its device's zone are not known; it has 1 and %s", a.Instance, a.Zone)
 	}
-	sure := best.isCountedOn(latest) || len(r.silent) == 0
-	if sure {
+	authoritative := best.isAuthoritative(latestEpoch) || len(r.unresponsive) == 0
+	if authoritative {
 		a.State, a.Primary = placement.Running, best.node
 	} else {
 		r.note("%s: lost for now: %s has %d effects, and a silent unit may have more", a.Instance, best.node, best.Index)
 	}
 	for _, c := range copies {
 		switch {
-		case sure && c.node == best.node:
-		case sure && c.Index == best.Index && c.Checksum == best.Checksum:
+		case authoritative && c.node == best.node:
+		case authoritative && c.Index == best.Index && c.Checksum == best.Checksum:
 			a.Replicas = append(a.Replicas, c.node)
 		case len(a.StaleCopies) < maxRebuiltStaleCopies:
 			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: c.node, Index: c.Index})
@@ -137,11 +137,11 @@
 	slices.Sort(a.Replicas)
 }
 
-// awaitSilent has an instance that nobody has wait for the silent nodes that had it.
-func (r *rebuild) awaitSilent(a *placement.Assignment, was placement.Assignment) {
-	for _, node := range append([]string{was.Primary}, was.Replicas...) {
-		if slices.Contains(r.silent, node) && len(a.StaleCopies) < maxRebuiltStaleCopies {
-			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: node, Index: was.Index})
+// awaitUnresponsive has an instance that nobody has wait for the silent nodes that had it.
+func (r *rebuild) awaitUnresponsive(a *placement.Assignment, previous placement.Assignment) {
+	for _, node := range append([]string{previous.Primary}, previous.Replicas...) {
+		if slices.Contains(r.unresponsive, node) && len(a.StaleCopies) < maxRebuiltStaleCopies {
+			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: node, Index: previous.Index})
 		}
 	}
 	r.note("%s: lost: no unit that answered has it", a.Instance)
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -31,7 +31,7 @@
 	enoughFreeSlots = 16      // more count no more
 	movesWeight     = 0.5     // of the moves that it takes part in, as a part of those that it may
 	replicaBonus    = 0.5     // for a replica: it has the state already
-	largeState      = 1 << 20 // bytes: a replica of as much counts one more, of less a part of it
+	largeStateBytes = 1 << 20 // bytes: a replica of as much counts one more, of less a part of it
 	limitedPenalty  = 0.5     // for a node that takes a few instances only
 	crowdingWeight  = 0.5     // of its replicas, by the instances of the primary, for a replica in another zone; beyond 1 too
 	tieBreakWeight  = 0.1     // of a hash of node and instance; 1 for an instance that failed primaries
@@ -53,7 +53,7 @@
 	reason   moveReason
 	remote   bool   // for a replica in another zone than the primary's
 	hash     uint64 // of the instance's name, by the planner's seed
-	chance   *rand.Rand
+	random   *rand.Rand
 
 	best      *node
 	bestScore float64
@@ -69,8 +69,8 @@
 	if reason == tooFewRemoteReplicas {
 		attempt = uint64(p.now) // other zones each time
 	}
-	s.chance = rand.New(rand.NewPCG(s.hash, attempt))
-	s.remote = i.need.remoteReplica && (reason == tooFewRemoteReplicas || reason == tooFewReplicas && p.now >= i.remote.until)
+	s.random = rand.New(rand.NewPCG(s.hash, attempt))
+	s.remote = i.need.remoteReplica && (reason == tooFewRemoteReplicas || reason == tooFewReplicas && p.now >= i.remoteBackoff.until)
 	s.search()
 	return s.best, s.fullLink
 }
@@ -102,7 +102,7 @@
 	if primaryZone != nil && primaryZone != deviceZone {
 		s.considerZone(primaryZone)
 	}
-	if s.best != nil && !scatter || len(s.planner.openZones) == 0 {
+	if s.best != nil && !scatter || len(s.planner.eligibleZones) == 0 {
 		return
 	}
 	s.considerOtherZones(deviceZone, primaryZone)
@@ -134,17 +134,17 @@
 	}
 	for at := range sampledNodes {
 		s.consider(z.eligible[at])
-		s.consider(z.eligible[sampledNodes+s.chance.IntN(count-sampledNodes)])
+		s.consider(z.eligible[sampledNodes+s.random.IntN(count-sampledNodes)])
 	}
 }
 
 // considerOtherZones considers a few zones from a random one on, but for the device's and the primary's.
 func (s *targetSearch) considerOtherZones(deviceZone, primaryZone *zone) {
-	zones := s.planner.openZones
+	zones := s.planner.eligibleZones
 	if len(zones) == 0 {
 		return
 	}
-	first := s.chance.IntN(len(zones))
+	first := s.random.IntN(len(zones))
 	for at := range min(len(zones), sampledZones+skippableZones) {
 		if z := zones[(first+at)%len(zones)]; z != deviceZone && z != primaryZone {
 			s.considerZone(z)
@@ -154,7 +154,7 @@
 
 // consider takes a node for the best if it suits and scores higher than the best until now.
 func (s *targetSearch) consider(n *node) {
-	if !s.suits(n) {
+	if !s.isSuitable(n) {
 		return
 	}
 	if l := s.planner.linkBetween(s.instance.primaryNode, n); l != nil && s.isFull(l) {
@@ -171,9 +171,9 @@
 	return l.moves >= bound || s.reason.copiesOnly() && s.planner.copiesFull(s.reason, l.moves, bound)
 }
 
-// suits reports whether a node may be handed the instance. That it accepts, has room, and neither drains nor is rolled back
+// isSuitable reports whether a node may be handed the instance. That it accepts, has room, and neither drains nor is rolled back
 // is already so for all that are eligible.
-func (s *targetSearch) suits(n *node) bool {
+func (s *targetSearch) isSuitable(n *node) bool {
 	i, p := s.instance, s.planner
 	switch {
 	case !n.eligible, n == i.primaryNode, n.moves >= p.config.MaxMovesPerNode:
@@ -188,7 +188,7 @@
 		return !slices.Contains(i.replicaNodes, n) && n.Risk < maxVoluntaryTargetRisk &&
 			!p.copiesFull(s.reason, n.moves, p.config.MaxMovesPerNode)
 	case primaryEvacuating:
-		return isBetterOff(n, i.primaryNode)
+		return isSaferTarget(n, i.primaryNode)
 	case primaryOverCapacity:
 		return n.Risk <= i.primaryNode.Risk+excessMargin && n.FreeSlots-n.reserved > 1
 	case deviceElsewhere:
@@ -197,17 +197,17 @@
 	return true
 }
 
-// isBetterOff reports whether a node is less at risk than an evacuating primary by a margin, once all is counted that is on
+// isSaferTarget reports whether a node is less at risk than an evacuating primary by a margin, once all is counted that is on
 // its way between them.
 //
 // Guards against two evacuating nodes that hand all to each other: what is on its way, and what was in the last lease or
 // two, counts at both ends, at the primary's risk an instance, as reports lag behind. Risk of an empty battery looks the
 // same and does not go down with each instance that goes; it hurts then: they go in several rounds, one each report.
-func isBetterOff(n, primary *node) bool {
-	each := min(maxRiskPerInstance, primary.Risk/float64(max(1, len(primary.primaryOf))))
-	gained := float64(len(n.incoming) + n.recent.arrivals[0] + n.recent.arrivals[1] + 1)
-	lost := float64(primary.moves - len(primary.incoming) + primary.recent.departures[0] + primary.recent.departures[1] + 1)
-	return n.Risk+each*gained <= primary.Risk-each*lost-evacuationMargin
+func isSaferTarget(n, primary *node) bool {
+	riskPerInstance := min(maxRiskPerInstance, primary.Risk/float64(max(1, len(primary.primaryOf))))
+	arriving := float64(len(n.incoming) + n.recent.arrivals[0] + n.recent.arrivals[1] + 1)
+	departing := float64(primary.moves - len(primary.incoming) + primary.recent.departures[0] + primary.recent.departures[1] + 1)
+	return n.Risk+riskPerInstance*arriving <= primary.Risk-riskPerInstance*departing-evacuationMargin
 }
 
 // score counts risk first, then free slots and moves under way. A replica has the state already, which counts the more the
@@ -217,7 +217,7 @@
 	score := -riskWeight*n.Risk + freeSlotsWeight*min(1, float64(n.FreeSlots-n.reserved)/enoughFreeSlots) -
 		movesWeight*float64(n.moves)/float64(s.planner.config.MaxMovesPerNode)
 	if slices.Contains(i.replicaNodes, n) {
-		score += replicaBonus + min(1, float64(i.Size)/largeState)
+		score += replicaBonus + min(1, float64(i.Size)/largeStateBytes)
 	}
 	if n.Limited {
 		score -= limitedPenalty
