--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -186,10 +186,10 @@
 
 // checkOverdue counts an attempt that is late so far, and may call it off.
 func (b *Balancer) checkOverdue(a *Attempt) {
-	if b.now > a.slowAfter && !a.countedAsSlow && !a.newConnection && !b.speaksForBackendAlone(a, true) {
+	if b.now > a.slowAfter && !a.countedAsSlow && !a.newConnection && !b.attributedToBackend(a, true) {
 		b.recordTimeliness(a, true)
 	}
-	if !a.silenceCounted && b.now-a.sentAt >= Tick(silenceShare*float64(b.shortestObjective)) && b.silent(a.Backend) {
+	if !a.silenceCounted && b.now-a.chosenAt >= Tick(silenceShare*float64(b.shortestObjective)) && b.silent(a.Backend) {
 		a.silenceCounted = true
 		b.recordForBackend(a.Backend, true)
 	}
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -64,9 +64,9 @@
 
 // adaptConcurrencyLimit learns from the end of an attempt. That no answer came is no sign of overload.
 func (b *Balancer) adaptConcurrencyLimit(a *Attempt) {
-	took, due := float64(b.now-a.sentAt), float64(a.lateAfter-a.sentAt)
+	took, due := float64(b.now-a.chosenAt), float64(a.lateAfter-a.chosenAt)
 	switch {
-	case a.Backend.lastAnswer < a.sentAt:
+	case a.Backend.lastAnswer < a.chosenAt:
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
 		least := max(1, attemptsPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(least, b.concurrencyLimit*(1-limitDecrease))
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -11,12 +11,12 @@
 // depend on the version; holds because those are told apart before they count.
 
 const (
-	// highestBound keeps a bound on a share from reaching 1, where no bet is left.
-	highestBound = 0.9
-	// resetsFreshness is how long ago the baseline may have shown an attempt for resets to be compared.
-	resetsFreshness = Second
-	// metricsFreshness is the same for the release API's counts, in their periods.
-	metricsFreshness = 2
+	// maxShareBound keeps a bound on a share from reaching 1, where no bet is left.
+	maxShareBound = 0.9
+	// maxBaselineAgeForResets is how long ago the baseline may have shown an attempt for resets to be compared.
+	maxBaselineAgeForResets = Second
+	// maxBaselineMetricsAge is the same for the release API's counts, in their periods.
+	maxBaselineMetricsAge = 2
 	// resetsMargin is how much more of its attempts may break at a canary than at the baseline. It is wider than that of
 	// failures, as one network that breaks connections breaks many at once.
 	resetsMargin = 0.25
@@ -31,7 +31,7 @@
 	if !failed && a.outcome != Succeeded && a.outcome != TimedOut {
 		return // it was never looked at, or called off
 	}
-	if b.speaksForBackendAlone(a, failed || slow) {
+	if b.attributedToBackend(a, failed || slow) {
 		return
 	}
 	if excused := slow && a.newConnection; !a.countedAsSlow && !excused {
@@ -53,7 +53,7 @@
 func (b *Balancer) recordForCanary(class int, errored, broken float64) {
 	e := b.evaluation
 	e.samples.resets = appendBounded(e.samples.resets, broken, rareSampleSize)
-	if b.now-b.baselineTimedAt <= resetsFreshness {
+	if b.now-b.baselineTimelinessAt <= maxBaselineAgeForResets {
 		b.observe(stream{kind: resets}, broken, b.baseline.resetShare()+resetsMargin)
 	}
 	e.samples.class[class] = appendBounded(e.samples.class[class], errored, sampleSize)
@@ -73,7 +73,7 @@
 // observe adds an outcome to a stream, against a bound on the share of bad ones.
 func (b *Balancer) observe(s stream, outcome, bound float64) {
 	e := b.evaluation
-	raised, ok := e.detectors.of(s).Observe(outcome, min(bound, highestBound))
+	raised, ok := e.detectors.forStream(s).Observe(outcome, min(bound, maxShareBound))
 	if !ok || e.alarm != nil {
 		return
 	}
@@ -87,34 +87,34 @@
 func (b *Balancer) failureBound(s stream, class int) float64 {
 	share := b.baseline.failureShare(s)
 	if b.settings.Classes[class].Idempotency == AtMostOnce {
-		return share + mean(b.requestFaults) + margin
+		return share + mean(b.requestFaults) + failureMargin
 	}
-	return share + margin
+	return share + failureMargin
 }
 
 // wrongAnswerBound is the share of reports among answers that a canary is held against.
 func (b *Balancer) wrongAnswerBound() float64 {
-	return b.baseline.wrongShare() + margin*b.settings.Rollout.FoundShare
+	return b.baseline.wrongShare() + failureMargin*b.settings.Rollout.FoundShare
 }
 
 // baselineShare is the baseline's failure share for ruling an effect out. While next to nothing is known of the baseline
 // it is held to be good, so that nothing is ruled out too soon.
 func (b *Balancer) baselineShare(class int) float64 {
-	return knownShare(b.baseline.class[class])
+	return conservativeShare(b.baseline.class[class])
 }
 
-func knownShare(outcomes []float64) float64 {
+func conservativeShare(outcomes []float64) float64 {
 	if len(outcomes) < minShareSample {
-		return margin
+		return failureMargin
 	}
 	return smoothedShare(failures(outcomes))
 }
 
-// speaksForBackendAlone tells whether a bad outcome speaks for its backend or the link to it, not for the version: at a
+// attributedToBackend tells whether a bad outcome speaks for its backend or the link to it, not for the version: at a
 // silent backend, or one that failed its own test while others of its version answer.
 // Hurts when a bad version shows at some backends only.
-func (b *Balancer) speaksForBackendAlone(a *Attempt, bad bool) bool {
-	if bad && a.Backend.lastAnswer < a.sentAt {
+func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
+	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
 	}
 	if !a.Backend.ejected {
@@ -142,7 +142,7 @@
 	}
 	e.samples.wrong = appendBounded(e.samples.wrong, x, rareSampleSize)
 	if x > 0 {
-		e.wrongEffect.Observe(x, knownShare(b.baseline.wrong), ruledOutEffect*found)
+		e.wrongEffect.Observe(x, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
 	} else if b.settings.Rollout.ReportWithin.Ticks() > 0 { // its report may be on its way
 		e.awaitingReports = appendBounded(e.awaitingReports, b.now, rareSampleSize)
 	}
@@ -172,31 +172,31 @@
 	e := b.evaluation
 	period := b.settings.Rollout.MetricsPeriod.Ticks()
 	for i := range min(outcomes, rareSampleSize) {
-		x := spread(i, min(failed, outcomes), outcomes)
+		x := spreadOutcome(i, min(failed, outcomes), outcomes)
 		switch {
 		case version < e.version:
 			b.baseline.metrics = appendBounded(b.baseline.metrics, x, rareSampleSize)
 			b.baselineMetricsAt = now
-		case version == e.version && b.baselineMetricsAt > 0 && now-b.baselineMetricsAt <= metricsFreshness*period:
-			b.observe(stream{kind: releaseMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+margin)
+		case version == e.version && b.baselineMetricsAt > 0 && now-b.baselineMetricsAt <= maxBaselineMetricsAge*period:
+			b.observe(stream{kind: releaseMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+failureMargin)
 		}
 	}
 	b.considerVote()
 }
 
 // spread is the i-th of n outcomes, so many of which are bad, spread evenly.
-func spread(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
+func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
-// matureReports counts answers as right once a report would have come.
-func (b *Balancer) matureReports() {
+// countUnreportedAnswers counts answers as right once a report would have come.
+func (b *Balancer) countUnreportedAnswers() {
 	e, within := b.evaluation, b.settings.Rollout.ReportWithin.Ticks()
 	for n := 0; len(e.awaitingReports) > 0 && n < rareSampleSize && e.awaitingReports[0]+within <= b.now; n++ {
 		e.awaitingReports = e.awaitingReports[1:]
-		e.wrongEffect.Observe(0, knownShare(b.baseline.wrong), ruledOutEffect*b.settings.Rollout.FoundShare)
+		e.wrongEffect.Observe(0, conservativeShare(b.baseline.wrong), ruledOutEffect*b.settings.Rollout.FoundShare)
 	}
 }
 
-// missingEvidence is the first stream with traffic for which the effect is not ruled out. Call matureReports first.
+// missingEvidence is the first stream with traffic for which the effect is not ruled out. Call countUnreportedAnswers first.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -12,15 +12,15 @@
 // warmed; holds because what first attempts get follows those machines.
 
 const (
-	// exposureUse is the part of the cap that first attempts use.
-	exposureUse = 0.9
-	// exposureRounding keeps a sum of shares that is a whole number in theory from counting as one more.
-	exposureRounding = 1e-5
+	// firstAttemptCapShare is the part of the cap that first attempts use.
+	firstAttemptCapShare = 0.9
+	// exposureTolerance keeps a sum of shares that is a whole number in theory from counting as one more.
+	exposureTolerance = 1e-5
 	// canarySlowdownMargin is how much more of a canary's attempts are slow than of the others' when it gets no more than
 	// the part of all backends that its own are.
 	canarySlowdownMargin = 0.1
-	// leastStageShare bounds the share of the first stage from below where the settings name none.
-	leastStageShare = 0.01
+	// minStageShare bounds the share of the first stage from below where the settings name none.
+	minStageShare = 0.01
 )
 
 // exposureCounter is one count of the exposure rule.
@@ -61,7 +61,7 @@
 	if version == b.release.Version {
 		return b.release.ExposureCap, b.release.Stage
 	}
-	return first(b.settings.Rollout.StageCaps), 0
+	return firstOrZero(b.settings.Rollout.StageCaps), 0
 }
 
 // exposureAllows tells whether one more attempt of a request may go to a canary.
@@ -75,7 +75,7 @@
 	b.trimExposure(e, window)
 	// What a relay that was killed has sent still counts in the first window, and this one does not know of it.
 	free := b.settings.Rollout.ExposureFree * indicator(b.now > b.startedAt+window)
-	return float64(len(e.attempts)+1) <= free+share*float64(len(e.arrivals))-exposureRounding
+	return float64(len(e.attempts)+1) <= free+share*float64(len(e.arrivals))-exposureTolerance
 }
 
 // trimExposure drops what is outside the window. Where a tick more or less may count, it is the one that allows less.
@@ -93,17 +93,17 @@
 // version is judged at the load that the others carry.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
-	slack := max(1, first(rollout.StageCaps)/max(first(rollout.StageShares), leastStageShare))
+	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
 	b.canaryFraction = b.canaryCapacity / max(b.warmCapacity, 1) * slack
 	if b.evaluation == nil {
 		return
 	}
 	share, _ := b.exposureCapOf(b.evaluation.version)
 	slower := max(0, mean(b.evaluation.samples.slow)-b.baseline.slowShare())
-	b.canaryFraction = exposureUse * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slower/canarySlowdownMargin))
+	b.canaryFraction = firstAttemptCapShare * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slower/canarySlowdownMargin))
 }
 
-func first(list []float64) float64 {
+func firstOrZero(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -61,8 +61,8 @@
 func (b *Balancer) resetGossip() { b.gossipCounts = make([]GossipCount, len(b.settings.Classes)+1) }
 
 // addToGossip counts an outcome at the version under evaluation, of a class or, behind the last one, of wrong answers.
-func (b *Balancer) addToGossip(which int, x float64) {
-	count := &b.gossipCounts[which]
+func (b *Balancer) addToGossip(index int, x float64) {
+	count := &b.gossipCounts[index]
 	count.Outcomes = min(count.Outcomes+1, MaxGossipOutcomes)
 	count.Bad = min(count.Bad+uint8(x), count.Outcomes)
 }
@@ -89,14 +89,14 @@
 		n, bad := int(count.Outcomes), int(count.Bad)
 		e.outcomesInStage += n
 		for i := range n {
-			x := spread(i, bad, n)
+			x := spreadOutcome(i, bad, n)
 			e.effects[class].Observe(x, b.baselineShare(class), ruledOutEffect)
 			b.observeFailure(class, x)
 		}
 	}
 	n, bad := int(counts[classes].Outcomes), int(counts[classes].Bad)
 	for i := range n {
-		b.observe(stream{kind: wrongAnswers}, spread(i, bad, n), b.wrongAnswerBound())
+		b.observe(stream{kind: wrongAnswers}, spreadOutcome(i, bad, n), b.wrongAnswerBound())
 	}
 	b.considerVote()
 }
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -34,7 +34,7 @@
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return b.now+1 < a.sentAt+class.DedupWindow.Ticks() && class.DedupScope.covers(a.Backend, backend)
+		return b.now+1 < a.chosenAt+class.DedupWindow.Ticks() && class.DedupScope.covers(a.Backend, backend)
 	}
 	return false
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -91,7 +91,7 @@
 	objective := b.settings.Classes[class].LatencyObjective.Ticks()
 	fraction := b.warmUpFraction(backend)
 	a.lateAfter = b.now + Tick(float64(objective)/fraction)
-	a.slowAfter = b.now + Tick(float64(min(objective, slowMultiple*b.evaluation.medianLatency[class]))/fraction)
+	a.slowAfter = b.now + Tick(float64(min(objective, slowMultiple*b.evaluation.initialMedianLatency[class]))/fraction)
 	n := len(backend.successTimes)
 	a.newConnection = n == 0 || b.now-backend.successTimes[n-1] > b.settings.Limits.IdleTimeout.Ticks()
 }
@@ -104,7 +104,7 @@
 	switch {
 	case a.version < e.version:
 		b.baseline.slow = appendBounded(b.baseline.slow, x, size)
-		b.baselineTimedAt = b.now
+		b.baselineTimelinessAt = b.now
 	case a.version == e.version:
 		e.samples.slow = appendBounded(e.samples.slow, x, size)
 		if !b.inBurst() {
@@ -116,11 +116,11 @@
 // inBurst tells whether much more succeeds, for the backends there are, than before the rollout.
 func (b *Balancer) inBurst() bool {
 	e := b.evaluation
-	most := max(1, b.warmCapacity) * (burstMultiple*e.successes + burstDeviations*math.Sqrt(e.successes)) / e.warmCapacity
+	most := max(1, b.warmCapacity) * (burstMultiple*e.initialSuccesses + burstDeviations*math.Sqrt(e.initialSuccesses)) / e.initialWarmCapacity
 	return float64(len(b.successTimes)) > most
 }
 
 // slownessBound is the slow share that a canary is held against.
 func (b *Balancer) slownessBound() float64 {
-	return min(b.baseline.slowShare(), b.evaluation.slowShareBefore+baselineSlowdownMargin) + canaryLoadMargin + margin
+	return min(b.baseline.slowShare(), b.evaluation.initialSlowShare+baselineSlowdownMargin) + canaryLoadMargin + failureMargin
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -137,7 +137,7 @@
 	if !a.silenceCounted {
 		b.recordForBackend(a.Backend, b.now > a.lateAfter || a.outcome != Succeeded)
 	}
-	relative := float64(b.now-a.sentAt) / float64(a.lateAfter-a.sentAt)
+	relative := float64(b.now-a.chosenAt) / float64(a.lateAfter-a.chosenAt)
 	a.Backend.relativeLatencies = appendBounded(a.Backend.relativeLatencies, relative, relativeLatencySize)
 }
 
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -20,7 +20,7 @@
 
 const (
 	// margin is how much more of the outcomes may fail at a canary than at the baseline.
-	margin = sequential.Margin
+	failureMargin = sequential.Margin
 	// ruledOutEffect is the share of failures beyond the baseline's that is ruled out before a vote to promote.
 	ruledOutEffect = 0.2
 )
@@ -33,10 +33,10 @@
 	answeredKeys  map[uint16]*keySet // the keys that a version has answered, of few versions
 	requestFaults []float64          // of the last requests answered or failed at two backends, 1 for a failure
 
-	baseline          *samples
-	baselineTimedAt   Tick // when the baseline last showed whether an attempt was slow
-	baselineMetricsAt Tick // when the release API last counted some of it; 0: never
-	evaluation        *evaluation
+	baseline             *samples
+	baselineTimelinessAt Tick // when the baseline last showed whether an attempt was slow
+	baselineMetricsAt    Tick // when the release API last counted some of it; 0: never
+	evaluation           *evaluation
 }
 
 func newRollout(classes int) rollout {
@@ -86,16 +86,16 @@
 	wrongEffect     sequential.EffectTest
 	awaitingReports []Tick // answers whose reports may be on their way
 
-	outcomesInStage int
-	countedStage    int // that they were counted in
-	stagePassed     int // replies to votes have shown the stages before it to be over
+	outcomesInStage     int
+	countedStage        int // that they were counted in
+	minStageFromReplies int // replies to votes have shown the stages before it to be over
 
 	// As the version came:
-	baselineBackends float64 // of earlier versions
-	warmCapacity     float64
-	successes        float64 // within rateWindow
-	slowShareBefore  float64 // of the version before
-	medianLatency    []Tick  // by class
+	baselineBackends     float64 // of earlier versions
+	initialWarmCapacity  float64
+	initialSuccesses     float64 // within rateWindow
+	initialSlowShare     float64 // of the version before
+	initialMedianLatency []Tick  // by class
 }
 
 // detectors are the sequential tests of one evaluation, by stream.
@@ -119,7 +119,7 @@
 }
 
 // of is the detector of a stream.
-func (d *detectors) of(s stream) *sequential.Detector {
+func (d *detectors) forStream(s stream) *sequential.Detector {
 	switch s.kind {
 	case oneClass:
 		return &d.class[s.class]
@@ -172,11 +172,11 @@
 		effects:     make([]sequential.EffectTest, classes),
 		wrongEffect: sequential.NewEffectTest(),
 
-		baselineBackends: float64(len(b.backends) - b.backendsRunning(version)),
-		warmCapacity:     max(1, b.warmCapacity),
-		successes:        float64(len(b.successTimes)),
-		slowShareBefore:  b.baseline.slowShare(),
-		medianLatency:    append([]Tick(nil), b.medianLatency...),
+		baselineBackends:     float64(len(b.backends) - b.backendsRunningAtLeast(version)),
+		initialWarmCapacity:  max(1, b.warmCapacity),
+		initialSuccesses:     float64(len(b.successTimes)),
+		initialSlowShare:     b.baseline.slowShare(),
+		initialMedianLatency: append([]Tick(nil), b.medianLatency...),
 	}
 	for i := range b.evaluation.effects {
 		b.evaluation.effects[i] = sequential.NewEffectTest()
@@ -188,13 +188,13 @@
 	b.now = now
 	b.onVoteReply(status)
 	if status.Outcome == Succeeded {
-		b.takeRelease(status)
+		b.applyReleaseStatus(status)
 	}
 	b.serveQueue()
 	b.considerVote()
 }
 
-func (b *Balancer) takeRelease(status ReleaseStatus) {
+func (b *Balancer) applyReleaseStatus(status ReleaseStatus) {
 	b.startEvaluation(status.Version)
 	old := b.release
 	if !b.releaseKnown || old.Version != status.Version || old.Stage != status.Stage || old.Phase != status.Phase {
@@ -202,15 +202,15 @@
 		b.evaluation.outcomesInStage, b.evaluation.countedStage = 0, status.Stage
 		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keySet) bool { return by < status.Version })
 	}
-	if bound, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < bound {
+	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
 		// The lower cap holds at once over the old count; the rule counts anew later.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
 }
 
-// backendsRunning counts the listed backends that run a version or a later one.
-func (b *Balancer) backendsRunning(version uint16) int {
+// backendsRunningAtLeast counts the listed backends that run a version or a later one.
+func (b *Balancer) backendsRunningAtLeast(version uint16) int {
 	n := 0
 	for _, backend := range b.backends {
 		if backend.Version >= version {
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -145,7 +145,7 @@
 	if n == 0 || r.attempts[n-1].Backend != backend {
 		return false
 	}
-	return !r.Pinned || b.now < r.attempts[n-1].sentAt+timerInterval<<n
+	return !r.Pinned || b.now < r.attempts[n-1].chosenAt+timerInterval<<n
 }
 
 // pickVersion picks the canary or what is stable. The part of the exposure cap that first attempts leave is for requests
@@ -173,7 +173,7 @@
 
 // startAttempt sends a request to a backend.
 func (b *Balancer) startAttempt(r *Request, backend *Backend) {
-	a := &Attempt{Request: r, Number: len(r.attempts), Backend: backend, sentAt: b.now, version: backend.Version,
+	a := &Attempt{Request: r, Number: len(r.attempts), Backend: backend, chosenAt: b.now, version: backend.Version,
 		backendStart: backend.StartedAt}
 	b.setExpectations(a)
 	if b.isCanary(backend.Version) {
@@ -222,7 +222,7 @@
 
 // overBudget tells whether an attempt that is written late is over the budgets of exposure or slow start by now.
 func (b *Balancer) overBudget(a *Attempt) bool {
-	if b.now <= a.sentAt+writeDelay {
+	if b.now <= a.chosenAt+writeDelay {
 		return false
 	}
 	r, backend := a.Request, a.Backend
--- a/balancer/sequential/effect.go
+++ b/balancer/sequential/effect.go
@@ -3,8 +3,8 @@
 const (
 	// missProbability is the chance with which an effect that is there may be ruled out all the same.
 	missProbability = 0.05
-	// mostWithEffect is the highest mean that is tested for, so that an effect leaves some chance of a good outcome.
-	mostWithEffect = 0.95
+	// maxMeanWithEffect is the highest mean that is tested for, so that an effect leaves some chance of a good outcome.
+	maxMeanWithEffect = 0.95
 )
 
 // EffectTest rules out that the mean of a stream is higher by an effect than a baseline. It is a likelihood ratio between
@@ -17,7 +17,7 @@
 
 // Observe adds an outcome between 0 and 1, tested against an effect above a baseline share.
 func (t *EffectTest) Observe(outcome, baseline, effect float64) {
-	b := min(baseline, mostWithEffect-effect)
+	b := min(baseline, maxMeanWithEffect-effect)
 	if !t.RuledOut() {
 		t.wealth *= outcome*b/(b+effect) + (1-outcome)*(1-b)/(1-b-effect)
 	}
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -28,12 +28,12 @@
 
 	// maxOpenTests bounds the memory and the work of one detector.
 	maxOpenTests = 32
-	// lastingTests is how many of the first tests stay open for good.
-	lastingTests = maxOpenTests / 2
-	// firstBetMultiple is the mean that a new test expects, in multiples of the bound.
-	firstBetMultiple = 4
-	// firstBetLimit is the highest mean that a new test expects.
-	firstBetLimit = 0.5
+	// permanentTests is how many of the first tests stay open for good.
+	permanentTests = maxOpenTests / 2
+	// priorMeanMultiple is the mean that a new test expects, in multiples of the bound.
+	priorMeanMultiple = 4
+	// maxPriorMean is the highest mean that a new test expects.
+	maxPriorMean = 0.5
 )
 
 // Detector watches one stream of outcomes. It is not safe for concurrent use.
@@ -73,7 +73,7 @@
 // It opens a test that begins with this outcome, and tells whether any of the tests rejects: the first such one.
 func (d *Detector) Observe(outcome, bound float64) (alarm Alarm, raised bool) {
 	d.outcomes++
-	d.open(bettingTest{start: d.outcomes, wealth: 1})
+	d.openTest(bettingTest{start: d.outcomes, wealth: 1})
 	for i := range d.tests {
 		t := &d.tests[i]
 		t.bet(outcome, bound)
@@ -84,23 +84,23 @@
 	return alarm, raised
 }
 
-// open adds a test. Once all places are taken it replaces the poorest of the later ones, if that has lost.
+// open adds a test. Once all places are taken it replaces the lowest of the later ones, if that has lost.
 // Guards against a change after many good outcomes: seen as first tests whose wealth is all but gone; holds because half
 // of the places go to tests that began of late.
-func (d *Detector) open(t bettingTest) {
+func (d *Detector) openTest(t bettingTest) {
 	if len(d.tests) < maxOpenTests {
 		d.tests = append(d.tests, t)
 		return
 	}
-	if poorest := poorestTest(d.tests[lastingTests:]); poorest.wealth < 1 {
-		*poorest = t
+	if lowest := lowestWealthTest(d.tests[permanentTests:]); lowest.wealth < 1 {
+		*lowest = t
 	}
 }
 
 // bet places the plug-in bet, which grows the logarithm of wealth most if the mean is what the test has seen so far, and
 // settles it. A new test expects a mean of a few bounds, so that a long run of good outcomes costs rare faults little.
 func (t *bettingTest) bet(outcome, bound float64) {
-	mean := (t.failures + min(firstBetLimit, firstBetMultiple*bound)) / (t.seen + 1)
+	mean := (t.failures + min(maxPriorMean, priorMeanMultiple*bound)) / (t.seen + 1)
 	bet := min(max(0, (mean-bound)/(bound*(1-bound))), 1/bound)
 	t.wealth *= 1 + bet*(outcome-bound)
 	t.seen++
@@ -118,12 +118,12 @@
 	return slices.ContainsFunc(d.tests, func(t bettingTest) bool { return t.wealth > math.Sqrt(d.threshold(&t)) })
 }
 
-func poorestTest(tests []bettingTest) *bettingTest {
-	poorest := &tests[0]
+func lowestWealthTest(tests []bettingTest) *bettingTest {
+	lowest := &tests[0]
 	for i := range tests {
-		if tests[i].wealth < poorest.wealth {
-			poorest = &tests[i]
+		if tests[i].wealth < lowest.wealth {
+			lowest = &tests[i]
 		}
 	}
-	return poorest
+	return lowest
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -88,7 +88,7 @@
 
 	version      uint16 // of the backend, as it was chosen
 	backendStart Tick   // as it was known then
-	sentAt       Tick   // when it was chosen
+	chosenAt     Tick   // when it was chosen
 	slowAfter    Tick   // a later answer counts as slow for the version
 	lateAfter    Tick   // and for the backend
 
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -25,15 +25,15 @@
 	minOutcomesTimed = 6
 	// timedVoteAfter is how long a stage has lasted before a timed vote, which needs fewer outcomes.
 	timedVoteAfter = 3 * Second
-	// leastVoteRate stands for a rate of votes a second that the settings lack.
-	leastVoteRate = 0.1
-	// votePrecision is the number of steps in which the chance of a vote is drawn.
-	votePrecision = 1000
-	// recastFirst is the least time before a vote that may not count is cast again, and recastSpread what is drawn beside.
-	recastFirst  = Second / 4
-	recastSpread = Second / 2
-	// replyGrace is how long after its time-out the reply to a vote is still waited for.
-	replyGrace = Second
+	// minVoteRate stands for a rate of votes a second that the settings lack.
+	minVoteRate = 0.1
+	// voteChanceSteps is the number of steps in which the chance of a vote is drawn.
+	voteChanceSteps = 1000
+	// minRecastDelay is the least time before a vote that may not count is cast again, and recastJitter what is drawn beside.
+	minRecastDelay = Second / 4
+	recastJitter   = Second / 2
+	// voteReplyGrace is how long after its time-out the reply to a vote is still waited for.
+	voteReplyGrace = Second
 )
 
 // Verdict is what a vote says of a version.
@@ -64,12 +64,12 @@
 type voteState uint8
 
 const (
-	voteNone      voteState = iota // there is nothing to vote
-	voteDrawn                      // it is cast when due
-	voteSkipped                    // by the draw none is cast; one is drawn again when due
-	voteCast                       // the reply is waited for; without one it is drawn again when due
-	voteCounted                    // the release API took it; one is drawn again when due, as it no longer stands then
-	voteUncounted                  // by the reply it may not count; one is drawn again when due
+	voteNone       voteState = iota // there is nothing to vote
+	voteScheduled                   // it is cast when due
+	voteSkipped                     // by the draw none is cast; one is drawn again when due
+	voteCast                        // the reply is waited for; without one it is drawn again when due
+	voteCounted                     // the release API took it; one is drawn again when due, as it no longer stands then
+	voteNotCounted                  // by the reply it may not count; one is drawn again when due
 )
 
 // vote is this relay's vote.
@@ -87,19 +87,19 @@
 	if !b.releaseKnown || e == nil || e.version != b.release.Version || b.release.Phase != Canary && b.release.Phase != Released {
 		return NoVote
 	}
-	clockedRollout := b.settings.Rollout.Control == AdvanceByClock
-	suspicious, need, timedVote := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
+	advancesByClock := b.settings.Rollout.Control == AdvanceByClock
+	suspicious, required, timedVote := e.detectors.suspicious(), minOutcomes, b.timedVoteDue()
 	if b.slowdownObserved() {
-		suspicious, need, timedVote = suspicious || clockedRollout, minOutcomesIfSlow, false
+		suspicious, required, timedVote = suspicious || advancesByClock, minOutcomesIfSlow, false
 	}
 	switch {
 	case e.alarm != nil:
 		return RollBack
-	case b.release.Phase == Released || !suspicious && clockedRollout:
+	case b.release.Phase == Released || !suspicious && advancesByClock:
 		return NoVote
-	case clockedRollout:
+	case advancesByClock:
 		return Pause
-	case !suspicious && b.maturedForPromotion(need, timedVote):
+	case !suspicious && b.readyToPromote(required, timedVote):
 		return Promote
 	}
 	return NoVote
@@ -108,21 +108,21 @@
 // timedVoteDue tells whether the stage has lasted long enough for a timed vote, with a few outcomes of the version at least,
 // as a vote on none would say no more than the time.
 func (b *Balancer) timedVoteDue() bool {
-	least := max(1, min(minOutcomesTimed, minOutcomes/max(1, b.settings.Relays)))
-	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= least
+	minimum := max(1, min(minOutcomesTimed, minOutcomes/max(1, b.settings.Relays)))
+	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= minimum
 }
 
 // slowdownObserved tells whether the baseline is much slower than before the rollout, or the canary is past its bound so far.
 func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
-	return b.baseline.slowShare() > e.slowShareBefore+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
+	return b.baseline.slowShare() > e.initialSlowShare+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
 
-// maturedForPromotion tells whether there is enough evidence for a vote to promote; a timed vote needs less. Reports that
+// readyToPromote tells whether there is enough evidence for a vote to promote; a timed vote needs less. Reports that
 // would have come by now are counted first.
-func (b *Balancer) maturedForPromotion(need int, timedVote bool) bool {
-	b.matureReports()
-	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= need || timedVote) {
+func (b *Balancer) readyToPromote(required int, timedVote bool) bool {
+	b.countUnreportedAnswers()
+	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= required || timedVote) {
 		return true
 	}
 	return timedVote && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
@@ -133,18 +133,18 @@
 // this way begins now, and its outcomes are counted anew.
 // Where backends of the version start anew under other names, votes may come too early.
 func (b *Balancer) advanceStage() int {
-	e, at := b.evaluation, b.release.Stage
+	e, stage := b.evaluation, b.release.Stage
 	if e == nil || e.version != b.release.Version || b.release.Phase != Canary {
-		return at
+		return stage
 	}
-	at = max(at, e.stagePassed)
-	for at+1 < b.stageCount() && float64(b.backendsRunning(e.version)) > math.Ceil(b.stageShare(at)*e.baselineBackends) {
-		at++
+	stage = max(stage, e.minStageFromReplies)
+	for stage+1 < b.stageCount() && float64(b.backendsRunningAtLeast(e.version)) > math.Ceil(b.stageShare(stage)*e.baselineBackends) {
+		stage++
 	}
-	if at > e.countedStage {
-		e.countedStage, e.outcomesInStage, b.stageStart = at, 0, b.now
+	if stage > e.countedStage {
+		e.countedStage, e.outcomesInStage, b.stageStart = stage, 0, b.now
 	}
-	return at
+	return stage
 }
 
 // stageCount is the number of stages of a version.
@@ -157,41 +157,41 @@
 func (b *Balancer) considerVote() {
 	stage, verdict, v := b.advanceStage(), b.verdict(), &b.vote
 	if verdict == NoVote {
-		if v.state == voteDrawn {
+		if v.state == voteScheduled {
 			v.state = voteNone
 		}
 		return
 	}
 	if v.state == voteNone || v.verdict != verdict || v.version != b.release.Version || v.stage != stage {
-		b.drawVote(stage, verdict)
+		b.scheduleVote(stage, verdict)
 	}
 	if b.now < v.due {
 		return
 	}
-	if v.state == voteDrawn {
+	if v.state == voteScheduled {
 		b.castVote()
 	} else { // it is drawn again
 		v.state = voteNone
 	}
 }
 
-// drawVote draws whether and when a vote goes out. The moment is random over the time that the release API needs for a vote
+// scheduleVote draws whether and when a vote goes out. The moment is random over the time that the release API needs for a vote
 // of every relay, at most a vote's life: spread further, votes would only come later.
-func (b *Balancer) drawVote(stage int, verdict Verdict) {
-	relays, rate := max(1, b.settings.Relays), max(leastVoteRate, b.settings.Rollout.VotesPerSecond)
-	life := b.settings.Rollout.VoteLifetime.Ticks()
-	spread := min(life, Tick(relays/rate*float64(Second)))
-	b.vote = vote{version: b.release.Version, stage: stage, verdict: verdict, state: voteDrawn}
-	b.vote.due = b.now + Tick(b.random.intN(int(spread)+1))
-	chance := rate * float64(life) / float64(Second) / relays
-	if float64(b.random.intN(votePrecision)) >= votePrecision*chance {
-		b.vote.state, b.vote.due = voteSkipped, b.now+life
+func (b *Balancer) scheduleVote(stage int, verdict Verdict) {
+	relays, rate := max(1, b.settings.Relays), max(minVoteRate, b.settings.Rollout.VotesPerSecond)
+	lifetime := b.settings.Rollout.VoteLifetime.Ticks()
+	window := min(lifetime, Tick(relays/rate*float64(Second)))
+	b.vote = vote{version: b.release.Version, stage: stage, verdict: verdict, state: voteScheduled}
+	b.vote.due = b.now + Tick(b.random.intN(int(window)+1))
+	chance := rate * float64(lifetime) / float64(Second) / relays
+	if float64(b.random.intN(voteChanceSteps)) >= voteChanceSteps*chance {
+		b.vote.state, b.vote.due = voteSkipped, b.now+lifetime
 	}
 }
 
 func (b *Balancer) castVote() {
 	v := &b.vote
-	v.state, v.due = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+replyGrace
+	v.state, v.due = voteCast, b.now+b.settings.Rollout.VoteTimeout.Ticks()+voteReplyGrace
 	fields := []slog.Attr{slog.String("verdict", v.verdict.String()), slog.Int("version", int(v.version)),
 		slog.Int("stage", v.stage), slog.Int("outcomes", b.evaluation.outcomesInStage)}
 	if v.verdict == Promote {
@@ -216,10 +216,10 @@
 	}
 	v.state, v.due = voteCounted, b.now+b.settings.Rollout.VoteLifetime.Ticks()
 	if status.Outcome == Discarded && v.verdict == RollBack { // that stage has passed
-		b.evaluation.stagePassed = (v.stage + 1) % b.stageCount()
+		b.evaluation.minStageFromReplies = (v.stage + 1) % b.stageCount()
 	}
 	if status.Outcome != Succeeded {
-		v.state, v.due = voteUncounted, b.now+recastFirst+Tick(b.random.intN(int(recastSpread)))
+		v.state, v.due = voteNotCounted, b.now+minRecastDelay+Tick(b.random.intN(int(recastJitter)))
 	}
 }
 
