--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -15,15 +15,15 @@
 // capacity, and what matters most is served first.
 
 const (
-	// blockedLimit ends a pass through the queue: after so many requests without a backend the others find none either,
+	// maxBlockedPerPass ends a pass through the queue: after so many requests without a backend the others find none either,
 	// but for the odd class, which waits for the next pass.
-	blockedLimit = 4
-	// unansweredLimit is how long a class may go without an answer or a try. A relay that turns away all that it gets for 4 s
+	maxBlockedPerPass = 4
+	// lateAttemptInterval is how long a class may go without an answer or a try. A relay that turns away all that it gets for 4 s
 	// on end counts as dead to its site (docs/fleet.md), so one request is tried well before.
-	unansweredLimit = 3 * Second / 2
-	// answerMargin is how long before the client stops waiting an answer has to be there: two timers, as the one that
+	lateAttemptInterval = 3 * Second / 2
+	// deadlineMargin is how long before the client stops waiting an answer has to be there: two timers, as the one that
 	// finds a request late may come an interval late itself.
-	answerMargin = 2 * timerInterval
+	deadlineMargin = 2 * timerInterval
 )
 
 // admission is the requests that wait.
@@ -44,8 +44,8 @@
 
 // enqueue puts a request into the queue at its place, unless it is past saving.
 func (b *Balancer) enqueue(r *Request) {
-	r.usefulUntil = min(r.Deadline-answerMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
-	if b.pastSaving(r) && !b.takeLastChance(r) {
+	r.usefulUntil = min(r.Deadline-deadlineMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
+	if b.expectedLate(r) && !b.allowLateAttempt(r) {
 		b.shed(r)
 		return
 	}
@@ -56,30 +56,30 @@
 	b.queue = slices.Insert(b.queue, at, r)
 }
 
-// pastSaving tells whether a request could hardly be answered in time any more. One that had to wait is tried as long as
+// expectedLate tells whether a request could hardly be answered in time any more. One that had to wait is tried as long as
 // nine in ten answers would be in time. One that has just come is tried as long as half of them would be.
-func (b *Balancer) pastSaving(r *Request) bool {
+func (b *Balancer) expectedLate(r *Request) bool {
 	if b.now != r.receivedAt {
 		return b.now >= r.usefulUntil-b.p90Latency[r.Class]
 	}
 	return b.now >= r.usefulUntil-b.medianLatency[r.Class]
 }
 
-// takeLastChance tells whether a request that is past saving is tried all the same, and counts that as a try of its class. It
+// allowLateAttempt tells whether a request that is past saving is tried all the same, and counts that as a try of its class. It
 // is one that has just come and whose answer may still be of use, while its class has had neither an answer nor such a try
-// for unansweredLimit. Asked again at the same time the answer stays.
+// for lateAttemptInterval. Asked again at the same time the answer stays.
 //
 // Guards against a class that is turned away for good: seen as clients with little patience, after slow answers, that are
-// never tried, so that no answer shows that backends are fast again; holds because one is tried each unansweredLimit.
-func (b *Balancer) takeLastChance(r *Request) bool {
+// never tried, so that no answer shows that backends are fast again; holds because one is tried each lateAttemptInterval.
+func (b *Balancer) allowLateAttempt(r *Request) bool {
 	if b.now != r.receivedAt || b.now >= r.usefulUntil {
 		return false
 	}
-	if !r.triedDespiteDelay && b.now <= b.lastAnswerOrTry[r.Class]+unansweredLimit {
+	if !r.triedDespiteDelay && b.now <= b.lastAnswerOrLateAttempt[r.Class]+lateAttemptInterval {
 		return false
 	}
 	r.triedDespiteDelay = true
-	b.lastAnswerOrTry[r.Class] = b.now
+	b.lastAnswerOrLateAttempt[r.Class] = b.now
 	return true
 }
 
@@ -87,11 +87,11 @@
 func (b *Balancer) serveQueue() {
 	var blocked []*Request
 	seen := 0
-	for ; seen < len(b.queue) && len(blocked) < blockedLimit; seen++ {
+	for ; seen < len(b.queue) && len(blocked) < maxBlockedPerPass; seen++ {
 		r := b.queue[seen]
 		switch {
 		case r.state == requestAnswered:
-		case b.pastSaving(r) && !b.takeLastChance(r):
+		case b.expectedLate(r) && !b.allowLateAttempt(r):
 			b.shed(r)
 		case b.route(r):
 			r.state = requestInFlight
@@ -102,10 +102,10 @@
 	b.queue = slices.Replace(b.queue, 0, seen, blocked...)
 }
 
-// shedPastSaving answers what is queued and past saving; serveQueue drops it from the queue.
-func (b *Balancer) shedPastSaving() {
+// shedLate answers what is queued and past saving; serveQueue drops it from the queue.
+func (b *Balancer) shedLate() {
 	for _, r := range b.queue {
-		if r.state != requestAnswered && b.pastSaving(r) && !b.takeLastChance(r) {
+		if r.state != requestAnswered && b.expectedLate(r) && !b.allowLateAttempt(r) {
 			b.shed(r)
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -103,7 +103,7 @@
 	a.state, a.outcome = attemptEnded, outcome
 	a.Backend.inFlight--
 	b.attemptsInFlight = slices.DeleteFunc(b.attemptsInFlight, func(o *Attempt) bool { return o == a })
-	if outcome.provesLife() {
+	if outcome.showsBackendAlive() {
 		a.Backend.lastAnswer = now
 	}
 	if outcome == Succeeded {
@@ -121,8 +121,8 @@
 	b.considerVote()
 }
 
-// provesLife tells whether something of the backend came back.
-func (o Outcome) provesLife() bool {
+// showsBackendAlive tells whether something of the backend came back.
+func (o Outcome) showsBackendAlive() bool {
 	return o != TimedOut && o != ConnectFailed && o != Cancelled && o != Discarded
 }
 
@@ -130,9 +130,9 @@
 func (b *Balancer) recordSuccess(a *Attempt, latency Tick) {
 	a.Backend.successTimes = appendBounded(a.Backend.successTimes, b.now, backendSampleSize)
 	b.successTimes = append(b.successTimes, b.now)
-	b.earnCancellation()
+	b.addCancelBudget()
 	b.recordLatency(a.Request.Class, latency)
-	b.rememberAnswer(a)
+	b.recordAnsweredKey(a)
 }
 
 // OnStreamStart takes the start of a streamed answer: the attempt is the client's now.
@@ -179,7 +179,7 @@
 	b.updateConcurrency()
 	b.updateCanaryFraction()
 	b.pollIfDue()
-	b.shedPastSaving()
+	b.shedLate()
 	b.serveQueue()
 	b.considerVote()
 }
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -22,15 +22,15 @@
 	limitIncrease = 0.06
 	// rateWindow is the time over which the relay's own rates are taken.
 	rateWindow = 2 * Second
-	// attemptsPerBackend is what the limit leaves for each backend that there is to a relay, however late answers are.
-	attemptsPerBackend = 2
+	// minLimitPerBackend is what the limit leaves for each backend that there is to a relay, however late answers are.
+	minLimitPerBackend = 2
 )
 
 // concurrency is what is in flight, and what the relay knows of its own rate.
 type concurrency struct {
 	attemptsInFlight []*Attempt // in the order of their start
 	concurrencyLimit float64    // attempts in flight that the relay allows itself
-	choiceSize       int        // backends that it chooses from
+	subsetSize       int        // backends that it chooses from
 	successTimes     []Tick     // within rateWindow
 	warmCapacity     float64    // backends in use, by their warm-up fractions
 	canaryCapacity   float64    // those of them that run a canary
@@ -38,7 +38,7 @@
 }
 
 func newConcurrency() concurrency {
-	return concurrency{choiceSize: minChoiceSize, concurrencyLimit: minChoiceSize}
+	return concurrency{subsetSize: minSubsetSize, concurrencyLimit: minSubsetSize}
 }
 
 // capacity is how much may be in flight at a backend, by the times of its last answers.
@@ -68,7 +68,7 @@
 	switch {
 	case a.Backend.lastAnswer < a.sentAt:
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
-		least := max(1, attemptsPerBackend*b.warmCapacity/max(1, b.settings.Relays))
+		least := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(least, b.concurrencyLimit*(1-limitDecrease))
 	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2: // it is in use
 		b.concurrencyLimit *= 1 + limitIncrease
@@ -88,9 +88,9 @@
 		onProbation += indicator(b.onProbation(backend))
 		b.canaryCapacity += fraction * indicator(b.isCanary(backend.Version))
 	}
-	b.mostOnProbation = mostOnProbationParts*onProbation >= (mostOnProbationParts-1)*all
+	b.mostOnProbation = mostOnProbationDivisor*onProbation >= (mostOnProbationDivisor-1)*all
 	b.updateRatePerBackend(warm, all)
-	b.choiceSize = minChoiceSize + len(b.arrivals)*int(b.shortestObjective)/int(rateWindow)
+	b.subsetSize = minSubsetSize + len(b.arrivals)*int(b.shortestObjective)/int(rateWindow)
 }
 
 // updateRatePerBackend takes the rate of the warm backends while they are the most. Else what they did holds, or what all
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -13,12 +13,12 @@
 // call two seconds.
 
 const (
-	// longestPoll is the longest pause in the middle; up to a quarter more is drawn.
-	longestPoll = 16 * Second / 5
-	// firstPoll is the pause after the first call that failed.
-	firstPoll = Second / 2
-	// firstPollSpread is drawn beside the first pause's end.
-	firstPollSpread = Second
+	// maxPollInterval is the longest pause in the middle; up to a quarter more is drawn.
+	maxPollInterval = 16 * Second / 5
+	// initialPollInterval is the pause after the first call that failed.
+	initialPollInterval = Second / 2
+	// initialPollJitter is drawn beside the first pause's end.
+	initialPollJitter = Second
 )
 
 // endpointPolling is when to ask for the endpoint list.
@@ -34,7 +34,7 @@
 		return
 	}
 	b.host.WatchEndpoints(true)
-	b.polling, b.pollInterval = true, longestPoll
+	b.polling, b.pollInterval = true, maxPollInterval
 	b.schedulePoll()
 }
 
@@ -49,7 +49,7 @@
 // schedulePoll draws the time of the next call, around a pause that doubles.
 func (b *Balancer) schedulePoll() {
 	longest := max(Second, b.settings.Endpoints.PollInterval.Ticks()/2)
-	b.pollInterval = min(2*b.pollInterval, longest, longestPoll)
+	b.pollInterval = min(2*b.pollInterval, longest, maxPollInterval)
 	b.nextPoll = b.now + b.pollInterval*3/4 + Tick(b.random.intN(int(b.pollInterval/2)))
 }
 
@@ -65,30 +65,30 @@
 	case ok:
 		b.polling = b.polling && now == b.startedAt
 	case !b.polling:
-		b.polling, b.pollInterval = true, firstPoll
-		b.nextPoll = now + Tick(b.random.intN(int(firstPollSpread)))
+		b.polling, b.pollInterval = true, initialPollInterval
+		b.nextPoll = now + Tick(b.random.intN(int(initialPollJitter)))
 	}
 	b.serveQueue()
 }
 
 // OnEndpoint takes what the endpoint list says of a backend.
-func (b *Balancer) OnEndpoint(now Tick, backend *Backend, is Endpoint) {
+func (b *Balancer) OnEndpoint(now Tick, backend *Backend, endpoint Endpoint) {
 	b.now = now
-	if backend.listed && (is.StartedAt != backend.StartedAt || is.Version != backend.Version) {
-		backend.forget(now)
+	if backend.listed && (endpoint.StartedAt != backend.StartedAt || endpoint.Version != backend.Version) {
+		backend.resetHistory(now)
 	}
-	if !backend.listed || is.StartedAt != backend.StartedAt {
+	if !backend.listed || endpoint.StartedAt != backend.StartedAt {
 		b.startSlowStart(backend)
 	}
-	backend.listed, backend.Endpoint = true, is
+	backend.listed, backend.Endpoint = true, endpoint
 	b.backends = applyListing(b.backends, backend, b.random.intN(len(b.backends)+1))
-	if is.State == Ready {
-		b.startEvaluation(is.Version)
+	if endpoint.State == Ready {
+		b.startEvaluation(endpoint.Version)
 	}
 }
 
-// forget drops what is known of a backend that is another process now.
-func (backend *Backend) forget(now Tick) {
+// resetHistory drops what is known of a backend that is another process now.
+func (backend *Backend) resetHistory(now Tick) {
 	backend.successTimes, backend.recentFailures, backend.relativeLatencies = nil, nil, nil
 	backend.warmUpSends = nil
 	backend.failureWealth, backend.ejected, backend.probationInterval = 1, false, 0
@@ -96,11 +96,11 @@
 }
 
 // applyListing puts a ready backend at a place of a list that lacks it, and takes out one that is not ready.
-func applyListing(backends []*Backend, backend *Backend, place int) []*Backend {
+func applyListing(backends []*Backend, backend *Backend, position int) []*Backend {
 	at := slices.Index(backends, backend)
 	switch {
 	case backend.State == Ready && at < 0:
-		return slices.Insert(backends, place, backend)
+		return slices.Insert(backends, position, backend)
 	case backend.State != Ready && at >= 0:
 		return slices.Delete(backends, at, at+1)
 	}
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -72,28 +72,28 @@
 	return a.state != attemptEnded || a.outcome != AtCapacity && a.outcome != ConnectFailed && a.outcome != Discarded
 }
 
-// rememberedVersions is the number of versions whose answered keys are kept: the newest, one that is not announced yet,
+// maxAnsweredVersions is the number of versions whose answered keys are kept: the newest, one that is not announced yet,
 // and one to spare.
-const rememberedVersions = 3
+const maxAnsweredVersions = 3
 
-// keySet is a set of keys in a fixed space. It may take a key for one that was added, one in a hundred with 100,000 of
+// keyFilter is a set of keys in a fixed space. It may take a key for one that was added, one in a hundred with 100,000 of
 // them and two in five with a million, but never the other way.
-type keySet [1 << 15]uint64
+type keyFilter [1 << 15]uint64
 
-func (s *keySet) has(key uint64) bool {
+func (s *keyFilter) mayContain(key uint64) bool {
 	return key != 0 && s[key>>6%uint64(len(s))]>>(key%64)&1 == 1 && s[key>>38%uint64(len(s))]>>(key>>32%64)&1 == 1
 }
 
-func (s *keySet) add(key uint64) {
+func (s *keyFilter) add(key uint64) {
 	s[key>>6%uint64(len(s))] |= 1 << (key % 64)
 	s[key>>38%uint64(len(s))] |= 1 << (key >> 32 % 64)
 }
 
-// maySeeKey tells whether a version may be asked about a key: not if a later one has answered it that may still be
+// mayServeKey tells whether a version may be asked about a key: not if a later one has answered it that may still be
 // released. Where the site moves keys forward only, an earlier version cannot read what the later one has written.
-func (b *Balancer) maySeeKey(key uint64, version uint16) bool {
+func (b *Balancer) mayServeKey(key uint64, version uint16) bool {
 	for by, keys := range b.answeredKeys {
-		if version < by && keys.has(key) && b.mayBeReleased(by) {
+		if version < by && keys.mayContain(key) && b.mayBeReleased(by) {
 			return false
 		}
 	}
@@ -108,19 +108,19 @@
 	return b.release.Phase == Canary || b.release.Phase == Released
 }
 
-// rememberAnswer keeps that a version has answered a key.
-func (b *Balancer) rememberAnswer(a *Attempt) {
+// recordAnsweredKey keeps that a version has answered a key.
+func (b *Balancer) recordAnsweredKey(a *Attempt) {
 	key := a.Request.Key
 	if key != 0 && a.version >= b.release.Version && b.settings.Rollout.ForwardOnly {
-		b.rememberKey(key, a.version)
+		b.addAnsweredKey(key, a.version)
 	}
 }
 
-// rememberKey keeps a key of a version. Of more versions at once than can be under way, the earliest is dropped.
-func (b *Balancer) rememberKey(key uint64, version uint16) {
+// addAnsweredKey keeps a key of a version. Of more versions at once than can be under way, the earliest is dropped.
+func (b *Balancer) addAnsweredKey(key uint64, version uint16) {
 	if b.answeredKeys[version] == nil {
-		b.answeredKeys[version] = &keySet{}
-		if len(b.answeredKeys) > rememberedVersions {
+		b.answeredKeys[version] = &keyFilter{}
+		if len(b.answeredKeys) > maxAnsweredVersions {
 			delete(b.answeredKeys, slices.Min(slices.Collect(maps.Keys(b.answeredKeys))))
 		}
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -27,10 +27,10 @@
 	burstDeviations = 3
 	// sampleSize is the number of latencies and outcomes that are kept of a class.
 	sampleSize = 64
-	// estimateParts: without answers, an attempt is held to take one in so many parts of the latency objective, and no
+	// estimateDivisor: without answers, an attempt is held to take one in so many parts of the latency objective, and no
 	// estimate is longer than all of them but one.
 	// Guards against slow answers that keep away what alone can show faster ones.
-	estimateParts = 4
+	estimateDivisor = 4
 	// estimateLifetime is how long the last answer of a class, or the last try without one, says something: load and backends may have changed since.
 	estimateLifetime = 4 * Second
 	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th percentile.
@@ -42,16 +42,16 @@
 
 // latencyEstimates are how long attempts take, by class.
 type latencyEstimates struct {
-	latencies         [][]Tick // of the last answers
-	lastAnswerOrTry   []Tick   // when the last of them came, or a request was tried by takeLastChance
-	p90Latency        []Tick
-	medianLatency     []Tick
-	shortestObjective Tick // the least latency objective of a class
+	latencies               [][]Tick // of the last answers
+	lastAnswerOrLateAttempt []Tick   // when the last of them came, or a request was tried by allowLateAttempt
+	p90Latency              []Tick
+	medianLatency           []Tick
+	shortestObjective       Tick // the least latency objective of a class
 }
 
 func newLatencyEstimates(classes []RequestClass) latencyEstimates {
 	n := len(classes)
-	l := latencyEstimates{latencies: make([][]Tick, n), lastAnswerOrTry: make([]Tick, n), p90Latency: make([]Tick, n),
+	l := latencyEstimates{latencies: make([][]Tick, n), lastAnswerOrLateAttempt: make([]Tick, n), p90Latency: make([]Tick, n),
 		medianLatency: make([]Tick, n), shortestObjective: Tick(math.MaxInt64)}
 	for i := range classes {
 		l.shortestObjective = min(l.shortestObjective, classes[i].LatencyObjective.Ticks())
@@ -62,31 +62,31 @@
 // recordLatency takes the latency of an answer.
 func (b *Balancer) recordLatency(class int, latency Tick) {
 	b.latencies[class] = appendBounded(b.latencies[class], latency, sampleSize)
-	b.lastAnswerOrTry[class] = b.now
+	b.lastAnswerOrLateAttempt[class] = b.now
 }
 
 // updateLatencies works the estimates out anew. What no answer has borne out for a while is forgotten.
 func (b *Balancer) updateLatencies() {
 	for class, latencies := range b.latencies {
-		part := b.settings.Classes[class].LatencyObjective.Ticks() / estimateParts
-		b.p90Latency[class], b.medianLatency[class] = part, part
+		defaultEstimate := b.settings.Classes[class].LatencyObjective.Ticks() / estimateDivisor
+		b.p90Latency[class], b.medianLatency[class] = defaultEstimate, defaultEstimate
 		n := len(latencies)
 		if n < minLatencySample {
 			continue
 		}
-		if b.now > b.lastAnswerOrTry[class]+estimateLifetime {
+		if b.now > b.lastAnswerOrLateAttempt[class]+estimateLifetime {
 			b.latencies[class] = latencies[n-1:]
 			continue
 		}
 		sorted := slices.Sorted(slices.Values(latencies))
-		longest := (estimateParts - 1) * part
+		longest := (estimateDivisor - 1) * defaultEstimate
 		b.p90Latency[class] = min(sorted[n*9/10], longest)
 		b.medianLatency[class] = min(sorted[n/2], longest)
 	}
 }
 
-// setExpectations works out from when on an attempt is late for its backend and slow for its version.
-func (b *Balancer) setExpectations(a *Attempt) {
+// setLatencyBounds works out from when on an attempt is late for its backend and slow for its version.
+func (b *Balancer) setLatencyBounds(a *Attempt) {
 	backend, class := a.Backend, a.Request.Class
 	objective := b.settings.Classes[class].LatencyObjective.Ticks()
 	fraction := b.warmUpFraction(backend)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -21,49 +21,49 @@
 	// ejectionFailureShare is the failure share of a backend that is to be ejected.
 	ejectionFailureShare = 0.75
 	// ejectionWealth is the wealth of the test at which it is. It lies below the 53 that three failures in a row reach
-	// where the usual share is at usualLeast, and above the 14 of two.
+	// where the usual share is at minNullShare, and above the 14 of two.
 	ejectionWealth = 27.0
-	// usualLeast and usualMost bound the failure share that the test takes for usual, and usualMultiple is it in
+	// minNullShare and maxNullShare bound the failure share that the test takes for usual, and nullShareMultiple is it in
 	// multiples of the relay's own: few failures in a small sample eject nothing, and a share near that of a bad backend
 	// would make the bet worthless.
-	usualLeast    = 0.2
-	usualMost     = 0.7
-	usualMultiple = 1.5
+	minNullShare      = 0.2
+	maxNullShare      = 0.7
+	nullShareMultiple = 1.5
 	// silenceShare is the part of a latency objective for which a backend may owe every answer.
 	silenceShare = 0.6
 	// degradedMargin is how much more of its last attempts a degraded backend failed than others.
 	degradedMargin = 0.25
-	// probationFirst and probationLongest bound the time between attempts on probation after failures. Each failure
-	// doubles it and each success halves it, and below probationDone the backend is back in use.
-	probationFirst   = Second / 2
-	probationLongest = 4 * Second
-	probationDone    = Second / 20
+	// initialProbationInterval and maxProbationInterval bound the time between attempts on probation after failures. Each failure
+	// doubles it and each success halves it, and below probationExitInterval the backend is back in use.
+	initialProbationInterval = Second / 2
+	maxProbationInterval     = 4 * Second
+	probationExitInterval    = Second / 20
 	// minProbationPause is the least pause after an attempt on probation. A backend that is silent or avoided, but has not
 	// failed, has no interval of its own.
 	minProbationPause = Second / 20
-	// probationInFlight is how much may be in flight at a backend on probation.
-	probationInFlight = 2
-	// degradedFor is how long after its last failure a backend may be degraded.
-	degradedFor = 2 * probationLongest
-	// mostOnProbationParts: where all but one in so many backends are on probation, the trouble is this relay's own.
-	mostOnProbationParts = 8
-	// avoidedParts: up to one in so many backends are avoided for the sake of other relays.
-	avoidedParts = 4
+	// maxProbationInFlight is how much may be in flight at a backend on probation.
+	maxProbationInFlight = 2
+	// maxDegradedTime is how long after its last failure a backend may be degraded.
+	maxDegradedTime = 2 * maxProbationInterval
+	// mostOnProbationDivisor: where all but one in so many backends are on probation, the trouble is this relay's own.
+	mostOnProbationDivisor = 8
+	// avoidedDivisor: up to one in so many backends are avoided for the sake of other relays.
+	avoidedDivisor = 4
 	// backendSampleSize is the number of outcomes of one backend that are kept.
 	backendSampleSize = 16
-	// relativeLatencySize is the number of its latencies.
-	relativeLatencySize = backendSampleSize / 4
+	// relativeLatencySampleSize is the number of its latencies.
+	relativeLatencySampleSize = backendSampleSize / 4
 )
 
 // backendHealth is what the outcomes at one backend show of it.
 type backendHealth struct {
-	recentFailures    []float64 // the last outcomes, 1 for a failure
-	lastFailure       Tick
-	failureWealth     float64 // of the test that ejects it
-	ejected           bool
-	probationInterval Tick // between the attempts while it is ejected
-	nextProbation     Tick
-	avoidedUntil      Tick // for the sake of other relays
+	recentFailures       []float64 // the last outcomes, 1 for a failure
+	lastFailure          Tick
+	failureWealth        float64 // of the test that ejects it
+	ejected              bool
+	probationInterval    Tick // between the attempts while it is ejected
+	nextProbationAttempt Tick
+	avoidedUntil         Tick // for the sake of other relays
 }
 
 // ejection is what the relay knows of all its backends together.
@@ -79,7 +79,7 @@
 
 // degraded tells whether a backend failed of late, and more of its last attempts than others did.
 func (b *Balancer) degraded(backend *Backend) bool {
-	return b.now-backend.lastFailure < degradedFor &&
+	return b.now-backend.lastFailure < maxDegradedTime &&
 		mean(backend.recentFailures) > degradedMargin+mean(b.recentFailures)
 }
 
@@ -98,9 +98,9 @@
 	return silence > silenceShare*float64(b.shortestObjective)
 }
 
-// dueForProbation tells whether a backend on probation may get a request that can be tried again.
-func (b *Balancer) dueForProbation(r *Request, backend *Backend) bool {
-	return b.now >= backend.nextProbation && backend.inFlight < probationInFlight &&
+// dueForProbationAttempt tells whether a backend on probation may get a request that can be tried again.
+func (b *Balancer) dueForProbationAttempt(r *Request, backend *Backend) bool {
+	return b.now >= backend.nextProbationAttempt && backend.inFlight < maxProbationInFlight &&
 		b.class(r).Idempotency != AtMostOnce
 }
 
@@ -112,18 +112,18 @@
 	if !ok {
 		return true
 	}
-	if !b.onProbation(backend) && (!policy.IsEjected(backend) || avoidedParts*b.ejectedCount() >= len(b.backends)) {
+	if !b.onProbation(backend) && (!policy.IsEjected(backend) || avoidedDivisor*b.countEjectedOrAvoided() >= len(b.backends)) {
 		return true
 	}
 	if policy.AllowProbe(backend) {
 		return true
 	}
-	backend.nextProbation, backend.avoidedUntil = b.now+probationFirst, b.now+probationFirst
+	backend.nextProbationAttempt, backend.avoidedUntil = b.now+initialProbationInterval, b.now+initialProbationInterval
 	return false
 }
 
-// ejectedCount counts the backends that are ejected or avoided.
-func (b *Balancer) ejectedCount() (n int) {
+// countEjectedOrAvoided counts the backends that are ejected or avoided.
+func (b *Balancer) countEjectedOrAvoided() (n int) {
 	for _, backend := range b.backends {
 		if backend.ejected || b.now < backend.avoidedUntil {
 			n++
@@ -138,18 +138,18 @@
 		b.recordForBackend(a.Backend, b.now > a.lateAfter || a.outcome != Succeeded)
 	}
 	relative := float64(b.now-a.sentAt) / float64(a.lateAfter-a.sentAt)
-	a.Backend.relativeLatencies = appendBounded(a.Backend.relativeLatencies, relative, relativeLatencySize)
+	a.Backend.relativeLatencies = appendBounded(a.Backend.relativeLatencies, relative, relativeLatencySampleSize)
 }
 
 // recordForBackend bets on one more outcome of a backend, and ejects it or takes it back into use.
 func (b *Balancer) recordForBackend(backend *Backend, failed bool) {
-	usual := min(max(usualLeast, usualMultiple*mean(b.recentFailures)), usualMost)
+	nullShare := min(max(minNullShare, nullShareMultiple*mean(b.recentFailures)), maxNullShare)
 	if failed {
 		backend.lastFailure = b.now
-		backend.failureWealth = max(1, backend.failureWealth) * ejectionFailureShare / usual
-		backend.probationInterval = min(max(backend.probationInterval*2, probationFirst), probationLongest)
+		backend.failureWealth = max(1, backend.failureWealth) * ejectionFailureShare / nullShare
+		backend.probationInterval = min(max(backend.probationInterval*2, initialProbationInterval), maxProbationInterval)
 	} else {
-		backend.failureWealth = max(1, backend.failureWealth*(1-ejectionFailureShare)/(1-usual))
+		backend.failureWealth = max(1, backend.failureWealth*(1-ejectionFailureShare)/(1-nullShare))
 		backend.probationInterval /= 2
 	}
 	backend.recentFailures = appendBounded(backend.recentFailures, indicator(failed), backendSampleSize)
@@ -160,27 +160,27 @@
 	switch {
 	case !backend.ejected && backend.failureWealth >= ejectionWealth:
 		b.eject(backend)
-	case backend.ejected && !failed && backend.probationInterval < probationDone:
-		b.takeBack(backend)
+	case backend.ejected && !failed && backend.probationInterval < probationExitInterval:
+		b.readmit(backend)
 	}
 }
 
 func (b *Balancer) eject(backend *Backend) {
 	backend.ejected = true
-	backend.nextProbation = b.now + backend.probationInterval
+	backend.nextProbationAttempt = b.now + backend.probationInterval
 	b.logSampled("backend ejected", slog.Uint64("backend", uint64(backend.ID)))
 }
 
-func (b *Balancer) takeBack(backend *Backend) {
+func (b *Balancer) readmit(backend *Backend) {
 	backend.ejected = false
 	backend.failureWealth = 1
 	b.logSampled("backend back in use", slog.Uint64("backend", uint64(backend.ID)))
 }
 
 // moveToEnd puts one at the end of a list that has it.
-func moveToEnd[T comparable](list []T, one T) {
-	if at := slices.Index(list, one); at >= 0 {
+func moveToEnd[T comparable](list []T, element T) {
+	if at := slices.Index(list, element); at >= 0 {
 		copy(list[at:], list[at+1:])
-		list[len(list)-1] = one
+		list[len(list)-1] = element
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -13,10 +13,10 @@
 // fleet's budget of retries is a share of first attempts (package overload), and cancelled attempts are a small share of
 // what succeeds. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
 
-// cancelShare is the part of an attempt that each success allows to call off.
+// cancelsPerSuccess is the part of an attempt that each success allows to call off.
 // Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
 // than one in 25 is called off.
-const cancelShare = 0.04
+const cancelsPerSuccess = 0.04
 
 // cancellation is what may be called off.
 type cancellation struct {
@@ -24,11 +24,11 @@
 }
 
 // newCancellation begins with as many as the least number of backends that a relay chooses from.
-func newCancellation() cancellation { return cancellation{cancelBudget: minChoiceSize} }
+func newCancellation() cancellation { return cancellation{cancelBudget: minSubsetSize} }
 
-// earnCancellation adds what one success allows to call off, up to one attempt for each backend to choose from.
-func (b *Balancer) earnCancellation() {
-	b.cancelBudget = min(b.cancelBudget+cancelShare, float64(b.choiceSize))
+// addCancelBudget adds what one success allows to call off, up to one attempt for each backend to choose from.
+func (b *Balancer) addCancelBudget() {
+	b.cancelBudget = min(b.cancelBudget+cancelsPerSuccess, float64(b.subsetSize))
 }
 
 // retryOrShed queues a request for another attempt, or answers it.
@@ -78,7 +78,7 @@
 // retryPolicy is what decides on a retry of a request; nil where no more than this package's rules do.
 func (b *Balancer) retryPolicy(r *Request) fleetPolicy {
 	policy, ok := b.host.(fleetPolicy)
-	if !ok || b.refusedByFormerHolder(r) {
+	if !ok || b.missedInstance(r) {
 		return nil
 	}
 	return policy
@@ -92,9 +92,9 @@
 	}
 }
 
-// refusedByFormerHolder tells whether the last attempt of a request came to where its instance does not run any more:
+// missedInstance tells whether the last attempt of a request came to where its instance does not run any more:
 // nothing ran, so that the next one is no retry.
-func (b *Balancer) refusedByFormerHolder(r *Request) bool {
+func (b *Balancer) missedInstance(r *Request) bool {
 	return r.Pinned && r.attempts[len(r.attempts)-1].outcome == AtCapacity
 }
 
@@ -153,7 +153,7 @@
 			r.deferredFailure, r.failedTwice = nil, true
 			return true
 		}
-		if b.mayFailElsewhere(r) {
+		if b.canRetryElsewhere(r) {
 			r.deferredFailure = a
 			return true
 		}
@@ -167,8 +167,8 @@
 	return false
 }
 
-// mayFailElsewhere tells whether a request that has failed may be tried at another backend.
-func (b *Balancer) mayFailElsewhere(r *Request) bool {
+// canRetryElsewhere tells whether a request that has failed may be tried at another backend.
+func (b *Balancer) canRetryElsewhere(r *Request) bool {
 	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && r.state != requestAnswered &&
 		len(r.attempts) < b.settings.Limits.MaxAttempts
 }
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -30,8 +30,8 @@
 	release       ReleaseStatus // as the release API told last
 	releaseKnown  bool
 	stageStart    Tick
-	answeredKeys  map[uint16]*keySet // the keys that a version has answered, of few versions
-	requestFaults []float64          // of the last requests answered or failed at two backends, 1 for a failure
+	answeredKeys  map[uint16]*keyFilter // the keys that a version has answered, of few versions
+	requestFaults []float64             // of the last requests answered or failed at two backends, 1 for a failure
 
 	baseline          *samples
 	baselineTimedAt   Tick // when the baseline last showed whether an attempt was slow
@@ -40,7 +40,7 @@
 }
 
 func newRollout(classes int) rollout {
-	return rollout{answeredKeys: map[uint16]*keySet{}, baseline: newSamples(classes)}
+	return rollout{answeredKeys: map[uint16]*keyFilter{}, baseline: newSamples(classes)}
 }
 
 // RolloutPhase is where a version stands.
@@ -200,7 +200,7 @@
 	if !b.releaseKnown || old.Version != status.Version || old.Stage != status.Stage || old.Phase != status.Phase {
 		b.stageStart = b.now - status.Age
 		b.evaluation.outcomesInStage, b.evaluation.countedStage = 0, status.Stage
-		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keySet) bool { return by < status.Version })
+		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keyFilter) bool { return by < status.Version })
 	}
 	if bound, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < bound {
 		// The lower cap holds at once over the old count; the rule counts anew later.
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -13,13 +13,13 @@
 // that it has drawn, by what it has in flight there itself.
 
 const (
-	// minChoiceSize is how many backends a relay chooses from at the least; one more comes for each request that arrives
+	// minSubsetSize is how many backends a relay chooses from at the least; one more comes for each request that arrives
 	// within a latency objective.
 	// Guards against hundreds of relays that reach every backend: seen as connections that cost more than they serve, and
 	// relays that see next to nothing of each; holds because a small relay keeps to a few, by an order of its own.
-	minChoiceSize = 5
-	// minCanaryChoiceSize is the same for the backends of a canary; its part of the others' number comes beside.
-	minCanaryChoiceSize = 2
+	minSubsetSize = 5
+	// minCanarySubsetSize is the same for the backends of a canary; its part of the others' number comes beside.
+	minCanarySubsetSize = 2
 )
 
 // candidates is the memory of the lists that eligibleBackends returns.
@@ -83,16 +83,16 @@
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
-	canaryLimit := minCanaryChoiceSize + int(b.canaryFraction*float64(b.choiceSize))
+	canaryLimit := minCanarySubsetSize + int(b.canaryFraction*float64(b.subsetSize))
 	for _, backend := range b.backends {
 		isCanary := b.isCanary(backend.Version)
-		if isCanary && len(canary) >= canaryLimit || !isCanary && len(stable) >= b.choiceSize {
+		if isCanary && len(canary) >= canaryLimit || !isCanary && len(stable) >= b.subsetSize {
 			continue
 		}
-		refusal := b.refuses(r, backend)
+		refusal := b.checkBackend(r, backend)
 		switch {
 		case refusal != NotRefused:
-		case len(stable) >= minChoiceSize && b.degraded(backend):
+		case len(stable) >= minSubsetSize && b.degraded(backend):
 			refusal = RefusedByDegradation
 		case !isCanary:
 			stable = append(stable, backend)
@@ -107,16 +107,16 @@
 	return stable, canary
 }
 
-// refuses tells why a backend may not take a request, in the order of the constants.
-func (b *Balancer) refuses(r *Request, backend *Backend) Refusal {
-	if refusal := b.forbids(r, r.attempts, backend); refusal != NotRefused {
+// checkBackend tells why a backend may not take a request, in the order of the constants.
+func (b *Balancer) checkBackend(r *Request, backend *Backend) Refusal {
+	if refusal := b.checkHardConstraints(r, r.attempts, backend); refusal != NotRefused {
 		return refusal
 	}
 	restricted := !b.mostOnProbation && b.onProbation(backend)
 	switch {
-	case b.hadLastAttempt(r, backend):
+	case b.excludedByLastAttempt(r, backend):
 		return RefusedByLastAttempt
-	case restricted && !b.dueForProbation(r, backend):
+	case restricted && !b.dueForProbationAttempt(r, backend):
 		return RefusedByEjection
 	case !b.slowStartAllows(backend):
 		return RefusedBySlowStart
@@ -126,21 +126,21 @@
 	return NotRefused
 }
 
-// forbids tells which of the rules that never bend a further attempt would break. They are asked as a backend is chosen,
+// checkHardConstraints tells which of the rules that never bend a further attempt would break. They are asked as a backend is chosen,
 // and once more as the attempt is written.
-func (b *Balancer) forbids(r *Request, attempts []*Attempt, backend *Backend) Refusal {
+func (b *Balancer) checkHardConstraints(r *Request, attempts []*Attempt, backend *Backend) Refusal {
 	switch {
 	case backend.State != Ready, r.Pinned && r.PinnedTo != backend:
 		return RefusedByEndpoint
-	case !b.maySeeKey(r.Key, backend.Version), !b.safeToRepeat(r, attempts, backend):
+	case !b.mayServeKey(r.Key, backend.Version), !b.safeToRepeat(r, attempts, backend):
 		return RefusedByIdempotency
 	}
 	return NotRefused
 }
 
-// hadLastAttempt tells whether a backend had the last attempt of a request. A pinned request has no other backend: it may
+// excludedByLastAttempt tells whether a backend had the last attempt of a request. A pinned request has no other backend: it may
 // go there again after a pause that doubles.
-func (b *Balancer) hadLastAttempt(r *Request, backend *Backend) bool {
+func (b *Balancer) excludedByLastAttempt(r *Request, backend *Backend) bool {
 	n := len(r.attempts)
 	if n == 0 || r.attempts[n-1].Backend != backend {
 		return false
@@ -175,7 +175,7 @@
 func (b *Balancer) startAttempt(r *Request, backend *Backend) {
 	a := &Attempt{Request: r, Number: len(r.attempts), Backend: backend, sentAt: b.now, version: backend.Version,
 		backendStart: backend.StartedAt}
-	b.setExpectations(a)
+	b.setLatencyBounds(a)
 	if b.isCanary(backend.Version) {
 		e := b.exposureOf(r.Class)
 		e.credit = max(0, e.credit-1)
@@ -185,7 +185,7 @@
 		backend.waitingSince = b.now
 	}
 	if b.onProbation(backend) {
-		backend.nextProbation = b.now + max(backend.probationInterval, minProbationPause)
+		backend.nextProbationAttempt = b.now + max(backend.probationInterval, minProbationPause)
 	}
 	backend.inFlight++
 	r.attempts = append(r.attempts, a)
@@ -214,15 +214,15 @@
 		return false
 	}
 	sameProcess := backend.StartedAt == a.backendStart && backend.Version == a.version
-	return sameProcess && b.forbids(r, r.attempts[:a.Number], backend) == NotRefused
+	return sameProcess && b.checkHardConstraints(r, r.attempts[:a.Number], backend) == NotRefused
 }
 
-// writeDelay is how long after the choice an attempt may be written without being counted against the budgets anew.
-const writeDelay = timerInterval / 10
+// writeGracePeriod is how long after the choice an attempt may be written without being counted against the budgets anew.
+const writeGracePeriod = timerInterval / 10
 
 // overBudget tells whether an attempt that is written late is over the budgets of exposure or slow start by now.
 func (b *Balancer) overBudget(a *Attempt) bool {
-	if b.now <= a.sentAt+writeDelay {
+	if b.now <= a.sentAt+writeGracePeriod {
 		return false
 	}
 	r, backend := a.Request, a.Backend
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -57,8 +57,8 @@
 	return mean(outcomes) * n, n
 }
 
-// failuresOfAll does so for all classes together.
-func (s *samples) failuresOfAll() (bad, n float64) {
+// totalFailures does so for all classes together.
+func (s *samples) totalFailures() (bad, n float64) {
 	for _, outcomes := range s.class {
 		b, m := failures(outcomes)
 		bad, n = bad+b, n+m
@@ -72,7 +72,7 @@
 // failureShare is the share of bad ones among the outcomes of all classes, or of one.
 func (s *samples) failureShare(of stream) float64 {
 	if of.kind == allRequests {
-		return smoothedShare(s.failuresOfAll())
+		return smoothedShare(s.totalFailures())
 	}
 	return smoothedShare(failures(s.class[of.class]))
 }
--- a/balancer/series.go
+++ b/balancer/series.go
@@ -20,9 +20,9 @@
 }
 
 // appendBounded appends a value and keeps the last n.
-func appendBounded[T any](all []T, one T, n int) []T {
-	all = append(all, one)
-	return all[max(0, len(all)-n):]
+func appendBounded[T any](values []T, value T, n int) []T {
+	values = append(values, value)
+	return values[max(0, len(values)-n):]
 }
 
 // mean is the mean of samples, 0 for none.
@@ -35,8 +35,8 @@
 }
 
 // indicator is 1 for what is so, and else 0.
-func indicator(so bool) float64 {
-	if so {
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -18,15 +18,15 @@
 	slowStartShare = 0.85
 	// slowStartDeviations is how many standard deviations of chance are left free in it.
 	slowStartDeviations = 3
-	// slowStartFree is what no backend falls under in a window, whatever it can do: the site's rule has a slack of two.
-	slowStartFree = 1
+	// minSlowStartAttempts is what no backend falls under in a window, whatever it can do: the site's rule has a slack of two.
+	minSlowStartAttempts = 1
 )
 
 // warmUp is what a backend that warms up has been sent.
 type warmUp struct {
-	warmUpSends    []Tick  // within the window
-	lastWarmUpSend Tick    // or when this process was first listed
-	warmUpShareDue float64 // the part of an attempt's budget that must come due after it
+	warmUpSends        []Tick  // within the window
+	lastWarmUpSend     Tick    // or when this process was first listed
+	warmUpCreditNeeded float64 // the part of an attempt's budget that must come due after it
 }
 
 // warmUpFraction is the part of its capacity that a backend has at the least.
@@ -54,7 +54,7 @@
 	if budget >= 1 {
 		return float64(len(backend.warmUpSends))+1 <= budget // rounded up by each, all would send up to twice as much
 	}
-	return float64(b.now-backend.lastWarmUpSend)*budget >= float64(window)*backend.warmUpShareDue
+	return float64(b.now-backend.lastWarmUpSend)*budget >= float64(window)*backend.warmUpCreditNeeded
 }
 
 // slowStartBudget is this relay's part of what a backend may get in a window, in attempts.
@@ -62,18 +62,18 @@
 	relays := max(1, b.settings.Relays)
 	multiple := b.settings.SlowStart.OverloadMultiple
 	budget := slowStartShare * multiple * fraction * b.ratePerBackend * float64(window) / float64(Second)
-	spread := slowStartDeviations * math.Sqrt(max(0, 1-budget)) / 2
-	return math.Pow(math.Sqrt(spread*spread+max(slowStartFree, budget*relays))-spread, 2) / relays
+	deviation := slowStartDeviations * math.Sqrt(max(0, 1-budget)) / 2
+	return math.Pow(math.Sqrt(deviation*deviation+max(minSlowStartAttempts, budget*relays))-deviation, 2) / relays
 }
 
 // countWarmUpSend counts an attempt at a backend that warms up.
 func (b *Balancer) countWarmUpSend(backend *Backend) {
 	backend.warmUpSends = append(backend.warmUpSends, b.now)
-	backend.lastWarmUpSend, backend.warmUpShareDue = b.now, 1
+	backend.lastWarmUpSend, backend.warmUpCreditNeeded = b.now, 1
 }
 
 // startSlowStart draws the moment from which the first attempt at a new process comes due.
 func (b *Balancer) startSlowStart(backend *Backend) {
 	const steps = 1000
-	backend.lastWarmUpSend, backend.warmUpShareDue = b.now, float64(1+b.random.intN(steps))/steps
+	backend.lastWarmUpSend, backend.warmUpCreditNeeded = b.now, float64(1+b.random.intN(steps))/steps
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -61,7 +61,7 @@
 	state             requestState
 	streaming         bool // its answer is being passed on
 	failedTwice       bool // at two backends, a pinned request at the one it has: held to be its own doing
-	triedDespiteDelay bool // see takeLastChance
+	triedDespiteDelay bool // see allowLateAttempt
 	retryReserved     bool // the fleet has allowed an attempt that waits for the end of the last one
 	deferredFailure   *Attempt
 	refusal           Refusal
