--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// The rule: requests wait in one queue, by priority weight and then by the time when they lose their use, until a backend
-// may take them. A request whose answer would hardly come in time any more is shed: it is answered at once.
+// Admission keeps the requests that wait for a backend in one queue. The queue is ordered by priority weight and,
+// within one weight, by the time until which an answer is useful. A request that is expected to be answered too late is
+// shed: the relay answers it at once.
 //
 // Inputs: the priority weight and the latency objective of the class, the deadline of the request, and the latencies of
-// the class's last answers, in ticks.
+// the class's last answers in ticks.
 //
-// Guards against overload: seen as queues that grow until every answer is late; holds because what is late anyway takes no
-// capacity, and what matters most is served first.
+// Shedding guards against overload, in which queues grow until every answer is late. A request that would be answered
+// late anyway takes no capacity, and the requests with the highest weight are served first.
 
 const (
-	// maxBlockedPerPass ends a pass through the queue: after so many requests without a backend the others find none either,
-	// but for the odd class, which waits for the next pass.
+	// maxBlockedPerPass is how many requests without an eligible backend end a pass through the queue. The requests
+	// behind them rarely find a backend either; one whose class could waits for the next pass.
 	maxBlockedPerPass = 4
-	// lateAttemptInterval is how long a class may go without an answer or a try. A relay that turns away all that it gets for 4 s
-	// on end counts as dead to its site (docs/fleet.md), so one request is tried well before.
+	// lateAttemptInterval is how long a class may go with neither an answer nor a late attempt (see allowLateAttempt).
+	// A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one request is attempted
+	// well before.
 	lateAttemptInterval = 3 * Second / 2
-	// deadlineMargin is how long before the client stops waiting an answer has to be there: two timers, as the one that
-	// finds a request late may come an interval late itself.
+	// deadlineMargin is how long before its deadline a request has to be answered. It is two timer intervals, since the
+	// timer call that finds a request late may itself be one interval late.
 	deadlineMargin = 2 * timerInterval
 )
 
-// admission is the requests that wait.
+// admission holds the queued requests and the recent arrivals.
 type admission struct {
 	queue    []*Request
-	arrivals []Tick // requests received within rateWindow, retries of clients aside
+	arrivals []Tick // requests received within rateWindow, without retries by clients
 }
 
-// countArrival counts a request towards the relay's rate and the exposure of a canary.
+// countArrival counts a request towards the relay's arrival rate and towards the exposure of a canary.
 func (b *Balancer) countArrival(r *Request) {
 	e := b.exposureOf(r.Class)
 	e.arrivals = append(e.arrivals, b.now)
@@ -42,7 +44,8 @@
 	}
 }
 
-// enqueue puts a request into the queue at its place, unless it is past saving.
+// enqueue inserts a request at its place in the queue. It sheds a request that is expected to be late, unless a late
+// attempt is allowed.
 func (b *Balancer) enqueue(r *Request) {
 	r.usefulUntil = min(r.Deadline-deadlineMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
 	if b.expectedLate(r) && !b.allowLateAttempt(r) {
@@ -56,8 +59,9 @@
 	b.queue = slices.Insert(b.queue, at, r)
 }
 
-// expectedLate tells whether a request could hardly be answered in time any more. One that had to wait is tried as long as
-// nine in ten answers would be in time. One that has just come is tried as long as half of them would be.
+// expectedLate reports whether a request is unlikely to be answered in time. A request that had to wait is attempted as
+// long as nine in ten answers would be in time. A request that has just arrived is attempted as long as half of them
+// would be.
 func (b *Balancer) expectedLate(r *Request) bool {
 	if b.now != r.receivedAt {
 		return b.now >= r.usefulUntil-b.p90Latency[r.Class]
@@ -65,12 +69,14 @@
 	return b.now >= r.usefulUntil-b.medianLatency[r.Class]
 }
 
-// allowLateAttempt tells whether a request that is past saving is tried all the same, and counts that as a try of its class. It
-// is one that has just come and whose answer may still be of use, while its class has had neither an answer nor such a try
-// for lateAttemptInterval. Asked again at the same time the answer stays.
+// allowLateAttempt reports whether a request that is expected to be late is attempted all the same, and records the
+// late attempt for its class. It allows one if the request has just arrived, an answer may still be useful, and the
+// class has had neither an answer nor a late attempt for lateAttemptInterval. Called again at the same time, it returns
+// the same result.
 //
-// Guards against a class that is turned away for good: seen as clients with little patience, after slow answers, that are
-// never tried, so that no answer shows that backends are fast again; holds because one is tried each lateAttemptInterval.
+// Late attempts guard against a class that is rejected for good. After slow answers, clients with short deadlines would
+// never be attempted, so no answer would show that backends are fast again. One attempt in each lateAttemptInterval
+// brings such an answer.
 func (b *Balancer) allowLateAttempt(r *Request) bool {
 	if b.now != r.receivedAt || b.now >= r.usefulUntil {
 		return false
@@ -83,7 +89,7 @@
 	return true
 }
 
-// serveQueue routes what is queued, the most urgent first, until a few find no backend.
+// serveQueue routes the queued requests in order until maxBlockedPerPass of them have found no backend.
 func (b *Balancer) serveQueue() {
 	var blocked []*Request
 	seen := 0
@@ -102,7 +108,7 @@
 	b.queue = slices.Replace(b.queue, 0, seen, blocked...)
 }
 
-// shedLate answers what is queued and past saving; serveQueue drops it from the queue.
+// shedLate sheds the queued requests that are expected to be late. serveQueue then removes them from the queue.
 func (b *Balancer) shedLate() {
 	for _, r := range b.queue {
 		if r.state != requestAnswered && b.expectedLate(r) && !b.allowLateAttempt(r) {
@@ -111,8 +117,9 @@
 	}
 }
 
-// shed answers a request at once, with a time to come back where clients honour one: half a latency objective and a drawn
-// part of another half, so that those shed together do not come back together.
+// shed answers a request at once: it rejects the request if a retry by the client is safe, and fails it otherwise. If
+// clients honour a retry-after time, a rejection names half a latency objective plus a random part of another half, so
+// that clients that were shed together do not come back together.
 func (b *Balancer) shed(r *Request) {
 	r.state = requestAnswered
 	if !b.safeToReject(r) {
@@ -127,8 +134,9 @@
 	b.host.Reject(r, retryAfter)
 }
 
-// Load is what is in flight or waits for a backend, in parts of what the relay allows itself: above 1 some waits. Requests
-// whose instance runs nowhere wait for that alone, and do not count.
+// Load returns the number of attempts in flight and of requests that wait for a backend, divided by the concurrency
+// limit. Above 1 some requests wait. A pinned request whose instance runs nowhere waits for that instance alone and
+// does not count.
 func (b *Balancer) Load() float64 {
 	n := b.openAttempts()
 	for _, r := range b.queue {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,41 +1,42 @@
-// Package balancer decides for one relay: where each request goes, how long an attempt may take, what is retried or shed,
-// and how the relay votes on a canary version.
+// Package balancer decides for one relay which backend each request goes to, how long an attempt may take, which requests
+// are retried or shed, and how the relay votes on a canary version.
 //
-// # How it is driven
+// # Events and actions
 //
-// New makes the balancer of one relay. The caller then calls the one method that names what has happened, with the time,
-// one call at a time: OnRequest, OnOutcome, OnTimer and so on. The balancer acts at once, through the Host that New was
-// given. It has no clock, goroutine, I/O or randomness of its own: the same events with the same seed give the same calls on
-// the host. An attempt is in two steps: Host.StartAttempt names the backend, and BeginAttempt asks once more as the attempt
-// is about to be written. A Balancer is not safe for concurrent use.
+// New makes the balancer of one relay. The caller reports each event, with its time, through the method named after it:
+// OnRequest, OnOutcome, OnTimer and so on, one call at a time. The balancer acts at once, through the Host that New was
+// given. It has no clock, goroutine, I/O or randomness of its own: the same events with the same seed give the same calls
+// on the host. An attempt starts in two steps: Host.StartAttempt names the backend, and BeginAttempt checks the attempt
+// again just before it is written. A Balancer is not safe for concurrent use.
 //
-// # Where a rule stands
+// # Files
 //
-//   - admission.go: the queue, and what is shed from it
-//   - routing.go: which version, which backend, and the start of an attempt
-//   - concurrency_limit.go: how much may be in flight at a backend and at all of them
-//   - outlier.go: ejection of backends, probation, degraded and silent ones
-//   - slow_start.go: what a backend may get while it warms up
-//   - idempotency.go: what may be repeated, and where
-//   - retry.go: retries, attempts that are called off, failures of a request itself
-//   - latency.go: how long attempts take, and what is slow
+//   - admission.go: the queue, and which requests are shed from it
+//   - routing.go: the choice of the version and the backend, and the start of an attempt
+//   - concurrency_limit.go: limits on attempts in flight, for each backend and for all together
+//   - outlier.go: ejection and probation of backends; degraded and silent backends
+//   - slow_start.go: the budget of a backend that warms up
+//   - idempotency.go: which requests may be repeated, and at which backends
+//   - retry.go: retries, cancelled attempts, and failures of a request itself
+//   - latency.go: latency estimates, and which attempts are slow
 //   - exposure.go: how much a canary may get
 //   - rollout.go: the status of a release and the evaluation of a canary, with the tests of package sequential
-//   - evidence.go: which outcome counts for or against a version
-//   - voting.go: the vote on it
+//   - evidence.go: which outcomes count for or against a version
+//   - voting.go: the vote on a version
 //   - gossip.go: evidence exchanged with other relays
 //   - endpoint_polling.go: the endpoint list, and when to ask for it
-//   - settings.go, types.go, host.go: what a caller gives and gets; samples.go, series.go, random.go, logline.go: their tools
+//   - settings.go, types.go, host.go: the interface to the caller
+//   - samples.go, series.go, random.go, logline.go: helpers
 //
 // # Invariants
 //
-//   - Each request gets one final answer: an answer that succeeded, Reject or Fail; or its client has gone. Requests that
-//     are queued or have an attempt in flight are those without one.
-//   - Reject is sent only while no attempt can have had an effect that a repeat would double, and a retry goes only where the
-//     class and its idempotency key allow it.
-//   - A backend that drains, is removed, or is another process than the one chosen gets nothing.
-//   - What is written to a canary in any window stays within its exposure cap, and what is written to a backend that warms
-//     up within the slow-start budget that all relays share.
+//   - Each request ends once: with an answer that succeeded, with Reject, with Fail, or when its client disconnects. Until
+//     then it is queued or has an attempt in flight.
+//   - Reject is sent only if no attempt can have had an effect that a repeat would duplicate. A retry goes only to a
+//     backend where the class and its idempotency key allow it.
+//   - Nothing is written to a backend that drains, is removed, or is another process than the one chosen.
+//   - In any window, the attempts written to a canary stay within its exposure cap, and those written to a backend that
+//     warms up stay within the slow-start budget that all relays share.
 package balancer
 
 import (
@@ -43,18 +44,18 @@
 	"slices"
 )
 
-// timerInterval is the time between two calls of OnTimer: what is overdue is found out this late at the most.
+// timerInterval is the time between two calls of OnTimer. Overdue requests and attempts are detected at most this late.
 const timerInterval = 50 * Second / 1000
 
-// Balancer decides for one relay. Make one with New.
+// Balancer makes the decisions of one relay. Create one with New.
 type Balancer struct {
 	host      Host
 	settings  Settings
 	random    random
-	now       Tick // of the event that is being handled
+	now       Tick // time of the event that is being handled
 	startedAt Tick
 
-	backends []*Backend // those listed as ready, in this relay's own order, the nearest first
+	backends []*Backend // backends listed as ready, in an order of this relay's own that decides which ones it prefers
 
 	admission
 	candidates
@@ -69,7 +70,7 @@
 	endpointPolling
 }
 
-// New makes the balancer of a relay that starts now. Relays with equal seeds draw equal numbers.
+// New makes the balancer of a relay that starts now. Balancers with equal seeds draw equal random numbers.
 func New(host Host, now Tick, seed uint64, settings Settings) *Balancer {
 	b := &Balancer{host: host, settings: settings, random: newRandom(seed), now: now, startedAt: now}
 	b.concurrency = newConcurrency()
@@ -84,10 +85,10 @@
 	return b
 }
 
-// class is what the settings say of a request's class.
+// class returns the settings of a request's class.
 func (b *Balancer) class(r *Request) *RequestClass { return &b.settings.Classes[r.Class] }
 
-// OnRequest takes a request that the relay has accepted.
+// OnRequest handles a request that the relay has accepted.
 func (b *Balancer) OnRequest(now Tick, r *Request) {
 	b.now, r.receivedAt = now, now
 	b.countArrival(r)
@@ -96,8 +97,9 @@
 	b.serveQueue()
 }
 
-// OnOutcome takes how an attempt ended. Settled tells that its request has its final answer, by this attempt or before.
-// The load report of the backend is not used: attempts are judged by how they end.
+// OnOutcome handles the end of an attempt. settled tells that the request has its final answer, from this attempt or
+// from an earlier one. The load report of the backend is not used: the balancer judges backends by the outcomes of
+// attempts.
 func (b *Balancer) OnOutcome(now Tick, a *Attempt, outcome Outcome, latency Tick, settled bool, _ []float64) {
 	b.now = now
 	a.state, a.outcome = attemptEnded, outcome
@@ -121,12 +123,13 @@
 	b.considerVote()
 }
 
-// showsBackendAlive tells whether something of the backend came back.
+// showsBackendAlive reports whether an outcome is a reaction of the backend, including a broken connection.
 func (o Outcome) showsBackendAlive() bool {
 	return o != TimedOut && o != ConnectFailed && o != Cancelled && o != Discarded
 }
 
-// recordSuccess takes what an answer shows of the relay's rate and of latencies.
+// recordSuccess updates the rates, the cancel budget, the latency estimates and the answered keys after an attempt that
+// succeeded.
 func (b *Balancer) recordSuccess(a *Attempt, latency Tick) {
 	a.Backend.successTimes = appendBounded(a.Backend.successTimes, b.now, backendSampleSize)
 	b.successTimes = append(b.successTimes, b.now)
@@ -135,15 +138,16 @@
 	b.recordAnsweredKey(a)
 }
 
-// OnStreamStart takes the start of a streamed answer: the attempt is the client's now.
+// OnStreamStart handles the start of a streamed answer. The answer is passed on to the client from now on, so the
+// attempt is neither cancelled nor slow for its duration.
 func (b *Balancer) OnStreamStart(now Tick, a *Attempt) {
 	b.now = now
 	a.Backend.lastAnswer = now
 	a.Request.streaming = true
-	a.slowAfter = Tick(math.MaxInt64) // its time-out has stopped running
+	a.slowAfter = Tick(math.MaxInt64) // the time-out of the attempt has stopped running
 }
 
-// OnClientGone takes that a client has gone: nothing is owed, and nothing more is sent.
+// OnClientGone handles a client that has disconnected: its request needs no answer, and nothing more is sent for it.
 func (b *Balancer) OnClientGone(now Tick, r *Request) {
 	b.now = now
 	r.state = requestAnswered
@@ -163,11 +167,12 @@
 	b.serveQueue()
 }
 
-// OnProbe takes the result of a probe. It changes nothing, as Host.Probe is not asked for today: backends are judged by the
-// outcomes of attempts.
+// OnProbe handles the result of a probe. It only sets the time: the balancer does not call Host.Probe today, as it
+// judges backends by the outcomes of attempts.
 func (b *Balancer) OnProbe(now Tick, _ *Backend, _ Outcome, _ Tick, _ []float64) { b.now = now }
 
-// OnTimer takes the one timer: what is overdue counts, and estimates are worked out anew.
+// OnTimer handles the periodic timer: it counts overdue attempts, recomputes the estimates, sends gossip, polls the
+// endpoint list and serves the queue.
 func (b *Balancer) OnTimer(now Tick, tag uint32) {
 	b.now = now
 	b.host.SetTimer(now+timerInterval, tag)
@@ -184,7 +189,8 @@
 	b.considerVote()
 }
 
-// checkOverdue counts an attempt that is late so far, and may call it off.
+// checkOverdue counts a running attempt as slow for its version or as a failure of its silent backend once it is
+// overdue, and may cancel it.
 func (b *Balancer) checkOverdue(a *Attempt) {
 	if b.now > a.slowAfter && !a.countedAsSlow && !a.newConnection && !b.attributedToBackend(a, true) {
 		b.recordTimeliness(a, true)
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -2,48 +2,50 @@
 
 import "math"
 
-// The rule: a backend has in flight no more than what it answers in a part of a latency objective, and one more. All
-// backends together have no more than a limit that early answers raise by a factor and late ones lower.
+// A backend has in flight no more than it answers within a share of a latency objective, plus one attempt. All backends
+// together have no more in flight than a limit, which early answers raise and late answers lower by a factor.
 //
-// Inputs: the times of a backend's last answers and the shortest latency objective of a class, in ticks; for the limit, how
-// much of what was due an attempt took.
+// Inputs: the times of a backend's last answers and the shortest latency objective of any class, in ticks; for the
+// limit, how much of the time allowed to it an attempt took.
 //
-// Guards against slow backends, overload, and queues at backends that outlast the latency objective: seen as answers that
-// all come late; holds because a backend that answers less gets less. Hurts right after an idle spell, when little is
-// known.
+// The limits guard against slow backends, overload, and queues at backends that outlast the latency objective, all of
+// which show as answers that are late throughout. A backend that answers less gets fewer attempts. The limits work
+// worst right after an idle period, when little is known.
 
 const (
-	// capacityShare is the part of a latency objective whose answers a backend may owe.
+	// capacityShare is the share of a latency objective whose answers a backend may have outstanding.
 	capacityShare = 0.15
-	// lateAnswerShare is the part of what was due after which an answer says that backends are overloaded.
+	// lateAnswerShare is the share of an attempt's allowed time after which its answer counts as a sign of overloaded
+	// backends.
 	lateAnswerShare = 0.6
-	// limitDecrease and limitIncrease are the parts by which a late answer lowers and an early one raises the limit.
+	// limitDecrease and limitIncrease are the shares by which a late answer lowers and an early answer raises the
+	// limit.
 	limitDecrease = 0.1
 	limitIncrease = 0.06
-	// rateWindow is the time over which the relay's own rates are taken.
+	// rateWindow is the time over which the relay's own rates are measured.
 	rateWindow = 2 * Second
-	// minLimitPerBackend is what the limit leaves for each backend that there is to a relay, however late answers are.
+	// minLimitPerBackend, times the warm backends per relay, is the least concurrency limit, however late answers are.
 	minLimitPerBackend = 2
 )
 
-// concurrency is what is in flight, and what the relay knows of its own rate.
+// concurrency holds the attempts in flight and what the relay knows of its own rate.
 type concurrency struct {
 	attemptsInFlight []*Attempt // in the order of their start
-	concurrencyLimit float64    // attempts in flight that the relay allows itself
-	subsetSize       int        // backends that it chooses from
-	successTimes     []Tick     // within rateWindow
-	warmCapacity     float64    // backends in use, by their warm-up fractions
-	canaryCapacity   float64    // those of them that run a canary
-	ratePerBackend   float64    // successes a second at a warm backend, this relay's part
+	concurrencyLimit float64    // attempts that the relay may have in flight
+	subsetSize       int        // number of backends that the relay chooses from
+	successTimes     []Tick     // of the successes within rateWindow
+	warmCapacity     float64    // sum of the warm-up fractions of the ready backends
+	canaryCapacity   float64    // the part of warmCapacity that runs a canary
+	ratePerBackend   float64    // this relay's successes per second at a warm backend
 }
 
 func newConcurrency() concurrency {
 	return concurrency{subsetSize: minSubsetSize, concurrencyLimit: minSubsetSize}
 }
 
-// capacity is how much may be in flight at a backend, by the times of its last answers.
+// capacity returns how many attempts a backend may have in flight, by the times of its last successes.
 func (b *Balancer) capacity(backend *Backend) float64 {
-	least := b.warmUpFraction(backend) // one in flight, at a warm backend
+	least := b.warmUpFraction(backend) // one attempt in flight at a warm backend
 	answers := backend.successTimes
 	if len(answers) < 2 {
 		return least
@@ -51,7 +53,7 @@
 	return least + capacityShare*float64(b.shortestObjective)*float64(len(answers))/float64(max(1, b.now-answers[0]))
 }
 
-// openAttempts counts the attempts in flight at backends that still answer.
+// openAttempts counts the attempts in flight that are not cancelled and whose backend is not silent.
 func (b *Balancer) openAttempts() float64 {
 	n := 0.0
 	for _, a := range b.attemptsInFlight {
@@ -62,7 +64,8 @@
 	return n
 }
 
-// adaptConcurrencyLimit learns from the end of an attempt. That no answer came is no sign of overload.
+// adaptConcurrencyLimit adjusts the limit after the end of an attempt. If its backend has not answered since the
+// attempt was sent, that is no sign of overload, and the limit stays.
 func (b *Balancer) adaptConcurrencyLimit(a *Attempt) {
 	took, due := float64(b.now-a.chosenAt), float64(a.lateAfter-a.chosenAt)
 	switch {
@@ -70,12 +73,12 @@
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
 		least := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(least, b.concurrencyLimit*(1-limitDecrease))
-	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2: // it is in use
+	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2: // at least half of the limit is in use
 		b.concurrencyLimit *= 1 + limitIncrease
 	}
 }
 
-// updateConcurrency works out the relay's rates and the backends that are there for them.
+// updateConcurrency recomputes the relay's rates, the capacity of the ready backends and the subset size.
 func (b *Balancer) updateConcurrency() {
 	b.successTimes = dropBefore(b.successTimes, b.now-rateWindow)
 	b.arrivals = dropBefore(b.arrivals, b.now-rateWindow)
@@ -93,8 +96,8 @@
 	b.subsetSize = minSubsetSize + len(b.arrivals)*int(b.shortestObjective)/int(rateWindow)
 }
 
-// updateRatePerBackend takes the rate of the warm backends while they are the most. Else what they did holds, or what all
-// of them do now.
+// updateRatePerBackend recomputes ratePerBackend. While most backends are warm, it is the present rate over the warm
+// capacity. Otherwise it is its previous value or the present rate over all backends, whichever is greater.
 func (b *Balancer) updateRatePerBackend(warm, all float64) {
 	rate := float64(len(b.successTimes)) * float64(Second) / float64(rateWindow)
 	b.ratePerBackend = max(b.ratePerBackend, rate/max(all, 1))
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -2,28 +2,27 @@
 
 import "slices"
 
-// The rule: where the endpoint list comes only to those who ask, it is asked for until a call has succeeded, after pauses
-// that double and are drawn.
+// If the discovery service sends the endpoint list only on request, the relay asks for it until a call has succeeded.
+// The pauses between calls double up to a bound and have random jitter.
 //
-// Inputs: the settings' poll interval, whether the last call succeeded.
+// Inputs: the poll interval of the settings, and whether the last call succeeded.
 //
-// Guards against a discovery service that is overbooked: seen as calls that are turned away; holds because relays ask
-// less and less often, and those that were turned away together do not come again together. A relay
-// answers for a change of the list from 6 s after discovery has it (docs/fleet.md), so the pause has a bound that leaves a
-// call two seconds.
+// Backoff guards against an overloaded discovery service, which rejects calls. Relays ask less and less often, and
+// relays that were rejected together do not ask again together. A relay is responsible for a change of the list from
+// 6 s after discovery has it (docs/fleet.md), so the bound on the pause leaves a call two seconds.
 
 const (
-	// maxPollInterval is the longest pause in the middle; up to a quarter more is drawn.
+	// maxPollInterval is the longest mean pause between calls. Jitter adds up to a quarter of it.
 	maxPollInterval = 16 * Second / 5
-	// initialPollInterval is the pause after the first call that failed.
+	// initialPollInterval is the mean pause after the first call that failed.
 	initialPollInterval = Second / 2
-	// initialPollJitter is drawn beside the first pause's end.
+	// initialPollJitter is the time within which the first pause ends at a random moment.
 	initialPollJitter = Second
 )
 
-// endpointPolling is when to ask for the endpoint list.
+// endpointPolling holds when to ask for the endpoint list.
 type endpointPolling struct {
-	listSynced   bool // the first list is complete
+	listSynced   bool // the first list has arrived completely
 	polling      bool
 	nextPoll     Tick
 	pollInterval Tick
@@ -38,7 +37,7 @@
 	b.schedulePoll()
 }
 
-// pollIfDue asks for changes of the list, less often each time.
+// pollIfDue asks for changes of the list if the next call is due, and schedules the call after it.
 func (b *Balancer) pollIfDue() {
 	if b.polling && b.now >= b.nextPoll {
 		b.host.WatchEndpoints(true)
@@ -46,18 +45,18 @@
 	}
 }
 
-// schedulePoll draws the time of the next call, around a pause that doubles.
+// schedulePoll doubles the poll interval up to its bound and draws the time of the next call around its end.
 func (b *Balancer) schedulePoll() {
 	longest := max(Second, b.settings.Endpoints.PollInterval.Ticks()/2)
 	b.pollInterval = min(2*b.pollInterval, longest, maxPollInterval)
 	b.nextPoll = b.now + b.pollInterval*3/4 + Tick(b.random.intN(int(b.pollInterval/2)))
 }
 
-// OnListSynced takes the end of one piece of news of the endpoint list, or that a call for it failed.
+// OnListSynced handles the end of one update of the endpoint list, or a failed call for it.
 func (b *Balancer) OnListSynced(now Tick, ok bool) {
 	b.now = now
 	if ok && !b.listSynced && b.evaluation != nil {
-		// At a start backends come one by one, and some of them run the canary already.
+		// At the start backends are listed one by one, and some of them may already run the canary.
 		b.evaluation.baselineBackends = float64(len(b.backends))
 	}
 	b.listSynced = b.listSynced || ok
@@ -71,7 +70,7 @@
 	b.serveQueue()
 }
 
-// OnEndpoint takes what the endpoint list says of a backend.
+// OnEndpoint handles the endpoint list's entry for a backend.
 func (b *Balancer) OnEndpoint(now Tick, backend *Backend, endpoint Endpoint) {
 	b.now = now
 	if backend.listed && (endpoint.StartedAt != backend.StartedAt || endpoint.Version != backend.Version) {
@@ -87,7 +86,7 @@
 	}
 }
 
-// resetHistory drops what is known of a backend that is another process now.
+// resetHistory drops what is known of a backend whose process was replaced.
 func (backend *Backend) resetHistory(now Tick) {
 	backend.successTimes, backend.recentFailures, backend.relativeLatencies = nil, nil, nil
 	backend.warmUpSends = nil
@@ -95,7 +94,7 @@
 	backend.lastAnswer, backend.waitingSince = now, now
 }
 
-// applyListing puts a ready backend at a place of a list that lacks it, and takes out one that is not ready.
+// applyListing inserts a ready backend at a position of a list that lacks it, and removes a backend that is not ready.
 func applyListing(backends []*Backend, backend *Backend, position int) []*Backend {
 	at := slices.Index(backends, backend)
 	switch {
