--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// The rule: an attempt that may have run is repeated only where a second effect is impossible or dropped, and a request is
-// rejected, which invites its client to try again, only where that is so at any backend.
+// An attempt that may have run is repeated only if a second effect is impossible or the receiving backend drops the
+// repeat. A request is rejected, which invites its client to retry, only if the same holds at any backend.
 //
-// Inputs: the class's idempotency with the scope and the window of its keys, the attempts so far with their outcomes; where
-// keys move forward only, the keys that each version has answered.
+// Inputs: the idempotency of the class with the scope and the window of its keys, and the attempts so far with their
+// outcomes. If the site moves keys forward only, also the keys that each version has answered.
 //
-// Guards against effects that happen twice: seen as a repeat of what timed out but ran; holds because only what was surely
-// not sent, or is dropped by whoever gets it, is repeated.
+// These rules guard against duplicate effects, as from a repeat of an attempt that timed out but ran. Only attempts
+// that certainly did not run are repeated, or those whose repeat has no second effect at its backend.
 
-// safeToRepeat tells whether one more attempt may go to a backend, after those that a request has had.
+// safeToRepeat reports whether one more attempt of a request may go to a backend after the given attempts.
 func (b *Balancer) safeToRepeat(r *Request, attempts []*Attempt, backend *Backend) bool {
 	class := b.class(r)
 	for _, a := range attempts {
@@ -25,7 +25,7 @@
 	return len(attempts) < b.settings.Limits.MaxAttempts
 }
 
-// safeAfter tells whether a backend may run again what an attempt may have run.
+// safeAfter reports whether a backend may run a request that an earlier attempt may have run.
 func (b *Balancer) safeAfter(a *Attempt, class *RequestClass, backend *Backend) bool {
 	if a.state != attemptEnded {
 		return false
@@ -39,8 +39,8 @@
 	return false
 }
 
-// safeToReject tells whether the client of a request may try again without a second effect. It may do so after any time
-// and reach any backend.
+// safeToReject reports whether the client of a request may retry without a second effect. The retry may come at any
+// time and reach any backend.
 func (b *Balancer) safeToReject(r *Request) bool {
 	class := b.class(r)
 	switch class.Idempotency {
@@ -54,7 +54,7 @@
 	return !slices.ContainsFunc(r.attempts, (*Attempt).mayHaveRun)
 }
 
-// covers tells whether a backend drops repeats of what another one has run.
+// covers reports whether a backend drops repeats of requests that another backend has run.
 func (s DedupScope) covers(ran, other *Backend) bool {
 	switch s {
 	case DedupEverywhere:
@@ -67,17 +67,18 @@
 	return false
 }
 
-// mayHaveRun tells whether an attempt may have had an effect. Only three outcomes prove that it never ran.
+// mayHaveRun reports whether an attempt may have had an effect. Only the three outcomes AtCapacity, ConnectFailed and
+// Discarded prove that the attempt never ran.
 func (a *Attempt) mayHaveRun() bool {
 	return a.state != attemptEnded || a.outcome != AtCapacity && a.outcome != ConnectFailed && a.outcome != Discarded
 }
 
-// maxAnsweredVersions is the number of versions whose answered keys are kept: the newest, one that is not announced yet,
-// and one to spare.
+// maxAnsweredVersions is the number of versions whose answered keys are kept: the newest, one that is not announced
+// yet, and a spare one.
 const maxAnsweredVersions = 3
 
-// keyFilter is a set of keys in a fixed space. It may take a key for one that was added, one in a hundred with 100,000 of
-// them and two in five with a million, but never the other way.
+// keyFilter is a Bloom filter of fixed size for the keys of one version. It never misses a key that was added. It
+// reports one in a hundred other keys as added when it holds 100,000 keys, and two in five when it holds a million.
 type keyFilter [1 << 15]uint64
 
 func (s *keyFilter) mayContain(key uint64) bool {
@@ -89,8 +90,9 @@
 	s[key>>38%uint64(len(s))] |= 1 << (key >> 32 % 64)
 }
 
-// mayServeKey tells whether a version may be asked about a key: not if a later one has answered it that may still be
-// released. Where the site moves keys forward only, an earlier version cannot read what the later one has written.
+// mayServeKey reports whether a request for a key may go to a version. It may not if a later version that may still be
+// released has answered the key: if the site moves keys forward only, the earlier version cannot read what the later
+// one has written.
 func (b *Balancer) mayServeKey(key uint64, version uint16) bool {
 	for by, keys := range b.answeredKeys {
 		if version < by && keys.mayContain(key) && b.mayBeReleased(by) {
@@ -100,7 +102,7 @@
 	return true
 }
 
-// mayBeReleased tells whether a version is not announced yet, on trial or released.
+// mayBeReleased reports whether a version is not announced yet, a canary or released.
 func (b *Balancer) mayBeReleased(version uint16) bool {
 	if version != b.release.Version {
 		return version > b.release.Version
@@ -108,7 +110,8 @@
 	return b.release.Phase == Canary || b.release.Phase == Released
 }
 
-// recordAnsweredKey keeps that a version has answered a key.
+// recordAnsweredKey records that the version of an attempt has answered the key of its request, if keys move forward
+// only.
 func (b *Balancer) recordAnsweredKey(a *Attempt) {
 	key := a.Request.Key
 	if key != 0 && a.version >= b.release.Version && b.settings.Rollout.ForwardOnly {
@@ -116,7 +119,8 @@
 	}
 }
 
-// addAnsweredKey keeps a key of a version. Of more versions at once than can be under way, the earliest is dropped.
+// addAnsweredKey adds a key to those that a version has answered. If more versions are kept than can be under way at
+// once, it drops the earliest one.
 func (b *Balancer) addAnsweredKey(key uint64, version uint16) {
 	if b.answeredKeys[version] == nil {
 		b.answeredKeys[version] = &keyFilter{}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -5,48 +5,51 @@
 	"slices"
 )
 
-// The rule: the latencies of a class are estimated from its last answers, at any version. An attempt that takes several
-// times the median from before the rollout is slow, which counts as a time-out would. A canary is held against the slow
-// share of the version before it, raised for the load and the warm-up of the canary's backends.
+// The latencies of a class are estimated from its last answers, whatever their version. An attempt that takes several
+// times the median from before the rollout is slow, and counts against its version like a time-out. The share of slow
+// attempts at a canary is compared with that of the version before it, with an allowance for the load and the warm-up
+// of the canary's backends.
 //
 // Inputs: the latencies of a class's last answers and its latency objective, in ticks; the rate of successes before the
 // rollout and now.
 //
-// Guards against versions that are slow, turn slow, or slow all backends with what they get: seen as answers that still
-// come, but late; holds because the rise of the baseline itself is excused up to a margin alone. A burst of requests or a new
-// connection speaks for itself and is left out.
+// The comparison guards against versions that are slow, become slow, or slow down all backends through the requests
+// they get. Such versions still answer, but late. A rise of the baseline's own slow share is excused only up to a
+// margin. Slowness in a burst of requests or on a new connection has a known cause and is left out.
 
 const (
-	// slowMultiple is how many medians from before the rollout make an attempt slow.
+	// slowMultiple is the multiple of the median from before the rollout at which an attempt is slow.
 	slowMultiple = 3
-	// canaryLoadMargin is the share of attempts that the greater load of a canary's backends may make slow.
+	// canaryLoadMargin is the share of attempts that may be slow because the backends of a canary carry more load.
 	canaryLoadMargin = 0.22
-	// burstMultiple is how many times as many successes as before the rollout are a burst, which is the clients' doing.
+	// burstMultiple is how many times as many successes as before the rollout are a burst, which the clients cause.
 	burstMultiple = 1.2
-	// burstDeviations is how many standard deviations of chance are left free in that.
+	// burstDeviations is how many standard deviations of random variation are allowed on top of burstMultiple.
 	burstDeviations = 3
-	// sampleSize is the number of latencies and outcomes that are kept of a class.
+	// sampleSize is the number of latencies and outcomes that are kept for each class.
 	sampleSize = 64
-	// estimateDivisor: without answers, an attempt is held to take one in so many parts of the latency objective, and no
-	// estimate is longer than all of them but one.
-	// Guards against slow answers that keep away what alone can show faster ones.
+	// estimateDivisor divides a latency objective into parts. Without answers an attempt is estimated to take one part,
+	// and no estimate is longer than all parts but one. The bound guards against slow answers after which no request is
+	// attempted whose answer could show lower latencies.
 	estimateDivisor = 4
-	// estimateLifetime is how long the last answer of a class, or the last try without one, says something: load and backends may have changed since.
+	// estimateLifetime is how long the last answer of a class, or its last late attempt, keeps an estimate valid. Load
+	// and backends may have changed after that.
 	estimateLifetime = 4 * Second
-	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th percentile.
+	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th
+	// percentile.
 	minLatencySample = 16
-	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise is held against the
-	// canary, which may be what slows all backends.
+	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise counts against
+	// the canary, which may be what slows down all backends.
 	baselineSlowdownMargin = 0.1
 )
 
-// latencyEstimates are how long attempts take, by class.
+// latencyEstimates holds the latencies of attempts and the estimates from them, by class.
 type latencyEstimates struct {
 	latencies               [][]Tick // of the last answers
-	lastAnswerOrLateAttempt []Tick   // when the last of them came, or a request was tried by allowLateAttempt
+	lastAnswerOrLateAttempt []Tick   // when the last answer came or the last late attempt was allowed
 	p90Latency              []Tick
 	medianLatency           []Tick
-	shortestObjective       Tick // the least latency objective of a class
+	shortestObjective       Tick // the shortest latency objective of any class
 }
 
 func newLatencyEstimates(classes []RequestClass) latencyEstimates {
@@ -59,13 +62,14 @@
 	return l
 }
 
-// recordLatency takes the latency of an answer.
+// recordLatency records the latency of an answer.
 func (b *Balancer) recordLatency(class int, latency Tick) {
 	b.latencies[class] = appendBounded(b.latencies[class], latency, sampleSize)
 	b.lastAnswerOrLateAttempt[class] = b.now
 }
 
-// updateLatencies works the estimates out anew. What no answer has borne out for a while is forgotten.
+// updateLatencies recomputes the estimates. If a class has had neither an answer nor a late attempt for
+// estimateLifetime, it drops all latencies of the class but the last one.
 func (b *Balancer) updateLatencies() {
 	for class, latencies := range b.latencies {
 		defaultEstimate := b.settings.Classes[class].LatencyObjective.Ticks() / estimateDivisor
@@ -85,7 +89,8 @@
 	}
 }
 
-// setLatencyBounds works out from when on an attempt is late for its backend and slow for its version.
+// setLatencyBounds sets when an attempt becomes late for its backend and slow for its version, and whether it needs a
+// new connection.
 func (b *Balancer) setLatencyBounds(a *Attempt) {
 	backend, class := a.Backend, a.Request.Class
 	objective := b.settings.Classes[class].LatencyObjective.Ticks()
@@ -96,11 +101,11 @@
 	a.newConnection = n == 0 || b.now-backend.successTimes[n-1] > b.settings.Limits.IdleTimeout.Ticks()
 }
 
-// recordTimeliness counts an attempt that is slow, or that ended before it was.
+// recordTimeliness records for the version of an attempt that the attempt is slow, or that it ended before it was.
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, x := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	size := sampleSize + len(b.successTimes) // a small part of a second is no sample at a large relay
+	size := sampleSize + len(b.successTimes) // at a large relay sampleSize attempts are only a small part of a second
 	switch {
 	case a.version < e.version:
 		b.baseline.slow = appendBounded(b.baseline.slow, x, size)
@@ -113,14 +118,14 @@
 	}
 }
 
-// inBurst tells whether much more succeeds, for the backends there are, than before the rollout.
+// inBurst reports whether far more attempts succeed than before the rollout, in proportion to the warm capacity.
 func (b *Balancer) inBurst() bool {
 	e := b.evaluation
 	most := max(1, b.warmCapacity) * (burstMultiple*e.initialSuccesses + burstDeviations*math.Sqrt(e.initialSuccesses)) / e.initialWarmCapacity
 	return float64(len(b.successTimes)) > most
 }
 
-// slownessBound is the slow share that a canary is held against.
+// slownessBound returns the slow share above which a canary is suspect.
 func (b *Balancer) slownessBound() float64 {
 	return min(b.baseline.slowShare(), b.evaluation.initialSlowShare+baselineSlowdownMargin) + canaryLoadMargin + failureMargin
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,91 +5,94 @@
 	"slices"
 )
 
-// The rule: a backend is ejected by a sequential test on its outcomes, which bets that it fails most of its attempts
-// against that it fails as this relay's last ones did. An ejected backend is on probation: it gets single attempts, the
-// more often the longer they succeed, and is back in use when they come close enough. A backend that has owed an answer for
-// long is on probation in the same way, and one that failed of late more than others is degraded: it comes last.
+// A sequential test on the outcomes at a backend decides when the backend is ejected. The test bets that the backend
+// fails most of its attempts, against the null hypothesis that it fails as this relay's last attempts did. An ejected
+// backend is on probation: it gets single attempts, more often the longer they succeed, and is readmitted when the
+// interval between them is short enough. A silent backend, which has left all attempts unanswered for long, is on
+// probation in the same way. A backend that recently failed more than others is degraded and comes last.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
-// answer in ticks; in a fleet, what other relays say.
+// answer in ticks; in a fleet, the findings of other relays.
 //
-// Guards against backends that fail, fall silent or are out of connections, perhaps for this relay alone: seen as
-// attempts that fail at one of many; holds because the test compares with the relay's own last outcomes, so that a
-// trouble of all ejects none.
+// The rules guard against backends that fail, fall silent or run out of connections, perhaps for this relay alone. Such
+// a backend shows as one of many at which attempts fail. The test compares with the relay's own last outcomes, so a
+// failure that affects all backends ejects none.
 
 const (
-	// ejectionFailureShare is the failure share of a backend that is to be ejected.
+	// ejectionFailureShare is the failure share of a backend that should be ejected.
 	ejectionFailureShare = 0.75
-	// ejectionWealth is the wealth of the test at which it is. It lies below the 53 that three failures in a row reach
-	// where the usual share is at minNullShare, and above the 14 of two.
+	// ejectionWealth is the wealth of the test at which a backend is ejected. It lies below the 53 that three failures
+	// in a row reach if the null share is minNullShare, and above the 14 of two failures.
 	ejectionWealth = 27.0
-	// minNullShare and maxNullShare bound the failure share that the test takes for usual, and nullShareMultiple is it in
-	// multiples of the relay's own: few failures in a small sample eject nothing, and a share near that of a bad backend
-	// would make the bet worthless.
+	// minNullShare and maxNullShare bound the failure share under the null hypothesis, which is nullShareMultiple times
+	// the relay's own failure share. The lower bound keeps few failures in a small sample from ejecting a backend.
+	// Without the upper bound, a null share near that of a bad backend would make the bet worthless.
 	minNullShare      = 0.2
 	maxNullShare      = 0.7
 	nullShareMultiple = 1.5
-	// silenceShare is the part of a latency objective for which a backend may owe every answer.
+	// silenceShare is the share of a latency objective for which a backend may leave all attempts unanswered.
 	silenceShare = 0.6
-	// degradedMargin is how much more of its last attempts a degraded backend failed than others.
+	// degradedMargin is how far the failure share of a degraded backend exceeds that of all backends.
 	degradedMargin = 0.25
-	// initialProbationInterval and maxProbationInterval bound the time between attempts on probation after failures. Each failure
-	// doubles it and each success halves it, and below probationExitInterval the backend is back in use.
+	// initialProbationInterval and maxProbationInterval bound the time between attempts on probation after failures.
+	// Each failure doubles the interval and each success halves it. Below probationExitInterval the backend is
+	// readmitted.
 	initialProbationInterval = Second / 2
 	maxProbationInterval     = 4 * Second
 	probationExitInterval    = Second / 20
-	// minProbationPause is the least pause after an attempt on probation. A backend that is silent or avoided, but has not
-	// failed, has no interval of its own.
+	// minProbationPause is the least pause after an attempt on probation. A backend that is silent or avoided, but has
+	// not failed, has no probation interval.
 	minProbationPause = Second / 20
-	// maxProbationInFlight is how much may be in flight at a backend on probation.
+	// maxProbationInFlight is how many attempts a backend on probation may have in flight.
 	maxProbationInFlight = 2
 	// maxDegradedTime is how long after its last failure a backend may be degraded.
 	maxDegradedTime = 2 * maxProbationInterval
-	// mostOnProbationDivisor: where all but one in so many backends are on probation, the trouble is this relay's own.
+	// mostOnProbationDivisor defines when most backends are on probation: no more than one in this many is not. The
+	// cause is then this relay itself.
 	mostOnProbationDivisor = 8
-	// avoidedDivisor: up to one in so many backends are avoided for the sake of other relays.
+	// avoidedDivisor limits the backends that are avoided because other relays have ejected them to one in this many.
 	avoidedDivisor = 4
-	// backendSampleSize is the number of outcomes of one backend that are kept.
+	// backendSampleSize is the number of outcomes that are kept for each backend.
 	backendSampleSize = 16
-	// relativeLatencySampleSize is the number of its latencies.
+	// relativeLatencySampleSize is the number of relative latencies that are kept for each backend.
 	relativeLatencySampleSize = backendSampleSize / 4
 )
 
-// backendHealth is what the outcomes at one backend show of it.
+// backendHealth holds what the outcomes at a backend show of its health.
 type backendHealth struct {
 	recentFailures       []float64 // the last outcomes, 1 for a failure
 	lastFailure          Tick
-	failureWealth        float64 // of the test that ejects it
+	failureWealth        float64 // of the test that ejects the backend
 	ejected              bool
-	probationInterval    Tick // between the attempts while it is ejected
+	probationInterval    Tick // between attempts while the backend is ejected
 	nextProbationAttempt Tick
-	avoidedUntil         Tick // for the sake of other relays
+	avoidedUntil         Tick // until then the fleet leaves the backend to other relays
 }
 
-// ejection is what the relay knows of all its backends together.
+// ejection holds what the relay knows of all its backends together.
 type ejection struct {
 	recentFailures  []float64 // the last outcomes at any backend, 1 for a failure
-	mostOnProbation bool      // nearly every backend is on probation, as in a stall of this relay
+	mostOnProbation bool      // nearly every backend is on probation, as when this relay stalls
 }
 
-// newEjection begins with a sample of good outcomes: backends are held to be good.
+// newEjection starts with a sample of successes: backends are assumed to be healthy.
 func newEjection() ejection {
 	return ejection{recentFailures: make([]float64, backendSampleSize)}
 }
 
-// degraded tells whether a backend failed of late, and more of its last attempts than others did.
+// degraded reports whether a backend failed recently and failed more of its last attempts than backends do on average.
 func (b *Balancer) degraded(backend *Backend) bool {
 	return b.now-backend.lastFailure < maxDegradedTime &&
 		mean(backend.recentFailures) > degradedMargin+mean(b.recentFailures)
 }
 
-// onProbation tells whether a backend is ejected, owes an answer for longer than is usual, or is avoided: it gets single
-// attempts alone.
+// onProbation reports whether a backend is ejected, silent or avoided, and so gets only single attempts.
 func (b *Balancer) onProbation(backend *Backend) bool {
 	return backend.ejected || b.silent(backend) || b.now < backend.avoidedUntil
 }
 
-// silent tells whether a backend has owed every answer for long. One that warms up is given more time.
+// silent reports whether a backend has left all attempts unanswered for too long. A backend that warms up gets more
+// time.
 func (b *Balancer) silent(backend *Backend) bool {
 	if backend.inFlight == 0 {
 		return false
@@ -98,15 +101,17 @@
 	return silence > silenceShare*float64(b.shortestObjective)
 }
 
-// dueForProbationAttempt tells whether a backend on probation may get a request that can be tried again.
+// dueForProbationAttempt reports whether a backend on probation may get an attempt of a request now. Only requests that
+// can be retried go there.
 func (b *Balancer) dueForProbationAttempt(r *Request, backend *Backend) bool {
 	return b.now >= backend.nextProbationAttempt && backend.inFlight < maxProbationInFlight &&
 		b.class(r).Idempotency != AtMostOnce
 }
 
-// mayProbe asks the fleet whether this relay is to try a backend that is on probation here or ejected by others. If not, it
-// leaves it alone for a moment. Where more than a few are ejected it is no backend's doing, and what others say counts for
-// nothing.
+// mayProbe reports whether this relay may try a backend. It asks the fleet if the backend is on probation here or
+// ejected by other relays. If the fleet declines, the relay avoids the backend for initialProbationInterval. If one in
+// avoidedDivisor backends or more is ejected here or avoided, the cause is no single backend, and ejections by other
+// relays are ignored.
 func (b *Balancer) mayProbe(backend *Backend) bool {
 	policy, ok := b.host.(fleetPolicy)
 	if !ok {
@@ -122,7 +127,7 @@
 	return false
 }
 
-// countEjectedOrAvoided counts the backends that are ejected or avoided.
+// countEjectedOrAvoided returns how many backends are ejected or avoided.
 func (b *Balancer) countEjectedOrAvoided() (n int) {
 	for _, backend := range b.backends {
 		if backend.ejected || b.now < backend.avoidedUntil {
@@ -132,7 +137,8 @@
 	return n
 }
 
-// recordAttemptForBackend takes how an attempt ended at its backend.
+// recordAttemptForBackend records the outcome and the latency of an ended attempt for its backend. An attempt that
+// already counted as silence does not count as an outcome again.
 func (b *Balancer) recordAttemptForBackend(a *Attempt) {
 	if !a.silenceCounted {
 		b.recordForBackend(a.Backend, b.now > a.lateAfter || a.outcome != Succeeded)
@@ -141,7 +147,8 @@
 	a.Backend.relativeLatencies = appendBounded(a.Backend.relativeLatencies, relative, relativeLatencySampleSize)
 }
 
-// recordForBackend bets on one more outcome of a backend, and ejects it or takes it back into use.
+// recordForBackend updates the test of a backend with one more outcome, and ejects or readmits the backend if that is
+// due.
 func (b *Balancer) recordForBackend(backend *Backend, failed bool) {
 	nullShare := min(max(minNullShare, nullShareMultiple*mean(b.recentFailures)), maxNullShare)
 	if failed {
@@ -177,7 +184,7 @@
 	b.logSampled("backend back in use", slog.Uint64("backend", uint64(backend.ID)))
 }
 
-// moveToEnd puts one at the end of a list that has it.
+// moveToEnd moves an element to the end of a list that contains it.
 func moveToEnd[T comparable](list []T, element T) {
 	if at := slices.Index(list, element); at >= 0 {
 		copy(list[at:], list[at+1:])
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -1,13 +1,14 @@
 package balancer
 
-// random is a multiply-with-carry generator (Marsaglia's, with a lag of one and words of 32 bits). Equal seeds draw equal
-// numbers on any machine, which a generator of the standard library does not promise over its versions.
+// random is Marsaglia's multiply-with-carry generator with a lag of one and 32-bit words. Equal seeds draw equal
+// numbers on any machine and with any version of Go, which a generator of the standard library does not promise.
 type random struct{ word, carry uint32 }
 
 const (
-	// carryMultiplier makes the period of the generator about 2^63.
+	// carryMultiplier gives the generator a period of about 2^63.
 	carryMultiplier = 4294957665
-	// carryModulus is one below the multiplier: a carry is from 0 to it, and 0 with a word of 0 would stand still.
+	// carryModulus is one below the multiplier. A carry ranges from 0 to carryModulus, and with a word of 0 and a carry
+	// of 0 the generator would stand still.
 	carryModulus = carryMultiplier - 1
 )
 
@@ -15,7 +16,7 @@
 	return random{word: uint32(seed), carry: uint32(seed>>32)%carryModulus + 1}
 }
 
-// intN draws from 0 to n-1; a number of values below 1 counts as 1.
+// intN returns a random number from 0 to n-1. An n below 1 counts as 1.
 func (r *random) intN(n int) int {
 	t := carryMultiplier*uint64(r.word) + uint64(r.carry)
 	r.word, r.carry = uint32(t), uint32(t>>32)
