--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// The rule: a request whose attempt has failed gets another one, where its class allows one at any backend and the fleet's
-// budget of retries has one left. An attempt at a silent backend is called off early, to serve the request elsewhere in
-// time. A request that fails twice, at two backends unless it is pinned to one, is held to be at fault itself.
+// A request whose attempt has failed gets another attempt if its class allows one at any backend and the fleet's retry
+// budget has one left. An attempt at a silent backend is cancelled early, so that another backend can serve the request
+// in time. A request that fails twice, at two backends unless it is pinned to one, is held to be at fault itself.
 //
-// Inputs: the outcomes of a request's attempts, the settings' limit on them, the fleet's answer to each retry, silence of
-// the backend.
+// Inputs: the outcomes of a request's attempts, the settings' limit on their number, the fleet's decision on each
+// retry, and the silence of the backend.
 //
-// Guards against retries that multiply a load: seen as more attempts than requests while backends fail; holds because the
-// fleet's budget of retries is a share of first attempts (package overload), and cancelled attempts are a small share of
-// what succeeds. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
+// The rules guard against retries that multiply the load, which shows as more attempts than requests while backends
+// fail. The fleet's retry budget is a share of first attempts (package overload), and cancelled attempts are a small
+// share of the successes. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
 
-// cancelsPerSuccess is the part of an attempt that each success allows to call off.
-// Guards against calling off what is merely slow: seen on a loaded day as most attempts late at once; holds because no more
-// than one in 25 is called off.
+// cancelsPerSuccess is how many cancellations each success allows. It guards against cancelling attempts that are
+// merely slow: under heavy load most attempts are late at once. The budget lets no more than one in 25 be cancelled.
 const cancelsPerSuccess = 0.04
 
-// cancellation is what may be called off.
+// cancellation holds the budget for cancelling attempts.
 type cancellation struct {
-	cancelBudget float64 // attempts at silent backends that may be called off now
+	cancelBudget float64 // attempts at silent backends that may be cancelled now
 }
 
-// newCancellation begins with as many as the least number of backends that a relay chooses from.
+// newCancellation starts with one cancellation for each of the minSubsetSize backends that a relay chooses from at
+// least.
 func newCancellation() cancellation { return cancellation{cancelBudget: minSubsetSize} }
 
-// addCancelBudget adds what one success allows to call off, up to one attempt for each backend to choose from.
+// addCancelBudget adds the cancellations that one success allows, up to one for each backend in the relay's subset.
 func (b *Balancer) addCancelBudget() {
 	b.cancelBudget = min(b.cancelBudget+cancelsPerSuccess, float64(b.subsetSize))
 }
 
-// retryOrShed queues a request for another attempt, or answers it.
+// retryOrShed queues a request for another attempt, or sheds it.
 func (b *Balancer) retryOrShed(r *Request) {
 	canRetry := !r.failedTwice && slices.ContainsFunc(b.backends, func(backend *Backend) bool {
 		return b.safeToRepeat(r, r.attempts, backend)
@@ -43,8 +43,9 @@
 	}
 }
 
-// takeRetry asks the fleet for one more attempt of a request whose last one has ended, unless one is reserved for it. Where
-// there is to be none, a failure that waits for the next answer speaks for its version at once: no answer will come.
+// takeRetry asks the fleet for one more attempt of a request whose last attempt has ended, unless a retry is reserved
+// for the request. If the fleet declines, a deferred failure counts against its version at once, as no further answer
+// will come.
 func (b *Balancer) takeRetry(r *Request) bool {
 	policy := b.retryPolicy(r)
 	if policy == nil {
@@ -61,8 +62,8 @@
 	return false
 }
 
-// reserveRetry asks the fleet for one more attempt of a request whose last one is to be called off. The request keeps it
-// until that one has ended.
+// reserveRetry asks the fleet for one more attempt of a request whose last attempt is about to be cancelled. The retry
+// stays reserved until that attempt has ended.
 func (b *Balancer) reserveRetry(r *Request) bool {
 	policy := b.retryPolicy(r)
 	if policy == nil {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// retryPolicy is what decides on a retry of a request; nil where no more than this package's rules do.
+// retryPolicy returns the fleet's policy on a retry of a request, or nil if only the rules of this package apply.
 func (b *Balancer) retryPolicy(r *Request) fleetPolicy {
 	policy, ok := b.host.(fleetPolicy)
 	if !ok || b.missedInstance(r) {
@@ -84,7 +85,7 @@
 	return policy
 }
 
-// recordDeferredFailure holds the failure of a request that waits for the next answer, if any, against its version.
+// recordDeferredFailure counts the deferred failure of a request, if any, against the version that it came from.
 func (b *Balancer) recordDeferredFailure(r *Request) {
 	if failure := r.deferredFailure; failure != nil {
 		r.deferredFailure = nil
@@ -92,15 +93,15 @@
 	}
 }
 
-// missedInstance tells whether the last attempt of a request came to where its instance does not run any more:
-// nothing ran, so that the next one is no retry.
+// missedInstance reports whether the last attempt of a pinned request reached a backend that no longer runs its
+// instance. Nothing ran there, so the next attempt is not a retry.
 func (b *Balancer) missedInstance(r *Request) bool {
 	return r.Pinned && r.attempts[len(r.attempts)-1].outcome == AtCapacity
 }
 
-// cancelAndRetry calls off an attempt at a silent backend, if its request can still be served elsewhere.
-// Guards against backends that are dead or hang and links that are cut: seen as requests that wait for their time-out;
-// holds because silence is found out well before it.
+// cancelAndRetry cancels an attempt at a silent backend if its request can still be served elsewhere. It guards against
+// backends that are dead or hang and against broken links, at which requests would wait for their time-out. Silence is
+// detected well before that.
 func (b *Balancer) cancelAndRetry(a *Attempt) {
 	if b.cancelBudget < 1 || !b.cancellable(a) || !b.reserveRetry(a.Request) {
 		return
@@ -110,7 +111,7 @@
 	b.host.CancelAttempt(a)
 }
 
-// cancellable tells whether an attempt may be called off and another one may follow in time.
+// cancellable reports whether an attempt may be cancelled and another attempt may follow in time.
 func (b *Balancer) cancellable(a *Attempt) bool {
 	r := a.Request
 	switch {
@@ -124,10 +125,10 @@
 	return b.class(r).Idempotency != AtMostOnce && a.Number+1 < b.settings.Limits.MaxAttempts
 }
 
-// recordOutcome finds out what the end of an attempt speaks for: the load, the backend, the version or the request itself.
+// recordOutcome counts the end of an attempt for the load, the backend, the version or the request itself.
 func (b *Balancer) recordOutcome(a *Attempt) {
 	if a.outcome == AtCapacity && a.Request.Pinned {
-		return // its instance is elsewhere: that speaks for the news of it, not for the backend
+		return // the instance runs elsewhere: the placement was outdated, and the backend is not at fault
 	}
 	b.adaptConcurrencyLimit(a)
 	if a.Backend.StartedAt == a.backendStart && a.outcome < Cancelled {
@@ -139,11 +140,12 @@
 	b.recordForVersion(a, b.now > a.slowAfter || a.outcome == TimedOut)
 }
 
-// deferFailure tells whether the end of an attempt is not to be held against its version now. A failure of a request that
-// is tried again waits for the next answer: if that succeeds the version of the first one has failed, and if that fails
-// too the request itself is at fault.
-// Guards against requests that fail anywhere: seen as good versions rolled back; holds because such a request fails at any
-// version. Hurts where a version fails every backend's attempts of a class.
+// deferFailure reports whether the end of an attempt does not count against its version now. If a request fails and is
+// retried, its failure waits for the next answer. If that answer is a success, the version of the first attempt has
+// failed. If the retry fails too, the request itself is at fault.
+//
+// The delay guards against requests that fail everywhere, which would cause good versions to be rolled back: such a
+// request fails at any version. It does harm if a version fails all attempts of a class at every backend.
 func (b *Balancer) deferFailure(a *Attempt) bool {
 	r, first := a.Request, a.Request.deferredFailure
 	switch a.outcome {
@@ -167,7 +169,7 @@
 	return false
 }
 
-// canRetryElsewhere tells whether a request that has failed may be tried at another backend.
+// canRetryElsewhere reports whether a request that has failed may be retried at another backend.
 func (b *Balancer) canRetryElsewhere(r *Request) bool {
 	return b.class(r).Idempotency != AtMostOnce && len(b.backends) > 1 && r.state != requestAnswered &&
 		len(r.attempts) < b.settings.Limits.MaxAttempts
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -2,53 +2,54 @@
 
 import "strconv"
 
-// The rule: of the nearest backends that may take a request, two are drawn and the one with less in flight gets it (power of
-// two choices). A canary gets the first attempt of a request whenever its exposure credit is due, and whatever no other
-// version can take.
+// The relay takes the first backends in its own order that may take a request, draws two of them, and sends the request
+// to the one with fewer attempts in flight (power of two choices). A canary gets the first attempt of a request if
+// exposure credit is due, and every request that no other version can take.
 //
-// Inputs: the backends in the relay's own order, attempts in flight at each, relative latencies to break ties, the exposure
-// credit of the request's class.
+// Inputs: the backends in the relay's own order, the attempts in flight at each, relative latencies to break ties, and
+// the exposure credit of the request's class.
 //
-// Guards against herds: seen as relays that all send to the one backend that looks best; holds because each compares two
-// that it has drawn, by what it has in flight there itself.
+// The random choice guards against herding, in which all relays send to the one backend that looks best. Each relay
+// compares two backends that it has drawn, by its own attempts in flight there.
 
 const (
-	// minSubsetSize is how many backends a relay chooses from at the least; one more comes for each request that arrives
-	// within a latency objective.
-	// Guards against hundreds of relays that reach every backend: seen as connections that cost more than they serve, and
-	// relays that see next to nothing of each; holds because a small relay keeps to a few, by an order of its own.
+	// minSubsetSize is the least number of backends that a relay chooses from. One more is added for each request that
+	// arrives within a latency objective. The subset guards against hundreds of relays that reach every backend:
+	// connections would cost more than they serve, and a relay would see next to nothing of each backend. A small relay
+	// keeps to a few backends, by an order of its own.
 	minSubsetSize = 5
-	// minCanarySubsetSize is the same for the backends of a canary; its part of the others' number comes beside.
+	// minCanarySubsetSize is the same for the backends of a canary. The canary's part of subsetSize is added.
 	minCanarySubsetSize = 2
 )
 
-// candidates is the memory of the lists that eligibleBackends returns.
+// candidates holds the buffers of the lists that eligibleBackends returns.
 type candidates struct {
 	stableCandidates []*Backend
 	canaryCandidates []*Backend
 }
 
-// Refusal is why a backend may not take a request now. A higher one is found out later in the order of the checks.
+// Refusal is the reason why a backend may not take a request now. A higher value is found later in the order of the
+// checks.
 type Refusal uint8
 
-// The refusals, in the order in which they are checked.
+// The refusals, in the order of the checks.
 const (
 	NotRefused           Refusal = iota
-	RefusedByLimit               // the relay has as much in flight as it allows itself
-	RefusedByEndpoint            // not ready, or not where the request's instance runs
-	RefusedByIdempotency         // another attempt could have an effect twice, or the key is a later version's
-	RefusedByLastAttempt         // it had the last attempt
-	RefusedByEjection            // it is on probation, and not due for an attempt
-	RefusedBySlowStart           // it warms up, and has had its budget
-	RefusedByCapacity            // it has as much in flight as it can answer
-	RefusedByDegradation         // it failed of late, and others are there
-	RefusedByExposure            // it runs a canary that has had its exposure
+	RefusedByLimit               // the relay has reached its concurrency limit
+	RefusedByEndpoint            // the backend is not ready, or does not run the request's instance
+	RefusedByIdempotency         // a repeat could have a second effect, or a later version has answered the key
+	RefusedByLastAttempt         // the backend had the last attempt
+	RefusedByEjection            // the backend is on probation, and not due for an attempt
+	RefusedBySlowStart           // the backend warms up, and has had its budget
+	RefusedByCapacity            // the backend has as much in flight as it can answer
+	RefusedByDegradation         // the backend failed recently, and others are available
+	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
 )
 
 var refusalNames = [...]string{"none", "concurrency limit", "endpoint", "idempotency", "last attempt", "ejection", "slow start",
 	"capacity", "degradation", "exposure cap"}
 
-// String is the refusal in words.
+// String returns the refusal in words.
 func (r Refusal) String() string {
 	if int(r) < len(refusalNames) {
 		return refusalNames[r]
@@ -56,10 +57,10 @@
 	return strconv.Itoa(int(r))
 }
 
-// route starts an attempt of a request, if any backend may take it.
+// route starts an attempt of a request if any backend may take it, and reports whether it did.
 func (b *Balancer) route(r *Request) bool {
 	for {
-		r.refusal = RefusedByEndpoint // of those that are not in the list of ready ones
+		r.refusal = RefusedByEndpoint // the refusal of backends that are not listed as ready
 		if b.openAttempts() >= b.concurrencyLimit {
 			r.refusal = RefusedByLimit
 			return false
@@ -78,8 +79,8 @@
 	}
 }
 
-// eligibleBackends are the nearest backends that may take a request, those of a canary apart. What refused the others is
-// kept with the request. Both lists are valid until the next call.
+// eligibleBackends returns the first backends in the relay's order that may take a request, those of a canary
+// separately. It stores in the request why the others may not. Both lists are valid until the next call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
@@ -107,7 +108,7 @@
 	return stable, canary
 }
 
-// checkBackend tells why a backend may not take a request, in the order of the constants.
+// checkBackend returns why a backend may not take a request, in the order of the constants.
 func (b *Balancer) checkBackend(r *Request, backend *Backend) Refusal {
 	if refusal := b.checkHardConstraints(r, r.attempts, backend); refusal != NotRefused {
 		return refusal
@@ -126,8 +127,8 @@
 	return NotRefused
 }
 
-// checkHardConstraints tells which of the rules that never bend a further attempt would break. They are asked as a backend is chosen,
-// and once more as the attempt is written.
+// checkHardConstraints returns the hard constraint that a further attempt would break. The hard constraints hold
+// without exception and are checked when a backend is chosen, and again when the attempt is written.
 func (b *Balancer) checkHardConstraints(r *Request, attempts []*Attempt, backend *Backend) Refusal {
 	switch {
 	case backend.State != Ready, r.Pinned && r.PinnedTo != backend:
@@ -138,8 +139,8 @@
 	return NotRefused
 }
 
-// excludedByLastAttempt tells whether a backend had the last attempt of a request. A pinned request has no other backend: it may
-// go there again after a pause that doubles.
+// excludedByLastAttempt reports whether a backend may not take a request because it had the last attempt. A pinned
+// request has no other backend: it may go there again after a pause that doubles with each attempt.
 func (b *Balancer) excludedByLastAttempt(r *Request, backend *Backend) bool {
 	n := len(r.attempts)
 	if n == 0 || r.attempts[n-1].Backend != backend {
@@ -148,8 +149,8 @@
 	return !r.Pinned || b.now < r.attempts[n-1].chosenAt+timerInterval<<n
 }
 
-// pickVersion picks the canary or what is stable. The part of the exposure cap that first attempts leave is for requests
-// that nothing stable can take.
+// pickVersion picks the backends of the canary or the stable ones. The part of the exposure cap that first attempts
+// leave over is for requests that no stable backend can take.
 func (b *Balancer) pickVersion(r *Request, stable, canary []*Backend) []*Backend {
 	if len(stable) == 0 {
 		return canary
@@ -160,7 +161,8 @@
 	return stable
 }
 
-// pickLeastLoaded draws two backends and picks the one with less in flight; of equals the faster one.
+// pickLeastLoaded draws two backends and returns the one with fewer attempts in flight. A tie goes to the faster
+// backend.
 func (b *Balancer) pickLeastLoaded(candidates []*Backend) *Backend {
 	first := candidates[b.random.intN(len(candidates))]
 	second := candidates[b.random.intN(len(candidates))]
@@ -171,7 +173,7 @@
 	return first
 }
 
-// startAttempt sends a request to a backend.
+// startAttempt starts an attempt of a request at a backend.
 func (b *Balancer) startAttempt(r *Request, backend *Backend) {
 	a := &Attempt{Request: r, Number: len(r.attempts), Backend: backend, chosenAt: b.now, version: backend.Version,
 		backendStart: backend.StartedAt}
@@ -193,11 +195,12 @@
 	b.host.StartAttempt(a, r.Deadline)
 }
 
-// BeginAttempt tells whether an attempt may be written now, after waits and the set-up of its connection, and counts it as
-// sent now. Written at once it always may be.
-// Guards against connections that come up late: seen as attempts past the window of an idempotency key, at a backend that
-// drains or is another process by now, or over the budgets of exposure and slow start; holds because the rules are asked
-// about the moment of the write.
+// BeginAttempt reports whether an attempt may be written now, after any waiting and the setup of its connection, and
+// counts it as sent now. An attempt that is written at once is always allowed.
+//
+// The check guards against connections that come up late. Attempts would then be written after the window of an
+// idempotency key, to a backend that drains or was replaced by another process, or over the budgets of exposure and
+// slow start. BeginAttempt applies the rules to the moment of the write.
 func (b *Balancer) BeginAttempt(now Tick, a *Attempt) bool {
 	b.now = now
 	b.uncountAttempt(a)
@@ -217,10 +220,11 @@
 	return sameProcess && b.checkHardConstraints(r, r.attempts[:a.Number], backend) == NotRefused
 }
 
-// writeGracePeriod is how long after the choice an attempt may be written without being counted against the budgets anew.
+// writeGracePeriod is how long after the choice an attempt may be written without being checked against the budgets
+// again.
 const writeGracePeriod = timerInterval / 10
 
-// overBudget tells whether an attempt that is written late is over the budgets of exposure or slow start by now.
+// overBudget reports whether an attempt that is written late now exceeds the budgets of exposure or slow start.
 func (b *Balancer) overBudget(a *Attempt) bool {
 	if b.now <= a.chosenAt+writeGracePeriod {
 		return false
@@ -246,7 +250,7 @@
 	}
 }
 
-// uncountAttempt takes back what countAttempt has counted last.
+// uncountAttempt reverses the last countAttempt of an attempt.
 func (b *Balancer) uncountAttempt(a *Attempt) {
 	e := b.exposureOf(a.Request.Class)
 	e.attempts = removeTime(e.attempts, a.countedAt, a.countedAsExposure)
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -2,25 +2,25 @@
 
 import "strconv"
 
-// streamKind is a kind of evidence on a version.
+// streamKind is a kind of evidence about a version.
 type streamKind uint8
 
 const (
 	allRequests    streamKind = iota // failures of requests of any class
-	oneClass                         // of one class
+	oneClass                         // failures of requests of one class
 	wrongAnswers                     // reports of wrong answers, among answers
 	slowness                         // slow attempts
 	resets                           // connections that broke
-	releaseMetrics                   // what the release API counted of all relays
+	releaseMetrics                   // outcomes at all relays, as counted by the release API
 )
 
-// stream names one stream of outcomes.
+// stream identifies one stream of outcomes.
 type stream struct {
 	kind  streamKind
-	class int // of oneClass
+	class int // for oneClass
 }
 
-// String is the stream's name in logs.
+// String returns the name of the stream in logs.
 func (s stream) String() string {
 	switch s.kind {
 	case allRequests:
@@ -37,10 +37,10 @@
 	return "request class " + strconv.Itoa(s.class)
 }
 
-// rareSampleSize is the number of outcomes that are kept of what is rare, such as reports of wrong answers.
+// rareSampleSize is the number of outcomes that are kept of rare events, such as reports of wrong answers.
 const rareSampleSize = 512
 
-// samples are the last outcomes at one version, 1 for a bad one, by stream.
+// samples holds the last outcomes at one version by stream, 1 for a bad one.
 type samples struct {
 	class   [][]float64
 	wrong   []float64
@@ -51,13 +51,13 @@
 
 func newSamples(classes int) *samples { return &samples{class: make([][]float64, classes)} }
 
-// failures counts the bad outcomes and all of them.
+// failures returns the number of bad outcomes and of all outcomes.
 func failures(outcomes []float64) (bad, n float64) {
 	n = float64(len(outcomes))
 	return mean(outcomes) * n, n
 }
 
-// totalFailures does so for all classes together.
+// totalFailures returns the number of bad outcomes and of all outcomes of all classes together.
 func (s *samples) totalFailures() (bad, n float64) {
 	for _, outcomes := range s.class {
 		b, m := failures(outcomes)
@@ -66,10 +66,10 @@
 	return bad, n
 }
 
-// smoothedShare is a share of bad outcomes that is never 0 or 1, and one half where nothing is known.
+// smoothedShare returns a share of bad outcomes that is never 0 or 1, and one half without any outcomes.
 func smoothedShare(bad, n float64) float64 { return (bad + 0.5) / (n + 1) }
 
-// failureShare is the share of bad ones among the outcomes of all classes, or of one.
+// failureShare returns the share of bad outcomes among those of all classes, or of one class.
 func (s *samples) failureShare(of stream) float64 {
 	if of.kind == allRequests {
 		return smoothedShare(s.totalFailures())
--- a/balancer/series.go
+++ b/balancer/series.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// dropBefore drops the times before a moment from a list in order.
+// dropBefore drops the times before a moment from a sorted list.
 func dropBefore(times []Tick, from Tick) []Tick {
 	i := 0
 	for i < len(times) && times[i] < from {
@@ -11,7 +11,7 @@
 	return times[i:]
 }
 
-// removeTime takes one time out of a list in order, if it was counted there and still is.
+// removeTime removes one occurrence of a time from a sorted list, if it was counted there and is still contained.
 func removeTime(times []Tick, at Tick, counted bool) []Tick {
 	if i, has := slices.BinarySearch(times, at); has && counted {
 		return slices.Delete(times, i, i+1)
@@ -19,13 +19,13 @@
 	return times
 }
 
-// appendBounded appends a value and keeps the last n.
+// appendBounded appends a value and keeps the last n values.
 func appendBounded[T any](values []T, value T, n int) []T {
 	values = append(values, value)
 	return values[max(0, len(values)-n):]
 }
 
-// mean is the mean of samples, 0 for none.
+// mean returns the mean of samples, or 0 without any.
 func mean(samples []float64) float64 {
 	sum := 0.0
 	for _, v := range samples {
@@ -34,7 +34,7 @@
 	return sum / float64(max(1, len(samples)))
 }
 
-// indicator is 1 for what is so, and else 0.
+// indicator returns 1 if a condition holds, and 0 otherwise.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -2,34 +2,35 @@
 
 import "math"
 
-// The rule: in any window of the site's length, a backend that warms up gets from all relays together no more than a
-// multiple of its present capacity. No relay knows what others send, so each keeps to a part of its own rate at warm
-// backends; as all do, the sum keeps the rule.
+// In any window of the site's length, a backend that warms up gets from all relays together no more than a multiple of
+// its present capacity. No relay knows what others send, so each keeps to a part of its own rate at warm backends.
+// Since all relays do so, the sum stays within the limit.
 //
-// Inputs: when a backend has started and what the site's slow-start settings say of it, the relay's rate at a warm backend
-// in successes a second, the number of relays, the times of the attempts within the window.
+// Inputs: the start time of a backend and the site's slow-start settings, the relay's rate at a warm backend in
+// successes per second, the number of relays, and the times of the attempts within the window.
 //
-// Guards against backends that fall over while they are cold: seen as a restart that all relays rush to; holds because the
-// parts add up to less than what the site allows. A part of less than one attempt a window comes due over the time from a
-// drawn moment, and leaves room for what chance piles up among the relays.
+// Slow start guards against backends that collapse while they are cold, as after a restart when all relays send to the
+// backend at once. The parts add up to less than the site allows. A part of less than one attempt per window accrues
+// from a random moment on, and leaves room for the random coincidence of several relays.
 
 const (
-	// slowStartShare is the part of what the site allows that is used.
+	// slowStartShare is the share of the site's allowance that is used.
 	slowStartShare = 0.85
-	// slowStartDeviations is how many standard deviations of chance are left free in it.
+	// slowStartDeviations is how many standard deviations of random variation are left free within that share.
 	slowStartDeviations = 3
-	// minSlowStartAttempts is what no backend falls under in a window, whatever it can do: the site's rule has a slack of two.
+	// minSlowStartAttempts is the number of attempts in a window that overload no backend, whatever its capacity: the
+	// site's rule has a slack of two.
 	minSlowStartAttempts = 1
 )
 
-// warmUp is what a backend that warms up has been sent.
+// warmUp holds the attempts that a backend has been sent while it warms up.
 type warmUp struct {
 	warmUpSends        []Tick  // within the window
 	lastWarmUpSend     Tick    // or when this process was first listed
-	warmUpCreditNeeded float64 // the part of an attempt's budget that must come due after it
+	warmUpCreditNeeded float64 // fraction of one attempt's budget that must accrue after lastWarmUpSend
 }
 
-// warmUpFraction is the part of its capacity that a backend has at the least.
+// warmUpFraction returns the fraction of its capacity that a backend has at least.
 func (b *Balancer) warmUpFraction(backend *Backend) float64 {
 	if backend.StartedAt == 0 {
 		return 1
@@ -42,7 +43,8 @@
 	return from + (1-from)*float64(max(0, age))/float64(window)
 }
 
-// slowStartAllows tells whether a backend may get one more attempt of this relay within its part of the budget.
+// slowStartAllows reports whether a backend may get one more attempt from this relay within the relay's part of the
+// budget.
 func (b *Balancer) slowStartAllows(backend *Backend) bool {
 	fraction := b.warmUpFraction(backend)
 	if fraction >= 1 {
@@ -52,12 +54,12 @@
 	backend.warmUpSends = dropBefore(backend.warmUpSends, b.now-window-1)
 	budget := b.slowStartBudget(fraction, window)
 	if budget >= 1 {
-		return float64(len(backend.warmUpSends))+1 <= budget // rounded up by each, all would send up to twice as much
+		return float64(len(backend.warmUpSends))+1 <= budget // if every relay rounded up, all would send up to twice as much
 	}
 	return float64(b.now-backend.lastWarmUpSend)*budget >= float64(window)*backend.warmUpCreditNeeded
 }
 
-// slowStartBudget is this relay's part of what a backend may get in a window, in attempts.
+// slowStartBudget returns how many attempts this relay may send to a backend in a window.
 func (b *Balancer) slowStartBudget(fraction float64, window Tick) float64 {
 	relays := max(1, b.settings.Relays)
 	multiple := b.settings.SlowStart.OverloadMultiple
@@ -72,7 +74,7 @@
 	backend.lastWarmUpSend, backend.warmUpCreditNeeded = b.now, 1
 }
 
-// startSlowStart draws the moment from which the first attempt at a new process comes due.
+// startSlowStart draws when the first attempt at a new process comes due, so that relays do not all send at once.
 func (b *Balancer) startSlowStart(backend *Backend) {
 	const steps = 1000
 	backend.lastWarmUpSend, backend.warmUpCreditNeeded = b.now, float64(1+b.random.intN(steps))/steps
