--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest takes a request, starts an attempt and ends it with an answer, at many backends and classes. Compare
-// two versions of the balancer by running both, pairwise, and benchstat.
+// BenchmarkRequest measures a request from its arrival over the start of an attempt to the answer, with many backends
+// and classes. To compare two versions of the balancer, run both alternately and compare the results with benchstat.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 1000, 10000} {
 		for _, classes := range []int{1, 10, 200} {
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A burst of requests slows backends of any version; the same slowness without one is the version's.
+// TestLatency_SlownessInABurst: a burst of requests slows down backends of any version, so it raises no alarm. The same
+// slowness without a burst counts against the version.
 func TestLatency_SlownessInABurst(t *testing.T) {
 	for _, c := range []struct {
 		name      string
