--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -97,7 +97,7 @@
 	b.serveQueue()
 }
 
-// OnOutcome handles the end of an attempt. settled tells that the request has its final answer, from this attempt or
+// OnOutcome handles the end of an attempt. settled reports whether the request has its final answer, from this attempt or
 // from an earlier one. The load report of the backend is not used: the balancer judges backends by the outcomes of
 // attempts.
 func (b *Balancer) OnOutcome(now Tick, a *Attempt, outcome Outcome, latency Tick, settled bool, _ []float64) {
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -30,10 +30,10 @@
 
 // concurrency holds the attempts in flight and what the relay knows of its own rate.
 type concurrency struct {
-	attemptsInFlight []*Attempt // in the order of their start
+	attemptsInFlight []*Attempt // in the order in which they started
 	concurrencyLimit float64    // attempts that the relay may have in flight
 	subsetSize       int        // number of backends that the relay chooses from
-	successTimes     []Tick     // of the successes within rateWindow
+	successTimes     []Tick     // times of the successes within rateWindow
 	warmCapacity     float64    // sum of the warm-up fractions of the ready backends
 	canaryCapacity   float64    // the part of warmCapacity that runs a canary
 	ratePerBackend   float64    // this relay's successes per second at a warm backend
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -11,8 +11,8 @@
 // Inputs: the idempotency of the class with the scope and the window of its keys, and the attempts so far with their
 // outcomes. If the site moves keys forward only, also the keys that each version has answered.
 //
-// These rules guard against duplicate effects, as from a repeat of an attempt that timed out but ran. Only attempts
-// that certainly did not run are repeated, or those whose repeat has no second effect at its backend.
+// These rules guard against duplicate effects, as from a repeat of an attempt that timed out but ran. An attempt is
+// repeated only if it certainly did not run, or if the repeat has no second effect at its backend.
 
 // safeToRepeat reports whether one more attempt of a request may go to a backend after the given attempts.
 func (b *Balancer) safeToRepeat(r *Request, attempts []*Attempt, backend *Backend) bool {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -62,7 +62,7 @@
 type backendHealth struct {
 	recentFailures       []float64 // the last outcomes, 1 for a failure
 	lastFailure          Tick
-	failureWealth        float64 // of the test that ejects the backend
+	failureWealth        float64 // wealth of the test that ejects the backend
 	ejected              bool
 	probationInterval    Tick // between attempts while the backend is ejected
 	nextProbationAttempt Tick
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,7 +4,7 @@
 
 // A request whose attempt has failed gets another attempt if its class allows one at any backend and the fleet's retry
 // budget has one left. An attempt at a silent backend is cancelled early, so that another backend can serve the request
-// in time. A request that fails twice, at two backends unless it is pinned to one, is held to be at fault itself.
+// in time. A request that fails twice, at two backends unless it is pinned to one, counts as at fault itself.
 //
 // Inputs: the outcomes of a request's attempts, the settings' limit on their number, the fleet's decision on each
 // retry, and the silence of the backend.
@@ -22,8 +22,7 @@
 	cancelBudget float64 // attempts at silent backends that may be cancelled now
 }
 
-// newCancellation starts with one cancellation for each of the minSubsetSize backends that a relay chooses from at
-// least.
+// newCancellation starts with a budget of minSubsetSize, the least number of backends that a relay chooses from.
 func newCancellation() cancellation { return cancellation{cancelBudget: minSubsetSize} }
 
 // addCancelBudget adds the cancellations that one success allows, up to one for each backend in the relay's subset.
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -40,7 +40,7 @@
 	RefusedByIdempotency         // a repeat could have a second effect, or a later version has answered the key
 	RefusedByLastAttempt         // the backend had the last attempt
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
-	RefusedBySlowStart           // the backend warms up, and has had its budget
+	RefusedBySlowStart           // the backend warms up, and its budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
 	RefusedByDegradation         // the backend failed recently, and others are available
 	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -25,8 +25,8 @@
 
 // warmUp holds the attempts that a backend has been sent while it warms up.
 type warmUp struct {
-	warmUpSends        []Tick  // within the window
-	lastWarmUpSend     Tick    // or when this process was first listed
+	warmUpSends        []Tick  // times of the attempts within the window
+	lastWarmUpSend     Tick    // time of the last attempt, or of the first listing of this process
 	warmUpCreditNeeded float64 // fraction of one attempt's budget that must accrue after lastWarmUpSend
 }
 
