--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -80,7 +80,7 @@
 }
 
 // eligibleBackends returns the first backends in the relay's order that may take a request, those of a canary
-// separately. It stores in the request why the others may not. Both lists are valid until the next call.
+// separately. It stores the highest refusal of the others in the request. Both lists are valid until the next call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
