--- a/balancer/logline.go
+++ b/balancer/logline.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// LogLine is a message of Host.Log with its fields as one line of text: "message: key=value key=value". Words that are
-// empty or have a space, an equals sign or a quote are quoted.
+// LogLine formats a message of Host.Log and its fields as one line of text: "message: key=value key=value". A value
+// that is empty or contains a space, an equals sign or a quotation mark is quoted.
 func LogLine(message string, fields ...slog.Attr) string {
 	var line strings.Builder
 	line.WriteString(message)
@@ -27,11 +27,11 @@
 	return line.String()
 }
 
-// loggingRelays is how many relays, on average, log what many of them see alike.
+// loggingRelays is the average number of relays that log an event that many relays observe alike.
 const loggingRelays = 4
 
-// logSampled logs at a few of the relays.
-// Guards against a flood of lines: seen as one line from each of hundreds of relays; holds because each draws for itself.
+// logSampled logs an event at a random few of the relays. It keeps hundreds of relays from logging the same line each;
+// each relay draws independently whether to log.
 func (b *Balancer) logSampled(message string, fields ...slog.Attr) {
 	if b.random.intN(int(max(1, b.settings.Relays))) < loggingRelays {
 		b.host.Log(message, fields...)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Seconds is a span of time as the site's documents give it. It is kept as a number of seconds, so that each reader
-// converts it once, in its own unit. The zero value is no time at all, which is also what a missing setting means unless
-// its field says otherwise.
+// Seconds is a duration as the site's documents give it. It is stored as a number of seconds, so that each reader
+// converts it once, to its own unit. The zero value is no time at all, which is also the meaning of a missing setting
+// unless its field says otherwise.
 type Seconds float64
 
-// Ticks converts the span to the balancer's clock, rounded towards zero.
+// Ticks converts the duration to the balancer's clock, rounded towards zero.
 func (s Seconds) Ticks() Tick { return Tick(float64(s) * float64(Second)) }
 
-// Duration converts the span to the clock of the standard library, rounded towards zero.
+// Duration converts the duration to a time.Duration, rounded towards zero.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings are what a site tells each of its relays at the start. They do not change while a relay runs. The zero value
-// of each field is what a document that lacks the setting means; the parser (internal/settings) fills in the few defaults
-// that are named below.
+// Settings are what a site sends to each of its relays at start. They do not change while a relay runs. The zero value
+// of each field is the meaning of a document that lacks the setting; the parser (internal/settings) fills in the few
+// defaults that are named below.
 type Settings struct {
-	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; below 1 counts as 1.
+	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; values below 1 count as 1.
 	Relays float64
-	// Discovery tells whether the relay has to ask for changes of the endpoint list. Missing: they come unasked.
+	// Discovery is how changes of the endpoint list reach the relay. Missing: without a request.
 	Discovery DiscoveryMode
-	// Classes are the request classes, in the order in which requests refer to them. At least one.
+	// Classes are the request classes, in the order of their indexes in requests. At least one.
 	Classes []RequestClass
 
 	Limits    Limits
@@ -30,72 +30,72 @@
 	Rollout   Rollout
 }
 
-// DiscoveryMode tells how changes of the endpoint list reach a relay.
+// DiscoveryMode is how changes of the endpoint list reach a relay.
 type DiscoveryMode uint8
 
-// The modes of discovery.
+// The discovery modes.
 const (
-	// DiscoveryAutomatic brings changes unasked.
+	// DiscoveryAutomatic sends changes to every relay without a request.
 	DiscoveryAutomatic DiscoveryMode = iota
-	// DiscoverySubscribe brings changes to those alone who have asked for them.
+	// DiscoverySubscribe sends changes only to relays that have requested them.
 	DiscoverySubscribe
 )
 
-// RequestClass is what a site says of one kind of requests.
+// RequestClass is the site's description of one kind of requests.
 type RequestClass struct {
-	// Name is the site's own name for the class. Not empty, and unlike the others'.
+	// Name is the site's name for the class. Not empty, and unique among the classes.
 	Name string
-	// Idempotency tells what a second attempt could do. Missing or unknown: at most once.
+	// Idempotency is what a second attempt may do. Missing or unknown: at most once.
 	Idempotency Idempotency
-	// DedupScope tells which backends drop repeats of one idempotency key. Missing or unknown: no backend
-	// is relied on to drop them.
+	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
+	// drop them.
 	DedupScope DedupScope
-	// DedupWindow is how long they do, from the first attempt that may have run. Missing: no time.
+	// DedupWindow is how long those backends drop repeats, from the first attempt that may have run. Missing: no time.
 	DedupWindow Seconds
-	// LatencyObjective is the time within which an answer has its full worth. Missing: the deadline.
+	// LatencyObjective is the time within which an answer has its full value. Missing: the deadline.
 	LatencyObjective Seconds
-	// Deadline is how long a client waits, over all its tries. Missing: the latency objective.
+	// Deadline is how long a client waits in total, over all its tries. Missing: the latency objective.
 	Deadline Seconds
-	// PriorityWeight is what one request is worth beside those of other classes. Range: 0 and above. Missing: 0.
+	// PriorityWeight is the value of a request relative to those of other classes. Range: 0 and above. Missing: 0.
 	PriorityWeight float64
 }
 
-// Idempotency tells what a second attempt of a request could do.
+// Idempotency is the possible effect of a second attempt of a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	// AtMostOnce requests may have an effect that a second attempt would repeat.
 	AtMostOnce Idempotency = iota
-	// IdempotentWithKey requests may be repeated where the backend has seen the request's key, within a window.
+	// IdempotentWithKey requests may be repeated at backends that have seen the request's key, within a window.
 	IdempotentWithKey
 	// Idempotent requests may be repeated anywhere and at any time.
 	Idempotent
 )
 
-// DedupScope tells which backends drop a repeated request.
+// DedupScope is the set of backends that drop a repeated request.
 type DedupScope uint8
 
 // The scopes.
 const (
 	DedupNowhere DedupScope = iota
-	DedupCell               // the backends of the cell that ran it
-	DedupZone               // the backends of the zone that ran it
+	DedupCell               // the backends of the cell that ran the request
+	DedupZone               // the backends of the zone that ran the request
 	DedupEverywhere
 )
 
-// Limits are what a site lets a relay do.
+// Limits are the site's limits on what a relay does.
 type Limits struct {
-	// MaxAttempts is the most attempts of one request. Range: 1 to 32. Missing: 1 (by the parser).
+	// MaxAttempts is the maximum number of attempts of a request. Range: 1 to 32. Missing: 1 (set by the parser).
 	MaxAttempts int
-	// MayCancel allows to cancel an attempt under way. Missing: false.
+	// MayCancel allows cancelling an attempt that is in flight. Missing: false.
 	MayCancel bool
-	// RetryAfter tells whether clients honour a time to come back that is sent with a rejection. Missing: false.
+	// RetryAfter reports whether clients honour a retry time that is sent with a rejection. Missing: false.
 	RetryAfter bool
-	// MaxRetryAfter is the longest such time. Missing: none.
+	// MaxRetryAfter is the longest retry time that may be sent. Missing: none.
 	MaxRetryAfter Seconds
-	// ConnectTimeout is how long a connection to a backend may take to come up. Read by the relay's connections alone.
-	// Missing or 0: the longest deadline of a class (by the parser).
+	// ConnectTimeout is how long establishing a connection to a backend may take. Only the relay's connections read it.
+	// Missing or 0: the longest deadline of a class (set by the parser).
 	ConnectTimeout Seconds
 	// IdleTimeout is how long a connection may be idle before it is closed. Missing: no time.
 	IdleTimeout Seconds
@@ -105,72 +105,79 @@
 
 // EndpointRules are the site's rules on the endpoint list.
 type EndpointRules struct {
-	// DrainGrace is how long after the news that a backend drains, or that a cap is lowered, an attempt is still
-	// excused. Missing: none.
+	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
+	// lowered. Missing: none.
 	DrainGrace Seconds
-	// PollInterval is how often the site wants the list to be asked for at the most. Missing: a second.
+	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
+	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
+	// listed then; after a failed request it waits four times as long. schedulePoll keeps its pauses to half of
+	// PollInterval. Missing: one second.
 	PollInterval Seconds
 }
 
 // SlowStart are the site's rules on backends that have just started.
 type SlowStart struct {
-	// Window is how long a backend warms up. Missing or 0: not at all.
+	// Window is how long a backend warms up. Missing or 0: no warm-up.
 	Window Seconds
-	// InitialFraction is the part of its capacity that a backend has at its start. Range: 0 to 1. Missing: 0.
+	// InitialFraction is the fraction of its capacity that a backend has when it starts. Range: 0 to 1. Missing: 0.
 	InitialFraction float64
-	// OverloadMultiple is how many times its present capacity overloads a backend that warms up. Range: 0 and above.
+	// OverloadMultiple is the multiple of its current capacity that overloads a backend that is warming up. Range: 0
+	// and above.
 	OverloadMultiple float64
-	// OverloadWindow is the time over which that is counted. Missing or 0: Window (by the parser).
+	// OverloadWindow is the time over which that load is counted. Missing or 0: Window (set by the parser).
 	OverloadWindow Seconds
 }
 
-// Rollout are the site's rules on staged releases.
+// Rollout are the site's rules on staged rollouts.
 type Rollout struct {
-	// Control tells what takes a rollout from stage to stage. Missing or unknown: votes.
+	// Control is what advances a rollout from stage to stage. Missing or unknown: votes.
 	Control RolloutControl
-	// StageShares is, for each stage, the share of the backends that run the new version. Range of each: 0 to 1.
+	// StageShares is the share of the backends that run the new version, for each stage. Range of each: 0 to 1.
 	StageShares []float64
-	// StageCaps is, for each stage, the exposure cap: the part of the requests whose attempts may go to the new version.
-	// Range of each: 0 to 1. Missing: 0, nothing may.
+	// StageCaps is the exposure cap of each stage: the share of the requests whose attempts may go to the new version.
+	// Range of each: 0 to 1. Missing: 0, which allows none.
 	StageCaps []float64
-	// GuardedStages is the number of stages, from the first, in which none but idempotent requests may go to the new
-	// version. Range: 0 to 1,000. Missing: 0.
+	// GuardedStages is the number of initial stages in which only idempotent requests may go to the new version. Range:
+	// 0 to 1,000. Missing: 0.
 	GuardedStages int
-	// ExposureFree is how many attempts of a window the exposure cap does not count. Range: 0 and above. Missing, or with
-	// no window: 0 (by the parser).
+	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above.
+	// Missing, or without a window: 0 (set by the parser).
 	ExposureFree float64
 	// ExposureWindow is the time over which exposure is counted. Missing: none.
 	ExposureWindow Seconds
-	// ExposurePerClass tells whether each class has a count of its own. Missing: one count for all.
+	// ExposurePerClass reports whether exposure is counted per class. Missing: one count for all classes.
 	ExposurePerClass bool
-	// ForwardOnly tells that what a version has answered for a key may not be asked of an earlier one. Missing: false.
+	// ForwardOnly forbids asking an earlier version for a key once a later version has answered for that key. Missing:
+	// false.
 	ForwardOnly bool
-	// FoundShare is the part of the wrong answers that clients find and report. Range: 0 to 1. Missing: 0.
+	// FoundShare is the share of the wrong answers that clients detect and report. Range: 0 to 1. Missing: 0.
 	FoundShare float64
-	// MetricsPeriod is the time over which the release API counts outcomes of all relays. Missing: it counts none.
+	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. Missing: it counts
+	// none.
 	MetricsPeriod Seconds
-	// VoteLifetime is how long a vote stands. Missing: no time.
+	// VoteLifetime is how long a vote is valid. Missing: no time.
 	VoteLifetime Seconds
-	// VoteTimeout is how long the answer to a vote may take. Missing: no time.
+	// VoteTimeout is how long the reply to a vote may take. Missing: no time.
 	VoteTimeout Seconds
-	// VotesPerSecond is how many votes of all relays the release API takes. Range: 0 and above. Missing: 0, which counts
-	// as one in ten seconds.
+	// VotesPerSecond is the rate of votes from all relays that the release API accepts. Range: 0 and above. Missing: 0,
+	// which counts as one in ten seconds.
 	VotesPerSecond float64
 
-	// ReportWithin is the time within which reports of wrong answers are held to come. It is the operator's. Missing: 0,
-	// no such evidence is waited for.
+	// ReportWithin is the time within which reports of wrong answers are expected. It is set by the operator. Missing:
+	// 0, which waits for no such evidence.
 	ReportWithin Seconds
-	// EvidenceWait is how long a stage waits for evidence on classes that lack it. It is the operator's. Missing: 0.
+	// EvidenceWait is how long a stage waits for evidence on classes that lack it. It is set by the operator. Missing:
+	// 0.
 	EvidenceWait Seconds
 }
 
-// RolloutControl tells what takes a rollout from stage to stage.
+// RolloutControl is what advances a rollout from stage to stage.
 type RolloutControl uint8
 
 // The kinds of control.
 const (
-	// AdvanceByVotes waits for votes of the relays to promote.
+	// AdvanceByVotes advances when relays vote to promote.
 	AdvanceByVotes RolloutControl = iota
-	// AdvanceByClock goes on by itself unless relays vote to pause or to roll back.
+	// AdvanceByClock advances over time unless relays vote to pause or to roll back.
 	AdvanceByClock
 )
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -1,156 +1,164 @@
 package balancer
 
-// Tick is a point or a span of time in whole tenths of a millisecond.
+// Tick is a point in time or a duration, in units of a tenth of a millisecond.
 type Tick int64
 
 // Second is one second in ticks.
 const Second Tick = 10000
 
-// Outcome tells how an attempt, a probe or a vote ended. The values are those of the wire.
+// Outcome is how an attempt, a probe or a vote ended. The values are part of the wire format.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Succeeded: a good answer came.
+	// Succeeded means that the backend answered the request without an error.
 	Succeeded Outcome = 1 + iota
-	// Errored: an answer came that is an error.
+	// Errored means that the backend answered with an error.
 	Errored
-	// AtCapacity: the backend turned the attempt away unserved. Of a vote: the release API takes no more votes now.
+	// AtCapacity means that the backend refused the attempt without serving it. For a vote, the release API accepts no
+	// more votes at the moment.
 	AtCapacity
-	// TimedOut: no answer came in time.
+	// TimedOut means that no answer arrived in time.
 	TimedOut
-	// ConnectFailed: no connection came up, so nothing was sent.
+	// ConnectFailed means that no connection could be established, so nothing was sent.
 	ConnectFailed
-	// Reset: the connection broke after something was sent.
+	// Reset means that the connection broke after something had been sent.
 	Reset
-	// Cancelled: the relay stopped waiting.
+	// Cancelled means that the relay stopped waiting for the answer.
 	Cancelled
-	// Discarded: the attempt was never sent. Of a vote: it does not count, as what it was about has passed.
+	// Discarded means that the attempt was never sent. For a vote, it does not count because the stage that it was cast
+	// on has passed.
 	Discarded
 )
 
-// Request is one request that the relay has accepted. The exported fields are set by the caller before OnRequest and do
-// not change afterwards, but for PinnedTo.
+// Request is a request that the relay has accepted. The caller sets the exported fields before OnRequest and does not
+// change them afterwards, except for PinnedTo.
 type Request struct {
-	// ID is the caller's own name for it.
+	// ID identifies the request to the caller.
 	ID uint64
-	// Class is the request's class, by its place in the settings.
+	// Class is the index of the request's class in Settings.Classes.
 	Class int
-	// Tenant is the client's tenant, by its place in the settings. Not read by the balancer.
+	// Tenant is the index of the client's tenant in the settings. The balancer does not read it.
 	Tenant int
-	// Key is what the request is about; 0 is no key.
+	// Key identifies the data that the request concerns; 0 means no key.
 	Key uint64
 	// Deadline is when the client stops waiting.
 	Deadline Tick
-	// EstimatedWork is the time that a usual backend would work on it; 0 if not known. Not read by the balancer.
+	// EstimatedWork is the time that a typical backend would spend on the request; 0 means unknown. The balancer does
+	// not read it.
 	EstimatedWork Tick
-	// ClientRetry tells that the client has asked the same before.
+	// ClientRetry reports whether the client has sent the same request before.
 	ClientRetry bool
-	// Write tells that the request changes something. Not read by the balancer.
+	// Write reports whether the request modifies data. The balancer does not read it.
 	Write bool
-	// Pinned requests go only to the backend that their instance runs at.
+	// Pinned reports whether the request may go only to the backend that runs its instance.
 	Pinned bool
-	// PinnedTo is that backend; nil while it is not known. The caller changes it and then calls OnInstancesMoved.
+	// PinnedTo is the backend that runs the instance of a pinned request; nil means that this backend is unknown. The
+	// caller changes PinnedTo and then calls OnInstancesMoved.
 	PinnedTo *Backend
 
-	receivedAt  Tick
-	usefulUntil Tick // later an answer is of little use
+	receivedAt Tick
+	// usefulUntil is when an answer loses most of its use: the end of the latency objective, or shortly before the
+	// deadline if that is sooner.
+	usefulUntil Tick
 	priority    float64
 	attempts    []*Attempt
 
-	state             requestState
-	streaming         bool // its answer is being passed on
-	failedTwice       bool // at two backends, a pinned request at the one it has: held to be its own doing
-	triedDespiteDelay bool // see allowLateAttempt
-	retryReserved     bool // the fleet has allowed an attempt that waits for the end of the last one
+	state     requestState
+	streaming bool // the answer is being passed on to the client
+	// failedTwice reports whether the request has failed at two backends, or twice at its only backend if it is pinned.
+	// The request itself is then considered faulty.
+	failedTwice       bool
+	triedDespiteDelay bool // tried although it was unlikely to be answered in time; see allowLateAttempt
+	retryReserved     bool // the fleet has allowed another attempt, which starts when the last one has ended
 	deferredFailure   *Attempt
 	refusal           Refusal
 }
 
-// requestState is where a request stands.
+// requestState is the state of a request in the balancer.
 type requestState uint8
 
 const (
-	requestInFlight requestState = iota // it has an attempt in flight, or has just come or lost one
-	requestQueued                       // it waits for a backend
-	requestAnswered                     // nothing is owed any more; serveQueue drops it if it was queued
+	requestInFlight requestState = iota // has an attempt in flight, or has just arrived or lost its attempt
+	requestQueued                       // waits for a backend
+	requestAnswered                     // needs no further answer; serveQueue drops the request if it is queued
 )
 
-// Refusal is why no backend may take a request now; see Request.Refusal.
+// Refusal returns the reason why no backend can take the request at the moment.
 func (r *Request) Refusal() Refusal { return r.refusal }
 
 // Attempt is one try of a request at a backend.
 type Attempt struct {
 	Request *Request
-	// Number counts the attempts of the request, from 0.
+	// Number is the index of the attempt among those of its request, from 0.
 	Number  int
 	Backend *Backend
 
-	version      uint16 // of the backend, as it was chosen
-	backendStart Tick   // as it was known then
-	chosenAt     Tick   // when it was chosen
-	slowAfter    Tick   // a later answer counts as slow for the version
-	lateAfter    Tick   // and for the backend
+	version      uint16 // version of the backend when it was chosen
+	backendStart Tick   // start time of the backend when it was chosen
+	chosenAt     Tick   // when the backend was chosen
+	slowAfter    Tick   // an answer after this time counts as slow for the version
+	lateAfter    Tick   // an answer after this time counts as late for the backend
 
-	countedAt         Tick // when it was last counted as sent
+	countedAt         Tick // when countAttempt last counted the attempt
 	countedAsExposure bool
 	countedAsWarmUp   bool
 
-	newConnection  bool // setting it up takes time of its own
-	silenceCounted bool // the backend's silence was counted before the attempt ended
-	countedAsSlow  bool // before it ended
+	newConnection  bool // the attempt needs a new connection, whose setup adds to its latency
+	silenceCounted bool // the backend's silence was counted as a failure before the attempt ended
+	countedAsSlow  bool // the attempt was counted as slow before it ended
 
 	state   attemptState
-	outcome Outcome // once it has ended
+	outcome Outcome // set when the attempt has ended
 }
 
-// attemptState is where an attempt stands.
+// attemptState is the state of an attempt.
 type attemptState uint8
 
 const (
 	attemptRunning   attemptState = iota
-	attemptCancelled              // called off by cancelAndRetry; its outcome is still to come
+	attemptCancelled              // cancelled by cancelAndRetry; its outcome has not been reported yet
 	attemptEnded
 )
 
-// EndpointState is what the endpoint list says of a backend.
+// EndpointState is the state of a backend in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	// Removed: the list does not have it any more.
+	// Removed means that the backend is no longer in the list.
 	Removed EndpointState = iota
-	// Ready: it takes requests.
+	// Ready means that the backend accepts requests.
 	Ready
-	// Draining: it finishes what it has, and is sent nothing new.
+	// Draining means that the backend finishes its requests and gets no new ones.
 	Draining
 )
 
-// Endpoint is what the endpoint list says of one backend.
+// Endpoint is the entry of one backend in the endpoint list.
 type Endpoint struct {
-	// Zone, Cell and MachineKind are numbers that the caller gives to names. MachineKind is not read by the balancer.
+	// Zone, Cell and MachineKind are numbers that the caller assigns to names. The balancer does not read MachineKind.
 	Zone, Cell, MachineKind int
 	State                   EndpointState
-	// NominalWeight compares backends with each other, without a unit. Not read by the balancer.
+	// NominalWeight is the relative capacity of the backend, without a unit. The balancer does not read it.
 	NominalWeight float64
-	// StartedAt is when its process started; 0 for long ago.
+	// StartedAt is when the backend's process started; 0 means long ago.
 	StartedAt Tick
-	// Version is the version that it runs; a later one has a higher number.
+	// Version is the version that the backend runs. Later versions have higher numbers.
 	Version uint16
 }
 
-// Backend is a server that requests are sent to. A caller makes one for each endpoint and tells of it by OnEndpoint.
+// Backend is a server that handles requests. The caller creates one for each endpoint and passes it to OnEndpoint.
 type Backend struct {
-	// ID is the caller's own name for it.
+	// ID identifies the backend to the caller.
 	ID uint32
 	Endpoint
 
 	listed            bool
 	inFlight          int
-	waitingSince      Tick      // since when the relay has waited for any answer
-	lastAnswer        Tick      // of any kind
-	successTimes      []Tick    // of the last attempts that succeeded
-	relativeLatencies []float64 // of the last attempts, in parts of what was due
+	waitingSince      Tick      // when the first attempt in flight started after the backend had none
+	lastAnswer        Tick      // when the backend last showed any sign of life, such as an answer or a reset
+	successTimes      []Tick    // when the last successful attempts ended
+	relativeLatencies []float64 // latencies of the last attempts, as fractions of the time until lateAfter
 
 	backendHealth
 	warmUp
