--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -2,34 +2,38 @@
 
 import "log/slog"
 
-// The rule: each outcome counts once, for the version that the attempt went to, in the streams that rollout.go names. What
-// speaks for a backend, a link or the request itself is left out.
+// This file attributes outcomes to versions. Each outcome counts once, for the version that the attempt was sent to, in
+// the streams that rollout.go names. Outcomes that are caused by the backend, the link to it or the request itself do
+// not count.
 //
-// Inputs: how an attempt ended, and when its backend last answered; reports of wrong answers; the release API's counts.
+// The inputs are the outcome of each attempt, the time of the last answer of its backend, reports of wrong answers, and
+// the outcome counts of the release API.
 //
-// Guards against good versions that are blamed for broken backends, links and requests: seen as failures that do not
-// depend on the version; holds because those are told apart before they count.
+// This keeps a good version from being blamed for broken backends, links or requests. Such failures occur whichever
+// version serves the request, and they are told apart here before they reach a test.
 
 const (
-	// maxShareBound keeps a bound on a share from reaching 1, where no bet is left.
+	// maxShareBound keeps the bound on a share below 1. At 1 a betting test has no bet left.
 	maxShareBound = 0.9
-	// maxBaselineAgeForResets is how long ago the baseline may have shown an attempt for resets to be compared.
+	// maxBaselineAgeForResets is how long ago an attempt at the baseline may last have been counted as on time or slow
+	// for resets at the canary to be compared with the baseline's.
 	maxBaselineAgeForResets = Second
-	// maxBaselineMetricsAge is the same for the release API's counts, in their periods.
+	// maxBaselineMetricsAge is how old the release API's last counts of the baseline may be for its counts of the
+	// canary to be compared with them, in metrics periods.
 	maxBaselineMetricsAge = 2
-	// resetsMargin is how much more of its attempts may break at a canary than at the baseline. It is wider than that of
-	// failures, as one network that breaks connections breaks many at once.
+	// resetsMargin is how far the canary's share of reset attempts may exceed the baseline's. It is wider than
+	// failureMargin because a single network fault breaks many connections at once.
 	resetsMargin = 0.25
-	// minShareSample is the least number of the baseline's outcomes that say something of its share of bad ones.
+	// minShareSample is the least number of the baseline's outcomes from which its failure share is estimated.
 	minShareSample = 16
 )
 
-// recordForVersion takes the end of an attempt as evidence on the version that it went to. Errors and answers count in the
-// streams of failures, broken connections in one of their own: a network that breaks them is no version's doing.
+// recordForVersion counts the end of an attempt as evidence on its version. Errors and answers count in the failure
+// streams. Resets count in a stream of their own, because a network that breaks connections is not the version's fault.
 func (b *Balancer) recordForVersion(a *Attempt, slow bool) {
 	failed := a.outcome == Errored || a.outcome == Reset
 	if !failed && a.outcome != Succeeded && a.outcome != TimedOut {
-		return // it was never looked at, or called off
+		return // the backend never processed the attempt, or the attempt was cancelled
 	}
 	if b.attributedToBackend(a, failed || slow) {
 		return
@@ -50,6 +54,7 @@
 	}
 }
 
+// recordForCanary counts the end of an attempt at the canary in all streams that it belongs to.
 func (b *Balancer) recordForCanary(class int, errored, broken float64) {
 	e := b.evaluation
 	e.samples.resets = appendBounded(e.samples.resets, broken, rareSampleSize)
@@ -63,14 +68,14 @@
 	b.observeFailure(class, errored)
 }
 
-// observeFailure adds the outcome of a request to the streams of all and of its class.
+// observeFailure adds the outcome of a request to the stream of all requests and to the stream of its class.
 func (b *Balancer) observeFailure(class int, errored float64) {
 	for _, s := range []stream{{kind: allRequests}, {kind: oneClass, class: class}} {
 		b.observe(s, errored, b.failureBound(s, class))
 	}
 }
 
-// observe adds an outcome to a stream, against a bound on the share of bad ones.
+// observe adds an outcome to a stream, tested against an upper bound on the stream's share of bad outcomes.
 func (b *Balancer) observe(s stream, outcome, bound float64) {
 	e := b.evaluation
 	raised, ok := e.detectors.forStream(s).Observe(outcome, min(bound, maxShareBound))
@@ -82,8 +87,9 @@
 	b.logSampled("alarm", slog.Int("version", int(e.version)), slog.String("evidence", e.alarm.String()))
 }
 
-// failureBound is the failure share that outcomes of a class are held against. Failures of at-most-once requests cannot be
-// tried elsewhere: the share of other requests that failed at two backends excuses them.
+// failureBound returns the failure share that the outcomes of a class are tested against. A failed at-most-once request
+// cannot be tried at another backend to find out whether the request itself is faulty. The bound for such classes is
+// therefore raised by the share of other requests that failed at two backends.
 func (b *Balancer) failureBound(s stream, class int) float64 {
 	share := b.baseline.failureShare(s)
 	if b.settings.Classes[class].Idempotency == AtMostOnce {
@@ -92,17 +98,19 @@
 	return share + failureMargin
 }
 
-// wrongAnswerBound is the share of reports among answers that a canary is held against.
+// wrongAnswerBound returns the upper bound on the canary's share of reported wrong answers.
 func (b *Balancer) wrongAnswerBound() float64 {
 	return b.baseline.wrongShare() + failureMargin*b.settings.Rollout.FoundShare
 }
 
-// baselineShare is the baseline's failure share for ruling an effect out. While next to nothing is known of the baseline
-// it is held to be good, so that nothing is ruled out too soon.
+// baselineShare returns the baseline's failure share in a class, for ruling out an effect. With little data on the
+// baseline, the share is assumed to be low, so that no effect is ruled out too early.
 func (b *Balancer) baselineShare(class int) float64 {
 	return conservativeShare(b.baseline.class[class])
 }
 
+// conservativeShare returns the share of bad ones among the outcomes, or failureMargin if there are fewer than
+// minShareSample.
 func conservativeShare(outcomes []float64) float64 {
 	if len(outcomes) < minShareSample {
 		return failureMargin
@@ -110,9 +118,10 @@
 	return smoothedShare(failures(outcomes))
 }
 
-// attributedToBackend tells whether a bad outcome speaks for its backend or the link to it, not for the version: at a
-// silent backend, or one that failed its own test while others of its version answer.
-// Hurts when a bad version shows at some backends only.
+// attributedToBackend reports whether an outcome counts for the backend or the link to it, and not for the version.
+// This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and for any
+// outcome at an ejected backend while others of the same version succeed. The cost is that a bad version that fails at
+// only some of its backends is blamed on those.
 func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
 	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
@@ -128,7 +137,7 @@
 	return false
 }
 
-// recordAnswer adds an answer (0) or a report of a wrong one (1) to the stream of wrong answers.
+// recordAnswer adds an answer (0) or a report of a wrong answer (1) to the stream of wrong answers.
 func (b *Balancer) recordAnswer(version uint16, x float64) {
 	e, found := b.evaluation, b.settings.Rollout.FoundShare
 	if found == 0 {
@@ -143,14 +152,14 @@
 	e.samples.wrong = appendBounded(e.samples.wrong, x, rareSampleSize)
 	if x > 0 {
 		e.wrongEffect.Observe(x, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
-	} else if b.settings.Rollout.ReportWithin.Ticks() > 0 { // its report may be on its way
+	} else if b.settings.Rollout.ReportWithin.Ticks() > 0 { // a report on this answer may still arrive
 		e.awaitingReports = appendBounded(e.awaitingReports, b.now, rareSampleSize)
 	}
 	b.addToGossip(len(b.settings.Classes), x)
 	b.observe(stream{kind: wrongAnswers}, x, b.wrongAnswerBound())
 }
 
-// OnWrongAnswer takes the report of a client that an answer was wrong: one more outcome, a bad one.
+// OnWrongAnswer handles a client's report that an answer was wrong. The report counts as one additional bad outcome.
 func (b *Balancer) OnWrongAnswer(now Tick, backend *Backend, class int, _ Tick) {
 	b.now = now
 	b.recordAnswer(backend.Version, 1)
@@ -161,12 +170,14 @@
 	b.considerVote()
 }
 
-// OnMetrics takes what the release API counted of all relays' outcomes of one version and class in a period: a stream of
-// its own, one and the same for all relays, against its counts of the baseline in the same periods, raised for the load of
-// the canary's backends. Bad outcomes are spread evenly among the others.
-// Guards against versions whose backends stop answering: seen as silence, which speaks for backends where each relay
-// sees next to nothing of one; holds because the counts of all relays show it. Hurts where the canary's backends alone are
-// cut off.
+// OnMetrics handles the release API's counts of the outcomes at all relays, for one version and class over one period.
+// The counts form a stream of their own, which is the same for all relays. The canary's counts are tested against the
+// baseline's counts of the same periods, plus a margin for the higher load of the canary's backends. Bad outcomes are
+// spread evenly among the others.
+//
+// This detects a version whose backends stop answering. A single relay sees almost no traffic at each backend, and
+// attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
+// that a network fault that isolates only the canary's backends counts against the version.
 func (b *Balancer) OnMetrics(now Tick, version uint16, _ int, outcomes, failed int, _, _ Tick) {
 	b.now = now
 	e := b.evaluation
@@ -184,10 +195,10 @@
 	b.considerVote()
 }
 
-// spread is the i-th of n outcomes, so many of which are bad, spread evenly.
+// spreadOutcome returns the i-th of n outcomes, of which the bad ones are spread evenly.
 func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
-// countUnreportedAnswers counts answers as right once a report would have come.
+// countUnreportedAnswers counts answers as correct once the time within which a report would have arrived has passed.
 func (b *Balancer) countUnreportedAnswers() {
 	e, within := b.evaluation, b.settings.Rollout.ReportWithin.Ticks()
 	for n := 0; len(e.awaitingReports) > 0 && n < rareSampleSize && e.awaitingReports[0]+within <= b.now; n++ {
@@ -196,7 +207,8 @@
 	}
 }
 
-// missingEvidence is the first stream with traffic for which the effect is not ruled out. Call countUnreportedAnswers first.
+// missingEvidence returns the first stream with traffic for which the effect is not ruled out. Call
+// countUnreportedAnswers first.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -1,40 +1,42 @@
 package balancer
 
-// The rule: in any window, the attempts at a canary are at most a free number and the cap's share of the requests that have
-// arrived. First attempts keep to a little less, so that retries have some left, and to the part of all warm
-// backends that the canary's are.
+// This file limits the exposure of canaries. In any window, the number of attempts at a canary is at most a fixed
+// allowance plus the exposure cap's share of the requests that arrived. First attempts use slightly less than the cap,
+// which leaves some for retries, and are limited by the canary's share of all warm backends.
 //
-// Inputs: the times of arrivals and of attempts at canaries within the site's window, the cap of the stage, the warm
-// capacity of the canary's backends and of all.
+// The inputs are the times of arrivals and of canary attempts within the site's window, the cap of the current stage,
+// and the warm capacity of the canary's backends and of all backends.
 //
-// Guards against a bad version that reaches many requests, and against few backends of a canary that get more than
-// they can take: seen as a good version that looks slow, as a cap is announced before the canary's machines have come and
-// warmed; holds because what first attempts get follows those machines.
+// The cap keeps a bad version from reaching many requests. The limit by capacity keeps a canary with few backends from
+// receiving more than they can serve. Without that limit a good version would look slow, because a cap is announced
+// before the canary's backends have started and warmed up. First attempts therefore follow the warm capacity that is
+// there.
 
 const (
-	// firstAttemptCapShare is the part of the cap that first attempts use.
+	// firstAttemptCapShare is the share of the exposure cap that first attempts may use.
 	firstAttemptCapShare = 0.9
-	// exposureTolerance keeps a sum of shares that is a whole number in theory from counting as one more.
+	// exposureTolerance absorbs the rounding error of a sum of shares that would be an integer in exact arithmetic, so
+	// that the error does not allow one more attempt.
 	exposureTolerance = 1e-5
-	// canarySlowdownMargin is how much more of a canary's attempts are slow than of the others' when it gets no more than
-	// the part of all backends that its own are.
+	// canarySlowdownMargin is how far the canary's slow share exceeds the baseline's when the canary loses all slack.
+	// It then gets no more than its backends' share of the warm capacity.
 	canarySlowdownMargin = 0.1
-	// minStageShare bounds the share of the first stage from below where the settings name none.
+	// minStageShare is a lower limit on the first stage's share of backends, used if the settings name no share.
 	minStageShare = 0.01
 )
 
-// exposureCounter is one count of the exposure rule.
+// exposureCounter counts arrivals and canary attempts, either of all requests or of one class.
 type exposureCounter struct {
-	arrivals []Tick  // requests, within the window
-	attempts []Tick  // at a canary, within it
-	credit   float64 // first attempts due to the canary
+	arrivals []Tick  // arrival times of requests within the window
+	attempts []Tick  // times of canary attempts within the window
+	credit   float64 // first attempts that are due to the canary
 }
 
-// exposureState is what the exposure rule counts.
+// exposureState is the state of the exposure limit.
 type exposureState struct {
-	exposure        []exposureCounter // of all requests, or one a class
-	exposureResetAt Tick              // when a lower cap binds and the counts start anew; 0: never
-	canaryFraction  float64           // the part of the requests that the canary's backends can take
+	exposure        []exposureCounter // one counter for all requests, or one per class
+	exposureResetAt Tick              // when counting restarts after the cap was lowered; 0 means never
+	canaryFraction  float64           // share of the requests whose first attempt goes to the canary
 }
 
 func newExposureState(settings Settings) exposureState {
@@ -45,18 +47,19 @@
 	return exposureState{exposure: make([]exposureCounter, counters)}
 }
 
-// exposureOf is the counter of a class.
+// exposureOf returns the counter of a class.
 func (b *Balancer) exposureOf(class int) *exposureCounter {
 	return &b.exposure[min(class, len(b.exposure)-1)]
 }
 
-// isCanary tells whether the exposure rule counts a version.
+// isCanary reports whether attempts at a version count as exposure.
 func (b *Balancer) isCanary(version uint16) bool {
 	return b.releaseKnown &&
 		(version > b.release.Version || version == b.release.Version && b.release.Phase != Released)
 }
 
-// exposureCapOf is the cap and the stage of a canary; one that is not announced yet counts as in its first stage.
+// exposureCapOf returns the exposure cap and the stage of a canary. A version that is not announced yet is treated as
+// being in its first stage.
 func (b *Balancer) exposureCapOf(version uint16) (share float64, stage int) {
 	if version == b.release.Version {
 		return b.release.ExposureCap, b.release.Stage
@@ -64,7 +67,7 @@
 	return firstOrZero(b.settings.Rollout.StageCaps), 0
 }
 
-// exposureAllows tells whether one more attempt of a request may go to a canary.
+// exposureAllows reports whether one more attempt of a request may go to a canary.
 func (b *Balancer) exposureAllows(r *Request, e *exposureCounter, version uint16) bool {
 	share, stage := b.exposureCapOf(version)
 	guarded := stage < b.settings.Rollout.GuardedStages
@@ -73,12 +76,14 @@
 	}
 	window := b.settings.Rollout.ExposureWindow.Ticks() + 1
 	b.trimExposure(e, window)
-	// What a relay that was killed has sent still counts in the first window, and this one does not know of it.
+	// Attempts that the previous process of this relay sent before it was killed still count in the first window, but
+	// are unknown here. The allowance is therefore withheld in that window.
 	free := b.settings.Rollout.ExposureFree * indicator(b.now > b.startedAt+window)
 	return float64(len(e.attempts)+1) <= free+share*float64(len(e.arrivals))-exposureTolerance
 }
 
-// trimExposure drops what is outside the window. Where a tick more or less may count, it is the one that allows less.
+// trimExposure drops arrivals and attempts outside the window. A time that lies within a tick of the boundary counts in
+// the way that allows less exposure: attempts are kept longer, and arrivals are dropped sooner.
 func (b *Balancer) trimExposure(e *exposureCounter, window Tick) {
 	e.attempts = dropBefore(e.attempts, b.now-window-1)
 	e.arrivals = dropBefore(e.arrivals, b.now-window+2)
@@ -88,9 +93,11 @@
 	}
 }
 
-// updateCanaryFraction works out what first attempts give the canary: its part of the backends, with the slack of the first
-// stage's cap over its share. While its backends answer more slowly than the others that slack is given back, so that the
-// version is judged at the load that the others carry.
+// updateCanaryFraction computes the share of first attempts that goes to the canary. This is the share of the warm
+// capacity that its backends have, times the slack: the ratio of the first stage's cap to the first stage's share of
+// backends. It is limited by the exposure cap and then scaled by firstAttemptCapShare. While the canary answers more
+// slowly than the baseline, the slack is withdrawn in proportion, so that the version is judged under the same load per
+// backend as the baseline.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
 	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -2,35 +2,37 @@
 
 import "slices"
 
-// The rule: where relays may send each other messages, each tells its counts of outcomes at the version under evaluation,
-// and takes those of others for its own. A relay sees a part of the traffic; together they see a bad version sooner.
+// This file exchanges evidence between relays. If the settings allow messages between relays, each relay sends its
+// outcome counts for the version under evaluation, and counts the outcomes that others send as its own. Each relay sees
+// only part of the traffic; together they detect a bad version sooner.
 //
-// Guards against a rare failure that each relay sees too seldom: seen as a bad version that stays on trial for long; holds
-// because the tests count every outcome alike, wherever it was seen. Outcomes are counted at the version alone, so that a
-// message says nothing of the backends.
+// This detects a failure that is too rare for a single relay to see often, which would leave a bad version under
+// evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed. Outcomes
+// are counted for the version alone, so a message contains nothing about individual backends.
 //
-// A message is the version in two bytes, the low one first, and two bytes each for every class and for wrong answers: how
-// many outcomes there were since the last message, and how many of them were bad.
+// A message consists of the version in two bytes, the low byte first, followed by two bytes for each class and two for
+// wrong answers: the number of outcomes since the last message, and how many of them were bad.
 
 const (
 	// gossipInterval is the time between two messages.
 	gossipInterval = Second / 2
-	// MaxGossipOutcomes is the most outcomes of a stream in a message; a relay leaves more out.
+	// MaxGossipOutcomes is the maximum number of outcomes of a stream in one message. Any further ones are left out.
 	MaxGossipOutcomes = 254
-	// gossipHeader is the size of the version in a message, and gossipCountSize that of one GossipCount.
+	// gossipHeader is the encoded size of the version in bytes, and gossipCountSize that of one GossipCount.
 	gossipHeader    = 2
 	gossipCountSize = 2
 )
 
-// GossipCount counts outcomes of one stream since the last message.
+// GossipCount is the number of outcomes of one stream since the last message.
 type GossipCount struct {
-	// Outcomes is how many there were, MaxGossipOutcomes at the most.
+	// Outcomes is the number of outcomes, at most MaxGossipOutcomes.
 	Outcomes uint8
-	// Bad is how many of them were bad.
+	// Bad is the number of bad outcomes among them.
 	Bad uint8
 }
 
-// EncodeGossip makes a message about a version: a count for each class in the settings' order, and one of wrong answers.
+// EncodeGossip encodes a message about a version. The counts are those of each class, in the order of the settings,
+// followed by those of wrong answers.
 func EncodeGossip(version uint16, counts []GossipCount) []byte {
 	message := make([]byte, 0, gossipHeader+gossipCountSize*len(counts))
 	message = append(message, byte(version), byte(version>>8))
@@ -40,7 +42,8 @@
 	return message
 }
 
-// decodeGossip reads a message with so many counts; ok is false for one of another length.
+// decodeGossip decodes a message with the given number of counts. The result ok is false if the message has any other
+// length.
 func decodeGossip(message []byte, counts int) (version uint16, decoded []GossipCount, ok bool) {
 	if len(message) != gossipHeader+gossipCountSize*counts {
 		return 0, nil, false
@@ -52,22 +55,23 @@
 	return version, decoded, true
 }
 
-// gossip is what the next message is to say.
+// gossip holds the contents of the next message and when it is due.
 type gossip struct {
-	gossipCounts []GossipCount // by class, and then of wrong answers
+	gossipCounts []GossipCount // by class, followed by wrong answers
 	nextGossip   Tick
 }
 
 func (b *Balancer) resetGossip() { b.gossipCounts = make([]GossipCount, len(b.settings.Classes)+1) }
 
-// addToGossip counts an outcome at the version under evaluation, of a class or, behind the last one, of wrong answers.
+// addToGossip counts an outcome of the version under evaluation. The index is that of the class, or the number of
+// classes for wrong answers.
 func (b *Balancer) addToGossip(index int, x float64) {
 	count := &b.gossipCounts[index]
 	count.Outcomes = min(count.Outcomes+1, MaxGossipOutcomes)
 	count.Bad = min(count.Bad+uint8(x), count.Outcomes)
 }
 
-// sendGossip sends a message to all relays when it is due.
+// sendGossip sends a message to all relays if one is due.
 func (b *Balancer) sendGossip() {
 	if !b.settings.Limits.Gossip || b.now < b.nextGossip || b.evaluation == nil {
 		return
@@ -77,7 +81,7 @@
 	clear(b.gossipCounts)
 }
 
-// OnGossip takes the message of another relay. Its bad outcomes are spread evenly among the others.
+// OnGossip handles a message from another relay. Its bad outcomes are spread evenly among the others.
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
