--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -7,35 +7,38 @@
 	"silvercove/balancer/sequential"
 )
 
-// The rule: the outcomes at a canary are held against those of the version before it, the baseline, in streams: of all
-// requests, of each class, of wrong answers, of slowness, of broken connections and of what the release API counts. A
-// sequential test of any stream that rejects is an alarm, which votes to roll back. Before a vote to promote, the dual of
-// the test rules out for each class with traffic that it fails more by an effect.
+// This file evaluates canaries. Outcomes at a canary are compared with those at the baseline, the version before it, in
+// several streams: all requests, each class, wrong answers, slowness, resets, and the counts of the release API. If the
+// sequential test of any stream rejects, it raises an alarm, which makes the relay vote to roll back. Before a vote to
+// promote, the dual of that test rules out, for each class with traffic, that the canary's failure share exceeds the
+// baseline's by the effect. A timed vote may be cast without this; see readyToPromote.
 //
-// Inputs: the outcomes of attempts at both versions, 1 for a bad one, reports of wrong answers, the release API's counts.
+// The inputs are the outcomes of attempts at both versions (1 is bad), reports of wrong answers, and the counts of the
+// release API.
 //
-// Guards against versions that fail a class, a part of the requests, or only some time after their start: seen as
-// failures at the canary beyond those at the baseline; holds because the chance of an alarm without such a difference is
-// bounded over the whole rollout, and the chance to promote a version with the effect is bounded for each class.
+// This detects versions that fail a class, a part of the requests, or only some time after their start: they cause more
+// failures at the canary than at the baseline. The probability of an alarm without such a difference is bounded over
+// the whole rollout, and the probability of promoting a version with the effect is bounded for each class.
 
 const (
-	// margin is how much more of the outcomes may fail at a canary than at the baseline.
+	// failureMargin is how far the canary's failure share may exceed the baseline's.
 	failureMargin = sequential.Margin
-	// ruledOutEffect is the share of failures beyond the baseline's that is ruled out before a vote to promote.
+	// ruledOutEffect is the excess of the canary's failure share over the baseline's that must be ruled out before a
+	// vote to promote.
 	ruledOutEffect = 0.2
 )
 
-// rollout is what is known of the newest version and of the one before it.
+// rollout is the state of the newest version and of the baseline.
 type rollout struct {
-	release       ReleaseStatus // as the release API told last
+	release       ReleaseStatus // the last status from the release API
 	releaseKnown  bool
 	stageStart    Tick
-	answeredKeys  map[uint16]*keyFilter // the keys that a version has answered, of few versions
-	requestFaults []float64             // of the last requests answered or failed at two backends, 1 for a failure
+	answeredKeys  map[uint16]*keyFilter // keys that each of the latest few versions has answered
+	requestFaults []float64          // the last requests that were answered (0) or failed at two backends (1)
 
 	baseline             *samples
-	baselineTimelinessAt Tick // when the baseline last showed whether an attempt was slow
-	baselineMetricsAt    Tick // when the release API last counted some of it; 0: never
+	baselineTimelinessAt Tick // when an attempt at the baseline was last counted as slow or on time
+	baselineMetricsAt    Tick // when the release API last reported counts of the baseline; 0 means never
 	evaluation           *evaluation
 }
 
@@ -43,36 +46,36 @@
 	return rollout{answeredKeys: map[uint16]*keyFilter{}, baseline: newSamples(classes)}
 }
 
-// RolloutPhase is where a version stands.
+// RolloutPhase is the phase of a version's rollout.
 type RolloutPhase uint8
 
-// The phases of a version. The values are those of the wire.
+// The phases of a version. The values are part of the wire format.
 const (
-	// Canary: it is on trial, stage after stage.
+	// Canary means that the version is under evaluation, stage by stage.
 	Canary RolloutPhase = iota
-	// RollingBack: it is being replaced.
+	// RollingBack means that the version is being replaced.
 	RollingBack
-	// Released: all backends may run it.
+	// Released means that all backends may run the version.
 	Released
-	// Withdrawn: it was rolled back, or replaced by the next one.
+	// Withdrawn means that the version was rolled back or replaced by the next one.
 	Withdrawn
 )
 
-// ReleaseStatus is what the release API says of the newest version: news of where it stands, or its reply to a vote of this
-// relay (VoteReply), which tells in passing where the version stands.
+// ReleaseStatus is a message from the release API about the newest version. It is either an announcement of the
+// version's state, or the reply to a vote of this relay (VoteReply), which also contains that state.
 type ReleaseStatus struct {
 	Version uint16
-	// Stage is its stage, from 0.
+	// Stage is the current stage, from 0.
 	Stage int
 	Phase RolloutPhase
-	// VoteReply tells that this is the reply to this relay's vote. Outcome then tells how the vote ended.
+	// VoteReply reports whether this is the reply to this relay's vote. Outcome then says how the vote ended.
 	VoteReply bool
-	// Outcome is Succeeded if the other fields hold. With any other one, as of a vote that does not count, none of them but
-	// VoteReply is read.
+	// Outcome is Succeeded if the other fields are valid. For any other value, such as that of a vote that does not
+	// count, only VoteReply and Outcome are read.
 	Outcome Outcome
 	// ExposureCap is the share of the requests whose attempts may go to the version.
 	ExposureCap float64
-	// Age is how long this status has lasted.
+	// Age is how long the version has been in this state.
 	Age Tick
 }
 
@@ -81,20 +84,20 @@
 	version         uint16
 	samples         *samples
 	detectors       detectors
-	alarm           *alarm                  // nil for none
+	alarm           *alarm                  // nil if none was raised
 	effects         []sequential.EffectTest // by class
 	wrongEffect     sequential.EffectTest
-	awaitingReports []Tick // answers whose reports may be on their way
+	awaitingReports []Tick // times of answers on which a report may still arrive
 
 	outcomesInStage     int
-	countedStage        int // that they were counted in
-	minStageFromReplies int // replies to votes have shown the stages before it to be over
+	countedStage        int // the stage in which outcomesInStage was counted
+	minStageFromReplies int // earliest stage that the version can be in, according to the replies to votes
 
-	// As the version came:
-	baselineBackends     float64 // of earlier versions
+	// The state when the version appeared:
+	baselineBackends     float64 // backends that run earlier versions
 	initialWarmCapacity  float64
 	initialSuccesses     float64 // within rateWindow
-	initialSlowShare     float64 // of the version before
+	initialSlowShare     float64 // of the baseline
 	initialMedianLatency []Tick  // by class
 }
 
@@ -104,8 +107,9 @@
 	class                             []sequential.Detector
 }
 
-// newDetectors shares the budget of false alarms among the streams of a kind. Slowness is shared among the relays too:
-// load can mislead a relay as to it, and one relay that is misled decides for all.
+// newDetectors divides the false-alarm budget among the streams of each kind. The budget for slowness is also divided
+// among the relays, because load can make a relay see slowness where there is none, and the alarm of a single relay
+// rolls the version back.
 func newDetectors(classes int, relays float64) detectors {
 	level := func(parts float64) sequential.Detector {
 		return sequential.NewDetector(sequential.FalseAlarmBudget / parts)
@@ -118,7 +122,7 @@
 	return d
 }
 
-// of is the detector of a stream.
+// forStream returns the detector of a stream.
 func (d *detectors) forStream(s stream) *sequential.Detector {
 	switch s.kind {
 	case oneClass:
@@ -135,7 +139,7 @@
 	return &d.all
 }
 
-// suspicious tells whether any detector is half-way to an alarm.
+// suspicious reports whether any detector is half-way to an alarm.
 func (d *detectors) suspicious() bool {
 	for i := range d.class {
 		if d.class[i].Suspicious() {
@@ -146,25 +150,25 @@
 		d.metrics.Suspicious()
 }
 
-// alarm is why a version is to be rolled back.
+// alarm is the reason to roll a version back.
 type alarm struct {
 	stream stream
 	sequential.Alarm
 }
 
-// String is the stream, the test and the wealth of the alarm.
+// String describes the alarm by its stream, test and wealth.
 func (a *alarm) String() string {
 	return fmt.Sprintf("%s: test %d of %d, wealth %.3g against a share of %.3f", a.stream, a.Start, a.Outcomes, a.Wealth, a.Bound)
 }
 
-// startEvaluation begins to evaluate a version that is newer than all before it.
+// startEvaluation starts the evaluation of a version, if it is newer than all versions so far.
 func (b *Balancer) startEvaluation(version uint16) {
 	e, classes := b.evaluation, len(b.settings.Classes)
 	if e != nil && version <= e.version {
 		return
 	}
 	if e != nil && (!b.releaseKnown || b.release.Version != e.version || b.release.Phase == Released) {
-		b.baseline = e.samples // it was kept: now it is the baseline
+		b.baseline = e.samples // the previous canary was not rolled back and becomes the baseline
 	}
 	b.resetGossip()
 	b.evaluation = &evaluation{version: version, samples: newSamples(classes),
@@ -183,7 +187,7 @@
 	}
 }
 
-// OnReleaseStatus takes where the newest version stands, or the reply to a vote.
+// OnReleaseStatus handles an announcement of the newest version's state or the reply to a vote.
 func (b *Balancer) OnReleaseStatus(now Tick, status ReleaseStatus) {
 	b.now = now
 	b.onVoteReply(status)
@@ -203,13 +207,14 @@
 		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keyFilter) bool { return by < status.Version })
 	}
 	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
-		// The lower cap holds at once over the old count; the rule counts anew later.
+		// The lower cap applies at once to the attempts counted so far. Counting restarts after the drain grace, during
+		// which the site still excuses attempts.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
 }
 
-// backendsRunningAtLeast counts the listed backends that run a version or a later one.
+// backendsRunningAtLeast counts the listed backends that run the given version or a later one.
 func (b *Balancer) backendsRunningAtLeast(version uint16) int {
 	n := 0
 	for _, backend := range b.backends {
--- a/balancer/sequential/effect.go
+++ b/balancer/sequential/effect.go
@@ -1,18 +1,20 @@
 package sequential
 
 const (
-	// missProbability is the chance with which an effect that is there may be ruled out all the same.
+	// missProbability is the probability with which an effect that exists may still be ruled out.
 	missProbability = 0.05
-	// maxMeanWithEffect is the highest mean that is tested for, so that an effect leaves some chance of a good outcome.
+	// maxMeanWithEffect bounds the mean with the effect that is tested for, so that a good outcome keeps some
+	// probability even with the effect.
 	maxMeanWithEffect = 0.95
 )
 
-// EffectTest rules out that the mean of a stream is higher by an effect than a baseline. It is a likelihood ratio between
-// the baseline and the baseline with the effect: at a mean of the latter or a higher one it is a supermartingale, so that
-// it ever reaches 1/missProbability with probability at most missProbability. Make one with NewEffectTest.
+// EffectTest rules out that the mean of a stream exceeds a baseline by an effect. It is a likelihood ratio of the
+// baseline to the baseline with the effect. If the mean is that of the baseline with the effect or higher, the ratio is
+// a supermartingale, so the probability that it ever reaches 1/missProbability is at most missProbability. Use
+// NewEffectTest to create one.
 type EffectTest struct{ wealth float64 }
 
-// NewEffectTest makes a test that has seen nothing.
+// NewEffectTest returns a test without any outcomes.
 func NewEffectTest() EffectTest { return EffectTest{wealth: 1} }
 
 // Observe adds an outcome between 0 and 1, tested against an effect above a baseline share.
@@ -23,5 +25,5 @@
 	}
 }
 
-// RuledOut tells whether the effect is ruled out. Once it is, that stays so.
+// RuledOut reports whether the effect is ruled out. Once ruled out, it stays ruled out.
 func (t *EffectTest) RuledOut() bool { return t.wealth >= 1/missProbability }
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -5,41 +5,44 @@
 	"math"
 )
 
-// The rule: an alarm votes to roll back. Without one, and where votes move the rollout, the relay votes to promote after a
-// few outcomes in the stage if the effect is ruled out, or after a time (a timed vote), unless a detector is half-way to an alarm. Where
-// the clock moves the rollout, such a detector votes to pause. Votes are drawn with the chance, and cast at a random moment,
-// for which the release API has room if all relays vote.
+// This file decides how the relay votes on a rollout. A relay with an alarm votes to roll back. If votes advance the
+// rollout, a relay without an alarm votes to promote once the stage has enough outcomes and the effect is ruled out, or
+// once the stage has lasted long enough (a timed vote), unless a detector is half-way to an alarm. If the clock
+// advances the rollout, a detector half-way to an alarm makes the relay vote to pause. Whether and when a vote is cast
+// is random: the probability and the delay are chosen so that the release API can accept the votes if all relays vote.
 //
-// Inputs: the evidence of rollout.go, the status of the release API and its age, the endpoint list, the number of relays and
-// the rate of votes a second that the release API takes.
+// The inputs are the evidence of rollout.go, the release API's status and its age, the endpoint list, the number of
+// relays, and the rate of votes per second that the release API accepts.
 //
-// Guards against votes that come too late to count: seen as a vote on a stage that has passed, which is discarded; holds
-// because the list of endpoints and the replies to votes show the stage before the news of it.
+// A vote that arrives late, on a stage that has passed, is discarded. The endpoint list and the replies to votes are
+// therefore used to recognize the current stage before its announcement arrives.
 
 const (
-	// minOutcomes is the number of outcomes in a stage before a vote to promote.
+	// minOutcomes is the number of outcomes in a stage that a vote to promote needs.
 	minOutcomes = 20
-	// minOutcomesIfSlow is the number while the baseline is slower than before the rollout, or the canary looks slow.
+	// minOutcomesIfSlow is the number of outcomes in a stage that a vote to promote needs while the baseline is slower
+	// than before the rollout or the canary appears slow.
 	minOutcomesIfSlow = 60
-	// minOutcomesTimed is the number before a timed vote, if few relays share the sample.
+	// minOutcomesTimed is the number of outcomes that a timed vote needs if few relays share the sample.
 	minOutcomesTimed = 6
-	// timedVoteAfter is how long a stage has lasted before a timed vote, which needs fewer outcomes.
+	// timedVoteAfter is how long a stage must have lasted before a timed vote, which needs fewer outcomes.
 	timedVoteAfter = 3 * Second
-	// minVoteRate stands for a rate of votes a second that the settings lack.
+	// minVoteRate replaces a missing rate of votes per second in the settings.
 	minVoteRate = 0.1
-	// voteChanceSteps is the number of steps in which the chance of a vote is drawn.
+	// voteChanceSteps is the number of steps in which the probability of a vote is drawn.
 	voteChanceSteps = 1000
-	// minRecastDelay is the least time before a vote that may not count is cast again, and recastJitter what is drawn beside.
+	// minRecastDelay is the minimum time before a vote that may not count is cast again. A random part of recastJitter
+	// is added.
 	minRecastDelay = Second / 4
 	recastJitter   = Second / 2
-	// voteReplyGrace is how long after its time-out the reply to a vote is still waited for.
+	// voteReplyGrace is how long after its timeout the reply to a vote is still awaited.
 	voteReplyGrace = Second
 )
 
-// Verdict is what a vote says of a version.
+// Verdict is the decision that a vote asks for.
 type Verdict uint8
 
-// The verdicts of a vote. The values are those of the wire.
+// The verdicts of a vote. The values are part of the wire format.
 const (
 	NoVote Verdict = iota
 	Promote
@@ -47,7 +50,7 @@
 	RollBack
 )
 
-// String is the verdict in words.
+// String returns the verdict in words.
 func (v Verdict) String() string {
 	switch v {
 	case Promote:
@@ -60,16 +63,16 @@
 	return "none"
 }
 
-// voteState is where this relay's vote stands.
+// voteState is the state of this relay's vote.
 type voteState uint8
 
 const (
-	voteNone       voteState = iota // there is nothing to vote
-	voteScheduled                   // it is cast when due
-	voteSkipped                     // by the draw none is cast; one is drawn again when due
-	voteCast                        // the reply is waited for; without one it is drawn again when due
-	voteCounted                     // the release API took it; one is drawn again when due, as it no longer stands then
-	voteNotCounted                  // by the reply it may not count; one is drawn again when due
+	voteNone       voteState = iota // no vote is due
+	voteScheduled                   // cast when due
+	voteSkipped                     // the draw decided against casting; drawn again when due
+	voteCast                        // awaiting the reply; drawn again when due if there is none
+	voteCounted                     // accepted by the release API; drawn again when due, as the vote has then expired
+	voteNotCounted                  // according to the reply it may not count; drawn again when due
 )
 
 // vote is this relay's vote.
@@ -78,10 +81,10 @@
 	stage   int
 	verdict Verdict
 	state   voteState
-	due     Tick // when the state ends; see the states
+	due     Tick // when the state ends, as described at the states
 }
 
-// verdict is what the evidence says now.
+// verdict returns the verdict that the evidence supports at the moment.
 func (b *Balancer) verdict() Verdict {
 	e := b.evaluation
 	if !b.releaseKnown || e == nil || e.version != b.release.Version || b.release.Phase != Canary && b.release.Phase != Released {
@@ -105,21 +108,23 @@
 	return NoVote
 }
 
-// timedVoteDue tells whether the stage has lasted long enough for a timed vote, with a few outcomes of the version at least,
-// as a vote on none would say no more than the time.
+// timedVoteDue reports whether the stage has lasted long enough for a timed vote. It also requires a few outcomes of
+// the version, because a vote without any would express nothing but the elapsed time.
 func (b *Balancer) timedVoteDue() bool {
 	minimum := max(1, min(minOutcomesTimed, minOutcomes/max(1, b.settings.Relays)))
 	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= minimum
 }
 
-// slowdownObserved tells whether the baseline is much slower than before the rollout, or the canary is past its bound so far.
+// slowdownObserved reports whether the baseline is much slower than before the rollout, or the canary's slow share
+// exceeds its bound so far.
 func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
 	return b.baseline.slowShare() > e.initialSlowShare+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
 
-// readyToPromote tells whether there is enough evidence for a vote to promote; a timed vote needs less. Reports that
-// would have come by now are counted first.
+// readyToPromote reports whether there is enough evidence for a vote to promote. A timed vote needs no minimum number
+// of outcomes in the stage, and once the stage has lasted for EvidenceWait, it does not need the effect to be ruled
+// out. Answers whose reports would have arrived by now are counted first.
 func (b *Balancer) readyToPromote(required int, timedVote bool) bool {
 	b.countUnreportedAnswers()
 	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= required || timedVote) {
@@ -128,10 +133,12 @@
 	return timedVote && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
 }
 
-// advanceStage finds out where the newest version stands: at the stage that the release API told, or as far as the endpoint
-// list shows more backends of it than the told stage has, or replies to votes found stages passed. A stage that is reached
-// this way begins now, and its outcomes are counted anew.
-// Where backends of the version start anew under other names, votes may come too early.
+// advanceStage returns the stage that the newest version has reached: the stage that the release API announced, or a
+// later one if more backends run the version than the announced stage allows, or if replies to votes showed that stages
+// have passed. A stage that is recognized in this way starts now, and its outcomes are counted from zero.
+//
+// If restarted backends of the version appear in the list under new names, this stage can be too high and votes too
+// early.
 func (b *Balancer) advanceStage() int {
 	e, stage := b.evaluation, b.release.Stage
 	if e == nil || e.version != b.release.Version || b.release.Phase != Canary {
@@ -147,13 +154,13 @@
 	return stage
 }
 
-// stageCount is the number of stages of a version.
+// stageCount returns the number of stages of a rollout.
 func (b *Balancer) stageCount() int { return max(1, len(b.settings.Rollout.StageShares)) }
 
-// stageShare is the share of the backends that run a version in a stage.
+// stageShare returns the share of the backends that run a version in a stage.
 func (b *Balancer) stageShare(stage int) float64 { return b.settings.Rollout.StageShares[stage] }
 
-// considerVote draws, casts or drops this relay's vote.
+// considerVote schedules, casts or drops this relay's vote.
 func (b *Balancer) considerVote() {
 	stage, verdict, v := b.advanceStage(), b.verdict(), &b.vote
 	if verdict == NoVote {
@@ -170,13 +177,13 @@
 	}
 	if v.state == voteScheduled {
 		b.castVote()
-	} else { // it is drawn again
+	} else { // draw again
 		v.state = voteNone
 	}
 }
 
-// scheduleVote draws whether and when a vote goes out. The moment is random over the time that the release API needs for a vote
-// of every relay, at most a vote's life: spread further, votes would only come later.
+// scheduleVote draws whether and when a vote is cast. The delay is uniform over the time that the release API needs to
+// accept a vote from every relay, but at most the lifetime of a vote: a wider range would only delay votes.
 func (b *Balancer) scheduleVote(stage int, verdict Verdict) {
 	relays, rate := max(1, b.settings.Relays), max(minVoteRate, b.settings.Rollout.VotesPerSecond)
 	lifetime := b.settings.Rollout.VoteLifetime.Ticks()
@@ -208,14 +215,14 @@
 	b.host.CastVote(v.version, v.stage, v.verdict)
 }
 
-// onVoteReply takes the reply to this relay's vote.
+// onVoteReply handles the reply to this relay's vote.
 func (b *Balancer) onVoteReply(status ReleaseStatus) {
 	v := &b.vote
 	if !status.VoteReply || v.state != voteCast {
 		return
 	}
 	v.state, v.due = voteCounted, b.now+b.settings.Rollout.VoteLifetime.Ticks()
-	if status.Outcome == Discarded && v.verdict == RollBack { // that stage has passed
+	if status.Outcome == Discarded && v.verdict == RollBack { // the stage has passed
 		b.evaluation.minStageFromReplies = (v.stage + 1) % b.stageCount()
 	}
 	if status.Outcome != Succeeded {
@@ -223,7 +230,8 @@
 	}
 }
 
-// VoteReason says why a vote with this verdict is cast now. It changes nothing; see Host on when to ask.
+// VoteReason returns the reason for casting a vote with this verdict now. It changes no state. See Host for when it may
+// be called.
 func (b *Balancer) VoteReason(v Verdict) string {
 	s, missing := b.missingEvidence()
 	switch {
