--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -16,9 +16,10 @@
 	goldenFile     = "golden_decisions.txt"
 )
 
-// TestGoldenDecisions plays simulated relays in front of backends that warm up, fail, stall, leave the list or run a
-// new version, and holds every decision of each relay against the recorded ones. A change that is meant to change no
-// decision must leave this test as it is. Where one is meant to, run it with -update and say in the commit what changes.
+// TestGoldenDecisions simulates relays in front of backends that warm up, fail, stall, leave the list or run a new
+// version, and compares every decision of each relay with the recorded ones. A change that is not meant to change
+// decisions must leave this test as it is. For a change that is meant to, run the test with -update and say in the
+// commit what changes.
 func TestGoldenDecisions(t *testing.T) {
 	traces := map[string]*goldentrace.Trace{}
 	var mu sync.Mutex
--- a/balancer/logline_test.go
+++ b/balancer/logline_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A relay alone logs what it sees; of many relays a few do.
+// TestLogSampled checks that a single relay logs every event, and that a few of many relays do.
 func TestLogSampled(t *testing.T) {
 	for _, c := range []struct {
 		relays      float64
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Spans are cut off, not rounded, in each unit alike.
+// TestSeconds checks that durations are truncated, not rounded, in both units.
 func TestSeconds(t *testing.T) {
 	for _, c := range []struct {
 		seconds  Seconds
