--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -57,7 +57,7 @@
 type Alarm struct {
 	// Start is the number of the outcome, from 1, at which the test began.
 	Start int
-	// Outcomes is the number of outcomes so far.
+	// Outcomes is the number of outcomes up to the alarm.
 	Outcomes int
 	// Wealth is the wealth of the test.
 	Wealth float64
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -19,7 +19,7 @@
 type Settings struct {
 	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; values below 1 count as 1.
 	Relays float64
-	// Discovery is how changes of the endpoint list reach the relay. Missing: without a request.
+	// Discovery is how changes of the endpoint list reach the relay. Missing: DiscoveryAutomatic.
 	Discovery DiscoveryMode
 	// Classes are the request classes, in the order of their indexes in requests. At least one.
 	Classes []RequestClass
@@ -110,7 +110,7 @@
 	DrainGrace Seconds
 	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
 	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
-	// listed then; after a failed request it waits four times as long. schedulePoll keeps its pauses to half of
+	// listed then; after a failed request, the site waits four times as long. schedulePoll keeps its pauses to half of
 	// PollInterval. Missing: one second.
 	PollInterval Seconds
 }
