--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -34,7 +34,7 @@
 	releaseKnown  bool
 	stageStart    Tick
 	answeredKeys  map[uint16]*keyFilter // keys that each of the latest few versions has answered
-	requestFaults []float64          // the last requests that were answered (0) or failed at two backends (1)
+	requestFaults []float64             // the last requests that were answered (0) or failed at two backends (1)
 
 	baseline             *samples
 	baselineTimelinessAt Tick // when an attempt at the baseline was last counted as slow or on time
