--- a/internal/migration/config.go
+++ b/internal/migration/config.go
@@ -2,7 +2,7 @@
 
 import "silvercove/internal/tick"
 
-// Defaults of the settings, as in the operator's file.
+// Defaults of the settings in the operator's file.
 const (
 	DefaultLease           = tick.Second
 	DefaultDwell           = 5 * tick.Second
@@ -15,22 +15,23 @@
 	DefaultMaxMoves        = 64
 )
 
-// Config says what a planner works by. Each field names its setting in the operator's block fleet.
+// Config holds a planner's settings. Each field's comment ends with the name of its setting in the fleet block of the
+// operator's file.
 type Config struct {
-	Lease           tick.Tick // span of a node's lease, above 0: lease
-	Dwell           tick.Tick // an instance stays at least so long before it follows its device again: dwell
-	RestartAfter    tick.Tick // a lost instance goes on from an older copy after so long: restart_after
-	Replicas        int       // that each instance is to have: copies
-	RemoteReplicas  int       // of these those in another zone than the primary's, at most Replicas: away
-	MaxFailures     int       // primaries of an instance that fail in a row; then it is quarantined: falls
-	MaxMovesPerNode int       // under way from and to one node: the first of moves
-	MaxMovesPerLink int       // under way between two zones: the second of moves
-	MaxMoves        int       // under way in all: the third of moves
+	Lease           tick.Tick // duration of a node's lease, above 0: lease
+	Dwell           tick.Tick // minimum stay after a move before an instance follows its device again: dwell
+	RestartAfter    tick.Tick // time after which a lost instance restarts from an older copy: restart_after
+	Replicas        int       // wanted for each instance: copies
+	RemoteReplicas  int       // wanted in a zone other than the primary's, counted in Replicas: away
+	MaxFailures     int       // consecutive primaries that an instance may fail before it is quarantined: falls
+	MaxMovesPerNode int       // in progress from and to one node: the first value of moves
+	MaxMovesPerLink int       // in progress between two zones: the second value of moves
+	MaxMoves        int       // in progress in total: the third value of moves
 }
 
-// ConfigFrom returns the configuration by the settings of the block fleet, which are named "fleet.lease" and so on, with
-// spans in seconds. The three of moves are "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all". Those that are
-// absent have their defaults.
+// ConfigFrom returns the configuration from the settings of the fleet block, which are keyed "fleet.lease" and so on, with
+// durations in seconds. The three values of moves are keyed "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all".
+// Absent settings have their defaults.
 func ConfigFrom(settings map[string]any) Config {
 	span := func(name string, absent tick.Tick) tick.Tick {
 		if seconds, ok := settings[name].(float64); ok {
--- a/internal/migration/reasons.go
+++ b/internal/migration/reasons.go
@@ -1,20 +1,20 @@
 package migration
 
-// moveReason says why an instance is to go somewhere, the most pressing first.
+// moveReason is why an instance is to be moved or copied, the most urgent first.
 type moveReason int
 
-// The reasons.
+// The reasons for moves and copies.
 const (
-	primaryLeaving       moveReason = iota // its primary ends, drains, or runs a version that is rolled back
-	primaryEvacuating                      // its primary hands its instances on
-	primaryOverCapacity                    // its primary has more than it has slots for
-	tooFewReplicas                         // it stays and is copied
+	primaryLeaving       moveReason = iota // its primary shuts down, drains, or runs a version that is being rolled back
+	primaryEvacuating                      // its primary evacuates
+	primaryOverCapacity                    // its primary has more instances than slots
+	tooFewReplicas                         // it is copied and stays
 	deviceElsewhere                        // its device is in another zone
-	tooFewRemoteReplicas                   // enough replicas, and too few of them in another zone than its primary
+	tooFewRemoteReplicas                   // it has enough replicas, but too few in zones other than its primary's
 	noMove
 )
 
-// moveReasonTexts stand in operations. One for deviceElsewhere names the zone.
+// moveReasonTexts are the reasons as operations state them. The operation for deviceElsewhere names the zone instead.
 var moveReasonTexts = map[moveReason]string{
 	primaryLeaving:       "its owner goes",
 	primaryEvacuating:    "its owner is tired",
@@ -24,5 +24,5 @@
 	tooFewRemoteReplicas: "too few copies in another zone",
 }
 
-// copiesOnly reports whether an instance is only copied for a reason, and stays.
+// copiesOnly reports whether a reason calls for a copy while the instance stays.
 func (r moveReason) copiesOnly() bool { return r == tooFewReplicas || r == tooFewRemoteReplicas }
