--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -9,13 +9,13 @@
 	"silvercove/internal/tick"
 )
 
-// OnNodeStatus tells what the controllers know of a node that has just renewed its lease.
+// OnNodeStatus tells the planner the status of a node that has just renewed its lease.
 func (p *Planner) OnNodeStatus(now tick.Tick, status NodeStatus) {
 	p.now = now
 	n := p.node(status.Name)
 	old, wasReported, leaseHadEnded := n.NodeStatus, n.reported, n.leaseHadEnded(now)
 	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
-		status.LeaseEnd = old.LeaseEnd // it was overtaken by a later renewal
+		status.LeaseEnd = old.LeaseEnd // a later renewal overtook this one
 	}
 	lostCopies := status.LostCopies && wasReported && status.Incarnation != old.Incarnation
 	p.makeIneligible(n)
@@ -40,7 +40,7 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// affectsInstances reports whether what a node reports may change what its instances need.
+// affectsInstances reports whether a change of a node's status may change what the node's instances need.
 func affectsInstances(old, status NodeStatus) bool {
 	return old.Evacuating != status.Evacuating || old.ShuttingDown != status.ShuttingDown ||
 		old.ListedDraining != status.ListedDraining ||
@@ -48,8 +48,8 @@
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
 
-// onCopiesLost notes that a node has lost its memory: what it was the primary of may only go on at a replica, and it is a
-// replica of nothing.
+// onCopiesLost records that a node has restarted without its copies: the instances that it was the primary of can only
+// continue at a replica, and its own replicas are empty.
 func (p *Planner) onCopiesLost(n *node) {
 	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
@@ -62,7 +62,7 @@
 	}
 }
 
-// markExcess marks the lightest instances of a node that has more than it has slots for.
+// markExcess marks as excess the lightest instances of a node that has more instances than slots.
 func (p *Planner) markExcess(n *node) {
 	all := byWeight(maps.Keys(n.primaryOf))
 	for at, i := range all {
@@ -74,7 +74,7 @@
 	}
 }
 
-// OnLeaseExpired says that a node's lease is over for sure, by every clock: it does not act.
+// OnLeaseExpired tells the planner that a node's lease has ended by every clock: the node no longer acts.
 func (p *Planner) OnLeaseExpired(now tick.Tick, name string) {
 	p.now = now
 	n := p.node(name)
@@ -85,8 +85,8 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// OnAssignment tells an assignment as it was agreed: each change, and after OnElected all of them. An older one is passed
-// over.
+// OnAssignment tells the planner an agreed assignment. It is called for each change and, after OnElected, for every
+// assignment. An assignment older than the known one is ignored.
 func (p *Planner) OnAssignment(now tick.Tick, a placement.Assignment) {
 	p.now = now
 	i := p.instances[a.Instance]
@@ -127,7 +127,7 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// setAssignment replaces an instance's assignment, and the nodes that it is known at.
+// setAssignment replaces an instance's assignment and updates the primaryOf and replicaOf sets of its nodes.
 func (p *Planner) setAssignment(i *instance, a placement.Assignment) {
 	if i.primaryNode != nil {
 		delete(i.primaryNode.primaryOf, i)
@@ -150,7 +150,7 @@
 	}
 }
 
-// onPrimaryChanged notes that an instance has another primary, or none, since its old assignment.
+// onPrimaryChanged records that an instance's primary or state differs from those of the old assignment.
 func (p *Planner) onPrimaryChanged(i *instance, old placement.Assignment) {
 	if old.CutOver && i.Epoch == old.Epoch+1 && i.Failures == old.Failures {
 		i.history.recordMove(p.now, p.config.Dwell)
@@ -162,7 +162,7 @@
 	i.remoteBackoff = remoteBackoff{}
 }
 
-// onCopyChanged notes that another copy is under way than in the old assignment, or none.
+// onCopyChanged records that an instance's copy target differs from that of the old assignment.
 func (p *Planner) onCopyChanged(i *instance, old placement.Assignment) {
 	i.copySince = p.now
 	if old.CopyTarget != "" && slices.Contains(i.Replicas, old.CopyTarget) {
@@ -170,7 +170,8 @@
 	}
 }
 
-// avoidDroppedReplicas has replicas avoided that are none any more: the primary can't reach them.
+// avoidDroppedReplicas excludes a node from being a target for a while after the primary has dropped it as a replica, because
+// the primary can't reach it.
 func (p *Planner) avoidDroppedReplicas(i *instance, old placement.Assignment) {
 	if i.proposal.operation.Kind == placement.OpDropReplica || i.Epoch != old.Epoch {
 		return
@@ -183,8 +184,8 @@
 	}
 }
 
-// OnProposalRefused says that an operation was refused or was not agreed, and why. It is proposed again where it is still
-// called for.
+// OnProposalRefused tells the planner that an operation was refused or was not agreed, and why. The planner proposes the
+// operation again if it is still needed.
 func (p *Planner) OnProposalRefused(now tick.Tick, op placement.Operation, reason error) {
 	p.now = now
 	i := p.instances[op.Instance]
@@ -205,7 +206,7 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// OnDeviceMoved says in which zone an instance's device is.
+// OnDeviceMoved tells the planner which zone an instance's device is in.
 func (p *Planner) OnDeviceMoved(now tick.Tick, name, zone string) {
 	p.now = now
 	i := p.instances[name]
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -8,17 +8,18 @@
 	"silvercove/internal/placement"
 )
 
-// Of fail-overs.
+// Constants of fail-overs.
 const (
-	shortLeaseDivisor       = 3 // of a lease: a replica with less of it left is waited for
-	poisonFailureFactor     = 2 // times maxFailures: an instance fails no more primaries, whatever others failed with it
-	shortLeaseReviewDivisor = 6 // of a lease: how often a replica with little of it left is looked at
+	shortLeaseDivisor       = 3 // a fail-over waits for a replica with less than Lease/shortLeaseDivisor left
+	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined, whatever else ran on the failed node
+	shortLeaseReviewDivisor = 6 // a fail-over that waits for a replica is reviewed every Lease/shortLeaseReviewDivisor
 )
 
-// failOver lets a replica take over from a primary that does not act any more, or quarantines the instance.
+// failOver has a replica take over from a primary that no longer acts, or quarantines the instance.
 //
-// A fail-over is no move: the replica has every acknowledged entry, and to lose one would be worse than to serve on at a
-// node that evacuates, drains or is rolled back; it hands the instance on at once then. But the better off come first.
+// Unlike the target of a move, the successor may evacuate, drain or be rolled back: the replica has every acknowledged entry,
+// and losing one would be worse than serving on such a node, which then moves the instance on at once. Successors in better
+// condition are preferred (successorRank).
 func (p *Planner) failOver(i *instance) {
 	if p.failsItsPrimaries(i) {
 		p.propose(i, placement.Operation{Kind: placement.OpQuarantine, Node: i.Primary,
@@ -27,8 +28,10 @@
 	}
 	successor := p.successor(i)
 	if successor != nil && p.leaseEndsSoon(successor) {
-		// Guards against handing all to a replica that failed in the same moment, which counts a failure more and another lease
-		// without a primary. A slow one looks the same; it costs it the rest of its lease.
+		// Guards against failing over to a replica that failed at the same moment as the primary, which would count another failure
+		// and leave the instance without a primary for another lease. The fail-over therefore waits until the replica renews its
+		// lease or the lease expires. A live replica that is slow to renew looks the same and delays the fail-over by up to the
+		// rest of its lease.
 		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReviewDivisor))
 		return
 	}
@@ -39,11 +42,12 @@
 	p.propose(i, op)
 }
 
-// failsItsPrimaries reports whether an instance is held to fail each node that is its primary.
+// failsItsPrimaries reports whether an instance is presumed to cause the failures of its primaries.
 //
-// Guards against an instance that does. Nodes that failed for another reason look the same where one instance was at all of
-// them; it hurts then: an operator has to release it. Where several that may be it failed with one node, they go on, each
-// with a replica of its own, until one fails alone; that costs a node's failure or two more.
+// Guards against an instance that fails each node that runs it. Nodes that fail for other reasons are indistinguishable if
+// the same instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If
+// several instances on the failed node are suspects, they all continue, each with its replica on a different node, until one
+// fails a node alone; that costs one or two more node failures.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
 	if failures < p.config.MaxFailures {
@@ -53,7 +57,7 @@
 	return alone || failures >= poisonFailureFactor*p.config.MaxFailures
 }
 
-// countPoisonCandidates counts the instances that were at a node that failed and are at their last failure.
+// countPoisonCandidates counts the instances on a failed node that reach Config.MaxFailures with this failure.
 func (p *Planner) countPoisonCandidates(n *node) {
 	n.poisonCandidates = 0
 	for i := range n.primaryOf {
@@ -61,15 +65,16 @@
 	}
 }
 
-// leaseEndsSoon reports whether a node may not come to renew its lease.
+// leaseEndsSoon reports whether a node's lease is so close to its end that the node may have failed to renew it.
 func (p *Planner) leaseEndsSoon(n *node) bool {
 	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.config.Lease/shortLeaseDivisor
 }
 
-// successor is the best living replica, nil for none: of those that are as well off one that is surely there, then one where
-// the device is, then the one least at risk.
+// successor returns the best live replica, or nil for none. Replicas are compared by successorRank, then by whether the lease
+// does not end soon, then by whether the node is in the device's zone, then by risk.
 //
-// Where a zone is cut off, its replicas' leases run out beside its primaries', and one elsewhere need not wait for that.
+// The lease precedes the zone because the leases of all nodes in a partitioned zone, primaries and replicas, expire together:
+// a replica in another zone can then take over without waiting for them.
 func (p *Planner) successor(i *instance) *node {
 	var best *node
 	compare := func(a, b *node) int {
@@ -88,7 +93,7 @@
 	return best
 }
 
-// canTakeOver reports whether a replica may take over: it lives, and has what it is counted on for.
+// canTakeOver reports whether a replica is live and has every acknowledged entry.
 func (p *Planner) canTakeOver(i *instance, n *node) bool {
 	if !n.reported || n.leaseExpired || slices.Contains(i.emptyReplicas, n) {
 		return false
@@ -96,7 +101,7 @@
 	return n.LeaseEnd == 0 || n.LeaseEnd+p.config.Lease/shortLeaseDivisor > p.now
 }
 
-// successorRank orders replicas by how well off they are.
+// successorRank orders replicas by the condition of their nodes, the best first.
 func successorRank(n *node) int {
 	switch {
 	case n.eligible:
@@ -109,7 +114,7 @@
 	return 3
 }
 
-// recoverLost lets a lost instance go on: at once where a replica is back, else after a while from the best older copy.
+// recoverLost restarts a lost instance: at once if a replica is back, and after Config.RestartAfter from the best older copy.
 func (p *Planner) recoverLost(i *instance) {
 	if n := p.successor(i); n != nil {
 		p.propose(i, placement.Operation{Kind: placement.OpRestart, Target: n.Name, Index: i.Index,
@@ -138,7 +143,8 @@
 		Reason: "no holder came back"})
 }
 
-// bestStaleCopy is the eligible node with the latest older copy, and the index up to which that goes; nil for none.
+// bestStaleCopy returns the eligible node with the latest older copy and the index of that copy's last entry, or nil for
+// none.
 func (p *Planner) bestStaleCopy(i *instance) (best *node, index uint64) {
 	for _, c := range i.StaleCopies {
 		if n := p.node(c.Node); n.eligible && (best == nil || c.Index > index) {
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -9,19 +9,19 @@
 	"silvercove/internal/tick"
 )
 
-// instance is an instance as the planner knows it.
+// instance is the planner's state of an instance.
 type instance struct {
 	placement.Assignment
-	assigned     bool // an assignment has come
+	assigned     bool // an assignment was received
 	primaryNode  *node
 	replicaNodes []*node
 
-	primarySince    tick.Tick // the primary came, or was lost
-	copySince       tick.Tick // the copy under way was begun
-	deviceZone      string    // where its device is, while the table says otherwise
-	primaryLostCopy bool      // its primary began anew without it
-	excess          bool      // one of the lightest of a node that has too many
-	emptyReplicas   []*node   // replicas that began anew without it
+	primarySince    tick.Tick // when the primary began to serve or was lost
+	copySince       tick.Tick // when the copy in progress started
+	deviceZone      string    // reported zone of its device, while the assignment has another one
+	primaryLostCopy bool      // its primary restarted without its copy
+	excess          bool      // among the lightest instances of a node with too many
+	emptyReplicas   []*node   // replicas that restarted without their copy
 
 	history       moveHistory
 	remoteBackoff remoteBackoff
@@ -34,13 +34,14 @@
 	move          move
 }
 
-// moveHistory is what is known of the moves of an instance.
+// moveHistory records the moves of an instance.
 type moveHistory struct {
-	last   tick.Tick // when it was cut over last, 0 for never
-	streak int       // moves in a row, each soon after the one before
+	last   tick.Tick // time of the last cut-over, 0 for none
+	streak int       // consecutive moves, each soon after the one before
 }
 
-// stayUntil is until when an instance stays that may as well go: each time in a row twice as long.
+// stayUntil returns the time before which an instance makes no move that can wait. The stay doubles with each consecutive
+// move.
 func (h moveHistory) stayUntil(dwell tick.Tick) tick.Tick {
 	if h.last == 0 {
 		return 0
@@ -48,7 +49,7 @@
 	return h.last + dwell<<h.streak
 }
 
-// recordMove notes a cut-over.
+// recordMove records a cut-over.
 func (h *moveHistory) recordMove(now, dwell tick.Tick) {
 	if h.last != 0 && now-h.last <= 2*dwell<<h.streak {
 		h.streak = min(h.streak+1, maxMoveStreak)
@@ -58,72 +59,72 @@
 	h.last = max(1, now)
 }
 
-// remoteBackoff is how long no replica in another zone is tried, after one was not reached.
+// remoteBackoff delays attempts to make a replica in another zone after one could not be reached.
 type remoteBackoff struct {
 	until    tick.Tick
-	failures int // in a row
+	failures int // consecutive
 }
 
-// proposal is an operation whose result is waited for.
+// proposal is an operation whose result is pending.
 type proposal struct {
-	operation    placement.Operation // Kind "" for none
+	operation    placement.Operation // Kind is "" for none
 	proposedAt   tick.Tick
-	failOverFrom *node // of which an operation on its way says that its lease is over
+	failOverFrom *node // node whose lease a pending fail-over or quarantine declares expired, nil for none
 }
 
 func (p *proposal) pending() bool { return p.operation.Kind != "" }
 
-// isFailOver reports whether an operation says that the primary's lease is over.
+// isFailOver reports whether an operation declares that the primary's lease has expired.
 func isFailOver(op placement.Operation) bool {
 	return op.Kind == placement.OpFailOver || op.Kind == placement.OpQuarantine
 }
 
-// retry is until when an instance that found no node, or whose operation was refused, is not moved, unless for a more
-// pressing reason.
+// retry delays moves of an instance that found no target or had an operation refused. A more urgent reason is not delayed.
 type retry struct {
-	attempts int // in a row
+	attempts int // consecutive
 	until    tick.Tick
 	reason   moveReason
 }
 
-// avoidance is a node that did not take an instance, or was not reached.
+// avoidance is a node that is not chosen as a target for a while, because it did not take the instance or was not reached.
 type avoidance struct {
 	node  *node
 	until tick.Tick
 }
 
-// need is what an instance needs, as it was found last.
+// need is what an instance needs, as its last review found.
 type need struct {
 	reason        moveReason
-	replica       bool // it lacks one
-	remoteReplica bool // it lacks one in another zone than its primary's
+	replica       bool // it has too few replicas
+	remoteReplica bool // it has too few replicas in zones other than its primary's
 }
 
-// wait is where an instance waits for a move.
+// wait is an instance's position in the queue in which it waits for a move.
 type wait struct {
 	queue    *queue // nil for none
 	position int
-	risk     float64 // of its primary when it began to wait for a node or a link
-	forBound bool    // it waits for a part of a bound, at its primary or for all
+	risk     float64 // the primary's when the instance began to wait for a node or a link
+	forBound bool    // it waits in a boundWaiters list, of its primary or of the planner
 }
 
-// review is when an instance is looked at next.
+// review is the schedule of an instance's next review.
 type review struct {
-	queued   bool      // among those that are looked at now
-	due      tick.Tick // by itself, 0 for never
-	position int       // in Planner.scheduledReviews, notQueued for not
+	queued   bool      // it is in Planner.pendingReviews
+	due      tick.Tick // time of the scheduled review, 0 for none
+	position int       // in Planner.scheduledReviews, or notQueued
 }
 
-// move is a move under way, or asked for.
+// move is a move that is in progress or proposed.
 type move struct {
 	source, target *node // nil for none
 	link           *link // nil within a zone
 }
 
-// notQueued is the position of what is in no heap.
+// notQueued is the position of an instance or node that is in no heap.
 const notQueued = -1
 
-// lastMoveOf is when an instance may have been moved last, as far as its assignment tells.
+// lastMoveOf returns the latest time at which an instance may have last moved, judged by its assignment, or 0 if it has never
+// moved.
 func lastMoveOf(a placement.Assignment, now tick.Tick) tick.Tick {
 	if a.Epoch > 1 {
 		return max(1, now)
@@ -131,22 +132,22 @@
 	return 0
 }
 
-// cutsOverTo reports whether a migration to a node is under way.
+// cutsOverTo reports whether a migration to a node is in progress.
 func (i *instance) cutsOverTo(n *node) bool { return i.CutOver && i.CopyTarget == n.Name }
 
-// hasReliableReplica reports whether any replica is counted upon.
+// hasReliableReplica reports whether any replica is reliable.
 func (i *instance) hasReliableReplica() bool {
 	return slices.ContainsFunc(i.replicaNodes, func(n *node) bool { return !n.unreliable() })
 }
 
-// byWeight returns instances, the heaviest first.
+// byWeight returns instances by descending weight.
 func byWeight(all iter.Seq[*instance]) []*instance { return slices.SortedFunc(all, heavierFirst) }
 
 func heavierFirst(a, b *instance) int {
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Instance, b.Instance))
 }
 
-// earlier is the earlier of two moments, of which 0 is none.
+// earlier returns the earlier of two times, of which 0 means none.
 func earlier(a, b tick.Tick) tick.Tick {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -154,7 +155,7 @@
 	return min(a, b)
 }
 
-// countIf is 1 where a condition holds, else 0.
+// countIf returns 1 if a condition holds, else 0.
 func countIf(condition bool) int {
 	if condition {
 		return 1
