--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -2,21 +2,23 @@
 
 import "silvercove/internal/placement"
 
-// The parts of the bounds on moves that copies have, so that moves of instances have the rest.
+// Shares of the bounds on moves that copies may use. The rest is kept for moves of instances.
 const (
-	replicaCopiesShare       = 0.75 // that restore replicas
-	remoteReplicaCopiesShare = 0.5  // that bring a replica to another zone
+	replicaCopiesShare       = 0.75 // for copies that restore replicas
+	remoteReplicaCopiesShare = 0.5  // for copies that make a replica in another zone
 )
 
-// Waits of instances that are woken when a place comes free, for where the place was not taken by the one that it woke.
+// Intervals between scheduled reviews of waiting instances. Capacity that becomes free wakes one instance; if that one does
+// not use it, the scheduled reviews let the others try.
 const (
-	boundReviewDivisor      = 4 // of a lease
+	boundReviewDivisor      = 4 // an instance with too few replicas that waits for a bound is reviewed after Lease/boundReviewDivisor
 	fullLinkReviewLeases    = 4
-	remoteReviewFactor      = 4 // of a lease and Config.RestartAfter
+	remoteReviewFactor      = 4 // times the sum of Config.Lease and Config.RestartAfter
 	remoteBoundReviewLeases = 4
 )
 
-// beginMove begins the move of an instance at the head of its primary's queue, or puts it where it waits.
+// beginMove starts the move of the instance at the head of its primary's queue, or adds the instance to the queue of what it
+// has to wait for.
 func (p *Planner) beginMove(i *instance) {
 	p.dequeue(i)
 	if i.need.reason.copiesOnly() && p.waitForCopyBound(i) {
@@ -41,13 +43,14 @@
 	p.propose(i, op)
 }
 
-// mayCopyInstead reports whether an instance that can't move may be copied meanwhile, as it lacks a replica as well.
+// mayCopyInstead reports whether an instance that has no target to move to may be copied meanwhile, because it also lacks a
+// replica.
 func (p *Planner) mayCopyInstead(i *instance) bool {
 	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.config.MaxMoves)
 }
 
-// waitForCopyBound puts an instance that is only to be copied where it waits for the part of a bound that copies have, and reports
-// whether it waits.
+// waitForCopyBound reports whether an instance that is only to be copied has to wait, because copies use their share of a
+// bound, and adds it to the waiters for that bound.
 func (p *Planner) waitForCopyBound(i *instance) bool {
 	reason, primary := i.need.reason, i.primaryNode
 	switch {
@@ -66,7 +69,7 @@
 	return true
 }
 
-// copiesFull reports whether copies for a reason have their part of a bound.
+// copiesFull reports whether copies for a reason have no room left in their share of a bound, given the moves in progress.
 func (p *Planner) copiesFull(reason moveReason, moves, bound int) bool {
 	share := replicaCopiesShare
 	if reason == tooFewRemoteReplicas {
@@ -75,8 +78,8 @@
 	return float64(moves) >= max(1, share*float64(bound))
 }
 
-// waitForTarget puts an instance for which there is no node where it waits: for a link that is full, a node in another
-// zone, one in its device's, or any.
+// waitForTarget adds an instance without a target to a queue: of a full link, of instances that need a node in another zone,
+// of its device's zone, or of instances that accept any node.
 func (p *Planner) waitForTarget(i *instance, fullLink *link) {
 	lease, risk := p.config.Lease, i.primaryNode.Risk
 	switch {
@@ -84,7 +87,8 @@
 		p.enqueue(&fullLink.waiting, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+fullLinkReviewLeases*lease))
 	case i.need.reason == tooFewRemoteReplicas:
-		// One zone only, or all of the others evacuating or without room: it is reviewed when a zone or a place comes free.
+		// There is only one zone, or all other zones evacuate or have no room. A zone or a slot that becomes available wakes the
+		// instance earlier.
 		p.enqueue(&p.waitingRemote, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewFactor*(lease+p.config.RestartAfter)))
 	case i.need.reason == deviceElsewhere:
@@ -96,7 +100,7 @@
 	}
 }
 
-// updateMoveCounts brings up what a move under way or asked for takes of the bounds.
+// updateMoveCounts updates the use of the bounds by an instance's move that is in progress or proposed.
 func (p *Planner) updateMoveCounts(i *instance) {
 	from, to := p.moveOf(i)
 	if from == i.move.source && to == i.move.target {
@@ -117,7 +121,7 @@
 	p.updateReadyNode(to)
 }
 
-// moveOf is the move of an instance that is under way or asked for, nil for none.
+// moveOf returns the nodes of an instance's move that is in progress or proposed, nil for none.
 func (p *Planner) moveOf(i *instance) (from, to *node) {
 	switch {
 	case i.State != placement.Running:
@@ -139,7 +143,7 @@
 	}
 }
 
-// endMove gives back what a move took of the bounds, and wakes instances that waited for that.
+// endMove releases a move's use of the bounds and wakes instances that waited for it.
 func (p *Planner) endMove(i *instance) {
 	ended := i.move
 	p.addMoves(ended, -1)
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -10,52 +10,52 @@
 // NodeStatus is what the leading controller knows of a node.
 type NodeStatus struct {
 	Name, Zone     string
-	Incarnation    uint64    // number of its process's start; another one has another memory
-	LeaseEnd       tick.Tick // of its lease, by the controller's clock, drift added: later it does not act; 0 for not known
-	Accepting      bool      // it takes new instances
-	Limited        bool      // of those a few only
-	Evacuating     bool      // its instances are to go
-	ShuttingDown   bool      // it ends on purpose
-	Risk           float64   // 0 to 1: how near it is to failing; instances of the nodes most at risk go first
-	FreeSlots      int       // instances that it takes beside those it has; below 0: so many too many
-	ListedDraining bool      // by the endpoint list
-	Version        uint16    // that it runs
-	RollingBack    bool      // that version is being rolled back
-	WarmingUp      bool      // it has just started; FreeSlots is its slow-start budget then
-	LostCopies     bool      // this incarnation began without the copies of the one before
+	Incarnation    uint64    // number of its process's start; a new one starts with empty memory
+	LeaseEnd       tick.Tick // end of its lease by the controller's clock, with drift added; the node does not act after it; 0 if unknown
+	Accepting      bool      // it accepts new instances
+	Limited        bool      // it accepts only a few new instances
+	Evacuating     bool      // its instances have to move away
+	ShuttingDown   bool      // it terminates on purpose
+	Risk           float64   // how near it is to failing, 0 to 1; instances of the nodes most at risk move first
+	FreeSlots      int       // additional instances that it accepts; below 0, the number that it has too many
+	ListedDraining bool      // draining by the endpoint list
+	Version        uint16    // software version that it runs
+	RollingBack    bool      // Version is being rolled back
+	WarmingUp      bool      // it has just started, and FreeSlots is its slow-start budget
+	LostCopies     bool      // this incarnation started without the copies of the previous one
 }
 
-// node is a node as the planner knows it.
+// node is the planner's state of a node.
 type node struct {
 	NodeStatus
-	reported     bool // it was heard of since this planner leads
-	leaseExpired bool // its lease is over for sure
+	reported     bool // it has reported its status since this planner became leader
+	leaseExpired bool // its lease has ended by every clock
 	zone         *zone
 	primaryOf    map[*instance]struct{}
 	replicaOf    map[*instance]struct{}
 
-	moves    int                    // under way, from it and to it
-	incoming map[*instance]struct{} // of these those to it
-	reserved int                    // of its FreeSlots since it reported them
+	moves    int                    // in progress or proposed, from it and to it
+	incoming map[*instance]struct{} // instances of the moves to it
+	reserved int                    // slots of FreeSlots taken since it reported them
 	recent   recentMoves
 
-	poisonCandidates int // instances that it ran when it failed, and that may have failed it and the primaries before it
-	pendingFailOvers int // operations on their way that say that its lease is over
+	poisonCandidates int // instances on it when it failed that may have failed it and the primaries before it
+	pendingFailOvers int // fail-overs and quarantines without a result yet that declare its lease expired
 
-	ready            queue        // instances that are to move, the most pressing first
-	waitingForBound  boundWaiters // instances that wait for a part of its moves
-	eligible         bool         // may be handed an instance: it is in its zone's list
-	readyPosition    int          // in Planner.readyNodes, notQueued for not
+	ready            queue        // instances that are to move, the most urgent first
+	waitingForBound  boundWaiters // instances that wait for the share of copies in its moves
+	eligible         bool         // it is in its zone's list of nodes that may receive an instance
+	readyPosition    int          // in Planner.readyNodes, or notQueued
 	nextExcessReview tick.Tick
 }
 
-// recentMoves counts moves to and from a node, in this lease's span and in the one before.
+// recentMoves counts moves to and from a node in the current window, one lease long, and in the previous one.
 type recentMoves struct {
 	arrivals, departures [2]int
-	since                tick.Tick // of this span
+	since                tick.Tick // start of the current window
 }
 
-// rotate begins another span once this one has lasted a lease.
+// rotate starts a new window once the current one has lasted a lease.
 func (m *recentMoves) rotate(now, lease tick.Tick) {
 	if now-m.since < lease {
 		return
@@ -63,41 +63,41 @@
 	m.arrivals, m.departures, m.since = [2]int{0, m.arrivals[0]}, [2]int{0, m.departures[0]}, now
 }
 
-// zone is where nodes and devices are.
+// zone is a location of nodes and devices.
 type zone struct {
 	name     string
-	eligible []*node // those that may be handed an instance, the least at risk first
-	waiting  queue   // instances that would go here, and found no node
+	eligible []*node // nodes that may receive an instance, by ascending risk
+	waiting  queue   // instances that need a node of this zone and found none
 }
 
-// link is between two zones, for both directions.
+// link is the connection between two zones, in both directions.
 type link struct {
 	moves   int
-	waiting queue // instances for which it is full
+	waiting queue // instances that wait until the link has room
 }
 
-// unreliable reports whether a replica, or a primary, is not counted upon to keep a copy.
+// unreliable reports whether a node can't be relied upon to keep its copies.
 func (n *node) unreliable() bool {
 	return n.leaseExpired || n.reported && n.isLeaving()
 }
 
-// isLeaving reports whether a node ends, is drained, or runs a version that is rolled back.
+// isLeaving reports whether a node shuts down, drains, or runs a version that is being rolled back.
 func (n *node) isLeaving() bool { return n.ShuttingDown || n.ListedDraining || n.RollingBack }
 
-// leaseHadEnded reports whether a node's lease had ended, before what it reports now.
+// leaseHadEnded reports whether a node's lease had ended before its current report.
 func (n *node) leaseHadEnded(now tick.Tick) bool {
 	return n.leaseExpired || n.LeaseEnd != 0 && n.LeaseEnd <= now
 }
 
-// isRemoteTo reports whether a replica is in another zone than a primary. One whose zone is not known is taken for it.
+// isRemoteTo reports whether a node is in a zone other than the primary's. A node whose zone is unknown counts as remote.
 func (n *node) isRemoteTo(primary *node) bool { return n.Zone != primary.Zone }
 
-// qualifies reports whether a node may be handed an instance by what is known of it.
+// qualifies reports whether a node's status allows it to receive an instance.
 func (n *node) qualifies() bool {
 	return n.reported && !n.leaseExpired && n.Accepting && !n.Evacuating && !n.isLeaving() && n.FreeSlots-n.reserved > 0
 }
 
-// byRisk orders the eligible nodes of a zone.
+// byRisk orders the eligible nodes of a zone by ascending risk.
 func byRisk(a, b *node) int {
 	return cmp.Or(cmp.Compare(a.Risk, b.Risk), cmp.Compare(a.Name, b.Name))
 }
@@ -121,7 +121,7 @@
 	return p.zones[name]
 }
 
-// linkBetween is the link that a move from one node to another takes, nil within a zone.
+// linkBetween returns the link that a move between two nodes uses, nil within a zone.
 func (p *Planner) linkBetween(from, to *node) *link {
 	if from == nil || from.Zone == to.Zone || from.Zone == "" || to.Zone == "" {
 		return nil
@@ -133,7 +133,8 @@
 	return p.links[key]
 }
 
-// updateEligibility brings up whether a node may be handed an instance. One that comes wakes instances that found no node.
+// updateEligibility adds a node to its zone's list of eligible nodes, or removes it, as its status requires. A node that
+// becomes eligible wakes instances that found no target.
 func (p *Planner) updateEligibility(n *node) {
 	if !n.qualifies() {
 		p.makeIneligible(n)
@@ -156,7 +157,8 @@
 	p.wake(&p.waitingRemote, free)
 }
 
-// makeIneligible takes a node out of its zone's list. Its risk and its zone may be changed then, and not before.
+// makeIneligible removes a node from its zone's list, which is ordered by risk. The node's risk and zone may only change
+// while the node is not in the list.
 func (p *Planner) makeIneligible(n *node) {
 	if !n.eligible {
 		return
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -8,16 +8,16 @@
 	"silvercove/internal/tick"
 )
 
-// Of what running instances need.
+// Constants of planning for running instances.
 const (
-	resetFailuresAfter     = 60 * tick.Second // without a failure: an instance's failures count anew
-	remoteBackOffLeases    = 4                // between two tries to get a replica in another zone, doubled each time in a row
-	maxMoveStreak          = 8                // doublings of the dwell and of the wait for a replica in another zone
-	unreplicatedCopyLeases = 2                // that an instance without any replica waits for one in another zone
-	cancelBackOffDivisor   = 4                // of a lease: the wait after a first cancelled copy is twice that
+	resetFailuresAfter     = 60 * tick.Second // time without a failure after which an instance's failure count is reset
+	remoteBackOffLeases    = 4                // before the next attempt to make a remote replica, doubled with each consecutive failure
+	maxMoveStreak          = 8                // limit on doublings of the dwell and of the back-off of remote replicas
+	unreplicatedCopyLeases = 2                // time that an instance without any replica waits for a copy to another zone
+	cancelBackOffDivisor   = 4                // the wait after the first cancelled copy is 2*Lease/cancelBackOffDivisor
 )
 
-// planMove puts a running instance into the queue of what it needs, or proposes what takes no move.
+// planMove queues a running instance for the move or copy that it needs, or proposes an operation that needs neither.
 func (p *Planner) planMove(i *instance) {
 	primary := i.primaryNode
 	reason, notBefore := p.reasonToLeave(i)
@@ -53,7 +53,7 @@
 	p.updateReadyNode(primary)
 }
 
-// reasonToLeave is why an instance should leave its primary, noMove for none, and the moment before which it stays still.
+// reasonToLeave returns why an instance should leave its primary, noMove for none, and the time before which it should stay.
 func (p *Planner) reasonToLeave(i *instance) (reason moveReason, notBefore tick.Tick) {
 	primary := i.primaryNode
 	stay := i.history.stayUntil(p.config.Dwell)
@@ -63,7 +63,7 @@
 	case primary.isLeaving():
 		return primaryLeaving, 0
 	case primary.Evacuating && i.history.streak > 0:
-		// Two evacuating nodes would hand it to and fro: each time in a row it stays twice as long.
+		// Guards against two evacuating nodes that hand an instance back and forth: the stay doubles with each consecutive move.
 		return primaryEvacuating, stay
 	case primary.Evacuating:
 		return primaryEvacuating, 0
@@ -75,11 +75,11 @@
 	return noMove, 0
 }
 
-// replicaCount is what replicas an instance has.
+// replicaCount summarizes the replicas of an instance.
 type replicaCount struct {
-	reliable   int  // counted upon
-	remote     int  // of these those in another zone than the primary
-	zonesKnown bool // of those that are counted upon
+	reliable   int  // number of reliable replicas
+	remote     int  // reliable ones in a zone other than the primary's
+	zonesKnown bool // the zones of all reliable replicas are known
 }
 
 func (p *Planner) countReplicas(i *instance) replicaCount {
@@ -95,13 +95,13 @@
 	return c
 }
 
-// surplusReplicas is how many replicas there are beyond what is wanted, and the one that goes first. There is none where too
-// few that are counted upon would be left. It may be below 0.
+// surplusReplicas returns how many replicas an instance has beyond Config.Replicas, negative if there are too few, and the
+// replica to drop first. The surplus is 0 if dropping that replica would leave too few reliable ones.
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
 		if c.remote <= p.config.RemoteReplicas && n.isRemoteTo(i.primaryNode) && !n.unreliable() {
-			continue // one in the primary's zone goes for it
+			continue // a replica in the primary's zone is dropped instead
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
 			worst = n
@@ -113,9 +113,9 @@
 	return worst, surplus
 }
 
-// droppedBefore reports whether a replica is let go before another one: an unreliable one first, then one at a node that
-// evacuates, then one far from the primary, then one that is not in the device's zone. Each weight is more than all after
-// it together, so that only their order counts. Among equals the one most at risk goes.
+// droppedBefore reports whether replica a is dropped before replica b: an unreliable replica first, then one on an evacuating
+// node, then one in a zone other than the primary's, then one in a zone other than the device's. Each weight exceeds the sum
+// of those after it, so that the comparison is lexicographic. Among equals, the replica most at risk is dropped first.
 func droppedBefore(i *instance, a, b *node) bool {
 	demerits := func(n *node) int {
 		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.isRemoteTo(i.primaryNode)) +
@@ -124,7 +124,7 @@
 	return cmp.Or(cmp.Compare(demerits(b), demerits(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
 }
 
-// remoteReplicaNeed is tooFewRemoteReplicas where an instance that lacks nothing else is to get a replica in another zone
+// remoteReplicaNeed returns tooFewRemoteReplicas if an instance that needs nothing else should get a replica in another zone
 // now, else noMove.
 func (p *Planner) remoteReplicaNeed(i *instance, surplus int) moveReason {
 	if !i.need.remoteReplica || surplus > 0 {
@@ -137,7 +137,8 @@
 	return tooFewRemoteReplicas
 }
 
-// resetFailures has failures counted anew where there was none for long, and reports whether it proposed that.
+// resetFailures proposes to reset an instance's failure count once there was no failure for resetFailuresAfter, and reports
+// whether it did.
 func (p *Planner) resetFailures(i *instance) bool {
 	at := i.primarySince + resetFailuresAfter
 	if p.now < at {
@@ -148,11 +149,12 @@
 	return true
 }
 
-// backOffRemote notes that a replica in another zone was not reached, or did not come to be one in time.
+// backOffRemote records that a remote replica was not reached, or that a copy did not become one in time.
 //
-// Guards against a link that is too slow or lossy for acknowledgements, over which copies would go for ever while entries
-// rest on the primary alone in between: none is tried for some leases, twice as long each time in a row. A short cut of the
-// zones looks the same; it hurts then, as the replica stays in the zone for so long.
+// Guards against a link too slow or lossy for acknowledgements: copies over it would repeat without end, and between them
+// entries would exist on the primary alone. No copy to another zone is started for some leases, and that time doubles with
+// each consecutive failure. A short partition of the zones is indistinguishable: the replica then stays in the primary's zone
+// for as long.
 func (p *Planner) backOffRemote(i *instance, n *node) {
 	if i.primaryNode == nil || !n.isRemoteTo(i.primaryNode) {
 		return
@@ -170,10 +172,10 @@
 	return remoteBackOffLeases * p.config.Lease << failures
 }
 
-// copyTooSlow is why a copy is cancelled that does not end in time.
+// copyTooSlow is the reason for cancelling a copy that does not end in time.
 const copyTooSlow = "did not have it in time"
 
-// watchCopy cancels a copy that does not end in time, or whose target may not be handed an instance any more.
+// watchCopy cancels a copy that does not end in time or whose target may no longer receive the instance.
 func (p *Planner) watchCopy(i *instance) {
 	target := p.node(i.CopyTarget)
 	fault := copyFault(i, target)
@@ -195,7 +197,7 @@
 	p.propose(i, placement.Operation{Kind: placement.OpCancelCopy, Target: i.CopyTarget, Reason: i.CopyTarget + " " + fault})
 }
 
-// copyFault says why the target of a copy may not be handed an instance any more, "" for nothing.
+// copyFault returns why the target of a copy may no longer receive the instance, "" if it may.
 func copyFault(i *instance, target *node) string {
 	switch {
 	case target.leaseExpired, slices.Contains(i.emptyReplicas, target):
@@ -212,19 +214,18 @@
 	return ""
 }
 
-// copyDeadline is when the copy under way has to have ended.
+// copyDeadline returns the time by which the copy in progress has to end.
 func (p *Planner) copyDeadline(i *instance, target *node) tick.Tick {
 	end := i.copySince + p.config.RestartAfter
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
-		// Guards against entries that rest on the primary alone for as long as another zone is not reached. A large state on
-		// a slow link looks the same; it costs it a copy in its own zone first.
+		// Guards against entries that exist on the primary alone for as long as another zone is unreachable. A large state on a
+		// slow link is indistinguishable: the instance is then first copied within its own zone.
 		end = min(end, i.copySince+unreplicatedCopyLeases*p.config.Lease)
 	}
 	return end
 }
 
-// hasNearerTarget reports whether a copy that is to make a replica in another zone could go to another node of the
-// primary's.
+// hasNearerTarget reports whether a copy that makes a remote replica could go to another node in the primary's zone instead.
 func (p *Planner) hasNearerTarget(i *instance, target *node) bool {
 	primary := i.primaryNode
 	if p.config.RemoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.isRemoteTo(primary) {
