--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -7,54 +7,54 @@
 	"silvercove/internal/tick"
 )
 
-// Work that one call does at most, in reviews and moves. What is left is done by OnTick.
+// Bounds on the work of one call, in reviews and moves. OnTick does the remaining work.
 const (
 	maxWorkPerTick  = 1024
 	maxWorkPerEvent = 64
 )
 
-// Host is what a planner acts through.
+// Host carries out a planner's decisions.
 type Host interface {
-	// Propose takes an operation to the agreed log. Its result comes back by OnAssignment or OnProposalRefused, at once or
-	// later.
+	// Propose submits an operation to the agreed log. Its result arrives through OnAssignment or OnProposalRefused, possibly
+	// before Propose returns.
 	Propose(op placement.Operation)
-	// Explain notes why the planner has decided something, for those who run the fleet. It carries no decision.
+	// Explain records the reason for a decision, for operators. Nothing depends on it.
 	Explain(text string)
 }
 
-// Planner decides at the leading controller when an instance is moved to another node, whither and how. The package
-// documentation says how it is driven.
+// Planner decides, at the leading controller, when an instance moves to another node, to which one and how. The package
+// documentation describes the order of calls.
 type Planner struct {
 	host          Host
 	seed          uint64
 	config        Config
 	leads         bool
-	processing    bool // guards against work within work: a proposal that is agreed at once tells so
+	processing    bool // guards against reentry: a proposal that is agreed at once calls back into the planner
 	now           tick.Tick
 	nodes         map[string]*node
 	zones         map[string]*zone
 	eligibleZones []*zone // zones with an eligible node, by name
 	links         map[[2]string]*link
 	instances     map[string]*instance
-	moves         int // under way
+	moves         int // in progress or proposed
 
-	pendingReviews   []*instance    // to be looked at, in their order
-	scheduledReviews reviewQueue    // to be looked at by themselves
-	readyNodes       readyNodeQueue // nodes with instances that are ready to move
+	pendingReviews   []*instance    // instances to review now, in order of arrival
+	scheduledReviews reviewQueue    // instances with a scheduled review, by time
+	readyNodes       readyNodeQueue // nodes that have room for a move and instances ready to move
 
-	waitingAnywhere queue // instances that would go anywhere, and found no node
-	waitingRemote   queue // the same that would have a replica in another zone
+	waitingAnywhere queue // instances that accept any node and found none
+	waitingRemote   queue // instances that need a node in another zone and found none
 	waitingForBound boundWaiters
 }
 
-// NewPlanner returns a planner that does not lead yet. What it draws is drawn by the seed.
+// NewPlanner returns a planner that does not lead yet. All random choices derive from the seed.
 func NewPlanner(host Host, now tick.Tick, seed uint64, config Config) *Planner {
 	return &Planner{host: host, seed: seed, config: config, now: now, nodes: map[string]*node{},
 		zones: map[string]*zone{}, links: map[[2]string]*link{}, instances: map[string]*instance{}}
 }
 
-// OnElected says that this controller leads from now on: what was on its way is not waited for, every instance counts as
-// come now, and every node's lease as unknown.
+// OnElected tells the planner that this controller leads from now on. The planner forgets pending proposals, restarts each
+// instance's stay at now, and treats every node's lease as unknown.
 func (p *Planner) OnElected(now tick.Tick) {
 	p.now, p.leads = now, true
 	for _, n := range p.nodes {
@@ -72,11 +72,11 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// OnDeposed says that this controller no longer leads. The planner goes on to learn and proposes nothing.
+// OnDeposed tells the planner that this controller no longer leads. The planner still follows events but proposes nothing.
 func (p *Planner) OnDeposed(now tick.Tick) { p.now, p.leads = now, false }
 
-// OnTick does what is left of earlier facts, a bounded part of it, and what has fallen due. It returns when to call it next,
-// which is later than now.
+// OnTick does a bounded part of the work that earlier calls left over, and the reviews that are due. It returns the time of
+// the next call, which is later than now.
 func (p *Planner) OnTick(now tick.Tick) (next tick.Tick) {
 	p.now = now
 	if !p.processPending(maxWorkPerTick) {
@@ -88,7 +88,7 @@
 	return now + p.config.Lease
 }
 
-// ChooseNode returns the node at which a new instance should begin, "" where none has room.
+// ChooseNode returns the node on which a new instance should start and reserves a slot there, or "" if no node has room.
 func (p *Planner) ChooseNode(now tick.Tick, name, zone string) string {
 	p.now = now
 	n, _ := p.chooseTarget(&instance{Assignment: placement.Assignment{Instance: name, Zone: zone}}, primaryLeaving)
@@ -100,14 +100,15 @@
 	return n.Name
 }
 
-// FailOverPending reports whether an operation is on its way that says that a node's lease is over. The node may not have a
-// lease until it has come back: an operation that is agreed late would give what it is the primary of to another node while
-// it acts.
+// FailOverPending reports whether an operation that declares a node's lease expired has no result yet. The node must not be
+// granted a lease until then: an operation that is agreed late would make another node the primary of its instances while
+// this node serves them.
 func (p *Planner) FailOverPending(name string) bool {
 	return p.nodes[name] != nil && p.nodes[name].pendingFailOvers > 0
 }
 
-// processPending does queued reviews, those that have fallen due, and the most pressing moves, and reports whether all was done.
+// processPending does the pending reviews, then the scheduled ones that are due, then the most urgent moves, until the budget
+// is used up. It reports whether it finished.
 func (p *Planner) processPending(budget int) bool {
 	if !p.leads || p.processing {
 		return true
@@ -131,7 +132,7 @@
 	return false
 }
 
-// reviewInstance finds what one instance needs now, and does it or puts it where it waits.
+// reviewInstance determines what an instance needs now, and proposes it or queues the instance.
 func (p *Planner) reviewInstance(i *instance) {
 	p.dequeue(i)
 	p.scheduleReview(i, 0)
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -6,15 +6,15 @@
 	"silvercove/internal/placement"
 )
 
-// Waits after proposals.
+// Constants of proposals and of the waits after them.
 const (
-	proposalTimeoutLeases = 2 // for the result of a proposal
-	avoidDroppedLeases    = 2 // for which a replica that was dropped is avoided
+	proposalTimeoutLeases = 2 // time to wait for the result of a proposal
+	avoidDroppedLeases    = 2 // time for which a node that was dropped as a replica is no target
 	maxBackOffDoublings   = 10
-	backOffDivisor        = 8 // of a lease: the wait after a first attempt is twice that
+	backOffDivisor        = 8 // the first wait is 2*Lease/backOffDivisor
 )
 
-// propose sends an operation for an instance, at most one at a time.
+// propose submits an operation for an instance, unless one is pending or the planner does not lead.
 func (p *Planner) propose(i *instance, op placement.Operation) {
 	if i.proposal.pending() || !p.leads {
 		return
@@ -33,7 +33,8 @@
 	p.host.Propose(op)
 }
 
-// proposalTimedOut reports whether the result of a proposal counts as lost, and has the instance reviewed then if not yet.
+// proposalTimedOut reports whether the result of a pending proposal counts as lost, and clears the proposal then. Otherwise
+// it schedules a review at the timeout.
 func (p *Planner) proposalTimedOut(i *instance) bool {
 	timeout := i.proposal.proposedAt + proposalTimeoutLeases*p.config.Lease
 	if p.now < timeout {
@@ -48,7 +49,7 @@
 	return true
 }
 
-// settleProposal ends what is waited for where the assignment that came shows its result.
+// settleProposal clears the pending proposal if the new assignment shows its result.
 func (p *Planner) settleProposal(i *instance, old placement.Assignment) {
 	if i.proposal.pending() && isApplied(i.proposal.operation, i.Assignment) {
 		i.proposal.operation = placement.Operation{}
@@ -58,13 +59,13 @@
 	}
 }
 
-// endFailOver notes that no operation of an instance is on its way any more that says that its primary's lease is over.
+// endFailOver records that an instance has no pending operation left that declares its primary's lease expired.
 func (p *Planner) endFailOver(i *instance) {
 	i.proposal.failOverFrom.pendingFailOvers--
 	i.proposal.failOverFrom = nil
 }
 
-// isApplied reports whether an assignment shows what an operation was to bring.
+// isApplied reports whether an assignment shows the result of an operation.
 func isApplied(op placement.Operation, a placement.Assignment) bool {
 	switch {
 	case op.Kind == placement.OpMoveDevice:
@@ -87,7 +88,7 @@
 	return false
 }
 
-// backOff puts the next move of an instance off, each time in a row twice as long.
+// backOff delays the next move of an instance. The delay doubles with each consecutive attempt.
 func (p *Planner) backOff(i *instance) {
 	lease := p.config.Lease
 	i.retry.attempts = min(i.retry.attempts+1, maxBackOffDoublings)
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// queue is a heap of instances that wait for a move, the most pressing first.
+// queue is a heap of instances that wait for a move, the most urgent first.
 type queue []*instance
 
 // Len implements heap.Interface.
@@ -41,13 +41,13 @@
 	return i
 }
 
-// enqueue puts an instance into the queue of its node, or with its primary's risk into that of a link or a zone.
+// enqueue adds an instance to a queue. The risk orders the queues of links and zones, and is 0 in a node's queue.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
 }
 
-// dequeue takes an instance out of the queue that it waits in, if any.
+// dequeue removes an instance from the queue in which it waits, if any.
 func (p *Planner) dequeue(i *instance) {
 	if i.wait.queue == nil {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// wake looks again at so many instances that found no node, the most pressing and those most at risk first: those that are
-// reviewed by themselves would come in any order.
+// wake queues reviews of a limited number of instances that found no target, the most urgent and those most at risk first.
+// Scheduled reviews alone would come in any order.
 func (p *Planner) wake(q *queue, most int) {
 	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
@@ -70,8 +70,8 @@
 	}
 }
 
-// readyNodeQueue is a heap of nodes with instances that are ready and room for a move, the most pressing and those most at risk
-// first.
+// readyNodeQueue is a heap of nodes with room for a move and instances ready to move. The order is by the urgency of each
+// node's first instance, then by the node's risk, highest first.
 type readyNodeQueue []*node
 
 // Len implements heap.Interface.
@@ -107,7 +107,8 @@
 	return n
 }
 
-// updateReadyNode brings up a node's place among those whose instances are ready to move.
+// updateReadyNode adds a node to Planner.readyNodes, moves it to its new position or removes it, as its queue and its moves
+// require.
 func (p *Planner) updateReadyNode(n *node) {
 	ready := len(n.ready) > 0 && n.moves < p.config.MaxMovesPerNode
 	switch {
@@ -120,7 +121,7 @@
 	}
 }
 
-// reviewQueue is a heap of instances by when they are reviewed by themselves.
+// reviewQueue is a heap of instances by the time of their scheduled review.
 type reviewQueue []*instance
 
 // Len implements heap.Interface.
@@ -154,7 +155,7 @@
 	return i
 }
 
-// scheduleReview says when an instance is reviewed next by itself, 0 for never.
+// scheduleReview sets the time of an instance's scheduled review, 0 for none.
 func (p *Planner) scheduleReview(i *instance, at tick.Tick) {
 	i.review.due = at
 	scheduled := i.review.position != notQueued
@@ -168,7 +169,7 @@
 	}
 }
 
-// queueReview puts an instance among those that are reviewed now, in the order in which they came.
+// queueReview adds an instance to the pending reviews unless it is among them.
 func (p *Planner) queueReview(i *instance) {
 	if !i.review.queued {
 		i.review.queued = true
@@ -176,7 +177,7 @@
 	}
 }
 
-// nextPendingReview takes the first of those that are reviewed now.
+// nextPendingReview removes and returns the first instance of the pending reviews.
 func (p *Planner) nextPendingReview() *instance {
 	i := p.pendingReviews[0]
 	p.pendingReviews = p.pendingReviews[1:]
@@ -187,7 +188,8 @@
 	return i
 }
 
-// queueReviewsOf has all instances reviewed that a node has to do with, the heaviest first.
+// queueReviewsOf queues reviews of all instances that a node is a primary, a replica or a target of, each group by descending
+// weight.
 func (p *Planner) queueReviewsOf(n *node) {
 	for _, all := range []map[*instance]struct{}{n.primaryOf, n.replicaOf, n.incoming} {
 		for _, i := range byWeight(maps.Keys(all)) {
@@ -196,13 +198,13 @@
 	}
 }
 
-// boundWaiters are instances that wait for a part of a bound on moves, in the order in which they came.
+// boundWaiters lists instances that wait for the share of copies in a bound on moves, in order of arrival.
 type boundWaiters struct {
-	replicas       []*instance // of those that lack one
-	remoteReplicas []*instance // of those that only lack one in another zone
+	replicas       []*instance // instances with too few replicas
+	remoteReplicas []*instance // instances that only lack a replica in another zone
 }
 
-// waitForBound puts an instance where it waits for a part of a bound.
+// waitForBound adds an instance to the waiters for a bound unless it already waits for one.
 func (p *Planner) waitForBound(at *boundWaiters, i *instance) {
 	list := &at.replicas
 	if i.need.reason == tooFewRemoteReplicas {
@@ -214,9 +216,9 @@
 	}
 }
 
-// reviewNextWaiting looks again at the first instance that waited for a part of a bound: a node whose instances all lost a
-// replica has them copied one after the other, and not a few each time that they are reviewed by themselves. Those that
-// lack a replica come first.
+// reviewNextWaiting queues a review of the first instance that waits for a bound; instances with too few replicas come first.
+// A node whose instances all lost a replica thus has them copied one after the other, rather than a few at each scheduled
+// review.
 func (p *Planner) reviewNextWaiting(at *boundWaiters) {
 	for len(at.replicas)+len(at.remoteReplicas) > 0 {
 		list := &at.replicas
