--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -7,67 +7,67 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Of the search for a node. Only some nodes are considered, whatever the size of the fleet.
+// Bounds on the search for a target, which keep its cost independent of the size of the fleet.
 const (
-	sampledNodes   = 4 // of a zone, beside as many of those least at risk
-	sampledZones   = 3 // where neither the device's nor the primary's has room
-	skippableZones = 2 // that may be among those sampled: the device's and the primary's
+	sampledNodes   = 4 // random nodes per zone, in addition to as many with the least risk
+	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
+	skippableZones = 2 // the device's zone and the primary's, which may be among those sampled
 )
 
-// Margins of risk between a node and the primary that hands on.
+// Risk margins and limits of targets.
 const (
-	evacuationMargin       = 0.2 // an evacuating node's instance goes only to one that is so much better off
-	excessMargin           = 0.1 // the same, the other way, for a node that has too many
-	maxRiskPerInstance     = 0.1 // that one instance is held to bring at the most
-	maxVoluntaryTargetRisk = 0.7 // an instance that could as well stay goes only below it
-	maxLimitedIncoming     = 1   // instances on their way to a node that takes a few only
+	evacuationMargin       = 0.2 // by which a target has to be safer than an evacuating primary
+	excessMargin           = 0.1 // by which a target may be riskier than a primary that has too many instances
+	maxRiskPerInstance     = 0.1 // upper bound of the estimate of the risk that one instance adds
+	maxVoluntaryTargetRisk = 0.7 // copies, and moves to the device's zone from a safer primary, go only to targets below it
+	maxLimitedIncoming     = 1   // instances in transit to a node that accepts only a few
 )
 
-// Weights of the parts of a node's score (targetSearch.score), each of a part from 0 to 1 but where it says otherwise. Risk
-// counts first, then free slots and moves under way.
+// Weights of the terms of a node's score (targetSearch.score). Each term is from 0 to 1 unless noted otherwise. Risk counts
+// most, then free slots and moves in progress.
 const (
 	riskWeight      = 2.0     // of the node's risk
-	freeSlotsWeight = 0.5     // of its free slots, as a part of enoughFreeSlots
-	enoughFreeSlots = 16      // more count no more
-	movesWeight     = 0.5     // of the moves that it takes part in, as a part of those that it may
-	replicaBonus    = 0.5     // for a replica: it has the state already
-	largeStateBytes = 1 << 20 // bytes: a replica of as much counts one more, of less a part of it
-	limitedPenalty  = 0.5     // for a node that takes a few instances only
-	crowdingWeight  = 0.5     // of its replicas, by the instances of the primary, for a replica in another zone; beyond 1 too
-	tieBreakWeight  = 0.1     // of a hash of node and instance; 1 for an instance that failed primaries
+	freeSlotsWeight = 0.5     // of its free slots, as a fraction of enoughFreeSlots
+	enoughFreeSlots = 16      // more slots add nothing to the score
+	movesWeight     = 0.5     // of the moves that it takes part in, as a fraction of those that it may
+	replicaBonus    = 0.5     // for a replica, which already has the state
+	largeStateBytes = 1 << 20 // bytes of state for which a replica scores 1 more; less state scores proportionally less
+	limitedPenalty  = 0.5     // for a node that accepts only a few instances
+	crowdingWeight  = 0.5     // of its replicas per instance of the primary, when placing a remote replica; the term may exceed 1
+	tieBreakWeight  = 0.1     // of a hash of node and instance; 1 for an instance that has failed primaries
 )
 
-// Constants of the hash by which an instance that failed its primaries is scattered.
+// Constants of the hash that scatters instances which have failed primaries.
 const (
 	scatterMultiplier1 = 0x9e3779b97f4a7c15
 	scatterMultiplier2 = 0xbf58476d1ce4e5b9
 	scatterShift       = 29
-	fractionBits       = 24 // of it that make a fraction from 0 to 1
+	fractionBits       = 24 // bits of the hash that make a fraction from 0 to 1
 	fractionShift      = 64 - fractionBits
 )
 
-// targetSearch compares nodes for one instance, and keeps the best of them.
+// targetSearch compares nodes for one instance and keeps the best one.
 type targetSearch struct {
 	planner  *Planner
 	instance *instance
 	reason   moveReason
-	remote   bool   // for a replica in another zone than the primary's
-	hash     uint64 // of the instance's name, by the planner's seed
+	remote   bool   // the search is for a replica in a zone other than the primary's
+	hash     uint64 // of the instance's name and the planner's seed
 	random   *rand.Rand
 
 	best      *node
 	bestScore float64
-	fullLink  *link // one that was too full to consider the node behind it
+	fullLink  *link // a link without room, which excluded a node
 }
 
-// chooseTarget chooses whither an instance goes: to a node of the device's zone, else of the primary's, else of a few
-// others; for a replica in another zone to the device's, else to a few others than the primary's. Of each zone those least
-// at risk and a sample are considered. Where a link was full it says which.
+// chooseTarget chooses a target for an instance: a node in the device's zone, else in the primary's, else in a few others. A
+// remote replica goes to the device's zone, else to a few others except the primary's. The nodes with the least risk and a
+// random sample of each zone are considered. If a full link excluded a node, fullLink is that link.
 func (p *Planner) chooseTarget(i *instance, reason moveReason) (target *node, fullLink *link) {
 	s := &targetSearch{planner: p, instance: i, reason: reason, hash: xxhash.Sum64String(i.Instance) ^ p.seed}
 	attempt := uint64(i.retry.attempts)
 	if reason == tooFewRemoteReplicas {
-		attempt = uint64(p.now) // other zones each time
+		attempt = uint64(p.now) // so that each attempt samples other zones
 	}
 	s.random = rand.New(rand.NewPCG(s.hash, attempt))
 	s.remote = i.need.remoteReplica && (reason == tooFewRemoteReplicas || reason == tooFewReplicas && p.now >= i.remoteBackoff.until)
@@ -111,14 +111,14 @@
 	}
 }
 
-// scattersPoisonCandidates reports whether a replica is to be anywhere, so that no two instances meet that may fail their
-// primaries.
+// scattersPoisonCandidates reports whether a replica may go to any zone, so that no two instances that may fail their
+// primaries meet on one node.
 func (s *targetSearch) scattersPoisonCandidates() bool {
 	i := s.instance
 	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.config.MaxFailures
 }
 
-// considerZone considers the instance's replicas of a zone, those of its nodes that are least at risk, and a sample of the others.
+// considerZone considers the instance's replicas in a zone, the zone's nodes with the least risk, and a sample of the others.
 func (s *targetSearch) considerZone(z *zone) {
 	for _, n := range s.instance.replicaNodes {
 		if n.zone == z {
@@ -138,7 +138,7 @@
 	}
 }
 
-// considerOtherZones considers a few zones from a random one on, but for the device's and the primary's.
+// considerOtherZones considers a few zones, starting at a random one, except the device's and the primary's.
 func (s *targetSearch) considerOtherZones(deviceZone, primaryZone *zone) {
 	zones := s.planner.eligibleZones
 	if len(zones) == 0 {
@@ -152,7 +152,7 @@
 	}
 }
 
-// consider takes a node for the best if it suits and scores higher than the best until now.
+// consider makes a node the best one if it is suitable and scores higher than the best so far.
 func (s *targetSearch) consider(n *node) {
 	if !s.isSuitable(n) {
 		return
@@ -171,8 +171,8 @@
 	return l.moves >= bound || s.reason.copiesOnly() && s.planner.copiesFull(s.reason, l.moves, bound)
 }
 
-// isSuitable reports whether a node may be handed the instance. That it accepts, has room, and neither drains nor is rolled back
-// is already so for all that are eligible.
+// isSuitable reports whether a node may receive the instance. All eligible nodes already accept instances, have room, and
+// neither drain nor are rolled back.
 func (s *targetSearch) isSuitable(n *node) bool {
 	i, p := s.instance, s.planner
 	switch {
@@ -197,12 +197,13 @@
 	return true
 }
 
-// isSaferTarget reports whether a node is less at risk than an evacuating primary by a margin, once all is counted that is on
-// its way between them.
+// isSaferTarget reports whether a node is less at risk than an evacuating primary by evacuationMargin, with the recent and
+// current moves of both counted.
 //
-// Guards against two evacuating nodes that hand all to each other: what is on its way, and what was in the last lease or
-// two, counts at both ends, at the primary's risk an instance, as reports lag behind. Risk of an empty battery looks the
-// same and does not go down with each instance that goes; it hurts then: they go in several rounds, one each report.
+// Guards against two evacuating nodes that hand all their instances to each other. Because reports lag behind, the moves in
+// progress and those of the last one to two leases count on both sides, each at the primary's risk per instance. Risk that
+// comes from an empty battery is indistinguishable, but does not go down with each instance that leaves: the instances then
+// leave in several rounds, one per report.
 func isSaferTarget(n, primary *node) bool {
 	riskPerInstance := min(maxRiskPerInstance, primary.Risk/float64(max(1, len(primary.primaryOf))))
 	arriving := float64(len(n.incoming) + n.recent.arrivals[0] + n.recent.arrivals[1] + 1)
@@ -210,8 +211,8 @@
 	return n.Risk+riskPerInstance*arriving <= primary.Risk-riskPerInstance*departing-evacuationMargin
 }
 
-// score counts risk first, then free slots and moves under way. A replica has the state already, which counts the more the
-// larger that is.
+// score rates a node for the instance. Risk counts most, then free slots and moves in progress. A replica scores more, as it
+// already has the state, and the more the larger the state is.
 func (s *targetSearch) score(n *node) float64 {
 	i := s.instance
 	score := -riskWeight*n.Risk + freeSlotsWeight*min(1, float64(n.FreeSlots-n.reserved)/enoughFreeSlots) -
@@ -222,14 +223,14 @@
 	if n.Limited {
 		score -= limitedPenalty
 	}
-	if s.remote { // guards against a few nodes that are the replica for the whole fleet
+	if s.remote { // guards against a few nodes that hold the replicas of the whole fleet
 		score -= crowdingWeight * float64(len(n.replicaOf)) / float64(1+len(i.primaryNode.primaryOf))
 	}
 	return score + s.tieBreak(n)
 }
 
-// tieBreak spreads instances over nodes that score alike. Instances that failed with one node are scattered wholly by it,
-// so that they do not fail together again: one of them may have failed it.
+// tieBreak spreads instances over nodes with similar scores. Instances that failed together with a node get the hash at its
+// full weight, which scatters them so that they do not fail together again: one of them may have caused the failure.
 func (s *targetSearch) tieBreak(n *node) float64 {
 	mixed := s.hash ^ xxhash.Sum64String(n.Name)
 	if s.instance.Failures > 0 {
