--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/replica"
 )
 
-// NodeInventory is what one node has, as it told after the controllers' log was lost.
+// NodeInventory lists the copies that a node reported after the controllers' log was lost.
 type NodeInventory struct {
 	Node   string
 	Zone   string
@@ -18,18 +18,19 @@
 }
 
 const (
-	// rebuildEpochGap is by how much epochs are raised where assignments are rebuilt: above all that were seen, and above any
-	// that a silent node may have been given without another one hearing of it.
+	// rebuildEpochGap is added to epochs when assignments are rebuilt. The sum exceeds every epoch that was reported, and every
+	// epoch that an unresponsive node may have been assigned without another node learning of it.
 	rebuildEpochGap = 1000
 
-	// maxRebuiltStaleCopies is how many older copies of one instance are noted.
+	// maxRebuiltStaleCopies bounds the older copies that are recorded for one instance.
 	maxRebuiltStaleCopies = 4
 )
 
-// Rebuild makes assignments anew from what nodes have, and from an earlier state of the table where there is one. An
-// instance goes on at a node that has every acknowledged entry for sure: one that was its primary or a replica by the latest
-// word that anyone has, or the one that has most where no node is silent. Else it is lost: it waits for a node that has it,
-// and is restarted from an older copy that is known. The notes say by name what is lost, or may be.
+// Rebuild derives assignments from the copies that nodes report and from an earlier state of the table, if there is one. An
+// instance continues on a node that certainly has every acknowledged entry: one that was its primary or a replica in the
+// latest epoch that anyone reports, or the one with the most entries if no node is unresponsive. Otherwise the instance is
+// lost: it waits for a node that has every entry, and is restarted from a known older copy after a while. The notes name each
+// instance that is lost or may have lost entries.
 func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
 	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
 	for _, n := range nodes {
@@ -50,14 +51,14 @@
 	return all, r.notes
 }
 
-// foundCopy is a copy of one instance and where it was found.
+// foundCopy is a copy of an instance together with its node.
 type foundCopy struct {
 	replica.CopyStatus
 	node, zone string
 }
 
 type rebuild struct {
-	unresponsive []string // nodes that have not answered
+	unresponsive []string // nodes that did not answer
 	copies       map[string][]foundCopy
 	notes        []string
 }
@@ -66,9 +67,9 @@
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
-// instance makes the assignment of one instance, from what it was where that is known.
+// instance rebuilds the assignment of one instance. The previous assignment is empty unless known.
 func (r *rebuild) instance(name string, previous placement.Assignment, known bool) placement.Assignment {
-	latestEpoch := previous.Epoch // that anyone heard of
+	latestEpoch := previous.Epoch // the latest that anyone reported
 	for _, c := range r.copies[name] {
 		latestEpoch = max(latestEpoch, c.Epoch)
 	}
@@ -86,12 +87,14 @@
 	return a
 }
 
-// isAuthoritative reports whether a node was the primary or a replica by the latest word, and has what it was counted on for.
+// isAuthoritative reports whether a copy's node was the primary or a replica in the latest epoch and has every acknowledged
+// entry.
 func (c foundCopy) isAuthoritative(latestEpoch uint64) bool {
 	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latestEpoch
 }
 
-// bestFirst returns the copies that have something, those that are counted on and have most first.
+// bestFirst removes incomplete copies without entries and orders the others: authoritative ones first, then the primary's,
+// then those whose last entry has the latest epoch, then those with the most entries.
 func bestFirst(all []foundCopy, latestEpoch uint64) []foundCopy {
 	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
 	slices.SortFunc(copies, func(a, b foundCopy) int {
@@ -105,8 +108,8 @@
 	return copies
 }
 
-// continueFrom lets an instance go on at the node of the best copy, if that has everything for sure, with those that have
-// the same as replicas.
+// continueFrom lets an instance continue on the node of the best copy if that copy is certain to have every acknowledged
+// entry. Nodes with an identical copy become replicas.
 func (r *rebuild) continueFrom(a *placement.Assignment, copies []foundCopy, latestEpoch uint64, known bool) {
 	best := copies[0]
 	a.Index, a.Size = best.Index, best.Size
@@ -114,13 +117,13 @@
 		a.Zone = best.zone
 	}
 	if !known {
-		r.note("%s: its importance and its device's zone are not known; it has 1 and %s", a.Instance, a.Zone)
+		r.note("%s: its importance and its device's zone are not known; using importance 1 and zone %s", a.Instance, a.Zone)
 	}
 	authoritative := best.isAuthoritative(latestEpoch) || len(r.unresponsive) == 0
 	if authoritative {
 		a.State, a.Primary = placement.Running, best.node
 	} else {
-		r.note("%s: lost for now: %s has %d effects, and a silent unit may have more", a.Instance, best.node, best.Index)
+		r.note("%s: lost for now: %s has %d entries, and a node that did not answer may have more", a.Instance, best.node, best.Index)
 	}
 	for _, c := range copies {
 		switch {
@@ -131,13 +134,14 @@
 			a.StaleCopies = append(a.StaleCopies, placement.StaleCopy{Node: c.node, Index: c.Index})
 		}
 		if c.Index > best.Index {
-			r.note("%s: %s has %d effects that were not counted on; it goes on without them", a.Instance, c.node, c.Index-best.Index)
+			r.note("%s: %s has %d entries beyond the chosen copy; the instance continues without them", a.Instance, c.node, c.Index-best.Index)
 		}
 	}
 	slices.Sort(a.Replicas)
 }
 
-// awaitUnresponsive has an instance that nobody has wait for the silent nodes that had it.
+// awaitUnresponsive lets an instance of which no copy was found wait for the unresponsive nodes that were its primary or a
+// replica.
 func (r *rebuild) awaitUnresponsive(a *placement.Assignment, previous placement.Assignment) {
 	for _, node := range append([]string{previous.Primary}, previous.Replicas...) {
 		if slices.Contains(r.unresponsive, node) && len(a.StaleCopies) < maxRebuiltStaleCopies {
@@ -147,7 +151,7 @@
 	r.note("%s: lost: no unit that answered has it", a.Instance)
 }
 
-// keepQuarantined leaves an instance without a primary that was quarantined before.
+// keepQuarantined keeps an instance without a primary that was quarantined before the rebuild.
 func keepQuarantined(a *placement.Assignment) {
 	a.State = placement.Quarantined
 	if a.Primary != "" {
