--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -211,7 +211,7 @@
 	p.now = now
 	i := p.instances[name]
 	if i == nil {
-		p.host.Explain(fmt.Sprintf("%s: a device without an instance is in %s", name, zone))
+		p.host.Explain(fmt.Sprintf("%s: device reported in zone %s, but no such instance exists", name, zone))
 		return
 	}
 	i.deviceZone = zone
