--- a/internal/migration/bench_test.go
+++ b/internal/migration/bench_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// immediateHost agrees on each operation at once, and has the primary do its part at once.
+// immediateHost agrees to each operation at once and immediately does the primary's part of a copy.
 type immediateHost struct {
 	table     *placement.Table
 	planner   *Planner
@@ -41,8 +41,8 @@
 	}
 }
 
-// newFleet is a planner with a fleet at rest: 20 zones, each instance in its primary's,
-// with a replica there or with fleet.away in another.
+// newFleet returns a planner whose fleet is at rest: 20 zones, each instance in its primary's zone, with a replica there or,
+// with fleet.away, in another zone.
 func newFleet(b *testing.B, nodes, instances int, settings map[string]any) (*immediateHost, []NodeStatus) {
 	b.Helper()
 	h := &immediateHost{table: placement.New(), now: 1}
@@ -94,7 +94,7 @@
 	}
 }
 
-// A device moves: all operations of a migration, table and planner together.
+// BenchmarkPlanner_DeviceMove measures all operations of a migration after a device moves, in the table and the planner.
 func BenchmarkPlanner_DeviceMove(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, h *immediateHost, all []NodeStatus) {
 		b.Helper()
@@ -107,7 +107,7 @@
 	})
 }
 
-// A node renews its lease and nothing has changed.
+// BenchmarkPlanner_Renewal measures a lease renewal that changes nothing but the lease's end and the risk.
 func BenchmarkPlanner_Renewal(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, h *immediateHost, all []NodeStatus) {
 		b.Helper()
@@ -121,7 +121,8 @@
 	})
 }
 
-// A node fails, its instances fail over and are copied again, and it is back.
+// BenchmarkPlanner_FailOver measures the failure of a node, the fail-over and renewed replication of its instances, and its
+// return.
 func BenchmarkPlanner_FailOver(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, h *immediateHost, all []NodeStatus) {
 		b.Helper()
