--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -11,7 +11,7 @@
 // Constants of planning for running instances.
 const (
 	resetFailuresAfter     = 60 * tick.Second // time without a failure after which an instance's failure count is reset
-	remoteBackOffLeases    = 4                // before the next attempt to make a remote replica, doubled with each consecutive failure
+	remoteBackOffLeases    = 4                // wait before the next copy to another zone; doubles with each consecutive failure
 	maxMoveStreak          = 8                // limit on doublings of the dwell and of the back-off of remote replicas
 	unreplicatedCopyLeases = 2                // time that an instance without any replica waits for a copy to another zone
 	cancelBackOffDivisor   = 4                // the wait after the first cancelled copy is 2*Lease/cancelBackOffDivisor
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -67,7 +67,7 @@
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
-// instance rebuilds the assignment of one instance. The previous assignment is empty unless known.
+// instance rebuilds the assignment of one instance from its copies and its previous assignment, which is empty unless known.
 func (r *rebuild) instance(name string, previous placement.Assignment, known bool) placement.Assignment {
 	latestEpoch := previous.Epoch // the latest that anyone reported
 	for _, c := range r.copies[name] {
