--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -2,31 +2,43 @@
 
 import "time"
 
-// ListenerLimits is how a listener shares out its sessions and their requests.
+// ListenerLimits bounds the sessions of a listener and their requests.
 type ListenerLimits struct {
-	MaxSessions      int           // that are served
-	SpareSessions    int           // beyond that, to be answered with a rejection or to end: else none could be told why
-	MaxIdle          int           // sessions that may be idle, and as many half open: clients have few connections
-	MaxRequests      int           // open at once, over all sessions: each costs a buffer
-	MaxPipelined     int           // answers that one session may wait for; beyond that nothing more is read of it
-	IdleTimeout      time.Duration // of a session, and for its first request at the least
-	ContendedTimeout time.Duration // for a message, where others wait for the session's place
+	// MaxSessions is the number of sessions that are served.
+	MaxSessions int
+	// SpareSessions is the number of sessions beyond MaxSessions, which are accepted to reject their requests or to finish
+	// closing: without them, no client could be told why it is rejected.
+	SpareSessions int
+	// MaxIdle is how many sessions may be idle, and how many may have an incomplete message; clients open few connections.
+	MaxIdle int
+	// MaxRequests is how many requests may be open at once over all sessions: each takes a buffer.
+	MaxRequests int
+	// MaxPipelined is how many replies one session may wait for. While it waits for that many, nothing more is read from
+	// it.
+	MaxPipelined int
+	// IdleTimeout is how long a session may be idle, and the least time that it has for its first request.
+	IdleTimeout time.Duration
+	// ContendedTimeout is how long a session may take for a message while other sessions wait for its slot.
+	ContendedTimeout time.Duration
 }
 
 const (
 	spareDivisor       = 8 // an eighth of the sessions is spare
-	idleDivisor        = 4 // a quarter of the others may be idle
+	idleDivisor        = 4 // a quarter of the served sessions may be idle
 	requestsPerSession = 4
 	maxPipelined       = 64
 	idleTimeout        = 2 * time.Second
-	contendedDivisor   = 8 // of the idle timeout
+	contendedDivisor   = 8 // the contended timeout is an eighth of the idle timeout
 )
 
-// LimitsFor divides so many sessions. An eighth is spare, so that the relay still accepts, and answers, where all are
-// taken: a smaller part is used up by one burst of connections within a round trip, a larger one is missed in service. A
-// quarter of the rest may be idle: sessions that wait between two requests are cheap to make anew, and more of them stand
-// in the way of requests. Four requests a session: clients send a few at once, and a session that holds more is a queue.
-// One session's queue is longer, as some clients write all they have at once, but one may not take all requests.
+// LimitsFor returns the limits of a listener that has the given number of sessions.
+//
+// An eighth of the sessions is spare, so that the relay still accepts and answers when all others are taken: a smaller
+// spare part is used up by one burst of connections within a round trip, and a larger one is missing in service. A quarter
+// of the rest may be idle: a session that waits between two requests is cheap to reopen, and more of them would take the
+// slots of sessions with requests. There are four requests per session: clients send a few at once, and a session that
+// holds more is a queue. The limit of a single session is larger, as some clients write all their requests at once, but no
+// session may take all requests.
 func LimitsFor(sessions int) ListenerLimits {
 	served := sessions - sessions/spareDivisor
 	return ListenerLimits{
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -1,19 +1,19 @@
-// Package overload decides how the relays of one fleet meet overload together: which requests are shed, which
-// attempts may be retried, which relays probe a backend that fails, and how starts, calls for the endpoint list and
-// connections are spread after a common restart. It also has the session limits of a listener.
+// Package overload decides how the relays of one fleet handle overload together: which requests are shed, which attempts
+// may be retried, which relays probe a failing backend, and how starts, requests for the endpoint list and connections are
+// spread over time after a common restart. It also computes the session limits of a listener.
 //
-// How to drive it: NewManager makes the Manager of one relay. Call the one method that names what has happened, with
-// the time, one call at a time. What is known of the other relays comes by UpdatePeer; LocalReport is what this relay
+// NewManager returns the Manager of one relay. For each event, the caller calls the method that is named after it, with the
+// current time, one call at a time. UpdatePeer takes what is known of the other relays; LocalReport returns what this relay
 // sends to them.
 //
-// Without other relays (the setting fleet.relays at most 1, and none was ever heard of) a Manager is standalone: it
-// admits every request, retry and probe, and nothing waits. A relay that has heard of no other one for isolationTimeout
-// is isolated: it admits every request and nothing waits, as when standalone; its retry budget, which rests on its own
-// first attempts alone, and the rate of its probes stay.
+// Without other relays (the setting fleet.relays is at most 1, and no other relay was ever heard of), a Manager is
+// standalone: it admits every request, retry and probe, and nothing waits. A relay that has heard of no other relay for
+// isolationTimeout is isolated: it admits every request and nothing waits, as when standalone, but its retry budget, which
+// then depends on its own first attempts alone, and the rate of its probes still apply.
 //
-// Files: manager.go (time and randomness), peers.go (what is known of the others), pressure.go and admission.go (what is
-// shed), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (which backends fail), probing.go,
-// report.go and codec.go (messages between relays), listener_limits.go.
+// Files: manager.go (time and randomness), peers.go (state of the other relays), pressure.go and admission.go (load
+// shedding), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (detection of failing backends),
+// probing.go, report.go and codec.go (messages between relays), listener_limits.go.
 //
 // Kind: decision (see docs/architecture.md)
 package overload
@@ -27,13 +27,13 @@
 	"silvercove/internal/tick"
 )
 
-// recomputeInterval is the least time between two recomputations of what decays and of the admission thresholds.
+// recomputeInterval is the minimum time between two recomputations of the decaying values and the admission thresholds.
 const recomputeInterval = tick.Second / 10
 
-// randomStream tells the generator of this package apart from others with the same seed.
+// randomStream distinguishes this package's random generator from others with the same seed.
 const randomStream = 0x0f1ee7
 
-// Manager decides for one relay. It is not safe for concurrent use.
+// Manager makes the decisions of one relay. It is not safe for concurrent use.
 type Manager struct {
 	settings     settings
 	id           uint64 // hash of the relay's name
@@ -47,13 +47,13 @@
 	budget    retryBudget
 
 	suspects        map[uint64]*suspectBackend // by the hash of the backend's name
-	byVerdict       []*suspectBackend          // the same, the one with the newest verdict last
+	byVerdict       []*suspectBackend          // the same backends, the one with the newest verdict last
 	window          outcomeWindow
-	retryAfterPhase float64 // of the next Retry-After, 0 to 1
+	retryAfterPhase float64 // of the last Retry-After, from 0 to 1
 }
 
-// NewManager makes the Manager of the relay named self, which starts now. The settings are those of the directives
-// fleet.relays, fleet.repeats, fleet.floor, fleet.probes and fleet.ramp: numbers, the ramp in seconds.
+// NewManager returns the Manager of the relay named self, which starts now. It reads the directives fleet.relays,
+// fleet.repeats, fleet.floor, fleet.probes and fleet.ramp, which are numbers; fleet.ramp is in seconds.
 func NewManager(now tick.Tick, seed uint64, self string, directives map[string]any) *Manager {
 	id := xxhash.Sum64String(self)
 	s := parseSettings(directives)
@@ -72,16 +72,16 @@
 	}
 }
 
-// settings are the fleet's directives, in the units of this package.
+// settings are the values of the fleet's directives, in the units of this package.
 type settings struct {
-	relays         float64   // relays of the fleet, at least 1
-	retryShare     float64   // retries for each first attempt
+	relays         float64   // relays in the fleet, at least 1
+	retryShare     float64   // retries per first attempt
 	admissionFloor float64   // share of each class's tenants that is always admitted
-	probesPerSec   float64   // probes of one failing backend, by the whole fleet
-	startupWindow  tick.Tick // over which a common restart is spread
+	probesPerSec   float64   // probes of one failing backend by the whole fleet
+	startupWindow  tick.Tick // time over which a common restart is spread
 }
 
-// parseSettings reads the directives; one that is missing is 0.
+// parseSettings reads the directives; a missing one counts as 0.
 func parseSettings(directives map[string]any) settings {
 	number := func(name string) float64 {
 		value, _ := directives["fleet."+name].(float64)
@@ -96,25 +96,25 @@
 	}
 }
 
-// unitInterval maps a hash to a number from 0 up to 1.
+// unitInterval maps a hash to a number in [0, 1).
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
 // standalone reports whether there is no fleet.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
-// isolated reports whether there is no fleet, or none that can be heard.
+// isolated reports whether there is no fleet, or none that this relay hears of.
 func (m *Manager) isolated() bool {
 	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
 
-// fleetSize is the number of relays.
+// fleetSize returns the number of relays in the fleet.
 func (m *Manager) fleetSize() float64 { return max(m.settings.relays, float64(len(m.fleet.peers)+1)) }
 
-// coverage is the part of the fleet whose reports are fresh, this relay with it. The less is known, the more slowly
-// admission rises.
+// coverage returns the part of the fleet whose reports are fresh, including this relay. The lower the coverage, the more
+// slowly the admitted fractions rise.
 func (m *Manager) coverage() float64 { return float64(len(m.fleet.fresh)+1) / m.fleetSize() }
 
-// advance moves the clock forward, drops reports that have expired, and recomputes what is due.
+// advance moves the clock forward, removes expired reports and recomputes what is due.
 func (m *Manager) advance(now tick.Tick) {
 	m.now = max(m.now, now)
 	m.expireReports()
@@ -131,15 +131,16 @@
 	m.recomputeThresholds()
 }
 
-// Each Retry-After is the last one's phase plus the golden section, which spreads any number of them evenly, and a
-// little by chance.
+// Each Retry-After advances the phase of the last one by the inverse of the golden ratio, which spreads any number of
+// phases evenly, and by a small random jitter.
 const (
 	inverseGoldenRatio = 0.6180339887498949
 	retryAfterJitter   = 0.05
 )
 
-// RetryAfter is a time to come back, from least up to most. The times are spread evenly over what one relay gives, and
-// over the relays, which each start at a phase of their own. Guards against clients that come back in step.
+// RetryAfter returns a time after which a client should come back, from minDelay up to maxDelay. The times of one relay are
+// spread evenly, and so are those of all relays, since each relay starts at a phase of its own. This guards against clients
+// that come back in step.
 func (m *Manager) RetryAfter(now tick.Tick, minDelay, maxDelay tick.Tick) tick.Tick {
 	m.advance(now)
 	_, m.retryAfterPhase = math.Modf(m.retryAfterPhase + inverseGoldenRatio + retryAfterJitter*m.rng.Float64())
--- a/internal/overload/startup.go
+++ b/internal/overload/startup.go
@@ -6,27 +6,31 @@
 	"silvercove/internal/tick"
 )
 
-// StartupStep is something that is spread over time after a common restart.
+// StartupStep is a step of a relay's start that StartupDelay spreads over time after a common restart.
 type StartupStep uint8
 
-// The steps that are spread.
+// The startup steps.
 const (
 	StepAccept        StartupStep = iota // accepting requests
-	StepListEndpoints                    // a call for the whole endpoint list
-	StepConnect                          // a connection to a backend
+	StepListEndpoints                    // requesting the whole endpoint list
+	StepConnect                          // opening a connection to a backend
 )
 
-// stepOffset is the part of the startup window by which a relay's places in two steps differ.
+// stepOffset is the part of the startup window by which a relay's positions in two consecutive steps differ.
 const stepOffset = 0.38
 
-// idMultiplier draws a second number from a relay's ID (2^64 over the golden ratio).
+// idMultiplier derives a second number from a relay's ID (2^64 divided by the golden ratio).
 const idMultiplier = 0x9e3779b97f4a7c15
 
-// StartupDelay is how long a relay that has just started is to wait with a step: as much of the startup window as the
-// part of the fleet that is young too, dead or not heard of yet. Accepting and list calls take the relay's place in the
-// order of IDs, connections a random time. The delay gets shorter with reports, so a relay that waits may ask again.
+// StartupDelay returns how long a relay that has just started waits before a step.
 //
-// Guards against the sum of a common restart; a relay that starts alone hardly waits before it has reports.
+// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that
+// started recently too, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the delay
+// follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports arrive, so a
+// relay that waits may ask again.
+//
+// This guards against the combined load of a common restart, when all relays start at once. A relay that restarts alone
+// hardly waits: its delay is close to 0 once the reports of the others, which have warmed up, have arrived.
 func (m *Manager) StartupDelay(now tick.Tick, step StartupStep) tick.Tick {
 	m.advance(now)
 	if m.isolated() || m.settings.startupWindow == 0 {
@@ -44,7 +48,8 @@
 	return max(0, m.startedAt+tick.Tick(position*window)-m.now)
 }
 
-// startupPosition is this relay's place among all, from 0 to 1. As long as few are known it is taken from the ID.
+// startupPosition returns this relay's position among all relays, from 0 to 1. While fewer than half of the relays are
+// known, the position is derived from this relay's ID alone.
 func (m *Manager) startupPosition() float64 {
 	known := len(m.fleet.peers) + 1
 	if float64(2*known) < m.fleetSize() {
