--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	rateWindow           = 1.0             // seconds over which the rate of offered requests is taken
-	admittedWindow       = 4.0             // seconds over which the admitted work is held against what is due
-	maxRetryAfterExtra   = 4 * tick.Second // added to a Retry-After where nearly all is shed
-	minRetryAfter        = tick.Second     // a Retry-After where little is shed; half of it at the least
-	maxClasses           = 64              // request classes that are told apart
-	serviceTimeSmoothing = 64              // the weight of a new service time is one in so many
-	minServiceTime       = 1e-3            // seconds, of a request
-	defaultServiceTime   = 0.01            // seconds, of a request of a class that was never answered
+	rateWindow           = 1.0             // seconds over which the rate of offered requests is measured
+	admittedWindow       = 4.0             // seconds over which the admitted work is compared with the target
+	maxRetryAfterExtra   = 4 * tick.Second // added to a Retry-After if nearly all requests are shed
+	minRetryAfter        = tick.Second     // Retry-After if few requests are shed; at the least half of it
+	maxClasses           = 64              // request classes that are tracked; others are always admitted
+	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
+	minServiceTime       = 1e-3            // seconds, for one request
+	defaultServiceTime   = 0.01            // seconds, for one request of a class that no backend has answered yet
 )
 
-// admission is what of the offered work is admitted, and by which thresholds.
+// admission holds the admitted fractions and the thresholds that implement them.
 type admission struct {
-	localFraction     float64 // admitted by this process's own strength
-	sharedFraction    float64 // admitted by the backends' strength
+	localFraction     float64 // admitted by this process's own capacity
+	sharedFraction    float64 // admitted by the backends' capacity
 	pressureUpdatedAt tick.Tick
 
 	targetWork   float64 // seconds of work that the thresholds were to admit, decayed over admittedWindow
-	admittedWork float64 // and that they did
+	admittedWork float64 // seconds of work that they did admit, decayed likewise
 
 	classes    []classState
-	byPriority []int // classes, the ones to shed first last
+	byPriority []int // indexes of classes; those to be shed first come last
 }
 
-// classState is what is known of one request class. Its counts decay over rateWindow.
+// classState is the state of one request class. Its counts decay over rateWindow.
 type classState struct {
 	priorityWeight float64
 	offered        float64 // requests
 	completed      float64 // requests that a backend answered
-	serviceTime    float64 // seconds of work for one request; 0 is unknown
-	threshold      float64 // tenants whose hash, from 0 up to 1, is below it are admitted
+	serviceTime    float64 // seconds of work per request; 0 if unknown
+	threshold      float64 // tenants whose hash, mapped to [0, 1), is lower are admitted
 }
 
 func newAdmission(now tick.Tick) admission {
 	return admission{localFraction: 1, sharedFraction: 1, pressureUpdatedAt: now}
 }
 
-// decay decays the counts by so many seconds.
+// decay decays the counts by the elapsed seconds.
 func (a *admission) decay(elapsed float64) {
 	for i := range a.classes {
 		a.classes[i].offered *= math.Exp(-elapsed / rateWindow)
@@ -57,7 +57,7 @@
 	a.admittedWork *= math.Exp(-elapsed / admittedWindow)
 }
 
-// class is the state of a request class, nil for one that is not told apart.
+// class returns the state of a request class, or nil if the class is not tracked.
 func (a *admission) class(class int) *classState {
 	if class < 0 || class >= maxClasses {
 		return nil
@@ -69,9 +69,9 @@
 	return &a.classes[class]
 }
 
-// admittedShare is the part of the work that the thresholds were to admit which they did. Tenants that are shed ask
-// again, those that are admitted do not, so after a while most of what is offered is of those that are shed. Guards
-// against a fraction that is cut below what backends can do, again and again, as long as they come back.
+// admittedShare returns the part of the target work that was admitted. Tenants that are shed send their requests again and
+// tenants that are admitted do not, so after a while most of the offered work belongs to tenants that are shed. This guards
+// against a fraction that is cut below the backends' capacity again and again for as long as shed tenants come back.
 func (a *admission) admittedShare() float64 {
 	if a.targetWork <= 0 {
 		return 1
@@ -79,7 +79,7 @@
 	return min(1, max(minAdmittedShare, a.admittedWork/a.targetWork))
 }
 
-// offeredWork is the work offered of a class at this relay, in seconds of work a second.
+// offeredWork returns the work of the class that is offered to this relay, in seconds of work per second.
 func (c *classState) offeredWork() float64 {
 	serviceTime := c.serviceTime
 	if serviceTime == 0 {
@@ -88,13 +88,13 @@
 	return c.offered / rateWindow * serviceTime
 }
 
-// costRank ranks classes by the work of one request, in powers of two: a small difference must not swap two classes.
+// costRank ranks classes by the work per request, in powers of two, so that a small difference does not swap two classes.
 func (c *classState) costRank() int {
 	_, exponent := math.Frexp(c.serviceTime)
 	return exponent
 }
 
-// RecordServiceTime records an answer of a backend and the time that the backend worked on it.
+// RecordServiceTime records that a backend answered a request, and how long the backend worked on it.
 func (m *Manager) RecordServiceTime(now tick.Tick, class int, took tick.Tick) {
 	m.advance(now)
 	c := m.admission.class(class)
@@ -109,10 +109,12 @@
 	c.completed++
 }
 
-// Admit reports whether a request is admitted, and else after which time its client is to come back. Classes of the
-// least priority weight are shed first, of equals the one with more work for each request; of the class at the edge, the
-// tenants whose hash is above a threshold, which is the same at all relays, so that a tenant's many requests are
-// admitted or shed together. The floor's share of the tenants is always admitted, so that no class starves.
+// Admit reports whether a request is admitted and, if not, after which time its client should come back.
+//
+// The classes with the lowest priority weight are shed first and, among equals, the class with more work per request. A
+// class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same at all relays,
+// so that a tenant's many requests are admitted or shed together. The floor's share of the tenants is always admitted, so
+// that no class starves.
 func (m *Manager) Admit(now tick.Tick, class int, priorityWeight float64, tenant string) (admitted bool, retryAfter tick.Tick) {
 	m.advance(now)
 	a := &m.admission
@@ -137,7 +139,7 @@
 	return false, m.RetryAfter(now, minDelay, maxDelay)
 }
 
-// recomputeThresholds works out which share of the tenants of each class is admitted, from the work offered to the whole
+// recomputeThresholds computes the share of tenants to admit in each class from the work that is offered to the whole
 // fleet.
 func (m *Manager) recomputeThresholds() {
 	a := &m.admission
@@ -161,7 +163,7 @@
 		total += a.classes[i].offeredWork() + m.fleet.offeredWork[i]
 	}
 	floor := m.settings.admissionFloor
-	remaining := total * (fraction - floor) // to be shared out beside the floors
+	remaining := total * (fraction - floor) // work to distribute beyond the floors
 	for _, i := range a.byPriority {
 		aboveFloor := (a.classes[i].offeredWork() + m.fleet.offeredWork[i]) * (1 - floor)
 		share := 1.0
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -7,39 +7,43 @@
 )
 
 const (
-	maxSchedulingDelay = 50 * tick.Second / 1000 // a loop that is so late is at its limit
-	maxUtilization     = 0.9                     // of processor and memory
-	lowPressure        = 0.95                    // below it more is admitted
-	completedMargin    = 1.25                    // times the completed work is admitted at least, so that backends never lack work
-	decreaseRate       = 2.0                     // a second: part by which less is admitted, for each 1 of pressure above 1
-	increaseRate       = 1.5                     // a second: part by which more is admitted
-	consensusRate      = 1.0                     // a second: part of the way toward the median of the relays
-	maxUpdateInterval  = 0.5                     // seconds: a longer pause between two calls counts as this one
-	minCoverage        = 0.25                    // of the fleet, that is reckoned with at least
-	minFraction        = 0.01                    // that is always admitted
-	minAdmittedShare   = 0.25                    // of the work that is due, that is reckoned with at least
-	minWork            = 1e-9                    // guards against a division by 0
+	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms; an event loop whose timers fire this late is at its limit
+	maxUtilization     = 0.9                     // of CPU and memory
+	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
+	completedMargin    = 1.25                    // this multiple of the completed work is always admitted, so that backends never lack work
+	decreaseRate       = 2.0                     // per second: relative decrease of the admitted fraction for each 1 of pressure above 1
+	increaseRate       = 1.5                     // per second: relative increase of the admitted fraction
+	consensusRate      = 1.0                     // per second: part of the distance to the relays' median that is covered
+	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates counts as this one
+	minCoverage        = 0.25                    // lower bound of the coverage, by which increases are scaled
+	minFraction        = 0.01                    // lower bound of the admitted fraction
+	minAdmittedShare   = 0.25                    // lower bound of admittedShare, the part of the target work that is admitted
+	minWork            = 1e-9                    // avoids a division by 0
 )
 
-// Pressure is what a relay sees of its own load. Shares are of 1; above 1 is more than can be borne.
+// Pressure is the load that a relay measures at itself and at its backends. Loads are fractions of the capacity; a value
+// above 1 is an overload.
 type Pressure struct {
-	SchedulingDelay    tick.Tick // by which timers fire late
-	CPU                float64   // share of the processor time that the process may use
-	Memory             float64   // share of the memory that it may use
-	BackendUtilization float64   // requests at backends and waiting for one, as a share of the backends' capacity
+	SchedulingDelay    tick.Tick // how late timers fire
+	CPU                float64   // fraction of the CPU time available to the process
+	Memory             float64   // fraction of the memory available to the process
+	BackendUtilization float64   // requests at backends and waiting for one, as a fraction of the backends' capacity
 }
 
-// local is the pressure on this process alone.
+// local returns the pressure on this process alone.
 func (p Pressure) local() float64 {
 	return max(float64(p.SchedulingDelay)/float64(maxSchedulingDelay), p.CPU/maxUtilization, p.Memory/maxUtilization)
 }
 
-// UpdatePressure updates the admitted fractions by the relay's own load. It is to be called a few times a second. The
-// fraction that it admits falls the faster the higher the pressure, though not below a little more than what backends
-// are seen to complete, and rises again; it is drawn toward the median of the relays with requests, so that all of
-// them shed alike. Guards against overload that each relay meets on its own, some by rejections and others by queues.
-// A backend or a link that is slow for this relay alone looks the same; the pull of the others' higher fractions hurts
-// then.
+// UpdatePressure updates the admitted fractions from the relay's own load. It is to be called a few times per second.
+//
+// A fraction falls faster the higher the pressure is, and rises again when the pressure is low. The shared fraction does
+// not fall below a little more than the work that backends are seen to complete. It moves toward the median of the relays
+// that have requests, so that all relays shed alike.
+//
+// This guards against an overload that each relay handles on its own, some by rejections and others by queues. A backend or
+// a link that is slow for this relay alone looks the same as an overload; the pull toward the higher fractions of the other
+// relays does harm in that case.
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
@@ -65,8 +69,8 @@
 	m.recomputeThresholds()
 }
 
-// nextFraction is an admitted fraction after some seconds: less where the pressure is above 1, but no less than the
-// least, and more where it is low.
+// nextFraction returns an admitted fraction after elapsed seconds. A pressure above 1 lowers it, though not below
+// lowerBound; a pressure below lowPressure raises it.
 func (m *Manager) nextFraction(fraction, pressure, elapsed, coverage, lowerBound float64) float64 {
 	switch {
 	case math.IsNaN(pressure):
@@ -78,12 +82,13 @@
 	return m.clampFraction(fraction)
 }
 
+// clampFraction bounds an admitted fraction by the admission floor, minFraction and 1.
 func (m *Manager) clampFraction(fraction float64) float64 {
 	return min(1, max(fraction, m.settings.admissionFloor, minFraction))
 }
 
-// workRates are the work that backends completed for this relay and the work offered to the fleet, in seconds of work a
-// second.
+// workRates returns the work that backends completed for this relay and the work offered to the whole fleet, both in
+// seconds of work per second.
 func (m *Manager) workRates() (completed, offered float64) {
 	for i := range m.admission.classes {
 		class := &m.admission.classes[i]
@@ -94,7 +99,7 @@
 	return completed, offered
 }
 
-// AdmittedFraction is the part of the offered work that is admitted now, 0 to 1.
+// AdmittedFraction returns the part of the offered work that is admitted now, from 0 to 1.
 func (m *Manager) AdmittedFraction() float64 {
 	return min(m.admission.localFraction, m.admission.sharedFraction)
 }
