--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -9,99 +9,101 @@
 	"silvercove/internal/tick"
 )
 
-// Ejection here is the fleet's: it rests on what all relays count of a backend (docs/overload-design.md, "A failing
-// backend"). The balancer's own, in balancer/outlier.go, rests on one relay's attempts; its test is another one, with
-// numbers of its own.
+// Ejection in this package is a decision of the fleet: it depends on what all relays count at a backend
+// (docs/overload-design.md, "A failing backend"). The balancer's own ejection, in balancer/outlier.go, depends on one
+// relay's attempts and uses another test, with constants of its own.
 const (
-	// failingRate is the failure share of a failing backend, that the evidence is held for.
+	// failingRate is the failure rate of a failing backend: the hypothesis that the evidence supports or refutes.
 	failingRate = 0.8
-	// minBaselineRate and maxBaselineRate bound the failure share that the evidence is held against, and baselineMultiple is it
-	// in multiples of the share at other backends. One failure brings odds of failingRate over minBaselineRate at most.
+	// minBaselineRate and maxBaselineRate bound the baseline failure rate that failingRate is tested against.
+	// baselineMultiple is the baseline in multiples of the failure rate at other backends. One failure multiplies the odds
+	// by failingRate over minBaselineRate at most.
 	minBaselineRate  = 0.2
 	maxBaselineRate  = 0.5
 	baselineMultiple = 1.5
-	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay brings ln 16 at the
-	// most, by maxOutcomes failures, so that two (256) eject none and three (4096) may.
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. By maxOutcomesPerRelay failures,
+	// one relay contributes ln 16 at most, so that two relays (odds of 256) eject no backend and three (4096) may.
 	ejectionLogOdds = 6.9
-	// commonFailureRate is the failure share at other backends from which on no single backend is to blame.
+	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
 	commonFailureRate = 0.3
-	// windowSize is how many of the own last outcomes that share is taken of, and minWindowOutcomes how many at least: with fewer
-	// it comes out low.
+	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. The number of
+	// outcomes counts as minWindowOutcomes at least: with fewer outcomes, the rate comes out low.
 	windowSize        = 64
 	minWindowOutcomes = 5
-	// evidenceTTL is for how long an outcome counts.
+	// evidenceTTL is how long an outcome counts.
 	evidenceTTL = 10 * tick.Second
-	// maxDoublingsPerSec is how often a second the number of relays that use an ejected backend again may double: it is taken
-	// back within seconds, and not at once.
+	// maxDoublingsPerSec bounds how often per second the number of relays that use an ejected backend again may double: the
+	// backend is taken back within seconds, but not at once.
 	maxDoublingsPerSec = 4.0
-	// maxEjection is how long without any outcome a backend stays ejected.
+	// maxEjection is how long a backend without any outcome stays ejected.
 	maxEjection = 600 * tick.Second
-	// maxSuspects is how many backends are kept that are in question, or were of late.
+	// maxSuspects is how many backends are kept that are suspected, or were recently.
 	maxSuspects = 256
 
-	// never is a time before all others, from which spans can be taken.
+	// never is a time before all others. It is half of the smallest value, so that durations since never do not overflow.
 	never = math.MinInt64 / 2
 )
 
-// Relays of an earlier version know no evidence, only verdicts by outcomes in a row.
+// Relays of an earlier version do not know evidence, but only verdicts, which depend on runs of equal outcomes.
 const (
-	healthyRun = 2 // successes for a verdict of healthy
-	failingRun = 2 // failures for a verdict of failing
-	// maxRunProbability is the highest chance of such a run of failures, at a backend that fails as the others do, for that
-	// verdict.
+	healthyRun = 2 // successes in a row for a verdict of healthy
+	failingRun = 2 // failures in a row for a verdict of failing
+	// maxRunProbability bounds the probability of such a run of failures at a backend that fails as often as the others: a
+	// verdict of failing takes a lower one.
 	maxRunProbability = 1.0 / 8
 )
 
-// suspectBackend is a backend that is in question: it failed an attempt here, or at another relay.
+// suspectBackend is the state kept of a backend that is, or recently was, suspected: it failed an attempt at this relay or
+// at another one.
 type suspectBackend struct {
 	id        uint64 // hash of the backend's name
-	ownWeight uint64 // this relay's rendezvous weight for it
+	ownWeight uint64 // this relay's rendezvous weight for the backend
 
-	// The verdict, for relays of an earlier version.
+	// The verdict, which relays of an earlier version use.
 	healthy    bool
-	ownVerdict bool      // it is this relay's. One that was heard is not passed on: it would look like many.
-	verdictAt  tick.Tick // here or at another relay
-	successRun int       // own outcomes in a row
+	ownVerdict bool      // made by this relay; a received one is not passed on, as it would look like the verdict of many relays
+	verdictAt  tick.Tick // when the verdict was made, here or at another relay
+	successRun int       // this relay's outcomes in a row
 	failureRun int
 
 	// Probing.
-	nextProbe    tick.Tick // the first time at which this relay may probe
-	lastProbe    tick.Tick // 0 for never
-	higherRanked int       // living peers that rank before this relay for it
-	prober       bool      // this relay was one of its probers when it last looked
+	nextProbe    tick.Tick // earliest time at which this relay may probe
+	lastProbe    tick.Tick // 0 if never
+	higherRanked int       // living peers that rank before this relay for the backend
+	prober       bool      // this relay was one of the backend's probers at the last check
 
 	// Evidence of the last evidenceTTL.
-	suspectedAt    tick.Tick                                 // when an own failure, or a doubt, last put it in question
-	ownOutcomes    [maxOutcomesPerRelay]outcome              // the last own outcomes since then, the newest last
-	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // of the other relays
-	windowOutcomes int                                       // own ones in the Manager's window
-	windowFailures int
+	suspectedAt    tick.Tick                                 // when a failure here, or AllowProbe, last put the backend under suspicion
+	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend was added, the newest last
+	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by second
+	windowOutcomes int                                       // this relay's outcomes at the backend in Manager.window
+	windowFailures int                                       // failures among windowOutcomes
 
-	// Ejection, by what all relays count.
+	// Ejection, by the outcomes that all relays count.
 	ejected           bool
-	permittedRelays   float64   // relays that may use it meanwhile
+	permittedRelays   float64   // number of relays that may use the backend while it is ejected
 	permittedRelaysAt tick.Tick // when permittedRelays was last computed
-	lastEvidence      tick.Tick // when there was any outcome
+	lastEvidence      tick.Tick // when there was last any outcome that had not expired
 }
 
-// outcome is how an attempt ended at a backend.
+// outcome is the result of an attempt at a backend.
 type outcome struct {
-	backend uint64 // its ID; 0 for no outcome
+	backend uint64 // hash of the backend's name; 0 if there is no outcome
 	endedAt tick.Tick
 	failed  bool
 }
 
-// outcomeWindow is a ring of this relay's last outcomes at any backend.
+// outcomeWindow is a ring buffer of this relay's last outcomes at all backends.
 type outcomeWindow struct {
 	ring     [windowSize]outcome
-	next     int // place of the next one
+	next     int // index of the next outcome
 	size     int
 	failures int
 }
 
 func (w *outcomeWindow) oldest() *outcome { return &w.ring[(w.next-w.size+windowSize)%windowSize] }
 
-// newest is the i-th newest outcome, from 0.
+// newest returns the i-th newest outcome, counted from 0.
 func (w *outcomeWindow) newest(i int) outcome { return w.ring[(w.next-1-i+windowSize)%windowSize] }
 
 func (w *outcomeWindow) push(o outcome) {
@@ -122,7 +124,8 @@
 	return o
 }
 
-// countInWindow counts one of the window's outcomes, by 1 or -1. A nil one counts none.
+// countInWindow adds one of the window's outcomes to the backend's counts if by is 1, and removes the outcome if by is -1.
+// A nil backend counts nothing.
 func (b *suspectBackend) countInWindow(o outcome, by int) {
 	if b == nil {
 		return
@@ -133,7 +136,7 @@
 	}
 }
 
-// recordInWindow adds an outcome at a backend, which may be in question, to the window.
+// recordInWindow adds an outcome to the window. b is the state of its backend, or nil if the backend is not suspected.
 func (m *Manager) recordInWindow(o outcome, b *suspectBackend) {
 	if m.window.size == windowSize {
 		m.dropOldestOutcome()
@@ -147,12 +150,12 @@
 	m.suspects[o.backend].countInWindow(o, -1)
 }
 
-// failureRateElsewhere is the share of failures among the window's outcomes at other backends.
+// failureRateElsewhere returns the failure rate of the window's outcomes at backends other than b.
 func (m *Manager) failureRateElsewhere(b *suspectBackend) float64 {
 	return float64(m.window.failures-b.windowFailures) / float64(max(minWindowOutcomes, m.window.size-b.windowOutcomes))
 }
 
-// RecordOutcome records how an attempt or a probe at a backend ended.
+// RecordOutcome records whether an attempt or a probe at a backend succeeded.
 func (m *Manager) RecordOutcome(now tick.Tick, backend string, succeeded bool) {
 	m.advance(now)
 	if m.standalone() {
@@ -164,9 +167,9 @@
 	switch {
 	case b == nil && succeeded:
 		return
-	case b == nil: // the failure that puts a backend in question is no evidence: it was chosen for being one
+	case b == nil: // the failure that makes a backend a suspect is no evidence: it was selected for being a failure
 		b = m.addSuspect(o.backend)
-		b.healthy = true // until there is a verdict
+		b.healthy = true // until a verdict is made
 	default:
 		copy(b.ownOutcomes[:], b.ownOutcomes[1:])
 		b.ownOutcomes[maxOutcomesPerRelay-1] = o
@@ -179,7 +182,7 @@
 	m.updateVerdictFromRuns(b)
 }
 
-// updateVerdictFromRuns gives a verdict by the own outcomes in a row.
+// updateVerdictFromRuns makes a verdict from this relay's outcomes in a row.
 func (m *Manager) updateVerdictFromRuns(b *suspectBackend) {
 	if b.successRun >= healthyRun {
 		m.setVerdict(b, true, true, m.now)
@@ -190,8 +193,8 @@
 	}
 }
 
-// addSuspect puts a backend in question. Where there are too many, one is forgotten that is not ejected, the one with
-// the oldest verdict.
+// addSuspect adds a backend to the suspects. If there are too many, the one with the oldest verdict among those that are
+// not ejected is dropped.
 func (m *Manager) addSuspect(backend uint64) *suspectBackend {
 	if len(m.suspects) >= maxSuspects {
 		i := max(0, slices.IndexFunc(m.byVerdict, func(b *suspectBackend) bool { return !b.ejected }))
@@ -215,10 +218,10 @@
 	return b
 }
 
-// IsEjected reports whether a backend that this relay itself does not doubt is to be left alone: by what all relays count
-// of late it fails most of its attempts. Each relay would else find out for itself, by some attempts that fail, and the
-// more relays there are the longer that takes. A backend that fails for a part of the relays only stays in use at the
-// others.
+// IsEjected reports whether this relay is to avoid a backend that its own balancer does not hold to be failing: by the
+// recent counts of all relays, the backend fails most of its attempts. Otherwise each relay would find out for itself by
+// attempts that fail, which takes longer the more relays there are. A backend that fails for a part of the relays only
+// stays in use at the others.
 func (m *Manager) IsEjected(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.isolated() || len(m.suspects) == 0 {
@@ -232,24 +235,24 @@
 	return b.ejected
 }
 
-// odds is what the evidence says of a backend.
+// odds is the weight of the evidence on a backend.
 type odds struct {
-	logOdds    float64 // natural logarithm, of failing against usual
-	perFailure float64 // what one failure adds to it
-	anySuccess bool    // some outcomes were successes
+	logOdds    float64 // natural logarithm of the odds of failingRate against the baseline rate
+	perFailure float64 // what one failure adds to logOdds
+	anySuccess bool    // at least one outcome was a success
 }
 
-// refuted reports whether successes outweigh failures by so many outcomes.
+// refuted reports whether successes outweigh failures by at least the weight of the given number of failures.
 func (o odds) refuted(outcomes float64) bool { return o.logOdds <= -outcomes*o.perFailure }
 
-// assessEvidence holds a backend that fails most of its attempts against one that fails a little more than others do, by
-// the last two outcomes of each relay, and ejects it or takes it back.
+// assessEvidence weighs whether a backend fails most of its attempts against whether it fails a little more often than
+// others, by the last two outcomes of each relay, and ejects the backend or takes it back.
 //
-// What one relay reports, true or not, brings less than half of what an ejection takes; three relays make it, if none
-// gets answers. Outcomes count only from when a backend is in question at a relay, and successes too, so that no relay's
-// choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until successes
-// outweigh failures by what one relay can bring; meanwhile so many relays come to use it, some more at each round of
-// reports, that they do not come all at once.
+// The report of one relay, true or not, contributes less than half of what an ejection takes; three relays suffice if none
+// gets answers. Outcomes, including successes, count only from the time when the backend became a suspect at a relay, so
+// that no relay's choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until
+// successes outweigh failures by what one relay can contribute. Meanwhile the number of relays that use it rises with each
+// round of reports, so that they do not all return at once.
 func (m *Manager) assessEvidence(b *suspectBackend) odds {
 	baseline := min(max(minBaselineRate, baselineMultiple*m.failureRateElsewhere(b)), maxBaselineRate)
 	perFailure := math.Log(failingRate / baseline)
@@ -272,15 +275,16 @@
 	return result
 }
 
-// updatePermittedRelays works out how many relays may use the backend: each success doubles them, and so does each failure that
-// expires without another, at a bounded rate.
+// updatePermittedRelays computes how many relays may use the backend: each success doubles their number, and so does each
+// failure that expires without another one, at a bounded rate.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
-	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*math.Exp2(maxDoublingsPerSec*float64(m.now-b.permittedRelaysAt)/float64(tick.Second)))
+	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
+		math.Exp2(maxDoublingsPerSec*float64(m.now-b.permittedRelaysAt)/float64(tick.Second)))
 	b.permittedRelaysAt = m.now
 }
 
-// ownCounts are this relay's outcomes at the backend that have not expired.
+// ownCounts returns this relay's outcomes at the backend that have not expired.
 func (b *suspectBackend) ownCounts(now tick.Tick) (failures, successes int) {
 	for _, o := range b.ownOutcomes {
 		switch {
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,14 +7,15 @@
 	"silvercove/internal/tick"
 )
 
-// outcomeTally is what other relays count of a backend, of those whose newest outcome there was in one second.
+// outcomeTally counts the outcomes at a backend that other relays report, of those relays whose newest outcome there was in
+// one second.
 type outcomeTally struct {
-	second    tick.Tick // seconds of the clock
+	second    tick.Tick // of the newest outcome
 	failures  int
 	successes int
 }
 
-// peerEvidence is what one other relay counts of one backend. The zero value counts nothing.
+// peerEvidence is what one other relay counts at one backend. The zero value counts nothing.
 type peerEvidence struct {
 	suspect   *suspectBackend
 	second    tick.Tick // of its newest outcome
@@ -22,7 +23,7 @@
 	successes int
 }
 
-// addToTally adds the evidence to the tally of its second, or takes it out again with by -1.
+// addToTally adds the evidence to the tally of its second if by is 1, and removes the evidence again if by is -1.
 func (e peerEvidence) addToTally(by int) {
 	if e.suspect == nil {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// peerCounts are the other relays' outcomes at the backend that have not expired.
+// peerCounts returns the other relays' outcomes at the backend that have not expired.
 func (b *suspectBackend) peerCounts(now tick.Tick) (failures, successes int) {
 	from := (now - evidenceTTL) / tick.Second
 	for i := range b.peerTallies {
@@ -49,7 +50,7 @@
 	return failures, successes
 }
 
-// replaceEvidence has what a relay counts now take the place of what it counted before.
+// replaceEvidence replaces what the relay counted before by what it counts now.
 func (p *peer) replaceEvidence(all []peerEvidence) {
 	for i := range p.evidence {
 		p.evidence[i].addToTally(-1)
@@ -61,7 +62,8 @@
 	}
 }
 
-// applyEvidence replaces what another relay counts of backends. A relay of an earlier version reports verdicts only.
+// applyEvidence replaces what another relay counts at backends. A relay of an earlier version reports verdicts only, which
+// are converted.
 func (m *Manager) applyEvidence(p *peer, madeAt tick.Tick, report Report) {
 	reported := report.Evidence
 	if reported == nil {
@@ -78,7 +80,7 @@
 		}
 		b := m.suspects[e.Backend]
 		if b == nil && e.Failures == 0 && e.Successes > 0 {
-			continue // in question at no relay that this one knows of
+			continue // no relay known to this one suspects the backend
 		}
 		if b == nil {
 			b = m.addSuspect(e.Backend)
@@ -89,7 +91,7 @@
 	p.replaceEvidence(all)
 }
 
-// evidenceOf converts verdicts to as much evidence as one relay can bring.
+// evidenceOf converts verdicts to as much evidence as one relay may contribute.
 func evidenceOf(verdicts []Verdict) []Evidence {
 	var all []Evidence
 	for _, v := range verdicts[:min(len(verdicts), maxEvidence)] {
@@ -102,12 +104,13 @@
 	return all
 }
 
-// evidenceToReport is what this relay counts of the backends that look worst by what the others count. Which ones are
-// reported must not rest on the own outcomes that are reported with them: backends would look worse than they are.
+// evidenceToReport returns what this relay counts at the suspected backends that look worst by the counts of the other
+// relays. The selection must not depend on the own outcomes that are reported with it: backends would look worse than they
+// are.
 func (m *Manager) evidenceToReport() []Evidence {
 	type candidate struct {
 		Evidence
-		surplus int // of failures over successes at the other relays
+		surplus int // failures minus successes at the other relays
 	}
 	var candidates []candidate
 	for _, b := range slices.Backward(m.byVerdict) {
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -11,14 +11,14 @@
 const (
 	// probersPerBackend is how many relays probe a failing backend.
 	probersPerBackend = 2
-	// maxMembershipViews is how many views of which relays live may differ, each with probers of its own, with the probes
-	// still within their rate.
+	// maxMembershipViews is how many views of which relays are alive may differ, each with probers of its own, while the
+	// probes stay within their rate.
 	maxMembershipViews = 2.5
-	// minProbesPerSec is the least rate that is reckoned with.
+	// minProbesPerSec is the lower bound of the probe rate.
 	minProbesPerSec = 0.01
 )
 
-// rendezvousWeight is a relay's weight for a key: the relay with the highest one has it.
+// rendezvousWeight returns a relay's weight for a key: the relay with the highest weight owns the key.
 func rendezvousWeight(key, relay uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], key)
@@ -26,14 +26,15 @@
 	return xxhash.Sum64(b[:])
 }
 
-// AllowProbe reports whether a backend that this relay holds to be failing may get an attempt, or a probe, that tries
-// it. Few relays do, chosen by rendezvous hashing over the living: when one falls silent the next takes over, and each
-// side of a split has its own. The others learn from them. Where a good part of the outcomes at other backends fails, as
-// in an overload or under a bad version, no single backend is to blame, and each relay tries for itself; what was
-// ejected before stays so until it answers.
+// AllowProbe reports whether this relay may try a backend that it holds to be failing, with an attempt or a probe.
 //
-// Guards against hundreds of relays that each try a backend that is no good to any; hurts where the backend fails for
-// those few alone.
+// Few relays may, chosen by rendezvous hashing over the living relays: when one falls silent, the next takes over, and each
+// side of a network partition has its own. The other relays learn the results from them. If a large part of the outcomes at
+// other backends are failures, as in an overload or under a bad version, no single backend is to blame, and each relay
+// tries for itself; a backend that was ejected before stays ejected until it answers.
+//
+// This guards against hundreds of relays that each try a backend that fails for all of them. It does harm if the backend
+// fails for the few probers alone.
 func (m *Manager) AllowProbe(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.standalone() {
@@ -54,7 +55,7 @@
 	case b.ejected:
 		return m.allowEjectedProbe(b, o, interval)
 	case b.healthy, o.refuted(maxOutcomesPerRelay):
-		return true // other relays get answers from it
+		return true // other relays get answers from the backend
 	case m.isProber(b, probersPerBackend, interval):
 		return m.takeProbe(b, interval)
 	case m.now-b.verdictAt < verdictTTL:
@@ -63,8 +64,8 @@
 	return m.allowFallbackProbe(b, interval)
 }
 
-// allowEjectedProbe is AllowProbe of an ejected backend: as many relays try it as may use it, not more often together
-// while it gives no answer.
+// allowEjectedProbe is AllowProbe for an ejected backend. As many relays try the backend as may use it; while it does not
+// answer, their combined rate does not rise with their number.
 func (m *Manager) allowEjectedProbe(b *suspectBackend, o odds, interval tick.Tick) bool {
 	if !o.anySuccess {
 		interval = tick.Tick(float64(interval) * max(1, b.permittedRelays/probersPerBackend))
@@ -80,8 +81,8 @@
 	return m.takeProbe(b, interval)
 }
 
-// allowFallbackProbe is AllowProbe of a backend of which the probers report nothing: it may fail for this relay alone, which
-// tries it seldom.
+// allowFallbackProbe is AllowProbe for a backend of which the probers report nothing. The backend may fail for this relay
+// alone, which therefore tries it, but rarely.
 func (m *Manager) allowFallbackProbe(b *suspectBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probersPerBackend))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
@@ -91,7 +92,7 @@
 	return m.takeProbe(b, interval)
 }
 
-// takeProbe reports whether the next probe is due, and notes it.
+// takeProbe reports whether the next probe is due and, if so, records it.
 func (m *Manager) takeProbe(b *suspectBackend, interval tick.Tick) bool {
 	if m.now < b.nextProbe || b.lastProbe > 0 && m.now-b.lastProbe < interval {
 		return false
@@ -100,13 +101,13 @@
 	return true
 }
 
-// probeInterval is the least time between two probes of one relay at one backend.
+// probeInterval returns the minimum time between two probes of one relay at one backend.
 func (m *Manager) probeInterval() tick.Tick {
 	return tick.Tick(float64(tick.Second) * probersPerBackend * maxMembershipViews / max(minProbesPerSec, m.settings.probesPerSec))
 }
 
-// isProber reports whether this relay is one of the first few in a backend's order of relays. One that has just become
-// it waits for a random part of the interval: the one before may have probed just now.
+// isProber reports whether this relay is among the first proberCount relays in a backend's rank order. A relay that has
+// just become a prober waits for a random part of the interval, as the previous prober may have probed just before.
 func (m *Manager) isProber(b *suspectBackend, proberCount float64, interval tick.Tick) bool {
 	wasProber := b.prober
 	b.prober = float64(b.higherRanked) < proberCount
@@ -116,7 +117,7 @@
 	return b.prober
 }
 
-// updateRanks counts a peer that has come to life, or has fallen silent, in the order of relays of each backend in question.
+// updateRanks updates this relay's rank for each suspected backend after a peer has come alive or fallen silent.
 func (m *Manager) updateRanks(p *peer) {
 	for _, b := range m.byVerdict {
 		if rendezvousWeight(b.id, p.id) <= b.ownWeight {
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -6,10 +6,11 @@
 	"silvercove/internal/tick"
 )
 
-// verdictTTL is how long a verdict is reported, and trusted where the probers report nothing newer.
+// verdictTTL is how long a verdict is reported, and how long it is trusted if the probers report nothing newer.
 const verdictTTL = 20 * tick.Second
 
-// setVerdict keeps a verdict that is no older than the last, and puts the backend at the end of byVerdict.
+// setVerdict sets the backend's verdict unless it is older than the current one, and moves the backend to the end of
+// byVerdict.
 func (m *Manager) setVerdict(b *suspectBackend, healthy, own bool, at tick.Tick) {
 	if at < b.verdictAt {
 		return
@@ -21,7 +22,7 @@
 	}
 }
 
-// applyVerdicts adopts another relay's newer verdicts, reported at madeAt.
+// applyVerdicts adopts the newer verdicts of another relay, which it reported at madeAt.
 func (m *Manager) applyVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
 		b := m.suspects[v.Backend]
@@ -39,7 +40,7 @@
 	}
 }
 
-// verdictsToReport are this relay's own verdicts that are recent enough, the newest first.
+// verdictsToReport returns this relay's own verdicts that are recent enough, the newest first.
 func (m *Manager) verdictsToReport() []Verdict {
 	var all []Verdict
 	for _, b := range slices.Backward(m.byVerdict) {
