--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	reportTTL        = 3 * tick.Second  // a report this old is not counted; a relay this silent does not probe
-	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other one for so long is isolated
-	departedTTL      = 60 * tick.Second // a relay that left or died is kept for so long, for its heir's sake
+	reportTTL        = 3 * tick.Second  // an older report is not counted; a relay silent for this long does not probe
+	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
+	departedTTL      = 60 * tick.Second // a relay that left or died is kept this long, so that its credit passes to its successor only once
 	maxPeers         = 1 << 14
-	fractionBuckets  = 256 // of the peers' admitted fractions, for their median
+	fractionBuckets  = 256 // of the histogram of the peers' admitted fractions, for their median
 )
 
-// PeerState is how a peer stands in the fleet's membership. Other values than those below mean that it is alive.
+// PeerState is the state of a peer in the fleet's membership. Values other than those below mean that the peer is alive.
 type PeerState string
 
 // The states that are told apart.
 const (
 	PeerAlive       PeerState = "alive"
-	PeerUnreachable PeerState = "cut"  // by this relay, while others pass its messages on
-	PeerDead        PeerState = "dead" // its retry credit passes to an heir
-	PeerLeft        PeerState = "left" // the same, on purpose
+	PeerUnreachable PeerState = "cut"  // by this relay, while other relays forward its messages
+	PeerDead        PeerState = "dead" // its retry credit passes to a successor
+	PeerLeft        PeerState = "left" // left on purpose; its retry credit passes to a successor too
 )
 
 // PeerUpdate is what is known of another relay.
@@ -32,44 +32,44 @@
 	Name        string
 	Incarnation uint64 // of its process; a larger one is a restart, a smaller one an old copy, which is ignored
 	Report      Report
-	Age         tick.Tick // of the report; below 0 counts as 0
+	Age         tick.Tick // of the report; a negative age counts as 0
 	State       PeerState
 }
 
-// peer is one other relay.
+// peer is the state kept of another relay.
 type peer struct {
 	id              uint64 // hash of its name
 	incarnation     uint64
 	state           PeerState
-	alive           bool // counted so in the ranks of the backends in question
+	alive           bool // as counted in the ranks of the suspected backends
 	departedAt      tick.Tick
-	creditInherited bool // its retry credit has passed to the heir, or to another relay
+	creditInherited bool // its retry credit has passed to its successor, here or at another relay
 
 	report     Report
 	hasReport  bool
 	reportedAt tick.Tick // when its report was made
 	fresh      bool      // the report is counted in the fleet's sums
 	queueIndex int       // in fleetView.fresh
-	bucket     int       // in fleetView.fractionHistogram, noBucket for none
+	bucket     int       // in fleetView.fractionHistogram; noBucket for none
 
-	evidence [maxEvidence]peerEvidence // as counted in the tallies of the backends in question
+	evidence [maxEvidence]peerEvidence // as counted in the tallies of the suspected backends
 }
 
 const noBucket = -1
 
-// fleetView is what is known of the other relays, with sums over those whose reports are fresh. A report is added to
-// the sums and taken out again in time logarithmic in their number.
+// fleetView is what is known of the other relays, with sums over those whose reports are fresh. Adding a report to the sums
+// or removing one takes time logarithmic in the number of fresh reports.
 type fleetView struct {
 	peers          map[string]*peer
 	newestReportAt tick.Tick // when the newest report of any peer was made
 	lowerIDs       int       // peers whose IDs are below this relay's
 
 	fresh             reportQueue
-	warmedUp          int // of the fresh ones, those that have run for longer than the startup window
+	warmedUp          int // fresh peers that have run for longer than the startup window
 	fractionHistogram [fractionBuckets]int
 	voters            int                 // peers counted in fractionHistogram
-	offeredWork       [maxClasses]float64 // seconds of work a second, by class
-	completedWork     float64             // seconds of work a second
+	offeredWork       [maxClasses]float64 // seconds of work per second, by class
+	completedWork     float64             // seconds of work per second
 }
 
 // UpdatePeer updates what is known of another relay.
@@ -99,7 +99,7 @@
 	m.applyReport(now, p, u.Report, now-max(0, u.Age))
 }
 
-// findOrAddPeer finds the peer of an update, or adds it. It is nil where the update is to be ignored.
+// findOrAddPeer returns the peer of an update, adding it if it is new, or nil if the update is to be ignored.
 func (m *Manager) findOrAddPeer(u PeerUpdate) *peer {
 	p := m.fleet.peers[u.Name]
 	if p != nil {
@@ -120,13 +120,13 @@
 	return p
 }
 
-// applyReport replaces a peer's report by one made at madeAt, if that is newer and valid.
+// applyReport replaces a peer's report by one made at madeAt if that one is newer and valid.
 func (m *Manager) applyReport(now tick.Tick, p *peer, report Report, madeAt tick.Tick) {
 	if p.hasReport && madeAt <= p.reportedAt {
 		return
 	}
 	if report.LocalFraction <= 0 || report.validate() != nil {
-		return // of no use, or none yet
+		return // invalid, or the peer has sent no report yet
 	}
 	if p.hasReport {
 		m.absorbSpilled(p.report.SpilledCredit, report.SpilledCredit)
@@ -141,7 +141,7 @@
 	m.applyEvidence(p, madeAt, report)
 }
 
-// removeDeparted drops peers that left or died long ago.
+// removeDeparted removes the peers that left or died more than departedTTL ago.
 func (m *Manager) removeDeparted() {
 	for name, p := range m.fleet.peers {
 		if p.departedAt > 0 && m.now-p.departedAt > departedTTL {
@@ -153,7 +153,7 @@
 	}
 }
 
-// expireReports removes reports older than reportTTL from the sums.
+// expireReports removes the reports that have reached reportTTL from the sums.
 func (m *Manager) expireReports() {
 	for len(m.fleet.fresh) > 0 && m.now-m.fleet.fresh[0].reportedAt >= reportTTL {
 		p := m.fleet.fresh[0]
@@ -162,8 +162,8 @@
 	}
 }
 
-// updateLiveness ranks a peer among the relays that may probe, where it has come to life or fallen silent. The cost
-// does not grow with the number of peers.
+// updateLiveness updates a peer's rank among the relays that may probe if the peer has come alive or fallen silent. The
+// cost does not grow with the number of peers.
 func (m *Manager) updateLiveness(p *peer) {
 	alive := p.fresh || p.state == PeerUnreachable
 	if alive == p.alive {
@@ -173,7 +173,7 @@
 	m.updateRanks(p)
 }
 
-// addReport counts a peer's report in the sums.
+// addReport adds a peer's report to the sums.
 func (v *fleetView) addReport(p *peer, s settings) {
 	p.fresh = true
 	heap.Push(&v.fresh, p)
@@ -193,7 +193,7 @@
 	}
 }
 
-// removeReport removes a peer's report from the sums, if it is counted.
+// removeReport removes a peer's report from the sums if it is counted there.
 func (v *fleetView) removeReport(p *peer, s settings) {
 	if !p.fresh {
 		return
@@ -212,13 +212,13 @@
 		p.bucket = noBucket
 	}
 	v.completedWork = max(0, v.completedWork-p.report.CompletedWork)
-	if len(v.fresh) == 0 { // no rounding is left over
+	if len(v.fresh) == 0 { // removes rounding errors
 		v.completedWork = 0
 		v.offeredWork = [maxClasses]float64{}
 	}
 }
 
-// medianFraction is what half of the voters admit at the most.
+// medianFraction returns the median of the voters' admitted fractions, as the upper end of its bucket.
 func (v *fleetView) medianFraction() float64 {
 	counted := 0
 	for bucket, peers := range v.fractionHistogram {
@@ -238,7 +238,7 @@
 // Less implements sort.Interface.
 func (q reportQueue) Less(i, j int) bool { return q[i].reportedAt < q[j].reportedAt }
 
-// Swap implements sort.Interface. It keeps each peer's queueIndex.
+// Swap implements sort.Interface and updates each peer's queueIndex.
 func (q reportQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].queueIndex, q[j].queueIndex = i, j
