--- a/internal/overload/fleet_helpers_test.go
+++ b/internal/overload/fleet_helpers_test.go
@@ -58,7 +58,7 @@
 }
 
 // run advances the clock in steps of a tenth of a second and calls each, if not nil, for every running relay at every step.
-// The relays exchange reports every five steps or, in fleets of 90 relays or more, every len(relays)/15 steps.
+// The relays exchange reports every half second or, in fleets of 90 relays or more, every len(relays)/15 steps.
 func (f *testFleet) run(seconds float64, each func(i int, m *Manager)) {
 	for step := range int(seconds * 10) {
 		f.now += tick.Second / 10
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -21,13 +21,13 @@
 	minBaselineRate  = 0.2
 	maxBaselineRate  = 0.5
 	baselineMultiple = 1.5
-	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. By maxOutcomesPerRelay failures,
-	// one relay contributes ln 16 at most, so that two relays (odds of 256) eject no backend and three (4096) may.
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay contributes at most ln
+	// 16 (maxOutcomesPerRelay failures), so that two relays (odds of 256) eject no backend and three (odds of 4096) may.
 	ejectionLogOdds = 6.9
 	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
 	commonFailureRate = 0.3
-	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. The number of
-	// outcomes counts as minWindowOutcomes at least: with fewer outcomes, the rate comes out low.
+	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. It is divided
+	// by minWindowOutcomes at least, so that the rate comes out low while there are fewer outcomes.
 	windowSize        = 64
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts.
@@ -37,7 +37,7 @@
 	maxDoublingsPerSec = 4.0
 	// maxEjection is how long a backend without any outcome stays ejected.
 	maxEjection = 600 * tick.Second
-	// maxSuspects is how many backends are kept that are suspected, or were recently.
+	// maxSuspects is how many backends are kept that are, or recently were, suspected.
 	maxSuspects = 256
 
 	// never is a time before all others. It is half of the smallest value, so that durations since never do not overflow.
@@ -48,8 +48,8 @@
 const (
 	healthyRun = 2 // successes in a row for a verdict of healthy
 	failingRun = 2 // failures in a row for a verdict of failing
-	// maxRunProbability bounds the probability of such a run of failures at a backend that fails as often as the others: a
-	// verdict of failing takes a lower one.
+	// maxRunProbability bounds the probability of such a run of failures at a backend that fails as often as the others:
+	// for a verdict of failing, the probability must be lower.
 	maxRunProbability = 1.0 / 8
 )
 
@@ -193,8 +193,8 @@
 	}
 }
 
-// addSuspect adds a backend to the suspects. If there are too many, the one with the oldest verdict among those that are
-// not ejected is dropped.
+// addSuspect adds a backend to the suspects. If there are too many, it drops the one with the oldest verdict, of those that
+// are not ejected if there are any.
 func (m *Manager) addSuspect(backend uint64) *suspectBackend {
 	if len(m.suspects) >= maxSuspects {
 		i := max(0, slices.IndexFunc(m.byVerdict, func(b *suspectBackend) bool { return !b.ejected }))
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// outcomeTally counts the outcomes at a backend that other relays report, of those relays whose newest outcome there was in
-// one second.
+// outcomeTally counts the outcomes at a backend that are reported by the relays whose newest outcome there falls in one
+// second.
 type outcomeTally struct {
 	second    tick.Tick // of the newest outcome
 	failures  int
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -22,8 +22,8 @@
 // The states that are told apart.
 const (
 	PeerAlive       PeerState = "alive"
-	PeerUnreachable PeerState = "cut"  // by this relay, while other relays forward its messages
-	PeerDead        PeerState = "dead" // its retry credit passes to a successor
+	PeerUnreachable PeerState = "cut"  // unreachable by this relay, while other relays forward its messages
+	PeerDead        PeerState = "dead" // dead; its retry credit passes to a successor
 	PeerLeft        PeerState = "left" // left on purpose; its retry credit passes to a successor too
 )
 
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -14,9 +14,9 @@
 // retryBudget is this relay's part of the fleet's retry budget.
 //
 // Each first attempt credits its relay with a share of a retry, so the budget is divided by traffic. A relay spills the
-// credit that it cannot keep and reports the total spilled since its start. Each other relay takes a part of the increase
-// that is the same for all, so that a lost or late report never creates more credit than was spilled. The credit that a
-// relay had left when it died passes to one successor.
+// credit that it cannot keep and reports the total spilled since its start. Each other relay takes the same part of the
+// increase, so that a lost or late report never creates more credit than was spilled. The credit that a relay had left when
+// it died passes to one successor.
 //
 // The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single backend,
 // where retries cost little; this does harm if more attempts than the budget allows fail there before the backend is
