--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -180,10 +180,8 @@
 	return float64(math.Float32frombits(binary.LittleEndian.Uint32(data[at:])))
 }
 
-// isList reports whether data is a list of at most maxElements elements of elementSize bytes each.
-func isList(data []byte, elementSize, maxElements int) bool {
-	return len(data)%elementSize == 0 && len(data) <= elementSize*maxElements
-}
+// isList reports whether data is a list of at most n elements of size bytes each.
+func isList(data []byte, size, n int) bool { return len(data)%size == 0 && len(data) <= size*n }
 
 func (r *Report) decodeOfferedWork(data []byte) bool {
 	if !isList(data, workSize, maxReportClasses) {
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -35,7 +35,7 @@
 //
 // An eighth of the sessions is spare, so that the relay still accepts and answers when all others are taken: a smaller
 // spare part is used up by one burst of connections within a round trip, and a larger one would reduce the number of
-// sessions served too much. A quarter of the rest may be idle: a session that waits between two requests is cheap to
+// sessions served. A quarter of the rest may be idle: a session that waits between two requests is cheap to
 // reopen, and more of them would take the slots of sessions with requests. There are four requests per session: clients
 // send a few at once, and a session that holds more is a queue. MaxPipelined, the limit of a single session, is larger, as
 // some clients write all their requests at once, but no session may take all requests.
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -26,8 +26,8 @@
 	ejectionLogOdds = 6.9
 	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
 	commonFailureRate = 0.3
-	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. It is divided
-	// by minWindowOutcomes at least, so that the rate comes out low while there are fewer outcomes.
+	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. The rate
+	// is computed over minWindowOutcomes at least: with fewer outcomes, it comes out low.
 	windowSize        = 64
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts.
