--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -21,8 +21,9 @@
 	minBaselineRate  = 0.2
 	maxBaselineRate  = 0.5
 	baselineMultiple = 1.5
-	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay contributes at most ln
-	// 16 (maxOutcomesPerRelay failures), so that two relays (odds of 256) eject no backend and three (odds of 4096) may.
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. With maxOutcomesPerRelay
+	// failures, one relay contributes ln 16, which is the most, so that two relays (odds of 256) eject no backend and three
+	// (odds of 4096) may.
 	ejectionLogOdds = 6.9
 	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
 	commonFailureRate = 0.3
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	reportTTL        = 3 * tick.Second  // an older report is not counted; a relay silent for this long does not probe
+	reportTTL        = 3 * tick.Second // a report this old is not counted; a relay silent for this long does not probe
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
 	departedTTL      = 60 * tick.Second // a relay that left or died is kept this long, so that its credit passes to its successor only once
 	maxPeers         = 1 << 14
@@ -43,7 +43,7 @@
 	state           PeerState
 	alive           bool // as counted in the ranks of the suspected backends
 	departedAt      tick.Tick
-	creditInherited bool // its retry credit has passed to its successor, here or at another relay
+	creditInherited bool // its retry credit has passed to its successor, which may be another relay
 
 	report     Report
 	hasReport  bool
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -37,9 +37,9 @@
 
 // UpdatePressure updates the admitted fractions from the relay's own load. It is to be called a few times per second.
 //
-// A fraction falls faster the higher the pressure is, and rises again when the pressure is low. The shared fraction does
-// not fall below a little more than the work that backends are seen to complete. It moves toward the median of the relays
-// that have requests, so that all relays shed alike.
+// A fraction falls faster the higher the pressure is, and rises again when the pressure is low. Pressure does not lower the
+// shared fraction below a little more than the work that backends are seen to complete (completedMargin). The shared
+// fraction moves toward the median of the relays that have requests, so that all relays shed alike.
 //
 // This guards against an overload that each relay handles on its own, some by rejections and others by queues. A backend or
 // a link that is slow for this relay alone looks the same as an overload; the pull toward the higher fractions of the other
