--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	reportTTL        = 3 * tick.Second // a report this old is not counted; a relay silent for this long does not probe
+	reportTTL        = 3 * tick.Second  // a report this old is not counted; a relay silent for this long does not probe
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
 	departedTTL      = 60 * tick.Second // a relay that left or died is kept this long, so that its credit passes to its successor only once
 	maxPeers         = 1 << 14
