--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -5,37 +5,38 @@
 	"silvercove/internal/tick"
 )
 
-// Defaults of the settings.
+// Defaults of the settings fleet.state and fleet.lease.
 const (
 	DefaultMaxStateBytes = 1 << 20
 	DefaultLease         = tick.Second
 )
 
-// Spans as parts of a lease, so that all of them scale with it.
+// Intervals as fractions of the lease duration, so that all of them scale with it: an interval is the lease duration
+// divided by the constant.
 const (
-	ticksPerLease            = 20 // OnTick comes so often at least
-	resendsPerLease          = 10 // a message without an answer is sent again so often
-	proposalRetriesPerLease  = 10 // a refused proposal is made again after one such part
-	proposalTimeoutsPerLease = 2  // one without a result is made again after one such part
-	confirmTimeoutsPerLease  = 3  // a replica that does not confirm for one such part is dropped
+	ticksPerLease            = 20 // longest interval between two calls of OnTick
+	resendsPerLease          = 10 // interval after which a message without an answer is sent again
+	proposalRetriesPerLease  = 10 // interval after which a refused proposal is made again
+	proposalTimeoutsPerLease = 2  // interval after which a proposal without a result is made again
+	confirmTimeoutsPerLease  = 3  // interval after which a replica that has not confirmed is dropped
 )
 
-// Spans in leases.
+// Timeouts in lease durations.
 const (
-	stalledCopyLeases = 2 // a copy that does not get on for so long is given up
-	unusedCopyLeases  = 2 // a copy that the controllers no longer count on is kept so long
+	stalledCopyLeases = 2 // a copy without progress for longer is cancelled
+	unusedCopyLeases  = 2 // a copy that the controllers no longer require is kept for this long
 )
 
-// Config says which node a Manager is for, and how its instances are bounded.
+// Config identifies the node that a Manager runs on and limits its instances.
 type Config struct {
 	Node          string
-	Incarnation   uint64    // numbers the node's processes, and grows
-	MaxStateBytes int       // of the entries that are kept of one instance: the setting fleet.state
-	Lease         tick.Tick // how long a lease runs: the setting fleet.lease
+	Incarnation   uint64    // number of the node's process; each later process has a greater one
+	MaxStateBytes int       // limit of the entries kept of one instance: the setting fleet.state
+	Lease         tick.Tick // duration of a lease: the setting fleet.lease
 }
 
-// ConfigFrom is the configuration of a node's process by the settings of the block fleet: fleet.state in bytes and
-// fleet.lease in seconds, or the defaults where they are absent.
+// ConfigFrom returns the configuration of a node's process from the settings of the block fleet: fleet.state in bytes
+// and fleet.lease in seconds. Absent settings have their defaults.
 func ConfigFrom(node string, incarnation uint64, settings map[string]any) Config {
 	config := Config{Node: node, Incarnation: incarnation, MaxStateBytes: DefaultMaxStateBytes, Lease: DefaultLease}
 	if bytes, ok := settings["fleet.state"].(float64); ok {
@@ -47,12 +48,12 @@
 	return config
 }
 
-// InitialState is what a node begins with.
+// InitialState is the state that a node's process starts with.
 type InitialState struct {
-	Logs []Log // that its disk kept
+	Logs []Log // the logs on the disk
 
-	// Assignments are the controllers' as they stood at Version, before the first lease was asked for in this
-	// incarnation: what they count on the node for was given to an earlier one, and has to be among Logs.
+	// Assignments are the controllers' assignments at Version, from before this incarnation first asked for a lease. A
+	// copy that they require on this node was stored by an earlier incarnation, so its log must be in Logs.
 	Assignments []placement.Assignment
 	Version     uint64
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -4,30 +4,31 @@
 
 // Request is a client's request at an edge node.
 type Request struct {
-	ID       string // of a write: one that is repeated with it is answered as at first
+	ID       string // ID of a write; a repeated write with the same ID gets the first answer again
 	Instance string
 	Write    bool
 	Body     []byte
-	Deadline tick.Tick // not begun later, and answered by then
+	Deadline tick.Tick // the request is not started later, and is answered by then
 }
 
-// Outcome is how a request ended.
+// Outcome says how a request ended.
 type Outcome uint8
 
-// The ends of a request.
+// Outcomes of requests.
 const (
-	Rejected      Outcome = iota // it did nothing and never will
-	Succeeded                    // its entry is durable on every replica; of a read: what was read is
-	Indeterminate                // its entry may be kept or dropped
-	TooLarge                     // it never ran, and would not fit again either
+	Rejected      Outcome = iota // the request was not executed and never will be
+	Succeeded                    // the write's entry is durable on every replica; for a read, the last entry that was read is
+	Indeterminate                // the write's entry may be kept or dropped
+	TooLarge                     // the request was not executed, and would not fit if it were repeated
 )
 
-// Response is the one answer to a request. Index, Epoch and Node are of its log entry, or of the last one that was read.
+// Response is the only answer to a request. Index, Epoch and Node belong to the write's log entry, or to the last entry
+// that was read.
 type Response struct {
 	Outcome   Outcome
 	Index     uint64
 	Epoch     uint64
 	Node      string
-	Detail    string // why, where it has not succeeded
-	LeaseLost bool   // it was not for the node to go on: its lease was over, or others own the instance now
+	Detail    string // reason, unless the request succeeded
+	LeaseLost bool   // the node was not allowed to go on: its lease ended, or another node is the primary now
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -6,21 +6,21 @@
 	"silvercove/internal/tick"
 )
 
-// CopyStatus is an instance as a node has it.
+// CopyStatus describes a node's copy of an instance.
 type CopyStatus struct {
 	Instance   string `json:"name"`
 	Epoch      uint64 `json:"epoch"`
 	Index      uint64 `json:"seq"`
-	LastEpoch  uint64 `json:"last,omitempty"` // of its last entry, 0: not known
+	LastEpoch  uint64 `json:"last,omitempty"` // of the last entry; 0 if it is not known
 	Checksum   uint64 `json:"sum"`
 	Size       int    `json:"size"`            // bytes
 	IsPrimary  bool   `json:"owns,omitempty"`  // by the assignment
-	Serving    bool   `json:"acts,omitempty"`  // now
+	Serving    bool   `json:"acts,omitempty"`  // at the moment
 	IsReplica  bool   `json:"holds,omitempty"` // by the assignment
-	Incomplete bool   `json:"lacks,omitempty"` // it lacks what the controllers count on
+	Incomplete bool   `json:"lacks,omitempty"` // the copy lacks entries that the controllers require
 }
 
-// Copies are all instances of which this node has something or should have, by name.
+// Copies returns the status of every instance of which this node has a copy or should have one, by name.
 func (m *Manager) Copies(now tick.Tick) (copies []CopyStatus) {
 	for _, inst := range m.tracked {
 		log := &inst.local.log
@@ -43,7 +43,7 @@
 	return copies
 }
 
-// Serves tells whether the node serves an instance now.
+// Serves reports whether the node serves an instance now.
 func (m *Manager) Serves(now tick.Tick, name string) bool {
 	inst := m.instances[name]
 	return inst != nil && m.serves(now, inst)
@@ -53,7 +53,7 @@
 	return inst.serving.state == leased && m.mayServe(now, inst)
 }
 
-// KnownInstances are the names of all instances that this node has heard of from the controllers, in order.
+// KnownInstances returns the names of all instances that have an assignment known here, in order.
 func (m *Manager) KnownInstances() (names []string) {
 	for name, inst := range m.instances {
 		if inst.assignment.known() {
@@ -64,8 +64,9 @@
 	return names
 }
 
-// LostAllCopies tells whether this incarnation began without any of the copies that the controllers count on. One that
-// lacks some, as a disk that was restored does, serves what it has, and reports the others as incomplete.
+// LostAllCopies reports whether this incarnation began without any of the copies that the controllers require. A node
+// that lacks only some of them, as with a restored disk, serves the others and reports those that it lacks as
+// incomplete.
 func (m *Manager) LostAllCopies() bool {
 	counted := false
 	for _, inst := range m.tracked {
