--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -8,27 +8,27 @@
 	"silvercove/internal/tick"
 )
 
-// assignmentState says what is known of an instance's assignment.
+// assignmentState says whether the controllers have assigned an instance.
 type assignmentState uint8
 
 const (
-	unassigned assignmentState = iota // the controllers have told nothing of it
-	orphaned                          // its log was on the disk at the start, and the controllers knew no such instance then
-	assigned                          // the controllers have told where it runs
+	unassigned assignmentState = iota // no assignment has been received from the controllers
+	orphaned                          // its log was on the disk at the start, when the controllers knew no such instance
+	assigned                          // an assignment has been received
 )
 
-// assignment is what the controllers say of an instance. The zero value is unassigned.
+// assignment holds what the controllers have agreed about an instance. The zero value is unassigned.
 type assignment struct {
 	state  assignmentState
-	agreed placement.Assignment // the newest that was told; empty unless assigned
+	agreed placement.Assignment // the newest assignment received; empty unless assigned
 }
 
 func (a *assignment) known() bool { return a.state == assigned }
 
-// set takes a newer assignment in.
+// set stores a newer assignment.
 func (a *assignment) set(p placement.Assignment) { a.state, a.agreed = assigned, p }
 
-// withdraw forgets an assignment that the controllers no longer have.
+// withdraw clears an assignment that the controllers no longer have. An orphaned log stays orphaned.
 func (a *assignment) withdraw() {
 	a.agreed = placement.Assignment{}
 	if a.state == assigned {
@@ -36,34 +36,36 @@
 	}
 }
 
-// supersededBy tells whether an assignment is newer than what is known.
+// supersededBy reports whether p is newer than the known assignment.
 func (a *assignment) supersededBy(p placement.Assignment) bool {
 	return !a.known() || p.NewerThan(a.agreed)
 }
 
-// names tells whether the assignment has a node in some part.
+// involves reports whether the assignment has node as the primary, as a replica or as the copy target.
 func (a *assignment) involves(node string) bool {
 	return a.known() && (a.agreed.Primary == node || a.agreed.CopyTarget == node || a.isReplica(node))
 }
 
 func (a *assignment) isReplica(node string) bool { return slices.Contains(a.agreed.Replicas, node) }
 
-// countsOn tells whether the controllers count on a node's copy.
+// requiresCopyOn reports whether the controllers require a complete copy on node: it is the primary or a replica.
 func (a *assignment) requiresCopyOn(node string) bool {
 	return a.agreed.Primary == node || a.isReplica(node)
 }
 
-// keepsOldCopy tells whether the controllers know of a node's older copy.
+// hasStaleCopyOn reports whether the controllers know of a stale copy on node.
 func (a *assignment) hasStaleCopyOn(node string) bool {
 	return slices.ContainsFunc(a.agreed.StaleCopies, func(c placement.StaleCopy) bool { return c.Node == node })
 }
 
-// cuttingOver tells whether the primary has to have stopped so that the next one takes over. Only a change of the
-// assignment ends that, so that the cut-over, which names this revision, can't be agreed after the primary has gone on.
+// cuttingOver reports whether the primary must have stopped so that the copy target, which is a replica by now, can
+// take over. Only a change of the assignment ends this state. The cut-over names this revision, so it cannot be agreed
+// after the primary has resumed.
 func (a *assignment) cuttingOver() bool { return a.agreed.CutOver && a.isReplica(a.agreed.CopyTarget) }
 
-// OnAssignment tells where an instance runs: news, or the result of a proposal. What is older than what is known changes
-// nothing. What concerns other nodes alone is not kept: a node's memory grows with what it has, not with the fleet.
+// OnAssignment handles an assignment, either news from the controllers or the result of a proposal. An assignment that
+// is not newer than the known one changes nothing. An assignment of an instance unknown here that involves only other
+// nodes is not stored: a node's memory grows with its own instances, not with the fleet.
 func (m *Manager) OnAssignment(now tick.Tick, p placement.Assignment) {
 	if m.instances[p.Instance] == nil && !m.involvesSelf(p) {
 		return
@@ -76,7 +78,7 @@
 	wasKnown, old := inst.assignment.known(), inst.assignment.agreed
 	unconfirmed := inst.recovery.awaitsConfirmation() && !inst.recovery.confirmedByReplica
 	if wasKnown && (old.Epoch != p.Epoch || old.Primary != p.Primary) {
-		m.stopServing(now, inst, "another epoch")
+		m.stopServing(now, inst, "the epoch or the primary changed")
 		clear(inst.followers)
 		inst.serving.committed = 0
 		inst.recovery.awaitedReplicas = nil
@@ -93,7 +95,8 @@
 	m.advance(now, inst)
 }
 
-// retargetCopy begins to copy to another node, or ends it.
+// retargetCopy restarts the progress timer of the copy if the copy target has changed. It drops the progress of the
+// previous target unless that node is now the primary or a replica.
 func (m *Manager) retargetCopy(now tick.Tick, inst *instance, old placement.Assignment) {
 	p := &inst.assignment.agreed
 	if old.CopyTarget == p.CopyTarget {
@@ -105,8 +108,8 @@
 	}
 }
 
-// reassessCopy has the recovery follow a new assignment. unconfirmed tells that before it this node waited for replicas
-// to confirm its copy, and none had.
+// updateRecovery adapts the recovery state to a new assignment. unconfirmed says that under the previous assignment
+// this node was waiting for replicas to confirm its copy, and that none had.
 func (m *Manager) updateRecovery(inst *instance, newEpoch, unconfirmed bool) {
 	p, r := &inst.assignment.agreed, &inst.recovery
 	required := inst.assignment.requiresCopyOn(m.self)
@@ -118,20 +121,20 @@
 	if p.Primary == m.self && newEpoch {
 		r.confirmedByReplica = false
 		if r.unverified && m.disk == diskRestored {
-			r.startVerification(p.Replicas) // one of them may have more, or know that this is all
+			r.startVerification(p.Replicas) // a replica may have more entries, or know that there are no more
 		}
 		if p.Index > inst.local.log.LastIndex() {
-			r.incomplete = true // a disk that was restored, or a replica that never was one
+			r.incomplete = true // the disk was restored, or this node was counted as a replica without having the entries
 		}
 	}
 	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
-		r.incomplete = true // another process of this name took the copy
+		r.incomplete = true // another process with this node's name received the copy
 	}
 }
 
-// discardOrphan deletes a copy from before the start of which the controllers knew nothing then: its instance was
-// deleted, and this is another one of its name. It is not deleted before, as controllers that lost their log would know
-// nothing either.
+// discardOrphan deletes a log that was on the disk at the start and whose instance the controllers did not know then.
+// That instance was deleted, and the present one only has the same name. The log is not deleted any earlier, because
+// controllers that lost their own log would not know the instance either.
 func (m *Manager) discardOrphan(inst *instance) {
 	if inst.assignment.state != orphaned {
 		return
@@ -141,7 +144,7 @@
 	inst.serving.acknowledged = 0
 }
 
-// OnPlacementVersion tells that all news of assignments up to a version have been told by OnAssignment and
+// OnPlacementVersion records that all changes of assignments up to version have been passed to OnAssignment and
 // OnInstanceDeleted.
 func (m *Manager) OnPlacementVersion(now tick.Tick, version uint64) {
 	waited := !m.lease.upToDate()
@@ -151,8 +154,8 @@
 	}
 }
 
-// OnPlacementRebuilt tells all assignments of a new line: the controllers lost their disks, and placement was made anew
-// from what the nodes have. Epochs and revisions of before mean nothing any more.
+// OnPlacementRebuilt replaces all assignments after the controllers lost their disks and placement was rebuilt from
+// what the nodes have. Epochs and revisions from before the rebuild cannot be compared with the new ones.
 func (m *Manager) OnPlacementRebuilt(now tick.Tick, assignments []placement.Assignment, version uint64) {
 	for _, name := range m.KnownInstances() {
 		inst := m.instances[name]
@@ -169,13 +172,13 @@
 	}
 }
 
-// OnInstanceDeleted tells that an instance is not there any more.
+// OnInstanceDeleted handles the news that an instance has been deleted.
 func (m *Manager) OnInstanceDeleted(now tick.Tick, name string) {
 	inst := m.instances[name]
 	if inst == nil {
 		return
 	}
-	const reason = "the instance is forgotten"
+	const reason = "the instance was deleted"
 	m.stopServing(now, inst, reason)
 	m.deleteLog(inst)
 	m.rejectPendingAcks(inst, reason)
@@ -183,7 +186,7 @@
 	m.updateTracking(inst)
 }
 
-// withdraw forgets the assignment and what rests on it.
+// withdraw clears the assignment and all state that depends on it.
 func (inst *instance) withdraw() {
 	inst.assignment.withdraw()
 	inst.recovery.incomplete = false
@@ -192,8 +195,8 @@
 	clear(inst.followers)
 }
 
-// OnProposalRefused tells that a proposal has changed nothing, or may not have: the next one is made at the earliest a
-// tenth of a lease later.
+// OnProposalRefused records that a proposal changed nothing, or may have changed nothing. The next proposal is made a
+// tenth of a lease later at the earliest.
 func (m *Manager) OnProposalRefused(now tick.Tick, op placement.Operation, err error) {
 	inst := m.instances[op.Instance]
 	if inst == nil || !inst.proposal.inProgress() || inst.proposal.operation != op {
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -5,24 +5,24 @@
 	"silvercove/internal/tick"
 )
 
-// nodeLease is the node's one lease, by its own clock.
+// nodeLease is the lease of the node, which covers all of its instances and runs by its own clock.
 type nodeLease struct {
-	until           tick.Tick // its end; 0 while none runs
+	until           tick.Tick // end of the lease; 0 if none runs
 	previousEnd     tick.Tick
-	requiredVersion uint64 // of assignments that has to be seen before anything is served: others may be primary by then
+	requiredVersion uint64 // of assignments that must have been seen before anything is served: other nodes may be primary by then
 	seenVersion     uint64
 }
 
-// upToDate tells whether the assignments that the lease needs have been seen.
+// upToDate reports whether the assignments that the lease requires have been seen.
 func (l *nodeLease) upToDate() bool { return l.seenVersion >= l.requiredVersion }
 
-// holds tells whether the node may serve at all.
+// holds reports whether the node may serve at all.
 func (l *nodeLease) holds(now tick.Tick) bool { return now < l.until && l.upToDate() }
 
-// expired tells whether a lease that ran is over.
+// expired reports whether a lease that ran has ended.
 func (l *nodeLease) expired(now tick.Tick) bool { return l.until != 0 && now >= l.until }
 
-// lastEnd is the end of the lease that runs, or that ran last.
+// lastEnd returns the end of the lease that runs, or of the last one that ran.
 func (l *nodeLease) lastEnd() tick.Tick {
 	if l.until == 0 {
 		return l.previousEnd
@@ -30,13 +30,14 @@
 	return l.until
 }
 
-// reset ends the lease without a word, and begins with other versions.
+// reset ends the lease without an event, and sets the versions anew.
 func (l *nodeLease) reset(version uint64) {
 	l.until, l.requiredVersion, l.seenVersion = 0, version, version
 }
 
-// OnLease tells that the node's lease runs until a moment, by its own clock. version is that of the controllers'
-// assignments when it was granted: after a gap nothing is served before news up to it have come.
+// OnLease records that the node's lease runs until a time by the node's own clock. version is the version of the
+// controllers' assignments when the lease was granted: after a gap nothing is served until the assignments up to it
+// have been seen.
 func (m *Manager) OnLease(now, until tick.Tick, version uint64) {
 	if now >= m.lease.until {
 		m.expireLease(now)
@@ -51,10 +52,10 @@
 		m.advanceAll(now)
 		return
 	}
-	m.advanceActive(now) // a lease that goes on changes nothing for the others
+	m.advanceActive(now) // a renewed lease changes nothing for idle instances
 }
 
-// expireLease stops everything where the lease is over.
+// expireLease stops serving every instance if the lease has ended.
 func (m *Manager) expireLease(now tick.Tick) {
 	if !m.lease.expired(now) {
 		return
@@ -64,17 +65,18 @@
 	m.advanceAll(now)
 }
 
-// HoldsLease tells whether the node may serve at all: its lease runs, and the news that it needs have come.
+// HoldsLease reports whether the node may serve at all: its lease runs, and it has seen the assignments that the lease
+// requires.
 func (m *Manager) HoldsLease(now tick.Tick) bool { return m.lease.holds(now) }
 
-// mayServe tells whether the node may serve an instance now, as its lease holder.
+// mayServe reports whether the node may serve an instance now, as its lease holder.
 func (m *Manager) mayServe(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	return m.lease.holds(now) && inst.assignment.known() && p.State == placement.Running && p.Primary == m.self && p.EverServed &&
 		inst.recovery.trusted(p.Epoch)
 }
 
-// updateServing begins or ends to serve an instance, and tells whether the node may.
+// updateServing starts or stops serving an instance, and reports whether the node may serve it.
 func (m *Manager) updateServing(now tick.Tick, inst *instance) (may bool) {
 	may = m.mayServe(now, inst)
 	s := &inst.serving
@@ -96,7 +98,8 @@
 	return may
 }
 
-// beginServing makes the node ready to serve: paused, until updateServing finds that no cut-over is under way.
+// beginServing prepares the node to serve: the instance is paused until updateServing finds that no cut-over is under
+// way.
 func (m *Manager) beginServing(now tick.Tick, inst *instance) {
 	if inst.recovery.unverified {
 		m.serveUnverified(inst)
@@ -105,10 +108,10 @@
 	if !inst.local.present && !inst.local.failed {
 		m.resetLog(inst, 0, 0)
 	}
-	inst.resetProgressTimes(now) // while it did not serve it asked them for nothing
+	inst.resetProgressTimes(now) // followers are sent nothing while the node does not serve
 }
 
-// abandon ends serving an instance: what is not durable on all replicas may be kept or dropped.
+// stopServing ends serving an instance. Entries that are not durable on all replicas may be kept or dropped.
 func (m *Manager) stopServing(now tick.Tick, inst *instance, reason string) {
 	if inst.serving.state == leased {
 		m.notifyStopped(now, inst, reason)
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -9,40 +9,40 @@
 	"silvercove/internal/tick"
 )
 
-// Manager is what one edge node may do at each moment with the instances that it is primary of, replicates or is sent.
-// The package's documentation says how it is driven.
+// Manager decides what one edge node may do at each moment with the instances that it is primary of, replicates or
+// receives a copy of. The package documentation says how a Manager is driven.
 type Manager struct {
 	host          Host
 	self          string
 	incarnation   uint64
-	maxStateBytes int // of one instance
+	maxStateBytes int // limit of the entries of one instance
 	leaseDuration tick.Tick
 	lease         nodeLease
 	instances     map[string]*instance
-	tracked       []*instance // by name, those that concern this node
-	active        []*instance // by name, those of them that time may change something about
+	tracked       []*instance // the instances that involve this node, by name
+	active        []*instance // the tracked instances that the passing of time may change, by name
 	disk          diskState
-	diskFullUntil tick.Tick // after a write has failed: nothing is written before
+	diskFullUntil tick.Tick // after a failed write: nothing is written before this time
 }
 
-// instance is one instance at this node.
+// instance is the state of one instance at this node.
 type instance struct {
 	name        string
 	assignment  assignment
 	local       localLog
 	recovery    recovery
 	serving     serving
-	followers   map[string]*followerProgress // by node, of a primary
-	catchUp     catchUp                      // of the node that a primary copies to
+	followers   map[string]*followerProgress // by node; used by a primary
+	catchUp     catchUp                      // progress of the copy target; used by a primary
 	proposal    proposal
 	pendingAcks []pendingAck
-	lastUsed    tick.Tick // an assignment or a primary's message came
-	tracked     bool      // in Manager.ordered
+	lastUsed    tick.Tick // when the last assignment or message of a primary came
+	tracked     bool      // in Manager.tracked
 	scheduled   bool      // in Manager.active
-	idle        bool      // nothing was left to do when it was looked at last
+	idle        bool      // nothing was left to do after the last pass
 }
 
-// NewManager is a node after its start.
+// NewManager returns the manager of a node whose process starts at now.
 func NewManager(host Host, now tick.Tick, config Config, initial InitialState) *Manager {
 	m := &Manager{
 		host:          host,
@@ -70,7 +70,7 @@
 	return m
 }
 
-// restoreLog takes in a log that the disk kept.
+// restoreLog takes over a log that was on the disk at the start.
 func (m *Manager) restoreLog(log Log) {
 	inst := m.ensureInstance(log.Instance)
 	inst.local.restore(log)
@@ -78,7 +78,7 @@
 	inst.assignment.state = orphaned
 }
 
-// restoreAssignment takes in an assignment from before this incarnation.
+// restoreAssignment takes over an assignment from before this incarnation.
 func (m *Manager) restoreAssignment(now tick.Tick, p placement.Assignment) {
 	inst := m.ensureInstance(p.Instance)
 	inst.assignment.set(p)
@@ -88,7 +88,7 @@
 	isReplica := slices.Contains(p.Replicas, m.self)
 	if (isPrimary || isReplica) && p.EverServed && !inst.local.reaches(p.Index) {
 		inst.recovery.incomplete = true
-		m.host.Notify(Event{Kind: EventIncomplete, Instance: p.Instance, Epoch: p.Epoch, Reason: "no whole copy outlived the restart"})
+		m.host.Notify(Event{Kind: EventIncomplete, Instance: p.Instance, Epoch: p.Epoch, Reason: "no complete copy survived the restart"})
 	}
 	if isPrimary {
 		inst.recovery.startVerification(p.Replicas)
@@ -97,12 +97,12 @@
 	inst.recovery.unverified = !isPrimary && p.EverServed && isReplica
 }
 
-// concerns tells whether an assignment names this node.
+// involvesSelf reports whether an assignment names this node.
 func (m *Manager) involvesSelf(p placement.Assignment) bool {
 	return p.Primary == m.self || p.CopyTarget == m.self || slices.Contains(p.Replicas, m.self)
 }
 
-// instance is that of a name, made where there is none.
+// ensureInstance returns the instance with the given name, and creates it if there is none.
 func (m *Manager) ensureInstance(name string) *instance {
 	inst := m.instances[name]
 	if inst == nil {
@@ -112,8 +112,8 @@
 	return inst
 }
 
-// track has an instance among those that concern this node, or no longer; of others the assignment alone is known. What
-// nothing is left of is released.
+// updateTracking adds an instance to those that involve this node, or removes it from them. Of an instance that was
+// removed only the assignment is kept. An instance with neither assignment nor copy is released.
 func (m *Manager) updateTracking(inst *instance) {
 	if !inst.assignment.known() && inst.local.isAbsent() && m.instances[inst.name] == inst {
 		delete(m.instances, inst.name)
@@ -135,7 +135,7 @@
 
 func compareName(inst *instance, name string) int { return cmp.Compare(inst.name, name) }
 
-// OnTick looks at everything that time changes. It is to be called again at next at the latest.
+// OnTick does everything that the passing of time calls for. It must be called again at next at the latest.
 func (m *Manager) OnTick(now tick.Tick) (next tick.Tick) {
 	m.expireLease(now)
 	m.advanceActive(now)
@@ -146,15 +146,15 @@
 	return max(next, now+1)
 }
 
-// advanceAll does for every tracked instance what can be done now.
+// advanceAll does what can be done now for every tracked instance.
 func (m *Manager) advanceAll(now tick.Tick) {
 	for _, inst := range m.tracked {
 		m.advance(now, inst)
 	}
 }
 
-// advanceActive looks at the instances that time may change something about. One at rest costs nothing, however many a
-// node has.
+// advanceActive does what can be done now for the instances that the passing of time may change. An idle instance costs
+// nothing, however many of them a node has.
 func (m *Manager) advanceActive(now tick.Tick) {
 	due := m.active
 	m.active = nil
@@ -168,9 +168,10 @@
 	}
 }
 
-// advance does for one instance what can be done now, and schedules another look where time alone may bring more.
+// advance does what can be done now for one instance, and puts it on the list for OnTick if the passing of time alone
+// may call for more.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
-	if inst.idle { // its replicas had nothing to do until now
+	if inst.idle { // its replicas had nothing to confirm until now
 		inst.resetProgressTimes(now)
 	}
 	m.advanceOnce(now, inst)
@@ -182,8 +183,8 @@
 	}
 }
 
-// advanceOnce is one look: at the copy, at whether the node may serve, and as primary at replicas, requests and
-// proposals, in that order.
+// advanceOnce makes one pass over an instance. It handles the copy, then whether the node may serve, and on a primary
+// the replicas, requests and proposals, in that order.
 func (m *Manager) advanceOnce(now tick.Tick, inst *instance) {
 	m.deleteUnusedCopy(now, inst)
 	if m.proposeReportIncomplete(now, inst) || m.proposeMarkServed(now, inst) {
@@ -202,13 +203,13 @@
 	m.proposeNext(now, inst)
 }
 
-// isAtRest tells whether nothing is left to be done for an instance but by a call that names it, or by the lease's end.
+// isIdle reports whether nothing is left to do for an instance until a call names it or the lease ends.
 func (m *Manager) isIdle(now tick.Tick, inst *instance) bool {
 	if inst.hasPendingWork() {
 		return false
 	}
 	p := &inst.assignment.agreed
-	if !inst.assignment.involves(m.self) { // else it is deleted after a while
+	if !inst.assignment.involves(m.self) { // idle unless the copy is to be deleted after unusedCopyLeases
 		return !inst.local.present || !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 ||
 			inst.assignment.hasStaleCopyOn(m.self)
 	}
@@ -228,13 +229,13 @@
 	return true
 }
 
-// hasWorkUnderWay tells whether something waits for the disk, the replicas, the controllers or the recovery.
+// hasPendingWork reports whether something waits for the disk, the replicas, the controllers or the recovery.
 func (inst *instance) hasPendingWork() bool {
 	return len(inst.local.pending) > 0 || inst.local.failed || len(inst.serving.pending) > 0 || len(inst.pendingAcks) > 0 ||
 		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
 }
 
-// deleteUnusedCopy deletes a copy that nobody counts on any more, while others have it.
+// deleteUnusedCopy deletes a copy that the controllers no longer require, while other nodes have the instance.
 func (m *Manager) deleteUnusedCopy(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.involves(m.self) ||
