--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -13,45 +13,45 @@
 	diskFullReason = "the disk is full"
 )
 
-// localLog is this node's copy of an instance: the log as it will be once the disk has done what it was asked, and what
-// of that is durable. The zero value is no copy.
+// localLog is this node's copy of an instance: the log as it will be once all pending writes are done, and the index up
+// to which it is durable. The zero value means that there is no copy.
 type localLog struct {
 	log      Log
-	present  bool              // there is a copy, though it may be without entries
-	bytes    int               // of its entries
-	requests map[string]uint64 // index of the entry that each kept request made
-	pending  []diskWrite       // asked of the disk, the first one first
-	failed   bool              // the disk failed: what is left in pending fails too
-	durable  uint64            // index of the last entry that the disk has
+	present  bool              // there is a copy, possibly without entries
+	bytes    int               // size of the entries
+	requests map[string]uint64 // index of the entry of each request ID that is kept
+	pending  []diskWrite       // requested of the disk, oldest first
+	failed   bool              // a write failed: the writes that are still pending will fail too
+	durable  uint64            // index of the last entry on the disk
 }
 
-// diskWrite is something that was asked of the disk.
+// diskWrite is a change of the log that was requested of the disk.
 type diskWrite struct {
-	index      uint64 // of the last entry once it is done
-	deletes    bool   // the copy
-	before     Log    // the log before
-	wasPresent bool   // and whether there was one
+	index      uint64 // index of the last entry after the write
+	deletes    bool   // the write deletes the copy
+	before     Log    // the log before the write
+	wasPresent bool   // whether there was a copy before the write
 }
 
-// restore takes in what the disk kept at the start.
+// restore takes over a log that was on the disk at the start.
 func (l *localLog) restore(log Log) {
 	l.replace(log)
 	l.present = true
 	l.durable = log.LastIndex()
 }
 
-// isGone tells that there is no copy, on the disk or on its way there.
+// isAbsent reports whether there is no copy, neither on the disk nor in a pending write.
 func (l *localLog) isAbsent() bool { return !l.present && len(l.pending) == 0 }
 
-// reaches tells whether there is a copy with the entries up to an index.
+// reaches reports whether there is a copy that has the entries up to index.
 func (l *localLog) reaches(index uint64) bool { return l.present && l.log.LastIndex() >= index }
 
-// ends tells whether there is a copy whose last entry has an index and a checksum.
+// endsAt reports whether there is a copy whose last entry has the given index and checksum.
 func (l *localLog) endsAt(index, checksum uint64) bool {
 	return l.present && l.log.LastIndex() == index && l.log.Checksum() == checksum
 }
 
-// has tells whether all of some entries are there, and that there is one at least.
+// containsAll reports whether entries is not empty and the log has all of them.
 func (l *localLog) containsAll(entries []LogEntry) bool {
 	for _, e := range entries {
 		if !l.log.matches(e.Index, e.Checksum) {
@@ -61,7 +61,7 @@
 	return len(entries) > 0
 }
 
-// replace puts another log in place of what is there.
+// replace stores another log in place of the present one.
 func (l *localLog) replace(log Log) {
 	l.log = log
 	l.bytes = log.Size()
@@ -71,14 +71,14 @@
 	}
 }
 
-// write notes that something is asked of the disk. It is called before the log changes.
+// addPending records a write that is requested of the disk. It must be called before the log changes.
 func (l *localLog) addPending(index uint64, deletes bool) {
 	before := l.log
-	before.Entries = slices.Clip(before.Entries) // what is appended to one is not seen in the other
+	before.Entries = slices.Clip(before.Entries) // entries appended to one log must not show in the other
 	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, before: before, wasPresent: l.present})
 }
 
-// append takes the next entry in, and with it forgets the request of the one that the log drops.
+// append adds the next entry. If the log drops its first entry for it, that entry's request is forgotten.
 func (l *localLog) append(e LogEntry) {
 	l.addPending(e.Index, false)
 	if len(l.log.Entries) == LogCapacity {
@@ -115,7 +115,7 @@
 	l.present = false
 }
 
-// done takes in that the first pending write is durable.
+// completeWrite records that the first pending write is durable.
 func (l *localLog) completeWrite() {
 	first := l.popPending()
 	l.durable = first.index
@@ -124,7 +124,7 @@
 	}
 }
 
-// next takes the first pending write out.
+// popPending removes and returns the first pending write.
 func (l *localLog) popPending() diskWrite {
 	first := l.pending[0]
 	l.pending = l.pending[1:]
@@ -134,14 +134,15 @@
 	return first
 }
 
-// undo puts the log back to what it was before a write that failed. What is pending rests on it, and fails too.
+// rollBack restores the log from before a write that failed. The writes that are still pending depend on that one and
+// fail too.
 func (l *localLog) rollBack(w diskWrite) {
 	l.failed = true
 	l.replace(w.before)
 	l.present = w.wasPresent
 }
 
-// bytesWith is the size of the log with one more entry.
+// bytesWith returns the size of the log with one more entry.
 func (l *localLog) bytesWith(e LogEntry) int {
 	bytes := l.bytes + e.Size()
 	if len(l.log.Entries) == LogCapacity {
@@ -172,7 +173,7 @@
 	}
 }
 
-// OnDurable tells that the first thing that was asked of the disk for an instance is durable.
+// OnDurable records that the first pending write of an instance is durable.
 func (m *Manager) OnDurable(now tick.Tick, name string, index uint64) {
 	m.expireLease(now)
 	inst := m.instances[name]
@@ -184,8 +185,8 @@
 	m.updateTracking(inst)
 }
 
-// OnDiskError tells that the disk did not take the first thing that was asked of it for an instance, and will take
-// nothing that rests on it. What was not written was sent to nobody, so its request never ran.
+// OnDiskError records that the first pending write of an instance failed; the writes that depend on it will fail too.
+// An entry that was not written was sent to no node, so its request was never executed.
 func (m *Manager) OnDiskError(now tick.Tick, name string, err error) {
 	m.expireLease(now)
 	inst := m.instances[name]
@@ -210,7 +211,7 @@
 	m.updateTracking(inst)
 }
 
-// rejectUnwritten answers the requests whose entries the disk did not take.
+// rejectUnwritten rejects the requests whose entries the disk did not store.
 func (m *Manager) rejectUnwritten(inst *instance) {
 	var remaining []pendingRequest
 	for _, w := range inst.serving.pending {
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// LogCapacity is how many log entries are kept with their request ids: a request that is repeated is answered from
-	// them as at first.
+	// LogCapacity is the number of log entries that are kept with their request IDs. A repeated request gets its first
+	// answer again as long as its entry is kept.
 	LogCapacity = 1024
 
-	// entryOverhead is the bytes that a log entry counts beside its body and words.
+	// entryOverhead is the number of bytes that a log entry counts besides its body, node and request ID.
 	entryOverhead = 64
 )
 
-// LogEntry is what one write request did to an instance. Checksum is that of all entries up to it, so that two nodes
+// LogEntry is the effect of one write request on an instance. Checksum covers all entries up to this one, so two nodes
 // with the same Index and Checksum have the same entries.
 type LogEntry struct {
 	Index     uint64 `json:"seq"`
 	Epoch     uint64 `json:"epoch"`
-	Node      string `json:"unit"` // that executed the request
+	Node      string `json:"unit"` // the node that executed the request
 	RequestID string `json:"id"`
 	Body      []byte `json:"body,omitempty"`
 	Checksum  uint64 `json:"sum"`
 }
 
-// Size is the bytes that an entry counts in the setting fleet.state.
+// Size returns the bytes that an entry counts in the setting fleet.state.
 func (e LogEntry) Size() int { return entryOverhead + len(e.Node) + len(e.RequestID) + len(e.Body) }
 
-// ChainChecksum is the checksum of all entries up to e, after the checksum of those before it.
+// ChainChecksum returns the checksum of all entries up to e, given the checksum of those before it.
 func (e LogEntry) ChainChecksum(before uint64) uint64 {
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[:], before)
@@ -38,7 +38,7 @@
 	binary.LittleEndian.PutUint64(b[16:], e.Epoch)
 	binary.LittleEndian.PutUint32(b[24:], uint32(len(e.Node)))
 	binary.LittleEndian.PutUint32(b[28:], uint32(len(e.RequestID)))
-	d := xxhash.New() // whose writes do not fail
+	d := xxhash.New() // its writes do not fail
 	_, _ = d.Write(b[:])
 	_, _ = d.WriteString(e.Node)
 	_, _ = d.WriteString(e.RequestID)
@@ -46,8 +46,8 @@
 	return d.Sum64()
 }
 
-// Log is an instance as a node has it: its last entries, at most LogCapacity, and what came before them as a checksum.
-// The zero value is an empty log.
+// Log is the log of an instance on a node: its last entries, at most LogCapacity, and the checksum of those before
+// them. The zero value is an empty log.
 type Log struct {
 	Instance     string     `json:"name"`
 	BaseIndex    uint64     `json:"base"` // index of the last entry before Entries
@@ -55,10 +55,10 @@
 	Entries      []LogEntry `json:"effects,omitempty"`
 }
 
-// LastIndex is the index of the last entry, which is the number of all entries ever appended.
+// LastIndex returns the index of the last entry, which is the number of all entries ever appended.
 func (l *Log) LastIndex() uint64 { return l.BaseIndex + uint64(len(l.Entries)) }
 
-// Checksum is that of all entries.
+// Checksum returns the checksum of all entries.
 func (l *Log) Checksum() uint64 {
 	if n := len(l.Entries); n > 0 {
 		return l.Entries[n-1].Checksum
@@ -66,7 +66,7 @@
 	return l.BaseChecksum
 }
 
-// LastEpoch is the epoch of the last entry, 0 where that is not kept.
+// LastEpoch returns the epoch of the last entry, or 0 if that entry is not kept.
 func (l *Log) LastEpoch() uint64 {
 	if n := len(l.Entries); n > 0 {
 		return l.Entries[n-1].Epoch
@@ -74,7 +74,7 @@
 	return 0
 }
 
-// ChecksumAt is the checksum of the entries up to an index, where it is still known.
+// ChecksumAt returns the checksum of the entries up to index, if it is still known.
 func (l *Log) ChecksumAt(index uint64) (checksum uint64, known bool) {
 	switch {
 	case index == l.BaseIndex:
@@ -85,34 +85,34 @@
 	return l.entryAt(index).Checksum, true
 }
 
-// matches tells whether the entries up to an index are known to have a checksum.
+// matches reports whether the entries up to index are known to have the checksum.
 func (l *Log) matches(index, checksum uint64) bool {
 	own, known := l.ChecksumAt(index)
 	return known && own == checksum
 }
 
-// entryAt is the entry at an index, which has to be kept.
+// entryAt returns the entry at index, which must be kept.
 func (l *Log) entryAt(index uint64) LogEntry { return l.Entries[index-l.BaseIndex-1] }
 
-// IsNext tells whether an entry is the next one.
+// IsNext reports whether e is the next entry of the log.
 func (l *Log) IsNext(e LogEntry) bool {
 	return e.Index == l.LastIndex()+1 && e.Checksum == e.ChainChecksum(l.Checksum())
 }
 
-// Append takes the next entry in, and drops the first where there are more than LogCapacity.
+// Append adds the next entry, and drops the first one if there are more than LogCapacity.
 func (l *Log) Append(e LogEntry) {
 	l.Entries = append(l.Entries, e)
 	if len(l.Entries) > LogCapacity {
 		l.BaseIndex++
 		l.BaseChecksum = l.Entries[0].Checksum
-		l.Entries = l.Entries[1:] // the array's head is released when append grows it
+		l.Entries = l.Entries[1:] // the dropped entry is released when append moves the rest to a new array
 	}
 }
 
-// Truncate leaves the entries up to an index, which have to be known.
+// Truncate removes the entries after index, which must be between BaseIndex and LastIndex.
 func (l *Log) Truncate(index uint64) { l.Entries = slices.Clip(l.Entries[:index-l.BaseIndex]) }
 
-// Size is the bytes that count in the setting fleet.state.
+// Size returns the bytes that the entries count in the setting fleet.state.
 func (l *Log) Size() int {
 	bytes := 0
 	for _, e := range l.Entries {
@@ -121,7 +121,7 @@
 	return bytes
 }
 
-// checksums are those of the base and of each kept entry, in order.
+// checksums returns the checksum of the base and of each kept entry, in order.
 func (l *Log) checksums() []uint64 {
 	all := []uint64{l.BaseChecksum}
 	for _, e := range l.Entries {
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -10,16 +10,16 @@
 type servingState uint8
 
 const (
-	stopped servingState = iota // it is not the lease holder
-	leased                      // it executes requests
-	paused                      // it is the lease holder and executes none: it has yet to begin, or is to cut over to the next primary
+	stopped servingState = iota // the node is not the lease holder
+	leased                      // the node executes requests
+	paused                      // the node is the lease holder and executes no requests: it has yet to begin, or a cut-over is under way
 )
 
-// serving is the lease holder's part. The zero value is stopped.
+// serving is the state of an instance's lease holder. The zero value is stopped.
 type serving struct {
 	state        servingState
 	pending      []pendingRequest
-	acknowledged uint64 // index up to which entries may have been acknowledged: no copy is complete without them
+	acknowledged uint64 // index up to which entries may have been acknowledged: a copy without them is incomplete
 	committed    uint64 // index up to which every replica has confirmed
 }
 
@@ -31,12 +31,12 @@
 
 const notPrimary = "not its owner now: never ran"
 
-// reject answers a request that did nothing and never will.
+// reject answers a request that was not executed and never will be.
 func (m *Manager) reject(request *Request, reason string) {
 	m.host.Respond(request, Response{Outcome: Rejected, Detail: reason})
 }
 
-// OnRequest begins a request. Its answer comes by Host.Respond, at once or later.
+// OnRequest starts a request. The answer is given by Host.Respond, at once or later.
 func (m *Manager) OnRequest(now tick.Tick, request *Request) {
 	m.expireLease(now)
 	inst := m.instances[request.Instance]
@@ -67,7 +67,7 @@
 	}
 }
 
-// refuses says why a lease holder does not begin a request, "" where it does.
+// rejectionReason returns why a lease holder does not start a request, or "" if it does.
 func (inst *instance) rejectionReason(now tick.Tick, request *Request) (reason string) {
 	switch {
 	case inst.assignment.cuttingOver():
@@ -84,7 +84,7 @@
 	s.pending = append(s.pending, pendingRequest{request, index})
 }
 
-// execute appends the entry of a write that has not been seen before.
+// execute appends the entry of a write whose ID no kept entry has.
 func (m *Manager) execute(now tick.Tick, inst *instance, request *Request) {
 	e := LogEntry{Index: inst.local.log.LastIndex() + 1, Epoch: inst.assignment.agreed.Epoch, Node: m.self, RequestID: request.ID,
 		Body: request.Body}
@@ -109,7 +109,7 @@
 	return fmt.Sprintf("the state would pass %d bytes", m.maxStateBytes)
 }
 
-// completeRequests answers requests whose entries are committed, and those whose time is over.
+// completeRequests answers the requests whose entries are committed, and those whose deadline has passed.
 func (m *Manager) completeRequests(now tick.Tick, inst *instance) {
 	s := &inst.serving
 	if s.state == stopped {
@@ -134,7 +134,7 @@
 	s.pending = remaining
 }
 
-// success is the answer by the entry at an index, as it was answered at first.
+// successResponse returns the answer that the entry at index gives, the same as the first time.
 func (m *Manager) successResponse(inst *instance, index uint64) Response {
 	log := &inst.local.log
 	switch {
@@ -147,7 +147,8 @@
 	return Response{Outcome: Succeeded, Epoch: inst.assignment.agreed.Epoch, Node: m.self}
 }
 
-// committedIndex is the index up to which this node and every node that has to have an entry have confirmed.
+// committedIndex returns the index up to which this node and every node that must have an entry have confirmed the
+// entries.
 func (inst *instance) committedIndex() uint64 {
 	committed := inst.local.durable
 	for name, f := range inst.followers {
@@ -163,13 +164,14 @@
 	return committed
 }
 
-// mustConfirm tells whether a node must have an entry before it is acknowledged: the agreed replicas, and one that was
-// said to have all, as the controllers may have agreed to that by now.
+// mustConfirm reports whether a node must have an entry before the entry is acknowledged. That holds for the agreed
+// replicas and for a copy target that was proposed as a replica, as the controllers may have agreed to that by now.
 func (inst *instance) mustConfirm(name string) bool {
 	return inst.assignment.isReplica(name) || name == inst.assignment.agreed.CopyTarget && inst.caughtUp()
 }
 
-// caughtUp tells whether the node that is copied to was said to have all that is acknowledged.
+// caughtUp reports whether the copy target was proposed as a replica at the current revision, because it has all
+// acknowledged entries.
 func (inst *instance) caughtUp() bool {
 	return inst.catchUp.readyRevision != 0 && inst.catchUp.readyRevision == inst.assignment.agreed.Revision
 }
