--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -5,16 +5,16 @@
 	"silvercove/internal/tick"
 )
 
-// pendingAck is a primary's message that is answered once the disk has all that was asked of it.
+// pendingAck is a message of a primary that is answered once all pending writes are durable.
 type pendingAck struct {
 	to       string
 	replyTo  uint64
 	epoch    uint64
-	index    uint64 // of the last entry that the message showed
+	index    uint64 // index of the last entry that the message showed
 	checksum uint64
 }
 
-// OnMessage takes a message of another edge node in.
+// OnMessage handles a message from another edge node.
 func (m *Manager) OnMessage(now tick.Tick, from string, msg Message) {
 	m.expireLease(now)
 	if err := msg.Validate(); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// onAppend takes in what a primary sent to a replica, or to a node that is to become one.
+// onAppend handles a message that a primary sent to a replica or to a copy target.
 func (m *Manager) onAppend(now tick.Tick, from string, msg *Message) {
 	inst := m.ensureInstance(msg.Instance)
 	if epoch, stale := inst.isStale(from, msg.Epoch); stale {
@@ -42,7 +42,7 @@
 	}
 	inst.recovery.fencedEpoch = msg.Epoch
 	if inst.assignment.known() && msg.Epoch > inst.assignment.agreed.Epoch && inst.serving.state != stopped {
-		m.advance(now, inst) // another node is primary: the news are on their way
+		m.advance(now, inst) // another node is primary, and the new assignment is still to come
 	}
 	m.discardOrphan(inst)
 	inst.lastUsed = now
@@ -51,7 +51,7 @@
 		m.updateTracking(inst)
 		return
 	}
-	if msg.ReceiverIncarnation == m.incarnation { // else it goes on from what an earlier incarnation had
+	if msg.ReceiverIncarnation == m.incarnation { // otherwise the message continues the log of an earlier incarnation
 		if reason := m.applyEntries(inst, msg); reason != "" {
 			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, reason))
 			return
@@ -63,13 +63,14 @@
 	m.updateTracking(inst)
 }
 
-// answer is an answer to a message, without what is there.
+// answer returns an answer to a message, without the state of the log.
 func (m *Manager) answer(to *Message, kind string, epoch uint64, reason string) Message {
 	return Message{Version: placement.FormatVersion, Kind: kind, Instance: to.Instance, Epoch: epoch,
 		SenderIncarnation: m.incarnation, ReplyTo: to.ReplyTo, Reason: reason}
 }
 
-// isStale tells whether a sender is not the primary of the latest epoch that is known, and that epoch.
+// isStale reports whether a message's epoch is earlier than the latest known one, or its sender is not the primary of
+// that epoch. It also returns the latest known epoch.
 func (inst *instance) isStale(from string, epoch uint64) (latest uint64, stale bool) {
 	p := &inst.assignment.agreed
 	latest = max(p.Epoch, inst.recovery.fencedEpoch)
@@ -79,7 +80,7 @@
 	return latest, epoch < latest
 }
 
-// takeEntries takes a message's entries in as far as they fit, and says why where they are refused.
+// applyEntries adds a message's entries to the log as far as they fit, and returns the reason if they are refused.
 func (m *Manager) applyEntries(inst *instance, msg *Message) (reason string) {
 	m.prepareLog(inst, msg)
 	l := &inst.local
@@ -101,7 +102,7 @@
 	return ""
 }
 
-// makeWay begins a copy, or takes away of it what the primary's message replaces.
+// prepareLog begins a copy, or removes the entries that the primary's message replaces.
 func (m *Manager) prepareLog(inst *instance, msg *Message) {
 	l := &inst.local
 	if !l.present && msg.PrevIndex == 0 && msg.PrevChecksum == 0 {
@@ -124,7 +125,7 @@
 	}
 }
 
-// checkComplete takes in that a message has shown all that the primary has to be there.
+// checkComplete marks the copy as complete if a message has shown that it has all entries of the primary.
 func (inst *instance) checkComplete(msg *Message) {
 	if !inst.recovery.incomplete && !inst.recovery.unverified {
 		return
@@ -134,7 +135,8 @@
 	}
 }
 
-// awaitDisk has a message answered once the disk has all; of too many the oldest is not.
+// queueAck has a message answered once all pending writes are durable. If too many messages wait, the oldest stays
+// unanswered.
 func (inst *instance) queueAck(ack pendingAck) {
 	inst.pendingAcks = append(inst.pendingAcks, ack)
 	if len(inst.pendingAcks) > maxPendingAcks {
@@ -142,7 +144,7 @@
 	}
 }
 
-// acknowledge answers primaries once all is durable.
+// sendPendingAcks answers the messages that wait for the disk, once all writes are durable.
 func (m *Manager) sendPendingAcks(inst *instance) {
 	if len(inst.local.pending) > 0 {
 		return
@@ -161,7 +163,7 @@
 	inst.pendingAcks = nil
 }
 
-// rejectPendingAcks answers each primary that waits for the disk.
+// rejectPendingAcks rejects the messages that wait for the disk.
 func (m *Manager) rejectPendingAcks(inst *instance, reason string) {
 	for _, ack := range inst.pendingAcks {
 		m.host.Send(ack.to, Message{Version: placement.FormatVersion, Kind: MessageRejected, Instance: inst.name,
