--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -7,51 +7,51 @@
 	"silvercove/internal/tick"
 )
 
-// progressState says how a primary sends to another node, as raft's Progress does.
+// progressState says how a primary sends to another node, as in raft's Progress.
 type progressState uint8
 
 const (
-	probing     progressState = iota // it has not answered in this incarnation: it is asked what it has
-	replicating                      // it is sent what comes after its last entry
-	truncating                       // what it has after next differs and has to give way
-	resetting                        // all that it has gives way to the log from its base on
+	probing     progressState = iota // the node has not answered in this incarnation: it is asked for its last entry
+	replicating                      // the node is sent the entries that follow its last one
+	truncating                       // the node's entries after next differ and are to be removed
+	resetting                        // the node's whole log is to be replaced by the primary's log from its base on
 )
 
-// String is the state in a word.
+// String returns the name of the state.
 func (s progressState) String() string {
 	return [...]string{"probing", "replicating", "truncating", "resetting"}[s]
 }
 
-// followerProgress is a replica, or the node that is copied to, as the primary knows it. The zero value is probing.
+// followerProgress is what the primary knows of a replica or of the copy target. The zero value is probing.
 type followerProgress struct {
 	state             progressState
-	incarnation       uint64    // of its process, as last heard
-	next              uint64    // index up to which it is taken to have entries
-	match             uint64    // index up to which it has confirmed
-	inFlight          bool      // a message is under way
-	sentAt            tick.Tick // the last message
-	progressAt        tick.Tick // it last got on, or had nothing to do
-	announcementsLeft uint8     // this incarnation of it is to be told so often what there is, so that it knows its copy complete
+	incarnation       uint64    // of the node's process, as last reported
+	next              uint64    // the node is assumed to have the entries up to this index; the next message continues from it
+	match             uint64    // the node has confirmed the entries up to this index
+	inFlight          bool      // the last message has not been answered yet
+	sentAt            tick.Tick // when the last message was sent
+	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
+	announcementsLeft uint8     // answers still expected to messages that announce the last index, by which the node learns that it is complete
 
-	// Of truncating and resetting: the last entry of what gives way.
+	// In truncating and resetting: the last of the entries to be replaced.
 	replacedIndex    uint64
 	replacedChecksum uint64
 
-	acksWithoutProgress int    // answers in a row that brought nothing on
-	rejection           string // why it did not take a message last
+	acksWithoutProgress int    // consecutive answers without progress
+	rejection           string // why the node refused the last message that it refused
 }
 
-// hasConfirmed tells whether it has confirmed all up to an index.
+// hasConfirmed reports whether the node has confirmed all entries up to index.
 func (f *followerProgress) hasConfirmed(index uint64) bool {
 	return f.match >= index && f.state != probing
 }
 
-// isAtRest tells whether there is nothing to send and nothing to wait for.
+// isIdle reports whether there is nothing to send to the node and no answer to wait for.
 func (f *followerProgress) isIdle(durable uint64) bool {
 	return f.state == replicating && !f.inFlight && f.announcementsLeft == 0 && f.match >= durable && f.next >= durable
 }
 
-// needsMessage tells whether it is to be sent something now.
+// needsMessage reports whether the node is to be sent a message now.
 func (f *followerProgress) needsMessage(now, retryAfter tick.Tick, durable uint64) bool {
 	if f.inFlight && now-f.sentAt < retryAfter {
 		return false
@@ -60,7 +60,8 @@
 	return !upToDate
 }
 
-// heardFrom takes in that an incarnation has answered, and tells whether it is the newest that is known.
+// observeIncarnation processes an answer from an incarnation of the node, and reports whether it is the latest one
+// known. A later incarnation than the known one is probed anew.
 func (f *followerProgress) observeIncarnation(incarnation uint64) bool {
 	switch {
 	case incarnation < f.incarnation:
@@ -73,11 +74,12 @@
 	return true
 }
 
-// answered takes in an answer at an index.
+// recordAnswer processes an answer whose last entry has the given index.
 //
-// Guards against sending as fast as a node answers that takes nothing: seen as answers in a row without progress, by a
-// fault of it or a copy that changes meanwhile; holds because after maxFruitlessAcks the next message waits as long as
-// after a lost one. Answers that were overtaken look the same and cost that wait.
+// Guards against sending in a tight loop to a node that answers every message and accepts nothing. The fault shows as
+// consecutive answers without progress, caused by a fault of that node or by a copy that changes meanwhile. The guard
+// holds because after maxAcksWithoutProgress answers the next message waits as long as after a lost one. Answers that
+// arrive out of order look the same and cost that wait.
 func (f *followerProgress) recordAnswer(now tick.Tick, index uint64) {
 	f.inFlight = false
 	f.acksWithoutProgress++
@@ -89,16 +91,16 @@
 	}
 }
 
-// pause has the next message wait as for an answer to one that is sent now.
+// pause delays the next message as if one had just been sent and not been answered.
 func (f *followerProgress) pause(now tick.Tick) { f.inFlight, f.sentAt = true, now }
 
-// rejected takes in that it does not take what it was sent.
+// recordRejection records that the node refused a message.
 func (f *followerProgress) recordRejection(now tick.Tick, reason string) {
 	f.pause(now)
 	f.rejection = reason
 }
 
-// confirmed takes in that it has the entries up to an index, and tells whether it got on.
+// recordConfirmation records that the node has the entries up to index, and reports whether that is progress.
 func (f *followerProgress) recordConfirmation(now tick.Tick, index uint64) bool {
 	f.state = replicating
 	f.next = index
@@ -110,7 +112,8 @@
 	return true
 }
 
-// diverged has it give way what it has after the last entry that is known to be the same in both logs.
+// resolveDivergence has the node remove its entries after the last durable one that is known to be the same in both
+// logs, or replace its whole log if there is no such entry.
 func (f *followerProgress) resolveDivergence(log *Log, durable uint64, msg *Message) {
 	f.state = resetting
 	f.replacedIndex, f.replacedChecksum = msg.Index, msg.Checksum
@@ -125,7 +128,7 @@
 	}
 }
 
-// follower is the progress of a node, made where there is none.
+// ensureFollower returns the progress of a node, and creates it if there is none.
 func (inst *instance) ensureFollower(now tick.Tick, name string) *followerProgress {
 	f := inst.followers[name]
 	if f == nil {
@@ -138,14 +141,14 @@
 	return f
 }
 
-// restartFollowerTimes begins each follower's time to confirm anew.
+// resetProgressTimes restarts the time that each follower has to confirm.
 func (inst *instance) resetProgressTimes(now tick.Tick) {
 	for _, f := range inst.followers {
 		f.progressAt = now
 	}
 }
 
-// replicate brings the replicas and the node that is copied to up to what is durable here.
+// replicate sends the replicas and the copy target the entries that they lack, up to the last one that is durable here.
 func (m *Manager) replicate(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
 	for _, name := range p.Replicas {
@@ -156,7 +159,7 @@
 	}
 }
 
-// sendEntries sends a node what comes next for it, if anything.
+// sendEntries sends a node its next message, if one is due.
 func (m *Manager) sendEntries(now tick.Tick, inst *instance, name string) {
 	f := inst.ensureFollower(now, name)
 	durable := inst.local.durable
@@ -186,7 +189,7 @@
 	m.host.Send(name, msg)
 }
 
-// appendKind is the kind of a message to a node.
+// appendKind returns the kind of message that carries entries to a node.
 func (inst *instance) appendKind(name string) string {
 	switch {
 	case inst.assignment.cuttingOver():
@@ -197,9 +200,9 @@
 	return MessageAppend
 }
 
-// fill puts the entries that come next into a message, and what has to give way for them.
+// fill adds the next entries to a message, and names the entries that they replace.
 func (f *followerProgress) fill(msg *Message, log *Log, durable uint64) {
-	if f.next < log.BaseIndex { // what comes next is no longer kept
+	if f.next < log.BaseIndex { // the entries after next are no longer kept
 		f.state = resetting
 		f.next = log.BaseIndex
 	}
@@ -215,23 +218,24 @@
 	}
 }
 
-// offerCatchUp has each replica told what there is: it may be relied on now.
+// announceLog has each follower sent the last index of this log again, now that messages are no longer marked as
+// unverified.
 func (m *Manager) announceLog(now tick.Tick, inst *instance) {
 	for _, f := range inst.followers {
 		f.announcementsLeft = 1
 		if f.inFlight {
-			f.announcementsLeft = 2 // the first answer is to a message from before
+			f.announcementsLeft = 2 // the first answer belongs to a message sent before
 		}
 	}
 	inst.idle = false
 	m.advance(now, inst)
 }
 
-// onAnswer takes in what another node has, as this one's messages asked.
+// onAnswer handles the state of another node's log, sent in answer to a message of this node.
 func (m *Manager) onAnswer(now tick.Tick, inst *instance, from string, msg *Message) {
 	p := &inst.assignment.agreed
 	if msg.Kind == MessageStaleEpoch {
-		if msg.Epoch > p.Epoch { // the controllers' news will follow
+		if msg.Epoch > p.Epoch { // the controllers will send the new assignment
 			inst.recovery.fencedEpoch = max(inst.recovery.fencedEpoch, msg.Epoch)
 			m.advance(now, inst)
 		}
@@ -256,7 +260,7 @@
 	m.advance(now, inst)
 }
 
-// onConfirmed takes in that a node has what this one has up to an index.
+// onConfirmed records that a node has the same entries as this one up to an index.
 func (m *Manager) onConfirmed(now tick.Tick, inst *instance, from string, msg *Message) {
 	if inst.followers[from].recordConfirmation(now, msg.Index) {
 		inst.catchUp.progressAt = now
@@ -264,7 +268,7 @@
 	r := &inst.recovery
 	r.confirmedBy(from)
 	if !inst.assignment.isReplica(from) {
-		return // a node that is copied to shows nothing
+		return // a copy target proves nothing about this copy
 	}
 	r.confirmedByReplica = true
 	if r.unverified && !msg.Unverified {
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -7,27 +7,27 @@
 	"silvercove/internal/tick"
 )
 
-// catchUpGap is how many entries the node that is copied to may lack when it is said to have caught up; it gets them as
-// a replica.
+// maxCatchUpLag is the number of entries that the copy target may still lack when it is proposed as a replica. It
+// receives them as a replica.
 const maxCatchUpLag = 32
 
-// proposal is the operation that was last proposed to the controllers for an instance. The zero value is none.
+// proposal is the operation last proposed to the controllers for an instance. The zero value means that there was none.
 type proposal struct {
 	operation placement.Operation
-	at        tick.Tick // 0: none is under way
+	at        tick.Tick // when it was proposed; 0 if none is under way
 }
 
 func (p *proposal) inProgress() bool { return p.at != 0 }
 
 func (p *proposal) done() { p.at = 0 }
 
-// catchUp is how far the copy to another node has come.
+// catchUp is the progress of the copy to another node.
 type catchUp struct {
-	readyRevision uint64    // revision of the assignment at which the copy was said to be complete
-	progressAt    tick.Tick // when it last got on, or began
+	readyRevision uint64    // revision of the assignment at which the copy target was proposed as a replica
+	progressAt    tick.Tick // when the copy last made progress, or began
 }
 
-// propose proposes an operation, unless one is under way.
+// propose proposes an operation, unless one is in progress that has not timed out.
 func (m *Manager) propose(now tick.Tick, inst *instance, operation placement.Operation) {
 	if inst.proposal.inProgress() && now-inst.proposal.at < m.leaseDuration/proposalTimeoutsPerLease {
 		return
@@ -42,13 +42,14 @@
 	m.host.Propose(operation)
 }
 
-// proposeRecovery tells the controllers that this node hasn't what they count on, and whether it did.
+// proposeReportIncomplete tells the controllers that this node's copy lacks entries that they require. It returns false
+// if the copy lacks none, if the node's lease does not hold, or if the assignment does not involve the node.
 func (m *Manager) proposeReportIncomplete(now tick.Tick, inst *instance) bool {
 	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
 	}
-	if inst.serving.state != stopped { // the disk failed since: others may own it before the controllers' answer comes
-		m.stopServing(now, inst, "it is not on the disk")
+	if inst.serving.state != stopped { // the disk failed while serving: another node may be primary before the controllers answer
+		m.stopServing(now, inst, "the copy is incomplete")
 	}
 	operation := placement.Operation{Kind: placement.OpReportIncomplete, Reason: "no copy outlived the restart"}
 	if p := &inst.assignment.agreed; p.Primary == m.self && len(p.Replicas) > 0 {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// proposeBegin has the controllers note that the instance is about to be served for the first time, so that a copy that
-// was lost is told from one that never was. It tells whether that is still to come.
+// proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
+// copy that was lost can be told from one that never existed. It reports whether that is still to be recorded.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
@@ -69,13 +70,13 @@
 	return true
 }
 
-// yieldTo has the controllers make a replica the primary in place of this node.
+// proposeYield proposes that a replica become the primary in place of this node.
 func (m *Manager) proposeYield(now tick.Tick, inst *instance, replica, reason string) {
 	m.propose(now, inst, placement.Operation{Kind: placement.OpReportIncomplete, Target: replica, Reason: reason})
 }
 
-// proposeNext proposes what has to be agreed next: to drop a replica that does not confirm, or what the copy to another
-// node calls for.
+// proposeNext proposes what has to be agreed next: to drop a replica that does not confirm, or the next step of the
+// copy to another node.
 func (m *Manager) proposeNext(now tick.Tick, inst *instance) {
 	if m.proposeDrop(now, inst) || inst.assignment.agreed.CopyTarget == "" || inst.serving.state == stopped {
 		return
@@ -83,8 +84,9 @@
 	m.proposeCopyStep(now, inst)
 }
 
-// proposeDrop drops the first replica that does not confirm in time, and tells whether there is one. It costs each entry
-// a wait, be it dead, cut off, slow or full; where it is merely slow, dropping it costs a new copy.
+// proposeDrop proposes to drop the first replica that does not confirm in time, and reports whether there is one. Such
+// a replica delays each entry, whether it is dead, disconnected, slow or its disk is full. If it was merely slow,
+// dropping it costs a new copy.
 func (m *Manager) proposeDrop(now tick.Tick, inst *instance) bool {
 	for _, name := range inst.assignment.agreed.Replicas {
 		f := inst.followers[name]
@@ -104,8 +106,8 @@
 	return false
 }
 
-// proposeCopyStep makes the node that is copied to a replica once it has caught up, and then the primary where a
-// cut-over is asked for; a copy that does not get on is given up.
+// proposeCopyStep proposes to make the copy target a replica once it has caught up, and then the primary if a cut-over
+// is asked for. A copy without progress is cancelled.
 func (m *Manager) proposeCopyStep(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
 	last := inst.local.log.LastIndex()
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -11,31 +11,31 @@
 type recoveryState uint8
 
 const (
-	current    recoveryState = iota // all that the controllers count on is there
-	unverified                      // it is from before the start, and no other node has shown since that it is complete
-	verifying                       // a restarted primary's: replicas are to show first that none of them has more
-	fenced                          // another node has told of a later epoch
-	incomplete                      // the controllers count on entries that are not there
+	current    recoveryState = iota // the copy has all entries that the controllers require
+	unverified                      // the copy is from before the start, and no other node has shown since then that it is complete
+	verifying                       // the node restarted as primary: the replicas must first show that none of them has more entries
+	fenced                          // another node has reported a later epoch
+	incomplete                      // the copy lacks entries that the controllers require
 )
 
-// String is the state in a word.
+// String returns the name of the state.
 func (s recoveryState) String() string {
 	return [...]string{"current", "unverified", "verifying", "fenced", "incomplete"}[s]
 }
 
-// recovery is what is known of whether a copy may be trusted. Its facts are kept apart, as one outlives the other: a
-// copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
+// recovery holds the facts that decide whether a copy may be trusted. They are stored apart because one can outlive
+// another: a copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
 type recovery struct {
-	primaryAtStart     bool // this node was its primary at the start: before OnDiskChecked nobody knows whether it is complete
+	primaryAtStart     bool // this node was the primary at the start: whether its copy is complete is not known before OnDiskChecked
 	unverified         bool
-	confirmedByReplica bool // a replica of this epoch has shown what it has
+	confirmedByReplica bool // a replica of this epoch has shown its log
 	incomplete         bool
-	awaitedReplicas    []string // replicas that have yet to show that they have nothing more
-	fencedEpoch        uint64   // the latest epoch that another node told of
-	pendingReport      string   // why the copy may lack entries, while the controllers are to be told
+	awaitedReplicas    []string // replicas that have yet to show that they have no more entries
+	fencedEpoch        uint64   // the latest epoch that another node has reported
+	pendingReport      string   // why the copy may lack entries; empty once the controllers have been told
 }
 
-// state is the most severe of what holds at an epoch.
+// state returns the most severe of the states that hold at an epoch.
 func (r *recovery) state(epoch uint64) recoveryState {
 	switch {
 	case r.incomplete:
@@ -50,47 +50,50 @@
 	return current
 }
 
-// trusted tells whether a primary of an epoch may serve from the copy.
+// trusted reports whether a primary of an epoch may serve from the copy.
 func (r *recovery) trusted(epoch uint64) bool { return r.state(epoch) <= unverified }
 
 func (r *recovery) awaitsConfirmation() bool { return len(r.awaitedReplicas) > 0 }
 
-// verify has all replicas show what they have.
+// startVerification has the node wait until all replicas have shown their logs.
 func (r *recovery) startVerification(replicas []string) { r.awaitedReplicas = slices.Clone(replicas) }
 
-// keepConfirmers waits no longer for nodes that are no replicas.
+// retainAwaited stops waiting for nodes that are not among the replicas.
 func (r *recovery) retainAwaited(replicas []string) {
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(name string) bool { return !slices.Contains(replicas, name) })
 }
 
-// confirmedBy waits no longer for a replica that has shown that it has nothing more.
+// confirmedBy stops waiting for a replica that has shown that it has no more entries.
 func (r *recovery) confirmedBy(name string) {
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(n string) bool { return n == name })
 }
 
-// completed takes in that a primary has shown all that it has to be there; its own copy may be unverified.
+// markComplete records that a primary has shown all its entries to be in the copy. The primary's own copy may be
+// unverified, and then this one stays unverified.
 func (r *recovery) markComplete(primaryUnverified bool) {
 	r.incomplete = false
 	r.unverified = r.unverified && primaryUnverified
 	r.primaryAtStart = r.primaryAtStart && primaryUnverified
 }
 
-// diskState is what is known of the node's disk.
+// diskState says whether the node's disk was restored from an older image before this start.
 type diskState uint8
 
 const (
-	diskUnchecked diskState = iota // whether it was restored before this start
-	diskCurrent                    // no later state of it is known
-	diskRestored                   // it is an older image
+	diskUnchecked diskState = iota // not known yet
+	diskCurrent                    // no later state of the disk is known
+	diskRestored                   // the disk is an older image
 )
 
-// OnDiskChecked tells, before the first lease of this incarnation, whether the node's disk was restored from an older
-// image: the controllers have heard of more on it than there was at the start. What there is of each instance is
-// unverified then until a node that does not doubt its own has shown it to be complete.
+// OnDiskChecked records, before the first lease of this incarnation, whether the node's disk was restored from an older
+// image: the controllers know of more records on it than there were at the start. Each copy on a restored disk is
+// unverified until a node with a verified copy has shown it to be complete.
 //
-// Guards against serving without acknowledged entries: seen as a disk with fewer records than the controllers have heard
-// of, of primary and replica at once, or of a primary without replicas; holds because only a node with a later copy can
-// tell. A count that is not of this disk has copies told as unverified for nothing.
+// Guards against serving without acknowledged entries after a disk was restored. The fault shows as a disk with fewer
+// records than the controllers know of, on the primary and a replica at once or on a primary without replicas. The
+// guard holds because only a node with a later copy can tell which entries are missing, and the copies stay unverified
+// until such a node has shown them to be complete. A record count that belongs to another disk only has complete copies
+// reported as unverified.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskCurrent
 	if !restored {
@@ -109,23 +112,25 @@
 	}
 }
 
-// UnverifiedCopy is an instance that its primary goes on with though it may lack entries that were acknowledged.
+// UnverifiedCopy is an instance that its primary serves although its copy may lack acknowledged entries.
 type UnverifiedCopy struct {
 	Instance string `json:"name"`
 	Epoch    uint64 `json:"epoch"`
-	Index    uint64 `json:"seq"` // of the last entry that there is
+	Index    uint64 `json:"seq"` // index of the last entry in the copy
 	Reason   string `json:"why"`
 }
 
-// AllVerified tells whether no copy on this disk is unverified any more, nor to be told: what is written from now on counts.
+// AllVerified reports whether no copy on this disk is unverified or has still to be reported as such, so that the count
+// of records on the disk is valid from now on.
 func (m *Manager) AllVerified() bool {
 	return m.disk == diskCurrent || m.disk == diskRestored && !slices.ContainsFunc(m.tracked, func(inst *instance) bool {
 		return inst.recovery.pendingReport != "" || inst.recovery.unverified && inst.assignment.involves(m.self)
 	})
 }
 
-// UnverifiedCopies are the instances that the node goes on with though they may lack entries, at most so many, by name:
-// the controllers are to be told. OnUnverifiedReported says that they were.
+// UnverifiedCopies returns the instances, at most limit of them and by name, that the node serves although their copies
+// may lack entries, and of which the controllers have not been told. OnUnverifiedReported confirms that they have been
+// told.
 func (m *Manager) UnverifiedCopies(limit int) (copies []UnverifiedCopy) {
 	for _, inst := range m.tracked {
 		if inst.recovery.pendingReport != "" && len(copies) < limit {
@@ -136,7 +141,7 @@
 	return copies
 }
 
-// OnUnverifiedReported tells that the controllers have been told of unverified copies.
+// OnUnverifiedReported records that the controllers have been told of unverified copies.
 func (m *Manager) OnUnverifiedReported(now tick.Tick, copies []UnverifiedCopy) {
 	for _, c := range copies {
 		if inst := m.instances[c.Instance]; inst != nil && inst.recovery.pendingReport == c.Reason {
@@ -146,9 +151,9 @@
 	}
 }
 
-// proceedUnverified has a primary serve from an unverified copy. A disk that was restored within an incarnation is told
-// from one that is complete by a node that has all, and by nothing else: where none can be reached the primary goes on,
-// as after a mere restart, and tells that entries may be missing.
+// serveUnverified lets a primary serve from an unverified copy. Only a node with all entries can tell a disk that was
+// restored within an incarnation from a complete one. If no such node can be reached, the primary serves as after a
+// mere restart, and reports that entries may be missing.
 func (m *Manager) serveUnverified(inst *instance) {
 	epoch := inst.assignment.agreed.Epoch
 	reason := "its copy is of before its restart, and nobody has shown since that it is whole"
