--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -5,9 +5,11 @@
 //
 // The package contains no clock, goroutine, disk or connection. A caller makes a Manager from the logs on the disk and
 // the controllers' assignments, calls the one method that stands for what has happened (OnLease, OnAssignment,
-// OnRequest, OnDurable, OnMessage and the others), and calls OnTick at the time that its last call returned. The
-// Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not safe for concurrent
-// use.
+// OnRequest, OnDurable, OnMessage and the others), and calls OnTick no later than its previous
+// call said. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not safe for
+// concurrent use.
+//
+// # Invariants
 //
 // One writer per epoch. A node executes requests for an instance only while its lease runs by its own clock, it has
 // seen all assignments that were agreed before the lease began, the newest of them names this node as primary, and no
@@ -24,6 +26,8 @@
 // all replicas to show that none of them has more entries (verifying). A node whose disk was restored from an older
 // image reports its copy as unverified until a node with a verified copy has shown it to be complete.
 //
+// # Parts of an instance
+//
 // The state of an instance at a node has these parts: an assignment (what the controllers have agreed), a localLog (the
 // copy and its pending writes), a recovery (whether the copy may be trusted), a serving state with the pending
 // requests, and on a primary a followerProgress for each replica, as in raft's Progress.
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -98,8 +98,8 @@
 	return may
 }
 
-// beginServing prepares the node to serve: the instance is paused until updateServing finds that no cut-over is under
-// way.
+// beginServing prepares the node to serve an instance, which stays paused until updateServing finds that no cut-over is
+// under way.
 func (m *Manager) beginServing(now tick.Tick, inst *instance) {
 	if inst.recovery.unverified {
 		m.serveUnverified(inst)
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -19,7 +19,7 @@
 	leaseDuration tick.Tick
 	lease         nodeLease
 	instances     map[string]*instance
-	tracked       []*instance // the instances that involve this node, by name
+	tracked       []*instance // the instances that have a copy here or involve this node, by name
 	active        []*instance // the tracked instances that the passing of time may change, by name
 	disk          diskState
 	diskFullUntil tick.Tick // after a failed write: nothing is written before this time
@@ -112,8 +112,9 @@
 	return inst
 }
 
-// updateTracking adds an instance to those that involve this node, or removes it from them. Of an instance that was
-// removed only the assignment is kept. An instance with neither assignment nor copy is released.
+// updateTracking adds an instance to Manager.tracked if it has a copy here or its assignment involves this node, and
+// removes it otherwise. Of an instance that was removed only the assignment is kept. An instance with neither
+// assignment nor copy is released.
 func (m *Manager) updateTracking(inst *instance) {
 	if !inst.assignment.known() && inst.local.isAbsent() && m.instances[inst.name] == inst {
 		delete(m.instances, inst.name)
