--- a/internal/replica/export_test.go
+++ b/internal/replica/export_test.go
@@ -1,4 +1,4 @@
 package replica
 
-// ActiveInstances is how many instances OnTick looks at.
+// ActiveInstances returns the number of instances that OnTick looks at.
 func (m *Manager) ActiveInstances() int { return len(m.active) }
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// recordingHost is a host that remembers; the disk is as fast as memory.
+// recordingHost is a Host that records every call. Its disk operations complete when flushDisk is called.
 type recordingHost struct {
 	manager   *replica.Manager
 	sent      []replica.Message
@@ -57,7 +57,7 @@
 	return n.sent[len(n.sent)-1]
 }
 
-// entriesAfter are log entries after an index and a checksum.
+// entriesAfter returns log entries that follow an index and a checksum.
 func entriesAfter(index, checksum, epoch uint64, node string, ids ...string) (all []replica.LogEntry) {
 	for i, id := range ids {
 		e := replica.LogEntry{Index: index + 1 + uint64(i), Epoch: epoch, Node: node, RequestID: id}
@@ -68,7 +68,7 @@
 	return all
 }
 
-// primaryWithoutReplicas is a node that is the primary of x.
+// primaryWithoutReplicas returns a node that is the primary of instance x.
 func primaryWithoutReplicas(maxStateBytes float64) *recordingHost {
 	n := &recordingHost{}
 	n.manager = newManager(n, 1, "a", 1, map[string]any{"fleet.state": maxStateBytes}, nil, nil, 0)
@@ -85,7 +85,8 @@
 	return n.responses[len(n.responses)-1]
 }
 
-// takenOver is a node that has become the primary of x, with three entries of "p", "q", "z" from the primary before.
+// afterTakeover returns a node that has become the primary of instance x, with three entries "p", "q" and "z" of the
+// previous primary.
 func afterTakeover(p placement.Assignment) (*recordingHost, []replica.LogEntry) {
 	n := &recordingHost{}
 	old := entriesAfter(0, 0, 1, "c", "p", "q", "z")
@@ -99,7 +100,7 @@
 	return n, old
 }
 
-// confirm has another node answer that it has all up to an entry.
+// confirm delivers another node's answer that it has all entries up to e.
 func (n *recordingHost) confirm(from string, incarnation uint64, e replica.LogEntry) {
 	n.manager.OnMessage(6, from, replica.Message{Version: 1, Kind: replica.MessageAck, Instance: "x", Epoch: 2, SenderIncarnation: incarnation, Index: e.Index, Checksum: e.Checksum})
 	n.flushDisk()
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// discardingHost is a host that does nothing.
+// discardingHost is a Host that does nothing.
 type discardingHost struct{}
 
 func (discardingHost) Send(string, replica.Message) {}
@@ -133,7 +134,7 @@
 
 func (discardingHost) Notify(replica.Event) {}
 
-// sendingHost is a host that records what is sent, proposed and notified.
+// sendingHost is a Host that records what is sent, proposed and notified.
 type sendingHost struct {
 	discardingHost
 	sent      []replica.Message
@@ -154,7 +155,7 @@
 	return h.sent[len(h.sent)-1]
 }
 
-// newManager is a node's Manager after its start at now.
+// newManager returns the manager of a node that starts at now.
 func newManager(host replica.Host, now tick.Tick, node string, incarnation uint64, settings map[string]any, logs []replica.Log,
 	assignments []placement.Assignment, version uint64) *replica.Manager {
 	return replica.NewManager(host, now, replica.ConfigFrom(node, incarnation, settings),
