--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -31,14 +31,14 @@
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // answers still expected to messages that announce the last index, by which the node learns that it is complete
+	announcementsLeft uint8     // answers still due to announcements of the last index, by which the node learns that its copy is complete
 
 	// In truncating and resetting: the last of the entries to be replaced.
 	replacedIndex    uint64
 	replacedChecksum uint64
 
 	acksWithoutProgress int    // consecutive answers without progress
-	rejection           string // why the node refused the last message that it refused
+	rejection           string // reason of the node's last refusal, if any
 }
 
 // hasConfirmed reports whether the node has confirmed all entries up to index.
