--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -8,7 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// recordingHost is a Host that records every call. Its disk operations complete when flushDisk is called.
+// recordingHost is a Host that records what is sent, proposed, answered and notified. Its disk operations complete when
+// flushDisk is called.
 type recordingHost struct {
 	manager   *replica.Manager
 	sent      []replica.Message
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -32,7 +32,7 @@
 	incomplete         bool
 	awaitedReplicas    []string // replicas that have yet to show that they have no more entries
 	fencedEpoch        uint64   // the latest epoch that another node has reported
-	pendingReport      string   // why the copy may lack entries; empty once the controllers have been told
+	pendingReport      string   // why the copy may lack entries, until the controllers have been told; empty otherwise
 }
 
 // state returns the most severe of the states that hold at an epoch.
