--- a/internal/replica/follower_test.go
+++ b/internal/replica/follower_test.go
@@ -39,8 +39,8 @@
 }
 
 // TestManager_ResetsReplicaTimesAfterLostLease: an entry that was under way when the lease ended must not cause its
-// replica to be dropped as soon as the lease is back. Otherwise the failure of a controller
-// stopped all nodes from serving.
+// replica to be dropped as soon as the lease is back. Otherwise the failure of a controller stops all nodes from
+// serving.
 func TestManager_ResetsReplicaTimesAfterLostLease(t *testing.T) {
 	n := primaryWithoutReplicas(1 << 20)
 	n.manager.OnAssignment(2, placement.Assignment{Instance: "x", State: placement.Running, Primary: "a", Epoch: 1, Revision: 2, EverServed: true, Replicas: []string{"b"}})
