--- a/internal/leases/config.go
+++ b/internal/leases/config.go
@@ -15,10 +15,10 @@
 	return Config{Seconds: settings["fleet.lease"].(float64), ClockDrift: drift}
 }
 
-// Span is how long a node may act on a lease, by its own clock.
-func (c Config) Span() tick.Tick { return tick.Tick(c.Seconds * float64(tick.Second)) }
+// Duration is how long a node may act on a lease, by its own clock.
+func (c Config) Duration() tick.Tick { return tick.Tick(c.Seconds * float64(tick.Second)) }
 
-// controllerSpan is after how long a lease is over by the controller's clock, however both clocks drift.
-func (c Config) controllerSpan() tick.Tick {
+// controllerDuration is after how long a lease is over by the controller's clock, however both clocks drift.
+func (c Config) controllerDuration() tick.Tick {
 	return tick.Tick(c.Seconds*(1+2*c.ClockDrift)*float64(tick.Second)) + 1
 }
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -1,6 +1,6 @@
 // Package leases decides which nodes may act, as the leading controller counts it.
 //
-// A lease runs from the moment at which its request came, for the span of a lease and twice the clock drift more, so that
+// A lease runs from the moment at which its request came, for the duration of a lease and twice the clock drift more, so that
 // it is over here only after the node has stopped by its own clock. A name has one incarnation of its process at a time: a
 // restart is a greater number, and is let in once the lease of the earlier one is over; an old copy of the process is a
 // smaller one, and is refused for good.
@@ -52,7 +52,7 @@
 	expiry      tick.Tick // when Expired names it: no earlier than leaseEnd, later where the node is expected
 	expired     bool      // Expired has named it, or it never had a lease
 	pending     bool      // another incarnation is being agreed: nobody renews
-	position    int       // in the queue of expiries, where it is not expired
+	queueIndex  int       // in the queue of expiries, where it is not expired
 }
 
 // expiryQueue is a heap of nodes by expiry and by name, so that those that are over at once are named in one order.
@@ -69,13 +69,13 @@
 // Swap implements heap.Interface.
 func (q expiryQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].position, q[j].position = i, j
+	q[i].queueIndex, q[j].queueIndex = i, j
 }
 
 // Push implements heap.Interface; heap.Push calls it.
 func (q *expiryQueue) Push(x any) {
 	n := x.(*node)
-	n.position = len(*q)
+	n.queueIndex = len(*q)
 	*q = append(*q, n)
 }
 
@@ -89,14 +89,14 @@
 
 // Lessor has the leases of one span of leading. One goroutine at a time may use it.
 type Lessor struct {
-	span  tick.Tick // of a lease with its drift, as the controller counts it
-	nodes map[string]*node
-	queue expiryQueue // the nodes that are not expired
+	leaseDuration tick.Tick // of a lease with its drift, as the controller counts it
+	nodes         map[string]*node
+	queue         expiryQueue // the nodes that are not expired
 }
 
 // New returns a lessor that has granted nothing.
 func New(config Config) *Lessor {
-	return &Lessor{span: config.controllerSpan(), nodes: map[string]*node{}}
+	return &Lessor{leaseDuration: config.controllerDuration(), nodes: map[string]*node{}}
 }
 
 // OnElected begins a span of leading: each node that may have a lease of an earlier leader, by its agreed incarnation, is
@@ -106,9 +106,9 @@
 // node that fell with the controller is given up.
 func (l *Lessor) OnElected(now tick.Tick, incarnations map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(incarnations)) {
-		n := l.node(name)
+		n := l.ensureNode(name)
 		n.incarnation = incarnations[name]
-		n.leaseEnd = max(n.leaseEnd, now+l.span)
+		n.leaseEnd = max(n.leaseEnd, now+l.leaseDuration)
 		l.extend(n, n.leaseEnd)
 	}
 }
@@ -121,10 +121,10 @@
 		heap.Push(&l.queue, n)
 		return
 	}
-	heap.Fix(&l.queue, n.position)
+	heap.Fix(&l.queue, n.queueIndex)
 }
 
-func (l *Lessor) node(name string) *node {
+func (l *Lessor) ensureNode(name string) *node {
 	n := l.nodes[name]
 	if n == nil {
 		n = &node{name: name, expired: true}
@@ -137,15 +137,15 @@
 // within a lease. It is no lease: another incarnation of its name need not wait for it, however often the node is expected
 // meanwhile.
 func (l *Lessor) ExpectRenewal(now tick.Tick, name string) {
-	if n := l.node(name); n.expired {
-		l.extend(n, now+l.span)
+	if n := l.ensureNode(name); n.expired {
+		l.extend(n, now+l.leaseDuration)
 	}
 }
 
-// Request decides about a request that came now from an incarnation of a node. Its errors are ErrStaleIncarnation,
+// Request decides about a request that receivedAt now from an incarnation of a node. Its errors are ErrStaleIncarnation,
 // ErrIncarnationPending and ErrOtherIncarnation.
 func (l *Lessor) Request(now tick.Tick, name string, incarnation uint64) (Decision, error) {
-	n := l.node(name)
+	n := l.ensureNode(name)
 	switch {
 	case incarnation < n.incarnation:
 		return Renew, ErrStaleIncarnation
@@ -162,19 +162,19 @@
 
 // OnIncarnationAgreed says that the controllers agreed on the incarnation that Request wanted agreed.
 func (l *Lessor) OnIncarnationAgreed(name string, incarnation uint64) {
-	n := l.node(name)
+	n := l.ensureNode(name)
 	n.incarnation = max(n.incarnation, incarnation)
 	n.pending = false
 }
 
 // OnIncarnationDropped says that the controllers did not agree on it, or that it is not known. A leader that does not know
 // loses its lead by that, and the next one learns it from the log.
-func (l *Lessor) OnIncarnationDropped(name string) { l.node(name).pending = false }
+func (l *Lessor) OnIncarnationDropped(name string) { l.ensureNode(name).pending = false }
 
 // Grant renews a lease whose request came at a moment, once a majority has confirmed the lead after it. Its errors are
 // those of Request, and ErrExpired where the confirmation took too long.
-func (l *Lessor) Grant(now, came tick.Tick, name string, incarnation uint64) (leaseEnd tick.Tick, err error) {
-	n := l.node(name)
+func (l *Lessor) Grant(now, receivedAt tick.Tick, name string, incarnation uint64) (leaseEnd tick.Tick, err error) {
+	n := l.ensureNode(name)
 	switch {
 	case incarnation < n.incarnation:
 		return 0, ErrStaleIncarnation
@@ -182,10 +182,10 @@
 		return 0, ErrIncarnationPending
 	case incarnation != n.incarnation:
 		return 0, ErrOtherIncarnation
-	case now >= came+l.span: // Expired may have named it meanwhile
+	case now >= receivedAt+l.leaseDuration: // Expired may have named it meanwhile
 		return 0, ErrExpired
 	}
-	n.leaseEnd = max(n.leaseEnd, came+l.span)
+	n.leaseEnd = max(n.leaseEnd, receivedAt+l.leaseDuration)
 	l.extend(n, n.leaseEnd)
 	return n.leaseEnd, nil
 }
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -19,50 +19,50 @@
 type RecordCounts struct {
 	interval tick.Tick
 	known    map[string]uint64
-	unagreed map[string]uint64 // reported, and not agreed yet; 0: the count is to be forgotten
+	pending  map[string]uint64 // reported, and not agreed yet; 0: the count is to be forgotten
 	nextDue  tick.Tick
 }
 
 // NewRecordCounts begins a span of leading with the counts that are agreed.
 func NewRecordCounts(now tick.Tick, config Config, agreed map[string]uint64) *RecordCounts {
-	interval := config.Span()
-	return &RecordCounts{interval: interval, known: maps.Clone(agreed), unagreed: map[string]uint64{}, nextDue: now + interval}
+	interval := config.Duration()
+	return &RecordCounts{interval: interval, known: maps.Clone(agreed), pending: map[string]uint64{}, nextDue: now + interval}
 }
 
 // Report takes a node's count as it came with its lease and returns the greatest one until then, 0 for none. A node without
 // a count (0) is of an earlier version, or has no disk: its file may be written without a count, so what was known means
 // nothing from then on.
-func (c *RecordCounts) Report(node string, count uint64) (before uint64) {
-	before = c.known[node]
+func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
+	previous = c.known[node]
 	switch {
-	case count == 0 && before > 0:
+	case count == 0 && previous > 0:
 		delete(c.known, node)
-		c.unagreed[node] = 0
-	case count > before:
+		c.pending[node] = 0
+	case count > previous:
 		if c.known == nil {
 			c.known = map[string]uint64{}
 		}
-		c.known[node], c.unagreed[node] = count, count
+		c.known[node], c.pending[node] = count, count
 	}
-	return before
+	return previous
 }
 
 // Due returns the counts that are to be agreed now, nil for none.
 func (c *RecordCounts) Due(now tick.Tick) (counts map[string]uint64) {
-	if now < c.nextDue || len(c.unagreed) == 0 {
+	if now < c.nextDue || len(c.pending) == 0 {
 		return nil
 	}
 	counts = map[string]uint64{}
-	for _, node := range slices.Sorted(maps.Keys(c.unagreed)) {
-		counts[node] = c.unagreed[node]
+	for _, node := range slices.Sorted(maps.Keys(c.pending)) {
+		counts[node] = c.pending[node]
 		if len(counts) == maxCountsPerOperation {
 			break
 		}
 	}
 	for node := range counts {
-		delete(c.unagreed, node)
+		delete(c.pending, node)
 	}
-	if len(c.unagreed) == 0 { // else the rest follows at once
+	if len(c.pending) == 0 { // else the rest follows at once
 		c.nextDue = now + c.interval
 	}
 	return counts
@@ -71,14 +71,14 @@
 // Requeue says that the counts that were due were not agreed.
 func (c *RecordCounts) Requeue(counts map[string]uint64) {
 	for node, count := range counts {
-		if _, newer := c.unagreed[node]; !newer {
-			c.unagreed[node] = count
+		if _, newer := c.pending[node]; !newer {
+			c.pending[node] = count
 		}
 	}
 }
 
 // NextDue is when something is due, if anything is.
-func (c *RecordCounts) NextDue() (next tick.Tick, ok bool) { return c.nextDue, len(c.unagreed) > 0 }
+func (c *RecordCounts) NextDue() (next tick.Tick, ok bool) { return c.nextDue, len(c.pending) > 0 }
 
 // MergeRecordCounts takes counts that were agreed on into those that are agreed. A count of 0 is forgotten.
 func MergeRecordCounts(agreed, counts map[string]uint64) {
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -23,7 +23,7 @@
 
 // TimingsFor returns the spans for a lease.
 func TimingsFor(config Config) Timings {
-	lease := config.Span()
+	lease := config.Duration()
 	return Timings{
 		HeartbeatTimeout:         lease / 4,
 		CommitInterval:           min(max(lease/20, commitIntervalMin), commitIntervalMax),
--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -24,7 +24,7 @@
 		return Assignment{}, ErrNotFound
 	}
 	current := r.assignment
-	if err := checkCurrent(current, op); err != nil {
+	if err := checkEpochAndRevision(current, op); err != nil {
 		return current, err
 	}
 	next, err := applyOperation(current, op)
@@ -59,8 +59,8 @@
 	return r.assignment, nil
 }
 
-// checkCurrent checks that an operation rests on the assignment that stands.
-func checkCurrent(current Assignment, op Operation) error {
+// checkEpochAndRevision checks that an operation rests on the assignment that stands.
+func checkEpochAndRevision(current Assignment, op Operation) error {
 	switch {
 	case op.Epoch > current.Epoch:
 		return fmt.Errorf("%w: epoch %d is not there yet", ErrInvalid, op.Epoch)
--- a/internal/placement/changes.go
+++ b/internal/placement/changes.go
@@ -16,7 +16,7 @@
 // than the table's, or so early that deletions since then are no longer remembered. It costs as much as has changed.
 func (t *Table) Since(version uint64) Changes {
 	c := Changes{Version: t.version, Assignments: []Assignment{}}
-	if version == 0 || version < t.deletedSince || version > t.version {
+	if version == 0 || version < t.prunedVersion || version > t.version {
 		c.Complete, c.Assignments = true, t.All()
 		return c
 	}
--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -17,7 +17,7 @@
 	x[name][r] = struct{}{}
 }
 
-func (x index) drop(name string, r *row) {
+func (x index) remove(name string, r *row) {
 	delete(x[name], r)
 	if len(x[name]) == 0 {
 		delete(x, name)
@@ -35,18 +35,18 @@
 // reindex moves a row in the indexes from what its old assignment says to what the next one says.
 func (t *Table) reindex(r *row, old, next Assignment) {
 	if old.Primary != next.Primary {
-		t.byPrimary.drop(old.Primary, r)
+		t.byPrimary.remove(old.Primary, r)
 		t.byPrimary.add(next.Primary, r)
 	}
 	if old.Zone != next.Zone {
-		t.byZone.drop(old.Zone, r)
+		t.byZone.remove(old.Zone, r)
 		t.byZone.add(next.Zone, r)
 	}
 	if slices.Equal(old.Replicas, next.Replicas) {
 		return
 	}
 	for _, node := range old.Replicas {
-		t.byReplica.drop(node, r)
+		t.byReplica.remove(node, r)
 	}
 	for _, node := range next.Replicas {
 		t.byReplica.add(node, r)
--- a/internal/placement/operations.go
+++ b/internal/placement/operations.go
@@ -85,7 +85,7 @@
 // replicaReady makes the target a replica: the primary says that it has every acknowledged entry.
 func (t *transition) replicaReady() error {
 	a := &t.next
-	if err := t.fromPrimary(); err != nil {
+	if err := t.requireFromPrimary(); err != nil {
 		return err
 	}
 	if !t.targetIsReplica() && t.op.Target != a.CopyTarget {
@@ -123,7 +123,7 @@
 // acknowledged and stays as a replica.
 func (t *transition) cutOver() error {
 	a := &t.next
-	if err := t.fromPrimary(); err != nil {
+	if err := t.requireFromPrimary(); err != nil {
 		return err
 	}
 	switch {
@@ -161,7 +161,7 @@
 // leaves the instance lost.
 func (t *transition) failOver() error {
 	a := &t.next
-	if err := t.fromPrimary(); err != nil {
+	if err := t.requireFromPrimary(); err != nil {
 		return err
 	}
 	if t.op.Target != "" && !t.targetIsReplica() {
@@ -180,7 +180,7 @@
 
 // markServed notes that there may be acknowledged entries from now on.
 func (t *transition) markServed() error {
-	if err := t.fromPrimary(); err != nil {
+	if err := t.requireFromPrimary(); err != nil {
 		return err
 	}
 	t.next.EverServed = true
@@ -266,7 +266,7 @@
 	case t.next.State == Quarantined:
 		return ErrWrongState
 	}
-	t.stopForGood()
+	t.stopQuarantined()
 	return nil
 }
 
@@ -275,15 +275,15 @@
 	if t.mayStillServe() {
 		return ErrNotPrimary
 	}
-	t.stopForGood()
+	t.stopQuarantined()
 	return nil
 }
 
 // mayStillServe reports whether the operation names another node than the primary, which nobody has stopped then.
 func (t *transition) mayStillServe() bool { return t.running() && t.op.Node != t.next.Primary }
 
-// stopForGood leaves an instance quarantined, which counts as one more failure where it was running.
-func (t *transition) stopForGood() {
+// stopQuarantined leaves an instance quarantined, which counts as one more failure where it was running.
+func (t *transition) stopQuarantined() {
 	if t.running() {
 		t.next.Failures++
 	}
@@ -294,8 +294,8 @@
 
 func (t *transition) targetIsReplica() bool { return slices.Contains(t.next.Replicas, t.op.Target) }
 
-// fromPrimary checks that the instance is running and that the operation is its primary's.
-func (t *transition) fromPrimary() error {
+// requireFromPrimary checks that the instance is running and that the operation is its primary's.
+func (t *transition) requireFromPrimary() error {
 	switch {
 	case !t.running():
 		return ErrWrongState
@@ -348,6 +348,6 @@
 	a.StaleCopies = slices.DeleteFunc(slices.Clone(a.StaleCopies), func(c StaleCopy) bool { return c.Node == node })
 }
 
-func without(all []string, one string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == one })
+func without(all []string, excluded string) []string {
+	return slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == excluded })
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -18,12 +18,12 @@
 
 // snapshotHead is the first line.
 type snapshotHead struct {
-	Format       int        `json:"v"`
-	Version      uint64     `json:"version"`
-	Instances    int        `json:"places"`
-	DeletedEpoch uint64     `json:"floor,omitempty"`
-	DeletedSince uint64     `json:"since,omitempty"`
-	Deletions    []deletion `json:"gone,omitempty"`
+	Format        int        `json:"v"`
+	Version       uint64     `json:"version"`
+	Instances     int        `json:"places"`
+	PrunedEpoch   uint64     `json:"floor,omitempty"`
+	PrunedVersion uint64     `json:"since,omitempty"`
+	Deletions     []deletion `json:"gone,omitempty"`
 }
 
 // snapshotLine is each of the others.
@@ -48,8 +48,8 @@
 // each assignment without what that points to.
 func (t *Table) Freeze() *FrozenTable {
 	f := &FrozenTable{unknown: t.unknown, rows: make([]row, 0, len(t.rows))}
-	f.head = snapshotHead{Format: FormatVersion, Version: t.version, Instances: len(t.rows), DeletedEpoch: t.deletedEpoch,
-		DeletedSince: t.deletedSince, Deletions: slices.Clone(t.deletions)}
+	f.head = snapshotHead{Format: FormatVersion, Version: t.version, Instances: len(t.rows), PrunedEpoch: t.prunedEpoch,
+		PrunedVersion: t.prunedVersion, Deletions: slices.Clone(t.deletions)}
 	for _, r := range t.rows {
 		f.rows = append(f.rows, row{assignment: r.assignment, changedAt: r.changedAt, unknown: r.unknown})
 	}
@@ -61,8 +61,8 @@
 	slices.SortFunc(f.rows, func(a, b row) int { return cmp.Compare(a.assignment.Instance, b.assignment.Instance) })
 	var buf bytes.Buffer
 	var written int64
-	flush := func(least int) error {
-		if buf.Len() < least {
+	flush := func(minBytes int) error {
+		if buf.Len() < minBytes {
 			return nil
 		}
 		n, err := buf.WriteTo(w)
@@ -124,7 +124,7 @@
 
 func readSnapshot(snapshot []byte) (*Table, error) {
 	first, rest, ended := bytes.Cut(snapshot, []byte("\n"))
-	r := &snapshotReader{table: New(), versions: map[uint64]bool{}}
+	r := &snapshotReader{table: New(), usedVersions: map[uint64]bool{}}
 	if err := r.readHead(first, ended); err != nil {
 		return nil, err
 	}
@@ -141,16 +141,16 @@
 	if len(r.rows) != r.head.Instances {
 		return nil, invalidSnapshot("%d instances of %d", len(r.rows), r.head.Instances)
 	}
-	return r.finish(), nil
+	return r.buildTable(), nil
 }
 
 // snapshotReader checks a snapshot line by line while it fills a table.
 type snapshotReader struct {
-	table    *Table
-	head     snapshotHead
-	rows     []*row
-	versions map[uint64]bool // of changes that were read: each belongs to one
-	prior    string          // name of the instance read last
+	table        *Table
+	head         snapshotHead
+	rows         []*row
+	usedVersions map[uint64]bool // of changes that were read: each belongs to one
+	lastInstance string          // name of the instance read last
 }
 
 // readHead reads the first line. A later version is told as such, whatever else the line says.
@@ -162,22 +162,22 @@
 		return fmt.Errorf("%w: snapshot %d, this program reads %d", ErrUnsupportedVersion, v.Format, FormatVersion)
 	}
 	var err error
-	r.table.unknown, err = unmarshalKnowing(text, &r.head, headFields)
+	r.table.unknown, err = unmarshalWithKnownFields(text, &r.head, headFields)
 	if err != nil || !ended || r.head.Format < 1 {
 		return invalidSnapshot("head: %v", err)
 	}
-	if r.head.DeletedSince > r.head.Version || len(r.head.Deletions) > maxDeletions || r.head.Instances < 0 {
+	if r.head.PrunedVersion > r.head.Version || len(r.head.Deletions) > maxDeletions || r.head.Instances < 0 {
 		return invalidSnapshot("head does not add up")
 	}
 	t := r.table
-	t.version, t.deletedEpoch, t.deletedSince = r.head.Version, r.head.DeletedEpoch, r.head.DeletedSince
-	last := r.head.DeletedSince
+	t.version, t.prunedEpoch, t.prunedVersion = r.head.Version, r.head.PrunedEpoch, r.head.PrunedVersion
+	last := r.head.PrunedVersion
 	for _, d := range r.head.Deletions {
 		if d.Instance == "" || d.Version <= last || d.Version > r.head.Version || d.Epoch == 0 {
 			return invalidSnapshot("forgotten %.40q does not add up", d.Instance)
 		}
 		last = d.Version
-		r.versions[d.Version] = true
+		r.usedVersions[d.Version] = true
 		t.rememberDeletion(d)
 	}
 	return nil
@@ -186,34 +186,34 @@
 // readLine reads one instance.
 func (r *snapshotReader) readLine(text []byte) error {
 	var l snapshotLine
-	unknown, err := unmarshalKnowing(text, &l, lineFields)
+	unknown, err := unmarshalWithKnownFields(text, &l, lineFields)
 	if err != nil {
 		return invalidSnapshot("instance %d: %v", len(r.rows)+1, err)
 	}
 	if fault := validateAssignment(l.Assignment); fault != "" {
 		return invalidSnapshot("instance %.40q: %s", l.Instance, fault)
 	}
-	if l.Instance <= r.prior || l.ChangedAt == 0 || l.ChangedAt > r.head.Version || r.versions[l.ChangedAt] {
+	if l.Instance <= r.lastInstance || l.ChangedAt == 0 || l.ChangedAt > r.head.Version || r.usedVersions[l.ChangedAt] {
 		return invalidSnapshot("instance %.40q does not add up", l.Instance)
 	}
 	if d, ok := r.table.deletedByName[l.Instance]; ok && (d.Version >= l.ChangedAt || d.Epoch >= l.Epoch) {
 		return invalidSnapshot("instance %.40q is older than when it was forgotten", l.Instance)
 	}
-	r.prior = l.Instance
-	r.versions[l.ChangedAt] = true
+	r.lastInstance = l.Instance
+	r.usedVersions[l.ChangedAt] = true
 	r.rows = append(r.rows, &row{assignment: l.Assignment, changedAt: l.ChangedAt, unknown: unknown})
 	return nil
 }
 
-// finish puts the rows into the table, in the order of their changes.
-func (r *snapshotReader) finish() *Table {
-	for _, one := range r.rows {
-		r.table.rows[one.assignment.Instance] = one
-		r.table.reindex(one, Assignment{}, one.assignment)
+// buildTable puts the rows into the table, in the order of their changes.
+func (r *snapshotReader) buildTable() *Table {
+	for _, loaded := range r.rows {
+		r.table.rows[loaded.assignment.Instance] = loaded
+		r.table.reindex(loaded, Assignment{}, loaded.assignment)
 	}
 	slices.SortFunc(r.rows, func(a, b *row) int { return cmp.Compare(a.changedAt, b.changedAt) })
-	for _, one := range r.rows {
-		r.table.linkNewest(one)
+	for _, loaded := range r.rows {
+		r.table.linkNewest(loaded)
 	}
 	return r.table
 }
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -44,8 +44,8 @@
 
 	deletions     []deletion // the last ones, in their order
 	deletedByName map[string]deletion
-	deletedEpoch  uint64 // the greatest epoch of a name that was deleted and is no longer remembered
-	deletedSince  uint64 // the version up to which deletions are no longer remembered
+	prunedEpoch   uint64 // the greatest epoch of a name that was deleted and is no longer remembered
+	prunedVersion uint64 // the version up to which deletions are no longer remembered
 
 	unknown UnknownFields // of the snapshot's head
 }
@@ -147,13 +147,13 @@
 	if t.deletedByName[first.Instance].Version == first.Version {
 		delete(t.deletedByName, first.Instance)
 	}
-	t.deletedEpoch = max(t.deletedEpoch, first.Epoch)
-	t.deletedSince = first.Version
+	t.prunedEpoch = max(t.prunedEpoch, first.Epoch)
+	t.prunedVersion = first.Version
 }
 
 // lastEpoch returns the greatest epoch that a name without an instance may have had.
 func (t *Table) lastEpoch(instance string) uint64 {
-	return max(t.deletedEpoch, t.deletedByName[instance].Epoch)
+	return max(t.prunedEpoch, t.deletedByName[instance].Epoch)
 }
 
 // linkNewest makes a row the newest in the order of changes.
--- a/internal/placement/unknown_fields.go
+++ b/internal/placement/unknown_fields.go
@@ -18,7 +18,7 @@
 // have. A field that differs from one of those in its case alone would be taken for it and then be there twice: it is
 // refused.
 func UnmarshalKeepingUnknown(text []byte, into any) (UnknownFields, error) {
-	return unmarshalKnowing(text, into, jsonFields(reflect.TypeOf(into).Elem()))
+	return unmarshalWithKnownFields(text, into, jsonFields(reflect.TypeOf(into).Elem()))
 }
 
 // MarshalWithUnknown encodes a struct on one line, with the fields that UnmarshalKeepingUnknown returned at its end.
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// unmarshalKnowing decodes an object and returns its fields that are not among the known ones.
-func unmarshalKnowing(text []byte, into any, known map[string]bool) (UnknownFields, error) {
+// unmarshalWithKnownFields decodes an object and returns its fields that are not among the known ones.
+func unmarshalWithKnownFields(text []byte, into any, known map[string]bool) (UnknownFields, error) {
 	if err := json.Unmarshal(text, into); err != nil {
 		return nil, err
 	}
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -12,8 +12,8 @@
 	maxWeight = 100
 	maxCount  = math.MaxInt64 // of an index and an epoch
 
-	// maxStoppedPrimaries are replicas beyond maxReplicas: a primary that has stopped becomes one without being asked for.
-	maxStoppedPrimaries = 2
+	// maxExtraReplicas are replicas beyond maxReplicas: a primary that has stopped becomes one without being asked for.
+	maxExtraReplicas = 2
 )
 
 // CheckSupported returns ErrUnsupportedVersion where an operation is of a later version, or of a kind that this program
@@ -110,7 +110,7 @@
 		return "the copy does not add up"
 	case a.Epoch == 0 || a.Revision == 0 || a.Failures < 0:
 		return "counts do not add up"
-	case len(a.StaleCopies) > maxStaleCopies || len(a.Replicas) > maxReplicas+maxStoppedPrimaries:
+	case len(a.StaleCopies) > maxStaleCopies || len(a.Replicas) > maxReplicas+maxExtraReplicas:
 		return "counts do not add up"
 	}
 	return ""
@@ -118,12 +118,12 @@
 
 // validateNodes says whether an assignment's lists of nodes break an invariant, "" for no.
 func validateNodes(a Assignment) string {
-	prior := ""
+	previous := ""
 	for _, node := range a.Replicas {
-		if node <= prior || node == a.Primary || len(node) > maxNameBytes {
+		if node <= previous || node == a.Primary || len(node) > maxNameBytes {
 			return "holders do not add up"
 		}
-		prior = node
+		previous = node
 	}
 	seen := map[string]bool{a.Primary: true}
 	for _, c := range a.StaleCopies {
