--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -53,16 +53,16 @@
 
 // Report tells how an attempt ended: with a SQLSTATE, or without an answer (""). It returns whether the attempt succeeded.
 func (d *Dispatcher) Report(a *Attempt, state string, status transport.CloseStatus, load []float64) (succeeded bool) {
-	return d.end(a, AttemptOutcome(state, status), load)
+	return d.endAttempt(a, AttemptOutcome(state, status), load)
 }
 
 // ReportMirror tells how an attempt at a mirror ended: with an HTTP status, or without an answer (0).
-func (d *Dispatcher) ReportMirror(a *Attempt, httpStatus int, believed bool, status transport.CloseStatus) (succeeded bool) {
-	return d.end(a, MirrorOutcome(httpStatus, believed, status), nil)
+func (d *Dispatcher) ReportMirror(a *Attempt, httpStatus int, accepted bool, status transport.CloseStatus) (succeeded bool) {
+	return d.endAttempt(a, MirrorOutcome(httpStatus, accepted, status), nil)
 }
 
 // end hands the outcome of an attempt to the balancer, and to all who keep count of outcomes.
-func (d *Dispatcher) end(a *Attempt, outcome balancer.Outcome, load []float64) (succeeded bool) {
+func (d *Dispatcher) endAttempt(a *Attempt, outcome balancer.Outcome, load []float64) (succeeded bool) {
 	a.cancel()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -63,15 +63,15 @@
 	defer d.mu.Unlock()
 	now := d.clock.now()
 	d.counters.EndpointUpdates++
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range endpoints {
-		named[e.Name] = true
+		listed[e.Name] = true
 		b := d.backendOf(e.Name)
 		b.address = e.Address
 		d.updateBackend(now, b, d.endpointOf(e))
 	}
 	if complete {
-		d.removeUnnamed(now, named)
+		d.removeUnlisted(now, listed)
 	}
 	d.forgetRemoved(now)
 	d.repinCalls()
@@ -109,10 +109,10 @@
 	return b
 }
 
-// removeUnnamed takes that a complete list leaves backends out: they are gone.
-func (d *Dispatcher) removeUnnamed(now balancer.Tick, named map[string]bool) {
+// removeUnlisted takes that a complete list leaves backends out: they are gone.
+func (d *Dispatcher) removeUnlisted(now balancer.Tick, listed map[string]bool) {
 	for _, b := range d.backendsByID {
-		if b == nil || named[b.name] || b.State == balancer.Removed {
+		if b == nil || listed[b.name] || b.State == balancer.Removed {
 			continue
 		}
 		endpoint := b.Endpoint
@@ -126,13 +126,13 @@
 	if endpoint.State != balancer.Ready || endpoint.StartedAt != b.StartedAt || endpoint.Version != b.Version {
 		d.callbacks.CloseIdle(b.name) // its connections are of no more use
 	}
-	place := slices.Index(d.removed, b)
+	index := slices.Index(d.removed, b)
 	switch gone := endpoint.State == balancer.Removed; {
-	case gone && place < 0:
+	case gone && index < 0:
 		b.removedAt = now
 		d.removed = append(d.removed, b)
-	case !gone && place >= 0:
-		d.removed = slices.Delete(d.removed, place, place+1)
+	case !gone && index >= 0:
+		d.removed = slices.Delete(d.removed, index, index+1)
 	}
 	d.balancer.OnEndpoint(now, &b.Backend, endpoint)
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -59,10 +59,10 @@
 }
 
 // MirrorOutcome maps how an attempt at a mirror of a repository ended: the HTTP status of its answer, 0 with none, and
-// whether what it said was believed. What is not believed is as good as what cannot be read.
-func MirrorOutcome(httpStatus int, believed bool, status transport.CloseStatus) balancer.Outcome {
+// whether what it said was accepted. What is not accepted is as good as what cannot be read.
+func MirrorOutcome(httpStatus int, accepted bool, status transport.CloseStatus) balancer.Outcome {
 	switch {
-	case believed:
+	case accepted:
 		return balancer.Succeeded
 	case httpStatus == http.StatusTooManyRequests, httpStatus == http.StatusServiceUnavailable:
 		return balancer.AtCapacity
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -35,29 +35,29 @@
 	if d.instances == nil {
 		return nil
 	}
-	named := make(map[string]bool, len(placements))
+	listed := make(map[string]bool, len(placements))
 	for _, p := range placements {
-		named[p.Instance] = true
-		if d.place(p) {
+		listed[p.Instance] = true
+		if d.applyPlacement(p) {
 			moved = append(moved, p)
 		}
 	}
 	if complete {
 		for name, i := range d.instances {
-			if !named[name] && i.Instance != "" {
+			if !listed[name] && i.Instance != "" {
 				deleted = append(deleted, name)
 			}
 		}
 	}
 	for _, name := range deleted {
-		d.unplace(name)
+		d.removePlacement(name)
 	}
 	d.balancer.OnInstancesMoved(d.clock.now())
 	return moved
 }
 
 // place takes one placement. It returns whether the instance runs elsewhere, or anew, from now on.
-func (d *Dispatcher) place(p Placement) (moved bool) {
+func (d *Dispatcher) applyPlacement(p Placement) (moved bool) {
 	i := d.instances[p.Instance]
 	if i == nil {
 		i = d.addInstance(p.Instance)
@@ -70,8 +70,8 @@
 	return moved
 }
 
-// unplace takes that an instance is there no more. It is kept as long as calls wait for it.
-func (d *Dispatcher) unplace(name string) {
+// removePlacement takes that an instance is there no more. It is kept as long as calls wait for it.
+func (d *Dispatcher) removePlacement(name string) {
 	i := d.instances[name]
 	if i == nil {
 		return
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -146,8 +146,8 @@
 	defer d.mu.Unlock()
 	outcomes, bad = slices.Clone(outcomes), slices.Clone(bad)
 	for range maxGossipMessages {
-		counts, left := takeGossipCounts(len(d.classes), outcomes, bad)
-		if !left {
+		counts, remaining := takeGossipCounts(len(d.classes), outcomes, bad)
+		if !remaining {
 			return
 		}
 		d.balancer.OnGossip(d.clock.now(), 0, balancer.EncodeGossip(version, counts))
@@ -155,19 +155,19 @@
 }
 
 // takeGossipCounts takes as much off the outcomes of each class as one message has room for. The count of wrong answers
-// stays empty. left is false once nothing was left to take.
-func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, left bool) {
+// stays empty. remaining is false once nothing was left to take.
+func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
-		wrong := 0
+		badPart := 0
 		if outcomes[class] > 0 { // its share of the bad ones, rounded up
-			wrong = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
+			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
-		counts[class] = balancer.GossipCount{Outcomes: uint8(part), Bad: uint8(wrong)}
+		counts[class] = balancer.GossipCount{Outcomes: uint8(part), Bad: uint8(badPart)}
 		outcomes[class] -= part
-		bad[class] = max(0, bad[class]-wrong)
-		left = left || part > 0
+		bad[class] = max(0, bad[class]-badPart)
+		remaining = remaining || part > 0
 	}
-	return counts, left
+	return counts, remaining
 }
--- a/internal/evidence/bounds.go
+++ b/internal/evidence/bounds.go
@@ -22,13 +22,13 @@
 		return mixture-logPower(p, failures)-logPower(1-p, successes) < threshold
 	}
 	mean := failures / outcomes
-	low = leastInside(0, mean, inside)
-	high = 1 - leastInside(0, 1-mean, func(q float64) bool { return inside(1 - q) })
+	low = lowestInside(0, mean, inside)
+	high = 1 - lowestInside(0, 1-mean, func(q float64) bool { return inside(1 - q) })
 	return low, high
 }
 
-// leastInside finds by bisection the least point, from outer up to inner, that is inside; inner is.
-func leastInside(outer, inner float64, inside func(float64) bool) float64 {
+// lowestInside finds by bisection the least point, from outer up to inner, that is inside; inner is.
+func lowestInside(outer, inner float64, inside func(float64) bool) float64 {
 	if inside(outer) {
 		return outer
 	}
--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -7,8 +7,8 @@
 	"silvercove/balancer"
 )
 
-// tickLength is that of the balancer's clock, in microseconds.
-const tickLength = 100
+// microsecondsPerTick is that of the balancer's clock, in microseconds.
+const microsecondsPerTick = 100
 
 // Explain says in sentences what is known of each version and why each vote was cast.
 func (s *Store) Explain() []string {
@@ -43,7 +43,7 @@
 		d := v.WrongAnswerDelays
 		out = append(out, fmt.Sprintf("  %d wrong answers were flagged: %d within 1 s, %d within 10 s, %d within 1 min, "+
 			"%d within 10 min, %d later; %d of them after it was sent back.",
-			wrongAnswers, d[0], d[1], d[2], d[3], d[4], v.WrongAnswersAfterEnd))
+			wrongAnswers, d[0], d[1], d[2], d[3], d[4], v.WrongAnswersAfterRollback))
 	}
 	for _, vote := range v.Votes {
 		out = append(out, vote.explain()...)
@@ -82,5 +82,5 @@
 }
 
 func clockTime(t balancer.Tick) string {
-	return time.UnixMicro(int64(t) * tickLength).UTC().Format("2006-01-02 15:04:05.000")
+	return time.UnixMicro(int64(t) * microsecondsPerTick).UTC().Format("2006-01-02 15:04:05.000")
 }
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -76,15 +76,15 @@
 
 // Version is what is kept of one version.
 type Version struct {
-	Number               uint16            `json:"build"`
-	FirstSeen            balancer.Tick     `json:"first"`
-	LastSeen             balancer.Tick     `json:"last"`
-	State                string            `json:"state"`
-	Counts               map[string]*Count `json:"cells"` // by countKey
-	WrongAnswerDelays    WrongAnswerDelays `json:"late"`
-	Votes                []Vote            `json:"votes"`
-	DroppedVotes         int64             `json:"dropped"`  // beyond what is kept
-	WrongAnswersAfterEnd int64             `json:"afterend"` // that came after it was rolled back
+	Number                    uint16            `json:"build"`
+	FirstSeen                 balancer.Tick     `json:"first"`
+	LastSeen                  balancer.Tick     `json:"last"`
+	State                     string            `json:"state"`
+	Counts                    map[string]*Count `json:"cells"` // by countKey
+	WrongAnswerDelays         WrongAnswerDelays `json:"late"`
+	Votes                     []Vote            `json:"votes"`
+	DroppedVotes              int64             `json:"dropped"`  // beyond what is kept
+	WrongAnswersAfterRollback int64             `json:"afterend"` // that came after it was rolled back
 }
 
 // Store is what one relay keeps. It is not safe for concurrent use.
@@ -104,12 +104,12 @@
 	}
 }
 
-// keptStage is the stage under which an outcome is counted.
-func keptStage(stage int) int { return min(max(0, stage), maxStages-1) }
+// clampStage is the stage under which an outcome is counted.
+func clampStage(stage int) int { return min(max(0, stage), maxStages-1) }
 
 // countKey is part of a snapshot's form.
 func countKey(class, stage int, source Source) string {
-	return strconv.Itoa(class) + "/" + strconv.Itoa(keptStage(stage)) + "/" + strconv.Itoa(int(source))
+	return strconv.Itoa(class) + "/" + strconv.Itoa(clampStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
 // find is the version of a number, nil if it is not kept.
@@ -141,21 +141,21 @@
 	if failed {
 		failures = 1
 	}
-	if v := s.reported(now, number, class); v != nil {
+	if v := s.versionForReport(now, number, class); v != nil {
 		v.add(class, stage, SourceRelay, 1, failures)
 	}
 }
 
 // RecordReleaseMetrics adds what the release API counted at a version. Counts that make no sense are ignored.
 func (s *Store) RecordReleaseMetrics(now balancer.Tick, number uint16, class, stage, outcomes, failures int) {
-	v := s.reported(now, number, class)
+	v := s.versionForReport(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
 		v.add(class, stage, SourcePlatform, float64(outcomes), float64(failures))
 	}
 }
 
 // reported is the version that a report belongs to; a report on one that is not kept is an orphan.
-func (s *Store) reported(now balancer.Tick, number uint16, class int) *Version {
+func (s *Store) versionForReport(now balancer.Tick, number uint16, class int) *Version {
 	v := s.find(number)
 	if v == nil || class < 0 || class >= len(s.classes) {
 		s.Orphans++
@@ -169,7 +169,7 @@
 	key := countKey(class, stage, source)
 	c := v.Counts[key]
 	if c == nil {
-		c = &Count{Class: class, Stage: keptStage(stage), Source: source}
+		c = &Count{Class: class, Stage: clampStage(stage), Source: source}
 		v.Counts[key] = c
 	}
 	c.Outcomes += outcomes
@@ -179,7 +179,7 @@
 // RecordWrongAnswer records a wrong answer that was found so long after it was given. It belongs to the version that gave
 // it, also after that was judged; one of a version that is not kept is an orphan.
 func (s *Store) RecordWrongAnswer(now balancer.Tick, number uint16, class, stage int, delay balancer.Tick) {
-	v := s.reported(now, number, class)
+	v := s.versionForReport(now, number, class)
 	if v == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 	v.WrongAnswerDelays[i]++
 	v.add(class, stage, SourceWrongAnswer, 1, 1)
 	if v.rolledBack() {
-		v.WrongAnswersAfterEnd++
+		v.WrongAnswersAfterRollback++
 	}
 }
 
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -29,30 +29,30 @@
 
 // A member that comes back again and again is held back, each time longer.
 const (
-	freeReturns  = 3  // that are believed at once
-	maxReturns   = 16 // that are counted
-	calmSilences = 20 // within which half of the returns are forgotten
-	maxDwell     = 32 // silences that a member which returns all the time has to be well
-	maxDwellBits = 10 // guards the shift
-	minReturns   = 0.5
+	undampedRecoveries = 3  // that are believed at once
+	maxRecoveries      = 16 // that are counted
+	recoveryHalfLife   = 20 // within which half of the returns are forgotten
+	maxHoldDown        = 32 // silences that a member which returns all the time has to be well
+	maxHoldDownShift   = 10 // guards the shift
+	minRecoveries      = 0.5
 )
 
 // flapping is how often a member came back of late.
 type flapping struct {
-	wellBefore bool // it was well at some time
-	well       bool
-	wellSince  tick.Tick
-	returns    float64 // into alive, forgotten by time
-	returnedAt tick.Tick
+	wasHealthy   bool // it was well at some time
+	healthy      bool
+	healthySince tick.Tick
+	recoveries   float64 // into alive, forgotten by time
+	recoveredAt  tick.Tick
 }
 
 // RecordReply records that a member answered a probe of this process, and how long that took.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
-	e := t.other(name)
+	e := t.otherEntry(name)
 	if e == nil {
 		return
 	}
-	e.answeredAt, e.everAnswered, e.missed = now, true, 0
+	e.answeredAt, e.hasAnswered, e.missedProbes = now, true, 0
 	e.LastHeard = max(e.LastHeard, now)
 	e.roundTrips = append(e.roundTrips, took)
 	if len(e.roundTrips) > keptRoundTrips {
@@ -60,61 +60,61 @@
 	}
 	sorted := slices.Sorted(slices.Values(e.roundTrips))
 	e.RoundTrip = sorted[len(sorted)/2]
-	t.judge(now, e)
+	t.updateState(now, e)
 }
 
 // RecordTimeout records that a member did not answer a probe of this process.
 func (t *Table) RecordTimeout(now tick.Tick, name string) {
-	e := t.other(name)
+	e := t.otherEntry(name)
 	if e == nil {
 		return
 	}
-	e.missed++
-	if e.missed == 1 {
+	e.missedProbes++
+	if e.missedProbes == 1 {
 		e.missedSince = now
 	}
-	t.judge(now, e)
+	t.updateState(now, e)
 }
 
 // MarkDown records that the fleet holds a member to be dead, or to have left. A later sign of life overrides it.
 func (t *Table) MarkDown(now tick.Tick, name string, left bool) {
-	e := t.other(name)
+	e := t.otherEntry(name)
 	if e == nil {
 		return
 	}
 	e.markedDown, e.markedDownAt = true, now
 	e.left = e.left || left
-	t.judge(now, e)
+	t.updateState(now, e)
 }
 
 // MarkUp records that the fleet holds a member to be alive.
 func (t *Table) MarkUp(now tick.Tick, name string) {
-	e := t.other(name)
+	e := t.otherEntry(name)
 	if e == nil {
 		return
 	}
 	e.markedDown = false
-	t.judge(now, e)
+	t.updateState(now, e)
 }
 
 // Reassess judges all members anew, as time has passed.
 func (t *Table) Reassess(now tick.Tick) {
 	for _, e := range t.byName {
 		if e.Name != t.self.Name {
-			t.judge(now, e)
+			t.updateState(now, e)
 		}
 	}
 }
 
 // judge works out a member's state.
-func (t *Table) judge(now tick.Tick, e *entry) {
+func (t *Table) updateState(now tick.Tick, e *entry) {
 	state := t.observedState(now, e)
-	well := state == StateAlive || state == StateSlow
-	if well && !e.flapping.well {
-		e.flapping.noteReturn(now, t.silence)
+	healthy := state == StateAlive || state == StateSlow
+	if healthy && !e.flapping.healthy {
+		e.flapping.recordRecovery(now, t.silence)
 	}
-	e.flapping.well = well
-	if dwell := e.flapping.dwell(t.silence); well && dwell > 0 && now-e.flapping.wellSince < dwell {
+	e.flapping.healthy = healthy
+	if holdDown := e.flapping.holdDown(t.silence); healthy && holdDown > 0 && now-e.flapping.healthySince < holdDown {
 		state = StateSuspect
 	}
 	if state == e.State {
@@ -129,7 +129,7 @@
 
 // observedState is the state by what was heard and missed, without regard to flapping.
 func (t *Table) observedState(now tick.Tick, e *entry) State {
-	unanswered := e.missed >= suspectProbes
+	unanswered := e.missedProbes >= suspectProbes
 	silent := unanswered && now-max(e.answeredAt, e.missedSince-t.silence) >= t.silence
 	noSign := now-e.LastHeard > deadPeriods*t.heartbeatPeriod() && (unanswered || e.Incarnation == 0)
 	switch {
@@ -137,7 +137,7 @@
 		return StateLeft
 	case e.markedDown && e.LastHeard <= e.markedDownAt, noSign:
 		return StateDead
-	case e.Incarnation == 0 && !e.everAnswered:
+	case e.Incarnation == 0 && !e.hasAnswered:
 		return StateSuspect
 	case silent && e.recordAt > e.missedSince:
 		return StateUnreachable
@@ -149,26 +149,26 @@
 	return StateAlive
 }
 
-// noteReturn counts that the member is well again.
-func (f *flapping) noteReturn(now, silence tick.Tick) {
-	f.wellSince = now
-	if f.wellBefore {
-		for now-f.returnedAt > calmSilences*silence && f.returns > minReturns {
-			f.returns /= 2
-			f.returnedAt += calmSilences * silence
+// recordRecovery counts that the member is well again.
+func (f *flapping) recordRecovery(now, silence tick.Tick) {
+	f.healthySince = now
+	if f.wasHealthy {
+		for now-f.recoveredAt > recoveryHalfLife*silence && f.recoveries > minRecoveries {
+			f.recoveries /= 2
+			f.recoveredAt += recoveryHalfLife * silence
 		}
-		f.returns = min(f.returns+1, maxReturns)
-		f.returnedAt = now
+		f.recoveries = min(f.recoveries+1, maxRecoveries)
+		f.recoveredAt = now
 	}
-	f.wellBefore = true
+	f.wasHealthy = true
 }
 
 // dwell is how long the member has to be well before it is believed. Guards against what others decide by a member that
 // swings with it. A link at the edge of its time looks the same; it costs a member that is well its part in the fleet.
-func (f *flapping) dwell(silence tick.Tick) tick.Tick {
-	over := f.returns - freeReturns
-	if over <= 0 {
+func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
+	excess := f.recoveries - undampedRecoveries
+	if excess <= 0 {
 		return 0
 	}
-	return silence * tick.Tick(min(maxDwell, 1<<min(int(over), maxDwellBits)))
+	return silence * tick.Tick(min(maxHoldDown, 1<<min(int(excess), maxHoldDownShift)))
 }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	probesPerSilence = 8   // turns of probing within a silence
-	largeFleet       = 32  // members; of more, records are sent as many times less often as they are more
-	maxTargets       = 4   // members probed in turn, in one turn of probing
-	maxRetargets     = 8   // members that do not answer, probed again in one turn
-	payloadsPerBeat  = 20  // times that changed payloads may be sent within a heartbeat period
-	fleetSyncs       = 8.0 // exchanges of whole states within a silence, by all that live together
-	maxSyncs         = 4.0 // by one
+	probesPerSilence         = 8   // turns of probing within a silence
+	largeFleet               = 32  // members; of more, records are sent as many times less often as they are more
+	maxTargets               = 4   // members probed in turn, in one turn of probing
+	maxMissedTargets         = 8   // members that do not answer, probed again in one turn
+	payloadSendsPerHeartbeat = 20  // times that changed payloads may be sent within a heartbeat period
+	fleetSyncs               = 8.0 // exchanges of whole states within a silence, by all that live together
+	maxSyncs                 = 4.0 // by one
 )
 
 // ProbeTargets are the members to probe now, and is called each ProbeInterval: those that have not answered, and some
@@ -23,7 +23,7 @@
 func (t *Table) ProbeTargets() []string {
 	var names []string
 	for _, e := range t.byName {
-		if e.missed > 0 && e.State != StateDead && !e.left && len(names) < maxRetargets {
+		if e.missedProbes > 0 && e.State != StateDead && !e.left && len(names) < maxMissedTargets {
 			names = append(names, e.Name)
 		}
 	}
@@ -47,7 +47,7 @@
 // know that this process lives, or with changed payloads a part of that. Guards against payloads that change each time
 // that a relay looks, which every member passes on: in a large fleet they would fill the links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
-	changed := len(t.unsent) > 0 && now >= t.spokeAt+t.heartbeatPeriod()/payloadsPerBeat
+	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
 		return false
 	}
@@ -58,7 +58,7 @@
 // Leave has the own record say that this process ends on purpose.
 func (t *Table) Leave() {
 	t.self.Left = true
-	t.renewOwnRecord(t.spokeAt)
+	t.renewOwnRecord(t.lastSentAt)
 }
 
 // renewOwnRecord has the own record hold what was published, under a new sequence.
@@ -66,7 +66,7 @@
 	maps.Copy(t.self.Payloads, t.unsent)
 	clear(t.unsent)
 	t.self.Sequence++
-	t.spokeAt, t.heartbeatDue = now, now+t.heartbeatPeriod()
+	t.lastSentAt, t.heartbeatDue = now, now+t.heartbeatPeriod()
 }
 
 // SyncCount is with how many of those that are held to be gone a process exchanges whole states within a silence; it
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -82,14 +82,14 @@
 		return ErrStale
 	}
 	if r.Incarnation > e.Incarnation { // it was started again: what was measured of the one before says nothing
-		e.missed, e.roundTrips, e.markedDown = 0, nil, false
+		e.missedProbes, e.roundTrips, e.markedDown = 0, nil, false
 	}
 	e.Role, e.Zone = r.Role, r.Zone
 	e.Incarnation, e.StartedEmpty = r.Incarnation, r.StartedEmpty
 	e.Payloads, e.left = r.Payloads, r.Left
 	e.sequence, e.raw = r.Sequence, raw
 	e.recordAt, e.LastHeard = now, max(e.LastHeard, now)
-	t.judge(now, e)
+	t.updateState(now, e)
 	return nil
 }
 
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -44,9 +44,9 @@
 	recordAt tick.Tick // when that came
 	left     bool
 
-	everAnswered bool
+	hasAnswered  bool
 	answeredAt   tick.Tick // its last answer
-	missed       int       // probes in a row without an answer
+	missedProbes int       // probes in a row without an answer
 	missedSince  tick.Tick // the first of them
 	roundTrips   []tick.Tick
 	markedDown   bool // by the library, until a sign after that
@@ -64,7 +64,7 @@
 
 	nextTarget   int // the next one to probe in turn
 	heartbeatDue tick.Tick
-	spokeAt      tick.Tick         // when the own record was last sent
+	lastSentAt   tick.Tick         // when the own record was last sent
 	unsent       map[string][]byte // own payloads that are not in the record yet
 	superseded   bool
 	changes      []Member // since Changes was called
@@ -85,7 +85,7 @@
 		silence:      max(1, tick.FromSeconds(silence)),
 		entries:      map[string]*entry{},
 		heartbeatDue: now,
-		spokeAt:      now,
+		lastSentAt:   now,
 		unsent:       map[string][]byte{},
 	}
 	for _, r := range append([]Record{self}, others...) {
@@ -111,7 +111,7 @@
 func (t *Table) Superseded() bool { return t.superseded }
 
 // other is the entry of a member that is not this process, nil if there is none.
-func (t *Table) other(name string) *entry {
+func (t *Table) otherEntry(name string) *entry {
 	if name == t.self.Name {
 		return nil
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -29,14 +29,14 @@
 	network     *peertransport.Network
 	log         zerolog.Logger
 
-	mu    sync.Mutex
-	alive map[string]bool // by node that was told: whether its lease ran; guarded by mu
+	mu       sync.Mutex
+	hadLease map[string]bool // by node that was told: whether its lease ran; guarded by mu
 }
 
 // New makes a router. A node's address for requests is what this process's own file says, and else what the node told.
 func New(controllers Controllers, network *peertransport.Network, log zerolog.Logger) *Router {
 	log = log.With().Str("component", "routing").Str("node", network.Self().Name).Logger()
-	return &Router{controllers: controllers, network: network, log: log, alive: map[string]bool{}}
+	return &Router{controllers: controllers, network: network, log: log, hadLease: map[string]bool{}}
 }
 
 // Run follows until the context ends, and returns nil then.
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, node := range nodes {
-		r.noteLease(node)
+		r.logLeaseChange(node)
 		address := node.RequestAddress
 		if peer, ok := r.network.Peer(node.Name); ok && peer.RequestAddress != "" {
 			address = peer.RequestAddress
@@ -102,12 +102,12 @@
 	return endpoints
 }
 
-// noteLease logs where a node's lease was granted or has ended. It is called with mu.
-func (r *Router) noteLease(node controllerclient.Node) {
-	if before, known := r.alive[node.Name]; known && before == node.HasLease {
+// logLeaseChange logs where a node's lease was granted or has ended. It is called with mu.
+func (r *Router) logLeaseChange(node controllerclient.Node) {
+	if before, known := r.hadLease[node.Name]; known && before == node.HasLease {
 		return
 	}
-	r.alive[node.Name] = node.HasLease
+	r.hadLease[node.Name] = node.HasLease
 	state := "dead"
 	if node.HasLease {
 		state = "alive"
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -17,25 +17,25 @@
 	r.ordered = true
 	type group struct{ zone, kind string }
 	groups := map[group][]*Server{}
-	drawn := make(map[*Server]uint64, len(r.servers))
+	hashes := make(map[*Server]uint64, len(r.servers))
 	for _, s := range r.servers {
 		h := fnv.New64a()
 		h.Write([]byte(strconv.Itoa(int(r.version)) + "/" + s.Name))
-		drawn[s] = mixBits(h.Sum64())
+		hashes[s] = mixBits(h.Sum64())
 		key := group{s.Zone, s.Kind}
 		groups[key] = append(groups[key], s)
 	}
 	for _, members := range groups {
 		slices.SortFunc(members, func(a, b *Server) int {
-			return cmp.Or(cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
+			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
-		start := float64(mixBits(drawn[members[0]])%1024) / 1024 // groups of one are not all first
+		start := float64(mixBits(hashes[members[0]])%1024) / 1024 // groups of one are not all first
 		for i, s := range members {
 			s.rank = (float64(i) + start) / float64(len(members))
 		}
 	}
 	slices.SortFunc(r.servers, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(drawn[a], drawn[b]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 	})
 }
 
