--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -26,7 +26,7 @@
 	unknown            []string  // readings that cannot be relied on
 	readings           KeyReadings
 	constraints        []constraint
-	distrusted         map[*series]bool
+	untrusted          map[*series]bool
 	strictness         float64 // above 1 asks for more of everything
 }
 
@@ -36,8 +36,8 @@
 	reason string // left out of a strict assessment, of which only the level is used
 }
 
-// limit adds a constraint.
-func (a *assessment) limit(at level, format string, args ...any) {
+// addConstraint adds a constraint.
+func (a *assessment) addConstraint(at level, format string, args ...any) {
 	if at == levelAccepting {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // trusts reports whether a reading can be relied on.
-func (a *assessment) trusts(s *series) bool { return s.known() && !a.distrusted[s] }
+func (a *assessment) trusts(s *series) bool { return s.known() && !a.untrusted[s] }
 
 // assess works out what the readings allow.
 func (m *Monitor) assess(strictness float64) *assessment {
@@ -67,13 +67,13 @@
 		timeToOverheat:     Never,
 		timeToLimitOffered: Never,
 		migrationTime:      m.migrationTimeOf(m.instances, m.stateBytes),
-		distrusted:         map[*series]bool{},
+		untrusted:          map[*series]bool{},
 		strictness:         strictness,
 	}
 	if m.shutdownRequested {
-		a.limit(levelShuttingDown, "told to end")
+		a.addConstraint(levelShuttingDown, "told to end")
 	}
-	m.distrustReadings(a)
+	m.findUntrustedReadings(a)
 	m.assessBattery(a)
 	m.assessTemperature(a)
 	m.assessCondition(a)
@@ -81,24 +81,24 @@
 	return a
 }
 
-// distrustReadings finds the readings that cannot be relied on. A temperature sensor that never worked beside one that
+// findUntrustedReadings finds the readings that cannot be relied on. A temperature sensor that never worked beside one that
 // does, as that of a radio that is off, is left out without a constraint.
-func (m *Monitor) distrustReadings(a *assessment) {
+func (m *Monitor) findUntrustedReadings(a *assessment) {
 	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.known() })
 	for _, s := range m.series {
 		if s.kind == KindTemperature && !s.known() && hasTemperature {
-			a.distrusted[s] = true
+			a.untrusted[s] = true
 			continue
 		}
-		if reason := s.distrust(m.now, m.fullCharge(s.name)); reason != "" {
-			a.distrusted[s] = true
+		if reason := s.unknownReason(m.now, m.fullCharge(s.name)); reason != "" {
+			a.untrusted[s] = true
 			a.unknown = append(a.unknown, s.label())
-			a.limit(levelHolding, "%s unknown: %s", s.label(), reason)
+			a.addConstraint(levelHolding, "%s unknown: %s", s.label(), reason)
 		}
 	}
 	if m.truncated {
 		a.unknown = append(a.unknown, "more")
-		a.limit(levelHolding, "more than %d readings: the rest is not looked at", maxTrackedReadings)
+		a.addConstraint(levelHolding, "more than %d readings: the rest is not looked at", maxTrackedReadings)
 	}
 }
 
@@ -117,23 +117,23 @@
 func (m *Monitor) assessOutcomes(a *assessment) {
 	switch {
 	case m.failures.waiting(m.now):
-		a.limit(levelHolding, "its readings are well, but it fails its work")
+		a.addConstraint(levelHolding, "its readings are well, but it fails its work")
 	case m.failures.failing():
-		a.limit(levelLimited, "it failed its work, and is tried again")
+		a.addConstraint(levelLimited, "it failed its work, and is tried again")
 	}
 }
 
 // levelFor is the level that the time left allows, at the present and at the offered load.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
-	lasts := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
+	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
-	case !lasts(present, shuttingDownRatio):
+	case !suffices(present, shuttingDownRatio):
 		return levelShuttingDown
-	case !lasts(present, evacuatingRatio):
+	case !suffices(present, evacuatingRatio):
 		return levelEvacuating
-	case !lasts(offered, holdingRatio):
+	case !suffices(offered, holdingRatio):
 		return levelHolding
-	case !lasts(offered, limitedRatio):
+	case !suffices(offered, limitedRatio):
 		return levelLimited
 	}
 	return levelAccepting
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,18 +3,18 @@
 import "silvercove/internal/tick"
 
 const (
-	lowCharge = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to migrate with
-	idleDraw  = 0.5  // of the draw at full load
-	mainsOn   = 0.5  // a mains reading from which it counts as on
+	holdingCharge    = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to migrate with
+	idleDrawFraction = 0.5  // of the draw at full load
+	mainsOnThreshold = 0.5  // a mains reading from which it counts as on
 )
 
-// batteries are all of a node's batteries together.
-type batteries struct {
-	full     float64 // joules when full
-	left     float64 // joules above empty
-	fallRate float64 // joules a second by which the charge falls
-	draw     float64 // watts out of the batteries
-	measured bool    // what they hold and their draw are known
+// batteryTotals are all of a node's batteryTotals together.
+type batteryTotals struct {
+	fullJoules      float64 // joules when full
+	remainingJoules float64 // joules above empty
+	fallRate        float64 // joules a second by which the charge falls
+	draw            float64 // watts out of the batteries
+	measured        bool    // what they hold and their draw are known
 }
 
 // assessBattery assesses all batteries together, by what is drawn and by how their charge falls, the worse of the two.
@@ -24,7 +24,7 @@
 	if len(charges) == 0 {
 		if !mains {
 			a.unknown = append(a.unknown, "power")
-			a.limit(levelHolding, "power unknown: neither a battery's charge nor mains")
+			a.addConstraint(levelHolding, "power unknown: neither a battery's charge nor mains")
 			return
 		}
 		a.readings.Mains = &mains
@@ -35,56 +35,56 @@
 	if !known {
 		return // it is unknown: no new work, and no end
 	}
-	charge := b.left / b.full
+	charge := b.remainingJoules / b.fullJoules
 	a.readings.Charge = &charge
 	if b.measured {
-		a.readings.FullCharge, a.readings.Draw = &b.full, &b.draw
+		a.readings.FullCharge, a.readings.Draw = &b.fullJoules, &b.draw
 		if b.draw > 0 {
 			b.fallRate = max(b.fallRate, b.draw)
 		}
 	}
 	if b.fallRate > 0 {
-		a.timeToEmpty = ticks(b.left / b.fallRate)
-		a.timeToLimitOffered = ticks(b.left / b.fallRate / m.drawFactor(m.offeredLoad))
+		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
+		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
 	// Copies go at full load, which draws more than the present one: what is needed is given in time at the present
 	// load.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
-	a.limit(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
-		span(a.timeToEmpty), span(a.timeToLimitOffered), span(migration), m.instances)
-	if charge < lowCharge*a.strictness {
-		a.limit(levelHolding, "battery at %.1f%% above empty, too little to stand a loss of mains", 100*charge)
+	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
+		readableTime(a.timeToEmpty), readableTime(a.timeToLimitOffered), readableTime(migration), m.instances)
+	if charge < holdingCharge*a.strictness {
+		a.addConstraint(levelHolding, "battery at %.1f%% above empty, too little to stand a loss of mains", 100*charge)
 	}
 }
 
 func (m *Monitor) onMains(a *assessment) bool {
 	on := false
 	for _, s := range m.ofKind(KindMains) {
-		if !a.distrusted[s] {
+		if !a.untrusted[s] {
 			value, _ := s.last()
-			on = on || value >= mainsOn
+			on = on || value >= mainsOnThreshold
 		}
 	}
 	return on
 }
 
 // sumBatteries adds the batteries up. It is false where one of their charges cannot be relied on.
-func (m *Monitor) sumBatteries(a *assessment, charges []*series) (b batteries, known bool) {
+func (m *Monitor) sumBatteries(a *assessment, charges []*series) (b batteryTotals, known bool) {
 	b.measured = true
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
 			b.measured, full = false, 1 // by slope alone
 		}
-		if a.distrusted[s] {
-			return batteries{}, false
+		if a.untrusted[s] {
+			return batteryTotals{}, false
 		}
 		value, _ := s.last()
-		b.left += max(0, value-m.settings.emptyCharge) * full
-		b.full += full
+		b.remainingJoules += max(0, value-m.settings.emptyCharge) * full
+		b.fullJoules += full
 		if slope, err, ok := s.slope(); ok {
-			b.fallRate += max(0, -(slope-confidence*err)) * full
+			b.fallRate += max(0, -(slope-confidenceStdErrors*err)) * full
 		}
 	}
 	draws := m.ofKind(KindDraw)
@@ -93,7 +93,7 @@
 			b.measured = false
 			continue
 		}
-		b.draw += s.upper()
+		b.draw += s.upperQuartile()
 	}
 	b.measured = b.measured && len(draws) > 0
 	return b, true
@@ -101,5 +101,5 @@
 
 // drawFactor is how much more is drawn at another load.
 func (m *Monitor) drawFactor(load float64) float64 {
-	return (idleDraw + (1-idleDraw)*load) / (idleDraw + (1-idleDraw)*m.load)
+	return (idleDrawFraction + (1-idleDrawFraction)*load) / (idleDrawFraction + (1-idleDrawFraction)*m.load)
 }
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	claimShare     = 0.5               // of a zone's nodes at most evacuate by claim alone: a version's fault shows in all at once
+	maxClaimShare  = 0.5               // of a zone's nodes at most evacuate by claim alone: a version's fault shows in all at once
 	claimRetention = 600 * tick.Second // for which a claim counts after it was withdrawn, so that nodes do not take turns
 )
 
@@ -20,7 +20,7 @@
 		return n.report
 	}
 	granted := n.zone.grantedClaims(now)
-	if float64(granted+1) > claimShare*float64(len(n.zone.nodes)) {
+	if float64(granted+1) > maxClaimShare*float64(len(n.zone.nodes)) {
 		return withState(n.report, levelHolding, fmt.Sprintf("says it %s, without readings or outcomes that bear it out, "+
 			"as do %d of %d units of its zone", n.report.State, granted, len(n.zone.nodes)))
 	}
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -1,8 +1,8 @@
 package devicehealth
 
 const (
-	slowThrottle = 0.3 // throttled so far, the answers of new work would be late
-	switchOn     = 0.5 // a lid's or radio's reading from which it is open or up
+	holdingThrottle   = 0.3 // throttled so far, the answers of new work would be late
+	switchOnThreshold = 0.5 // a lid's or radio's reading from which it is open or up
 )
 
 // assessCondition assesses throttling, lid and radios.
@@ -14,20 +14,20 @@
 		}
 		value, _ := s.last()
 		switch {
-		case s.kind == KindThrottle && value >= slowThrottle:
-			a.limit(levelHolding, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindThrottle && value >= holdingThrottle:
+			a.addConstraint(levelHolding, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
 		case s.kind == KindThrottle && value > 0:
-			a.limit(levelLimited, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
-		case s.kind == KindLid && value < switchOn:
-			a.limit(levelEvacuating, "%s is shut: the machine may sleep at any moment", s.name)
+			a.addConstraint(levelLimited, "%s slows the machine by %.0f%% for heat", s.name, 100*value)
+		case s.kind == KindLid && value < switchOnThreshold:
+			a.addConstraint(levelEvacuating, "%s is shut: the machine may sleep at any moment", s.name)
 		case s.kind == KindRadio:
 			radios++
-			if value < switchOn {
+			if value < switchOnThreshold {
 				off++
 			}
 		}
 	}
 	if radios > 0 && off == radios {
-		a.limit(levelHolding, "no radio is up")
+		a.addConstraint(levelHolding, "no radio is up")
 	}
 }
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -8,12 +8,12 @@
 const (
 	// falseAlarmChance bounds the chance of any false alarm of one node.
 	falseAlarmChance = 0.01
-	// goodRun is how many outcomes without an alarm a node needs to be believed again.
-	goodRun = 20
+	// recoveryOutcomes is how many outcomes without an alarm a node needs to be believed again.
+	recoveryOutcomes = 20
 )
 
 // failureDetector finds a node whose requests fail more often than usual, by the sequential test with which a relay watches a
-// canary. Once it has, the node waits, is tried again, and is believed after goodRun outcomes; each alarm meanwhile doubles
+// canary. Once it has, the node waits, is tried again, and is believed after recoveryOutcomes outcomes; each alarm meanwhile doubles
 // the wait.
 type failureDetector struct {
 	test     sequential.Detector
@@ -27,12 +27,12 @@
 }
 
 // record records one outcome, tested against a usual share of failures.
-func (d *failureDetector) record(now tick.Tick, succeeded bool, usualShare float64) {
+func (d *failureDetector) record(now tick.Tick, succeeded bool, baselineShare float64) {
 	outcome := 0.0
 	if !succeeded {
 		outcome = 1
 	}
-	_, alarm := d.test.Observe(outcome, usualShare)
+	_, alarm := d.test.Observe(outcome, baselineShare)
 	d.outcomes++
 	if alarm {
 		if d.failing() {
@@ -41,7 +41,7 @@
 		d.failedAt, d.outcomes, d.test = now, 0, sequential.NewDetector(falseAlarmChance)
 		return
 	}
-	if d.failing() && now-d.failedAt >= d.wait && d.outcomes >= goodRun && !d.test.Suspicious() {
+	if d.failing() && now-d.failedAt >= d.wait && d.outcomes >= recoveryOutcomes && !d.test.Suspicious() {
 		d.failedAt, d.wait = 0, minDwell
 	}
 }
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -20,29 +20,29 @@
 	settled   bool // a level was reported with all readings known
 	changedAt tick.Tick
 	roseAt    tick.Tick // the last rise that no fall has followed; 0 for none
-	better    betterSpell
+	pending   pendingRise
 	dwell     tick.Tick
 }
 
-// betterSpell is the time for which a better level has held.
-type betterSpell struct {
+// pendingRise is the time for which a better level has held.
+type pendingRise struct {
 	since  tick.Tick // 0 for none
 	lowest level
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
-// move updates the level: target is what the readings allow, strict what they allow with a margin.
-func (h *hysteresis) move(now tick.Tick, target, strict level, unknown bool) {
+// update updates the level: target is what the readings allow, strict what they allow with a margin.
+func (h *hysteresis) update(now tick.Tick, target, strictTarget level, unknown bool) {
 	switch {
 	case !h.settled: // a process that has just started need not wait
 		h.level, h.changedAt, h.settled = target, now, !unknown
 	case target < h.level:
 		h.fall(now, target)
-	case strict > h.level && !unknown:
-		h.tryRise(now, strict)
+	case strictTarget > h.level && !unknown:
+		h.tryRise(now, strictTarget)
 	default:
-		h.better.since = 0
+		h.pending.since = 0
 	}
 }
 
@@ -54,24 +54,24 @@
 	case now-h.changedAt >= maxDwell:
 		h.dwell = max(h.dwell/2, minDwell)
 	}
-	h.level, h.changedAt, h.roseAt, h.better.since = target, now, 0, 0
+	h.level, h.changedAt, h.roseAt, h.pending.since = target, now, 0, 0
 }
 
 // tryRise goes up once the dwell time is over.
-func (h *hysteresis) tryRise(now tick.Tick, strict level) {
-	if h.better.since == 0 {
-		h.better = betterSpell{since: now, lowest: strict}
+func (h *hysteresis) tryRise(now tick.Tick, strictTarget level) {
+	if h.pending.since == 0 {
+		h.pending = pendingRise{since: now, lowest: strictTarget}
 	}
-	h.better.lowest = min(h.better.lowest, strict)
-	if now-max(h.better.since, h.changedAt) >= h.dwell {
-		h.level, h.changedAt, h.roseAt, h.better.since = h.better.lowest, now, now, 0
+	h.pending.lowest = min(h.pending.lowest, strictTarget)
+	if now-max(h.pending.since, h.changedAt) >= h.dwell {
+		h.level, h.changedAt, h.roseAt, h.pending.since = h.pending.lowest, now, now, 0
 	}
 }
 
 // waitReason says why a better level is not reported yet.
 func (h *hysteresis) waitReason(now tick.Tick) string {
-	if h.better.since > 0 {
-		return fmt.Sprintf("better for %s, is believed after %s", span(now-h.better.since), span(h.dwell))
+	if h.pending.since > 0 {
+		return fmt.Sprintf("better for %s, is believed after %s", readableTime(now-h.pending.since), readableTime(h.dwell))
 	}
 	return "not yet clear of what it fell at"
 }
--- a/internal/devicehealth/last_resort.go
+++ b/internal/devicehealth/last_resort.go
@@ -30,9 +30,9 @@
 // until its last node is gone.
 func LastResort(reports map[string]Report, instances []Instance) []Instance {
 	nodes := nodesByRisk(reports)
-	left := map[string]int{}
+	capacityLeft := map[string]int{}
 	for name, r := range reports {
-		left[name] = r.LastResortCapacity
+		capacityLeft[name] = r.LastResortCapacity
 	}
 	ranked := slices.Clone(instances)
 	slices.SortFunc(ranked, func(a, b Instance) int {
@@ -41,14 +41,14 @@
 	var unserved []Instance
 	served := ranked[:0]
 	for _, i := range ranked {
-		if left[i.Node] == 0 {
-			i.Node = firstWithCapacity(nodes, left)
+		if capacityLeft[i.Node] == 0 {
+			i.Node = firstWithCapacity(nodes, capacityLeft)
 		}
 		if i.Node == "" {
 			unserved = append(unserved, i)
 			continue
 		}
-		left[i.Node]--
+		capacityLeft[i.Node]--
 		served = append(served, i)
 	}
 	return append(served, unserved...)
@@ -63,9 +63,9 @@
 }
 
 // firstWithCapacity is "" where there is none.
-func firstWithCapacity(nodes []string, left map[string]int) string {
+func firstWithCapacity(nodes []string, capacityLeft map[string]int) string {
 	for _, name := range nodes {
-		if left[name] > 0 {
+		if capacityLeft[name] > 0 {
 			return name
 		}
 	}
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -40,18 +40,18 @@
 	maxTrackedReadings = 64
 	// busyLoad is the load from which a node counts as working: its readings should move.
 	busyLoad = 0.05
-	// ownFailureShare is the share of a node's own outcomes that may be failures: beyond it the node is not well
+	// maxOwnFailureShare is the share of a node's own outcomes that may be failures: beyond it the node is not well
 	// whatever it reads.
-	ownFailureShare = 0.2
+	maxOwnFailureShare = 0.2
 )
 
 // Monitor decides for one edge node. It is not safe for concurrent use.
 type Monitor struct {
-	settings  settings
-	now       tick.Tick // of the latest call
-	assessed  tick.Tick // when Assess was last called
-	series    []*series
-	truncated bool // there are more readings than maxTrackedReadings
+	settings     settings
+	now          tick.Tick // of the latest call
+	lastAssessed tick.Tick // when Assess was last called
+	series       []*series
+	truncated    bool // there are more readings than maxTrackedReadings
 
 	load              float64 // present load, a share of what the node can do
 	offeredLoad       float64 // the load if it took all that is asked of it; at least load
@@ -95,11 +95,11 @@
 // fleet.moves.unit; one that is missing has its default of the operator's file.
 func NewMonitor(now tick.Tick, set map[string]any) *Monitor {
 	return &Monitor{
-		settings:   parseSettings(set),
-		now:        now,
-		assessed:   now,
-		hysteresis: newHysteresis(),
-		failures:   newFailureDetector(),
+		settings:     parseSettings(set),
+		now:          now,
+		lastAssessed: now,
+		hysteresis:   newHysteresis(),
+		failures:     newFailureDetector(),
 	}
 }
 
@@ -148,33 +148,33 @@
 // votes judge; it hurts then by taking no new work from nodes that would fail it.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
-	m.failures.record(now, succeeded, ownFailureShare)
+	m.failures.record(now, succeeded, maxOwnFailureShare)
 }
 
 // Assess works out the node's report. It is to be called about once a second.
 func (m *Monitor) Assess(now tick.Tick) Report {
 	m.now = now
 	m.updateSeries()
-	m.assessed = now
+	m.lastAssessed = now
 	a := m.assess(1)
 	strict := m.assess(riseMargin)
-	m.hysteresis.move(now, a.level(), min(a.level(), strict.level()), len(a.unknown) > 0)
+	m.hysteresis.update(now, a.level(), min(a.level(), strict.level()), len(a.unknown) > 0)
 	return m.report(a)
 }
 
 // updateSeries drops readings that are gone, and notes what bears on whether the others still move.
 func (m *Monitor) updateSeries() {
 	m.series = slices.DeleteFunc(m.series, func(s *series) bool {
-		return !s.known() && m.now-s.heardAt > staleAfter
+		return !s.known() && m.now-s.lastReadAt > staleAfter
 	})
 	for _, s := range m.series {
-		s.busy = s.busy || m.load > busyLoad
+		s.workedSinceMove = s.workedSinceMove || m.load > busyLoad
 		if s.kind != KindCharge {
 			continue
 		}
 		for _, draw := range m.ofKind(KindDraw) {
 			if draw.name == s.name && draw.known() {
-				s.drained += max(0, draw.upper()) * (m.now - m.assessed).Seconds()
+				s.drainedSinceMove += max(0, draw.upperQuartile()) * (m.now - m.lastAssessed).Seconds()
 			}
 		}
 	}
@@ -271,10 +271,10 @@
 	return Never
 }
 
-// span prints as a time in a sentence.
-type span tick.Tick
+// readableTime prints as a time in a sentence.
+type readableTime tick.Tick
 
-func (t span) String() string {
+func (t readableTime) String() string {
 	s := int64(tick.Tick(t) / tick.Second)
 	switch {
 	case tick.Tick(t) == Never:
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -37,7 +37,7 @@
 
 // bounds is what is physically possible of a kind of readings.
 type bounds struct {
-	least, most    float64   // values beyond are impossible
+	min, max       float64   // values beyond are impossible
 	slack          float64   // a change by so much is always possible
 	rate           float64   // a second, of change beyond the slack
 	sampleInterval tick.Tick // between samples: the span of a forecast is maxSamples of them
@@ -46,26 +46,26 @@
 // plausibility is by kind. A battery of the fastest kind empties in minutes, gauges correct themselves by a few parts in
 // a hundred; a sensor on a processor's die moves by tens of degrees in a second, but not by a hundred.
 var plausibility = map[Kind]bounds{
-	KindCharge:          {least: 0, most: 1, slack: 0.03, rate: 0.005, sampleInterval: 10 * tick.Second},
-	KindFullCharge:      {least: 1, most: 1e9, slack: math.Inf(1), sampleInterval: tick.Second},
-	KindDraw:            {least: -5000, most: 5000, slack: math.Inf(1), sampleInterval: tick.Second},
-	KindCharging:        {least: 0, most: 1, slack: 1, sampleInterval: tick.Second},
-	KindMains:           {least: 0, most: 1, slack: 1, sampleInterval: tick.Second},
-	KindTemperature:     {least: -40, most: 125, slack: 15, rate: 15, sampleInterval: 2 * tick.Second},
-	KindCellTemperature: {least: -40, most: 125, slack: 15, rate: 15, sampleInterval: 2 * tick.Second},
-	KindThrottle:        {least: 0, most: 1, slack: 1, sampleInterval: tick.Second},
-	KindLid:             {least: 0, most: 1, slack: 1, sampleInterval: tick.Second},
-	KindRadio:           {least: 0, most: 1, slack: 1, sampleInterval: tick.Second},
+	KindCharge:          {min: 0, max: 1, slack: 0.03, rate: 0.005, sampleInterval: 10 * tick.Second},
+	KindFullCharge:      {min: 1, max: 1e9, slack: math.Inf(1), sampleInterval: tick.Second},
+	KindDraw:            {min: -5000, max: 5000, slack: math.Inf(1), sampleInterval: tick.Second},
+	KindCharging:        {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
+	KindMains:           {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
+	KindTemperature:     {min: -40, max: 125, slack: 15, rate: 15, sampleInterval: 2 * tick.Second},
+	KindCellTemperature: {min: -40, max: 125, slack: 15, rate: 15, sampleInterval: 2 * tick.Second},
+	KindThrottle:        {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
+	KindLid:             {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
+	KindRadio:           {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
 }
 
-// refusal says why a reading has no value that could be believed; "" if it has.
-func (b bounds) refusal(r Reading) string {
+// invalidReason says why a reading has no value that could be believed; "" if it has.
+func (b bounds) invalidReason(r Reading) string {
 	switch {
 	case !r.OK && r.Reason == "":
 		return "missing"
 	case !r.OK:
 		return r.Reason
-	case !(r.Value >= b.least && r.Value <= b.most): // also true for what is no number
+	case !(r.Value >= b.min && r.Value <= b.max): // also true for what is no number
 		return fmt.Sprintf("impossible: %.4g", r.Value)
 	}
 	return ""
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	warmMargin   = 5.0  // degrees C below the limit: a passing cloud is worth as much
-	cellLimit    = 60.0 // degrees C up to which makers of lithium cells allow them to be drawn from
-	heatCapacity = 500  // joules for a degree C: half a kilogram of board and metal without a fan
+	holdingMargin      = 5.0  // degrees C below the limit: a passing cloud is worth as much
+	maxCellTemperature = 60.0 // degrees C up to which makers of lithium cells allow them to be drawn from
+	heatCapacity       = 500  // joules for a degree C: half a kilogram of board and metal without a fan
 )
 
 // assessTemperature assesses all sensors; the one that reaches its limit first decides.
@@ -38,7 +38,7 @@
 func (m *Monitor) temperatureLimit(s *series) float64 {
 	limit := m.settings.temperatureCap
 	if s.kind == KindCellTemperature {
-		limit = min(limit, cellLimit)
+		limit = min(limit, maxCellTemperature)
 	}
 	if s.limit > 0 {
 		limit = min(limit, s.limit)
@@ -56,10 +56,10 @@
 	if s.limit > 0 && value >= s.limit {
 		at = levelShuttingDown // the machine is about to stop itself
 	}
-	a.limit(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
-		s.name, value, limit, span(present), span(offered))
-	if warm := warmMargin * a.strictness; margin < warm {
-		a.limit(levelHolding, "%s %.1f C, within %.1f C of its limit", s.name, value, warm)
+	a.addConstraint(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
+		s.name, value, limit, readableTime(present), readableTime(offered))
+	if warm := holdingMargin * a.strictness; margin < warm {
+		a.addConstraint(levelHolding, "%s %.1f C, within %.1f C of its limit", s.name, value, warm)
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	rate := 0.0
 	if slope, err, ok := s.slope(); ok {
-		rate = slope + confidence*err
+		rate = slope + confidenceStdErrors*err
 	}
 	present, offered = Never, Never
 	if rate > 0 {
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -19,7 +19,7 @@
 
 // readPowerSupplies reads the folder power_supply.
 func readPowerSupplies(files fileSource) (readings []devicehealth.Reading) {
-	supplies, err := files.names("power_supply")
+	supplies, err := files.listDir("power_supply")
 	if err != nil {
 		readings = append(readings, devicehealth.Reading{Name: "power_supply", Kind: devicehealth.KindMains, Reason: err.Error()})
 	}
--- a/internal/devicepower/radio.go
+++ b/internal/devicepower/radio.go
@@ -7,7 +7,7 @@
 
 // readRadios reads the folder rfkill: whether each radio for data is on. Where there is no folder, no radio is expected.
 func readRadios(files fileSource) (readings []devicehealth.Reading) {
-	names, _ := files.names("rfkill")
+	names, _ := files.listDir("rfkill")
 	for _, name := range names {
 		d := device{files, "rfkill/" + name}
 		kind, err := d.text("type")
--- a/internal/devicepower/reader.go
+++ b/internal/devicepower/reader.go
@@ -11,7 +11,7 @@
 )
 
 // maxReadings is how many readings a Reader keeps with those that are gone.
-const maxReadings = 4 * maxEntries
+const maxReadings = 4 * maxDirEntries
 
 // Reader keeps the newest readings of one folder. It is safe for concurrent use.
 type Reader struct {
--- a/internal/devicepower/thermal.go
+++ b/internal/devicepower/thermal.go
@@ -17,7 +17,7 @@
 
 // readThermal reads the folder thermal. Where there is none, none is expected.
 func readThermal(files fileSource) (readings []devicehealth.Reading) {
-	names, err := files.names("thermal")
+	names, err := files.listDir("thermal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		readings = append(readings, devicehealth.Reading{Name: "thermal", Kind: devicehealth.KindTemperature, Reason: err.Error()})
 	}
