--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -67,6 +67,6 @@
 			return fmt.Errorf("%s runs (%s): stop it first", f.Self.Name, s.Role)
 		}
 		return withDiskFull(controller.Rebuild(ctx, controller.RebuildOptions{Network: net, DataDir: f.DataDir, Settings: f.Settings, Client: k, Backup: backup,
-			AllowSilent: c.Without, Progress: func(text string) { fmt.Println(text) }}))
+			AllowUnreachable: c.Without, Progress: func(text string) { fmt.Println(text) }}))
 	})
 }
--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -23,14 +23,14 @@
 	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that asks it
 
 	mu            sync.Mutex              // guards the fields below
-	lastQuestion  uint64                  // number of the last question
+	lastRound     uint64                  // number of the last question
 	confirmations map[string]confirmation // by controller
 	changed       chan struct{}           // closed at the next confirmation
-	waiting       int                     // calls of confirm
+	waiters       int                     // calls of confirm
 }
 
 // confirmation is a controller's answer: the last question that was asked before it, and the term that it was in.
-type confirmation struct{ question, term uint64 }
+type confirmation struct{ round, term uint64 }
 
 func newLeadershipConfirmer(controller *Controller) *leadershipConfirmer {
 	l := &leadershipConfirmer{
@@ -56,7 +56,7 @@
 					return
 				case <-l.wakeups[name]:
 				}
-				if !l.ask(ctx, name) {
+				if !l.query(ctx, name) {
 					l.retryLater(ctx, name)
 				}
 			}
@@ -66,9 +66,9 @@
 }
 
 // ask asks one controller and notes its answer. It returns whether there was one.
-func (l *leadershipConfirmer) ask(ctx context.Context, name string) bool {
+func (l *leadershipConfirmer) query(ctx context.Context, name string) bool {
 	l.mu.Lock()
-	question := l.lastQuestion
+	round := l.lastRound
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, l.controller.timings.ConfirmTimeout.Duration())
 	defer cancel()
@@ -78,7 +78,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.confirmations[name] = confirmation{question, term}
+	l.confirmations[name] = confirmation{round, term}
 	close(l.changed)
 	l.changed = make(chan struct{})
 	return true
@@ -87,14 +87,14 @@
 // retryLater has a controller that did not answer asked again after a pause, where somebody waits for that.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
-	wanted := l.waiting > 0
+	hasWaiters := l.waiters > 0
 	l.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(l.controller.timings.CommitInterval.Duration()):
 	}
-	if wanted {
+	if hasWaiters {
 		l.wake(name)
 	}
 }
@@ -118,13 +118,13 @@
 	majority := l.controller.majority(voters)
 	ctx, cancel := context.WithTimeout(ctx, l.controller.timings.ConfirmTimeout.Duration())
 	defer cancel()
-	question := l.beginQuestion()
-	defer l.endQuestion()
+	round := l.beginRound()
+	defer l.endRound()
 	for _, name := range voters {
 		l.wake(name)
 	}
 	for {
-		count, changed := l.countConfirmations(voters, question, term)
+		count, changed := l.countConfirmations(voters, round, term)
 		if count >= majority {
 			if !leadsInTerm(r, term) { // its own vote is one of the majority's, and is given last
 				return raft.ErrLeadershipLost
@@ -139,30 +139,30 @@
 	}
 }
 
-// beginQuestion numbers a new question.
-func (l *leadershipConfirmer) beginQuestion() uint64 {
+// beginRound numbers a new question.
+func (l *leadershipConfirmer) beginRound() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lastQuestion++
-	l.waiting++
-	return l.lastQuestion
+	l.lastRound++
+	l.waiters++
+	return l.lastRound
 }
 
-// endQuestion says that one caller less waits.
-func (l *leadershipConfirmer) endQuestion() {
+// endRound says that one caller less waits.
+func (l *leadershipConfirmer) endRound() {
 	l.mu.Lock()
-	l.waiting--
+	l.waiters--
 	l.mu.Unlock()
 }
 
 // countConfirmations counts the voters that have answered a question or a later one in a term, this controller included, and
 // returns what is closed at the next answer.
-func (l *leadershipConfirmer) countConfirmations(voters []string, question, term uint64) (count int, changed <-chan struct{}) {
+func (l *leadershipConfirmer) countConfirmations(voters []string, round, term uint64) (count int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range voters {
 		confirmed := l.confirmations[name]
-		if name == l.controller.name || confirmed.question >= question && confirmed.term == term {
+		if name == l.controller.name || confirmed.round >= round && confirmed.term == term {
 			count++
 		}
 	}
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -28,7 +28,7 @@
 }
 
 // admit counts a process's connection in until leave is called, or says why not.
-func (l *connLimiter) admit(from string) (leave func(), refusal string) {
+func (l *connLimiter) admit(from string) (release func(), refusal string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counted := 1
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -22,8 +22,8 @@
 	snapshotInterval = 30 * time.Second
 )
 
-// raftConnections is how many idle connections raft keeps to each other controller.
-const raftConnections = 3
+// maxIdleRaftConns is how many idle connections raft keeps to each other controller.
+const maxIdleRaftConns = 3
 
 // openedStore is the log on a disk that was found intact.
 type openedStore struct {
@@ -87,22 +87,22 @@
 	return opened, nil
 }
 
-// runRaft runs raft on a disk that may take part, until the context ends, and all goroutines that work with it. It owns
+// runRaft runs raft on a disk that may take part, until the context ends, and all goroutines that workContext with it. It owns
 // them: they have ended when it returns.
 func (c *Controller) runRaft(ctx context.Context, opened openedStore, logger hclog.Logger) error {
 	c.store = &guardedStore{
-		Store:        opened.log,
-		lastApplied:  c.stateMachine.lastApplied,
-		fatal:        c.fatal,
-		onDiskResult: c.noteDiskResult,
-		pause:        c.timings.ConfirmTimeout.Duration(),
-		last:         opened.last,
-		closed:       make(chan struct{}),
+		Store:             opened.log,
+		lastApplied:       c.stateMachine.lastApplied,
+		fatal:             c.fatal,
+		onDiskResult:      c.noteDiskResult,
+		termRetryInterval: c.timings.ConfirmTimeout.Duration(),
+		last:              opened.last,
+		closed:            make(chan struct{}),
 	}
 	transport := positionTransport{
 		NetworkTransport: raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 			Stream:          streamLayer{c},
-			MaxPool:         raftConnections,
+			MaxPool:         maxIdleRaftConns,
 			MaxRPCsInFlight: 1,
 			Timeout:         c.timings.ProposalTimeout.Duration(),
 			Logger:          logger,
@@ -114,14 +114,14 @@
 		return errors.Join(err, transport.Close(), opened.log.Close())
 	}
 	c.raft.Store(r)
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workContext, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	var group errgroup.Group
-	group.Go(func() error { return c.waker.Run(work, c.runTimers) })
-	group.Go(func() error { c.runProposer(work); return nil })
-	group.Go(func() error { c.confirmer.run(work); return nil })
-	group.Go(func() error { c.catchUpAndJoin(work, r); return nil })
-	group.Go(func() error { c.watchDisk(work, r); return nil })
-	group.Go(func() error { c.watchLeadership(work, r); return nil })
+	group.Go(func() error { return c.waker.Run(workContext, c.runTimers) })
+	group.Go(func() error { c.runProposer(workContext); return nil })
+	group.Go(func() error { c.confirmer.run(workContext); return nil })
+	group.Go(func() error { c.catchUpAndJoin(workContext, r); return nil })
+	group.Go(func() error { c.watchDisk(workContext, r); return nil })
+	group.Go(func() error { c.watchLeadership(workContext, r); return nil })
 	<-ctx.Done()
 	if r.State() == raft.Leader && len(c.peers) > 0 {
 		if err := r.LeadershipTransfer().Error(); err != nil {
@@ -129,11 +129,11 @@
 		}
 	}
 	c.stopLeading()
-	down := r.Shutdown()
+	shutdown := r.Shutdown()
 	err = transport.Close()
 	close(c.store.closed)
-	err = errors.Join(err, down.Error())
-	stop()
+	err = errors.Join(err, shutdown.Error())
+	stopWork()
 	return errors.Join(err, group.Wait(), opened.log.Close())
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,10 +154,10 @@
 			return nil
 		}
 	})
-	calls, stopCalls := context.WithCancel(context.WithoutCancel(ctx)) // calls are answered until the leadership is handed over
+	callContext, stopCalls := context.WithCancel(context.WithoutCancel(ctx)) // calls are answered until the leadership is handed over
 	defer stopCalls()
 	served := make(chan error, 1)
-	go func() { served <- c.serve(calls) }()
+	go func() { served <- c.serve(callContext) }()
 	group.Go(func() error { return c.runConsensus(ctx) })
 	err := group.Wait()
 	stopCalls()
--- a/internal/controller/disk_space.go
+++ b/internal/controller/disk_space.go
@@ -24,16 +24,16 @@
 func (c *Controller) watchDisk(ctx context.Context, r *raft.Raft) {
 	ticker := time.NewTicker(min(c.timings.ConfirmTimeout, maxDiskCheckInterval).Duration())
 	defer ticker.Stop()
-	logged := "" // the error that was logged last
+	lastLogged := "" // the error that was lastLogged last
 	for {
 		free, total, err := c.DiskFree(c.DataDir)
 		if err != nil {
-			if err.Error() != logged {
+			if err.Error() != lastLogged {
 				c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the disk's room is not known").Msg("free disk space unknown")
 			}
-			free, total, logged = 0, 0, err.Error()
+			free, total, lastLogged = 0, 0, err.Error()
 		} else {
-			logged = ""
+			lastLogged = ""
 		}
 		c.onDiskSpace(r, free, total)
 		c.compactLog(r)
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -25,11 +25,11 @@
 // concurrent use.
 type guardedStore struct {
 	Store
-	lastApplied  func() uint64
-	fatal        func(error)
-	onDiskResult func(error)   // called with the error of each write, nil: it succeeded
-	pause        time.Duration // before a term is written again
-	closed       chan struct{} // closed by the owner once nothing leaves this process any more
+	lastApplied       func() uint64
+	fatal             func(error)
+	onDiskResult      func(error)   // called with the error of each write, nil: it succeeded
+	termRetryInterval time.Duration // before a term is written again
+	closed            chan struct{} // closed by the owner once nothing leaves this process any more
 
 	mu   sync.Mutex
 	last controllerclient.LogPosition // of the last entry; guarded by mu
@@ -93,7 +93,7 @@
 		}
 		select {
 		case <-g.closed:
-		case <-time.After(g.pause):
+		case <-time.After(g.termRetryInterval):
 		}
 	}
 }
--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/placement"
 )
 
-// handleLastResort tells, for each zone whose nodes are all draining, which instances are served on there, those of the
+// handleLastResort tells, for each zone whose nodes are all draining, which instances are served on instances, those of the
 // greatest priority weight first.
 func (c *Controller) handleLastResort(call[struct{}]) (controllerclient.LastResortPlan, error) {
 	plan := controllerclient.LastResortPlan{Zones: []controllerclient.LastResortZone{}}
@@ -37,12 +37,12 @@
 // reportsByZone is the health reports of all nodes whose leases run, by zone and node. It is called with mu.
 func (c *Controller) reportsByZone(l *leadership) map[string]map[string]devicehealth.Report {
 	zones := map[string]map[string]devicehealth.Report{}
-	for name, ask := range l.nodes {
+	for name, request := range l.nodes {
 		var report devicehealth.Report
-		if _, hasLease := l.lessor.LeaseEnd(c.Now(), name); !hasLease || json.Unmarshal(ask.Report, &report) != nil {
+		if _, hasLease := l.lessor.LeaseEnd(c.Now(), name); !hasLease || json.Unmarshal(request.Report, &report) != nil {
 			continue
 		}
-		zone := c.zoneOf(*ask)
+		zone := c.zoneOf(*request)
 		if zones[zone] == nil {
 			zones[zone] = map[string]devicehealth.Report{}
 		}
@@ -53,14 +53,14 @@
 
 // lastResortZone is the plan of one zone.
 func lastResortZone(zone string, reports map[string]devicehealth.Report, assignments []placement.Assignment) controllerclient.LastResortZone {
-	var there []devicehealth.Instance
+	var instances []devicehealth.Instance
 	for _, a := range assignments {
 		if _, inZone := reports[a.Primary]; inZone && a.State == placement.Running {
-			there = append(there, devicehealth.Instance{Name: a.Instance, Node: a.Primary, PriorityWeight: a.Weight})
+			instances = append(instances, devicehealth.Instance{Name: a.Instance, Node: a.Primary, PriorityWeight: a.Weight})
 		}
 	}
 	plan := controllerclient.LastResortZone{Zone: zone, Instances: []controllerclient.LastResortInstance{}}
-	for _, instance := range devicehealth.LastResort(reports, there) {
+	for _, instance := range devicehealth.LastResort(reports, instances) {
 		plan.Instances = append(plan.Instances, controllerclient.LastResortInstance{
 			Name:   instance.Name,
 			Node:   instance.Node,
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -22,7 +22,7 @@
 	leadership *leadership // under which it waits
 	since      uint64      // the version that the caller has
 	timer      *time.Timer // fires when the call has waited as long as it asked to
-	end        func()
+	release    func()
 }
 
 // beginLongPoll reads "since" and "timeout_ms" of the query, and takes one of the slots of the calls that wait. It refuses the
@@ -46,11 +46,11 @@
 		return longPoll{}, refuse(http.StatusServiceUnavailable, "as many calls wait for news as may")
 	}
 	timer := time.NewTimer(time.Duration(min(timeoutMS, uint64(maxLongPoll.Milliseconds()))) * time.Millisecond)
-	end := func() {
+	release := func() {
 		timer.Stop()
 		<-c.longPolls
 	}
-	return longPoll{l, since, timer, end}, nil
+	return longPoll{l, since, timer, release}, nil
 }
 
 // queryNumber reads a number of a call's query; one that is missing is 0.
@@ -66,8 +66,8 @@
 	return number, nil
 }
 
-// gather waits a moment, so that what changes within it is told together.
-func (p longPoll) gather(req call[struct{}], wait time.Duration) {
+// coalesce waits a moment, so that what changes within it is told together.
+func (p longPoll) coalesce(req call[struct{}], wait time.Duration) {
 	p.timer.Reset(wait)
 	select {
 	case <-p.timer.C:
@@ -82,7 +82,7 @@
 	if err != nil {
 		return none, err
 	}
-	defer poll.end()
+	defer poll.release()
 	l := poll.leadership
 	for {
 		origin := c.stateMachine.lineage().OriginID
@@ -95,7 +95,7 @@
 		}
 		select {
 		case <-changed:
-			poll.gather(req, c.timings.AssignmentUpdateInterval.Duration())
+			poll.coalesce(req, c.timings.AssignmentUpdateInterval.Duration())
 		case <-poll.timer.C:
 			changes.Complete = false
 			changes.Assignments = []placement.Assignment{}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return none, err
 	}
-	defer poll.end()
+	defer poll.release()
 	l := poll.leadership
 	for waited := false; ; {
 		c.mu.Lock()
@@ -129,7 +129,7 @@
 		c.mu.Unlock()
 		select {
 		case <-changed:
-			poll.gather(req, min(c.timings.NodeUpdateInterval.Duration(), maxLongPoll))
+			poll.coalesce(req, min(c.timings.NodeUpdateInterval.Duration(), maxLongPoll))
 			waited = true
 		case <-poll.timer.C:
 			waited = true
@@ -150,8 +150,8 @@
 	now := c.Now()
 	for _, peer := range c.Network.Peers(peertransport.RoleEdge) {
 		node := controllerclient.Node{Name: peer.Name}
-		if ask := l.nodes[peer.Name]; ask != nil {
-			node = nodeFromRequest(*ask)
+		if request := l.nodes[peer.Name]; request != nil {
+			node = nodeFromRequest(*request)
 		}
 		if node.Zone == "" {
 			node.Zone = peer.Zone
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -10,8 +10,8 @@
 	leadership *leadership
 }
 
-// restsOnExpiry reports whether an operation may be agreed only while the lease of its Node is over.
-func restsOnExpiry(op placement.Operation) bool {
+// requiresExpiredLease reports whether an operation may be agreed only while the lease of its Node is over.
+func requiresExpiredLease(op placement.Operation) bool {
 	switch op.Kind {
 	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
 		return op.Node != ""
@@ -26,7 +26,7 @@
 	}
 	op.Version = placement.FormatVersion
 	proposal := queuedProposal{operation: op}
-	if restsOnExpiry(op) {
+	if requiresExpiredLease(op) {
 		proposal.refusal = h.leadership.blockRenewal(h.controller.Now(), op.Node)
 		if proposal.refusal != nil {
 			h.controller.Log.Error().Str("event", "refused").Str("instance", op.Instance).Err(proposal.refusal).
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -113,7 +113,7 @@
 		if err == nil {
 			err = results[0].err
 			results = results[1:]
-			if restsOnExpiry(proposal.operation) {
+			if requiresExpiredLease(proposal.operation) {
 				l.unblockRenewal(proposal.operation.Node)
 			}
 		}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -20,16 +20,16 @@
 	"silvercove/internal/placement"
 )
 
-// RebuildOptions are how a controller's disk is written anew after a majority of them was lost. All but Backup and AllowSilent
+// RebuildOptions are how a controller's disk is written anew after a majority of them was lost. All but Backup and AllowUnreachable
 // are required.
 type RebuildOptions struct {
-	Network     *peertransport.Network // of the controller that begins; the caller runs it
-	DataDir     string                 // its folder; what is there is set aside
-	Settings    map[string]any         // by their names in the operator's file
-	Client      *controllerclient.Client
-	Backup      io.Reader // an earlier snapshot, nil: none
-	AllowSilent []string  // edge nodes that need not answer
-	Progress    func(string)
+	Network          *peertransport.Network // of the controller that begins; the caller runs it
+	DataDir          string                 // its folder; what is there is set aside
+	Settings         map[string]any         // by their names in the operator's file
+	Client           *controllerclient.Client
+	Backup           io.Reader // an earlier snapshot, nil: none
+	AllowUnreachable []string  // edge nodes that need not answer
+	Progress         func(string)
 }
 
 const (
@@ -39,12 +39,12 @@
 	statusTimeout       = 2 * time.Second // for each controller
 	maxInventoryTimeout = 5 * time.Second // for each edge node
 
-	// termGap is by how much terms are raised with each generation.
+	// termsPerGeneration is by how much terms are raised with each generation.
 	//
 	// Guards against a controller that led before the rebuild and was only stopped. Holds because its terms are below those of
 	// the rebuilt log: none of its entries is taken, and the rebuilt controllers' terms confirm no lease of it. A million
 	// elections within one generation would reach it.
-	termGap = 1 << 20
+	termsPerGeneration = 1 << 20
 )
 
 // raftTermKey is the key under which raft stores its term.
@@ -53,14 +53,14 @@
 // Rebuild writes a data directory whose log begins with what the edge nodes hold. The generation is one above all that was
 // seen, so that no controller and no primary of before is believed; the other controllers' disks have to be emptied, and are
 // admitted by this controller. Rebuild waits for one lease before it asks, so that nobody serves by an earlier grant. Before it
-// touches the folder it fails while the controllers have a majority, and where an edge node that is not in AllowSilent does not
+// touches the folder it fails while the controllers have a majority, and where an edge node that is not in AllowUnreachable does not
 // answer.
 func Rebuild(ctx context.Context, o RebuildOptions) error {
 	if err := checkControllersStopped(ctx, o); err != nil {
 		return err
 	}
 	header := snapshotHeader{FormatVersion: storeVersion, Generation: 1, Incarnations: map[string]uint64{}}
-	var before []placement.Assignment
+	var backupAssignments []placement.Assignment
 	if o.Backup != nil {
 		backup, table, err := readSnapshot(o.Backup)
 		if err != nil {
@@ -70,18 +70,18 @@
 		header.Incarnations = backup.Incarnations
 		header.RecordCounts = backup.RecordCounts
 		header.unknown = backup.unknown
-		before = table.All()
+		backupAssignments = table.All()
 	}
 	if err := awaitLeaseEnd(ctx, o); err != nil {
 		return err
 	}
-	found, silent := collectInventories(ctx, o, &header)
-	required := slices.DeleteFunc(slices.Clone(silent), func(node string) bool { return slices.Contains(o.AllowSilent, node) })
+	found, unreachable := collectInventories(ctx, o, &header)
+	required := slices.DeleteFunc(slices.Clone(unreachable), func(node string) bool { return slices.Contains(o.AllowUnreachable, node) })
 	if len(required) > 0 {
 		return fmt.Errorf("%s: what they alone have would be lost; bring them back, or name them as those to go on without",
 			strings.Join(required, ", "))
 	}
-	assignments, notes := migration.Rebuild(found, silent, before)
+	assignments, notes := migration.Rebuild(found, unreachable, backupAssignments)
 	for _, note := range notes {
 		o.Progress(note)
 	}
@@ -133,7 +133,7 @@
 
 // collectInventories asks all edge nodes what they hold, and raises the header's generation and incarnations to what they
 // tell. silent are the names of those that did not answer.
-func collectInventories(ctx context.Context, o RebuildOptions, header *snapshotHeader) (found []migration.NodeInventory, silent []string) {
+func collectInventories(ctx context.Context, o RebuildOptions, header *snapshotHeader) (found []migration.NodeInventory, unreachable []string) {
 	nodes := o.Network.Peers(peertransport.RoleEdge)
 	inventories := make([]controllerclient.Inventory, len(nodes))
 	errs := make([]error, len(nodes))
@@ -151,7 +151,7 @@
 	_ = group.Wait() // each node's error is in errs
 	for i, node := range nodes {
 		if err := errs[i]; err != nil {
-			silent = append(silent, node.Name)
+			unreachable = append(unreachable, node.Name)
 			o.Progress(fmt.Sprintf("%s is silent: %v", node.Name, err))
 			continue
 		}
@@ -161,7 +161,7 @@
 		header.Incarnations[node.Name] = max(header.Incarnations[node.Name], inventory.Incarnation)
 		o.Progress(fmt.Sprintf("%s has %d instances", node.Name, len(inventory.Copies)))
 	}
-	return found, silent
+	return found, unreachable
 }
 
 // writeRebuiltStore sets the folder's log aside and writes one that begins with the table, in the next generation, which it
@@ -181,7 +181,7 @@
 	marker := dir.currentMarker()
 	header.Origin = &controllerclient.LogOrigin{ID: newIdentity(), Stores: map[string]string{self: marker.StoreID}}
 	header.StoreIDs = header.Origin.Stores
-	term := (header.Generation - 1) * termGap
+	term := (header.Generation - 1) * termsPerGeneration
 	if err := writeFirstSnapshot(dir, self, term, &frozenState{header, table.Freeze()}); err != nil {
 		return 0, err
 	}
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// maxRollingBack is how many software versions are known at once.
-const maxRollingBack = 64
+// maxTrackedVersions is how many software versions are known at once.
+const maxTrackedVersions = 64
 
 // rolloutReport is what a relay was told by the release API of a software version.
 type rolloutReport struct {
@@ -62,7 +62,7 @@
 // evictVersion forgets the lowest version that is not rolled back, where as many are known as may be. It returns
 // whether another one can be noted.
 func (l *leadership) evictVersion() bool {
-	if len(l.rollingBack) < maxRollingBack {
+	if len(l.rollingBack) < maxTrackedVersions {
 		return true
 	}
 	for _, version := range slices.Sorted(maps.Keys(l.rollingBack)) {
@@ -78,15 +78,15 @@
 func (c *Controller) updateRollingBack(l *leadership, now tick.Tick, report rolloutReport) {
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.nodes)) {
-		ask := *l.nodes[name]
+		request := *l.nodes[name]
 		leaseEnd, hasLease := l.lessor.LeaseEnd(now, name)
-		if ask.SoftwareVersion != report.version || ask.RollingBack == report.rollingBack || !hasLease {
+		if request.SoftwareVersion != report.version || request.RollingBack == report.rollingBack || !hasLease {
 			continue
 		}
-		ask.RollingBack = report.rollingBack
+		request.RollingBack = report.rollingBack
 		changed = true
-		l.nodes[name] = &ask
-		status := c.nodeStatus(ask)
+		l.nodes[name] = &request
+		status := c.nodeStatus(request)
 		status.LeaseEnd = leaseEnd
 		l.planner.OnNodeStatus(now, status)
 	}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -45,12 +45,12 @@
 }
 
 // Persist writes the state to raft's sink, and cancels the sink where that fails.
-func (f *frozenState) Persist(to raft.SnapshotSink) error {
-	if _, err := f.WriteTo(to); err != nil {
-		_ = to.Cancel()
+func (f *frozenState) Persist(sink raft.SnapshotSink) error {
+	if _, err := f.WriteTo(sink); err != nil {
+		_ = sink.Cancel()
 		return err
 	}
-	return to.Close()
+	return sink.Close()
 }
 
 // Release does nothing: a frozen state holds memory alone.
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -42,12 +42,12 @@
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
-		statuses, silent := c.peerStatuses(ctx)
+		statuses, unreachable := c.peerStatuses(ctx)
 		var decision startDecision
 		if marker.Origin != nil {
-			decision, err = c.decideStarted(marker, last, statuses, silent)
+			decision, err = c.decideStarted(marker, last, statuses, unreachable)
 		} else {
-			decision, err = c.decideEmpty(ctx, marker, statuses, silent)
+			decision, err = c.decideEmpty(ctx, marker, statuses, unreachable)
 		}
 		if err != nil {
 			return false, err
@@ -71,7 +71,7 @@
 
 // decideStarted decides for a disk that is of a log already.
 func (c *Controller) decideStarted(marker storeMarker, last controllerclient.LogPosition, statuses []controllerclient.Status,
-	silent []string) (startDecision, error) {
+	unreachable []string) (startDecision, error) {
 
 	// A controller from before a rebuild, which was stopped or cut off during it, does not count, and must not keep this one
 	// from its start; it ends at its own.
@@ -90,14 +90,14 @@
 	if majority := (len(c.peers)+1)/2 + 1; len(statuses)+1 >= majority {
 		return startNow, nil
 	}
-	c.setWaitReason("for word of a majority of keepers: " + strings.Join(silent, ", "))
+	c.setWaitReason("for word of a majority of keepers: " + strings.Join(unreachable, ", "))
 	return startLater, nil
 }
 
 // decideEmpty decides for a disk that is of no log yet: it finds its identity in the log's origin, is admitted to a log that
 // others have, or begins one with all others.
 func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
-	silent []string) (startDecision, error) {
+	unreachable []string) (startDecision, error) {
 
 	var origin *controllerclient.LogOrigin
 	var generation uint64
@@ -117,8 +117,8 @@
 		}
 		c.minTerm = response.Term
 		return startNow, c.putOrigin(marker, response.Origin, false, response.Generation)
-	case len(silent) > 0:
-		c.setWaitReason("to begin with all keepers: " + strings.Join(silent, ", "))
+	case len(unreachable) > 0:
+		c.setWaitReason("to begin with all keepers: " + strings.Join(unreachable, ", "))
 		return startLater, nil
 	}
 	return c.decideFounding(marker, statuses)
@@ -166,7 +166,7 @@
 }
 
 // peerStatuses asks all other controllers for their status at once. silent says of each that did not answer that it did not.
-func (c *Controller) peerStatuses(ctx context.Context) (statuses []controllerclient.Status, silent []string) {
+func (c *Controller) peerStatuses(ctx context.Context) (statuses []controllerclient.Status, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, c.timings.ConfirmTimeout.Duration())
 	defer cancel()
 	answers := make([]controllerclient.Status, len(c.peers))
@@ -178,10 +178,10 @@
 	group.Wait()
 	for i, name := range c.peers {
 		if errs[i] != nil {
-			silent = append(silent, name+" is silent")
+			unreachable = append(unreachable, name+" is silent")
 		} else {
 			statuses = append(statuses, answers[i])
 		}
 	}
-	return statuses, silent
+	return statuses, unreachable
 }
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -25,7 +25,7 @@
 	header  snapshotHeader
 	table   *placement.Table
 	changed chan struct{} // closed at the next change of the table
-	broken  bool          // no entry is applied any more
+	failed  bool          // no entry is applied any more
 }
 
 // newStateMachine is the state before the first entry.
@@ -52,7 +52,7 @@
 		m.fail(fmt.Errorf("entry %d of the agreed log can't be read: %w", l.Index, err))
 		return err
 	}
-	if m.isBroken() {
+	if m.hasFailed() {
 		return raft.ErrRaftShutdown
 	}
 	// What later programs apply and this one can't, it must not pass over as if it were refused.
@@ -139,15 +139,15 @@
 // fail ends the controller, which can't go on as the others do.
 func (m *stateMachine) fail(err error) {
 	m.mu.Lock()
-	m.broken = true
+	m.failed = true
 	m.mu.Unlock()
 	m.fatal(err)
 }
 
-func (m *stateMachine) isBroken() bool {
+func (m *stateMachine) hasFailed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.broken
+	return m.failed
 }
 
 // freeze returns the state as it is now.
@@ -164,7 +164,7 @@
 // Snapshot freezes the state for raft. A broken state machine has none but that of before the first entry.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	state := m.freeze()
-	if state.header.Applied > 0 && m.isBroken() {
+	if state.header.Applied > 0 && m.hasFailed() {
 		return nil, raft.ErrRaftShutdown
 	}
 	return state, nil
