--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxClaimShare  = 0.5               // of a zone's nodes at most evacuate by claim alone: a version's fault shows in all at once
-	claimRetention = 600 * tick.Second // for which a claim counts after it was withdrawn, so that nodes do not take turns
+	maxClaimShare  = 0.5               // of a zone's nodes may evacuate on claims alone: a fault of a version shows in all nodes at once
+	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts, so that nodes cannot evacuate in turns
 )
 
-// verifyClaim checks a claim that nothing but the node's word supports. Guards against a fault that makes all nodes of a
-// zone say that they must evacuate, which would empty the zone. Nodes with readings that the controller cannot check look
-// the same; half of them evacuate, the others hold what they have.
+// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. Guards against a fault that makes all
+// nodes of a zone claim to evacuate, which would empty the zone. Nodes whose cause is in readings that the
+// controller cannot check look the same: half of them evacuate, the others hold the instances they have.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
@@ -28,7 +28,7 @@
 	return n.report
 }
 
-// grantedClaims counts the claims that are granted now, with those that still count after they were withdrawn.
+// grantedClaims returns the number of granted claims, including withdrawn ones that still count.
 func (z *zone) grantedClaims(now tick.Tick) int {
 	granted := 0
 	for _, n := range z.nodes {
@@ -40,7 +40,7 @@
 	return granted + len(z.withdrawnClaims)
 }
 
-// withdrawClaim ends a claim; it still counts for claimRetention.
+// withdrawClaim withdraws the node's granted claim, if any; the claim still counts for claimRetention.
 func (n *node) withdrawClaim(now tick.Tick) {
 	if !n.claimGranted {
 		return
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -1,11 +1,11 @@
 package devicehealth
 
 const (
-	holdingThrottle   = 0.3 // throttled so far, the answers of new work would be late
-	switchOnThreshold = 0.5 // a lid's or radio's reading from which it is open or up
+	holdingThrottle   = 0.3 // throttling from which responses to new work would be late
+	switchOnThreshold = 0.5 // reading from which a lid is open or a radio is up
 )
 
-// assessCondition assesses throttling, lid and radios.
+// assessCondition adds the constraints of throttling, the lid and the radios.
 func (m *Monitor) assessCondition(a *assessment) {
 	radios, off := 0, 0
 	for _, s := range m.series {
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// falseAlarmChance bounds the chance of any false alarm of one node.
+	// falseAlarmChance bounds the probability that a node's test ever raises a false alarm. Each alarm starts a new test.
 	falseAlarmChance = 0.01
-	// recoveryOutcomes is how many outcomes without an alarm a node needs to be believed again.
+	// recoveryOutcomes is the number of outcomes without an alarm after which a failing node counts as recovered.
 	recoveryOutcomes = 20
 )
 
-// failureDetector finds a node whose requests fail more often than usual, by the sequential test with which a relay watches a
-// canary. Once it has, the node waits, is tried again, and is believed after recoveryOutcomes outcomes; each alarm meanwhile doubles
-// the wait.
+// failureDetector detects that a node's requests fail more often than a baseline, by the sequential test that a relay applies
+// to a canary. After an alarm the node is failing: it waits, is then tried again, and has recovered after recoveryOutcomes
+// outcomes without an alarm. Each alarm before the recovery doubles the wait.
 type failureDetector struct {
 	test     sequential.Detector
-	failedAt tick.Tick // of the last alarm; 0 for none that still counts
+	failedAt tick.Tick // of the last alarm; 0 if none or recovered
 	outcomes int       // since the last alarm
-	wait     tick.Tick
+	wait     tick.Tick // from an alarm until the trial
 }
 
 func newFailureDetector() failureDetector {
 	return failureDetector{test: sequential.NewDetector(falseAlarmChance), wait: minDwell}
 }
 
-// record records one outcome, tested against a usual share of failures.
+// record tests one outcome against a baseline failure share.
 func (d *failureDetector) record(now tick.Tick, succeeded bool, baselineShare float64) {
 	outcome := 0.0
 	if !succeeded {
@@ -46,8 +46,8 @@
 	}
 }
 
-// failing reports whether there was an alarm that the node has not recovered from.
+// failing reports whether there was an alarm from which the node has not recovered.
 func (d *failureDetector) failing() bool { return d.failedAt > 0 }
 
-// waiting reports whether the node is failing and is not tried again yet.
+// waiting reports whether the node is failing and its trial has not begun yet.
 func (d *failureDetector) waiting(now tick.Tick) bool { return d.failing() && now-d.failedAt < d.wait }
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	riseMargin = 1.5               // what a better state must clear, times what a worse one falls at
-	minDwell   = 60 * tick.Second  // a better state has to hold for so long before it is reported
-	maxDwell   = 960 * tick.Second // doubled by each fall that soon follows a rise: at most 8 rises an hour
+	riseMargin = 1.5               // a rise must clear this multiple of the threshold of the fall
+	minDwell   = 60 * tick.Second  // how long a higher level must hold before it is reported
+	maxDwell   = 960 * tick.Second // falls soon after a rise double the dwell time up to this: at most 8 rises an hour
 )
 
-// hysteresis keeps the reported level from following every reading: it falls at once and rises after a dwell time, to
-// the lowest level that was good for all of it. While a reading is unknown it does not rise. Guards against chattering
-// around a limit; a node that was put on mains has to wait a minute for it.
+// hysteresis keeps the reported level from following every reading: the level falls at once and rises after a dwell time,
+// to the lowest level that held during all of that time. It does not rise while a reading is unknown. Guards against
+// flapping around a limit; the cost is that a node just connected to mains waits a minute for its higher level.
 type hysteresis struct {
 	level     level
-	settled   bool // a level was reported with all readings known
+	settled   bool // a level was reported while all readings were known
 	changedAt tick.Tick
-	roseAt    tick.Tick // the last rise that no fall has followed; 0 for none
+	roseAt    tick.Tick // of the last rise not yet followed by a fall; 0 for none
 	pending   pendingRise
 	dwell     tick.Tick
 }
 
-// pendingRise is the time for which a better level has held.
+// pendingRise is a higher level that has not yet held for the dwell time.
 type pendingRise struct {
 	since  tick.Tick // 0 for none
-	lowest level
+	lowest level     // the lowest strict target since then
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
-// update updates the level: target is what the readings allow, strict what they allow with a margin.
+// update sets the level. target is the level that the readings allow, strictTarget the level that they allow with riseMargin;
+// unknown says that a reading is unknown.
 func (h *hysteresis) update(now tick.Tick, target, strictTarget level, unknown bool) {
 	switch {
-	case !h.settled: // a process that has just started need not wait
+	case !h.settled: // a process that has just started takes its level without a dwell time
 		h.level, h.changedAt, h.settled = target, now, !unknown
 	case target < h.level:
 		h.fall(now, target)
@@ -46,7 +47,8 @@
 	}
 }
 
-// fall goes down at once. A fall that soon follows a rise doubles the dwell time, one after long rest halves it.
+// fall lowers the level at once. A fall less than maxDwell after a rise doubles the dwell time; otherwise, a fall after at
+// least maxDwell without a change halves it.
 func (h *hysteresis) fall(now tick.Tick, target level) {
 	switch {
 	case h.roseAt > 0 && now-h.roseAt < maxDwell:
@@ -57,7 +59,7 @@
 	h.level, h.changedAt, h.roseAt, h.pending.since = target, now, 0, 0
 }
 
-// tryRise goes up once the dwell time is over.
+// tryRise raises the level to the lowest target of the dwell time, once that time is over.
 func (h *hysteresis) tryRise(now tick.Tick, strictTarget level) {
 	if h.pending.since == 0 {
 		h.pending = pendingRise{since: now, lowest: strictTarget}
@@ -68,7 +70,7 @@
 	}
 }
 
-// waitReason says why a better level is not reported yet.
+// waitReason returns why a higher level is not reported yet.
 func (h *hysteresis) waitReason(now tick.Tick) string {
 	if h.pending.since > 0 {
 		return fmt.Sprintf("better for %s, is believed after %s", readableTime(now-h.pending.since), readableTime(h.dwell))
--- a/internal/devicehealth/state.go
+++ b/internal/devicehealth/state.go
@@ -1,18 +1,18 @@
 package devicehealth
 
-// State is what an edge node does with instances.
+// State says whether an edge node takes, holds or evacuates instances.
 type State string
 
-// The states of an edge node, the strongest first. Their values are part of the report's form.
+// The states of an edge node, the healthiest first. The values are part of the JSON form of a report.
 const (
 	StateAccepting    State = "accepts"  // takes new instances
-	StateLimited      State = "trickle"  // takes a few of them
-	StateHolding      State = "keeps"    // serves those it has, takes no new ones
-	StateEvacuating   State = "hands-on" // its instances are to go, the most important first
-	StateShuttingDown State = "leaves"   // it ends, on purpose or because it has to
+	StateLimited      State = "trickle"  // takes a few new instances
+	StateHolding      State = "keeps"    // serves the instances it has, takes no new ones
+	StateEvacuating   State = "hands-on" // its instances must migrate, those of the highest priority weight first
+	StateShuttingDown State = "leaves"   // the node shuts down, by request or because it must
 )
 
-// level orders the states, the weakest first. What several things allow is the lowest of their levels.
+// level orders the states, the least healthy first. If several constraints apply, the lowest level counts.
 type level int
 
 const (
@@ -24,18 +24,18 @@
 	levelAccepting
 )
 
-// states are the states by level.
+// states lists the states by level.
 var states = []State{StateShuttingDown, StateEvacuating, StateHolding, StateLimited, StateAccepting}
 
-// acceptFractions are the shares of its places that a node offers to new instances, by level. A node that is limited
-// offers a tenth: enough to see outcomes, too little to exhaust the node.
+// acceptFractions lists, by level, the fraction of a node's instance slots that is open to new instances. A limited node
+// offers a tenth: enough to see outcomes, too little to overload the node.
 var acceptFractions = []float64{0, 0, 0, 0.1, 1}
 
 func (l level) state() State { return states[l] }
 
 func (l level) acceptFraction() float64 { return acceptFractions[l] }
 
-// level is levelUnknown for a state of no known name.
+// level returns the level of a state, or levelUnknown if the state is not one of states.
 func (s State) level() level {
 	for i, known := range states {
 		if s == known {
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	holdingMargin      = 5.0  // degrees C below the limit: a passing cloud is worth as much
-	maxCellTemperature = 60.0 // degrees C up to which makers of lithium cells allow them to be drawn from
-	heatCapacity       = 500  // joules for a degree C: half a kilogram of board and metal without a fan
+	holdingMargin      = 5.0  // degrees C below the limit: a passing cloud changes the temperature by as much
+	maxCellTemperature = 60.0 // degrees C: the highest at which makers of lithium cells allow discharging
+	heatCapacity       = 500  // joules per degree C: half a kilogram of board and metal, without a fan
 )
 
-// assessTemperature assesses all sensors; the one that reaches its limit first decides.
+// assessTemperature assesses every temperature sensor. The readings of the report are those of the sensor closest to its
+// limit.
 func (m *Monitor) assessTemperature(a *assessment) {
-	extraRate := 0.0 // degrees C a second that the offered load would add at first
+	extraRate := 0.0 // degrees C a second that the offered load would add initially
 	if draw := a.readings.Draw; draw != nil && *draw > 0 {
 		extraRate = *draw * (m.drawFactor(m.offeredLoad) - 1) / heatCapacity
 	}
@@ -34,7 +35,7 @@
 	}
 }
 
-// temperatureLimit is the lowest limit that holds for a sensor, in degrees C.
+// temperatureLimit returns the lowest limit that applies to a sensor, in degrees C.
 func (m *Monitor) temperatureLimit(s *series) float64 {
 	limit := m.settings.temperatureCap
 	if s.kind == KindCellTemperature {
@@ -46,15 +47,16 @@
 	return limit
 }
 
-// assessSensor assesses one sensor's value against its limit.
+// assessSensor adds the constraints of one sensor: by the forecast time until the value reaches its limit and by how far
+// the value is below the limit.
 func (m *Monitor) assessSensor(a *assessment, s *series, value, limit, extraRate float64) {
 	margin := max(0, limit-value)
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // without its instances it cools
+	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // a node without instances cools down
 	if s.limit > 0 && value >= s.limit {
-		at = levelShuttingDown // the machine is about to stop itself
+		at = levelShuttingDown // the machine is about to shut itself down
 	}
 	a.addConstraint(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
 		s.name, value, limit, readableTime(present), readableTime(offered))
@@ -63,7 +65,8 @@
 	}
 }
 
-// timesToLimit forecasts when a sensor reaches its limit, at the present and at the offered load.
+// timesToLimit forecasts how long a sensor takes to reach its limit, at the present and at the offered load. The rate of
+// change is the upper confidence bound of the slope.
 func timesToLimit(s *series, margin, extraRate float64) (present, offered tick.Tick) {
 	if margin == 0 {
 		return 0, 0
