--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,9 +7,9 @@
 	"silvercove/internal/tick"
 )
 
-// What migrating all instances takes, times these, has to be left for a state. A node evacuates at twice, as the copies of the
-// other nodes of its zone may be under way; it holds at five times, as an instance taken in would migrate again at
-// once; a node takes few instances below ten. Below half nothing can be finished.
+// Ratios of the time left to the time for migrating all instances, below which a level applies. Below 10 a node takes few
+// instances. It holds below 5, as a new instance would have to migrate again at once. It evacuates below 2, not 1, as
+// migrations from other nodes of its zone may be under way. Below 0.5 no migration can be finished.
 const (
 	shuttingDownRatio = 0.5
 	evacuatingRatio   = 2.0
@@ -17,26 +17,26 @@
 	limitedRatio      = 10.0
 )
 
-// assessment is what a node's readings allow at one moment.
+// assessment collects what a node's readings allow at one moment.
 type assessment struct {
-	timeToEmpty        tick.Tick // at the present load, Never if not foreseen
-	timeToOverheat     tick.Tick // at the present load, Never if not foreseen
-	timeToLimitOffered tick.Tick // the lesser of both at the offered load
-	migrationTime      tick.Tick // for all instances
-	unknown            []string  // readings that cannot be relied on
+	timeToEmpty        tick.Tick // at the present load, Never if not foreseeable
+	timeToOverheat     tick.Tick // at the present load, Never if not foreseeable
+	timeToLimitOffered tick.Tick // the lesser of both times, at the offered load
+	migrationTime      tick.Tick // to migrate all instances
+	unknown            []string  // names of unknown readings
 	readings           KeyReadings
 	constraints        []constraint
 	untrusted          map[*series]bool
-	strictness         float64 // above 1 asks for more of everything
+	strictness         float64 // factor on the required margins: above 1 they are wider
 }
 
-// constraint is the highest level that one thing allows.
+// constraint is the highest level that one reading or condition allows.
 type constraint struct {
 	level  level
-	reason string // left out of a strict assessment, of which only the level is used
+	reason string // empty if strictness is above 1: then only the level is used
 }
 
-// addConstraint adds a constraint.
+// addConstraint adds a constraint, unless it allows the highest level.
 func (a *assessment) addConstraint(at level, format string, args ...any) {
 	if at == levelAccepting {
 		return
@@ -48,7 +48,7 @@
 	a.constraints = append(a.constraints, c)
 }
 
-// level is the lowest of the constraints.
+// level returns the lowest level of the constraints.
 func (a *assessment) level() level {
 	lowest := levelAccepting
 	for _, c := range a.constraints {
@@ -57,10 +57,10 @@
 	return lowest
 }
 
-// trusts reports whether a reading can be relied on.
+// trusts reports whether a reading has a value and is not untrusted.
 func (a *assessment) trusts(s *series) bool { return s.known() && !a.untrusted[s] }
 
-// assess works out what the readings allow.
+// assess computes what the readings allow, with the required margins multiplied by strictness.
 func (m *Monitor) assess(strictness float64) *assessment {
 	a := &assessment{
 		timeToEmpty:        Never,
@@ -81,8 +81,8 @@
 	return a
 }
 
-// findUntrustedReadings finds the readings that cannot be relied on. A temperature sensor that never worked beside one that
-// does, as that of a radio that is off, is left out without a constraint.
+// findUntrustedReadings finds the readings without a trustworthy value, and holds the node if there are any. A temperature
+// sensor that has never worked, beside another that does, adds no constraint: it may belong to a radio that is off.
 func (m *Monitor) findUntrustedReadings(a *assessment) {
 	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.known() })
 	for _, s := range m.series {
@@ -98,11 +98,11 @@
 	}
 	if m.truncated {
 		a.unknown = append(a.unknown, "more")
-		a.addConstraint(levelHolding, "more than %d readings: the rest is not looked at", maxTrackedReadings)
+		a.addConstraint(levelHolding, "more than %d readings: the rest are ignored", maxTrackedReadings)
 	}
 }
 
-// fullCharge is what a battery holds when full, in joules; 0 if that is not known.
+// fullCharge returns the full charge of a battery in joules, or 0 if it is unknown.
 func (m *Monitor) fullCharge(battery string) float64 {
 	for _, s := range m.series {
 		if s.kind == KindFullCharge && s.name == battery && s.known() {
@@ -113,7 +113,8 @@
 	return 0
 }
 
-// assessOutcomes holds back a node whose own requests fail.
+// assessOutcomes adds the constraint of a node whose own requests fail: it holds while the detector waits, and is limited
+// until it has recovered.
 func (m *Monitor) assessOutcomes(a *assessment) {
 	switch {
 	case m.failures.waiting(m.now):
@@ -123,7 +124,8 @@
 	}
 }
 
-// levelFor is the level that the time left allows, at the present and at the offered load.
+// levelFor returns the level that the time left allows at the present and at the offered load, for instances that take
+// migration to move.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,21 +3,22 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // of a charge above empty: mains or sun may go, and nothing would be left to migrate with
-	idleDrawFraction = 0.5  // of the draw at full load
-	mainsOnThreshold = 0.5  // a mains reading from which it counts as on
+	holdingCharge    = 0.05 // of full, above empty: if mains or sun failed below it, too little charge would be left to migrate
+	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
+	mainsOnThreshold = 0.5  // reading from which mains counts as on
 )
 
-// batteryTotals are all of a node's batteryTotals together.
+// batteryTotals sums up all batteries of a node.
 type batteryTotals struct {
-	fullJoules      float64 // joules when full
-	remainingJoules float64 // joules above empty
-	fallRate        float64 // joules a second by which the charge falls
+	fullJoules      float64 // of full batteries
+	remainingJoules float64 // above the empty level
+	fallRate        float64 // joules per second, by the slope of the charge
 	draw            float64 // watts out of the batteries
-	measured        bool    // what they hold and their draw are known
+	measured        bool    // full charge and draw are known for all batteries
 }
 
-// assessBattery assesses all batteries together, by what is drawn and by how their charge falls, the worse of the two.
+// assessBattery assesses all batteries together, by the measured draw or the slope of the charge, whichever empties them
+// sooner.
 func (m *Monitor) assessBattery(a *assessment) {
 	mains := m.onMains(a)
 	charges := m.ofKind(KindCharge)
@@ -33,7 +34,7 @@
 	a.readings.Mains = &mains
 	b, known := m.sumBatteries(a, charges)
 	if !known {
-		return // it is unknown: no new work, and no end
+		return // findUntrustedReadings holds the node: no new instances, but no evacuation
 	}
 	charge := b.remainingJoules / b.fullJoules
 	a.readings.Charge = &charge
@@ -47,8 +48,8 @@
 		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
 		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
-	// Copies go at full load, which draws more than the present one: what is needed is given in time at the present
-	// load.
+	// A migration runs at full load and draws more than the present load: it uses as much charge as this time does at the
+	// present load.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
@@ -58,6 +59,7 @@
 	}
 }
 
+// onMains reports whether a trusted mains reading is on.
 func (m *Monitor) onMains(a *assessment) bool {
 	on := false
 	for _, s := range m.ofKind(KindMains) {
@@ -69,13 +71,13 @@
 	return on
 }
 
-// sumBatteries adds the batteries up. It is false where one of their charges cannot be relied on.
+// sumBatteries returns the sums over all batteries, and false if the charge of any battery is untrusted.
 func (m *Monitor) sumBatteries(a *assessment, charges []*series) (b batteryTotals, known bool) {
 	b.measured = true
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
-			b.measured, full = false, 1 // by slope alone
+			b.measured, full = false, 1 // without the full charge, only the slope counts
 		}
 		if a.untrusted[s] {
 			return batteryTotals{}, false
@@ -99,7 +101,7 @@
 	return b, true
 }
 
-// drawFactor is how much more is drawn at another load.
+// drawFactor returns the ratio of the draw at a given load to the draw at the present load.
 func (m *Monitor) drawFactor(load float64) float64 {
 	return (idleDrawFraction + (1-idleDrawFraction)*load) / (idleDrawFraction + (1-idleDrawFraction)*m.load)
 }
--- a/internal/devicehealth/export_test.go
+++ b/internal/devicehealth/export_test.go
@@ -1,3 +1,4 @@
 package devicehealth
 
+// DefaultSettings returns the settings' defaults.
 func DefaultSettings() map[string]float64 { return defaultSettings }
--- a/internal/devicehealth/last_resort.go
+++ b/internal/devicehealth/last_resort.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Instance is one instance in the order in which a fleet serves on where all nodes of a zone must evacuate.
+// Instance is one instance in the ranking by which a zone goes on serving while all of its nodes must evacuate.
 type Instance struct {
 	Name           string
-	Node           string  // which has it; after LastResort: which serves it on, "" for none
+	Node           string  // the node that has the instance; in the result of LastResort the node that serves it, "" for none
 	PriorityWeight float64 // 1 to 100
 }
 
-// AllEvacuating reports whether the instances of each of these nodes are to go, so that none of them can take another
-// one's. It is false of no nodes.
+// AllEvacuating reports whether all of these nodes must evacuate, so that none can take the instances of another. It is
+// false if there are no nodes.
 func AllEvacuating(reports map[string]Report) bool {
 	for _, r := range reports {
 		if !r.MustEvacuate() {
@@ -24,10 +24,10 @@
 	return len(reports) > 0
 }
 
-// LastResort ranks the instances of nodes that must all evacuate: the highest priority weight first, by name among equals.
-// Each stays where it is while its node can serve one more, else it goes to the node at the least risk that can; those
-// for which there is none are last, served by none. Each node that does not end serves at least one, so a zone serves on
-// until its last node is gone.
+// LastResort ranks the instances of nodes that must all evacuate: the highest priority weight first, then by name. An
+// instance stays on its node while that node has capacity left; else it is assigned to the node of least risk that has
+// capacity left. Instances for which no node has capacity left come last, without a node. Each node that is not shutting
+// down by request has a capacity of at least one, so a zone goes on serving until its last node is gone.
 func LastResort(reports map[string]Report, instances []Instance) []Instance {
 	nodes := nodesByRisk(reports)
 	capacityLeft := map[string]int{}
@@ -54,7 +54,7 @@
 	return append(served, unserved...)
 }
 
-// nodesByRisk orders nodes by risk, then the strongest state first, then by name.
+// nodesByRisk returns the node names in order of rising risk, then the healthiest state first, then by name.
 func nodesByRisk(reports map[string]Report) []string {
 	return slices.SortedFunc(maps.Keys(reports), func(a, b string) int {
 		x, y := reports[a], reports[b]
@@ -62,7 +62,7 @@
 	})
 }
 
-// firstWithCapacity is "" where there is none.
+// firstWithCapacity returns the first node with capacity left, or "" if there is none.
 func firstWithCapacity(nodes []string, capacityLeft map[string]int) string {
 	for _, name := range nodes {
 		if capacityLeft[name] > 0 {
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -1,15 +1,15 @@
-// Package devicehealth decides, for one edge node on battery, how much work it takes (Monitor), and for the leading
-// controller which nodes' reports to believe (Verifier) and which instances are served on where all nodes of a zone must
+// Package devicehealth decides how much work an edge node on battery takes (Monitor). For the leading controller it decides
+// which nodes' reports to believe (Verifier) and which instances continue to be served while all nodes of a zone must
 // evacuate (LastResort).
 //
-// How to drive a Monitor: hand in the node's readings (AddReading), its load (SetLoad), the instances it has
-// (SetInstances) and how its requests ended (RecordOutcome), and call Assess about once a second, which returns the
-// node's report. The report's state is the lowest of those that each reading allows: by the time until the battery is
-// empty or the machine too hot, forecast by the lower confidence bound, against the time that migrating all instances
-// takes. The state falls at once and rises after a dwell time.
+// The caller of a Monitor passes in the node's readings (AddReading), its load (SetLoad), its instances (SetInstances) and
+// the outcomes of its requests (RecordOutcome), and calls Assess about once a second for the node's report. The report's
+// state is the lowest of the states that each reading allows. For batteries and temperatures, the time until the battery is
+// empty or the machine too hot, forecast by the lower confidence bound, is compared with the time for migrating all
+// instances. The state falls at once and rises after a dwell time.
 //
 // Files: monitor.go (inputs and reports), assessment.go, battery.go, temperature.go and condition.go (what each reading
-// allows), hysteresis.go (falls and rises), reading.go and series.go (which readings are believed),
+// allows), hysteresis.go (falls and rises), reading.go and series.go (which readings are accepted),
 // failure_detector.go (outcomes), report.go and state.go, verifier.go and claims.go, last_resort.go.
 //
 // Kind: decision (see docs/architecture.md)
@@ -25,36 +25,36 @@
 )
 
 const (
-	// timePerMigration is how long a migration may take beside the copying: it holds the instance's requests for 0.3 s at
-	// most over a good link, three times that over a radio.
+	// timePerMigration is the time that a migration may take besides copying: it pauses the instance's requests for at most
+	// 0.3 s over a good link, and for three times that over a radio link.
 	timePerMigration = tick.Second
-	// copyRate is the rate at which state is copied, in bytes a second: copies share an uplink of 2 Mbit/s, a weak
-	// mobile one.
+	// copyRate is the rate at which state is copied, in bytes per second: all copies share an uplink of 2 Mbit/s, as of a
+	// weak mobile connection.
 	copyRate = 250e3
-	// migrationMargin doubles the sum of both, so that a second attempt at each fits in.
+	// migrationMargin doubles the sum of both times, to leave room for a second attempt at each migration.
 	migrationMargin = 2.0
 
-	// unknownRisk is the least risk of a node of which something is not known, or that fails its work.
+	// unknownRisk is the least risk of a node that has unknown readings or fails its requests.
 	unknownRisk = 0.5
-	// maxTrackedReadings is how many readings are looked at.
+	// maxTrackedReadings bounds the readings that are tracked; further ones are ignored.
 	maxTrackedReadings = 64
-	// busyLoad is the load from which a node counts as working: its readings should move.
+	// busyLoad is the load above which a node counts as busy, so that its readings should change.
 	busyLoad = 0.05
-	// maxOwnFailureShare is the share of a node's own outcomes that may be failures: beyond it the node is not well
-	// whatever it reads.
+	// maxOwnFailureShare is the share of a node's own outcomes that may be failures. Above it the node is unhealthy,
+	// whatever its readings.
 	maxOwnFailureShare = 0.2
 )
 
-// Monitor decides for one edge node. It is not safe for concurrent use.
+// Monitor assesses the health of one edge node. It is not safe for concurrent use.
 type Monitor struct {
 	settings     settings
 	now          tick.Tick // of the latest call
 	lastAssessed tick.Tick // when Assess was last called
 	series       []*series
-	truncated    bool // there are more readings than maxTrackedReadings
+	truncated    bool // there were more readings than maxTrackedReadings
 
-	load              float64 // present load, a share of what the node can do
-	offeredLoad       float64 // the load if it took all that is asked of it; at least load
+	load              float64 // present load, as a fraction of the node's capacity
+	offeredLoad       float64 // load if the node accepted all requests; at least load
 	instances         int
 	stateBytes        int // of all instances
 	shutdownRequested bool
@@ -63,16 +63,17 @@
 	failures   failureDetector
 }
 
-// settings are the fleet's directives, in the units of this package.
+// settings holds the fleet's settings, in the units of this package.
 type settings struct {
-	reserve            float64 // seconds that are kept for migrating instances, at least
-	temperatureCap     float64 // degrees C that no sensor may reach
-	emptyCharge        float64 // share of a full battery at which it counts as empty
+	reserve            float64 // seconds: least time kept for migrating instances
+	temperatureCap     float64 // degrees C: limit of every sensor
+	emptyCharge        float64 // fraction of full at which a battery counts as empty
 	maxInstances       int
-	parallelMigrations float64 // of one node, under way at once
+	parallelMigrations float64 // migrations of one node at the same time
 }
 
-// defaultSettings are those of the operator's file, for what it does not say.
+// defaultSettings has the defaults of the settings that the operator's file does not contain. They equal the file's own
+// defaults.
 var defaultSettings = map[string]float64{"reserve": 60, "hot": 85, "empty": 0.05, "places": 8, "moves.unit": 8}
 
 func parseSettings(set map[string]any) settings {
@@ -91,8 +92,8 @@
 	}
 }
 
-// NewMonitor makes the Monitor of one node. Its settings are fleet.reserve, fleet.hot, fleet.empty, fleet.places and
-// fleet.moves.unit; one that is missing has its default of the operator's file.
+// NewMonitor returns the Monitor of one node. It uses the settings fleet.reserve, fleet.hot, fleet.empty, fleet.places and
+// fleet.moves.unit; a missing one takes the default of the operator's file.
 func NewMonitor(now tick.Tick, set map[string]any) *Monitor {
 	return &Monitor{
 		settings:     parseSettings(set),
@@ -103,7 +104,7 @@
 	}
 }
 
-// AddReading adds one reading, valid or not. One of a kind that is not known, as of a later version, is ignored.
+// AddReading adds one reading, valid or not. A reading of an unknown kind, as of a later version, is ignored.
 func (m *Monitor) AddReading(now tick.Tick, r Reading) {
 	m.now = now
 	if _, known := plausibility[r.Kind]; !known {
@@ -124,10 +125,10 @@
 	m.series = append(m.series, s)
 }
 
-// SetLoad sets the node's work, as shares of what it can do: that which it does, and that which it would if it took all
-// that is asked of it. Values below 0 are ignored, those above 1 count as 1.
+// SetLoad sets the node's load as fractions of its capacity: the present load, and the offered load, which the node would
+// have if it accepted all requests. The call is ignored if a value is below 0 or NaN; values above 1 count as 1.
 func (m *Monitor) SetLoad(now tick.Tick, present, offered float64) {
-	if !(present >= 0) || !(offered >= 0) { // also false for what is no number
+	if !(present >= 0) || !(offered >= 0) { // also true for NaN
 		return
 	}
 	m.now = now
@@ -135,23 +136,24 @@
 	m.offeredLoad = max(m.load, min(offered, 1))
 }
 
-// SetInstances sets how many instances the node has, and the bytes of their state.
+// SetInstances sets the number of instances on the node and the total size of their state in bytes.
 func (m *Monitor) SetInstances(now tick.Tick, instances, stateBytes int) {
 	m.now, m.instances, m.stateBytes = now, max(0, instances), max(0, stateBytes)
 }
 
-// RequestShutdown records that the process was asked to end.
+// RequestShutdown records that the process was told to shut down.
 func (m *Monitor) RequestShutdown(now tick.Tick) { m.now, m.shutdownRequested = now, true }
 
-// RecordOutcome records how one of the node's requests ended: whether it did what it was asked for in time. Rejections
-// are no outcomes. Guards against a node that reads well and fails. A bad version looks the same, which the relays'
-// votes judge; it hurts then by taking no new work from nodes that would fail it.
+// RecordOutcome records whether one of the node's requests succeeded in time. Rejected requests are not recorded.
+//
+// Guards against a node that fails although its readings are good. A bad version looks the same; the relays' votes decide
+// about the version, and until then the only cost is that nodes that would fail new work get none.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, maxOwnFailureShare)
 }
 
-// Assess works out the node's report. It is to be called about once a second.
+// Assess computes the node's report. Call it about once a second.
 func (m *Monitor) Assess(now tick.Tick) Report {
 	m.now = now
 	m.updateSeries()
@@ -162,7 +164,8 @@
 	return m.report(a)
 }
 
-// updateSeries drops readings that are gone, and notes what bears on whether the others still move.
+// updateSeries drops readings that never had a value and are no longer delivered. For the others it updates what unknownReason
+// needs to find a stuck reading: whether the node was busy, and the charge drawn.
 func (m *Monitor) updateSeries() {
 	m.series = slices.DeleteFunc(m.series, func(s *series) bool {
 		return !s.known() && m.now-s.lastReadAt > staleAfter
@@ -180,7 +183,7 @@
 	}
 }
 
-// ofKind are the readings of one kind.
+// ofKind returns the series of one kind of reading.
 func (m *Monitor) ofKind(kind Kind) []*series {
 	var all []*series
 	for _, s := range m.series {
@@ -191,7 +194,8 @@
 	return all
 }
 
-// report is an assessment as the node reports it.
+// report builds the node's report from an assessment and the level of the hysteresis. The constraint of the lowest level
+// gives the first reason.
 func (m *Monitor) report(a *assessment) Report {
 	state := m.hysteresis.level
 	r := Report{
@@ -221,7 +225,8 @@
 	return r
 }
 
-// risk is how near the node is to failing, 0 to 1.
+// risk returns the node's risk of failing, 0 to 1. It rises as the time left falls below limitedRatio times the migration
+// time, is at least unknownRisk if readings are unknown or requests fail, and is 1 after a shutdown request.
 func (m *Monitor) risk(a *assessment) float64 {
 	if m.shutdownRequested {
 		return 1
@@ -236,14 +241,15 @@
 	return risk
 }
 
-// migrationTimeOf is the time that migrating so many instances takes, kept in reserve.
+// migrationTimeOf returns the time to reserve for migrating the given instances: at least the reserve setting, and at least
+// one second.
 func (m *Monitor) migrationTimeOf(instances, stateBytes int) tick.Tick {
 	rounds := math.Ceil(float64(instances) / m.settings.parallelMigrations)
 	copying := float64(stateBytes) / copyRate
 	return ticks(max(1, m.settings.reserve, migrationMargin*(rounds*timePerMigration.Seconds()+copying)))
 }
 
-// spareCapacity is how many more instances could still migrate in time.
+// spareCapacity returns how many more instances the node can take so that all could still migrate in time.
 func (m *Monitor) spareCapacity(a *assessment, at level) int {
 	if at < levelLimited {
 		return 0
@@ -256,14 +262,14 @@
 	if m.instances > 0 {
 		average = m.stateBytes / m.instances
 	}
-	return sort.Search(most, func(k int) bool { // what more instances need only grows
+	return sort.Search(most, func(k int) bool { // the time needed grows with the number of instances
 		more := k + 1
 		needed := tick.Tick(float64(m.migrationTimeOf(m.instances+more, m.stateBytes+more*average)) * m.drawFactor(1))
 		return levelFor(Never, a.timeToLimitOffered, needed, 1) < at
 	})
 }
 
-// ticks converts seconds; what is too long for a time is Never.
+// ticks converts seconds to a time, or to Never if they are too many for one.
 func ticks(s float64) tick.Tick {
 	if t := s * float64(tick.Second); t < float64(Never/2) {
 		return tick.Tick(t)
@@ -271,7 +277,7 @@
 	return Never
 }
 
-// readableTime prints as a time in a sentence.
+// readableTime is a time that prints as text in seconds, minutes or hours.
 type readableTime tick.Tick
 
 func (t readableTime) String() string {
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -7,44 +7,44 @@
 	"silvercove/internal/tick"
 )
 
-// Kind says what a reading is of.
+// Kind is the quantity that a reading measures.
 type Kind string
 
 // The kinds of readings.
 const (
-	KindCharge          Kind = "charge"   // of a battery, 0 to 1 of full
-	KindFullCharge      Kind = "full"     // joules that it holds when full
-	KindDraw            Kind = "draw"     // watts out of it; below 0 it charges
-	KindCharging        Kind = "charging" // 1: it charges, 0: not
-	KindMains           Kind = "mains"    // 1: supplied from outside, 0: not
-	KindTemperature     Kind = "temp"     // degrees C; Limit is where the machine stops itself
+	KindCharge          Kind = "charge"   // of a battery, as a fraction of full: 0 to 1
+	KindFullCharge      Kind = "full"     // of a battery, in joules
+	KindDraw            Kind = "draw"     // watts out of a battery; below 0 while it charges
+	KindCharging        Kind = "charging" // 1 if a battery charges, 0 if not
+	KindMains           Kind = "mains"    // 1 if supplied from outside, 0 if not
+	KindTemperature     Kind = "temp"     // degrees C; at Limit the machine shuts itself down
 	KindCellTemperature Kind = "cell"     // degrees C inside a battery
-	KindThrottle        Kind = "throttle" // 0 to 1: how far the machine slows itself for heat
+	KindThrottle        Kind = "throttle" // 0 to 1: the fraction by which the machine slows itself because of heat
 	KindLid             Kind = "lid"      // 1 open, 0 shut
 	KindRadio           Kind = "radio"    // 1 up, 0 off
 )
 
-// Reading is one value, as it was read or not.
+// Reading is one value from a sensor or gauge, or the reason why it could not be read.
 type Reading struct {
-	Name   string // of its source, such as BAT0; with Kind it is the same quantity at each call
+	Name   string // of the source, such as BAT0; Name and Kind together identify a reading over time
 	Kind   Kind
 	Value  float64
 	Limit  float64   // of a temperature, 0 for none
-	Age    tick.Tick // how old the value was when it was handed in
-	OK     bool      // the value was read
-	Reason string    // why it was not
+	Age    tick.Tick // of the value when it is passed to the Monitor
+	OK     bool      // whether the value was read
+	Reason string    // why the value was not read
 }
 
-// bounds is what is physically possible of a kind of readings.
+// bounds holds the physically possible values and changes of a kind of reading.
 type bounds struct {
-	min, max       float64   // values beyond are impossible
-	slack          float64   // a change by so much is always possible
-	rate           float64   // a second, of change beyond the slack
-	sampleInterval tick.Tick // between samples: the span of a forecast is maxSamples of them
+	min, max       float64   // range of possible values
+	slack          float64   // change that is possible in any time
+	rate           float64   // further change that is possible per second
+	sampleInterval tick.Tick // between samples: the window of a slope is maxSamples intervals
 }
 
-// plausibility is by kind. A battery of the fastest kind empties in minutes, gauges correct themselves by a few parts in
-// a hundred; a sensor on a processor's die moves by tens of degrees in a second, but not by a hundred.
+// plausibility has the bounds of each kind. The fastest batteries empty in minutes, and gauges correct themselves by a few
+// percent; a sensor on a processor's die changes by tens of degrees in a second, but not by a hundred.
 var plausibility = map[Kind]bounds{
 	KindCharge:          {min: 0, max: 1, slack: 0.03, rate: 0.005, sampleInterval: 10 * tick.Second},
 	KindFullCharge:      {min: 1, max: 1e9, slack: math.Inf(1), sampleInterval: tick.Second},
@@ -58,24 +58,24 @@
 	KindRadio:           {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
 }
 
-// invalidReason says why a reading has no value that could be believed; "" if it has.
+// invalidReason returns why a reading has no possible value, or "" if it has one.
 func (b bounds) invalidReason(r Reading) string {
 	switch {
 	case !r.OK && r.Reason == "":
 		return "missing"
 	case !r.OK:
 		return r.Reason
-	case !(r.Value >= b.min && r.Value <= b.max): // also true for what is no number
+	case !(r.Value >= b.min && r.Value <= b.max): // also true for NaN
 		return fmt.Sprintf("impossible: %.4g", r.Value)
 	}
 	return ""
 }
 
-// maxJumpSpan is the longest time for which more change is possible: that more time goes by makes what a value jumped to
-// no likelier.
+// maxJumpSpan bounds the time over which bounds.rate allows further change: a jump does not become more plausible because
+// more time has passed.
 const maxJumpSpan = 2 * tick.Second
 
-// isJump reports whether a value cannot have changed to another one within a time.
+// isJump reports whether a value cannot plausibly have changed that much in the given time.
 func (b bounds) isJump(from, to float64, within tick.Tick) bool {
 	return math.Abs(to-from) > b.slack+b.rate*min(within, maxJumpSpan).Seconds()
 }
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -8,48 +8,48 @@
 	"silvercove/internal/tick"
 )
 
-// What is believed of readings. A value that is not believed leaves the last one standing for staleAfter, then the
-// reading is unknown, which means no new work.
+// Limits by which readings are accepted. If a value is rejected, the last accepted one stays valid for staleAfter; then the
+// reading is unknown, and the node takes no new instances.
 const (
-	staleAfter          = 10 * tick.Second // ten readings of a second: one that fails or jumps means nothing
-	jumpConfirmTime     = 60 * tick.Second // for so long a value has to stay where it jumped to: the span of a slope of heat
-	jumpMinMoves        = 2                // and to move there, as a living sensor does
-	minStuckTime        = 30 * tick.Second // the least time after which a quantity that used to move is stuck
-	stuckIntervalFactor = 10.0             // and how many times its usual pause
-	stuckMinMoves       = 8                // moves from which the usual pause is known
-	stuckDrainShare     = 0.03             // of a full battery is drawn, its charge stands: 3 steps of the coarsest gauge
-	confidenceStdErrors = 1.6              // standard errors: one-sided 95%
-	maxSamples          = 32               // of a regression
-	minSamples          = 12               // of a regression
-	quartileSamples     = 16               // of an upper value
+	staleAfter          = 10 * tick.Second // ten readings at one a second: a single failure or jump has no effect
+	jumpConfirmTime     = 60 * tick.Second // how long values must stay near a jump's target: the window of a temperature slope
+	jumpMinMoves        = 2                // and how often they must change meanwhile, as a working sensor's values do
+	minStuckTime        = 30 * tick.Second // least time without a change after which a reading is stuck
+	stuckIntervalFactor = 10.0             // and the multiple of its mean interval between changes
+	stuckMinMoves       = 8                // changes from which the mean interval counts as known
+	stuckDrainShare     = 0.03             // of the full charge drawn while the charge reads the same: 3 steps of the coarsest gauge
+	confidenceStdErrors = 1.6              // standard errors of a slope: one-sided 95% confidence bound
+	maxSamples          = 32               // most samples of a regression
+	minSamples          = 12               // fewest samples of a regression
+	quartileSamples     = 16               // newest samples of an upper quartile
 )
 
-// series is one quantity as it was read.
+// series holds the accepted samples of one reading and what is needed to judge the next one.
 type series struct {
 	name         string
 	kind         Kind
 	limit        float64
-	times        []tick.Tick // of the samples; the last one is the newest value
+	times        []tick.Tick // of the values, the newest last
 	values       []float64
-	rejectReason string // why the last reading was not believed; "" it was
-	lastReadAt   tick.Tick
+	rejectReason string    // why the last reading was rejected, "" if it was accepted
+	lastReadAt   tick.Tick // of the last reading, accepted or not
 
 	jump             jump
 	movement         movement
-	workedSinceMove  bool    // the node has worked since the value last moved
-	stuck            bool    // found by the last unknownReason
-	drainedSinceMove float64 // joules drawn since the value last moved
+	workedSinceMove  bool    // the node has been busy since the value last changed
+	stuck            bool    // set by unknownReason, cleared by the next change
+	drainedSinceMove float64 // joules drawn since the value last changed
 }
 
-// jump is a value that the quantity jumped to, and has been near since.
+// jump records the values since a reading jumped, while they stay near each other.
 type jump struct {
 	since   tick.Tick // 0 for none
-	value   float64
-	valueAt tick.Tick
-	moves   int
+	value   float64   // the newest value
+	valueAt tick.Tick // of value
+	moves   int       // changes of value since the jump
 }
 
-// movement is how often the quantity changes its value.
+// movement records how often a reading changes its value.
 type movement struct {
 	lastAt       tick.Tick
 	count        int
@@ -58,14 +58,14 @@
 
 func (s *series) known() bool { return len(s.values) > 0 }
 
-// last is the newest value and its time. The series must be known.
+// last returns the newest value and its time. The series must be known.
 func (s *series) last() (float64, tick.Tick) {
 	return s.values[len(s.values)-1], s.times[len(s.times)-1]
 }
 
 func (s *series) clear() { s.times, s.values = s.times[:0], s.values[:0] }
 
-// add believes a reading, or notes why not. One that is no newer than the last is ignored.
+// add accepts a reading or records why it is rejected. A reading that is no newer than the last one is ignored.
 func (s *series) add(now tick.Tick, r Reading) {
 	limits := plausibility[s.kind]
 	s.lastReadAt = now
@@ -84,10 +84,11 @@
 	s.appendSample(at, r.Value, limits.sampleInterval)
 }
 
-// acceptNext reports whether a value can follow the last one, and notes whether the quantity moves.
+// acceptNext reports whether a value may follow the last one, and records whether the reading changed.
 //
-// Guards against a gauge that fails: it must not speak of strength, nor of an end. A swapped battery looks the same, and
-// costs new work until its charge has stood and moved.
+// Guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
+// down. A swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value
+// and changed there.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
@@ -107,7 +108,8 @@
 	return true
 }
 
-// confirmJump reports whether the quantity has stayed near where it jumped to for jumpConfirmTime, and has moved there.
+// confirmJump reports whether the values have stayed near the jump's target for jumpConfirmTime and have changed at least
+// jumpMinMoves times meanwhile.
 func (s *series) confirmJump(at tick.Tick, value float64, limits bounds) bool {
 	j := &s.jump
 	if j.since == 0 || limits.isJump(j.value, value, at-j.valueAt) {
@@ -119,8 +121,9 @@
 	return at-j.since >= jumpConfirmTime && j.moves >= jumpMinMoves
 }
 
+// recordMove records a change of the value.
 func (s *series) recordMove(at tick.Tick) {
-	if s.stuck { // what stood still is no part of a slope
+	if s.stuck { // samples of the stuck period must not enter the slope
 		s.clear()
 		s.stuck = false
 	}
@@ -136,12 +139,13 @@
 	s.workedSinceMove, s.drainedSinceMove = false, 0
 }
 
+// appendSample appends a value. Within one sample interval only the newest value is kept.
 func (s *series) appendSample(at tick.Tick, value float64, interval tick.Tick) {
 	if last := len(s.values) - 1; s.kind == KindDraw && last >= 0 && (s.values[last] > 0) != (value > 0) {
-		s.clear() // from the mains to the battery or back: what was drawn before says nothing
+		s.clear() // switched from mains to battery or back: the earlier draw does not predict the later one
 	}
 	if n := len(s.times); n >= 2 && s.times[n-1]-s.times[n-2] < interval {
-		s.times, s.values = s.times[:n-1], s.values[:n-1] // the newest stands for its part of the span
+		s.times, s.values = s.times[:n-1], s.values[:n-1] // replaced by the newest value of its interval
 	}
 	if len(s.times) == maxSamples {
 		s.times = append(s.times[:0], s.times[1:]...)
@@ -151,12 +155,12 @@
 	s.values = append(s.values, value)
 }
 
-// unknownReason says why the quantity is unknown now; "" it is known. fullCharge is that of its battery, in joules, 0 if it
-// has none.
+// unknownReason returns why the reading is unknown now, or "" if it is known. fullCharge is the full charge of the battery
+// that the reading belongs to, in joules; 0 if unknown or without a battery.
 //
-// Guards against a frozen file, which looks like a strong node while it empties. A gauge that keeps a coarse value looks
-// the same; it hurts then by no new work until the value moves. An idle node is left alone, or it would never have work
-// again.
+// Guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge that keeps its
+// value looks the same; the cost is that the node takes no new instances until the value changes. The check of
+// temperatures and draw skips a node that has been idle since the last change, or an idle node would never get work again.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
 	if !s.known() {
 		return s.rejectReasonOr("no value yet")
@@ -178,7 +182,7 @@
 	return ""
 }
 
-// rejectReasonOr is why the last reading was not believed, or else the given reason.
+// rejectReasonOr returns why the last reading was rejected, or the given reason if it was accepted.
 func (s *series) rejectReasonOr(reason string) string {
 	if s.rejectReason != "" {
 		return s.rejectReason
@@ -186,8 +190,8 @@
 	return reason
 }
 
-// slope is the change a second by least squares over the samples, with its standard error. It is not ok of too few
-// samples.
+// slope returns the change per second by least squares over the samples, and its standard error. ok is false if there are
+// fewer than minSamples samples.
 func (s *series) slope() (slope, stdErr float64, ok bool) {
 	n := float64(len(s.values))
 	if n < minSamples {
@@ -213,11 +217,11 @@
 	return slope, math.Sqrt(max(0, sumYY-slope*sumXY) / (n - 2) / sumXX), true
 }
 
-// upperQuartile is the value that a quarter of the last quartileSamples pass: a high one that no single reading moves.
+// upperQuartile returns the upper quartile of the last quartileSamples values: a high value that no single reading can move.
 func (s *series) upperQuartile() float64 {
 	var array [quartileSamples]float64
 	sorted := append(array[:0], s.values[max(0, len(s.values)-quartileSamples):]...)
-	for i := range sorted { // by insertion: there are few
+	for i := range sorted { // insertion sort in descending order: there are at most quartileSamples values
 		for j := i; j > 0 && sorted[j] > sorted[j-1]; j-- {
 			sorted[j], sorted[j-1] = sorted[j-1], sorted[j]
 		}
