--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -13,7 +13,8 @@
 	micro          = 1e-6
 	secondsPerHour = 3600
 
-	// maxAgedCharge: a gauge whose full value has aged shows a charge of up to so much, which counts as full.
+	// maxAgedCharge is a fraction of full: the gauge of an aged battery may report a charge above its full charge, which
+	// counts as full if below this.
 	maxAgedCharge = 1.1
 )
 
@@ -29,19 +30,19 @@
 	return readings
 }
 
-// readPowerSupply reads one supply: a battery of this machine, or a source such as mains.
+// readPowerSupply reads one supply: a battery of this machine, or an external source such as mains.
 func readPowerSupply(d device, name string) []devicehealth.Reading {
 	kind, err := d.text("type")
 	if err != nil {
 		return []devicehealth.Reading{newReading(name, devicehealth.KindCharge, 0, err)}
 	}
 	if scope, err := d.text("scope"); err == nil && scope == "Device" {
-		return nil // of a mouse or a keyboard
+		return nil // the battery of a peripheral, such as a mouse or a keyboard
 	}
 	if kind != "Battery" {
 		online, err := d.number("online")
 		if online > 0 {
-			online = 1 // 2 is a source whose voltage is programmed
+			online = 1 // 2 means online with a programmable voltage
 		}
 		return []devicehealth.Reading{newReading(name, devicehealth.KindMains, online, err)}
 	}
@@ -51,8 +52,8 @@
 	return readBattery(d, name)
 }
 
-// readBattery reads a battery. What can't be computed as its files were never there is left out; what could be once is told as
-// gone by the Reader.
+// readBattery reads a battery. A reading whose files do not exist is left out; if it was there before, the Reader reports it
+// as gone.
 func readBattery(d device, name string) (readings []devicehealth.Reading) {
 	microvolts, voltsErr := d.number("voltage_now")
 	if voltsErr == nil && !(microvolts > 0) {
@@ -80,7 +81,7 @@
 	return readings
 }
 
-// batteryCharge is the charge as a part of the full one.
+// batteryCharge returns the charge as a fraction of the full charge.
 func batteryCharge(d device) (fraction float64, err error) {
 	fraction, err = d.fraction("energy_now", "energy_full")
 	if errors.Is(err, fs.ErrNotExist) {
@@ -96,8 +97,8 @@
 	return fraction, err
 }
 
-// batteryFullCharge is the full charge in joules, of energy_full (micro-watt-hours), or of charge_full (micro-ampere-hours) and
-// the voltage.
+// batteryFullCharge returns the full charge in joules, from energy_full (micro-watt-hours), or else from charge_full
+// (micro-ampere-hours) and the voltage.
 func batteryFullCharge(d device, microvolts float64, voltsErr error) (joules float64, err error) {
 	energy, err := d.number("energy_full")
 	if !errors.Is(err, fs.ErrNotExist) {
@@ -110,8 +111,8 @@
 	return charge * (secondsPerHour * micro) * microvolts * micro, voltsErr
 }
 
-// batteryDraw is how many watts are drawn from the battery, negative while it is charged, of power_now (micro-watts), or of
-// current_now (micro-amperes) and the voltage.
+// batteryDraw returns the watts drawn from the battery, negative while it charges, from power_now (micro-watts), or else
+// from current_now (micro-amperes) and the voltage.
 func batteryDraw(d device, microvolts float64, voltsErr error, status string, statusErr error) (watts float64, err error) {
 	signed, err := d.number("power_now")
 	watts = signed * micro
@@ -124,7 +125,7 @@
 	watts = math.Abs(watts)
 	switch {
 	case errors.Is(statusErr, fs.ErrNotExist), status == "Unknown":
-		if signed > 0 { // the sign is all there is: below 0 it is drawn from
+		if signed > 0 { // without a status, only the sign tells the direction: below 0 the battery discharges
 			watts = -watts
 		}
 	case statusErr != nil:
@@ -139,7 +140,8 @@
 	return watts, err
 }
 
-// cellTemperature is the cells' temperature and the lower of its limits, all in tenths of a degree in their files.
+// cellTemperature returns the reading of the cells' temperature, with the lower of its limits. The files have tenths of a
+// degree.
 func cellTemperature(d device, name string, tenths float64, err error) devicehealth.Reading {
 	reading := newReading(name, devicehealth.KindCellTemperature, tenths/10, err)
 	for _, file := range []string{"temp_max", "temp_alert_max"} {
--- a/internal/devicepower/radio.go
+++ b/internal/devicepower/radio.go
@@ -2,10 +2,10 @@
 
 import "silvercove/internal/devicehealth"
 
-// radioUnblocked is the state of an rfkill switch that is on; 0 is blocked by software, 2 by hardware.
+// radioUnblocked is the state of an rfkill switch whose radio is on; 0 is blocked by software, 2 by hardware.
 const radioUnblocked = 1
 
-// readRadios reads the folder rfkill: whether each radio for data is on. Where there is no folder, no radio is expected.
+// readRadios reads from the folder rfkill whether each data radio is on. Without the folder, no radio is expected.
 func readRadios(files fileSource) (readings []devicehealth.Reading) {
 	names, _ := files.listDir("rfkill")
 	for _, name := range names {
--- a/internal/devicepower/reader.go
+++ b/internal/devicepower/reader.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxReadings is how many readings a Reader keeps with those that are gone.
+// maxReadings bounds the readings that a Reader keeps, including those that are gone.
 const maxReadings = 4 * maxDirEntries
 
 // Reader keeps the newest readings of one folder. It is safe for concurrent use.
@@ -21,18 +21,19 @@
 	latest []timedReading // guarded by mu
 }
 
-// timedReading is a reading and when it was made.
+// timedReading is a reading, the time it was made, and whether it ever was OK.
 type timedReading struct {
 	devicehealth.Reading
 	at    time.Time
-	wasOK bool // it was OK once: it is missed when it is gone
+	wasOK bool // it was OK before, so that it is reported as gone if it disappears
 }
 
-// Open makes a reader of a folder that has power_supply and thermal. With root "" it reads that the node is on mains, as an
-// operator's file that names no folder says.
+// Open returns a Reader of a root folder with power_supply, thermal and rfkill. With root "", as of an operator's file that
+// names no folder, its only reading says that the node is on mains.
 func Open(root string) *Reader { return &Reader{root: root} }
 
-// Run reads at each interval until the context ends. A driver that hangs blocks this alone: the readings of Latest grow old.
+// Run reads the folder at each interval until the context ends. A hanging driver blocks only Run; Latest keeps returning the
+// last readings, with growing ages.
 func (r *Reader) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -46,7 +47,7 @@
 	}
 }
 
-// Latest are the newest readings with their ages, and those that were there once and are not any more. It waits for no file.
+// Latest returns the newest readings with their ages, including those reported as gone. It does not wait for any file.
 func (r *Reader) Latest() []devicehealth.Reading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +60,8 @@
 	return readings
 }
 
-// ReadOnce reads the folder once and returns the readings without ages, and those that are gone.
+// ReadOnce reads the folder once and returns the readings without ages. A reading that was OK before and has disappeared is
+// returned as not OK.
 func (r *Reader) ReadOnce() []devicehealth.Reading {
 	found := readFolder(diskFiles(r.root), r.root)
 	now := time.Now()
@@ -75,7 +77,7 @@
 		case i >= 0:
 			next[i].wasOK = next[i].wasOK || old.wasOK
 		case old.wasOK && len(next) < maxReadings:
-			gone := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Reason: "its file is gone"}
+			gone := devicehealth.Reading{Name: old.Name, Kind: old.Kind, Reason: "no longer available"}
 			found = append(found, gone)
 			next = append(next, timedReading{gone, now, true})
 		}
@@ -84,12 +86,12 @@
 	return found
 }
 
-// FromFiles are the readings of files in memory, by their paths from the root.
+// FromFiles returns the readings of files in memory, given by their paths from the root.
 func FromFiles(files map[string]string) []devicehealth.Reading {
 	return readFolder(memoryFiles(files), "memory")
 }
 
-// readFolder reads a folder once. With root "" it has no files, and says that the node is on mains.
+// readFolder reads all files once. With root "" it reads none and returns that the node is on mains.
 func readFolder(files fileSource, root string) (readings []devicehealth.Reading) {
 	if root == "" {
 		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.KindMains, Value: 1, OK: true}}
@@ -99,7 +101,7 @@
 	return append(readings, readRadios(files)...)
 }
 
-// newReading is a value that was read, or why it could not be.
+// newReading returns a reading with a value, or with the error's text if the value could not be read.
 func newReading(name string, kind devicehealth.Kind, value float64, err error) devicehealth.Reading {
 	if err != nil {
 		return devicehealth.Reading{Name: name, Kind: kind, Reason: err.Error()}
--- a/internal/devicepower/thermal.go
+++ b/internal/devicepower/thermal.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxTripPoints  = 32   // of a thermal zone
-	milliPerDegree = 1000 // thousandths of a degree
-	maxTripDegrees = 200  // a trip point above it, or not above 0, is not in use
+	maxTripPoints  = 32   // read of one thermal zone
+	milliPerDegree = 1000 // the files have thousandths of a degree
+	maxTripDegrees = 200  // degrees C: a trip point above this, or not above 0, is not in use
 )
 
-// readThermal reads the folder thermal. Where there is none, none is expected.
+// readThermal reads the folder thermal. Without the folder, no sensor is expected.
 func readThermal(files fileSource) (readings []devicehealth.Reading) {
 	names, err := files.listDir("thermal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -33,8 +33,8 @@
 	return readings
 }
 
-// readThermalZone reads a zone's temperature. Its limit is the lowest trip point at which the machine stops itself, or, where no
-// types stand beside, the highest one.
+// readThermalZone reads a thermal zone's temperature. Its limit is the lowest trip point of type critical or hot, at which
+// the machine shuts itself down; without such a trip point it is the highest trip point that has no type.
 func readThermalZone(d device, name string) []devicehealth.Reading {
 	if mode, err := d.text("mode"); err == nil && mode == "disabled" {
 		return nil
@@ -69,7 +69,8 @@
 	return []devicehealth.Reading{reading}
 }
 
-// readCoolingDevice reads by what part a processor is throttled for heat. Fans don't count.
+// readCoolingDevice reads the fraction by which a processor is throttled because of heat. Other cooling devices, such as
+// fans, are skipped.
 func readCoolingDevice(d device, name string) []devicehealth.Reading {
 	kind, err := d.text("type")
 	if err != nil || !throttlesProcessor(strings.ToLower(kind)) {
@@ -83,7 +84,7 @@
 	return []devicehealth.Reading{newReading(name+" "+kind, devicehealth.KindThrottle, max(0, state)/max(1, maxState), err)}
 }
 
-// throttlesProcessor reports whether a cooling device of a kind slows a processor.
+// throttlesProcessor reports whether cooling devices of the given type slow down a processor.
 func throttlesProcessor(kind string) bool {
 	return kind == "processor" || strings.Contains(kind, "cpu") || strings.Contains(kind, "devfreq") ||
 		strings.Contains(kind, "powerclamp")
