--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// levelFor returns the level that the time left allows at the present and at the offered load, for instances that take
-// migration to move.
+// levelFor returns the level that the time left allows, at the present and at the offered load, if migrating all instances
+// takes the time migration.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,7 +3,7 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // of full, above empty: if mains or sun failed below it, too little charge would be left to migrate
+	holdingCharge    = 0.05 // of full, above empty: less would not suffice for migrating if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
 	mainsOnThreshold = 0.5  // reading from which mains counts as on
 )
@@ -48,8 +48,8 @@
 		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
 		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
-	// A migration runs at full load and draws more than the present load: it uses as much charge as this time does at the
-	// present load.
+	// A migration runs at full load, which draws more than the present load. drawFactor(1) converts its time to the time in
+	// which the present load draws as much.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -144,7 +144,8 @@
 // RequestShutdown records that the process was told to shut down.
 func (m *Monitor) RequestShutdown(now tick.Tick) { m.now, m.shutdownRequested = now, true }
 
-// RecordOutcome records whether one of the node's requests succeeded in time. Rejected requests are not recorded.
+// RecordOutcome records whether one of the node's requests succeeded in time. A rejected request is not an outcome and is
+// not to be recorded.
 //
 // Guards against a node that fails although its readings are good. A bad version looks the same; the relays' votes decide
 // about the version, and until then the only cost is that nodes that would fail new work get none.
@@ -269,7 +270,7 @@
 	})
 }
 
-// ticks converts seconds to a time, or to Never if they are too many for one.
+// ticks converts seconds to a tick.Tick, or to Never if they are too many for one.
 func ticks(s float64) tick.Tick {
 	if t := s * float64(tick.Second); t < float64(Never/2) {
 		return tick.Tick(t)
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -24,10 +24,10 @@
 type Report struct {
 	Version            int         `json:"v"`
 	State              State       `json:"state"`
-	AcceptFraction     float64     `json:"share"`             // fraction of its instance slots that the node offers to new instances
+	AcceptFraction     float64     `json:"share"`             // fraction of its instance slots that it offers to new instances
 	Risk               float64     `json:"danger"`            // of failing, 0 to 1
 	SpareCapacity      int         `json:"room"`              // further instances that the node can take
-	LastResortCapacity int         `json:"serves"`            // instances that the node could go on serving if its whole zone had to evacuate
+	LastResortCapacity int         `json:"serves"`            // instances that it could keep serving if its whole zone had to evacuate
 	Reasons            []string    `json:"reasons,omitempty"` // sentences, the deciding one first
 	TimeToEmpty        tick.Tick   `json:"empty"`             // of the battery at the present load: a lower bound, or Never
 	TimeToOverheat     tick.Tick   `json:"hot"`               // at the present load: a lower bound, or Never
@@ -113,12 +113,12 @@
 }
 
 // ApplyTo sets the fields of the migration planner's node status that follow from the report.
-func (r Report) ApplyTo(u *migration.NodeStatus) {
-	u.Accepting = r.State == StateAccepting || r.State == StateLimited
-	u.Limited = r.State == StateLimited
-	u.Evacuating = r.MustEvacuate()
-	u.ShuttingDown = r.State == StateShuttingDown
-	u.Risk, u.FreeSlots = r.Risk, r.SpareCapacity
+func (r Report) ApplyTo(status *migration.NodeStatus) {
+	status.Accepting = r.State == StateAccepting || r.State == StateLimited
+	status.Limited = r.State == StateLimited
+	status.Evacuating = r.MustEvacuate()
+	status.ShuttingDown = r.State == StateShuttingDown
+	status.Risk, status.FreeSlots = r.Risk, r.SpareCapacity
 }
 
 // MustEvacuate reports whether the node's instances must migrate to other nodes.
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -13,9 +13,9 @@
 const (
 	staleAfter          = 10 * tick.Second // ten readings at one a second: a single failure or jump has no effect
 	jumpConfirmTime     = 60 * tick.Second // how long values must stay near a jump's target: the window of a temperature slope
-	jumpMinMoves        = 2                // and how often they must change meanwhile, as a working sensor's values do
-	minStuckTime        = 30 * tick.Second // least time without a change after which a reading is stuck
-	stuckIntervalFactor = 10.0             // and the multiple of its mean interval between changes
+	jumpMinMoves        = 2                // how often values must change in jumpConfirmTime, as those of a working sensor do
+	minStuckTime        = 30 * tick.Second // least time without a change after which a reading counts as stuck
+	stuckIntervalFactor = 10.0             // the same as a multiple of its mean interval between changes; the longer time counts
 	stuckMinMoves       = 8                // changes from which the mean interval counts as known
 	stuckDrainShare     = 0.03             // of the full charge drawn while the charge reads the same: 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // standard errors of a slope: one-sided 95% confidence bound
@@ -86,9 +86,9 @@
 
 // acceptNext reports whether a value may follow the last one, and records whether the reading changed.
 //
-// Guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
-// down. A swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value
-// and changed there.
+// Guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut down. A
+// swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value and
+// changed there.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
@@ -121,7 +121,7 @@
 	return at-j.since >= jumpConfirmTime && j.moves >= jumpMinMoves
 }
 
-// recordMove records a change of the value.
+// recordMove updates the mean interval between changes, and resets what is counted since the last change.
 func (s *series) recordMove(at tick.Tick) {
 	if s.stuck { // samples of the stuck period must not enter the slope
 		s.clear()
--- a/internal/devicehealth/verifier_test.go
+++ b/internal/devicehealth/verifier_test.go
@@ -13,7 +13,7 @@
 const second = tick.Second
 
 // Mains fails for a whole zone of four nodes whose batteries are nearly empty. Their readings support the claims, so all
-// four are verified as evacuating within 2 s, and LastResort ranks the instances.
+// four are verified as evacuating, at most 2 s after the first, and LastResort ranks their instances.
 func TestVerifier_WholeZoneDrainsWithinTwoSeconds(t *testing.T) {
 	var nodes []*simulatedNode
 	for i := range 4 {
@@ -72,6 +72,7 @@
 		MigrationTime: 60 * second, Reasons: []string{"so it says"}}
 }
 
+// Of the nodes of a zone that claim without support to evacuate, at most half are believed, also if they claim in turn.
 func TestVerify_ClaimsAloneNeverDrainZone(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		verifier := devicehealth.NewVerifier()
