--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/transport"
 )
 
-// Attempt is one try of a call at a backend.
+// Attempt is one attempt of a call at a backend.
 type Attempt struct {
 	Backend
 	// Context ends when the relay stops waiting for the attempt.
@@ -19,15 +19,18 @@
 	call     *Call
 	cancel   context.CancelFunc
 	chosenAt time.Time
-	version  uint16 // of its backend when it was chosen
+	version  uint16 // version of the backend when the backend was chosen
 }
 
-// ChosenAt is when the balancer chose the attempt.
+// ChosenAt is when the balancer chose the backend of the attempt.
 func (a *Attempt) ChosenAt() time.Time { return a.chosenAt }
 
-// Begin tells whether an attempt that is about to be written still may be: its client waits for it, its backend is where it
-// was chosen, and the balancer's rules hold as they stand now. It counts as sent from now on. A client whose close has come,
-// but whose session has not run since, has gone too: news of the endpoint list send many queued requests on at once.
+// Begin reports whether an attempt that is about to be written may still be written: the client still waits, the
+// backend has the address and start time that it had when it was chosen, and the balancer's rules still allow the
+// attempt. The attempt counts as sent from now on.
+//
+// A client whose close has arrived counts as gone even if its session has not run since: one update of the endpoint
+// list may send many queued requests at once.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
@@ -44,24 +47,26 @@
 	return d.balancer.BeginAttempt(d.clock.now(), a.attempt)
 }
 
-// StreamStarted tells that the answer to an attempt is being passed on while it comes.
+// StreamStarted records that the answer to an attempt is being passed on to the client as it arrives.
 func (d *Dispatcher) StreamStarted(a *Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.OnStreamStart(d.clock.now(), a.attempt)
 }
 
-// Report tells how an attempt ended: with a SQLSTATE, or without an answer (""). It returns whether the attempt succeeded.
+// Report records how an attempt ended: with the SQLSTATE of its answer, or without an answer (""). It reports whether
+// the attempt succeeded.
 func (d *Dispatcher) Report(a *Attempt, state string, status transport.CloseStatus, load []float64) (succeeded bool) {
 	return d.endAttempt(a, AttemptOutcome(state, status), load)
 }
 
-// ReportMirror tells how an attempt at a mirror ended: with an HTTP status, or without an answer (0).
+// ReportMirror records how an attempt at a mirror ended: with the HTTP status of its answer, or without an answer (0).
+// It reports whether the attempt succeeded.
 func (d *Dispatcher) ReportMirror(a *Attempt, httpStatus int, accepted bool, status transport.CloseStatus) (succeeded bool) {
 	return d.endAttempt(a, MirrorOutcome(httpStatus, accepted, status), nil)
 }
 
-// end hands the outcome of an attempt to the balancer, and to all who keep count of outcomes.
+// endAttempt hands the outcome of an attempt to the balancer, the counters, the evidence recorder and the fleet policy.
 func (d *Dispatcher) endAttempt(a *Attempt, outcome balancer.Outcome, load []float64) (succeeded bool) {
 	a.cancel()
 	d.mu.Lock()
@@ -84,7 +89,7 @@
 	return succeeded
 }
 
-// recordOutcome hands an outcome to the evidence recorder and to the load policy, where there are any.
+// recordOutcome hands an outcome to the evidence recorder and to the fleet policy, if there are any.
 func (d *Dispatcher) recordOutcome(now balancer.Tick, a *Attempt, outcome balancer.Outcome) {
 	succeeded := outcome == balancer.Succeeded
 	class := a.attempt.Request.Class
@@ -101,8 +106,8 @@
 	}
 }
 
-// reflectsOnBackend tells whether an outcome says how well its backend is. One at its capacity is well; what was cancelled or
-// never sent says nothing.
+// reflectsOnBackend reports whether an outcome tells how well the backend is. A backend at its capacity is well, and an
+// attempt that was cancelled or never sent tells nothing.
 func reflectsOnBackend(outcome balancer.Outcome) bool {
 	switch outcome {
 	case balancer.Succeeded, balancer.Errored, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset:
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -15,46 +15,47 @@
 	Cell                             int
 	State                            string // up, draining or removed
 	Weight                           float64
-	StartedAtMs                      int64 // Unix time, 0 for long ago
+	StartedAtMs                      int64 // Unix time in milliseconds; 0 means long ago
 	Version                          uint16
 }
 
-// ticksPerMs is the number of the balancer's ticks in a millisecond.
+// ticksPerMs is the number of balancer ticks in a millisecond.
 const ticksPerMs = balancer.Second / 1000
 
-// endpointStates are the states by their names in the endpoint list.
+// endpointStates maps the names of the states in the endpoint list to the balancer's states.
 var endpointStates = map[string]balancer.EndpointState{
 	"up":       balancer.Ready,
 	"draining": balancer.Draining,
 	"removed":  balancer.Removed,
 }
 
-// Valid tells whether an entry makes sense.
+// Valid reports whether an entry has a known state, a name, an address and a start time that is not negative.
 func (e Endpoint) Valid() bool {
 	_, known := endpointStates[e.State]
 	return known && e.Name != "" && e.Address != "" && e.StartedAtMs >= 0
 }
 
-// Backend is where an attempt goes. A connection to another address or process is not this backend's.
+// Backend identifies the process that an attempt goes to. A connection to another address, or to a process with another
+// start time, is not one to this backend.
 type Backend struct {
 	Name, Address string
-	StartedAt     int64 // ticks; 0 for long ago
+	StartedAt     int64 // ticks; 0 means long ago
 }
 
-// backend is what the dispatcher knows of a backend of the endpoint list.
+// backend holds what the dispatcher knows about a backend of the endpoint list.
 type backend struct {
 	balancer.Backend
 	name      string
 	address   string
-	inFlight  int           // attempts
-	removedAt balancer.Tick // when it was last listed as removed
+	inFlight  int           // attempts that have not ended
+	removedAt balancer.Tick // when the backend was last removed from the list
 }
 
 func (b *backend) identity() Backend {
 	return Backend{Name: b.name, Address: b.address, StartedAt: int64(b.StartedAt)}
 }
 
-// UpdateEndpoints takes the complete endpoint list, or those of its entries that have changed. All of them have to be valid.
+// UpdateEndpoints applies the complete endpoint list, or the entries that have changed. All entries must be valid.
 func (d *Dispatcher) UpdateEndpoints(complete bool, endpoints []Endpoint) {
 	if d.callbacks.OnEndpoints != nil {
 		d.callbacks.OnEndpoints(complete, endpoints)
@@ -78,7 +79,7 @@
 	d.balancer.OnListSynced(now, true)
 }
 
-// endpointOf gives an entry in the balancer's terms.
+// endpointOf converts an entry to the balancer's type.
 func (d *Dispatcher) endpointOf(e Endpoint) balancer.Endpoint {
 	return balancer.Endpoint{
 		Zone:          d.zoneNumber(e),
@@ -91,7 +92,8 @@
 	}
 }
 
-// backendOf gives the backend of a name, and makes one that is listed first. Its ID is one that is free, if there is any.
+// backendOf returns the backend with a name, and creates it when the name is listed for the first time. A new backend
+// gets a free ID if there is one.
 func (d *Dispatcher) backendOf(name string) *backend {
 	if b := d.backends[name]; b != nil {
 		return b
@@ -109,7 +111,7 @@
 	return b
 }
 
-// removeUnlisted takes that a complete list leaves backends out: they are gone.
+// removeUnlisted removes the backends that a complete list does not name.
 func (d *Dispatcher) removeUnlisted(now balancer.Tick, listed map[string]bool) {
 	for _, b := range d.backendsByID {
 		if b == nil || listed[b.name] || b.State == balancer.Removed {
@@ -121,7 +123,7 @@
 	}
 }
 
-// updateBackend takes what the endpoint list says of a backend now.
+// updateBackend applies the current entry of a backend.
 func (d *Dispatcher) updateBackend(now balancer.Tick, b *backend, endpoint balancer.Endpoint) {
 	if endpoint.State != balancer.Ready || endpoint.StartedAt != b.StartedAt || endpoint.Version != b.Version {
 		d.callbacks.CloseIdle(b.name) // its connections are of no more use
@@ -137,8 +139,9 @@
 	d.balancer.OnEndpoint(now, &b.Backend, endpoint)
 }
 
-// forgetRemoved drops backends that have gone, the longest first: as long as there are more of them than listed ones, and
-// nothing about them counts any more. Until then one may come back as it was, or a late report may name it.
+// forgetRemoved drops removed backends, the longest removed first, while there are more removed than listed ones. It
+// keeps a backend that has an attempt in flight or whose retention has not ended: such a backend may be listed again
+// unchanged, or a late report may name it.
 func (d *Dispatcher) forgetRemoved(now balancer.Tick) {
 	for len(d.removed) > len(d.backends)-len(d.removed) {
 		b := d.removed[0]
@@ -151,7 +154,7 @@
 	}
 }
 
-// EndpointFetchFailed tells that a call for the endpoint list that the balancer asked for came to nothing.
+// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed.
 func (d *Dispatcher) EndpointFetchFailed() {
 	if !d.pollsEndpoints {
 		return
@@ -161,7 +164,8 @@
 	d.balancer.OnListSynced(d.clock.now(), false)
 }
 
-// ReadyBackends are those that may get attempts, in the order in which they were first listed.
+// ReadyBackends are the backends that may get attempts, in the order of their IDs. That is the order in which the
+// backends were first listed, except that the ID of a dropped backend is used again.
 func (d *Dispatcher) ReadyBackends() (ready []Backend) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,7 +177,8 @@
 	return ready
 }
 
-// IsCurrent tells whether a backend still is where it was chosen, and may get attempts.
+// IsCurrent reports whether a backend still has the address and start time that it was chosen with, and may get
+// attempts.
 func (d *Dispatcher) IsCurrent(b Backend) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,7 +186,7 @@
 	return known != nil && known.State == balancer.Ready && known.identity() == b
 }
 
-// ProbeEnded takes how a probe of a backend ended, as Report does for an attempt.
+// ProbeEnded records the result of a probe of a backend, as Report does for an attempt.
 func (d *Dispatcher) ProbeEnded(name, state string, status transport.CloseStatus, took time.Duration, load []float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -6,54 +6,55 @@
 	"silvercove/balancer"
 )
 
-// Request is one request as a client put it.
+// Request is one request as a client sent it.
 type Request struct {
 	Class, Tenant, Key string
 	ReceivedAt         time.Time     // when its last byte was read
-	Timeout            time.Duration // how long its client waits from then on
-	EstimatedWork      time.Duration // a guess, 0 for none
+	Timeout            time.Duration // how long the client waits, from ReceivedAt on
+	EstimatedWork      time.Duration // an estimate; 0 means unknown
 	Write              bool
-	ClientRetry        bool // its client says that it has asked before
+	ClientRetry        bool // the client says that it has sent the same request before
 
-	// ClientClosed tells whether its client has closed the connection. It is asked without the dispatcher being locked.
-	// nil: whoever serves the client calls Abandon in time.
+	// ClientClosed reports whether the client has closed the connection. It is called without the dispatcher's lock. If
+	// it is nil, whoever serves the client calls Abandon in time.
 	ClientClosed func() bool
 }
 
-// Call is one request that was accepted. One goroutine at a time may use it; Abandon may come from another.
+// Call is one accepted request. Only one goroutine at a time may use it, except that Abandon may be called from any
+// other.
 type Call struct {
 	request      balancer.Request
 	class        int
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // the balancer or the load policy has it
-	abandoned    bool      // its client went before that; guarded by the dispatcher's lock
-	steps        chan Step // at most one attempt and one final answer are ever waiting, so that a send never blocks
+	submitted    bool      // the balancer has it, or the fleet policy has shed it
+	abandoned    bool      // the client left before the call was submitted; guarded by the dispatcher's lock
+	steps        chan Step // at most one attempt and one final answer wait in it at any time, so that a send never blocks
 }
 
-// stepBuffer has room for more steps than can wait for a call.
+// stepBuffer is the capacity of Call.steps. It is larger than the number of steps that can wait for a call.
 const stepBuffer = 4
 
-// Step is what is to be done for a call: an attempt, or else a final answer.
+// Step is the next thing to do for a call: either an attempt or a final answer.
 type Step struct {
 	Attempt    *Attempt
 	Answer     FinalAnswer
-	RetryAfter time.Duration // of a rejection; 0: the client is told none
+	RetryAfter time.Duration // of a rejection; 0: the client is given no time
 }
 
-// FinalAnswer is a final answer of the relay's own.
+// FinalAnswer is an answer that the relay itself gives and that ends a call.
 type FinalAnswer uint8
 
 // The final answers.
 const (
 	NoAnswer   FinalAnswer = iota
-	Rejected               // nothing has run: another try is harmless
-	Failed                 // no promise
-	ClientGone             // the client has left, and nothing is owed
+	Rejected               // nothing has run at a backend: a retry by the client is harmless
+	Failed                 // the request may have run: nothing is promised about its effect
+	ClientGone             // the client has left: no answer is sent
 )
 
-// Accept makes a call of a request. False: the settings name no such class.
+// Accept makes a call of a request. It returns false if the settings have no class of the request's name.
 func (d *Dispatcher) Accept(r Request) (*Call, bool) {
 	class, ok := d.classes[r.Class]
 	if !ok {
@@ -78,8 +79,8 @@
 	return call, true
 }
 
-// Next waits for the next thing to do for a call. The first call hands it to the balancer, unless the fleet sheds it. After
-// a final answer it must not be called again.
+// Next blocks until there is a next step for a call. The first Next hands the call to the balancer, unless the fleet
+// policy sheds it. Next must not be called again after it has returned a final answer.
 func (d *Dispatcher) Next(c *Call) Step {
 	if !c.submitted {
 		c.submitted = true
@@ -90,7 +91,8 @@
 	return <-c.steps
 }
 
-// submit hands a call to the balancer or has it shed. False: its client has gone before.
+// submit hands a call to the balancer, or rejects it if the fleet policy sheds it. It returns false if the client has
+// already left.
 func (d *Dispatcher) submit(c *Call) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +112,8 @@
 	return true
 }
 
-// admit asks the fleet about a call that has just come. Nothing of it has been sent, so a rejection keeps its promise.
+// admit asks the fleet policy whether to take a call that has just arrived. No attempt of the call has been sent yet,
+// so a rejection truthfully promises that a retry is harmless.
 func (d *Dispatcher) admit(c *Call) (retryAfter time.Duration, ok bool) {
 	if d.callbacks.FleetPolicy == nil {
 		return 0, true
@@ -122,7 +125,7 @@
 	return min(retryAfter, d.maxRetryAfter), ok
 }
 
-// finish gives a call its final answer; one whose client has left gets none.
+// finish gives a call its final answer. A call whose client has left gets none.
 func (d *Dispatcher) finish(request *balancer.Request, step Step) {
 	call := d.calls[request]
 	if call == nil {
@@ -138,8 +141,8 @@
 	call.steps <- step
 }
 
-// Abandon tells that a call's client has gone. Next returns ClientGone then, unless an attempt or another final answer
-// waits before it.
+// Abandon records that the client of a call has left. From then on Next returns ClientGone, after an attempt or another
+// final answer that is already waiting.
 func (d *Dispatcher) Abandon(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -7,64 +7,69 @@
 	"silvercove/balancer"
 )
 
-// Callbacks are what the balancer acts with, beside attempts. They are called while the dispatcher is locked, except for
-// OnEndpoints and OnStage: none of them may block or call the dispatcher.
+// Callbacks carry out what the balancer decides, except for attempts. All but OnEndpoints and OnStage are called with
+// the dispatcher's lock held. None of them may block or call the dispatcher.
 type Callbacks struct {
 	// Vote casts a vote on a version.
 	Vote func(Vote)
-	// WatchEndpoints subscribes to changes of the endpoint list, or ends that.
+	// WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 	WatchEndpoints func(on bool)
-	// FetchEndpoints asks for the whole endpoint list once. The balancer does not ask for it today.
+	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today.
 	FetchEndpoints func()
-	// Probe checks a backend. ProbeEnded takes how that ended. The balancer does not ask for it today.
+	// Probe checks a backend; ProbeEnded takes the result. The balancer does not call it today.
 	Probe func(Backend)
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle func(backend string)
-	// Log takes a line for the people on call: a constant message and what it is about. The balancer's lines
-	// come here too. nil: nobody wants them.
+	// Log writes a log line for the operators: a constant message with its fields. It also gets the log lines of the
+	// balancer. If it is nil, log lines are dropped.
 	Log func(message string, fields ...slog.Attr)
 
-	// OnEndpoints and OnStage hand on what the dispatcher is told, before it takes it itself. nil: nobody wants it.
+	// OnEndpoints and OnStage, if set, are given each update of the endpoint list and of the stage before the
+	// dispatcher applies it.
 	OnEndpoints func(complete bool, endpoints []Endpoint)
 	OnStage     func(RolloutStage)
 
-	// Evidence keeps what was seen of each version; nil for none.
+	// Evidence, if set, records the outcomes of each version.
 	Evidence EvidenceRecorder
 
-	// FleetPolicy decides for the fleet what is shed, retried and probed; nil for a relay on its own.
+	// FleetPolicy, if set, decides for the whole fleet what is shed, retried and probed. It is nil for a relay that
+	// belongs to no fleet.
 	FleetPolicy FleetPolicy
 }
 
-// FleetPolicy is what a relay of a fleet asks before it acts. It is called while the dispatcher is locked, and may not
-// block.
+// FleetPolicy holds the decisions that the relays of a fleet make together. It is called with the dispatcher's lock
+// held and must not block.
 type FleetPolicy interface {
-	// Admit tells whether a request goes to the balancer. One that does not is rejected at once, with a time to come back.
+	// Admit reports whether a request goes to the balancer. If not, the request is rejected at once, and its client may
+	// come back after retryAfter.
 	Admit(class int, priorityWeight float64, tenant string, clientRetry bool) (ok bool, retryAfter time.Duration)
-	// RecordFirstAttempt records the first attempt of a request that is not its client's retry.
+	// RecordFirstAttempt records the first attempt of a request that is not a retry by its client.
 	RecordFirstAttempt()
-	// AllowRetry tells whether one more attempt of a request may go out.
+	// AllowRetry reports whether a request may have one more attempt.
 	AllowRetry(clientRetry bool) bool
-	// RecordOutcome takes the outcome of an attempt that tells something of its backend.
+	// RecordOutcome records the outcome of an attempt, if the outcome tells how well the backend is.
 	RecordOutcome(backend string, good bool)
-	// RecordServiceTime takes how long a backend took for an attempt that succeeded.
+	// RecordServiceTime records how long a backend took for an attempt that succeeded.
 	RecordServiceTime(class int, took time.Duration)
-	// IsEjected tells whether the relays of the fleet together have ejected a backend. Asked only of one that is not on probation here.
+	// IsEjected reports whether the relays of the fleet together have ejected a backend. It is called only for a
+	// backend that is not on probation at this relay.
 	IsEjected(backend string) bool
-	// AllowProbe tells whether an attempt of this relay may try a backend that is on probation or that others have ejected.
+	// AllowProbe reports whether an attempt of this relay may go to a backend that is on probation or that other relays
+	// have ejected.
 	AllowProbe(backend string) bool
 }
 
-// EvidenceRecorder takes what the balancer learns of versions, and each vote with its reason. It is called while the
-// dispatcher is locked, and may not block.
+// EvidenceRecorder records what the balancer learns about versions, and each vote with its reason. It is called with
+// the dispatcher's lock held and must not block.
 type EvidenceRecorder interface {
-	// UpdateVersion takes what the release API says of the newest version.
+	// UpdateVersion records the phase of the newest version, as the release API names it.
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
-	// RecordOutcome takes the outcome of an attempt of this relay.
+	// RecordOutcome records the outcome of an attempt of this relay.
 	RecordOutcome(now balancer.Tick, version uint16, class, stage int, bad bool)
-	// RecordWrongAnswer takes a client's report of a wrong answer, which was sent so long ago.
+	// RecordWrongAnswer records a client's report of a wrong answer to an attempt that was sent the given delay ago.
 	RecordWrongAnswer(now balancer.Tick, version uint16, class, stage int, delay balancer.Tick)
-	// RecordReleaseMetrics takes what the release API counted.
+	// RecordReleaseMetrics records attempts and failures that the release API counted.
 	RecordReleaseMetrics(now balancer.Tick, version uint16, class, stage, attempts, failed int)
-	// RecordVote takes a vote of this relay.
+	// RecordVote records a vote of this relay.
 	RecordVote(now balancer.Tick, version uint16, stage int, verdict, reason string)
 }
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -6,12 +6,13 @@
 	"silvercove/balancer"
 )
 
-// tickDuration is one tick of the balancer.
+// tickDuration is the length of one tick of the balancer's clock.
 const tickDuration = time.Second / time.Duration(balancer.Second)
 
-// clock gives the balancer's time: Unix time as the machine had it at the start, going on evenly from there.
+// clock gives the balancer's time: Unix time as the machine had it at the start, advanced by the monotonic clock from
+// there.
 type clock struct {
-	start     time.Time // with its monotonic reading
+	start     time.Time // with its monotonic clock reading
 	startTick balancer.Tick
 }
 
@@ -27,7 +28,7 @@
 
 func (c clock) timeAt(t balancer.Tick) time.Time { return c.start.Add(durationOf(t - c.startTick)) }
 
-// ticksOf rounds towards zero.
+// ticksOf converts a duration to ticks, rounding towards zero.
 func ticksOf(d time.Duration) balancer.Tick { return balancer.Tick(d / tickDuration) }
 
 func durationOf(t balancer.Tick) time.Duration { return time.Duration(t) * tickDuration }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -13,15 +13,15 @@
 	Accepted, Succeeded, Rejected, Failed, Abandoned int64
 }
 
-// Counters count what went through the dispatcher since the start. OpenRequests, InFlight and Backends are what there is
-// now.
+// Counters count what has passed through the dispatcher since the start, except for OpenRequests, InFlight and
+// Backends, which are current numbers.
 type Counters struct {
 	Classes         []ClassCounters
 	Outcomes        [balancer.Discarded + 1]int64 // of attempts
 	VoteOutcomes    [balancer.Discarded + 1]int64
 	Attempts        int64
 	Votes           int64
-	Shed            int64 // requests, by the fleet
+	Shed            int64 // requests that the fleet policy shed
 	EndpointUpdates int64
 	StageUpdates    int64
 	ReleaseMetrics  int64
@@ -29,14 +29,14 @@
 	OpenRequests    int64
 	InFlight        int64 // attempts
 	Backends        int64
-	Wakeups         int64 // timers that were called
+	Wakeups         int64 // timers that fired
 	WakeupDelayMean time.Duration
 	WakeupDelayMax  time.Duration
-	TimerCallMean   time.Duration // what the balancer takes for one
+	TimerCallMean   time.Duration // how long the balancer takes for one timer
 	TimerCallMax    time.Duration
 }
 
-// Snapshot copies the counters.
+// Snapshot returns a copy of the counters.
 func (d *Dispatcher) Snapshot() Counters {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,13 +1,15 @@
-// Package dispatch is the blocking facade of the balancer. It serialises all calls of one balancer, is the balancer's host,
-// and alone knows what the balancer's requests, attempts and backends stand for.
+// Package dispatch is the blocking facade of the balancer. It serialises all calls of one balancer, implements the
+// balancer's Host, and is the only package that maps the balancer's requests, attempts and backends to those of
+// clients, connections and the endpoint list.
 //
-// A listener drives it so: Accept makes a Call of a request, Next blocks until the call has something to do, which is an
-// attempt or a final answer of the relay's own. An attempt is announced with Begin before its first byte is written, and ends
-// with Report. Abandon tells that the client has gone. Beside requests come the news: UpdateEndpoints of the endpoint list,
-// UpdatePlacements of where instances run, UpdateStage and the Record methods of the release API.
+// A listener uses it as follows. Accept makes a Call of a request. Next blocks until the call has a step: an attempt,
+// or a final answer of the relay itself. Begin announces an attempt before its first byte is written, and Report ends
+// the attempt. Abandon records that the client has left. Besides requests, the dispatcher takes updates:
+// UpdateEndpoints for the endpoint list, UpdatePlacements for where instances run, and UpdateStage and the Record
+// methods for the release API.
 //
-// Every exported method of Dispatcher may be called from any goroutine. None but Next and RunTimers blocks. The package
-// starts no goroutine; whoever runs RunTimers owns it.
+// Every exported method of Dispatcher may be called from any goroutine. Only Next and RunTimers block. The package
+// starts no goroutine; whoever runs RunTimers owns its goroutine.
 package dispatch
 
 import (
@@ -20,39 +22,39 @@
 	"silvercove/internal/wakeup"
 )
 
-// Dispatcher stands before one balancer.
+// Dispatcher serialises the calls of one balancer.
 type Dispatcher struct {
-	// Fixed by New.
+	// Set by New and constant afterwards.
 	callbacks      Callbacks
 	clock          clock
 	classes        nameIndex
-	priorityWeight []float64 // of each class
+	priorityWeight []float64 // by class
 	zones          nameIndex
 	machineKinds   nameIndex
 	tenants        nameIndex
 	loadColumns    []string
-	maxRetryAfter  time.Duration // 0 where clients are told none
-	pollsEndpoints bool          // changes of the endpoint list come only when they are asked for
-	retention      balancer.Tick // how long a removed backend still counts for something
+	maxRetryAfter  time.Duration // 0 if clients are given no time to retry after
+	pollsEndpoints bool          // changes of the endpoint list arrive only in answer to calls for it
+	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
-	timerWaker *wakeup.Waker // the earliest timer may have changed
+	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
 
-	mu            sync.Mutex // guards all that follows; held for every call of the balancer, also while it calls its host
+	mu            sync.Mutex // guards all fields below; held during every call of the balancer, also while the balancer calls its host
 	balancer      *balancer.Balancer
 	timers        []timer
 	timerStats    timerStats
 	lastRequestID uint64
-	calls         map[*balancer.Request]*Call // without a final answer
+	calls         map[*balancer.Request]*Call // those without a final answer
 	attempts      map[*balancer.Attempt]*Attempt
 	backends      map[string]*backend  // by name
-	backendsByID  []*backend           // in the order in which they were first listed; nil where one was forgotten
-	removed       []*backend           // those that are not listed any more, the longest first
-	instances     map[string]*instance // by name; nil outside of a fleet
+	backendsByID  []*backend           // by ID; nil where a backend was dropped, and its ID is free
+	removed       []*backend           // backends that are no longer listed, the longest removed first
+	instances     map[string]*instance // by name; nil for a relay that belongs to no fleet
 	stage         int                  // of the newest version
 	counters      Counters
 }
 
-// New makes the balancer of a site. The callbacks may be called from then on, before New returns too.
+// New makes the balancer of a site. The callbacks may be called from then on, even before New returns.
 func New(seed uint64, site settings.Site, callbacks Callbacks) *Dispatcher {
 	d := &Dispatcher{
 		callbacks:      callbacks,
@@ -91,26 +93,27 @@
 	d.classes = newNameIndex(names)
 }
 
-// retention sums the spans within which a backend that has gone may still matter: it may come back as it was, its slow
-// start and the exposure at it are counted on, or a late report may name it.
+// retention is the sum of the spans within which a removed backend may still matter: it may be listed again unchanged,
+// its slow start and its share of the exposure still count, or a late report may name it.
 func retention(s balancer.Settings) balancer.Tick {
 	return s.SlowStart.Window.Ticks() + s.SlowStart.OverloadWindow.Ticks() + s.Rollout.ExposureWindow.Ticks()
 }
 
-// WithLock runs do while no call of the balancer is under way, such as a copy of what the evidence recorder keeps. It may
-// not block, nor call the dispatcher.
+// WithLock runs a function while no call of the balancer is under way, for example to copy what the evidence recorder
+// keeps. The function must neither block nor call the dispatcher.
 func (d *Dispatcher) WithLock(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do()
 }
 
-// Load is what is in flight at backends and what is queued, as a fraction of the balancer's own concurrency limit.
+// Load is the number of attempts in flight and of queued requests, as a fraction of the balancer's own concurrency
+// limit.
 func (d *Dispatcher) Load() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.balancer.Load()
 }
 
-// LoadColumns are the names of the values of a load report, in their order.
+// LoadColumns are the names of the values of a load report, in the order of the values.
 func (d *Dispatcher) LoadColumns() []string { return d.loadColumns }
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -8,10 +8,10 @@
 	"silvercove/balancer"
 )
 
-// host is the dispatcher as its balancer sees it. All of its methods run while the dispatcher is locked.
+// host implements balancer.Host for a dispatcher. All of its methods run with the dispatcher's lock held.
 type host struct{ dispatcher *Dispatcher }
 
-// StartAttempt hands an attempt to whoever waits in Next.
+// StartAttempt hands an attempt to the goroutine that waits in Next for the call.
 func (h host) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
 	d := h.dispatcher
 	call, backend := d.calls[attempt.Request], d.backendsByID[attempt.Backend.ID]
@@ -35,12 +35,12 @@
 	call.steps <- Step{Attempt: started}
 }
 
-// Reject ends a request with the promise that trying again is harmless.
+// Reject answers a request for good, with the promise that a retry is harmless.
 func (h host) Reject(request *balancer.Request, retryAfter balancer.Tick) {
 	h.dispatcher.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
 }
 
-// Fail ends a request without any promise.
+// Fail answers a request for good, without a promise about its effect.
 func (h host) Fail(request *balancer.Request) { h.dispatcher.finish(request, Step{Answer: Failed}) }
 
 // CancelAttempt stops waiting for an attempt.
@@ -50,18 +50,18 @@
 	}
 }
 
-// SetTimer has OnTimer called at or after a time.
+// SetTimer requests a call of OnTimer with a tag at the given time or later.
 func (h host) SetTimer(at balancer.Tick, tag uint32) {
 	h.dispatcher.timers = append(h.dispatcher.timers, timer{dueAt: at, tag: tag})
 	h.dispatcher.timerWaker.Wake()
 }
 
-// Probe checks a backend. Not asked for today.
+// Probe checks a backend. The balancer does not call it today.
 func (h host) Probe(b *balancer.Backend) {
 	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
 }
 
-// CloseIdle closes the idle connections to a backend. Not asked for today.
+// CloseIdle closes the idle connections to a backend. The balancer does not call it today.
 func (h host) CloseIdle(b *balancer.Backend) {
 	h.dispatcher.callbacks.CloseIdle(h.dispatcher.backendsByID[b.ID].name)
 }
@@ -69,15 +69,15 @@
 // SendGossip does nothing: the settings of a real relay allow no messages between balancers.
 func (h host) SendGossip(uint32, []byte) {}
 
-// Log writes a line for the people on call.
+// Log writes a log line for the operators.
 func (h host) Log(message string, fields ...slog.Attr) {
 	h.dispatcher.callbacks.Log(message, fields...)
 }
 
-// WatchEndpoints subscribes to changes of the endpoint list, or ends that.
+// WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 func (h host) WatchEndpoints(on bool) { h.dispatcher.callbacks.WatchEndpoints(on) }
 
-// FetchEndpoints asks for the whole endpoint list once. Not asked for today.
+// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today.
 func (h host) FetchEndpoints() { h.dispatcher.callbacks.FetchEndpoints() }
 
 // CastVote casts a vote on a version.
@@ -90,19 +90,19 @@
 	d.callbacks.Vote(Vote{Version: version, Stage: stage, Verdict: releaseVerdicts[verdict]})
 }
 
-// AllowRetry tells whether a request may have one more attempt, as far as the fleet is concerned.
+// AllowRetry reports whether the fleet policy allows a request one more attempt.
 func (h host) AllowRetry(request *balancer.Request) bool {
 	policy := h.dispatcher.callbacks.FleetPolicy
 	return policy == nil || policy.AllowRetry(request.ClientRetry)
 }
 
-// IsEjected tells whether other relays of the fleet have ejected a backend.
+// IsEjected reports whether the relays of the fleet together have ejected a backend.
 func (h host) IsEjected(b *balancer.Backend) bool {
 	policy := h.dispatcher.callbacks.FleetPolicy
 	return policy != nil && policy.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
-// AllowProbe tells whether an attempt may try a backend on probation, as far as the fleet is concerned.
+// AllowProbe reports whether the fleet policy allows an attempt at a backend that is on probation.
 func (h host) AllowProbe(b *balancer.Backend) bool {
 	policy := h.dispatcher.callbacks.FleetPolicy
 	return policy == nil || policy.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// nameIndex numbers the names of a list of the settings by their places.
+// nameIndex maps the names of a list in the settings to their indexes in it.
 type nameIndex map[string]int
 
-// newNameIndex takes a list of names. Of two with one name the last one counts.
+// newNameIndex indexes a list of names. If a name occurs twice, its last index counts.
 func newNameIndex(names []string) nameIndex {
 	index := make(nameIndex, len(names))
 	for i, name := range names {
@@ -12,8 +12,8 @@
 	return index
 }
 
-// number is the place of a name. One that the list lacks is none of those there, least of all the first: it gets a number
-// below 0 by its own letters.
+// number returns the index of a name. A name that the list lacks must not be taken for any listed name, least of all
+// the first, so it gets a negative number that is derived from its hash.
 func (x nameIndex) number(name string) int {
 	if at, ok := x[name]; ok {
 		return at
@@ -21,8 +21,8 @@
 	return -1 - int(hashKey(name)>>1)
 }
 
-// zoneNumber is the number of an endpoint's zone. Of an endpoint without one nobody knows which others drop the same
-// repeated requests, so it gets a zone of its own.
+// zoneNumber returns the number of an endpoint's zone. Without a zone nobody knows which other endpoints drop the same
+// repeated requests, so an endpoint without one gets a zone of its own.
 func (d *Dispatcher) zoneNumber(e Endpoint) int {
 	if _, listed := d.zones[e.Zone]; e.Zone == "" && !listed {
 		return d.zones.number("\x00" + e.Name)
@@ -30,13 +30,13 @@
 	return d.zones.number(e.Zone)
 }
 
-// Parameters of FNV-1a with 64 bits.
+// Parameters of 64-bit FNV-1a.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// hashKey tells keys apart (FNV-1a); 0 is no key.
+// hashKey hashes a key with FNV-1a. The hash 0 stands for no key.
 func hashKey(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -8,10 +8,11 @@
 	"silvercove/internal/transport"
 )
 
-// The functions of this file are the one place where answers and the ends of connections become the balancer's outcomes.
+// The functions of this file are the only place that maps answers and the ends of connections to the balancer's
+// outcomes.
 
-// AttemptOutcome maps how an attempt ended: the SQLSTATE of its answer, or with none ("") how its connection ended. What is
-// uncertain may have run.
+// AttemptOutcome maps the end of an attempt to an outcome: by the SQLSTATE of the answer or, without an answer (""), by
+// how the connection ended. In case of doubt the outcome is one of a request that may have run.
 func AttemptOutcome(state string, status transport.CloseStatus) balancer.Outcome {
 	switch state {
 	case "":
@@ -24,7 +25,7 @@
 	return balancer.Errored
 }
 
-// outcomeWithoutAnswer maps how a connection ended. Before the last byte was written nothing can have run.
+// outcomeWithoutAnswer maps how a connection ended to an outcome. Until the last byte was written nothing can have run.
 func outcomeWithoutAnswer(status transport.CloseStatus) balancer.Outcome {
 	switch {
 	case !status.Flushed && status.Reason == transport.Canceled:
@@ -36,10 +37,11 @@
 	case status.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // also what cannot be read
+	return balancer.Reset // also for an answer that cannot be read
 }
 
-// VoteOutcome maps how a vote ended: the HTTP status of its answer, 0 with none that can be read.
+// VoteOutcome maps the end of a vote to an outcome, by the HTTP status of its answer. The status is 0 without an answer
+// that can be read.
 func VoteOutcome(httpStatus int, status transport.CloseStatus) balancer.Outcome {
 	switch httpStatus {
 	case http.StatusOK:
@@ -58,8 +60,9 @@
 	return balancer.TimedOut
 }
 
-// MirrorOutcome maps how an attempt at a mirror of a repository ended: the HTTP status of its answer, 0 with none, and
-// whether what it said was accepted. What is not accepted is as good as what cannot be read.
+// MirrorOutcome maps the end of an attempt at a mirror of a repository to an outcome. httpStatus is 0 without an
+// answer. accepted reports whether the content of the answer was accepted; content that is not accepted counts like an
+// answer that cannot be read.
 func MirrorOutcome(httpStatus int, accepted bool, status transport.CloseStatus) balancer.Outcome {
 	switch {
 	case accepted:
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -2,33 +2,34 @@
 
 import "silvercove/balancer"
 
-// Placement is where an instance runs, as the controllers told it. Backend is "" while it runs nowhere.
+// Placement is where an instance runs, according to the controllers. Backend is "" while the instance runs nowhere.
 type Placement struct {
 	Instance, Backend string
 	Epoch, Revision   uint64
 }
 
-// newerThan tells whether a placement is later news of its instance than another.
+// newerThan reports whether a placement is newer than another one of the same instance.
 func (p Placement) newerThan(other Placement) bool {
 	return p.Epoch > other.Epoch || p.Epoch == other.Epoch && p.Revision > other.Revision
 }
 
-// instance is the last placement of an instance, with the calls that wait for it or are at work there.
+// instance holds the last known placement of an instance, and the open calls for the instance, queued or in flight.
 type instance struct {
 	Placement
 	calls map[*balancer.Request]struct{}
 }
 
-// FollowPlacements pins calls to the backend that the instance of their key runs at, from now on. It is called before any
-// call comes, where an operator's file names a fleet.
+// FollowPlacements pins each call from now on to the backend that runs the instance of the call's key. A relay whose
+// configuration file names a fleet calls it before the first call arrives.
 func (d *Dispatcher) FollowPlacements() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.instances = map[string]*instance{}
 }
 
-// UpdatePlacements takes where instances run: all of them, or those that changed and those that are there no more. Older
-// news of an instance than what is known changes nothing. It returns those that run elsewhere from now on.
+// UpdatePlacements applies an update of where instances run: of all instances, or of those that changed and those that
+// were deleted. A placement that is not newer than the known one of its instance changes nothing. UpdatePlacements
+// returns the placements of the instances that have moved.
 func (d *Dispatcher) UpdatePlacements(complete bool, placements []Placement, deleted []string) (moved []Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +57,8 @@
 	return moved
 }
 
-// place takes one placement. It returns whether the instance runs elsewhere, or anew, from now on.
+// applyPlacement applies the placement of one instance. It reports whether the instance has moved: to another backend,
+// or to a new epoch.
 func (d *Dispatcher) applyPlacement(p Placement) (moved bool) {
 	i := d.instances[p.Instance]
 	if i == nil {
@@ -70,7 +72,7 @@
 	return moved
 }
 
-// removePlacement takes that an instance is there no more. It is kept as long as calls wait for it.
+// removePlacement records that an instance was deleted. Its entry stays as long as calls wait for the instance.
 func (d *Dispatcher) removePlacement(name string) {
 	i := d.instances[name]
 	if i == nil {
@@ -89,7 +91,7 @@
 	return i
 }
 
-// repin points the open calls of an instance to where it is.
+// repin points the open calls of an instance to the backend that runs it.
 func (d *Dispatcher) repin(i *instance) {
 	var at *balancer.Backend
 	if b := d.backends[i.Backend]; b != nil {
@@ -100,7 +102,8 @@
 	}
 }
 
-// repinCalls does so for all open calls: a backend may have come after the news of what runs there.
+// repinCalls points all open calls to the backends of their instances: a backend may be listed only after a placement
+// has named it.
 func (d *Dispatcher) repinCalls() {
 	for _, call := range d.calls {
 		if i := d.instances[call.key]; i != nil {
@@ -109,8 +112,8 @@
 	}
 }
 
-// pin ties a call that has just come to its instance. One for an instance that nobody has told of waits too, as news may be
-// late.
+// pin ties a call that has just arrived to the instance of its key. A call for an unknown instance waits too, as the
+// placement may arrive late.
 func (d *Dispatcher) pin(c *Call) {
 	if d.instances == nil || c.key == "" {
 		return
@@ -126,7 +129,7 @@
 	}
 }
 
-// unpin forgets a call that has its final answer.
+// unpin removes a call that has ended from its instance.
 func (d *Dispatcher) unpin(c *Call) {
 	i := d.instances[c.key]
 	if i == nil {
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -8,16 +8,16 @@
 	"silvercove/internal/transport"
 )
 
-// RolloutStage is what the release API says of the newest version.
+// RolloutStage is the state of the newest version, as the release API gives it.
 type RolloutStage struct {
 	Version     uint16
 	Stage       int    // counted from 0
 	Phase       string // testing, recalling, live or recalled
 	ExposureCap float64
-	Age         time.Duration // of the stage
+	Age         time.Duration // time since the stage began
 }
 
-// rolloutPhases are the phases by their names on the release API.
+// rolloutPhases maps the names of the phases on the release API to the balancer's phases.
 var rolloutPhases = map[string]balancer.RolloutPhase{
 	"testing":   balancer.Canary,
 	"recalling": balancer.RollingBack,
@@ -25,13 +25,13 @@
 	"recalled":  balancer.Withdrawn,
 }
 
-// Valid tells whether a stage makes sense.
+// Valid reports whether the phase is known and the numbers are within their ranges.
 func (s RolloutStage) Valid() bool {
 	_, known := rolloutPhases[s.Phase]
 	return known && s.Stage >= 0 && s.ExposureCap >= 0 && s.ExposureCap <= 1 && s.Age >= 0
 }
 
-// releaseStatus gives a stage in the balancer's terms.
+// releaseStatus converts a stage to the balancer's type.
 func (s RolloutStage) releaseStatus() balancer.ReleaseStatus {
 	return balancer.ReleaseStatus{
 		Version:     s.Version,
@@ -43,14 +43,14 @@
 	}
 }
 
-// Vote is one vote as the release API words it.
+// Vote is one vote, in the terms of the release API.
 type Vote struct {
 	Version uint16
 	Stage   int
 	Verdict string // PROCEED, HOLD or ROLLBACK; WITHDRAW is not cast today
 }
 
-// releaseVerdicts are the release API's names of the verdicts.
+// releaseVerdicts are the names of the verdicts on the release API.
 var releaseVerdicts = map[balancer.Verdict]string{
 	balancer.NoVote:   "WITHDRAW",
 	balancer.Promote:  "PROCEED",
@@ -58,7 +58,7 @@
 	balancer.RollBack: "ROLLBACK",
 }
 
-// verdictNames are those that the evidence keeps, and that stand in files of earlier releases.
+// verdictNames are the names of the verdicts in the evidence, including evidence files of earlier releases.
 var verdictNames = map[balancer.Verdict]string{
 	balancer.NoVote:   "withdraw",
 	balancer.Promote:  "go on",
@@ -66,7 +66,7 @@
 	balancer.RollBack: "go back",
 }
 
-// UpdateStage takes news of the newest version. The stage has to be valid.
+// UpdateStage takes the current stage of the newest version, which must be valid.
 func (d *Dispatcher) UpdateStage(s RolloutStage) {
 	if d.callbacks.OnStage != nil {
 		d.callbacks.OnStage(s)
@@ -85,7 +85,7 @@
 	}
 }
 
-// VoteAnswered takes the answer to a vote: an HTTP status and what it tells, or no answer (0).
+// VoteAnswered takes the answer to a vote: an HTTP status with the stage that it carries, or no answer (0).
 func (d *Dispatcher) VoteAnswered(httpStatus int, s RolloutStage, status transport.CloseStatus) {
 	reply := s.releaseStatus()
 	reply.VoteReply = true
@@ -103,8 +103,8 @@
 	d.balancer.OnReleaseStatus(d.clock.now(), reply)
 }
 
-// RecordReleaseMetrics takes what the release API counted of a version and class: its attempts, those that failed and
-// the mean time of the others, in a period that ended so long ago.
+// RecordReleaseMetrics takes what the release API counted for a version and class in one period: the attempts, those
+// that failed and the mean time of the others. age is the time since the end of the period.
 func (d *Dispatcher) RecordReleaseMetrics(version uint16, class string, attempts, failed int, took, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -119,7 +119,7 @@
 	d.balancer.OnMetrics(d.clock.now(), version, index, attempts, failed, ticksOf(took), ticksOf(age))
 }
 
-// RecordWrongAnswer takes that an answer of a backend was wrong, to an attempt that was sent so long ago.
+// RecordWrongAnswer records a report that a backend answered wrongly. age is the time since the attempt was sent.
 func (d *Dispatcher) RecordWrongAnswer(name, class string, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -135,12 +135,13 @@
 	d.balancer.OnWrongAnswer(d.clock.now(), &b.Backend, index, ticksOf(age))
 }
 
-// maxGossipMessages is the most messages in which evidence of an earlier run enters the balancer. What is left of it beyond
-// these is dropped.
+// maxGossipMessages bounds the number of gossip messages in which evidence of an earlier run enters the balancer.
+// Outcomes that do not fit into so many messages are dropped.
 const maxGossipMessages = 64
 
-// RestoreEvidence hands the balancer what was known of a version before a restart: outcomes of each class in the settings'
-// order, and how many of them were bad. They enter as another relay's counts do, in messages of what fits into one.
+// RestoreEvidence gives the balancer what was known about a version before a restart: the number of outcomes of each
+// class, in the order of the settings, and how many of them were bad. The counts enter as the counts of another relay
+// do, split into messages of the size that gossip allows.
 func (d *Dispatcher) RestoreEvidence(version uint16, outcomes, bad []int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,14 +155,14 @@
 	}
 }
 
-// takeGossipCounts takes as much off the outcomes of each class as one message has room for. The count of wrong answers
-// stays empty. remaining is false once nothing was left to take.
+// takeGossipCounts takes off the outcomes of each class as many as fit into one gossip message. The count of wrong
+// answers stays empty. remaining is false once there was nothing to take.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		if outcomes[class] > 0 { // its share of the bad ones, rounded up
+		if outcomes[class] > 0 { // the share of bad outcomes in this part, rounded up
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
 		counts[class] = balancer.GossipCount{Outcomes: uint8(part), Bad: uint8(badPart)}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -8,19 +8,20 @@
 	"silvercove/balancer"
 )
 
-// timer is one that the balancer has set.
+// timer is a timer that the balancer has set.
 type timer struct {
 	dueAt balancer.Tick
 	tag   uint32
 }
 
-// idleWait is how long the timers rest while none is set. SetTimer ends it.
+// idleWait is how long RunTimers sleeps while no timer is set. SetTimer wakes it.
 const idleWait = time.Hour
 
-// RunTimers calls the balancer's timers until the context ends. It has to run once for each dispatcher, and returns nil.
+// RunTimers fires the balancer's timers until the context ends, and then returns nil. It must run once for each
+// dispatcher.
 func (d *Dispatcher) RunTimers(ctx context.Context) error { return d.timerWaker.Run(ctx, d.fireTimers) }
 
-// fireTimers calls the timers that are due and tells how long it is until the next.
+// fireTimers fires the timers that are due and returns the time until the next timer is due.
 func (d *Dispatcher) fireTimers() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +42,8 @@
 	}
 }
 
-// earliestTimer gives the place of the timer that is due first, of several the one that was set first; -1: there is none.
+// earliestTimer returns the index of the timer that is due first, or -1 if no timer is set. Of several that are due at
+// the same time it picks the one that was set first.
 func (d *Dispatcher) earliestTimer() int {
 	earliest := -1
 	for i, t := range d.timers {
@@ -52,7 +54,7 @@
 	return earliest
 }
 
-// timerStats tell how late timers are called, and how long the balancer takes for them.
+// timerStats measure how late timers fire and how long the balancer takes for them.
 type timerStats struct {
 	timers   int64
 	delaySum time.Duration
