--- a/internal/routing/outcome_reports.go
+++ b/internal/routing/outcome_reports.go
@@ -9,16 +9,16 @@
 	"silvercove/internal/controllerclient"
 )
 
-// reportInterval is the time between two reports of outcomes to the controllers, and the timeout of one.
+// reportInterval is the time between two reports of outcomes to the controllers, and the timeout of one report.
 const reportInterval = time.Second
 
-// OutcomeReporter takes reports of outcomes. A *controllerclient.Client does.
+// OutcomeReporter sends reports of outcomes to the controllers. A *controllerclient.Client implements it.
 type OutcomeReporter interface {
 	ReportOutcomes(ctx context.Context, report controllerclient.OutcomeReport) error
 }
 
-// Report reports to the controllers how requests at edge nodes ended, until the context ends, and returns nil then. What a call
-// that failed would have told is dropped: outcomes speak for the moment.
+// Report reports the outcomes of requests at edge nodes to the controllers until the context ends, and then returns
+// nil. The outcomes of a report that failed are dropped, since outcomes describe the current state only.
 func (a *OverloadAgent) Report(ctx context.Context, to OutcomeReporter) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -41,7 +41,7 @@
 	}
 }
 
-// takeOutcomes returns the outcomes since the last call, by node, and the newest version's state.
+// takeOutcomes returns the outcomes since the last call, sorted by edge node, with the state of the newest version.
 func (a *OverloadAgent) takeOutcomes() controllerclient.OutcomeReport {
 	a.mu.Lock()
 	outcomes, stage := a.outcomes, a.stage
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// reportKind is the kind of the relays' reports among the members' payloads.
+	// reportKind is the payload kind under which relays publish their reports to other members.
 	reportKind = "overload"
 
 	// measureInterval is the time between two measurements, and between two reports to other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction: below this admitted fraction the relay counts as shedding in the log, which has two digits of it.
+	// sheddingFraction is the admitted fraction below which the log calls the relay shedding. The log rounds the
+	// fraction to two digits.
 	sheddingFraction = 0.99
 )
 
@@ -35,15 +36,16 @@
 	admittedFraction = metrics.GetOrCreateGauge("cove_relay_admits", nil)
 )
 
-// Membership has the fleet's members and their payloads. A *membership.Agent does.
+// Membership gives the members of the fleet and their payloads. A *membership.Agent implements it.
 type Membership interface {
 	Now() tick.Tick
 	Publish(kind string, data []byte) error
 	Members() []membership.Member
 }
 
-// OverloadAgent joins one relay to its fleet's decisions on overload: it measures what they need, exchanges reports, and is the
-// dispatcher's fleet policy. It is safe for concurrent use, Run by one goroutine.
+// OverloadAgent lets one relay take part in the overload decisions of its fleet: it measures the load, exchanges
+// reports with other relays, and is the dispatcher's fleet policy. It is safe for concurrent use, except that only one
+// goroutine may call Run.
 type OverloadAgent struct {
 	membership Membership
 	log        zerolog.Logger
@@ -52,15 +54,15 @@
 	mu       sync.Mutex // guards the fields below
 	manager  *overload.Manager
 	outcomes map[string]*controllerclient.NodeOutcomes // by edge node, since the last report to the controllers
-	stage    dispatch.RolloutStage                     // of the newest version, as the release API told it last
+	stage    dispatch.RolloutStage                     // of the newest version, as last received from the release API
 
-	// Run's goroutine alone has the fields below.
+	// The fields below belong to the goroutine of Run.
 	meter    pressureMeter
 	shedding bool // as last logged
 }
 
-// NewOverloadAgent makes the agent of a relay that has so many cores and bytes of memory. The seed draws what overload.Manager
-// draws.
+// NewOverloadAgent makes the agent of a relay with the given number of cores and bytes of memory. The seed is that of
+// the random numbers of overload.Manager.
 func NewOverloadAgent(members Membership, name string, seed uint64, settings map[string]any, cores float64, memory int64,
 	log zerolog.Logger) *OverloadAgent {
 
@@ -74,7 +76,7 @@
 	}
 }
 
-// Admit tells whether a request is taken, and else when the client may come back.
+// Admit reports whether a request is admitted. If not, retryAfter is the time after which its client may retry.
 func (a *OverloadAgent) Admit(class int, priorityWeight float64, tenant string, _ bool) (ok bool, retryAfter time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +95,7 @@
 	a.manager.RecordFirstAttempt(a.membership.Now())
 }
 
-// AllowRetry tells whether one more attempt of a request may go out.
+// AllowRetry reports whether a request may have one more attempt.
 func (a *OverloadAgent) AllowRetry(clientRetry bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +106,7 @@
 	return ok
 }
 
-// RecordOutcome takes how an attempt at an edge node ended.
+// RecordOutcome records the outcome of an attempt at an edge node.
 func (a *OverloadAgent) RecordOutcome(node string, succeeded bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,36 +123,36 @@
 	}
 }
 
-// RecordServiceTime takes how long an edge node took for an answer.
+// RecordServiceTime records how long an edge node took to answer a request of a class.
 func (a *OverloadAgent) RecordServiceTime(class int, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.manager.RecordServiceTime(a.membership.Now(), class, tick.FromDuration(took))
 }
 
-// OnStage takes where the newest version stands, as the release API told it.
+// OnStage records the stage of the newest version, as received from the release API.
 func (a *OverloadAgent) OnStage(stage dispatch.RolloutStage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stage = stage
 }
 
-// AllowProbe tells whether this relay may send a probe to an edge node that it suspects.
+// AllowProbe reports whether this relay may send a probe to an edge node that it suspects.
 func (a *OverloadAgent) AllowProbe(node string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.manager.AllowProbe(a.membership.Now(), node)
 }
 
-// IsEjected tells whether other relays have ejected an edge node.
+// IsEjected reports whether the relays of the fleet together have ejected an edge node.
 func (a *OverloadAgent) IsEjected(node string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.manager.IsEjected(a.membership.Now(), node)
 }
 
-// Wait waits for this relay's turn at a step of its start, or for the context's end. The turn comes sooner with reports of other
-// relays.
+// Wait blocks until this relay may take a startup step, or until the context ends. The delay gets shorter once reports
+// of other relays arrive.
 func (a *OverloadAgent) Wait(ctx context.Context, step overload.StartupStep) {
 	for ctx.Err() == nil {
 		a.updatePeers()
@@ -169,7 +171,7 @@
 	}
 }
 
-// Run measures and reports until the context ends, and returns nil then.
+// Run measures the load and publishes reports until the context ends, and then returns nil.
 func (a *OverloadAgent) Run(ctx context.Context, dispatcher *dispatch.Dispatcher) error {
 	ticker := time.NewTicker(measureInterval)
 	defer ticker.Stop()
@@ -186,7 +188,7 @@
 	}
 }
 
-// update takes a measurement and the reports of other relays in, and publishes this relay's report.
+// update applies a measurement and the reports of the other relays, and publishes this relay's report.
 func (a *OverloadAgent) update(pressure overload.Pressure) {
 	a.updatePeers()
 	a.mu.Lock()
@@ -204,11 +206,11 @@
 	}
 }
 
-// logShedding logs that the relay begins or ends to shed requests.
+// logShedding logs that the relay has begun or ended to shed requests.
 func (a *OverloadAgent) logShedding(admitted float64, pressure overload.Pressure) {
 	event, message := "admits", "load shedding ended"
 	if a.shedding {
-		event, message = "sheds", "load shedding begun"
+		event, message = "sheds", "load shedding began"
 	}
 	a.log.Info().Str("event", event).Float64("admitted_fraction", math.Round(100*admitted)/100).
 		Float64("backend_utilization", pressure.BackendUtilization).Float64("cpu_fraction", pressure.CPU).
@@ -216,7 +218,8 @@
 		Float64("scheduling_delay_ms", float64(pressure.SchedulingDelay.Duration())/float64(time.Millisecond)).Msg(message)
 }
 
-// updatePeers takes the reports of the other relays in. One of a later version, or a damaged one, is as if there were none.
+// updatePeers applies the reports of the other relays. A report that cannot be decoded, damaged or of a later version,
+// is ignored.
 func (a *OverloadAgent) updatePeers() {
 	members := a.membership.Members()
 	a.mu.Lock()
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -9,30 +9,30 @@
 	"silvercove/internal/tick"
 )
 
-// minCores and minMemory bound what a relay is said to have, so that nothing is divided by zero.
+// minCores and minMemory are lower bounds of a relay's resources. They avoid a division by zero.
 const (
 	minCores  = 0.01
 	minMemory = 1 // bytes
 )
 
-// pressureMeter measures a relay's own load between two calls. It is not safe for concurrent use.
+// pressureMeter measures a relay's own load between two calls of measure. It is not safe for concurrent use.
 type pressureMeter struct {
 	cores  float64
 	memory float64 // bytes
 	usage  syscall.Rusage
-	at     time.Time // of usage
+	at     time.Time // when usage was read
 }
 
-// newPressureMeter makes the meter of a relay that has so many cores and bytes of memory. Where the system does not tell the
-// CPU time it counts as unused.
+// newPressureMeter makes the meter of a relay with the given number of cores and bytes of memory. If the system does
+// not report the CPU time, the CPU counts as unused.
 func newPressureMeter(cores float64, memory int64) pressureMeter {
 	m := pressureMeter{cores: max(minCores, cores), memory: max(minMemory, float64(memory)), at: time.Now()}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &m.usage)
 	return m
 }
 
-// measure returns the load since the last call. backendUtilization is the dispatcher's; delay is how much later than wanted
-// the caller was scheduled.
+// measure returns the load since the last call. backendUtilization comes from the dispatcher; delay is how much later
+// than intended the caller was scheduled.
 func (m *pressureMeter) measure(backendUtilization float64, delay time.Duration) overload.Pressure {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -17,29 +17,31 @@
 
 var routesChanged = metrics.NewCounter("cove_relay_routes_changed_total")
 
-// Controllers tell assignments and nodes until their context ends. A *controllerclient.Client does.
+// Controllers reports changes of assignments and lists of edge nodes until the context ends. A *controllerclient.Client
+// implements it.
 type Controllers interface {
 	Watch(ctx context.Context, notify func(controllerclient.AssignmentChanges)) error
 	WatchNodes(ctx context.Context, notify func(controllerclient.NodeList)) error
 }
 
-// Router follows the controllers for one relay.
+// Router passes the controllers' assignments and edge nodes to the dispatcher of one relay.
 type Router struct {
 	controllers Controllers
 	network     *peertransport.Network
 	log         zerolog.Logger
 
 	mu       sync.Mutex
-	hadLease map[string]bool // by node that was told: whether its lease ran; guarded by mu
+	hadLease map[string]bool // by known edge node: whether it held a lease when last listed; guarded by mu
 }
 
-// New makes a router. A node's address for requests is what this process's own file says, and else what the node told.
+// New makes a router. The request address of an edge node is the one in this process's own configuration file, or else
+// the one that the node has reported.
 func New(controllers Controllers, network *peertransport.Network, log zerolog.Logger) *Router {
 	log = log.With().Str("component", "routing").Str("node", network.Self().Name).Logger()
 	return &Router{controllers: controllers, network: network, log: log, hadLease: map[string]bool{}}
 }
 
-// Run follows until the context ends, and returns nil then.
+// Run follows the controllers until the context ends, and then returns nil.
 func (r *Router) Run(ctx context.Context, dispatcher *dispatch.Dispatcher) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// updatePlacements hands changes of assignments to the dispatcher, and logs the routes that changed.
+// updatePlacements passes changes of assignments to the dispatcher, and logs the routes that have changed.
 func (r *Router) updatePlacements(dispatcher *dispatch.Dispatcher, changes controllerclient.AssignmentChanges) {
 	placements := make([]dispatch.Placement, 0, len(changes.Assignments))
 	for _, a := range changes.Assignments {
@@ -75,8 +77,9 @@
 	}
 }
 
-// endpoints are the nodes whose leases run, as the dispatcher takes them. One that is draining or leaving is listed as up: its
-// instances are served there until they have been moved, and the controllers place no new ones there.
+// endpoints converts the edge nodes that hold a lease to entries of the endpoint list. A node that is draining or
+// leaving is listed as up: it serves its instances until they have been migrated, and the controllers place no new ones
+// there.
 func (r *Router) endpoints(nodes []controllerclient.Node) (endpoints []dispatch.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +105,7 @@
 	return endpoints
 }
 
-// logLeaseChange logs where a node's lease was granted or has ended. It is called with mu.
+// logLeaseChange logs that a node's lease was granted or has ended. It is called with mu held.
 func (r *Router) logLeaseChange(node controllerclient.Node) {
 	if before, known := r.hadLease[node.Name]; known && before == node.HasLease {
 		return
@@ -112,5 +115,5 @@
 	if node.HasLease {
 		state = "alive"
 	}
-	r.log.Info().Str("event", "member").Str("from", node.Name).Str("why", state+", say the keepers").Msg("node lease changed")
+	r.log.Info().Str("event", "member").Str("from", node.Name).Str("why", state+", according to the controllers").Msg("node lease changed")
 }
