--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	maxPings     = 16                     // under way at once
-	leaveTimeout = 500 * time.Millisecond // for a goodbye to be heard
+	maxPings     = 16                     // pings under way at once
+	leaveTimeout = 500 * time.Millisecond // for the leave message to be delivered
 )
 
-// gossip is the library as an Agent uses it. Its calls may block; none is made with the agent's lock held.
+// gossip is the interface of the gossip library that an Agent uses. Its calls may block; none is made with the agent's
+// lock held.
 type gossip interface {
-	Ping(name string) (time.Duration, error)                       // for the length of a probe's timeout at most
-	Broadcast(name string, record []byte)                          // to all, in place of an earlier one of the name
-	Reconnect(name string)                                         // the kept connection may be lost
-	Leave(timeout time.Duration)                                   // says goodbye
+	Ping(name string) (time.Duration, error)                       // blocks for the probe timeout at most
+	Broadcast(name string, record []byte)                          // to all members; replaces an earlier record of the same name
+	Reconnect(name string)                                         // the kept connection may be broken
+	Leave(timeout time.Duration)                                   // tells the other members
 	Close()                                                        // and waits for its goroutines
-	Sync(ctx context.Context, names []string, every time.Duration) // whole states, with those that are not heard
+	Sync(ctx context.Context, names []string, every time.Duration) // exchanges whole states with members that the library does not consider alive
 }
 
-// gossipEvents is what the library calls.
+// gossipEvents receives the callbacks of the library.
 type gossipEvents interface {
 	onRecord(raw []byte)
 	records() [][]byte
@@ -35,8 +36,8 @@
 	onDown(name string, left bool)
 }
 
-// Agent is the fleet's members as one process sees them. Its methods are safe for concurrent use, and none but Run waits
-// for other processes.
+// Agent tracks the fleet's members for one process. Its methods are safe for concurrent use, and only Run waits for
+// other processes.
 type Agent struct {
 	net        *peertransport.Network
 	onChange   func(Member)
@@ -45,14 +46,14 @@
 	changed    chan struct{}
 	superseded chan struct{}
 
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	table        *Table
-	broadcastSeq uint64          // sequence of the own record that was broadcast last
+	broadcastSeq uint64          // sequence of the own record that was last broadcast
 	pinging      map[string]bool // members with a ping under way
 }
 
-// Open makes an agent for the processes that a file names; Run has to be called. set has fleet.silence. onChange, if any,
-// is called for each change of a member's state, on the goroutine of Run.
+// Open makes an agent for the processes that the configuration file names; the caller must then call Run. set has
+// fleet.silence. onChange, if not nil, is called for each change of a member's state, on the goroutine of Run.
 func Open(net *peertransport.Network, incarnation uint64, startedEmpty bool, set map[string]any, onChange func(Member)) (*Agent, error) {
 	self := net.Self()
 	own := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: incarnation, StartedEmpty: startedEmpty}
@@ -77,31 +78,33 @@
 	return a, nil
 }
 
-// Now is the clock of Member's times.
+// Now is the current time by the clock of Member's times.
 func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
-// Publish has an own payload of a kind sent to all from now on, in place of an earlier one of that kind. It is an
-// error to publish more than MaxKinds kinds or MaxPayloadSize bytes; nothing has changed then.
+// Publish sets this process's payload of a kind, which is sent to all members from now on. It is an error to publish
+// more than MaxKinds kinds, or a payload of more than MaxPayloadSize bytes; nothing changes then.
 func (a *Agent) Publish(kind string, data []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.table.Publish(kind, data) // sent at the next turn, so that many payloads cost no more than the newest
+	return a.table.Publish(kind, data) // sent in the next round, so that many payloads cost no more than the newest
 }
 
-// Members are all members, this process included, by name.
+// Members are all members, this process included, sorted by name.
 func (a *Agent) Members() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Members(a.Now())
 }
 
-// Changed has something once a member's state or payloads have changed. One reader is served.
+// Changed receives a value once a member's state or payloads have changed. It serves one reader.
 func (a *Agent) Changed() <-chan struct{} { return a.changed }
 
-// Superseded is closed once a later start of this process's name is known: this one is an old copy, and is to end.
+// Superseded is closed once a later start of this process's name is known. This process is then an old copy and must
+// end.
 func (a *Agent) Superseded() <-chan struct{} { return a.superseded }
 
-// Run hears and speaks until the context ends, then says goodbye and waits for its goroutines.
+// Run probes members and sends records until the context ends. Then it announces that this process leaves, and waits
+// for its goroutines.
 func (a *Agent) Run(ctx context.Context) error {
 	var group errgroup.Group
 	syncCtx, stopSync := context.WithCancel(context.WithoutCancel(ctx))
@@ -144,14 +147,14 @@
 	}
 }
 
-// turnResult is what one turn of Run has to do.
+// turnResult is what Run has to do after one round.
 type turnResult struct {
 	targets    []string // members to ping
 	changes    []Member
 	superseded bool
 }
 
-// turn advances the table to now, and marks the pings that are begun.
+// turn advances the table to the current time, and marks the pings that begin.
 func (a *Agent) turn() turnResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +169,7 @@
 	return turnResult{targets: targets, changes: a.table.Changes(), superseded: a.table.Superseded()}
 }
 
-// leave says goodbye.
+// leave announces to the other members that this process leaves.
 func (a *Agent) leave() {
 	a.mu.Lock()
 	a.table.Leave()
@@ -175,7 +178,7 @@
 	a.library.Leave(leaveTimeout)
 }
 
-// notify tells of changed members.
+// notify reports changed members to Changed and onChange.
 func (a *Agent) notify(changes []Member) {
 	if len(changes) == 0 {
 		return
@@ -189,7 +192,7 @@
 	}
 }
 
-// ping probes one member, and connects to it anew where it does not answer.
+// ping probes one member, and drops the kept connection to it if it does not answer.
 func (a *Agent) ping(name string) {
 	took, err := a.library.Ping(name)
 	a.mu.Lock()
@@ -205,7 +208,7 @@
 	}
 }
 
-// broadcastOwn passes the own record on if it is newer than what was broadcast.
+// broadcastOwn broadcasts the own record if it is newer than the last broadcast one.
 func (a *Agent) broadcastOwn() {
 	a.mu.Lock()
 	name, sequence, raw := a.table.self.Name, a.table.self.Sequence, a.table.OwnRecord()
@@ -224,7 +227,7 @@
 	}
 }
 
-// onRecord merges a record that was received, and broadcasts it if it is new.
+// onRecord merges a received record, and broadcasts it if it is new.
 func (a *Agent) onRecord(raw []byte) {
 	a.mu.Lock()
 	err := a.table.Merge(a.Now(), raw)
@@ -238,21 +241,21 @@
 	}
 }
 
-// records are all records that are known.
+// records are all known records in encoded form.
 func (a *Agent) records() [][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Records()
 }
 
-// onUp is called when the library holds a member to be alive.
+// onUp is called when the library considers a member alive.
 func (a *Agent) onUp(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.MarkUp(a.Now(), name)
 }
 
-// onDown is called when the library holds a member to be dead, or to have left.
+// onDown is called when the library considers a member dead, or when the member has left.
 func (a *Agent) onDown(name string, left bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/tick"
 )
 
-// goldenSeeds is how many runs each golden trace has.
+// goldenSeeds is the number of seeded runs in each golden trace.
 const goldenSeeds = 24
 
 func mergeResult(err error) string {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestGolden_Tables records what one table decides by a seeded script of records, answers and signs.
+// TestGolden_Tables records the decisions of one table for seeded scripts of records, answers and marks of the library.
 func TestGolden_Tables(t *testing.T) {
 	golden.Seeds(t, "tables.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
 		draw := rand.New(rand.NewPCG(seed, 29))
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestGolden_Worlds records how some tables agree in simulated time, with links that are cut and processes that stop,
-// leave and start again.
+// TestGolden_Worlds records how several tables agree in simulated time while links are cut and processes stop, leave
+// and restart.
 func TestGolden_Worlds(t *testing.T) {
 	golden.Seeds(t, "worlds.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
 		sim := newSimulation(seed, 2+int(seed%7))
@@ -129,7 +129,7 @@
 	})
 }
 
-// TestGolden_SyncCount records how many exchanges of whole states are made within a silence.
+// TestGolden_SyncCount records how many exchanges of whole states are made within a silence timeout.
 func TestGolden_SyncCount(t *testing.T) {
 	golden.Seeds(t, "syncs.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
 		draw := rand.New(rand.NewPCG(seed, 37))
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,8 +19,8 @@
 
 const (
 	maxPacketSize     = 16 << 10 // bytes
-	retransmitFactor  = 3        // times the logarithm of the members, that a record is sent
-	initialSyncs      = 3        // members whose whole state is asked for at a start
+	retransmitFactor  = 3        // a record is sent this many times the logarithm of the number of members
+	initialSyncs      = 3        // members to exchange whole states with at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
 	maxGossipInterval = 200 * time.Millisecond
@@ -28,7 +28,7 @@
 	placeholderPort   = 1 // no address is ever dialled: members are reached by name
 )
 
-// gossipLibrary is memberlist behind gossip.
+// gossipLibrary implements gossip with the memberlist library.
 type gossipLibrary struct {
 	list      *memberlist.Memberlist
 	queue     *memberlist.TransmitLimitedQueue
@@ -37,7 +37,7 @@
 	self      string
 }
 
-// newGossip starts the library, for so many members.
+// newGossip starts the library for a fleet with the given number of members.
 func newGossip(n *peertransport.Network, silence time.Duration, members int, events gossipEvents) (gossip, error) {
 	g := &gossipLibrary{transport: newTransport(n, silence), events: events, self: n.Self().Name}
 	g.queue = &memberlist.TransmitLimitedQueue{
@@ -73,29 +73,29 @@
 	c.EnableCompression = false
 	c.Delegate = g
 	c.Events = g
-	c.Logger = log.New(io.Discard, "", 0) // the library's lines have no events
+	c.Logger = log.New(io.Discard, "", 0) // the library's log lines have no event fields
 	return c
 }
 
-// broadcast is a record on its way to all; a later one of the same member takes its place.
+// broadcast is a record on its way to all members. A later record of the same member replaces it in the queue.
 type broadcast struct {
 	name string
 	raw  []byte
 }
 
-// Invalidates is always false: the queue goes by the name.
+// Invalidates implements memberlist.Broadcast. It is always false, as the queue replaces broadcasts by their names.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Name is the member's.
+// Name implements memberlist.NamedBroadcast: the name of the member that the record describes.
 func (b broadcast) Name() string { return b.name }
 
-// Message is the record.
+// Message implements memberlist.Broadcast: the encoded record.
 func (b broadcast) Message() []byte { return b.raw }
 
-// Finished does nothing.
+// Finished implements memberlist.Broadcast and does nothing.
 func (b broadcast) Finished() {}
 
-// nameOf is the member's name in a record, "" if it has none.
+// nameOf returns the member's name in an encoded record, or "" if there is none.
 func nameOf(raw []byte) string {
 	var r struct{ Name string }
 	_ = json.Unmarshal(raw, &r)
@@ -121,8 +121,8 @@
 	return g.list.Ping(name, memberAddr(name))
 }
 
-// Sync exchanges whole states: with a few others at the start, then in turn with some of those that the library does not
-// hold to be alive, as it does not look for them itself, and a split would never heal.
+// Sync exchanges whole states with other members: first with a few of them, then in turn with some of those that the
+// library does not consider alive. The library does not contact such members itself, so a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
@@ -155,7 +155,7 @@
 				return nil
 			})
 			if !started {
-				break // as many are under way as may be
+				break // concurrentSyncs exchanges are under way
 			}
 		}
 	}
@@ -190,7 +190,7 @@
 	return g.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: all records, each after its length.
+// LocalState implements memberlist.Delegate: all records, each preceded by its length.
 func (g *gossipLibrary) LocalState(bool) []byte {
 	var state []byte
 	for _, raw := range g.events.records() {
@@ -224,7 +224,8 @@
 	g.events.onDown(n.Name, n.State == memberlist.StateLeft)
 }
 
-// memberAddr is a member's address: each process reaches it at an address of its own file, so others know its name only.
+// memberAddr is a member's address as the library sees it: the name alone. Each process reaches a member at the address
+// in its own configuration file, so no address is valid for all.
 type memberAddr string
 
 // Network implements net.Addr.
@@ -233,10 +234,10 @@
 // String implements net.Addr.
 func (a memberAddr) String() string { return "[" + placeholderIP(string(a)).String() + "]:1" }
 
-// uniqueLocalPrefix is that of IPv6 addresses that are never routed (RFC 4193).
+// uniqueLocalPrefix is the prefix of IPv6 addresses that are never routed (RFC 4193).
 const uniqueLocalPrefix = 0xfd
 
-// placeholderIP stands for a name where the library wants an address: nothing is ever sent to it.
+// placeholderIP derives an address from a name, where the library requires one. Nothing is ever sent to it.
 func placeholderIP(name string) net.IP {
 	ip := make(net.IP, net.IPv6len)
 	ip[0] = uniqueLocalPrefix
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -12,15 +12,15 @@
 	"github.com/google/renameio/v2"
 )
 
-// incarnationFile has the incarnation of a process's last start, in its data folder.
+// incarnationFile is the file in a process's data folder that holds the incarnation of its last start.
 const incarnationFile = "run"
 
-// ErrDamagedIncarnation is wrapped where the number of the last start cannot be read.
-var ErrDamagedIncarnation = errors.New("damaged: no number of a start; where it is removed, this start counts as a fresh one")
+// ErrDamagedIncarnation is wrapped if the incarnation of the last start cannot be read.
+var ErrDamagedIncarnation = errors.New("damaged incarnation file: it holds no number; if it is removed, this start counts as one without stored data")
 
-// NextIncarnation draws the incarnation of a process's start from a folder, where it counts on, and reports whether the
-// process started empty: nothing of an earlier start is in the folder. Without a folder the clock gives the incarnation,
-// in milliseconds.
+// NextIncarnation returns the incarnation of a process's start: the clock's Unix time in milliseconds, but always more
+// than the last one that the folder holds. startedEmpty reports whether the folder holds no incarnation, so that the
+// process starts without stored data. Without a folder the clock alone gives the incarnation.
 func NextIncarnation(folder string, now time.Time) (incarnation uint64, startedEmpty bool, err error) {
 	incarnation = uint64(max(1, now.UnixMilli()))
 	if folder == "" {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -6,47 +6,47 @@
 	"silvercove/internal/tick"
 )
 
-// State is how a member stands in the sight of this process.
+// State is the state of a member as this process sees it.
 type State string
 
 // The states of a member.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "suspect" // it does not answer this process, and no record of it has come since
-	StateUnreachable State = "cut"     // it does not answer this process, but others pass its records on
-	StateSlow        State = "slow"    // its answers take an eighth of the silence that is allowed, or more
+	StateSuspect     State = "suspect" // it does not answer this process, and no record of it has arrived since
+	StateUnreachable State = "cut"     // it does not answer this process, but others pass on its records
+	StateSlow        State = "slow"    // its answers take an eighth of the silence timeout or longer
 	StateDead        State = "dead"
-	StateLeft        State = "left" // it ended on purpose
+	StateLeft        State = "left" // it left on purpose
 )
 
 const (
-	keptRoundTrips = 5 // answers whose times are kept
-	suspectProbes  = 2 // in a row without an answer, until which nothing is concluded
-	slowDivisor    = 8 // a member is slow whose answers take this part of the silence
-	deadPeriods    = 3 // without any sign, after which a member that does not answer is dead
-	keptChanges    = 4 // times the number of members, where nobody takes them
+	keptRoundTrips = 5 // answers whose round trips are kept
+	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
+	slowDivisor    = 8 // an answer is slow from this part of the silence timeout on
+	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
+	keptChanges    = 4 // changes kept per member while nobody calls Changes
 )
 
-// A member that comes back again and again is held back, each time longer.
+// A member that keeps coming back is held down: its state stays suspect for longer each time.
 const (
-	undampedRecoveries = 3  // that are believed at once
-	maxRecoveries      = 16 // that are counted
-	recoveryHalfLife   = 20 // within which half of the returns are forgotten
-	maxHoldDown        = 32 // silences that a member which returns all the time has to be well
-	maxHoldDownShift   = 10 // guards the shift
+	undampedRecoveries = 3  // recoveries without a hold-down
+	maxRecoveries      = 16 // cap of the count of recoveries
+	recoveryHalfLife   = 20 // silence timeouts after which the count of recoveries halves
+	maxHoldDown        = 32 // silence timeouts: the longest hold-down of a member that keeps coming back
+	maxHoldDownShift   = 10 // bounds the shift
 	minRecoveries      = 0.5
 )
 
-// flapping is how often a member came back of late.
+// flapping counts how often a member has recently recovered.
 type flapping struct {
-	wasHealthy   bool // it was well at some time
+	wasHealthy   bool // the member has been healthy before
 	healthy      bool
 	healthySince tick.Tick
-	recoveries   float64 // into alive, forgotten by time
+	recoveries   float64 // into alive or slow; the count decays over time
 	recoveredAt  tick.Tick
 }
 
-// RecordReply records that a member answered a probe of this process, and how long that took.
+// RecordReply records that a member answered a probe of this process, and the round trip.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -76,7 +76,8 @@
 	t.updateState(now, e)
 }
 
-// MarkDown records that the fleet holds a member to be dead, or to have left. A later sign of life overrides it.
+// MarkDown records that the gossip library considers a member dead, or that the member has left. A later sign of life
+// overrides it.
 func (t *Table) MarkDown(now tick.Tick, name string, left bool) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -87,7 +88,7 @@
 	t.updateState(now, e)
 }
 
-// MarkUp records that the fleet holds a member to be alive.
+// MarkUp records that the gossip library considers a member alive.
 func (t *Table) MarkUp(now tick.Tick, name string) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -97,7 +98,7 @@
 	t.updateState(now, e)
 }
 
-// Reassess judges all members anew, as time has passed.
+// Reassess recomputes the states of all members for the current time.
 func (t *Table) Reassess(now tick.Tick) {
 	for _, e := range t.byName {
 		if e.Name != t.self.Name {
@@ -106,7 +107,7 @@
 	}
 }
 
-// judge works out a member's state.
+// updateState recomputes the state of a member, and records a change of it.
 func (t *Table) updateState(now tick.Tick, e *entry) {
 	state := t.observedState(now, e)
 	healthy := state == StateAlive || state == StateSlow
@@ -127,7 +128,7 @@
 	}
 }
 
-// observedState is the state by what was heard and missed, without regard to flapping.
+// observedState is the state that follows from records and probes alone, without a hold-down.
 func (t *Table) observedState(now tick.Tick, e *entry) State {
 	unanswered := e.missedProbes >= suspectProbes
 	silent := unanswered && now-max(e.answeredAt, e.missedSince-t.silence) >= t.silence
@@ -149,7 +150,7 @@
 	return StateAlive
 }
 
-// recordRecovery counts that the member is well again.
+// recordRecovery records that the member is healthy again.
 func (f *flapping) recordRecovery(now, silence tick.Tick) {
 	f.healthySince = now
 	if f.wasHealthy {
@@ -163,8 +164,9 @@
 	f.wasHealthy = true
 }
 
-// dwell is how long the member has to be well before it is believed. Guards against what others decide by a member that
-// swings with it. A link at the edge of its time looks the same; it costs a member that is well its part in the fleet.
+// holdDown is how long the member must stay healthy before its state is believed. It guards against decisions of other
+// packages that would change with each swing of a flapping member. A healthy member behind a link whose delay is at the
+// edge of the probe timeout looks the same; the hold-down keeps such a member out of the fleet's work for that time.
 func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
 	excess := f.recoveries - undampedRecoveries
 	if excess <= 0 {
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -15,17 +15,18 @@
 
 const (
 	packetHeaderSize = 4                 // bytes: the packet's length, big endian
-	maxInboundSize   = 4 * maxPacketSize // bytes of a packet that came, which may be several of the library's
-	redialDivisor    = 8                 // of a silence, until a connection that failed is tried again
+	maxInboundSize   = 4 * maxPacketSize // bytes of a received packet, which may combine several packets of the library
+	redialDivisor    = 8                 // a failed connection is tried again after this part of the silence timeout
 )
 
-// sender is what goes to one member.
+// sender sends packets to one member.
 type sender struct {
 	queue chan []byte
-	conn  net.Conn // guarded by the transport's mu; nil for none
+	conn  net.Conn // guarded by the transport's mu; nil if there is none
 }
 
-// senderTo is the sender to a member, started if need be; nil once the transport has ended.
+// senderTo returns the sender for a member, and starts it if necessary. It returns nil once the transport has shut
+// down.
 func (t *transport) senderTo(name string) *sender {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,7 +39,7 @@
 	return s
 }
 
-// send passes packets to one member, connecting anew where that is needed, until the transport ends.
+// send sends queued packets to one member until the transport shuts down, and connects again where necessary.
 func (t *transport) send(name string, s *sender) {
 	defer t.closeSender(s)
 	var nextDial time.Time
@@ -79,7 +80,7 @@
 	return s.conn
 }
 
-// connect opens a sender's connection.
+// connect opens the connection of a sender.
 func (t *transport) connect(name string, s *sender) (net.Conn, error) {
 	c, err := t.dial(name, packetConn, t.silence)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return err
 }
 
-// closeSender closes a sender's connection, if it has one.
+// closeSender closes the connection of a sender, if there is one.
 func (t *transport) closeSender(s *sender) {
 	t.mu.Lock()
 	c := s.conn
@@ -109,8 +110,8 @@
 	}
 }
 
-// reconnect closes the kept connection to a member, so that the next packet goes over a new one: where a link was cut,
-// what the kernel repeats on the old one would come late.
+// reconnect closes the kept connection to a member, so that the next packet uses a new one. After a cut of the link,
+// packets that the kernel retransmits on the old connection would arrive late.
 func (t *transport) reconnect(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// servePackets reads the packets of a member, whose earlier connection ends.
+// servePackets reads the packets of a member. It closes an earlier connection for packets of the same member.
 func (t *transport) servePackets(c net.Conn) {
 	defer func() { _ = t.closeConn(c) }()
 	from := c.(*peertransport.Conn).From
@@ -138,10 +139,10 @@
 	}
 }
 
-// errPacketSize is for a packet whose length is out of bounds.
-var errPacketSize = errors.New("a packet too large")
+// errPacketSize is returned for a packet whose length exceeds maxInboundSize.
+var errPacketSize = errors.New("packet too large")
 
-// readPacket reads one packet.
+// readPacket reads one packet with its header.
 func readPacket(in io.Reader) ([]byte, error) {
 	var header [packetHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	probesPerSilence         = 8   // turns of probing within a silence
-	largeFleet               = 32  // members; of more, records are sent as many times less often as they are more
-	maxTargets               = 4   // members probed in turn, in one turn of probing
-	maxMissedTargets         = 8   // members that do not answer, probed again in one turn
+	probesPerSilence         = 8   // rounds of probing within a silence timeout
+	largeFleet               = 32  // members; each further 32 add one silence timeout to the heartbeat period
+	maxTargets               = 4   // members probed in turn in one round
+	maxMissedTargets         = 8   // members with missed probes that are probed again in one round
 	payloadSendsPerHeartbeat = 20  // times that changed payloads may be sent within a heartbeat period
-	fleetSyncs               = 8.0 // exchanges of whole states within a silence, by all that live together
-	maxSyncs                 = 4.0 // by one
+	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members of one side together
+	maxSyncs                 = 4.0 // exchanges of whole states within a silence timeout, by one member
 )
 
-// ProbeTargets are the members to probe now, and is called each ProbeInterval: those that have not answered, and some
-// others in turn, each within four silences, or of more than 96 within as many more as they are more, so that it costs no
-// more.
+// ProbeTargets are the members to probe now; it is called every ProbeInterval. They are members that have missed
+// probes, and some others in turn. Each member has its turn within four silence timeouts; with more than 96 members
+// that time grows in proportion to their number, so that a round costs no more.
 func (t *Table) ProbeTargets() []string {
 	var names []string
 	for _, e := range t.byName {
@@ -37,15 +37,16 @@
 	return names
 }
 
-// ProbeInterval is how often ProbeTargets, Reassess and Heartbeat are due.
+// ProbeInterval is the time between two rounds of ProbeTargets, Reassess and Heartbeat.
 func (t *Table) ProbeInterval() tick.Tick { return max(1, t.silence/probesPerSilence) }
 
-// heartbeatPeriod is how often a member's record is sent at least: the more members, the less often.
+// heartbeatPeriod is the longest time between two sends of a member's record. It grows with the number of members.
 func (t *Table) heartbeatPeriod() tick.Tick { return t.silence * tick.Tick(1+len(t.byName)/largeFleet) }
 
-// Heartbeat reports whether the own record is to be sent again: a heartbeat period after it was sent last, so that others
-// know that this process lives, or with changed payloads a part of that. Guards against payloads that change each time
-// that a relay looks, which every member passes on: in a large fleet they would fill the links between members.
+// Heartbeat reports whether the own record must be sent again. It is due one heartbeat period after it was last sent,
+// so that others know that this process is alive, and with changed payloads after a payloadSendsPerHeartbeat-th of that
+// period. The bound guards against payloads that change with each measurement of a relay: every member passes them on,
+// so in a large fleet they would fill the links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
@@ -55,13 +56,13 @@
 	return true
 }
 
-// Leave has the own record say that this process ends on purpose.
+// Leave marks the own record as that of a member that leaves on purpose.
 func (t *Table) Leave() {
 	t.self.Left = true
 	t.renewOwnRecord(t.lastSentAt)
 }
 
-// renewOwnRecord has the own record hold what was published, under a new sequence.
+// renewOwnRecord puts the published payloads into the own record, under a new sequence.
 func (t *Table) renewOwnRecord(now tick.Tick) {
 	maps.Copy(t.self.Payloads, t.unsent)
 	clear(t.unsent)
@@ -69,11 +70,12 @@
 	t.lastSentAt, t.heartbeatDue = now, now+t.heartbeatPeriod()
 }
 
-// SyncCount is with how many of those that are held to be gone a process exchanges whole states within a silence; it
-// lives itself, and so many do as it sees it. random is from 0 to 1. All that live together do it fleetSyncs times: a
-// split that heals is over by one that gets through, and whole states of large fleets are large. Guards against every
-// member of one side asking every one of the other when a zone is back; hurts where links lose most of what is sent, as
-// few try.
+// SyncCount is the number of members considered gone with which a process exchanges whole states within a silence
+// timeout. alive is the number of live members as the process sees them, itself included; random is drawn from 0 to 1.
+// All live members together make about fleetSyncs exchanges: a split that heals ends with the first exchange that
+// succeeds, and whole states of a large fleet are large. The bound guards against every member of one side contacting
+// every member of the other when a zone comes back. It delays the end of a split if links lose most packets, as few
+// members try.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
 	return min(gone, int(each+random))
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,17 +1,19 @@
-// Package membership keeps who of a fleet lives, where, and how old what is known of it is: Table, which decides by what
-// was heard and missed, and Agent, which hears it over internal/peertransport by a library's gossip and probes.
+// Package membership tracks which members of a fleet are alive, how they can be reached, and how old that knowledge is.
+// Table decides this from received records and from the results of probes. Agent gets both over internal/peertransport,
+// by the gossip and the pings of the memberlist library.
 //
-// A member is told apart that is dead; that this process cannot reach, while its records still come by others; that is
-// slow; that was started again, with its storage or without (a larger Incarnation, StartedEmpty); and an old copy that
-// came back (a smaller Incarnation), whose records are refused.
+// Besides members that are alive, the package tells apart: a dead member; one that this process cannot reach while
+// others still pass on its records; a slow one; one that has restarted, with or without its stored data (a larger
+// Incarnation, and StartedEmpty); and an old copy of a member (a smaller Incarnation), whose records are refused.
 //
 // How to drive a Table: Merge takes records; RecordReply and RecordTimeout take the results of probes of ProbeTargets;
-// MarkDown and MarkUp take the library's view. Call Reassess, Heartbeat and ProbeTargets each ProbeInterval. Changes are
-// the members whose state has changed.
+// MarkDown and MarkUp take the library's view. Call Reassess, Heartbeat and ProbeTargets every ProbeInterval. Changes
+// returns the members whose state has changed. Most times derive from the silence timeout, the setting fleet.silence:
+// after so long without an answer a member is suspected.
 //
-// Files: table.go, record.go (what members say of themselves), liveness.go (how a member stands), probing.go (whom to ask
-// and how often to speak), agent.go and incarnation.go (one process's member), gossip.go, transport.go and packets.go
-// (the library and its connections).
+// Files: table.go, record.go (a member's description of itself), liveness.go (the state of a member), probing.go (which
+// members to probe, and how often to send records), agent.go and incarnation.go (the member of one process), gossip.go,
+// transport.go and packets.go (the library and its connections).
 //
 // Kind: state (see docs/architecture.md)
 package membership
@@ -24,56 +26,58 @@
 	"silvercove/internal/tick"
 )
 
-// Member is a process of the fleet as it is seen here. Times are by the clock that Table's methods are called with.
+// Member is a process of the fleet as this process sees it. Times are by the clock of the caller of Table's methods.
 type Member struct {
 	Name, Role, Zone string
-	Incarnation      uint64 // 0: nothing was heard of it yet
-	StartedEmpty     bool   // this incarnation began without what an earlier one kept
+	Incarnation      uint64 // 0: no record of the member has arrived yet
+	StartedEmpty     bool   // this incarnation began without the data of an earlier one
 	State            State
 	StateSince       tick.Tick
-	LastHeard        tick.Tick         // when the last sign of it came, by an answer or by others
-	RoundTrip        tick.Tick         // the median of its last answers; 0: none yet
+	LastHeard        tick.Tick         // when the last answer or record of the member arrived
+	RoundTrip        tick.Tick         // the median of the last answers; 0: none yet
 	Payloads         map[string][]byte // by kind
 }
 
-// entry is what is known of one member.
+// entry holds what the table knows about one member.
 type entry struct {
 	Member
 	sequence uint64
-	raw      []byte    // its record as it came
-	recordAt tick.Tick // when that came
+	raw      []byte    // the encoded record as it was received
+	recordAt tick.Tick // when the record was received
 	left     bool
 
 	hasAnswered  bool
-	answeredAt   tick.Tick // its last answer
-	missedProbes int       // probes in a row without an answer
-	missedSince  tick.Tick // the first of them
+	answeredAt   tick.Tick // when the last probe was answered
+	missedProbes int       // consecutive probes without an answer
+	missedSince  tick.Tick // when the first of the missed probes failed
 	roundTrips   []tick.Tick
-	markedDown   bool // by the library, until a sign after that
+	markedDown   bool // by the library; a later sign of life overrides it
 	markedDownAt tick.Tick
 
 	flapping flapping
 }
 
-// Table is what one process knows of the fleet. It has no clock, I/O or goroutine, and is not safe for concurrent use.
+// Table holds what one process knows about the fleet. It has no clock, I/O or goroutine, and is not safe for concurrent
+// use.
 type Table struct {
 	self    Record
 	silence tick.Tick
 	entries map[string]*entry
-	byName  []*entry // in order
+	byName  []*entry // sorted by name
 
-	nextTarget   int // the next one to probe in turn
+	nextTarget   int // index of the next member to probe in turn
 	heartbeatDue tick.Tick
 	lastSentAt   tick.Tick         // when the own record was last sent
-	unsent       map[string][]byte // own payloads that are not in the record yet
+	unsent       map[string][]byte // own payloads that are not yet in the own record
 	superseded   bool
-	changes      []Member // since Changes was called
+	changes      []Member // since the last call of Changes
 }
 
-// defaultSilence is the setting fleet.silence where it is missing, in seconds.
+// defaultSilence is the silence timeout, in seconds, if the setting fleet.silence is missing.
 const defaultSilence = 1
 
-// NewTable knows of others only that they are configured. set has fleet.silence, in seconds.
+// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. set has
+// fleet.silence, in seconds.
 func NewTable(now tick.Tick, self Record, others []Record, set map[string]any) *Table {
 	silence, ok := set["fleet.silence"].(float64)
 	if !ok || silence <= 0 {
@@ -100,17 +104,18 @@
 	slices.SortFunc(t.byName, func(a, b *entry) int { return cmp.Compare(a.Name, b.Name) })
 	own := t.entries[self.Name]
 	own.Incarnation, own.StartedEmpty, own.State = self.Incarnation, self.StartedEmpty, StateAlive
-	t.nextTarget = int(self.Incarnation % uint64(len(t.byName))) // not all processes ask the same one first
+	t.nextTarget = int(self.Incarnation % uint64(len(t.byName))) // so that not all processes probe the same member first
 	return t
 }
 
-// SilenceTimeout is that of the settings.
+// SilenceTimeout is how long a member may leave probes unanswered before it is suspected (fleet.silence).
 func (t *Table) SilenceTimeout() tick.Tick { return t.silence }
 
-// Superseded reports whether a later start of this process's name is known: this one is an old copy then, and should end.
+// Superseded reports whether a later start of this process's name is known. If so, this process is an old copy and
+// should end.
 func (t *Table) Superseded() bool { return t.superseded }
 
-// other is the entry of a member that is not this process, nil if there is none.
+// otherEntry returns the entry of another member, or nil if the name is unknown or this process's own.
 func (t *Table) otherEntry(name string) *entry {
 	if name == t.self.Name {
 		return nil
@@ -118,7 +123,7 @@
 	return t.entries[name]
 }
 
-// Member is a member as it is known. Its Payloads are not to be written into.
+// Member returns a member by its name. The caller must not modify the Payloads.
 func (t *Table) Member(name string) (m Member, known bool) {
 	e := t.entries[name]
 	if e == nil {
@@ -127,7 +132,7 @@
 	return e.Member, true
 }
 
-// Members are all members, this one included, by name. They are the caller's own.
+// Members are all members, this process included, sorted by name. The caller may modify the result.
 func (t *Table) Members(now tick.Tick) []Member {
 	all := make([]Member, len(t.byName))
 	for i, e := range t.byName {
@@ -140,14 +145,14 @@
 	return all
 }
 
-// Changes are the members whose state has changed since it was called last, as they stood then.
+// Changes are the members whose state has changed since the last call, each as it was right after its change.
 func (t *Table) Changes() []Member {
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-// ownPayloads are the own payloads as they will be sent.
+// ownPayloads are this process's payloads, including those that are not yet sent.
 func (t *Table) ownPayloads() map[string][]byte {
 	all := maps.Clone(t.self.Payloads)
 	maps.Copy(all, t.unsent)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	packetQueue  = 64               // packets for one member; more are dropped, as the library expects
-	inboundQueue = 4 * packetQueue  // packets that have come
+	packetQueue  = 64               // packets queued for one member; further ones are dropped, as the library expects
+	inboundQueue = 4 * packetQueue  // received packets that the library has not taken yet
 	idleTimeout  = 30 * time.Second // of a kept connection
-	helloSlack   = time.Second      // beside a silence, for the first byte of a connection
+	helloSlack   = time.Second      // added to the silence timeout, for the first byte of a connection
 
-	// The first byte of a connection says what it is for.
+	// The first byte of a connection gives its purpose.
 	packetConn = byte('p')
 	streamConn = byte('s')
 )
 
-// transport carries the library's packets and streams over connections between processes. Packets to one member go over
-// one connection that is kept, and are dropped where it is slow; a stream has a connection of its own. It implements
-// memberlist.NodeAwareTransport and is safe for concurrent use.
+// transport carries the library's packets and streams over connections between processes. Packets for one member go
+// over one connection that is kept open; they are dropped if that connection is slow. Each stream has a connection of
+// its own. transport implements memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
 	net     *peertransport.Network
 	silence time.Duration
@@ -37,10 +37,10 @@
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 
-	mu       sync.Mutex // guards all below, and each sender's conn
+	mu       sync.Mutex // guards the fields below and each sender's conn
 	senders  map[string]*sender
-	inbound  map[string]net.Conn // with packets; the newest one of each member
-	openConn map[net.Conn]bool   // all of them
+	inbound  map[string]net.Conn // connections for packets: the newest one from each member
+	openConn map[net.Conn]bool   // all open connections
 }
 
 func newTransport(n *peertransport.Network, silence time.Duration) *transport {
@@ -69,7 +69,8 @@
 	return t
 }
 
-// register notes an open connection; it is closed at once where the transport ends.
+// register adds an open connection to openConn. If the transport has shut down, it closes the connection and returns
+// false.
 func (t *transport) register(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +90,7 @@
 	return c.Close()
 }
 
-// serve reads what a connection that came in is for, and passes on what comes.
+// serve reads the purpose of an inbound connection and serves it.
 func (t *transport) serve(c net.Conn) {
 	var purpose [1]byte
 	_ = c.SetDeadline(time.Now().Add(t.silence + helloSlack))
@@ -108,7 +109,8 @@
 	}
 }
 
-// serveStream hands a stream to the library, unless that is busy for a silence.
+// serveStream hands a stream to the library. It closes the stream if the library does not take it within the silence
+// timeout.
 func (t *transport) serveStream(c net.Conn) {
 	timer := time.NewTimer(t.silence)
 	defer timer.Stop()
@@ -121,7 +123,7 @@
 	}
 }
 
-// registeredConn is a stream's connection: it is forgotten when it is closed.
+// registeredConn is the connection of a stream. Closing it removes it from openConn.
 type registeredConn struct {
 	net.Conn
 	transport *transport
@@ -130,7 +132,7 @@
 // Close implements net.Conn.
 func (c *registeredConn) Close() error { return c.transport.closeConn(c.Conn) }
 
-// dial opens a connection to a member and says what it is for.
+// dial opens a connection to a member and sends the purpose of the connection.
 func (t *transport) dial(name string, purpose byte, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
@@ -150,12 +152,12 @@
 	return c, nil
 }
 
-// FinalAdvertiseAddr implements memberlist.Transport: what stands for this process's name.
+// FinalAdvertiseAddr implements memberlist.Transport: a placeholder address for this process's name.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return placeholderIP(t.net.Self().Name), placeholderPort, nil
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport. It queues a packet, which is dropped where many wait already.
+// WriteToAddress implements memberlist.NodeAwareTransport. It queues a packet, or drops it if the queue is full.
 func (t *transport) WriteToAddress(packet []byte, to memberlist.Address) (time.Time, error) {
 	now := time.Now()
 	if _, known := t.net.Peer(to.Name); !known {
@@ -181,7 +183,7 @@
 	return &registeredConn{Conn: c, transport: t}, nil
 }
 
-// errNoName is for calls without a name; all of them have one, as RequireNodeNames is set.
+// errNoName is returned for calls without a member's name. All calls have one, as RequireNodeNames is set.
 var errNoName = errors.New("members are reached by name")
 
 // WriteTo implements memberlist.Transport. It is not used.
@@ -190,10 +192,10 @@
 // DialTimeout implements memberlist.Transport. It is not used.
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) { return nil, errNoName }
 
-// PacketCh implements memberlist.Transport: the packets that came.
+// PacketCh implements memberlist.Transport: the received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh implements memberlist.Transport: the streams that came.
+// StreamCh implements memberlist.Transport: the inbound streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // Shutdown implements memberlist.Transport: it closes all connections and waits for the transport's goroutines.
