--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -7,10 +7,10 @@
 	"silvercove/balancer"
 )
 
-// microsecondsPerTick is that of the balancer's clock, in microseconds.
+// microsecondsPerTick is the length of a tick of the balancer's clock.
 const microsecondsPerTick = 100
 
-// Explain says in sentences what is known of each version and why each vote was cast.
+// Explain describes in sentences, for operators, what is known about each version and why each vote was cast.
 func (s *Store) Explain() []string {
 	var out []string
 	for _, v := range s.versions {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -1,11 +1,13 @@
-// Package evidence keeps what a relay knows of each version of the backends: outcomes by request class, stage and source,
-// wrong answers by how late they were reported, and each vote with the bounds that led to it. It is bounded whatever the
-// number of versions, classes and backends, and outlives a restart as a snapshot where there is a lasting disk.
+// Package evidence keeps what a relay knows about each version of the backends: outcomes by request class, stage and
+// source, wrong answers by the delay of their reports, and each vote with the bounds that led to it. Its size is
+// bounded for any number of versions, classes and backends. It outlives a restart as a snapshot, if the relay has a
+// persistent disk.
 //
-// How to drive it: New makes a Store of the request classes, Load takes a snapshot over, UpdateVersion and the Record
-// methods tell what happens; Snapshot and Save make it last.
+// How to drive it: New makes a Store for the request classes, and Load reads a snapshot. UpdateVersion and the Record
+// methods record events. Snapshot and Save write a snapshot.
 //
-// Files: store.go (what is kept), bounds.go (the confidence sequence), snapshot.go (the file), explain.go (in sentences).
+// Files: store.go (the contents), bounds.go (the confidence sequence), snapshot.go (the file), explain.go (sentences
+// for operators).
 //
 // Kind: state (see docs/architecture.md)
 package evidence
@@ -18,7 +20,7 @@
 	"silvercove/balancer"
 )
 
-// Bounds of what is kept.
+// Limits of the contents of a store.
 const (
 	maxVersions = 8
 	maxStages   = 16
@@ -26,22 +28,22 @@
 	maxClasses  = 256
 )
 
-// totalLevel is the chance that any of the bounds of a version is ever wrong, shared out among the request classes.
+// totalLevel is the probability that any of a version's bounds is ever wrong. It is divided among the request classes.
 const totalLevel = 0.05
 
-// Source tells where an outcome was seen.
+// Source is where outcomes were observed.
 type Source uint8
 
-// The sources. Reports of wrong answers and the platform's counts may be of outcomes that this relay saw itself: they are
-// told beside its own, and no bound is taken from them.
+// The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
+// observed itself. They are therefore explained separately, and no bound is derived from them.
 const (
 	SourceRelay       Source = iota // this relay
 	SourceWrongAnswer               // a client's report of a wrong answer
-	SourcePlatform                  // the release platform's counts
+	SourcePlatform                  // the counts of the release platform
 	sourceCount
 )
 
-// Count counts outcomes of one request class in one stage from one source.
+// Count counts the outcomes of one request class in one stage from one source.
 type Count struct {
 	Class    int     `json:"op"`
 	Stage    int     `json:"wave"`
@@ -50,13 +52,13 @@
 	Failures float64 `json:"bad"`
 }
 
-// WrongAnswerDelays counts wrong answers by how late they were reported: within 1 s, 10 s, 1 min, 10 min, and later.
+// WrongAnswerDelays counts wrong answers by the delay of their reports: within 1 s, 10 s, 1 min, 10 min, and later.
 type WrongAnswerDelays [5]int64
 
-// delayLimits are the ends of the first four ranges of WrongAnswerDelays.
+// delayLimits are the upper ends of the first four ranges of WrongAnswerDelays.
 var delayLimits = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
 
-// Vote is one vote as it was cast.
+// Vote is one vote, as it was cast.
 type Vote struct {
 	At        balancer.Tick `json:"at"`
 	Stage     int           `json:"stage"`
@@ -65,7 +67,7 @@
 	Estimates []Estimate    `json:"known"`
 }
 
-// Estimate is what was known of one request class, and bounds on its share of failures.
+// Estimate is what is known about one request class: its outcomes, and bounds on its share of failures.
 type Estimate struct {
 	Class    string  `json:"op"`
 	Outcomes float64 `json:"n"`
@@ -74,7 +76,7 @@
 	High     float64 `json:"high"`
 }
 
-// Version is what is kept of one version.
+// Version is what the store keeps about one version.
 type Version struct {
 	Number                    uint16            `json:"build"`
 	FirstSeen                 balancer.Tick     `json:"first"`
@@ -83,20 +85,20 @@
 	Counts                    map[string]*Count `json:"cells"` // by countKey
 	WrongAnswerDelays         WrongAnswerDelays `json:"late"`
 	Votes                     []Vote            `json:"votes"`
-	DroppedVotes              int64             `json:"dropped"`  // beyond what is kept
-	WrongAnswersAfterRollback int64             `json:"afterend"` // that came after it was rolled back
+	DroppedVotes              int64             `json:"dropped"`  // votes beyond maxVotes
+	WrongAnswersAfterRollback int64             `json:"afterend"` // reported while the version was being rolled back or afterwards
 }
 
-// Store is what one relay keeps. It is not safe for concurrent use.
+// Store keeps the evidence of one relay. It is not safe for concurrent use.
 type Store struct {
 	classes   []string
 	level     float64    // of the bounds of one class
 	versions  []*Version // oldest first
-	Orphans   int64      // reports on versions that are not kept
-	LoadError string     // why an earlier snapshot could not be had; "" if it could, or there was none
+	Orphans   int64      // reports on versions or classes that are not kept
+	LoadError string     // why an earlier snapshot could not be read; "" if it could, or if there was none
 }
 
-// New makes a store of the request classes; those beyond maxClasses are left out.
+// New makes a store for the request classes; those beyond maxClasses are left out.
 func New(classes []string) *Store {
 	return &Store{
 		classes: classes[:min(len(classes), maxClasses)],
@@ -104,15 +106,15 @@
 	}
 }
 
-// clampStage is the stage under which an outcome is counted.
+// clampStage returns the stage under which an outcome is counted: the last stages share one count.
 func clampStage(stage int) int { return min(max(0, stage), maxStages-1) }
 
-// countKey is part of a snapshot's form.
+// countKey is the key of a count. It is part of the format of a snapshot.
 func countKey(class, stage int, source Source) string {
 	return strconv.Itoa(class) + "/" + strconv.Itoa(clampStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
-// find is the version of a number, nil if it is not kept.
+// find returns the version with a number, or nil if it is not kept.
 func (s *Store) find(number uint16) *Version {
 	for _, v := range s.versions {
 		if v.Number == number {
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// UpdateVersion sets the state of a version; one that is new is kept from then on, in place of the oldest if need be.
+// UpdateVersion sets the state of a version. A new version is kept from then on, in place of the oldest if the store is
+// full.
 func (s *Store) UpdateVersion(now balancer.Tick, number uint16, state string) {
 	v := s.find(number)
 	if v == nil {
@@ -135,7 +138,7 @@
 	v.LastSeen, v.State = now, state
 }
 
-// RecordOutcome records an outcome of this relay's own, of a request class at a version.
+// RecordOutcome records an outcome that this relay has observed, of a request class at a version.
 func (s *Store) RecordOutcome(now balancer.Tick, number uint16, class, stage int, failed bool) {
 	failures := 0.0
 	if failed {
@@ -146,7 +149,7 @@
 	}
 }
 
-// RecordReleaseMetrics adds what the release API counted at a version. Counts that make no sense are ignored.
+// RecordReleaseMetrics adds counts of the release API for a version. Counts that are impossible are ignored.
 func (s *Store) RecordReleaseMetrics(now balancer.Tick, number uint16, class, stage, outcomes, failures int) {
 	v := s.versionForReport(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
@@ -154,7 +157,8 @@
 	}
 }
 
-// reported is the version that a report belongs to; a report on one that is not kept is an orphan.
+// versionForReport returns the version that a report belongs to. A report on a version or class that is not kept counts
+// as an orphan, and the result is nil.
 func (s *Store) versionForReport(now balancer.Tick, number uint16, class int) *Version {
 	v := s.find(number)
 	if v == nil || class < 0 || class >= len(s.classes) {
@@ -176,8 +180,9 @@
 	c.Failures += failures
 }
 
-// RecordWrongAnswer records a wrong answer that was found so long after it was given. It belongs to the version that gave
-// it, also after that was judged; one of a version that is not kept is an orphan.
+// RecordWrongAnswer records a wrong answer that was reported after the given delay. It counts for the version that gave
+// the answer, even if that version has already been rolled back or released; a report on a version that is not kept is
+// an orphan.
 func (s *Store) RecordWrongAnswer(now balancer.Tick, number uint16, class, stage int, delay balancer.Tick) {
 	v := s.versionForReport(now, number, class)
 	if v == nil {
@@ -194,7 +199,7 @@
 	}
 }
 
-// States of a version in which it is being rolled back, or was, as the platform names them.
+// The platform's names of the states of a version that is being rolled back or has been rolled back.
 const (
 	stateRollingBack = "recalling"
 	stateRolledBack  = "recalled"
@@ -202,7 +207,7 @@
 
 func (v *Version) rolledBack() bool { return v.State == stateRollingBack || v.State == stateRolledBack }
 
-// RecordVote keeps a vote with what was known when it was cast.
+// RecordVote keeps a vote with the estimates at the time when it was cast.
 func (s *Store) RecordVote(now balancer.Tick, number uint16, stage int, verdict, reason string) {
 	v := s.find(number)
 	if v == nil {
@@ -217,8 +222,8 @@
 	v.Votes = append(v.Votes, vote)
 }
 
-// Estimates is what this relay itself has seen of each request class at a version, over all stages. It is nil of a version
-// that is not kept.
+// Estimates is what this relay itself has observed of each request class at a version, over all stages. It is nil for a
+// version that is not kept.
 func (s *Store) Estimates(number uint16) []Estimate {
 	v := s.find(number)
 	if v == nil {
@@ -239,15 +244,15 @@
 	return all
 }
 
-// DecayedCounts is what is kept of a version as counts of each request class, of all outcomes and of failures, for a
-// balancer that starts anew: halved for each half-life that has passed since the last outcome, rounded down. A failure
-// that is left over by rounding is kept: evidence against a version is not to be lost by a restart.
+// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that starts again.
+// The counts are halved for each half-life since the last outcome. Outcomes are rounded down and failures are rounded
+// up, as evidence against a version must not be lost by a restart.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
 	v := s.find(number)
 	if v == nil {
 		return nil, nil
 	}
-	const rounding = 1e-9 // of what a decayed count may be above a whole number by rounding
+	const rounding = 1e-9 // tolerance for rounding errors of a decayed count above a whole number
 	left := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
 	outcomes, failures = make([]int, len(s.classes)), make([]int, len(s.classes))
 	for i, e := range s.Estimates(number) {
