--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// installTimeout is installing as a duration.
+// installTimeout is installWindow as a time.Duration.
 const installTimeout = time.Duration(installWindow) * (time.Second / time.Duration(Second))
 
-// OnReport records a server's report: the version it runs, and how the installation of a version ended, if one did.
+// OnReport records a server's report: the version that it runs, and the result of its installation of a version, if one
+// has ended.
 func (r *Rollout) OnReport(now Tick, s *Server, running, tried uint16, result InstallResult) {
 	s.running = running
 	if tried == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
@@ -36,19 +37,19 @@
 	r.host.Log(slog.LevelWarn, message, append(all, fields...)...)
 }
 
-// InstallResult is how an installation ended.
+// InstallResult is the result of an installation.
 type InstallResult uint8
 
 // The results of an installation.
 const (
-	InstallPending   InstallResult = iota // none has ended
+	InstallPending   InstallResult = iota // no installation has ended
 	InstallSucceeded                      // the server runs the version
 	InstallFailed                         // the server may retry later
-	InstallDeclined                       // the server does not want the version
+	InstallDeclined                       // the server refuses the version
 )
 
-// recordFailure rolls a server back after a failed installation, with a retry delay that doubles; after maxFailures it is
-// excluded. Another server is assigned the version in its place.
+// recordFailure rolls a server back after a failed installation. The server may retry after a delay that doubles with
+// each failure; after maxFailures failures it is excluded. Another server is assigned the version in its place.
 func (r *Rollout) recordFailure(now Tick, s *Server) {
 	s.failures++
 	if s.failures >= maxFailures {
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -7,9 +7,10 @@
 	"strconv"
 )
 
-// sortServers sorts the servers by the order in which they are assigned the newest version: drawn for each version anew, the
-// same at every start, and spread evenly over zones and kinds of hardware, so that the first tenth has a tenth of each. A
-// server that comes into the list does not take the assignment of another.
+// sortServers sorts the servers into the order in which they are assigned the newest version. The order differs between
+// versions, is the same after each restart, and is spread evenly over zones and kinds of hardware, so that the first
+// tenth of the servers has a tenth of each zone and kind. A server that joins the list takes no assignment away from
+// another.
 func (r *Rollout) sortServers() {
 	if r.ordered {
 		return
@@ -29,7 +30,7 @@
 		slices.SortFunc(members, func(a, b *Server) int {
 			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
-		start := float64(mixBits(hashes[members[0]])%1024) / 1024 // groups of one are not all first
+		start := float64(mixBits(hashes[members[0]])%1024) / 1024 // so that groups of one server do not all come first
 		for i, s := range members {
 			s.rank = (float64(i) + start) / float64(len(members))
 		}
@@ -39,7 +40,7 @@
 	})
 }
 
-// mixBits spreads the bits of a hash (the finalizer of MurmurHash3).
+// mixBits mixes the bits of a hash with the finalizer of MurmurHash3.
 func mixBits(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// rollBack assigns a server the released version that it comes from. It may act on the newest version until its metadata
-// expire.
+// rollBack assigns a server the released version that it is rolled back to. The server may still act on the newest
+// version until its metadata expire.
 func (r *Rollout) rollBack(now Tick, s *Server) {
 	if s.assigned == s.released {
 		return
@@ -15,17 +15,17 @@
 	r.host.Assign(s, s.released)
 }
 
-// pending tells whether a server is assigned the newest version and has not reported that it runs it.
+// pending reports whether a server is assigned the newest version and has not reported that it runs it.
 func (r *Rollout) pending(s *Server) bool {
 	return r.version != r.releasedVersion && s.listed && s.assigned == r.version && s.running != r.version
 }
 
-// mayInstall tells whether a server may still act on metadata that name the newest version.
+// mayInstall reports whether a server may still act on metadata that name the newest version.
 func (r *Rollout) mayInstall(now Tick, s *Server) bool {
 	return s.assigned == r.version || now < s.mayInstallUntil
 }
 
-// reconcile assigns the released version to servers above the limit, and the newest version to more servers below it.
+// reconcile rolls back servers above the limit of assignments, or assigns the newest version to more servers below it.
 func (r *Rollout) reconcile(now Tick) {
 	if r.version == r.releasedVersion {
 		return
@@ -40,7 +40,7 @@
 	r.scheduleTimer(now)
 }
 
-// maxAssigned is how many of the listed servers may be assigned the newest version in its phase.
+// maxAssigned is the number of listed servers that may be assigned the newest version in its current phase.
 func (r *Rollout) maxAssigned(servers int) int {
 	switch r.phase {
 	case Canary:
@@ -51,7 +51,8 @@
 	return 0
 }
 
-// rollBackExcess rolls back some servers that are assigned the newest version, the last of the order first.
+// rollBackExcess rolls back as many servers as are assigned the newest version in excess of the limit, the last in the
+// order first.
 func (r *Rollout) rollBackExcess(now Tick, excess int) {
 	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
 		if s := r.servers[i]; s.assigned == r.version {
@@ -61,7 +62,8 @@
 	}
 }
 
-// assignMore assigns the newest version to servers in their order, within the limit and the number of pending installations.
+// assignMore assigns the newest version to servers in their order, within the limit of assignments and of pending
+// installations.
 func (r *Rollout) assignMore(now Tick, counts Counts, limit int) {
 	maxPending := r.maxPending(counts.Servers)
 	for _, s := range r.servers {
@@ -72,7 +74,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // it is counted already
+			counts.MayInstall-- // the server is already counted, by its earlier assignment
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
@@ -81,8 +83,8 @@
 	}
 }
 
-// maxPending is how many installations may be pending at once. Where most of the recent ones failed it is one, until some
-// succeed.
+// maxPending is the number of installations that may be pending at once. It is one while most of the recent
+// installations have failed, until some succeed.
 func (r *Rollout) maxPending(servers int) int {
 	if n := len(r.results); n >= recentResults/2 && sum(r.results) > maxFailedShare*float64(n) {
 		return 1
@@ -90,12 +92,12 @@
 	return max(minPending, int(maxPendingShare*float64(servers)))
 }
 
-// compatible tells whether the newest version's package fits a server's kind of hardware.
+// compatible reports whether the package of the newest version fits a server's kind of hardware.
 func (r *Rollout) compatible(s *Server) bool {
 	return len(r.hardwareKinds) == 0 || slices.Contains(r.hardwareKinds, s.Kind)
 }
 
-// scheduleTimer sets the timer to the next moment at which time alone can change anything.
+// scheduleTimer sets the timer to the next time at which the passing of time alone changes a decision.
 func (r *Rollout) scheduleTimer(now Tick) {
 	next := Tick(math.MaxInt64)
 	for _, s := range r.servers {
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -1,14 +1,16 @@
-// Package stagedrollout decides which servers of a fleet are assigned a version that is not released yet: which, in what
-// order, how many at once, and what becomes of those whose installation fails or that decline it.
+// Package stagedrollout decides which servers of a fleet are assigned a version that is not yet released: in which
+// order, how many at once, and what happens to servers whose installation fails or that decline the version.
 //
-// New makes the Rollout of one fleet. The caller calls the method that names what has happened, with the time; the Rollout
-// acts at once through its Host. How far a version goes is not decided here: the exposure cap comes with OnStage.
+// New makes the Rollout of one fleet. The caller reports each event, with its time, through the method named after it;
+// the Rollout acts at once through its Host. How far a version may go is decided elsewhere: OnStage brings the exposure
+// cap.
 //
-// Invariant: the number of servers that may install a canary version never exceeds the exposure cap's share of the listed
-// servers, rounded down, when one more is assigned. A server may install it while its newest metadata name the version, and
-// after a roll-back until it has fetched newer metadata or those that named the version have expired.
+// Invariant: the number of servers that may install a canary version never exceeds the exposure cap's share of the
+// listed servers, rounded down, when one more server is assigned. A server may install the version while its newest
+// metadata name the version. After a roll-back it may still do so until it has fetched newer metadata, or until the
+// metadata that named the version have expired.
 //
-// It reads no clock, does no I/O and is not safe for concurrent use.
+// The package reads no clock, does no I/O and is not safe for concurrent use.
 //
 // Kind: decision
 package stagedrollout
@@ -18,75 +20,77 @@
 	"slices"
 )
 
-// Tick is a moment or a span in whole tenths of a millisecond.
+// Tick is a time or a duration in units of 0.1 ms (a tenth of a millisecond).
 type Tick = int64
 
 // Second is one second in ticks.
 const Second Tick = 10000
 
 const (
-	maxFailures       = 3             // installations of a version that a server may fail before it is excluded
-	minRetryDelay     = 60 * Second   // after the first failed installation; it doubles
-	maxRetryDelay     = 1800 * Second // of that
-	installWindow     = 300 * Second  // an installation that is not reported in this time counts as failed
-	maxPendingShare   = 0.1           // of the listed servers: installations pending at once
-	minPending        = 2             // and at least so many
-	maxFailedShare    = 0.5           // of the recent installations: above it, one is pending at a time
-	recentResults     = 16            // installations that are recent
-	roundingTolerance = 1e-9          // added to cap times servers, so that a product of floats is not rounded down by error
+	maxFailures       = 3             // installations of a version that may fail on a server before the server is excluded
+	minRetryDelay     = 60 * Second   // after the first failed installation; the delay doubles with each further one
+	maxRetryDelay     = 1800 * Second // upper bound of the retry delay
+	installWindow     = 300 * Second  // an installation that is not reported within this time counts as failed
+	maxPendingShare   = 0.1           // installations that may be pending at once, as a share of the listed servers
+	minPending        = 2             // installations that may be pending at once in a small fleet
+	maxFailedShare    = 0.5           // of the recent installations; above it, only one may be pending
+	recentResults     = 16            // number of installations that count as recent
+	roundingTolerance = 1e-9          // added to cap times servers, so that a rounding error of the product does not lower its floor
 )
 
-// Host carries out what a Rollout decides. It must not call back into the Rollout.
+// Host carries out the decisions of a Rollout. It must not call back into the Rollout.
 type Host interface {
-	// Assign has a server's metadata name a version, at once.
+	// Assign makes a server's metadata name a version, at once.
 	Assign(s *Server, version uint16)
-	// SetTimer asks for OnTimer at a time, or after it.
+	// SetTimer requests a call of OnTimer at the given time or later.
 	SetTimer(at Tick)
 	// Log writes a log line: a constant message with typed fields.
 	Log(level slog.Level, message string, fields ...slog.Attr)
 }
 
-// Phase is how far the newest version is.
+// Phase is the phase of the newest version.
 type Phase uint8
 
 // The phases of a version.
 const (
-	Canary      Phase = iota // it goes to servers up to the exposure cap
-	RollingBack              // it is taken back from all servers
-	Released                 // it goes to all servers
-	Withdrawn                // it was taken back
+	Canary      Phase = iota // the version goes to servers up to the exposure cap
+	RollingBack              // the version is being rolled back on all servers
+	Released                 // the version goes to all servers
+	Withdrawn                // the version has been rolled back
 )
 
-// Rollout is the state of one fleet's servers and its newest version.
+// Rollout is the state of one fleet's servers and of the newest version.
 type Rollout struct {
 	host             Host
-	metadataLifetime Tick // how long metadata that name a version last
+	metadataLifetime Tick // how long metadata that name a version are valid
 	servers          []*Server
 	version          uint16 // the newest version
-	releasedVersion  uint16 // what all other servers run; the newest version itself once nothing newer is out
+	releasedVersion  uint16 // what all other servers run; equal to version unless a newer one is out
 	phase            Phase
 	exposureCap      float64   // share of the listed servers
-	hardwareKinds    []string  // that the newest version's package fits, all of them if none is named
-	paused           bool      // no further server is assigned it until a later stage
-	results          []float64 // of recent installations of the newest version: 1 for one that failed or was declined
-	ordered          bool      // servers are in the order of the newest version
-	timerAt          Tick      // 0 for none
+	hardwareKinds    []string  // kinds that the newest version's package fits; empty means all
+	paused           bool      // no further server is assigned the newest version until a later stage
+	results          []float64 // of recent installations of the newest version: 1 if it failed or was declined, else 0
+	ordered          bool      // servers are sorted in the order of the newest version
+	timerAt          Tick      // 0 if no timer is set
 }
 
-// New makes the Rollout of a fleet. Until OnStage every server is assigned the released version, 0 for none.
+// New makes the Rollout of a fleet. Until OnStage every server is assigned the released version; 0 means that there is
+// none.
 func New(host Host, metadataLifetime Tick, released uint16) *Rollout {
 	return &Rollout{host: host, metadataLifetime: metadataLifetime, releasedVersion: released, phase: Withdrawn, version: released}
 }
 
-// Restore adds a server as it was known before a restart: the version it was assigned, and until when it may act on metadata
-// that name a later one. Call it before OnStage and OnListed only.
+// Restore adds a server with its state before a restart: the version it was assigned, and until when it may act on
+// metadata that name a later version. Restore must be called before OnStage and OnListed.
 func (r *Rollout) Restore(now Tick, s *Server, assigned uint16, mayInstallUntil Tick) {
 	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = assigned, r.releasedVersion, mayInstallUntil, now
 	r.servers, s.tracked = append(r.servers, s), true
 	r.ordered = false
 }
 
-// OnListed records that a server is in the fleet, or no longer. OnListComplete ends a list, or its changes.
+// OnListed records that a server is listed in the fleet, or no longer. The caller calls OnListComplete after the last
+// server of a list or of an update of it.
 func (r *Rollout) OnListed(now Tick, s *Server, listed bool) {
 	if !s.tracked {
 		r.servers, s.tracked = append(r.servers, s), true
@@ -97,8 +101,8 @@
 	}
 }
 
-// OnListComplete records the end of a list. A server that is gone is assigned the released version, should it still ask, and
-// dropped once it can't act on anything else.
+// OnListComplete records the end of a list. A server that is no longer listed is assigned the released version, in case
+// it still fetches metadata. It is dropped once it cannot act on any other version.
 func (r *Rollout) OnListComplete(now Tick) {
 	for _, s := range r.servers {
 		if !s.listed && s.assigned != s.released {
@@ -109,7 +113,7 @@
 	r.reconcile(now)
 }
 
-// dropGone drops the servers that are not listed and can't act on the newest version any more.
+// dropGone drops the servers that are not listed and cannot act on the newest version any more.
 func (r *Rollout) dropGone(now Tick) {
 	r.servers = slices.DeleteFunc(r.servers, func(s *Server) bool {
 		s.tracked = s.listed || now < s.mayInstallUntil
@@ -117,8 +121,8 @@
 	})
 }
 
-// OnStage records the stage of the newest version: the released version before it, its phase, and the share of the fleet that
-// may be assigned it. hardwareKinds are those that its package fits, all of them if there are none.
+// OnStage records the stage of the newest version: the released version before it, its phase, and the share of the
+// fleet that may be assigned it. hardwareKinds are the kinds that its package fits; empty means all.
 func (r *Rollout) OnStage(now Tick, version, released uint16, phase Phase, exposureCap float64, hardwareKinds []string) {
 	if version != r.version || released != r.releasedVersion {
 		for _, s := range r.servers {
@@ -126,8 +130,8 @@
 			switch {
 			case s.assigned == released, s.assigned == r.version && r.phase == Released:
 				s.released = s.assigned
-			case s.assigned == s.released: // excluded from a version that was released: it stays where it is
-			case s.assigned != version: // a version that was never released
+			case s.assigned == s.released: // excluded from a version that was released: it stays on its older version
+			case s.assigned != version: // assigned a version that was never released
 				s.released = released
 				r.rollBack(now, s)
 			default:
@@ -137,16 +141,18 @@
 		r.results, r.ordered, r.paused = nil, false, false
 	}
 	if phase == Canary && exposureCap > r.exposureCap && r.phase == Canary {
-		r.paused = false // it is promoted in spite of the vote
+		r.paused = false // the version is promoted in spite of the vote
 	}
 	r.version, r.releasedVersion, r.phase, r.exposureCap, r.hardwareKinds = version, released, phase, exposureCap, hardwareKinds
 	r.reconcile(now)
 }
 
-// Pause stops assigning the newest version to further servers, as a vote to hold or roll back asks, until a later stage.
+// Pause stops assigning the newest version to further servers until a later stage. The caller calls it for a vote to
+// hold or to roll back.
 func (r *Rollout) Pause(now Tick) { r.paused = true }
 
-// OnFetched records that a server has fetched metadata that name a version: it can't act on earlier ones any more.
+// OnFetched records that a server has fetched metadata that name a version. The server cannot act on earlier metadata
+// any more.
 func (r *Rollout) OnFetched(now Tick, s *Server, version uint16) {
 	if s.assigned == version && version != r.version {
 		s.mayInstallUntil = 0
@@ -154,8 +160,8 @@
 	}
 }
 
-// OnTimer is called at the time of SetTimer: installations that were not reported count as failed, servers may retry, and
-// metadata that a roll-back replaced expire.
+// OnTimer is called at the time that SetTimer requested. Installations that were not reported in time count as failed,
+// servers may retry, and metadata that a roll-back has replaced expire.
 func (r *Rollout) OnTimer(now Tick) {
 	r.timerAt = 0
 	for _, s := range r.servers {
--- a/internal/stagedrollout/server.go
+++ b/internal/stagedrollout/server.go
@@ -2,22 +2,22 @@
 
 // Server is one server of the fleet. The caller sets the exported fields before the first call with it.
 type Server struct {
-	Name string // the Director's name for it
+	Name string // the name that the Director uses
 	Zone string
 	Kind string // of hardware
 
-	tracked         bool    // in Rollout.servers
-	listed          bool    // in the list of servers
+	tracked         bool    // the server is in Rollout.servers
+	listed          bool    // the server is in the list of servers
 	assigned        uint16  // the version that its newest metadata name
-	assignedAt      Tick    // when it was assigned that
-	released        uint16  // the version that it is rolled back to
-	mayInstallUntil Tick    // after a roll-back: until then it may act on the newest version
-	running         uint16  // the version by its last report
-	rank            float64 // in the order of the newest version, from 0 to 1
+	assignedAt      Tick    // when assigned was set
+	released        uint16  // the version that a roll-back assigns
+	mayInstallUntil Tick    // after a roll-back: until this time it may act on the newest version
+	running         uint16  // the version in its last report
+	rank            float64 // position in the order of the newest version, from 0 to 1
 	failures        int     // failed installations of the newest version
-	retryAt         Tick    // after a failure: not assigned the newest version before
-	excluded        bool    // from the newest version, for good
+	retryAt         Tick    // after a failed installation: not assigned the newest version before this time
+	excluded        bool    // permanently, from the newest version
 }
 
-// Assigned is the version that a server's metadata are to name, 0 for none.
+// Assigned is the version that the server's metadata must name; 0 means none.
 func (s *Server) Assigned() uint16 { return s.assigned }
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -4,21 +4,21 @@
 	"slices"
 )
 
-// AssignmentStatus explains one server's assignment to people.
+// AssignmentStatus explains the assignment of one server to an operator.
 type AssignmentStatus struct {
-	Assigned        uint16 // version that its metadata name
-	Running         uint16 // version by its last report
-	Failures        int    // of installations of the newest version
-	Excluded        bool   // from the newest version, for good
-	NotBefore       Tick   // not assigned the newest version again before
-	MayInstallUntil Tick   // after a roll-back
-	Rank            int    // in the order, from 0
-	Servers         int    // in the order
+	Assigned        uint16 // the version that its metadata name
+	Running         uint16 // the version in its last report
+	Failures        int    // failed installations of the newest version
+	Excluded        bool   // permanently, from the newest version
+	NotBefore       Tick   // not assigned the newest version again before this time
+	MayInstallUntil Tick   // after a roll-back: until this time it may act on the newest version
+	Rank            int    // index in the order of assignment, from 0
+	Servers         int    // servers in the order, including removed ones that are still kept
 	MaxAssigned     int    // servers that may be assigned the newest version
-	MayInstall      int    // servers that may act on metadata that name it
+	MayInstall      int    // servers that may act on metadata that name the newest version
 }
 
-// Explain tells why a server is assigned what it is.
+// Explain returns the state that explains the assignment of a server.
 func (r *Rollout) Explain(now Tick, s *Server) AssignmentStatus {
 	r.sortServers()
 	at := AssignmentStatus{Assigned: s.assigned, Running: s.running, Failures: s.failures, Excluded: s.excluded, NotBefore: s.retryAt,
@@ -31,10 +31,10 @@
 // Counts are numbers of servers.
 type Counts struct {
 	Servers    int // listed
-	Assigned   int // assigned the newest version, 0 once it is released
-	MayInstall int // may act on metadata that name the newest version, 0 once it is released
+	Assigned   int // servers assigned the newest version; 0 once it is released
+	MayInstall int // servers that may act on metadata that name the newest version; 0 once it is released
 
-	pending int // assigned the newest version, and not yet heard to run it
+	pending int // servers assigned the newest version that have not reported to run it
 }
 
 // Count counts the servers.
