--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -49,7 +49,7 @@
 // The final answers.
 const (
 	NoAnswer   FinalAnswer = iota
-	Rejected               // nothing has run at a backend: a retry by the client is harmless
+	Rejected               // a retry by the client is harmless: nothing has run, or running again does no harm
 	Failed                 // the request may have run: nothing is promised about its effect
 	ClientGone             // the client has left: no answer is sent
 )
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -22,10 +22,10 @@
 type gossip interface {
 	Ping(name string) (time.Duration, error)                       // blocks for the probe timeout at most
 	Broadcast(name string, record []byte)                          // to all members; replaces an earlier record of the same name
-	Reconnect(name string)                                         // the kept connection may be broken
-	Leave(timeout time.Duration)                                   // tells the other members
-	Close()                                                        // and waits for its goroutines
-	Sync(ctx context.Context, names []string, every time.Duration) // exchanges whole states with members that the library does not consider alive
+	Reconnect(name string)                                         // drops the kept connection, which may be broken
+	Leave(timeout time.Duration)                                   // tells the other members that this process leaves
+	Close()                                                        // shuts the library down and waits for its goroutines
+	Sync(ctx context.Context, names []string, every time.Duration) // exchanges whole states with members that are not alive to the library
 }
 
 // gossipEvents receives the callbacks of the library.
@@ -52,9 +52,9 @@
 	pinging      map[string]bool // members with a ping under way
 }
 
-// Open makes an agent for the processes that the configuration file names; the caller must then call Run. set has
+// Open makes an agent for the processes that the configuration file names; the caller must then call Run. settings has
 // fleet.silence. onChange, if not nil, is called for each change of a member's state, on the goroutine of Run.
-func Open(net *peertransport.Network, incarnation uint64, startedEmpty bool, set map[string]any, onChange func(Member)) (*Agent, error) {
+func Open(net *peertransport.Network, incarnation uint64, startedEmpty bool, settings map[string]any, onChange func(Member)) (*Agent, error) {
 	self := net.Self()
 	own := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: incarnation, StartedEmpty: startedEmpty}
 	var others []Record
@@ -67,7 +67,7 @@
 		startedAt:  time.Now(),
 		changed:    make(chan struct{}, 1),
 		superseded: make(chan struct{}),
-		table:      NewTable(0, own, others, set),
+		table:      NewTable(0, own, others, settings),
 		pinging:    map[string]bool{},
 	}
 	library, err := newGossip(net, a.table.SilenceTimeout().Duration(), len(others)+1, a)
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -46,7 +46,7 @@
 	recoveredAt  tick.Tick
 }
 
-// RecordReply records that a member answered a probe of this process, and the round trip.
+// RecordReply records that a member answered a probe of this process, with the round trip.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// observedState is the state that follows from records and probes alone, without a hold-down.
+// observedState is the state that follows from records, probes and the library's marks, without a hold-down.
 func (t *Table) observedState(now tick.Tick, e *entry) State {
 	unanswered := e.missedProbes >= suspectProbes
 	silent := unanswered && now-max(e.answeredAt, e.missedSince-t.silence) >= t.silence
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -9,7 +9,7 @@
 
 const (
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
-	largeFleet               = 32  // members; each further 32 add one silence timeout to the heartbeat period
+	largeFleet               = 32  // members; each such number of members adds one silence timeout to the heartbeat period
 	maxTargets               = 4   // members probed in turn in one round
 	maxMissedTargets         = 8   // members with missed probes that are probed again in one round
 	payloadSendsPerHeartbeat = 20  // times that changed payloads may be sent within a heartbeat period
@@ -44,9 +44,9 @@
 func (t *Table) heartbeatPeriod() tick.Tick { return t.silence * tick.Tick(1+len(t.byName)/largeFleet) }
 
 // Heartbeat reports whether the own record must be sent again. It is due one heartbeat period after it was last sent,
-// so that others know that this process is alive, and with changed payloads after a payloadSendsPerHeartbeat-th of that
-// period. The bound guards against payloads that change with each measurement of a relay: every member passes them on,
-// so in a large fleet they would fill the links between members.
+// so that others know that this process is alive. Changed payloads are sent sooner, up to payloadSendsPerHeartbeat times
+// within that period. The bound guards against payloads that change with each measurement of a relay: every member
+// passes them on, so in a large fleet they would fill the links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -22,8 +22,7 @@
 )
 
 // Record is a member's description of itself. Of two records, the one with the larger Incarnation is newer; within an
-// incarnation, the one with the larger Sequence.
-// newest.
+// incarnation, the one with the larger Sequence is newer.
 type Record struct {
 	Version      int               `json:"v"`
 	Name         string            `json:"name"`
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -76,10 +76,10 @@
 // defaultSilence is the silence timeout, in seconds, if the setting fleet.silence is missing.
 const defaultSilence = 1
 
-// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. set has
+// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. settings has
 // fleet.silence, in seconds.
-func NewTable(now tick.Tick, self Record, others []Record, set map[string]any) *Table {
-	silence, ok := set["fleet.silence"].(float64)
+func NewTable(now tick.Tick, self Record, others []Record, settings map[string]any) *Table {
+	silence, ok := settings["fleet.silence"].(float64)
 	if !ok || silence <= 0 {
 		silence = defaultSilence
 	}
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -17,16 +17,16 @@
 
 // pressureMeter measures a relay's own load between two calls of measure. It is not safe for concurrent use.
 type pressureMeter struct {
-	cores  float64
-	memory float64 // bytes
-	usage  syscall.Rusage
-	at     time.Time // when usage was read
+	cores   float64
+	memory  float64 // bytes
+	usage   syscall.Rusage
+	usageAt time.Time
 }
 
 // newPressureMeter makes the meter of a relay with the given number of cores and bytes of memory. If the system does
 // not report the CPU time, the CPU counts as unused.
 func newPressureMeter(cores float64, memory int64) pressureMeter {
-	m := pressureMeter{cores: max(minCores, cores), memory: max(minMemory, float64(memory)), at: time.Now()}
+	m := pressureMeter{cores: max(minCores, cores), memory: max(minMemory, float64(memory)), usageAt: time.Now()}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &m.usage)
 	return m
 }
@@ -38,8 +38,8 @@
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	now := time.Now()
 	spent := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
-	cpu := float64(spent) / (float64(now.Sub(m.at)) * m.cores)
-	m.usage, m.at = usage, now
+	cpu := float64(spent) / (float64(now.Sub(m.usageAt)) * m.cores)
+	m.usage, m.usageAt = usage, now
 	samples := []runtimemetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	runtimemetrics.Read(samples)
 	used := samples[0].Value.Uint64() - samples[1].Value.Uint64()
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -32,7 +32,7 @@
 	maxRetryDelay     = 1800 * Second // upper bound of the retry delay
 	installWindow     = 300 * Second  // an installation that is not reported within this time counts as failed
 	maxPendingShare   = 0.1           // installations that may be pending at once, as a share of the listed servers
-	minPending        = 2             // installations that may be pending at once in a small fleet
+	minPending        = 2             // lower bound of the installations that may be pending at once
 	maxFailedShare    = 0.5           // of the recent installations; above it, only one may be pending
 	recentResults     = 16            // number of installations that count as recent
 	roundingTolerance = 1e-9          // added to cap times servers, so that a rounding error of the product does not lower its floor
