--- a/internal/leases/config.go
+++ b/internal/leases/config.go
@@ -2,23 +2,24 @@
 
 import "silvercove/internal/tick"
 
-// Config says how long leases last. It is the same at all processes of a fleet.
+// Config holds the lease duration and the clock drift. All processes of a fleet must use the same values.
 type Config struct {
-	Seconds    float64 // span of a lease by a node's clock: the setting lease of the operator's block fleet
-	ClockDrift float64 // share by which one process's clock may run faster than another's: drift
+	Seconds    float64 // lease duration by the node's clock, in seconds: the setting lease in the operator's block fleet
+	ClockDrift float64 // fraction by which one process's clock may run faster than another's: the setting drift in the same block
 }
 
-// ConfigFrom returns the configuration by the settings "fleet.lease", in seconds, and "fleet.drift", a share. The lease has
-// to be there; without a drift clocks count as exact.
+// ConfigFrom reads the configuration from the settings "fleet.lease", in seconds, and "fleet.drift", a fraction. The lease
+// setting is required. Without a drift setting, clocks are taken as exact.
 func ConfigFrom(settings map[string]any) Config {
 	drift, _ := settings["fleet.drift"].(float64)
 	return Config{Seconds: settings["fleet.lease"].(float64), ClockDrift: drift}
 }
 
-// Duration is how long a node may act on a lease, by its own clock.
+// Duration returns how long a node may act on a lease, by the node's own clock.
 func (c Config) Duration() tick.Tick { return tick.Tick(c.Seconds * float64(tick.Second)) }
 
-// controllerDuration is after how long a lease is over by the controller's clock, however both clocks drift.
+// controllerDuration returns how long the controller waits, by its own clock, before it counts a lease as expired. Twice the
+// drift is added so that the node has stopped by then, however the two clocks drift.
 func (c Config) controllerDuration() tick.Tick {
 	return tick.Tick(c.Seconds*(1+2*c.ClockDrift)*float64(tick.Second)) + 1
 }
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -1,17 +1,17 @@
-// Package leases decides which nodes may act, as the leading controller counts it.
+// Package leases decides on the leading controller which edge nodes hold a lease and may therefore act.
 //
-// A lease runs from the moment at which its request came, for the duration of a lease and twice the clock drift more, so that
-// it is over here only after the node has stopped by its own clock. A name has one incarnation of its process at a time: a
-// restart is a greater number, and is let in once the lease of the earlier one is over; an old copy of the process is a
-// smaller one, and is refused for good.
+// On the controller a lease runs from the time at which its request was received, for the lease duration plus twice the clock
+// drift. It therefore expires on the controller only after the node has stopped by its own clock. A node name has one
+// incarnation of its process at a time. A restarted process has a greater incarnation number and is admitted once the lease
+// of the earlier incarnation has expired. An old copy of the process has a smaller number and is refused permanently.
 //
-// A controller makes a Lessor with New when it begins to lead and calls OnElected. For each request it calls Request; where
-// that says ProposeIncarnation it has the controllers agree on the incarnation and calls OnIncarnationAgreed or
-// OnIncarnationDropped; then, once a majority has confirmed that it leads, Grant. Expired names the nodes whose leases are
-// over, and NextExpiry says when to ask.
+// A controller creates a Lessor with New when it becomes the leader and calls OnElected. It calls Request for each lease
+// request. If Request returns ProposeIncarnation, the controller proposes the incarnation to the agreed log and then calls
+// OnIncarnationAgreed or OnIncarnationDropped. Once a majority has confirmed its leadership, it calls Grant. Expired returns
+// the nodes whose leases have expired, and NextExpiry returns when to call Expired next.
 //
-// Invariants: no two incarnations of a node have a lease at once; a lease is never shortened; a node is named by Expired
-// only after everything that was granted to it is over.
+// Invariants: no two incarnations of a node have a lease at the same time; a lease is never shortened; Expired returns a node
+// only after every lease that was granted to it has expired.
 //
 // Kind: decision (see docs/architecture.md)
 package leases
@@ -25,37 +25,37 @@
 	"silvercove/internal/tick"
 )
 
-// Why a lease is not granted.
+// Errors for which a lease is not granted. Callers recognize them on the wire by their texts (package controllerclient).
 var (
 	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
 	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
 	ErrExpired          = errors.New("the lease was over before it was granted")
-	// ErrIncarnationPending is of the moment: an incarnation of this name is on its way to the agreed log, maybe the very
-	// one that asks, whose first request was given up. Asked again it is answered.
+	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. It may be the requesting incarnation
+	// itself, if its first request was abandoned. The node should repeat the request.
 	ErrIncarnationPending = errors.New("a start of this name is being agreed")
 )
 
-// Decision says what has to happen before a lease is granted.
+// Decision is the step that a lease request needs before the lease can be granted.
 type Decision int
 
-// What Request answers where it does not refuse.
+// Decisions of Request for a request that it does not refuse.
 const (
-	Renew              Decision = iota // the incarnation is the agreed one
-	ProposeIncarnation                 // the controllers have to agree on the incarnation first
+	Renew              Decision = iota // the incarnation is the agreed one, and Grant may follow
+	ProposeIncarnation                 // the controllers must agree on the incarnation first
 )
 
-// node is a node as a Lessor knows it.
+// node is the lease state of one edge node.
 type node struct {
 	name        string
-	incarnation uint64    // as agreed, 0: none yet
-	leaseEnd    tick.Tick // what was granted is over from then on
-	expiry      tick.Tick // when Expired names it: no earlier than leaseEnd, later where the node is expected
-	expired     bool      // Expired has named it, or it never had a lease
-	pending     bool      // another incarnation is being agreed: nobody renews
-	queueIndex  int       // in the queue of expiries, where it is not expired
+	incarnation uint64    // the agreed incarnation, 0 for none yet
+	leaseEnd    tick.Tick // every granted lease has expired from this time on
+	expiry      tick.Tick // when Expired returns the node: at leaseEnd, or later after ExpectRenewal
+	expired     bool      // Expired has returned the node, or the node never had a lease
+	pending     bool      // an incarnation is being agreed, and no incarnation may renew
+	queueIndex  int       // position in Lessor.queue, valid unless expired
 }
 
-// expiryQueue is a heap of nodes by expiry and by name, so that those that are over at once are named in one order.
+// expiryQueue is a heap of nodes ordered by expiry and then by name, so that the order is deterministic for equal expiries.
 type expiryQueue []*node
 
 // Len implements heap.Interface.
@@ -87,23 +87,23 @@
 	return n
 }
 
-// Lessor has the leases of one span of leading. One goroutine at a time may use it.
+// Lessor tracks the leases that one controller grants while it leads without a break. It isn't safe for concurrent use.
 type Lessor struct {
-	leaseDuration tick.Tick // of a lease with its drift, as the controller counts it
+	leaseDuration tick.Tick // by the controller's clock, with the drift added
 	nodes         map[string]*node
-	queue         expiryQueue // the nodes that are not expired
+	queue         expiryQueue // the nodes that have not expired
 }
 
-// New returns a lessor that has granted nothing.
+// New returns a Lessor that has granted no lease.
 func New(config Config) *Lessor {
 	return &Lessor{leaseDuration: config.controllerDuration(), nodes: map[string]*node{}}
 }
 
-// OnElected begins a span of leading: each node that may have a lease of an earlier leader, by its agreed incarnation, is
-// counted as renewed now.
+// OnElected begins a term of leadership. The incarnations are the agreed ones, by node. Each of these nodes may still hold a
+// lease from an earlier leader, so its lease is counted as renewed now.
 //
-// Guards against two incarnations or two primaries at once after a controller fell. It costs a wait of one lease before a
-// node that fell with the controller is given up.
+// Guards against two incarnations of a node, or two primaries of an instance, at the same time after a controller failed. The
+// cost is a wait of one lease before a node that failed together with the controller is given up.
 func (l *Lessor) OnElected(now tick.Tick, incarnations map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(incarnations)) {
 		n := l.ensureNode(name)
@@ -113,7 +113,7 @@
 	}
 }
 
-// extend sets when a node expires, no earlier than it was before.
+// extend moves the expiry of a node to a later time, and queues the node if it had expired. An earlier time is ignored.
 func (l *Lessor) extend(n *node, expiry tick.Tick) {
 	n.expiry = max(n.expiry, expiry)
 	if n.expired {
@@ -124,6 +124,7 @@
 	heap.Fix(&l.queue, n.queueIndex)
 }
 
+// ensureNode returns the state of a node, and adds the node if it is not known.
 func (l *Lessor) ensureNode(name string) *node {
 	n := l.nodes[name]
 	if n == nil {
@@ -133,17 +134,17 @@
 	return n
 }
 
-// ExpectRenewal has a node that is given something to do, and that is not heard of, named by Expired where it does not come
-// within a lease. It is no lease: another incarnation of its name need not wait for it, however often the node is expected
-// meanwhile.
+// ExpectRenewal is called for a node that is given work. If the node has no lease and does not obtain one within the duration
+// of a lease, Expired returns it. Expecting a node does not grant it a lease: another incarnation of its name does not have
+// to wait, however often ExpectRenewal is called.
 func (l *Lessor) ExpectRenewal(now tick.Tick, name string) {
 	if n := l.ensureNode(name); n.expired {
 		l.extend(n, now+l.leaseDuration)
 	}
 }
 
-// Request decides about a request that receivedAt now from an incarnation of a node. Its errors are ErrStaleIncarnation,
-// ErrIncarnationPending and ErrOtherIncarnation.
+// Request decides on a lease request that was received now from an incarnation of a node. It returns ErrStaleIncarnation,
+// ErrIncarnationPending or ErrOtherIncarnation if it refuses the request.
 func (l *Lessor) Request(now tick.Tick, name string, incarnation uint64) (Decision, error) {
 	n := l.ensureNode(name)
 	switch {
@@ -160,19 +161,22 @@
 	return ProposeIncarnation, nil
 }
 
-// OnIncarnationAgreed says that the controllers agreed on the incarnation that Request wanted agreed.
+// OnIncarnationAgreed is called once the controllers have agreed on an incarnation for which Request returned
+// ProposeIncarnation.
 func (l *Lessor) OnIncarnationAgreed(name string, incarnation uint64) {
 	n := l.ensureNode(name)
 	n.incarnation = max(n.incarnation, incarnation)
 	n.pending = false
 }
 
-// OnIncarnationDropped says that the controllers did not agree on it, or that it is not known. A leader that does not know
-// loses its lead by that, and the next one learns it from the log.
+// OnIncarnationDropped is called if the controllers did not agree on an incarnation for which Request returned
+// ProposeIncarnation, or if the outcome is not known. A leader that does not know the outcome loses its leadership for that
+// reason, and the next leader learns the outcome from the log.
 func (l *Lessor) OnIncarnationDropped(name string) { l.ensureNode(name).pending = false }
 
-// Grant renews a lease whose request came at a moment, once a majority has confirmed the lead after it. Its errors are
-// those of Request, and ErrExpired where the confirmation took too long.
+// Grant grants or renews a lease from the time at which its request was received. It is called once a majority has confirmed,
+// after that time, that this controller leads. It returns the errors of Request, and ErrExpired if the lease would be over
+// already because the confirmation took too long.
 func (l *Lessor) Grant(now, receivedAt tick.Tick, name string, incarnation uint64) (leaseEnd tick.Tick, err error) {
 	n := l.ensureNode(name)
 	switch {
@@ -182,7 +186,7 @@
 		return 0, ErrIncarnationPending
 	case incarnation != n.incarnation:
 		return 0, ErrOtherIncarnation
-	case now >= receivedAt+l.leaseDuration: // Expired may have named it meanwhile
+	case now >= receivedAt+l.leaseDuration: // Expired may already have returned the node
 		return 0, ErrExpired
 	}
 	n.leaseEnd = max(n.leaseEnd, receivedAt+l.leaseDuration)
@@ -190,7 +194,7 @@
 	return n.leaseEnd, nil
 }
 
-// LeaseEnd says until when a node may act by the controller's clock, and whether it still may.
+// LeaseEnd returns when the lease of a node ends by the controller's clock, and whether the lease is still active.
 func (l *Lessor) LeaseEnd(now tick.Tick, name string) (end tick.Tick, active bool) {
 	n := l.nodes[name]
 	if n == nil {
@@ -199,7 +203,8 @@
 	return n.leaseEnd, now < n.leaseEnd
 }
 
-// Expired names the nodes whose lease is over, each once until it is granted again, the earliest first.
+// Expired returns the nodes whose leases have expired, earliest expiry first. It returns a node once, and again only after a
+// further lease, or a further ExpectRenewal, of that node has expired.
 func (l *Lessor) Expired(now tick.Tick) (names []string) {
 	for len(l.queue) > 0 && now >= l.queue[0].expiry {
 		n := heap.Pop(&l.queue).(*node)
@@ -209,7 +214,7 @@
 	return names
 }
 
-// NextExpiry is when the next node expires, if there is one.
+// NextExpiry returns when the next node expires, and false if no node is left to expire.
 func (l *Lessor) NextExpiry() (next tick.Tick, ok bool) {
 	if len(l.queue) == 0 {
 		return 0, false
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -7,31 +7,32 @@
 	"silvercove/internal/tick"
 )
 
-// maxCountsPerOperation is how many nodes' counts are agreed at once.
+// maxCountsPerOperation is the maximum number of record counts in one entry of the agreed log.
 const maxCountsPerOperation = 1024
 
-// RecordCounts are the greatest counts of records that nodes have told of their disks, each with its lease. A node that has
-// less than that at its start knows that its disk was restored from an older image.
+// RecordCounts tracks the greatest record count that each node has reported for its disk. A node reports its count with each
+// lease request. A node whose count at its start is below the greatest known one learns from that difference that its disk was
+// restored from an older image.
 //
-// The leading controller hears the counts each third of a lease; the others agree on them once a lease, all that changed at
-// once, so that the next leader knows what was so a lease ago. That costs an entry of the log a lease, however many nodes
-// there are, of some 25 bytes for each that kept something.
+// The leading controller receives the counts every third of a lease. The controllers agree on all changed counts together once
+// a lease, so a new leader knows the state of at most about a lease ago. The cost is one entry of the agreed log a lease,
+// whatever the number of nodes up to maxCountsPerOperation, with some 25 bytes for each node that wrote records.
 type RecordCounts struct {
-	interval tick.Tick
-	known    map[string]uint64
-	pending  map[string]uint64 // reported, and not agreed yet; 0: the count is to be forgotten
+	interval tick.Tick         // between two agreements: one lease
+	known    map[string]uint64 // the greatest count of each node, agreed or not
+	pending  map[string]uint64 // reported and not yet agreed; 0 means that the agreed count is to be deleted
 	nextDue  tick.Tick
 }
 
-// NewRecordCounts begins a span of leading with the counts that are agreed.
+// NewRecordCounts returns the record counts of a controller that begins to lead, from the counts that are already agreed.
 func NewRecordCounts(now tick.Tick, config Config, agreed map[string]uint64) *RecordCounts {
 	interval := config.Duration()
 	return &RecordCounts{interval: interval, known: maps.Clone(agreed), pending: map[string]uint64{}, nextDue: now + interval}
 }
 
-// Report takes a node's count as it came with its lease and returns the greatest one until then, 0 for none. A node without
-// a count (0) is of an earlier version, or has no disk: its file may be written without a count, so what was known means
-// nothing from then on.
+// Report records the count that a node sent with its lease request, and returns the greatest count known before, 0 for none. A
+// node that sends no count (0) runs an earlier version or has no disk. It may write its file without counting, so the count
+// known before is no longer meaningful and is deleted.
 func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
 	previous = c.known[node]
 	switch {
@@ -47,7 +48,8 @@
 	return previous
 }
 
-// Due returns the counts that are to be agreed now, nil for none.
+// Due returns the counts that are to be proposed now, at most maxCountsPerOperation, and nil for none. The returned counts no
+// longer wait for agreement; Requeue puts them back.
 func (c *RecordCounts) Due(now tick.Tick) (counts map[string]uint64) {
 	if now < c.nextDue || len(c.pending) == 0 {
 		return nil
@@ -62,13 +64,13 @@
 	for node := range counts {
 		delete(c.pending, node)
 	}
-	if len(c.pending) == 0 { // else the rest follows at once
+	if len(c.pending) == 0 { // otherwise the remaining counts are due immediately
 		c.nextDue = now + c.interval
 	}
 	return counts
 }
 
-// Requeue says that the counts that were due were not agreed.
+// Requeue makes counts that Due returned due again because they were not agreed. A newer count of a node takes precedence.
 func (c *RecordCounts) Requeue(counts map[string]uint64) {
 	for node, count := range counts {
 		if _, newer := c.pending[node]; !newer {
@@ -77,10 +79,11 @@
 	}
 }
 
-// NextDue is when something is due, if anything is.
+// NextDue returns when Due returns counts next, and false if no counts wait for agreement.
 func (c *RecordCounts) NextDue() (next tick.Tick, ok bool) { return c.nextDue, len(c.pending) > 0 }
 
-// MergeRecordCounts takes counts that were agreed on into those that are agreed. A count of 0 is forgotten.
+// MergeRecordCounts adds newly agreed counts to the agreed ones, which it modifies. Each node keeps its greatest count, and a
+// new count of 0 deletes the count of its node.
 func MergeRecordCounts(agreed, counts map[string]uint64) {
 	for node, count := range counts {
 		if count == 0 {
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -2,26 +2,27 @@
 
 import "silvercove/internal/tick"
 
-// Timings are the controllers' own spans, all parts of a lease: a new leader has to be found, and nodes to renew with it,
-// before their leases are over, where half of one is left on the average.
+// Timings are the timeouts and intervals of the controllers and their clients. All are derived from the lease duration: after a
+// leader fails, the controllers must elect a new one and the nodes must renew their leases with it before the leases expire.
+// On average half a lease is left for that.
 type Timings struct {
-	HeartbeatTimeout         tick.Tick // without a heartbeat for so long a follower looks for a new leader
-	CommitInterval           tick.Tick // followers hear of what is agreed at least so often
-	ConfirmTimeout           tick.Tick // for a majority to confirm the lead
-	ProposalTimeout          tick.Tick // for an operation to be agreed, or the caller is told that the majority is gone
-	NodeUpdateInterval       tick.Tick // changes of nodes are told together, so often at most
-	AssignmentUpdateInterval tick.Tick // and those of assignments
-	RetryDelayMin            tick.Tick // of a client, doubled each time
-	RetryDelayMax            tick.Tick
+	HeartbeatTimeout         tick.Tick // a follower starts an election after this long without a heartbeat
+	CommitInterval           tick.Tick // longest interval at which followers learn what has been agreed
+	ConfirmTimeout           tick.Tick // for a majority to confirm the leadership
+	ProposalTimeout          tick.Tick // for an operation to be agreed; after it the caller is told that there is no majority
+	NodeUpdateInterval       tick.Tick // shortest interval between two updates about nodes; changes in between are batched
+	AssignmentUpdateInterval tick.Tick // shortest interval between two updates about assignments; changes in between are batched
+	RetryDelayMin            tick.Tick // first delay between two attempts of a client, doubled after each attempt
+	RetryDelayMax            tick.Tick // upper limit of the delay between two attempts of a client
 }
 
-// Bounds of the commit interval.
+// Limits of Timings.CommitInterval.
 const (
 	commitIntervalMin = tick.Second / 1000
 	commitIntervalMax = tick.Second / 20
 )
 
-// TimingsFor returns the spans for a lease.
+// TimingsFor returns the timings for a lease duration.
 func TimingsFor(config Config) Timings {
 	lease := config.Duration()
 	return Timings{
