--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -50,7 +50,7 @@
 	incarnation uint64    // the agreed incarnation, 0 for none yet
 	leaseEnd    tick.Tick // every granted lease has expired from this time on
 	expiry      tick.Tick // when Expired returns the node: at leaseEnd, or later after ExpectRenewal
-	expired     bool      // Expired has returned the node, or the node never had a lease
+	expired     bool      // not in Lessor.queue: Expired has returned the node, or it was never granted a lease or expected
 	pending     bool      // an incarnation is being agreed, and no incarnation may renew
 	queueIndex  int       // position in Lessor.queue, valid unless expired
 }
@@ -203,8 +203,8 @@
 	return n.leaseEnd, now < n.leaseEnd
 }
 
-// Expired returns the nodes whose leases have expired, earliest expiry first. It returns a node once, and again only after a
-// further lease, or a further ExpectRenewal, of that node has expired.
+// Expired returns the nodes whose leases have expired, earliest expiry first. It returns a node once, and again only if
+// Grant, OnElected or ExpectRenewal has set a new expiry since.
 func (l *Lessor) Expired(now tick.Tick) (names []string) {
 	for len(l.queue) > 0 && now >= l.queue[0].expiry {
 		n := heap.Pop(&l.queue).(*node)
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -7,7 +7,7 @@
 // On average half a lease is left for that.
 type Timings struct {
 	HeartbeatTimeout         tick.Tick // a follower starts an election after this long without a heartbeat
-	CommitInterval           tick.Tick // longest interval at which followers learn what has been agreed
+	CommitInterval           tick.Tick // longest time until followers learn what has been agreed
 	ConfirmTimeout           tick.Tick // for a majority to confirm the leadership
 	ProposalTimeout          tick.Tick // for an operation to be agreed; after it the caller is told that there is no majority
 	NodeUpdateInterval       tick.Tick // shortest interval between two updates about nodes; changes in between are batched
--- a/internal/placement/assignment.go
+++ b/internal/placement/assignment.go
@@ -1,50 +1,51 @@
 package placement
 
-// State is how an instance stands.
+// State says whether an instance runs and, if not, why.
 type State string
 
 // The states of an instance.
 const (
-	Running     State = "runs"        // its primary may act while its lease holds
-	Lost        State = "lost"        // neither primary nor any replica lives; it waits for one, or for a restart
-	Quarantined State = "quarantined" // it failed too many primaries; an operator releases it
-	Deleted     State = "gone"        // told once, never kept
+	Running     State = "runs"        // the primary may act while its lease is active
+	Lost        State = "lost"        // the primary and all replicas failed; the instance waits for one to return, or for a restart
+	Quarantined State = "quarantined" // too many primaries failed while they ran the instance; an operator must release it
+	Deleted     State = "gone"        // returned once by Apply, never stored
 )
 
-// Assignment is where an instance runs, as the controllers agreed it. Of two assignments of one instance that of the greater
-// Epoch, or of the same one and the greater Revision, is newer.
+// Assignment is the agreed placement of an instance: its primary, its replicas and the copy or migration under way. NewerThan
+// orders the assignments of one instance by Epoch and then by Revision.
 type Assignment struct {
 	Instance string `json:"name"`
 	State    State  `json:"state"`
 	Primary  string `json:"owner,omitempty"` // a node; "" unless the state is Running
-	Epoch    uint64 `json:"epoch"`           // counts primaries, and is their fencing token: what an older one does is refused
-	Revision uint64 `json:"change"`          // counts agreed changes of this instance
+	Epoch    uint64 `json:"epoch"`           // increases with each new primary; a fencing token: operations of older epochs are refused
+	Revision uint64 `json:"change"`          // increases with each agreed change of this instance
 
-	Replicas   []string `json:"holders,omitempty"` // nodes beside the primary that have every acknowledged entry, sorted
-	CopyTarget string   `json:"to,omitempty"`      // the node that it is being copied to, to become a replica
-	CutOver    bool     `json:"switch,omitempty"`  // and then to be the primary: a migration is under way
+	Replicas   []string `json:"holders,omitempty"` // nodes other than the primary that have every acknowledged entry, sorted
+	CopyTarget string   `json:"to,omitempty"`      // the node to which the instance is being copied, to become a replica
+	CutOver    bool     `json:"switch,omitempty"`  // CopyTarget is to become the primary after the copy: a migration is under way
 
-	EverServed bool    `json:"begun,omitempty"`  // a primary has acted for it: there may be acknowledged entries
-	Index      uint64  `json:"seq"`              // of the last entry that the primary had at the last change that told one
+	EverServed bool    `json:"begun,omitempty"`  // a primary has served the instance, so acknowledged entries may exist
+	Index      uint64  `json:"seq"`              // of the primary's last entry, as of the last operation that reported an index
 	Reason     string  `json:"reason,omitempty"` // of the last change
-	Zone       string  `json:"zone,omitempty"`   // where its device is
-	Weight     float64 `json:"weight,omitempty"` // priority, 1 to 100
-	Size       int     `json:"size,omitempty"`   // bytes of its state, as last told
-	Failures   int     `json:"falls,omitempty"`  // primaries that failed one after the other while they ran it
-
-	MissingEntries   uint64      `json:"missing,omitempty"` // that a restart from an older copy is known to lack, at least
-	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // the last few
-	UnverifiedReason string      `json:"doubts,omitempty"`  // why it may lack more than that, as its primary told last
-	Extension        []byte      `json:"more,omitempty"`    // what a later version added; kept as it is
+	Zone       string  `json:"zone,omitempty"`   // of the instance's device
+	Weight     float64 `json:"weight,omitempty"` // priority weight, 1 to 100
+	Size       int     `json:"size,omitempty"`   // bytes of the instance's state, as last reported
+	Failures   int     `json:"falls,omitempty"`  // consecutive primaries that failed while they ran the instance
+
+	MissingEntries   uint64      `json:"missing,omitempty"` // at least so many entries were lost in restarts from older copies
+	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // the latest ones, at most maxStaleCopies
+	UnverifiedReason string      `json:"doubts,omitempty"`  // why more than MissingEntries may be missing, as last reported by the primary
+	Extension        []byte      `json:"more,omitempty"`    // data of a later version, preserved unchanged
 }
 
-// NewerThan reports whether an assignment is newer than another one of the same instance.
+// NewerThan reports whether an assignment is newer than another one of the same instance: its Epoch is greater, or its
+// Epoch is the same and its Revision is greater.
 func (a Assignment) NewerThan(other Assignment) bool {
 	return a.Epoch > other.Epoch || a.Epoch == other.Epoch && a.Revision > other.Revision
 }
 
-// StaleCopy is a copy of an instance that is no longer brought up to date: its first Index entries at least.
+// StaleCopy is a copy of an instance that is no longer updated.
 type StaleCopy struct {
 	Node  string `json:"unit"`
-	Index uint64 `json:"seq,omitempty"`
+	Index uint64 `json:"seq,omitempty"` // the copy has at least the entries up to this index
 }
--- a/internal/placement/changes.go
+++ b/internal/placement/changes.go
@@ -4,16 +4,17 @@
 	"slices"
 )
 
-// Changes are what is new since a version of a table.
+// Changes lists the instances that were changed or deleted since a version of a table.
 type Changes struct {
-	Version     uint64       `json:"version"`
-	Complete    bool         `json:"whole"` // Assignments are all there are: what is not among them is deleted
+	Version     uint64       `json:"version"` // of the table that the changes lead to
+	Complete    bool         `json:"whole"`   // Assignments lists all instances; any other instance is deleted
 	Assignments []Assignment `json:"places"`
 	Deleted     []string     `json:"gone,omitempty"`
 }
 
-// Since returns what has changed since a version, each instance once, by name. It is complete where the version is 0, later
-// than the table's, or so early that deletions since then are no longer remembered. It costs as much as has changed.
+// Since returns the changes since a version, sorted by instance name, with each instance once. The changes are Complete if the
+// version is 0, is later than the table's version, or is so old that deletions since then are no longer recorded. Otherwise
+// the cost depends only on the number of changes.
 func (t *Table) Since(version uint64) Changes {
 	c := Changes{Version: t.version, Assignments: []Assignment{}}
 	if version == 0 || version < t.prunedVersion || version > t.version {
--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// index finds rows by the name of a node or a zone.
+// index maps the name of a node or a zone to the rows that refer to it.
 type index map[string]map[*row]struct{}
 
 func (x index) add(name string, r *row) {
@@ -24,6 +24,7 @@
 	}
 }
 
+// assignments returns the assignments of the rows under a name, sorted by instance name.
 func (x index) assignments(name string) []Assignment {
 	all := make([]Assignment, 0, len(x[name]))
 	for r := range x[name] {
@@ -32,7 +33,7 @@
 	return sortByName(all)
 }
 
-// reindex moves a row in the indexes from what its old assignment says to what the next one says.
+// reindex updates the table's indexes for a row whose assignment changes from old to next.
 func (t *Table) reindex(r *row, old, next Assignment) {
 	if old.Primary != next.Primary {
 		t.byPrimary.remove(old.Primary, r)
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -2,52 +2,71 @@
 
 import "errors"
 
-// OperationKind says what an operation does.
+// OperationKind is the kind of change that an operation makes.
 type OperationKind string
 
-// The kinds of operations. Each names the epoch that its maker saw; an assignment that has moved on refuses it with
-// ErrStaleEpoch.
+// Kinds of operations. An operation names the epoch that its proposer saw, and fails with ErrStaleEpoch if the instance has a
+// later epoch by then. OpMoveDevice is accepted at a later epoch, and OpCreate does not use the epoch.
 const (
-	OpCreate           OperationKind = "create"     // the Instance at Target, in Zone, of Weight: epoch 1
-	OpStartCopy        OperationKind = "copy"       // begin to copy to Target; with CutOver to make it the primary
-	OpReplicaReady     OperationKind = "synced"     // its primary Node says that Target has every acknowledged entry
-	OpDropReplica      OperationKind = "drop"       // its primary Node can't reach the replica Target, and acknowledges without it from now on; Node "": the controllers
-	OpCutOver          OperationKind = "switch"     // its primary Node has stopped at Index, and the replica Target has all: it is the primary of the next epoch
-	OpCancelCopy       OperationKind = "back"       // the copy to Target is given up
-	OpFailOver         OperationKind = "fail"       // the lease of the primary Node is over for sure: the replica Target, or nobody, takes over
-	OpRestart          OperationKind = "restart"    // a lost instance goes on at Target from the copy that it has, at Index
-	OpMoveDevice       OperationKind = "cross"      // its device is in Zone now
-	OpResetFailures    OperationKind = "steady"     // its primary has run it for long: failures count anew
-	OpMarkServed       OperationKind = "begin"      // its primary Node is about to act for it for the first time
-	OpReportIncomplete OperationKind = "lacks"      // Node hasn't what it is counted on for: it is no replica any more, nor the primary, which is the replica Target or nobody
-	OpQuarantine       OperationKind = "quarantine" // it is not run any more; its primary Node has stopped, or its lease is over for sure
-	OpRelease          OperationKind = "release"    // and again: at Target
-	OpDelete           OperationKind = "forget"     // it is not there any more; its primary Node, if any, has stopped
+	// OpCreate adds the instance with the primary Target, in Zone, with Weight. Its epoch is 1 unless the name was used before.
+	OpCreate OperationKind = "create"
+	// OpStartCopy begins to copy the instance to Target, and with CutOver to make Target the primary after the copy.
+	OpStartCopy OperationKind = "copy"
+	// OpReplicaReady makes Target a replica. The primary Node reports that Target has every acknowledged entry.
+	OpReplicaReady OperationKind = "synced"
+	// OpDropReplica removes the replica Target. The primary Node cannot reach Target and acknowledges without it from now on.
+	// An empty Node stands for the controllers.
+	OpDropReplica OperationKind = "drop"
+	// OpCutOver makes the replica Target the primary of the next epoch. The old primary Node has stopped at Index, and Target
+	// has all entries.
+	OpCutOver OperationKind = "switch"
+	// OpCancelCopy cancels the copy to Target.
+	OpCancelCopy OperationKind = "back"
+	// OpFailOver makes the replica Target the primary of the next epoch, or without a Target makes the instance lost. The lease
+	// of the primary Node has certainly expired.
+	OpFailOver OperationKind = "fail"
+	// OpRestart resumes a lost instance on Target from the copy that Target has, which ends at Index.
+	OpRestart OperationKind = "restart"
+	// OpMoveDevice records that the device of the instance is now in Zone.
+	OpMoveDevice OperationKind = "cross"
+	// OpResetFailures sets the number of failures to 0 because the primary has run the instance for a long time.
+	OpResetFailures OperationKind = "steady"
+	// OpMarkServed records that the primary Node is about to serve the instance for the first time.
+	OpMarkServed OperationKind = "begin"
+	// OpReportIncomplete removes Node as the primary or a replica, because Node lacks entries that it must have. If Node is the
+	// primary, the replica Target becomes the primary of the next epoch, or without a Target the instance becomes lost.
+	OpReportIncomplete OperationKind = "lacks"
+	// OpQuarantine stops the instance until OpRelease. The primary Node has stopped, or its lease has certainly expired.
+	OpQuarantine OperationKind = "quarantine"
+	// OpRelease resumes a quarantined instance on Target.
+	OpRelease OperationKind = "release"
+	// OpDelete removes the instance. The primary Node, if there is one, has stopped.
+	OpDelete OperationKind = "forget"
 )
 
-// FormatVersion is that of operations and snapshots as this program writes them. It reads those up to it and refuses later
-// ones.
+// FormatVersion is the version of the operations and snapshots that this program writes. It reads this version and earlier
+// ones, and refuses later ones.
 const FormatVersion = 1
 
-// Operation is one step of the agreed log.
+// Operation is one change to one instance in the agreed log. The kinds say which fields they use.
 type Operation struct {
-	Version  int           `json:"v"` // of the format, from 1
+	Version  int           `json:"v"` // of the format, from 1 to FormatVersion
 	Kind     OperationKind `json:"kind"`
 	Instance string        `json:"name"`
-	Epoch    uint64        `json:"epoch,omitempty"`
-	Revision uint64        `json:"change,omitempty"` // that its maker saw, 0 for any: another one refuses it, however late it comes
-	Node     string        `json:"by,omitempty"`
-	Target   string        `json:"to,omitempty"` // a node
-	CutOver  bool          `json:"switch,omitempty"`
-	Index    uint64        `json:"seq,omitempty"`
+	Epoch    uint64        `json:"epoch,omitempty"`  // of the assignment that the proposer saw
+	Revision uint64        `json:"change,omitempty"` // that the proposer saw, 0 for any; at another one the operation fails, however late
+	Node     string        `json:"by,omitempty"`     // the node that the operation comes from or is about, usually the primary
+	Target   string        `json:"to,omitempty"`     // the node that the instance is copied, moved or assigned to, or a replica
+	CutOver  bool          `json:"switch,omitempty"` // the target of OpStartCopy is to become the primary
+	Index    uint64        `json:"seq,omitempty"`    // of the last entry
 	Zone     string        `json:"zone,omitempty"`
 	Weight   float64       `json:"weight,omitempty"`
 	Size     int           `json:"size,omitempty"` // bytes
 	Reason   string        `json:"reason,omitempty"`
 }
 
-// Why an operation is refused. Nothing has changed then. The texts are told to callers over the wire, which know them again
-// by it.
+// Errors with which an operation is refused. A refused operation changes nothing. The texts are sent over the wire, and
+// callers recognize the errors by them (package controllerclient).
 var (
 	ErrNotFound           = errors.New("no instance of this name")
 	ErrExists             = errors.New("an instance of this name is there already")
--- a/internal/placement/summary.go
+++ b/internal/placement/summary.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// Summary is an assignment in a few words, for timelines and logs: "edge-a@4 +edge-b >edge-c" runs at edge-a in epoch 4, has
-// the replica edge-b and is being copied to edge-c, with ">>" to cut over to it.
+// Summary returns a short form of an assignment for timelines and logs. In "edge-a@4 +edge-b >edge-c" the primary is edge-a in
+// epoch 4, edge-b is a replica, and the instance is being copied to edge-c. ">>edge-c" means that the copy ends with a cut-over
+// to edge-c. Without a primary the state takes its place, as in "lost@4".
 func Summary(a Assignment) string {
 	var b strings.Builder
 	if a.State == Running {
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -1,19 +1,20 @@
-// Package placement keeps where each running instance works: the state machine that every controller steps by the same
-// agreed log of operations. The same operations in the same order give the same Table, byte for byte in its snapshot.
+// Package placement records on which edge nodes each instance runs. It is the state machine to which every controller applies
+// the operations of the agreed log. The same operations in the same order give the same Table, byte for byte in its snapshot.
 //
-// A controller makes a Table with New, or Restore and a snapshot, and calls Apply for each Operation as it is agreed.
-// Since tells what has changed after a version that a caller has seen.
+// A controller creates a Table with New, restores a snapshot with Restore if there is one, and calls Apply for each agreed
+// Operation. Since returns the changes after a version that a caller has seen.
 //
-// What holds at each moment:
-//   - An instance is served in one epoch by one primary. Each new primary has a greater epoch, and an operation of an
-//     older epoch changes nothing.
-//   - A running instance has a primary, and only a running one has one or a copy under way.
-//   - The primary is never among its replicas, and a node with a stale copy is neither.
-//   - A replica has every acknowledged entry. A node that lacks some is taken out before the instance goes on without it.
-//   - Revisions of an instance and versions of the table only grow, and each version belongs to one change.
+// Invariants:
+//   - In one epoch an instance is served by one primary only. Each new primary has a greater epoch, and an operation of an
+//     older epoch changes nothing, except that OpMoveDevice is valid in any earlier epoch.
+//   - A running instance has a primary. Only a running instance has a primary or a copy under way.
+//   - The primary is never one of the replicas. A node with a stale copy is neither the primary nor a replica.
+//   - A replica has every acknowledged entry. A node that lacks some is removed from the replicas before the instance
+//     acknowledges entries without it.
+//   - Revisions of an instance and versions of the table only increase, and each version belongs to one change.
 //
-// An operation costs no more than the replicas of its one instance, whatever the number of instances. A Table has no
-// lock: one goroutine steps it. What it hands out may be read by any, and is never written again.
+// The cost of an operation depends only on the number of replicas of its instance, not on the number of instances. A Table is
+// not safe for concurrent use. The assignments that it returns are never modified afterwards and may be read concurrently.
 //
 // Kind: state (see docs/architecture.md)
 package placement
@@ -23,46 +24,46 @@
 	"slices"
 )
 
-// Bounds of what an operation may say and of what is remembered.
+// Limits of the fields of an operation and of the records that are kept.
 const (
-	maxNameBytes   = 256  // of a name of an instance, a node or a zone
+	maxNameBytes   = 256  // of the name of an instance, a node or a zone
 	maxReasonBytes = 1024 // of a reason
 	maxReplicas    = 16   // of one instance
-	maxStaleCopies = 4    // of one instance that are remembered
-	maxDeletions   = 4096 // names that are remembered after they were deleted
+	maxStaleCopies = 4    // recorded for one instance
+	maxDeletions   = 4096 // deletions that are recorded
 )
 
-// Table is where all instances run.
+// Table holds the assignments of all instances.
 type Table struct {
-	rows      map[string]*row
-	byPrimary index
-	byReplica index
-	byZone    index // of the devices
+	rows      map[string]*row // by instance name
+	byPrimary index           // by node
+	byReplica index           // by node
+	byZone    index           // by the zone of the device
 	version   uint64
-	newest    *row // changed last; each leads to the one changed before
+	newest    *row // the row that was changed last; row.older leads to the one changed before it
 	oldest    *row
 
-	deletions     []deletion // the last ones, in their order
-	deletedByName map[string]deletion
-	prunedEpoch   uint64 // the greatest epoch of a name that was deleted and is no longer remembered
-	prunedVersion uint64 // the version up to which deletions are no longer remembered
+	deletions     []deletion          // the latest ones, ordered by version
+	deletedByName map[string]deletion // the latest deletion of each name in deletions
+	prunedEpoch   uint64              // the greatest epoch of all deletions that are no longer recorded
+	prunedVersion uint64              // deletions up to this version are no longer recorded
 
-	unknown UnknownFields // of the snapshot's head
+	unknown UnknownFields // of the header of the restored snapshot
 }
 
-// row is one instance. Its assignment is replaced, never written into.
+// row holds one instance. A change replaces the assignment and never modifies the lists in it, as copies of it were returned.
 type row struct {
 	assignment   Assignment
-	changedAt    uint64 // the table's version
-	older, newer *row   // by changedAt
+	changedAt    uint64 // the table's version at the last change
+	older, newer *row   // neighbors in the list of all rows, which is ordered by changedAt
 	unknown      UnknownFields
 }
 
-// deletion is an instance that was deleted.
+// deletion records that an instance was deleted.
 type deletion struct {
 	Instance string `json:"name"`
-	Epoch    uint64 `json:"epoch"`
-	Version  uint64 `json:"at"` // of the table
+	Epoch    uint64 `json:"epoch"` // the last epoch of the instance
+	Version  uint64 `json:"at"`    // of the table, after the deletion
 }
 
 // New returns a table without instances.
@@ -73,10 +74,10 @@
 // Len returns the number of instances.
 func (t *Table) Len() int { return len(t.rows) }
 
-// Version counts the operations that changed something. It is the same at every controller.
+// Version returns the number of operations that changed the table. It is the same on every controller.
 func (t *Table) Version() uint64 { return t.version }
 
-// Get returns where an instance runs, if there is one of this name.
+// Get returns the assignment of an instance, and false if there is no instance of this name.
 func (t *Table) Get(instance string) (Assignment, bool) {
 	if r := t.rows[instance]; r != nil {
 		return r.assignment, true
@@ -84,7 +85,7 @@
 	return Assignment{}, false
 }
 
-// All returns all instances by name. It costs as much as there are of them.
+// All returns the assignments of all instances, sorted by instance name. The cost grows with the number of instances.
 func (t *Table) All() []Assignment {
 	all := make([]Assignment, 0, len(t.rows))
 	for _, r := range t.rows {
@@ -93,14 +94,16 @@
 	return sortByName(all)
 }
 
-// ByPrimary returns the instances whose primary a node is, by name. It costs as much as there are of them, as do ByReplica
-// and InZone.
+// ByPrimary returns the assignments of the instances whose primary is a node, sorted by instance name. The cost grows with the
+// number of assignments returned.
 func (t *Table) ByPrimary(node string) []Assignment { return t.byPrimary.assignments(node) }
 
-// ByReplica returns the instances of which a node is a replica, by name.
+// ByReplica returns the assignments of the instances of which a node is a replica, sorted by instance name. The cost grows with
+// the number of assignments returned.
 func (t *Table) ByReplica(node string) []Assignment { return t.byReplica.assignments(node) }
 
-// InZone returns the instances whose device is in a zone, by name.
+// InZone returns the assignments of the instances whose device is in a zone, sorted by instance name. The cost grows with the
+// number of assignments returned.
 func (t *Table) InZone(zone string) []Assignment { return t.byZone.assignments(zone) }
 
 func sortByName(all []Assignment) []Assignment {
@@ -108,7 +111,7 @@
 	return all
 }
 
-// put replaces the assignment of a row, as the newest change.
+// put replaces the assignment of a row, and makes that the newest change of the table.
 func (t *Table) put(r *row, next Assignment) {
 	old := r.assignment
 	next.Revision = old.Revision + 1
@@ -125,7 +128,7 @@
 	t.reindex(r, old, next)
 }
 
-// remove takes a row out, as the newest change.
+// remove removes a row, and makes that the newest change of the table.
 func (t *Table) remove(r *row) {
 	a := r.assignment
 	t.unlink(r)
@@ -135,7 +138,8 @@
 	t.rememberDeletion(deletion{Instance: a.Instance, Epoch: a.Epoch, Version: t.version})
 }
 
-// rememberDeletion notes a deletion. The earliest of too many leaves its epoch as the least one for all names.
+// rememberDeletion records a deletion. If there are more than maxDeletions, it prunes the earliest one. The epoch of a pruned
+// deletion stays in prunedEpoch, as a lower limit for the epochs of all new instances.
 func (t *Table) rememberDeletion(d deletion) {
 	t.deletions = append(t.deletions, d)
 	t.deletedByName[d.Instance] = d
@@ -151,12 +155,12 @@
 	t.prunedVersion = first.Version
 }
 
-// lastEpoch returns the greatest epoch that a name without an instance may have had.
+// lastEpoch returns the greatest epoch that earlier instances of a name may have had. There is no instance of this name now.
 func (t *Table) lastEpoch(instance string) uint64 {
 	return max(t.prunedEpoch, t.deletedByName[instance].Epoch)
 }
 
-// linkNewest makes a row the newest in the order of changes.
+// linkNewest adds a row to the list of rows as the one that was changed last.
 func (t *Table) linkNewest(r *row) {
 	r.older, r.newer = t.newest, nil
 	if t.newest != nil {
@@ -167,7 +171,7 @@
 	t.newest = r
 }
 
-// unlink takes a row out of the order of changes.
+// unlink removes a row from the list of rows. It does nothing for a row that is not in the list.
 func (t *Table) unlink(r *row) {
 	switch {
 	case r.older != nil:
