--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,69 +19,69 @@
 	"silvercove/internal/wakeup"
 )
 
-// Options are what a Controller is made of. Network, DataDir and Settings are required.
+// Options configures a Controller. Network, DataDir and Settings are required.
 type Options struct {
-	Network  *peertransport.Network // the caller runs it
-	DataDir  string                 // the folder of the log, its snapshots and the marker; made if missing
-	Settings map[string]any         // by their names in the operator's file
+	Network  *peertransport.Network // run by the caller
+	DataDir  string                 // directory of the log, its snapshots and the marker; created if missing
+	Settings map[string]any         // by name in the configuration file
 	Log      zerolog.Logger         // the zero value logs nothing
 
-	// Planner makes the planner of a span of leadership; nil makes a migration.Planner.
+	// Planner creates the planner of one leadership; nil selects migration.NewPlanner.
 	Planner func(host Host, now tick.Tick) Planner
 
-	// WrapStore wraps the log's store, for tests of disk faults; nil leaves it as it is.
+	// WrapStore wraps the log's store in tests of disk faults; nil means no wrapper.
 	WrapStore func(Store) Store
 
-	// Now is the time by which leases are counted; nil is controllerclient.Now.
+	// Now returns the time by which leases are counted; nil selects controllerclient.Now.
 	Now func() tick.Tick
 
-	// DiskFree is the free and total bytes of the disk that has a folder; nil asks the system.
+	// DiskFree returns the free and total bytes of the file system that contains a directory; nil asks the operating system.
 	DiskFree func(dir string) (free, total uint64, err error)
 
-	spacePolicy *spacePolicy // nil: that of newSpacePolicy
-	connLimiter *connLimiter // nil: one of maxConns and maxConnsPerProcess
+	spacePolicy *spacePolicy // nil selects newSpacePolicy
+	connLimiter *connLimiter // nil selects the limits maxConns and maxConnsPerProcess
 }
 
-// Bounds on what is held in memory, and on what one log entry carries.
+// Bounds on the controller's memory and on the size of a log entry.
 const (
-	maxEntryOperations  = 256     // operations in one entry of the log
-	maxQueuedOperations = 1 << 17 // the planner's operations that wait to be proposed
-	maxLongPolls        = 4096    // calls that wait for a change
+	maxEntryOperations  = 256     // operations in one log entry
+	maxQueuedOperations = 1 << 17 // operations of the planner that wait to be proposed
+	maxLongPolls        = 4096    // concurrent calls that wait for a change
 )
 
-// Controller is one controller of a fleet. It is made by Open and serves while Run runs.
+// Controller is one controller of a fleet. Open creates it, and it serves while Run runs.
 type Controller struct {
 	Options
 	name           string
-	peers          []string // the other controllers in the operator's file, sorted
+	peers          []string // the other controllers in the configuration file, sorted
 	timings        leases.Timings
 	disk           *storeDir
 	stateMachine   *stateMachine
 	waker          *wakeup.Waker
-	longPolls      chan struct{} // one element for each call that waits
-	fatalErrors    chan error    // holds the first error that the controller can't go on with
+	longPolls      chan struct{} // holds one element per long poll
+	fatalErrors    chan error    // holds the first unrecoverable error
 	confirmer      *leadershipConfirmer
 	client         *controllerclient.Client
 	proposalQueued chan struct{} // wakes the proposer
-	joinMutex      sync.Mutex    // one disk is admitted at a time
+	joinMutex      sync.Mutex    // serializes the admission of disks
 
-	// raft is nil until this disk may take part in the log. store and minTerm are set before it.
+	// raft is nil until this disk may take part in the log. store and minTerm are set before raft.
 	raft    atomic.Pointer[raft.Raft]
 	store   *guardedStore
-	minTerm uint64 // the term in which a disk that was emptied was admitted, 0: it was not
+	minTerm uint64 // term in which this disk was admitted empty, or 0 if it was not
 
-	// mu guards the fields below and all fields of the leadership. Nothing is waited for under it.
+	// mu guards the fields below and all fields of the leadership. No code blocks while it holds mu.
 	mu           sync.Mutex
 	leadership   *leadership // nil while another controller leads
-	waitReason   string      // why the controller does not take part in the log yet, "": it does
-	diskFault    string      // the error of the last write to the log, "": it succeeded
+	waitReason   string      // why the controller does not take part in the log yet, or "" if it does
+	diskFault    string      // error of the last write to the log, or "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
-	logPositions map[string]controllerclient.LogPosition // by controller: what it has confirmed to have on its disk
+	logPositions map[string]controllerclient.LogPosition // by controller: last entry that it acknowledged as stored on its disk
 }
 
-// Open reads the controller's data directory and makes it where there is none. It fails with ErrNewerVersion or ErrCorrupt
-// where the marker can't be read, and where the folder belongs to another controller; faults of the log itself come from
-// Run.
+// Open reads the controller's data directory and creates it if it is missing. It fails with ErrNewerVersion or ErrCorrupt if
+// the marker can't be read, and with another error if the directory belongs to another controller. Run returns the faults of
+// the log itself.
 func Open(o Options) (*Controller, error) {
 	o = o.withDefaults()
 	c := &Controller{
@@ -108,7 +108,7 @@
 	return c, err
 }
 
-// withDefaults sets what was left out.
+// withDefaults replaces unset options by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Now == nil {
 		o.Now = controllerclient.Now
@@ -131,7 +131,7 @@
 	return o
 }
 
-// fatal ends Run with an error. The first one counts.
+// fatal ends Run with an error. Only the first error is kept.
 func (c *Controller) fatal(err error) {
 	select {
 	case c.fatalErrors <- err:
@@ -139,9 +139,9 @@
 	}
 }
 
-// Run takes part in the log and answers calls until the context ends; then it hands the leadership over and waits for all
-// goroutines. It returns nil after the context ended, and the reason where the controller can't go on: ErrNewerVersion,
-// ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
+// Run takes part in the log and answers calls until the context ends. Then it transfers the leadership, if it has it, and
+// waits for all goroutines. It returns nil after the context has ended. If the controller can't continue, Run returns
+// ErrNewerVersion, ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -154,7 +154,8 @@
 			return nil
 		}
 	})
-	callContext, stopCalls := context.WithCancel(context.WithoutCancel(ctx)) // calls are answered until the leadership is handed over
+	// Calls are answered until the leadership has been transferred.
+	callContext, stopCalls := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopCalls()
 	served := make(chan error, 1)
 	go func() { served <- c.serve(callContext) }()
