--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/placement"
 )
 
-// handleLastResort tells, for each zone whose nodes are all draining, which instances are served on instances, those of the
-// greatest priority weight first.
+// handleLastResort returns a plan for each zone whose nodes are all evacuating. The plan lists the instances that are served in
+// the zone nevertheless, those with the greatest priority weight first.
 func (c *Controller) handleLastResort(call[struct{}]) (controllerclient.LastResortPlan, error) {
 	plan := controllerclient.LastResortPlan{Zones: []controllerclient.LastResortZone{}}
 	l, _, err := c.requireLeadership()
@@ -21,7 +21,7 @@
 	c.mu.Lock()
 	zones := c.reportsByZone(l)
 	c.mu.Unlock()
-	var assignments []placement.Assignment // read where they are needed: that is rare, and they are many
+	var assignments []placement.Assignment // read only if a zone needs them, which is rare: there may be many
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllEvacuating(zones[zone]) {
 			continue
@@ -34,7 +34,7 @@
 	return plan, nil
 }
 
-// reportsByZone is the health reports of all nodes whose leases run, by zone and node. It is called with mu.
+// reportsByZone returns the health reports of all nodes with a lease, by zone and node. It is called with mu held.
 func (c *Controller) reportsByZone(l *leadership) map[string]map[string]devicehealth.Report {
 	zones := map[string]map[string]devicehealth.Report{}
 	for name, request := range l.nodes {
@@ -51,7 +51,7 @@
 	return zones
 }
 
-// lastResortZone is the plan of one zone.
+// lastResortZone returns the plan of one zone.
 func lastResortZone(zone string, reports map[string]devicehealth.Report, assignments []placement.Assignment) controllerclient.LastResortZone {
 	var instances []devicehealth.Instance
 	for _, a := range assignments {
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -13,7 +13,7 @@
 	"silvercove/internal/leases"
 )
 
-// handleLease grants a lease, or renews it. The lease counts from the moment at which the request came.
+// handleLease grants or renews a lease. The lease's duration counts from the arrival of the request.
 func (c *Controller) handleLease(req call[controllerclient.LeaseRequest]) (controllerclient.LeaseResponse, error) {
 	received := c.Now()
 	request := req.body
@@ -52,7 +52,8 @@
 	}
 	request.Unverified = nil
 	request = l.withVerifiedReport(now, c.zoneOf(request), request)
-	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known { // else the node says what an earlier leader told it
+	// If this leader has no report of the version, the node's request repeats what an earlier leader told the node.
+	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known {
 		request.RollingBack = rollingBack
 	}
 	status := c.nodeStatus(request)
@@ -71,26 +72,27 @@
 	return response, nil
 }
 
-// checkLeaseRequest refuses a request that no leader may grant.
+// checkLeaseRequest refuses a request that no leader may grant: one of another version, of another process, or with values out
+// of range.
 func (c *Controller) checkLeaseRequest(caller string, request controllerclient.LeaseRequest) error {
 	if err := checkVersion(request.Version); err != nil {
 		return err
 	}
 	switch {
 	case request.Node != caller:
-		return refuse(http.StatusBadRequest, "%s asks for a lease of %s", caller, request.Node)
+		return refuse(http.StatusBadRequest, "%s requests a lease for %s", caller, request.Node)
 	case !c.isEdgeNode(request.Node):
-		return refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", request.Node, c.name)
+		return refuse(http.StatusBadRequest, "%s is not an edge node in the configuration of %s", request.Node, c.name)
 	case request.RecordCount > math.MaxInt64:
-		return refuse(http.StatusBadRequest, "kept: %d is beyond any count", request.RecordCount)
+		return refuse(http.StatusBadRequest, "kept: a record count of %d is out of range", request.RecordCount)
 	case request.Incarnation == 0:
-		return refuse(http.StatusBadRequest, "run: the number of the process's start, above 0")
+		return refuse(http.StatusBadRequest, "run: the incarnation must be above 0")
 	}
 	return nil
 }
 
-// commitIncarnation has a new incarnation of a node agreed before it gets its first lease, so that every later leader refuses
-// the ones before.
+// commitIncarnation commits a new incarnation of a node to the log before the incarnation gets its first lease, so that every
+// later leader refuses earlier incarnations.
 func (c *Controller) commitIncarnation(l *leadership, request controllerclient.LeaseRequest) error {
 	c.mu.Lock()
 	verdict, err := l.lessor.Request(c.Now(), request.Node, request.Incarnation)
@@ -108,7 +110,7 @@
 		l.lessor.OnIncarnationAgreed(request.Node, request.Incarnation)
 	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
 		l.lessor.OnIncarnationDropped(request.Node)
-	} // else it is not known, and the leadership is over
+	} // after any other error the result is unknown, and this leadership has ended
 	c.mu.Unlock()
 	if errors.Is(err, leases.ErrStaleIncarnation) {
 		return refuse(http.StatusConflict, "%s: %v", request.Node, err)
@@ -116,10 +118,11 @@
 	return err
 }
 
-// commitUnverifiedCopies has the node's unverified copies agreed. A node tells each of them until a lease is granted with it.
+// commitUnverifiedCopies commits the request's unverified copies to the log. A node repeats a copy in its requests until a
+// lease was granted to a request with that copy.
 func (c *Controller) commitUnverifiedCopies(l *leadership, request controllerclient.LeaseRequest) error {
 	if len(request.Unverified) > controllerclient.MaxUnverified {
-		return refuse(http.StatusBadRequest, "%d doubts, allowed are %d", len(request.Unverified), controllerclient.MaxUnverified)
+		return refuse(http.StatusBadRequest, "%d unverified copies, the limit is %d", len(request.Unverified), controllerclient.MaxUnverified)
 	}
 	if len(request.Unverified) == 0 {
 		return nil
@@ -134,8 +137,8 @@
 	return nil
 }
 
-// awaitRenewalUnblocked waits until no operation is under way that rests on the end of a node's lease. It is called with mu, which
-// it gives back while it waits. It fails with raft.ErrLeadershipLost, or the context's error.
+// awaitRenewalUnblocked waits until no operation that requires the expiry of the node's lease is in progress. It is called with
+// mu held, and releases mu while it waits. It fails with raft.ErrLeadershipLost or the context's error.
 func (c *Controller) awaitRenewalUnblocked(ctx context.Context, l *leadership, node string) error {
 	for c.currentLeadership() == l && l.renewalBlocks[node] > 0 {
 		settled := l.renewalUnblocked
@@ -156,7 +159,7 @@
 	return nil
 }
 
-// leaseRefusal refuses a lease: for good, or with 503 so that the node asks again at once.
+// leaseRefusal returns the response to a refused lease request: 503 if the node should retry at once, or else 409.
 func leaseRefusal(node string, err error) error {
 	if errors.Is(err, leases.ErrExpired) || errors.Is(err, leases.ErrIncarnationPending) {
 		return refuse(http.StatusServiceUnavailable, "%s: %v", node, err)
--- a/internal/controller/handle_operation.go
+++ b/internal/controller/handle_operation.go
@@ -10,12 +10,12 @@
 	"silvercove/internal/placement"
 )
 
-// handleOperation has an operation of an edge node or an operator agreed. The planner's own kinds are refused.
+// handleOperation proposes an operation of an edge node or an operator. It refuses the kinds that only the planner proposes.
 func (c *Controller) handleOperation(req call[placement.Operation]) (placement.Assignment, error) {
 	var none placement.Assignment
 	op := req.body
 	if op.Version != placement.FormatVersion {
-		return none, refuse(http.StatusBadRequest, "%v: version %d of the entry is not known here, %d is",
+		return none, refuse(http.StatusBadRequest, "%v: operation version %d is not supported, only %d is",
 			placement.ErrUnsupportedVersion, op.Version, placement.FormatVersion)
 	}
 	l, _, err := c.requireLeadership()
@@ -26,21 +26,21 @@
 	case placement.OpReplicaReady, placement.OpDropReplica, placement.OpCutOver, placement.OpCancelCopy, placement.OpMarkServed,
 		placement.OpReportIncomplete:
 		if op.Node != req.caller {
-			return none, refuse(http.StatusBadRequest, "%s: a step of %s that is by %q", req.caller, op.Kind, op.Node)
+			return none, refuse(http.StatusBadRequest, "%s: operation %s in the name of %q", req.caller, op.Kind, op.Node)
 		}
 	case placement.OpCreate, placement.OpRelease:
 		if !c.isEdgeNode(op.Target) {
-			return none, refuse(http.StatusBadRequest, "%s is no edge unit in the file of %s", op.Target, c.name)
+			return none, refuse(http.StatusBadRequest, "%s is not an edge node in the configuration of %s", op.Target, c.name)
 		}
 	case placement.OpDelete, placement.OpQuarantine:
 		return c.stopInstance(l, op)
 	default:
-		return none, refuse(http.StatusBadRequest, "steps of kind %q are made by the leading keeper alone", op.Kind)
+		return none, refuse(http.StatusBadRequest, "operations of kind %q are proposed by the leading controller only", op.Kind)
 	}
 	return operationResponse(c.proposeEntry(logEntry{Operations: []placement.Operation{op}}))
 }
 
-// stopInstance has an instance deleted or quarantined, which is refused while the lease of its primary runs.
+// stopInstance proposes to delete or quarantine an instance. It is refused while the lease of the instance's primary runs.
 func (c *Controller) stopInstance(l *leadership, op placement.Operation) (placement.Assignment, error) {
 	var none placement.Assignment
 	current, ok := c.stateMachine.assignment(op.Instance)
@@ -57,7 +57,7 @@
 		err := l.blockRenewal(c.Now(), current.Primary)
 		c.mu.Unlock()
 		if err != nil {
-			refusal := refuse(http.StatusConflict, "%s runs at %s: %v", op.Instance, current.Primary, err)
+			refusal := refuse(http.StatusConflict, "%s runs on %s: %v", op.Instance, current.Primary, err)
 			refusal.Assignment = &current
 			return none, refusal
 		}
@@ -71,7 +71,7 @@
 	return operationResponse(c.proposeEntry(entry))
 }
 
-// handleDevice notes in which zone an instance's device is.
+// handleDevice proposes the zone of an instance's device and tells the planner.
 func (c *Controller) handleDevice(req call[controllerclient.DeviceRequest]) (placement.Assignment, error) {
 	var none placement.Assignment
 	if err := checkVersion(req.body.Version); err != nil {
@@ -105,8 +105,8 @@
 	return response, nil
 }
 
-// operationResponse is the answer to a call by the result of its one operation: the assignment after it, or a refusal with
-// the one that stands.
+// operationResponse returns the response to a call with one operation: the assignment after it, or a refusal that has the
+// unchanged assignment, if there is one.
 func operationResponse(results []operationResult, err error) (placement.Assignment, error) {
 	var none placement.Assignment
 	if err != nil {
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -8,17 +8,18 @@
 	"silvercove/internal/tick"
 )
 
-// maxOutcomeCount is how many outcomes of one node a call may tell; more count as so many.
+// maxOutcomeCount limits the successes and the failures of a node that one report counts; larger numbers are cut to it.
 const maxOutcomeCount = 1 << 20
 
-// handleOutcomes takes how requests to edge nodes ended, as a relay saw them. A node's own report is judged by it.
+// handleOutcomes records a relay's counts of successful and failed requests to edge nodes. The leader verifies the nodes' own
+// health reports against them. The report also carries the rollout state that the relay was told.
 func (c *Controller) handleOutcomes(req call[controllerclient.OutcomeReport]) (struct{}, error) {
 	var none struct{}
 	if err := checkVersion(req.body.Version); err != nil {
 		return none, err
 	}
 	if peer, ok := c.Network.Peer(req.caller); !ok || peer.Role != peertransport.RoleRelay {
-		return none, refuse(http.StatusBadRequest, "%s is no relay in the file of %s", req.caller, c.name)
+		return none, refuse(http.StatusBadRequest, "%s is not a relay in the configuration of %s", req.caller, c.name)
 	}
 	l, _, err := c.requireLeadership()
 	if err != nil {
@@ -33,7 +34,7 @@
 	}
 	for _, outcomes := range req.body.Nodes {
 		if !c.isEdgeNode(outcomes.Node) || outcomes.Successes < 0 || outcomes.Failures < 0 {
-			return none, refuse(http.StatusBadRequest, "outcomes of %.40q: %d good, %d bad", outcomes.Node, outcomes.Successes,
+			return none, refuse(http.StatusBadRequest, "invalid outcomes of %.40q: %d successes, %d failures", outcomes.Node, outcomes.Successes,
 				outcomes.Failures)
 		}
 		l.recordOutcomes(now, outcomes)
@@ -41,8 +42,8 @@
 	return none, nil
 }
 
-// recordOutcomes records at most controllerclient.MaxOutcomes outcomes of a node, with the share of failures that was told,
-// and the failures spread evenly. It is called with Controller.mu.
+// recordOutcomes records at most controllerclient.MaxOutcomes outcomes of a node, with the reported fraction of failures and
+// the failures spread evenly. It is called with Controller.mu held.
 func (l *leadership) recordOutcomes(now tick.Tick, outcomes controllerclient.NodeOutcomes) {
 	successes, failures := min(outcomes.Successes, maxOutcomeCount), min(outcomes.Failures, maxOutcomeCount)
 	count := min(successes+failures, controllerclient.MaxOutcomes)
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/controllerclient"
 )
 
-// handleStatus tells how this controller stands, whether it takes part in the log or not.
+// handleStatus returns this controller's status. It answers before the controller takes part in the log, too.
 func (c *Controller) handleStatus(call[struct{}]) (controllerclient.Status, error) {
 	marker := c.disk.currentMarker()
 	status := controllerclient.Status{
@@ -57,7 +57,7 @@
 	return status, nil
 }
 
-// roleOf is raft's state as the status call tells it.
+// roleOf returns the role by which the status call names a state of raft.
 func roleOf(state raft.RaftState) string {
 	switch state {
 	case raft.Follower:
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// handleJoin admits the disk of another controller.
+// handleJoin admits the disk of another controller to the log.
 func (c *Controller) handleJoin(req call[controllerclient.JoinRequest]) (controllerclient.JoinResponse, error) {
 	var none controllerclient.JoinResponse
 	if err := checkVersion(req.body.Version); err != nil {
@@ -83,24 +83,25 @@
 		return none, err
 	}
 	if req.body.Node != req.caller || !slices.Contains(c.peers, req.caller) || req.body.StoreID == "" {
-		return none, refuse(http.StatusBadRequest, "%s is no keeper in the file of %s, or speaks for another", req.caller, c.name)
+		return none, refuse(http.StatusBadRequest, "%s is not a controller in the configuration of %s, or names another controller", req.caller, c.name)
 	}
 	return c.admitDisk(r, l.term, req.body)
 }
 
-// handleConfirm tells in which term this controller is.
+// handleConfirm returns this controller's term to a leader that has its leadership confirmed.
 func (c *Controller) handleConfirm(req call[controllerclient.ConfirmRequest]) (controllerclient.ConfirmRequest, error) {
 	if err := checkVersion(req.body.Version); err != nil {
 		return controllerclient.ConfirmRequest{}, err
 	}
 	r := c.raft.Load()
 	if r == nil {
-		return controllerclient.ConfirmRequest{}, refuse(http.StatusServiceUnavailable, "%s waits", c.name)
+		return controllerclient.ConfirmRequest{}, refuse(http.StatusServiceUnavailable, "%s is waiting to start", c.name)
 	}
 	return controllerclient.ConfirmRequest{Version: controllerclient.Version, Term: r.CurrentTerm()}, nil
 }
 
-// handleBackup writes a snapshot of what is agreed. A caller that went away needs nothing.
+// handleBackup writes a snapshot of the agreed state. A write error is ignored: it means that the caller has closed the
+// connection.
 func (c *Controller) handleBackup(w http.ResponseWriter, _ *http.Request) {
 	if _, _, err := c.requireLeadership(); err != nil {
 		writeError(w, err)
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -14,19 +14,19 @@
 	"silvercove/internal/placement"
 )
 
-// maxLongPoll is how long a call may wait for a change.
+// maxLongPoll is the longest time for which a call waits for a change.
 const maxLongPoll = time.Minute
 
-// longPoll is a call that waits for a change. end must be called once.
+// longPoll is a call that waits for a change. Its release function must be called once.
 type longPoll struct {
-	leadership *leadership // under which it waits
-	since      uint64      // the version that the caller has
-	timer      *time.Timer // fires when the call has waited as long as it asked to
-	release    func()
+	leadership *leadership // the call ends with this leadership
+	since      uint64      // version that the caller has
+	timer      *time.Timer // fires after the call's timeout
+	release    func()      // stops timer and frees the slot
 }
 
-// beginLongPoll reads "since" and "timeout_ms" of the query, and takes one of the slots of the calls that wait. It refuses the
-// call where another controller leads.
+// beginLongPoll reads "since" and "timeout_ms" from the query and takes a slot for a long poll. It refuses the call if another
+// controller leads or no slot is free.
 func (c *Controller) beginLongPoll(req call[struct{}]) (longPoll, error) {
 	l, _, err := c.requireLeadership()
 	if err != nil {
@@ -43,7 +43,7 @@
 	select {
 	case c.longPolls <- struct{}{}:
 	default:
-		return longPoll{}, refuse(http.StatusServiceUnavailable, "as many calls wait for news as may")
+		return longPoll{}, refuse(http.StatusServiceUnavailable, "too many long polls are open")
 	}
 	timer := time.NewTimer(time.Duration(min(timeoutMS, uint64(maxLongPoll.Milliseconds()))) * time.Millisecond)
 	release := func() {
@@ -53,7 +53,7 @@
 	return longPoll{l, since, timer, release}, nil
 }
 
-// queryNumber reads a number of a call's query; one that is missing is 0.
+// queryNumber reads a number from a call's query. A missing number is 0.
 func queryNumber(req call[struct{}], name string) (uint64, error) {
 	text := req.query.Get(name)
 	if text == "" {
@@ -61,12 +61,12 @@
 	}
 	number, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, refuse(http.StatusBadRequest, "%s: a number is wanted, not %.40q", name, text)
+		return 0, refuse(http.StatusBadRequest, "%s: %.40q is not a number", name, text)
 	}
 	return number, nil
 }
 
-// coalesce waits a moment, so that what changes within it is told together.
+// coalesce waits for the duration wait, so that one response has all changes in that time.
 func (p longPoll) coalesce(req call[struct{}], wait time.Duration) {
 	p.timer.Reset(wait)
 	select {
@@ -75,7 +75,7 @@
 	}
 }
 
-// handleAssignments tells the assignments that changed since the caller's version, once there are any.
+// handleAssignments waits until an assignment has changed since the caller's version, and returns the changes.
 func (c *Controller) handleAssignments(req call[struct{}]) (controllerclient.AssignmentChanges, error) {
 	var none controllerclient.AssignmentChanges
 	poll, err := c.beginLongPoll(req)
@@ -109,7 +109,7 @@
 	}
 }
 
-// handleNodes tells all edge nodes, once one of them is not as in the caller's version.
+// handleNodes waits until an edge node has changed since the caller's version, and returns all edge nodes.
 func (c *Controller) handleNodes(req call[struct{}]) (controllerclient.NodeList, error) {
 	var none controllerclient.NodeList
 	poll, err := c.beginLongPoll(req)
@@ -144,7 +144,7 @@
 	}
 }
 
-// nodeList is all edge nodes of the operator's file, by name. It is called with mu.
+// nodeList returns all edge nodes of the configuration file, sorted by name. It is called with mu held.
 func (c *Controller) nodeList(l *leadership) controllerclient.NodeList {
 	list := controllerclient.NodeList{Version: l.nodesVersion, Nodes: []controllerclient.Node{}}
 	now := c.Now()
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -16,7 +16,7 @@
 	"silvercove/internal/peertransport"
 )
 
-// Limits of the HTTP server of the calls.
+// Limits of the HTTP server that answers calls.
 const (
 	callHeaderTimeout = 5 * time.Second
 	callReadTimeout   = 10 * time.Second
@@ -24,24 +24,24 @@
 	maxCallHeader     = 8 << 10 // bytes
 )
 
-// callError is the answer to a call that is refused.
+// callError is the error response to a refused call.
 type callError struct {
-	statusCode int // of HTTP
+	statusCode int // HTTP status code
 	controllerclient.ErrorBody
 }
 
-// Error is the text that the caller is told.
+// Error returns the error text of the response body.
 func (e *callError) Error() string { return e.ErrorBody.Error }
 
-// refuse refuses a call with a status code of HTTP and a text.
+// refuse returns the error response with an HTTP status code and a formatted text.
 func refuse(statusCode int, format string, args ...any) *callError {
 	return &callError{statusCode, controllerclient.ErrorBody{Error: fmt.Sprintf(format, args...)}}
 }
 
-// callerKey is the key of a request's context under which the name of the calling process stands.
+// callerKey is the context key of the calling process's name.
 type callerKey struct{}
 
-// call is one call of another process.
+// call is a decoded HTTP request of another process.
 type call[In any] struct {
 	ctx    context.Context
 	caller string // the name of the calling process
@@ -49,8 +49,9 @@
 	body   In
 }
 
-// handle decodes a call, bounded in its size, and encodes the answer. A callError is answered with its code, any other error,
-// which is raft's or that of an ended context, with 503: the caller tries again.
+// handle returns an HTTP handler that decodes a call of at most MaxBody bytes, calls f and encodes the response. A callError is
+// answered with its status code. Any other error, which comes from raft or from an ended context, is answered with 503, so
+// that the caller retries.
 func handle[In, Out any](f func(call[In]) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := call[In]{ctx: r.Context(), query: r.URL.Query()}
@@ -58,7 +59,7 @@
 		if r.Method == http.MethodPost {
 			body := http.MaxBytesReader(w, r.Body, controllerclient.MaxBody)
 			if err := json.NewDecoder(body).Decode(&req.body); err != nil {
-				writeError(w, refuse(http.StatusBadRequest, "the call can't be read: %v", err))
+				writeError(w, refuse(http.StatusBadRequest, "invalid request body: %v", err))
 				return
 			}
 		}
@@ -71,7 +72,7 @@
 	}
 }
 
-// writeError answers a call that failed.
+// writeError writes the response to a failed call.
 func writeError(w http.ResponseWriter, err error) {
 	var refusal *callError
 	if !errors.As(err, &refusal) {
@@ -80,14 +81,14 @@
 	writeJSON(w, refusal.statusCode, refusal.ErrorBody)
 }
 
-// writeJSON answers a call. A caller that went away needs nothing.
+// writeJSON writes a response as JSON. An encoding error is ignored: it means that the caller has closed the connection.
 func writeJSON(w http.ResponseWriter, statusCode int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(statusCode)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// serve answers calls until the context ends, and returns nil then.
+// serve answers calls until the context ends, and then returns nil.
 func (c *Controller) serve(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/lease", handle(c.handleLease))
@@ -112,42 +113,43 @@
 			return context.WithValue(ctx, callerKey{}, conn.(*peertransport.Conn).From)
 		},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // what its connections were doing has ended with the context
+	// The calls in progress have ended with the context, so an error of Close does not matter.
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
 	listener.Admit(c.connLimiter.admit)
 	err := server.Serve(listener)
-	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // the latter: the process's connections have ended
+	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // net.ErrClosed: the process's Network has ended
 		return nil
 	}
 	return err
 }
 
-// requireLeadership returns the present span of leadership, and refuses the call where another controller leads, with its
-// name, or where none is known.
+// requireLeadership returns the current leadership. If this controller does not lead, it refuses the call and names the
+// leader, if one is known.
 func (c *Controller) requireLeadership() (*leadership, *raft.Raft, error) {
 	r := c.raft.Load()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r == nil {
-		return nil, nil, refuse(http.StatusServiceUnavailable, "%s waits %s", c.name, c.waitReason)
+		return nil, nil, refuse(http.StatusServiceUnavailable, "%s is waiting %s", c.name, c.waitReason)
 	}
 	if l := c.currentLeadership(); l != nil {
 		return l, r, nil
 	}
 	_, leader := r.LeaderWithID()
 	if string(leader) == c.name {
-		return nil, nil, refuse(http.StatusServiceUnavailable, "%s begins to lead", c.name)
+		return nil, nil, refuse(http.StatusServiceUnavailable, "%s is becoming the leader", c.name)
 	}
-	refusal := refuse(http.StatusMisdirectedRequest, "%s does not lead", c.name)
+	refusal := refuse(http.StatusMisdirectedRequest, "%s is not the leader", c.name)
 	refusal.Leader = string(leader)
 	return nil, nil, refusal
 }
 
-// checkVersion refuses a call of another version.
+// checkVersion refuses a call of another protocol version.
 func checkVersion(version int) error {
 	if version != controllerclient.Version {
-		return refuse(http.StatusBadRequest, "version %d of the call is not spoken here, %d is", version, controllerclient.Version)
+		return refuse(http.StatusBadRequest, "protocol version %d is not supported, only %d is", version, controllerclient.Version)
 	}
 	return nil
 }
