--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -9,27 +9,28 @@
 	"github.com/hashicorp/raft"
 )
 
-// errNoMajority means that too few controllers have answered in time; the caller may ask again.
-var errNoMajority = errors.New("a majority of keepers has not confirmed the lead")
+// errNoMajority means that too few controllers have answered in time. The caller may retry.
+var errNoMajority = errors.New("a majority of the controllers has not confirmed the leadership")
 
-// leadershipConfirmer finds out whether a majority still follows this controller's leadership, for many lease requests with
-// one round trip. It is safe for concurrent use.
+// leadershipConfirmer checks whether a majority of the controllers still follows this controller's leadership. Many lease
+// requests share one round trip. It is safe for concurrent use.
 //
-// Guards against a leader that grants leases while another one is elected already: raft's VerifyLeader also counts an
-// answer to an earlier message, which a slow link may hold back until then. Holds because each controller is asked after the
-// lease request came, and one that is in the leader's term then has not voted for another leader before.
+// It guards against a leader that grants leases after another leader has been elected. raft's VerifyLeader does not suffice:
+// it also counts an answer to an earlier message, which a slow link may have held back until after the election. The guard
+// holds because each controller is queried after the lease request arrived, and a controller that is then still in the
+// leader's term has not voted for another leader before.
 type leadershipConfirmer struct {
 	controller *Controller
-	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that asks it
+	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that queries it
 
 	mu            sync.Mutex              // guards the fields below
-	lastRound     uint64                  // number of the last question
-	confirmations map[string]confirmation // by controller
+	lastRound     uint64                  // number of the newest round; each call of confirm begins one
+	confirmations map[string]confirmation // by controller: its newest answer
 	changed       chan struct{}           // closed at the next confirmation
-	waiters       int                     // calls of confirm
+	waiters       int                     // calls of confirm in progress
 }
 
-// confirmation is a controller's answer: the last question that was asked before it, and the term that it was in.
+// confirmation is a controller's answer: the newest round that had begun when the controller was queried, and its term.
 type confirmation struct{ round, term uint64 }
 
 func newLeadershipConfirmer(controller *Controller) *leadershipConfirmer {
@@ -45,7 +46,8 @@
 	return l
 }
 
-// run asks the other controllers until the context ends, each with one question at a time, in goroutines that it waits for.
+// run queries the other controllers until the context ends. It has at most one query in flight to each of them and returns
+// after its goroutines have ended.
 func (l *leadershipConfirmer) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, name := range l.controller.peers {
@@ -65,7 +67,7 @@
 	group.Wait()
 }
 
-// ask asks one controller and notes its answer. It returns whether there was one.
+// query queries one controller's term and records the confirmation. It reports whether the controller answered.
 func (l *leadershipConfirmer) query(ctx context.Context, name string) bool {
 	l.mu.Lock()
 	round := l.lastRound
@@ -84,7 +86,8 @@
 	return true
 }
 
-// retryLater has a controller that did not answer asked again after a pause, where somebody waits for that.
+// retryLater waits for CommitInterval after a query without an answer, and then wakes the controller's goroutine if a call of
+// confirm was waiting.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
 	hasWaiters := l.waiters > 0
@@ -99,8 +102,8 @@
 	}
 }
 
-// wake has a controller asked. One that is to be asked already will be with the latest question; a name that is no other
-// controller's has no channel and is passed over.
+// wake requests a query of a controller. If a query is pending already, that one will be for the newest round. This
+// controller's own name has no channel and is ignored.
 func (l *leadershipConfirmer) wake(name string) {
 	select {
 	case l.wakeups[name] <- struct{}{}:
@@ -108,8 +111,8 @@
 	}
 }
 
-// confirm waits until a majority of the file's controllers, asked after this call began, is in the term. It fails with
-// errNoMajority, raft.ErrLeadershipLost or an error of raft.
+// confirm waits until a majority of the controllers in the configuration file, queried after this call began, is in the term.
+// It fails with errNoMajority, raft.ErrLeadershipLost or another error of raft.
 func (l *leadershipConfirmer) confirm(ctx context.Context, r *raft.Raft, term uint64) error {
 	voters, err := l.controller.voters(r)
 	if err != nil {
@@ -126,7 +129,7 @@
 	for {
 		count, changed := l.countConfirmations(voters, round, term)
 		if count >= majority {
-			if !leadsInTerm(r, term) { // its own vote is one of the majority's, and is given last
+			if !leadsInTerm(r, term) { // this controller is one of the majority, and its own term is checked last
 				return raft.ErrLeadershipLost
 			}
 			return nil
@@ -139,7 +142,7 @@
 	}
 }
 
-// beginRound numbers a new question.
+// beginRound begins a new round for a call of confirm and returns the round's number.
 func (l *leadershipConfirmer) beginRound() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,15 +151,15 @@
 	return l.lastRound
 }
 
-// endRound says that one caller less waits.
+// endRound ends the wait of a call of confirm.
 func (l *leadershipConfirmer) endRound() {
 	l.mu.Lock()
 	l.waiters--
 	l.mu.Unlock()
 }
 
-// countConfirmations counts the voters that have answered a question or a later one in a term, this controller included, and
-// returns what is closed at the next answer.
+// countConfirmations counts the voters, including this controller, that have confirmed the term in the round or a later one.
+// changed is closed at the next confirmation.
 func (l *leadershipConfirmer) countConfirmations(voters []string, round, term uint64) (count int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +172,7 @@
 	return count, l.changed
 }
 
-// voters are the names of the voters in raft's configuration.
+// voters returns the names of the voters in raft's configuration.
 func (c *Controller) voters(r *raft.Raft) (names []string, err error) {
 	future := r.GetConfiguration()
 	if err := future.Error(); err != nil {
@@ -183,10 +186,11 @@
 	return names, nil
 }
 
-// majority is how many voters have to confirm a leadership.
+// majority returns how many voters have to confirm a leadership.
 //
-// Guards against two controllers that were rebuilt by mistake, out of each other's sight: a rebuilt log begins with one voter,
-// so both would lead. Holds because only one of them can have a majority of the file's controllers.
+// It counts all controllers in the configuration file even if fewer are voters. This guards against two controllers that were
+// both rebuilt by mistake and can't reach each other: a rebuilt log begins with one voter, so both would lead. The guard holds
+// because only one of them can have a majority of the controllers in the file.
 func (c *Controller) majority(voters []string) int {
 	return max(len(voters), len(c.peers)+1)/2 + 1
 }
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -7,17 +7,18 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Bounds of the connections with calls. Each costs a goroutine, a descriptor and some 10 KiB. Of a thousand edge nodes and
-// three hundred relays each has up to six when idle: a lease's, two of watches and a few operations. One process may have as
-// many as all its operations after a failover need at once, and must not keep others from their leases.
+// Limits on the connections that carry calls. Each connection costs a goroutine, a file descriptor and about 10 KiB. With a
+// thousand edge nodes and three hundred relays, each of these processes has up to six connections when idle: one for its lease,
+// two for watches and a few for operations. The limit per process has room for all operations that one process proposes at once
+// after a failover, and keeps that process from taking the connections that others need for their leases.
 const (
-	maxConns           = 8192 // of all processes but controllers
-	maxConnsPerProcess = 256  // of one process, a controller too
+	maxConns           = 8192 // of all processes except controllers
+	maxConnsPerProcess = 256  // of one process, which may be a controller
 )
 
-// connLimiter bounds the connections with calls. Those of other controllers are not counted among all: without their
-// confirmations no lease is granted. To a client that is refused the controller looks silent: it tries the next one after a
-// pause. It is safe for concurrent use.
+// connLimiter limits the connections that carry calls. Connections of other controllers do not count towards the total,
+// because no lease is granted without the confirmations of other controllers. A client treats a refused connection like an
+// unreachable controller and tries the next controller after a pause. A connLimiter is safe for concurrent use.
 type connLimiter struct {
 	limit, limitPerProcess int
 	isController           func(name string) bool
@@ -27,7 +28,7 @@
 	byProcess map[string]int // connections of each process that has any
 }
 
-// admit counts a process's connection in until leave is called, or says why not.
+// admit counts a connection of a process until release is called, or returns why the connection is refused.
 func (l *connLimiter) admit(from string) (release func(), refusal string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +50,7 @@
 	return nil, refusal
 }
 
-// remove counts a connection out.
+// remove undoes the counting of a connection.
 func (l *connLimiter) remove(from string, counted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -15,25 +15,25 @@
 	"silvercove/internal/controllerclient"
 )
 
-// Sizes of the log where the disk has space.
+// Log compaction while the disk is not low on space.
 const (
-	snapshotEntries  = 8192 // a snapshot is taken after so many entries
-	trailingEntries  = 2048 // and so many are left in the log for controllers that lag
+	snapshotEntries  = 8192 // entries after which a snapshot is taken
+	trailingEntries  = 2048 // entries that stay in the log for followers that lag
 	snapshotInterval = 30 * time.Second
 )
 
-// maxIdleRaftConns is how many idle connections raft keeps to each other controller.
+// maxIdleRaftConns is the number of idle connections that raft keeps to each other controller.
 const maxIdleRaftConns = 3
 
-// openedStore is the log on a disk that was found intact.
+// openedStore is the opened log and snapshots of a disk that passed its checks.
 type openedStore struct {
 	log       Store
 	snapshots raft.SnapshotStore
-	last      controllerclient.LogPosition // the last entry that the disk has
+	last      controllerclient.LogPosition // last entry on the disk
 }
 
-// runConsensus waits until this disk may take part in the log, and runs raft until the context ends. A disk that must not
-// take part is set aside, and the controller asks to be admitted with an empty one.
+// runConsensus waits until this disk may take part in the log, and then runs raft until the context ends. If the disk must not
+// take part, its log is archived and the controller asks to be admitted with an empty store.
 func (c *Controller) runConsensus(ctx context.Context) error {
 	logger := newRaftLogger(c.Log)
 	for {
@@ -52,11 +52,11 @@
 		case ctx.Err() != nil:
 			return nil
 		case outdated:
-			c.Log.Warn().Str("event", "aside").Str("why", "an old disk: other keepers have seen a later one, or more on it").
+			c.Log.Warn().Str("event", "aside").Str("why", "the disk is outdated: other controllers know a later disk, or later entries on it").
 				Msg("outdated store set aside")
 		case errors.Is(err, ErrCorrupt) && len(c.peers) > 0:
-			// What it has confirmed is lost, so it counts as emptied: the others have to admit it again.
-			c.Log.Error().Err(err).Str("event", "aside").Str("why", "the folder's log is set aside").
+			// The entries that this disk acknowledged are lost, so it counts as emptied: the leader has to readmit it.
+			c.Log.Error().Err(err).Str("event", "aside").Str("why", "the directory's log is damaged and is set aside").
 				Msg("damaged store set aside")
 		default:
 			return err
@@ -67,8 +67,7 @@
 	}
 }
 
-// openStore opens the log and the snapshots and checks them. With an error the log that it returns, if any, is to be
-// closed.
+// openStore opens and checks the log and the snapshots. If it fails, the caller has to close opened.log unless it is nil.
 func (c *Controller) openStore(logger hclog.Logger) (opened openedStore, err error) {
 	opened.log, err = c.disk.openLog()
 	if err != nil {
@@ -87,8 +86,8 @@
 	return opened, nil
 }
 
-// runRaft runs raft on a disk that may take part, until the context ends, and all goroutines that workContext with it. It owns
-// them: they have ended when it returns.
+// runRaft runs raft and all goroutines that use it until the context ends, on a disk that may take part in the log. The
+// goroutines have ended when runRaft returns.
 func (c *Controller) runRaft(ctx context.Context, opened openedStore, logger hclog.Logger) error {
 	c.store = &guardedStore{
 		Store:             opened.log,
@@ -137,7 +136,7 @@
 	return errors.Join(err, group.Wait(), opened.log.Close())
 }
 
-// raftConfig is raft's configuration by the lease's timings.
+// raftConfig returns raft's configuration, with timeouts derived from the lease duration.
 func (c *Controller) raftConfig(logger hclog.Logger) *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(c.name)
@@ -146,7 +145,7 @@
 	config.ElectionTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.LeaderLeaseTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.CommitTimeout = c.timings.CommitInterval.Duration()
-	config.MaxAppendEntries = maxEntryOperations // BatchApplyCh stays off: what is in that queue at the end is never answered
+	config.MaxAppendEntries = maxEntryOperations // BatchApplyCh stays off: raft never answers entries that its queue holds at shutdown
 	config.SnapshotThreshold = c.spacePolicy.snapshotEntries
 	config.SnapshotInterval = snapshotInterval
 	config.TrailingLogs = c.spacePolicy.TrailingEntries()
@@ -154,7 +153,7 @@
 	return config
 }
 
-// startRaft begins the log on a disk that the log was founded on, and starts raft.
+// startRaft starts raft. On a founding disk that has not started yet, it first creates the log.
 func (c *Controller) startRaft(config *raft.Config, transport positionTransport, opened openedStore) (*raft.Raft, error) {
 	if marker := c.disk.currentMarker(); marker.Founding && !marker.Started {
 		if opened.last.Index == 0 {
@@ -171,8 +170,9 @@
 			return nil, err
 		}
 	}
-	// Guards against a disk that was emptied, is in no term and so follows whichever controller is the first to send entries,
-	// such as one that led before a rebuild and has just been resumed; holds because raft refuses entries of earlier terms.
+	// Guards against an emptied disk that follows an outdated leader. Such a disk has no term and would follow the first
+	// controller that sends entries, such as one that led before a rebuild, was paused and has just been resumed. The guard
+	// holds because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
 	if term, err := c.store.GetUint64(raftTermKey); c.minTerm > 0 && (err != nil || term < c.minTerm) {
 		if err := c.store.SetUint64(raftTermKey, c.minTerm); err != nil {
 			return nil, err
@@ -181,13 +181,13 @@
 	return raft.NewRaft(config, c.stateMachine, c.store, c.store, opened.snapshots, transport)
 }
 
-// watchLeadership begins and ends spans of leadership until the context ends.
+// watchLeadership starts and stops leading as raft's state changes, until the context ends.
 func (c *Controller) watchLeadership(ctx context.Context, r *raft.Raft) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case leads := <-r.LeaderCh(): // a leadership that ended and began again shows as another beginning
+		case leads := <-r.LeaderCh(): // a leadership that was lost and regained may arrive as a second true
 			c.stopLeading()
 			if leads {
 				c.startLeading(r)
@@ -196,7 +196,7 @@
 	}
 }
 
-// noteDiskResult notes the result of a write to the log for the status call, and logs a change.
+// noteDiskResult records the result of a write to the log for the status call, and logs a changed result.
 func (c *Controller) noteDiskResult(err error) {
 	fault := ""
 	if err != nil {
@@ -211,6 +211,6 @@
 	case fault != "":
 		c.Log.Error().Str("event", "disk").Str("why", fault).Msg("write to the log store failed")
 	default:
-		c.Log.Info().Str("event", "disk").Str("why", "the disk takes entries again").Msg("write to the log store succeeded again")
+		c.Log.Info().Str("event", "disk").Str("why", "the disk accepts entries again").Msg("write to the log store succeeded again")
 	}
 }
--- a/internal/controller/disk_space.go
+++ b/internal/controller/disk_space.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/controllerclient"
 )
 
-// diskFree is the free and total bytes, as any user may have them, of the disk that has a folder.
+// diskFree returns the free and total bytes that an unprivileged user can use on the file system that contains dir.
 func diskFree(dir string) (free, total uint64, err error) {
 	var stat unix.Statfs_t
 	if err := unix.Statfs(dir, &stat); err != nil {
@@ -20,16 +20,17 @@
 	return stat.Bavail * blockBytes, (stat.Blocks - stat.Bfree + stat.Bavail) * blockBytes, nil
 }
 
-// watchDisk looks at the disk and the log's length until the context ends, and does what the spacePolicy decides.
+// watchDisk checks the free disk space and the log's length until the context ends, and carries out the spacePolicy's
+// decisions.
 func (c *Controller) watchDisk(ctx context.Context, r *raft.Raft) {
 	ticker := time.NewTicker(min(c.timings.ConfirmTimeout, maxDiskCheckInterval).Duration())
 	defer ticker.Stop()
-	lastLogged := "" // the error that was lastLogged last
+	lastLogged := "" // the last error that was logged
 	for {
 		free, total, err := c.DiskFree(c.DataDir)
 		if err != nil {
 			if err.Error() != lastLogged {
-				c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the disk's room is not known").Msg("free disk space unknown")
+				c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the free space of the disk is not known").Msg("free disk space unknown")
 			}
 			free, total, lastLogged = 0, 0, err.Error()
 		} else {
@@ -48,7 +49,8 @@
 	}
 }
 
-// onDiskSpace takes the disk's free and total bytes over, and logs where it has become low on space, or no longer is.
+// onDiskSpace updates the spacePolicy and the status call with the disk's free and total bytes. If the disk has become low on
+// space, or no longer is, it reconfigures raft and logs the change.
 func (c *Controller) onDiskSpace(r *raft.Raft, free, total uint64) {
 	changed := c.spacePolicy.OnDiskSpace(free, total)
 	space := c.spacePolicy.space
@@ -65,15 +67,15 @@
 	}
 	if space.LowOnSpace {
 		c.Log.Warn().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
-			Str("why", "short of room: the log is cut sooner, and the lead goes to a keeper with room").Msg("disk low on space")
+			Str("why", "low on space: the log is compacted sooner, and the leadership goes to a controller with free space").Msg("disk low on space")
 		return
 	}
 	c.Log.Info().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
-		Str("why", "there is room again").Msg("disk no longer low on space")
+		Str("why", "the disk has enough free space again").Msg("disk no longer low on space")
 }
 
-// compactLog takes a snapshot where the log is too long. raft's own look comes twice a minute at most, and a log may grow by a
-// hundred thousand entries until then.
+// compactLog takes a snapshot if the log is too long. raft's own check runs at most twice a minute, and the log may grow by a
+// hundred thousand entries between two checks.
 func (c *Controller) compactLog(r *raft.Raft) {
 	first, err := c.store.FirstIndex()
 	if err != nil || first == 0 {
@@ -86,11 +88,11 @@
 	err = r.Snapshot().Error()
 	c.spacePolicy.OnCompaction(c.Now(), err)
 	if err != nil {
-		c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the log could not be cut").Msg("log compaction failed")
+		c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the log could not be compacted").Msg("log compaction failed")
 	}
 }
 
-// transferLeadership hands the leadership to a controller whose disk has space, if there is one.
+// transferLeadership transfers the leadership to a voter whose disk has enough free space, if there is one.
 func (c *Controller) transferLeadership(ctx context.Context, r *raft.Raft) {
 	statuses, _ := c.peerStatuses(ctx)
 	future := r.GetConfiguration()
@@ -111,5 +113,5 @@
 	}
 	err := r.LeadershipTransferToServer(raft.ServerID(target), raft.ServerAddress(target)).Error()
 	c.Log.Info().Str("event", "disk").Str("to", target).Err(err).Uint64("free_bytes", c.spacePolicy.space.Free).
-		Uint64("total_bytes", c.spacePolicy.space.Total).Str("why", "hands the lead on").Msg("leadership transfer for disk space")
+		Uint64("total_bytes", c.spacePolicy.space.Total).Str("why", "the leadership is transferred to a controller with free disk space").Msg("leadership transfer for disk space")
 }
--- a/internal/controller/raft_logger.go
+++ b/internal/controller/raft_logger.go
@@ -7,7 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// newRaftLogger passes raft's log lines on: warnings, and everything where the log has level debug.
+// newRaftLogger returns a logger that forwards raft's log lines to log: warnings and errors only, or all lines if log has level
+// debug.
 func newRaftLogger(log zerolog.Logger) hclog.Logger {
 	logger := hclog.New(&hclog.LoggerOptions{Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true})
 	if log.GetLevel() <= zerolog.DebugLevel {
@@ -16,10 +17,10 @@
 	return logger
 }
 
-// raftLogWriter writes raft's log lines as lines of the controller's log.
+// raftLogWriter writes raft's log lines to the controller's log.
 type raftLogWriter struct{ logger zerolog.Logger }
 
-// Write takes one line. What raft calls an error is a warning here: most often another controller does not answer.
+// Write writes one line. An error of raft is logged as a warning: most often it means that another controller does not answer.
 func (w raftLogWriter) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text))
 	level := zerolog.DebugLevel
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -8,29 +8,29 @@
 	"silvercove/internal/tick"
 )
 
-// Limits of a controller's disk and log.
+// Limits on a controller's disk and log.
 const (
-	lowFreeFraction       = 0.05 // a disk is low on space with so much free or less
-	recoveredFreeFraction = 0.08 // and until so much is
+	lowFreeFraction       = 0.05 // a disk becomes low on space at this free fraction
+	recoveredFreeFraction = 0.08 // and stays so until this free fraction; the gap keeps the state from flapping
 
 	maxDiskCheckInterval     = tick.Second
-	lowSpaceCompactionFactor = 8 // so many times as often a log is compacted where the disk is low on space
+	lowSpaceCompactionFactor = 8 // the log is compacted at 1/8 of its usual length while the disk is low on space
 	minTransferBackoff       = tick.Second
 	maxTransferBackoff       = 64 * tick.Second
 	minCompactionBackoff     = tick.Second
 	maxCompactionBackoff     = 64 * tick.Second
 )
 
-// spacePolicy decides what a controller does as its disk fills and its log grows: whether the disk is low on space, when the log
-// is compacted by a snapshot, and to whom the leadership is handed. It is no I/O, and not safe for concurrent use.
+// spacePolicy decides whether the disk is low on space, when the log is compacted by a snapshot, and to which controller the
+// leadership is transferred. It performs no I/O and is not safe for concurrent use.
 //
-// Guards against a disk that is full while the controller leads: each operation fails then until another one is elected, and
-// terms and votes can't be written. Holds because the leadership goes to a controller with space before. A folder on a large
-// disk that others fill looks the same, and there it is a loss: with 5% of terabytes free the leadership is handed on though
-// nothing presses.
+// It guards against a leader whose disk is full: each operation fails until another controller is elected, and terms and votes
+// can't be written. The guard holds because the leadership is transferred to a controller with free space before the disk is
+// full. A large disk that is filled by other programs is treated in the same way, which is a disadvantage: with 5% of several
+// terabytes free, the leadership is transferred although there is no urgency.
 type spacePolicy struct {
-	snapshotEntries   uint64 // the log is compacted once it has so many entries more than trailingEntries
-	trailingEntries   uint64 // and so many are left then
+	snapshotEntries   uint64 // the log is compacted when it exceeds trailingEntries by more than this number of entries
+	trailingEntries   uint64 // number of entries that a compaction leaves in the log
 	space             controllerclient.DiskSpace
 	transferBackoff   backoff
 	compactionBackoff backoff
@@ -45,7 +45,7 @@
 	}
 }
 
-// backoff is when something that failed is tried again: after a pause that doubles from minPause to maxPause.
+// backoff delays the retries of a failed action, by a pause that doubles from minPause to maxPause.
 type backoff struct{ minPause, maxPause, pause, next tick.Tick }
 
 func (b *backoff) due(now tick.Tick) bool { return now >= b.next }
@@ -57,8 +57,8 @@
 
 func (b *backoff) reset() { b.pause, b.next = 0, 0 }
 
-// OnDiskSpace takes the free and total bytes of the disk, and returns whether the disk has become low on space, or no longer is.
-// A total of 0 means that they are not known, and changes nothing.
+// OnDiskSpace updates the free and total bytes of the disk. It reports whether the disk has become low on space or has
+// recovered. A total of 0 means that the sizes are unknown, and changes nothing.
 func (p *spacePolicy) OnDiskSpace(free, total uint64) (changed bool) {
 	if total == 0 {
 		return false
@@ -75,7 +75,7 @@
 	return p.space.LowOnSpace != before
 }
 
-// TrailingEntries is how many entries a snapshot leaves in the log, for controllers that lag.
+// TrailingEntries returns how many entries a snapshot leaves in the log for followers that lag.
 func (p *spacePolicy) TrailingEntries() uint64 {
 	if p.space.LowOnSpace {
 		return p.trailingEntries / lowSpaceCompactionFactor
@@ -83,7 +83,8 @@
 	return p.trailingEntries
 }
 
-// CompactionDue reports whether a log with so many entries is to be compacted now. OnCompaction takes the result.
+// CompactionDue reports whether a log with this number of entries has to be compacted now. The caller reports the result to
+// OnCompaction.
 func (p *spacePolicy) CompactionDue(now tick.Tick, entries uint64) bool {
 	limit := p.snapshotEntries
 	if p.space.LowOnSpace {
@@ -92,8 +93,8 @@
 	return entries > limit+p.TrailingEntries() && p.compactionBackoff.due(now)
 }
 
-// OnCompaction takes the error of a snapshot, nil: it was taken. A failed one is not tried again at each look, as it writes all
-// that is agreed.
+// OnCompaction records the result of a snapshot; err is nil if it was taken. A failed snapshot is retried with a backoff rather
+// than at each check, because a snapshot writes the whole agreed state.
 func (p *spacePolicy) OnCompaction(now tick.Tick, err error) {
 	if err != nil {
 		p.compactionBackoff.failed(now)
@@ -102,19 +103,20 @@
 	}
 }
 
-// TransferDue reports whether a leader should look for a controller whose disk has space.
+// TransferDue reports whether a leader should look for a controller with free disk space.
 func (p *spacePolicy) TransferDue(now tick.Tick) bool {
 	return p.space.LowOnSpace && p.transferBackoff.due(now)
 }
 
-// TransferTarget is the controller to which the leadership is handed: of those that follow in this term the one with the
-// greatest part of its disk free. It is "" where all are low on space, or are of a version that does not tell: then the leader
-// goes on. Each other answer counts as an attempt.
+// TransferTarget returns the controller to which the leadership is transferred: the follower in this term with the greatest
+// free fraction of its disk. It returns "" if no transfer is due, or if every follower has too little space or runs a version
+// that does not report its space; the leader then continues to lead. A result other than "" counts as an attempt, which starts
+// the backoff.
 func (p *spacePolicy) TransferTarget(now tick.Tick, term uint64, others []controllerclient.Status) (target string) {
 	if !p.TransferDue(now) {
 		return ""
 	}
-	best := recoveredFreeFraction // one with less would hand it on soon
+	best := recoveredFreeFraction // a controller with less would soon transfer the leadership again
 	byName := func(a, b controllerclient.Status) int { return cmp.Compare(a.Node, b.Node) }
 	for _, s := range slices.SortedFunc(slices.Values(others), byName) {
 		if s.Role != controllerclient.RoleFollower || s.Term != term || s.Disk == nil || s.Disk.LowOnSpace ||
--- a/internal/controller/stream_layer.go
+++ b/internal/controller/stream_layer.go
@@ -13,27 +13,27 @@
 	"silvercove/internal/peertransport"
 )
 
-// streamLayer carries raft's calls over the fleet's connections. It implements raft.StreamLayer. Addresses are names: each
-// process finds another one by its own file.
+// streamLayer carries raft's calls over the connections between the fleet's processes. It implements raft.StreamLayer. Its
+// addresses are process names, which each process resolves by its own configuration file.
 type streamLayer struct{ controller *Controller }
 
 // nodeAddr is a process's name as a net.Addr.
 type nodeAddr string
 
-// Network is the kind of the address.
+// Network returns the name of the address's network.
 func (n nodeAddr) Network() string { return "fleet" }
 
 func (n nodeAddr) String() string { return string(n) }
 
-// Addr is this controller's name.
+// Addr returns this controller's name.
 func (s streamLayer) Addr() net.Addr { return nodeAddr(s.controller.name) }
 
-// Close ends Accept.
+// Close closes the listener, which ends Accept.
 func (s streamLayer) Close() error {
 	return s.controller.Network.Listener(peertransport.KindLog).Close()
 }
 
-// Accept waits for a connection of another controller; those of other processes are closed.
+// Accept waits for a connection of another controller. It closes connections of other processes.
 func (s streamLayer) Accept() (net.Conn, error) {
 	for {
 		conn, err := s.controller.Network.Listener(peertransport.KindLog).Accept()
@@ -44,8 +44,8 @@
 			return conn, nil
 		}
 		s.controller.Log.Warn().Str("event", "refused").
-			Str("why", "a connection for the agreed log from a process that is no keeper").Msg("log connection refused")
-		_ = conn.Close() // it was never used
+			Str("why", "the process at the other end is not another controller").Msg("log connection refused")
+		_ = conn.Close() // never used
 	}
 }
 
@@ -56,14 +56,14 @@
 	return s.controller.Network.Dial(ctx, string(to), peertransport.KindLog)
 }
 
-// positionTransport is raft's transport. It notes what other controllers have confirmed to have on their disks before raft
-// counts it as agreed, so that an outdated disk is known as such when its controller starts again.
+// positionTransport is raft's transport. It records the last entries that other controllers have acknowledged as stored, before
+// raft counts them as agreed. So an outdated disk is recognized when its controller starts again.
 type positionTransport struct {
 	*raft.NetworkTransport
 	controller *Controller
 }
 
-// notePosition notes the last entry that a controller has confirmed.
+// notePosition records the last entry that a controller has acknowledged.
 func (p positionTransport) notePosition(id raft.ServerID, last controllerclient.LogPosition) {
 	p.controller.mu.Lock()
 	defer p.controller.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// AppendEntries sends entries, and notes the last one once it is confirmed.
+// AppendEntries sends entries, and records the position of the last one after it is acknowledged.
 func (p positionTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, request *raft.AppendEntriesRequest,
 	response *raft.AppendEntriesResponse) error {
 
@@ -84,12 +84,12 @@
 	return err
 }
 
-// AppendEntriesPipeline is not supported: each answer is to be noted before the next entries are sent.
+// AppendEntriesPipeline is not supported, because each acknowledgment has to be recorded before the next entries are sent.
 func (p positionTransport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// InstallSnapshot sends a snapshot, and notes its last entry once it is confirmed.
+// InstallSnapshot sends a snapshot, and records the position of its last entry after it is acknowledged.
 func (p positionTransport) InstallSnapshot(id raft.ServerID, to raft.ServerAddress, request *raft.InstallSnapshotRequest,
 	response *raft.InstallSnapshotResponse, data io.Reader) error {
 
