--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -9,29 +9,31 @@
 	"silvercove/internal/controllerclient"
 )
 
-// maxJoinLag is how many entries of the log a disk that was admitted may lack when it gets its vote.
+// maxJoinLag is how many log entries an admitted disk may lack when it becomes a voter.
 const maxJoinLag = 64
 
-// requestJoin asks the leader to admit this disk, or to give it its vote once it has caught up.
+// requestJoin asks the leader to admit this disk, or to make it a voter once it has caught up.
 func (c *Controller) requestJoin(ctx context.Context, caughtUp bool) (controllerclient.JoinResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration()) // admitDisk proposes up to three times
+	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration()) // admitDisk commits up to three entries
 	defer cancel()
 	return c.client.Join(ctx, controllerclient.JoinRequest{Node: c.name, StoreID: c.disk.currentMarker().StoreID, CaughtUp: caughtUp})
 }
 
-// catchUpAndJoin asks for this disk's vote until it has it, where the disk was admitted rather than of the log's origin.
+// catchUpAndJoin requests this disk's vote until the disk is a voter. It does nothing if the disk is one of the log's origin,
+// because such a disk is a voter from the start.
 func (c *Controller) catchUpAndJoin(ctx context.Context, r *raft.Raft) {
 	if c.disk.currentMarker().Founding {
 		return
 	}
-	var needed uint64 // index that the disk needs before it votes, 0: not known yet
+	var needed uint64 // index that the disk has to reach before it votes, or 0 if not known yet
 	for ; ctx.Err() == nil; c.pauseBeforeRetry(ctx) {
 		marker := c.disk.currentMarker()
 		if marker.Started && c.isVoter(r) {
 			return
 		}
 		caughtUp := needed > 0 && r.AppliedIndex()+maxJoinLag >= needed && r.LastIndex() > 0
-		if caughtUp && !marker.Started { // before it is given a vote: from now on an empty log is a damaged one
+		if caughtUp && !marker.Started {
+			// Written before the disk becomes a voter: from now on, an empty log counts as damaged.
 			marker.Started = true
 			if err := c.disk.putMarker(marker); err != nil {
 				c.noteDiskResult(explainDiskError(err))
@@ -40,11 +42,11 @@
 		}
 		response, err := c.requestJoin(ctx, caughtUp)
 		if err != nil {
-			c.Log.Warn().Err(err).Str("event", "waits").Str("why", "waits to be given its vote").Msg("join request failed")
+			c.Log.Warn().Err(err).Str("event", "waits").Str("why", "waiting to become a voter").Msg("join request failed")
 			continue
 		}
 		if response.Voter && marker.Started {
-			c.Log.Info().Str("event", "votes").Str("why", "this disk has caught up and votes").Msg("store became a voter")
+			c.Log.Info().Str("event", "votes").Str("why", "this disk has caught up").Msg("store became a voter")
 			return
 		}
 		needed = response.Index
@@ -57,8 +59,8 @@
 	return err == nil && slices.Contains(voters, c.name)
 }
 
-// admitDisk is the leader's part of a join: a former disk of the name is taken out of the voters, the new one follows without a
-// vote, and gets its vote once it has caught up.
+// admitDisk handles a join request at the leader. It removes the controller's former disk from raft's configuration, adds the
+// new disk as a nonvoter, and makes it a voter once it has caught up.
 func (c *Controller) admitDisk(r *raft.Raft, term uint64, join controllerclient.JoinRequest) (response controllerclient.JoinResponse, err error) {
 	c.joinMutex.Lock()
 	defer c.joinMutex.Unlock()
@@ -82,7 +84,7 @@
 		delete(c.logPositions, join.Node)
 		c.mu.Unlock()
 		c.Log.Info().Str("event", "disk").Str("controller", join.Node).
-			Str("why", "another disk: it follows without a vote until it has caught up").Msg("new store admitted without a vote")
+			Str("why", "the controller has another disk, which has no vote until it has caught up").Msg("new store admitted without a vote")
 	}
 	switch {
 	case current == nil:
@@ -100,7 +102,7 @@
 	return response, err
 }
 
-// findServer is a controller as raft's configuration has it, nil where it is not in it.
+// findServer returns a controller's entry in raft's configuration, or nil if it has none.
 func findServer(r *raft.Raft, name string) (*raft.Server, error) {
 	future := r.GetConfiguration()
 	if err := future.Error(); err != nil {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,41 +14,41 @@
 	"silvercove/internal/tick"
 )
 
-// maxRecentDecisions is how many of the planner's decisions the status call tells.
+// maxRecentDecisions is how many decisions of the planner the status call returns.
 const maxRecentDecisions = 16
 
-// followerTimerInterval is how long a controller that does not lead sleeps; startLeading wakes it.
+// followerTimerInterval is how long the timer sleeps while the controller does not lead; startLeading wakes it.
 const followerTimerInterval = time.Hour
 
-// errLeaseRunning refuses an operation that rests on the end of a lease.
-var errLeaseRunning = errors.New("its owner's lease is not over: it may still act")
+// errLeaseRunning refuses an operation that requires an expired lease.
+var errLeaseRunning = errors.New("the primary's lease has not expired: it may still serve")
 
-// leadership is one span of leading: a term of raft, and what the leader holds in memory. Controller.mu guards all fields
-// but term and ended, which stay as they are.
+// leadership is the leader's state in memory during one term of raft. Controller.mu guards all fields except term and ended,
+// which do not change.
 type leadership struct {
 	term  uint64
-	ended chan struct{} // closed when the span has ended
+	ended chan struct{} // closed when the leadership has ended
 
 	lessor         *leases.Lessor
 	planner        Planner
 	verifier       *devicehealth.Verifier
 	recordCounts   *leases.RecordCounts
-	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as relays told in this span
+	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as reported by relays in this term
 	rolloutReports map[string]rolloutReport // by relay: its last report
 
-	nodes        map[string]*controllerclient.LeaseRequest // by edge node: its last request that was granted
-	nodesVersion uint64                                    // of nodes; grows over spans, as the term is in its upper half
+	nodes        map[string]*controllerclient.LeaseRequest // by edge node: its last granted request
+	nodesVersion uint64                                    // version of nodes; its upper half is the term, so it grows across leaders
 	nodesChanged chan struct{}                             // closed at the next change of nodes
 
 	proposals        []queuedProposal
-	renewalBlocks    map[string]int // by edge node: operations under way that rest on the end of its lease
-	renewalUnblocked chan struct{}  // closed when there are none left for a node
+	renewalBlocks    map[string]int // by edge node: operations in progress that require that its lease has expired
+	renewalUnblocked chan struct{}  // closed when a node has no such operation left
 
-	decisions      []string // the planner's last ones
-	lackedMajority bool     // at the last look there were too few voters to grant a lease
+	decisions      []string // last decisions of the planner
+	lackedMajority bool     // at the last timer run there were too few voters to grant a lease
 }
 
-// newLeadership is a span that begins in a term, without a planner yet.
+// newLeadership returns the leadership of a term, without a planner.
 func newLeadership(term uint64, now tick.Tick, config leases.Config, recordCounts map[string]uint64) *leadership {
 	return &leadership{
 		term:             term,
@@ -66,7 +66,7 @@
 	}
 }
 
-// startLeading begins a span of leadership, once all that earlier leaders had agreed is applied here.
+// startLeading begins a leadership after all entries that earlier leaders committed are applied here.
 func (c *Controller) startLeading(r *raft.Raft) {
 	term := r.CurrentTerm()
 	if r.Barrier(0).Error() != nil || !leadsInTerm(r, term) {
@@ -98,12 +98,12 @@
 	c.waker.Wake()
 }
 
-// leadsInTerm reports whether a controller leads in a term. A leadership that was lost and won again is another term.
+// leadsInTerm reports whether raft leads in a term. A leadership that was lost and won again has another term.
 func leadsInTerm(r *raft.Raft, term uint64) bool {
 	return r.State() == raft.Leader && r.CurrentTerm() == term
 }
 
-// stopLeading ends the span of leadership, if there is one.
+// stopLeading ends the leadership, if there is one.
 func (c *Controller) stopLeading() {
 	c.mu.Lock()
 	l := c.leadership
@@ -115,7 +115,7 @@
 	}
 }
 
-// currentLeadership is the present span, nil while another controller leads. It is called with mu.
+// currentLeadership returns the current leadership, or nil while this controller does not lead. It is called with mu held.
 func (c *Controller) currentLeadership() *leadership {
 	if l, r := c.leadership, c.raft.Load(); l != nil && leadsInTerm(r, l.term) {
 		return l
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// runTimers tells the planner what time has brought, and returns how long there is nothing more to do.
+// runTimers expires leases, runs the planner's timer and wakes the proposer if record counts are due. It returns the time until
+// it has to run again.
 func (c *Controller) runTimers() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,8 +133,9 @@
 		return followerTimerInterval
 	}
 	now := c.Now()
-	// Guards against leases that count as over though their nodes only could not renew them: a rebuilt controller grants none
-	// before it has a majority (leadershipConfirmer.confirm). Holds because the leases begin anew once there is one.
+	// Guards against leases that count as expired only because no node could renew them: a rebuilt controller grants no lease
+	// before it has a majority (leadershipConfirmer.confirm). The guard holds because timers do not run without a majority, and
+	// all leases count as renewed once there is one.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
@@ -157,23 +159,23 @@
 	return max(next-now, 1).Duration()
 }
 
-// onLeaseExpired tells that a node's lease is over for sure. It is called with mu.
+// onLeaseExpired reports that a node's lease has certainly expired. It is called with mu held.
 func (c *Controller) onLeaseExpired(l *leadership, now tick.Tick, node string) {
 	metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
-	c.Log.Info().Str("event", "lapsed").Str("unit", node).Str("why", "its lease is over").Msg("lease expired")
+	c.Log.Info().Str("event", "lapsed").Str("unit", node).Str("why", "its lease has expired").Msg("lease expired")
 	l.planner.OnLeaseExpired(now, node)
 	l.verifier.Remove(node)
 	l.publishNodes()
 }
 
-// publishNodes says that the nodes have changed. It is called with mu, as are the methods below.
+// publishNodes increments the version of the nodes and wakes the watches of them. It is called with mu held.
 func (l *leadership) publishNodes() {
 	l.nodesVersion++
 	close(l.nodesChanged)
 	l.nodesChanged = make(chan struct{})
 }
 
-// expectRenewals has the leases counted of the nodes that serve or replicate an instance.
+// expectRenewals starts to track the leases of the nodes that serve or replicate a running instance. It is called with mu held.
 func (l *leadership) expectRenewals(now tick.Tick, a placement.Assignment) {
 	if a.State != placement.Running {
 		return
@@ -183,12 +185,13 @@
 	}
 }
 
-// blockRenewal keeps a node's lease over until unblockRenewal: it is not granted again before the operation that rests on its
-// end is agreed. It fails with errLeaseRunning while the lease runs.
+// blockRenewal keeps a node's expired lease from being granted again until unblockRenewal, while an operation that requires the
+// expiry is in progress. It fails with errLeaseRunning if the lease has not expired. It is called with mu held.
 //
-// Guards against a primary that comes back while its instance is given to another node; holds because handleLease waits
-// for awaitRenewalUnblocked. An incarnation that began without the copies of the one before, whose lease is over, does not
-// serve what that one was primary of, and may have a lease of its own.
+// It guards against a primary that gets a lease again while its instance is assigned to another node. The guard holds because
+// handleLease waits in awaitRenewalUnblocked. A node whose current incarnation started without the copies of the earlier one
+// (LostCopies) may keep its lease: the earlier incarnation's lease has expired, and the current one does not serve the
+// instances that the earlier one was primary of.
 func (l *leadership) blockRenewal(now tick.Tick, node string) error {
 	if _, hasLease := l.lessor.LeaseEnd(now, node); hasLease && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
 		return errLeaseRunning
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// unblockRenewal ends what blockRenewal began.
+// unblockRenewal reverts one call of blockRenewal. It is called with mu held.
 func (l *leadership) unblockRenewal(node string) {
 	l.renewalBlocks[node]--
 	if l.renewalBlocks[node] > 0 {
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -10,13 +10,13 @@
 	"silvercove/internal/tick"
 )
 
-// isEdgeNode reports whether a process is an edge node in this controller's file.
+// isEdgeNode reports whether a process is an edge node in this controller's configuration file.
 func (c *Controller) isEdgeNode(name string) bool {
 	peer, ok := c.Network.Peer(name)
 	return ok && peer.Role == peertransport.RoleEdge
 }
 
-// zoneOf is where a node is: as it says, or else as this controller's file does.
+// zoneOf returns a node's zone: that of the request, or else that of this controller's configuration file.
 func (c *Controller) zoneOf(request controllerclient.LeaseRequest) string {
 	if request.Zone != "" {
 		return request.Zone
@@ -25,8 +25,8 @@
 	return peer.Zone
 }
 
-// withVerifiedReport replaces a node's health report by what the outcomes that relays have seen leave of it. A report that
-// can't be read stays: decodeHealthReport says what becomes of it. It is called with Controller.mu.
+// withVerifiedReport returns the request with its health report corrected by the outcomes that relays have reported. A report
+// that can't be decoded is kept, and is handled by decodeHealthReport. It is called with Controller.mu held.
 func (l *leadership) withVerifiedReport(now tick.Tick, zone string, request controllerclient.LeaseRequest) controllerclient.LeaseRequest {
 	var report devicehealth.Report
 	if json.Unmarshal(request.Report, &report) != nil {
@@ -38,8 +38,8 @@
 	return request
 }
 
-// nodeStatus is a node as the planner takes it, without the end of its lease. One whose report can't be read gets no new
-// instance, and keeps what it has.
+// nodeStatus returns a node's status for the planner, without the end of its lease. If the health report can't be decoded, the
+// node gets no new instances and keeps those that it has.
 func (c *Controller) nodeStatus(request controllerclient.LeaseRequest) migration.NodeStatus {
 	report := decodeHealthReport(request)
 	status := migration.NodeStatus{
@@ -57,16 +57,17 @@
 	return status
 }
 
-// decodeHealthReport is a node's health report; of one that can't be read, that the node keeps what it has.
+// decodeHealthReport returns a node's health report. For a report that can't be decoded, it returns one with StateHolding: the
+// node gets no new instances and keeps those that it has.
 func decodeHealthReport(request controllerclient.LeaseRequest) controllerclient.HealthReport {
 	var report controllerclient.HealthReport
 	if err := json.Unmarshal(request.Report, &report); err != nil {
-		return controllerclient.HealthReport{State: controllerclient.StateHolding, Reasons: []string{"its report can't be read"}}
+		return controllerclient.HealthReport{State: controllerclient.StateHolding, Reasons: []string{"its health report can't be decoded"}}
 	}
 	return report
 }
 
-// nodeFromRequest is a node as relays and tools are told of it, without its lease.
+// nodeFromRequest returns a node as it is published to relays and tools, without the state of its lease.
 func nodeFromRequest(request controllerclient.LeaseRequest) controllerclient.Node {
 	report := decodeHealthReport(request)
 	return controllerclient.Node{
@@ -86,7 +87,7 @@
 	}
 }
 
-// sameForRouting reports whether two states of a node are the same to relays.
+// sameForRouting reports whether two states of a node have the same fields that relays route by.
 func sameForRouting(a, b controllerclient.Node) bool {
 	return a.Name == b.Name &&
 		a.Zone == b.Zone &&
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -4,13 +4,13 @@
 	"silvercove/internal/placement"
 )
 
-// plannerHost is the Host of the planner of one span of leadership. Its methods are called with Controller.mu.
+// plannerHost is the Host of the planner of one leadership. Its methods are called with Controller.mu held.
 type plannerHost struct {
 	controller *Controller
 	leadership *leadership
 }
 
-// requiresExpiredLease reports whether an operation may be agreed only while the lease of its Node is over.
+// requiresExpiredLease reports whether an operation may be committed only while its Node has no lease.
 func requiresExpiredLease(op placement.Operation) bool {
 	switch op.Kind {
 	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
@@ -19,7 +19,7 @@
 	return false
 }
 
-// Propose queues an operation. One too many is dropped: the planner proposes it again at a later tick.
+// Propose queues an operation. If the queue is full, the operation is dropped: the planner proposes it again at a later tick.
 func (h plannerHost) Propose(op placement.Operation) {
 	if len(h.leadership.proposals) >= maxQueuedOperations {
 		return
@@ -37,7 +37,7 @@
 	h.controller.wakeProposer()
 }
 
-// Explain notes a decision of the planner.
+// Explain records a decision of the planner and logs it.
 func (h plannerHost) Explain(text string) {
 	decisions := append(h.leadership.decisions, text)
 	h.leadership.decisions = decisions[max(0, len(decisions)-maxRecentDecisions):]
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -13,20 +13,20 @@
 	"silvercove/internal/tick"
 )
 
-// queuedProposal is an operation of the planner's that waits to be proposed.
+// queuedProposal is an operation of the planner that waits to be proposed.
 type queuedProposal struct {
 	operation placement.Operation
-	refusal   error // why it is refused before it is proposed, nil: it is not
+	refusal   error // why the operation must not be proposed, or nil
 }
 
-// proposalBatch is what one entry of the log is made of.
+// proposalBatch holds the proposals and record counts of one log entry.
 type proposalBatch struct {
 	leadership   *leadership
 	proposals    []queuedProposal
-	recordCounts map[string]uint64 // by edge node; nil: none are due
+	recordCounts map[string]uint64 // by edge node; nil if none are due
 }
 
-// wakeProposer has runProposer look for something to propose.
+// wakeProposer wakes runProposer to check the queue and the record counts.
 func (c *Controller) wakeProposer() {
 	select {
 	case c.proposalQueued <- struct{}{}:
@@ -34,7 +34,7 @@
 	}
 }
 
-// runProposer proposes the planner's operations until the context ends, many in one entry.
+// runProposer proposes the planner's operations and the due record counts until the context ends, in batches.
 func (c *Controller) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -52,7 +52,7 @@
 	}
 }
 
-// nextBatch takes what is due from the queue; ok is false where nothing is, or another controller leads.
+// nextBatch takes the next proposals and the due record counts. ok is false if there are none or another controller leads.
 func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,8 +72,8 @@
 	return proposalBatch{l, proposals, recordCounts}, true
 }
 
-// proposeBatch proposes a batch and tells the planner what was refused. Where the result is not known the leadership is
-// over, and nobody waits for it.
+// proposeBatch proposes a batch and reports the refused operations to the planner. If the result is unknown, the leadership has
+// ended and its planner is no longer used, so nothing is reported.
 func (c *Controller) proposeBatch(batch proposalBatch) {
 	entry := logEntry{Term: batch.leadership.term, RecordCounts: batch.recordCounts}
 	for _, proposal := range batch.proposals {
@@ -105,8 +105,8 @@
 	c.waker.Wake()
 }
 
-// onBatchResult tells the planner which proposals were refused. results are those of the proposals without a refusal, in
-// their order. It is called with Controller.mu.
+// onBatchResult reports the refused proposals to the planner. results has the results of the proposals without a refusal, in
+// their order. It is called with Controller.mu held.
 func (l *leadership) onBatchResult(now tick.Tick, proposals []queuedProposal, results []operationResult) {
 	for _, proposal := range proposals {
 		err := proposal.refusal
@@ -123,15 +123,15 @@
 	}
 }
 
-// knownNotAgreed reports whether an error of proposeEntry means that the entry is not agreed, and that the leadership may go
-// on: the entry waited too long, or another controller was about to be handed the leadership, which may fail.
+// knownNotAgreed reports whether an error of proposeEntry means that the entry is certainly not agreed although the leadership
+// may continue: the entry waited too long in raft's queue, or a leadership transfer, which may fail, was in progress.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// proposeEntry has an entry agreed and applied, and returns the results of its operations. After an error of raft the
-// entry may have been agreed or not, except where knownNotAgreed; errTermEnded and leases.ErrStaleIncarnation mean that it
-// was agreed and changed nothing.
+// proposeEntry proposes an entry, waits until it is agreed and applied, and returns the results of its operations. After an
+// error of raft the entry may or may not have been agreed, unless knownNotAgreed holds for the error. errTermEnded and
+// leases.ErrStaleIncarnation mean that the entry was agreed and changed nothing.
 func (c *Controller) proposeEntry(entry logEntry) ([]operationResult, error) {
 	entry.FormatVersion = entryVersion
 	text, err := json.Marshal(entry)
@@ -155,8 +155,8 @@
 	return nil, nil
 }
 
-// onApplied tells the leading controller's planner what was applied, and logs it. The state machine calls it for each entry
-// with operations, in their order.
+// onApplied reports the applied operations of an entry to the planner and logs them, if this controller leads. The state
+// machine calls it for each entry with operations, in the log's order.
 func (c *Controller) onApplied(ops []placement.Operation, results []operationResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +178,7 @@
 	c.waker.Wake()
 }
 
-// logAssignment logs an operation that changed where an instance runs.
+// logAssignment logs an operation if it changed where an instance runs.
 func (c *Controller) logAssignment(op placement.Operation, a placement.Assignment) {
 	switch op.Kind {
 	case placement.OpCreate, placement.OpCutOver, placement.OpFailOver, placement.OpReportIncomplete, placement.OpRestart,
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -8,19 +8,20 @@
 	"silvercove/internal/tick"
 )
 
-// maxTrackedVersions is how many software versions are known at once.
+// maxTrackedVersions is the number of software versions whose rollout state is tracked.
 const maxTrackedVersions = 64
 
-// rolloutReport is what a relay was told by the release API of a software version.
+// rolloutReport is the state of a software version that the release API told a relay.
 type rolloutReport struct {
 	version     uint16
-	rollingBack bool // it is being rolled back, or was withdrawn
+	rollingBack bool // the version is being rolled back or was withdrawn
 }
 
-// onRolloutReport takes a relay's report. Nodes that run a version that is rolled back are known as such from then on, not
-// from their next lease: a third of a lease is long enough to move many instances to them. One relay's report is enough for
-// that, and the last of those who reported it ends it: a relay that is cut off from the release API goes on reporting what
-// it heard last. It is called with mu.
+// onRolloutReport handles a relay's report of a version's rollout state. The nodes that run the version are updated at once
+// rather than with their next lease: within a third of a lease, many instances could be moved to nodes that are rolled back.
+// One relay's report is enough to begin a version's rollback. The rollback ends with a relay's report of its end, if no relay's
+// last report still has it: a relay that is partitioned from the release API keeps reporting the last state that it received.
+// It is called with mu held.
 func (c *Controller) onRolloutReport(l *leadership, now tick.Tick, relay string, report rolloutReport) {
 	before := l.rollingBack[report.version]
 	if !l.noteRolloutReport(relay, report) {
@@ -32,13 +33,13 @@
 			state = "back"
 		}
 		c.Log.Info().Str("event", "build").Str("state", state).Uint16("version", report.version).
-			Str("why", fmt.Sprintf("build %d, say the relays", report.version)).Msg("rollout state of a version changed")
+			Str("why", fmt.Sprintf("build %d, as reported by relays", report.version)).Msg("rollout state of a version changed")
 	}
 	c.updateRollingBack(l, now, report)
 	c.waker.Wake()
 }
 
-// noteRolloutReport notes a report and returns whether it changes what is known of the version.
+// noteRolloutReport records a report and reports whether the version's rollout state is new or has changed.
 func (l *leadership) noteRolloutReport(relay string, report rolloutReport) (changed bool) {
 	l.rolloutReports[relay] = report
 	if !report.rollingBack {
@@ -59,8 +60,8 @@
 	return true
 }
 
-// evictVersion forgets the lowest version that is not rolled back, where as many are known as may be. It returns
-// whether another one can be noted.
+// evictVersion makes room for another tracked version: at maxTrackedVersions, it drops the lowest version that is not rolled
+// back. It reports whether there is room.
 func (l *leadership) evictVersion() bool {
 	if len(l.rollingBack) < maxTrackedVersions {
 		return true
@@ -74,7 +75,8 @@
 	return false
 }
 
-// updateRollingBack tells the planner of the nodes that run the version and whose leases run. It is called with mu.
+// updateRollingBack updates the nodes that run the version and have a lease, reports them to the planner and publishes the
+// change. It is called with mu held.
 func (c *Controller) updateRollingBack(l *leadership, now tick.Tick, report rolloutReport) {
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.nodes)) {
