--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -52,7 +52,8 @@
 		case ctx.Err() != nil:
 			return nil
 		case outdated:
-			c.Log.Warn().Str("event", "aside").Str("why", "the disk is outdated: other controllers know a later disk, or later entries on it").
+			c.Log.Warn().Str("event", "aside").
+				Str("why", "the disk is outdated: other controllers know a later disk of this one, or later entries on it").
 				Msg("outdated store set aside")
 		case errors.Is(err, ErrCorrupt) && len(c.peers) > 0:
 			// The entries that this disk acknowledged are lost, so it counts as emptied: the leader has to readmit it.
--- a/internal/controller/disk_space.go
+++ b/internal/controller/disk_space.go
@@ -30,7 +30,8 @@
 		free, total, err := c.DiskFree(c.DataDir)
 		if err != nil {
 			if err.Error() != lastLogged {
-				c.Log.Warn().Str("event", "disk").Err(err).Str("why", "the free space of the disk is not known").Msg("free disk space unknown")
+				c.Log.Warn().Str("event", "disk").Err(err).
+					Str("why", "the free space of the disk is not known").Msg("free disk space unknown")
 			}
 			free, total, lastLogged = 0, 0, err.Error()
 		} else {
@@ -67,7 +68,8 @@
 	}
 	if space.LowOnSpace {
 		c.Log.Warn().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
-			Str("why", "low on space: the log is compacted sooner, and the leadership goes to a controller with free space").Msg("disk low on space")
+			Str("why", "low on space: the log is compacted sooner, and the leadership goes to a controller with free space").
+			Msg("disk low on space")
 		return
 	}
 	c.Log.Info().Str("event", "disk").Uint64("free_bytes", space.Free).Uint64("total_bytes", space.Total).
@@ -113,5 +115,6 @@
 	}
 	err := r.LeadershipTransferToServer(raft.ServerID(target), raft.ServerAddress(target)).Error()
 	c.Log.Info().Str("event", "disk").Str("to", target).Err(err).Uint64("free_bytes", c.spacePolicy.space.Free).
-		Uint64("total_bytes", c.spacePolicy.space.Total).Str("why", "the leadership is transferred to a controller with free disk space").Msg("leadership transfer for disk space")
+		Uint64("total_bytes", c.spacePolicy.space.Total).
+		Str("why", "the leadership is transferred to a controller with free space").Msg("leadership transfer for disk space")
 }
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -122,7 +122,8 @@
 // lease was granted to a request with that copy.
 func (c *Controller) commitUnverifiedCopies(l *leadership, request controllerclient.LeaseRequest) error {
 	if len(request.Unverified) > controllerclient.MaxUnverified {
-		return refuse(http.StatusBadRequest, "%d unverified copies, the limit is %d", len(request.Unverified), controllerclient.MaxUnverified)
+		return refuse(http.StatusBadRequest, "%d unverified copies, the limit is %d", len(request.Unverified),
+			controllerclient.MaxUnverified)
 	}
 	if len(request.Unverified) == 0 {
 		return nil
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -34,8 +34,8 @@
 	}
 	for _, outcomes := range req.body.Nodes {
 		if !c.isEdgeNode(outcomes.Node) || outcomes.Successes < 0 || outcomes.Failures < 0 {
-			return none, refuse(http.StatusBadRequest, "invalid outcomes of %.40q: %d successes, %d failures", outcomes.Node, outcomes.Successes,
-				outcomes.Failures)
+			return none, refuse(http.StatusBadRequest, "invalid outcomes of %.40q: %d successes, %d failures", outcomes.Node,
+				outcomes.Successes, outcomes.Failures)
 		}
 		l.recordOutcomes(now, outcomes)
 	}
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -83,7 +83,8 @@
 		return none, err
 	}
 	if req.body.Node != req.caller || !slices.Contains(c.peers, req.caller) || req.body.StoreID == "" {
-		return none, refuse(http.StatusBadRequest, "%s is not a controller in the configuration of %s, or names another controller", req.caller, c.name)
+		return none, refuse(http.StatusBadRequest, "%s is not a controller in the configuration of %s, or names another controller",
+			req.caller, c.name)
 	}
 	return c.admitDisk(r, l.term, req.body)
 }
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// handleAssignments waits until an assignment has changed since the caller's version, and returns the changes.
+// handleAssignments waits until an assignment has changed since the caller's version, and returns the changes. After the
+// timeout it returns no changes.
 func (c *Controller) handleAssignments(req call[struct{}]) (controllerclient.AssignmentChanges, error) {
 	var none controllerclient.AssignmentChanges
 	poll, err := c.beginLongPoll(req)
@@ -109,7 +110,8 @@
 	}
 }
 
-// handleNodes waits until an edge node has changed since the caller's version, and returns all edge nodes.
+// handleNodes waits until an edge node has changed since the caller's version or the timeout has passed, and returns all edge
+// nodes.
 func (c *Controller) handleNodes(req call[struct{}]) (controllerclient.NodeList, error) {
 	var none controllerclient.NodeList
 	poll, err := c.beginLongPoll(req)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -159,7 +159,8 @@
 	return max(next-now, 1).Duration()
 }
 
-// onLeaseExpired reports that a node's lease has certainly expired. It is called with mu held.
+// onLeaseExpired handles a lease that has certainly expired: it tells the planner and publishes the nodes. It is called with mu
+// held.
 func (c *Controller) onLeaseExpired(l *leadership, now tick.Tick, node string) {
 	metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 	c.Log.Info().Str("event", "lapsed").Str("unit", node).Str("why", "its lease has expired").Msg("lease expired")
