--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if err := renameio.WriteFile(s.path, out, 0o600, renameio.WithTempDir(filepath.Dir(s.path))); err != nil {
-		s.logf(s.path + ": not written anew: " + err.Error())
+		s.log(s.path + ": not written anew: " + err.Error())
 		return
 	}
 	file, err := os.OpenFile(s.path, os.O_WRONLY|os.O_APPEND, 0o600)
@@ -53,7 +53,7 @@
 			out = appendRecord(out, request{kind: kindEntry, instance: name, entry: e})
 		}
 	}
-	return appendRecord(out, markOf(s.count)) // last: what is written anew does not count again
+	return appendRecord(out, countRequest(s.count)) // last: what is written anew does not count again
 }
 
 // sizeInFile is about what an instance takes in the file, in bytes.
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -30,11 +30,11 @@
 
 	// kindMark says how many records the file has taken, and whether those that follow count. On disk it is a kindDelete
 	// of no name with a count above 0, which earlier programs pass over.
-	kindMark recordKind = 1 << 8
+	kindCount recordKind = 1 << 8
 )
 
 // countingMark is the sum of a mark after which records count.
-const countingMark = 1
+const countingEnabled = 1
 
 const numberSize = 8 // bytes
 
@@ -50,10 +50,10 @@
 }
 
 // markOf is the mark that says of a file what its count is.
-func markOf(c recordCount) request {
-	r := request{kind: kindMark, number: c.records}
-	if c.nextCounts {
-		r.sum = countingMark
+func countRequest(c recordCount) request {
+	r := request{kind: kindCount, number: c.records}
+	if c.counting {
+		r.sum = countingEnabled
 	}
 	return r
 }
@@ -62,7 +62,7 @@
 func appendRecord(out []byte, r request) []byte {
 	start := len(out)
 	kind := r.kind
-	if kind == kindMark {
+	if kind == kindCount {
 		kind = kindDelete
 	}
 	out = append(format.BeginRecord(out), byte(kind))
@@ -75,7 +75,7 @@
 		out = appendText(out, r.entry.Node)
 		out = appendText(out, r.entry.RequestID)
 		out = append(out, r.entry.Body...)
-	case kindTruncate, kindReset, kindMark:
+	case kindTruncate, kindReset, kindCount:
 		out = binary.LittleEndian.AppendUint64(out, r.number)
 		out = binary.LittleEndian.AppendUint64(out, r.sum)
 	case kindNote:
@@ -116,7 +116,7 @@
 			r.number, r.sum = d.number(), d.number()
 		}
 		if r.instance == "" && r.number > 0 {
-			r.kind = kindMark
+			r.kind = kindCount
 		}
 	case kindNote:
 		r.note = bytes.Clone(d.rest)
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -59,18 +59,18 @@
 type Store struct {
 	path string // "" in memory
 	lock *os.File
-	logf func(string)
+	log  func(string)
 
 	// Of the goroutine of Run alone, once Open has returned.
-	file        File
-	fileSize    int64
-	liveSize    int64 // bytes of the file that are of use, about
-	compactAt   int64 // size at which the file is written anew; larger after that failed
-	logs        map[string]*replica.Log
-	note        []byte
-	count       recordCount
-	runMarked   bool // the file says that what this run writes does not count yet
-	writeFailed error
+	file            File
+	fileSize        int64
+	liveSize        int64 // bytes of the file that are of use, about
+	compactAt       int64 // size at which the file is written anew; larger after that failed
+	logs            map[string]*replica.Log
+	note            []byte
+	count           recordCount
+	runCountWritten bool // the file says that what this run writes does not count yet
+	writeFailed     error
 
 	durableCount atomic.Uint64 // what RecordCount returns
 
@@ -81,18 +81,18 @@
 
 // recordCount is how many records the file has taken.
 type recordCount struct {
-	records    uint64
-	nextCounts bool // whether the next record counts: not before ConfirmCurrent
+	records  uint64
+	counting bool // whether the next record counts: not before ConfirmCurrent
 }
 
 // Open reads what a folder keeps, "" for none. The logs and the note are the caller's own. Its error wraps ErrInUse,
 // ErrCorrupt or ErrNewerVersion, or is that of the disk.
 func Open(folder string, log func(string)) (*Store, []replica.Log, []byte, error) {
 	s := &Store{
-		logf:  log,
+		log:   log,
 		logs:  map[string]*replica.Log{},
 		wake:  make(chan struct{}, 1),
-		count: recordCount{records: 1, nextCounts: true},
+		count: recordCount{records: 1, counting: true},
 	}
 	if folder == "" {
 		return s, nil, nil, nil
@@ -118,16 +118,16 @@
 
 // load reads the file and opens it for appending.
 func (s *Store) load() error {
-	text, err := os.ReadFile(s.path)
+	data, err := os.ReadFile(s.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	complete, err := s.read(text)
+	completeSize, err := s.read(data)
 	if err != nil {
 		return err
 	}
-	if complete < len(text) {
-		s.logf(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(text)-complete))
+	if completeSize < len(data) {
+		s.log(fmt.Sprintf("%s: the last %d bytes were cut short and never counted", s.path, len(data)-completeSize))
 	}
 	file, err := os.OpenFile(s.path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	s.file = file
 	s.durableCount.Store(s.count.records)
-	if err := s.prepareFile(int64(complete)); err != nil {
+	if err := s.prepareFile(int64(completeSize)); err != nil {
 		_ = file.Close()
 		return err
 	}
@@ -147,9 +147,9 @@
 }
 
 // read applies the complete records of a file, and returns how many bytes they are.
-func (s *Store) read(text []byte) (complete int, err error) {
+func (s *Store) read(data []byte) (completeSize int, err error) {
 	refused := false
-	complete, err = format.ReadRecords(text, func(payload []byte) error {
+	completeSize, err = format.ReadRecords(data, func(payload []byte) error {
 		r, err := decode(payload)
 		if err == nil {
 			err = s.apply(r)
@@ -163,25 +163,25 @@
 	if errors.Is(err, ErrCorrupt) && !refused {
 		err = fmt.Errorf("%w; moved away, this unit starts without its instances", err)
 	}
-	return complete, err
+	return completeSize, err
 }
 
 // prepareFile begins a file, or cuts off a record that is not complete, and makes both durable.
-func (s *Store) prepareFile(complete int64) error {
-	if err := s.file.Truncate(complete); err != nil {
+func (s *Store) prepareFile(completeSize int64) error {
+	if err := s.file.Truncate(completeSize); err != nil {
 		return err
 	}
-	if complete == 0 {
+	if completeSize == 0 {
 		if _, err := s.file.Write(format.Header()); err != nil {
 			return err
 		}
-		complete = recordlog.HeaderSize
+		completeSize = recordlog.HeaderSize
 	}
 	if err := s.file.Sync(); err != nil {
 		return err
 	}
-	s.fileSize = complete
-	return recordlog.SyncFolder(filepath.Dir(s.path))
+	s.fileSize = completeSize
+	return recordlog.SyncDir(filepath.Dir(s.path))
 }
 
 // copyLogs is the logs in the order of their instances' names, for the caller to keep.
@@ -205,8 +205,8 @@
 
 // ConfirmCurrent says that no file of this node is known that has taken more than least records, or that what this one
 // may lack has been reported: what is written from now on counts.
-func (s *Store) ConfirmCurrent(least uint64, done func(error)) {
-	s.enqueue(request{kind: kindMark, number: max(1, least), sum: countingMark, done: done})
+func (s *Store) ConfirmCurrent(minCount uint64, done func(error)) {
+	s.enqueue(request{kind: kindCount, number: max(1, minCount), sum: countingEnabled, done: done})
 }
 
 // Append keeps the next entry of an instance's log.
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -13,8 +13,8 @@
 
 // apply makes one request's change in memory, if it follows what is there. Its error wraps ErrGap or ErrNewerVersion.
 func (s *Store) apply(r request) error {
-	if r.kind == kindMark {
-		s.count = recordCount{records: r.number, nextCounts: r.sum == countingMark}
+	if r.kind == kindCount {
+		s.count = recordCount{records: r.number, counting: r.sum == countingEnabled}
 		return nil
 	}
 	l := s.logs[r.instance]
@@ -41,7 +41,7 @@
 	default:
 		return fmt.Errorf("%w: kind %d", ErrNewerVersion, r.kind)
 	}
-	if s.count.nextCounts {
+	if s.count.counting {
 		s.count.records++
 	}
 	return nil
@@ -59,8 +59,8 @@
 }
 
 // keep notes an instance's log before it is first changed.
-func (u *undo) keep(s *Store, instance string) {
-	if _, kept := u.logs[instance]; kept {
+func (u *undo) save(s *Store, instance string) {
+	if _, saved := u.logs[instance]; saved {
 		return
 	}
 	u.logs[instance] = nil
@@ -87,20 +87,20 @@
 func (s *Store) write(requests []request, errs []error) {
 	before := s.newUndo()
 	var out []byte
-	if !s.runMarked {
-		s.count.nextCounts = false
-		out = appendRecord(out, markOf(s.count))
+	if !s.runCountWritten {
+		s.count.counting = false
+		out = appendRecord(out, countRequest(s.count))
 	}
-	markSize := len(out)
+	countSize := len(out)
 	for i, r := range requests {
 		if r.kind == kindRefused {
 			continue
 		}
 		if r.kind != kindNote {
-			before.keep(s, r.instance)
+			before.save(s, r.instance)
 		}
-		if r.kind == kindMark {
-			r.number = s.nextCount(r.number)
+		if r.kind == kindCount {
+			r.number = s.confirmedCount(r.number)
 		}
 		if errs[i] = s.writeFailed; errs[i] == nil {
 			errs[i] = s.apply(r)
@@ -109,7 +109,7 @@
 			out = appendRecord(out, r)
 		}
 	}
-	if len(out) == markSize {
+	if len(out) == countSize {
 		s.count = before.count
 		return
 	}
@@ -122,7 +122,7 @@
 		before.restore(s)
 		return
 	}
-	s.runMarked = true
+	s.runCountWritten = true
 	s.durableCount.Store(s.count.records)
 	if s.fileSize > s.compactAt {
 		s.compact()
@@ -131,9 +131,9 @@
 
 // nextCount is the count that a confirmation sets. The first of a run leaves room for what a copy of the file may count
 // meanwhile.
-func (s *Store) nextCount(least uint64) uint64 {
-	count := max(least, s.count.records)
-	if !s.count.nextCounts {
+func (s *Store) confirmedCount(minCount uint64) uint64 {
+	count := max(minCount, s.count.records)
+	if !s.count.counting {
 		count += confirmStep
 	}
 	return count
@@ -155,7 +155,7 @@
 	}
 	if undoErr != nil {
 		s.writeFailed = fmt.Errorf("%w: %w", ErrWriteFailed, undoErr)
-		s.logf(s.path + ": " + s.writeFailed.Error())
+		s.log(s.path + ": " + s.writeFailed.Error())
 	}
 	return err
 }
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -216,7 +216,7 @@
 	if failed.Load() > 0 {
 		return fmt.Errorf("floor: %d reports were not taken", failed.Load())
 	}
-	used, synced := liveHeap()-before, f.Syncs
+	used, synced := liveHeap()-before, f.Commits
 	if err := f.Close(); err != nil {
 		return err
 	}
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -44,12 +44,12 @@
 	s.writing, s.next = true, newBatch()
 	broken := s.broken
 	s.mu.Unlock()
-	err, torn := ErrWriteFailed, false
+	err, unusable := ErrWriteFailed, false
 	if !broken {
-		torn, err = s.write(b.records)
+		unusable, err = s.write(b.records)
 	}
 	s.mu.Lock()
-	s.broken = s.broken || torn
+	s.broken = s.broken || unusable
 	s.finish(b, err)
 	b.done, b.err, s.writing = true, err, false
 	s.committed.Broadcast()
@@ -71,14 +71,14 @@
 	}
 	s.latest = max(s.latest, b.latest)
 	s.size += int64(len(b.records))
-	s.RaisedVersions += int64(len(b.entries))
-	s.Syncs++
+	s.RecordedVersions += int64(len(b.entries))
+	s.Commits++
 	s.compact()
 }
 
 // write appends to every copy. What was written of a record that could not be finished is taken back; where that fails,
-// or a sync does, or one copy already has the record, the files are torn: nothing more is believed of them.
-func (s *Store) write(records []byte) (torn bool, err error) {
+// or a sync does, or one copy already has the record, the files are unusable: nothing more is believed of them.
+func (s *Store) write(records []byte) (unusable bool, err error) {
 	for i, file := range s.files {
 		if _, err := file.Write(records); err != nil {
 			truncateErr := file.Truncate(s.size)
@@ -112,33 +112,33 @@
 
 // rewrite writes every copy anew, each in one step, and opens it for appending.
 func (s *Store) rewrite() error {
-	text := appendTime(format.Header(), s.latest)
+	data := appendTime(format.Header(), s.latest)
 	for _, key := range slices.Sorted(maps.Keys(s.entries)) {
-		text = appendEntry(text, key, s.entries[key])
+		data = appendEntry(data, key, s.entries[key])
 	}
 	for _, file := range s.files {
 		_ = file.Close()
 	}
 	s.files = nil
 	for _, path := range s.paths {
-		file, err := replaceFile(path, text)
+		file, err := replaceFile(path, data)
 		if err != nil {
 			return fmt.Errorf("floor: %w", err)
 		}
 		s.files = append(s.files, file)
 	}
-	s.size, s.compacted = int64(len(text)), int64(len(text))
+	s.size, s.compacted = int64(len(data)), int64(len(data))
 	s.Rewrites++
 	return nil
 }
 
 // replaceFile writes a file in one step, and opens it for appending.
-func replaceFile(path string, text []byte) (*os.File, error) {
-	folder := filepath.Dir(path)
-	if err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(folder)); err != nil {
+func replaceFile(path string, data []byte) (*os.File, error) {
+	dir := filepath.Dir(path)
+	if err := renameio.WriteFile(path, data, 0o600, renameio.WithTempDir(dir)); err != nil {
 		return nil, err
 	}
-	if err := recordlog.SyncFolder(folder); err != nil {
+	if err := recordlog.SyncDir(dir); err != nil {
 		return nil, err
 	}
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o600)
--- a/internal/monotonic/format.go
+++ b/internal/monotonic/format.go
@@ -40,8 +40,8 @@
 	sum     tufverify.Digest
 }
 
-// checkFollows allows a version again with the same content, or a higher one.
-func (e entry) checkFollows(known entry, key string) error {
+// checkMonotonic allows a version again with the same content, or a higher one.
+func (e entry) checkMonotonic(known entry, key string) error {
 	switch {
 	case e.version < known.version:
 		return fmt.Errorf("floor: %s %d: %w", key, e.version, ErrOlderVersion)
@@ -61,10 +61,10 @@
 
 // decode reads a file, and returns how many of its bytes are complete records. Its error wraps ErrCorrupt or
 // ErrNewerVersion.
-func decode(text []byte) (c contents, complete int, err error) {
+func decode(data []byte) (c contents, completeSize int, err error) {
 	c = newContents()
-	complete, err = format.ReadRecords(text, c.apply)
-	return c, complete, err
+	completeSize, err = format.ReadRecords(data, c.apply)
+	return c, completeSize, err
 }
 
 // apply applies one record's payload.
--- a/internal/monotonic/memory.go
+++ b/internal/monotonic/memory.go
@@ -35,7 +35,7 @@
 	defer s.mu.Unlock()
 	known, ok := s.entries[key]
 	e := entry{version: version, sum: sum}
-	if err := e.checkFollows(known, key); err != nil {
+	if err := e.checkMonotonic(known, key); err != nil {
 		return err
 	}
 	if !ok && len(s.entries) >= s.maxEntries {
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -57,12 +57,12 @@
 	size      int64 // bytes of each file
 	compacted int64 // bytes that a file written anew would have
 
-	RaisedVersions int64 // versions made durable
-	Syncs          int64 // commits
-	Rewrites       int64 // times that the files were written anew
-	Created        bool  // there was no copy at all
-	RepairedCopies int   // copies that lagged behind
-	TruncatedBytes int   // of records cut short that were cut off
+	RecordedVersions int64 // versions made durable
+	Commits          int64 // commits
+	Rewrites         int64 // times that the files were written anew
+	Created          bool  // there was no copy at all
+	RepairedCopies   int   // copies that lagged behind
+	TruncatedBytes   int   // of records cut short that were cut off
 }
 
 // storedCopy is what one of the files holds.
@@ -129,7 +129,7 @@
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
 	s.locks = append(s.locks, lock)
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return storedCopy{contents: newContents()}, nil
 	}
@@ -137,11 +137,11 @@
 		return storedCopy{}, fmt.Errorf("floor: %w", err)
 	}
 	s.Created = false
-	c, complete, err := decode(text)
+	c, completeSize, err := decode(data)
 	if err != nil {
 		return storedCopy{}, fmt.Errorf("floor %s: %w", path, err)
 	}
-	if truncated := len(text) - complete; truncated > 0 {
+	if truncated := len(data) - completeSize; truncated > 0 {
 		s.TruncatedBytes += truncated
 		s.log(slog.LevelWarn, "incomplete record cut off version store", slog.String("path", path), slog.Int("bytes", truncated))
 	}
@@ -219,7 +219,7 @@
 	defer s.mu.Unlock()
 	e := entry{version: version, sum: sum}
 	for _, known := range []entry{s.entries[key], s.pending[key]} {
-		if err := e.checkFollows(known, key); err != nil {
+		if err := e.checkMonotonic(known, key); err != nil {
 			return err
 		}
 	}
--- a/internal/recordlog/file.go
+++ b/internal/recordlog/file.go
@@ -36,12 +36,12 @@
 	return lock, nil
 }
 
-// SyncFolder makes the names in a folder durable, as those of files that were made or replaced.
-func SyncFolder(path string) error {
-	folder, err := os.Open(path)
+// SyncDir makes the names in a folder durable, as those of files that were made or replaced.
+func SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = folder.Close() }()
-	return folder.Sync()
+	defer func() { _ = dir.Close() }()
+	return dir.Sync()
 }
