--- a/internal/recordlog/file.go
+++ b/internal/recordlog/file.go
@@ -8,13 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of a file that is written to.
+// Errors of locking and writing a record file. Writers of such files return ErrWriteFailed after a write that left the
+// file in an unknown state.
 var (
 	ErrInUse       = errors.New("in use by another process")
-	ErrWriteFailed = errors.New("an earlier write failed half-way: restart to go on")
+	ErrWriteFailed = errors.New("an earlier write failed partway: restart the process to continue")
 )
 
-// File is what records are appended to; *os.File is one.
+// File is a file that records are appended to. *os.File implements it.
 type File interface {
 	io.Writer
 	Sync() error
@@ -22,8 +23,8 @@
 	Close() error
 }
 
-// Lock keeps other processes out until the file that it returns is closed. Its error is ErrInUse, or that of making the
-// file at path.
+// Lock takes an exclusive lock on the file at path, which it creates if necessary, and holds the lock until the returned
+// file is closed. The error is ErrInUse if the lock cannot be taken, or that of opening the file.
 func Lock(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return lock, nil
 }
 
-// SyncDir makes the names in a folder durable, as those of files that were made or replaced.
+// SyncDir syncs a directory, so that the names of files created or replaced in it are durable.
 func SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
