--- a/internal/monotonic/helpers_test.go
+++ b/internal/monotonic/helpers_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// filled makes the bytes of a store with some records behind its first writing.
+// encodedStore returns the file content of a store with n versions of up to three keys, and n times, appended after the
+// file was created.
 func encodedStore(tb testing.TB, n int) []byte {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "versions")
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -251,8 +251,8 @@
 	return s.commit()
 }
 
-// ResetTime sets the latest time to an earlier one. It serves an operator whose clock was far ahead. No other process
-// may have the store open.
+// ResetTime sets the latest time back to now. An operator orders this after a clock was far ahead. No other process may
+// have the store open.
 func (s *Store) ResetTime(now tufverify.Tick) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
