--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	compactionSlack = 4 << 20 // bytes of no more use that a file may have before it is written anew
-	recordOverhead  = 64      // bytes that a record takes in the file beside its content, about
+	compactionSlack = 4 << 20 // bytes by which a file must exceed twice its live content before it is compacted
+	recordOverhead  = 64      // approximate size of a record in the file without its content, in bytes
 )
 
-// compact writes the file without what is no longer of use. Where that fails the old one goes on.
+// compact replaces the file by one without obsolete records if that halves its size at least. If the new file cannot be
+// written, the old one stays in use.
 func (s *Store) compact() {
 	out := s.encodeAll()
 	s.compactAt = 2*max(s.liveSize, s.fileSize) + compactionSlack
@@ -25,7 +26,7 @@
 		return
 	}
 	if err := renameio.WriteFile(s.path, out, 0o600, renameio.WithTempDir(filepath.Dir(s.path))); err != nil {
-		s.log(s.path + ": not written anew: " + err.Error())
+		s.log(s.path + ": compaction failed: " + err.Error())
 		return
 	}
 	file, err := os.OpenFile(s.path, os.O_WRONLY|os.O_APPEND, 0o600)
@@ -38,7 +39,7 @@
 	s.compactAt = 2*s.liveSize + compactionSlack
 }
 
-// encodeAll is a file with all that is kept, and measures liveSize.
+// encodeAll returns the content of a file with only the current state, and recomputes liveSize.
 func (s *Store) encodeAll() []byte {
 	out := format.Header()
 	if s.note != nil {
@@ -53,10 +54,10 @@
 			out = appendRecord(out, request{kind: kindEntry, instance: name, entry: e})
 		}
 	}
-	return appendRecord(out, countRequest(s.count)) // last: what is written anew does not count again
+	return appendRecord(out, countRequest(s.count)) // last, so that rewritten records are not counted again
 }
 
-// sizeInFile is about what an instance takes in the file, in bytes.
+// sizeInFile returns the approximate size of an instance's log in the file, in bytes.
 func sizeInFile(l *replica.Log) int64 {
 	return int64(l.Size() + recordOverhead*len(l.Entries) + recordOverhead)
 }
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -11,45 +11,47 @@
 	"silvercove/internal/replica"
 )
 
-// maxRecordSize is the longest payload, in bytes.
+// maxRecordSize is the largest payload of a record, in bytes.
 const maxRecordSize = 32 << 20
 
+// format is the file format of an instance store.
 var format = recordlog.Format{Magic: "coveinst", Version: 1, MaxPayload: maxRecordSize, Checksum: xxhash.Sum64,
 	WideChecksum: true, TornTail: true}
 
-// recordKind is what a request asks for. The kinds below kindMark are the first byte of a record.
+// recordKind is the operation of a request. A kind below kindCount is stored as the first byte of a record's payload.
 type recordKind uint16
 
 const (
-	kindRefused  recordKind = 0 // the queue was full; never written
+	kindRefused  recordKind = 0 // request rejected because the queue was full; never written
 	kindEntry    recordKind = 1
 	kindTruncate recordKind = 2
 	kindReset    recordKind = 3
 	kindDelete   recordKind = 4
 	kindNote     recordKind = 5
 
-	// kindMark says how many records the file has taken, and whether those that follow count. On disk it is a kindDelete
-	// of no name with a count above 0, which earlier programs pass over.
+	// kindCount stores the number of records ever written to the file, and whether the records after it are counted. On
+	// disk it is a kindDelete with an empty instance name and a count above 0, which earlier versions of the program
+	// ignore.
 	kindCount recordKind = 1 << 8
 )
 
-// countingMark is the sum of a mark after which records count.
+// countingEnabled is the sum of a kindCount request after which records are counted.
 const countingEnabled = 1
 
 const numberSize = 8 // bytes
 
-// request is one thing to be kept. done is called, in order, with whether it is.
+// request is a queued change of the store. done is called with its result, in the order of the requests.
 type request struct {
 	kind     recordKind
 	instance string
-	number   uint64 // index of a truncation, base index of a reset, count of a mark
-	sum      uint64 // base checksum of a reset; countingMark
+	number   uint64 // index of kindTruncate, base index of kindReset, count of kindCount
+	sum      uint64 // base checksum of kindReset, countingEnabled or 0 of kindCount
 	entry    replica.LogEntry
 	note     []byte
 	done     func(error)
 }
 
-// markOf is the mark that says of a file what its count is.
+// countRequest returns a kindCount request that stores c.
 func countRequest(c recordCount) request {
 	r := request{kind: kindCount, number: c.records}
 	if c.counting {
@@ -58,7 +60,7 @@
 	return r
 }
 
-// appendRecord encodes a request as a record.
+// appendRecord appends a request, encoded as a record.
 func appendRecord(out []byte, r request) []byte {
 	start := len(out)
 	kind := r.kind
@@ -84,14 +86,15 @@
 	return format.SealRecord(out, start)
 }
 
+// appendText appends a string with its length.
 func appendText(out []byte, text string) []byte {
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(text)))
 	return append(out, text...)
 }
 
-var errShortRecord = errors.New("a record too short")
+var errShortRecord = errors.New("record too short")
 
-// decode reads a record's payload. Its error is errShortRecord; a kind that is not known is no error here.
+// decode decodes a record's payload. Its only error is errShortRecord. An unknown kind is not an error here, but in apply.
 func decode(payload []byte) (request, error) {
 	d := decoder{rest: payload}
 	var r request
@@ -124,7 +127,7 @@
 	return r, d.err
 }
 
-// decoder takes a payload apart. After an error it returns zero values.
+// decoder decodes the fields of a payload in order. After an error its methods return zero values.
 type decoder struct {
 	rest []byte
 	err  error
--- a/internal/instancestore/run.go
+++ b/internal/instancestore/run.go
@@ -2,7 +2,8 @@
 
 import "silvercove/internal/replica"
 
-// enqueue adds a request to the queue. Where that is full it is refused, in its turn.
+// enqueue adds a request to the queue. If the queue is full, the request is queued as a rejected one, so that its done is
+// called in order.
 func (s *Store) enqueue(r request) {
 	s.mu.Lock()
 	if len(s.queue) >= maxQueue {
@@ -17,7 +18,8 @@
 	}
 }
 
-// Run does what is requested until stop is closed; what was requested before that is still done. Then the file is closed.
+// Run executes queued requests until stop is closed. It still executes those that were queued before that, and then
+// closes the file.
 func (s *Store) Run(stop <-chan struct{}) {
 	for stopped := false; !stopped; {
 		select {
@@ -34,7 +36,8 @@
 	}
 }
 
-// runQueued makes all that waits durable at once, and reports whether anything did.
+// runQueued makes all queued requests durable with one write, calls their done functions, and reports whether there were
+// any requests.
 func (s *Store) runQueued() bool {
 	s.mu.Lock()
 	requests := s.queue
