--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -207,7 +207,7 @@
 // change is durable, or with the reason why nothing was changed: ErrGap, ErrQueueFull, ErrWriteFailed, or an error of the
 // disk.
 
-// ConfirmCurrent starts the counting of records in this run, and raises the count to minCount at least. The caller
+// ConfirmCurrent starts the counting of records in this run, and raises the count to at least minCount. The caller
 // declares that no file of this node is known to have more than minCount records, or that whatever this file may lack has
 // been reported.
 func (s *Store) ConfirmCurrent(minCount uint64, done func(error)) {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// rewrite replaces every copy atomically by a file with only the current entries and time, and opens it for appending.
+// rewrite atomically replaces every copy by a file with only the current entries and time, and opens it for appending.
 func (s *Store) rewrite() error {
 	data := appendTime(format.Header(), s.latest)
 	for _, key := range slices.Sorted(maps.Keys(s.entries)) {
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -56,7 +56,7 @@
 	files     []File
 	locks     []*os.File
 	size      int64 // size of each file, in bytes
-	compacted int64 // size that a file had after compaction, when last computed, in bytes
+	compacted int64 // size that a file would have after compaction, as last computed, in bytes
 
 	RecordedVersions int64 // number of versions made durable
 	Commits          int64 // number of batches written
@@ -73,7 +73,7 @@
 }
 
 // Open reads the copies of a store at paths, repairs those that are out of date, and opens them for writing. The store
-// holds at most maxEntries entries. The directories must exist.
+// holds at most maxEntries entries. The directories of the copies must exist.
 func Open(paths []string, maxEntries int,
 	log func(level slog.Level, message string, fields ...slog.Attr)) (*Store, error) {
 	if len(paths) == 0 {
@@ -191,7 +191,7 @@
 	return e.version, e.sum
 }
 
-// TrustedTime returns the latest time that was recorded with AdvanceTime, or the time that ResetTime set since.
+// TrustedTime returns the latest time that was recorded with AdvanceTime or set by ResetTime.
 func (s *Store) TrustedTime() tufverify.Tick {
 	s.mu.Lock()
 	defer s.mu.Unlock()
