--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -35,7 +35,7 @@
 		fmt.Fprintln(os.Stderr, "usage: silvercove-relay, or silvercove-relay check FILE")
 		return exitUsage
 	}
-	if _, err := operatorconfig.Operators.Read(args[1]); err != nil {
+	if _, err := operatorconfig.OperatorTable.Read(args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
 	}
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -54,7 +54,7 @@
 
 // Run checks a file.
 func (c *checkCmd) Run() error {
-	all, err := operatorconfig.Operators.Read(c.File)
+	all, err := operatorconfig.OperatorTable.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 
 // Run prints the page.
 func (c *referenceCmd) Run() error {
-	_, err := fmt.Print(operatorconfig.Operators.Reference())
+	_, err := fmt.Print(operatorconfig.OperatorTable.Reference())
 	return err
 }
 
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -34,7 +34,7 @@
 
 // Run serves until SIGTERM or SIGINT; SIGHUP takes the file again.
 func (c *serveCmd) Run() error {
-	all, err := operatorconfig.Operators.Read(c.File)
+	all, err := operatorconfig.OperatorTable.Read(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -38,7 +38,7 @@
 func (i *instance) answered(request *balancer.Request) {
 	if open := i.requests[request.ID]; open != nil {
 		open.answered = true
-		i.forgetIfOver(request.ID)
+		i.dropIfFinished(request.ID)
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -36,7 +36,7 @@
 
 // Read reads a file. It fails where the file can't be read, contradicts itself, or has no block fleet.
 func Read(path string) (*File, error) {
-	directives, err := operatorconfig.Operators.Read(path)
+	directives, err := operatorconfig.OperatorTable.Read(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -26,7 +26,7 @@
 func (s *Service) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	blocks, err := operatorconfig.Operators.Read(s.path)
+	blocks, err := operatorconfig.OperatorTable.Read(s.path)
 	if err != nil {
 		return err
 	}
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -65,7 +65,7 @@
 // New reads an operator's file and assembles the service. It listens from then on; the caller must call Run, which closes
 // the listener and the version store. env gives the environment's variables, now the time.
 func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Service, error) {
-	blocks, err := operatorconfig.Operators.Read(path)
+	blocks, err := operatorconfig.OperatorTable.Read(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -36,9 +36,9 @@
 			controllers++
 		}
 	}
-	requestAddresses, _ := block["commands"].([]any)
+	addresses, _ := block["commands"].([]any)
 	hasOwn := false
-	for _, v := range requestAddresses {
+	for _, v := range addresses {
 		name := v.([]any)[0].(string)
 		if !nodes[name] {
 			return "fleet.commands", "no process named " + name + " is in this file"
@@ -70,7 +70,7 @@
 	if !ok {
 		return "", ""
 	}
-	if block["connect_timeout"].(float64) >= drainGrace {
+	if block["connect_timeout"].(float64) >= drainGraceSeconds {
 		return "metadata.connect_timeout", "a connection that takes longer than the grace of drains, 1s, could reach a " +
 			"mirror that was drained meanwhile; allowed: less than 1s"
 	}
@@ -103,8 +103,8 @@
 	return "", ""
 }
 
-// drainGrace is how long a mirror that is drained may still be reached, in seconds.
-const drainGrace = 1
+// drainGraceSeconds is how long a mirror that is drained may still be reached, in seconds.
+const drainGraceSeconds = 1
 
 // checkRepository checks a repository block; repositories are the names of all.
 func checkRepository(block map[string]any, repositories map[string]bool) (directive, fault string) {
@@ -139,10 +139,10 @@
 	case !versionStore:
 		return "metadata.director", "a Director needs a floor: without one it would give version numbers twice"
 	}
-	if stage, ok := block["wave"].([]any); ok && !containsFirst(packages, stage[0]) {
+	if stage, ok := block["wave"].([]any); ok && !hasFirstValue(packages, stage[0]) {
 		return "metadata.director.wave", fmt.Sprintf("build %v has no package", stage[0])
 	}
-	if running := block["running"]; running != nil && !containsFirst(packages, running) {
+	if running := block["running"]; running != nil && !hasFirstValue(packages, running) {
 		return "metadata.director.running", fmt.Sprintf("build %v has no package", running)
 	}
 	return "", ""
@@ -161,8 +161,8 @@
 	return ""
 }
 
-// containsFirst tells whether a line of a repeatable directive has a first value.
-func containsFirst(list []any, first any) bool {
+// hasFirstValue tells whether a line of a repeatable directive has a first value.
+func hasFirstValue(list []any, first any) bool {
 	for _, v := range list {
 		if v.([]any)[0] == first {
 			return true
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -34,7 +34,7 @@
 // each repeatable directive, and the defaults of what is absent. Its error is an *Error, several of them joined, or why the
 // file could not be read.
 func (t *Table) Read(path string) (map[string]any, error) {
-	lines, err := load(path, nil)
+	lines, err := loadFile(path, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// isOpenEnded tells whether the last value takes all the words that are left.
-func (d *Directive) isOpenEnded() bool {
+// takesWordList tells whether the last value takes all the words that are left.
+func (d *Directive) takesWordList() bool {
 	return len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
 }
 
-// usage names the values that the directive takes.
-func (d *Directive) usage() string {
+// valueNames names the values that the directive takes.
+func (d *Directive) valueNames() string {
 	if len(d.Values) == 0 {
 		return "none"
 	}
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -26,8 +26,8 @@
 	maxIncludeDepth = 16      // one inside another
 )
 
-// tokens are those of the file's format.
-var tokens = []lexer.SimpleRule{
+// tokenRules are those of the file's format.
+var tokenRules = []lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Quoted", Pattern: `"(\\["\\]|[^"\\\n])*"`},
 	{Name: "Open", Pattern: `\{`},
@@ -64,7 +64,7 @@
 
 // grammar is built at its first use, as a process without an operator's file does not need it.
 var grammar = sync.OnceValue(func() *participle.Parser[file] {
-	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokens)), participle.Elide("Comment", "Blank"),
+	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokenRules)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
 })
 
@@ -99,15 +99,15 @@
 	if err != nil {
 		var syntax participle.Error
 		if errors.As(err, &syntax) {
-			return nil, errorAt(syntax.Position(), "", "%s", explain(syntax.Message()))
+			return nil, errorAt(syntax.Position(), "", "%s", describeSyntaxError(syntax.Message()))
 		}
 		return nil, err
 	}
 	return parsed.Lines, nil
 }
 
-// explain is a message of the parser in the terms of the file's format.
-func explain(message string) string {
+// describeSyntaxError is a message of the parser in the terms of the file's format.
+func describeSyntaxError(message string) string {
 	switch {
 	case strings.Contains(message, "invalid input text"):
 		return "a quote is not closed on its line, or has a backslash before other than a quote or backslash"
@@ -131,9 +131,9 @@
 	return s
 }
 
-// load reads the lines of a file and of those that it includes. An included path is from its includer's folder; chain are the
+// loadFile reads the lines of a file and of those that it includes. An included path is from its includer's folder; chain are the
 // files that include this one.
-func load(path string, chain []string) ([]*line, error) {
+func loadFile(path string, chain []string) ([]*line, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -142,15 +142,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return include(lines, filepath.Dir(path), append(chain, filepath.Clean(path)))
+	return expandIncludes(lines, filepath.Dir(path), append(chain, filepath.Clean(path)))
 }
 
-// include replaces the include directives of lines by what they include.
-func include(lines []*line, dir string, chain []string) (out []*line, err error) {
+// expandIncludes replaces the include directives of lines by what they include.
+func expandIncludes(lines []*line, dir string, chain []string) (out []*line, err error) {
 	for _, l := range lines {
 		if l.Name != "include" {
 			if l.Block != nil {
-				if l.Block.Lines, err = include(l.Block.Lines, dir, chain); err != nil {
+				if l.Block.Lines, err = expandIncludes(l.Block.Lines, dir, chain); err != nil {
 					return nil, err
 				}
 			}
@@ -172,7 +172,7 @@
 		if len(chain) >= maxIncludeDepth {
 			return nil, errorAt(l.Pos, "include", "more than %d files one inside another", maxIncludeDepth)
 		}
-		more, err := load(path, chain)
+		more, err := loadFile(path, chain)
 		if os.IsNotExist(err) || os.IsPermission(err) {
 			return nil, errorAt(l.Pos, "include", "%s cannot be read: %v", path, err)
 		} else if err != nil {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -10,21 +10,21 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// reader evaluates the lines of one file against a table.
-type reader struct {
-	table     *Table
-	faults    []error          // all that were found
-	positions map[string]*line // the first line of each directive, by path
+// evaluator evaluates the lines of one file against a table.
+type evaluator struct {
+	table      *Table
+	faults     []error          // all that were found
+	firstLines map[string]*line // the first line of each directive, by path
 }
 
 // evaluate gives the values of a file's lines, if neither they nor the rules have a fault.
 func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
-	r := &reader{table: t, positions: map[string]*line{}}
+	r := &evaluator{table: t, firstLines: map[string]*line{}}
 	values := r.block("", lines, &line{})
 	if len(r.faults) == 0 {
 		for _, rule := range t.Rules {
 			if directive, fault := rule(values); fault != "" {
-				l := r.positions[directive]
+				l := r.firstLines[directive]
 				if l == nil {
 					l = &line{}
 					l.Pos.Filename, l.Pos.Line, l.Pos.Column = name, 1, 1
@@ -40,7 +40,7 @@
 }
 
 // block evaluates the lines of the block with a path, which the line opened begins.
-func (r *reader) block(path string, lines []*line, opened *line) map[string]any {
+func (r *evaluator) block(path string, lines []*line, openingLine *line) map[string]any {
 	values := map[string]any{}
 	given := map[string]*line{}
 	for _, l := range lines {
@@ -57,8 +57,8 @@
 			continue
 		}
 		given[l.Name] = l
-		if r.positions[d.path()] == nil {
-			r.positions[d.path()] = l
+		if r.firstLines[d.path()] == nil {
+			r.firstLines[d.path()] = l
 		}
 		value, ok := r.evaluateDirective(d, l)
 		if !ok {
@@ -74,16 +74,16 @@
 	for i := range r.table.Directives {
 		d := &r.table.Directives[i]
 		if d.Parent == path && given[d.Name] == nil {
-			r.absent(d, values, lines, opened)
+			r.applyDefault(d, values, lines, openingLine)
 		}
 	}
 	return values
 }
 
-// absent sets the default of a directive that a block does not have.
-func (r *reader) absent(d *Directive, values map[string]any, lines []*line, opened *line) {
+// applyDefault sets the default of a directive that a block does not have.
+func (r *evaluator) applyDefault(d *Directive, values map[string]any, lines []*line, openingLine *line) {
 	if d.Required {
-		position := opened.Pos
+		position := openingLine.Pos
 		if position.Line == 0 && len(lines) > 0 { // no line opens the outermost block
 			position = lines[0].Pos
 			position.Line, position.Column = 1, 1
@@ -99,12 +99,12 @@
 	}
 }
 
-func (r *reader) addFault(position lexer.Position, directive, format string, args ...any) {
+func (r *evaluator) addFault(position lexer.Position, directive, format string, args ...any) {
 	r.faults = append(r.faults, errorAt(position, directive, format, args...))
 }
 
 // unknownDirective tells in which blocks a directive would be allowed, or which names are allowed in the block with a path.
-func (r *reader) unknownDirective(path, name string) string {
+func (r *evaluator) unknownDirective(path, name string) string {
 	var here, elsewhere []string
 	for _, d := range r.table.Directives {
 		if d.Parent == path {
@@ -123,7 +123,7 @@
 
 // evaluateDirective reads the values and the block of one directive. One with a single value and no block gives that
 // value, one with several a list; one with a block gives a map, with its values by their names.
-func (r *reader) evaluateDirective(d *Directive, l *line) (any, bool) {
+func (r *evaluator) evaluateDirective(d *Directive, l *line) (any, bool) {
 	faults := len(r.faults)
 	if (l.Block != nil) != d.Block {
 		fault := "takes no block"
@@ -133,8 +133,8 @@
 		r.addFault(l.Pos, d.path(), "%s", fault)
 		return nil, false
 	}
-	if len(l.Args) < len(d.Values) || len(l.Args) > len(d.Values) && !d.isOpenEnded() {
-		r.addFault(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.usage())
+	if len(l.Args) < len(d.Values) || len(l.Args) > len(d.Values) && !d.takesWordList() {
+		r.addFault(l.Pos, d.path(), "has %d values, wants %s", len(l.Args), d.valueNames())
 		return nil, false
 	}
 	list := r.evaluateValues(d, l)
@@ -157,7 +157,7 @@
 }
 
 // evaluateValues reads the values of a directive, one for each of its row in the table; the last may be a list of words.
-func (r *reader) evaluateValues(d *Directive, l *line) []any {
+func (r *evaluator) evaluateValues(d *Directive, l *line) []any {
 	list := []any{}
 	for i, v := range d.Values {
 		if v.Kind == Words {
--- a/internal/operatorconfig/reference.go
+++ b/internal/operatorconfig/reference.go
@@ -14,7 +14,7 @@
 		d := &t.Directives[i]
 		var values []string
 		for _, v := range d.Values {
-			values = append(values, strings.ToUpper(v.Name)+": "+v.allowed())
+			values = append(values, strings.ToUpper(v.Name)+": "+v.describeAllowed())
 		}
 		def := cmp.Or(d.Default, "none")
 		if d.Required {
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -6,8 +6,8 @@
 	buildValue = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
 )
 
-// Operators is the table of the operator's own file. Nothing is switched on without it.
-var Operators = Table{Directives: []Directive{
+// OperatorTable is the table of the operator's own file. Nothing is switched on without it.
+var OperatorTable = Table{Directives: []Directive{
 	{Name: "log_level", Values: []Value{{Name: "level", Kind: Choice, Choices: []string{"debug", "info", "warn", "error"}}},
 		Default: "info", Text: "The least level of log lines."},
 	{Name: "metadata", Block: true, Text: "The metadata front: TUF and Uptane metadata and packages for servers."},
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -48,15 +48,15 @@
 
 // read reads one value; fault tells what is wrong with it and what is allowed, empty for nothing.
 func (v *Value) read(s string) (read any, fault string) {
-	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.allowed()) }
+	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.describeAllowed()) }
 	switch v.Kind {
 	case Word:
-		return s, emptyFault(s, v.Name)
+		return s, checkNotEmpty(s, v.Name)
 	case Path:
 		if strings.ContainsRune(s, 0) {
 			return nil, wrong()
 		}
-		return s, emptyFault(s, v.Name)
+		return s, checkNotEmpty(s, v.Name)
 	case Name:
 		if !isName(s) {
 			return nil, wrong()
@@ -73,7 +73,7 @@
 		}
 		return s, ""
 	}
-	f, ok := v.quantity(s)
+	f, ok := v.parseQuantity(s)
 	if !ok || (v.Min != 0 || v.Max != 0) && (f < v.Min || f > v.Max) {
 		return nil, wrong()
 	}
@@ -107,9 +107,9 @@
 	return ok && n >= 0 && n <= maxPort && n == math.Trunc(n)
 }
 
-// quantity reads a value of one of the kinds that are figures; its range is not checked yet. A kind that is no figure
+// parseQuantity reads a value of one of the kinds that are figures; its range is not checked yet. A kind that is no figure
 // yields 0.
-func (v *Value) quantity(s string) (f float64, ok bool) {
+func (v *Value) parseQuantity(s string) (f float64, ok bool) {
 	switch v.Kind {
 	case Number:
 		f, ok = parseNumber(s, map[string]float64{"": 1})
@@ -131,27 +131,27 @@
 	return f, ok
 }
 
-// emptyFault is the fault of a value that must not be empty.
-func emptyFault(s, name string) string {
+// checkNotEmpty is the fault of a value that must not be empty.
+func checkNotEmpty(s, name string) string {
 	if s == "" {
 		return name + " is empty"
 	}
 	return ""
 }
 
-// allowed tells what a value may be.
-func (v *Value) allowed() string {
+// describeAllowed tells what a value may be.
+func (v *Value) describeAllowed() string {
 	if v.Kind == Choice {
 		return strings.Join(v.Choices, ", ")
 	}
 	if v.Min == 0 && v.Max == 0 {
 		return kindNames[v.Kind]
 	}
-	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.withUnit(v.Min), v.withUnit(v.Max))
+	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.formatWithUnit(v.Min), v.formatWithUnit(v.Max))
 }
 
-// withUnit writes a number with the largest unit in which it is a whole one.
-func (v *Value) withUnit(f float64) string {
+// formatWithUnit writes a number with the largest unit in which it is a whole one.
+func (v *Value) formatWithUnit(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := durationUnits
 	if v.Kind == Size {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -128,7 +128,7 @@
 	if path == "" {
 		return nil
 	}
-	file, err := operatorconfig.Operators.Read(path)
+	file, err := operatorconfig.OperatorTable.Read(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", envOperator, err)
 	}
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -39,8 +39,8 @@
 	}}
 }
 
-// checked is a setting that nothing reads and that has to be of its type all the same.
-func checked[T, V any](name string, parse parser[V]) setting[T] {
+// checkedOnly is a setting that nothing reads and that has to be of its type all the same.
+func checkedOnly[T, V any](name string, parse parser[V]) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, _ *T) error {
 		if _, err := parse(value); err != nil {
 			return &Error{Setting: path, Err: err}
@@ -54,7 +54,7 @@
 	return setting[T]{name: name, assign: func(path string, value any, into *T) error {
 		inner, ok := value.(map[string]any)
 		if !ok {
-			return &Error{Setting: path, Err: wanted("an object", value)}
+			return &Error{Setting: path, Err: unexpectedValue("an object", value)}
 		}
 		return schema.assign(path+".", inner, at(into))
 	}}
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -21,79 +21,79 @@
 }
 
 var classSchema = object[balancer.RequestClass]{
-	field("deadline", span, func(c *balancer.RequestClass) *balancer.Seconds { return &c.Deadline }),
+	field("deadline", clampedDuration, func(c *balancer.RequestClass) *balancer.Seconds { return &c.Deadline }),
 	field("dedup_scope", dedupScope, func(c *balancer.RequestClass) *balancer.DedupScope { return &c.DedupScope }),
-	field("name", word, func(c *balancer.RequestClass) *string { return &c.Name }),
-	field("on_time", span, func(c *balancer.RequestClass) *balancer.Seconds { return &c.LatencyObjective }),
+	field("name", stringValue, func(c *balancer.RequestClass) *string { return &c.Name }),
+	field("on_time", clampedDuration, func(c *balancer.RequestClass) *balancer.Seconds { return &c.LatencyObjective }),
 	field("semantics", idempotency, func(c *balancer.RequestClass) *balancer.Idempotency { return &c.Idempotency }),
-	field("window", span, func(c *balancer.RequestClass) *balancer.Seconds { return &c.DedupWindow }),
+	field("window", clampedDuration, func(c *balancer.RequestClass) *balancer.Seconds { return &c.DedupWindow }),
 	field("worth", nonNegative, func(c *balancer.RequestClass) *float64 { return &c.PriorityWeight }),
 }
 
 var limitsSchema = object[balancer.Limits]{
-	field("connect_timeout", span, func(l *balancer.Limits) *balancer.Seconds { return &l.ConnectTimeout }),
-	field("idle_close", span, func(l *balancer.Limits) *balancer.Seconds { return &l.IdleTimeout }),
-	field("max_retry_after", span, func(l *balancer.Limits) *balancer.Seconds { return &l.MaxRetryAfter }),
-	field("may_cancel", flag, func(l *balancer.Limits) *bool { return &l.MayCancel }),
-	field("peers", flag, func(l *balancer.Limits) *bool { return &l.Gossip }),
-	field("retry_after", flag, func(l *balancer.Limits) *bool { return &l.RetryAfter }),
-	field("send_cap", attempts, func(l *balancer.Limits) *int { return &l.MaxAttempts }),
-	checked[balancer.Limits]("may_duplicate", flag),
-	checked[balancer.Limits]("probing", flag),
+	field("connect_timeout", clampedDuration, func(l *balancer.Limits) *balancer.Seconds { return &l.ConnectTimeout }),
+	field("idle_close", clampedDuration, func(l *balancer.Limits) *balancer.Seconds { return &l.IdleTimeout }),
+	field("max_retry_after", clampedDuration, func(l *balancer.Limits) *balancer.Seconds { return &l.MaxRetryAfter }),
+	field("may_cancel", boolean, func(l *balancer.Limits) *bool { return &l.MayCancel }),
+	field("peers", boolean, func(l *balancer.Limits) *bool { return &l.Gossip }),
+	field("retry_after", boolean, func(l *balancer.Limits) *bool { return &l.RetryAfter }),
+	field("send_cap", attemptCount, func(l *balancer.Limits) *int { return &l.MaxAttempts }),
+	checkedOnly[balancer.Limits]("may_duplicate", boolean),
+	checkedOnly[balancer.Limits]("probing", boolean),
 }
 
 var loadReportSchema = object[Site]{
-	field("columns", words, func(s *Site) *[]string { return &s.LoadColumns }),
+	field("columns", stringList, func(s *Site) *[]string { return &s.LoadColumns }),
 }
 
 var rolloutSchema = object[balancer.Rollout]{
-	field("ballot_ttl", span, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteLifetime }),
+	field("ballot_ttl", clampedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteLifetime }),
 	field("control", rolloutControl, func(r *balancer.Rollout) *balancer.RolloutControl { return &r.Control }),
 	field("counted_by", exposureCount, func(r *balancer.Rollout) *bool { return &r.ExposurePerClass }),
-	field("counted_over", window, func(r *balancer.Rollout) *balancer.Seconds { return &r.ExposureWindow }),
-	field("forward_only", flag, func(r *balancer.Rollout) *bool { return &r.ForwardOnly }),
-	field("found_share", share, func(r *balancer.Rollout) *float64 { return &r.FoundShare }),
-	field("guarded_stages", stages, func(r *balancer.Rollout) *int { return &r.GuardedStages }),
-	field("metrics_period", span, func(r *balancer.Rollout) *balancer.Seconds { return &r.MetricsPeriod }),
-	field("most_shares", shares, func(r *balancer.Rollout) *[]float64 { return &r.StageCaps }),
-	field("shares", shares, func(r *balancer.Rollout) *[]float64 { return &r.StageShares }),
+	field("counted_over", boundedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.ExposureWindow }),
+	field("forward_only", boolean, func(r *balancer.Rollout) *bool { return &r.ForwardOnly }),
+	field("found_share", fraction, func(r *balancer.Rollout) *float64 { return &r.FoundShare }),
+	field("guarded_stages", stageCount, func(r *balancer.Rollout) *int { return &r.GuardedStages }),
+	field("metrics_period", clampedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.MetricsPeriod }),
+	field("most_shares", fractions, func(r *balancer.Rollout) *[]float64 { return &r.StageCaps }),
+	field("shares", fractions, func(r *balancer.Rollout) *[]float64 { return &r.StageShares }),
 	field("uncounted", nonNegative, func(r *balancer.Rollout) *float64 { return &r.ExposureFree }),
-	field("vote_wait", span, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteTimeout }),
+	field("vote_wait", clampedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteTimeout }),
 	field("votes_per_s", nonNegative, func(r *balancer.Rollout) *float64 { return &r.VotesPerSecond }),
 }
 
 var rulesSchema = object[balancer.Settings]{
-	field("ask_every", span, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.PollInterval }),
-	field("cold", window, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.Window }),
-	field("cold_from", share, func(s *balancer.Settings) *float64 { return &s.SlowStart.InitialFraction }),
-	field("drain_grace", span, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.DrainGrace }),
+	field("ask_every", clampedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.PollInterval }),
+	field("cold", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.Window }),
+	field("cold_from", fraction, func(s *balancer.Settings) *float64 { return &s.SlowStart.InitialFraction }),
+	field("drain_grace", clampedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.DrainGrace }),
 	field("fall_multiple", nonNegative, func(s *balancer.Settings) *float64 { return &s.SlowStart.OverloadMultiple }),
-	field("tip_after", window, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
+	field("tip_after", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
 }
 
 // Words of the document and what they stand for. Another word counts as the zero value, except where it is refused.
 var (
-	discoveryMode = wordIn(map[string]balancer.DiscoveryMode{
+	discoveryMode = wordOrZero(map[string]balancer.DiscoveryMode{
 		"automatic": balancer.DiscoveryAutomatic,
 		"subscribe": balancer.DiscoverySubscribe,
 	})
-	dedupScope = wordIn(map[string]balancer.DedupScope{
+	dedupScope = wordOrZero(map[string]balancer.DedupScope{
 		"all":  balancer.DedupEverywhere,
 		"cell": balancer.DedupCell,
 		"zone": balancer.DedupZone,
 	})
-	rolloutControl = wordIn(map[string]balancer.RolloutControl{
+	rolloutControl = wordOrZero(map[string]balancer.RolloutControl{
 		"clocked":  balancer.AdvanceByClock,
 		"majority": balancer.AdvanceByVotes,
 		"single":   balancer.AdvanceByVotes,
 	})
-	idempotency = oneOf(map[string]balancer.Idempotency{
+	idempotency = wordOf(map[string]balancer.Idempotency{
 		"idempotency_key": balancer.IdempotentWithKey,
 		"non_idempotent":  balancer.AtMostOnce,
 		"read_like":       balancer.Idempotent,
-	}, zeroForOthers)
-	exposureCount = oneOf(map[string]bool{
+	}, unknownIsZero)
+	exposureCount = wordOf(map[string]bool{
 		"all":      false,
 		"per_lane": true,
-	}, refuseOthers)
+	}, unknownIsError)
 )
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -102,7 +102,7 @@
 		}
 		name, _ := token.(string)
 		if seen[name] {
-			return &Error{Setting: abbreviate(path + name), Err: errTwice}
+			return &Error{Setting: truncate(path + name), Err: errDuplicate}
 		}
 		seen[name] = true
 		if err := checkUniqueNames(decoder, path+name+"."); err != nil {
