--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,19 +1,21 @@
 package settings
 
-// setting is one name of an object of the document, with what is done with its value. T is what the object is read into.
+// setting is one named member of an object of the document. Its assign function parses the value and stores it in T, the
+// Go type that holds the object.
 type setting[T any] struct {
 	name   string
 	assign func(path string, value any, into *T) error
 }
 
-// object is the schema of one object of the document.
+// object is the schema of one object of the document: the settings that are read, in the order of their checks.
 type object[T any] []setting[T]
 
-// parser reads one value of the document.
+// parser converts one decoded JSON value of the document.
 type parser[V any] func(value any) (V, error)
 
-// assign reads the members of an object. The path ends with a dot, unless it is empty. Settings that are missing or null,
-// and names that the schema lacks, change nothing. Of several errors the first one by the order of the schema counts.
+// assign reads the members of a JSON object into a T. The path is empty or ends with a dot. Settings that are missing or
+// null, and names that are not in the schema, change nothing. If several settings have errors, assign returns the first
+// one in the order of the schema.
 func (o object[T]) assign(path string, members map[string]any, into *T) error {
 	for _, s := range o {
 		value := members[s.name]
@@ -27,7 +29,7 @@
 	return nil
 }
 
-// field is a setting that one field keeps.
+// field returns a setting that is stored in the field that at points to.
 func field[T, V any](name string, parse parser[V], at func(*T) *V) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, into *T) error {
 		parsed, err := parse(value)
@@ -39,7 +41,7 @@
 	}}
 }
 
-// checkedOnly is a setting that nothing reads and that has to be of its type all the same.
+// checkedOnly returns a setting that nothing reads, but whose type is checked.
 func checkedOnly[T, V any](name string, parse parser[V]) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, _ *T) error {
 		if _, err := parse(value); err != nil {
@@ -49,7 +51,7 @@
 	}}
 }
 
-// members is a setting that is an object with a schema of its own.
+// members returns a setting that is an object with a schema of its own.
 func members[T, V any](name string, schema object[V], at func(*T) *V) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, into *T) error {
 		inner, ok := value.(map[string]any)
@@ -60,7 +62,7 @@
 	}}
 }
 
-// uncheckedMembers is a setting that is an object of which nothing is read.
+// uncheckedMembers returns a setting that must be an object and whose members are ignored.
 func uncheckedMembers[T any](name string) setting[T] {
 	return members(name, object[T]{}, func(into *T) *T { return into })
 }
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -2,8 +2,8 @@
 
 import "silvercove/balancer"
 
-// documentSchema maps the names of the document to the standard terms. A setting that is listed without a field is one
-// that nothing reads and that is checked all the same.
+// documentSchema maps the names of the document to the standard terms. A setting that is listed without a field is not
+// read, but its type is checked.
 var documentSchema = object[Site]{
 	field("balancers", clampedNumber(0, maxRelays), func(s *Site) *float64 { return &s.Balancer.Relays }),
 	field("discovery", discoveryMode, func(s *Site) *balancer.DiscoveryMode { return &s.Balancer.Discovery }),
@@ -20,6 +20,7 @@
 	uncheckedMembers[Site]("prices"),
 }
 
+// classSchema is the schema of one element of grades, the request classes.
 var classSchema = object[balancer.RequestClass]{
 	field("deadline", clampedDuration, func(c *balancer.RequestClass) *balancer.Seconds { return &c.Deadline }),
 	field("dedup_scope", dedupScope, func(c *balancer.RequestClass) *balancer.DedupScope { return &c.DedupScope }),
@@ -30,6 +31,7 @@
 	field("worth", nonNegative, func(c *balancer.RequestClass) *float64 { return &c.PriorityWeight }),
 }
 
+// limitsSchema is the schema of limits.
 var limitsSchema = object[balancer.Limits]{
 	field("connect_timeout", clampedDuration, func(l *balancer.Limits) *balancer.Seconds { return &l.ConnectTimeout }),
 	field("idle_close", clampedDuration, func(l *balancer.Limits) *balancer.Seconds { return &l.IdleTimeout }),
@@ -42,10 +44,12 @@
 	checkedOnly[balancer.Limits]("probing", boolean),
 }
 
+// loadReportSchema is the schema of load_info, the format of load reports.
 var loadReportSchema = object[Site]{
 	field("columns", stringList, func(s *Site) *[]string { return &s.LoadColumns }),
 }
 
+// rolloutSchema is the schema of family_info, the rules on staged rollouts.
 var rolloutSchema = object[balancer.Rollout]{
 	field("ballot_ttl", clampedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteLifetime }),
 	field("control", rolloutControl, func(r *balancer.Rollout) *balancer.RolloutControl { return &r.Control }),
@@ -62,6 +66,7 @@
 	field("votes_per_s", nonNegative, func(r *balancer.Rollout) *float64 { return &r.VotesPerSecond }),
 }
 
+// rulesSchema is the schema of rules, which cover the endpoint list and slow start.
 var rulesSchema = object[balancer.Settings]{
 	field("ask_every", clampedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.PollInterval }),
 	field("cold", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.Window }),
@@ -71,7 +76,8 @@
 	field("tip_after", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
 }
 
-// Words of the document and what they stand for. Another word counts as the zero value, except where it is refused.
+// Parsers of the settings that take a word out of a set. Any other word is read as the zero value, except where it is
+// refused.
 var (
 	discoveryMode = wordOrZero(map[string]balancer.DiscoveryMode{
 		"automatic": balancer.DiscoveryAutomatic,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,18 +1,20 @@
-// Package settings reads the settings document that a site gives each of its relays, and gives it back as one typed value.
-// The bench adapter and the real relay share it.
+// Package settings parses the JSON settings document that a site gives to each of its relays, and returns a typed value.
+// The bench adapter and the production relay share this package.
 //
-// It is one of the two places where the names of the bench's wire are mapped to the standard terms; the mapping stands in
-// schema.go alone. What a name means follows from its place in the document: names of classes, tenants, zones, machine
-// kinds and load columns are free, and a name that the schema lacks at its place is ignored.
+// This package and internal/benchadapter are the only two places where the names of the bench's wire format are mapped to
+// the standard terms. Here, schema.go holds the whole mapping. The meaning of a name depends on its position in the
+// document: names of classes, tenants, zones, machine kinds and load columns may be any text, and a name that the schema
+// does not list at its position is ignored.
 //
-// The fields of Site and of balancer.Settings tell the unit, the range and what a missing value means. Beside them holds:
+// The fields of Site and of balancer.Settings document the unit, the range and the default of each setting. In addition:
 //
-//   - null counts as missing; a value of another type is an error for each setting that the schema checks
-//   - a span is a number of seconds that is not negative; above 100 hours it counts as 100 hours, or is an error where a
-//     shorter one would break a rule of the site
-//   - a name twice in one object, text that is not UTF-8 and a number beyond the range of a float64 are errors
+//   - null counts as missing. A value of a wrong type is an error for each setting that the schema checks.
+//   - A duration is a number of seconds that is not negative. A duration above 100 hours is read as 100 hours, or is an
+//     error if a shorter duration would break a rule of the site.
+//   - A name that occurs twice in one object, text that is not UTF-8, and a number beyond the range of a float64 are
+//     errors.
 //
-// An error names the setting as the document does; see Error.
+// An error gives the name of the setting as it is in the document; see Error.
 package settings
 
 import (
@@ -23,24 +25,25 @@
 	"unicode/utf8"
 )
 
-// ErrNotUTF8 is the error of a document that is not UTF-8 text.
+// ErrNotUTF8 is the error for a document that is not UTF-8 text.
 var ErrNotUTF8 = errors.New("not UTF-8")
 
-// Error is the error of one setting.
+// Error is an error in one setting.
 type Error struct {
-	// Setting is the setting's path in the document, such as "limits.send_cap", or the place of a list's element.
+	// Setting is the path of the setting in the document, such as "limits.send_cap", or the index of a list element, such
+	// as "place 0".
 	Setting string
-	// Err tells what is wrong with it. Of an element of a list it is an Error again.
+	// Err is the reason. For a list whose element has an error, it is the Error of the element.
 	Err error
 }
 
-// Error gives the path and the reason.
+// Error returns the path and the reason.
 func (e *Error) Error() string { return e.Setting + ": " + e.Err.Error() }
 
-// Unwrap gives the reason.
+// Unwrap returns the reason.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Read parses a settings document. The returned Site shares nothing with the text.
+// Read parses a settings document. The returned Site shares no memory with text.
 func Read(text []byte) (Site, error) {
 	site, err := read(text)
 	if err != nil {
@@ -70,7 +73,7 @@
 	return site, nil
 }
 
-// checkUniqueNames refuses an object that has a name twice: nothing tells which of the two counts.
+// checkUniqueNames returns an error if a name occurs twice in one object, since it would be unclear which value applies.
 func checkUniqueNames(decoder *json.Decoder, path string) error {
 	token, err := decoder.Token()
 	if err != nil {
@@ -93,6 +96,7 @@
 	return err
 }
 
+// checkUniqueMembers checks the members of an object whose opening bracket has been read.
 func checkUniqueMembers(decoder *json.Decoder, path string) error {
 	seen := map[string]bool{}
 	for decoder.More() {
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -2,17 +2,17 @@
 
 import "silvercove/balancer"
 
-// Site is what a site tells each of its relays at the start. It does not change while a relay runs, and must not be
-// changed by its readers.
+// Site holds the settings that a site gives to each of its relays at the start. It does not change while a relay runs, and
+// callers must not modify it.
 type Site struct {
-	// Balancer is what the balancer decides by.
+	// Balancer holds the settings of the balancer.
 	Balancer balancer.Settings
-	// Zones are the names of the zones; no two are alike. Endpoints name the zone that they are in. Missing: none.
+	// Zones are the names of the zones, each of them unique. The endpoints of a relay name their zone. Missing: none.
 	Zones []string
-	// MachineKinds are the names of the kinds of machines. Missing: none.
+	// MachineKinds are the names of the kinds of machines; a name may occur twice. Missing: none.
 	MachineKinds []string
-	// Tenants are the names of those whom the clients belong to; no two are alike. Missing: none.
+	// Tenants are the names of the tenants that the clients belong to, each of them unique. Missing: none.
 	Tenants []string
-	// LoadColumns are the names of the values of a load report, in their order. Missing: none.
+	// LoadColumns are the names of the values of a load report, in order. Missing: none.
 	LoadColumns []string
 }
