--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// Roles of a process in the fleet block, as the file names them.
+// Roles of a process, as the file names them.
 const (
 	roleController = "keeper"
 	roleRelay      = "relay"
 	roleEdge       = "edge"
 )
 
-// maxClockDrift is a share by which clocks may drift apart at most: leases last longer than it allows for.
+// maxClockDrift is the fraction that the drift between two clocks must stay below. A lease then lasts longer than the
+// allowance for drift, which internal/leases sets to twice the drift of the lease.
 const maxClockDrift = 0.5
 
-// checkFleet checks the fleet block.
+// checkFleet checks the fleet block and returns its first fault.
 func checkFleet(all map[string]any) (directive, fault string) {
 	block, ok := all["fleet"].(map[string]any)
 	if !ok {
@@ -49,22 +50,22 @@
 	case role == roleController && block["data"] == nil:
 		return "fleet.data", "a keeper needs a folder for its log"
 	case role == roleRelay && block["clients"] == nil:
-		return "fleet.clients", "a relay's file says where its clients connect"
+		return "fleet.clients", "a relay needs the address where its clients connect"
 	case role == roleRelay && block["settings"] == nil:
 		return "fleet.settings", "a relay needs its JSON file"
 	case role != roleController && controllers == 0:
 		return "fleet.peer", "no keeper is named"
 	case role == roleEdge && !hasOwn:
-		return "fleet.commands", "an edge unit's file says where it takes commands: commands " + node + " HOST:PORT"
+		return "fleet.commands", "an edge unit needs the address where it takes commands: commands " + node + " HOST:PORT"
 	case block["drift"].(float64) >= maxClockDrift:
 		return "fleet.drift", "allowed: less than 50%"
 	case block["away"].(float64) > block["copies"].(float64):
-		return "fleet.away", fmt.Sprintf("%v holders in another zone are more than copies, which is %v", block["away"], block["copies"])
+		return "fleet.away", fmt.Sprintf("%v holders in another zone exceed copies, which is %v", block["away"], block["copies"])
 	}
 	return "", ""
 }
 
-// checkMetadata checks the metadata block.
+// checkMetadata checks the metadata block and returns its first fault.
 func checkMetadata(all map[string]any) (directive, fault string) {
 	block, ok := all["metadata"].(map[string]any)
 	if !ok {
@@ -72,7 +73,7 @@
 	}
 	if block["connect_timeout"].(float64) >= drainGraceSeconds {
 		return "metadata.connect_timeout", "a connection that takes longer than the grace of drains, 1s, could reach a " +
-			"mirror that was drained meanwhile; allowed: less than 1s"
+			"mirror that has been drained in the meantime; allowed: less than 1s"
 	}
 	for _, name := range []string{"root", "timestamp", "snapshot", "targets", "package"} {
 		if class := block[name].([]any); class[0].(float64) > class[1].(float64) {
@@ -103,41 +104,43 @@
 	return "", ""
 }
 
-// drainGraceSeconds is how long a mirror that is drained may still be reached, in seconds.
+// drainGraceSeconds is how long requests may still reach a mirror after it is drained.
 const drainGraceSeconds = 1
 
-// checkRepository checks a repository block; repositories are the names of all.
+// checkRepository checks a repository block and returns its first fault. repositories holds the names of all repositories of
+// the file.
 func checkRepository(block map[string]any, repositories map[string]bool) (directive, fault string) {
 	mirrors, _ := block["mirror"].([]any)
 	if (len(mirrors) == 0) == (block["discovery"] == nil) {
-		return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery are wanted", block["name"])
+		return "metadata.repository", fmt.Sprintf("%s: either mirror lines or discovery must be given", block["name"])
 	}
 	if mirror := firstDuplicate(mirrors); mirror != "" {
 		return "metadata.repository.mirror", fmt.Sprintf("%s is given twice", mirror)
 	}
 	if image, ok := block["agree"].(string); ok && (!repositories[image] || image == block["name"]) {
-		return "metadata.repository.agree", fmt.Sprintf("%s is no other repository of this file", image)
+		return "metadata.repository.agree", fmt.Sprintf("%s is not another repository of this file", image)
 	}
 	return "", ""
 }
 
-// checkDirector checks the director block; repositories are the names of all. versionStore: one is named.
+// checkDirector checks the director block and returns its first fault. repositories holds the names of all repositories of
+// the file; versionStore reports whether the file names a version store, its floor directive.
 func checkDirector(block map[string]any, repositories map[string]bool, versionStore bool) (directive, fault string) {
 	servers, _ := block["server"].([]any)
 	packages, _ := block["package"].([]any)
 	switch server, version := firstDuplicate(servers), firstDuplicate(packages); {
 	case !repositories[block["image"].(string)]:
-		return "metadata.director.image", fmt.Sprintf("%s is no repository of this file", block["image"])
+		return "metadata.director.image", fmt.Sprintf("%s is not a repository of this file", block["image"])
 	case server != "":
 		return "metadata.director.server", server + " is given twice"
 	case version != "":
 		return "metadata.director.package", "build " + version + " is given twice"
 	case block["platform"] != nil && block["wave"] != nil:
-		return "metadata.director.wave", "contradicts platform: only one of them may say how far a build goes"
+		return "metadata.director.wave", "contradicts platform: only one of them may determine how far a build goes"
 	case block["platform"] == nil && block["wave"] == nil:
-		return "metadata.director", "either platform or wave is wanted"
+		return "metadata.director", "either platform or wave must be given"
 	case !versionStore:
-		return "metadata.director", "a Director needs a floor: without one it would give version numbers twice"
+		return "metadata.director", "a Director needs a floor: without one it would use a version number twice after a restart"
 	}
 	if stage, ok := block["wave"].([]any); ok && !hasFirstValue(packages, stage[0]) {
 		return "metadata.director.wave", fmt.Sprintf("build %v has no package", stage[0])
@@ -148,7 +151,8 @@
 	return "", ""
 }
 
-// firstDuplicate is the first value that two lines of a repeatable directive have in common, empty for none.
+// firstDuplicate returns the first value of a line of a repeatable directive if an earlier line has the same first value, or
+// "" if no two lines have.
 func firstDuplicate(list []any) string {
 	seen := map[string]bool{}
 	for _, v := range list {
@@ -161,7 +165,7 @@
 	return ""
 }
 
-// hasFirstValue tells whether a line of a repeatable directive has a first value.
+// hasFirstValue reports whether any line of a repeatable directive has this first value.
 func hasFirstValue(list []any, first any) bool {
 	for _, v := range list {
 		if v.([]any)[0] == first {
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -4,35 +4,35 @@
 	"strings"
 )
 
-// Directive is one row of the table.
+// Directive describes one directive of the file.
 type Directive struct {
-	Parent      string // the block that it belongs to, by its path; "" for none
+	Parent      string // path of the block that the directive belongs to; "" for the top level
 	Name        string
 	Values      []Value
-	Default     string // the values where it is absent, as they would be written; "" for none
+	Default     string // values of an absent directive, as in the file; "" for none
 	Required    bool
-	Repeatable  bool // it may be given more than once
-	Block       bool
-	TakesEffect string // when a change takes effect
-	Text        string
+	Repeatable  bool   // the directive may be given more than once
+	Block       bool   // the directive has a block of further directives
+	TakesEffect string // when a change takes effect; "" for the start of the process
+	Text        string // description for the reference page
 }
 
-// path is the directive's name after those of its blocks, with dots.
+// path returns the names of the enclosing blocks and of the directive, joined by dots.
 func (d *Directive) path() string { return strings.TrimPrefix(d.Parent+"."+d.Name, ".") }
 
-// Rule is a check between directives of a file: it names a directive, by its path, and what contradicts another, or gives an
+// Rule checks directives of a file against each other. It returns the path of the directive at fault and a description, or an
 // empty fault.
 type Rule func(all map[string]any) (directive, fault string)
 
-// Table is what a program understands of an operator's file.
+// Table holds all directives and rules of one kind of configuration file.
 type Table struct {
 	Directives []Directive
-	Rules      []Rule // checked once the directives have no fault
+	Rules      []Rule // checked only if the directives have no fault
 }
 
-// Read reads a file and what it includes. The map has the values of the outermost block, with a map for each block, a list for
-// each repeatable directive, and the defaults of what is absent. Its error is an *Error, several of them joined, or why the
-// file could not be read.
+// Read reads a file and the files that it includes. The returned map holds the values of the top level, with a map for each
+// block, a list for each repeatable directive, and the defaults of absent directives. The error is an *Error, several of them
+// joined, or the reason why the file could not be read.
 func (t *Table) Read(path string) (map[string]any, error) {
 	lines, err := loadFile(path, nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText is Read for a text that includes nothing; name stands for the file in errors.
+// ReadText does the same as Read for a text instead of a file, and does not allow include. Errors give name as the file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return t.evaluate(name, lines)
 }
 
-// find is the row of a directive in the block with a path, nil for none.
+// find returns the directive with this name in the block with this path, or nil.
 func (t *Table) find(path, name string) *Directive {
 	for i := range t.Directives {
 		if d := &t.Directives[i]; d.Parent == path && d.Name == name {
@@ -60,12 +60,12 @@
 	return nil
 }
 
-// takesWordList tells whether the last value takes all the words that are left.
+// takesWordList reports whether the last value takes all remaining words of the line.
 func (d *Directive) takesWordList() bool {
 	return len(d.Values) > 0 && d.Values[len(d.Values)-1].Kind == Words
 }
 
-// valueNames names the values that the directive takes.
+// valueNames returns the names of the values that the directive takes, for error messages.
 func (d *Directive) valueNames() string {
 	if len(d.Values) == 0 {
 		return "none"
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -1,10 +1,10 @@
-// Package operatorconfig owns the operator's own file: its grammar, the one table of directives that gives
-// parsing, defaults, ranges, the reference page and the errors, and the checks between directives.
+// Package operatorconfig reads the operator's configuration file. It defines the grammar, a single table of directives from
+// which parsing, defaults, ranges, the reference page and error messages are derived, and the checks between directives.
 //
-// The file has one directive a line: a name and its values, parted by blanks. "#" starts a comment,
-// double quotes hold blanks, and a directive with parts opens a block with "{" at the end of its line
-// and closes it with "}" on a line of its own. "include PATH" takes another file's lines in its place.
-// A file with any error is refused whole. What comes out is a plain map.
+// The file has one directive per line: a name and its values, separated by blanks. "#" starts a comment, and double quotes
+// enclose a value that contains blanks. A directive with a block opens the block with "{" at the end of its line; "}" on a
+// line of its own closes the block. "include PATH" is replaced by the lines of another file. A file with any error is refused
+// as a whole. The result is a plain map.
 package operatorconfig
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Limits on what is read.
+// Limits on the input.
 const (
-	maxFileBytes    = 4 << 20 // of one file
-	maxIncludeDepth = 16      // one inside another
+	maxFileBytes    = 4 << 20 // per file
+	maxIncludeDepth = 16      // nested files, the outermost one included
 )
 
-// tokenRules are those of the file's format.
+// tokenRules define the tokens of the file format.
 var tokenRules = []lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Quoted", Pattern: `"(\\["\\]|[^"\\\n])*"`},
@@ -37,12 +37,12 @@
 	{Name: "Blank", Pattern: `[ \t\r]+`},
 }
 
-// file is a whole file.
+// file is the syntax tree of a file.
 type file struct {
 	Lines []*line `parser:"@@*"`
 }
 
-// line is one directive, or none.
+// line is one directive, or a line without one, whose Name is empty.
 type line struct {
 	Pos   lexer.Position
 	Name  string   `parser:"( @Word"`
@@ -50,31 +50,31 @@
 	Block *block   `parser:"  @@? )? EOL"`
 }
 
-// value is one value of a directive, as it is written.
+// value is one value of a directive as written in the file, with any quotes.
 type value struct {
 	Pos  lexer.Position
 	Text string `parser:"@( Word | Quoted )"`
 }
 
-// block is the block of a directive.
+// block holds the lines between the braces of a directive.
 type block struct {
 	Pos   lexer.Position
 	Lines []*line `parser:"Open EOL @@* Close"`
 }
 
-// grammar is built at its first use, as a process without an operator's file does not need it.
+// grammar returns the parser, which is built at its first use: a process without an operator's file does not need it.
 var grammar = sync.OnceValue(func() *participle.Parser[file] {
 	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokenRules)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
 })
 
-// Error is one fault of a file.
+// Error is one fault in a file.
 type Error struct {
 	File      string
 	Line      int    // from 1
 	Column    int    // from 1
-	Directive string // by its path, empty for a fault of the syntax
-	Text      string // what is wrong, and what is allowed
+	Directive string // path of the directive; "" for a syntax error
+	Text      string // description of the fault and of what is allowed
 }
 
 func (e *Error) Error() string {
@@ -84,16 +84,16 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Line, e.Column, e.Directive, e.Text)
 }
 
-// errorAt is the Error at a position.
+// errorAt returns an Error at a position.
 func errorAt(pos lexer.Position, directive, format string, args ...any) *Error {
 	return &Error{File: pos.Filename, Line: pos.Line, Column: pos.Column, Directive: directive,
 		Text: fmt.Sprintf(format, args...)}
 }
 
-// parse reads the lines of one text, without its includes.
+// parse reads the lines of one text and does not expand its includes.
 func parse(name string, content []byte) ([]*line, error) {
 	if len(content) > maxFileBytes {
-		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("longer than %d bytes", maxFileBytes)}
+		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("the file is longer than %d bytes", maxFileBytes)}
 	}
 	parsed, err := grammar().ParseString(name, string(content)+"\n")
 	if err != nil {
@@ -106,11 +106,11 @@
 	return parsed.Lines, nil
 }
 
-// describeSyntaxError is a message of the parser in the terms of the file's format.
+// describeSyntaxError translates a message of the parser library into the terms of the file format.
 func describeSyntaxError(message string) string {
 	switch {
 	case strings.Contains(message, "invalid input text"):
-		return "a quote is not closed on its line, or has a backslash before other than a quote or backslash"
+		return "a quote is not closed on its line, or contains a backslash that precedes neither a quote nor a backslash"
 	case strings.Contains(message, `unexpected token "<EOF>"`):
 		return `a block is not closed: "}" is missing`
 	case strings.Contains(message, `unexpected token "}"`):
@@ -121,7 +121,7 @@
 	return message
 }
 
-// unquote is a value without its quotes and escapes.
+// unquote removes the quotes and escapes of a value.
 func unquote(s string) string {
 	if strings.HasPrefix(s, `"`) {
 		s = s[1 : len(s)-1]
@@ -131,8 +131,8 @@
 	return s
 }
 
-// loadFile reads the lines of a file and of those that it includes. An included path is from its includer's folder; chain are the
-// files that include this one.
+// loadFile reads the lines of a file and of the files that it includes. A relative path of an include starts from the folder
+// of the including file. chain holds the paths of the files through which this file is included.
 func loadFile(path string, chain []string) ([]*line, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return expandIncludes(lines, filepath.Dir(path), append(chain, filepath.Clean(path)))
 }
 
-// expandIncludes replaces the include directives of lines by what they include.
+// expandIncludes replaces each include directive by the lines of the file that it names.
 func expandIncludes(lines []*line, dir string, chain []string) (out []*line, err error) {
 	for _, l := range lines {
 		if l.Name != "include" {
@@ -170,7 +170,7 @@
 			}
 		}
 		if len(chain) >= maxIncludeDepth {
-			return nil, errorAt(l.Pos, "include", "more than %d files one inside another", maxIncludeDepth)
+			return nil, errorAt(l.Pos, "include", "more than %d nested files", maxIncludeDepth)
 		}
 		more, err := loadFile(path, chain)
 		if os.IsNotExist(err) || os.IsPermission(err) {
@@ -183,7 +183,9 @@
 	return out, nil
 }
 
-// parseNumber reads a number with a unit out of a list; the longest unit that fits counts.
+// parseNumber parses a decimal number followed by one of the units, and returns the number times the scale of the unit. All
+// characters after the last digit or decimal point must form the unit. Exponents, hexadecimal numbers, infinities and NaN are
+// refused.
 func parseNumber(s string, units map[string]float64) (float64, bool) {
 	end := len(s)
 	for end > 0 && (s[end-1] < '0' || s[end-1] > '9') && s[end-1] != '.' {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -10,14 +10,15 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// evaluator evaluates the lines of one file against a table.
+// evaluator checks the lines of one file against a table and collects their values.
 type evaluator struct {
 	table      *Table
-	faults     []error          // all that were found
-	firstLines map[string]*line // the first line of each directive, by path
+	faults     []error          // every fault found so far
+	firstLines map[string]*line // first line of each directive, by path
 }
 
-// evaluate gives the values of a file's lines, if neither they nor the rules have a fault.
+// evaluate returns the values of the lines of a file, or all their faults. The rules are checked only if the lines have no
+// fault; a rule's fault is reported at the first line of its directive, or at the start of the file if there is no such line.
 func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
 	r := &evaluator{table: t, firstLines: map[string]*line{}}
 	values := r.block("", lines, &line{})
@@ -39,7 +40,7 @@
 	return values, nil
 }
 
-// block evaluates the lines of the block with a path, which the line opened begins.
+// block evaluates the lines of the block with this path. openingLine is the line of the directive that has the block.
 func (r *evaluator) block(path string, lines []*line, openingLine *line) map[string]any {
 	values := map[string]any{}
 	given := map[string]*line{}
@@ -80,11 +81,12 @@
 	return values
 }
 
-// applyDefault sets the default of a directive that a block does not have.
+// applyDefault handles a directive that is absent from a block: it sets the default, if there is one, and reports a fault if
+// the directive is required.
 func (r *evaluator) applyDefault(d *Directive, values map[string]any, lines []*line, openingLine *line) {
 	if d.Required {
 		position := openingLine.Pos
-		if position.Line == 0 && len(lines) > 0 { // no line opens the outermost block
+		if position.Line == 0 && len(lines) > 0 { // no line opens the top level
 			position = lines[0].Pos
 			position.Line, position.Column = 1, 1
 		}
@@ -103,7 +105,8 @@
 	r.faults = append(r.faults, errorAt(position, directive, format, args...))
 }
 
-// unknownDirective tells in which blocks a directive would be allowed, or which names are allowed in the block with a path.
+// unknownDirective describes the fault of a directive that its block does not have. The text names the blocks that allow the
+// directive or, if there are none, the directives that this block allows.
 func (r *evaluator) unknownDirective(path, name string) string {
 	var here, elsewhere []string
 	for _, d := range r.table.Directives {
@@ -121,8 +124,9 @@
 	return "unknown; allowed here: " + strings.Join(here, ", ")
 }
 
-// evaluateDirective reads the values and the block of one directive. One with a single value and no block gives that
-// value, one with several a list; one with a block gives a map, with its values by their names.
+// evaluateDirective reads the values and the block of one directive. A directive with a block yields a map, which also holds
+// the directive's values by their names. Without a block, no value yields true, a single value yields that value, and several
+// values yield a list. The second result reports whether the directive has no fault.
 func (r *evaluator) evaluateDirective(d *Directive, l *line) (any, bool) {
 	faults := len(r.faults)
 	if (l.Block != nil) != d.Block {
@@ -156,7 +160,8 @@
 	return list, true
 }
 
-// evaluateValues reads the values of a directive, one for each of its row in the table; the last may be a list of words.
+// evaluateValues reads the arguments of a directive, one for each of its Values. If the last of them is of kind Words, it
+// takes all remaining arguments as a list.
 func (r *evaluator) evaluateValues(d *Directive, l *line) []any {
 	list := []any{}
 	for i, v := range d.Values {
--- a/internal/operatorconfig/reference.go
+++ b/internal/operatorconfig/reference.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Reference is the reference page of a table, a Markdown table with a row a directive.
+// Reference returns the reference page of the directives: a Markdown table with one row per directive.
 func (t *Table) Reference() string {
 	var b strings.Builder
 	b.WriteString("| directive | values | default | block | takes effect | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -6,7 +6,7 @@
 	buildValue = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
 )
 
-// OperatorTable is the table of the operator's own file. Nothing is switched on without it.
+// OperatorTable describes the operator's configuration file. Without such a file, no feature of its blocks is on.
 var OperatorTable = Table{Directives: []Directive{
 	{Name: "log_level", Values: []Value{{Name: "level", Kind: Choice, Choices: []string{"debug", "info", "warn", "error"}}},
 		Default: "info", Text: "The least level of log lines."},
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// Kind is what a value must be. The zero value is Word.
+// Kind is the type of a value. The zero value is Word.
 type Kind uint8
 
-// The kinds of values. A Duration is read as seconds, a Size as bytes, a Fraction as a part of 1, each as a float64, as are
-// Number and Decimal; all others are strings, but Words, which is a list of strings.
+// The kinds of values. Number, Decimal, Duration (in seconds), Size (in bytes) and Fraction (of 1) are read as a float64.
+// Words is read as a list of strings, and every other kind as a string.
 const (
-	Word     Kind = iota // any text
+	Word     Kind = iota // any text that is not empty
 	Name                 // letters, digits, ".", "-", "_"
 	Number               // a whole number
 	Duration             // a duration: 250ms, 10s, 5m, 2h, 7d
 	Size                 // bytes: 512, 64K, 16M, 1G
 	Fraction             // 0.1 or 10%
-	Address              // host:port, the host an address or a name
+	Address              // host:port, where the host is an IP address or a name
 	Path                 // a file or folder
-	Choice               // one of a list
+	Choice               // one of the Choices
 	Decimal              // any number of 0 or more
-	Words                // one word or more; only as the last value
+	Words                // one word or more; only for the last value
 )
 
-// kindNames are what is allowed by each kind, for people.
+// kindNames describes what each kind allows, for errors and for the reference page. The index is the Kind.
 var kindNames = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
 	"a duration such as 250ms, 10s, 5m, 2h or 7d", "a size such as 512, 64K, 16M or 1G",
 	"a share such as 0.1 or 10%", "HOST:PORT", "a path", "one of a list", "a number of 0 or more", "one word or more"}
@@ -37,16 +37,16 @@
 	sizeUnits     = map[string]float64{"": 1, "K": 1 << 10, "M": 1 << 20, "G": 1 << 30}
 )
 
-// Value is one value of a directive.
+// Value describes one value of a directive.
 type Value struct {
 	Name    string
 	Kind    Kind
-	Min     float64 // of a number, in the unit of its kind; with Max 0, too, what its kind allows
-	Max     float64
-	Choices []string // of a Choice
+	Min     float64  // least number, in the unit of the kind; if Min and Max are 0, the kind alone sets the range
+	Max     float64  // greatest number, in the unit of the kind
+	Choices []string // allowed words of a Choice
 }
 
-// read reads one value; fault tells what is wrong with it and what is allowed, empty for nothing.
+// read parses one value. fault describes what is wrong with the value and what is allowed, or is empty.
 func (v *Value) read(s string) (read any, fault string) {
 	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.describeAllowed()) }
 	switch v.Kind {
@@ -85,7 +85,7 @@
 	maxPort       = 65535
 )
 
-// isName tells whether s may be a value of kind Name.
+// isName reports whether s may be a value of kind Name.
 func isName(s string) bool {
 	if s == "" || len(s) > maxNameLength || strings.Trim(s, ".") == "" {
 		return false
@@ -97,7 +97,7 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(".-_", r)
 }
 
-// isAddress tells whether s is HOST:PORT with a port in figures.
+// isAddress reports whether s is HOST:PORT with a numeric port.
 func isAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || host == "" {
@@ -107,8 +107,8 @@
 	return ok && n >= 0 && n <= maxPort && n == math.Trunc(n)
 }
 
-// parseQuantity reads a value of one of the kinds that are figures; its range is not checked yet. A kind that is no figure
-// yields 0.
+// parseQuantity parses a value of a numeric kind, without checking it against Min and Max. A kind that is not numeric yields
+// 0 and true.
 func (v *Value) parseQuantity(s string) (f float64, ok bool) {
 	switch v.Kind {
 	case Number:
@@ -131,7 +131,7 @@
 	return f, ok
 }
 
-// checkNotEmpty is the fault of a value that must not be empty.
+// checkNotEmpty returns the fault of an empty value, or "" if the value is not empty.
 func checkNotEmpty(s, name string) string {
 	if s == "" {
 		return name + " is empty"
@@ -139,7 +139,7 @@
 	return ""
 }
 
-// describeAllowed tells what a value may be.
+// describeAllowed describes what is allowed for the value, for errors and for the reference page.
 func (v *Value) describeAllowed() string {
 	if v.Kind == Choice {
 		return strings.Join(v.Choices, ", ")
@@ -150,7 +150,7 @@
 	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.formatWithUnit(v.Min), v.formatWithUnit(v.Max))
 }
 
-// formatWithUnit writes a number with the largest unit in which it is a whole one.
+// formatWithUnit formats a number with the largest unit of its kind in which the number is a whole one, to within 1e-9.
 func (v *Value) formatWithUnit(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := durationUnits
