--- a/cmd/bench-adapter/main.go
+++ b/cmd/bench-adapter/main.go
@@ -1,5 +1,5 @@
-// Command bench-adapter runs the balancer on the bench's wire: batches of events come in on standard input, replies go out
-// on standard output. It ends with the input, or with an error if that makes no sense.
+// Command bench-adapter runs the balancer on the bench's wire protocol. It reads batches of events from standard input and
+// writes replies to standard output. It exits at the end of the input, or with status 1 if the input is malformed.
 package main
 
 import (
--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -6,9 +6,9 @@
 	"silvercove/balancer"
 )
 
-// The methods of this file are the balancer's host. Each writes one record of the reply.
+// The methods in this file implement balancer.Host. Each of them writes one record to the reply.
 
-// StartAttempt writes SEND.
+// StartAttempt writes SEND, and keeps the attempt so that later events can refer to it by its number.
 func (i *instance) StartAttempt(attempt *balancer.Attempt, deadline balancer.Tick) {
 	open := i.requests[attempt.Request.ID]
 	open.attempts = append(open.attempts, attempt)
@@ -34,7 +34,7 @@
 	i.answered(request)
 }
 
-// answered notes that the balancer has given a request its final answer.
+// answered records that the balancer has given a request its final answer.
 func (i *instance) answered(request *balancer.Request) {
 	if open := i.requests[request.ID]; open != nil {
 		open.answered = true
@@ -75,7 +75,7 @@
 	i.out.bytes(data)
 }
 
-// Log writes SAY_LOG, the message and its fields in one line.
+// Log writes SAY_LOG, with the message and its fields in one line.
 func (i *instance) Log(message string, fields ...slog.Attr) {
 	i.out.record(actionLog, i.number)
 	i.out.bytes([]byte(balancer.LogLine(message, fields...)))
@@ -92,7 +92,7 @@
 	i.out.record(actionFetchEndpoints, i.number)
 }
 
-// CastVote writes OPINION. The codes of the verdicts are the balancer's.
+// CastVote writes OPINION. The wire's verdict codes equal the values of balancer.Verdict.
 func (i *instance) CastVote(version uint16, stage int, verdict balancer.Verdict) {
 	i.out.record(actionCastVote, i.number)
 	i.out.u16(version)
--- a/internal/benchadapter/adapter.go
+++ b/internal/benchadapter/adapter.go
@@ -1,12 +1,12 @@
-// Package benchadapter joins the balancer to the bench's wire: the events that it reads become calls of the balancer, and
-// the balancer's calls of its host become actions. It decides nothing.
+// Package benchadapter connects the balancer to the bench's wire protocol. It turns each event into a call of the balancer,
+// and each call that the balancer makes to its host into an action. It makes no decisions of its own.
 //
-// With internal/settings it is one of the two places where the names of the wire are mapped to the standard terms. The
-// mapping stands in messages.go, one type a record with the wire's name in its comment; codec.go reads and writes the
-// fields.
+// This package and internal/settings are the only two places where the names of the wire protocol are mapped to the standard
+// terms. Here, messages.go holds the mapping, with one type per record and the name on the wire in its comment. codec.go reads
+// and writes the fields.
 //
-// A process of the adapter hosts several instances, which share nothing but the numbered endpoint lists. Serve is driven by
-// its input alone: it has no clock and no goroutine, so the same frames always bring the same replies.
+// A process of the adapter hosts several instances, which share only the numbered endpoint lists. Serve depends on its input
+// alone: it uses no clock and no goroutine, so the same frames always produce the same replies.
 package benchadapter
 
 import (
@@ -21,11 +21,11 @@
 )
 
 const (
-	bufferBytes  = 64 << 10 // bytes, of the input and of the output
-	maxReadBytes = 1 << 20  // bytes of a frame that are read at once
+	bufferBytes  = 64 << 10 // buffer of the input, and of the output
+	maxReadBytes = 1 << 20  // part of a frame that is read at once
 )
 
-// server is one process of the adapter.
+// server holds the state of one adapter process.
 type server struct {
 	instances map[uint32]*instance
 	lists     endpointLists
@@ -34,8 +34,8 @@
 
 func newServer() *server { return &server{instances: map[uint32]*instance{}} }
 
-// Serve answers the frames of in, one reply each, until in ends. An error tells of input that makes no sense, of a failed
-// read or write, or of a balancer that failed; nothing can be served after it.
+// Serve writes one reply to each frame of in, until in ends. It returns an error if the input is malformed, a read or a write
+// fails, or the balancer panics; nothing can be served after an error.
 func Serve(in io.Reader, out io.Writer) error {
 	s := newServer()
 	input := bufio.NewReaderSize(in, bufferBytes)
@@ -58,10 +58,10 @@
 	}
 }
 
-// errInputEnded is the end of the input between two frames.
+// errInputEnded reports that the input has ended between two frames, as it should.
 var errInputEnded = errors.New("the input has ended")
 
-// readFrame reads the length of a frame and then the frame, into buf as far as that has space.
+// readFrame reads the length of a frame and then the frame. It reuses buf if the frame fits.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
 	var length [4]byte
 	if _, err := io.ReadFull(in, length[:]); errors.Is(err, io.EOF) {
@@ -72,7 +72,8 @@
 	return readBody(in, buf, int64(binary.LittleEndian.Uint32(length[:])))
 }
 
-// readBody reads n bytes in pieces, so that a false length costs no more memory than the bytes that really come.
+// readBody appends n bytes to buf. It reads them in parts of at most maxReadBytes, so that a false length allocates little
+// more memory than the bytes that arrive.
 func readBody(in io.Reader, buf []byte, n int64) ([]byte, error) {
 	for n > 0 {
 		chunk := int(min(n, maxReadBytes))
@@ -86,7 +87,7 @@
 	return buf, nil
 }
 
-// writeReply writes a reply, if there is one, and flushes it.
+// writeReply writes and flushes a reply. A nil reply writes nothing.
 func writeReply(out *bufio.Writer, reply []byte) error {
 	if reply == nil {
 		return nil
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// handleBatch handles the events of one frame. A balancer that fails makes the reply end with a fault, and an error.
+// handleBatch handles the events of one frame and returns the reply. If the balancer panics, the reply ends with FAULT, and
+// handleBatch returns an error too.
 func (s *server) handleBatch(frame []byte) (reply []byte, err error) {
 	r := &reader{buf: frame}
 	now := r.tick("clock")
@@ -131,8 +133,8 @@
 	return s.out.finish(), nil
 }
 
-// handleEvent reads one record and makes the call that it stands for. A record that is cut short does nothing: the
-// reader keeps its error.
+// handleEvent reads one record and makes the call that it stands for. A record that is cut short has no effect: the reader
+// keeps its error.
 func (s *server) handleEvent(r *reader, now balancer.Tick, current *uint32) error {
 	code := eventCode(r.u8("code"))
 	if r.err == nil && code >= eventCodeCount {
@@ -164,7 +166,7 @@
 
 func unknownInstance(number uint32) error { return fmt.Errorf("unknown instance %d", number) }
 
-// start makes the instance that a start event names, in place of one that has the same number.
+// start creates the instance that a start event names. The new instance replaces an instance of the same number.
 func (s *server) start(r *reader, now balancer.Tick, number uint32) error {
 	event := r.startEvent()
 	if r.err != nil {
--- a/internal/benchadapter/codec.go
+++ b/internal/benchadapter/codec.go
@@ -8,29 +8,29 @@
 	"silvercove/balancer"
 )
 
-// Times on the wire are seconds, of which the simulator counts microseconds.
+// Times on the wire are in seconds, and the simulator's clock has a resolution of one microsecond.
 const (
 	microsecondsPerSecond = 1e6
 	microsecondsPerTick   = microsecondsPerSecond / float64(balancer.Second)
-	maxSeconds            = 1e11 // beyond it no time is meant
+	maxSeconds            = 1e11 // a greater number is not a valid time
 )
 
-// reader takes fields from one frame. Its first failure stays and every later read gives zero, so that a record is read
-// whole and checked once.
+// reader reads the fields of one frame. After its first error, every read returns zero and err keeps that error, so that a
+// caller can read a whole record and check err once.
 type reader struct {
 	buf    []byte
-	offset int // how many bytes have been taken
+	offset int // of the next byte to read
 	err    error
 }
 
-// require fails unless n more bytes are there.
+// require sets err unless n more bytes are left. what names the field in the error.
 func (r *reader) require(n int, what string) {
 	if r.err == nil && (n < 0 || n > len(r.buf)-r.offset) {
 		r.err = fmt.Errorf("%s at byte %d runs past the frame's %d bytes", what, r.offset, len(r.buf))
 	}
 }
 
-// take gives the next n bytes, nil after a failure. They are valid as long as the frame.
+// take returns the next n bytes, or nil after an error. They are part of the frame and valid as long as it is.
 func (r *reader) take(n int, what string) []byte {
 	r.require(n, what)
 	if r.err != nil {
@@ -73,7 +73,7 @@
 	return float64(math.Float32frombits(r.u32(what)))
 }
 
-// seconds reads a point or a span of time.
+// seconds reads a point in time or a duration, in seconds.
 func (r *reader) seconds(what string) float64 {
 	v := math.Float64frombits(r.u64(what))
 	if r.err == nil && (math.IsNaN(v) || math.Abs(v) > maxSeconds) {
@@ -82,16 +82,16 @@
 	return v
 }
 
-// tick reads a point or a span of time as the balancer counts it.
+// tick reads a point in time or a duration, in the balancer's ticks.
 func (r *reader) tick(what string) balancer.Tick { return toTick(r.seconds(what)) }
 
-// toTick rounds to the microsecond, which is exact for every time of the wire, and then down to the tick, so that a
-// deadline is never read as later than it is.
+// toTick rounds to the nearest microsecond, which gives the exact value of every time on the wire, and then rounds down to the
+// tick, so that a deadline is never read as later than it is.
 func toTick(seconds float64) balancer.Tick {
 	return balancer.Tick(math.Floor(math.Round(seconds*microsecondsPerSecond) / microsecondsPerTick))
 }
 
-// loadReport reads the values of a load report; nil where none came along.
+// loadReport reads the values of a load report. It returns nil if the record has no load report.
 func (r *reader) loadReport() []float64 {
 	const valueSize = 4
 	count := int(r.u8("load report count"))
@@ -106,22 +106,22 @@
 	return values
 }
 
-// replyHeaderSize is that of the number of records and the length of what follows, in bytes.
+// replyHeaderSize is the size in bytes of a reply's header: the number of records, and the length of the records in bytes.
 const replyHeaderSize = 8
 
-// writer holds the records of one reply.
+// writer encodes the records of one reply.
 type writer struct {
 	buf   []byte
-	count uint32 // of records
+	count uint32 // number of records
 }
 
-// begin starts a reply in the space of the one before.
+// begin starts a reply, and reuses the memory of the previous one.
 func (w *writer) begin() {
 	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
 	w.count = 0
 }
 
-// record starts a record of an instance; its fields follow.
+// record starts a record of an instance; the caller then writes the fields.
 func (w *writer) record(code actionCode, instance uint32) {
 	w.count++
 	w.u8(uint8(code))
@@ -145,20 +145,20 @@
 	w.u64(math.Float64bits(float64(v) / float64(balancer.Second)))
 }
 
-// bytes writes a count and as many bytes, of more than it can count the first ones.
+// bytes writes a 16-bit count and that many bytes. Bytes beyond the greatest count are cut off.
 func (w *writer) bytes(b []byte) {
 	b = b[:min(len(b), math.MaxUint16)]
 	w.u16(uint16(len(b)))
 	w.buf = append(w.buf, b...)
 }
 
-// fault adds the record that tells of a failed balancer.
+// fault adds the record FAULT, which reports a panic of the balancer.
 func (w *writer) fault(instance uint32, cause string) {
 	w.record(actionFault, instance)
 	w.bytes([]byte(cause))
 }
 
-// finish fills in the header. The reply is valid until the next begin.
+// finish fills in the header and returns the reply, which is valid until the next call of begin.
 func (w *writer) finish() []byte {
 	binary.LittleEndian.PutUint32(w.buf[0:], w.count)
 	binary.LittleEndian.PutUint32(w.buf[4:], uint32(len(w.buf)-replyHeaderSize))
--- a/internal/benchadapter/endpoints.go
+++ b/internal/benchadapter/endpoints.go
@@ -6,16 +6,16 @@
 	"silvercove/balancer"
 )
 
-// maxLists is how many numbered endpoint lists there can be.
+// maxLists is the number of numbered endpoint lists on the wire; the numbers are 0 to 15.
 const maxLists = 16
 
-// endpointLists are the numbered lists of the process. A list replaces the one before it with its number.
+// endpointLists holds the numbered endpoint lists of the process. A new list replaces the earlier list of the same number.
 type endpointLists struct {
 	lists    [maxLists][]listedEndpoint
 	received [maxLists]bool
 }
 
-// read takes the record CATALOG.
+// read reads the record CATALOG and stores its list.
 func (l *endpointLists) read(r *reader) error {
 	number := r.u32("page")
 	count := int(r.u32("members_list count"))
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// list gives the list of a number.
+// list returns the list of this number, or an error if none was received.
 func (l *endpointLists) list(number uint32) ([]listedEndpoint, error) {
 	if number >= maxLists || !l.received[number] {
 		return nil, fmt.Errorf("list number %d was never given", number)
@@ -42,7 +42,7 @@
 	return l.lists[number], nil
 }
 
-// updateEndpoints tells the balancer what an update of the endpoint list has changed.
+// updateEndpoints passes an update of the endpoint list to the balancer.
 func (i *instance) updateEndpoints(now balancer.Tick, event endpointUpdateEvent, lists *endpointLists) error {
 	switch event.kind {
 	case updateFailed:
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// findOrAddBackend gives the balancer's backend of an ID, and makes it when it is named first.
+// findOrAddBackend returns the backend of this ID, and adds the backend if the ID is new.
 func (i *instance) findOrAddBackend(id uint32) *balancer.Backend {
 	backend := i.backends[id]
 	if backend == nil {
@@ -79,7 +79,7 @@
 	return backend
 }
 
-// removeUnlisted tells the balancer of the backends that a complete list leaves out: they are gone.
+// removeUnlisted reports the backends that are missing from a complete list to the balancer as removed.
 func (i *instance) removeUnlisted(now balancer.Tick, listed map[uint32]bool) {
 	for _, id := range i.backendOrder {
 		backend := i.backends[id]
--- a/internal/benchadapter/instance.go
+++ b/internal/benchadapter/instance.go
@@ -7,27 +7,27 @@
 	"silvercove/internal/settings"
 )
 
-// instance is one balancer, with what the wire calls the requests and backends that the balancer points to. It is the
-// balancer's host: see actions.go.
+// instance is one balancer, with the tables that map the wire's IDs of requests and backends to the balancer's objects. It
+// implements balancer.Host; see actions.go.
 type instance struct {
 	number       uint32
-	out          *writer // the process's, as all actions of a batch go into one reply
+	out          *writer // shared by all instances of the process, since all actions of a batch go into one reply
 	balancer     *balancer.Balancer
-	classes      int                     // how many the site has
-	requests     map[uint64]*openRequest // those that the wire may still speak of
+	classes      int                     // number of request classes of the site
+	requests     map[uint64]*openRequest // requests that later events may still refer to, by ID
 	backends     map[uint32]*balancer.Backend
-	backendOrder []uint32 // in which they were first named
+	backendOrder []uint32 // IDs in the order in which they were first listed
 }
 
-// openRequest is a request that the wire may still speak of.
+// openRequest is a request that later events may still refer to.
 type openRequest struct {
 	request  *balancer.Request
 	attempts []*balancer.Attempt
 	inFlight int  // attempts without an outcome
-	answered bool // it has its final answer, or its client has gone
+	answered bool // the request has its final answer, or its client is gone
 }
 
-// newInstance starts a balancer.
+// newInstance creates an instance from a start event and starts its balancer.
 func newInstance(out *writer, now balancer.Tick, number uint32, event startEvent) (*instance, error) {
 	site, err := settings.Read(event.settings)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return i, nil
 }
 
-// handle reads one event of this instance and makes the call that it stands for. Events of requests, attempts and backends
-// that the instance does not know any more change nothing.
+// handle reads one event of this instance and makes the call that it stands for. Events about requests, attempts and backends
+// that the instance does not know, or has dropped, have no effect.
 func (i *instance) handle(r *reader, now balancer.Tick, code eventCode, lists *endpointLists) error {
 	switch code {
 	case eventEndpointUpdate:
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// attempt finds an attempt, and the request that it belongs to.
+// attempt returns an attempt and the request that it belongs to, or nil for both if the instance does not know the attempt.
 func (i *instance) attempt(id attemptID) (*openRequest, *balancer.Attempt) {
 	open := i.requests[id.request]
 	if open == nil || id.number >= len(open.attempts) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// dropIfFinished drops a request that the wire will not speak of again.
+// dropIfFinished drops a request once it has its final answer and no attempt is in flight: no later event refers to it.
 func (i *instance) dropIfFinished(id uint64) {
 	if open := i.requests[id]; open != nil && open.answered && open.inFlight <= 0 {
 		delete(i.requests, id)
--- a/internal/benchadapter/messages.go
+++ b/internal/benchadapter/messages.go
@@ -2,10 +2,10 @@
 
 import "silvercove/balancer"
 
-// eventCode is the code of a record that comes in.
+// eventCode is the code of an incoming record.
 type eventCode uint8
 
-// The events, in the order of their codes, each with its name on the wire.
+// The events in the order of their codes, each with its name on the wire.
 const (
 	eventStart          eventCode = iota // BORN
 	eventEndpointUpdate                  // ROSTER_CHANGE
@@ -21,13 +21,13 @@
 	eventMetrics                         // DIGEST
 	eventWrongAnswer                     // DISPUTED
 	eventEndpointList                    // CATALOG
-	eventCodeCount                       // how many there are
+	eventCodeCount                       // number of events
 )
 
-// actionCode is the code of a record that goes out.
+// actionCode is the code of an outgoing record.
 type actionCode uint8
 
-// The actions, in the order of their codes, each with its name on the wire.
+// The actions in the order of their codes, each with its name on the wire.
 const (
 	actionStartAttempt   actionCode = 64 + iota // SEND
 	actionReject                                // BOUNCE
@@ -44,29 +44,29 @@
 	actionCastVote                              // OPINION
 )
 
-// endpointUpdateKind is the field how of ROSTER_CHANGE.
+// endpointUpdateKind is the type of the field "how" of ROSTER_CHANGE.
 type endpointUpdateKind uint8
 
-// The kinds of updates of the endpoint list, by their codes.
+// The kinds of endpoint list updates in the order of their codes, each with its name on the wire.
 const (
 	updateComplete endpointUpdateKind = iota // full
-	updateFailed                             // failed: a call came to nothing, the list stays as it was
-	updateCached                             // cached: complete, and possibly stale
-	updateDelta                              // delta: those that changed
+	updateFailed                             // failed: a request for the list failed, and the list is unchanged
+	updateCached                             // cached: a complete list that may be stale
+	updateDelta                              // delta: only the endpoints that changed
 )
 
-// Bits of the field opts of SUBMIT.
+// Bits of the field "opts" of SUBMIT.
 const (
 	optionWorkKnown = 1 << iota
 	optionClientRetry
 	optionWrite
 )
 
-// voteReply is the field code of PROMOTION in the answer to a vote.
+// voteReply is the value of the field "code" of PROMOTION if the record is the reply to a vote.
 const voteReply = 1
 
-// The events' fields have the types of the balancer where it has one. The numbers of outcomes, rollout phases and states
-// of endpoints on the wire are those of the balancer's constants. Times are ticks.
+// The fields of the events have the balancer's types where it defines one. The codes of outcomes, rollout phases and endpoint
+// states on the wire equal the balancer's constants. Times are in ticks.
 
 // startEvent is BORN: an instance has just started.
 type startEvent struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-// endpointUpdateEvent is ROSTER_CHANGE: it points to a numbered list.
+// endpointUpdateEvent is ROSTER_CHANGE: an update of the endpoint list, which refers to a numbered list.
 type endpointUpdateEvent struct {
 	kind endpointUpdateKind
 	list uint32
@@ -116,7 +116,7 @@
 	}
 }
 
-// request makes the balancer's request of it.
+// request converts the event to the balancer's type.
 func (e requestEvent) request() *balancer.Request {
 	request := &balancer.Request{
 		ID:          e.id,
@@ -133,7 +133,7 @@
 	return request
 }
 
-// attemptID names an attempt of a request.
+// attemptID identifies an attempt by its request and its number, which starts at 0.
 type attemptID struct {
 	request uint64
 	number  int
@@ -191,7 +191,7 @@
 	}
 }
 
-// gossipEvent is MEMO: a message of another relay.
+// gossipEvent is MEMO: a message from another relay.
 type gossipEvent struct {
 	sender uint32
 	data   []byte
@@ -204,7 +204,7 @@
 	}
 }
 
-// releaseStatus reads PROMOTION: where the newest version stands.
+// releaseStatus reads PROMOTION: the status of the newest version.
 func (r *reader) releaseStatus() balancer.ReleaseStatus {
 	return balancer.ReleaseStatus{
 		Version:     r.u16("ver"),
@@ -217,13 +217,13 @@
 	}
 }
 
-// metricsEvent is DIGEST: what the release platform counted of one version and class, over all relays.
+// metricsEvent is DIGEST: the release platform's counts for one version and class, over all relays.
 type metricsEvent struct {
 	version  uint16
 	class    int
 	attempts int
 	failed   int
-	latency  balancer.Tick // the mean of those that did not fail
+	latency  balancer.Tick // mean over the attempts that did not fail
 	age      balancer.Tick // since the end of the period
 }
 
@@ -238,7 +238,7 @@
 	}
 }
 
-// wrongAnswerEvent is DISPUTED: a client has found an answer wrong.
+// wrongAnswerEvent is DISPUTED: a client has reported an answer as wrong.
 type wrongAnswerEvent struct {
 	backend uint32
 	class   int
@@ -259,7 +259,7 @@
 	endpoint balancer.Endpoint
 }
 
-// listedEndpointSize is the size of an entry in bytes.
+// listedEndpointSize is the size of an entry of CATALOG in bytes.
 const listedEndpointSize = 26
 
 func (r *reader) listedEndpoint() listedEndpoint {
