--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -12,8 +12,8 @@
 	roleEdge       = "edge"
 )
 
-// maxClockDrift is the fraction that the drift between two clocks must stay below. A lease then lasts longer than the
-// allowance for drift, which internal/leases sets to twice the drift of the lease.
+// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction. Below this bound, a lease lasts
+// longer than its allowance for drift, which internal/leases sets to twice the drift times the lease.
 const maxClockDrift = 0.5
 
 // checkFleet checks the fleet block and returns its first fault.
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -23,13 +23,14 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	if s.Limits.ConnectTimeout == 0 { // the deadline of the request limits the connection attempt
+	if s.Limits.ConnectTimeout == 0 { // only the deadline of the request limits a connection attempt
 		s.Limits.ConnectTimeout = longestDeadline
 	}
-	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 { // the widest window keeps the rule for any window
+	// Without an overload window, the load is counted over the whole warm-up: the widest window keeps the rule for any window.
+	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
-	if s.Rollout.ExposureWindow == 0 { // in a window of no time, free attempts would be free again at once
+	if s.Rollout.ExposureWindow == 0 { // in a window of zero length, the free attempts would be available again at once
 		s.Rollout.ExposureFree = 0
 	}
 	return nil
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -76,8 +76,8 @@
 	field("tip_after", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
 }
 
-// Parsers of the settings that take a word out of a set. Any other word is read as the zero value, except where it is
-// refused.
+// Parsers of the settings that take a word out of a set, with the meaning of each word. Any other word is read as the zero
+// value, except where it is refused.
 var (
 	discoveryMode = wordOrZero(map[string]balancer.DiscoveryMode{
 		"automatic": balancer.DiscoveryAutomatic,
