--- a/internal/operatorconfig/reference.go
+++ b/internal/operatorconfig/reference.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Reference is the reference page of a table, a Markdown table with a row a directive.
+// Reference returns the reference page of the directives: a Markdown table with one row per directive.
 func (t *Table) Reference() string {
 	var b strings.Builder
 	b.WriteString("| directive | values | default | block | takes effect | what it does |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -14,7 +14,7 @@
 		d := &t.Directives[i]
 		var values []string
 		for _, v := range d.Values {
-			values = append(values, strings.ToUpper(v.Name)+": "+v.allowed())
+			values = append(values, strings.ToUpper(v.Name)+": "+v.describeAllowed())
 		}
 		def := cmp.Or(d.Default, "none")
 		if d.Required {
