--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -115,7 +115,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // what its connections were doing has ended with the context
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
-	listener.Admit(c.connLimiter.admit)
+	listener.SetAdmission(c.connLimiter.admit)
 	err := server.Serve(listener)
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // the latter: the process's connections have ended
 		return nil
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -24,7 +24,7 @@
 		srv.evictOne()
 		srv.awaitChange()
 	}
-	s.quietSince = time.Now()
+	s.lastActivity = time.Now()
 	s.overLimit = srv.sessions >= srv.limits.MaxSessions && !srv.evictOne()
 	srv.sessions++
 	s.updateList()
@@ -86,7 +86,7 @@
 		return false
 	}
 	s := l.Front().Value.(*session)
-	if l == &srv.incomplete && time.Since(s.quietSince) < srv.limits.ContendedTimeout {
+	if l == &srv.incomplete && time.Since(s.lastActivity) < srv.limits.ContendedTimeout {
 		return false
 	}
 	s.beginClosing()
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -55,7 +55,7 @@
 		s.awaitingMessage = false
 		idleTimeLeft, state := time.Now().Before(s.idleDeadline()), s.closing
 		if begun && s.hadRequest {
-			s.quietSince = time.Now()
+			s.lastActivity = time.Now()
 		}
 		s.updateList()
 		s.server.mu.Unlock()
@@ -85,9 +85,9 @@
 	case s.closing == closingBetweenRequests, s.server.closingIdle && s.hadRequest:
 		return expired()
 	case s.server.closingIdle:
-		return s.quietSince.Add(limits.ContendedTimeout)
+		return s.lastActivity.Add(limits.ContendedTimeout)
 	}
-	return s.quietSince.Add(limits.IdleTimeout)
+	return s.lastActivity.Add(limits.IdleTimeout)
 }
 
 // fillMore waits for more of a message, up to want bytes in all if that is known (0: any); false ends the session. A session
@@ -101,12 +101,12 @@
 	s.server.mu.Unlock()
 	status := s.fill(want)
 	s.server.mu.Lock()
-	bytesCame := status.Reason == transport.DeadlineExceeded && s.closing != aborted && s.conn.Readable()
-	if bytesCame {
+	moreArrived := status.Reason == transport.DeadlineExceeded && s.closing != aborted && s.conn.Readable()
+	if moreArrived {
 		s.conn.SetReadDeadline(s.messageDeadline())
 	}
 	s.server.mu.Unlock()
-	if bytesCame {
+	if moreArrived {
 		status = s.fill(want)
 	}
 	return s.continueAfterRead(status)
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -36,10 +36,10 @@
 	if terminated && len(bytes.Trim(text, " ;\t\r\n")) == 0 {
 		return false, s.reply(pgwire.EmptyQueryResponse())
 	}
-	query, fault := pgwire.ParseQuery(text)
+	query, queryErr := pgwire.ParseQuery(text)
 	switch {
-	case fault != nil:
-		return false, s.refuseQuery(fault.SQLState, fault.Text)
+	case queryErr != nil:
+		return false, s.refuseQuery(queryErr.SQLState, queryErr.Text)
 	case !terminated:
 		return false, s.refuseQuery(pgwire.StateProtocolViolation, textUnterminatedQuery)
 	}
@@ -121,7 +121,7 @@
 	if len(s.calls) > 0 {
 		return
 	}
-	s.quietSince = time.Now()
+	s.lastActivity = time.Now()
 	s.updateList()
 	if s.awaitingMessage && (s.closing >= closingBetweenRequests || srv.closingIdle) {
 		s.conn.InterruptRead()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -37,7 +37,7 @@
 	skippingToSync bool           // an extended query was refused: messages up to the next Sync are dropped
 
 	// Guarded by the server's mu.
-	quietSince      time.Time // when it came, was greeted, its last request ended, or a further message began
+	lastActivity    time.Time // when it came, was greeted, its last request ended, or a further message began
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in work
 	awaitingMessage bool                        // for the first byte of a message
@@ -79,16 +79,16 @@
 
 // serve reads a session's messages up to its end and waits for its requests.
 func (s *session) serve() {
-	if s.greet() {
+	if s.handleStartup() {
 		s.readMessages()
 	}
 	s.drain()
 	s.awaitAcknowledgement()
 }
 
-// greet reads the startup messages and answers them; false ends the session. The startup has its time limit as a whole.
-func (s *session) greet() bool {
-	deadline := s.quietSince.Add(max(s.server.limits.IdleTimeout, s.server.messageTimeout))
+// handleStartup reads the startup messages and answers them; false ends the session. The startup has its time limit as a whole.
+func (s *session) handleStartup() bool {
+	deadline := s.lastActivity.Add(max(s.server.limits.IdleTimeout, s.server.messageTimeout))
 	for {
 		kind, size, err := pgwire.ParseStartup(s.conn.Buffered())
 		if err != nil {
@@ -119,7 +119,7 @@
 func (s *session) authenticate() bool {
 	s.conn.Append(pgwire.AuthenticationOK())
 	s.server.mu.Lock()
-	s.quietSince = time.Now()
+	s.lastActivity = time.Now()
 	s.server.mu.Unlock()
 	return len(s.conn.Buffered()) > 0 || s.reply()
 }
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -87,7 +87,7 @@
 	if refusal != "" {
 		n.log.Warn().Str("from", h.From).Str("why", refusal).Msg("connection refused")
 	} else if admit := n.listeners[h.Kind].admission(); admit != nil {
-		accepted.leave, refusal = admit(h.From) // not logged: a crowd would fill the log
+		accepted.release, refusal = admit(h.From) // not logged: a crowd would fill the log
 	}
 	answer, err := json.Marshal(refusal)
 	if err == nil {
@@ -98,7 +98,7 @@
 		return
 	}
 	_ = conn.SetDeadline(time.Time{}) // of a closed connection: whoever accepts it sees that
-	n.listeners[h.Kind].hand(ctx, accepted)
+	n.listeners[h.Kind].deliver(ctx, accepted)
 }
 
 // checkHello is why a hello is refused, "": it is not.
@@ -116,7 +116,7 @@
 		return fmt.Sprintf("no process named %s is in the file of %s", h.From, n.self.Name)
 	}
 	listener := n.listeners[h.Kind]
-	if listener == nil || !listener.wanted.Load() { // where nobody accepts, it would wait and take the place of another hello
+	if listener == nil || !listener.enabled.Load() { // where nobody accepts, it would wait and take the place of another hello
 		return fmt.Sprintf("no connections of kind %q are taken", h.Kind)
 	}
 	return ""
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -11,45 +11,45 @@
 // Conn is a connection that was taken in; From is the name of the process at its other end.
 type Conn struct {
 	net.Conn
-	From  string
-	leave func() // nil: nobody counts
-	once  sync.Once
+	From    string
+	release func() // nil: nobody counts
+	once    sync.Once
 }
 
 // Close closes the connection, and counts it out at the first call.
 func (c *Conn) Close() error {
-	if c.leave != nil {
-		c.once.Do(c.leave)
+	if c.release != nil {
+		c.once.Do(c.release)
 	}
 	return c.Conn.Close()
 }
 
-// Admit counts a process's connection in until leave is called, once, or returns why it is refused, which its Dial tells.
-type Admit func(from string) (leave func(), refusal string)
+// Admission counts a process's connection in until release is called, once, or returns why it is refused, which its Dial tells.
+type Admission func(from string) (release func(), refusal string)
 
 // Listener is a net.Listener of one kind of connections; it hands out each as a *Conn. It is safe for concurrent use.
 type Listener struct {
 	addr      net.Addr
-	wanted    atomic.Bool // Network.Listener was called
+	enabled   atomic.Bool // Network.Listener was called
 	conns     chan net.Conn
 	closed    chan struct{}
 	closeOnce sync.Once
-	admit     atomic.Pointer[Admit]
+	admit     atomic.Pointer[Admission]
 }
 
-// Admit has each connection counted from now on.
-func (l *Listener) Admit(admit Admit) { l.admit.Store(&admit) }
+// SetAdmission has each connection counted from now on.
+func (l *Listener) SetAdmission(admit Admission) { l.admit.Store(&admit) }
 
 // admission is what counts connections, nil: nothing does.
-func (l *Listener) admission() Admit {
+func (l *Listener) admission() Admission {
 	if admit := l.admit.Load(); admit != nil {
 		return *admit
 	}
 	return nil
 }
 
-// hand waits until a connection is accepted, and closes it where that takes longer than a hello may.
-func (l *Listener) hand(ctx context.Context, conn net.Conn) {
+// deliver waits until a connection is accepted, and closes it where that takes longer than a hello may.
+func (l *Listener) deliver(ctx context.Context, conn net.Conn) {
 	timer := time.NewTimer(helloTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -190,7 +190,7 @@
 
 // Listener hands out the connections of one kind. Before it is called they are refused.
 func (n *Network) Listener(kind Kind) *Listener {
-	n.listeners[kind].wanted.Store(true)
+	n.listeners[kind].enabled.Store(true)
 	return n.listeners[kind]
 }
 
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -43,7 +43,7 @@
 // Error is the code and the text.
 func (e *QueryError) Error() string { return e.SQLState + " " + e.Text }
 
-func errOtherStatement() *QueryError {
+func errUnsupportedStatement() *QueryError {
 	return &QueryError{StateSyntaxError, "no statement of the two forms"}
 }
 
@@ -64,9 +64,9 @@
 // order; unknown ones are ignored.
 func ParseQuery(text []byte) (*Query, *QueryError) {
 	q := &Query{text: text}
-	commentStart, fault := q.parseStatement()
-	if fault != nil {
-		return nil, fault
+	commentStart, queryErr := q.parseStatement()
+	if queryErr != nil {
+		return nil, queryErr
 	}
 	comment, ok := bytes.CutSuffix(text[commentStart:], []byte(commentEnd))
 	if !ok || bytes.Contains(comment, []byte("*/")) {
@@ -76,44 +76,44 @@
 }
 
 // parseStatement reads the statement up to its comment, and gives where that starts.
-func (q *Query) parseStatement() (commentStart int, fault *QueryError) {
+func (q *Query) parseStatement() (commentStart int, queryErr *QueryError) {
 	switch {
 	case bytes.HasPrefix(q.text, []byte(selectBeforeKey)):
 		end, ok := q.parseKey(len(selectBeforeKey), selectAfterKey)
 		if !ok {
-			return 0, errOtherStatement()
+			return 0, errUnsupportedStatement()
 		}
 		return end, nil
 	case bytes.HasPrefix(q.text, []byte(insertBeforeKey)):
 		q.Write = true
 		valueStart, ok := q.parseKey(len(insertBeforeKey), insertBeforeValue)
 		if !ok {
-			return 0, errOtherStatement()
+			return 0, errUnsupportedStatement()
 		}
 		return q.skipValue(valueStart)
 	}
-	return 0, errOtherStatement()
+	return 0, errUnsupportedStatement()
 }
 
 // parseKey reads the key, a plain name up to its quote, which some text must follow. It gives where that ends.
-func (q *Query) parseKey(start int, follows string) (end int, ok bool) {
+func (q *Query) parseKey(start int, suffix string) (end int, ok bool) {
 	size := bytes.IndexByte(q.text[start:], '\'')
-	if size < 0 || size > maxKey || !bytes.HasPrefix(q.text[start+size:], []byte(follows)) {
+	if size < 0 || size > maxKey || !bytes.HasPrefix(q.text[start+size:], []byte(suffix)) {
 		return 0, false
 	}
 	q.Key = string(q.text[start : start+size])
-	return start + size + len(follows), true
+	return start + size + len(suffix), true
 }
 
 // skipValue checks the value of an INSERT, whole bytes in hexadecimal, and gives where the comment starts.
-func (q *Query) skipValue(start int) (commentStart int, fault *QueryError) {
+func (q *Query) skipValue(start int) (commentStart int, queryErr *QueryError) {
 	digits := 0
 	for start+digits < len(q.text) && isHexDigit(q.text[start+digits]) {
 		digits++
 	}
 	end := start + digits
 	if digits%2 != 0 || !bytes.HasPrefix(q.text[end:], []byte(insertAfterValue)) {
-		return 0, errOtherStatement()
+		return 0, errUnsupportedStatement()
 	}
 	if hex.DecodedLen(digits) > MaxValue {
 		return 0, &QueryError{StateLimitExceeded, "the value is longer than 64 KiB"}
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -179,7 +179,7 @@
 			if severity == "" {
 				severity = string(value)
 			}
-		case fieldPlainSeverity:
+		case fieldNonlocalizedSeverity:
 			severity = string(value)
 		}
 		body = rest
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -20,19 +20,19 @@
 
 // Fields of an ErrorResponse (PostgreSQL manual, "Error and Notice Message Fields").
 const (
-	fieldSeverity          = 'S' // may be localised
-	fieldPlainSeverity     = 'V' // never is
-	fieldSQLState          = 'C'
-	fieldMessage           = 'M'
-	fieldDetail            = 'D'
-	errorResponseSizeGuess = 64 // bytes
+	fieldSeverity             = 'S' // may be localised
+	fieldNonlocalizedSeverity = 'V' // never is
+	fieldSQLState             = 'C'
+	fieldMessage              = 'M'
+	fieldDetail               = 'D'
+	errorResponseCapacity     = 64 // bytes
 )
 
 // ErrorResponse is an ErrorResponse message. The detail is left out if it is empty.
 func ErrorResponse(severity, sqlState, text, detail string) []byte {
-	body := make([]byte, 0, errorResponseSizeGuess)
+	body := make([]byte, 0, errorResponseCapacity)
 	body = appendField(body, fieldSeverity, severity)
-	body = appendField(body, fieldPlainSeverity, severity)
+	body = appendField(body, fieldNonlocalizedSeverity, severity)
 	body = appendField(body, fieldSQLState, sqlState)
 	body = appendField(body, fieldMessage, text)
 	if detail != "" {
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// ringStep is the size in bytes of a ring of an idle connection, and the unit in which rings grow.
-const ringStep = 2 << 10
+// ringBlockSize is the size in bytes of a ring of an idle connection, and the unit in which rings grow.
+const ringBlockSize = 2 << 10
 
 // BufferBudget is the memory that requests may need for their buffers, in bytes. It is reserved when a request is accepted,
 // so that no buffer is missing later on. It may be used by any goroutine.
@@ -43,7 +43,7 @@
 
 // grow makes space for n bytes in all.
 func (r *ring) grow(n int) {
-	if size := (n + ringStep - 1) / ringStep * ringStep; size > len(r.buf) {
+	if size := (n + ringBlockSize - 1) / ringBlockSize * ringBlockSize; size > len(r.buf) {
 		r.budget.buffered.Add(int64(size - len(r.buf)))
 		r.moveTo(make([]byte, size))
 	}
@@ -51,13 +51,13 @@
 
 // moveTo takes the content to the start of another buffer.
 func (r *ring) moveTo(buf []byte) {
-	n := copy(buf, r.firstStretch())
+	n := copy(buf, r.firstSegment())
 	copy(buf[n:r.length], r.buf)
 	r.buf, r.start = buf, 0
 }
 
-// firstStretch is the content up to the end of the buffer; the rest of it stands at the buffer's beginning.
-func (r *ring) firstStretch() []byte {
+// firstSegment is the content up to the end of the buffer; the rest of it stands at the buffer's beginning.
+func (r *ring) firstSegment() []byte {
 	return r.buf[r.start:min(r.start+r.length, len(r.buf))]
 }
 
@@ -101,7 +101,7 @@
 		return
 	}
 	r.start = 0
-	if len(r.buf) > ringStep {
+	if len(r.buf) > ringBlockSize {
 		r.release()
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -72,14 +72,14 @@
 	return intact
 }
 
-// past is a deadline that has gone by.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has gone by.
+var pastDeadline = time.Unix(1, 0)
 
 // Interrupt ends a blocked read or write, and those to come.
-func (c *Conn) Interrupt() { c.SetDeadline(past) }
+func (c *Conn) Interrupt() { c.SetDeadline(pastDeadline) }
 
 // InterruptRead ends a blocked read, and those to come.
-func (c *Conn) InterruptRead() { c.SetReadDeadline(past) }
+func (c *Conn) InterruptRead() { c.SetReadDeadline(pastDeadline) }
 
 // SetDeadline sets a time limit for reading and writing; the zero time is none. It stands until the next one, or until the
 // connection is bound to a context or released from it. That it fails on a connection that is closed shows at the next
@@ -125,7 +125,7 @@
 func (c *Conn) Flush() CloseStatus {
 	c.flushed.Store(false)
 	for c.output.length > 0 {
-		n, err := c.conn.Write(c.output.firstStretch())
+		n, err := c.conn.Write(c.output.firstSegment())
 		c.output.discard(n)
 		if err != nil {
 			c.flushed.Store(c.output.length == 0)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -24,8 +24,8 @@
 	reusable bool  // the reply ended in order, with nothing behind it
 }
 
-// replyWithout is a reply of an attempt of which nothing was written.
-func replyWithout(reason transport.CloseReason) Reply {
+// unsentReply is a reply of an attempt of which nothing was written.
+func unsentReply(reason transport.CloseReason) Reply {
 	return Reply{Status: transport.CloseStatus{Reason: reason}}
 }
 
@@ -50,13 +50,13 @@
 	mayBegin := p.dispatcher.Begin(attempt) // it may have waited for a slot or a dial
 	timeLeft := time.Until(attempt.Deadline)
 	if !mayBegin || timeLeft < time.Millisecond {
-		p.putBackUnused(c)
-		return replyWithout(transport.Canceled), false
+		p.releaseUnused(c)
+		return unsentReply(transport.Canceled), false
 	}
 	if !c.Reusable() {
 		isNew := c.idleSince.IsZero()
 		p.discard(c)
-		return replyWithout(transport.ClosedByPeer), !isNew
+		return unsentReply(transport.ClosedByPeer), !isNew
 	}
 	c.Append(query.Forward(timeLeft)...)
 	if status := c.Flush(); status.Closed() {
@@ -67,12 +67,12 @@
 	if !reply.isComplete() {
 		reply = Reply{Status: transport.CloseStatus{Reason: transport.Malformed, Flushed: true}}
 	}
-	p.bind(&reply, c)
+	p.attach(&reply, c)
 	return reply, false
 }
 
-// putBackUnused gives back a connection on which nothing was written: it is as good as before.
-func (p *Pool) putBackUnused(c *conn) {
+// releaseUnused gives back a connection on which nothing was written: it is as good as before.
+func (p *Pool) releaseUnused(c *conn) {
 	if c.ReleaseContext() && p.dispatcher.IsCurrent(c.backend) {
 		p.addIdle(c)
 		return
@@ -97,7 +97,7 @@
 func (p *Pool) readReply(c *conn) Reply {
 	var response pgwire.Response
 	for {
-		status := readFault(response.Read(c.Buffered()))
+		status := readErrorStatus(response.Read(c.Buffered()))
 		if !status.Closed() {
 			if response.Ready || response.Fatal {
 				return p.newReply(c, &response, response.Ready)
@@ -117,8 +117,8 @@
 	}
 }
 
-// readFault is the end of a connection on which a reply can't be read any further; open without an error.
-func readFault(err error) transport.CloseStatus {
+// readErrorStatus is the end of a connection on which a reply can't be read any further; open without an error.
+func readErrorStatus(err error) transport.CloseStatus {
 	switch {
 	case err == nil:
 		return transport.CloseStatus{}
@@ -143,9 +143,9 @@
 	return reply
 }
 
-// bind has Release give the connection back. The connection's context is let go now, before it is cancelled: one that it has
+// attach has Release give the connection back. The connection's context is let go now, before it is cancelled: one that it has
 // ended is not reusable.
-func (p *Pool) bind(reply *Reply, c *conn) {
+func (p *Pool) attach(reply *Reply, c *conn) {
 	released := c.ReleaseContext()
 	reply.pool, reply.conn = p, c
 	reply.reusable = released && reply.reusable
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -21,7 +21,7 @@
 		p.discard(c)
 	}
 	if reason := p.reserveSlot(ctx); reason != transport.StillOpen {
-		return nil, replyWithout(reason)
+		return nil, unsentReply(reason)
 	}
 	c, reply := p.dial(ctx, backend)
 	if c == nil {
@@ -69,11 +69,11 @@
 	case reply.SQLState == pgwire.StateTooManyConnections:
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
-		return nil, replyWithout(reply.Status.Reason) // no query was written
+		return nil, unsentReply(reply.Status.Reason) // no query was written
 	case errors.Is(ctx.Err(), context.Canceled): // given up just as it came up, which says nothing of the backend
-		return nil, replyWithout(transport.Canceled)
+		return nil, unsentReply(transport.Canceled)
 	}
-	return nil, replyWithout(transport.ConnectTimeout)
+	return nil, unsentReply(transport.ConnectTimeout)
 }
 
 // startSession sends the startup message and reads the backend's answer (PostgreSQL manual, "Start-up"); ready says whether
@@ -96,14 +96,14 @@
 // after a start need not wait for them. All relays together open no more at a backend than one of them might alone: many
 // that start at once would spend the backends' work on connections that few requests use. It waits at most for the connect
 // timeout, and not beyond the context: what is not up by then is given up.
-func (p *Pool) Prewarm(ctx context.Context, to []dispatch.Backend, relays int) {
+func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
 	slots := cap(p.slots) / prewarmSlotsDivisor
-	perBackend := min(slots/max(1, len(to)), slots/max(1, relays))
+	perBackend := min(slots/max(1, len(targets)), slots/max(1, relays))
 	var dials sync.WaitGroup
-	for i := range perBackend * len(to) {
-		dials.Go(func() { p.prewarmOne(ctx, to[i%len(to)]) })
+	for i := range perBackend * len(targets) {
+		dials.Go(func() { p.prewarmOne(ctx, targets[i%len(targets)]) })
 	}
 	dials.Wait()
 }
@@ -136,7 +136,7 @@
 			if !reply.Status.Closed() {
 				reply = p.readReply(c)
 			}
-			p.bind(&reply, c)
+			p.attach(&reply, c)
 			reply.Release()
 		}
 		p.dispatcher.ProbeEnded(backend.Name, reply.SQLState, reply.Status, time.Since(began), reply.Load)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,8 +22,8 @@
 // are taken, or most of them while unsolicited bytes come: a new connection costs less than a wrong reply. An idle backend
 // that says why it ends looks the same; there the caution only costs connections.
 const (
-	settleTime  = 25 * time.Millisecond // after its last reply a connection has settled
-	cautionTime = time.Minute           // after unsolicited bytes more of them are expected
+	settleTime              = 25 * time.Millisecond // after its last reply a connection has settled
+	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes more of them are expected
 )
 
 const (
@@ -45,9 +45,9 @@
 	slots  chan struct{}  // holds one element for each connection that is open or being made
 	probes sync.WaitGroup // goroutines of Probe
 
-	mu            sync.Mutex         // guards what follows up to the counters
-	idle          map[string][]*conn // by backend, the last used at the end; no empty lists
-	cautiousUntil time.Time          // until then unsolicited bytes are expected
+	mu                       sync.Mutex         // guards what follows up to the counters
+	idle                     map[string][]*conn // by backend, the last used at the end; no empty lists
+	unsolicitedExpectedUntil time.Time          // until then unsolicited bytes are expected
 
 	// Opened counts connections that were begun, Reused attempts on an idle one, Failed those for which there was none, and
 	// Unsolicited idle connections on which something had come.
@@ -170,7 +170,7 @@
 
 // slotsForUnsettled is how many slots are taken before a connection that has not settled is used again; mu is held.
 func (p *Pool) slotsForUnsettled(now time.Time) int {
-	if now.Before(p.cautiousUntil) {
+	if now.Before(p.unsolicitedExpectedUntil) {
 		return cap(p.slots) * 7 / 8
 	}
 	return cap(p.slots) / 2
@@ -215,7 +215,7 @@
 	if c.HasUnsolicited() {
 		p.Unsolicited.Add(1)
 		p.mu.Lock()
-		p.cautiousUntil = time.Now().Add(cautionTime)
+		p.unsolicitedExpectedUntil = time.Now().Add(unsolicitedExpectedTime)
 		p.mu.Unlock()
 	}
 	p.close(c)
