--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// pollsPerContendedTimeout is how often, within the time that a silent session keeps a slot that others wait for, it is
-// looked whether one may be ended.
+// pollsPerContendedTimeout is how many times within ContendedTimeout the server checks whether it can evict a session.
+// ContendedTimeout is how long a silent session keeps a slot that others wait for.
 const pollsPerContendedTimeout = 10
 
 func (srv *Server) pollInterval() time.Duration {
 	return srv.limits.ContendedTimeout / pollsPerContendedTimeout
 }
 
-// open makes the session of a connection. Where all slots are taken, a session without a request has to go; where there is
-// none, the new one takes a spare slot and its requests are rejected. open blocks only while the spare slots are taken too.
+// open creates the session of a connection. If all slots are taken, it evicts a session that has no request in
+// progress. If there is none, the new session takes a spare slot, and its requests are rejected. open blocks only while
+// the spare slots are taken too.
 func (srv *Server) open(conn net.Conn) *session {
 	s := newSession(srv, conn)
 	srv.mu.Lock()
@@ -42,8 +43,9 @@
 	srv.changed.Signal()
 }
 
-// updateList moves a session to the list that it belongs to now. A list that grows too long loses its first session:
-// clients have few connections, and idle sessions stand in the way of requests. The server's mu is held.
+// updateList moves the session to the list that it belongs to now. If that list grows beyond MaxIdle, its first session
+// is evicted: clients open few connections, and idle sessions take slots that requests need. The server's mu must be
+// held.
 func (s *session) updateList() {
 	l := s.properList()
 	if l == s.list {
@@ -62,8 +64,8 @@
 	}
 }
 
-// properList is the list that a session belongs to; nil while it has a request in work or is closing. Before its first
-// request it is never idle, as that may be on its way. The server's mu is held.
+// properList returns the list that the session belongs to, or nil while it has a request in progress or is closing. A
+// session is never idle before its first request, because that may be on its way. The server's mu must be held.
 func (s *session) properList() *list.List {
 	switch {
 	case len(s.calls) > 0 || s.closing >= closingBetweenRequests:
@@ -74,13 +76,15 @@
 	return &s.server.incomplete
 }
 
-// evictOne ends the session that has been idle the longest, else the one whose message has been incomplete the longest.
-// Guards against clients that connect by the hundreds and say nothing, or a part; mu is held.
+// evictOne evicts the session that has been idle the longest, or else the one whose message has been incomplete the
+// longest. It reports whether there was one. This guards against clients that open hundreds of connections and send
+// nothing, or only part of a message. The server's mu must be held.
 func (srv *Server) evictOne() bool {
 	return srv.evictFirst(&srv.idle) || srv.evictFirst(&srv.incomplete)
 }
 
-// evictFirst ends the first session of a list, unless its first message may still be on its way; mu is held.
+// evictFirst evicts the first session of a list, unless its first message may still be on its way. It reports whether
+// it evicted a session. The server's mu must be held.
 func (srv *Server) evictFirst(l *list.List) bool {
 	if l.Len() == 0 {
 		return false
@@ -96,7 +100,8 @@
 	return true
 }
 
-// endOneSession ends a session to free its descriptor and waits for that; false: there is no session.
+// endOneSession evicts a session to free its descriptor, and waits for a session to end. It returns false if there is
+// no session.
 func (srv *Server) endOneSession() bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -108,8 +113,8 @@
 	return true
 }
 
-// awaitChange waits until a session has ended or has no request in work, or until one more may have been silent for too
-// long. mu is held, and let go meanwhile.
+// awaitChange waits until a session has ended or has no request in progress, or until one more session may have been
+// silent for too long, which is checked every pollInterval. The server's mu must be held; it is released while waiting.
 func (srv *Server) awaitChange() {
 	wake := time.AfterFunc(srv.pollInterval(), func() {
 		srv.mu.Lock()
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -7,14 +7,14 @@
 	"silvercove/internal/transport"
 )
 
-// expired is a read deadline that has long passed.
+// expired returns a read deadline in the past.
 func expired() time.Time { return time.Unix(1, 0) }
 
-// messageDeadline is when a message that begins now has to be complete.
+// messageDeadline returns the time by which a message that begins now must be complete.
 func (s *session) messageDeadline() time.Time { return time.Now().Add(s.server.messageTimeout) }
 
-// nextMessage waits for the header of the next message: its type and its size in bytes, header included. False ends the
-// session.
+// nextMessage waits for the header of the next message. It returns the type of the message and its size in bytes,
+// including the header. If ok is false, the session must end.
 func (s *session) nextMessage() (kind byte, size int, ok bool) {
 	var deadline time.Time
 	for {
@@ -40,8 +40,8 @@
 	}
 }
 
-// awaitFirstByte waits for the first byte of a message; false ends the session. Only here this side closes a session that
-// has no request in work, and not if a byte has come by then.
+// awaitFirstByte waits for the first byte of a message and reports whether the session goes on. Only here the server
+// closes a session between messages without a request in progress, and it does not do so if a byte has arrived by then.
 func (s *session) awaitFirstByte() bool {
 	for {
 		s.server.mu.Lock()
@@ -72,9 +72,9 @@
 	}
 }
 
-// idleDeadline is until when a session waits for a message: while requests are in work, always a little longer. A client
-// that came just before the end of all sessions and has asked nothing yet is not turned away at once. The server's mu is
-// held.
+// idleDeadline returns the time until which the session waits for a message. While requests are in progress, that is
+// always IdleTimeout from now. A client that connected just before CloseIdleSessions and has not sent a query yet is
+// not disconnected at once. The server's mu must be held.
 func (s *session) idleDeadline() time.Time {
 	limits := &s.server.limits
 	switch {
@@ -90,8 +90,9 @@
 	return s.lastActivity.Add(limits.IdleTimeout)
 }
 
-// fillMore waits for more of a message, up to want bytes in all if that is known (0: any); false ends the session. A session
-// that is to be closed meanwhile ends if nothing more has come by then.
+// fillMore waits for more bytes of a message and reports whether the session goes on. want is the number of bytes
+// needed in all if that is known, and 0 otherwise. A session that is being closed ends if no more bytes have arrived by
+// then.
 func (s *session) fillMore(want int, deadline time.Time) bool {
 	s.server.mu.Lock()
 	s.conn.SetReadDeadline(deadline)
@@ -112,8 +113,8 @@
 	return s.continueAfterRead(status)
 }
 
-// fill reads once, and notes when the bytes came. A close counts also where it came behind requests that are not read yet:
-// nobody waits for those.
+// fill reads once and records when the bytes arrived. It reports a close by the client even if unread requests precede
+// the close, because nobody waits for their replies.
 func (s *session) fill(want int) transport.CloseStatus {
 	status := s.conn.Fill(want)
 	age, closed := s.conn.LastReceived()
@@ -124,7 +125,8 @@
 	return status
 }
 
-// continueAfterRead reports whether a session goes on after a read. A client that has closed has left its requests.
+// continueAfterRead reports whether the session goes on after a read. If the client has closed the connection, its
+// requests are abandoned.
 func (s *session) continueAfterRead(status transport.CloseStatus) bool {
 	if status.Reason == transport.ClosedByPeer || status.Reason == transport.ConnectionReset {
 		s.abandonCalls()
@@ -132,7 +134,7 @@
 	return !status.Closed()
 }
 
-// skipMessage drops a message of so many bytes without keeping it; false ends the session.
+// skipMessage discards a message of size bytes as it arrives. It reports whether the session goes on.
 func (s *session) skipMessage(size int) bool {
 	deadline := s.messageDeadline()
 	for {
@@ -148,7 +150,7 @@
 	}
 }
 
-// readMessage reads a message of so many bytes into the buffer; false ends the session.
+// readMessage reads a message of size bytes into the buffer. It reports whether the session goes on.
 func (s *session) readMessage(size int) bool {
 	deadline := s.messageDeadline()
 	for len(s.conn.Buffered()) < size {
--- a/internal/downstream/reply.go
+++ b/internal/downstream/reply.go
@@ -6,10 +6,11 @@
 	"silvercove/internal/pgwire"
 )
 
-// replySlotPoll is how often a session that waits for a reply slot looks whether its client has gone.
+// replySlotPoll is the interval at which a session that waits for a reply slot checks whether its client has
+// disconnected.
 const replySlotPoll = 10 * time.Millisecond
 
-// Texts of error responses. Clients may have come to know them: they are part of what is on the wire.
+// Texts of error responses. They are part of the wire protocol, because clients may depend on them.
 const (
 	textMalformedStartup  = "malformed startup"
 	textUnknownMessage    = "unknown message"
@@ -23,8 +24,8 @@
 	textFailed            = "no answer; it may have run"
 )
 
-// awaitReplySlot waits until one more reply may be owed; false: the session has ended. Meanwhile nothing is read; that the
-// client goes is seen all the same.
+// awaitReplySlot waits until the session may have one more pending reply, and reports whether the session goes on. It
+// reads nothing meanwhile, but still detects that the client disconnects.
 func (s *session) awaitReplySlot() bool {
 	if len(s.pendingReplies) < cap(s.pendingReplies) {
 		return true
@@ -33,7 +34,7 @@
 	defer poll.Stop()
 	for {
 		select {
-		case s.pendingReplies <- struct{}{}: // there is a slot; it stays free, as only this goroutine takes one
+		case s.pendingReplies <- struct{}{}: // a slot is free, and stays free because only this goroutine takes slots
 			<-s.pendingReplies
 			return true
 		case <-poll.C:
@@ -46,8 +47,8 @@
 	}
 }
 
-// reserveTurn takes the next place in the order of replies: turn is closed once the replies before it have been written, and
-// done lets the next one have its turn.
+// reserveTurn takes the next place in the order of replies. turn is closed once all earlier replies have been written.
+// The caller calls done to let the next reply be written.
 func (s *session) reserveTurn() (turn <-chan struct{}, done func()) {
 	turn, next := s.lastReply, make(chan struct{})
 	s.lastReply = next
@@ -58,8 +59,9 @@
 	}
 }
 
-// reply answers after the replies to what came before; false ends the session. The session's goroutine does not wait for
-// those: it has to see the client go.
+// reply writes an answer after the replies to all earlier messages, and reports whether the session goes on. It does
+// not wait for earlier replies that are pending, because the session's goroutine must go on reading to detect that the
+// client disconnects.
 func (s *session) reply(parts ...[]byte) bool {
 	turn, done := s.reserveTurn()
 	select {
@@ -76,8 +78,8 @@
 	return true
 }
 
-// write sends bytes in the turn that the caller has. A client that does not take them in time loses its session, and false
-// comes back.
+// write writes parts to the client. The caller must have the turn. If the client does not read them within
+// messageTimeout, write aborts the session and returns false.
 func (s *session) write(parts ...[]byte) bool {
 	if s.isAborted() {
 		return false
@@ -91,19 +93,20 @@
 	return true
 }
 
-// refuseProtocol tells of a violation of the protocol after which the session ends.
+// refuseProtocol answers a protocol violation with an error, after which the session ends.
 func (s *session) refuseProtocol(text string) {
 	s.server.Malformed.Add(1)
 	s.reply(pgwire.ErrorResponse(pgwire.SeverityFatal, pgwire.StateProtocolViolation, text, ""))
 }
 
-// refuseQuery answers a query that can't be served; the session goes on.
+// refuseQuery answers a query that cannot be served with an error. The session goes on unless the client no longer
+// reads.
 func (s *session) refuseQuery(sqlState, text string) bool {
 	s.server.Malformed.Add(1)
 	return s.reply(pgwire.ErrorResponse(pgwire.SeverityError, sqlState, text, ""), pgwire.ReadyForQuery())
 }
 
-// rejectForSpace rejects a query for which there is no slot or buffer. A session beyond the limit ends with it.
+// rejectForSpace rejects a query for which there is no slot or buffer. A session over the limit ends afterwards.
 func (s *session) rejectForSpace() bool {
 	s.server.RejectedForSpace.Add(1)
 	if s.overLimit {
@@ -115,8 +118,8 @@
 		pgwire.ReadyForQuery())
 }
 
-// refuseExtended refuses the messages of extended queries: the first one with an error, the others up to the next Sync in
-// silence (PostgreSQL manual, "Extended Query").
+// refuseExtended refuses the messages of extended queries: the first one with an error, the others up to the next Sync
+// silently (PostgreSQL manual, "Extended Query").
 func (s *session) refuseExtended(kind byte, size int) bool {
 	if !s.skipMessage(size) {
 		return false
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -9,7 +9,8 @@
 	"silvercove/internal/upstream"
 )
 
-// handleQuery reads one query and starts its request, or answers what is none; false ends the session.
+// handleQuery reads one query and starts its request, or answers at once a query that cannot be served. It reports
+// whether the session goes on.
 func (s *session) handleQuery(size int) bool {
 	if size > pgwire.MaxQuery {
 		return s.skipMessage(size) && s.refuseQuery(pgwire.StateLimitExceeded, textQueryTooLong)
@@ -30,8 +31,9 @@
 	return ok
 }
 
-// startRequest has a query's request worked on by a goroutine of its own, which then releases the buffer of so many bytes.
-// What is no request is answered at once: started is false. ok false ends the session.
+// startRequest starts a goroutine that serves the request of a query and then releases the buffer reservation of size
+// bytes. A query that yields no request is answered at once, and started is false. If ok is false, the session must
+// end.
 func (s *session) startRequest(text []byte, terminated bool, size int) (started, ok bool) {
 	if terminated && len(bytes.Trim(text, " ;\t\r\n")) == 0 {
 		return false, s.reply(pgwire.EmptyQueryResponse())
@@ -48,7 +50,7 @@
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textUnknownClass)
 	}
 	switch s.register(call, query.ID) {
-	case duplicateID: // a reply must not go to whoever names another's request
+	case duplicateID: // a client that names another client's request must not get its reply
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textDuplicateID)
 	case tooManyRequests:
 		return false, s.rejectForSpace()
@@ -63,8 +65,8 @@
 	return true, true
 }
 
-// newRequest is the dispatcher's request of a query. It times out before the process may be killed, which would find it
-// unanswered.
+// newRequest returns the dispatcher's request for a query. The request times out before the process may be killed,
+// because a kill would leave it unanswered.
 func (s *session) newRequest(query *pgwire.Query) dispatch.Request {
 	timeout := query.Timeout
 	s.server.mu.Lock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// registration is whether a request may be worked on.
+// registration is the result of registering a request.
 type registration uint8
 
 const (
@@ -94,7 +96,7 @@
 	tooManyRequests
 )
 
-// register notes a request as in work, if its ID is free and there is a slot.
+// register records a request as in progress, if its ID is unused and a request slot is free.
 func (s *session) register(call *dispatch.Call, id string) registration {
 	srv := s.server
 	srv.mu.Lock()
@@ -112,7 +114,8 @@
 	return registered
 }
 
-// unregister ends a request's work. The session's last one may let the session end.
+// unregister records that a request has ended. If it was the last one of a session that is to be closed, the session
+// can end.
 func (s *session) unregister(call *dispatch.Call) {
 	srv := s.server
 	srv.mu.Lock()
@@ -128,14 +131,15 @@
 	}
 }
 
-// releaseID lets the client use a request's ID again: before it has the reply, as it may do so at once then.
+// releaseID makes a request's ID available again. It is called before the client has the reply, because the client may
+// reuse the ID as soon as it has the reply.
 func (s *session) releaseID(id string) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	delete(s.server.requestIDs, id)
 }
 
-// serveRequest makes the attempts that the dispatcher asks for, and writes the reply in its turn.
+// serveRequest runs the attempts that the dispatcher asks for, and writes the reply in its turn.
 func (s *session) serveRequest(call *dispatch.Call, query *pgwire.Query, turn <-chan struct{}) {
 	dispatcher := s.server.dispatcher
 	step := dispatcher.Next(call)
@@ -164,8 +168,9 @@
 	}
 }
 
-// forwardReply passes a backend's reply on. The backend's connection waits for the replies before it only where there is no
-// buffer for a copy; it is released before the client has the reply, as the client may then ask again at once.
+// forwardReply passes on a backend's reply. If earlier replies are still pending, it copies the reply and releases the
+// backend's connection; only if no buffer is left for a copy does the connection wait for its turn. The connection is
+// always released before the client has the reply, because the client may send its next request as soon as it has it.
 func (s *session) forwardReply(id string, reply upstream.Reply, turn <-chan struct{}) {
 	select {
 	case <-turn:
@@ -184,7 +189,7 @@
 	s.writeReply(id, turn)
 }
 
-// writeReply writes a request's reply in its turn.
+// writeReply writes a request's reply when its turn comes.
 func (s *session) writeReply(id string, turn <-chan struct{}, parts ...[]byte) {
 	<-turn
 	s.releaseID(id)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,13 +1,13 @@
-// Package downstream serves the client side of the relay: sessions in PostgreSQL's wire protocol, version 3.0, simple
-// queries only (https://www.postgresql.org/docs/current/protocol.html).
+// Package downstream serves the client side of the relay: client sessions in PostgreSQL's wire protocol, version 3.0,
+// with simple queries only (https://www.postgresql.org/docs/current/protocol.html).
 //
-// A caller makes one Server and runs Serve on each of its listeners. For an orderly end it tells StopBefore when the
-// process may be killed, calls CloseIdleSessions, and sets the listeners' deadlines; Serve then returns once the last
-// session has ended.
+// The caller creates one Server and runs Serve on each of its listeners. For a graceful shutdown, the caller tells
+// StopBefore when the process may be killed, calls CloseIdleSessions, and sets the listeners' deadlines. Serve then
+// returns once the last session has ended.
 //
-// Goroutines: Serve owns one for each session and waits for them. A session's goroutine reads the client's messages and owns
-// one for each request, and for each reply that has to wait for earlier ones; it waits for them before it ends. Replies go
-// out in the order of the queries, whichever is answered first.
+// Serve runs one goroutine for each session and waits for all of them. A session's goroutine reads the client's
+// messages. It starts one goroutine for each request, and one for each reply that has to wait for earlier replies, and
+// waits for them before it ends. Replies are sent in the order of the queries, whichever is answered first.
 package downstream
 
 import (
@@ -27,37 +27,39 @@
 	"silvercove/internal/upstream"
 )
 
-// finalAcceptTime is how long a listener whose deadline has passed is asked for what the kernel has accepted by then.
+// finalAcceptTime is how long Serve goes on accepting after the listener's deadline, to take the connections that the
+// kernel has accepted by then.
 const finalAcceptTime = 50 * time.Millisecond
 
-// Server accepts the connections of clients and serves their sessions. It is made by New; its exported methods may be
-// called from any goroutine.
+// Server accepts client connections and serves their sessions. New creates one. Its exported methods may be called from
+// any goroutine.
 type Server struct {
 	// Fixed by New.
 	dispatcher     *dispatch.Dispatcher
 	pool           *upstream.Pool
 	buffers        *transport.BufferBudget
 	limits         overload.ListenerLimits
-	messageTimeout time.Duration // for a message to be complete, and for a client to take a reply
-	retryAfter     string        // milliseconds, for requests that are rejected for lack of space; empty where none is told
-
-	mu          sync.Mutex          // guards all that follows up to the counters, and what sessions say that it guards
-	changed     sync.Cond           // on mu: a session has ended, or has no request in work
-	sessions    int                 // that are open
-	requestIDs  map[string]struct{} // of the requests in work
-	idle        list.List           // of *session: they have had a request and wait for another, the longest idle first
-	incomplete  list.List           // of *session: nothing but a part of a message or of the startup has come, the oldest first
-	closingIdle bool                // sessions are closed between requests
-	stopAt      time.Time           // by when every request has to be answered; zero where no end is known
-
-	// Accepted counts connections, Malformed messages that are no valid query, RejectedForSpace requests for which there was
-	// no session slot, request slot or buffer, and Evicted sessions that were ended in favour of others.
+	messageTimeout time.Duration // for a message to arrive completely, and for a client to read a reply
+	retryAfter     string        // in milliseconds, for requests that are rejected for lack of space; empty if none is sent
+
+	mu          sync.Mutex          // guards the fields below up to the counters, and the fields of sessions that are marked so
+	changed     sync.Cond           // on mu: a session has ended, or has no request in progress
+	sessions    int                 // number of open sessions
+	requestIDs  map[string]struct{} // of the requests in progress
+	idle        list.List           // of *session: waiting for another request after an earlier one, the longest idle first
+	incomplete  list.List           // of *session: startup, first query or a later message not complete, the oldest first
+	closingIdle bool                // CloseIdleSessions was called: sessions are closed between requests
+	stopAt      time.Time           // time by which every request must be answered; zero if no shutdown is announced
+
+	// Accepted counts connections, Malformed counts messages that are not a valid query, RejectedForSpace counts
+	// requests for which there was no session slot, request slot or buffer, and Evicted counts sessions that were
+	// closed in favour of others.
 	Accepted, Malformed, RejectedForSpace, Evicted atomic.Int64
 }
 
-// New makes a server that sends requests to the dispatcher and their attempts to the pool. A client has messageTimeout to
-// send each message, and as long to read a reply. Whoever is rejected for lack of space is told to retry after retryAfter,
-// rounded down to milliseconds; 0 tells nothing.
+// New returns a server that sends requests to the dispatcher and runs their attempts on the pool. A client has
+// messageTimeout to send each message, and as long to read a reply. A request that is rejected for lack of space is
+// answered with retryAfter as its Retry-After, rounded down to milliseconds; if retryAfter is 0, none is sent.
 func New(dispatcher *dispatch.Dispatcher, pool *upstream.Pool, buffers *transport.BufferBudget, limits overload.ListenerLimits,
 	messageTimeout, retryAfter time.Duration) *Server {
 	srv := &Server{
@@ -75,12 +77,13 @@
 	return srv
 }
 
-// milliseconds is the form in which a client is told a Retry-After.
+// milliseconds formats a Retry-After as it is sent to a client.
 func milliseconds(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
-// Serve accepts connections until the listener is closed or its deadline passes, and waits for all its sessions. At the
-// deadline what the kernel has accepted is still taken: a closed listener resets it, and requests may have come there. Serve
-// then closes the listener. An error is one of Accept that ends the listener, as it came; both orderly ends give nil.
+// Serve accepts connections until the listener is closed or its deadline passes, and waits for all its sessions. After
+// the deadline, Serve still takes the connections that the kernel has accepted, and then closes the listener: closing
+// it earlier would reset those connections, and requests may have arrived on them. Serve returns nil in both cases. It
+// returns any other error of Accept that ends the listener unchanged.
 func (srv *Server) Serve(listener net.Listener) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
@@ -99,12 +102,12 @@
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if deadlinePassed || !extendDeadline(listener) {
-				_ = listener.Close() // nothing more is accepted either way
+				_ = listener.Close() // nothing more is accepted, whether or not this fails
 				return nil
 			}
 			deadlinePassed = true
 		case isResourceExhausted(err):
-			if !srv.endOneSession() { // others have the descriptors: to accept again at once would spin
+			if !srv.endOneSession() { // no session holds descriptors, so others do: accepting again at once would spin
 				time.Sleep(srv.pollInterval())
 			}
 		case isConnectionLost(err):
@@ -114,22 +117,23 @@
 	}
 }
 
-// extendDeadline gives a listener the final time to accept; false: it knows no deadline.
+// extendDeadline gives a listener finalAcceptTime more to accept. It reports whether the listener supports deadlines.
 func extendDeadline(listener net.Listener) bool {
 	l, ok := listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return false
 	}
-	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // fails only on a closed listener, as the next Accept does
+	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // fails only on a closed listener, and then the next Accept fails too
 	return true
 }
 
-// isResourceExhausted reports whether accept(2) found no descriptor or memory for a connection.
+// isResourceExhausted reports whether accept(2) failed for lack of a descriptor or of memory.
 func isResourceExhausted(err error) bool {
 	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 }
 
-// isConnectionLost reports whether accept(2) told of a connection that is gone again, and not of the listener.
+// isConnectionLost reports whether accept(2) failed because a single connection was already gone, and not because of
+// the listener.
 func isConnectionLost(err error) bool {
 	return isAny(err, syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 		syscall.ETIMEDOUT)
@@ -144,14 +148,16 @@
 	return false
 }
 
-// StopBefore tells that the process may be killed soon after a time. Requests that come from now on are answered by then.
+// StopBefore announces that the process may be killed soon after stopAt. Requests that arrive from now on are answered
+// by then.
 func (srv *Server) StopBefore(stopAt time.Time) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.stopAt = stopAt
 }
 
-// CloseIdleSessions closes all sessions between requests from now on. New ones have a moment for their first.
+// CloseIdleSessions closes all sessions between requests from now on. A new session still has a short time,
+// ContendedTimeout, for its first request.
 func (srv *Server) CloseIdleSessions() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -165,7 +171,7 @@
 	}
 }
 
-// Sessions is the number of open sessions.
+// Sessions returns the number of open sessions.
 func (srv *Server) Sessions() int {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -11,36 +11,37 @@
 	"silvercove/internal/transport"
 )
 
-// acknowledgementPoll is how often it is looked whether the client's kernel has the last reply.
+// acknowledgementPoll is the interval at which a closing session checks whether the client's kernel has received the
+// last reply.
 const acknowledgementPoll = 2 * time.Millisecond
 
-// closingState is how far the server's end of a session has gone. A state is never left for an earlier one.
+// closingState is how far the server has got in closing a session. It never goes back to an earlier state.
 type closingState uint8
 
 const (
 	serving                closingState = iota
-	closingBetweenRequests              // requests in work are answered, then the session ends
-	aborted                             // the client does not take its replies: the session ends at once
+	closingBetweenRequests              // requests in progress are answered, then the session ends
+	aborted                             // the client does not read its replies: the session ends at once
 )
 
-// session is one connection of a client.
+// session is one client connection.
 type session struct {
 	server *Server
 	conn   *transport.Conn
 
-	// Used by the session's own goroutine alone.
-	receivedAt     time.Time      // when the last bytes came
-	lastReply      chan struct{}  // closed once the last reply that is owed has been written
-	pendingReplies chan struct{}  // holds one element for each reply that is owed
-	workers        sync.WaitGroup // requests in work and replies that wait for their turn
-	overLimit      bool           // it came when there was no slot: its requests are rejected
-	skippingToSync bool           // an extended query was refused: messages up to the next Sync are dropped
+	// Used only by the session's own goroutine.
+	receivedAt     time.Time      // when the last bytes arrived
+	lastReply      chan struct{}  // closed once the last pending reply has been written
+	pendingReplies chan struct{}  // holds one element for each pending reply
+	workers        sync.WaitGroup // requests in progress and replies that wait for their turn
+	overLimit      bool           // no slot was free when it connected: its requests are rejected
+	skippingToSync bool           // an extended query was refused: messages up to the next Sync are discarded
 
 	// Guarded by the server's mu.
-	lastActivity    time.Time // when it came, was greeted, its last request ended, or a further message began
+	lastActivity    time.Time // when it connected, was greeted, its last request ended, or a later message began
 	hadRequest      bool
-	calls           map[*dispatch.Call]struct{} // requests in work
-	awaitingMessage bool                        // for the first byte of a message
+	calls           map[*dispatch.Call]struct{} // requests in progress
+	awaitingMessage bool                        // waiting for the first byte of a message
 	closing         closingState
 	list            *list.List // Server.idle, Server.incomplete or nil
 	element         *list.Element
@@ -58,17 +59,17 @@
 	return s
 }
 
-// beginClosing has a session end between requests. The server's mu is held.
+// beginClosing makes the session end once it has no request in progress. The server's mu must be held.
 func (s *session) beginClosing() { s.closing = max(s.closing, closingBetweenRequests) }
 
-// isAborted reports whether a session is to end at once.
+// isAborted reports whether the session must end at once.
 func (s *session) isAborted() bool {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	return s.closing == aborted
 }
 
-// abort ends a session at once, as its client does not take its replies.
+// abort ends the session at once, because its client does not read its replies.
 func (s *session) abort() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -77,7 +78,7 @@
 	s.conn.InterruptRead()
 }
 
-// serve reads a session's messages up to its end and waits for its requests.
+// serve reads the session's messages until the session ends, and waits for its requests.
 func (s *session) serve() {
 	if s.handleStartup() {
 		s.readMessages()
@@ -86,7 +87,8 @@
 	s.awaitAcknowledgement()
 }
 
-// handleStartup reads the startup messages and answers them; false ends the session. The startup has its time limit as a whole.
+// handleStartup reads and answers the startup messages. It reports whether the session goes on. One time limit applies
+// to the whole startup.
 func (s *session) handleStartup() bool {
 	deadline := s.lastActivity.Add(max(s.server.limits.IdleTimeout, s.server.messageTimeout))
 	for {
@@ -115,7 +117,8 @@
 	}
 }
 
-// authenticate lets the client in. The greeting goes out with the first reply if its query has come too.
+// authenticate accepts the client without a password and reports whether the session goes on. If the first query has
+// already arrived, the greeting is sent together with its reply.
 func (s *session) authenticate() bool {
 	s.conn.Append(pgwire.AuthenticationOK())
 	s.server.mu.Lock()
@@ -124,7 +127,7 @@
 	return len(s.conn.Buffered()) > 0 || s.reply()
 }
 
-// readMessages serves one message after another until the session is to end.
+// readMessages handles one message after another until the session must end.
 func (s *session) readMessages() {
 	for {
 		kind, size, ok := s.nextMessage()
@@ -134,7 +137,7 @@
 	}
 }
 
-// handleMessage serves a message whose header has come; false ends the session.
+// handleMessage handles a message whose header has arrived. It reports whether the session goes on.
 func (s *session) handleMessage(kind byte, size int) bool {
 	switch kind {
 	case pgwire.FrontendQuery:
@@ -146,13 +149,14 @@
 		pgwire.FrontendFlush, pgwire.FrontendFunctionCall, pgwire.FrontendSync:
 		return s.refuseExtended(kind, size)
 	case pgwire.FrontendCopyData, pgwire.FrontendCopyDone, pgwire.FrontendCopyFail:
-		return s.skipMessage(size) // left from a copy that never began
+		return s.skipMessage(size) // left over from a copy that was never started
 	}
 	s.refuseProtocol(textUnknownMessage)
 	return false
 }
 
-// drain waits for the replies that are owed. What still comes is dropped, so as to see the client go.
+// drain waits until all pending replies are written. It discards further input meanwhile, in order to detect that the
+// client disconnects.
 func (s *session) drain() {
 	s.server.mu.Lock()
 	s.beginClosing()
@@ -173,8 +177,8 @@
 	watcher.Wait()
 }
 
-// watchForClose drops what the client sends until it goes or the read is interrupted. Either way nobody waits for the
-// requests that are left.
+// watchForClose discards what the client sends until the client disconnects or the read is interrupted. In both cases
+// nobody waits for the remaining requests.
 func (s *session) watchForClose() {
 	for !s.conn.Fill(0).Closed() {
 		s.conn.Discard(len(s.conn.Buffered()))
@@ -182,8 +186,9 @@
 	s.abandonCalls()
 }
 
-// awaitAcknowledgement waits until the client's kernel has the last reply, for as long as a client may take to read it. What a
-// client writes to a connection that is closed resets it, and what is still on its way is lost.
+// awaitAcknowledgement waits until the client's kernel has received the last reply, at most for messageTimeout, the
+// time that a client has to read a reply. If this side closed the connection earlier, anything that the client writes
+// would reset it, and the part of the reply that is still in transit would be lost.
 func (s *session) awaitAcknowledgement() {
 	deadline := time.Now().Add(s.server.messageTimeout)
 	for !s.conn.Acknowledged() && time.Now().Before(deadline) {
@@ -194,7 +199,7 @@
 	}
 }
 
-// abandonCalls tells the dispatcher that the client has left its requests.
+// abandonCalls tells the dispatcher that the client no longer waits for its requests.
 func (s *session) abandonCalls() {
 	s.server.mu.Lock()
 	calls := make([]*dispatch.Call, 0, len(s.calls))
