--- a/internal/pgwire/message_types.go
+++ b/internal/pgwire/message_types.go
@@ -1,6 +1,6 @@
 package pgwire
 
-// Types of the messages that a client sends, as the first byte of each (PostgreSQL manual, "Message Formats").
+// Types of the messages that a client sends: the first byte of each (PostgreSQL manual, "Message Formats").
 const (
 	FrontendQuery        = 'Q'
 	FrontendTerminate    = 'X'
@@ -17,7 +17,7 @@
 	FrontendCopyFail     = 'f'
 )
 
-// Types of the messages that a server sends.
+// Types of the messages that a server sends: the first byte of each.
 const (
 	BackendAuthentication     = 'R'
 	BackendParameterStatus    = 'S'
@@ -31,7 +31,7 @@
 	BackendNoticeResponse     = 'N'
 )
 
-// Severities of an ErrorResponse. A session ends with one that is fatal, or with a panic.
+// Severities of an ErrorResponse. FATAL and PANIC end the session.
 const (
 	SeverityError = "ERROR"
 	SeverityFatal = "FATAL"
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,10 +1,10 @@
-// Package pgwire reads and writes the part of PostgreSQL's frontend/backend protocol, version 3.0, that clients and backends
-// speak here: simple queries, one statement each, no password. The messages are those of the PostgreSQL manual, "Message
-// Formats".
+// Package pgwire reads and writes the part of PostgreSQL's frontend/backend protocol, version 3.0, that clients and
+// backends use here: simple queries, one statement each, no password. The messages are described in the PostgreSQL
+// manual, "Message Formats".
 //
-// It works on bytes alone: no I/O, clock or goroutine. Readers are incremental: they are given all bytes from a message's
-// start on, again and again, until they say that it is complete. Functions may be called from any goroutine; a Response or a
-// Query belongs to one goroutine.
+// The package works on bytes alone: no I/O, clock or goroutine. Readers are incremental: each call is given all bytes
+// from the start of a message, until the reader reports that the message is complete. Functions may be called from any
+// goroutine; a Response or a Query belongs to one goroutine.
 package pgwire
 
 import (
@@ -12,17 +12,17 @@
 	"errors"
 )
 
-// Limits on what is read, in bytes.
+// Limits on incoming data, in bytes.
 const (
 	MaxValue = 64 << 10           // of a value
-	MaxQuery = 2*MaxValue + 4<<10 // of a query message: its value is in hexadecimal
+	MaxQuery = 2*MaxValue + 4<<10 // of a query message, which holds its value in hexadecimal
 
-	maxStartup        = 10 << 10         // of a startup message, as PostgreSQL has it
+	maxStartup        = 10 << 10         // of a startup message; PostgreSQL's own limit
 	maxBackendMessage = MaxValue + 4<<10 // of one message of a backend
-	maxClientMessage  = 1 << 20          // of a client's message; one over MaxQuery is skipped to be refused
+	maxClientMessage  = 1 << 20          // of a client's message; one larger than MaxQuery is skipped and refused
 )
 
-// maxOtherMessages is how many messages beside the row one reply may hold.
+// maxOtherMessages is how many messages one reply may hold besides those of the row.
 const maxOtherMessages = 64
 
 // HeaderSize is the size in bytes of a message's header: its type and its length.
@@ -30,20 +30,20 @@
 
 const (
 	typeSize   = 1
-	lengthSize = 4 // it counts itself
+	lengthSize = 4 // the length includes its own size
 )
 
-// Errors in what came. Framing can't go on after any of these.
+// Errors in incoming messages. After either, the start of the next message is unknown, and reading cannot go on.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLong   = errors.New("message too long")
 )
 
-// SQLSTATE codes that are used here (PostgreSQL manual, "PostgreSQL Error Codes").
+// SQLSTATE codes (PostgreSQL manual, "PostgreSQL Error Codes").
 const (
 	StateSuccess            = "00000"
-	StateTooManyConnections = "53300" // a rejection, and a backend at capacity
-	StateCannotConnectNow   = "57P03" // of an edge node that is not ready, to the health check alone
+	StateTooManyConnections = "53300" // a rejection, or a backend at capacity
+	StateCannotConnectNow   = "57P03" // sent by an edge node that is not ready, only to the health check
 	StateInternalError      = "XX000"
 	StateSyntaxError        = "42601"
 	StateNotSupported       = "0A000"
@@ -52,24 +52,25 @@
 	StateInvalidParameter   = "22023"
 )
 
-// sqlStateSize is the size of each of the codes.
+// sqlStateSize is the size in bytes of an SQLSTATE code.
 const sqlStateSize = 5
 
-// Span is where something lies in a buffer: from Start up to, but not including, End.
+// Span is a range of a buffer: from Start up to, but not including, End.
 type Span struct{ Start, End int }
 
-// Of is the part of a buffer that the span stands for.
+// Of returns the part of a buffer that the span covers.
 func (s Span) Of(buf []byte) []byte { return buf[s.Start:s.End] }
 
 func (s Span) size() int { return s.End - s.Start }
 
-// ClientHeader reads the header of a client's message: its type and its size in bytes, header included. Size 0: more bytes are
-// needed. One over MaxQuery is to be skipped and refused.
+// ClientHeader reads the header of a client's message. It returns the type of the message and its size in bytes,
+// including the header. If size is 0, more bytes are needed. A message larger than MaxQuery must be skipped and refused
+// by the caller.
 func ClientHeader(buf []byte) (messageType byte, size int, err error) {
 	return header(buf, maxClientMessage)
 }
 
-// header reads the header of a message whose length is limited.
+// header reads the header of a message whose length is at most maxLength.
 func header(buf []byte, maxLength uint32) (messageType byte, size int, err error) {
 	if len(buf) < HeaderSize {
 		return 0, 0, nil
@@ -85,7 +86,7 @@
 	return messageType, typeSize + int(length), nil
 }
 
-// appendMessage appends a message of a type with a body.
+// appendMessage appends a message with a type and a body.
 func appendMessage(buf []byte, messageType byte, body []byte) []byte {
 	buf = append(buf, messageType)
 	buf = binary.BigEndian.AppendUint32(buf, uint32(lengthSize+len(body)))
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// Query is one request as a client's statement words it: a SELECT or an INSERT of one key, and a comment with the names and
-// values that say how it is to be routed.
+// Query is one request, parsed from a client's statement: a SELECT or an INSERT of one key, and a comment with the
+// names and values that say how the request is to be routed.
 type Query struct {
 	Write         bool
 	Key           string
-	ID            string        // the client's, of the request
+	ID            string        // the request's ID, chosen by the client
 	Class         string        // the request class
-	Tenant        string        // empty where none is named
-	Timeout       time.Duration // how long the client waits, counted from when it sent
-	EstimatedWork time.Duration // the client's guess; 0: none
-	ClientRetry   bool          // the client has sent it before
+	Tenant        string        // empty if none is named
+	Timeout       time.Duration // how long the client waits, from when it sent the query
+	EstimatedWork time.Duration // the client's estimate; 0 if there is none
+	ClientRetry   bool          // the client has sent the request before
 
 	text    []byte // the statement
-	timeout Span   // where the value of the timeout stands in it
+	timeout Span   // position of the timeout's value in text
 }
 
-// Names in the comment.
+// Names in the statement's comment.
 const (
 	nameID            = "id"
 	nameClass         = "c"
 	nameTenant        = "t"
 	nameTimeout       = "d" // milliseconds
 	nameEstimatedWork = "h" // microseconds
-	nameClientRetry   = "r" // 1: it is one
+	nameClientRetry   = "r" // 1 if the request is a retry
 )
 
-// QueryError is why a query is refused.
+// QueryError is the reason for which a query is refused.
 type QueryError struct {
 	SQLState string
-	Text     string // for the client
+	Text     string // error message for the client
 }
 
-// Error is the code and the text.
+// Error returns the code and the text.
 func (e *QueryError) Error() string { return e.SQLState + " " + e.Text }
 
 func errUnsupportedStatement() *QueryError {
 	return &QueryError{StateSyntaxError, "no statement of the two forms"}
 }
 
-// The two forms of a statement: SELECT up to its key and behind it, and INSERT up to its key, between key and value, and
-// behind the value.
+// Fixed parts of the two forms of a statement: a SELECT before and after its key, and an INSERT before its key, between
+// key and value, and after the value.
 const (
 	selectBeforeKey   = "SELECT content FROM kv WHERE name = '"
 	selectAfterKey    = "' /* "
@@ -60,7 +60,7 @@
 
 const maxKey = 256 // bytes
 
-// ParseQuery reads a statement of one of the two forms, which the query keeps. The names of the comment may come in any
+// ParseQuery parses a statement of one of the two forms. The query keeps text. The names in the comment may come in any
 // order; unknown ones are ignored.
 func ParseQuery(text []byte) (*Query, *QueryError) {
 	q := &Query{text: text}
@@ -75,7 +75,7 @@
 	return q, q.parseComment(Span{commentStart, commentStart + len(comment)})
 }
 
-// parseStatement reads the statement up to its comment, and gives where that starts.
+// parseStatement parses the statement up to its comment, and returns the index at which the comment starts.
 func (q *Query) parseStatement() (commentStart int, queryErr *QueryError) {
 	switch {
 	case bytes.HasPrefix(q.text, []byte(selectBeforeKey)):
@@ -95,7 +95,8 @@
 	return 0, errUnsupportedStatement()
 }
 
-// parseKey reads the key, a plain name up to its quote, which some text must follow. It gives where that ends.
+// parseKey parses the key, a plain name that ends before the next quote. The text from that quote on must begin with
+// suffix. parseKey returns the index after suffix.
 func (q *Query) parseKey(start int, suffix string) (end int, ok bool) {
 	size := bytes.IndexByte(q.text[start:], '\'')
 	if size < 0 || size > maxKey || !bytes.HasPrefix(q.text[start+size:], []byte(suffix)) {
@@ -105,7 +106,8 @@
 	return start + size + len(suffix), true
 }
 
-// skipValue checks the value of an INSERT, whole bytes in hexadecimal, and gives where the comment starts.
+// skipValue checks the value of an INSERT, which is whole bytes in hexadecimal, and returns the index at which the
+// comment starts.
 func (q *Query) skipValue(start int) (commentStart int, queryErr *QueryError) {
 	digits := 0
 	for start+digits < len(q.text) && isHexDigit(q.text[start+digits]) {
@@ -125,7 +127,7 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// parseComment reads the comment's names and values.
+// parseComment parses the names and values in the comment.
 func (q *Query) parseComment(comment Span) *QueryError {
 	seen := map[string]bool{}
 	for at := comment.Start; at <= comment.End; {
@@ -151,7 +153,8 @@
 	return nil
 }
 
-// set takes one value of the comment, which ends at a place in the statement; false: it is a bad one.
+// set stores one value of the comment. end is the index in the statement at which the value ends. set returns false if
+// the value is invalid.
 func (q *Query) set(name string, value []byte, end int) (ok bool) {
 	switch name {
 	case nameID:
@@ -174,10 +177,10 @@
 	return true
 }
 
-// durationBits bounds the number of a duration, so that it fits in any unit up to a millisecond.
+// durationBits limits the number in a duration, so that the duration does not overflow in any unit up to a millisecond.
 const durationBits = 40
 
-// parseDuration reads a number of units; a fraction is dropped.
+// parseDuration parses a number of units; a fraction is dropped.
 func parseDuration(value []byte, unit time.Duration) (d time.Duration, ok bool) {
 	whole, fraction, _ := bytes.Cut(value, []byte("."))
 	if !isDigits(whole) || !isDigits(fraction) {
@@ -196,7 +199,7 @@
 	return true
 }
 
-// Value is the value that a write's statement holds; nil for a read.
+// Value returns the value in a write's statement, or nil for a read.
 func (q *Query) Value() []byte {
 	if !q.Write {
 		return nil
@@ -208,8 +211,8 @@
 	return value
 }
 
-// Forward is the Query message for a backend, as it came but for the timeout, in pieces to be written one after another. The
-// timeout is rounded down to milliseconds, and up to one.
+// Forward returns the Query message for a backend, in pieces that are to be written one after another. The statement is
+// unchanged except for the timeout. The timeout is rounded down to milliseconds, but is at least 1 ms.
 func (q *Query) Forward(timeout time.Duration) [][]byte {
 	milliseconds := strconv.AppendInt(nil, max(1, timeout.Milliseconds()), 10)
 	length := lengthSize + len(q.text) - q.timeout.size() + len(milliseconds) + 1
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// Response reads what a backend answers to one query, or to the startup message. Its zero value is ready for the first byte.
+// Response reads a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
-	SQLState    string // StateSuccess for a row with its end or an empty query, else the code of an error; empty while there is none
-	Load        string // the load report, if one came along
-	RowMessages []Span // RowDescription, DataRow and CommandComplete, counted from the reply's start
+	SQLState    string // StateSuccess for a complete row or an empty query, otherwise an error's code; empty before either
+	Load        string // the load report, if the reply contains one
+	RowMessages []Span // RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // the backend waits for the next query
 	Fatal       bool   // the backend ends the connection
 	Consumed    int    // bytes read so far
@@ -19,7 +19,7 @@
 	otherMessages int
 }
 
-// rowStage is how much of a row has come.
+// rowStage is how much of a row has arrived.
 type rowStage uint8
 
 const (
@@ -29,8 +29,8 @@
 	rowComplete
 )
 
-// Read goes on with all bytes of a reply from its start on, up to the end that makes it Ready or Fatal. The error is
-// ErrMalformed or ErrTooLong.
+// Read continues with all bytes of a reply from its start, until the reply is Ready or Fatal. The error is ErrMalformed
+// or ErrTooLong.
 func (r *Response) Read(buf []byte) error {
 	for !r.Ready && !r.Fatal {
 		messageType, size, err := header(buf[r.Consumed:], maxBackendMessage)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Need is how many bytes in all are needed to go on.
+// Need returns how many bytes of the reply, counted from its start, are needed to continue.
 func (r *Response) Need(buf []byte) int {
 	if _, size, err := header(buf[r.Consumed:], maxBackendMessage); err == nil && size > 0 {
 		return r.Consumed + size
@@ -82,7 +82,7 @@
 		r.Ready = true
 	case BackendAuthentication:
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
-			return ErrMalformed // a password is asked for
+			return ErrMalformed // the backend asks for a password
 		}
 		return r.countOther()
 	case BackendParameterStatus:
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// advanceRow takes the next message of a row, which comes once the row is at a stage.
+// advanceRow reads the next message of a row, which is valid only if the row is at the stage from.
 func (r *Response) advanceRow(from rowStage, message Span, wellFormed bool) error {
 	if r.SQLState != "" || r.stage != from || !wellFormed {
 		return ErrMalformed
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// readError takes an ErrorResponse, which also may come after a part of a row.
+// readError reads an ErrorResponse, which may also follow a part of a row.
 func (r *Response) readError(body []byte) error {
 	sqlState, severity := errorFields(body)
 	if r.SQLState != "" || len(sqlState) != sqlStateSize || sqlState == StateSuccess {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// loadParameter is the parameter in which a backend reports its load.
+// loadParameter is the name of the parameter in which a backend reports its load.
 const loadParameter = "server_load"
 
 func (r *Response) readParameter(body []byte) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// countOther bounds the messages that a reply may hold beside the row.
+// countOther counts a message that does not belong to the row, and limits their number.
 func (r *Response) countOther() error {
 	r.otherMessages++
 	if r.otherMessages > maxOtherMessages {
@@ -140,16 +140,16 @@
 	columnCountSize     = 2
 	valueLengthSize     = 4
 	nullLength          = -1 // of a value that is NULL
-	columnAttributeSize = 18 // of a column's description behind its name
+	columnAttributeSize = 18 // of a column's description after its name
 )
 
-// isOneColumn checks the body of a RowDescription.
+// isOneColumn reports whether the body of a RowDescription describes exactly one column.
 func isOneColumn(body []byte) bool {
 	name := bytes.IndexByte(body[min(columnCountSize, len(body)):], 0)
 	return name >= 0 && binary.BigEndian.Uint16(body) == 1 && len(body) == columnCountSize+name+1+columnAttributeSize
 }
 
-// isOneValue checks the body of a DataRow.
+// isOneValue reports whether the body of a DataRow holds exactly one value.
 func isOneValue(body []byte) bool {
 	const fixed = columnCountSize + valueLengthSize
 	if len(body) < fixed || binary.BigEndian.Uint16(body) != 1 {
@@ -162,10 +162,11 @@
 	return int(length) == len(body)-fixed && length <= MaxValue
 }
 
-// isTerminated checks the body of a CommandComplete.
+// isTerminated reports whether the body of a CommandComplete ends with a zero byte.
 func isTerminated(body []byte) bool { return len(body) > 0 && body[len(body)-1] == 0 }
 
-// errorFields picks the code and the severity of an ErrorResponse, the one that is never localised if there is one.
+// errorFields returns the SQLSTATE code and the severity of an ErrorResponse. If there is a severity that is never
+// localised, it is that one.
 func errorFields(body []byte) (sqlState, severity string) {
 	for len(body) > 1 {
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
@@ -187,7 +188,8 @@
 	return sqlState, severity
 }
 
-// RowValue is the one column of a whole DataRow message; false where it is NULL or the message makes no sense.
+// RowValue returns the one column of a complete DataRow message. It returns false if the value is NULL or the message
+// is malformed.
 func RowValue(row []byte) ([]byte, bool) {
 	const fixed = HeaderSize + columnCountSize + valueLengthSize
 	if len(row) < fixed || row[0] != BackendDataRow || binary.BigEndian.Uint16(row[HeaderSize:]) != 1 {
@@ -200,8 +202,8 @@
 	return row[fixed:], true
 }
 
-// ParseLoad turns a load report, name=value pairs set apart by commas, into the values of the named columns in their order.
-// Columns without a number are 0; without a report the values are nil.
+// ParseLoad parses a load report, which consists of name=value pairs separated by commas. It returns the values of the
+// given columns in their order. A column without a number is 0; without a report, the result is nil.
 func ParseLoad(report string, columns []string) []float64 {
 	if report == "" {
 		return nil
@@ -211,7 +213,7 @@
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		for i, column := range columns {
 			if column == string(name) {
-				values[i], _ = strconv.ParseFloat(string(value), 64) // what is no number counts as 0
+				values[i], _ = strconv.ParseFloat(string(value), 64) // a value that is not a number counts as 0
 			}
 		}
 	}
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Codes of startup messages: a protocol version or a request in its place (PostgreSQL manual, "Message Formats").
+// Codes of startup messages: a protocol version, or a request code in its place (PostgreSQL manual, "Message Formats").
 const (
 	protocolMajor3     = 3
 	cancelRequestCode  = 1234<<16 | 5678
@@ -12,18 +12,18 @@
 	majorVersionOffset = 16
 )
 
-// StartupKind is what a client's first message asks for.
+// StartupKind is what a client's first message requests.
 type StartupKind uint8
 
-// What a first message can be.
+// Kinds of first messages.
 const (
 	StartSession   StartupKind = iota // StartupMessage: a session
 	StartEncrypted                    // SSLRequest or GSSENCRequest: an encrypted connection
-	StartCancel                       // CancelRequest: the end of another session's query
+	StartCancel                       // CancelRequest: the cancellation of another session's query
 )
 
-// ParseStartup reads a first message: what it asks for and its size in bytes. Size 0: more bytes are needed. The error is
-// ErrMalformed or ErrTooLong.
+// ParseStartup reads a first message. It returns what the message requests and its size in bytes. If size is 0, more
+// bytes are needed. The error is ErrMalformed or ErrTooLong.
 func ParseStartup(buf []byte) (kind StartupKind, size int, err error) {
 	if len(buf) < startupHeaderSize {
 		return 0, 0, nil
@@ -56,7 +56,7 @@
 	return kind, int(length), nil
 }
 
-// StartupMessage is the startup message to a backend.
+// StartupMessage returns the startup message for a backend.
 func StartupMessage() []byte {
 	const parameters = "user\x00backend\x00database\x00store\x00\x00"
 	b := binary.BigEndian.AppendUint32(nil, uint32(startupHeaderSize+len(parameters)))
@@ -64,11 +64,11 @@
 	return append(b, parameters...)
 }
 
-// EncryptionRefused declines an encrypted connection.
+// EncryptionRefused returns the answer that declines an encrypted connection.
 func EncryptionRefused() []byte { return []byte{'N'} }
 
-// AuthenticationOK is what a session is greeted with: AuthenticationOk, the parameters, a key that cancels nothing, and
-// ReadyForQuery.
+// AuthenticationOK returns the messages that greet a new session: AuthenticationOk, the parameters, a BackendKeyData
+// whose key cancels nothing, and ReadyForQuery.
 func AuthenticationOK() []byte {
 	b := appendMessage(nil, BackendAuthentication, []byte{0, 0, 0, 0})
 	for _, parameter := range []string{"server_version\x0015.0\x00", "client_encoding\x00UTF8\x00",
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -2,33 +2,33 @@
 
 import "encoding/binary"
 
-// transactionIdle is the status in ReadyForQuery outside of a transaction.
+// transactionIdle is the transaction status in ReadyForQuery outside of a transaction.
 const transactionIdle = 'I'
 
-// ReadyForQuery is the ReadyForQuery message, outside of a transaction.
+// ReadyForQuery returns a ReadyForQuery message with the status outside of a transaction.
 func ReadyForQuery() []byte {
 	return appendMessage(nil, BackendReadyForQuery, []byte{transactionIdle})
 }
 
-// EmptyQueryResponse answers the empty query.
+// EmptyQueryResponse returns the reply to an empty query: EmptyQueryResponse and ReadyForQuery.
 func EmptyQueryResponse() []byte {
 	return append(appendMessage(nil, BackendEmptyQueryResponse, nil), ReadyForQuery()...)
 }
 
-// Terminate is the message that ends a session.
+// Terminate returns the message that ends a session.
 func Terminate() []byte { return appendMessage(nil, FrontendTerminate, nil) }
 
 // Fields of an ErrorResponse (PostgreSQL manual, "Error and Notice Message Fields").
 const (
 	fieldSeverity             = 'S' // may be localised
-	fieldNonlocalizedSeverity = 'V' // never is
+	fieldNonlocalizedSeverity = 'V' // is never localised
 	fieldSQLState             = 'C'
 	fieldMessage              = 'M'
 	fieldDetail               = 'D'
 	errorResponseCapacity     = 64 // bytes
 )
 
-// ErrorResponse is an ErrorResponse message. The detail is left out if it is empty.
+// ErrorResponse returns an ErrorResponse message. An empty detail is omitted.
 func ErrorResponse(severity, sqlState, text, detail string) []byte {
 	body := make([]byte, 0, errorResponseCapacity)
 	body = appendField(body, fieldSeverity, severity)
@@ -47,18 +47,20 @@
 	return append(body, 0)
 }
 
-// SimpleQuery is a Query message.
+// SimpleQuery returns a Query message.
 func SimpleQuery(text string) []byte {
 	return appendMessage(nil, FrontendQuery, append([]byte(text), 0))
 }
 
-// columnDescription is the RowDescription of the one column: no table, type bytea of variable size, no modifier, binary.
+// columnDescription is the body of the RowDescription of the one column: no table, type bytea of variable size, no
+// modifier, binary format.
 const columnDescription = "\x00\x01content\x00" + // one column, its name
 	"\x00\x00\x00\x00" + "\x00\x00" + // table and attribute
 	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, its size
 	"\xff\xff\xff\xff" + "\x00\x01" // modifier, format
 
-// DataRow answers a query by one row of one column, in binary, and CommandComplete with a tag.
+// DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the tag,
+// and ReadyForQuery.
 func DataRow(value []byte, tag string) []byte {
 	b := appendMessage(nil, BackendRowDescription, []byte(columnDescription))
 	body := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
@@ -66,7 +68,7 @@
 	return append(b, CommandComplete(tag)...)
 }
 
-// CommandComplete answers a statement that has no row.
+// CommandComplete returns the reply to a statement without a row: CommandComplete with the tag, and ReadyForQuery.
 func CommandComplete(tag string) []byte {
 	return append(appendMessage(nil, BackendCommandComplete, append([]byte(tag), 0)), ReadyForQuery()...)
 }
