--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -17,7 +17,7 @@
 	connection       = "connection"
 )
 
-// Status codes that decide about the body (RFC 9110, section 15).
+// Status codes that determine whether there is a body (RFC 9110, section 15).
 const (
 	statusContinue    = 100
 	statusOK          = 200
@@ -25,14 +25,14 @@
 	statusNotModified = 304
 )
 
-// bodyFraming is what the header fields say of the body.
+// bodyFraming is what the header fields say about the body.
 type bodyFraming struct {
-	length  int // unknownLength where they don't say it
+	length  int // unknownLength if they do not give it
 	chunked bool
 }
 
-// parseHeader takes a status line and header fields. After an informational response (RFC 9110, section 15.2) another header
-// section follows.
+// parseHeader parses a status line and header fields. After an informational response (RFC 9110, section 15.2) another
+// header section follows.
 func (r *Response) parseHeader(text string) error {
 	statusLine, fields, _ := strings.Cut(text, lineEnd)
 	status, version, err := parseStatusLine(statusLine)
@@ -51,7 +51,7 @@
 	return r.startBody(framing)
 }
 
-// parseStatusLine reads a status line (RFC 9112, section 4); the reason phrase is ignored.
+// parseStatusLine parses a status line (RFC 9112, section 4); the reason phrase is ignored.
 func parseStatusLine(line string) (status int, version string, err error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -65,7 +65,7 @@
 	return status, version, nil
 }
 
-// parseFields takes the header fields (RFC 9112, section 5).
+// parseFields parses the header fields (RFC 9112, section 5).
 func (r *Response) parseFields(fields string) (bodyFraming, error) {
 	framing := bodyFraming{length: unknownLength}
 	if fields == "" {
@@ -94,7 +94,7 @@
 	return framing, nil
 }
 
-// setLength takes a Content-Length, which may stand twice if both are equal.
+// setLength sets the Content-Length, which may be given twice if both are equal.
 func (f *bodyFraming) setLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || f.length != unknownLength && f.length != int(length) {
@@ -104,12 +104,12 @@
 	return nil
 }
 
-// startBody decides how the body ends (RFC 9112, section 6.3). One that would end with the connection is refused: whether it
-// is complete could not be told.
+// startBody determines how the body ends (RFC 9112, section 6.3). A body that would end with the connection is refused,
+// because it would be unknown whether the body is complete.
 func (r *Response) startBody(framing bodyFraming) error {
 	switch {
 	case framing.chunked && framing.length != unknownLength:
-		return ErrMalformed // two lengths
+		return ErrMalformed // both a length and chunks
 	case framing.chunked:
 		r.state = inChunkSize
 	case framing.length > MaxBody:
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,7 +1,8 @@
-// Package http1 writes HTTP/1.1 requests and reads their responses (RFC 9112), incrementally and within bounds.
+// Package http1 formats HTTP/1.1 requests and reads the responses to them (RFC 9112), incrementally and with limits on
+// their size.
 //
-// It works on bytes alone: no I/O, clock or goroutine. FormatRequest may be called from any goroutine; a Response belongs to
-// one.
+// The package works on bytes alone: no I/O, clock or goroutine. FormatRequest may be called from any goroutine; a
+// Response belongs to one goroutine.
 package http1
 
 import (
@@ -9,23 +10,23 @@
 	"strconv"
 )
 
-// Limits on what is read, in bytes.
+// Limits on a response, in bytes.
 const (
 	MaxHeader = 8 << 10 // of a status line and its header fields
-	MaxBody   = 4 << 20 // of a body; a list of tens of thousands of backends has its place there
+	MaxBody   = 4 << 20 // of a body; large enough for a list of tens of thousands of backends
 
 	maxChunkLine = 1 << 10 // of a chunk's size line or a trailer field
 )
 
-// Errors in what came. Nothing more can be read after any of these.
+// Errors in a response. After either, nothing more can be read.
 var (
-	ErrMalformed = errors.New("malformed answer")
-	ErrTooLong   = errors.New("answer too long")
+	ErrMalformed = errors.New("malformed response")
+	ErrTooLong   = errors.New("response too long")
 )
 
 const lineEnd = "\r\n"
 
-// FormatRequest is a request with a JSON body; with an empty one it has no body.
+// FormatRequest returns a request with a JSON body, or one without a body if body is empty.
 func FormatRequest(method, path, host, body string) []byte {
 	request := method + " " + path + " HTTP/1.1" + lineEnd + "Host: " + host + lineEnd
 	if body != "" {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// Response reads one response. Its zero value is ready for the first byte. Informational responses before it are skipped.
+// Response reads one response. Its zero value is ready for the first byte. Informational responses before the response
+// are skipped.
 type Response struct {
-	Status int  // 0 until the header section has come
-	Close  bool // the connection ends with it
-	Done   bool // it is complete
+	Status int  // 0 until the header section has arrived
+	Close  bool // the connection ends with the response
+	Done   bool // the response is complete
 
 	state     state
-	remaining int  // bytes of the body or the chunk that are still to come
-	bodySize  int  // bytes of the body that have come
+	remaining int  // bytes of the body or the chunk that have not arrived yet
+	bodySize  int  // bytes of the body that have arrived
 	unbounded bool // a chunked body may be longer than MaxBody
 }
 
-// state is what of a response comes next.
+// state is the part of a response that comes next.
 type state uint8
 
 const (
@@ -26,15 +27,15 @@
 	inBody                   // a body whose length is known
 	inChunkSize              // the size line of a chunk
 	inChunk                  // a chunk's data
-	inChunkEnd               // the line end behind a chunk's data
+	inChunkEnd               // the line end after a chunk's data
 	inTrailer                // trailer fields, up to an empty line
 )
 
-// NewStream is a response whose chunks may go on for ever.
+// NewStream returns a Response whose chunks may go on indefinitely.
 func NewStream() *Response { return &Response{unbounded: true} }
 
-// Read takes what it can of the bytes that have come, and is given the rest again with what follows. It tells how many bytes it
-// used and appends what belongs to the body to body. The error is ErrMalformed or ErrTooLong.
+// Read reads as much of in as it can and appends the bytes of the body to body. It returns how many bytes of in it
+// used; the caller passes the rest again, together with the bytes that follow. The error is ErrMalformed or ErrTooLong.
 func (r *Response) Read(in, body []byte) (used int, out []byte, err error) {
 	for !r.Done {
 		n, more, err := r.step(in[used:], &body)
@@ -49,7 +50,8 @@
 	return used, body, nil
 }
 
-// step takes the header section, one line, or one stretch of the body; more: another may follow at once.
+// step reads the header section, one line, or one part of the body. more reports whether another step may follow at
+// once.
 func (r *Response) step(in []byte, body *[]byte) (used int, more bool, err error) {
 	switch r.state {
 	case inHeader:
@@ -69,8 +71,8 @@
 	return size + len(end), true, r.parseHeader(string(in[:size]))
 }
 
-// indexWithin is where a separator stands among the first so many bytes; -1 where it is still to come, ErrTooLong where it
-// can't come there any more.
+// indexWithin returns the index of a separator within the first limit bytes. The index is -1 if the separator has not
+// arrived; the error is ErrTooLong if it can no longer arrive within the limit.
 func indexWithin(in []byte, separator string, limit int) (int, error) {
 	at := bytes.Index(in[:min(len(in), limit)], []byte(separator))
 	if at < 0 && len(in) >= limit {
@@ -79,7 +81,7 @@
 	return at, nil
 }
 
-// takeData takes bytes of a body or a chunk.
+// takeData reads bytes of a body or a chunk.
 func (r *Response) takeData(in []byte, body *[]byte) (used int, more bool, err error) {
 	n := min(r.remaining, len(in))
 	r.bodySize += n
@@ -99,7 +101,7 @@
 	return n, true, nil
 }
 
-// takeLine takes a line between chunks or behind them.
+// takeLine reads a line between chunks or after them.
 func (r *Response) takeLine(in []byte) (used int, more bool, err error) {
 	size, err := indexWithin(in, lineEnd, maxChunkLine)
 	if err != nil || size < 0 {
@@ -122,8 +124,8 @@
 	return size + len(lineEnd), true, nil
 }
 
-// parseChunkSize takes the size line of a chunk, whose extensions are ignored (RFC 9112, section 7.1). A size of 0 ends the
-// body.
+// parseChunkSize parses the size line of a chunk, whose extensions are ignored (RFC 9112, section 7.1). A size of 0
+// ends the body.
 func (r *Response) parseChunkSize(line string) error {
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
