--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -9,27 +9,28 @@
 	"silvercove/internal/transport"
 )
 
-// rowMessages are the messages of a row: its description, the row itself and its end.
+// rowMessages is the number of messages in the reply with a row: RowDescription, DataRow and CommandComplete.
 const rowMessages = 3
 
-// Reply is how an attempt ended. It is used by one goroutine, which calls Release once.
+// Reply is the result of an attempt. It is used by one goroutine, which must call Release once.
 type Reply struct {
-	SQLState    string                // of the answer; empty where none came
+	SQLState    string                // of the answer; empty if none arrived
 	Status      transport.CloseStatus // how the connection ended, if it did
-	Load        []float64             // the backend's load report, in the order of the load columns; nil without one
-	RowMessages [][]byte              // messages to pass on byte for byte, valid until Release
+	Load        []float64             // the backend's load report, in the order of the load columns; nil if there was none
+	RowMessages [][]byte              // messages to forward byte for byte, valid until Release
 
 	pool     *Pool
-	conn     *conn // nil where none was used
-	reusable bool  // the reply ended in order, with nothing behind it
+	conn     *conn // nil if none was used
+	reusable bool  // the reply ended with ReadyForQuery and no bytes followed it
 }
 
-// unsentReply is a reply of an attempt of which nothing was written.
+// unsentReply returns the reply of an attempt of which nothing was written.
 func unsentReply(reason transport.CloseReason) Reply {
 	return Reply{Status: transport.CloseStatus{Reason: reason}}
 }
 
-// Attempt makes one attempt of a query, if that still may begin once there is a connection. The attempt's context ends it.
+// Attempt runs one attempt of a query, if the attempt may still begin once there is a connection. The attempt ends with
+// its context.
 func (p *Pool) Attempt(attempt *dispatch.Attempt, query *pgwire.Query) Reply {
 	for {
 		reply, stale := p.attemptOnce(attempt, query)
@@ -39,15 +40,15 @@
 	}
 }
 
-// attemptOnce makes an attempt on one connection; stale: the backend had closed it while it was idle, and nothing was
-// written.
+// attemptOnce runs an attempt on one connection. stale reports that the backend had closed the connection while it was
+// idle, so that nothing was written.
 func (p *Pool) attemptOnce(attempt *dispatch.Attempt, query *pgwire.Query) (reply Reply, stale bool) {
 	c, reply := p.acquire(attempt.Context, attempt.Backend)
 	if c == nil {
 		return reply, false
 	}
 	c.BindContext(attempt.Context)
-	mayBegin := p.dispatcher.Begin(attempt) // it may have waited for a slot or a dial
+	mayBegin := p.dispatcher.Begin(attempt) // the attempt may have waited for a slot or a dial
 	timeLeft := time.Until(attempt.Deadline)
 	if !mayBegin || timeLeft < time.Millisecond {
 		p.releaseUnused(c)
@@ -71,7 +72,8 @@
 	return reply, false
 }
 
-// releaseUnused gives back a connection on which nothing was written: it is as good as before.
+// releaseUnused gives back a connection on which nothing was written, and which can therefore be used as before. The
+// connection is closed if its context has ended or its backend is no longer current.
 func (p *Pool) releaseUnused(c *conn) {
 	if c.ReleaseContext() && p.dispatcher.IsCurrent(c.backend) {
 		p.addIdle(c)
@@ -80,8 +82,8 @@
 	p.close(c)
 }
 
-// isComplete reports whether a reply answers a query: a backend may say that it is ready again without an answer, or end a
-// statement without its row.
+// isComplete reports whether the reply answers a query. A backend may report that it is ready again without an answer,
+// or complete a statement without its row.
 func (r *Reply) isComplete() bool {
 	switch r.SQLState {
 	case "":
@@ -92,8 +94,9 @@
 	return true
 }
 
-// readReply reads one reply to its end. A row or an error counts from when it is complete; the backend then has the time in
-// which a connection settles to say that it is ready for more, as the client waits meanwhile.
+// readReply reads one reply to its end. A row or an error counts from when it is complete. After that, the backend has
+// settleTime to report that it is ready for more, or connectTimeout if that is shorter, because the client waits
+// meanwhile.
 func (p *Pool) readReply(c *conn) Reply {
 	var response pgwire.Response
 	for {
@@ -117,7 +120,8 @@
 	}
 }
 
-// readErrorStatus is the end of a connection on which a reply can't be read any further; open without an error.
+// readErrorStatus returns the status of a connection after reading a reply: closed if there is an error, because
+// nothing more can be read then, and open otherwise.
 func readErrorStatus(err error) transport.CloseStatus {
 	switch {
 	case err == nil:
@@ -128,7 +132,8 @@
 	return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 }
 
-// newReply takes a reply out of what a connection has buffered. A connection with more behind it is not reusable.
+// newReply builds a reply from the buffered bytes of a connection. If more bytes follow the reply, the connection is
+// not reusable.
 func (p *Pool) newReply(c *conn, response *pgwire.Response, ready bool) Reply {
 	reply := Reply{
 		SQLState: response.SQLState,
@@ -143,15 +148,16 @@
 	return reply
 }
 
-// attach has Release give the connection back. The connection's context is let go now, before it is cancelled: one that it has
-// ended is not reusable.
+// attach makes Release give the connection back. It unbinds the connection from its context now, before the context is
+// cancelled: a connection whose context has ended is not reusable.
 func (p *Pool) attach(reply *Reply, c *conn) {
 	released := c.ReleaseContext()
 	reply.pool, reply.conn = p, c
 	reply.reusable = released && reply.reusable
 }
 
-// Release gives the connection back. It is used again only after a reply that ended in order.
+// Release gives the connection back. The connection is used again only if the reply is reusable; otherwise it is
+// closed.
 func (r *Reply) Release() {
 	c := r.conn
 	if c == nil {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -11,7 +11,8 @@
 	"silvercove/internal/transport"
 )
 
-// acquire gives an idle connection to a backend or makes a new one. Without one the reply tells why.
+// acquire returns an idle connection to a backend, or makes a new one. If it returns no connection, the reply tells the
+// reason.
 func (p *Pool) acquire(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
 	for c := p.takeIdle(backend.Name); c != nil; c = p.takeIdle(backend.Name) {
 		if c.backend == backend && time.Since(c.idleSince) < p.maxIdleTime && c.Reusable() {
@@ -31,7 +32,8 @@
 	return c, reply
 }
 
-// reserveSlot takes a slot for a new connection, and closes the one that has been idle the longest where there is none.
+// reserveSlot takes a slot for a new connection. If no slot is free, it first closes the connection that has been idle
+// the longest.
 func (p *Pool) reserveSlot(ctx context.Context) transport.CloseReason {
 	select {
 	case p.slots <- struct{}{}:
@@ -46,11 +48,12 @@
 	case p.slots <- struct{}{}:
 		return transport.StillOpen
 	case <-ctx.Done():
-		return transport.Canceled // which says nothing of the backend
+		return transport.Canceled // says nothing about the backend
 	}
 }
 
-// dial opens a connection up to the backend's word that it is ready, within the connect timeout. The caller has its slot.
+// dial opens a connection and waits until the backend reports that it is ready, within the connect timeout. The caller
+// has reserved the slot.
 func (p *Pool) dial(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
 	p.Opened.Add(1)
 	limited, cancel := context.WithTimeout(ctx, p.connectTimeout)
@@ -70,14 +73,14 @@
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
 		return nil, unsentReply(reply.Status.Reason) // no query was written
-	case errors.Is(ctx.Err(), context.Canceled): // given up just as it came up, which says nothing of the backend
+	case errors.Is(ctx.Err(), context.Canceled): // canceled just as the connection became ready: says nothing about the backend
 		return nil, unsentReply(transport.Canceled)
 	}
 	return nil, unsentReply(transport.ConnectTimeout)
 }
 
-// startSession sends the startup message and reads the backend's answer (PostgreSQL manual, "Start-up"); ready says whether
-// queries may follow.
+// startSession sends the startup message and reads the backend's answer (PostgreSQL manual, "Start-up"). ready reports
+// whether queries may follow.
 func (p *Pool) startSession(ctx context.Context, c *conn) (reply Reply, ready bool) {
 	c.BindContext(ctx)
 	c.Append(pgwire.StartupMessage())
@@ -92,10 +95,11 @@
 	return reply, true
 }
 
-// Prewarm opens connections to backends that have just been listed, a part of the slots to each, so that the first requests
-// after a start need not wait for them. All relays together open no more at a backend than one of them might alone: many
-// that start at once would spend the backends' work on connections that few requests use. It waits at most for the connect
-// timeout, and not beyond the context: what is not up by then is given up.
+// Prewarm opens connections to backends that have just been listed, the same part of the slots for each, so that the
+// first requests after a start need not wait for them. All relays together open no more connections to a backend than
+// one relay alone might open: otherwise many relays that start at once would spend the backends' work on connections
+// that few requests use. Prewarm waits at most for the connect timeout and not beyond the context, and gives up
+// connections that are not ready by then.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -122,7 +126,7 @@
 	p.addIdle(c)
 }
 
-// Probe checks a backend with a query of its own and reports the result to the dispatcher. It does not block.
+// Probe checks a backend with a query of the pool's own and reports the result to the dispatcher. It does not block.
 func (p *Pool) Probe(backend dispatch.Backend) {
 	p.probes.Go(func() {
 		began := time.Now()
@@ -143,5 +147,5 @@
 	})
 }
 
-// probeQuery is a query that costs a backend next to nothing.
+// probeQuery is a query that costs a backend almost nothing.
 const probeQuery = "SELECT 1"
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream keeps connections to the backends, in PostgreSQL's wire protocol, and makes attempts on them, one at a
-// time each. Nothing is ever sent again here: each further attempt is the balancer's decision. Only a connection that turns
-// out to be closed before anything was written on it is replaced by another.
+// Package upstream keeps connections to the backends, in PostgreSQL's wire protocol, and runs attempts on them, one at
+// a time on each connection. The package never sends a query again: each further attempt is the balancer's decision.
+// Only a connection that turns out to be closed before anything was written on it is replaced by another.
 //
-// A caller makes one Pool, runs Run for as long as it is used, and calls Attempt from the goroutine of each request. The
-// pool's goroutines are those of Prewarm, which waits for them, and one for each Probe, which Run waits for.
+// The caller creates one Pool, runs Run for as long as the pool is used, and calls Attempt from the goroutine of each
+// request. The pool starts goroutines for Prewarm, which waits for them, and one for each Probe, which Run waits for.
 package upstream
 
 import (
@@ -17,27 +17,28 @@
 	"silvercove/internal/transport"
 )
 
-// A backend may answer twice, the second time some milliseconds late: on a connection that was used again by then it would
-// be taken for the next request's reply. Connections that have settled are used first; others only where half of the slots
-// are taken, or most of them while unsolicited bytes come: a new connection costs less than a wrong reply. An idle backend
-// that says why it ends looks the same; there the caution only costs connections.
+// A backend may answer a query twice, the second time some milliseconds late. If the connection had been used again by
+// then, the second reply would be taken for the next request's reply. Connections that have settled are therefore used
+// first. Others are used only if half of the slots are taken, or seven eighths while unsolicited bytes are expected: a
+// new connection costs less than a wrong reply. An idle backend that sends an error message before it closes the
+// connection looks the same; in that case the precaution only costs connections.
 const (
-	settleTime              = 25 * time.Millisecond // after its last reply a connection has settled
-	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes more of them are expected
+	settleTime              = 25 * time.Millisecond // a connection has settled this long after its last reply
+	unsolicitedExpectedTime = time.Minute           // how long after unsolicited bytes more of them are expected
 )
 
 const (
-	idleMarginDivisor   = 8  // connections are closed by this part of the idle timeout ahead of the backends
-	sweepsPerIdleTime   = 16 // idle connections are looked through so often
+	idleMarginDivisor   = 8  // connections are closed an eighth of the idle timeout before the backends would close them
+	sweepsPerIdleTime   = 16 // checks of the idle connections within the maximum idle time
 	minSweepInterval    = 50 * time.Millisecond
-	prewarmSlotsDivisor = 2 // half of the slots is used before requests come
+	prewarmSlotsDivisor = 2 // half of the slots are used for connections opened before requests arrive
 )
 
-// Pool holds the connections to all backends. It is made by New; its exported methods may be called from any goroutine.
+// Pool holds the connections to all backends. New creates one. Its exported methods may be called from any goroutine.
 type Pool struct {
 	// Fixed by New.
 	buffers        *transport.BufferBudget
-	connectTimeout time.Duration // for a new connection, up to the backend's word that it is ready
+	connectTimeout time.Duration // for a new connection, until the backend reports that it is ready
 	maxIdleTime    time.Duration // of a connection
 	dispatcher     *dispatch.Dispatcher
 	loadColumns    []string // of a load report
@@ -45,12 +46,12 @@
 	slots  chan struct{}  // holds one element for each connection that is open or being made
 	probes sync.WaitGroup // goroutines of Probe
 
-	mu                       sync.Mutex         // guards what follows up to the counters
-	idle                     map[string][]*conn // by backend, the last used at the end; no empty lists
-	unsolicitedExpectedUntil time.Time          // until then unsolicited bytes are expected
+	mu                       sync.Mutex         // guards the fields below up to the counters
+	idle                     map[string][]*conn // by backend, the last used one at the end; no empty lists
+	unsolicitedExpectedUntil time.Time          // until then, more unsolicited bytes are expected
 
-	// Opened counts connections that were begun, Reused attempts on an idle one, Failed those for which there was none, and
-	// Unsolicited idle connections on which something had come.
+	// Opened counts connections that were begun, Reused counts attempts on an idle connection, Failed counts attempts
+	// for which there was no connection, and Unsolicited counts idle connections on which bytes had arrived.
 	Opened, Reused, Failed, Unsolicited atomic.Int64
 }
 
@@ -61,8 +62,8 @@
 	idleSince time.Time // when it last became idle; zero if it never was
 }
 
-// New makes a pool of at most so many connections in all. Connections that would be idle for as long as idleTimeout are
-// closed before the backend does it; an idleTimeout of 0 or less keeps none.
+// New returns a pool of at most maxConnections connections in all. A connection that would be idle for as long as
+// idleTimeout is closed before the backend closes it. With an idleTimeout of 0 or less, no connection is kept.
 func New(buffers *transport.BufferBudget, maxConnections int, connectTimeout, idleTimeout time.Duration,
 	dispatcher *dispatch.Dispatcher) *Pool {
 	return &Pool{
@@ -76,8 +77,8 @@
 	}
 }
 
-// Run closes connections ahead of the backends' own idle timeout until the context ends. Then it waits for the probes and
-// closes what is idle. It always returns nil.
+// Run closes idle connections before the backends' own idle timeout, until the context ends. Then it waits for the
+// probes, closes all idle connections and returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.sweepInterval())
 	defer ticker.Stop()
@@ -94,13 +95,13 @@
 	}
 }
 
-// sweepInterval is how often idle connections are looked through. Where the backends' idle timeout is absent or next to
-// nothing an idle relay would do nothing else; acquire minds the timeout itself.
+// sweepInterval returns the interval at which idle connections are checked. It has a lower limit, because an idle relay
+// would do nothing but sweep if the backends' idle timeout is absent or close to 0; acquire checks the timeout itself.
 func (p *Pool) sweepInterval() time.Duration {
 	return max(p.maxIdleTime/sweepsPerIdleTime, minSweepInterval)
 }
 
-// sweep closes the connections that have been idle for too long.
+// sweep closes the connections that have been idle for maxIdleTime or longer.
 func (p *Pool) sweep(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// InUse tells how many connections are open or being made, and how many of them are idle.
+// InUse returns how many connections are open or being made, and how many of them are idle.
 func (p *Pool) InUse() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +140,7 @@
 	return len(p.slots), idle
 }
 
-// addIdle takes a connection among the idle ones.
+// addIdle adds a connection to the idle ones.
 func (p *Pool) addIdle(c *conn) {
 	c.ReleaseBuffers()
 	c.idleSince = time.Now()
@@ -148,8 +149,9 @@
 	p.idle[c.backend.Name] = append(p.idle[c.backend.Name], c)
 }
 
-// takeIdle takes the idle connection to a backend that was used last, among those that have settled; else the one that has
-// been idle the longest, if new connections are short. Nil: a new one is to be made.
+// takeIdle removes and returns the idle connection to a backend that was used last, among those that have settled. If
+// none has settled and slots for new connections are scarce, it returns the connection that has been idle the longest.
+// It returns nil if a new connection is to be made.
 func (p *Pool) takeIdle(backend string) *conn {
 	now := time.Now()
 	p.mu.Lock()
@@ -168,7 +170,8 @@
 	return c
 }
 
-// slotsForUnsettled is how many slots are taken before a connection that has not settled is used again; mu is held.
+// slotsForUnsettled returns how many slots must be taken before a connection that has not settled is used again. mu
+// must be held.
 func (p *Pool) slotsForUnsettled(now time.Time) int {
 	if now.Before(p.unsolicitedExpectedUntil) {
 		return cap(p.slots) * 7 / 8
@@ -176,7 +179,7 @@
 	return cap(p.slots) / 2
 }
 
-// setIdle sets what is idle at a backend; mu is held.
+// setIdle replaces the idle connections to a backend. mu must be held.
 func (p *Pool) setIdle(backend string, conns []*conn) {
 	if len(conns) == 0 {
 		delete(p.idle, backend)
@@ -185,7 +188,7 @@
 	p.idle[backend] = conns
 }
 
-// closeOldest closes the connection that has been idle the longest; false: none is idle.
+// closeOldest closes the connection that has been idle the longest. It returns false if no connection is idle.
 func (p *Pool) closeOldest() bool {
 	c := p.takeOldest()
 	if c == nil {
@@ -210,7 +213,7 @@
 	return oldest
 }
 
-// discard closes a connection that was idle, and minds what has come on it unsolicited.
+// discard closes a connection that was idle, and records whether unsolicited bytes have arrived on it.
 func (p *Pool) discard(c *conn) {
 	if c.HasUnsolicited() {
 		p.Unsolicited.Add(1)
