--- a/internal/transport/address.go
+++ b/internal/transport/address.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Address is the address of a peer that may move while the program runs. It may be used by any goroutine.
+// Address holds the address of a peer that may move while the program runs. It may be used from any goroutine.
 type Address struct {
 	mu      sync.Mutex
 	address string
-	current context.Context // ends when the peer moves
+	current context.Context // canceled when the peer moves
 	end     context.CancelFunc
 }
 
-// NewAddress makes the address of a peer.
+// NewAddress returns an Address with an initial address.
 func NewAddress(address string) *Address {
 	a := &Address{}
 	a.set(address)
@@ -25,7 +25,8 @@
 	a.current, a.end = context.WithCancel(context.Background())
 }
 
-// Update names another address. What was begun at the one before is canceled.
+// Update sets the address and reports whether it has changed. If so, the contexts returned with the previous address
+// are canceled.
 func (a *Address) Update(address string) (moved bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -37,7 +38,7 @@
 	return true
 }
 
-// Current tells the address, and a context that ends with ctx or when the peer moves. Whoever calls it calls release.
+// Current returns the address, and a context that ends with ctx or when the peer moves. The caller must call release.
 func (a *Address) Current(ctx context.Context) (address string, current context.Context, release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// ringBlockSize is the size in bytes of a ring of an idle connection, and the unit in which rings grow.
+// ringBlockSize is the unit in bytes in which rings grow, and the size of the ring of an idle connection.
 const ringBlockSize = 2 << 10
 
-// BufferBudget is the memory that requests may need for their buffers, in bytes. It is reserved when a request is accepted,
-// so that no buffer is missing later on. It may be used by any goroutine.
+// BufferBudget limits the memory that requests may need for their buffers, in bytes. Memory is reserved when a request
+// is accepted, so that no buffer is missing later on. A BufferBudget may be used from any goroutine.
 type BufferBudget struct {
 	limit    int64
 	reserved atomic.Int64
-	buffered atomic.Int64 // held by buffers
+	buffered atomic.Int64 // memory held by buffers
 }
 
-// NewBufferBudget makes a budget of so many bytes.
+// NewBufferBudget returns a budget of the given number of bytes.
 func NewBufferBudget(bytes int64) *BufferBudget { return &BufferBudget{limit: bytes} }
 
-// Reserve sets n bytes aside; false: there are not as many.
+// Reserve sets n bytes aside. It returns false if the budget has fewer left.
 func (b *BufferBudget) Reserve(n int) bool {
 	if b.reserved.Add(int64(n)) > b.limit {
 		b.reserved.Add(int64(-n))
@@ -25,15 +25,15 @@
 	return true
 }
 
-// Release gives n reserved bytes back.
+// Release gives n reserved bytes back to the budget.
 func (b *BufferBudget) Release(n int) { b.reserved.Add(int64(-n)) }
 
-// InUse tells how many bytes are reserved, and how many bytes of memory the buffers have.
+// InUse returns how many bytes are reserved, and how many bytes of memory the buffers hold.
 func (b *BufferBudget) InUse() (reserved, buffered int64) {
 	return b.reserved.Load(), b.buffered.Load()
 }
 
-// ring is a ring buffer that grows by steps and gives its memory back when it is empty.
+// ring is a ring buffer that grows in blocks and releases memory when it is empty.
 type ring struct {
 	buf    []byte
 	start  int // of the content
@@ -41,7 +41,7 @@
 	budget *BufferBudget
 }
 
-// grow makes space for n bytes in all.
+// grow makes space for n bytes of content in all.
 func (r *ring) grow(n int) {
 	if size := (n + ringBlockSize - 1) / ringBlockSize * ringBlockSize; size > len(r.buf) {
 		r.budget.buffered.Add(int64(size - len(r.buf)))
@@ -49,19 +49,19 @@
 	}
 }
 
-// moveTo takes the content to the start of another buffer.
+// moveTo copies the content to the start of another buffer and uses that buffer from then on.
 func (r *ring) moveTo(buf []byte) {
 	n := copy(buf, r.firstSegment())
 	copy(buf[n:r.length], r.buf)
 	r.buf, r.start = buf, 0
 }
 
-// firstSegment is the content up to the end of the buffer; the rest of it stands at the buffer's beginning.
+// firstSegment returns the content up to the end of the buffer. The rest of the content is at the buffer's beginning.
 func (r *ring) firstSegment() []byte {
 	return r.buf[r.start:min(r.start+r.length, len(r.buf))]
 }
 
-// free is the first stretch that can be written to.
+// free returns the first contiguous part of the buffer that can be written to.
 func (r *ring) free() []byte {
 	if r.length == len(r.buf) {
 		return nil
@@ -73,7 +73,7 @@
 	return r.buf[end:]
 }
 
-// write adds bytes that grow has made space for.
+// write appends bytes for which grow has made space.
 func (r *ring) write(bytes []byte) {
 	for len(bytes) > 0 {
 		n := copy(r.free(), bytes)
@@ -82,7 +82,7 @@
 	}
 }
 
-// content is all of it in one stretch, valid until the ring is written to or grows.
+// content returns all of the content as one slice, which is valid until the ring is written to or grows.
 func (r *ring) content() []byte {
 	if r.start+r.length > len(r.buf) {
 		r.moveTo(make([]byte, len(r.buf)))
@@ -90,7 +90,8 @@
 	return r.buf[r.start : r.start+r.length]
 }
 
-// discard takes n bytes off the front. An empty ring that has grown is given back.
+// discard removes n bytes from the front. When the ring is empty and has grown beyond one block, its memory is
+// released.
 func (r *ring) discard(n int) {
 	r.start += n
 	r.length -= n
@@ -106,7 +107,7 @@
 	}
 }
 
-// release gives the memory back.
+// release releases the memory of the buffer.
 func (r *ring) release() {
 	r.budget.buffered.Add(int64(-len(r.buf)))
 	r.buf, r.start, r.length = nil, 0, 0
--- a/internal/transport/closestatus.go
+++ b/internal/transport/closestatus.go
@@ -5,23 +5,23 @@
 	"errors"
 )
 
-// CloseReason tells why a connection ended.
+// CloseReason is the reason for which a connection ended.
 type CloseReason uint8
 
-// The ways in which a connection can end.
+// Reasons for which a connection can end.
 const (
-	StillOpen        CloseReason = iota // it has not
-	Refused                             // it was refused, or there was nothing to open it with
-	ConnectTimeout                      // it was not up in its time
-	ClosedByPeer                        // the other side closed it
-	ConnectionReset                     // it was reset or failed otherwise
-	DeadlineExceeded                    // its time limit has passed
-	Canceled                            // this side gave it up
-	Malformed                           // what came makes no sense
-	TooLarge                            // what came is longer than is allowed
-	ClosedLocally                       // this side was through with it
-	PeerBusy                            // the other side is there and takes no more now
-	CloseReasonCount                    // how many there are
+	StillOpen        CloseReason = iota // the connection has not ended
+	Refused                             // it was refused, or there was no slot or other resource to open it
+	ConnectTimeout                      // it was not established within its time limit
+	ClosedByPeer                        // the peer closed it
+	ConnectionReset                     // it was reset or failed in another way
+	DeadlineExceeded                    // its deadline has passed
+	Canceled                            // this side canceled it
+	Malformed                           // the peer sent malformed data
+	TooLarge                            // the peer sent more than is allowed
+	ClosedLocally                       // this side closed it when it was no longer needed
+	PeerBusy                            // the peer is reachable but accepts no more at present
+	CloseReasonCount                    // number of reasons
 )
 
 var closeReasonNames = [CloseReasonCount]string{
@@ -38,21 +38,21 @@
 	PeerBusy:         "peer busy",
 }
 
-// String names the reason for log lines and errors.
+// String returns the name of the reason for log lines and errors.
 func (r CloseReason) String() string { return closeReasonNames[min(r, CloseReasonCount-1)] }
 
-// CloseStatus is one way in which a connection ended. The zero value: it has not.
+// CloseStatus describes how a connection ended. The zero value means that the connection is still open.
 type CloseStatus struct {
 	Reason CloseReason
-	// Flushed tells whether the last byte of what was last to be written had been written by then. If not, the other side
-	// has not got it whole.
+	// Flushed reports whether the last byte of the latest Flush had been written by then. If not, the peer has not
+	// received all of it.
 	Flushed bool
 }
 
-// Closed tells whether the connection has ended at all.
+// Closed reports whether the connection has ended.
 func (s CloseStatus) Closed() bool { return s.Reason != StillOpen }
 
-// contextReason tells why a context that has ended did.
+// contextReason returns the reason for which a context has ended.
 func contextReason(ctx context.Context) CloseReason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return DeadlineExceeded
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,10 +1,10 @@
-// Package transport owns one connection: a ring buffer a direction, its deadlines, and CloseStatus, the one type of every
-// way in which it can end. The buffers of all connections come out of one BufferBudget. Address is where a peer is that may
-// move while the program runs.
+// Package transport provides connections that have one ring buffer for each direction, deadlines, and a CloseStatus,
+// the one type for every way in which a connection can end. The buffers of all connections come from one BufferBudget.
+// Address holds the address of a peer that may move while the program runs.
 //
-// A client of the package dials with Dial, or takes over an accepted connection with NewConn. It reads with Fill, Buffered
-// and Discard, writes with Append and Flush, and binds both to a context with BindContext. The package starts no goroutine
-// that outlives the context that it was bound to.
+// A caller opens a connection with Dial, or wraps an accepted one with NewConn. It reads with Fill, Buffered and
+// Discard, writes with Append and Flush, and binds both to a context with BindContext. The package starts no goroutine
+// that outlives the context to which a connection is bound.
 package transport
 
 import (
@@ -17,25 +17,26 @@
 	"time"
 )
 
-// Conn is one connection. One goroutine at a time may read and one may write; deadlines may be set by any, and Close may be
-// called by any once both are through.
+// Conn is one connection. One goroutine at a time may read and one may write. Any goroutine may set deadlines, and any
+// may call Close once reading and writing are finished.
 type Conn struct {
-	conn          net.Conn // a TCP connection, for what the kernel tells of it
+	conn          net.Conn // a TCP connection, because the kernel is asked for its state
 	input, output ring
 	flushed       atomic.Bool // the last byte of the last Flush was written
-	established   bool        // the kernel has said so; the reader's
+	established   bool        // the kernel has reported this state; only the reader uses the field
 
-	// The context that the work is bound to, and what unbinds it; nil when it is bound to none.
+	// The context that reading and writing are bound to, and the function that unbinds them; unbind is nil if there is
+	// none.
 	bound  context.Context
 	unbind func() bool
 }
 
-// NewConn takes over a connection. Its buffers come out of budget.
+// NewConn wraps a connection. Its buffers come from budget.
 func NewConn(conn net.Conn, budget *BufferBudget) *Conn {
 	return &Conn{conn: conn, input: ring{budget: budget}, output: ring{budget: budget}, bound: context.Background()}
 }
 
-// Dial opens a TCP connection within a time limit. Of a connection and a status that is closed it returns one.
+// Dial opens a TCP connection within a time limit. It returns either a connection or a status that is closed.
 func Dial(ctx context.Context, address string, limit time.Duration, budget *BufferBudget) (*Conn, CloseStatus) {
 	limited, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -51,18 +52,18 @@
 	return nil, CloseStatus{Reason: Refused}
 }
 
-// BindContext binds what is done from now on to a context: past its deadline, or once it is canceled, reading and writing
-// end. ReleaseContext undoes that.
+// BindContext binds reading and writing from now on to a context: both end past its deadline, or once it is canceled.
+// ReleaseContext undoes that.
 func (c *Conn) BindContext(ctx context.Context) {
 	c.ReleaseContext()
 	c.bound = ctx
-	deadline, _ := ctx.Deadline() // without one: the zero time, which is no deadline
+	deadline, _ := ctx.Deadline() // the zero time if there is none, which sets no deadline
 	c.SetDeadline(deadline)
 	c.unbind = context.AfterFunc(ctx, c.Interrupt)
 }
 
-// ReleaseContext unbinds the connection from its context. It returns whether the connection is as good as before: if the
-// context ended meanwhile, the deadline that this set may come late, so such a connection is only good for closing.
+// ReleaseContext unbinds the connection from its context and reports whether the connection can still be used. If the
+// context ended meanwhile, the deadline that its end sets may take effect late, so the connection can only be closed.
 func (c *Conn) ReleaseContext() (intact bool) {
 	intact = c.unbind == nil || c.unbind()
 	c.bound, c.unbind = context.Background(), nil
@@ -72,27 +73,27 @@
 	return intact
 }
 
-// pastDeadline is a deadline that has gone by.
+// pastDeadline is a deadline in the past.
 var pastDeadline = time.Unix(1, 0)
 
-// Interrupt ends a blocked read or write, and those to come.
+// Interrupt ends a blocked read or write, and makes later ones fail.
 func (c *Conn) Interrupt() { c.SetDeadline(pastDeadline) }
 
-// InterruptRead ends a blocked read, and those to come.
+// InterruptRead ends a blocked read, and makes later ones fail.
 func (c *Conn) InterruptRead() { c.SetReadDeadline(pastDeadline) }
 
-// SetDeadline sets a time limit for reading and writing; the zero time is none. It stands until the next one, or until the
-// connection is bound to a context or released from it. That it fails on a connection that is closed shows at the next
-// read or write.
+// SetDeadline sets the deadline for reading and writing; the zero time means none. The deadline holds until the next
+// call, or until the connection is bound to a context or released from it. On a closed connection the call fails, which
+// shows at the next read or write.
 func (c *Conn) SetDeadline(at time.Time) { _ = c.conn.SetDeadline(at) }
 
-// SetReadDeadline sets a time limit for reading alone.
+// SetReadDeadline sets the deadline for reading alone.
 func (c *Conn) SetReadDeadline(at time.Time) { _ = c.conn.SetReadDeadline(at) }
 
-// SetWriteDeadline sets a time limit for writing alone.
+// SetWriteDeadline sets the deadline for writing alone.
 func (c *Conn) SetWriteDeadline(at time.Time) { _ = c.conn.SetWriteDeadline(at) }
 
-// Fill waits for more bytes. The input buffer has space for at least want bytes then.
+// Fill waits for more bytes. Before that, it grows the input buffer to hold at least want bytes.
 func (c *Conn) Fill(want int) CloseStatus {
 	c.input.grow(max(want, c.input.length+1))
 	n, err := c.conn.Read(c.input.free())
@@ -103,13 +104,13 @@
 	return c.closeStatus(err)
 }
 
-// Buffered are the bytes that have come, in one stretch, valid until the next Fill.
+// Buffered returns the bytes that have arrived, as one slice, which is valid until the next Fill.
 func (c *Conn) Buffered() []byte { return c.input.content() }
 
-// Discard takes bytes off the front of those that have come.
+// Discard removes the first n bytes of those that have arrived.
 func (c *Conn) Discard(n int) { c.input.discard(n) }
 
-// Append adds bytes to what is to be written.
+// Append adds bytes to those that the next Flush writes.
 func (c *Conn) Append(parts ...[]byte) {
 	total := c.output.length
 	for _, part := range parts {
@@ -121,7 +122,7 @@
 	}
 }
 
-// Flush writes all that was appended.
+// Flush writes all bytes that were appended.
 func (c *Conn) Flush() CloseStatus {
 	c.flushed.Store(false)
 	for c.output.length > 0 {
@@ -137,7 +138,7 @@
 	return CloseStatus{}
 }
 
-// closeStatus tells what an error of a read or a write says of the connection.
+// closeStatus returns the status of the connection after a read or a write returned err.
 func (c *Conn) closeStatus(err error) CloseStatus {
 	flushed := c.flushed.Load()
 	switch {
@@ -153,14 +154,15 @@
 	return CloseStatus{Reason: ConnectionReset, Flushed: flushed}
 }
 
-// ReleaseBuffers gives back the input buffer of a connection that nothing is expected on. One that holds bytes stays.
+// ReleaseBuffers releases the input buffer of a connection on which nothing is expected. A buffer that holds bytes is
+// kept.
 func (c *Conn) ReleaseBuffers() {
 	if c.input.length == 0 {
 		c.input.release()
 	}
 }
 
-// Close ends the connection and gives its buffers back.
+// Close closes the connection and releases its buffers.
 func (c *Conn) Close() {
 	if c.unbind != nil {
 		c.unbind()
