--- a/internal/peertransport/doc.go
+++ b/internal/peertransport/doc.go
@@ -1,7 +1,8 @@
-// Package peertransport owns the connections between processes of one fleet. Each process listens at one address, and reaches
-// each other one at an address of its own file, so that a link may stand between any two, in either direction. The first line
-// of a connection says what it carries (Kind): the controllers' log, gossip or HTTP.
+// Package peertransport provides the connections between the processes of one fleet. Each process listens at one
+// address. It reaches each other process at an address from its own file, so that there may be a link between any two
+// processes, in either direction. The first line of a connection says what the connection carries (Kind): the
+// controllers' log, gossip or HTTP.
 //
-// Open listens, Network.Run takes connections in and hands them to the Listener of their kind, and Network.Dial connects to a
-// process by its name.
+// Open listens, Network.Run accepts connections and hands them to the Listener of their kind, and Network.Dial connects
+// to a process by its name.
 package peertransport
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Version is the version of the hello. Another one is refused.
+// Version is the version of the hello. A hello of another version is refused.
 const Version = 1
 
 const (
 	maxHello     = 512             // bytes
-	helloTimeout = 2 * time.Second // for a hello and its answer to come whole
+	helloTimeout = 2 * time.Second // for a hello and its answer to arrive completely
 )
 
-// hello goes first on each connection, as one line of JSON. It is answered by one line with a string: why the connection is
-// refused, or "" where it is taken.
+// hello is the first line on each connection, as JSON. The answer is one line with a JSON string: the reason for which
+// the connection is refused, or "" if it is accepted.
 type hello struct {
 	Version int    `json:"v"`
 	Kind    Kind   `json:"kind"`
@@ -28,17 +28,18 @@
 	To      string `json:"to"`
 }
 
-// ErrRefused is wrapped by what Dial returns where the other side does not take the connection, with its reason.
+// ErrRefused is wrapped by the error that Dial returns if the other process refuses the connection. That error contains
+// the reason.
 var ErrRefused = errors.New("refused")
 
-// sendHello sends a hello and reads the answer. The connection has no deadline after it.
+// sendHello sends a hello and reads the answer. Afterwards the connection has no deadline.
 func (n *Network) sendHello(ctx context.Context, conn net.Conn, to string, kind Kind) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
 			return err
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // it ends the reading below
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // interrupts the read below
 	refusal, err := exchange(conn, hello{Version, kind, n.fleet, n.self.Name, to})
 	if err == nil && refusal != "" {
 		err = fmt.Errorf("%s: %w: %s", to, ErrRefused, refusal)
@@ -52,7 +53,7 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// exchange writes a hello and reads why it is refused, "": it is not.
+// exchange writes a hello and returns the reason for which it is refused, or "" if it is accepted.
 func exchange(conn net.Conn, h hello) (refusal string, err error) {
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -69,17 +70,17 @@
 	return refusal, err
 }
 
-// accept reads a hello and hands the connection to the listener of its kind, or answers why not. One without a hello that can be
-// read is closed.
+// accept reads a hello and hands the connection to the listener of its kind, or answers with the reason for a refusal.
+// A connection without a readable hello is closed.
 func (n *Network) accept(ctx context.Context, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // of a closed connection: the reading below fails
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // fails only on a closed connection, where the read below fails too
 	var h hello
 	text, err := readLine(conn)
 	if err == nil {
 		err = json.Unmarshal(text, &h)
 	}
 	if err != nil {
-		_ = conn.Close() // nothing was read that counts
+		_ = conn.Close() // no valid hello was read
 		return
 	}
 	accepted := &Conn{Conn: conn, From: h.From}
@@ -87,21 +88,21 @@
 	if refusal != "" {
 		n.log.Warn().Str("from", h.From).Str("why", refusal).Msg("connection refused")
 	} else if admit := n.listeners[h.Kind].admission(); admit != nil {
-		accepted.release, refusal = admit(h.From) // not logged: a crowd would fill the log
+		accepted.release, refusal = admit(h.From) // not logged: many connections at once would fill the log
 	}
 	answer, err := json.Marshal(refusal)
 	if err == nil {
 		_, err = conn.Write(append(answer, '\n'))
 	}
 	if err != nil || refusal != "" {
-		_ = accepted.Close() // the other side was told, or is gone
+		_ = accepted.Close() // the other process has the reason, or has disconnected
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // of a closed connection: whoever accepts it sees that
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection, which the acceptor notices
 	n.listeners[h.Kind].deliver(ctx, accepted)
 }
 
-// checkHello is why a hello is refused, "": it is not.
+// checkHello returns the reason for which a hello is refused, or "" if it is accepted.
 func (n *Network) checkHello(h hello) (refusal string) {
 	if h.Version != Version {
 		return fmt.Sprintf("version %d is not spoken here, %d is", h.Version, Version)
@@ -116,13 +117,13 @@
 		return fmt.Sprintf("no process named %s is in the file of %s", h.From, n.self.Name)
 	}
 	listener := n.listeners[h.Kind]
-	if listener == nil || !listener.enabled.Load() { // where nobody accepts, it would wait and take the place of another hello
+	if listener == nil || !listener.enabled.Load() { // nobody would accept it: it would wait and take the place of another hello
 		return fmt.Sprintf("no connections of kind %q are taken", h.Kind)
 	}
 	return ""
 }
 
-// readLine reads up to a line's end, byte by byte, so that nothing behind it is taken.
+// readLine reads up to the end of a line, byte by byte, so that no byte after the line is consumed.
 func readLine(conn net.Conn) (text []byte, err error) {
 	var next [1]byte
 	for len(text) < maxHello {
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Conn is a connection that was taken in; From is the name of the process at its other end.
+// Conn is an accepted connection. From is the name of the process at its other end.
 type Conn struct {
 	net.Conn
 	From    string
-	release func() // nil: nobody counts
+	release func() // nil if the connection is not counted
 	once    sync.Once
 }
 
-// Close closes the connection, and counts it out at the first call.
+// Close closes the connection. The first call also releases the admission of the connection.
 func (c *Conn) Close() error {
 	if c.release != nil {
 		c.once.Do(c.release)
@@ -24,10 +24,12 @@
 	return c.Conn.Close()
 }
 
-// Admission counts a process's connection in until release is called, once, or returns why it is refused, which its Dial tells.
+// Admission admits a connection from a process and counts it until release is called, once. Otherwise it returns the
+// reason for the refusal, which is part of the error that the process gets from Dial.
 type Admission func(from string) (release func(), refusal string)
 
-// Listener is a net.Listener of one kind of connections; it hands out each as a *Conn. It is safe for concurrent use.
+// Listener is a net.Listener for one kind of connections; each connection that it returns is a *Conn. It is safe for
+// concurrent use.
 type Listener struct {
 	addr      net.Addr
 	enabled   atomic.Bool // Network.Listener was called
@@ -37,10 +39,10 @@
 	admit     atomic.Pointer[Admission]
 }
 
-// SetAdmission has each connection counted from now on.
+// SetAdmission sets the function that admits and counts connections from now on.
 func (l *Listener) SetAdmission(admit Admission) { l.admit.Store(&admit) }
 
-// admission is what counts connections, nil: nothing does.
+// admission returns the function that admits and counts connections, or nil if there is none.
 func (l *Listener) admission() Admission {
 	if admit := l.admit.Load(); admit != nil {
 		return *admit
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// deliver waits until a connection is accepted, and closes it where that takes longer than a hello may.
+// deliver waits until the connection is accepted, and closes the connection if that takes longer than helloTimeout.
 func (l *Listener) deliver(ctx context.Context, conn net.Conn) {
 	timer := time.NewTimer(helloTimeout)
 	defer timer.Stop()
@@ -72,11 +74,11 @@
 	}
 }
 
-// Close ends Accept. It never fails.
+// Close makes Accept return net.ErrClosed. It never fails.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr is where the process listens.
+// Addr returns the address at which the process listens.
 func (l *Listener) Addr() net.Addr { return l.addr }
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// The roles of processes, as the operator's file has them.
+// Roles of processes, as they are named in the operator's file.
 const (
 	RoleController = "keeper"
 	RoleEdge       = "edge"
@@ -23,43 +23,44 @@
 // Kind is what a connection carries.
 type Kind string
 
-// The kinds of connections.
+// Kinds of connections.
 const (
 	KindLog        Kind = "log"     // the agreed log, between controllers
-	KindMembership Kind = "members" // gossip of members
+	KindMembership Kind = "members" // membership gossip
 	KindHTTP       Kind = "http"
 )
 
 const (
-	maxPendingHellos = 256 // connections whose hello has not come
+	maxPendingHellos = 256 // connections whose hello has not arrived
 	acceptRetryDelay = helloTimeout / 20
 
-	// The idle connections of a Client to one process.
+	// Limits on the idle connections of a Client to one process.
 	clientIdleConns       = 4
 	clientIdleConnTimeout = 5 * time.Second
 )
 
-// Peer is a process of the fleet as this one reaches it.
+// Peer is a process of the fleet, with the addresses at which this process reaches it.
 type Peer struct {
 	Name, Role, Zone string
 	Address          string // HOST:PORT for all kinds
-	RequestAddress   string // HOST:PORT for requests, of edge nodes
+	RequestAddress   string // HOST:PORT for requests; only edge nodes have one
 }
 
-// Network is one process's connections to others. Its methods are safe for concurrent use, but for OverrideSelf.
+// Network holds one process's connections to other processes. Its methods are safe for concurrent use, except for
+// OverrideSelf.
 type Network struct {
 	self         Peer
-	selfOverride string // the address of its own name, "": it listens there
+	selfOverride string // address for its own name; if "", the address at which it listens
 	fleet        string
 	log          zerolog.Logger
 	peers        []Peer
 	listener     net.Listener
 	listeners    map[Kind]*Listener
-	pending      chan struct{} // one element for each connection whose hello has not come
+	pending      chan struct{} // holds one element for each connection whose hello has not arrived
 }
 
-// Open listens at the process's own address. peers are the others; it fails where two processes have one name, or the address is
-// taken.
+// Open listens at the process's own address. peers are the other processes. Open fails if two processes have the same
+// name or the address is taken.
 func Open(fleet string, self Peer, peers []Peer, log zerolog.Logger) (*Network, error) {
 	seen := map[string]bool{self.Name: true}
 	for _, peer := range peers {
@@ -87,21 +88,21 @@
 	return n, nil
 }
 
-// Self is this process; its Address is where it listens.
+// Self returns this process; its Address is the address at which it listens.
 func (n *Network) Self() Peer {
 	self := n.self
 	self.Address = n.listener.Addr().String()
 	return self
 }
 
-// OverrideSelf has connections to the process's own name go to an address: that of the process for which a tool speaks. It is
-// called before Run.
+// OverrideSelf directs connections to the process's own name to an address: that of the process on whose behalf a tool
+// connects. It must be called before Run.
 func (n *Network) OverrideSelf(address string) { n.selfOverride = address }
 
-// Fleet is the fleet's name.
+// Fleet returns the name of the fleet.
 func (n *Network) Fleet() string { return n.fleet }
 
-// Peers are the other processes of a role, or of any where the role is ""; in the file's order.
+// Peers returns the other processes of a role, or all of them if role is "", in the order of the file.
 func (n *Network) Peers(role string) (peers []Peer) {
 	for _, peer := range n.peers {
 		if role == "" || peer.Role == role {
@@ -111,7 +112,7 @@
 	return peers
 }
 
-// Peer is the process of a name, this one included.
+// Peer returns the process with the given name, which may be this one.
 func (n *Network) Peer(name string) (Peer, bool) {
 	if name == n.self.Name {
 		return n.Self(), true
@@ -124,18 +125,18 @@
 	return Peer{}, false
 }
 
-// Run takes connections in until the context ends, then closes all listeners, waits for its goroutines and returns nil. Each
-// connection has a goroutine until its hello has come and a listener has taken it.
+// Run accepts connections until the context ends, then closes all listeners, waits for its goroutines and returns nil.
+// Each connection has a goroutine until its hello has arrived and a listener has accepted the connection.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.listener.Close() // it is closed once
+		_ = n.listener.Close() // closed only once
 		for _, listener := range n.listeners {
-			_ = listener.Close() // it never fails
+			_ = listener.Close() // never fails
 		}
 	})
 	defer stop()
 	var group errgroup.Group
-	defer func() { _ = group.Wait() }() // its functions return nil
+	defer func() { _ = group.Wait() }() // the functions of the group return nil
 	for {
 		conn, err := n.listener.Accept()
 		switch {
@@ -143,7 +144,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // such as too many descriptors
+		case err != nil: // for example, too many open descriptors
 			n.log.Warn().Err(err).Msg("connection not accepted")
 			select {
 			case <-ctx.Done():
@@ -154,7 +155,7 @@
 		select {
 		case n.pending <- struct{}{}:
 		default:
-			_ = conn.Close() // as many hellos are awaited as may be
+			_ = conn.Close() // maxPendingHellos is reached
 			continue
 		}
 		group.Go(func() error {
@@ -165,8 +166,8 @@
 	}
 }
 
-// Dial connects to a process by name, within the context and at most the time of a hello. It fails with ErrRefused where the
-// other side does not take the connection.
+// Dial connects to a process by name, within the context and at most within helloTimeout. It fails with ErrRefused if
+// the other process does not accept the connection.
 func (n *Network) Dial(ctx context.Context, name string, kind Kind) (net.Conn, error) {
 	peer, ok := n.Peer(name)
 	if !ok {
@@ -188,13 +189,14 @@
 	return conn, nil
 }
 
-// Listener hands out the connections of one kind. Before it is called they are refused.
+// Listener returns the listener for one kind of connections. Before the first call, connections of that kind are
+// refused.
 func (n *Network) Listener(kind Kind) *Listener {
 	n.listeners[kind].enabled.Store(true)
 	return n.listeners[kind]
 }
 
-// Client makes HTTP calls to processes by name: http://NAME/path. Its idle connections are few.
+// Client returns an HTTP client that reaches processes by name: http://NAME/path. It keeps few idle connections.
 func (n *Network) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DisableCompression:  true,
