--- a/internal/fdtable/constructor.go
+++ b/internal/fdtable/constructor.go
@@ -6,7 +6,8 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
-// Runs before Go's own start, when there is one thread. The highest descriptor is taken and given back at once.
+// Runs before the Go runtime starts, when there is one thread. Taking the highest descriptor grows the table; the
+// descriptor is closed at once.
 __attribute__((constructor)) static void grow_table(void) {
 	struct rlimit limit;
 	long size = 1024; // TargetSize
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,5 +1,5 @@
-// Package wakeup runs work that is to be done when something falls due or is asked for: one goroutine, which is woken at the
-// time that its work named, or earlier by Wake.
+// Package wakeup runs work that must be done when it falls due or is asked for. One goroutine does the work; it wakes
+// at the time that the work returned, or earlier when Wake is called.
 package wakeup
 
 import (
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// Waker wakes one worker. Use New; the zero value can't be woken. Wake may be called by any goroutine, Run by one at a time.
+// Waker wakes one worker. New creates one; the zero value cannot be woken. Wake may be called from any goroutine, Run
+// by one goroutine at a time.
 type Waker struct {
-	wake chan struct{} // holds one wake-up, so that none is lost while the work is under way
+	wake chan struct{} // holds one wake-up, so that none is lost while the work runs
 }
 
-// New makes a waker.
+// New returns a Waker.
 func New() *Waker { return &Waker{wake: make(chan struct{}, 1)} }
 
-// Wake has the work done soon. It never blocks; several wake-ups before the work begins count as one.
+// Wake causes the work to be done soon. It never blocks; several calls before the work begins count as one.
 func (w *Waker) Wake() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // the work will be done anyhow
+	default: // a wake-up is already pending
 	}
 }
 
-// Run does the work at once, then each time that it is due or woken, until the context ends. The work returns how long it is
-// until it is due again. Run returns nil.
+// Run does the work at once, and then each time that the work is due or Wake is called, until the context ends. The
+// work returns the time until it is due again. Run returns nil.
 func (w *Waker) Run(ctx context.Context, work func() (next time.Duration)) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
