--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -83,8 +83,9 @@
 	return srv.evictFirst(&srv.idle) || srv.evictFirst(&srv.incomplete)
 }
 
-// evictFirst evicts the first session of a list, unless its first message may still be on its way. It reports whether
-// it evicted a session. The server's mu must be held.
+// evictFirst evicts the first session of a list and reports whether it did so. It spares a session of the incomplete
+// list whose last activity is less than ContendedTimeout ago, because its message may still be on its way. The server's
+// mu must be held.
 func (srv *Server) evictFirst(l *list.List) bool {
 	if l.Len() == 0 {
 		return false
@@ -100,8 +101,8 @@
 	return true
 }
 
-// endOneSession evicts a session to free its descriptor, and waits for a session to end. It returns false if there is
-// no session.
+// endOneSession evicts a session, if one can be evicted, to free its descriptor, and then waits as awaitChange does. It
+// returns false if there is no session.
 func (srv *Server) endOneSession() bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// awaitFirstByte waits for the first byte of a message and reports whether the session goes on. Only here the server
-// closes a session between messages without a request in progress, and it does not do so if a byte has arrived by then.
+// awaitFirstByte waits for the first byte of a message and reports whether the session goes on. This is the only place
+// where the server closes a session that is between messages and has no request in progress. It does not do so if a
+// byte has arrived by then.
 func (s *session) awaitFirstByte() bool {
 	for {
 		s.server.mu.Lock()
@@ -73,8 +74,9 @@
 }
 
 // idleDeadline returns the time until which the session waits for a message. While requests are in progress, that is
-// always IdleTimeout from now. A client that connected just before CloseIdleSessions and has not sent a query yet is
-// not disconnected at once. The server's mu must be held.
+// always IdleTimeout from now. After CloseIdleSessions, a session that has had no request still has ContendedTimeout
+// from its last activity, so that a client that connected just before is not disconnected at once. The server's mu must
+// be held.
 func (s *session) idleDeadline() time.Time {
 	limits := &s.server.limits
 	switch {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -42,10 +42,10 @@
 	messageTimeout time.Duration // for a message to arrive completely, and for a client to read a reply
 	retryAfter     string        // in milliseconds, for requests that are rejected for lack of space; empty if none is sent
 
-	mu          sync.Mutex          // guards the fields below up to the counters, and the fields of sessions that are marked so
-	changed     sync.Cond           // on mu: a session has ended, or has no request in progress
+	mu          sync.Mutex          // guards the fields below up to the counters, and the session fields that are marked as guarded
+	changed     sync.Cond           // uses mu; signalled when a session has ended or has no request in progress
 	sessions    int                 // number of open sessions
-	requestIDs  map[string]struct{} // of the requests in progress
+	requestIDs  map[string]struct{} // IDs of the requests in progress
 	idle        list.List           // of *session: waiting for another request after an earlier one, the longest idle first
 	incomplete  list.List           // of *session: startup, first query or a later message not complete, the oldest first
 	closingIdle bool                // CloseIdleSessions was called: sessions are closed between requests
@@ -82,8 +82,8 @@
 
 // Serve accepts connections until the listener is closed or its deadline passes, and waits for all its sessions. After
 // the deadline, Serve still takes the connections that the kernel has accepted, and then closes the listener: closing
-// it earlier would reset those connections, and requests may have arrived on them. Serve returns nil in both cases. It
-// returns any other error of Accept that ends the listener unchanged.
+// it earlier would reset those connections, and requests may have arrived on them. Serve returns nil in both cases. Any
+// other error of Accept that ends the listener is returned unchanged.
 func (srv *Server) Serve(listener net.Listener) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -15,7 +15,7 @@
 // last reply.
 const acknowledgementPoll = 2 * time.Millisecond
 
-// closingState is how far the server has got in closing a session. It never goes back to an earlier state.
+// closingState is how far the server has progressed in closing a session. It never returns to an earlier state.
 type closingState uint8
 
 const (
