--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -11,7 +11,7 @@
 	"silvercove/internal/transport"
 )
 
-// acquire returns an idle connection to a backend, or makes a new one. If it returns no connection, the reply tells the
+// acquire returns an idle connection to a backend, or makes a new one. If it returns no connection, the reply holds the
 // reason.
 func (p *Pool) acquire(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
 	for c := p.takeIdle(backend.Name); c != nil; c = p.takeIdle(backend.Name) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,7 +41,7 @@
 	connectTimeout time.Duration // for a new connection, until the backend reports that it is ready
 	maxIdleTime    time.Duration // of a connection
 	dispatcher     *dispatch.Dispatcher
-	loadColumns    []string // of a load report
+	loadColumns    []string // columns of a load report
 
 	slots  chan struct{}  // holds one element for each connection that is open or being made
 	probes sync.WaitGroup // goroutines of Probe
