--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,9 +1,9 @@
 // Package downstream serves the client side of the relay: client sessions in PostgreSQL's wire protocol, version 3.0,
 // with simple queries only (https://www.postgresql.org/docs/current/protocol.html).
 //
-// The caller creates one Server and runs Serve on each of its listeners. For a graceful shutdown, the caller tells
-// StopBefore when the process may be killed, calls CloseIdleSessions, and sets the listeners' deadlines. Serve then
-// returns once the last session has ended.
+// The caller creates one Server and runs Serve on each of its listeners. For a graceful shutdown, the caller passes to
+// StopBefore the time at which the process may be killed, calls CloseIdleSessions, and sets the listeners' deadlines.
+// Serve then returns once the last session has ended.
 //
 // Serve runs one goroutine for each session and waits for all of them. A session's goroutine reads the client's
 // messages. It starts one goroutine for each request, and one for each reply that has to wait for earlier replies, and
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -34,8 +34,8 @@
 // NewStream returns a Response whose chunks may go on indefinitely.
 func NewStream() *Response { return &Response{unbounded: true} }
 
-// Read reads as much of in as it can and appends the bytes of the body to body. It returns how many bytes of in it
-// used; the caller passes the rest again, together with the bytes that follow. The error is ErrMalformed or ErrTooLong.
+// Read reads as much of in as it can and appends the bytes of the body to body. It returns how many bytes it has used;
+// the caller passes the rest again, together with the bytes that follow. The error is ErrMalformed or ErrTooLong.
 func (r *Response) Read(in, body []byte) (used int, out []byte, err error) {
 	for !r.Done {
 		n, more, err := r.step(in[used:], &body)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport provides connections that have one ring buffer for each direction, deadlines, and a CloseStatus,
-// the one type for every way in which a connection can end. The buffers of all connections come from one BufferBudget.
+// Package transport provides connections with one ring buffer for each direction and with deadlines. CloseStatus is the
+// one type for every way in which a connection can end. The buffers of all connections come from one BufferBudget.
 // Address holds the address of a peer that may move while the program runs.
 //
 // A caller opens a connection with Dial, or wraps an accepted one with NewConn. It reads with Fill, Buffered and
@@ -20,7 +20,7 @@
 // Conn is one connection. One goroutine at a time may read and one may write. Any goroutine may set deadlines, and any
 // may call Close once reading and writing are finished.
 type Conn struct {
-	conn          net.Conn // a TCP connection, because the kernel is asked for its state
+	conn          net.Conn // a TCP connection, whose state the kernel reports
 	input, output ring
 	flushed       atomic.Bool // the last byte of the last Flush was written
 	established   bool        // the kernel has reported this state; only the reader uses the field
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,5 +1,5 @@
-// Package wakeup runs work that must be done when it falls due or is asked for. One goroutine does the work; it wakes
-// at the time that the work returned, or earlier when Wake is called.
+// Package wakeup runs work that must be done when it falls due or is asked for. One goroutine does the work. It wakes
+// when the time that the work returned has passed, or earlier when Wake is called.
 package wakeup
 
 import (
