--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -117,7 +117,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
-	listener.Admit(c.connLimiter.admit)
+	listener.SetAdmission(c.connLimiter.admit)
 	err := server.Serve(listener)
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // net.ErrClosed: the process's Network has ended
 		return nil
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -8,48 +8,50 @@
 	"time"
 )
 
-// Conn is a connection that was taken in; From is the name of the process at its other end.
+// Conn is an accepted connection. From is the name of the process at its other end.
 type Conn struct {
 	net.Conn
-	From  string
-	leave func() // nil: nobody counts
-	once  sync.Once
+	From    string
+	release func() // nil if the connection is not counted
+	once    sync.Once
 }
 
-// Close closes the connection, and counts it out at the first call.
+// Close closes the connection. The first call also releases the admission of the connection.
 func (c *Conn) Close() error {
-	if c.leave != nil {
-		c.once.Do(c.leave)
+	if c.release != nil {
+		c.once.Do(c.release)
 	}
 	return c.Conn.Close()
 }
 
-// Admit counts a process's connection in until leave is called, once, or returns why it is refused, which its Dial tells.
-type Admit func(from string) (leave func(), refusal string)
+// Admission admits a connection from a process and counts it until release is called, once. Otherwise it returns the
+// reason for the refusal, which is part of the error that the process gets from Dial.
+type Admission func(from string) (release func(), refusal string)
 
-// Listener is a net.Listener of one kind of connections; it hands out each as a *Conn. It is safe for concurrent use.
+// Listener is a net.Listener for one kind of connections; each connection that it returns is a *Conn. It is safe for
+// concurrent use.
 type Listener struct {
 	addr      net.Addr
-	wanted    atomic.Bool // Network.Listener was called
+	enabled   atomic.Bool // Network.Listener was called
 	conns     chan net.Conn
 	closed    chan struct{}
 	closeOnce sync.Once
-	admit     atomic.Pointer[Admit]
+	admit     atomic.Pointer[Admission]
 }
 
-// Admit has each connection counted from now on.
-func (l *Listener) Admit(admit Admit) { l.admit.Store(&admit) }
+// SetAdmission sets the function that admits and counts connections from now on.
+func (l *Listener) SetAdmission(admit Admission) { l.admit.Store(&admit) }
 
-// admission is what counts connections, nil: nothing does.
-func (l *Listener) admission() Admit {
+// admission returns the function that admits and counts connections, or nil if there is none.
+func (l *Listener) admission() Admission {
 	if admit := l.admit.Load(); admit != nil {
 		return *admit
 	}
 	return nil
 }
 
-// hand waits until a connection is accepted, and closes it where that takes longer than a hello may.
-func (l *Listener) hand(ctx context.Context, conn net.Conn) {
+// deliver waits until the connection is accepted, and closes the connection if that takes longer than helloTimeout.
+func (l *Listener) deliver(ctx context.Context, conn net.Conn) {
 	timer := time.NewTimer(helloTimeout)
 	defer timer.Stop()
 	select {
@@ -72,11 +74,11 @@
 	}
 }
 
-// Close ends Accept. It never fails.
+// Close makes Accept return net.ErrClosed. It never fails.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr is where the process listens.
+// Addr returns the address at which the process listens.
 func (l *Listener) Addr() net.Addr { return l.addr }
