--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -66,7 +66,7 @@
 	}
 	at, self := f.Self.Address, f.Self
 	self.Address = "127.0.0.1:0"
-	network, err := peertransport.Open(f.Fleet, self, f.Peers, zerolog.Nop())
+	network, err := peertransport.Open(f.FleetName, self, f.Peers, zerolog.Nop())
 	if err != nil {
 		return err
 	}
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -35,7 +35,7 @@
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00"
 	p := &fleetProcess{file: f, log: logger(f.LogLevel).With().Str("node", f.Self.Name).Logger()}
-	if p.net, err = peertransport.Open(f.Fleet, f.Self, f.Peers, p.log); err != nil {
+	if p.net, err = peertransport.Open(f.FleetName, f.Self, f.Peers, p.log); err != nil {
 		return nil, err
 	}
 	if f.MetricsAddress != "" {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -56,7 +56,7 @@
 		req := call[In]{ctx: r.Context(), query: r.URL.Query()}
 		req.caller, _ = r.Context().Value(callerKey{}).(string)
 		if r.Method == http.MethodPost {
-			body := http.MaxBytesReader(w, r.Body, controllerclient.MaxBody)
+			body := http.MaxBytesReader(w, r.Body, controllerclient.MaxBodyBytes)
 			if err := json.NewDecoder(body).Decode(&req.body); err != nil {
 				writeError(w, refuse(http.StatusBadRequest, "the call can't be read: %v", err))
 				return
--- a/internal/controllerclient/errors.go
+++ b/internal/controllerclient/errors.go
@@ -14,8 +14,8 @@
 // ErrOtherLineage is wrapped where a controller speaks for another lineage than one that was believed before.
 var ErrOtherLineage = errors.New("the keepers lost their disks")
 
-// errNoControllerNamed is returned by each call where the operator's file names no controller.
-var errNoControllerNamed = errors.New("this file names no keeper")
+// errNoControllerConfigured is returned by each call where the operator's file names no controller.
+var errNoControllerConfigured = errors.New("this file names no keeper")
 
 // RefusalError is an answer that refuses a call for good, with 400, 404 or 409. errors.Is finds the error of package placement
 // or leases that the controller named, such as placement.ErrStaleEpoch.
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -11,8 +11,8 @@
 // Version is the version of the calls. A controller refuses another one with 400.
 const Version = 1
 
-// MaxBody is how many bytes the body of a call may have.
-const MaxBody = 256 << 10
+// MaxBodyBytes is how many bytes the body of a call may have.
+const MaxBodyBytes = 256 << 10
 
 // LeaseRequest asks for a lease, or renews it. Its JSON names are those of the wire, as are those of all types here.
 type LeaseRequest struct {
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -18,7 +18,7 @@
 	ticker := time.NewTicker(n.leaseDuration.Duration() / renewalsPerLease)
 	defer ticker.Stop()
 	meter := loadMeter{since: time.Now()}
-	fault := ""          // why the lease is not renewed, as last logged
+	loggedReason := ""   // why the lease is not renewed, as last logged
 	rollingBack := false // this node's software version, as a controller told it last
 	for {
 		report, began := n.assessHealth(&meter), time.Now()
@@ -29,10 +29,10 @@
 		}
 		switch {
 		case granted:
-			fault = ""
-		case err != nil && ctx.Err() == nil && err.Error() != fault:
-			fault = err.Error()
-			n.options.Log.Warn().Str("event", "lease").Str("why", "not renewed: "+fault).
+			loggedReason = ""
+		case err != nil && ctx.Err() == nil && err.Error() != loggedReason:
+			loggedReason = err.Error()
+			n.options.Log.Warn().Str("event", "lease").Str("why", "not renewed: "+loggedReason).
 				Int64("elapsed_ms", time.Since(began).Milliseconds()).Msg("lease not renewed")
 		}
 		select {
@@ -50,7 +50,7 @@
 	unverified := n.replicas.UnverifiedCopies(controllerclient.MaxUnverified)
 	n.mu.Unlock()
 	requestContext, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
-	response, sent, err := n.client.RequestLease(requestContext, controllerclient.LeaseRequest{
+	response, sentAt, err := n.client.RequestLease(requestContext, controllerclient.LeaseRequest{
 		Node:            n.name,
 		Incarnation:     n.incarnation,
 		Report:          report,
@@ -67,7 +67,7 @@
 		return false, err
 	}
 	*rollingBack = response.RollingBack
-	lineage, changed := n.onLeaseGranted(response, sent, unverified)
+	lineage, changed := n.onLeaseGranted(response, sentAt, unverified)
 	if changed {
 		_ = n.writeNote(ctx, lineage) // a full disk: the lineage is learned anew after a restart
 	}
@@ -75,14 +75,14 @@
 }
 
 // onLeaseGranted takes a lease in, and returns the controllers' lineage and whether it is not the stored one.
-func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sent tick.Tick,
+func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sentAt tick.Tick,
 	reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
 	if response.Lineage == n.lineage { // else the assignments were rebuilt, and are to be told first
-		n.replicas.OnLease(controllerclient.Now(), sent+n.leaseDuration, response.AssignmentsVersion)
+		n.replicas.OnLease(controllerclient.Now(), sentAt+n.leaseDuration, response.AssignmentsVersion)
 	}
 	lineage = n.client.Lineage()
 	changed = lineage != n.storedLineage
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -25,10 +25,10 @@
 
 // Bounds of one process.
 const (
-	maxQueuedProposals = 1024 // operations on their way to the controllers; of each instance there is one at most
-	maxQueuedMessages  = 256  // messages that wait for one other node; what is beyond is lost
-	senders            = 4    // messages under way to one other node at a time
-	proposers          = 16   // operations under way to the controllers at a time
+	maxQueuedProposals       = 1024 // operations on their way to the controllers; of each instance there is one at most
+	maxQueuedMessagesPerPeer = 256  // messages that wait for one other node; what is beyond is lost
+	sendersPerPeer           = 4    // messages under way to one other node at a time
+	proposers                = 16   // operations under way to the controllers at a time
 
 	powerReadInterval = time.Second
 )
@@ -61,8 +61,8 @@
 	logsAtStart       []replica.Log    // what the disk had, until replicas has it
 	health            *devicehealth.Monitor
 	report            devicehealth.Report // the last one
-	requests          map[*replica.Request]chan replica.Response
-	replies           map[uint64]chan replica.Message // by ReplyTo: other nodes' calls that wait for an answer
+	pendingRequests   map[*replica.Request]chan replica.Response
+	pendingReplies    map[uint64]chan replica.Message // by ReplyTo: other nodes' calls that wait for an answer
 	lastReplyID       uint64
 	inFlight          int                      // requests
 	lineage           controllerclient.Lineage // of the assignments that replicas has
@@ -78,20 +78,20 @@
 	o.Log = o.Log.With().Str("component", "edgenode").Logger()
 	leaseSeconds, _ := o.File.Settings["fleet.lease"].(float64)
 	n := &Node{
-		options:       o,
-		name:          o.File.Self.Name,
-		leaseDuration: tick.Tick(leaseSeconds * float64(tick.Second)),
-		client:        controllerclient.New(o.Network, o.File.Settings, o.Seed),
-		powerReader:   devicepower.Open(o.File.PowerDir),
-		outgoing:      map[string]chan replica.Message{},
-		proposals:     make(chan placement.Operation, maxQueuedProposals),
-		renewNow:      make(chan struct{}, 1),
-		changed:       make(chan struct{}, 1),
-		requests:      map[*replica.Request]chan replica.Response{},
-		replies:       map[uint64]chan replica.Message{},
+		options:         o,
+		name:            o.File.Self.Name,
+		leaseDuration:   tick.Tick(leaseSeconds * float64(tick.Second)),
+		client:          controllerclient.New(o.Network, o.File.Settings, o.Seed),
+		powerReader:     devicepower.Open(o.File.PowerDir),
+		outgoing:        map[string]chan replica.Message{},
+		proposals:       make(chan placement.Operation, maxQueuedProposals),
+		renewNow:        make(chan struct{}, 1),
+		changed:         make(chan struct{}, 1),
+		pendingRequests: map[*replica.Request]chan replica.Response{},
+		pendingReplies:  map[uint64]chan replica.Message{},
 	}
 	for _, peer := range o.Network.Peers(peertransport.RoleEdge) {
-		n.outgoing[peer.Name] = make(chan replica.Message, maxQueuedMessages)
+		n.outgoing[peer.Name] = make(chan replica.Message, maxQueuedMessagesPerPeer)
 	}
 	warn := func(text string) { o.Log.Warn().Str("why", text).Msg("instance store warning") }
 	var text []byte
@@ -137,17 +137,17 @@
 
 // Run works until terminate ends, then has its instances handed on and returns within maxTerminationLeases leases; or until
 // now ends, then it returns at once. It returns nil after either.
-func (n *Node) Run(terminate, now context.Context) error {
-	ctx, cancel := context.WithCancel(now)
+func (n *Node) Run(terminate, kill context.Context) error {
+	ctx, cancel := context.WithCancel(kill)
 	defer cancel()
-	stop, stored := make(chan struct{}), make(chan struct{})
+	stopStore, storeStopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		n.store.Run(stop)
-		close(stored)
+		n.store.Run(stopStore)
+		close(storeStopped)
 	}()
 	defer func() {
-		close(stop)
-		<-stored
+		close(stopStore)
+		<-storeStopped
 	}()
 	defer n.client.Close()
 	if err := n.writeNote(ctx, n.storedLineage); err != nil {
@@ -164,7 +164,7 @@
 	peerClient := n.options.Network.Client()
 	defer peerClient.CloseIdleConnections()
 	for to, queue := range n.outgoing {
-		for range senders {
+		for range sendersPerPeer {
 			group.Go(func() error { n.sendMessages(ctx, peerClient, to, queue); return nil })
 		}
 	}
--- a/internal/edgenode/peer_client.go
+++ b/internal/edgenode/peer_client.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/replica"
 )
 
-// maxMessage is the most bytes of a message between nodes.
-const maxMessage = 4 << 20
+// maxMessageBytes is the most bytes of a message between nodes.
+const maxMessageBytes = 4 << 20
 
 // sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. A message without an
 // answer is lost: the replica.Manager sends again.
@@ -51,7 +51,7 @@
 		return answer, err
 	}
 	defer func() { _ = response.Body.Close() }() // it was read as far as it is wanted
-	text, err = io.ReadAll(io.LimitReader(response.Body, maxMessage))
+	text, err = io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return answer, err
 	}
--- a/internal/edgenode/peer_server.go
+++ b/internal/edgenode/peer_server.go
@@ -18,10 +18,10 @@
 
 // Limits of the HTTP server for other processes.
 const (
-	maxPeerCalls      = 1024 // at a time
-	peerHeaderTimeout = 2 * time.Second
-	peerIdleTimeout   = 30 * time.Second
-	maxPeerHeader     = 8 << 10 // bytes
+	maxPeerCalls       = 1024 // at a time
+	peerHeaderTimeout  = 2 * time.Second
+	peerIdleTimeout    = 30 * time.Second
+	maxPeerHeaderBytes = 8 << 10 // bytes
 )
 
 // callerKey is the key of a request's context under which the name of the calling process stands.
@@ -38,7 +38,7 @@
 		Handler:           limitCalls(mux, maxPeerCalls),
 		ReadHeaderTimeout: peerHeaderTimeout,
 		IdleTimeout:       peerIdleTimeout,
-		MaxHeaderBytes:    maxPeerHeader,
+		MaxHeaderBytes:    maxPeerHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			if peer, ok := conn.(*peertransport.Conn); ok {
@@ -112,7 +112,7 @@
 // handleMessage answers a message of another node once all that it brought is on the disk.
 func (n *Node) handleMessage(w http.ResponseWriter, r *http.Request, kind string) {
 	caller, _ := r.Context().Value(callerKey{}).(string)
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 	if err != nil {
 		n.refuseMessage(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
@@ -141,7 +141,7 @@
 	case <-r.Context().Done():
 	}
 	n.mu.Lock()
-	delete(n.replies, id)
+	delete(n.pendingReplies, id)
 	n.mu.Unlock()
 	n.refuseMessage(w, http.StatusServiceUnavailable, "the disk is slow")
 }
@@ -149,7 +149,7 @@
 // receiveMessage hands a message to the replica.Manager. reply is where its answer comes, nil before the first assignments are
 // known.
 func (n *Node) receiveMessage(caller string, m replica.Message) (id uint64, reply <-chan replica.Message) {
-	done := make(chan replica.Message, 1)
+	answers := make(chan replica.Message, 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.replicas == nil {
@@ -157,9 +157,9 @@
 	}
 	n.lastReplyID++
 	m.ReplyTo = n.lastReplyID
-	n.replies[m.ReplyTo] = done
+	n.pendingReplies[m.ReplyTo] = answers
 	n.replicas.OnMessage(controllerclient.Now(), caller, m)
-	return m.ReplyTo, done
+	return m.ReplyTo, answers
 }
 
 // messageStatusCode is the status code of HTTP with which an answer goes.
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -44,9 +44,9 @@
 		n.mu.Unlock()
 		return pgwire.DataRow([]byte(load), "SHOW")
 	}
-	query, fault := pgwire.ParseQuery([]byte(text))
-	if fault != nil {
-		return queryError(fault.SQLState, fault.Text)
+	query, parseError := pgwire.ParseQuery([]byte(text))
+	if parseError != nil {
+		return queryError(parseError.SQLState, parseError.Text)
 	}
 	response := n.execute(ctx, query)
 	metrics.GetOrCreateCounter(outcomeCounters[response.Outcome]).Inc()
@@ -89,7 +89,7 @@
 		return replica.Response{Outcome: replica.Rejected, Detail: "the keepers' places are not known yet: never ran"}
 	}
 	n.inFlight++
-	n.requests[request] = done
+	n.pendingRequests[request] = done
 	now := controllerclient.Now()
 	request.Deadline = now + tick.FromDuration(timeout)
 	n.replicas.OnRequest(now, request)
@@ -101,7 +101,7 @@
 		response = replica.Response{Outcome: replica.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
 	}
 	n.mu.Lock()
-	delete(n.requests, request)
+	delete(n.pendingRequests, request)
 	n.inFlight--
 	switch response.Outcome {
 	case replica.Succeeded:
--- a/internal/edgenode/replica_host.go
+++ b/internal/edgenode/replica_host.go
@@ -15,8 +15,8 @@
 // or beyond the queue, is lost.
 func (h replicaHost) Send(to string, m replica.Message) {
 	if m.ReplyTo != 0 {
-		if reply := h.node.replies[m.ReplyTo]; reply != nil {
-			delete(h.node.replies, m.ReplyTo)
+		if reply := h.node.pendingReplies[m.ReplyTo]; reply != nil {
+			delete(h.node.pendingReplies, m.ReplyTo)
 			reply <- m
 		}
 		return
@@ -37,8 +37,8 @@
 
 // Respond ends a request.
 func (h replicaHost) Respond(r *replica.Request, response replica.Response) {
-	if done := h.node.requests[r]; done != nil {
-		delete(h.node.requests, r)
+	if done := h.node.pendingRequests[r]; done != nil {
+		delete(h.node.pendingRequests, r)
 		done <- response
 	}
 }
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -55,7 +55,7 @@
 			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) }) // else Close ends the read
 			defer unblock()
 			defer func() { _ = conn.Close() }() // what was answered was written
-			session := &session{node: n, conn: conn, chunk: make([]byte, sessionChunk)}
+			session := &session{node: n, conn: conn, chunk: make([]byte, sessionChunkBytes)}
 			session.run(ctx)
 		})
 	}
--- a/internal/edgenode/session.go
+++ b/internal/edgenode/session.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/pgwire"
 )
 
-// sessionChunk is how many bytes a session reads at a time.
-const sessionChunk = 4 << 10
+// sessionChunkBytes is how many bytes a session reads at a time.
+const sessionChunkBytes = 4 << 10
 
 // session is one connection for requests: a startup, then one simple query after another. One goroutine owns it.
 type session struct {
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -10,16 +10,16 @@
 	// maxTerminationLeases is within how many leases a node that is told to end has its instances handed on.
 	maxTerminationLeases = 10
 
-	// maxReplicaLeases is how many leases more it waits to be dropped as a replica, once it is primary of nothing: the
+	// maxReplicaWaitLeases is how many leases more it waits to be dropped as a replica, once it is primary of nothing: the
 	// primaries go on without it.
-	maxReplicaLeases = 2
+	maxReplicaWaitLeases = 2
 )
 
 // remainingDuties is what the controllers still count on this node for.
 type remainingDuties struct {
-	primary  bool // of an instance
-	replica  bool // of an instance
-	requests bool // are under way
+	primary          bool // of an instance
+	replica          bool // of an instance
+	requestsInFlight bool // are under way
 }
 
 // terminate tells that the node ends, and waits until the controllers count on it for nothing, with bounds.
@@ -42,7 +42,7 @@
 		if !duties.primary {
 			if replicaContext == nil {
 				var stop context.CancelFunc
-				replicaContext, stop = context.WithTimeout(ctx, maxReplicaLeases*n.leaseDuration.Duration())
+				replicaContext, stop = context.WithTimeout(ctx, maxReplicaWaitLeases*n.leaseDuration.Duration())
 				defer stop()
 			}
 			limit = replicaContext
@@ -63,7 +63,7 @@
 func (n *Node) remainingDuties() remainingDuties {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	duties := remainingDuties{requests: n.inFlight > 0}
+	duties := remainingDuties{requestsInFlight: n.inFlight > 0}
 	if n.replicas == nil {
 		return duties
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,9 +12,9 @@
 
 // File is the block fleet of an operator's file.
 type File struct {
-	Fleet string // its name
-	Self  peertransport.Peer
-	Peers []peertransport.Peer // in the file's order
+	FleetName string // its name
+	Self      peertransport.Peer
+	Peers     []peertransport.Peer // in the file's order
 
 	DataDir  string // "": none
 	PowerDir string // in the layout of package devicepower, "": none
@@ -50,7 +50,7 @@
 	self.RequestAddress = requestAddresses[self.Name]
 	version, _ := b["build"].(float64)
 	f := &File{
-		Fleet:           b.text("name"),
+		FleetName:       b.text("name"),
 		Self:            self,
 		Peers:           b.peers(requestAddresses),
 		DataDir:         b.path("data", filepath.Dir(path)),
@@ -81,12 +81,12 @@
 }
 
 // path is a directive's path, "" where it is not there. One that is relative begins at a folder.
-func (b block) path(name, folder string) string {
+func (b block) path(name, dir string) string {
 	path := b.text(name)
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
-	return filepath.Join(folder, path)
+	return filepath.Join(dir, path)
 }
 
 // rows are the words of each line of a directive that may stand on several. Operatorconfig has checked their number and kinds.
