--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -14,17 +14,18 @@
 	"silvercove/internal/tick"
 )
 
-// maxResponseBytes is the most bytes of an answer: all assignments of a hundred thousand instances and more.
+// maxResponseBytes limits the body of a response; it leaves room for the assignments of more than 100,000 instances.
 const maxResponseBytes = 256 << 20
 
-// call calls one controller after another until one answers for good or the context ends. sentAt is when the request that was
-// answered left. A call with a timeout above ProposalTimeout is a poll.
+// call calls one controller after another until one gives a final answer or the context ends. A final answer is a success or a
+// refusal with a status other than 421 and 503. sentAt is the time at which the answered request was sent. A call whose timeout
+// exceeds ProposalTimeout is treated as a poll, which endCall may cancel.
 func (c *Client) call(ctx context.Context, method, path string, request, response any, timeout tick.Tick) (sentAt tick.Tick, err error) {
 	if len(c.controllers) == 0 {
 		return 0, errNoControllerConfigured
 	}
 	pause, maxPause := c.timings.RetryDelayMin, c.timings.RetryDelayMax
-	if method == http.MethodGet { // whoever watches can wait longer than one whose lease runs
+	if method == http.MethodGet { // a watcher can wait longer than a node whose lease is running out
 		maxPause *= 4
 	}
 	var lastErr error
@@ -48,7 +49,7 @@
 		}
 		lastErr = err
 		redirected := c.chooseNext(p.controller, refusal)
-		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) { // two that name each other must not be asked in a circle
+		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) { // controllers that redirect to each other get a pause too
 			continue
 		}
 		if err := c.pause(ctx, pause); err != nil {
@@ -58,13 +59,13 @@
 	}
 }
 
-// poll is a call that is under way.
+// activeCall is a call in progress.
 type activeCall struct {
 	controller string
 	cancel     context.CancelFunc
 }
 
-// beginCall notes that a call goes to the controller that was found to lead last.
+// beginCall registers a call to the controller that was last known to lead.
 func (c *Client) beginCall(cancel context.CancelFunc, isPoll bool) *activeCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,11 +76,11 @@
 	return p
 }
 
-// endCall notes the end of a call, and where its controller has carried it out, ends the polls at others.
+// endCall removes a finished call. If its controller gave a final answer, endCall cancels the polls at all other controllers.
 //
-// Guards against a controller that led and stands still with its connections open: it would be waited for as long as a poll
-// may last, while leases are granted by the next one, and nothing of what that one agreed is heard. A poll at the leading
-// controller may be ended too, where an earlier one answers late: it is made anew.
+// This guards against a former leader that hangs with its connections open: polls there would last for their whole timeout while
+// the next leader already grants leases, and the client would miss all changes agreed there. If a former leader answers late, a
+// poll at the current leader may be canceled too; the client then polls again.
 func (c *Client) endCall(ended *activeCall, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +95,8 @@
 	}
 }
 
-// chooseNext chooses where the next call goes after one at a controller that did not carry it out, unless another call has done
-// so meanwhile. redirected reports whether that controller named the one that leads.
+// chooseNext selects the controller for the next call after controller tried gave no final answer, unless another call has
+// selected one in the meantime. redirected reports whether tried named another configured controller as the leader.
 func (c *Client) chooseNext(tried string, refusal *RefusalError) (redirected bool) {
 	next := ""
 	if refusal != nil && refusal.Code == http.StatusMisdirectedRequest && slices.Contains(c.controllers, refusal.Leader) &&
@@ -113,7 +114,7 @@
 	return next != ""
 }
 
-// pause waits for between a half and the whole of a span.
+// pause waits for a random time between half of maxDelay and maxDelay.
 func (c *Client) pause(ctx context.Context, maxDelay tick.Tick) error {
 	c.mu.Lock()
 	fraction := 0.5 + c.random.Float64()/2
@@ -128,7 +129,8 @@
 	}
 }
 
-// callOnce calls one process. sentAt is when the request left. An answer but 200 is a *RefusalError, whatever its code.
+// callOnce calls one process once. sentAt is the time at which the request was sent. An answer with a status other than 200
+// is returned as a *RefusalError, whatever the status, if its body is an ErrorBody.
 func (c *Client) callOnce(ctx context.Context, process, method, path string, request, response any, timeout tick.Tick) (sentAt tick.Tick, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -149,7 +151,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = httpResponse.Body.Close() }() // it was read as far as it is wanted
+	defer func() { _ = httpResponse.Body.Close() }() // the needed part of the body has been read
 	decoder := json.NewDecoder(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if httpResponse.StatusCode == http.StatusOK {
 		if err := decoder.Decode(response); err != nil {
--- a/internal/controllerclient/clock.go
+++ b/internal/controllerclient/clock.go
@@ -8,9 +8,9 @@
 	"silvercove/internal/tick"
 )
 
-// Now is the time by which leases are counted: this machine's since its start, its sleep included.
+// Now returns the time by which leases are measured: the time since this machine booted, including the time it was suspended.
 func Now() tick.Tick {
 	var now unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) // it can't fail with a clock that Linux has had since 2.6.39
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) // cannot fail: Linux has this clock since 2.6.39
 	return tick.FromDuration(time.Duration(now.Nano()))
 }
--- a/internal/controllerclient/doc.go
+++ b/internal/controllerclient/doc.go
@@ -1,7 +1,7 @@
-// Package controllerclient has the messages of the controllers' calls, and the Client that edge nodes, relays, tools and the
-// controllers themselves make them with. A controller itself is in package controller, which imports much more.
+// Package controllerclient defines the messages of the controllers' HTTP API, and the Client with which edge nodes, relays, tools
+// and the controllers themselves call it. The controller is implemented in package controller, which has far more dependencies.
 //
-// A Client calls whichever controller leads, and finds it: a call is tried at one controller after another, with pauses that
-// grow, until one of them answers for good or the call's context ends. It believes no controller that speaks for another
-// lineage of assignments than one that it has heard of (CheckLineage).
+// A Client finds the leading controller by itself: it tries one controller after another, with growing pauses, until one of them
+// gives a final answer or the call's context ends. It accepts no assignments from a controller whose lineage does not match the
+// lineage that the client knows (CheckLineage).
 package controllerclient
--- a/internal/controllerclient/errors.go
+++ b/internal/controllerclient/errors.go
@@ -8,26 +8,28 @@
 	"silvercove/internal/placement"
 )
 
-// ErrNoController is wrapped where no controller carried a call out before its context ended. Whether it was is not known.
-var ErrNoController = errors.New("no keeper carries it out")
+// ErrNoController is wrapped by the error of a call that no controller confirmed before its context ended. A controller may have
+// carried the call out nevertheless. Client.Backup wraps it if no controller answered as the leader.
+var ErrNoController = errors.New("no controller completed the call")
 
-// ErrOtherLineage is wrapped where a controller speaks for another lineage than one that was believed before.
-var ErrOtherLineage = errors.New("the keepers lost their disks")
+// ErrOtherLineage is wrapped by the error for a controller whose lineage does not match the lineage accepted before.
+var ErrOtherLineage = errors.New("the controllers' lineage does not match, their disks may have been lost")
 
-// errNoControllerConfigured is returned by each call where the operator's file names no controller.
-var errNoControllerConfigured = errors.New("this file names no keeper")
+// errNoControllerConfigured is returned by each call if the operator's file lists no controller.
+var errNoControllerConfigured = errors.New("the configuration file lists no process of role keeper")
 
-// RefusalError is an answer that refuses a call for good, with 400, 404 or 409. errors.Is finds the error of package placement
-// or leases that the controller named, such as placement.ErrStaleEpoch.
+// RefusalError is a controller's final refusal of a call, with status 400, 404 or 409. errors.Is finds the error of package
+// placement or leases that the controller's text contains, such as placement.ErrStaleEpoch. Client.Status, Confirm and Inventory,
+// which call a single process, return a RefusalError for any status other than 200.
 type RefusalError struct {
-	Code int // of HTTP
+	Code int // HTTP status code
 	ErrorBody
 }
 
-// Error is the controller's text.
+// Error returns the controller's error text.
 func (r *RefusalError) Error() string { return r.ErrorBody.Error }
 
-// namedErrors are the errors that a controller sends as text.
+// namedErrors are the errors that Is recognizes by their text in a controller's answer.
 var namedErrors = []error{
 	placement.ErrNotFound,
 	placement.ErrExists,
@@ -43,7 +45,7 @@
 	leases.ErrIncarnationPending,
 }
 
-// Is reports whether the controller named an error.
+// Is reports whether the controller's error text contains the text of target, which must be one of namedErrors.
 func (r *RefusalError) Is(target error) bool {
 	for _, named := range namedErrors {
 		if errors.Is(target, named) {
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -8,43 +8,45 @@
 	"silvercove/internal/replica"
 )
 
-// Version is the version of the calls. A controller refuses another one with 400.
+// Version is the version of the API. A controller refuses a call of another version with status 400.
 const Version = 1
 
-// MaxBodyBytes is how many bytes the body of a call may have.
+// MaxBodyBytes limits the body of a request to a controller.
 const MaxBodyBytes = 256 << 10
 
-// LeaseRequest asks for a lease, or renews it. Its JSON names are those of the wire, as are those of all types here.
+// LeaseRequest asks for a lease or renews it. The JSON names of this and all other types in this file are wire names, which stay as
+// they are even where a Go name differs. RecordCount is that of instancestore.Store.
 type LeaseRequest struct {
 	Version         int                      `json:"v"`
 	Node            string                   `json:"unit"`
-	Incarnation     uint64                   `json:"run"` // of the process, above 0 and greater at each start
+	Incarnation     uint64                   `json:"run"` // of the process: above 0, and greater at each start
 	Report          json.RawMessage          `json:"report,omitempty"`
-	RequestAddress  string                   `json:"commands,omitempty"` // where requests are taken, HOST:PORT
+	RequestAddress  string                   `json:"commands,omitempty"` // address at which the node accepts requests, HOST:PORT
 	Zone            string                   `json:"zone,omitempty"`
 	SoftwareVersion uint16                   `json:"build,omitempty"`
-	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of the process, ms since 1970, for lists; no decision rests on it
+	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of the process, Unix time; for lists, not for decisions
 	Draining        bool                     `json:"draining,omitempty"`
-	RollingBack     bool                     `json:"going_back,omitempty"` // its software version is rolled back, as a controller told it last
+	RollingBack     bool                     `json:"going_back,omitempty"` // as a controller last told it, see LeaseResponse.RollingBack
 	WarmingUp       bool                     `json:"cold,omitempty"`
-	LostCopies      bool                     `json:"fresh,omitempty"`  // this incarnation began without the copies of the one before
-	RecordCount     uint64                   `json:"kept,omitempty"`   // records that its disk has ever taken (instancestore.Store.RecordCount); 0: not known
-	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // copies that it serves from though entries may be missing
+	LostCopies      bool                     `json:"fresh,omitempty"`  // this incarnation started without the copies of the previous one
+	RecordCount     uint64                   `json:"kept,omitempty"`   // records ever written to its disk; 0: unknown
+	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // copies that the node serves although entries may be missing
 }
 
-// MaxUnverified is how many unverified copies one call tells; the others follow with the next one.
+// MaxUnverified is the maximum number of unverified copies in one LeaseRequest; further copies follow in the next request.
 const MaxUnverified = 64
 
-// HealthReport is what a controller reads of LeaseRequest.Report, which is a devicehealth.Report; the rest is passed on.
+// HealthReport contains the fields of LeaseRequest.Report that a controller reads. The report is a devicehealth.Report; the
+// controller passes its other fields on unread.
 type HealthReport struct {
-	State          string   `json:"state"` // one of the states below
+	State          string   `json:"state"` // one of the State constants
 	AcceptFraction float64  `json:"share"`
 	Risk           float64  `json:"danger"`
 	SpareCapacity  int      `json:"room"`
 	Reasons        []string `json:"reasons,omitempty"`
 }
 
-// The states of a node's health.
+// The values of HealthReport.State.
 const (
 	StateAccepting    = "accepts"
 	StateLimited      = "trickle"
@@ -53,35 +55,35 @@
 	StateShuttingDown = "leaves"
 )
 
-// LeaseResponse grants a lease. A node whose earlier lease was over, or that had none, begins to serve only once it has the
-// assignments of AssignmentsVersion or a later one: it may have lost some meanwhile.
+// LeaseResponse grants a lease. A node that had no lease, or whose previous lease had expired, starts to serve only once it has the
+// assignments of AssignmentsVersion or a later version: it may have lost some of its assignments in the meantime.
 type LeaseResponse struct {
 	Granted            bool   `json:"granted"`
 	Controller         string `json:"keeper"`
-	RollingBack        bool   `json:"going_back,omitempty"` // the node's software version is rolled back; the node tells it to whichever controller leads next
+	RollingBack        bool   `json:"going_back,omitempty"` // the node's version is or was rolled back; the node tells later leaders
 	AssignmentsVersion uint64 `json:"places"`
-	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest LeaseRequest.RecordCount of this node that was known until then
-	AcceptedUnverified int    `json:"doubts,omitempty"` // so many of LeaseRequest.Unverified are agreed, the first ones
+	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest LeaseRequest.RecordCount that the leader knew of this node before
+	AcceptedUnverified int    `json:"doubts,omitempty"` // number of copies, from the start of LeaseRequest.Unverified, that were agreed
 	Lineage
 }
 
-// Lineage is which line of assignments a controller speaks for. The generation is raised where the assignments were rebuilt
-// after a loss of disks: what is of a smaller one stops. OriginID names the beginning of the log: the same generation with
-// another origin is that of controllers whose disks were all emptied, and is not believed either.
+// Lineage identifies the history of assignments that a controller belongs to. Generation is raised when the assignments are rebuilt
+// after a loss of disks; assignments of a lower generation are no longer valid. OriginID identifies the start of the log:
+// controllers with the same generation but another origin have all had their disks emptied, and are not trusted either.
 type Lineage struct {
 	Generation uint64 `json:"generation"`
 	OriginID   string `json:"birth"`
 }
 
-// ErrorBody is the body of every answer but 200.
+// ErrorBody is the body of every answer with a status other than 200.
 type ErrorBody struct {
 	Error      string                `json:"error,omitempty"`
-	Assignment *placement.Assignment `json:"place,omitempty"`  // the one that stands instead
-	Leader     string                `json:"leader,omitempty"` // with 421: the controller that leads, "" where none is known
+	Assignment *placement.Assignment `json:"place,omitempty"`  // the assignment in force instead
+	Leader     string                `json:"leader,omitempty"` // with status 421: the leading controller, "" if unknown
 }
 
-// AssignmentChanges are the assignments that changed since a version. Where Complete is set they are all that there are: what is
-// not among them is deleted.
+// AssignmentChanges contains the assignments that changed after the version that the caller asked about. If Complete is set it
+// contains all assignments: an instance that is not among them is deleted.
 type AssignmentChanges struct {
 	Version uint64 `json:"version"`
 	Lineage
@@ -90,12 +92,12 @@
 	Deleted     []string               `json:"gone,omitempty"`
 }
 
-// Node is an edge node as the leading controller has it.
+// Node is the leading controller's view of an edge node.
 type Node struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone,omitempty"`
 	Incarnation     uint64   `json:"run,omitempty"`
-	HasLease        bool     `json:"held"` // its lease runs
+	HasLease        bool     `json:"held"` // its lease has not expired
 	State           string   `json:"state,omitempty"`
 	Accepting       bool     `json:"accepts"`
 	AcceptFraction  float64  `json:"share"`
@@ -108,37 +110,39 @@
 	Draining        bool     `json:"draining,omitempty"`
 }
 
-// NodeList is all edge nodes.
+// NodeList lists all edge nodes.
 type NodeList struct {
 	Version uint64 `json:"version"`
 	Nodes   []Node `json:"units"`
 }
 
-// MaxOutcomes is how many outcomes of one node count in one call; more are scaled down.
+// MaxOutcomes is the number of outcomes of one node that count per call. Greater counts are scaled down to it in proportion.
 const MaxOutcomes = 64
 
-// OutcomeReport is how requests at edge nodes ended, as a relay saw them since its last report. Rejections don't count.
+// OutcomeReport contains the outcomes of requests at edge nodes that a relay has seen since its last report. Rejected requests are
+// not counted.
 type OutcomeReport struct {
 	Version         int            `json:"v"`
 	Nodes           []NodeOutcomes `json:"units"`
-	SoftwareVersion uint16         `json:"build,omitempty"` // the newest of which the release API told the relay
-	RolloutState    string         `json:"state,omitempty"` // of that version, as the release API names it; "" where it told nothing
+	SoftwareVersion uint16         `json:"build,omitempty"` // the newest version that the release API reported to the relay
+	RolloutState    string         `json:"state,omitempty"` // of SoftwareVersion, as named by the release API; "" if it reported none
 }
 
-// The rollout states of a version that is being rolled back, and that was withdrawn.
+// Values of OutcomeReport.RolloutState for a version that is being rolled back and for one that was withdrawn.
 const (
 	VersionRollingBack = "recalling"
 	VersionWithdrawn   = "recalled"
 )
 
-// NodeOutcomes counts the outcomes at one node.
+// NodeOutcomes counts the outcomes of requests at one node.
 type NodeOutcomes struct {
 	Node      string `json:"unit"`
 	Successes int    `json:"good"`
 	Failures  int    `json:"bad"`
 }
 
-// LastResortPlan is what is served on in zones whose nodes are all draining, the greatest weight first.
+// LastResortPlan lists, for each zone whose nodes are all draining, its instances by descending weight and the nodes that continue
+// to serve them.
 type LastResortPlan struct {
 	Zones []LastResortZone `json:"zones"`
 }
@@ -149,44 +153,44 @@
 	Instances []LastResortInstance `json:"instances"`
 }
 
-// LastResortInstance is one instance; Node is "" where none serves it on.
+// LastResortInstance is one instance of a LastResortZone. Node is "" if no node continues to serve the instance.
 type LastResortInstance struct {
 	Name   string  `json:"name"`
 	Node   string  `json:"unit"`
 	Weight float64 `json:"weight"`
 }
 
-// DeviceRequest says in which zone an instance's device is now.
+// DeviceRequest reports the zone in which an instance's device now is.
 type DeviceRequest struct {
 	Version int    `json:"v"`
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 }
 
-// LogOrigin is the beginning of a fleet's log, and which disks it began on.
+// LogOrigin identifies the start of a fleet's agreed log and the disks on which the log was started.
 type LogOrigin struct {
 	ID     string            `json:"id"`
-	Stores map[string]string `json:"stores"` // by controller: the identity of its disk
+	Stores map[string]string `json:"stores"` // by controller name: the identity of its disk
 }
 
-// JoinRequest asks that a controller's emptied disk be admitted, or says that it has caught up.
+// JoinRequest asks the leader to admit a controller whose disk was emptied, or reports that the controller has caught up.
 type JoinRequest struct {
 	Version  int    `json:"v"`
 	Node     string `json:"node"`
 	StoreID  string `json:"store"`
-	CaughtUp bool   `json:"ready,omitempty"` // it has all entries up to the Index of an earlier answer
+	CaughtUp bool   `json:"ready,omitempty"` // it has all entries up to JoinResponse.Index of an earlier answer
 }
 
-// JoinResponse says how a controller takes part in the log.
+// JoinResponse tells a controller whether it is a voter of the agreed log, and which entries it needs to become one.
 type JoinResponse struct {
 	Voter      bool       `json:"votes"`
-	Index      uint64     `json:"index"`          // of the last entry that it needs before it votes
-	Term       uint64     `json:"term,omitempty"` // in which it was admitted; it takes no entry of an earlier one
+	Index      uint64     `json:"index"`          // of the last entry that it needs before it becomes a voter
+	Term       uint64     `json:"term,omitempty"` // in which it was admitted; it accepts no entry of an earlier term
 	Origin     *LogOrigin `json:"birth"`
-	Generation uint64     `json:"line,omitempty"` // generation of the log
+	Generation uint64     `json:"line,omitempty"` // of the log, see Lineage
 }
 
-// Inventory is what an edge node has, whatever the controllers say: its answer to GET /v1/holds.
+// Inventory lists the copies that an edge node has, independent of the controllers' assignments. It is the answer to GET /v1/holds.
 type Inventory struct {
 	Version     int                  `json:"v"`
 	Node        string               `json:"unit"`
@@ -195,65 +199,65 @@
 	Copies      []replica.CopyStatus `json:"holds"`
 }
 
-// ConfirmRequest asks a controller for its term; the answer is of the same form.
+// ConfirmRequest sends the caller's term to a controller. The answer has the same form and contains that controller's term.
 type ConfirmRequest struct {
 	Version int    `json:"v"`
 	Term    uint64 `json:"term"`
 }
 
-// LogPosition is the last entry of a log. The zero value is that of an empty one.
+// LogPosition identifies the last entry of a log. The zero value is the position of an empty log.
 type LogPosition struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
 }
 
-// Later reports whether a log that ends here is later than one that ends at other, as raft compares them.
+// Later reports whether a log that ends at p is more up to date than a log that ends at other, by raft's comparison.
 func (p LogPosition) Later(other LogPosition) bool {
 	return p.Term > other.Term || p.Term == other.Term && p.Index > other.Index
 }
 
-// The roles of Status.
+// The values of Status.Role.
 const (
-	RoleWaiting   = "waits" // it does not take part in the log yet
+	RoleWaiting   = "waits" // does not take part in the agreed log yet
 	RoleFollower  = "follower"
 	RoleCandidate = "candidate"
 	RoleLeader    = "leader"
 	RoleStopping  = "ends"
 )
 
-// Status of a controller.
+// Status is the status of one controller.
 type Status struct {
 	Version      int                    `json:"v"`
 	Node         string                 `json:"node"`
-	Role         string                 `json:"role"` // see the roles above
+	Role         string                 `json:"role"` // one of the Role constants
 	Reason       string                 `json:"why,omitempty"`
 	Leader       string                 `json:"leader,omitempty"`
 	Term         uint64                 `json:"term"`
 	Applied      uint64                 `json:"applied"`
 	Last         LogPosition            `json:"last"`
 	Assignments  int                    `json:"places"`
-	Migrations   int                    `json:"moves"` // under way
+	Migrations   int                    `json:"moves"` // in progress
 	Reasons      []string               `json:"reasons,omitempty"`
 	Generation   uint64                 `json:"generation"`
 	Origin       *LogOrigin             `json:"birth,omitempty"`
-	StoreID      string                 `json:"store"`            // identity of its disk
-	StoreIDs     map[string]string      `json:"stores,omitempty"` // by controller: the identity of its disk that is agreed
-	Controllers  []string               `json:"keepers"`          // in its file, sorted
-	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller: what it is known to have on its disk
-	Disk         *DiskSpace             `json:"disk,omitempty"`   // nil: not known, or of an earlier version
+	StoreID      string                 `json:"store"`            // identity of the controller's disk
+	StoreIDs     map[string]string      `json:"stores,omitempty"` // by controller name: the agreed identity of its disk
+	Controllers  []string               `json:"keepers"`          // names of all controllers in its configuration file, sorted
+	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller name: the last entry known to be on its disk
+	Disk         *DiskSpace             `json:"disk,omitempty"`   // nil: unknown, or the controller has an earlier version
 }
 
-// DiskSpace is the space of the disk that has a controller's data directory, in bytes.
+// DiskSpace is the free and total space, in bytes, of the disk with a controller's data directory.
 type DiskSpace struct {
 	Free       uint64 `json:"free"`
 	Total      uint64 `json:"total"`
-	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only where no other has space
+	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only if no other has space
 }
 
-// FreeFraction is the part of the disk that is free, 0 where the size is not known.
+// FreeFraction returns the free fraction of the disk, 0 if the size is unknown.
 func (d DiskSpace) FreeFraction() float64 { return float64(d.Free) / float64(max(1, d.Total)) }
 
-// String is for operators: "41% free", "4.2% free, short of room", or "" where the size is not known.
+// String returns the text shown to operators: "41% free", "4.2% free, short of room", or "" if the size is unknown.
 func (d DiskSpace) String() string {
 	switch share := 100 * d.FreeFraction(); {
 	case d.Total == 0:
--- a/internal/controllerclient/watch.go
+++ b/internal/controllerclient/watch.go
@@ -10,10 +10,10 @@
 	"silvercove/internal/tick"
 )
 
-// pollTimeout is how long a call waits at a controller for a change before it is made anew.
+// pollTimeout is how long a poll waits at a controller for a change before the client polls again.
 const pollTimeout = 20 * time.Second
 
-// watchPath is the path and query of a call that waits at most so long for a change since a version.
+// watchPath returns the path and query of a call that waits up to the given time for a change after version since.
 func (c *Client) watchPath(path string, since uint64, wait time.Duration) string {
 	query := url.Values{
 		"since":      {strconv.FormatUint(since, 10)},
@@ -23,8 +23,9 @@
 	return path + "?" + query.Encode()
 }
 
-// Watch tells all assignments and then each change, in order, until the context ends. The changes are Complete at first, and
-// after this process or the controllers missed too much. It returns the context's error, or that of a call that was refused.
+// Watch calls notify with all assignments and then with each change, in order, until the context ends. The first
+// AssignmentChanges are Complete, and so are later ones whenever this process or the controllers lack some of the changes between.
+// Watch returns the context's error, or the error of a call that was refused.
 func (c *Client) Watch(ctx context.Context, notify func(AssignmentChanges)) error {
 	var version uint64
 	for first := true; ; {
@@ -45,8 +46,8 @@
 	}
 }
 
-// WatchNodes tells all edge nodes at first and whenever one of them has changed, until the context ends. It returns the
-// context's error, or that of a call that was refused.
+// WatchNodes calls notify with all edge nodes at first and after each change of a node, until the context ends. It returns the
+// context's error, or the error of a call that was refused.
 func (c *Client) WatchNodes(ctx context.Context, notify func(NodeList)) error {
 	var version uint64
 	for first := true; ; first = false {
@@ -61,8 +62,8 @@
 	}
 }
 
-// pollOnce asks for what changed since a version: at once for the first time, and else once there is something, or the poll's
-// timeout is over.
+// pollOnce asks for the changes after version since. The first poll is answered at once, a later one as soon as there is a change
+// or after pollTimeout.
 func (c *Client) pollOnce(ctx context.Context, path string, since uint64, first bool, response any) error {
 	wait := pollTimeout
 	if first {
