--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// validFile is the file of an edge node.
+// validFile is a configuration file of an edge node.
 const validFile = `fleet {
   name vans
   node edge-a
@@ -24,7 +24,7 @@
 }
 `
 
-// readText reads a text as a file.
+// readText writes text to a file and reads the file.
 func readText(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "edge.conf")
