--- a/internal/edgenode/planner_test.go
+++ b/internal/edgenode/planner_test.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// failoverPlanner plans no more than that a replica takes over from a primary whose lease is over, and that an instance of a node
-// that terminates goes to its replica.
+// failoverPlanner is a minimal planner: a replica takes over from a primary whose lease has expired, and an instance of a terminating
+// node is moved to its replica. It also proposes the operations of testFleet.
 type failoverPlanner struct {
 	fleet       *testFleet
 	host        controller.Host
--- a/internal/edgenode/sql_client_test.go
+++ b/internal/edgenode/sql_client_test.go
@@ -15,7 +15,7 @@
 	received []byte
 }
 
-// dialNode connects to a node, until the test ends.
+// dialNode connects to a node. The connection is closed when the test ends.
 func dialNode(tb testing.TB, address string) *sqlClient {
 	tb.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -30,7 +30,7 @@
 	return client
 }
 
-// exchange sends a message and returns the row and the SQLSTATE of the answer.
+// exchange sends a message and returns the row's value and the SQLSTATE of the answer.
 func (s *sqlClient) exchange(message []byte) (value, state string, err error) {
 	_ = s.conn.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err = s.conn.Write(message); err != nil {
@@ -55,7 +55,7 @@
 	return value, response.SQLState, nil
 }
 
-// write writes to an instance.
+// write writes to an instance and returns the answer's value and SQLSTATE. The SQLSTATE is "" if there was no answer.
 func (s *sqlClient) write(id, instance string, body []byte) (string, string) {
 	v, state, err := s.exchange(pgwire.SimpleQuery(fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', '\\x%x') RETURNING content /* id=%s,c=crop,t=x,d=5000 */", instance, body, id)))
 	if err != nil {
@@ -64,7 +64,7 @@
 	return v, state
 }
 
-// read reads the instance camera-7.
+// read reads the instance camera-7 and returns the answer's value and SQLSTATE. The SQLSTATE is "" if there was no answer.
 func (s *sqlClient) read() (string, string) {
 	v, state, err := s.exchange(pgwire.SimpleQuery("SELECT content FROM kv WHERE name = 'camera-7' /* id=r,c=look,t=x,d=5000 */"))
 	if err != nil {
