--- a/internal/edgenode/assignments.go
+++ b/internal/edgenode/assignments.go
@@ -9,8 +9,9 @@
 	"silvercove/internal/replica"
 )
 
-// loadAssignments learns what the controllers count on this node for, before they know of this incarnation. It fails with the
-// context's error alone.
+// loadAssignments loads all assignments, which show what the controllers rely on this node for, and creates the replica.Manager. It
+// runs before the first lease request, when the controllers do not know this incarnation yet. It retries until it succeeds, and
+// fails only with the context's error.
 func (n *Node) loadAssignments(ctx context.Context) error {
 	for {
 		changes, err := n.client.Assignments(ctx, 0)
@@ -28,7 +29,7 @@
 	}
 }
 
-// startReplicas makes the replica.Manager from what the disk had and all assignments.
+// startReplicas creates the replica.Manager from the logs that were on the disk and all assignments.
 func (n *Node) startReplicas(changes controllerclient.AssignmentChanges) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -39,7 +40,8 @@
 	n.logsAtStart = nil
 }
 
-// onAssignmentChanges takes in what changed.
+// onAssignmentChanges passes changed assignments to the replica.Manager. Complete changes of a higher generation mean that placement
+// was rebuilt.
 func (n *Node) onAssignmentChanges(changes controllerclient.AssignmentChanges) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,7 +65,7 @@
 	n.signalChange()
 }
 
-// instancesMissingFrom are the known instances that have no assignment any more.
+// instancesMissingFrom returns the instances known to this node that are not among all assignments.
 func (n *Node) instancesMissingFrom(assignments []placement.Assignment) (missing []string) {
 	assigned := map[string]bool{}
 	for _, a := range assignments {
@@ -77,7 +79,7 @@
 	return missing
 }
 
-// runProposer brings operations to the controllers, one at a time, until the context ends.
+// runProposer sends queued operations to the controllers, one at a time, until the context ends.
 func (n *Node) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -89,7 +91,7 @@
 	}
 }
 
-// propose has an operation agreed, and tells replicas the result.
+// propose proposes an operation to the controllers and passes the result to the replica.Manager.
 func (n *Node) propose(ctx context.Context, op placement.Operation) {
 	proposalContext, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
 	assignment, err := n.client.Propose(proposalContext, op)
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -5,25 +5,28 @@
 	"silvercove/internal/replica"
 )
 
-// diskState is how far it is known whether the disk was restored from an older image, in its order.
+// diskState is the progress of the check whether the node's disk was restored from an older image. The states are passed in order;
+// after a write error diskConfirming falls back to diskChecked.
 type diskState uint8
 
 const (
-	diskUnchecked  diskState = iota // no controller has told yet how many records it had
-	diskChecked                     // it is known, and replicas verifies its copies where they may be old
-	diskConfirming                  // all copies are verified, and the store writes that
-	diskConfirmed                   // what is written counts
+	diskUnchecked  diskState = iota // no controller has sent the disk's last known record count yet
+	diskChecked                     // the result is known; the replica.Manager verifies copies that may be outdated
+	diskConfirming                  // all copies are verified; the store is recording this
+	diskConfirmed                   // the store has recorded it; records written from now on count
 )
 
-// diskCheck compares the number of records that the disk has taken with the greatest that the controllers have been told.
+// diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
+// controllers. A smaller number on the disk means that the disk was restored from an older image.
 type diskCheck struct {
 	state              diskState
-	restored           bool   // it was restored from an older image
-	recordCountAtStart uint64 // 0 without a disk
-	maxRecordCount     uint64 // the greatest that the controllers told
+	restored           bool   // the disk was restored from an older image
+	recordCountAtStart uint64 // 0 if the node has no disk
+	maxRecordCount     uint64 // the greatest count that the controllers have answered with
 }
 
-// checkDisk takes in what a lease says of the node's disk. It is called with mu.
+// checkDisk processes the record count and the accepted unverified copies in a lease response. reported is the list of unverified
+// copies in the lease request. The caller holds mu.
 func (n *Node) checkDisk(response controllerclient.LeaseResponse, reported []replica.UnverifiedCopy) {
 	now := controllerclient.Now()
 	if n.disk.state == diskUnchecked {
@@ -39,7 +42,7 @@
 	}
 }
 
-// onDiskConfirmed takes the result of the store. After an error it is tried again with the next lease.
+// onDiskConfirmed receives the result of Store.ConfirmCurrent. After an error the confirmation is retried with the next lease.
 func (n *Node) onDiskConfirmed(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +52,7 @@
 	}
 	n.disk.state = diskConfirmed
 	if n.disk.restored {
-		n.options.Log.Info().Str("event", "disk").Str("why", "what it lacked is settled").Msg("restored disk is current")
+		n.options.Log.Info().Str("event", "disk").Str("why", "all copies are verified").Msg("restored disk is current")
 	}
 	n.renewSoon()
 }
--- a/internal/edgenode/doc.go
+++ b/internal/edgenode/doc.go
@@ -1,13 +1,13 @@
-// Package edgenode is the process of an edge node in a fleet. It answers requests as any backend does, keeps its lease, follows
-// where instances run, and exchanges copies and log entries with other edge nodes. It decides nothing itself: what it may
-// do is decided by replica.Manager, and how healthy it is by devicehealth.Monitor.
+// Package edgenode implements the process of an edge node in a fleet. The node answers requests like any backend, keeps its lease,
+// follows the controllers' assignments of instances, and exchanges copies and log entries with other edge nodes. The package
+// makes no decisions of its own: replica.Manager decides what the node may do, and devicehealth.Monitor assesses its health.
 //
-// Open reads the node's disk and listens, Node.Run works until it is told to end. The node begins to serve once a
-// controller has told it the assignments, and granted it a lease.
+// Open reads the node's disk and listens for requests; Node.Run runs the node until it is told to stop. The node starts to serve
+// once it has the assignments and a lease from a controller.
 //
 // # Goroutines
 //
-// Run owns all goroutines and returns after they have ended: the store, the SQL server with one goroutine a connection, the
-// HTTP server for other nodes, the senders of messages, the proposers, and the loops of the lease, the timers and the
-// assignments. All events reach the replica.Manager under Node.mu, one at a time.
+// Run owns all goroutines and returns after they have ended: the store, the SQL server with one goroutine per connection, the
+// HTTP server for other processes, the message senders, the proposers, the reader of power data, and the loops that renew the
+// lease, run the timers and watch the assignments. Events are passed to the replica.Manager one at a time, under Node.mu.
 package edgenode
--- a/internal/edgenode/health.go
+++ b/internal/edgenode/health.go
@@ -8,14 +8,14 @@
 	"silvercove/internal/devicehealth"
 )
 
-// loadMeter measures the process's use of the CPU between two calls. It is not safe for concurrent use.
+// loadMeter measures the CPU usage of the process between two calls of measure. It is not safe for concurrent use.
 type loadMeter struct {
-	used  time.Duration // CPU time at the last call, 0: there was none
+	used  time.Duration // CPU time at the last call; 0: no call yet
 	since time.Time     // of the last call
 }
 
-// measure is the CPU time since the last call as a part of the time that has passed; 0 at the first call, and where the
-// system does not tell.
+// measure returns the CPU time used since the last call, divided by the elapsed time. It returns 0 at the first call, and if the
+// system does not report the CPU time.
 func (m *loadMeter) measure() (load float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -29,7 +29,7 @@
 	return load
 }
 
-// assessHealth tells the health monitor what there is, and returns its report.
+// assessHealth passes the power readings, the instances and the load to the health monitor, and returns the monitor's report.
 func (n *Node) assessHealth(meter *loadMeter) devicehealth.Report {
 	readings := n.powerReader.Latest()
 	load := min(1, meter.measure())
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -10,16 +10,17 @@
 	"silvercove/internal/tick"
 )
 
-// renewalsPerLease is how often a lease is renewed while it runs.
+// renewalsPerLease is the number of renewals per lease duration.
 const renewalsPerLease = 3
 
-// renewLease keeps the lease until the context ends: it asks for it each third of it, and at once where renewSoon says so.
+// renewLease keeps the lease until the context ends. It requests a renewal after every third of the lease duration, and at once after
+// renewSoon.
 func (n *Node) renewLease(ctx context.Context) {
 	ticker := time.NewTicker(n.leaseDuration.Duration() / renewalsPerLease)
 	defer ticker.Stop()
 	meter := loadMeter{since: time.Now()}
-	loggedReason := ""   // why the lease is not renewed, as last logged
-	rollingBack := false // this node's software version, as a controller told it last
+	loggedReason := ""   // reason of the failed renewal that was logged last
+	rollingBack := false // of this node's software version, as last told by a controller
 	for {
 		report, began := n.assessHealth(&meter), time.Now()
 		granted := false
@@ -44,7 +45,7 @@
 	}
 }
 
-// requestLease asks for the lease once, and takes the answer in.
+// requestLease sends one lease request and processes the response.
 func (n *Node) requestLease(ctx context.Context, report []byte, rollingBack *bool) (granted bool, err error) {
 	n.mu.Lock()
 	unverified := n.replicas.UnverifiedCopies(controllerclient.MaxUnverified)
@@ -69,19 +70,19 @@
 	*rollingBack = response.RollingBack
 	lineage, changed := n.onLeaseGranted(response, sentAt, unverified)
 	if changed {
-		_ = n.writeNote(ctx, lineage) // a full disk: the lineage is learned anew after a restart
+		_ = n.writeNote(ctx, lineage) // if the disk is full, the node learns the lineage again after a restart
 	}
 	return true, nil
 }
 
-// onLeaseGranted takes a lease in, and returns the controllers' lineage and whether it is not the stored one.
+// onLeaseGranted processes a granted lease. It returns the controllers' lineage, and whether the lineage differs from the stored one.
 func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sentAt tick.Tick,
 	reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
-	if response.Lineage == n.lineage { // else the assignments were rebuilt, and are to be told first
+	if response.Lineage == n.lineage { // else the assignments were rebuilt and must be loaded first
 		n.replicas.OnLease(controllerclient.Now(), sentAt+n.leaseDuration, response.AssignmentsVersion)
 	}
 	lineage = n.client.Lineage()
@@ -90,7 +91,7 @@
 	return lineage, changed
 }
 
-// renewSoon has the lease asked for at once.
+// renewSoon makes renewLease request the lease at once.
 func (n *Node) renewSoon() {
 	select {
 	case n.renewNow <- struct{}{}:
--- a/internal/edgenode/note.go
+++ b/internal/edgenode/note.go
@@ -7,14 +7,14 @@
 	"silvercove/internal/placement"
 )
 
-// note is what the store keeps beside the instances. It is stored data.
+// note is the node's own data in the store, beside the instances' logs. Its JSON names are those of the stored format.
 type note struct {
-	Incarnation uint64                   `json:"run"` // the last one
+	Incarnation uint64                   `json:"run"` // the last one that was started
 	Lineage     controllerclient.Lineage `json:"line"`
-	unknown     placement.UnknownFields  // what a later program added
+	unknown     placement.UnknownFields  // fields added by a later version of the program
 }
 
-// readNote decodes the note. An empty text, of a new disk, is the zero note.
+// readNote decodes the note. An empty text, as on a new disk, gives the zero note.
 func readNote(text []byte) (stored note, err error) {
 	if len(text) > 0 {
 		stored.unknown, err = placement.UnmarshalKeepingUnknown(text, &stored)
@@ -22,7 +22,7 @@
 	return stored, err
 }
 
-// writeNote stores this incarnation and a lineage, and waits until the disk has them, or the context ends.
+// writeNote stores the node's incarnation and a lineage, and waits until they are durable or the context ends.
 func (n *Node) writeNote(ctx context.Context, lineage controllerclient.Lineage) error {
 	text, err := placement.MarshalWithUnknown(note{Incarnation: n.incarnation, Lineage: lineage}, n.unknownNoteFields)
 	if err != nil {
--- a/internal/edgenode/peer_client.go
+++ b/internal/edgenode/peer_client.go
@@ -11,11 +11,11 @@
 	"silvercove/internal/replica"
 )
 
-// maxMessageBytes is the most bytes of a message between nodes.
+// maxMessageBytes limits the size of a message between nodes.
 const maxMessageBytes = 4 << 20
 
-// sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. A message without an
-// answer is lost: the replica.Manager sends again.
+// sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. It does not retry a message
+// that gets no answer: the replica.Manager sends again.
 func (n *Node) sendMessages(ctx context.Context, client *http.Client, to string, queue <-chan replica.Message) {
 	for {
 		select {
@@ -34,7 +34,7 @@
 	}
 }
 
-// sendMessage sends a message and returns the answer, whatever its status code.
+// sendMessage sends a message and returns the answer, regardless of the status code.
 func (n *Node) sendMessage(ctx context.Context, client *http.Client, to string, m replica.Message) (answer replica.Message, err error) {
 	ctx, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
 	defer cancel()
@@ -50,7 +50,7 @@
 	if err != nil {
 		return answer, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read as far as it is wanted
+	defer func() { _ = response.Body.Close() }() // the needed part of the body has been read
 	text, err = io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return answer, err
--- a/internal/edgenode/peer_server.go
+++ b/internal/edgenode/peer_server.go
@@ -18,16 +18,16 @@
 
 // Limits of the HTTP server for other processes.
 const (
-	maxPeerCalls       = 1024 // at a time
+	maxPeerCalls       = 1024 // concurrent calls
 	peerHeaderTimeout  = 2 * time.Second
 	peerIdleTimeout    = 30 * time.Second
-	maxPeerHeaderBytes = 8 << 10 // bytes
+	maxPeerHeaderBytes = 8 << 10
 )
 
-// callerKey is the key of a request's context under which the name of the calling process stands.
+// callerKey is the context key of the calling process's name in an HTTP request.
 type callerKey struct{}
 
-// servePeers answers other processes' calls until the context ends, and returns nil then.
+// servePeers answers calls of other processes until the context ends, and then returns nil.
 func (n *Node) servePeers(ctx context.Context) error {
 	mux := http.NewServeMux()
 	for _, kind := range []string{replica.MessageCatchUp, replica.MessageAppend, replica.MessageFinalAppend} {
@@ -47,7 +47,7 @@
 			return ctx
 		},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // what its connections were doing has ended with the context
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the handlers have ended with the context, see BaseContext
 	defer stop()
 	err := server.Serve(n.options.Network.Listener(peertransport.KindHTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -56,7 +56,7 @@
 	return err
 }
 
-// limitCalls refuses calls beyond so many at a time with 503.
+// limitCalls limits the number of concurrent calls; it answers further calls with status 503.
 func limitCalls(next http.Handler, limit int) http.Handler {
 	calls := make(chan struct{}, limit)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -65,12 +65,12 @@
 			defer func() { <-calls }()
 			next.ServeHTTP(w, r)
 		default:
-			http.Error(w, "too many calls", http.StatusServiceUnavailable)
+			http.Error(w, "too many concurrent calls", http.StatusServiceUnavailable)
 		}
 	})
 }
 
-// writeJSON answers a call. A caller that went away needs nothing.
+// writeJSON writes a JSON response. Write errors are ignored, as they mean that the caller has gone.
 func writeJSON(w http.ResponseWriter, statusCode int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -82,7 +82,7 @@
 	_, _ = w.Write(text)
 }
 
-// handleInventory tells what this node has.
+// handleInventory answers with the node's copies.
 func (n *Node) handleInventory(w http.ResponseWriter, _ *http.Request) {
 	inventory := controllerclient.Inventory{
 		Version:     placement.FormatVersion,
@@ -95,7 +95,7 @@
 	if n.replicas != nil {
 		inventory.Copies = append(inventory.Copies, n.replicas.Copies(controllerclient.Now())...)
 	}
-	for _, log := range n.logsAtStart { // no assignment was told since the start: whether they are counted on is not known
+	for _, log := range n.logsAtStart { // assignments not loaded yet: it is unknown whether the controllers rely on these
 		inventory.Copies = append(inventory.Copies, replica.CopyStatus{
 			Instance:  log.Instance,
 			Epoch:     log.LastEpoch(),
@@ -109,7 +109,7 @@
 	writeJSON(w, http.StatusOK, inventory)
 }
 
-// handleMessage answers a message of another node once all that it brought is on the disk.
+// handleMessage answers a message of another node as soon as everything in the message is on the disk.
 func (n *Node) handleMessage(w http.ResponseWriter, r *http.Request, kind string) {
 	caller, _ := r.Context().Value(callerKey{}).(string)
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
@@ -123,12 +123,12 @@
 		return
 	}
 	if m.Kind != kind {
-		n.refuseMessage(w, http.StatusBadRequest, fmt.Sprintf("a message %q at %s", m.Kind, kind))
+		n.refuseMessage(w, http.StatusBadRequest, fmt.Sprintf("message of kind %q sent to the path of kind %s", m.Kind, kind))
 		return
 	}
 	id, reply := n.receiveMessage(caller, m)
 	if reply == nil {
-		n.refuseMessage(w, http.StatusServiceUnavailable, "the keepers' places are not known yet")
+		n.refuseMessage(w, http.StatusServiceUnavailable, "the assignments are not loaded yet")
 		return
 	}
 	timer := time.NewTimer(n.leaseDuration.Duration())
@@ -143,11 +143,11 @@
 	n.mu.Lock()
 	delete(n.pendingReplies, id)
 	n.mu.Unlock()
-	n.refuseMessage(w, http.StatusServiceUnavailable, "the disk is slow")
+	n.refuseMessage(w, http.StatusServiceUnavailable, "timed out waiting for the disk")
 }
 
-// receiveMessage hands a message to the replica.Manager. reply is where its answer comes, nil before the first assignments are
-// known.
+// receiveMessage passes a message to the replica.Manager. The answer will be sent to reply, which is nil if the first assignments are
+// not loaded yet.
 func (n *Node) receiveMessage(caller string, m replica.Message) (id uint64, reply <-chan replica.Message) {
 	answers := make(chan replica.Message, 1)
 	n.mu.Lock()
@@ -162,7 +162,7 @@
 	return m.ReplyTo, answers
 }
 
-// messageStatusCode is the status code of HTTP with which an answer goes.
+// messageStatusCode returns the HTTP status code for an answer.
 func messageStatusCode(answer replica.Message) int {
 	switch answer.Kind {
 	case replica.MessageStaleEpoch:
@@ -173,7 +173,7 @@
 	return http.StatusOK
 }
 
-// refuseMessage answers a message that did not come to the replica.Manager, or waited too long.
+// refuseMessage answers a message that was not passed to the replica.Manager, or whose answer took too long.
 func (n *Node) refuseMessage(w http.ResponseWriter, statusCode int, reason string) {
 	writeJSON(w, statusCode, replica.Message{
 		Version:           placement.FormatVersion,
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -15,10 +15,10 @@
 	"silvercove/internal/tick"
 )
 
-// maxRequestWait is how long one request may take, whatever it asks for.
+// maxRequestWait limits the time of one request, whatever timeout it asks for.
 const maxRequestWait = time.Minute
 
-// outcomeCounters are the names of the counters of requests, by outcome.
+// outcomeCounters are the names of the request counters, by outcome.
 var outcomeCounters = [...]string{
 	replica.Rejected:      `cove_edge_commands_total{end="never ran"}`,
 	replica.Succeeded:     `cove_edge_commands_total{end="acked"}`,
@@ -26,7 +26,7 @@
 	replica.TooLarge:      `cove_edge_commands_total{end="too large"}`,
 }
 
-// answerQuery executes a query and returns the answer's messages.
+// answerQuery executes a query and returns the messages of the answer.
 func (n *Node) answerQuery(ctx context.Context, text string) []byte {
 	switch command, _, _ := strings.Cut(text, " "); {
 	case strings.TrimSpace(text) == "":
@@ -65,20 +65,20 @@
 	return queryError(pgwire.StateInternalError, response.Detail)
 }
 
-// unreadyReason is why a health check is refused, "" where it is not.
+// unreadyReason returns why a health check fails, "" if the node is ready.
 func (n *Node) unreadyReason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
 	case n.replicas == nil || !n.replicas.HoldsLease(controllerclient.Now()):
-		return "no lease"
+		return "the node has no lease"
 	case n.terminating || n.report.State == devicehealth.StateShuttingDown:
-		return "it leaves"
+		return "the node is shutting down"
 	}
 	return ""
 }
 
-// execute has a request executed by the replica.Manager, and waits for its response or the context's end.
+// execute passes a request to the replica.Manager, and waits for the response or for the end of the context.
 func (n *Node) execute(ctx context.Context, query *pgwire.Query) replica.Response {
 	timeout := min(query.Timeout, maxRequestWait)
 	request := &replica.Request{ID: query.ID, Instance: query.Key, Write: query.Write, Body: query.Value()}
@@ -86,7 +86,7 @@
 	n.mu.Lock()
 	if n.replicas == nil {
 		n.mu.Unlock()
-		return replica.Response{Outcome: replica.Rejected, Detail: "the keepers' places are not known yet: never ran"}
+		return replica.Response{Outcome: replica.Rejected, Detail: "the assignments are not loaded yet: never ran"}
 	}
 	n.inFlight++
 	n.pendingRequests[request] = done
@@ -98,7 +98,7 @@
 	select {
 	case response = <-done:
 	case <-ctx.Done():
-		response = replica.Response{Outcome: replica.Indeterminate, Detail: "the unit ends: its effect may be kept or dropped"}
+		response = replica.Response{Outcome: replica.Indeterminate, Detail: "the node is stopping: its effect may be kept or dropped"}
 	}
 	n.mu.Lock()
 	delete(n.pendingRequests, request)
@@ -107,7 +107,7 @@
 	case replica.Succeeded:
 		n.health.RecordOutcome(now, true)
 	case replica.Indeterminate:
-		if !response.LeaseLost { // that the controllers were away, or that another node is primary now, says nothing of this node's health
+		if !response.LeaseLost { // unreachable controllers or a new primary elsewhere say nothing about this node's health
 			n.health.RecordOutcome(now, false)
 		}
 	}
--- a/internal/edgenode/replica_host.go
+++ b/internal/edgenode/replica_host.go
@@ -8,11 +8,11 @@
 	"silvercove/internal/replica"
 )
 
-// replicaHost is what the replica.Manager acts through. Its methods are called with Node.mu, and wait for nothing.
+// replicaHost implements replica.Host, through which the replica.Manager acts. Its methods are called under Node.mu and do not block.
 type replicaHost struct{ node *Node }
 
-// Send queues a message to another node, or brings an answer to the call that waits for it. A message to nobody of that name,
-// or beyond the queue, is lost.
+// Send queues a message to another node, or passes an answer to the call that waits for it. A message is dropped if no node has the
+// given name or its queue is full; an answer is dropped if no call waits for it.
 func (h replicaHost) Send(to string, m replica.Message) {
 	if m.ReplyTo != 0 {
 		if reply := h.node.pendingReplies[m.ReplyTo]; reply != nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// Propose queues an operation for the controllers. One beyond the queue is lost.
+// Propose queues an operation for the controllers. The operation is dropped if the queue is full.
 func (h replicaHost) Propose(op placement.Operation) {
 	select {
 	case h.node.proposals <- op:
@@ -35,7 +35,7 @@
 	}
 }
 
-// Respond ends a request.
+// Respond passes the response of a request to execute, unless execute has stopped waiting for it.
 func (h replicaHost) Respond(r *replica.Request, response replica.Response) {
 	if done := h.node.pendingRequests[r]; done != nil {
 		delete(h.node.pendingRequests, r)
@@ -43,27 +43,27 @@
 	}
 }
 
-// AppendEntry has the store append an entry.
+// AppendEntry makes the store append an entry to an instance's log.
 func (h replicaHost) AppendEntry(instance string, e replica.LogEntry) {
 	h.node.store.Append(instance, e, h.onStored(instance, e.Index))
 }
 
-// TruncateLog has the store leave the entries up to an index.
+// TruncateLog makes the store delete the entries of an instance's log after an index.
 func (h replicaHost) TruncateLog(instance string, index uint64) {
 	h.node.store.Truncate(instance, index, h.onStored(instance, index))
 }
 
-// ResetLog has the store replace a log by one without entries.
+// ResetLog makes the store replace an instance's log by one that has no entries and starts after index base with the given checksum.
 func (h replicaHost) ResetLog(instance string, base, checksum uint64) {
 	h.node.store.Reset(instance, base, checksum, h.onStored(instance, base))
 }
 
-// DeleteLog has the store delete a log.
+// DeleteLog makes the store delete an instance's log.
 func (h replicaHost) DeleteLog(instance string) {
 	h.node.store.Delete(instance, h.onStored(instance, 0))
 }
 
-// onStored tells the replica.Manager that the store has done what it was asked for, or why not.
+// onStored returns the callback of a store operation, which tells the replica.Manager that the operation is durable or has failed.
 func (h replicaHost) onStored(instance string, index uint64) func(error) {
 	return func(err error) {
 		h.node.mu.Lock()
@@ -89,7 +89,8 @@
 	replica.EventRefused:    "proposal refused",
 }
 
-// Notify logs an event, and has the controllers told of an unverified copy at once.
+// Notify logs an event. For an unverified copy it also renews the lease at once, as the lease request reports the copy to the
+// controllers.
 func (h replicaHost) Notify(e replica.Event) {
 	if e.Kind == replica.EventUnverified {
 		h.node.renewSoon()
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -13,21 +13,21 @@
 // Limits of the connections for requests.
 const (
 	maxRequestConns  = 1024
-	startupTimeout   = 5 * time.Second // for the first message to come whole
+	startupTimeout   = 5 * time.Second // for the whole startup message to arrive
 	idleTimeout      = 5 * time.Minute
 	writeTimeout     = 5 * time.Second
-	refusalTimeout   = time.Millisecond // to tell that there are too many connections
+	refusalTimeout   = time.Millisecond // to write the error "too many connections"
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// serveRequests takes connections for requests until the context ends, and waits for its sessions. Each has a goroutine and one
-// request at a time.
+// serveRequests accepts connections for requests until the context ends, and then waits for its sessions. Each session has a goroutine
+// of its own, and executes one request at a time.
 func (n *Node) serveRequests(ctx context.Context) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
-	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() }) // closed twice is no fault
+	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() }) // the error of a second Close is ignored
 	defer stop()
-	defer func() { _ = n.listener.Close() }() // now, not when the function above gets to it
+	defer func() { _ = n.listener.Close() }() // close at return, without waiting for the function above
 	slots := make(chan struct{}, maxRequestConns)
 	for {
 		conn, err := n.listener.Accept()
@@ -39,7 +39,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // such as too many descriptors
+		case err != nil: // such as too many open file descriptors
 			n.options.Log.Warn().Str("why", err.Error()).Msg("request connection not accepted")
 			sleep(ctx, acceptRetryDelay)
 			continue
@@ -52,16 +52,17 @@
 		}
 		sessions.Go(func() {
 			defer func() { <-slots }()
-			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) }) // else Close ends the read
+			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) }) // if this fails, Close ends the read
 			defer unblock()
-			defer func() { _ = conn.Close() }() // what was answered was written
+			defer func() { _ = conn.Close() }() // all answers have been written
 			session := &session{node: n, conn: conn, chunk: make([]byte, sessionChunkBytes)}
 			session.run(ctx)
 		})
 	}
 }
 
-// refuseConn tells a client that there are too many connections, as far as it listens.
+// refuseConn closes a connection with the error that there are too many connections. A client that does not read the error within
+// refusalTimeout does not get it.
 func refuseConn(conn net.Conn) {
 	_ = conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
 	_, _ = conn.Write(pgwire.ErrorResponse("FATAL", pgwire.StateTooManyConnections, "too many connections", ""))
--- a/internal/edgenode/session.go
+++ b/internal/edgenode/session.go
@@ -9,18 +9,18 @@
 	"silvercove/internal/pgwire"
 )
 
-// sessionChunkBytes is how many bytes a session reads at a time.
+// sessionChunkBytes is the maximum number of bytes that a session reads at a time.
 const sessionChunkBytes = 4 << 10
 
-// session is one connection for requests: a startup, then one simple query after another. One goroutine owns it.
+// session is one connection for requests: a startup followed by one simple query after another. It is owned by one goroutine.
 type session struct {
 	node   *Node
 	conn   net.Conn
-	buffer []byte // what was read and not used yet
+	buffer []byte // bytes read but not processed yet
 	chunk  []byte
 }
 
-// run answers until the client or the context ends.
+// run answers queries until the client disconnects or the context ends.
 func (s *session) run(ctx context.Context) {
 	if !s.startup(ctx) || !s.write(pgwire.AuthenticationOK()) {
 		return
@@ -39,7 +39,7 @@
 			}
 			continue
 		case kind != 'Q':
-			s.write(pgwire.ErrorResponse("FATAL", pgwire.StateNotSupported, "simple queries alone are spoken here", ""))
+			s.write(pgwire.ErrorResponse("FATAL", pgwire.StateNotSupported, "only simple queries are supported", ""))
 			return
 		case size > pgwire.MaxQuery:
 			if !s.write(queryError(pgwire.StateLimitExceeded, "the statement is too long")) {
@@ -59,7 +59,8 @@
 	}
 }
 
-// startup reads the startup message. It returns false where the client ended, or is no client for queries.
+// startup reads the startup message. It returns false if the connection ended, the message is malformed, or the client sent a cancel
+// request.
 func (s *session) startup(ctx context.Context) bool {
 	for {
 		start, size, err := pgwire.ParseStartup(s.buffer)
@@ -85,8 +86,8 @@
 	}
 }
 
-// read appends what comes within a time to the buffer. It returns false where nothing comes any more. A deadline that can't be
-// set is that of a closed connection, whose Read fails.
+// read appends the next bytes that arrive within a timeout to the buffer. It returns false if nothing arrived or the context has
+// ended. Setting the deadline fails only on a closed connection, on which Read fails too.
 func (s *session) read(ctx context.Context, timeout time.Duration) bool {
 	_ = s.conn.SetReadDeadline(time.Now().Add(timeout))
 	if ctx.Err() != nil {
@@ -97,14 +98,15 @@
 	return n > 0 || err == nil
 }
 
-// write returns whether a message was written whole. A deadline that can't be set is that of a closed connection.
+// write reports whether the whole message was written. Setting the deadline fails only on a closed connection, on which Write fails
+// too.
 func (s *session) write(message []byte) bool {
 	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.conn.Write(message)
 	return err == nil
 }
 
-// queryError is the answer to a query that failed, after which the session goes on.
+// queryError returns the answer to a query that failed. The session continues after it.
 func queryError(state, text string) []byte {
 	return append(pgwire.ErrorResponse("ERROR", state, text, ""), pgwire.ReadyForQuery()...)
 }
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// maxTerminationLeases is within how many leases a node that is told to end has its instances handed on.
+	// maxTerminationLeases limits the time, in lease durations, in which a terminating node hands its instances over.
 	maxTerminationLeases = 10
 
-	// maxReplicaWaitLeases is how many leases more it waits to be dropped as a replica, once it is primary of nothing: the
-	// primaries go on without it.
+	// maxReplicaWaitLeases limits the time, in lease durations, for which a terminating node that is no longer primary of any
+	// instance waits to be dropped as a replica. The primaries continue without the node.
 	maxReplicaWaitLeases = 2
 )
 
-// remainingDuties is what the controllers still count on this node for.
+// remainingDuties is what a terminating node is still needed for.
 type remainingDuties struct {
-	primary          bool // of an instance
-	replica          bool // of an instance
-	requestsInFlight bool // are under way
+	primary          bool // of at least one instance
+	replica          bool // of at least one instance
+	requestsInFlight bool
 }
 
-// terminate tells that the node ends, and waits until the controllers count on it for nothing, with bounds.
+// terminate reports to the controllers that the node is shutting down, and waits until the node has no remaining duties or until
+// maxTerminationLeases or maxReplicaWaitLeases is reached.
 func (n *Node) terminate(ctx context.Context) {
 	n.mu.Lock()
 	n.terminating = true
@@ -32,7 +33,7 @@
 	n.options.Log.Info().Str("event", "leaves").Str("why", "told to end").Msg("termination begun")
 	ctx, cancel := context.WithTimeout(ctx, maxTerminationLeases*n.leaseDuration.Duration())
 	defer cancel()
-	var replicaContext context.Context // since the node was primary of nothing
+	var replicaContext context.Context // set once the node is no longer primary of any instance
 	for {
 		duties := n.remainingDuties()
 		if duties == (remainingDuties{}) {
@@ -50,8 +51,8 @@
 		select {
 		case <-limit.Done():
 			if duties.primary {
-				n.options.Log.Warn().Str("event", "leaves").Str("why", "ends with instances that nobody took").
-					Msg("terminated with instances not handed on")
+				n.options.Log.Warn().Str("event", "leaves").Str("why", "ends with instances that no other node took over").
+					Msg("terminated while still primary")
 			}
 			return
 		case <-n.changed:
@@ -59,7 +60,7 @@
 	}
 }
 
-// remainingDuties looks what the node is counted on for.
+// remainingDuties returns what the node is still needed for.
 func (n *Node) remainingDuties() remainingDuties {
 	n.mu.Lock()
 	defer n.mu.Unlock()
