--- a/internal/controllerclient/errors.go
+++ b/internal/controllerclient/errors.go
@@ -15,7 +15,7 @@
 // ErrOtherLineage is wrapped by the error for a controller whose lineage does not match the lineage accepted before.
 var ErrOtherLineage = errors.New("the controllers' lineage does not match, their disks may have been lost")
 
-// errNoControllerConfigured is returned by each call if the operator's file lists no controller.
+// errNoControllerConfigured is returned by each call if the configuration file lists no controller.
 var errNoControllerConfigured = errors.New("the configuration file lists no process of role keeper")
 
 // RefusalError is a controller's final refusal of a call, with status 400, 404 or 409. errors.Is finds the error of package
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -36,8 +36,9 @@
 // MaxUnverified is the maximum number of unverified copies in one LeaseRequest; further copies follow in the next request.
 const MaxUnverified = 64
 
-// HealthReport contains the fields of LeaseRequest.Report that a controller reads. The report is a devicehealth.Report; the
-// controller passes its other fields on unread.
+// HealthReport contains the fields of LeaseRequest.Report that a controller needs for a node's status and its entry in NodeList. The
+// full report is a devicehealth.Report, which the controller passes on: to the verifier, which checks it against OutcomeReports,
+// and to the LastResortPlan.
 type HealthReport struct {
 	State          string   `json:"state"` // one of the State constants
 	AcceptFraction float64  `json:"share"`
--- a/internal/edgenode/doc.go
+++ b/internal/edgenode/doc.go
@@ -9,5 +9,6 @@
 //
 // Run owns all goroutines and returns after they have ended: the store, the SQL server with one goroutine per connection, the
 // HTTP server for other processes, the message senders, the proposers, the reader of power data, and the loops that renew the
-// lease, run the timers and watch the assignments. Events are passed to the replica.Manager one at a time, under Node.mu.
+// lease, run the timers, watch the assignments and wait for termination. Events are passed to the replica.Manager one at a time,
+// under Node.mu.
 package edgenode
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -45,7 +45,7 @@
 type Node struct {
 	options       Options
 	name          string
-	incarnation   uint64 // greater at each start: the Unix time in microseconds, unless the clock was set back
+	incarnation   uint64 // greater at each start: Unix time in microseconds, or the previous one + 1 if that is greater
 	leaseDuration tick.Tick
 	client        *controllerclient.Client
 	store         *instancestore.Store
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,7 +11,7 @@
 	"silvercove/internal/peertransport"
 )
 
-// File is the content of the fleet block of a configuration file.
+// File is the content of a configuration file: its fleet block and its log level.
 type File struct {
 	FleetName string
 	Self      peertransport.Peer
