--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -81,13 +81,13 @@
 		body = read
 		switch {
 		case errors.Is(err, http1.ErrTooLong):
-			return false, closed(transport.TooLarge)
+			return false, closedAfterSend(transport.TooLarge)
 		case response.Done && err == nil && response.Status/100 == 5:
-			return false, closed(transport.PeerBusy)
+			return false, closedAfterSend(transport.PeerBusy)
 		case err != nil, response.Done && response.Status != statusOK:
-			return false, closed(transport.Malformed)
+			return false, closedAfterSend(transport.Malformed)
 		case response.Done:
-			return r.takePage(body, response.Close)
+			return r.applyPage(body, response.Close)
 		}
 		if status := r.conn.Fill(0); status.Closed() {
 			return false, status
@@ -95,23 +95,23 @@
 	}
 }
 
-// takePage hands a page to the dispatcher.
-func (r *run) takePage(body []byte, closes bool) (skipped bool, status transport.CloseStatus) {
+// applyPage hands a page to the dispatcher.
+func (r *run) applyPage(body []byte, connCloses bool) (skipped bool, status transport.CloseStatus) {
 	page, err := ParsePage(body)
 	if err != nil {
-		return false, closed(transport.Malformed)
+		return false, closedAfterSend(transport.Malformed)
 	}
 	skipped = !page.Complete && page.Version < r.version
 	r.version = page.Version
 	r.Answers.Add(1)
 	r.dispatcher.UpdateEndpoints(page.Complete, page.Endpoints)
-	if closes {
-		return skipped, closed(transport.ClosedLocally)
+	if connCloses {
+		return skipped, closedAfterSend(transport.ClosedLocally)
 	}
 	return skipped, transport.CloseStatus{}
 }
 
-// closed is the status of a call whose request was sent.
-func closed(reason transport.CloseReason) transport.CloseStatus {
+// closedAfterSend is the status of a call whose request was sent.
+func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -31,8 +31,8 @@
 	// needsComplete: the changes cannot be followed from version on, so the next call is for the complete list.
 	needsComplete bool
 	// opensWatch: the next call begins a watch, as the one before failed, or there was none.
-	opensWatch bool
-	endFirst   func() // tells that the first call has ended; calls after the first do nothing
+	opensWatch    bool
+	markFirstDone func() // tells that the first call has ended; calls after the first do nothing
 }
 
 // Run follows the list until the context ends, and hands what it hears to the dispatcher. It returns nil.
@@ -44,12 +44,12 @@
 		version:       w.version,
 		needsComplete: mode == Pushed,
 		opensWatch:    true,
-		endFirst:      sync.OnceFunc(func() { close(w.firstDone) }),
+		markFirstDone: sync.OnceFunc(func() { close(w.firstDone) }),
 	}
 	if mode == Pushed {
 		r.state = watching
 	}
-	defer r.endFirst()
+	defer r.markFirstDone()
 	defer r.closeConn()
 	for ctx.Err() == nil {
 		r.step(ctx)
@@ -59,7 +59,7 @@
 
 // step waits for something to ask for, makes one call and takes what it brings.
 func (r *run) step(ctx context.Context) {
-	address, here, release := r.address.Current(ctx)
+	address, addressCtx, release := r.address.Current(ctx)
 	defer release()
 	fetch := false
 	select {
@@ -73,27 +73,27 @@
 			r.state = watching // what counts where the agent moved to waits for no request
 		}
 		if r.state != watching {
-			r.waitIdle(here)
+			r.waitIdle(addressCtx)
 			r.opensWatch = true
 			return
 		}
 	}
-	r.moveTo(address)
+	r.switchAgent(address)
 	p := poll{complete: fetch || r.needsComplete, queued: r.opensWatch && r.mode == Subscribe}
 	began, version := time.Now(), r.version
-	skipped, status := r.call(here, p)
+	skipped, status := r.call(addressCtx, p)
 	failed := status.Closed()
 	r.needsComplete = skipped || failed && (r.needsComplete || r.mode == Pushed)
 	r.opensWatch = failed
-	if here.Err() != nil { // the agent has moved: the call was called off
+	if addressCtx.Err() != nil { // the agent has moved: the call was called off
 		return
 	}
-	r.endFirst()
+	r.markFirstDone()
 	switch {
 	case failed:
-		r.callFailed(here, status)
+		r.handleFailedCall(addressCtx, status)
 	case !p.complete && r.version <= version && time.Since(began) < r.pollWait/2:
-		pause(here)
+		pauseBeforeRetry(addressCtx)
 	}
 }
 
@@ -105,18 +105,18 @@
 }
 
 // waitIdle waits for something to ask for, or until the agent has moved.
-func (r *run) waitIdle(here context.Context) {
+func (r *run) waitIdle(addressCtx context.Context) {
 	select {
 	case on := <-r.watching:
 		r.setWatching(on)
 	case <-r.fetch:
 		r.Fetch()
-	case <-here.Done():
+	case <-addressCtx.Done():
 	}
 }
 
-// moveTo has the next call go to an address. The agent there may count its versions otherwise.
-func (r *run) moveTo(address string) {
+// switchAgent has the next call go to an address. The agent there may count its versions otherwise.
+func (r *run) switchAgent(address string) {
 	if address == r.agent {
 		return
 	}
@@ -127,25 +127,25 @@
 	r.agent = address
 }
 
-// callFailed takes a call that failed for another reason than a move.
-func (r *run) callFailed(here context.Context, status transport.CloseStatus) {
+// handleFailedCall takes a call that failed for another reason than a move.
+func (r *run) handleFailedCall(addressCtx context.Context, status transport.CloseStatus) {
 	r.Failures.Add(1)
 	r.log("endpoint list call failed", slog.String("agent", r.agent), slog.String("reason", status.Reason.String()))
 	switch {
 	case r.mode == Pushed:
 		r.state = watching
-		pause(here)
+		pauseBeforeRetry(addressCtx)
 	case r.state == watching:
 		r.state = suspended
 	}
 	r.dispatcher.EndpointFetchFailed()
 }
 
-// pause keeps an agent that is dead, or answers without end, from being asked without end.
-func pause(here context.Context) {
+// pauseBeforeRetry keeps an agent that is dead, or answers without end, from being asked without end.
+func pauseBeforeRetry(addressCtx context.Context) {
 	select {
 	case <-time.After(retryPause):
-	case <-here.Done():
+	case <-addressCtx.Done():
 	}
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,11 +16,11 @@
 // A watch that has fallen silent is broken, and what it misses counts as notified 6 s after it fell silent. After 4 s another
 // has to be asked for, so that 2 s are left for its answer: a standing watch is found out after maxPollWait and
 // maxAnswerTimeout, and where watches are asked for the balancer begins another within a second; a call that begins one is
-// found out after maxOpenCall, by when the balancer's next request has come or is due, as its pause is 4 s at the most too.
+// found out after maxOpenCallDuration, by when the balancer's next request has come or is due, as its pause is 4 s at the most too.
 const (
-	maxPollWait      = 2 * time.Second
-	maxAnswerTimeout = time.Second
-	maxOpenCall      = 4 * time.Second
+	maxPollWait         = 2 * time.Second
+	maxAnswerTimeout    = time.Second
+	maxOpenCallDuration = 4 * time.Second
 	// Graces of drains that are next to nothing would have calls follow each other without end, and given up before a
 	// busy machine's agent could answer.
 	minPollWait      = 100 * time.Millisecond
@@ -87,7 +87,7 @@
 		version:       config.Version,
 		pollWait:      pollWait,
 		answerTimeout: answerTimeout,
-		openTimeout:   min(max(config.OpenTimeout, answerTimeout), maxOpenCall-pollWait),
+		openTimeout:   min(max(config.OpenTimeout, answerTimeout), maxOpenCallDuration-pollWait),
 		buffers:       config.Buffers,
 		log:           config.Log,
 		watching:      make(chan bool, 1),
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -24,7 +24,7 @@
 	return func(level slog.Level, message string, fields ...slog.Attr) {
 		event := log.WithLevel(zerologLevel(level))
 		for _, field := range fields {
-			event = add(event, field)
+			event = addField(event, field)
 		}
 		event.Msg(message)
 	}
@@ -43,7 +43,7 @@
 	return zerolog.DebugLevel
 }
 
-func add(event *zerolog.Event, field slog.Attr) *zerolog.Event {
+func addField(event *zerolog.Event, field slog.Attr) *zerolog.Event {
 	if field.Value.Kind() == slog.KindDuration {
 		return event.Dur(field.Key, field.Value.Duration())
 	}
--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -58,8 +58,8 @@
 	}
 	longest := longestDeadline(config.site)
 	r.stopTimeout = min(longest, maxKillDelay) + acceptGrace
-	r.connectPeers(config, root)
-	r.connectDispatcher(config, root)
+	r.createPeerClients(config, root)
+	r.createDispatcher(config, root)
 	limits := config.site.Balancer.Limits
 	retryAfter := time.Duration(0)
 	if limits.RetryAfter {
@@ -72,7 +72,7 @@
 	r.dispatcher.UpdateEndpoints(true, config.endpoints)
 	r.dispatcher.UpdateStage(config.stage)
 	if r.evidence != nil {
-		r.evidence.recall(config.stage)
+		r.evidence.prepareRestore(config.stage)
 	}
 	return r
 }
@@ -85,8 +85,8 @@
 	return longest
 }
 
-// connectPeers makes what speaks with discovery and the platform.
-func (r *relay) connectPeers(config Config, root zerolog.Logger) {
+// createPeerClients makes what speaks with discovery and the platform.
+func (r *relay) createPeerClients(config Config, root zerolog.Logger) {
 	callTimeout := max(minCallTimeout, config.site.Balancer.Rollout.VoteTimeout.Duration())
 	// A watch that fell silent is found out before a drain that it should have announced is past its grace.
 	grace := config.site.Balancer.Endpoints.DrainGrace.Duration()
@@ -110,8 +110,8 @@
 	})
 }
 
-// connectDispatcher makes the dispatcher and what it acts with. The pool is made after it, and used through r.
-func (r *relay) connectDispatcher(config Config, root zerolog.Logger) {
+// createDispatcher makes the dispatcher and what it acts with. The pool is made after it, and used through r.
+func (r *relay) createDispatcher(config Config, root zerolog.Logger) {
 	callbacks := dispatch.Callbacks{
 		Vote:           r.releaseClient.Vote,
 		WatchEndpoints: r.watcher.SetWatching,
@@ -122,7 +122,7 @@
 		OnStage:        config.OnStage,
 		FleetPolicy:    config.FleetPolicy,
 	}
-	if config.evidenceRules != nil {
+	if config.evidenceSettings != nil {
 		r.evidence = newEvidenceSaver(config, root.With().Str("component", "evidence").Logger())
 		callbacks.Evidence = r.evidence.store
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -31,20 +31,20 @@
 
 // Config is what a relay is started with. ReadConfig and ReadFleetConfig make one.
 type Config struct {
-	signals       chan os.Signal // that have come since the program began; nil: they are caught from Run on
-	name          string
-	listen        string // host:port
-	discovery     string // host:port
-	platform      string // host:port; empty for a relay of a fleet without one
-	seed          uint64
-	cores         float64
-	memoryBytes   int64
-	sockets       int // descriptors of the process
-	stage         dispatch.RolloutStage
-	listVersion   int64               // of the endpoints
-	endpoints     []dispatch.Endpoint // that are known before discovery has answered
-	site          settings.Site
-	evidenceRules *evidenceRules // nil: no evidence is kept
+	signals          chan os.Signal // that have come since the program began; nil: they are caught from Run on
+	name             string
+	listen           string // host:port
+	discovery        string // host:port
+	platform         string // host:port; empty for a relay of a fleet without one
+	seed             uint64
+	cores            float64
+	memoryBytes      int64
+	sockets          int // descriptors of the process
+	stage            dispatch.RolloutStage
+	listVersion      int64               // of the endpoints
+	endpoints        []dispatch.Endpoint // that are known before discovery has answered
+	site             settings.Site
+	evidenceSettings *evidenceSettings // nil: no evidence is kept
 
 	// FollowsPlacements: the endpoint list and where instances run come from a fleet's controllers, by a part that runs beside
 	// the relay.
@@ -57,8 +57,8 @@
 	OnStage func(dispatch.RolloutStage)
 }
 
-// evidenceRules tell how what was seen of each version is kept.
-type evidenceRules struct {
+// evidenceSettings tell how what was seen of each version is kept.
+type evidenceSettings struct {
 	path         string        // of the file that outlives the process; empty: none is written
 	saveInterval time.Duration // between two writes
 	halfLife     balancer.Tick // by which outcomes from before a restart count less
@@ -142,7 +142,7 @@
 	}
 	c.site.Balancer.Rollout.EvidenceWait = balancer.Seconds(seconds("evidence_wait"))
 	c.site.Balancer.Rollout.ReportWithin = balancer.Seconds(seconds("report_within"))
-	c.evidenceRules = &evidenceRules{
+	c.evidenceSettings = &evidenceSettings{
 		saveInterval: time.Duration(seconds("save") * float64(time.Second)),
 		halfLife:     balancer.Tick(seconds("half_life") * float64(balancer.Second)),
 	}
@@ -150,7 +150,7 @@
 		if !filepath.IsAbs(stored) {
 			stored = filepath.Join(filepath.Dir(path), stored)
 		}
-		c.evidenceRules.path = stored
+		c.evidenceSettings.path = stored
 	}
 	return nil
 }
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -57,10 +57,10 @@
 	if c.seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	if err := c.takeLimits(&file); err != nil {
+	if err := c.setLimits(&file); err != nil {
 		return err
 	}
-	if err := c.takeAddresses(&file); err != nil {
+	if err := c.setAddresses(&file); err != nil {
 		return err
 	}
 	if c.stage, err = releaseapi.ParseStage(file.ReleaseAPI.Stage); err != nil {
@@ -75,7 +75,7 @@
 	return err
 }
 
-func (c *Config) takeLimits(file *configFile) error {
+func (c *Config) setLimits(file *configFile) error {
 	limits := file.Limits
 	switch {
 	case limits.Cores <= 0 || limits.Cores > maxCores:
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (c *Config) takeAddresses(file *configFile) error {
+func (c *Config) setAddresses(file *configFile) error {
 	if file.Discovery != "" { // the file is newer than the environment once it was replaced
 		c.discovery = file.Discovery
 	}
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -32,8 +32,8 @@
 	r.logDispatchCounters(counters)
 	r.logConnectionCounters()
 	r.log.Info().Int64("list_answers", r.watcher.Answers.Load()).Int64("list_failures", r.watcher.Failures.Load()).
-		Int64("platform_lines", r.releaseClient.Lines.Load()).Int64("platform_streams", r.releaseClient.Streams.Load()).
-		Int64("votes_dropped", r.releaseClient.Dropped.Load()).Msg("peer counters")
+		Int64("platform_lines", r.releaseClient.LinesRead.Load()).Int64("platform_streams", r.releaseClient.StreamsOpened.Load()).
+		Int64("votes_dropped", r.releaseClient.VotesDropped.Load()).Msg("peer counters")
 	r.logProcessCounters()
 }
 
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -13,18 +13,18 @@
 
 // evidenceSaver keeps what was seen of each version beside the balancer, and over a restart where the rules name a file.
 type evidenceSaver struct {
-	rules      evidenceRules
+	settings   evidenceSettings
 	store      *evidence.Store // used under the dispatcher's lock, as the dispatcher records in it
 	dispatcher *dispatch.Dispatcher
 	log        zerolog.Logger
 
-	// recalled is what was known of the canary before this start, until the balancer has it. It belongs to newRelay, and then
+	// pending is what was known of the canary before this start, until the balancer has it. It belongs to newRelay, and then
 	// to the goroutine in run.
-	recalled recalledEvidence
+	pending canaryCounts
 }
 
-// recalledEvidence is what was known of a version; the slices have a place for each request class.
-type recalledEvidence struct {
+// canaryCounts is what was known of a version; the slices have a place for each request class.
+type canaryCounts struct {
 	version  uint16
 	outcomes []int
 	failures []int
@@ -36,24 +36,24 @@
 	for _, class := range c.site.Balancer.Classes {
 		classes = append(classes, class.Name)
 	}
-	s := &evidenceSaver{rules: *c.evidenceRules, store: evidence.New(classes), log: log}
-	if s.rules.path != "" {
-		s.store.Load(s.rules.path)
+	s := &evidenceSaver{settings: *c.evidenceSettings, store: evidence.New(classes), log: log}
+	if s.settings.path != "" {
+		s.store.Load(s.settings.path)
 	}
 	return s
 }
 
-// recall takes what was known of the canary before this start, before anything new comes.
-func (s *evidenceSaver) recall(stage dispatch.RolloutStage) {
+// prepareRestore takes what was known of the canary before this start, before anything new comes.
+func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
-		s.log.Warn().Str("path", s.rules.path).Str("error", s.store.LoadError).Msg("evidence lost")
+		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence lost")
 	}
 	if stage.Phase != "testing" {
 		return
 	}
-	s.recalled.version = stage.Version
+	s.pending.version = stage.Version
 	s.dispatcher.WithLock(func() {
-		s.recalled.outcomes, s.recalled.failures = s.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, s.rules.halfLife)
+		s.pending.outcomes, s.pending.failures = s.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, s.settings.halfLife)
 	})
 }
 
@@ -67,25 +67,25 @@
 // compare with.
 func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
-	for class := range s.recalled.outcomes {
-		outcomes += s.recalled.outcomes[class]
-		failures += s.recalled.failures[class]
+	for class := range s.pending.outcomes {
+		outcomes += s.pending.outcomes[class]
+		failures += s.pending.failures[class]
 	}
 	if outcomes > 0 {
-		s.dispatcher.RestoreEvidence(s.recalled.version, s.recalled.outcomes, s.recalled.failures)
-		s.log.Info().Uint16("version", s.recalled.version).Int("outcomes", outcomes).Int("failures", failures).
+		s.dispatcher.RestoreEvidence(s.pending.version, s.pending.outcomes, s.pending.failures)
+		s.log.Info().Uint16("version", s.pending.version).Int("outcomes", outcomes).Int("failures", failures).
 			Msg("evidence restored")
 	}
-	s.recalled.outcomes, s.recalled.failures = nil, nil
+	s.pending.outcomes, s.pending.failures = nil, nil
 }
 
 // run saves the evidence until the context ends, and then once more. Of writes that fail one after the other the first is
 // logged.
 func (s *evidenceSaver) run(ctx context.Context) error {
-	if s.rules.path == "" {
+	if s.settings.path == "" {
 		return nil
 	}
-	ticker := time.NewTicker(s.rules.saveInterval)
+	ticker := time.NewTicker(s.settings.saveInterval)
 	defer ticker.Stop()
 	failing := false
 	for ended := false; !ended; {
@@ -97,7 +97,7 @@
 		}
 		err := s.save()
 		if err != nil && !failing {
-			s.log.Error().Str("path", s.rules.path).Err(err).Msg("evidence not saved")
+			s.log.Error().Str("path", s.settings.path).Err(err).Msg("evidence not saved")
 		}
 		failing = err != nil
 	}
@@ -107,5 +107,5 @@
 func (s *evidenceSaver) save() error {
 	var snapshot []byte
 	s.dispatcher.WithLock(func() { snapshot = s.store.Snapshot() })
-	return evidence.Save(s.rules.path, snapshot)
+	return evidence.Save(s.settings.path, snapshot)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -53,7 +53,7 @@
 // configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
 // Run owns all goroutines that it starts and waits for them. It returns the error of a listener that cannot be had, or the
 // first one of a part.
-func Run(config Config, env func(string) string, beside ...func(context.Context, *dispatch.Dispatcher) error) error {
+func Run(config Config, env func(string) string, components ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := config.signals
 	if signals == nil {
 		signals = catchSignals()
@@ -64,14 +64,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	r.startParts(ctx, group, config, beside)
+	r.startComponents(ctx, group, config, components)
 	listeners := make(chan net.Listener, 1)
 	group.Go(func() error {
 		handler := signalHandler{relay: r, env: env, cancel: cancel, signals: signals, listeners: listeners}
 		handler.run(ctx)
 		return nil
 	})
-	listener, err := r.open(ctx, config)
+	listener, err := r.prepareAndListen(ctx, config)
 	if err != nil {
 		cancel()
 		_ = group.Wait()
@@ -111,8 +111,8 @@
 	}
 }
 
-// startParts starts what runs beside the listener, each part on a goroutine of the group.
-func (r *relay) startParts(ctx context.Context, group *errgroup.Group, config Config, beside []func(context.Context, *dispatch.Dispatcher) error) {
+// startComponents starts what runs beside the listener, each part on a goroutine of the group.
+func (r *relay) startComponents(ctx context.Context, group *errgroup.Group, config Config, components []func(context.Context, *dispatch.Dispatcher) error) {
 	group.Go(func() error { return r.dispatcher.RunTimers(ctx) })
 	group.Go(func() error { return r.pool.Run(ctx) })
 	if config.FollowsPlacements {
@@ -126,8 +126,8 @@
 	if r.evidence != nil {
 		group.Go(func() error { return r.evidence.run(ctx) })
 	}
-	for _, part := range beside {
-		group.Go(func() error { return part(ctx, r.dispatcher) })
+	for _, component := range components {
+		group.Go(func() error { return component(ctx, r.dispatcher) })
 	}
 }
 
@@ -139,9 +139,9 @@
 	return discovery.Pushed
 }
 
-// open gets the relay ready and then listens; nil: it is to end. The waits before have one limit, whatever the settings
+// prepareAndListen gets the relay ready and then listens; nil: it is to end. The waits before have one limit, whatever the settings
 // say and whoever is silent: a relay that serves with what it knows is better than none.
-func (r *relay) open(ctx context.Context, config Config) (net.Listener, error) {
+func (r *relay) prepareAndListen(ctx context.Context, config Config) (net.Listener, error) {
 	limited, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	if !config.FollowsPlacements && config.discoveryMode() == discovery.Pushed {
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -19,10 +19,10 @@
 type shutdownState uint8
 
 const (
-	serving       shutdownState = iota
-	accepting                   // SIGTERM has come; connections are still accepted
-	closingIdle                 // sessions end between two requests
-	listenerEnded               // no connection is accepted any more
+	serving         shutdownState = iota
+	inAcceptGrace                 // SIGTERM has come; connections are still accepted
+	closingIdle                   // sessions end between two requests
+	listenerStopped               // no connection is accepted any more
 )
 
 // signalHandler follows the signals from before the first wait of the start to the end. Its fields belong to the goroutine
@@ -53,7 +53,7 @@
 				return
 			}
 		case <-h.nextStep:
-			h.step()
+			h.advance()
 		case <-ctx.Done():
 			return
 		}
@@ -74,20 +74,20 @@
 	case h.state == serving: // another SIGTERM changes nothing
 		h.relay.log.Info().Str("signal", s.String()).Dur("stop_timeout_ms", h.relay.stopTimeout).Msg("relay stopping")
 		h.relay.server.StopBefore(time.Now().Add(h.relay.stopTimeout))
-		h.state, h.nextStep = accepting, time.After(acceptGrace)
+		h.state, h.nextStep = inAcceptGrace, time.After(acceptGrace)
 	}
 	return true
 }
 
-// step goes on to the next state of an ordered end.
-func (h *signalHandler) step() {
+// advance goes on to the next state of an ordered end.
+func (h *signalHandler) advance() {
 	switch h.state {
-	case accepting:
+	case inAcceptGrace:
 		h.relay.server.CloseIdleSessions()
 		h.state, h.nextStep = closingIdle, time.After(closeStepDelay)
 	case closingIdle:
 		_ = h.listener.(*net.TCPListener).SetDeadline(time.Now())
-		h.state, h.nextStep = listenerEnded, nil
+		h.state, h.nextStep = listenerStopped, nil
 	}
 }
 
--- a/internal/releaseapi/change.go
+++ b/internal/releaseapi/change.go
@@ -28,10 +28,10 @@
 	Backend string  `json:"InstanceId"`
 }
 
-// takeChange hands one change to the dispatcher. Kinds that are not known are skipped: a line without one keeps the stream
+// applyChange hands one change to the dispatcher. Kinds that are not known are skipped: a line without one keeps the stream
 // alive.
-func (c *Client) takeChange(line []byte) error {
-	c.Lines.Add(1)
+func (c *Client) applyChange(line []byte) error {
+	c.LinesRead.Add(1)
 	var change wireChange
 	if err := json.Unmarshal(line, &change); err != nil {
 		return err
@@ -44,16 +44,16 @@
 		}
 		c.dispatcher.UpdateStage(stage)
 	case changeTally, changeFlag:
-		var seen wireObservation
-		if err := json.Unmarshal(change.Object, &seen); err != nil {
+		var observation wireObservation
+		if err := json.Unmarshal(change.Object, &observation); err != nil {
 			return err
 		}
-		age := milliseconds(seen.AgeMs)
+		age := milliseconds(observation.AgeMs)
 		if change.Kind == changeFlag {
-			c.dispatcher.RecordWrongAnswer(seen.Backend, seen.Class, age)
+			c.dispatcher.RecordWrongAnswer(observation.Backend, observation.Class, age)
 			return nil
 		}
-		c.dispatcher.RecordReleaseMetrics(seen.Version, seen.Class, seen.Samples, seen.Errors, milliseconds(seen.MeanMs), age)
+		c.dispatcher.RecordReleaseMetrics(observation.Version, observation.Class, observation.Samples, observation.Errors, milliseconds(observation.MeanMs), age)
 	}
 	return nil
 }
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -39,9 +39,9 @@
 	dispatcher *dispatch.Dispatcher // set by Run before it starts goroutines
 	votes      chan dispatch.Vote   // that are to be cast
 
-	// Lines counts the lines of the stream of changes, Streams how often it was opened, Dropped the votes that found no
+	// LinesRead counts the lines of the stream of changes, StreamsOpened how often it was opened, VotesDropped the votes that found no
 	// place to wait.
-	Lines, Streams, Dropped atomic.Int64
+	LinesRead, StreamsOpened, VotesDropped atomic.Int64
 }
 
 // New makes a client. It starts no goroutine.
@@ -65,7 +65,7 @@
 	select {
 	case c.votes <- vote:
 	default:
-		c.Dropped.Add(1)
+		c.VotesDropped.Add(1)
 	}
 }
 
@@ -85,7 +85,7 @@
 	return group.Wait()
 }
 
-// closed is the status of a call whose request was sent.
-func closed(reason transport.CloseReason) transport.CloseStatus {
+// closedAfterSend is the status of a call whose request was sent.
+func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/releaseapi/vote.go
+++ b/internal/releaseapi/vote.go
@@ -70,7 +70,7 @@
 		conn.Discard(used)
 		body = read
 		if err != nil {
-			return voteResult{status: closed(transport.Malformed)}
+			return voteResult{status: closedAfterSend(transport.Malformed)}
 		}
 		if response.Done {
 			break
@@ -79,11 +79,11 @@
 			return voteResult{status: status}
 		}
 	}
-	result := voteResult{httpStatus: response.Status, status: closed(transport.ClosedLocally)}
+	result := voteResult{httpStatus: response.Status, status: closedAfterSend(transport.ClosedLocally)}
 	if response.Status == statusOK {
 		stage, err := ParseStage(body)
 		if err != nil {
-			return voteResult{status: closed(transport.Malformed)}
+			return voteResult{status: closedAfterSend(transport.Malformed)}
 		}
 		result.stage = stage
 	}
