--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -17,37 +17,43 @@
 	"silvercove/internal/upstream"
 )
 
-// How the limits are shared out.
+// The division of the process's limits.
 const (
-	// reservedSockets are the standard files, the poller, the listener, and the connections to discovery and the platform.
+	// reservedSockets is the number of descriptors kept for the standard files, the poller, the listener, and the
+	// connections to discovery and the platform.
 	reservedSockets = 24
-	minSockets      = 3 * reservedSockets
-	// backendSocketsDivisor: a sixth of the other sockets are for backends, the rest for clients.
+	// minSockets is the smallest limit of descriptors that a configuration may set.
+	minSockets = 3 * reservedSockets
+	// backendSocketsDivisor gives a sixth of the unreserved sockets to backends. The rest are for clients.
 	backendSocketsDivisor = 6
-	// bufferMemoryDivisor: half of the memory is for the buffers of connections.
+	// bufferMemoryDivisor gives half of the memory to the buffers of connections.
 	bufferMemoryDivisor = 2
-	// minCallTimeout is the least time that a client has for a message, and discovery and the platform for an answer.
+	// minCallTimeout is the shortest time limit of a client for one message, and of discovery and the platform for one
+	// response.
 	minCallTimeout = time.Second
-	// maxKillDelay: SIGKILL comes 0.7 s after the longest deadline of a request, or after this.
+	// maxKillDelay caps the longest deadline of a request in the time before SIGKILL: SIGKILL follows SIGTERM 0.7 s
+	// after the longest deadline, or 0.7 s after maxKillDelay if that is shorter.
 	maxKillDelay = 3 * time.Second
 )
 
-// relay is the parts of the program. Its fields are set by newRelay and do not change; each part is safe for concurrent use.
+// relay holds the components of one relay. newRelay sets the fields, which do not change afterwards. Each component is
+// safe for concurrent use.
 type relay struct {
-	log              zerolog.Logger // component relay
+	log              zerolog.Logger // for lines of the component "relay"
 	buffers          *transport.BufferBudget
 	dispatcher       *dispatch.Dispatcher
 	pool             *upstream.Pool
 	server           *downstream.Server
 	watcher          *discovery.Watcher
 	releaseClient    *releaseapi.Client
-	evidence         *evidenceSaver // nil where none is kept
+	evidence         *evidenceSaver // nil if no evidence is kept
 	discoveryAddress *transport.Address
 	platformAddress  *transport.Address
-	stopTimeout      time.Duration // from SIGTERM until every request has to be answered
+	stopTimeout      time.Duration // from SIGTERM until every request must be answered
 }
 
-// newRelay puts the parts together and hands the balancer what is known at the start. It starts no goroutine.
+// newRelay creates the components and gives the dispatcher the endpoint list and the stage of the configuration. It
+// starts no goroutine.
 func newRelay(config Config) *relay {
 	root := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	r := &relay{
@@ -77,6 +83,7 @@
 	return r
 }
 
+// longestDeadline returns the longest deadline of all request classes.
 func longestDeadline(site settings.Site) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range site.Balancer.Classes {
@@ -85,10 +92,10 @@
 	return longest
 }
 
-// createPeerClients makes what speaks with discovery and the platform.
+// createPeerClients creates the clients of discovery and the platform.
 func (r *relay) createPeerClients(config Config, root zerolog.Logger) {
 	callTimeout := max(minCallTimeout, config.site.Balancer.Rollout.VoteTimeout.Duration())
-	// A watch that fell silent is found out before a drain that it should have announced is past its grace.
+	// A silent watch must be detected before the grace period of a drain that it failed to announce has passed.
 	grace := config.site.Balancer.Endpoints.DrainGrace.Duration()
 	if grace == 0 {
 		grace = callTimeout
@@ -110,7 +117,8 @@
 	})
 }
 
-// createDispatcher makes the dispatcher and what it acts with. The pool is made after it, and used through r.
+// createDispatcher creates the dispatcher, its callbacks and the evidence saver. The callbacks use the pool through r, as
+// the pool is created later.
 func (r *relay) createDispatcher(config Config, root zerolog.Logger) {
 	callbacks := dispatch.Callbacks{
 		Vote:           r.releaseClient.Vote,
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -21,54 +21,57 @@
 const (
 	envName      = "NODE_NAME"
 	envListen    = "NODE_LISTEN"    // host:port for clients
-	envDiscovery = "NODE_DISCOVERY" // host:port of the agent that has the endpoint list
-	envConfig    = "NODE_CONFIG"    // path of the configuration
+	envDiscovery = "NODE_DISCOVERY" // host:port of the agent that serves the endpoint list
+	envConfig    = "NODE_CONFIG"    // path of the configuration file
 	envOperator  = "NODE_OPERATOR"  // path of the operator's file; empty for none
 )
 
-// ErrNotSet tells that a variable of the environment is missing or empty.
+// ErrNotSet is the error for an environment variable that is missing or empty.
 var ErrNotSet = errors.New("not set")
 
-// Config is what a relay is started with. ReadConfig and ReadFleetConfig make one.
+// Config holds the configuration of a relay. ReadConfig and ReadFleetConfig create it.
 type Config struct {
-	signals          chan os.Signal // that have come since the program began; nil: they are caught from Run on
+	signals          chan os.Signal // signals received since the program started; if nil, Run starts to receive them
 	name             string
 	listen           string // host:port
 	discovery        string // host:port
-	platform         string // host:port; empty for a relay of a fleet without one
+	platform         string // host:port; may be empty for a relay of a fleet
 	seed             uint64
 	cores            float64
 	memoryBytes      int64
-	sockets          int // descriptors of the process
+	sockets          int // limit of the process's descriptors
 	stage            dispatch.RolloutStage
-	listVersion      int64               // of the endpoints
-	endpoints        []dispatch.Endpoint // that are known before discovery has answered
+	listVersion      int64               // version of endpoints
+	endpoints        []dispatch.Endpoint // used until discovery has answered
 	site             settings.Site
 	evidenceSettings *evidenceSettings // nil: no evidence is kept
 
-	// FollowsPlacements: the endpoint list and where instances run come from a fleet's controllers, by a part that runs beside
-	// the relay.
+	// FollowsPlacements is set if a component passed to Run supplies the endpoint list and the placements of instances,
+	// which come from a fleet's controllers. The relay then does not watch discovery.
 	FollowsPlacements bool
-	// FleetPolicy decides for the fleet what is shed, retried and probed; nil for a relay on its own.
+	// FleetPolicy makes the fleet's decisions on shedding, retries and probes. It is nil for a relay that belongs to no
+	// fleet.
 	FleetPolicy dispatch.FleetPolicy
-	// WaitTurn blocks until this relay may accept clients, or the context ends; nil: at once.
+	// WaitTurn blocks until this relay may accept clients, or until the context ends, so that the relays of a fleet do
+	// not all start at once. If it is nil, the relay accepts clients without waiting.
 	WaitTurn func(context.Context)
-	// OnStage hears the stages that the release API announces; nil: nobody does.
+	// OnStage, if not nil, is called with each stage that the release API announces.
 	OnStage func(dispatch.RolloutStage)
 }
 
-// evidenceSettings tell how what was seen of each version is kept.
+// evidenceSettings holds the settings for keeping and saving the evidence of each version.
 type evidenceSettings struct {
-	path         string        // of the file that outlives the process; empty: none is written
-	saveInterval time.Duration // between two writes
-	halfLife     balancer.Tick // by which outcomes from before a restart count less
+	path         string        // file that keeps the evidence over restarts; empty if none is written
+	saveInterval time.Duration // interval between two writes of the file
+	halfLife     balancer.Tick // half-life of outcomes from before a restart
 }
 
-// ReadConfig reads the environment and the configuration that it names. Its errors name the variable, or the
-// configuration's key, that is wrong; one that is missing is ErrNotSet.
+// ReadConfig reads the environment variables and the configuration file that they name. An error names the variable or
+// the configuration key at fault. The error for a missing variable wraps ErrNotSet.
 func ReadConfig(env func(string) string) (Config, error) { return readConfig(env, false) }
 
-// ReadFleetConfig does the same for a relay of a fleet: the endpoint list comes from controllers, and there may be no platform.
+// ReadFleetConfig reads the configuration of a relay that belongs to a fleet, as ReadConfig does. The endpoint list of
+// such a relay comes from the fleet's controllers, and the release platform is optional.
 func ReadFleetConfig(env func(string) string) (Config, error) { return readConfig(env, true) }
 
 func readConfig(env func(string) string, fleet bool) (Config, error) {
@@ -87,7 +90,7 @@
 	if err := c.parse(text); err != nil {
 		return c, fmt.Errorf("%s %s: %w", envConfig, path, err)
 	}
-	if fleet { // the relays of a fleet may share the file, but not their random numbers
+	if fleet { // relays of a fleet may share the configuration file, but each needs its own sequence of random numbers
 		c.seed ^= xxhash.Sum64String(c.name)
 	}
 	return c, c.readOperatorFile(env(envOperator))
@@ -105,7 +108,7 @@
 	return err
 }
 
-// environmentAddress reads a variable that holds host:port.
+// environmentAddress returns the value of an environment variable, which must have the form host:port.
 func environmentAddress(env func(string) string, name string) (string, error) {
 	address := env(name)
 	if address == "" {
@@ -117,13 +120,14 @@
 	return address, nil
 }
 
-// Seed is that of the relay's random numbers.
+// Seed returns the seed of the relay's random number generators.
 func (c Config) Seed() uint64 { return c.seed }
 
-// Limits are the cores and the bytes of memory that the relay has.
+// Limits returns the number of cores and the bytes of memory that the relay may use.
 func (c Config) Limits() (cores float64, memoryBytes int64) { return c.cores, c.memoryBytes }
 
-// readOperatorFile reads the operator's own file, if one is named. What its verdicts block says joins the settings.
+// readOperatorFile reads the operator's file, if path is not empty. The values of the file's verdicts block are added to
+// the rollout and evidence settings.
 func (c *Config) readOperatorFile(path string) error {
 	if path == "" {
 		return nil
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -11,17 +11,18 @@
 	"silvercove/internal/settings"
 )
 
-// The most of each limit that is accepted: more is a typing error, and would leave the whole numbers below.
+// The largest accepted values of the limits. A larger value is a typing error, and would overflow the integers that are
+// computed from it.
 const (
 	maxCores    = 4096
 	maxMemoryMB = 1 << 30
 	maxSockets  = 1 << 20
 )
 
-// configFile is the configuration, with the keys of the JSON file.
+// configFile is the JSON configuration file.
 type configFile struct {
 	Discovery string `json:"discovery"` // host:port
-	Seed      string `json:"seed"`      // 64 bits in hexadecimal
+	Seed      string `json:"seed"`      // 64-bit number in hexadecimal
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
@@ -29,25 +30,25 @@
 	} `json:"limits"`
 	ReleaseAPI struct {
 		Address string          `json:"address"` // host:port
-		Stage   json.RawMessage `json:"news"`
+		Stage   json.RawMessage `json:"news"`    // stage of the newest version, see releaseapi.ParseStage
 	} `json:"release_api"`
-	Endpoints json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Endpoints json.RawMessage `json:"known"`    // endpoint list, see discovery.ParsePage
+	Settings  json.RawMessage `json:"settings"` // see settings.Read
 }
 
-// LimitError tells that a limit of the configuration is out of range.
+// LimitError reports a limit in the configuration that is out of range.
 type LimitError struct {
 	Key     string
-	Value   string // as it was read
-	Allowed string // what it may be, in words
+	Value   string // the rejected value
+	Allowed string // the allowed range, in words
 }
 
-// Error names the key, the value and what is allowed.
+// Error names the key, the rejected value and the allowed range.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%s: %s, %s are allowed", e.Key, e.Value, e.Allowed)
+	return fmt.Sprintf("%s: %s is out of range, must be %s", e.Key, e.Value, e.Allowed)
 }
 
-// parse reads the text of a configuration.
+// parse reads the text of a configuration file into c.
 func (c *Config) parse(text []byte) error {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -75,6 +76,7 @@
 	return err
 }
 
+// setLimits sets the limits of c from the file. It returns a *LimitError if one is out of range.
 func (c *Config) setLimits(file *configFile) error {
 	limits := file.Limits
 	switch {
@@ -101,8 +103,9 @@
 	return nil
 }
 
+// setAddresses sets the addresses of discovery and the platform. A relay of a fleet needs neither.
 func (c *Config) setAddresses(file *configFile) error {
-	if file.Discovery != "" { // the file is newer than the environment once it was replaced
+	if file.Discovery != "" { // a file that was replaced while the relay runs is newer than the environment
 		c.discovery = file.Discovery
 	}
 	if _, _, err := net.SplitHostPort(c.discovery); err != nil && !c.FollowsPlacements {
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/dispatch"
 )
 
-// outcomeNames are the keys of outcomes in the log, by their value.
+// outcomeNames holds the log key of each outcome, indexed by the outcome.
 var outcomeNames = [...]string{
 	balancer.Succeeded:     "succeeded",
 	balancer.Errored:       "errored",
@@ -21,7 +21,8 @@
 	balancer.Discarded:     "discarded",
 }
 
-// logCounters logs what was counted since the start: a line for each request class, and one for each part of the relay.
+// logCounters logs the counters since the start: one line for each request class, and one line each for the dispatcher,
+// the connections, the peers and the process.
 func (r *relay) logCounters() {
 	counters := r.dispatcher.Snapshot()
 	for _, class := range counters.Classes {
@@ -47,7 +48,7 @@
 		Dur("timer_call_mean_ms", c.TimerCallMean).Dur("timer_call_max_ms", c.TimerCallMax).Msg("dispatch counters")
 }
 
-// outcomeDict are counters by outcome, under the names of the outcomes.
+// outcomeDict returns a log dictionary with the count of each outcome under its name.
 func outcomeDict(counts []int64) *zerolog.Event {
 	dict := zerolog.Dict()
 	for outcome := balancer.Succeeded; int(outcome) < len(counts); outcome++ {
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -11,26 +11,28 @@
 	"silvercove/internal/evidence"
 )
 
-// evidenceSaver keeps what was seen of each version beside the balancer, and over a restart where the rules name a file.
+// evidenceSaver owns the evidence store, which records the outcomes of each version. If the settings name a file, it saves
+// the store there, and gives the balancer the counts of the canary from before a restart.
 type evidenceSaver struct {
 	settings   evidenceSettings
-	store      *evidence.Store // used under the dispatcher's lock, as the dispatcher records in it
+	store      *evidence.Store // guarded by the dispatcher's lock, as the dispatcher records outcomes in it
 	dispatcher *dispatch.Dispatcher
 	log        zerolog.Logger
 
-	// pending is what was known of the canary before this start, until the balancer has it. It belongs to newRelay, and then
-	// to the goroutine in run.
+	// pending holds the canary's counts from before the restart until the balancer has received them. It is used by
+	// newRelay, and then only by the goroutine in run.
 	pending canaryCounts
 }
 
-// canaryCounts is what was known of a version; the slices have a place for each request class.
+// canaryCounts holds the outcomes and failures of a version, indexed by request class.
 type canaryCounts struct {
 	version  uint16
 	outcomes []int
 	failures []int
 }
 
-// newEvidenceSaver makes a saver and reads what an earlier process has saved. The dispatcher is set once it is made.
+// newEvidenceSaver creates a saver and loads the file that an earlier process has saved, if there is one. The caller sets
+// the dispatcher after creating it.
 func newEvidenceSaver(c Config, log zerolog.Logger) *evidenceSaver {
 	var classes []string
 	for _, class := range c.site.Balancer.Classes {
@@ -43,10 +45,11 @@
 	return s
 }
 
-// prepareRestore takes what was known of the canary before this start, before anything new comes.
+// prepareRestore sets pending to the canary's counts from the loaded file, before new outcomes are recorded. It does
+// nothing if no version is being tested.
 func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
-		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence lost")
+		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence file not loaded")
 	}
 	if stage.Phase != "testing" {
 		return
@@ -57,14 +60,14 @@
 	})
 }
 
-// wallClockTick is a time of day as the evidence store counts it.
+// wallClockTick converts a time to the clock of the evidence store: ticks of 100 microseconds since 1970.
 func wallClockTick(at time.Time) balancer.Tick {
 	const microsecondsPerTick = 100
 	return balancer.Tick(at.UnixMicro() / microsecondsPerTick)
 }
 
-// restore hands what was recalled to the balancer: not at once, as that first needs outcomes at the stable version to
-// compare with.
+// restore gives the pending counts to the balancer. run calls it only after the first save interval, as the balancer
+// first needs outcomes of the stable version to compare them with.
 func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
 	for class := range s.pending.outcomes {
@@ -79,8 +82,8 @@
 	s.pending.outcomes, s.pending.failures = nil, nil
 }
 
-// run saves the evidence until the context ends, and then once more. Of writes that fail one after the other the first is
-// logged.
+// run saves the evidence at each save interval until the context ends, and then once more. Of several failed writes in a
+// row, only the first is logged. It returns nil.
 func (s *evidenceSaver) run(ctx context.Context) error {
 	if s.settings.path == "" {
 		return nil
@@ -104,6 +107,7 @@
 	return nil
 }
 
+// save writes a snapshot of the store to the file.
 func (s *evidenceSaver) save() error {
 	var snapshot []byte
 	s.dispatcher.WithLock(func() { snapshot = s.store.Snapshot() })
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,8 +1,10 @@
-// Package relay puts one relay together: the dispatcher, its listener and its peers, with limits shared out, signals, the
-// configuration and the operator's file.
+// Package relay assembles and runs one relay: the dispatcher, the listener for clients, and the clients of discovery and
+// the release platform. It reads the configuration and the operator's file, divides the process's limits among the
+// components and handles signals.
 //
-// A program starts a relay with Start, or reads a Config itself and calls Run. Both return once a signal has ended the relay
-// and all that it took is answered. A relay keeps nothing outside of its own parts, but for the limits of the process.
+// A program starts a relay with Start, or reads a Config itself and calls Run. Both return once a signal has stopped the
+// relay and every accepted request is answered. A relay keeps no state outside its own components, except for the limits
+// of the process.
 package relay
 
 import (
@@ -25,13 +27,15 @@
 )
 
 const (
-	// maxStartWait is for the first list and for connections to backends; a restart has 6 s to be ready.
+	// maxStartWait bounds the wait for the first endpoint list and for connections to backends. A restarted relay must
+	// be ready within 6 s.
 	maxStartWait = 3 * time.Second
-	// maxPendingSignals is how many signals wait while none is read.
+	// maxPendingSignals is the number of signals that are queued while none is read.
 	maxPendingSignals = 4
 )
 
-// Start runs a relay as env names it. Signals are caught before anything is read: until then SIGHUP would end the process.
+// Start reads the configuration from the environment and runs a relay. It receives signals before it reads the
+// configuration, as SIGHUP would otherwise end the process.
 func Start(env func(string) string) error {
 	signals := catchSignals()
 	config, err := ReadConfig(env)
@@ -42,17 +46,17 @@
 	return Run(config, env)
 }
 
-// catchSignals has the signals come to a channel. Those that come before the relay looks at them wait there.
+// catchSignals starts to receive signals into a channel, which holds them until the relay handles them.
 func catchSignals() chan os.Signal {
 	signals := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	return signals
 }
 
-// Run runs a relay until a signal has ended it and all that it took is answered. env is the environment: the
-// configuration that it names is read again at SIGHUP. beside are parts of the same process, which end with the relay.
-// Run owns all goroutines that it starts and waits for them. It returns the error of a listener that cannot be had, or the
-// first one of a part.
+// Run runs a relay until a signal has stopped it and every accepted request is answered. env is the environment: SIGHUP
+// reads the configuration that it names again. components run in the same process; their context ends with the relay.
+// Run waits for all goroutines that it starts. It returns the error of a listener that cannot be opened, or the first
+// error of a component.
 func Run(config Config, env func(string) string, components ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := config.signals
 	if signals == nil {
@@ -79,11 +83,11 @@
 	}
 	if listener != nil {
 		listeners <- listener
-		if ctx.Err() != nil { // ended as it began to listen: no client has been accepted
+		if ctx.Err() != nil { // the relay was stopped while it opened the listener: no client has been accepted
 			_ = listener.Close()
 		}
 		group.Go(func() error {
-			defer cancel() // the other parts are needed as long as there are sessions
+			defer cancel() // sessions need the other components, so these end only after Serve
 			return r.server.Serve(listener)
 		})
 		r.log.Info().Str("name", config.name).Str("listen", config.listen).Int("backends", len(config.endpoints)).
@@ -96,22 +100,22 @@
 	return err
 }
 
-// limitProcess keeps the process to the limits of the configuration.
+// limitProcess applies the configured limits to the Go runtime and sizes the descriptor table for them.
 func limitProcess(config Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.cores))))
 	debug.SetMemoryLimit(config.memoryBytes * 3 / 4)
 	growDescriptorTable(config.sockets)
 }
 
-// growDescriptorTable makes the kernel's table of descriptors as large as it will be needed. Where it grows with the
-// connections, each doubling holds up the process for tens of milliseconds.
+// growDescriptorTable grows the kernel's descriptor table of the process to the configured size. If the table grew as
+// connections are opened, each doubling would stall the process for tens of milliseconds.
 func growDescriptorTable(sockets int) {
 	if fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, sockets-1); err == nil {
 		_ = unix.Close(fd)
 	}
 }
 
-// startComponents starts what runs beside the listener, each part on a goroutine of the group.
+// startComponents starts everything but the listener, with one goroutine of the group for each component.
 func (r *relay) startComponents(ctx context.Context, group *errgroup.Group, config Config, components []func(context.Context, *dispatch.Dispatcher) error) {
 	group.Go(func() error { return r.dispatcher.RunTimers(ctx) })
 	group.Go(func() error { return r.pool.Run(ctx) })
@@ -131,7 +135,7 @@
 	}
 }
 
-// discoveryMode tells who begins the watch of the endpoint list.
+// discoveryMode returns the mode in which the endpoint list is watched: pushed by discovery, or requested by the balancer.
 func (c Config) discoveryMode() discovery.Mode {
 	if c.site.Balancer.Discovery == balancer.DiscoverySubscribe {
 		return discovery.Subscribe
@@ -139,13 +143,14 @@
 	return discovery.Pushed
 }
 
-// prepareAndListen gets the relay ready and then listens; nil: it is to end. The waits before have one limit, whatever the settings
-// say and whoever is silent: a relay that serves with what it knows is better than none.
+// prepareAndListen waits for the first endpoint list and for connections to backends, and then opens the listener. It
+// returns nil if the context has ended. maxStartWait bounds both waits together, whatever the settings say and whichever
+// peer does not respond: a relay that serves with the endpoints it knows is better than none.
 func (r *relay) prepareAndListen(ctx context.Context, config Config) (net.Listener, error) {
 	limited, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	if !config.FollowsPlacements && config.discoveryMode() == discovery.Pushed {
-		r.watcher.WaitFirst(limited) // what the agent has counts as notified from the first moment
+		r.watcher.WaitFirst(limited) // the relay counts as notified of the agent's current list from its start on
 	}
 	relays := min(max(config.site.Balancer.Relays, 1), math.MaxInt32)
 	r.pool.Prewarm(limited, r.dispatcher.ReadyBackends(), int(relays))
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// acceptGrace is how long connections are still accepted after SIGTERM, while clients learn that the relay ends.
+	// acceptGrace is how long connections are still accepted after SIGTERM, until clients know that the relay stops.
 	acceptGrace = 500 * time.Millisecond
-	// closeStepDelay is from the end of idle sessions to the end of the listener.
+	// closeStepDelay is the time from closing idle sessions to the end of accepting connections.
 	closeStepDelay = acceptGrace / 10
 )
 
-// shutdownState tells how far an ordered end has come.
+// shutdownState is the state of a graceful shutdown.
 type shutdownState uint8
 
 const (
 	serving         shutdownState = iota
-	inAcceptGrace                 // SIGTERM has come; connections are still accepted
-	closingIdle                   // sessions end between two requests
-	listenerStopped               // no connection is accepted any more
+	inAcceptGrace                 // SIGTERM was received; connections are still accepted
+	closingIdle                   // sessions are closed between two requests
+	listenerStopped               // no more connections are accepted
 )
 
-// signalHandler follows the signals from before the first wait of the start to the end. Its fields belong to the goroutine
-// in run.
+// signalHandler handles signals from before the first wait of the start until the relay stops. Only the goroutine in run
+// uses its fields.
 type signalHandler struct {
 	relay     *relay
 	env       func(string) string
-	cancel    context.CancelFunc // ends the relay at once
+	cancel    context.CancelFunc // stops the relay immediately
 	signals   <-chan os.Signal
-	listeners <-chan net.Listener // brings the listener, once there is one
+	listeners <-chan net.Listener // delivers the listener once it is open
 
-	listener net.Listener // nil: no client has been accepted
+	listener net.Listener // nil until the listener is open: no client has been accepted
 	state    shutdownState
-	nextStep <-chan time.Time // when the state changes; nil while it does not
+	nextStep <-chan time.Time // fires when the state has to change; nil if no change is due
 }
 
 // run handles signals until the context ends, and then closes the listener.
@@ -60,18 +60,18 @@
 	}
 }
 
-// handle acts on a signal. false: the relay is ended, and no other signal counts.
+// handle acts on a signal. It returns false if it has stopped the relay, and later signals are to be ignored.
 func (h *signalHandler) handle(s os.Signal) bool {
 	switch {
 	case s == syscall.SIGUSR1:
 		h.relay.logCounters()
-	case s == syscall.SIGHUP: // also after SIGTERM: changes of the list still count
+	case s == syscall.SIGHUP: // also after SIGTERM, as changes of the endpoint list still apply
 		h.relay.reload(h.env)
 	case h.listener == nil:
-		h.relay.log.Info().Str("signal", s.String()).Msg("relay ended before it served")
+		h.relay.log.Info().Str("signal", s.String()).Msg("relay stopped before serving")
 		h.cancel()
 		return false
-	case h.state == serving: // another SIGTERM changes nothing
+	case h.state == serving: // a second SIGTERM has no effect
 		h.relay.log.Info().Str("signal", s.String()).Dur("stop_timeout_ms", h.relay.stopTimeout).Msg("relay stopping")
 		h.relay.server.StopBefore(time.Now().Add(h.relay.stopTimeout))
 		h.state, h.nextStep = inAcceptGrace, time.After(acceptGrace)
@@ -79,7 +79,7 @@
 	return true
 }
 
-// advance goes on to the next state of an ordered end.
+// advance moves a graceful shutdown to its next state.
 func (h *signalHandler) advance() {
 	switch h.state {
 	case inAcceptGrace:
@@ -91,7 +91,8 @@
 	}
 }
 
-// closeListener closes the listener at the end of the relay. One that comes as the relay is ended has accepted nobody.
+// closeListener waits until the context ends and closes the listener. A listener that was opened while the relay was being
+// stopped has accepted no client, and the server has not been told to stop yet.
 func (h *signalHandler) closeListener(ctx context.Context) {
 	<-ctx.Done()
 	select {
@@ -105,12 +106,12 @@
 	}
 }
 
-// reload reads the configuration again. Only the addresses of discovery and of the platform can change while the relay runs;
-// a configuration that cannot be read changes nothing.
+// reload reads the configuration again and applies the addresses of discovery and of the platform, the only settings that
+// can change while the relay runs. A configuration that cannot be read changes nothing.
 func (r *relay) reload(env func(string) string) {
 	config, err := ReadConfig(env)
 	if err != nil {
-		r.log.Error().Err(err).Msg("configuration refused")
+		r.log.Error().Err(err).Msg("configuration reload failed")
 		return
 	}
 	discoveryMoved := r.discoveryAddress.Update(config.discovery)
