--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,22 +10,22 @@
 	"silvercove/internal/transport"
 )
 
-// endpointsPath is the agent's resource. Without a query it answers at once with the complete list; after a version (since)
-// it waits for something newer, for timeout_ms at the most.
+// endpointsPath is the agent's resource for the endpoint list. A request without a query is answered at once with the
+// complete list. A request with a version (since) waits for a newer version, for at most timeout_ms.
 const endpointsPath = "/v1/servers"
 
-// statusOK is that of an answer with a page.
+// statusOK is the HTTP status of a response with a page.
 const statusOK = 200
 
-// poll is one question to the agent.
+// poll describes one request to the agent.
 type poll struct {
-	complete bool // for the complete list, which comes at once; else for what follows the known version
-	queued   bool // discovery itself has to answer, and has it wait in its queue first
+	complete bool // asks for the complete list, which is sent at once; else for the changes after the known version
+	queued   bool // the request begins a watch that discovery itself answers, after a wait in its queue
 }
 
-// call makes one call, on the connection that is open or on a new one, and takes its answer. skipped: the answer held
-// changes that lead to a version before the known one, so that some may be missing. A status that is closed tells why the
-// call failed.
+// call sends one request, on the open connection or on a new one, and applies the response. skipped reports whether the
+// response held changes that lead to a version before the known one, so that some changes may be missing. If the call
+// failed, the status is closed and holds the reason.
 func (r *run) call(ctx context.Context, p poll) (skipped bool, status transport.CloseStatus) {
 	path, wait := endpointsPath, time.Duration(0)
 	if !p.complete {
@@ -52,7 +52,7 @@
 	return skipped, status
 }
 
-// ensureConn opens a connection where there is none that may carry another call.
+// ensureConn opens a connection if the current one cannot be reused or there is none.
 func (r *run) ensureConn(ctx context.Context) transport.CloseStatus {
 	if r.conn != nil && r.conn.Reusable() {
 		return transport.CloseStatus{}
@@ -66,8 +66,8 @@
 	return transport.CloseStatus{}
 }
 
-// exchange sends a request and takes the answer's page. The status is ClosedLocally where the page was taken, but the
-// connection may not be used again.
+// exchange sends a request and applies the page in the response. The status is ClosedLocally if the page was applied but
+// the connection may not be reused.
 func (r *run) exchange(path string) (skipped bool, status transport.CloseStatus) {
 	r.conn.Append(http1.FormatRequest("GET", path, r.agent, ""))
 	if status := r.conn.Flush(); status.Closed() {
@@ -95,7 +95,8 @@
 	}
 }
 
-// applyPage hands a page to the dispatcher.
+// applyPage parses a page and passes it to the dispatcher. connCloses is set if the agent closes the connection after the
+// response.
 func (r *run) applyPage(body []byte, connCloses bool) (skipped bool, status transport.CloseStatus) {
 	page, err := ParsePage(body)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return skipped, transport.CloseStatus{}
 }
 
-// closedAfterSend is the status of a call whose request was sent.
+// closedAfterSend returns the status of a call that ended for a reason after its request was sent.
 func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -10,32 +10,32 @@
 	"silvercove/internal/transport"
 )
 
-// watchState tells whether the next call is to wait for something newer.
+// watchState is the state of the watch of the endpoint list.
 type watchState uint8
 
 const (
-	stopped   watchState = iota // nobody wants a watch
-	suspended                   // a call failed: the watch waits for SetWatching, or for the agent to move
-	watching
+	stopped   watchState = iota // no watch was requested
+	suspended                   // a call failed: the watch waits for SetWatching, or for a new agent address
+	watching                    // the next call waits for a newer version
 )
 
-// run is one Run of a watcher. It belongs to the goroutine that is in Run.
+// run holds the state of a call of Watcher.Run. Only the goroutine in Run uses it.
 type run struct {
 	*Watcher
 	dispatcher *dispatch.Dispatcher
 	mode       Mode
 	state      watchState
-	conn       *transport.Conn // nil: the next call opens one
-	agent      string          // the address that was called last; empty before the first call
-	version    int64           // of the list that is known
-	// needsComplete: the changes cannot be followed from version on, so the next call is for the complete list.
+	conn       *transport.Conn // nil if the next call has to open one
+	agent      string          // address of the last call; empty before the first call
+	version    int64           // version of the known list
+	// needsComplete is set if the changes after version cannot be followed. The next call then asks for the complete list.
 	needsComplete bool
-	// opensWatch: the next call begins a watch, as the one before failed, or there was none.
+	// opensWatch is set if the next call begins a watch, because the previous call failed or there was none.
 	opensWatch    bool
-	markFirstDone func() // tells that the first call has ended; calls after the first do nothing
+	markFirstDone func() // closes firstDone; has an effect only once
 }
 
-// Run follows the list until the context ends, and hands what it hears to the dispatcher. It returns nil.
+// Run follows the endpoint list until the context ends, and passes each update to the dispatcher. It returns nil.
 func (w *Watcher) Run(ctx context.Context, dispatcher *dispatch.Dispatcher, mode Mode) error {
 	r := &run{
 		Watcher:       w,
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// step waits for something to ask for, makes one call and takes what it brings.
+// step waits until a call is due, makes the call and handles its result.
 func (r *run) step(ctx context.Context) {
 	address, addressCtx, release := r.address.Current(ctx)
 	defer release()
@@ -70,7 +70,7 @@
 		fetch = true
 	default:
 		if r.state == suspended && r.agent != "" && address != r.agent {
-			r.state = watching // what counts where the agent moved to waits for no request
+			r.state = watching // updates at the new address count as notified, so the watch does not wait for SetWatching
 		}
 		if r.state != watching {
 			r.waitIdle(addressCtx)
@@ -85,7 +85,7 @@
 	failed := status.Closed()
 	r.needsComplete = skipped || failed && (r.needsComplete || r.mode == Pushed)
 	r.opensWatch = failed
-	if addressCtx.Err() != nil { // the agent has moved: the call was called off
+	if addressCtx.Err() != nil { // the address has changed and canceled the call, or the context has ended
 		return
 	}
 	r.markFirstDone()
@@ -104,7 +104,7 @@
 	}
 }
 
-// waitIdle waits for something to ask for, or until the agent has moved.
+// waitIdle waits for SetWatching or Fetch, or until the agent's address changes.
 func (r *run) waitIdle(addressCtx context.Context) {
 	select {
 	case on := <-r.watching:
@@ -115,7 +115,8 @@
 	}
 }
 
-// switchAgent has the next call go to an address. The agent there may count its versions otherwise.
+// switchAgent directs the next call to an address. If the address differs from that of the last call, the call asks for
+// the complete list, as the agent there may number its versions differently.
 func (r *run) switchAgent(address string) {
 	if address == r.agent {
 		return
@@ -127,7 +128,7 @@
 	r.agent = address
 }
 
-// handleFailedCall takes a call that failed for another reason than a move.
+// handleFailedCall handles a call that failed for a reason other than a change of the agent's address.
 func (r *run) handleFailedCall(addressCtx context.Context, status transport.CloseStatus) {
 	r.Failures.Add(1)
 	r.log("endpoint list call failed", slog.String("agent", r.agent), slog.String("reason", status.Reason.String()))
@@ -141,7 +142,8 @@
 	r.dispatcher.EndpointFetchFailed()
 }
 
-// pauseBeforeRetry keeps an agent that is dead, or answers without end, from being asked without end.
+// pauseBeforeRetry waits for retryPause, so that an agent that is down, or answers polls at once, is not called in a tight
+// loop.
 func pauseBeforeRetry(addressCtx context.Context) {
 	select {
 	case <-time.After(retryPause):
--- a/internal/discovery/page.go
+++ b/internal/discovery/page.go
@@ -8,31 +8,34 @@
 	"silvercove/internal/dispatch"
 )
 
-// ErrMissingField tells that a page has no version or no list of endpoints.
-var ErrMissingField = errors.New("no seq or no hosts")
+// ErrMissingField is the error for a page without a version or without a list of endpoints.
+var ErrMissingField = errors.New("missing seq or hosts")
 
-// InvalidEndpointError tells that an entry of a page cannot be an endpoint.
+// InvalidEndpointError reports an entry of a page that is not a valid endpoint.
 type InvalidEndpointError struct {
-	Name string // of the entry; empty where it has none
+	Name string // name of the entry; empty if it has none
 }
 
 // Error names the entry.
-func (e *InvalidEndpointError) Error() string { return fmt.Sprintf("host %q makes no sense", e.Name) }
+func (e *InvalidEndpointError) Error() string {
+	return fmt.Sprintf("invalid entry for host %q", e.Name)
+}
 
-// Page is the endpoint list at a version, or the changes that led to it.
+// Page holds the endpoint list at a version, or the changes that led to the version.
 type Page struct {
 	Version   int64
-	Complete  bool // the whole list: endpoints that it does not name are gone
+	Complete  bool // Endpoints is the whole list: endpoints missing from it have been removed
 	Endpoints []dispatch.Endpoint
 }
 
-// wirePage is a page as discovery words it.
+// wirePage is the JSON form of a page.
 type wirePage struct {
 	Version   *int64         `json:"seq"`
 	Complete  bool           `json:"whole"`
 	Endpoints []wireEndpoint `json:"hosts"`
 }
 
+// wireEndpoint is the JSON form of an endpoint.
 type wireEndpoint struct {
 	Name        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -59,8 +62,8 @@
 	}
 }
 
-// ParsePage reads a page. It returns an error of encoding/json, ErrMissingField or an *InvalidEndpointError; nothing of a
-// page with one invalid entry is taken.
+// ParsePage parses a page. Its error is one of encoding/json, ErrMissingField or an *InvalidEndpointError. One invalid
+// entry makes the whole page invalid.
 func ParsePage(text []byte) (Page, error) {
 	var wire wirePage
 	if err := json.Unmarshal(text, &wire); err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,7 +1,7 @@
-// Package discovery follows the list of endpoints that an agent on the machine serves, by long polls over HTTP/1.1.
+// Package discovery follows the endpoint list that a discovery agent on the machine serves, by long polls over HTTP/1.1.
 //
-// New makes a Watcher, Run follows the list and hands what it hears to a dispatcher. Where lists are pushed the watch goes on
-// from the start; else the balancer asks for it through SetWatching and Fetch.
+// New creates a Watcher. Run follows the list and passes each update to a dispatcher. If discovery pushes lists, the watch
+// runs from the start. Otherwise the balancer requests it through SetWatching and Fetch.
 package discovery
 
 import (
@@ -13,55 +13,57 @@
 	"silvercove/internal/transport"
 )
 
-// A watch that has fallen silent is broken, and what it misses counts as notified 6 s after it fell silent. After 4 s another
-// has to be asked for, so that 2 s are left for its answer: a standing watch is found out after maxPollWait and
-// maxAnswerTimeout, and where watches are asked for the balancer begins another within a second; a call that begins one is
-// found out after maxOpenCallDuration, by when the balancer's next request has come or is due, as its pause is 4 s at the most too.
+// A watch whose agent stops responding is broken. A relay counts as notified of the updates that such a watch misses 6 s
+// after the agent stopped. A new watch must be requested within 4 s, so that 2 s are left for its response. An established
+// watch is found broken after maxPollWait and maxAnswerTimeout; if watches are requested, the balancer begins another one
+// within a second. A call that begins a watch is found broken after maxOpenCallDuration. By then the balancer's next request
+// has arrived or is due, as its pause is also at most 4 s.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
 	maxOpenCallDuration = 4 * time.Second
-	// Graces of drains that are next to nothing would have calls follow each other without end, and given up before a
-	// busy machine's agent could answer.
+	// Without the minimums, a drain grace period close to 0 would cause calls in a tight loop, each of which would time out
+	// before the agent on a busy machine could respond.
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
-	// retryPause is the pause after a call that failed, or was answered early with nothing new: an agent that ignores how
-	// long a call may wait is not asked without end. A watch goes on if its next call comes within 200 ms.
+	// retryPause is the pause after a call that failed, or that was answered early without a newer version. It keeps an
+	// agent that ignores timeout_ms from being called in a tight loop. Discovery continues a watch if its next call arrives
+	// within 200 ms.
 	retryPause = 125 * time.Millisecond
 )
 
-// Config is what a Watcher is made of. The times are cut to what finds a silent watch in time, see New.
+// Config configures a Watcher. New limits the durations so that a watch whose agent stops responding is found broken in time.
 type Config struct {
-	Address       *transport.Address // of the agent
-	Version       int64              // of the list that is known already
-	PollWait      time.Duration      // how long a call may wait for something newer; 100 ms to 2 s
+	Address       *transport.Address // address of the agent
+	Version       int64              // version of the list that is already known
+	PollWait      time.Duration      // how long a call may wait for a newer version; 100 ms to 2 s
 	AnswerTimeout time.Duration      // how long a call may take beyond that; 250 ms to 1 s
-	// OpenTimeout takes the place of AnswerTimeout for a call that begins a watch which had to be asked for, as such calls
-	// queue at discovery; AnswerTimeout to 4 s less PollWait.
+	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
+	// discovery; from AnswerTimeout to 4 s minus PollWait.
 	OpenTimeout time.Duration
 	Buffers     *transport.BufferBudget
-	// Log takes a line for the people on call: a constant message and what it is about. nil: nobody wants them.
+	// Log, if not nil, writes a log line for the operators: a constant message with fields.
 	Log func(message string, fields ...slog.Attr)
 }
 
-// Mode tells who begins the watch.
+// Mode selects who begins the watch.
 type Mode uint8
 
 const (
-	// Subscribe has the watch begin when SetWatching asks for it, and wait for the next such request after a call that
-	// failed: the balancer knows how often all relays together may ask, and a relay that asks at once when it was turned
-	// away keeps discovery overloaded for all of them.
+	// Subscribe begins the watch when SetWatching requests it. After a failed call, the watch waits for the next such
+	// request. The balancer knows how often all relays together may call discovery, and a relay that retries at once
+	// after it was rejected would keep discovery overloaded for all relays.
 	Subscribe Mode = iota
-	// Pushed has the watch go on from the start, and again by itself after a call that failed. The first call is for the
-	// complete list, and so is that after one that failed: it need not wait for something newer, and an agent that has
-	// restarted may count its versions otherwise.
+	// Pushed begins the watch at the start, and again without a request after a failed call. The first call, and each call
+	// after a failed one, asks for the complete list: such a call need not wait for a newer version, and an agent that has
+	// restarted may number its versions differently.
 	Pushed
 )
 
 // Watcher follows the endpoint list. SetWatching, Fetch and WaitFirst may be called from any goroutine, also before Run;
 // Run may be called once.
 type Watcher struct {
-	// Fixed by New.
+	// Set by New and not changed afterwards.
 	address       *transport.Address
 	version       int64
 	pollWait      time.Duration
@@ -70,15 +72,15 @@
 	buffers       *transport.BufferBudget
 	log           func(message string, fields ...slog.Attr)
 
-	watching  chan bool     // holds the last request of SetWatching that Run has not seen
-	fetch     chan struct{} // holds one request of Fetch that Run has not seen
+	watching  chan bool     // holds the last value passed to SetWatching that Run has not received
+	fetch     chan struct{} // holds a request of Fetch that Run has not received
 	firstDone chan struct{} // closed once the first call has ended
 
-	// Answers and Failures count the calls that ended with a list, and those that failed.
+	// Answers counts the calls that returned a page, and Failures the calls that failed.
 	Answers, Failures atomic.Int64
 }
 
-// New makes a watcher. It starts no goroutine.
+// New creates a watcher. It starts no goroutine.
 func New(config Config) *Watcher {
 	pollWait := min(max(config.PollWait, minPollWait), maxPollWait)
 	answerTimeout := min(max(config.AnswerTimeout, minAnswerTimeout), maxAnswerTimeout)
@@ -100,7 +102,8 @@
 	return w
 }
 
-// WaitFirst waits until the first call has ended, with an answer or without: what the agent has by then counts as notified.
+// WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. A relay counts as notified of the
+// list that the agent has by then.
 func (w *Watcher) WaitFirst(ctx context.Context) {
 	select {
 	case <-w.firstDone:
@@ -108,7 +111,7 @@
 	}
 }
 
-// SetWatching starts or stops the watch. It does not block; the last call counts.
+// SetWatching starts or stops the watch. It does not block. The last call takes effect.
 func (w *Watcher) SetWatching(on bool) {
 	for {
 		select {
@@ -123,10 +126,10 @@
 	}
 }
 
-// Fetch asks for the complete list once. It does not block; requests that have not been seen yet are one.
+// Fetch requests the complete list once. It does not block. Requests that are still pending are merged into one.
 func (w *Watcher) Fetch() {
 	select {
 	case w.fetch <- struct{}{}:
-	default: // one is to come anyhow
+	default: // a request is already pending
 	}
 }
