--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -1,13 +1,13 @@
-// Command silvercove-relay is one relay: it accepts clients' requests, has the balancer decide where and when each is
-// attempted, and speaks with backends, discovery and the release platform. Its configuration comes from the environment, see
-// package relay. "silvercove-relay check FILE" checks an operator's file.
+// Command silvercove-relay runs one relay. The relay accepts clients' requests, and the balancer in it decides when and at
+// which backend each request is attempted. The relay connects to backends, discovery and the release platform. Its
+// configuration comes from the environment, see package relay. "silvercove-relay check FILE" checks an operator's file.
 package main
 
 import (
 	"fmt"
 	"os"
 
-	_ "silvercove/internal/fdtable" // grows the descriptor table before there are threads
+	_ "silvercove/internal/fdtable" // grows the descriptor table before the process has a second thread
 	"silvercove/internal/operatorconfig"
 	"silvercove/internal/relay"
 )
@@ -29,7 +29,7 @@
 	}
 }
 
-// runSubcommand does what the arguments ask for: it checks an operator's file. Without any the program is a relay.
+// runSubcommand runs the subcommand that the arguments name. The only one is check, which checks an operator's file.
 func runSubcommand(args []string) (exitCode int) {
 	if len(args) != 2 || args[0] != "check" {
 		fmt.Fprintln(os.Stderr, "usage: silvercove-relay, or silvercove-relay check FILE")
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging joins the parts that write their log lines as a constant message with typed fields (log/slog) to the
-// process's logger (zerolog).
+// Package logging lets components that write log lines as a constant message with typed fields (log/slog) use the process's
+// logger (zerolog).
 package logging
 
 import (
@@ -8,17 +8,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Component gives a function that writes lines of one component at level info, each field under its own key. A duration is
-// written in milliseconds, so its key should end in _ms. It may be called from any goroutine.
+// Component returns a function that writes log lines of a component at level info, with each field under its own key. A
+// duration is written in milliseconds, so its key should end in _ms. The function may be called from any goroutine.
 func Component(log zerolog.Logger, name string) func(message string, fields ...slog.Attr) {
 	write := Leveled(log, name)
 	return func(message string, fields ...slog.Attr) { write(slog.LevelInfo, message, fields...) }
 }
 
-// Func writes one line: a constant message with typed fields, at a level. It may be called from any goroutine.
+// Func writes one log line at a level: a constant message with typed fields. It may be called from any goroutine.
 type Func = func(level slog.Level, message string, fields ...slog.Attr)
 
-// Leveled is Component for a part whose lines have different levels.
+// Leveled returns a function that writes log lines of a component at the level given in each call. Fields are written as
+// Component writes them.
 func Leveled(log zerolog.Logger, name string) Func {
 	log = log.With().Str("component", name).Logger()
 	return func(level slog.Level, message string, fields ...slog.Attr) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// zerologLevel is the level of the process's logger that a level of log/slog stands for.
+// zerologLevel converts a level of log/slog to one of zerolog.
 func zerologLevel(level slog.Level) zerolog.Level {
 	switch {
 	case level >= slog.LevelError:
@@ -43,6 +44,7 @@
 	return zerolog.DebugLevel
 }
 
+// addField adds a field to a log line; a duration is written in milliseconds.
 func addField(event *zerolog.Event, field slog.Attr) *zerolog.Event {
 	if field.Value.Kind() == slog.KindDuration {
 		return event.Dur(field.Key, field.Value.Duration())
--- a/internal/releaseapi/change.go
+++ b/internal/releaseapi/change.go
@@ -4,20 +4,20 @@
 	"encoding/json"
 )
 
-// Kinds of changes.
+// The kinds of changes.
 const (
-	changeStage = "stage" // where the newest version stands
-	changeTally = "tally" // what the platform counted of a version's answers
-	changeFlag  = "flag"  // an answer was found wrong
+	changeStage = "stage" // the current stage of the newest version
+	changeTally = "tally" // metrics that the platform counted for a version
+	changeFlag  = "flag"  // a report of a wrong answer
 )
 
-// wireChange is one line of the stream.
+// wireChange is one line of the stream of changes.
 type wireChange struct {
 	Kind   string          `json:"type"`
 	Object json.RawMessage `json:"object"`
 }
 
-// wireObservation is the object of a tally and of a flag.
+// wireObservation is the object of a change of kind tally or flag.
 type wireObservation struct {
 	Version uint16  `json:"Revision"`
 	Class   string  `json:"Lane"`
@@ -28,8 +28,8 @@
 	Backend string  `json:"InstanceId"`
 }
 
-// applyChange hands one change to the dispatcher. Kinds that are not known are skipped: a line without one keeps the stream
-// alive.
+// applyChange parses a change and passes it to the dispatcher. Changes of an unknown kind are skipped, and so is a line
+// without a kind, which the platform sends to keep the stream alive.
 func (c *Client) applyChange(line []byte) error {
 	c.LinesRead.Add(1)
 	var change wireChange
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -1,7 +1,7 @@
-// Package releaseapi speaks with the platform that stages releases, over HTTP/1.1: it follows the stream of changes and casts
-// votes.
+// Package releaseapi is a client of the platform that rolls releases out in stages, over HTTP/1.1. It follows the platform's
+// stream of changes and casts votes.
 //
-// New makes a Client, Run follows the platform and hands what it hears to a dispatcher; Vote casts a vote meanwhile.
+// New creates a Client. Run follows the changes and passes them to a dispatcher. Vote queues a vote that Run casts.
 package releaseapi
 
 import (
@@ -16,35 +16,35 @@
 	"silvercove/internal/transport"
 )
 
-// Config is what a Client is made of.
+// Config configures a Client.
 type Config struct {
-	Address *transport.Address // of the platform
-	Timeout time.Duration      // of a vote, and of a connection that is opened
+	Address *transport.Address // address of the platform
+	Timeout time.Duration      // time limit of a vote, and of opening a connection
 	Buffers *transport.BufferBudget
-	// Log takes a line for the people on call: a constant message and what it is about. nil: nobody wants them.
+	// Log, if not nil, writes a log line for the operators: a constant message with fields.
 	Log func(message string, fields ...slog.Attr)
 }
 
-// maxPendingVotes is how many votes may wait for those before them.
+// maxPendingVotes bounds the queue of votes that wait for earlier votes.
 const maxPendingVotes = 4
 
-// Client speaks with the platform. Vote may be called from any goroutine, also before Run; Run may be called once.
+// Client is a client of the release platform. Vote may be called from any goroutine, also before Run; Run may be called once.
 type Client struct {
-	// Fixed by New.
+	// Set by New and not changed afterwards.
 	address *transport.Address
 	timeout time.Duration
 	buffers *transport.BufferBudget
 	log     func(message string, fields ...slog.Attr)
 
 	dispatcher *dispatch.Dispatcher // set by Run before it starts goroutines
-	votes      chan dispatch.Vote   // that are to be cast
+	votes      chan dispatch.Vote   // queue of votes to cast
 
-	// LinesRead counts the lines of the stream of changes, StreamsOpened how often it was opened, VotesDropped the votes that found no
-	// place to wait.
+	// LinesRead counts the lines of the stream of changes, StreamsOpened counts how often the stream was opened, and
+	// VotesDropped counts the votes that were dropped because the queue was full.
 	LinesRead, StreamsOpened, VotesDropped atomic.Int64
 }
 
-// New makes a client. It starts no goroutine.
+// New creates a client. It starts no goroutine.
 func New(config Config) *Client {
 	c := &Client{
 		address: config.Address,
@@ -59,8 +59,8 @@
 	return c
 }
 
-// Vote casts a vote as soon as those before it have been answered. It does not block: one too many is dropped, as the
-// balancer casts it again.
+// Vote queues a vote, which is cast as soon as the votes before it have been answered. It does not block. If the queue is
+// full, the vote is dropped, as the balancer casts it again.
 func (c *Client) Vote(vote dispatch.Vote) {
 	select {
 	case c.votes <- vote:
@@ -69,8 +69,8 @@
 	}
 }
 
-// Run follows the changes and casts votes until the context ends. It waits for the two goroutines that it starts, and returns
-// nil.
+// Run follows the changes and casts the queued votes until the context ends. It waits for the two goroutines that it starts,
+// and returns nil.
 func (c *Client) Run(ctx context.Context, dispatcher *dispatch.Dispatcher) error {
 	c.dispatcher = dispatcher
 	group, ctx := errgroup.WithContext(ctx)
@@ -85,7 +85,7 @@
 	return group.Wait()
 }
 
-// closedAfterSend is the status of a call whose request was sent.
+// closedAfterSend returns the status of a call that ended for a reason after its request was sent.
 func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/releaseapi/stage.go
+++ b/internal/releaseapi/stage.go
@@ -9,21 +9,21 @@
 	"silvercove/internal/dispatch"
 )
 
-// ErrNoRevision tells that a stage names no version.
-var ErrNoRevision = errors.New("no Revision")
+// ErrNoRevision is the error for a stage without a version.
+var ErrNoRevision = errors.New("missing Revision")
 
-// InvalidStageError tells that a stage is not one that a rollout can be at.
+// InvalidStageError reports a stage that no rollout can be at.
 type InvalidStageError struct {
 	Phase       string
 	ExposureCap float64 // a fraction
 }
 
-// Error names the phase and the cap.
+// Error names the phase and the exposure cap.
 func (e *InvalidStageError) Error() string {
-	return fmt.Sprintf("the state %q with share %v makes no sense", e.Phase, e.ExposureCap)
+	return fmt.Sprintf("invalid stage with State %q and MaxShare %v", e.Phase, e.ExposureCap)
 }
 
-// wireStage is where the newest version stands, as the platform words it.
+// wireStage is the JSON form of the current stage of the newest version.
 type wireStage struct {
 	Version     *uint16 `json:"Revision"`
 	Stage       int     `json:"Wave"`
@@ -32,7 +32,7 @@
 	AgeMs       float64 `json:"AgeMs"`
 }
 
-// ParseStage reads where the newest version stands. It returns an error of encoding/json, ErrNoRevision or an
+// ParseStage parses the current stage of the newest version. Its error is one of encoding/json, ErrNoRevision or an
 // *InvalidStageError.
 func ParseStage(text []byte) (dispatch.RolloutStage, error) {
 	var wire wireStage
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// changesPath is the platform's resource that streams changes, a JSON object a line.
+	// changesPath is the platform's resource that streams changes, one JSON object per line.
 	changesPath = "/changes"
-	// maxLineBytes is how long a line may grow.
+	// maxLineBytes bounds the length of a line.
 	maxLineBytes = 64 << 10
-	// A stream without a whole line for as long as a call may take is broken, but not sooner than minIdleTimeout, as a keep-alive
-	// line comes every second, nor later than maxSilence.
+	// A stream is broken if no whole line arrives within the time limit of a call, but not before minIdleTimeout, as the
+	// platform sends a keep-alive line every second, and at the latest after maxIdleTimeout.
 	minIdleTimeout = 2 * time.Second
 	maxIdleTimeout = 2 * minIdleTimeout
-	// retryDivisor: a stream is opened at most once in this part of the time in which it may be silent.
+	// retryDivisor sets the shortest interval between two attempts to open the stream: the time limit of a call or the
+	// idle timeout, whichever is shorter, divided by retryDivisor.
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. It opens the stream again at once when it was cut,
-// and gives the platform a moment when it cannot be reached.
+// followChanges keeps the stream of changes open until the context ends. It reopens a stream that has lasted for a while at
+// once, and waits for a moment if the platform cannot be reached.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
 	}
 }
 
-// followOnce opens the stream, and waits before the next one where that did not last.
+// followOnce opens the stream and reads it until it ends. If the stream did not last for the shortest interval between two
+// attempts, followOnce waits for the rest of the interval.
 func (c *Client) followOnce(ctx context.Context) {
 	began := time.Now()
 	address, addressCtx, release := c.address.Current(ctx)
 	defer release()
 	idleTimeout := min(max(c.timeout, minIdleTimeout), maxIdleTimeout)
 	status := c.stream(addressCtx, address, idleTimeout)
-	if addressCtx.Err() != nil { // the platform has moved, or the context has ended
+	if addressCtx.Err() != nil { // the platform's address has changed, or the context has ended
 		return
 	}
 	c.log("platform stream closed", slog.String("platform", address), slog.String("reason", status.Reason.String()))
@@ -48,7 +50,8 @@
 	}
 }
 
-// stream reads changes until the connection ends, the context ends, or no whole line has come for the time of silence.
+// stream opens the stream and reads changes until the connection or the context ends, or until no whole line has arrived for
+// idleTimeout.
 func (c *Client) stream(ctx context.Context, address string, idleTimeout time.Duration) transport.CloseStatus {
 	conn, status := transport.Dial(ctx, address, min(c.timeout, idleTimeout), c.buffers)
 	if status.Closed() {
@@ -79,7 +82,7 @@
 		if response.Done {
 			return closedAfterSend(transport.ClosedByPeer)
 		}
-		if ctx.Err() != nil { // the new deadline has taken the place of the one that the context set at its end
+		if ctx.Err() != nil { // the deadline set after a line may have replaced the one that the end of the context had set
 			return closedAfterSend(transport.Canceled)
 		}
 		if status := conn.Fill(0); status.Closed() {
@@ -88,8 +91,9 @@
 	}
 }
 
-// applyLines takes the whole lines of a text and returns what follows them; nil where nothing does. extend is called after each
-// line: bytes alone show no life. not ok: a line cannot be read.
+// applyLines applies the whole lines of a text and returns the incomplete line that follows them, nil if there is none. It
+// calls extend after each whole line, as bytes without a line end do not show that the platform is alive. ok is false if
+// a line is invalid.
 func (c *Client) applyLines(text []byte, extend func()) (rest []byte, ok bool) {
 	for {
 		line, after, found := bytes.Cut(text, []byte("\n"))
@@ -97,7 +101,7 @@
 			break
 		}
 		if err := c.applyChange(line); err != nil {
-			c.log("platform change refused", slog.String("error", err.Error()))
+			c.log("platform change invalid", slog.String("error", err.Error()))
 			return nil, false
 		}
 		text = after
--- a/internal/releaseapi/vote.go
+++ b/internal/releaseapi/vote.go
@@ -9,27 +9,28 @@
 	"silvercove/internal/transport"
 )
 
-// votesPath is the platform's resource that takes votes.
+// votesPath is the platform's resource for votes.
 const votesPath = "/judgements"
 
-// statusOK is that of a vote that was taken; its answer tells the stage after it.
+// statusOK is the HTTP status of a response to the stream of changes, and of an accepted vote, whose response holds the
+// stage after the vote.
 const statusOK = 200
 
-// wireVote is a vote as the platform words it.
+// wireVote is the JSON form of a vote.
 type wireVote struct {
 	Version uint16 `json:"Revision"`
 	Stage   int    `json:"Wave"`
 	Verdict string `json:"Decision"`
 }
 
-// voteResult is how a vote ended.
+// voteResult is the result of a vote.
 type voteResult struct {
-	httpStatus int // 0: there was no whole answer
-	stage      dispatch.RolloutStage
-	status     transport.CloseStatus // ClosedLocally where there was one
+	httpStatus int                   // 0 if there was no complete response
+	stage      dispatch.RolloutStage // set if httpStatus is statusOK
+	status     transport.CloseStatus // ClosedLocally if there was a complete response
 }
 
-// castVotes casts one vote after the other until the context ends.
+// castVotes casts the queued votes one after the other until the context ends.
 func (c *Client) castVotes(ctx context.Context) {
 	for {
 		select {
@@ -42,11 +43,11 @@
 	}
 }
 
-// castVote makes one call on a connection of its own, so that none stands idle until it is closed.
+// castVote casts a vote on a connection of its own, so that no idle connection stays open between votes.
 func (c *Client) castVote(ctx context.Context, vote dispatch.Vote) voteResult {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	address, _, release := c.address.Current(ctx) // a vote under way ends where it was cast
+	address, _, release := c.address.Current(ctx) // a change of the address does not cancel a vote in flight
 	defer release()
 	conn, status := transport.Dial(limited, address, c.timeout, c.buffers)
 	if status.Closed() {
@@ -62,6 +63,7 @@
 	return readVoteResult(conn)
 }
 
+// readVoteResult reads the response to a vote.
 func readVoteResult(conn *transport.Conn) voteResult {
 	var response http1.Response
 	var body []byte
