--- a/internal/discovery/page.go
+++ b/internal/discovery/page.go
@@ -16,10 +16,8 @@
 	Name string // name of the entry; empty if it has none
 }
 
-// Error names the entry.
-func (e *InvalidEndpointError) Error() string {
-	return fmt.Sprintf("invalid entry for host %q", e.Name)
-}
+// Error names the invalid entry.
+func (e *InvalidEndpointError) Error() string { return fmt.Sprintf("invalid entry: host %q", e.Name) }
 
 // Page holds the endpoint list at a version, or the changes that led to the version.
 type Page struct {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,11 +13,11 @@
 	"silvercove/internal/transport"
 )
 
-// A watch whose agent stops responding is broken. A relay counts as notified of the updates that such a watch misses 6 s
-// after the agent stopped. A new watch must be requested within 4 s, so that 2 s are left for its response. An established
-// watch is found broken after maxPollWait and maxAnswerTimeout; if watches are requested, the balancer begins another one
-// within a second. A call that begins a watch is found broken after maxOpenCallDuration. By then the balancer's next request
-// has arrived or is due, as its pause is also at most 4 s.
+// A watch whose agent stops responding is broken. 6 s after the agent stopped, a relay counts as notified of the updates that
+// the watch misses, and so is responsible for them. A new watch must be requested within 4 s, so that 2 s are left for its
+// response. An established watch is found broken after at most maxPollWait plus maxAnswerTimeout; if watches are requested,
+// the balancer begins another one within a second. A call that begins a watch is found broken after at most
+// maxOpenCallDuration. By then the balancer's next request has arrived or is due, as its pause is also at most 4 s.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -44,7 +44,7 @@
 	listVersion      int64               // version of endpoints
 	endpoints        []dispatch.Endpoint // used until discovery has answered
 	site             settings.Site
-	evidenceSettings *evidenceSettings // nil: no evidence is kept
+	evidenceSettings *evidenceSettings // nil if no evidence is kept
 
 	// FollowsPlacements is set if a component passed to Run supplies the endpoint list and the placements of instances,
 	// which come from a fleet's controllers. The relay then does not watch discovery.
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -45,8 +45,8 @@
 	return s
 }
 
-// prepareRestore sets pending to the canary's counts from the loaded file, before new outcomes are recorded. It does
-// nothing if no version is being tested.
+// prepareRestore sets pending to the canary's counts from the loaded file, before new outcomes are recorded. It leaves
+// pending empty if no version is being tested, and logs a warning if the file could not be loaded.
 func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
 		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence file not loaded")
--- a/internal/relay/evidence_saver_test.go
+++ b/internal/relay/evidence_saver_test.go
@@ -12,8 +12,8 @@
 	"silvercove/balancer"
 )
 
-// TestEvidence_SurvivesRestart checks that evidence is saved and, after a restart, loaded and prepared for the balancer. A
-// damaged file must be reported by LoadError and yield no outcomes.
+// TestEvidence_SurvivesRestart checks that evidence is saved and, after a restart, loaded and prepared for the balancer. The
+// loss of a damaged file must be reported by LoadError, and the file must yield no outcomes.
 func TestEvidence_SurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	file, path := filepath.Join(dir, "cove.conf"), filepath.Join(dir, "ledger")
