--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -10,32 +10,32 @@
 	"silvercove/internal/transport"
 )
 
-// watchState tells whether the next call is to wait for something newer.
+// watchState is the state of the watch of the endpoint list.
 type watchState uint8
 
 const (
-	stopped   watchState = iota // nobody wants a watch
-	suspended                   // a call failed: the watch waits for SetWatching, or for the agent to move
-	watching
+	stopped   watchState = iota // no watch was requested
+	suspended                   // a call failed: the watch waits for SetWatching, or for a new agent address
+	watching                    // the next call waits for a newer version
 )
 
-// run is one Run of a watcher. It belongs to the goroutine that is in Run.
+// run holds the state of a call of Watcher.Run. Only the goroutine in Run uses it.
 type run struct {
 	*Watcher
 	dispatcher *dispatch.Dispatcher
 	mode       Mode
 	state      watchState
-	conn       *transport.Conn // nil: the next call opens one
-	agent      string          // the address that was called last; empty before the first call
-	version    int64           // of the list that is known
-	// needsComplete: the changes cannot be followed from version on, so the next call is for the complete list.
+	conn       *transport.Conn // nil if the next call has to open one
+	agent      string          // address of the last call; empty before the first call
+	version    int64           // version of the known list
+	// needsComplete is set if the changes after version cannot be followed. The next call then asks for the complete list.
 	needsComplete bool
-	// opensWatch: the next call begins a watch, as the one before failed, or there was none.
-	opensWatch bool
-	endFirst   func() // tells that the first call has ended; calls after the first do nothing
+	// opensWatch is set if the next call begins a watch, because the previous call failed or there was none.
+	opensWatch    bool
+	markFirstDone func() // closes firstDone; has an effect only once
 }
 
-// Run follows the list until the context ends, and hands what it hears to the dispatcher. It returns nil.
+// Run follows the endpoint list until the context ends, and passes each update to the dispatcher. It returns nil.
 func (w *Watcher) Run(ctx context.Context, dispatcher *dispatch.Dispatcher, mode Mode) error {
 	r := &run{
 		Watcher:       w,
@@ -44,12 +44,12 @@
 		version:       w.version,
 		needsComplete: mode == Pushed,
 		opensWatch:    true,
-		endFirst:      sync.OnceFunc(func() { close(w.firstDone) }),
+		markFirstDone: sync.OnceFunc(func() { close(w.firstDone) }),
 	}
 	if mode == Pushed {
 		r.state = watching
 	}
-	defer r.endFirst()
+	defer r.markFirstDone()
 	defer r.closeConn()
 	for ctx.Err() == nil {
 		r.step(ctx)
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// step waits for something to ask for, makes one call and takes what it brings.
+// step waits until a call is due, makes the call and handles its result.
 func (r *run) step(ctx context.Context) {
-	address, here, release := r.address.Current(ctx)
+	address, addressCtx, release := r.address.Current(ctx)
 	defer release()
 	fetch := false
 	select {
@@ -70,30 +70,30 @@
 		fetch = true
 	default:
 		if r.state == suspended && r.agent != "" && address != r.agent {
-			r.state = watching // what counts where the agent moved to waits for no request
+			r.state = watching // updates at the new address count as notified, so the watch does not wait for SetWatching
 		}
 		if r.state != watching {
-			r.waitIdle(here)
+			r.waitIdle(addressCtx)
 			r.opensWatch = true
 			return
 		}
 	}
-	r.moveTo(address)
+	r.switchAgent(address)
 	p := poll{complete: fetch || r.needsComplete, queued: r.opensWatch && r.mode == Subscribe}
 	began, version := time.Now(), r.version
-	skipped, status := r.call(here, p)
+	skipped, status := r.call(addressCtx, p)
 	failed := status.Closed()
 	r.needsComplete = skipped || failed && (r.needsComplete || r.mode == Pushed)
 	r.opensWatch = failed
-	if here.Err() != nil { // the agent has moved: the call was called off
+	if addressCtx.Err() != nil { // the address has changed and canceled the call, or the context has ended
 		return
 	}
-	r.endFirst()
+	r.markFirstDone()
 	switch {
 	case failed:
-		r.callFailed(here, status)
+		r.handleFailedCall(addressCtx, status)
 	case !p.complete && r.version <= version && time.Since(began) < r.pollWait/2:
-		pause(here)
+		pauseBeforeRetry(addressCtx)
 	}
 }
 
@@ -104,19 +104,20 @@
 	}
 }
 
-// waitIdle waits for something to ask for, or until the agent has moved.
-func (r *run) waitIdle(here context.Context) {
+// waitIdle waits for SetWatching or Fetch, or until the agent's address changes.
+func (r *run) waitIdle(addressCtx context.Context) {
 	select {
 	case on := <-r.watching:
 		r.setWatching(on)
 	case <-r.fetch:
 		r.Fetch()
-	case <-here.Done():
+	case <-addressCtx.Done():
 	}
 }
 
-// moveTo has the next call go to an address. The agent there may count its versions otherwise.
-func (r *run) moveTo(address string) {
+// switchAgent directs the next call to an address. If the address differs from that of the last call, the call asks for
+// the complete list, as the agent there may number its versions differently.
+func (r *run) switchAgent(address string) {
 	if address == r.agent {
 		return
 	}
@@ -127,25 +128,26 @@
 	r.agent = address
 }
 
-// callFailed takes a call that failed for another reason than a move.
-func (r *run) callFailed(here context.Context, status transport.CloseStatus) {
+// handleFailedCall handles a call that failed for a reason other than a change of the agent's address.
+func (r *run) handleFailedCall(addressCtx context.Context, status transport.CloseStatus) {
 	r.Failures.Add(1)
 	r.log("endpoint list call failed", slog.String("agent", r.agent), slog.String("reason", status.Reason.String()))
 	switch {
 	case r.mode == Pushed:
 		r.state = watching
-		pause(here)
+		pauseBeforeRetry(addressCtx)
 	case r.state == watching:
 		r.state = suspended
 	}
 	r.dispatcher.EndpointFetchFailed()
 }
 
-// pause keeps an agent that is dead, or answers without end, from being asked without end.
-func pause(here context.Context) {
+// pauseBeforeRetry waits for retryPause, so that an agent that is down, or answers polls at once, is not called in a tight
+// loop.
+func pauseBeforeRetry(addressCtx context.Context) {
 	select {
 	case <-time.After(retryPause):
-	case <-here.Done():
+	case <-addressCtx.Done():
 	}
 }
 
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -11,81 +11,84 @@
 	"silvercove/internal/evidence"
 )
 
-// evidenceSaver keeps what was seen of each version beside the balancer, and over a restart where the rules name a file.
+// evidenceSaver owns the evidence store, which records the outcomes of each version. If the settings name a file, it saves
+// the store there, and gives the balancer the counts of the canary from before a restart.
 type evidenceSaver struct {
-	rules      evidenceRules
-	store      *evidence.Store // used under the dispatcher's lock, as the dispatcher records in it
+	settings   evidenceSettings
+	store      *evidence.Store // guarded by the dispatcher's lock, as the dispatcher records outcomes in it
 	dispatcher *dispatch.Dispatcher
 	log        zerolog.Logger
 
-	// recalled is what was known of the canary before this start, until the balancer has it. It belongs to newRelay, and then
-	// to the goroutine in run.
-	recalled recalledEvidence
+	// pending holds the canary's counts from before the restart until the balancer has received them. It is used by
+	// newRelay, and then only by the goroutine in run.
+	pending canaryCounts
 }
 
-// recalledEvidence is what was known of a version; the slices have a place for each request class.
-type recalledEvidence struct {
+// canaryCounts holds the outcomes and failures of a version, indexed by request class.
+type canaryCounts struct {
 	version  uint16
 	outcomes []int
 	failures []int
 }
 
-// newEvidenceSaver makes a saver and reads what an earlier process has saved. The dispatcher is set once it is made.
+// newEvidenceSaver creates a saver and loads the file that an earlier process has saved, if there is one. The caller sets
+// the dispatcher after creating it.
 func newEvidenceSaver(c Config, log zerolog.Logger) *evidenceSaver {
 	var classes []string
 	for _, class := range c.site.Balancer.Classes {
 		classes = append(classes, class.Name)
 	}
-	s := &evidenceSaver{rules: *c.evidenceRules, store: evidence.New(classes), log: log}
-	if s.rules.path != "" {
-		s.store.Load(s.rules.path)
+	s := &evidenceSaver{settings: *c.evidenceSettings, store: evidence.New(classes), log: log}
+	if s.settings.path != "" {
+		s.store.Load(s.settings.path)
 	}
 	return s
 }
 
-// recall takes what was known of the canary before this start, before anything new comes.
-func (s *evidenceSaver) recall(stage dispatch.RolloutStage) {
+// prepareRestore sets pending to the canary's counts from the loaded file, before new outcomes are recorded. It leaves
+// pending empty if no version is being tested, and logs a warning if the file could not be loaded.
+func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
-		s.log.Warn().Str("path", s.rules.path).Str("error", s.store.LoadError).Msg("evidence lost")
+		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence file not loaded")
 	}
 	if stage.Phase != "testing" {
 		return
 	}
-	s.recalled.version = stage.Version
+	s.pending.version = stage.Version
 	s.dispatcher.WithLock(func() {
-		s.recalled.outcomes, s.recalled.failures = s.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, s.rules.halfLife)
+		s.pending.outcomes, s.pending.failures = s.store.DecayedCounts(wallClockTick(time.Now()), stage.Version, s.settings.halfLife)
 	})
 }
 
-// wallClockTick is a time of day as the evidence store counts it.
+// wallClockTick converts a time to the clock of the evidence store: ticks of 100 microseconds since 1970.
 func wallClockTick(at time.Time) balancer.Tick {
 	const microsecondsPerTick = 100
 	return balancer.Tick(at.UnixMicro() / microsecondsPerTick)
 }
 
-// restore hands what was recalled to the balancer: not at once, as that first needs outcomes at the stable version to
-// compare with.
+// restore gives the pending counts to the balancer. run calls it only after the first save interval, as the balancer
+// first needs outcomes of the stable version to compare them with.
 func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
-	for class := range s.recalled.outcomes {
-		outcomes += s.recalled.outcomes[class]
-		failures += s.recalled.failures[class]
+	for class := range s.pending.outcomes {
+		outcomes += s.pending.outcomes[class]
+		failures += s.pending.failures[class]
 	}
 	if outcomes > 0 {
-		s.dispatcher.RestoreEvidence(s.recalled.version, s.recalled.outcomes, s.recalled.failures)
-		s.log.Info().Uint16("version", s.recalled.version).Int("outcomes", outcomes).Int("failures", failures).
+		s.dispatcher.RestoreEvidence(s.pending.version, s.pending.outcomes, s.pending.failures)
+		s.log.Info().Uint16("version", s.pending.version).Int("outcomes", outcomes).Int("failures", failures).
 			Msg("evidence restored")
 	}
-	s.recalled.outcomes, s.recalled.failures = nil, nil
+	s.pending.outcomes, s.pending.failures = nil, nil
 }
 
-// run saves the evidence until the context ends, and then once more. Of writes that fail one after the other the first is
-// logged.
+// run saves the evidence at each save interval until the context ends, and then once more. Of several failed writes in a
+// row, only the first is logged. It returns nil.
 func (s *evidenceSaver) run(ctx context.Context) error {
-	if s.rules.path == "" {
+	if s.settings.path == "" {
 		return nil
 	}
-	ticker := time.NewTicker(s.rules.saveInterval)
+	ticker := time.NewTicker(s.settings.saveInterval)
 	defer ticker.Stop()
 	failing := false
 	for ended := false; !ended; {
@@ -97,15 +100,16 @@
 		}
 		err := s.save()
 		if err != nil && !failing {
-			s.log.Error().Str("path", s.rules.path).Err(err).Msg("evidence not saved")
+			s.log.Error().Str("path", s.settings.path).Err(err).Msg("evidence not saved")
 		}
 		failing = err != nil
 	}
 	return nil
 }
 
+// save writes a snapshot of the store to the file.
 func (s *evidenceSaver) save() error {
 	var snapshot []byte
 	s.dispatcher.WithLock(func() { snapshot = s.store.Snapshot() })
-	return evidence.Save(s.rules.path, snapshot)
+	return evidence.Save(s.settings.path, snapshot)
 }
