--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -67,8 +67,8 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	bad := 0
 	for _, k := range all {
-		if k.Fault != "" {
-			_, _ = fmt.Fprintf(w, "%s\trefused\t%s\n", k.Path, k.Fault)
+		if k.ReadError != "" {
+			_, _ = fmt.Fprintf(w, "%s\trefused\t%s\n", k.Path, k.ReadError)
 			bad++
 			continue
 		}
@@ -124,7 +124,7 @@
 
 func publics(paths []string) (all []*metadata.Key, err error) {
 	for _, p := range paths {
-		k, _, err := keys.Public(p)
+		k, _, err := keys.LoadPublic(p)
 		if err != nil {
 			return nil, err
 		}
@@ -163,7 +163,7 @@
 		return err
 	}
 	defer func() { _ = r.Close() }()
-	r.Life = l.life()
+	r.Lifetimes = l.life()
 	return withDiskFull(step(r))
 }
 
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -195,7 +195,7 @@
 		return err
 	}
 	text, err := tufverify.SignReport(tufverify.Report{Server: c.Server, Hardware: c.Hardware, Counter: c.Counter, At: time.Now(),
-		Running: c.Running, Build: c.Build, Installed: c.Installed, Tried: c.Tried}, k.Private)
+		RunningTarget: c.Running, Build: c.Build, InstallResult: c.Installed, AttemptedTarget: c.Tried}, k.Private)
 	if err != nil {
 		return err
 	}
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -92,7 +92,7 @@
 	}
 	target, refusal := d.lookUp(d.packages[stage.Version])
 	if refusal == nil {
-		return target.Custom.Kinds, true
+		return target.Custom.HardwareKinds, true
 	}
 	if d.waitingVersion != stage.Version {
 		d.waitingVersion = stage.Version
@@ -139,15 +139,15 @@
 		return ErrUnknownServer
 	}
 	d.Reports++
-	if r.Attack != "" {
-		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.Attack))
+	if r.DetectedAttack != "" {
+		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.DetectedAttack))
 	}
 	tried := uint16(0)
 	for version, path := range d.packages {
-		if path == r.Tried && path != "" {
+		if path == r.AttemptedTarget && path != "" {
 			tried = version
 		}
 	}
-	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, installResults[r.Installed])
+	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, installResults[r.InstallResult])
 	return nil
 }
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -131,7 +131,7 @@
 	}
 	target := *image
 	target.Custom.ECUs = map[string]string{server: hardware}
-	target.Custom.Kinds, target.Custom.Build = nil, version
+	target.Custom.HardwareKinds, target.Custom.Build = nil, version
 	return &target, nil
 }
 
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -19,11 +19,11 @@
 
 // Errors of key files.
 var (
-	ErrMode         = errors.New("its mode lets others read it; 0600 is wanted")
-	ErrPassphrase   = errors.New("the pass phrase does not open it")
-	ErrNotKeyFile   = errors.New("not a key file")
-	ErrExists       = errors.New("there is a file already")
-	ErrNoPassphrase = errors.New("it is encrypted, and no pass phrase was given")
+	ErrInsecureMode    = errors.New("its mode lets others read it; 0600 is wanted")
+	ErrWrongPassphrase = errors.New("the pass phrase does not open it")
+	ErrNotKeyFile      = errors.New("not a key file")
+	ErrExists          = errors.New("there is a file already")
+	ErrNoPassphrase    = errors.New("it is encrypted, and no pass phrase was given")
 )
 
 // Key is a key that can sign. It is safe for concurrent use.
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -11,7 +11,7 @@
 	Type      string
 	ID        string
 	Encrypted bool
-	Fault     string // why it was refused, empty for a good one; Type and ID are empty then
+	ReadError string // why it was refused, empty for a good one; Type and ID are empty then
 }
 
 // List lists the key files of a folder by path. One that is refused is listed with its fault.
@@ -25,7 +25,7 @@
 	for _, path := range paths {
 		f, err := readFile(path)
 		if err != nil {
-			all = append(all, KeyInfo{Path: path, Fault: err.Error()})
+			all = append(all, KeyInfo{Path: path, ReadError: err.Error()})
 			continue
 		}
 		all = append(all, KeyInfo{Path: path, Type: f.Type, ID: f.ID, Encrypted: f.Encrypted})
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -84,17 +84,17 @@
 func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verified.Assigned(r.tick())
+	return r.verified.AssignedTargets(r.tick())
 }
 
 func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verified.Compare(assigned, image, hardware)
+	return r.verified.VerifyAssignment(assigned, image, hardware)
 }
 
 func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.verified.Open(t)
+	return r.verified.OpenTarget(t)
 }
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -38,7 +38,7 @@
 func (r *Repository) currentFile(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	r.refreshIfDue(f.Role == "timestamp" || f.Role == "root")
 	data, refusal := r.cached(f)
-	if refusal != nil && refusal.Reason == tufverify.ReasonMissing && f.Kind() == "targets" && f.Role != "targets" {
+	if refusal != nil && refusal.Reason == tufverify.ReasonMissing && f.MetadataType() == "targets" && f.Role != "targets" {
 		if refusal := r.fetchRole(f.Role); refusal != nil {
 			return nil, refusal
 		}
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -111,7 +111,7 @@
 	} else {
 		p.Counts.CacheHits.Add(1)
 	}
-	if data != nil && r.agreesWith != nil && f.Kind() == "targets" {
+	if data != nil && r.agreesWith != nil && f.MetadataType() == "targets" {
 		if refusal = p.checkAgreement(r); refusal != nil {
 			data = nil
 		}
@@ -143,7 +143,7 @@
 	}
 	for _, target := range targets {
 		image, refusal := r.agreesWith.Find(target.Path)
-		if refusal != nil && refusal.Reason == tufverify.ReasonUnnamed {
+		if refusal != nil && refusal.Reason == tufverify.ReasonNotListed {
 			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: target.Path,
 				Text: "the other does not know it"}
 			p.logDisagreement(refusal)
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -99,7 +99,7 @@
 	start := int64(0)
 	if kind == rangePartial {
 		var ok bool
-		if start, ok = body.StartAt(asked.first); !ok {
+		if start, ok = body.SeekPiece(asked.first); !ok {
 			start, asked, kind = 0, wholeFile(length), rangeIgnored
 		}
 	}
--- a/internal/metadataproxy/stream.go
+++ b/internal/metadataproxy/stream.go
@@ -24,7 +24,7 @@
 	r.mu.Unlock()
 	return r.request(ctx, classPackage, func(attempt *dispatch.Attempt) (result attemptResult) {
 		r.dispatcher.StreamStarted(attempt)
-		body.Resume()
+		body.SwitchMirror()
 		from := body.NextOffset()
 		result.status, result.closed = r.roundTrip(attempt.Context, attempt.Backend, "targets/"+stored, from, func(status int, _ int64, in io.Reader) transport.CloseStatus {
 			if status == http.StatusOK && from > 0 { // the mirror ignores ranges: skip what was had
--- a/internal/metadatarefresh/response.go
+++ b/internal/metadatarefresh/response.go
@@ -19,7 +19,7 @@
 	switch r.Reason {
 	case tufverify.ReasonOlderVersion:
 		return Response{http.StatusNotFound, "superseded: begin again with timestamp.json", false}
-	case tufverify.ReasonUnnamed:
+	case tufverify.ReasonNotListed:
 		return Response{http.StatusNotFound, "no such file", false}
 	case tufverify.ReasonMissing:
 		if r.Role == "root" { // how clients learn that they have the newest (specification 5.3.3)
--- a/internal/metadataservice/assignment.go
+++ b/internal/metadataservice/assignment.go
@@ -17,7 +17,7 @@
 const fetchTimeout = 10 * time.Second
 
 // Fetcher fetches metadata files from below a URL, for tufverify's client workflow.
-func Fetcher(base string) tufverify.Get {
+func Fetcher(base string) tufverify.FetchFunc {
 	client := &http.Client{Timeout: fetchTimeout}
 	return func(f tufverify.File) ([]byte, error) {
 		resp, err := client.Get(base + f.String())
@@ -74,7 +74,7 @@
 	if err := r.Refresh(now, Fetcher(proxyURL+"/director/"+server+"/metadata/")); err != nil {
 		return nil, err
 	}
-	all, refusal := r.Assigned(now)
+	all, refusal := r.AssignedTargets(now)
 	if refusal != nil {
 		return nil, refusal
 	}
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -151,7 +151,7 @@
 	if file := s.publicKeys[path]; file.modifiedAt.Equal(info.ModTime()) && file.size == info.Size() {
 		return file, nil
 	}
-	public, _, err := keys.Public(path)
+	public, _, err := keys.LoadPublic(path)
 	if err != nil {
 		return publicKeyFile{}, err
 	}
@@ -161,7 +161,7 @@
 
 // loadDirectorKeys reads the Director's root chain and online keys.
 func (s *Service) loadDirectorKeys(c *directorConfig) (directorKeys, error) {
-	chain, _, err := tufrepo.Files(s.resolvePath(c.chain))
+	chain, _, err := tufrepo.PublishedFiles(s.resolvePath(c.chain))
 	if err != nil {
 		return directorKeys{}, fmt.Errorf("director: chain: %w", err)
 	}
--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -88,7 +88,7 @@
 		roles[role] = is
 	}
 	if life == (tufrepo.Lifetimes{}) {
-		life = tufrepo.Lives
+		life = tufrepo.DefaultLifetimes
 	}
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err == nil {
 		return nil, tufrepo.ErrExists
@@ -132,7 +132,7 @@
 }
 
 func (k *Publisher) remember() error {
-	files, _, err := tufrepo.Files(k.Dir)
+	files, _, err := tufrepo.PublishedFiles(k.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -304,7 +304,7 @@
 func (s *Server) report(installed, tried, attack string) error {
 	s.counter++
 	text, err := tufverify.SignReport(tufverify.Report{Server: s.Name, Hardware: s.Hardware, Counter: s.counter, At: s.Now(),
-		Running: s.Running, Build: s.Build, Installed: installed, Tried: tried, Attack: attack}, s.Key.Private)
+		RunningTarget: s.Running, Build: s.Build, InstallResult: installed, AttemptedTarget: tried, DetectedAttack: attack}, s.Key.Private)
 	if err != nil {
 		return err
 	}
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -13,8 +13,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// publication is one file that Publish publishes.
-type publication struct {
+// pendingFile is one file that Publish publishes.
+type pendingFile struct {
 	role    string
 	name    string // of the file
 	version int64
@@ -29,10 +29,10 @@
 	if err != nil {
 		return err
 	}
-	var files []publication
+	var files []pendingFile
 	if staged {
 		text, _ := root.ToBytes(true)
-		files = append(files, publication{metadata.ROOT, tufverify.File{Role: metadata.ROOT, Version: root.Signed.Version}.String(),
+		files = append(files, pendingFile{metadata.ROOT, tufverify.File{Role: metadata.ROOT, Version: root.Signed.Version}.String(),
 			root.Signed.Version, text})
 	}
 	targets, meta, err := r.targetsToPublish(root)
@@ -53,32 +53,32 @@
 	if err != nil {
 		return err
 	}
-	return r.writeAll(append(files, snapshot, timestamp))
+	return r.publishFiles(append(files, snapshot, timestamp))
 }
 
 // targetsToPublish gives the staged files of targets roles, and the entries of all of them for the snapshot.
-func (r *Repo) targetsToPublish(root *metadata.Metadata[metadata.RootType]) ([]publication, map[string]*metadata.MetaFiles, error) {
+func (r *Repo) targetsToPublish(root *metadata.Metadata[metadata.RootType]) ([]pendingFile, map[string]*metadata.MetaFiles, error) {
 	names, err := r.targetsRoles()
 	if err != nil {
 		return nil, nil, err
 	}
 	meta := map[string]*metadata.MetaFiles{}
-	var files []publication
+	var files []pendingFile
 	for _, name := range names {
 		m, staged, err := loadMetadata[metadata.TargetsType](r, name)
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := r.checkSigned(root, name, m, names); err != nil {
+		if err := r.checkTargetsThreshold(root, name, m, names); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", name, err)
 		}
-		text, err := r.targetsText(name, m, staged)
+		text, err := r.targetsBytes(name, m, staged)
 		if err != nil {
 			return nil, nil, err
 		}
 		meta[name+".json"] = tufverify.NewMetaFile(m.Signed.Version, text)
 		if staged {
-			files = append(files, publication{name, fileName(root, name, m.Signed.Version), m.Signed.Version, text})
+			files = append(files, pendingFile{name, fileName(root, name, m.Signed.Version), m.Signed.Version, text})
 		}
 	}
 	if meta["targets.json"] == nil {
@@ -87,8 +87,8 @@
 	return files, meta, nil
 }
 
-// targetsText is the text of a targets role: of the staged metadata, else of the published file as it stands.
-func (r *Repo) targetsText(name string, m *metadata.Metadata[metadata.TargetsType], staged bool) ([]byte, error) {
+// targetsBytes is the text of a targets role: of the staged metadata, else of the published file as it stands.
+func (r *Repo) targetsBytes(name string, m *metadata.Metadata[metadata.TargetsType], staged bool) ([]byte, error) {
 	text, err := m.ToBytes(true)
 	if staged || err != nil {
 		return text, err
@@ -102,33 +102,33 @@
 
 // signSnapshot makes the next snapshot, which names the files of meta.
 func (r *Repo) signSnapshot(root *metadata.Metadata[metadata.RootType], meta map[string]*metadata.MetaFiles,
-	online []*keys.Key) (publication, error) {
+	online []*keys.Key) (pendingFile, error) {
 	version, err := r.nextVersion(metadata.SNAPSHOT)
 	if err != nil {
-		return publication{}, err
+		return pendingFile{}, err
 	}
-	snapshot := metadata.Snapshot(r.expiry(r.Life.Snapshot))
+	snapshot := metadata.Snapshot(r.expiry(r.Lifetimes.Snapshot))
 	snapshot.Signed.Version, snapshot.Signed.Meta = version, meta
 	text, err := signAndRecord(r, root, metadata.SNAPSHOT, version, snapshot, online)
-	return publication{metadata.SNAPSHOT, fileName(root, metadata.SNAPSHOT, version), version, text}, err
+	return pendingFile{metadata.SNAPSHOT, fileName(root, metadata.SNAPSHOT, version), version, text}, err
 }
 
 // signTimestamp makes the next timestamp, which names a snapshot.
-func (r *Repo) signTimestamp(root *metadata.Metadata[metadata.RootType], snapshot publication,
-	online []*keys.Key) (publication, error) {
+func (r *Repo) signTimestamp(root *metadata.Metadata[metadata.RootType], snapshot pendingFile,
+	online []*keys.Key) (pendingFile, error) {
 	version, err := r.nextVersion(metadata.TIMESTAMP)
 	if err != nil {
-		return publication{}, err
+		return pendingFile{}, err
 	}
-	timestamp := metadata.Timestamp(r.expiry(r.Life.Timestamp))
+	timestamp := metadata.Timestamp(r.expiry(r.Lifetimes.Timestamp))
 	timestamp.Signed.Version = version
 	timestamp.Signed.Meta["snapshot.json"] = tufverify.NewMetaFile(snapshot.version, snapshot.text)
 	text, err := signAndRecord(r, root, metadata.TIMESTAMP, version, timestamp, online)
-	return publication{metadata.TIMESTAMP, "timestamp.json", version, text}, err
+	return pendingFile{metadata.TIMESTAMP, "timestamp.json", version, text}, err
 }
 
-// writeAll writes the files in their order, each before the staged one that it replaces is removed.
-func (r *Repo) writeAll(files []publication) error {
+// publishFiles writes the files in their order, each before the staged one that it replaces is removed.
+func (r *Repo) publishFiles(files []pendingFile) error {
 	for _, f := range files {
 		if r.CrashBefore(f.role) {
 			return errors.New("halted before " + f.role)
@@ -198,9 +198,9 @@
 	return root, true, nil
 }
 
-// checkSigned checks that the root, or a role of names that delegates to it, has enough keys that signed targets. Its error is
+// checkTargetsThreshold checks that the root, or a role of names that delegates to it, has enough keys that signed targets. Its error is
 // ErrUnsigned.
-func (r *Repo) checkSigned(root *metadata.Metadata[metadata.RootType], name string,
+func (r *Repo) checkTargetsThreshold(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
 		if root.VerifyDelegate(name, m) != nil {
--- a/internal/tufrepo/repository.go
+++ b/internal/tufrepo/repository.go
@@ -28,7 +28,7 @@
 	ErrExists         = errors.New("a repository is here already")
 	ErrUnsigned       = errors.New("not signed by as many keys as its threshold asks for")
 	ErrNotStaged      = errors.New("nothing of this role is staged")
-	ErrKey            = errors.New("the role does not know this key")
+	ErrUnknownKey     = errors.New("the role does not know this key")
 )
 
 // PieceSize is the length in bytes of the pieces whose digests are published beside that of the whole target.
@@ -44,12 +44,12 @@
 
 const day = 24 * time.Hour
 
-// Lives are the default: long for roles with offline keys, short for those with online keys.
-var Lives = Lifetimes{Root: 365 * day, Targets: 90 * day, Snapshot: 7 * day, Timestamp: day}
+// DefaultLifetimes are the default: long for roles with offline keys, short for those with online keys.
+var DefaultLifetimes = Lifetimes{Root: 365 * day, Targets: 90 * day, Snapshot: 7 * day, Timestamp: day}
 
 // Repo is one repository that is open for changes. It is not safe for concurrent use.
 type Repo struct {
-	Life        Lifetimes              // of metadata that are made from now on; Lives by default
+	Lifetimes   Lifetimes              // of metadata that are made from now on; Lives by default
 	Now         func() time.Time       // time.Now by default
 	CrashBefore func(role string) bool // in tests: Publish stops before it writes the file of a role
 
@@ -59,7 +59,7 @@
 
 // Init makes the folders of a repository and stages its first root and targets. consistent: clients ask for files by version and
 // digest (section 6.2). Its error wraps ErrExists where there is a repository.
-func Init(dir string, roles map[string]Role, consistent bool, life Lifetimes) (*Repo, error) {
+func Init(dir string, roles map[string]Role, consistent bool, lifetimes Lifetimes) (*Repo, error) {
 	if _, err := os.Stat(filepath.Join(dir, "metadata")); err == nil {
 		return nil, fmt.Errorf("%s: %w", dir, ErrExists)
 	}
@@ -72,8 +72,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Life = life
-	root := metadata.Root(r.expiry(life.Root))
+	r.Lifetimes = lifetimes
+	root := metadata.Root(r.expiry(lifetimes.Root))
 	root.Signed.ConsistentSnapshot = consistent
 	for _, name := range metadata.TOP_LEVEL_ROLE_NAMES {
 		role := roles[name]
@@ -92,7 +92,7 @@
 	if err := stageMetadata(r, metadata.ROOT, root); err != nil {
 		return nil, err
 	}
-	targets := metadata.Targets(r.expiry(life.Targets))
+	targets := metadata.Targets(r.expiry(lifetimes.Targets))
 	return r, stageMetadata(r, metadata.TARGETS, targets)
 }
 
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	return &Repo{
-		Life:        Lives,
+		Lifetimes:   DefaultLifetimes,
 		Now:         time.Now,
 		CrashBefore: func(string) bool { return false },
 		dir:         dir,
@@ -126,6 +126,6 @@
 func (r *Repo) Close() error { return r.versions.Close() }
 
 // expiry is when metadata of a lifetime expire that are made now, in whole seconds of UTC.
-func (r *Repo) expiry(life time.Duration) time.Time {
-	return r.Now().Add(life).UTC().Truncate(time.Second)
+func (r *Repo) expiry(lifetime time.Duration) time.Time {
+	return r.Now().Add(lifetime).UTC().Truncate(time.Second)
 }
--- a/internal/tufrepo/staging.go
+++ b/internal/tufrepo/staging.go
@@ -148,7 +148,7 @@
 			return nil, err
 		}
 		for _, e := range all {
-			if f, ok := tufverify.ParseFile(e.Name()); ok && f.Kind() == metadata.TARGETS {
+			if f, ok := tufverify.ParseFile(e.Name()); ok && f.MetadataType() == metadata.TARGETS {
 				found[f.Role] = true
 			}
 		}
--- a/internal/tufrepo/status.go
+++ b/internal/tufrepo/status.go
@@ -15,8 +15,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// Files are the published metadata by file name, and the folder that targets are served from.
-func Files(dir string) (map[string][]byte, string, error) {
+// PublishedFiles are the published metadata by file name, and the folder that targets are served from.
+func PublishedFiles(dir string) (map[string][]byte, string, error) {
 	out := map[string][]byte{}
 	all, err := os.ReadDir(filepath.Join(dir, "metadata"))
 	if err != nil {
--- a/internal/tufrepo/targets.go
+++ b/internal/tufrepo/targets.go
@@ -22,7 +22,7 @@
 // openTargets gives the targets of a role to change.
 func (r *Repo) openTargets(role string) (*metadata.Metadata[metadata.TargetsType], error) {
 	return openForChange(r, role, func(m *metadata.Metadata[metadata.TargetsType], version int64) {
-		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Life.Targets)
+		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Lifetimes.Targets)
 	})
 }
 
@@ -41,7 +41,7 @@
 		return err
 	}
 	defer func() { _ = in.Close() }()
-	target, err := describe(in, targetPath, version, hardwareKinds)
+	target, err := describeTarget(in, targetPath, version, hardwareKinds)
 	if err != nil {
 		return err
 	}
@@ -52,14 +52,14 @@
 	return stageMetadata(r, role, m)
 }
 
-// describe reads a file and gives its length, its digests and the custom fields.
-func describe(in io.ReadSeeker, targetPath string, version uint16, hardwareKinds []string) (*metadata.TargetFiles, error) {
+// describeTarget reads a file and gives its length, its digests and the custom fields.
+func describeTarget(in io.ReadSeeker, targetPath string, version uint16, hardwareKinds []string) (*metadata.TargetFiles, error) {
 	if _, err := in.Seek(0, io.SeekStart); err != nil {
 		return nil, err
 	}
 	target := metadata.TargetFile()
 	target.Path = targetPath
-	custom := tufverify.Custom{Build: version, Kinds: hardwareKinds, Piece: PieceSize}
+	custom := tufverify.Custom{Build: version, HardwareKinds: hardwareKinds, PieceLength: PieceSize}
 	total := sha256.New()
 	piece := make([]byte, PieceSize)
 	for {
@@ -67,7 +67,7 @@
 		if n > 0 {
 			total.Write(piece[:n])
 			digest := sha256.Sum256(piece[:n])
-			custom.Pieces = append(custom.Pieces, hex.EncodeToString(digest[:]))
+			custom.PieceDigests = append(custom.PieceDigests, hex.EncodeToString(digest[:]))
 			target.Length += int64(n)
 		}
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
@@ -160,5 +160,5 @@
 	if _, err := os.Stat(r.stagedPath(to)); err == nil {
 		return nil
 	}
-	return stageMetadata(r, to, metadata.Targets(r.expiry(r.Life.Targets)))
+	return stageMetadata(r, to, metadata.Targets(r.expiry(r.Lifetimes.Targets)))
 }
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -27,7 +27,7 @@
 	case metadata.TIMESTAMP:
 		// Not before all that it names is held: else clients would find no snapshot that fits.
 		if f.Version != 0 {
-			return nil, r.refuse(ReasonUnnamed, f.Role, "timestamps have no versioned name")
+			return nil, r.refuse(ReasonNotListed, f.Role, "timestamps have no versioned name")
 		}
 		if refusal := r.checkComplete(); refusal != nil {
 			return nil, refusal
@@ -44,7 +44,7 @@
 	}
 	t := r.targets[f.Role]
 	if t == nil && r.snapshot.Signed.Meta[f.Role+".json"] == nil {
-		return nil, r.refuse(ReasonUnnamed, f.Role, "the snapshot does not name it")
+		return nil, r.refuse(ReasonNotListed, f.Role, "the snapshot does not name it")
 	}
 	if t == nil {
 		return nil, r.refuse(ReasonMissing, f.Role, "not held")
--- a/internal/tufverify/file.go
+++ b/internal/tufverify/file.go
@@ -45,8 +45,8 @@
 	return name
 }
 
-// Kind is the one of the four top-level roles whose rules a file follows.
-func (f File) Kind() string {
+// MetadataType is the one of the four top-level roles whose rules a file follows.
+func (f File) MetadataType() string {
 	if slices.Contains(metadata.TOP_LEVEL_ROLE_NAMES[:], f.Role) {
 		return f.Role
 	}
--- a/internal/tufverify/refresh.go
+++ b/internal/tufverify/refresh.go
@@ -19,12 +19,12 @@
 	return r.UpdateTargets(now, f.Role, data)
 }
 
-// Get fetches a file for Refresh or LookUp. Nil bytes without an error mean that there is no file of this name.
-type Get func(f File) ([]byte, error)
+// FetchFunc fetches a file for Refresh or LookUp. Nil bytes without an error mean that there is no file of this name.
+type FetchFunc func(f File) ([]byte, error)
 
 // Refresh is the client workflow (sections 5.3 to 5.6) from what is held: the chain of roots to its end, then what a complete
 // set lacks. Its error is a RefusalError, get's, or tells which file is missing.
-func (r *Repository) Refresh(now Tick, get Get) error {
+func (r *Repository) Refresh(now Tick, get FetchFunc) error {
 	for {
 		f := File{metadata.ROOT, r.NextRootVersion()}
 		data, err := get(f)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (r *Repository) fetchAndUpdate(now Tick, f File, get Get) error {
+func (r *Repository) fetchAndUpdate(now Tick, f File, get FetchFunc) error {
 	data, err := get(f)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 }
 
 // LookUp finds a target, and fetches the roles on the way that are not held. Its error is as Refresh's.
-func (r *Repository) LookUp(now Tick, path string, get Get) (*Target, error) {
+func (r *Repository) LookUp(now Tick, path string, get FetchFunc) (*Target, error) {
 	for {
 		t, need, refusal := r.Find(now, path)
 		switch {
--- a/internal/tufverify/refusal.go
+++ b/internal/tufverify/refusal.go
@@ -25,7 +25,7 @@
 	ReasonNotDurable             // what must outlive a restart could not be written
 	ReasonDisagreement           // Director and image repository differ
 	ReasonOtherServer            // for another server or another kind of hardware
-	ReasonUnnamed                // nothing that is held names it
+	ReasonNotListed              // nothing that is held names it
 	ReasonCount                  // how many there are, no reason itself
 )
 
--- a/internal/tufverify/signatures.go
+++ b/internal/tufverify/signatures.go
@@ -64,7 +64,7 @@
 }
 
 // delegates tells whether targets delegate to a role.
-func delegates(from *verified[metadata.TargetsType], role string) bool {
+func delegatesTo(from *verified[metadata.TargetsType], role string) bool {
 	d := from.Signed.Delegations
 	if d == nil {
 		return false
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -20,11 +20,11 @@
 
 // Custom is the custom field of a target as this project's tools write it. That of others is read as the zero value.
 type Custom struct {
-	Build  uint16            `json:"build,omitempty"`  // version of the software
-	ECUs   map[string]string `json:"ecus,omitempty"`   // of a Director: hardware kinds by server
-	Kinds  []string          `json:"kinds,omitempty"`  // of an image repository: hardware kinds that it fits, all without any
-	Piece  int64             `json:"piece,omitempty"`  // length of a piece in bytes
-	Pieces []string          `json:"pieces,omitempty"` // SHA-256 of each piece, hexadecimal
+	Build         uint16            `json:"build,omitempty"`  // version of the software
+	ECUs          map[string]string `json:"ecus,omitempty"`   // of a Director: hardware kinds by server
+	HardwareKinds []string          `json:"kinds,omitempty"`  // of an image repository: hardware kinds that it fits, all without any
+	PieceLength   int64             `json:"piece,omitempty"`  // length of a piece in bytes
+	PieceDigests  []string          `json:"pieces,omitempty"` // SHA-256 of each piece, hexadecimal
 }
 
 // newTarget is the target that a role's targets name by a path.
@@ -53,8 +53,8 @@
 	return dir + rest, sum, true
 }
 
-// Assigned are the targets that the top-level role of a Director names, by path.
-func (r *Repository) Assigned(now Tick) (all []*Target, refusal *RefusalError) {
+// AssignedTargets are the targets that the top-level role of a Director names, by path.
+func (r *Repository) AssignedTargets(now Tick) (all []*Target, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkComplete(); refusal != nil {
 		return nil, refusal
