--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// KeyInfo is one key file of a folder.
+// KeyInfo describes one key file.
 type KeyInfo struct {
 	Path      string
 	Type      string
 	ID        string
 	Encrypted bool
-	ReadError string // why it was refused, empty for a good one; Type and ID are empty then
+	ReadError string // why the file was refused, with Type and ID empty; empty for a valid file
 }
 
-// List lists the key files of a folder by path. One that is refused is listed with its fault.
+// List returns the key files of a folder, sorted by path. A file that is refused is listed with its ReadError.
 func List(dir string) ([]KeyInfo, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
 	if err != nil {
