--- a/internal/tufrepo/sign.go
+++ b/internal/tufrepo/sign.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/keys"
 )
 
-// Sign adds a signature to the staged metadata of a role. Its error wraps ErrNotStaged, or ErrKey where neither a root nor a
-// delegation names the key for the role.
+// Sign adds a signature to the staged metadata of a role. The error wraps ErrNotStaged, or ErrUnknownKey if neither a root nor a
+// delegation lists the key for the role.
 func (r *Repo) Sign(role string, k *keys.Key) error {
 	if _, err := os.Stat(r.stagedPath(role)); err != nil {
 		return fmt.Errorf("%s: %w", role, ErrNotStaged)
@@ -29,7 +29,7 @@
 	return sign[metadata.TargetsType](r, role, k)
 }
 
-// sign adds a signature to the staged metadata of one type.
+// sign adds a signature to the staged metadata of a role. T is the metadata type of the role.
 func sign[T metadata.Roles](r *Repo, role string, k *keys.Key) error {
 	m, _, err := loadMetadata[T](r, role)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return stageMetadata(r, role, m)
 }
 
-// addSignature signs metadata with a key, in place of an earlier signature of it.
+// addSignature signs metadata with a key and replaces an earlier signature of the same key.
 func addSignature[T metadata.Roles](m *metadata.Metadata[T], k *keys.Key) error {
 	m.Signatures = slices.DeleteFunc(m.Signatures, func(s metadata.Signature) bool { return s.KeyID == k.ID })
 	signer, err := k.Signer()
@@ -51,7 +51,7 @@
 	return err
 }
 
-// isRoleKey tells whether the staged or the published root, or a delegation, names a key for a role.
+// isRoleKey reports whether the staged root, the published root or a delegation lists the key id for a role.
 func (r *Repo) isRoleKey(role, id string) (bool, error) {
 	for _, staged := range []bool{true, false} {
 		root, err := r.loadRoot(staged)
--- a/internal/tufrepo/staging.go
+++ b/internal/tufrepo/staging.go
@@ -14,15 +14,15 @@
 	"silvercove/internal/tufverify"
 )
 
-// publishedPath is where the metadata file of a name is served from.
+// publishedPath returns the path of a published metadata file with a given name.
 func (r *Repo) publishedPath(name string) string { return filepath.Join(r.dir, "metadata", name) }
 
-// stagedPath is where the staged metadata of a role are.
+// stagedPath returns the path of the staged metadata of a role.
 func (r *Repo) stagedPath(role string) string {
 	return filepath.Join(r.dir, "staged", tufverify.File{Role: role}.String())
 }
 
-// writeFile writes a file in one step, so that a reader never sees a part of it.
+// writeFile replaces a file atomically, so that a reader never sees a partial file.
 func writeFile(name string, text []byte) error {
 	return renameio.WriteFile(name, text, 0o644, renameio.WithTempDir(filepath.Dir(name)))
 }
@@ -36,8 +36,8 @@
 	return writeFile(r.stagedPath(role), text)
 }
 
-// loadMetadata reads the staged metadata of a role, or else the newest published ones. Its error wraps ErrNotStaged where there
-// are neither.
+// loadMetadata reads the staged metadata of a role, or else the newest published ones. The error wraps ErrNotStaged if there are
+// neither.
 func loadMetadata[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
 	m = &metadata.Metadata[T]{}
 	text, err := os.ReadFile(r.stagedPath(role))
@@ -59,7 +59,7 @@
 	return m, staged, nil
 }
 
-// newestFile finds the highest published version of a role and its file; 0 for none.
+// newestFile returns the highest published version of a role and the name of its file. The version is 0 if there is none.
 func (r *Repo) newestFile(role string) (file string, version int64, err error) {
 	all, err := os.ReadDir(filepath.Join(r.dir, "metadata"))
 	if err != nil {
@@ -83,7 +83,7 @@
 	return file, version, nil
 }
 
-// versionOf reads the version in a published file whose name has none.
+// versionOf reads the version from the content of a published file. It is for files without a version in their name.
 func (r *Repo) versionOf(file string) (int64, error) {
 	var m struct{ Signed struct{ Version int64 } }
 	text, err := os.ReadFile(r.publishedPath(file))
@@ -93,15 +93,15 @@
 	return m.Signed.Version, err
 }
 
-// nextVersion is the version after all that were published or ever recorded.
+// nextVersion returns the version that follows the highest one of a role that was published or recorded.
 func (r *Repo) nextVersion(role string) (int64, error) {
 	_, newest, err := r.newestFile(role)
 	recorded, _ := r.versions.Recorded(role)
 	return max(newest, recorded) + 1, err
 }
 
-// openForChange gives the metadata of a role to change: what is staged, without the signatures, which a change invalidates; or
-// else what is published, with the next version that setVersion sets.
+// openForChange returns the metadata of a role for a change: the staged metadata, or else the published ones with the next
+// version, which setVersion sets. Signatures are removed, as a change invalidates them.
 func openForChange[T metadata.Roles](r *Repo, role string,
 	setVersion func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
 	m, staged, err := loadMetadata[T](r, role)
@@ -119,7 +119,7 @@
 	return m, nil
 }
 
-// loadRoot reads the staged or the newest published root, nil if there is none.
+// loadRoot reads the staged root or the newest published root. It returns nil if there is none.
 func (r *Repo) loadRoot(staged bool) (*metadata.Metadata[metadata.RootType], error) {
 	name := r.stagedPath(metadata.ROOT)
 	if !staged {
@@ -139,7 +139,7 @@
 	return (&metadata.Metadata[metadata.RootType]{}).FromBytes(text)
 }
 
-// targetsRoles are the names of all roles of targets, staged or published.
+// targetsRoles returns the names of all targets roles, top-level and delegated, that have staged or published metadata.
 func (r *Repo) targetsRoles() ([]string, error) {
 	found := map[string]bool{}
 	for _, sub := range []string{"metadata", "staged"} {
--- a/internal/tufrepo/status.go
+++ b/internal/tufrepo/status.go
@@ -15,7 +15,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// PublishedFiles are the published metadata by file name, and the folder that targets are served from.
+// PublishedFiles returns the published metadata by file name, and the folder from which targets are served.
 func PublishedFiles(dir string) (map[string][]byte, string, error) {
 	out := map[string][]byte{}
 	all, err := os.ReadDir(filepath.Join(dir, "metadata"))
@@ -35,18 +35,18 @@
 	return out, filepath.Join(dir, "targets"), nil
 }
 
-// RoleStatus is the state of one metadata file.
+// RoleStatus describes one published or staged metadata file.
 type RoleStatus struct {
 	Role      string
 	Version   int64
 	Expires   time.Time
-	Signed    int // signatures
+	Signed    int // number of signatures
 	Threshold int
 	Staged    bool
-	Targets   []string // paths, by name
+	Targets   []string // paths, sorted
 }
 
-// Status lists the published metadata files, then the staged ones.
+// Status returns the published metadata files, followed by the staged ones.
 func (r *Repo) Status() (all []RoleStatus, err error) {
 	for _, sub := range []string{"metadata", "staged"} {
 		entries, err := os.ReadDir(filepath.Join(r.dir, sub))
@@ -81,7 +81,8 @@
 	return all, nil
 }
 
-// threshold is the threshold of a role by the staged root, the published one or a delegation; 0 if none names the role.
+// threshold returns the threshold of a role from the staged root, the published root or a delegation, in this order. It returns
+// 0 if none of them lists the role.
 func (r *Repo) threshold(role string) int {
 	for _, staged := range []bool{true, false} {
 		if root, err := r.loadRoot(staged); err == nil && root != nil && root.Signed.Roles[role] != nil {
