--- a/internal/tufverify/file.go
+++ b/internal/tufverify/file.go
@@ -9,13 +9,13 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// File is the name of a metadata file: its role, and its version where the name has one, else 0.
+// File is the parsed name of a metadata file: its role, and its version, or 0 if the name has none.
 type File struct {
 	Role    string
 	Version int64
 }
 
-// ParseFile reads the name of a metadata file (sections 3.1.2 and 7.3): ROLE.json, or N.ROLE.json.
+// ParseFile parses the name of a metadata file, ROLE.json or N.ROLE.json (sections 3.1.2 and 7.3), and reports whether it is valid.
 func ParseFile(name string) (f File, ok bool) {
 	name, ok = strings.CutSuffix(name, ".json")
 	if !ok || name == "" || len(name) > 256 {
@@ -36,7 +36,7 @@
 	return f, true
 }
 
-// String is the name that a repository has the file under.
+// String returns the name of the file in a repository.
 func (f File) String() string {
 	name := url.PathEscape(f.Role) + ".json"
 	if f.Version > 0 {
@@ -45,7 +45,7 @@
 	return name
 }
 
-// MetadataType is the one of the four top-level roles whose rules a file follows.
+// MetadataType returns the top-level role whose metadata type the file has. For a delegated role that is targets.
 func (f File) MetadataType() string {
 	if slices.Contains(metadata.TOP_LEVEL_ROLE_NAMES[:], f.Role) {
 		return f.Role
--- a/internal/tufverify/next_file.go
+++ b/internal/tufverify/next_file.go
@@ -7,8 +7,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// NextFile is the next file that a complete set lacks, or whose held version has expired, and the most bytes that it may
-// have. ok is false if the set is complete.
+// NextFile returns the next file to fetch for a complete set, and its maximum size in bytes. It asks for the next root if the held
+// root has expired or is older than the recorded one, and for the timestamp again once that has expired. ok is false if the set is
+// complete.
 func (r *Repository) NextFile(now Tick) (f File, maxSize int, ok bool) {
 	r.advance(now)
 	recorded, _ := r.store.Recorded(r.storeKey(metadata.ROOT))
@@ -27,7 +28,7 @@
 	return f, 0, false
 }
 
-// TargetsFile is the file of a role of targets as the snapshot names it, and the most bytes that it may have.
+// TargetsFile returns the file of a targets role that the snapshot lists, and its maximum size in bytes.
 func (r *Repository) TargetsFile(now Tick, role string) (f File, maxSize int, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkSnapshot(role); refusal != nil {
@@ -35,12 +36,12 @@
 	}
 	m := r.snapshot.Signed.Meta[role+".json"]
 	if m == nil {
-		return f, 0, r.refuse(ReasonNotListed, role, "the snapshot does not name it")
+		return f, 0, r.refuse(ReasonNotListed, role, "not listed in the snapshot")
 	}
 	return r.fileOf(role, m.Version), lengthLimit(m, MaxTargetsSize), nil
 }
 
-// fileOf is the name of a version of a role: with consistent snapshots the version is part of it (section 6.2).
+// fileOf returns the file name of a version of a role. With consistent snapshots the name contains the version (section 6.2).
 func (r *Repository) fileOf(role string, version int64) File {
 	if r.root.Signed.ConsistentSnapshot {
 		return File{Role: role, Version: version}
@@ -48,7 +49,7 @@
 	return File{Role: role}
 }
 
-// lengthLimit is the length that a parent gives for a file, or limit where it gives none or more.
+// lengthLimit returns the length in a file's entry in its parent, or limit if the entry has no length or a larger one.
 func lengthLimit(m *metadata.MetaFiles, limit int) int {
 	if m.Length > 0 && m.Length < int64(limit) {
 		return int(m.Length)
@@ -56,8 +57,8 @@
 	return limit
 }
 
-// MissingRoles are roles of targets that the snapshot names and that are not held, by name. A role that delegates to another
-// may have to be fetched before that.
+// MissingRoles returns the targets roles that the snapshot lists and that are not held, sorted by name and at most maxVisitedRoles
+// of them. A role can only be accepted after the role that delegates to it.
 func (r *Repository) MissingRoles() (roles []string) {
 	if r.snapshot == nil {
 		return nil
--- a/internal/tufverify/signatures.go
+++ b/internal/tufverify/signatures.go
@@ -6,13 +6,13 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// delegationVerifier is metadata that name keys of roles: a root, or targets with delegations.
+// delegationVerifier is implemented by metadata that list the keys of roles: a root, or targets with delegations.
 type delegationVerifier interface {
 	VerifyDelegate(role string, of any) error
 }
 
-// verifySignatures verifies that as many keys of a role have signed as its threshold asks for, by the root or the targets that
-// name the keys; a refusal tells in which way they have not.
+// verifySignatures verifies that metadata are signed by a threshold of the keys of a role. by is the root or the targets metadata
+// that list these keys. The reason of a refusal tells whether signatures are missing, too few or invalid.
 func (r *Repository) verifySignatures(by delegationVerifier, role string, signed any, signatures []metadata.Signature) *RefusalError {
 	err := by.VerifyDelegate(role, signed)
 	if err == nil {
@@ -27,14 +27,14 @@
 	}
 	switch {
 	case known == 0:
-		return r.refuse(ReasonUnknownKey, role, "none of its %d signatures is by a key of the role", len(signatures))
+		return r.refuse(ReasonUnknownKey, role, "none of %d signatures is by a key of the role", len(signatures))
 	case known < threshold:
-		return r.refuse(ReasonBelowThreshold, role, "%d of %d signatures", known, threshold)
+		return r.refuse(ReasonBelowThreshold, role, "%d of %d required signatures", known, threshold)
 	}
 	return r.refuse(ReasonBadSignature, role, "%v", err)
 }
 
-// roleKeys are the key identifiers and the threshold of a role.
+// roleKeys returns the key identifiers and the threshold of a role from the metadata that list them.
 func roleKeys(by delegationVerifier, role string) (ids []string, threshold int) {
 	switch by := by.(type) {
 	case *metadata.Metadata[metadata.RootType]:
@@ -55,7 +55,7 @@
 	return nil, 0
 }
 
-// sameKeys tells whether two roots name the same keys for a role.
+// sameKeys reports whether two roots list the same keys for a role.
 func sameKeys(a, b *verified[metadata.RootType], role string) bool {
 	x, y := slices.Clone(a.Signed.Roles[role].KeyIDs), slices.Clone(b.Signed.Roles[role].KeyIDs)
 	slices.Sort(x)
@@ -63,7 +63,7 @@
 	return slices.Equal(x, y)
 }
 
-// delegates tells whether targets delegate to a role.
+// delegatesTo reports whether targets metadata delegate to a role.
 func delegatesTo(from *verified[metadata.TargetsType], role string) bool {
 	d := from.Signed.Delegations
 	if d == nil {
--- a/internal/tufverify/snapshot.go
+++ b/internal/tufverify/snapshot.go
@@ -4,7 +4,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// UpdateSnapshot verifies and holds the snapshot that the timestamp names (section 5.5).
+// UpdateSnapshot verifies the snapshot that the held timestamp lists and holds it if it is valid (section 5.5).
 func (r *Repository) UpdateSnapshot(now Tick, data []byte) *RefusalError {
 	r.advance(now)
 	const role = metadata.SNAPSHOT
@@ -12,7 +12,7 @@
 		return refusal
 	}
 	if r.timestamp == nil {
-		return r.refuse(ReasonMissing, role, "no timestamp")
+		return r.refuse(ReasonMissing, role, "no timestamp is held")
 	}
 	if r.now >= r.timestamp.expires {
 		return r.refuseExpired(role, r.timestamp.expires, "the timestamp expired at %s", r.timestamp.expires.Time())
@@ -32,7 +32,7 @@
 		return refusal
 	}
 	if next.version != named.Version {
-		return r.refuse(ReasonVersionMismatch, role, "version %d, the timestamp names %d", next.version, named.Version)
+		return r.refuse(ReasonVersionMismatch, role, "version %d, the timestamp lists %d", next.version, named.Version)
 	}
 	if r.snapshot != nil && next.version == r.snapshot.version && next.digest == r.snapshot.digest {
 		return r.refuse(ReasonAlreadyHeld, role, "version %d", next.version)
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// validateSnapshot checks what the library leaves open: a bounded number of files, each with a version, the top-level targets
-// among them.
+// validateSnapshot makes the checks that go-tuf omits: the snapshot lists no more than maxSnapshotFiles files, each with a version,
+// and the top-level targets are among them.
 func validateSnapshot(r *Repository, snapshot *verified[metadata.SnapshotType]) *RefusalError {
 	const role = metadata.SNAPSHOT
 	files := snapshot.Signed.Meta
@@ -65,48 +65,49 @@
 	}
 	for name, m := range files {
 		if m == nil || m.Version < 1 {
-			return r.refuse(ReasonMalformed, role, "%s without a version", name)
+			return r.refuse(ReasonMalformed, role, "%s has no version", name)
 		}
 	}
 	if files["targets.json"] == nil {
-		return r.refuse(ReasonMalformed, role, "it does not name the targets")
+		return r.refuse(ReasonMalformed, role, "the top-level targets are not listed")
 	}
 	return nil
 }
 
-// checkSnapshotRollback refuses a snapshot that names an older version of a file than the one that is held does, or no longer
-// names it (section 5.5.5), and one that names older targets than were recorded.
+// checkSnapshotRollback refuses a snapshot that lists an older version of a file than the held snapshot does, or no longer lists the
+// file (section 5.5.5). It also refuses a snapshot that lists an older version of the top-level targets than was recorded.
 func (r *Repository) checkSnapshotRollback(next *verified[metadata.SnapshotType]) *RefusalError {
 	const role = metadata.SNAPSHOT
 	if r.snapshot != nil {
 		for name, was := range r.snapshot.Signed.Meta {
 			switch is := next.Signed.Meta[name]; {
 			case is == nil:
-				return r.refuse(ReasonOlderVersion, role, "%s is no longer named", name)
+				return r.refuse(ReasonOlderVersion, role, "%s is no longer listed", name)
 			case is.Version < was.Version:
-				return r.refuse(ReasonOlderVersion, role, "it names %s %d, %d was named", name, is.Version, was.Version)
+				return r.refuse(ReasonOlderVersion, role, "%s has version %d, the held snapshot lists %d", name, is.Version, was.Version)
 			}
 		}
 	}
 	targets := next.Signed.Meta["targets.json"].Version
 	if recorded, _ := r.store.Recorded(r.storeKey("targets")); targets < recorded {
-		return r.refuse(ReasonOlderVersion, role, "it names targets %d, %d was seen", targets, recorded)
+		return r.refuse(ReasonOlderVersion, role, "it lists targets %d, %d was recorded before", targets, recorded)
 	}
 	return nil
 }
 
-// checkSnapshot refuses unless root, timestamp and snapshot are held, fit together and have not expired.
+// checkSnapshot refuses unless root, timestamp and snapshot are held, consistent with each other and not expired. role is the role
+// for which the check is made.
 func (r *Repository) checkSnapshot(role string) *RefusalError {
 	if refusal := r.checkRoot(role); refusal != nil {
 		return refusal
 	}
 	switch {
 	case r.timestamp == nil:
-		return r.refuse(ReasonMissing, role, "no timestamp")
+		return r.refuse(ReasonMissing, role, "no timestamp is held")
 	case r.now >= r.timestamp.expires:
 		return r.refuseExpired(role, r.timestamp.expires, "the timestamp expired at %s", r.timestamp.expires.Time())
 	case r.snapshot == nil || r.snapshot.version != r.timestamp.Signed.Meta["snapshot.json"].Version:
-		return r.refuse(ReasonMissing, role, "no snapshot %d", r.timestamp.Signed.Meta["snapshot.json"].Version)
+		return r.refuse(ReasonMissing, role, "snapshot %d is not held", r.timestamp.Signed.Meta["snapshot.json"].Version)
 	case r.now >= r.snapshot.expires:
 		return r.refuseExpired(role, r.snapshot.expires, "the snapshot expired at %s", r.snapshot.expires.Time())
 	}
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -8,27 +8,28 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Digest is the SHA-256 of the canonical form of what was signed.
+// Digest is a SHA-256 digest. For metadata and reports it is that of the canonical form of the signed part, for a target that of
+// its bytes.
 type Digest [sha256.Size]byte
 
-// VersionStore keeps what must outlive the process: the newest version of each role, and the time. Record and AdvanceTime
-// are durable when they return nil; when they return an error, Recorded and TrustedTime give what they gave before.
+// VersionStore stores the state that must survive a restart: the newest version of each role, and the trusted time. If Record or
+// AdvanceTime returns nil, the change is durable. If it returns an error, Recorded and TrustedTime return the same as before.
 type VersionStore interface {
-	// Recorded is the version last recorded for a key, and its digest; 0 for none.
+	// Recorded returns the version last recorded for a key and its digest. The version is 0 if there is none.
 	Recorded(key string) (version int64, digest Digest)
-	// Record records a version. One below the recorded version is an error.
+	// Record records a version. It returns an error if the version is below the recorded one.
 	Record(key string, version int64, digest Digest) error
-	// TrustedTime is the latest time that was ever recorded.
+	// TrustedTime returns the latest time that was ever recorded.
 	TrustedTime() Tick
-	// AdvanceTime records the time. An earlier one changes nothing.
+	// AdvanceTime records the time. A time before the recorded one changes nothing.
 	AdvanceTime(now Tick) error
 }
 
-// timeRecordInterval is by how much the trusted time may run ahead of the recorded one: what a restart with a clock that was set
-// back may lose.
+// timeRecordInterval is the interval at which AdvanceTime records the time. The trusted time may be ahead of the recorded time by
+// this interval, which is what a restart with a clock that was set back can lose.
 const timeRecordInterval = 5 * Second
 
-// AdvanceTime sets the time while nothing else happens, and records it each timeRecordInterval.
+// AdvanceTime sets the time between updates, and records it once per timeRecordInterval.
 func (r *Repository) AdvanceTime(now Tick) {
 	if r.advance(now); r.now >= r.store.TrustedTime()+timeRecordInterval {
 		if err := r.store.AdvanceTime(r.now); err != nil {
@@ -37,11 +38,13 @@
 	}
 }
 
+// logTimeNotRecorded logs that recording the time failed. The caller goes on, as the time in memory is set.
 func (r *Repository) logTimeNotRecorded(err error) {
 	r.log(slog.LevelError, "trusted time could not be recorded", slog.String("error", err.Error()))
 }
 
-// refuseExpired refuses what has expired, and records the time, so that a clock that is set back does not undo it.
+// refuseExpired refuses an expired file. It records the time, so that the file stays expired if the clock is set back and the
+// process restarts.
 func (r *Repository) refuseExpired(role string, expires Tick, format string, args ...any) *RefusalError {
 	if r.store.TrustedTime() < expires {
 		if err := r.store.AdvanceTime(r.now); err != nil {
@@ -51,12 +54,13 @@
 	return r.refuse(ReasonExpired, role, format, args...)
 }
 
-// checkRollback refuses what has expired, what is older than what was recorded, and another content of that version.
+// checkRollback refuses a version that has expired, that is older than the recorded version, or that equals the recorded version
+// but has other content.
 func (r *Repository) checkRollback(role string, version int64, sum Digest, expires Tick) *RefusalError {
 	seen, was := r.store.Recorded(r.storeKey(role))
 	switch {
 	case version < seen:
-		return r.refuse(ReasonOlderVersion, role, "version %d, %d was seen", version, seen)
+		return r.refuse(ReasonOlderVersion, role, "version %d is older than %d, which was recorded before", version, seen)
 	case version == seen && sum != was:
 		return r.refuse(ReasonConflict, role, "version %d", version)
 	case r.now >= expires:
@@ -65,12 +69,12 @@
 	return nil
 }
 
-// recordVersion records a version of a role before anything depends on it, and the time with it.
+// recordVersion records a version of a role, and the time, before anything depends on the version.
 func (r *Repository) recordVersion(role string, version int64, digest Digest) *RefusalError {
 	key := r.storeKey(role)
 	switch recorded, was := r.store.Recorded(key); {
 	case version == recorded && digest == was, role == metadata.ROOT && version < recorded:
-		return nil // recorded before a restart
+		return nil // recorded already, before a restart
 	case version == recorded:
 		return r.refuse(ReasonConflict, role, "version %d", version)
 	}
@@ -84,7 +88,7 @@
 	return nil
 }
 
-// storeKey is the key of a role in the version store. Versions of roles other than the root count within one key epoch.
+// storeKey returns the key of a role in the version store. Versions of roles other than root are recorded per key epoch.
 func (r *Repository) storeKey(role string) string {
 	if role == metadata.ROOT {
 		return r.name + "/root"
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -9,36 +9,36 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Target is one file that a repository's targets name.
+// Target is a file that the targets metadata of a repository list.
 type Target struct {
 	Path   string
 	Length int64  // bytes
-	Sum    Digest // SHA-256 of its bytes
-	Role   string // whose targets name it
+	Sum    Digest // SHA-256 of the file
+	Role   string // role whose targets metadata list the file
 	Custom Custom
 }
 
-// Custom is the custom field of a target as this project's tools write it. That of others is read as the zero value.
+// Custom is the custom field of a target as the tools of this project write it. Members that other tools write are ignored.
 type Custom struct {
-	Build         uint16            `json:"build,omitempty"`  // version of the software
-	ECUs          map[string]string `json:"ecus,omitempty"`   // of a Director: hardware kinds by server
-	HardwareKinds []string          `json:"kinds,omitempty"`  // of an image repository: hardware kinds that it fits, all without any
-	PieceLength   int64             `json:"piece,omitempty"`  // length of a piece in bytes
+	Build         uint16            `json:"build,omitempty"`  // software version
+	ECUs          map[string]string `json:"ecus,omitempty"`   // in a Director: hardware kind by server
+	HardwareKinds []string          `json:"kinds,omitempty"`  // in an image repository: supported hardware kinds; empty for all
+	PieceLength   int64             `json:"piece,omitempty"`  // length of a piece in bytes; the last piece may be shorter
 	PieceDigests  []string          `json:"pieces,omitempty"` // SHA-256 of each piece, hexadecimal
 }
 
-// newTarget is the target that a role's targets name by a path.
+// newTarget returns the target that the targets metadata of a role list under a path.
 func newTarget(path, role string, file *metadata.TargetFiles) *Target {
 	t := &Target{Path: path, Length: file.Length, Role: role}
 	copy(t.Sum[:], file.Hashes["sha256"])
 	if file.Custom != nil {
-		_ = json.Unmarshal(*file.Custom, &t.Custom) // another's custom field leaves it empty
+		_ = json.Unmarshal(*file.Custom, &t.Custom) // a custom field in another format is not an error
 	}
 	return t
 }
 
-// ParseStoredPath gives the path of a target as targets name it, and the digest in its file name (section 3.1.2). Without one
-// hashed is false and path is the name itself.
+// ParseStoredPath splits the path of a stored target into the path in the targets metadata and the digest in the file name
+// (section 3.1.2). If the file name has no digest, hashed is false and path equals stored.
 func (r *Repository) ParseStoredPath(stored string) (path string, sum Digest, hashed bool) {
 	dir, name := "", stored
 	if at := strings.LastIndexByte(stored, '/'); at >= 0 {
@@ -53,7 +53,7 @@
 	return dir + rest, sum, true
 }
 
-// AssignedTargets are the targets that the top-level role of a Director names, by path.
+// AssignedTargets returns the targets that the top-level targets metadata of a Director list, sorted by path.
 func (r *Repository) AssignedTargets(now Tick) (all []*Target, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkComplete(); refusal != nil {
@@ -66,7 +66,8 @@
 	return all, nil
 }
 
-// StoredName is the file name of a target in a repository with consistent snapshots (section 3.1.2): DIGEST.NAME.
+// StoredName returns the path under which a target is stored. With consistent snapshots the file name is DIGEST.NAME
+// (section 3.1.2).
 func (r *Repository) StoredName(t *Target) string {
 	if !r.root.Signed.ConsistentSnapshot {
 		return t.Path
--- a/internal/tufverify/targets.go
+++ b/internal/tufverify/targets.go
@@ -4,8 +4,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// UpdateTargets verifies and holds the targets of a role (section 5.6): the top-level ones, or those of a role that targets
-// which are held delegate to.
+// UpdateTargets verifies the targets metadata of a role and holds them if they are valid (section 5.6). The role is the top-level
+// targets role, or one to which held targets metadata delegate.
 func (r *Repository) UpdateTargets(now Tick, role string, data []byte) *RefusalError {
 	r.advance(now)
 	if refusal := r.checkSnapshot(role); refusal != nil {
@@ -13,7 +13,7 @@
 	}
 	named := r.snapshot.Signed.Meta[role+".json"]
 	if named == nil {
-		return r.refuse(ReasonNotListed, role, "the snapshot does not name it")
+		return r.refuse(ReasonNotListed, role, "not listed in the snapshot")
 	}
 	if refusal := r.checkMetaFile(role, named, data, MaxTargetsSize); refusal != nil {
 		return refusal
@@ -29,7 +29,7 @@
 		return refusal
 	}
 	if t.version != named.Version {
-		return r.refuse(ReasonVersionMismatch, role, "version %d, the snapshot names %d", t.version, named.Version)
+		return r.refuse(ReasonVersionMismatch, role, "version %d, the snapshot lists %d", t.version, named.Version)
 	}
 	if h := r.targets[role]; h != nil && h.version == t.version && h.digest == t.digest {
 		return r.refuse(ReasonAlreadyHeld, role, "version %d", t.version)
@@ -38,7 +38,7 @@
 		return refusal
 	}
 	if len(r.targets) >= maxHeldRoles && r.targets[role] == nil {
-		return r.refuse(ReasonTooLarge, role, "%d roles are held", maxHeldRoles)
+		return r.refuse(ReasonTooLarge, role, "%d targets roles are held already", maxHeldRoles)
 	}
 	if refusal = r.recordVersion(role, t.version, t.digest); refusal != nil {
 		return refusal
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// verifyDelegation finds a role that delegates to another and whose keys for it have signed.
+// verifyDelegation returns the role that delegates to the given role and with whose keys the signatures of t are valid.
 func (r *Repository) verifyDelegation(role string, t *verified[metadata.TargetsType]) (by string, refusal *RefusalError) {
 	if role == metadata.TARGETS {
 		return metadata.ROOT, r.verifySignatures(r.root.Metadata, role, t.Metadata, t.Signatures)
@@ -62,7 +62,7 @@
 		}
 	}
 	if refusal == nil {
-		refusal = r.refuse(ReasonMissing, role, "no targets that are held delegate to it")
+		refusal = r.refuse(ReasonMissing, role, "no held targets metadata delegate to the role")
 	}
 	return "", refusal
 }
--- a/internal/tufverify/tick.go
+++ b/internal/tufverify/tick.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// Tick is a moment in whole tenths of a millisecond since 1970, UTC.
+// Tick is a point in time, in units of 0.1 ms since the Unix epoch.
 type Tick int64
 
 // Second is one second in ticks.
 const Second Tick = 10000
 
-// FromTime turns a time into ticks.
+// FromTime converts a time to ticks.
 func FromTime(t time.Time) Tick { return Tick(t.UnixMicro() / 100) }
 
-// Time turns ticks into a time.
+// Time converts ticks to a time in UTC.
 func (t Tick) Time() time.Time { return time.UnixMicro(int64(t) * 100).UTC() }
