--- a/internal/tufverify/refusal.go
+++ b/internal/tufverify/refusal.go
@@ -11,7 +11,7 @@
 const (
 	ReasonNone            Reason = iota
 	ReasonAlreadyHeld            // the file is held already, or the report was accepted before
-	ReasonOlderVersion           // a newer version was recorded
+	ReasonOlderVersion           // a newer version is known; for a root, also the held version with other content
 	ReasonExpired                // expired by the latest time ever trusted
 	ReasonBadSignature           // a signature by a key of the role is invalid
 	ReasonBelowThreshold         // signed by fewer keys of the role than its threshold
--- a/internal/tufverify/repository.go
+++ b/internal/tufverify/repository.go
@@ -47,7 +47,7 @@
 	root          *verified[metadata.RootType]
 	roots         map[int64][]byte // content by version, from the pinned root on
 	pinnedVersion int64
-	keyEpoch      int64 // version of the root that last changed the keys of timestamp or snapshot
+	keyEpoch      int64 // version of the root that last changed the keys of timestamp or snapshot, or of the pinned root
 
 	timestamp *verified[metadata.TimestampType]
 	snapshot  *verified[metadata.SnapshotType]
--- a/internal/tufverify/root.go
+++ b/internal/tufverify/root.go
@@ -18,7 +18,7 @@
 	case next.version == r.root.version && next.digest == r.root.digest:
 		return r.refuse(ReasonAlreadyHeld, metadata.ROOT, "version %d", next.version)
 	case next.version < want:
-		return r.refuse(ReasonOlderVersion, metadata.ROOT, "version %d is older than %d, which is held", next.version, r.root.version)
+		return r.refuse(ReasonOlderVersion, metadata.ROOT, "version %d, but %d is held already", next.version, r.root.version)
 	case next.version > want:
 		return r.refuse(ReasonVersionMismatch, metadata.ROOT, "version %d, expected %d", next.version, want)
 	case len(r.roots) >= MaxRootRotations:
