--- a/internal/lab/fleetsim/controller_log.go
+++ b/internal/lab/fleetsim/controller_log.go
@@ -92,7 +92,7 @@
 		}
 		c.incarnations[o.node] = o.incarnation
 	}
-	c.Steps += len(o.operations)
+	c.Operations += len(o.operations)
 	leases.MergeRecordCounts(c.recordCounts, o.recordCounts)
 	for _, d := range o.unverified {
 		c.table.SetUnverified(d.Instance, d.Epoch, d.Reason)
@@ -100,7 +100,7 @@
 	for _, e := range o.operations {
 		before, _ := c.table.Get(e.Instance)
 		if placement.CheckSupported(e) != nil {
-			c.onUnknownStep(o, e)
+			c.onUnknownOperation(o, e)
 			all = append(all, proposalResult{assignment: before})
 			continue
 		}
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -92,7 +92,7 @@
 			some = slices.Clone(some)
 			f.after(x.At-f.now-tick.Tick(f.rng.IntN(int(6*tick.Second))), func() {
 				for _, u := range some {
-					u.backupLogs, u.backupMark = cloneLogs(u.logs), u.mark
+					u.backupLogs, u.backupRecords = cloneLogs(u.logs), u.diskRecords
 				}
 			})
 		}
@@ -117,7 +117,7 @@
 				if f.activeFaults[x.Kind]--; f.activeFaults[x.Kind] == 0 {
 					delete(f.activeFaults, x.Kind)
 				}
-				f.lastHealed = f.now
+				f.lastFaultEnd = f.now
 				f.logEvent(testcluster.Event{Node: "script", Name: "heals", Instance: x.Target, Why: x.Kind, Script: true})
 			})
 		})
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -45,7 +45,7 @@
 	id          int
 	endpoint    *endpoint
 	role        string
-	emptied     bool
+	diskWiped   bool
 	replyDelay  tick.Tick // by which its answers come late
 	condition   func() (down, frozen bool)
 	relay       *relay // of one
@@ -124,7 +124,7 @@
 }
 
 // start begins a process of the member: its table knows the others by its file alone.
-func (m *member) start(run uint64, fresh bool) {
+func (m *member) start(incarnation uint64, fresh bool) {
 	c := m.group
 	zone := func(n *endpoint) string {
 		if n.zone == nil {
@@ -138,8 +138,8 @@
 			others = append(others, membership.Record{Name: o.endpoint.name, Role: o.role, Zone: zone(o.endpoint)})
 		}
 	}
-	m.incarnation, m.running, m.starts = run, true, m.starts+1
-	m.table = membership.NewTable(c.fleet.now, membership.Record{Name: m.endpoint.name, Role: m.role, Zone: zone(m.endpoint), Incarnation: run, StartedEmpty: fresh},
+	m.incarnation, m.running, m.starts = incarnation, true, m.starts+1
+	m.table = membership.NewTable(c.fleet.now, membership.Record{Name: m.endpoint.name, Role: m.role, Zone: zone(m.endpoint), Incarnation: incarnation, StartedEmpty: fresh},
 		others, map[string]any{"fleet.silence": c.fleet.MembershipTimeout})
 	m.queue, m.newest, m.records, m.probing = [maxTiers + 1][]*update{}, make([]*update, 2*len(c.members)), make([]*update, len(c.members)), map[string]bool{}
 	m.publish()
@@ -157,8 +157,8 @@
 	case down:
 		m.running = false
 	case !m.running:
-		m.start(m.incarnation+1, m.emptied)
-		m.emptied = false
+		m.start(m.incarnation+1, m.diskWiped)
+		m.diskWiped = false
 	}
 	return m.running && !frozen
 }
@@ -223,9 +223,9 @@
 }
 
 // startOldCopy runs an old copy of a member's process at its address.
-func (c *memberGroup) startOldCopy(m *member, run uint64) *member {
+func (c *memberGroup) startOldCopy(m *member, incarnation uint64) *member {
 	v := &member{group: c, id: m.id, endpoint: m.endpoint, role: m.role, running: true, condition: m.condition}
-	v.start(run, false)
+	v.start(incarnation, false)
 	f := c.fleet
 	f.after(1, v.heartbeat)
 	f.after(1, v.gossip)
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -14,7 +14,7 @@
 	UplinkRate                                   float64   // bytes a second of a zone's uplink
 	KeepTimeline                                 bool      // keep the events for a timeline
 	MembershipTimeout                            float64   // seconds, of members' tables; 0: they are not played
-	AllAtFirst                                   bool      // all instances are at the first node
+	AllOnFirstNode                               bool      // all instances are at the first node
 	VerifyClaims                                 bool      // relays report to controllers how requests end, and these believe nodes by it
 	PowerReadInterval                            tick.Tick // between two readings of a node's power; 0: at each renewal
 }
@@ -27,23 +27,23 @@
 }
 
 // Large is a fleet of so many nodes, with relays, zones and instances in proportion to 1,000.
-func Large(units int) Size {
-	return Size{Relays: max(2, units*3/10), Nodes: units, Zones: max(2, units/50), Instances: units * 100,
+func Large(nodes int) Size {
+	return Size{Relays: max(2, nodes*3/10), Nodes: nodes, Zones: max(2, nodes/50), Instances: nodes * 100,
 		Controllers: 5, Lease: 5,
-		Dwell: 30, RestartAfter: 30, Replicas: 1, RequestRate: float64(units) / 4, ReportInterval: 5 * tick.Second / 2, UplinkRate: 4e6,
+		Dwell: 30, RestartAfter: 30, Replicas: 1, RequestRate: float64(nodes) / 4, ReportInterval: 5 * tick.Second / 2, UplinkRate: 4e6,
 		PowerReadInterval: 4 * tick.Second}
 }
 
 // disabledDefences are defences taken out, to show that the rules are looked at.
 type disabledDefences struct {
-	longLease          bool // a node takes its lease for longer than it is
-	blindPlanner       bool // the planner takes all nodes to be well
-	ackWithoutReplicas bool // a primary takes each replica to have all
-	ignoreRecordCounts bool // a node takes its disk as it is
-	acceptUnknownSteps bool // controllers take steps that they don't know
-	rejoinAll          bool // each member asks all of a zone that is back for full states
-	grantWhileExpiring bool // a lease is granted while its end is being agreed on
-	noBaseline         bool // a restarted node doesn't get its assignments before its start
-	staleAssignments   bool // a lease is enough to serve, whatever assignments are on their way
-	trustDisk          bool // a restarted primary trusts its disk, which may have been put back
+	longLease               bool // a node takes its lease for longer than it is
+	ignoreNodeStatus        bool // the planner takes all nodes to be well
+	ackWithoutReplicas      bool // a primary takes each replica to have all
+	ignoreRecordCounts      bool // a node takes its disk as it is
+	acceptUnknownOperations bool // controllers take steps that they don't know
+	rejoinAll               bool // each member asks all of a zone that is back for full states
+	grantWhileExpiring      bool // a lease is granted while its end is being agreed on
+	noBaseline              bool // a restarted node doesn't get its assignments before its start
+	staleAssignments        bool // a lease is enough to serve, whatever assignments are on their way
+	trustDisk               bool // a restarted primary trusts its disk, which may have been put back
 }
