--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -11,7 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// call brings something from a node to the leader, and what it answers back; fail is told where either gets lost.
+// call sends a call from a node to the leader, which runs ask, and sends the answer back. If no answer arrives within wait, call
+// runs fail.
 func (c *cluster) call(from *endpoint, wait tick.Tick, ask func(l *leadership, answer func(func())), fail func(error)) {
 	f, over := c.fleet, false
 	f.after(wait, func() {
@@ -39,22 +40,22 @@
 	})
 }
 
-// leaseRequest is a node's call for its lease. Its steps come in the order that a controller has.
+// leaseRequest is a node's request for its lease. Its steps run in the same order as at a controller.
 type leaseRequest struct {
 	node        *edgeNode
 	incarnation uint64
-	status      migration.NodeStatus // as the planner is to see it
-	reported    migration.NodeStatus // as the node said it
+	status      migration.NodeStatus // passed to the planner
+	reported    migration.NodeStatus // as the node sent it
 	records     recordCount
 	unverified  []replica.UnverifiedCopy
 	granted     func(version, known uint64)
 
 	leader     *leadership
-	receivedAt tick.Tick // by the leader's clock
+	receivedAt tick.Tick // arrival at the leader, by its clock
 	answer     func(func())
 }
 
-// requestLease sends a node's call for its lease.
+// requestLease sends a node's request for its lease to the leader.
 func (c *cluster) requestLease(r *leaseRequest) {
 	c.call(r.node.endpoint, c.timings.ProposalTimeout, func(l *leadership, answer func(func())) {
 		r.leader, r.receivedAt, r.answer = l, l.now(), answer
@@ -62,7 +63,7 @@
 	}, func(error) {})
 }
 
-// receive is its coming at the leader. A new incarnation is agreed on first.
+// receive handles the arrival of the request at the leader. A new incarnation of the node is agreed on first.
 func (r *leaseRequest) receive() {
 	l, u := r.leader, r.node
 	verdict, err := l.lessor.Request(r.receivedAt, u.name, r.incarnation)
@@ -85,7 +86,7 @@
 	}})
 }
 
-// confirm has a majority confirm the lead, and agree on the copies that the node holds to be unverified.
+// confirm asks a majority to confirm the leader, and proposes the copies that the node reports as unverified.
 func (r *leaseRequest) confirm() {
 	l := r.leader
 	c := l.cluster
@@ -106,7 +107,7 @@
 	})
 }
 
-// grant gives the lease, once nothing rests on its being over any more.
+// grant grants the lease once no pending operation requires that it has expired.
 func (r *leaseRequest) grant() {
 	l, u := r.leader, r.node
 	c := l.cluster
@@ -139,7 +140,7 @@
 	r.answer(func() { r.granted(version, known) })
 }
 
-// proposeOperation is a primary's entry, or an operator's.
+// proposeOperation proposes an operation of a primary or an operator to the leader and passes the result to done.
 func (c *cluster) proposeOperation(from *endpoint, e placement.Operation, done func(p placement.Assignment, err error)) {
 	c.call(from, tick.Tick(c.fleet.Lease*float64(tick.Second)), func(l *leadership, answer func(func())) {
 		if err := l.checkSupported(e); err != nil {
@@ -156,7 +157,7 @@
 	}, func(err error) { done(placement.Assignment{}, err) })
 }
 
-// reportDevice says where a device is, again and again until it is agreed.
+// reportDevice proposes the zone of a device, and retries every second until the zone is agreed.
 func (c *cluster) reportDevice(d *device, z *zone) {
 	f := c.fleet
 	p, ok := c.table.Get(d.name)
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -8,6 +8,7 @@
 	"silvercove/internal/tick"
 )
 
+// cloneLogs returns a deep copy of the logs of a disk.
 func cloneLogs(disk map[string]*replica.Log) map[string]*replica.Log {
 	other := map[string]*replica.Log{}
 	for name, rec := range disk {
@@ -20,14 +21,15 @@
 
 var errFull = errors.New("no space left")
 
-// queueWrite asks the disk for something; it is done in order, a while later.
+// queueWrite queues a write to the log of an instance. Writes are performed in order after a delay and end in OnDurable or
+// OnDiskError.
 func (u *edgeNode) queueWrite(name string, seq uint64, do func(rec *replica.Log) bool) {
 	incarnation := u.incarnation
 	u.diskQueue = append(u.diskQueue, func() func() {
 		ok := u.diskFull == 0 && do(u.logs[name])
 		if ok {
 			if *u.recordsWritten++; u.diskRecords.serial == *u.recordsWritten-1 {
-				u.diskRecords.serial++ // else it still lacks what it lacked
+				u.diskRecords.serial++ // otherwise records that the disk lacks are still missing
 			}
 			if u.diskRecords.settled {
 				u.diskRecords.count++
@@ -46,7 +48,7 @@
 	}
 }
 
-// flushDisk does what was asked of the disk meanwhile, all with one sync.
+// flushDisk performs up to 64 queued writes with one sync after 0.5 to 2.5 ms.
 func (u *edgeNode) flushDisk(incarnation uint64) {
 	u.fleet.after(milli/2+tick.Tick(u.fleet.rng.IntN(int(2*milli))), func() {
 		if u.incarnation != incarnation || u.manager == nil {
@@ -72,7 +74,7 @@
 	})
 }
 
-// AppendEntry asks the disk to append an entry to an instance's log.
+// AppendEntry queues an append of an entry to an instance's log.
 func (u *edgeNode) AppendEntry(name string, e replica.LogEntry) {
 	u.queueWrite(name, e.Index, func(rec *replica.Log) bool {
 		if rec == nil || !rec.IsNext(e) {
@@ -83,7 +85,7 @@
 	})
 }
 
-// TruncateLog asks the disk to cut a log off after an index.
+// TruncateLog queues the removal of the entries of a log after an index.
 func (u *edgeNode) TruncateLog(name string, seq uint64) {
 	u.queueWrite(name, seq, func(rec *replica.Log) bool {
 		if rec == nil {
@@ -94,7 +96,7 @@
 	})
 }
 
-// ResetLog asks the disk to begin a log anew after a base.
+// ResetLog queues the replacement of a log by an empty one that continues after a base index.
 func (u *edgeNode) ResetLog(name string, base, sum uint64) {
 	u.queueWrite(name, base, func(*replica.Log) bool {
 		u.logs[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
@@ -102,7 +104,7 @@
 	})
 }
 
-// DeleteLog asks the disk to delete a log.
+// DeleteLog queues the deletion of a log.
 func (u *edgeNode) DeleteLog(name string) {
 	u.queueWrite(name, 0, func(*replica.Log) bool { delete(u.logs, name); return true })
 }
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// renewLease asks for the lease, each third of it, with a report of its strength.
+// renewLease requests the lease, with a report of the health of the node, and repeats this after each third of the lease.
 func (u *edgeNode) renewLease(incarnation uint64) {
 	f := u.fleet
 	lease := tick.Tick(f.Lease * float64(tick.Second))
@@ -53,7 +53,9 @@
 	f.after(u.simulatedSpan(lease/3), func() { u.deliver(incarnation, func() { u.renewLease(incarnation) }) })
 }
 
-// onLeaseGranted takes in what a lease says of the disk, as a node's process does.
+// onLeaseGranted handles the record count that comes with a lease, as the process of a node does. known is the count that the
+// controllers know of. A start with a lower count means that the disk was restored from a backup. Once all copies are
+// verified, it raises the count by countsPerIncarnation, once per incarnation.
 func (u *edgeNode) onLeaseGranted(incarnation, known uint64, reported []replica.UnverifiedCopy) {
 	if !u.diskChecked {
 		u.diskChecked = true
@@ -79,7 +81,7 @@
 	}
 }
 
-// placementChanged notes that an assignment has changed of which the node is to be notified.
+// placementChanged records a changed assignment and sends it to the node.
 func (u *edgeNode) placementChanged(name string) {
 	if !u.unseen[name] {
 		u.unseen[name] = true
@@ -88,7 +90,8 @@
 	u.watchPlacements()
 }
 
-// watchPlacements brings changed assignments: a watch waits at the controllers while nothing has changed.
+// watchPlacements fetches the changed assignments, as a long poll at the controllers does. It retries after a quarter of the
+// lease if the answer is lost.
 func (u *edgeNode) watchPlacements() {
 	if u.watching || u.manager == nil {
 		return
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/standin/testcluster"
 )
 
-// updateHealth reads the battery and works the report out.
+// updateHealth advances the battery in steps of at most 2 s, passes its readings to the monitor and updates the health report.
 func (u *edgeNode) updateHealth() {
 	f := u.fleet
 	if u.monitor == nil {
