--- a/internal/lab/fleetsim/events.go
+++ b/internal/lab/fleetsim/events.go
@@ -4,13 +4,14 @@
 	"silvercove/internal/tick"
 )
 
+// event is a function that runs at a simulated time.
 type event struct {
 	at       tick.Tick
 	sequence uint64
 	run      func()
 }
 
-// events is a heap of four children each, by time and then by order of coming.
+// events is a heap with four children per entry, ordered by time and then by sequence number.
 type events []event
 
 func (e events) less(a, b int) bool {
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -12,7 +12,7 @@
 	"silvercove/internal/standin/testcluster"
 )
 
-// logEvent notes an event for the timeline.
+// logEvent adds an event to the digest and, if Size.KeepTimeline is set, to the timeline.
 func (f *Fleet) logEvent(e testcluster.Event) {
 	e.At = timelineStart.Add(f.now.Duration())
 	_, _ = fmt.Fprintf(f.digest, "%d %s %s\n", f.now, e.Node, e.Text())
@@ -23,10 +23,10 @@
 
 var timelineStart = time.Unix(0, 0)
 
-// Digest sums the timeline up: the same for the same seed.
+// Digest returns a hash of the timeline. Runs with the same seed have the same digest.
 func (f *Fleet) Digest() uint64 { return f.digest.Sum64() }
 
-// Timeline draws what happened, one column a node.
+// Timeline draws the events of the run with one column per process.
 func (f *Fleet) Timeline() string {
 	columns := []string{"script"}
 	for _, k := range f.cluster.controllers {
@@ -43,14 +43,15 @@
 	return testcluster.Draw(columns, timelineStart, f.timeline)
 }
 
-// recordDecision notes a decision for an instance after the one before it, beside the faults under way.
+// recordDecision adds a decision for an instance to the coverage: the pair with the decision before it, and the pair together
+// with the state of the assignment and the faults under way.
 func (f *Fleet) recordDecision(name string, decision uint8, place placement.Assignment) {
 	before := f.lastDecision[name]
 	f.lastDecision[name] = decision
 	kinds := uint64(0)
 	if f.KeepTimeline {
 		for kind := range f.activeFaults {
-			kinds += xxhash.Sum64String(kind) // a sum: in any order
+			kinds += xxhash.Sum64String(kind) // a sum does not depend on the order of the map
 		}
 	}
 	holders := min(3, len(place.Replicas))
@@ -59,16 +60,17 @@
 	f.coverage[uint64(before)<<8|uint64(decision)] = struct{}{}
 }
 
-// decisions numbers what is agreed, and what nodes do, for pairs of them.
+// decisions numbers the agreed operations and the actions of nodes, so that pairs of them can be recorded.
 var decisions = []string{"", string(placement.OpCreate), string(placement.OpStartCopy), "move", string(placement.OpReplicaReady),
 	string(placement.OpDropReplica),
 	string(placement.OpCutOver), string(placement.OpCancelCopy), string(placement.OpFailOver), "fail-lost", string(placement.OpRestart), string(placement.OpMoveDevice),
 	string(placement.OpResetFailures), string(placement.OpMarkServed), string(placement.OpReportIncomplete), string(placement.OpQuarantine), string(placement.OpRelease),
 	string(placement.OpDelete), "acts", "stops", "drops", "refused"}
 
+// decision returns the number of a decision.
 func decision(name string) uint8 { return uint8(slices.Index(decisions, name)) }
 
-// Pairs are the pairs of decisions that were reached, one after the other for one instance.
+// Pairs returns the pairs of consecutive decisions for one instance that the run covered.
 func (f *Fleet) Pairs() (all []string) {
 	for key := range f.coverage {
 		if key < 1<<16 {
@@ -79,7 +81,7 @@
 	return all
 }
 
-// reasonTitle is a reason up to its first colon, for timelines.
+// reasonTitle shortens a reason to the part before its first colon if the reason is longer than 24 bytes. Timelines show it.
 func reasonTitle(text string) string {
 	if first, _, ok := strings.Cut(text, ":"); ok && len(text) > 24 {
 		return first
