--- a/internal/lab/fleetsim/member_probe.go
+++ b/internal/lab/fleetsim/member_probe.go
@@ -7,7 +7,7 @@
 	"silvercove/internal/tick"
 )
 
-// ping asks a member whether it is there.
+// ping sends a ping to a member and records in the table whether it replied within half a silence timeout.
 func (m *member) ping(o *member) {
 	f, name, starts, sent, over := m.group.fleet, o.endpoint.name, m.starts, m.group.fleet.now, false
 	finish := func(good bool) {
@@ -30,8 +30,8 @@
 	})
 }
 
-// probe is the library's look at one other member each silence: one that neither answers this process nor any of three
-// others it asks, and of which nothing is heard, is reported down.
+// probe simulates the failure detector of the membership library, which pings one random member per silence timeout. A member is
+// reported down if it answers neither this process nor any of three others that ping it, and nothing else is received from it.
 func (m *member) probe() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.probe)
--- a/internal/lab/fleetsim/member_sync.go
+++ b/internal/lab/fleetsim/member_sync.go
@@ -4,7 +4,7 @@
 	"silvercove/internal/membership"
 )
 
-// rejoin exchanges full states with some of those that are held to be gone.
+// rejoin exchanges full states with some of the members that this one holds dead.
 func (m *member) rejoin() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.rejoin)
@@ -27,7 +27,7 @@
 	}
 }
 
-// syncRandom exchanges full states with any other member, as the library does by itself.
+// syncRandom exchanges full states with a random member, as the membership library does by itself.
 func (m *member) syncRandom() {
 	m.group.fleet.after(m.group.syncInterval(), m.syncRandom)
 	if m.isRunning() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// syncWith has two members exchange all that they know.
+// syncWith exchanges full states between two members.
 func (m *member) syncWith(o *member) {
 	if o == m || o.endpoint == m.endpoint {
 		return
@@ -59,6 +59,7 @@
 	})
 }
 
+// fullState returns the own record and all records of other members, and their size in bytes.
 func (m *member) fullState() (all []*update, size int) {
 	all = append(all, m.ownRecord)
 	for _, w := range m.records {
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -11,14 +11,14 @@
 	"silvercove/internal/tick"
 )
 
-// Scenario is one fault of the table of times to quiet.
+// Scenario is one fault of the table of recovery times.
 type Scenario struct {
 	Name    string
-	Script  func(f *Fleet) string // its fault, at 20 s
-	FromEnd bool                  // quiet is counted from the fault's end, else from its beginning
+	Script  func(f *Fleet) string // returns a script that applies the fault at 20 s
+	FromEnd bool                  // recovery is measured from the end of the fault instead of its start
 }
 
-// Scenarios are the faults of the table.
+// Scenarios are the faults of the table of recovery times.
 var Scenarios = []Scenario{
 	{Name: "a unit falls for good", Script: func(*Fleet) string { return "20000 crash edge-1 for 3000000" }},
 	{Name: "a unit loses its disk and is back after 3 s",
@@ -38,16 +38,16 @@
 	}, FromEnd: true},
 }
 
-// Recovery is how a fleet came to rest after one trouble.
+// Recovery describes how a fleet recovered from one fault.
 type Recovery struct {
-	Quiet, Idle tick.Tick // until all was quiet; the longest that an instance was without a primary
-	Moves       int       // at once, at the most
-	Operations  int       // that the controllers agreed on
-	Lost        int
-	Broken      string
+	Quiet, Idle tick.Tick // time until Fleet.Quiet; longest time that an instance was served by no node
+	Moves       int       // maximum number at once
+	Operations  int       // number that the controllers agreed on
+	Lost        int       // number of instances that restarted without a current replica
+	Broken      string    // broken rule or unsettled instance, "" if there is none
 }
 
-// MeasureRecovery plays a trouble in a fleet.
+// MeasureRecovery runs a scenario in a fleet until it is quiet, for at most 1800 s.
 func MeasureRecovery(seed uint64, s Size, t Scenario) (c Recovery) {
 	f := New(seed, s)
 	script, err := ParseScript(t.Script(f))
@@ -77,9 +77,10 @@
 	return c
 }
 
-// RecoveryTable writes how long fleets of several sizes take to be quiet after each trouble, with so many replicas away.
+// RecoveryTable writes a Markdown table of the recovery times of fleets of several sizes after each scenario, with the given number
+// of remote replicas.
 func RecoveryTable(w io.Writer, seed uint64, nodes []int, remoteReplicas int) {
-	_, _ = fmt.Fprintf(w, "| trouble | units | quiet after, s | longest without an owner, s | moves at once | steps agreed | lost |\n")
+	_, _ = fmt.Fprintf(w, "| fault | nodes | quiet after, s | longest without a primary, s | moves at once | operations agreed | lost |\n")
 	_, _ = fmt.Fprintf(w, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 	for _, t := range Scenarios {
 		for _, n := range nodes {
@@ -98,7 +99,8 @@
 
 func seconds(t tick.Tick) float64 { return float64(t) / float64(tick.Second) }
 
-// EventScript is a script of an event: devices arrive, cross at half-time, and leave, while things fail as they do.
+// EventScript returns the script of a public event: devices arrive, cross to another zone at half-time and leave, while nodes, the
+// leading controller and a zone fail.
 func EventScript(f *Fleet, span tick.Tick) (s Script) {
 	at := func(part float64) tick.Tick { return tick.Tick(part * float64(span)) }
 	s = append(s, Fault{At: at(0.1), Kind: "swarm", Target: "zone-1", To: "zone-2", Duration: at(0.8), Amount: 0.3},
@@ -116,7 +118,7 @@
 	return s
 }
 
-// PlayEvent plays a span of an event in a fleet and writes what it took.
+// PlayEvent simulates a span of a public event in a fleet and writes its cost and outcome.
 func PlayEvent(w io.Writer, seed uint64, s Size, span tick.Tick) {
 	began, before := time.Now(), cpuTime()
 	f := New(seed, s)
@@ -124,18 +126,18 @@
 	f.Run(span)
 	k := &f.checker
 	since, quiet := f.Quiet()
-	_, _ = fmt.Fprintf(w, "%d relays, %d units in %d zones, %d instances, %d keepers, %.0f s: %.0f s of processor, %.0f s on the clock, %d events\n",
+	_, _ = fmt.Fprintf(w, "%d relays, %d nodes in %d zones, %d instances, %d controllers, %.0f s simulated: %.0f s CPU time, %.0f s elapsed, %d events\n",
 		s.Relays, s.Nodes, s.Zones, s.Instances, s.Controllers, seconds(span), (cpuTime() - before).Seconds(), time.Since(began).Seconds(), f.Events)
-	_, _ = fmt.Fprintf(w, "%d commands of a sample: %d acked, %d nacked, %d unknown; %d handed over, %d moves at once at the most, %d falls, %d lost; ",
+	_, _ = fmt.Fprintf(w, "%d sampled requests: %d succeeded, %d rejected, %d unknown; %d moves, at most %d at once, %d crashes, %d lost; ",
 		k.Requests, k.Succeeded, k.Rejected, k.Unknown, k.Moves, k.MostMoves, k.Crashes, k.Lost)
-	_, _ = fmt.Fprintf(w, "%d steps in %d entries; quiet: %v since %.0f s; digest of the timeline %016x\n",
+	_, _ = fmt.Fprintf(w, "%d operations in %d entries; quiet: %v since %.0f s; digest of the timeline %016x\n",
 		f.cluster.Operations, f.cluster.Entries, quiet, seconds(since), f.Digest())
 	if f.Broken() != "" {
 		_, _ = fmt.Fprintf(w, "BROKEN: %s\n", f.Broken())
 	}
 }
 
-// used is the processor's time of this process.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -144,12 +146,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Report writes what a search found.
+// Report writes the results of a search.
 func (s *SearchResult) Report(w io.Writer) {
 	quiet := slices.Clone(s.Quiet)
 	slices.Sort(quiet)
 	at := func(part float64) float64 { return seconds(quiet[int(part*float64(len(quiet)-1))]) }
-	_, _ = fmt.Fprintf(w, "%d schedules, %d situations, %d pairs of decisions, %d losses told; quiet after the last fault: half within %.1f s, 99%% within %.1f s, all within %.1f s\n",
+	_, _ = fmt.Fprintf(w, "%d schedules, %d situations, %d pairs of decisions, %d reported losses; quiet after the last fault: half within %.1f s, 99%% within %.1f s, all within %.1f s\n",
 		s.Played, s.Coverage, len(s.Pairs), s.ReportedLosses, at(0.5), at(0.99), at(1))
 	s.pairTable(w)
 	for _, p := range s.Broken {
@@ -157,19 +159,19 @@
 	}
 }
 
-// pairTable writes which decisions for an instance came right after which.
+// pairTable writes for each decision the decisions that directly followed it for one instance.
 func (s *SearchResult) pairTable(w io.Writer) {
 	after := map[string][]string{}
 	for _, pair := range s.Pairs {
 		first, second, _ := strings.Cut(pair, ">")
 		after[first] = append(after[first], second)
 	}
-	_, _ = fmt.Fprintf(w, "\n| decision | of %d | right after it |\n| --- | ---: | --- |\n", len(decisions)-1)
+	_, _ = fmt.Fprintf(w, "\n| decision | of %d | directly followed by |\n| --- | ---: | --- |\n", len(decisions)-1)
 	for _, first := range decisions {
 		if some := after[first]; len(some) > 0 {
 			name := first
 			if name == "" {
-				name = "the beginning"
+				name = "start"
 			}
 			_, _ = fmt.Fprintf(w, "| %s | %d | %s |\n", name, len(some), strings.Join(some, ", "))
 		}
