--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -56,15 +56,15 @@
 
 // Config is what a Director is made from. All fields but Running are required.
 type Config struct {
-	Chain    map[string][]byte // the root chain, by file name
-	Keys     []*keys.Key       // online keys for targets, snapshots and timestamps
-	Store    VersionStore
-	Image    ImageLookup
-	Now      func() time.Time
-	Lifetime time.Duration     // of issued metadata, whole seconds, two at least
-	Packages map[uint16]string // path in the image repository, by version
-	Running  uint16            // version that every server runs if nothing is recorded, 0 for none
-	Log      logging.Func
+	Chain          map[string][]byte // the root chain, by file name
+	Keys           []*keys.Key       // online keys for targets, snapshots and timestamps
+	Store          VersionStore
+	LookUpImage    ImageLookup
+	Now            func() time.Time
+	Lifetime       time.Duration     // of issued metadata, whole seconds, two at least
+	Packages       map[uint16]string // path in the image repository, by version
+	InitialVersion uint16            // version that every server runs if nothing is recorded, 0 for none
+	Log            logging.Func
 }
 
 // Director issues the metadata of one fleet. Its methods are safe for concurrent use. Where several locks are held, they are
@@ -83,30 +83,30 @@
 	chain      map[string][]byte
 	onlineKeys map[string][]*keys.Key // by role
 
-	answersMu sync.Mutex                   // guards answers
-	answers   map[string]*tufverify.Target // last answers of the image repository, by path
-
-	mu             sync.Mutex // guards all below
-	rollout        *stagedrollout.Rollout
-	servers        map[string]*server
-	stage          dispatch.RolloutStage
-	stageKinds     []string               // kinds of hardware that the stage's package fits
-	waitingVersion uint16                 // the version whose package was logged to wait
-	deferredStage  *dispatch.RolloutStage // of a version whose package the image repository does not have yet
-	released       uint16
-	timerAt        stagedrollout.Tick // of the rollout, 0 for none
-	pendingIssues  []*server          // to be issued by run
-
-	Issued      int64     // versions of servers' metadata issued
-	Assignments int64     // assignments that the rollout has made
-	Reports     int64     // reports of known servers
-	Changed     time.Time // when the last change had been issued to all servers that it concerns
+	cachedTargetsMu sync.Mutex                   // guards answers
+	cachedTargets   map[string]*tufverify.Target // last answers of the image repository, by path
+
+	mu                   sync.Mutex // guards all below
+	rollout              *stagedrollout.Rollout
+	servers              map[string]*server
+	stage                dispatch.RolloutStage
+	stageKinds           []string               // kinds of hardware that the stage's package fits
+	loggedMissingVersion uint16                 // the version whose package was logged to wait
+	deferredStage        *dispatch.RolloutStage // of a version whose package the image repository does not have yet
+	released             uint16
+	timerAt              stagedrollout.Tick // of the rollout, 0 for none
+	pendingIssues        []*server          // to be issued by run
+
+	Issued             int64     // versions of servers' metadata issued
+	Assignments        int64     // assignments that the rollout has made
+	Reports            int64     // reports of known servers
+	LastChangeIssuedAt time.Time // when the last change had been issued to all servers that it concerns
 }
 
 // server is one server of the fleet.
 type server struct {
 	stagedrollout.Server      // guarded by Director.mu
-	reissue              bool // guarded by Director.mu: its assignment has changed since its last issue
+	needsReissue         bool // guarded by Director.mu: its assignment has changed since its last issue
 
 	mu          sync.Mutex // guards all below; held while metadata are issued
 	version     int64      // of the last issue, 0 for none
@@ -119,19 +119,19 @@
 // New makes a Director from what its version store has recorded.
 func New(config Config) (*Director, error) {
 	d := &Director{
-		store:       config.Store,
-		lookUpImage: config.Image,
-		now:         config.Now,
-		lifetime:    config.Lifetime.Truncate(time.Second),
-		packages:    config.Packages,
-		log:         config.Log,
-		waker:       wakeup.New(),
-		answers:     map[string]*tufverify.Target{},
-		servers:     map[string]*server{},
-		released:    config.Running,
+		store:         config.Store,
+		lookUpImage:   config.LookUpImage,
+		now:           config.Now,
+		lifetime:      config.Lifetime.Truncate(time.Second),
+		packages:      config.Packages,
+		log:           config.Log,
+		waker:         wakeup.New(),
+		cachedTargets: map[string]*tufverify.Target{},
+		servers:       map[string]*server{},
+		released:      config.InitialVersion,
 	}
 	if recorded, _ := d.store.Recorded(releasedKey); recorded > 0 {
-		d.released = max(uint16(recorded), config.Running)
+		d.released = max(uint16(recorded), config.InitialVersion)
 	}
 	if d.lifetime < minLifetime {
 		return nil, fmt.Errorf("director: metadata that last %v", config.Lifetime)
@@ -152,7 +152,7 @@
 		if !ok {
 			continue
 		}
-		s := &server{version: e.Version, issueRecord: decodeIssue(e.Sum), reissue: true}
+		s := &server{version: e.Version, issueRecord: decodeIssue(e.Sum), needsReissue: true}
 		s.Name = name
 		d.servers[name] = s
 		mayInstallUntil := tufverify.Tick(0)
@@ -198,10 +198,10 @@
 
 // markForReissue has run issue a server's metadata anew. Director.mu is held.
 func (d *Director) markForReissue(s *server) {
-	if s.reissue {
+	if s.needsReissue {
 		return
 	}
-	s.reissue = true
+	s.needsReissue = true
 	d.pendingIssues = append(d.pendingIssues, s)
 	d.waker.Wake()
 }
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -94,8 +94,8 @@
 	if refusal == nil {
 		return target.Custom.HardwareKinds, true
 	}
-	if d.waitingVersion != stage.Version {
-		d.waitingVersion = stage.Version
+	if d.loggedMissingVersion != stage.Version {
+		d.loggedMissingVersion = stage.Version
 		d.log(slog.LevelWarn, "package waits for the image repository",
 			append([]slog.Attr{slog.Int("version", int(stage.Version))}, refusal.LogFields()...)...)
 	}
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -28,17 +28,17 @@
 		d.mu.Unlock()
 		return nil, ErrUnknownServer
 	}
-	reissue := s.reissue
+	reissue := s.needsReissue
 	d.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := tufverify.FromTime(d.now())
 	current := metadatarefresh.Issue{
-		Held:        s.files != nil,
-		IssuedAt:    s.issuedAt,
-		ExpiresAt:   s.expiresAt,
-		Assigned:    !reissue,
-		ImageAgrees: d.imageAgrees(s),
+		Exists:            s.files != nil,
+		IssuedAt:          s.issuedAt,
+		ExpiresAt:         s.expiresAt,
+		AssignmentCurrent: !reissue,
+		ImageAgrees:       d.imageAgrees(s),
 	}
 	if current.MustRenew(now) {
 		if err := d.issue(s, now); err != nil && !current.MayServeStale(now) {
@@ -71,15 +71,15 @@
 func (d *Director) issue(s *server, now tufverify.Tick) error {
 	d.mu.Lock()
 	assigned, hardware := s.Assigned(), s.Kind
-	s.reissue = false
+	s.needsReissue = false
 	d.mu.Unlock()
 	failed := func(err error) error { // it stays to be issued
 		d.mu.Lock()
-		s.reissue = true
+		s.needsReissue = true
 		d.mu.Unlock()
 		return err
 	}
-	if metadatarefresh.PersistTime(now, d.store.TrustedTime()) {
+	if metadatarefresh.MustPersistTime(now, d.store.TrustedTime()) {
 		if err := d.store.AdvanceTime(now); err != nil {
 			return failed(fmt.Errorf("%w: the time is not kept: %w", ErrUnavailable, err))
 		}
@@ -94,7 +94,7 @@
 	online := d.onlineKeys
 	d.rootMu.RUnlock()
 	version := s.version + 1
-	files, err := sign(online, version, expiresAt.Time(), target)
+	files, err := signFiles(online, version, expiresAt.Time(), target)
 	if err != nil {
 		return failed(err)
 	}
@@ -105,7 +105,7 @@
 	case now < s.previousUntil:
 		next.previous, next.previousUntil = s.previous, s.previousUntil
 	}
-	if err := d.store.Record(issuedPrefix+s.Name, version, next.digest(files["timestamp.json"])); err != nil {
+	if err := d.store.Record(issuedPrefix+s.Name, version, next.encode(files["timestamp.json"])); err != nil {
 		return failed(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	s.version, s.issueRecord, s.issuedAt, s.files, s.target = version, next, now, files, target
@@ -139,11 +139,11 @@
 // be rolled back; they ask the image repository themselves before they install anything.
 func (d *Director) lookUp(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	target, refusal := d.lookUpImage(path)
-	d.answersMu.Lock()
-	defer d.answersMu.Unlock()
+	d.cachedTargetsMu.Lock()
+	defer d.cachedTargetsMu.Unlock()
 	if refusal == nil {
-		d.answers[path] = target
-	} else if last := d.answers[path]; last != nil && metadatarefresh.LastAnswerMayServe(refusal) {
+		d.cachedTargets[path] = target
+	} else if last := d.cachedTargets[path]; last != nil && metadatarefresh.MayServeLastAnswer(refusal) {
 		return last, nil
 	}
 	return target, refusal
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -24,8 +24,8 @@
 	previousUntilOffset = 12
 )
 
-// digest is the record in the front of a digest of the issue's content, whose rest tells contents apart.
-func (r issueRecord) digest(content []byte) (digest tufverify.Digest) {
+// encode is the record in the front of a encode of the issue's content, whose rest tells contents apart.
+func (r issueRecord) encode(content []byte) (digest tufverify.Digest) {
 	digest = sha256.Sum256(content)
 	binary.BigEndian.PutUint16(digest[assignedOffset:], r.assigned)
 	binary.BigEndian.PutUint64(digest[expiresAtOffset:], uint64(r.expiresAt))
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -34,14 +34,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(pending) > 0 {
-		d.Changed = d.now()
+		d.LastChangeIssuedAt = d.now()
 	}
 	next := time.Hour
 	if err != nil {
 		d.log(slog.LevelWarn, "metadata could not be issued and is retried", slog.String("error", err.Error()),
 			slog.Duration("wait_ms", time.Duration(metadatarefresh.IssueRetryDelay)*tickLength))
 		for _, s := range pending {
-			if s.reissue && s.files != nil {
+			if s.needsReissue && s.files != nil {
 				d.pendingIssues = append(d.pendingIssues, s)
 			}
 		}
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d.mu.Lock()
-	reissue := s.reissue
+	reissue := s.needsReissue
 	d.mu.Unlock()
 	if !reissue || s.files == nil {
 		return nil
--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -61,7 +61,7 @@
 // fetchFile requests a metadata file of at most maxSize bytes. take verifies what a mirror answered; a refusal has another
 // mirror asked.
 func (r *Repository) fetchFile(class string, f tufverify.File, maxSize int,
-	take func(ctx context.Context, mirror dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
+	verify func(ctx context.Context, mirror dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.request(context.Background(), class, func(attempt *dispatch.Attempt) attemptResult {
 		answer := r.download(attempt.Context, attempt.Backend, "metadata/"+f.String(), maxSize)
 		switch {
@@ -70,7 +70,7 @@
 		case answer.status != http.StatusOK && (answer.status != http.StatusNotFound || class != classRoot):
 			return attemptResult{status: answer.status, err: fmt.Errorf("%s: status %d", f, answer.status)}
 		}
-		if refusal := take(attempt.Context, attempt.Backend, answer.status, answer.data); refusal != nil {
+		if refusal := verify(attempt.Context, attempt.Backend, answer.status, answer.data); refusal != nil {
 			return attemptResult{status: answer.status, err: refusal}
 		}
 		return attemptResult{status: answer.status, accepted: true}
--- a/internal/metadataproxy/byte_range.go
+++ b/internal/metadataproxy/byte_range.go
@@ -43,21 +43,21 @@
 	if first == "" {
 		return parseSuffixRange(last, length)
 	}
-	asked := byteRange{last: length - 1}
+	requested := byteRange{last: length - 1}
 	var err error
-	if asked.first, err = parseOffset(first); err != nil {
+	if requested.first, err = parseOffset(first); err != nil {
 		return ignored, rangeIgnored
 	}
 	if last != "" {
-		if asked.last, err = parseOffset(last); err != nil || asked.last < asked.first {
+		if requested.last, err = parseOffset(last); err != nil || requested.last < requested.first {
 			return ignored, rangeIgnored
 		}
 	}
-	asked.last = min(asked.last, length-1)
-	if asked.first >= length {
-		return asked, rangeUnsatisfiable
+	requested.last = min(requested.last, length-1)
+	if requested.first >= length {
+		return requested, rangeUnsatisfiable
 	}
-	return asked, rangePartial
+	return requested, rangePartial
 }
 
 // parseSuffixRange reads the range of the last bytes of a file.
@@ -66,11 +66,11 @@
 	if err != nil {
 		return wholeFile(length), rangeIgnored
 	}
-	asked := byteRange{first: max(0, length-n), last: length - 1}
+	requested := byteRange{first: max(0, length-n), last: length - 1}
 	if n == 0 || length == 0 {
-		return asked, rangeUnsatisfiable
+		return requested, rangeUnsatisfiable
 	}
-	return asked, rangePartial
+	return requested, rangePartial
 }
 
 // parseOffset reads a byte offset, which is never negative.
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -50,7 +50,7 @@
 
 // roundTrip sends one request to a mirror, for the bytes from an offset on, and has read take the body. It ends once the
 // body comes too slowly; status is 0 without an answer.
-func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, from int64,
+func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, offset int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,8 +62,8 @@
 	if err != nil {
 		return 0, transport.CloseStatus{Reason: transport.Malformed}
 	}
-	if from > 0 {
-		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", from))
+	if offset > 0 {
+		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	}
 	if !r.dispatcher.IsCurrent(mirror) { // it began to drain after it was chosen
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -11,8 +11,8 @@
 // minLookUpInterval is the least time between two look-ups of a path that is kept looked up.
 const minLookUpInterval = 50 * time.Millisecond
 
-// KeepLookedUp has targets looked up periodically, so that Known finds them without asking a mirror.
-func (r *Repository) KeepLookedUp(paths []string) {
+// WatchTargets has targets looked up periodically, so that Known finds them without asking a mirror.
+func (r *Repository) WatchTargets(paths []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchedPaths = paths
@@ -37,8 +37,8 @@
 	}
 }
 
-// Known looks a target up in what is held and has not expired, without asking a mirror.
-func (r *Repository) Known(path string) (*tufverify.Target, *tufverify.RefusalError) {
+// FindCached looks a target up in what is held and has not expired, without asking a mirror.
+func (r *Repository) FindCached(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, need, refusal := r.verified.Find(r.tick(), path)
@@ -56,7 +56,7 @@
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
 		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, as the package depends on it
-		if refusal = metadatarefresh.Confirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
+		if refusal = metadatarefresh.CheckConfirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
 		r.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// Stored looks a target up by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section 3.1.2).
-func (r *Repository) Stored(name string) (*tufverify.Target, *tufverify.RefusalError) {
+// FindByStoredName looks a target up by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section 3.1.2).
+func (r *Repository) FindByStoredName(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	path, sum, hashed := r.verified.ParseStoredPath(name)
 	r.mu.Unlock()
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -104,7 +104,7 @@
 		names = append(names, mirror.Name)
 	}
 	var group errgroup.Group
-	group.SetLimit(metadatarefresh.SurveyWidth)
+	group.SetLimit(metadatarefresh.SurveyConcurrency)
 	for _, mirror := range ready {
 		group.Go(func() error {
 			r.surveyMirror(ctx, mirror, names)
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -103,7 +103,7 @@
 	if directorRepository == nil || imageRepository == nil || directorRepository == imageRepository {
 		return fmt.Errorf("agree: %s and %s are not two repositories", director, image)
 	}
-	directorRepository.agreesWith = imageRepository
+	directorRepository.imageRepository = imageRepository
 	return nil
 }
 
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -27,7 +27,7 @@
 func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, refusal := r.verified.Current(now, f)
-	refusal = metadatarefresh.Confirmed(now, f, refusal, r.survey, r.refresh, r.name)
+	refusal = metadatarefresh.CheckConfirmed(now, f, refusal, r.survey, r.refresh, r.name)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -58,7 +58,7 @@
 	if !due {
 		return
 	}
-	_, _, _ = r.shared.Do("set", func() (any, error) {
+	_, _, _ = r.fetchGroup.Do("set", func() (any, error) {
 		r.mu.Lock()
 		now := r.tick()
 		_, _, incomplete := r.verified.NextFile(now)
@@ -67,7 +67,7 @@
 		if !due { // another caller has just done it
 			return nil, nil
 		}
-		err := r.fetchSet()
+		err := r.refreshMetadata()
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if err != nil {
@@ -80,8 +80,8 @@
 	})
 }
 
-// fetchSet fetches newer roots, a timestamp, and what that names (TUF 1.0.31, sections 5.3 to 5.6).
-func (r *Repository) fetchSet() error {
+// refreshMetadata fetches newer roots, a timestamp, and what that names (TUF 1.0.31, sections 5.3 to 5.6).
+func (r *Repository) refreshMetadata() error {
 	if err := r.fetchRoots(); err != nil {
 		return err
 	}
@@ -94,9 +94,9 @@
 		r.mu.Lock()
 		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
 		r.mu.Unlock()
-		none := false
+		noNewerRoot := false
 		err := r.fetchFile(classRoot, f, tufverify.MaxRootSize, func(_ context.Context, _ dispatch.Backend, status int, data []byte) *tufverify.RefusalError {
-			if none = status == http.StatusNotFound; none {
+			if noNewerRoot = status == http.StatusNotFound; noNewerRoot {
 				return nil
 			}
 			return r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, data) })
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		if none {
+		if noNewerRoot {
 			return nil
 		}
 	}
@@ -114,7 +114,7 @@
 // fetchMetadata fetches a timestamp, and then each file that a complete set lacks.
 func (r *Repository) fetchMetadata() error {
 	fetchedTimestamp := false
-	for range metadatarefresh.MaxRounds { // new keys may make it begin again
+	for range metadatarefresh.MaxFilesPerRefresh { // new keys may make it begin again
 		r.mu.Lock()
 		f, maxSize, ok := r.verified.NextFile(r.tick())
 		r.mu.Unlock()
@@ -145,10 +145,10 @@
 
 // accept has take verify what a mirror sent. What is signed by unknown keys may depend on newer roots, which the same
 // mirror is asked for. Those may invalidate what is held; the mirror is not to blame then.
-func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
-	refusal := r.update(take)
+func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, verify func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+	refusal := r.update(verify)
 	foundNewerRoot := false
-	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.FetchNewerRoots(refusal, foundNewerRoot); n++ {
+	for n := 0; n < metadatarefresh.MaxRootsPerRequest && metadatarefresh.ShouldFetchNewerRoots(refusal, foundNewerRoot); n++ {
 		r.mu.Lock()
 		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
 		r.mu.Unlock()
@@ -158,7 +158,7 @@
 			break
 		}
 		foundNewerRoot = true
-		refusal = r.update(take)
+		refusal = r.update(verify)
 	}
 	if metadatarefresh.MirrorBlameless(refusal, foundNewerRoot) {
 		return nil
@@ -167,10 +167,10 @@
 }
 
 // update calls take with the lock held and the time. What is held already counts as taken.
-func (r *Repository) update(take func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
+func (r *Repository) update(verify func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	refusal := take(r.tick())
+	refusal := verify(r.tick())
 	if refusal != nil && refusal.Reason == tufverify.ReasonAlreadyHeld {
 		return nil
 	}
@@ -179,7 +179,7 @@
 
 // fetchRole fetches the targets of a delegated role, and if need be of the roles that may delegate to it.
 func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
-	v, _, _ := r.shared.Do("role "+role, func() (any, error) {
+	v, _, _ := r.fetchGroup.Do("role "+role, func() (any, error) {
 		refusal := r.fetchTargets(role)
 		if refusal == nil || refusal.Reason != tufverify.ReasonMissing {
 			return refusal, nil
--- a/internal/metadataproxy/repository.go
+++ b/internal/metadataproxy/repository.go
@@ -33,16 +33,16 @@
 
 // Repository is one TUF repository that is verified and proxied. Its methods are safe for concurrent use.
 type Repository struct {
-	name           string
-	now            func() time.Time
-	log            logging.Func
-	timeouts       map[string]time.Duration // by request class
-	connectTimeout time.Duration
-	freshFor       time.Duration // a timestamp counts as current for so long
-	dispatcher     *dispatch.Dispatcher
-	agreesWith     *Repository // the image repository of a mirrored Director repository, else nil
-	counts         *Counts
-	shared         singleflight.Group // a refresh, and a fetch of a role, that several requests wait for
+	name            string
+	now             func() time.Time
+	log             logging.Func
+	timeouts        map[string]time.Duration // by request class
+	connectTimeout  time.Duration
+	freshFor        time.Duration // a timestamp counts as current for so long
+	dispatcher      *dispatch.Dispatcher
+	imageRepository *Repository // the image repository of a mirrored Director repository, else nil
+	counts          *Counts
+	fetchGroup      singleflight.Group // a refresh, and a fetch of a role, that several requests wait for
 
 	mu           sync.Mutex // guards verified, refresh, survey and watchedPaths
 	verified     *tufverify.Repository
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -27,9 +27,9 @@
 	s := RepoStatus{Name: r.name, Root: r.verified.Version("root"), Timestamp: r.verified.Version("timestamp"),
 		Snapshot: r.verified.Version("snapshot"), Targets: r.verified.Version("targets"), Expires: r.verified.Expires().Time(),
 		Surveyed: r.survey.Done, Refused: map[string]int64{}, Mirrors: ready, Attempts: r.Attempts.Load()}
-	for why, n := range r.verified.Refused {
+	for reason, n := range r.verified.Refused {
 		if n > 0 {
-			s.Refused[tufverify.Reason(why).String()] = n
+			s.Refused[tufverify.Reason(reason).String()] = n
 		}
 	}
 	return s
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -111,7 +111,7 @@
 	} else {
 		p.Counts.CacheHits.Add(1)
 	}
-	if data != nil && r.agreesWith != nil && f.MetadataType() == "targets" {
+	if data != nil && r.imageRepository != nil && f.MetadataType() == "targets" {
 		if refusal = p.checkAgreement(r); refusal != nil {
 			data = nil
 		}
@@ -142,7 +142,7 @@
 		return refusal
 	}
 	for _, target := range targets {
-		image, refusal := r.agreesWith.Find(target.Path)
+		image, refusal := r.imageRepository.Find(target.Path)
 		if refusal != nil && refusal.Reason == tufverify.ReasonNotListed {
 			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: target.Path,
 				Text: "the other does not know it"}
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -14,12 +14,12 @@
 
 // serveTarget answers for a package: the whole, or one range of its bytes.
 func (p *Proxy) serveTarget(w http.ResponseWriter, req *http.Request, r *Repository, path string) {
-	leave, ok := p.acquire(w, req, r)
+	release, ok := p.acquire(w, req, r)
 	if !ok {
 		return
 	}
-	defer leave()
-	target, refusal := r.Stored(path)
+	defer release()
+	target, refusal := r.FindByStoredName(path)
 	if refusal != nil {
 		p.respond(w, r, metadatarefresh.RefusalResponse(refusal))
 		return
@@ -34,7 +34,7 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	asked, kind := requestedRange(req, tag, target.Length)
+	requested, kind := requestedRange(req, tag, target.Length)
 	if kind == rangeUnsatisfiable {
 		header.Set("Content-Range", fmt.Sprintf("bytes */%d", target.Length))
 		p.Counts.Refused.Add(1)
@@ -42,7 +42,7 @@
 		return
 	}
 	body := r.open(target)
-	out := newRangeWriter(w, body, target.Length, asked, kind, &p.Counts)
+	out := newRangeWriter(w, body, target.Length, requested, kind, &p.Counts)
 	if req.Method == http.MethodHead || out.length <= 0 {
 		out.sendHeader()
 		return
@@ -83,7 +83,7 @@
 type rangeWriter struct {
 	response     http.ResponseWriter
 	control      *http.ResponseController
-	asked        byteRange
+	requested    byteRange
 	offset       int64 // of the next byte that comes
 	length       int64 // of the answer's body
 	status       int
@@ -94,27 +94,27 @@
 }
 
 // newRangeWriter starts the body where the range needs it. Where only the whole can be verified, the answer is the whole.
-func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, asked byteRange, kind rangeKind,
+func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, requested byteRange, kind rangeKind,
 	counts *Counts) *rangeWriter {
 	start := int64(0)
 	if kind == rangePartial {
 		var ok bool
-		if start, ok = body.SeekPiece(asked.first); !ok {
-			start, asked, kind = 0, wholeFile(length), rangeIgnored
+		if start, ok = body.SeekPiece(requested.first); !ok {
+			start, requested, kind = 0, wholeFile(length), rangeIgnored
 		}
 	}
 	out := &rangeWriter{
-		response: w,
-		control:  http.NewResponseController(w),
-		asked:    asked,
-		offset:   start,
-		length:   asked.length(),
-		status:   http.StatusOK,
-		counts:   counts,
+		response:  w,
+		control:   http.NewResponseController(w),
+		requested: requested,
+		offset:    start,
+		length:    requested.length(),
+		status:    http.StatusOK,
+		counts:    counts,
 	}
 	if kind == rangePartial {
 		out.status = http.StatusPartialContent
-		out.contentRange = asked.contentRange(length)
+		out.contentRange = requested.contentRange(length)
 	}
 	return out
 }
@@ -136,8 +136,8 @@
 // write takes the next verified bytes and sends those that were asked for. The client has ClientWriteTimeout to accept
 // them; its error is errClientGone.
 func (r *rangeWriter) write(data []byte) error {
-	first := max(r.asked.first-r.offset, 0)
-	end := min(r.asked.last+1-r.offset, int64(len(data)))
+	first := max(r.requested.first-r.offset, 0)
+	end := min(r.requested.last+1-r.offset, int64(len(data)))
 	r.offset += int64(len(data))
 	if first >= end {
 		return nil
@@ -154,6 +154,6 @@
 }
 
 // done tells that every byte asked for was written.
-func (r *rangeWriter) done() bool { return r.offset > r.asked.last }
+func (r *rangeWriter) done() bool { return r.offset > r.requested.last }
 
 var errClientGone = errors.New("the client has gone")
--- a/internal/metadataproxy/status.go
+++ b/internal/metadataproxy/status.go
@@ -42,11 +42,11 @@
 // Status reads the counters and the state of the repositories and the Director.
 func (p *Proxy) Status() Status {
 	p.mu.Lock()
-	in := p.limiter.InUse()
+	inFlight := p.limiter.InUse()
 	p.mu.Unlock()
-	n := &p.Counts
-	s := Status{Requests: n.Requests.Load(), CacheHits: n.CacheHits.Load(), Served: n.Served.Load(), Refused: n.Refused.Load(),
-		Aborted: n.Aborted.Load(), Overloaded: n.Overloaded.Load(), Reports: n.Reports.Load(), Bytes: n.Bytes.Load(), InFlight: in}
+	counters := &p.Counts
+	s := Status{Requests: counters.Requests.Load(), CacheHits: counters.CacheHits.Load(), Served: counters.Served.Load(), Refused: counters.Refused.Load(),
+		Aborted: counters.Aborted.Load(), Overloaded: counters.Overloaded.Load(), Reports: counters.Reports.Load(), Bytes: counters.Bytes.Load(), InFlight: inFlight}
 	for _, name := range slices.Sorted(maps.Keys(p.repositories)) {
 		s.Repositories = append(s.Repositories, p.repositories[name].status())
 	}
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -13,12 +13,12 @@
 	maxPerClient int            // bound of one client while more than half of Limit is in use
 }
 
-// clientShare is the part of the limit that one client may use while others want in: one in so many.
-const clientShare = 4
+// clientShareDivisor is the part of the limit that one client may use while others want in: one in so many.
+const clientShareDivisor = 4
 
 // NewClientLimiter admits limit requests at once.
 func NewClientLimiter(limit int) *ClientLimiter {
-	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShare)}
+	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShareDivisor)}
 }
 
 // Acquire admits a request of a client, or refuses it. One client alone can't use up the limit: past its half, each client has
--- a/internal/metadatarefresh/mirror_settings.go
+++ b/internal/metadatarefresh/mirror_settings.go
@@ -5,11 +5,11 @@
 	"silvercove/internal/settings"
 )
 
-// Rules are the settings of the dispatcher of one repository's mirrors, from what an operator chooses: how many processes share
+// MirrorSettings are the settings of the dispatcher of one repository's mirrors, from what an operator chooses: how many processes share
 // the mirrors, the connect timeout and the longest Retry-After in seconds, and the request classes. What an operator does
 // not choose: a new mirror starts at a tenth of its capacity and is warmed up after ten seconds; in no second it gets more
 // than twice what a warm one answers; a drained one has one second's grace; a request has at most sixteen attempts.
-func Rules(relays, connectTimeout, maxRetryAfter float64, classes []balancer.RequestClass) settings.Site {
+func MirrorSettings(relays, connectTimeout, maxRetryAfter float64, classes []balancer.RequestClass) settings.Site {
 	for i := range classes {
 		classes[i].Idempotency = balancer.Idempotent
 	}
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -4,9 +4,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// FetchNewerRoots tells whether a mirror is asked for newer roots after a refusal of what it sent: that may be signed by keys
+// ShouldFetchNewerRoots tells whether a mirror is asked for newer roots after a refusal of what it sent: that may be signed by keys
 // of a newer root. foundNewerRoot: one has come already, which may have invalidated what is held.
-func FetchNewerRoots(r *tufverify.RefusalError, foundNewerRoot bool) bool {
+func ShouldFetchNewerRoots(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	if r == nil {
 		return false
 	}
@@ -25,9 +25,9 @@
 	return r != nil && foundNewerRoot && r.Reason == tufverify.ReasonMissing
 }
 
-// Confirmed is the refusal of a file by tufverify, or one because mirrors were not asked: nothing but roots is served before
+// CheckConfirmed is the refusal of a file by tufverify, or one because mirrors were not asked: nothing but roots is served before
 // the survey is done; a timestamp, and which root is the newest, only while mirrors were asked recently.
-func Confirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
+func CheckConfirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
 	repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
 		return &tufverify.RefusalError{Reason: tufverify.ReasonMissing, Repository: repository, Role: f.Role, Text: text}
--- a/internal/metadatarefresh/transfer.go
+++ b/internal/metadatarefresh/transfer.go
@@ -2,8 +2,8 @@
 
 import "silvercove/internal/tufverify"
 
-// maxChoiceAge is how long after its choice an attempt may be sent.
-const maxChoiceAge = tufverify.Second / 2
+// maxSendDelay is how long after its choice an attempt may be sent.
+const maxSendDelay = tufverify.Second / 2
 
 // Limits of a transfer's rate.
 const (
@@ -14,7 +14,7 @@
 
 // AttemptTooLate tells whether an attempt whose mirror was chosen at a time is no longer to be sent. Guards against a process
 // that was stopped between the two: seen as requests to a mirror that drains.
-func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxChoiceAge }
+func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxSendDelay }
 
 // Transfer decides whether the body of an answer comes fast enough: minWindowBytes in each rateWindow. Guards against mirrors
 // that send endlessly or a byte now and then. A link that is slower than that can't be used. Begin makes its zero value
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -15,10 +15,10 @@
 	maxInFlight         int // requests that wait for mirrors or are being sent a package
 	versionStorePaths   []string
 	versionStoreEntries int
-	refresh             time.Duration // a timestamp counts as current for so long
-	unconfirmed         time.Duration // and for so long while no mirror can be asked
+	freshFor            time.Duration // a timestamp counts as current for so long
+	unconfirmedFor      time.Duration // and for so long while no mirror can be asked
 	survey              bool          // ask a majority of the mirrors after the start
-	relays              float64       // processes that share the mirrors
+	proxyCount          float64       // processes that share the mirrors
 	connectTimeout      float64       // seconds
 	maxRetryAfter       float64       // seconds
 	classes             []balancer.RequestClass
@@ -31,25 +31,25 @@
 
 // repositoryConfig is one repository block.
 type repositoryConfig struct {
-	name      string
-	root      string // path of the pinned root
-	agree     string // image repository that must agree with its targets, empty for none
-	discovery string // HOST:PORT of the agent that lists the mirrors, empty where the file lists them
-	mirrors   []dispatch.Endpoint
+	name             string
+	rootPath         string // path of the pinned root
+	imageRepository  string // image repository that must agree with its targets, empty for none
+	discoveryAddress string // HOST:PORT of the agent that lists the mirrors, empty where the file lists them
+	mirrors          []dispatch.Endpoint
 }
 
 // directorConfig is the director block.
 type directorConfig struct {
-	image     string // name of the image repository
-	chain     string // folder with the chain of roots
-	keys      []string
-	lifetime  time.Duration // of issued metadata
-	running   uint16        // version that every server runs if nothing is known, 0 for none
-	packages  []packageConfig
-	servers   []serverConfig
-	discovery string                 // HOST:PORT of the agent that lists the servers, empty where the file lists them
-	platform  string                 // HOST:PORT of the release API, empty where the file gives the stage
-	stage     *dispatch.RolloutStage // nil where the release API gives it
+	imageRepository   string // name of the image repository
+	chainDir          string // folder with the chain of roots
+	keyPaths          []string
+	lifetime          time.Duration // of issued metadata
+	initialVersion    uint16        // version that every server runs if nothing is known, 0 for none
+	packages          []packageConfig
+	servers           []serverConfig
+	discoveryAddress  string                 // HOST:PORT of the agent that lists the servers, empty where the file lists them
+	releaseAPIAddress string                 // HOST:PORT of the release API, empty where the file gives the stage
+	stage             *dispatch.RolloutStage // nil where the release API gives it
 }
 
 // packageConfig names the package of a version.
@@ -63,7 +63,7 @@
 	name     string
 	zone     string
 	hardware string
-	key      string // path of its public key
+	keyPath  string // path of its public key
 }
 
 // newConfig reads a metadata block that operatorconfig has checked.
@@ -74,10 +74,10 @@
 		maxInFlight:         int(number(directives["waiting"])),
 		versionStorePaths:   texts(directives["floor"]),
 		versionStoreEntries: int(number(directives["floor_entries"])),
-		refresh:             seconds(directives["refresh"]),
-		unconfirmed:         seconds(directives["unconfirmed"]),
+		freshFor:            seconds(directives["refresh"]),
+		unconfirmedFor:      seconds(directives["unconfirmed"]),
 		survey:              text(directives["survey"]) == "always",
-		relays:              number(directives["relays"]),
+		proxyCount:          number(directives["relays"]),
 		connectTimeout:      number(directives["connect_timeout"]),
 		maxRetryAfter:       number(directives["max_come_back"]),
 		directives:          directives,
@@ -103,10 +103,10 @@
 
 func newRepositoryConfig(directives map[string]any) repositoryConfig {
 	c := repositoryConfig{
-		name:      text(directives["name"]),
-		root:      text(directives["root"]),
-		agree:     text(directives["agree"]),
-		discovery: text(directives["discovery"]),
+		name:             text(directives["name"]),
+		rootPath:         text(directives["root"]),
+		imageRepository:  text(directives["agree"]),
+		discoveryAddress: text(directives["discovery"]),
 	}
 	for _, line := range list(directives["mirror"]) {
 		values := texts(line)
@@ -118,13 +118,13 @@
 
 func newDirectorConfig(directives map[string]any) *directorConfig {
 	c := &directorConfig{
-		image:     text(directives["image"]),
-		chain:     text(directives["chain"]),
-		keys:      texts(directives["key"]),
-		lifetime:  seconds(directives["lasts"]),
-		running:   uint16(number(directives["running"])),
-		discovery: text(directives["discovery"]),
-		platform:  text(directives["platform"]),
+		imageRepository:   text(directives["image"]),
+		chainDir:          text(directives["chain"]),
+		keyPaths:          texts(directives["key"]),
+		lifetime:          seconds(directives["lasts"]),
+		initialVersion:    uint16(number(directives["running"])),
+		discoveryAddress:  text(directives["discovery"]),
+		releaseAPIAddress: text(directives["platform"]),
 	}
 	for _, line := range list(directives["package"]) {
 		values := list(line)
@@ -132,7 +132,7 @@
 	}
 	for _, line := range list(directives["server"]) {
 		values := texts(line)
-		c.servers = append(c.servers, serverConfig{name: values[0], zone: values[1], hardware: values[2], key: values[3]})
+		c.servers = append(c.servers, serverConfig{name: values[0], zone: values[1], hardware: values[2], keyPath: values[3]})
 	}
 	if values := list(directives["wave"]); values != nil {
 		c.stage = &dispatch.RolloutStage{Version: uint16(number(values[0])), Phase: text(values[1]), ExposureCap: number(values[2])}
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -47,18 +47,18 @@
 		packages[p.version] = p.path
 		paths = append(paths, p.path)
 	}
-	image := s.repositories[c.image]
-	image.KeepLookedUp(paths)
+	image := s.repositories[c.imageRepository]
+	image.WatchTargets(paths)
 	s.director, err = director.New(director.Config{
-		Chain:    loaded.chain,
-		Keys:     loaded.online,
-		Store:    s.store,
-		Image:    image.Known,
-		Now:      s.now,
-		Lifetime: c.lifetime,
-		Packages: packages,
-		Running:  c.running,
-		Log:      logging.Leveled(s.log, "director"),
+		Chain:          loaded.chain,
+		Keys:           loaded.online,
+		Store:          s.store,
+		LookUpImage:    image.FindCached,
+		Now:            s.now,
+		Lifetime:       c.lifetime,
+		Packages:       packages,
+		InitialVersion: c.initialVersion,
+		Log:            logging.Leveled(s.log, "director"),
 	})
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Proxy.SetDirector(s.director, c.image, s.store, serverKeys); err != nil {
+	if err := s.Proxy.SetDirector(s.director, c.imageRepository, s.store, serverKeys); err != nil {
 		return err
 	}
 	s.updateDirector(c)
@@ -77,7 +77,7 @@
 
 // updateDirector gives the Director the servers and the stage that the file has.
 func (s *Service) updateDirector(c *directorConfig) {
-	if c.discovery == "" {
+	if c.discoveryAddress == "" {
 		s.director.UpdateServers(true, c.endpoints())
 	}
 	if c.stage != nil {
@@ -88,13 +88,13 @@
 // connectDirector connects the Director to the release API and the discovery agent, through a dispatcher of its own that
 // passes on what it is notified of. No requests go through it, so it has nothing to vote by and casts no vote.
 func (s *Service) connectDirector(c *directorConfig) {
-	if c.discovery == "" && c.platform == "" {
+	if c.discoveryAddress == "" && c.releaseAPIAddress == "" {
 		return
 	}
 	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
-	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
+	site := metadatarefresh.MirrorSettings(1, 0.3, 10, []balancer.RequestClass{install})
 	site.Balancer.Rollout.Control = balancer.AdvanceByClock
-	dispatcher := dispatch.New(seedFrom(c.discovery, c.platform), site, dispatch.Callbacks{
+	dispatcher := dispatch.New(seedFrom(c.discoveryAddress, c.releaseAPIAddress), site, dispatch.Callbacks{
 		WatchEndpoints: func(bool) {},
 		FetchEndpoints: func() {},
 		Probe:          func(dispatch.Backend) {},
@@ -105,17 +105,17 @@
 		OnStage:        s.director.OnStage,
 	})
 	s.tasks = append(s.tasks, dispatcher.RunTimers)
-	if c.platform != "" {
+	if c.releaseAPIAddress != "" {
 		client := releaseapi.New(releaseapi.Config{
-			Address: transport.NewAddress(c.platform),
+			Address: transport.NewAddress(c.releaseAPIAddress),
 			Timeout: releaseAPITimeout,
 			Buffers: s.buffers,
 			Log:     logging.Component(s.log, "releaseapi"),
 		})
 		s.tasks = append(s.tasks, func(ctx context.Context) error { return client.Run(ctx, dispatcher) })
 	}
-	if c.discovery != "" {
-		watcher := s.newWatcher(c.discovery)
+	if c.discoveryAddress != "" {
+		watcher := s.newWatcher(c.discoveryAddress)
 		watcher.Fetch()
 		s.tasks = append(s.tasks, func(ctx context.Context) error { return watcher.Run(ctx, dispatcher, discovery.Pushed) })
 	}
@@ -127,7 +127,7 @@
 	byServer := map[string]crypto.PublicKey{}
 	byPath := map[string]publicKeyFile{}
 	for _, server := range servers {
-		path := s.resolvePath(server.key)
+		path := s.resolvePath(server.keyPath)
 		file, err := s.loadPublicKey(path, byPath)
 		if err != nil {
 			return nil, fmt.Errorf("server %s: %w", server.name, err)
@@ -161,12 +161,12 @@
 
 // loadDirectorKeys reads the Director's root chain and online keys.
 func (s *Service) loadDirectorKeys(c *directorConfig) (directorKeys, error) {
-	chain, _, err := tufrepo.PublishedFiles(s.resolvePath(c.chain))
+	chain, _, err := tufrepo.PublishedFiles(s.resolvePath(c.chainDir))
 	if err != nil {
 		return directorKeys{}, fmt.Errorf("director: chain: %w", err)
 	}
 	loaded := directorKeys{chain: chain}
-	for _, path := range c.keys {
+	for _, path := range c.keyPaths {
 		key, err := keys.Load(s.resolvePath(path), keys.PassphraseFrom(s.env))
 		if err != nil {
 			return directorKeys{}, fmt.Errorf("director: %w", err)
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -64,7 +64,7 @@
 		earlier[c.name] = c.mirrors
 	}
 	for _, c := range next.repositories {
-		if c.discovery == "" {
+		if c.discoveryAddress == "" {
 			markNew(c.mirrors, earlier[c.name], time.Now()) // by the dispatcher's clock
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
--- a/internal/metadataservice/repository.go
+++ b/internal/metadataservice/repository.go
@@ -23,16 +23,16 @@
 
 // addRepository makes a repository, and a watcher of its mirrors where an agent lists them.
 func (s *Service) addRepository(c repositoryConfig) (*metadataproxy.Repository, error) {
-	pinned, err := os.ReadFile(s.resolvePath(c.root))
+	pinned, err := os.ReadFile(s.resolvePath(c.rootPath))
 	if err != nil {
 		return nil, fmt.Errorf("repository %s: %w", c.name, err)
 	}
 	host, _ := os.Hostname()
 	mirrors := metadataproxy.MirrorConfig{
 		Seed:           seedFrom(host, s.config.listen, c.name),
-		Settings:       metadatarefresh.Rules(s.config.relays, s.config.connectTimeout, s.config.maxRetryAfter, s.config.classes),
-		FreshFor:       s.config.refresh,
-		UnconfirmedFor: s.config.unconfirmed,
+		Settings:       metadatarefresh.MirrorSettings(s.config.proxyCount, s.config.connectTimeout, s.config.maxRetryAfter, s.config.classes),
+		FreshFor:       s.config.freshFor,
+		UnconfirmedFor: s.config.unconfirmedFor,
 		Survey:         s.config.survey,
 		Endpoints:      c.mirrors,
 		DispatchLog:    logging.Component(s.log.With().Str("repository", c.name).Logger(), "dispatch"),
@@ -41,8 +41,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.discovery != "" {
-		watcher := s.newWatcher(c.discovery)
+	if c.discoveryAddress != "" {
+		watcher := s.newWatcher(c.discoveryAddress)
 		watcher.Fetch()
 		s.tasks = append(s.tasks, func(ctx context.Context) error {
 			return watcher.Run(ctx, repository.Dispatcher(), discovery.Pushed)
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -124,10 +124,10 @@
 	s.Proxy = metadataproxy.New(repositories, s.now, logging.Leveled(s.log, "metadataproxy"), s.config.maxConnections,
 		s.config.maxInFlight)
 	for _, c := range s.config.repositories {
-		if c.agree == "" {
+		if c.imageRepository == "" {
 			continue
 		}
-		if err := s.Proxy.RequireAgreement(c.name, c.agree); err != nil {
+		if err := s.Proxy.RequireAgreement(c.name, c.imageRepository); err != nil {
 			return err
 		}
 	}
