--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -9,7 +9,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateServers replaces the list of servers, or, if it is not complete, changes the servers in it.
+// UpdateServers replaces the list of servers if the given list is complete; otherwise it adds or changes the servers that
+// the list names.
 func (d *Director) UpdateServers(complete bool, endpoints []dispatch.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -27,7 +28,7 @@
 	d.rollout.OnListComplete(now)
 }
 
-// updateServer adds or changes one server of a list.
+// updateServer adds or changes one server. A server that is unknown and listed as removed is not reported to the rollout.
 func (d *Director) updateServer(now stagedrollout.Tick, endpoint dispatch.Endpoint) {
 	s := d.servers[endpoint.Name]
 	added := s == nil
@@ -42,7 +43,7 @@
 	}
 }
 
-// phases are the rollout's phases by the names of the release API.
+// phases maps the phase names of the release API to the rollout's phases.
 var phases = map[string]stagedrollout.Phase{
 	"testing":   stagedrollout.Canary,
 	"recalling": stagedrollout.RollingBack,
@@ -50,14 +51,14 @@
 	"recalled":  stagedrollout.Withdrawn,
 }
 
-// phaseLive is the name of the phase of a released version.
+// phaseLive is the release API's name for the phase of a released version.
 const phaseLive = "live"
 
-// noHardwareKind is a list of kinds that no server's hardware is of.
+// noHardwareKind is a list of kinds of hardware that matches no server.
 var noHardwareKind = []string{""}
 
-// OnStage records the stage of the newest version. A stage of an earlier version is ignored, as is one of a version that was
-// released before a restart.
+// OnStage records the stage of the newest version. It ignores a stage of an earlier version. If a version was
+// released before a restart, it also ignores the stages of that version before the release.
 func (d *Director) OnStage(stage dispatch.RolloutStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 	d.stage, d.stageKinds, d.deferredStage = stage, kinds, nil
 	now := d.tick()
-	if !known { // servers may be rolled back, and none is assigned the version
+	if !known { // servers may still be rolled back; no server is assigned the version
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
@@ -84,8 +85,8 @@
 	d.rollout.OnStage(now, stage.Version, d.released, phases[stage.Phase], stage.ExposureCap, kinds)
 }
 
-// hardwareKinds are the kinds of hardware that the package of a stage's version fits. Until the image repository has it they
-// are noHardwareKind, and known is false.
+// hardwareKinds returns the kinds of hardware that the package of a stage's version fits. Until the image repository has the
+// package, it returns noHardwareKind and known is false.
 func (d *Director) hardwareKinds(stage dispatch.RolloutStage) (kinds []string, known bool) {
 	if stage.Version == d.stage.Version && d.deferredStage == nil {
 		return d.stageKinds, true
@@ -114,7 +115,8 @@
 	d.released = version
 }
 
-// OnVote records a vote of this installation. While one to hold or roll back stands, no further server is assigned the version.
+// OnVote records a vote of this installation. A vote to hold or roll back the newest version stops its assignment to further
+// servers until a later stage.
 func (d *Director) OnVote(v dispatch.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +125,14 @@
 	}
 }
 
-// installResults are the results of an installation by the words of a report; any other word is InstallPending.
+// installResults maps the words of a report to the results of an installation. Any other word means InstallPending.
 var installResults = map[string]stagedrollout.InstallResult{
 	"ok":       stagedrollout.InstallSucceeded,
 	"failed":   stagedrollout.InstallFailed,
 	"declined": stagedrollout.InstallDeclined,
 }
 
-// OnReport records a verified report. Its error is ErrUnknownServer.
+// OnReport records a verified report. It returns ErrUnknownServer if the server is not in the fleet.
 func (d *Director) OnReport(r *tufverify.Report) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -11,7 +11,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Kind is the kind of hardware that a server is listed with; ok is false for an unknown server.
+// Kind returns the kind of hardware that a server is listed with, and reports whether the server is known.
 func (d *Director) Kind(name string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -22,21 +22,21 @@
 	return s.Kind, true
 }
 
-// Count counts the servers.
+// Count returns the numbers of servers by their state in the rollout.
 func (d *Director) Count() stagedrollout.Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rollout.Count(d.tick())
 }
 
-// IssuedCount is how many versions of servers' metadata were issued.
+// IssuedCount returns how many versions of servers' metadata were issued since the start.
 func (d *Director) IssuedCount() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.Issued
 }
 
-// Explain tells in sentences why a server is assigned what it is. Its error wraps ErrUnknownServer.
+// Explain returns sentences that explain why a server is assigned its version. Its error wraps ErrUnknownServer.
 func (d *Director) Explain(name string) ([]string, error) {
 	d.mu.Lock()
 	s := d.servers[name]
@@ -85,10 +85,10 @@
 	return lines, nil
 }
 
-// maxNamesInError bounds how many servers an error lists.
+// maxNamesInError is the maximum number of server names in an error.
 const maxNamesInError = 10
 
-// firstNames lists the first names of servers, for an error.
+// firstNames lists the first maxNamesInError names of servers in alphabetical order, for an error.
 func firstNames(all map[string]*server) string {
 	names := slices.Sorted(maps.Keys(all))
 	if len(names) > maxNamesInError {
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// issueRecord is what must outlive a restart of one issue: the version that it assigns and its expiry; and the version that the
-// issue before assigned, if the server may still act on that, and until when.
+// issueRecord is the part of an issue that must survive a restart: the version that the issue assigns and its expiry, and, if
+// the server may still act on an earlier issue, the version that the earlier issue assigned and until when.
 type issueRecord struct {
 	assigned      uint16
 	previous      uint16
@@ -16,7 +16,7 @@
 	previousUntil tufverify.Tick
 }
 
-// Offsets of the fields in a recorded digest, big-endian. They are part of the stored form.
+// Byte offsets of the fields in a recorded digest. The fields are big-endian. The offsets are part of the stored format.
 const (
 	assignedOffset      = 0
 	expiresAtOffset     = 2
@@ -24,7 +24,8 @@
 	previousUntilOffset = 12
 )
 
-// encode is the record in the front of a encode of the issue's content, whose rest tells contents apart.
+// encode returns a digest that begins with the record. The remaining bytes are those of the SHA-256 of the issue's content, so
+// that issues with different content have different digests.
 func (r issueRecord) encode(content []byte) (digest tufverify.Digest) {
 	digest = sha256.Sum256(content)
 	binary.BigEndian.PutUint16(digest[assignedOffset:], r.assigned)
@@ -34,7 +35,7 @@
 	return digest
 }
 
-// decodeIssue reads the record in the front of a recorded digest.
+// decodeIssue reads the record at the start of a recorded digest.
 func decodeIssue(digest tufverify.Digest) issueRecord {
 	return issueRecord{
 		assigned:      binary.BigEndian.Uint16(digest[assignedOffset:]),
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -12,10 +12,10 @@
 	"silvercove/internal/tufverify"
 )
 
-// Run issues metadata that are due, and calls the rollout's timer, until the context ends.
+// Run issues metadata that are due, and calls the rollout's OnTimer, until the context ends.
 func (d *Director) Run(ctx context.Context) error { return d.waker.Run(ctx, d.runDue) }
 
-// runDue does what is due now, and returns the time until something is due next.
+// runDue performs the work that is due now, and returns the delay until its next call.
 func (d *Director) runDue() time.Duration {
 	d.mu.Lock()
 	if now := d.tick(); d.timerAt != 0 && now >= d.timerAt {
@@ -38,7 +38,7 @@
 	}
 	next := time.Hour
 	if err != nil {
-		d.log(slog.LevelWarn, "metadata could not be issued and is retried", slog.String("error", err.Error()),
+		d.log(slog.LevelWarn, "metadata could not be issued; retrying", slog.String("error", err.Error()),
 			slog.Duration("wait_ms", time.Duration(metadatarefresh.IssueRetryDelay)*tickLength))
 		for _, s := range pending {
 			if s.needsReissue && s.files != nil {
@@ -53,7 +53,7 @@
 	return next
 }
 
-// issueAll issues the metadata of several servers at once, and waits for all. Its error is that of the first that failed.
+// issueAll issues the metadata of several servers concurrently, and waits for all of them. It returns the first error.
 func (d *Director) issueAll(servers []*server) error {
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
@@ -63,7 +63,8 @@
 	return group.Wait()
 }
 
-// reissue issues a server's metadata if its assignment has changed. A server that has not asked yet gets them when it does.
+// reissue issues a server's metadata if its assignment has changed. The metadata of a server that has not fetched any since the
+// start are issued when the server asks for them.
 func (d *Director) reissue(s *server) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/director/sign.go
+++ b/internal/director/sign.go
@@ -10,7 +10,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// signFiles makes the three metadata files of one version, by file name. target is nil for a server that is assigned none.
+// signFiles returns the signed targets, snapshot and timestamp files of one version, by file name. target is nil for a server
+// that is assigned no version.
 func signFiles(online map[string][]*keys.Key, version int64, expiresAt time.Time, target *tufverify.Target) (map[string][]byte, error) {
 	targets := metadata.Targets(expiresAt)
 	targets.Signed.Version = version
@@ -49,7 +50,7 @@
 	return files, nil
 }
 
-// signAndEncode signs metadata with all keys and gives the text.
+// signAndEncode signs metadata with all keys and returns the encoded file.
 func signAndEncode[T metadata.Roles](m *metadata.Metadata[T], signingKeys []*keys.Key) ([]byte, error) {
 	for _, k := range signingKeys {
 		signer, err := k.Signer()
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -4,25 +4,25 @@
 	"silvercove/internal/tufverify"
 )
 
-// ClientLimiter bounds the requests that wait for mirrors or are being sent a package, as they need memory. Files that are
-// held cost next to none and are not counted.
+// ClientLimiter limits the number of requests that wait for mirrors or are being sent a package, because each of them needs
+// memory. Requests for metadata files that are held need almost none and are not counted.
 type ClientLimiter struct {
-	Limit        int // requests at once
+	Limit        int // maximum number of admitted requests
 	inUse        int
-	perClient    map[string]int // requests by client address, where there are any
-	maxPerClient int            // bound of one client while more than half of Limit is in use
+	perClient    map[string]int // admitted requests by client address; clients without any have no entry
+	maxPerClient int            // maximum per client while half of Limit or more is in use
 }
 
-// clientShareDivisor is the part of the limit that one client may use while others want in: one in so many.
+// clientShareDivisor is the divisor of the limit that gives maxPerClient.
 const clientShareDivisor = 4
 
-// NewClientLimiter admits limit requests at once.
+// NewClientLimiter returns a ClientLimiter that admits limit requests at a time.
 func NewClientLimiter(limit int) *ClientLimiter {
 	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShareDivisor)}
 }
 
-// Acquire admits a request of a client, or refuses it. One client alone can't use up the limit: past its half, each client has
-// a bound of its own.
+// Acquire admits a request of a client, and reports whether it did. A single client cannot use up the limit: once half of the
+// limit is in use, each client is limited to a quarter of the limit, and to one request at least.
 func (l *ClientLimiter) Acquire(client string) bool {
 	if l.inUse >= l.Limit || l.inUse >= l.Limit/2 && l.perClient[client] >= l.maxPerClient {
 		return false
@@ -32,7 +32,7 @@
 	return true
 }
 
-// Release records the end of a request that was admitted.
+// Release records the end of an admitted request.
 func (l *ClientLimiter) Release(client string) {
 	l.inUse--
 	if l.perClient[client]--; l.perClient[client] <= 0 {
@@ -40,9 +40,9 @@
 	}
 }
 
-// InUse is the number of requests admitted.
+// InUse returns the number of requests that are admitted now.
 func (l *ClientLimiter) InUse() int { return l.inUse }
 
-// ClientWriteTimeout is how long a client may take to accept one write of a package. Past it its connection is closed, as it
-// holds a mirror's.
+// ClientWriteTimeout is the maximum time for a client to accept one write of a package. After the timeout the client's connection
+// is closed, because it also occupies a connection to a mirror.
 const ClientWriteTimeout = 10 * tufverify.Second
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -6,33 +6,35 @@
 
 // Issue is the state of the metadata that a Director has issued for a server.
 type Issue struct {
-	Exists            bool // there are any
+	Exists            bool // metadata have been issued and are held
 	IssuedAt          Tick
 	ExpiresAt         Tick
-	AssignmentCurrent bool // they name what the server is assigned now
-	ImageAgrees       bool // the image repository still has the package that they name, or can't be asked
+	AssignmentCurrent bool // the metadata name the version that the server is assigned now
+	ImageAgrees       bool // the image repository still has the package that the metadata name, or cannot be asked
 }
 
-// MustRenew tells whether the metadata are to be issued anew before they are served: after half of their lifetime at the
-// latest, so that a server that asks in that time never finds them expired.
+// MustRenew reports whether the metadata must be issued again before they are served. That is the case after half of their
+// lifetime at the latest, so that a server that asks within half a lifetime of its last request never finds them expired.
 func (i Issue) MustRenew(now Tick) bool {
 	return !i.Exists || !i.AssignmentCurrent || !i.ImageAgrees || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
 
-// MayServeStale tells whether the metadata may be served all the same if they could not be issued anew: never another
-// assignment than the present one, nor what has expired.
+// MayServeStale reports whether the metadata may still be served if they could not be issued again. They may not if they name
+// another version than the server is assigned now, or have expired.
 func (i Issue) MayServeStale(now Tick) bool {
 	return i.Exists && i.AssignmentCurrent && now < i.ExpiresAt
 }
 
-// MayServeLastAnswer tells whether the image repository's last answer about a package may stand in for the present one: while
-// it can't be asked, so that servers can be rolled back; not where it answers something else.
+// MayServeLastAnswer reports whether the image repository's last answer about a package may be used in place of refusal r. It may
+// be used while the image repository cannot be asked, so that servers can be rolled back, but not if the repository refuses the
+// package for another reason.
 func MayServeLastAnswer(r *tufverify.RefusalError) bool {
 	return r.Reason == tufverify.ReasonMissing || r.Reason == tufverify.ReasonExpired
 }
 
-// IssueRetryDelay is the time until a failed issue is retried.
+// IssueRetryDelay is the delay before a failed issue is retried.
 const IssueRetryDelay = tufverify.Second / 5
 
-// MustPersistTime tells whether the time is to be recorded before metadata are issued whose lifetime begins now.
+// MustPersistTime reports whether the current time must be recorded before metadata are issued whose lifetime begins now. It is
+// recorded in steps of more than a second.
 func MustPersistTime(now, recorded Tick) bool { return now > recorded+tufverify.Second }
--- a/internal/metadatarefresh/limits.go
+++ b/internal/metadatarefresh/limits.go
@@ -4,14 +4,14 @@
 	"silvercove/internal/tufverify"
 )
 
-// Limits of a metadata proxy, beside those of tufverify.
+// Limits of a metadata proxy, in addition to those of package tufverify.
 const (
-	MaxRootsPerRequest  = 64                    // roots of a chain that are fetched for one request
-	MaxFilesPerRefresh  = 8                     // files in which a set must be complete, though new keys may begin it again
-	SurveyConcurrency   = 4                     // mirrors asked at once in a survey
-	MaxIdleMirrorConns  = 8                     // idle connections to a mirror
-	MirrorIdleTimeout   = 10 * tufverify.Second // of such a connection
-	ClientHeaderTimeout = 5 * tufverify.Second  // until the header of a client's request has come
-	ClientBodyTimeout   = 30 * tufverify.Second // until its body has come
-	ClientIdleTimeout   = 30 * tufverify.Second // of a client's idle connection
+	MaxRootsPerRequest  = 64                    // root files that are fetched for one request
+	MaxFilesPerRefresh  = 8                     // files that one refresh may fetch for a complete set; new keys may make it start again
+	SurveyConcurrency   = 4                     // mirrors that a survey asks concurrently
+	MaxIdleMirrorConns  = 8                     // idle connections per mirror
+	MirrorIdleTimeout   = 10 * tufverify.Second // until an idle connection to a mirror is closed
+	ClientHeaderTimeout = 5 * tufverify.Second  // to receive the header of a client's request
+	ClientBodyTimeout   = 30 * tufverify.Second // to receive a client's request with its body
+	ClientIdleTimeout   = 30 * tufverify.Second // until an idle connection of a client is closed
 )
--- a/internal/metadatarefresh/mirror_settings.go
+++ b/internal/metadatarefresh/mirror_settings.go
@@ -5,10 +5,11 @@
 	"silvercove/internal/settings"
 )
 
-// MirrorSettings are the settings of the dispatcher of one repository's mirrors, from what an operator chooses: how many processes share
-// the mirrors, the connect timeout and the longest Retry-After in seconds, and the request classes. What an operator does
-// not choose: a new mirror starts at a tenth of its capacity and is warmed up after ten seconds; in no second it gets more
-// than twice what a warm one answers; a drained one has one second's grace; a request has at most sixteen attempts.
+// MirrorSettings returns the settings of the dispatcher of one repository's mirrors. The operator configures the parameters: the
+// number of processes that share the mirrors, the connect timeout and the maximum Retry-After in seconds, and the request
+// classes. The other settings are fixed: a new mirror starts at a tenth of its capacity and is warmed up after ten seconds; in
+// no second a new mirror gets more than twice what a warm mirror answers; a draining mirror has a grace period of one second;
+// a request has at most sixteen attempts.
 func MirrorSettings(relays, connectTimeout, maxRetryAfter float64, classes []balancer.RequestClass) settings.Site {
 	for i := range classes {
 		classes[i].Idempotency = balancer.Idempotent
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -4,8 +4,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// ShouldFetchNewerRoots tells whether a mirror is asked for newer roots after a refusal of what it sent: that may be signed by keys
-// of a newer root. foundNewerRoot: one has come already, which may have invalidated what is held.
+// ShouldFetchNewerRoots reports whether to ask a mirror for newer roots after a file from the mirror was refused, because the file
+// may be signed by keys of a newer root. foundNewerRoot means that the mirror has already sent a newer root, which may have
+// invalidated the metadata that are held.
 func ShouldFetchNewerRoots(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	if r == nil {
 		return false
@@ -19,14 +20,15 @@
 	return false
 }
 
-// MirrorBlameless tells whether a mirror is not to blame for a refusal: newer roots that it sent have invalidated what its file
-// depends on.
+// MirrorBlameless reports whether a mirror did not cause a refusal: newer roots that the mirror sent have invalidated the metadata
+// that its file depends on.
 func MirrorBlameless(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	return r != nil && foundNewerRoot && r.Reason == tufverify.ReasonMissing
 }
 
-// CheckConfirmed is the refusal of a file by tufverify, or one because mirrors were not asked: nothing but roots is served before
-// the survey is done; a timestamp, and which root is the newest, only while mirrors were asked recently.
+// CheckConfirmed returns tufverify's refusal of a file, or a refusal because the mirrors have not confirmed the file. Before the
+// survey is complete, only root files are served. A timestamp, and the answer which root is the newest, are served only if mirrors
+// were asked recently.
 func CheckConfirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
 	repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
@@ -37,7 +39,7 @@
 	case f.Role != "root" && !s.Done:
 		return unconfirmed("mirrors are being surveyed")
 	case newest && r.Stale(now):
-		return unconfirmed("mirrors were not asked lately")
+		return unconfirmed("mirrors were not asked recently")
 	}
 	return refusal
 }
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -1,9 +1,9 @@
-// Package metadatarefresh holds the rules of a metadata proxy: when mirrors are asked, and when again after a failure; what a
-// client is answered; when a transfer is too slow to wait for; how many clients are admitted at once; when a Director
-// issues a server's metadata anew.
+// Package metadatarefresh makes the decisions of a metadata proxy: when mirrors are asked, and when they are asked again after a
+// failure; what response a client gets; when a transfer is too slow; how many requests are admitted at a time; when a Director
+// issues a server's metadata again.
 //
-// It does no I/O and reads no clock: each method names what has happened, with the time. Nothing here is safe for concurrent
-// use.
+// The package does no I/O and reads no clock: the caller reports each event and its time through a method. Nothing in the package
+// is safe for concurrent use.
 //
 // Kind: decision
 package metadatarefresh
@@ -14,36 +14,36 @@
 	"silvercove/internal/tufverify"
 )
 
-// Tick is a moment or a span in whole tenths of a millisecond.
+// Tick is a time or a duration in whole tenths of a millisecond.
 type Tick = tufverify.Tick
 
 const (
-	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after a failure
-	maxBackoff       = 10 * tufverify.Second // it doubles up to this
-	retryAfterSpread = 2                     // times to retry after are drawn up to so many times the least
+	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after the first failure
+	maxBackoff       = 10 * tufverify.Second // the backoff doubles up to this maximum
+	retryAfterSpread = 2                     // random times to retry after are less than about this multiple of the minimum
 )
 
 // Refresh decides when the mirrors of one repository are asked for newer metadata.
 type Refresh struct {
-	freshFor       Tick // a timestamp is taken for current for so long
-	unconfirmedFor Tick // and for so long where no mirror can be asked
-	refreshedAt    Tick // when one was last had
-	notBefore      Tick // after failures: not before
+	freshFor       Tick // how long a timestamp counts as current
+	unconfirmedFor Tick // how long a timestamp counts as current while no mirror can be asked
+	refreshedAt    Tick // when a mirror last showed a current timestamp
+	notBefore      Tick // mirrors are not asked before this time; set after a failure
 	backoff        Tick
 	random         *rand.Rand
 }
 
-// neverRefreshed is a time long before any other.
+// neverRefreshed is a time long before any real time.
 const neverRefreshed Tick = -1 << 40
 
-// NewRefresh makes a Refresh that was never refreshed. A timestamp counts as current for freshFor, and for unconfirmedFor
-// while no mirror can be asked; seed is that of the random draws.
+// NewRefresh returns a Refresh for a repository that was never refreshed. A timestamp counts as current for freshFor, and for
+// unconfirmedFor while no mirror can be asked. seed initializes the random numbers.
 func NewRefresh(freshFor, unconfirmedFor Tick, seed uint64) *Refresh {
 	return &Refresh{freshFor: freshFor, unconfirmedFor: max(freshFor, unconfirmedFor), refreshedAt: neverRefreshed, random: rand.New(rand.NewPCG(seed, seed>>32))}
 }
 
-// Due tells whether the mirrors are to be asked before a timestamp is served. incomplete: what is held is not a complete
-// current set.
+// Due reports whether the mirrors must be asked before a timestamp is served. incomplete means that the metadata that are held are
+// not a complete current set.
 func (r *Refresh) Due(now Tick, incomplete bool) bool {
 	return (incomplete || now >= r.refreshedAt+r.freshFor) && now >= r.notBefore
 }
@@ -51,16 +51,17 @@
 // OnRefreshed records that a mirror showed a current timestamp.
 func (r *Refresh) OnRefreshed(now Tick) { r.refreshedAt, r.notBefore, r.backoff = now, 0, 0 }
 
-// OnFailed records that no mirror did. They are asked again after a backoff that doubles, half of it drawn, so that a dead
-// repository is not asked for each client, nor by all processes at once.
+// OnFailed records that no mirror showed a current timestamp. The mirrors are asked again after a backoff that doubles with each
+// failure; half of the backoff is random. A dead repository is therefore not asked for each client request, nor by all processes
+// at the same time.
 func (r *Refresh) OnFailed(now Tick) {
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
 }
 
-// Stale tells whether what is held may no longer be taken for the newest: the mirrors are to be asked, or have failed for too
-// long. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed; the expiry of the metadata
-// bounds that anyhow, and unconfirmedFor is how much earlier an operator chooses to stop.
+// Stale reports whether the metadata that are held may no longer be treated as the newest, because the mirrors must be asked or
+// have failed for too long. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed. The expiry of
+// the metadata limits that time in any case; with unconfirmedFor an operator sets a shorter limit.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
@@ -68,8 +69,8 @@
 	return now >= r.refreshedAt+r.freshFor
 }
 
-// RetryAfter is how long a client that got no file is to wait: until the mirrors are asked again, and a random time more, so
-// that the clients do not retry at once.
+// RetryAfter returns how long a client that got no file must wait: until the mirrors are asked again, plus a random time so that
+// the clients do not all retry at the same moment.
 func (r *Refresh) RetryAfter(now Tick) Tick {
 	least := max(minBackoff, r.notBefore-now)
 	return least + Tick(r.random.Int64N(int64(least)*(retryAfterSpread-1)+1))
--- a/internal/metadatarefresh/response.go
+++ b/internal/metadatarefresh/response.go
@@ -6,15 +6,16 @@
 	"silvercove/internal/tufverify"
 )
 
-// Response is the answer of a request that gets no file.
+// Response is the answer to a request that gets no file. Text is part of the HTTP interface.
 type Response struct {
-	Status     int    // of HTTP
+	Status     int    // HTTP status code
 	Text       string // body
-	RetryLater bool   // with a Retry-After header
+	RetryLater bool   // the response has a Retry-After header
 }
 
-// RefusalResponse is the answer for a refusal. A client never gets an old file: what is not current now is answered 503 with
-// a time to retry after, what does not exist 404, what was superseded 404 with the advice to begin again.
+// RefusalResponse returns the response for a refusal. A client never gets an old file. The response is 503 with a time to retry
+// after if the file is not current now, 404 if the file does not exist, and 404 with the advice to begin again if the file was
+// superseded.
 func RefusalResponse(r *tufverify.RefusalError) Response {
 	switch r.Reason {
 	case tufverify.ReasonOlderVersion:
@@ -22,7 +23,7 @@
 	case tufverify.ReasonNotListed:
 		return Response{http.StatusNotFound, "no such file", false}
 	case tufverify.ReasonMissing:
-		if r.Role == "root" { // how clients learn that they have the newest (specification 5.3.3)
+		if r.Role == "root" { // clients learn in this way that they have the newest root (TUF specification, section 5.3.3)
 			return Response{http.StatusNotFound, "no such root", false}
 		}
 		return Response{http.StatusServiceUnavailable, "not to be had now", true}
@@ -36,7 +37,7 @@
 	return Response{http.StatusServiceUnavailable, "nothing current", true}
 }
 
-// ReportResponse is the answer to a server's report; r is nil for one that was accepted.
+// ReportResponse returns the response to a server's report. r is nil for a report that was accepted.
 func ReportResponse(r *tufverify.RefusalError) Response {
 	if r == nil || r.Reason == tufverify.ReasonAlreadyHeld {
 		return Response{http.StatusOK, "taken", false} // idempotent: a repeated report gets the same answer
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -4,23 +4,24 @@
 	"silvercove/internal/tufverify"
 )
 
-// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. Guards against a version store that was
-// restored from a backup, or that there is none: seen as mirrors that serve older metadata; holds because a majority of the
-// mirrors shows the newest. It does not guard against a majority that is old.
+// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. It guards against mirrors that serve older
+// metadata after the version store was restored from a backup, or if there is no version store: the store then does not know
+// the newest versions. The guard holds because a majority of the mirrors shows the newest timestamp. It does not guard against a
+// majority of mirrors that are out of date.
 type MirrorSurvey struct {
-	shownBy map[string]bool // by mirror
+	shownBy map[string]bool // mirrors whose timestamp counts, by name
 
-	// Done tells that the survey is complete. It stays true.
+	// Done reports whether the survey is complete. It never becomes false again.
 	Done bool
 }
 
-// NewMirrorSurvey starts a survey; one that is not wanted is done at once.
+// NewMirrorSurvey starts a survey. If wanted is false the survey is complete at once.
 func NewMirrorSurvey(wanted bool) *MirrorSurvey {
 	return &MirrorSurvey{shownBy: map[string]bool{}, Done: !wanted}
 }
 
-// OnTimestamp records what came of a mirror's timestamp: one that was held, was held already or is too old counts, as it is
-// signed. listed are the names of all mirrors.
+// OnTimestamp records the result of verifying a mirror's timestamp. The timestamp counts if it was accepted, was held already or
+// is older than one that was seen, because it is correctly signed in these cases. listed are the names of all mirrors.
 func (s *MirrorSurvey) OnTimestamp(mirror string, refusal *tufverify.RefusalError, listed []string) {
 	if refusal == nil || refusal.Reason == tufverify.ReasonAlreadyHeld || refusal.Reason == tufverify.ReasonOlderVersion {
 		s.shownBy[mirror] = true
--- a/internal/metadatarefresh/transfer.go
+++ b/internal/metadatarefresh/transfer.go
@@ -2,33 +2,33 @@
 
 import "silvercove/internal/tufverify"
 
-// maxSendDelay is how long after its choice an attempt may be sent.
+// maxSendDelay is the maximum delay between the choice of a mirror and the sending of the attempt.
 const maxSendDelay = tufverify.Second / 2
 
-// Limits of a transfer's rate.
+// Limits of the rate of a transfer.
 const (
-	rateWindow       = 2 * tufverify.Second // bytes are counted in windows of this length
-	minWindowBytes   = 4 << 10              // that must come in one
-	firstByteTimeout = 2 * tufverify.Second // until the first byte
+	rateWindow       = 2 * tufverify.Second // length of a window in which bytes are counted
+	minWindowBytes   = 4 << 10              // minimum that must arrive in a window
+	firstByteTimeout = 2 * tufverify.Second // maximum wait for the first byte
 )
 
-// AttemptTooLate tells whether an attempt whose mirror was chosen at a time is no longer to be sent. Guards against a process
-// that was stopped between the two: seen as requests to a mirror that drains.
+// AttemptTooLate reports whether an attempt must not be sent any more because its mirror was chosen too long ago. This guards
+// against a process that was stopped between the choice and the sending, which shows as requests to a mirror that is draining.
 func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxSendDelay }
 
-// Transfer decides whether the body of an answer comes fast enough: minWindowBytes in each rateWindow. Guards against mirrors
-// that send endlessly or a byte now and then. A link that is slower than that can't be used. Begin makes its zero value
-// ready.
+// Transfer decides whether the body of a response arrives fast enough: at least minWindowBytes in each rateWindow. This guards
+// against mirrors that keep a transfer going forever, or send only a byte now and then. A link that is slower than this rate
+// cannot be used. The zero value is ready after Begin.
 type Transfer struct {
 	windowStart Tick
 	windowBytes int64
-	started     bool // the first byte has come
+	started     bool // the first byte has arrived
 }
 
 // Begin records that a request was sent.
 func (t *Transfer) Begin(now Tick) { *t = Transfer{windowStart: now} }
 
-// OnBytes records bytes that came. tooSlow: another mirror is to be asked.
+// OnBytes records that n bytes have arrived. tooSlow means that another mirror must be asked.
 func (t *Transfer) OnBytes(now Tick, n int64) (tooSlow bool) {
 	t.started = true
 	t.windowBytes += n
@@ -40,10 +40,10 @@
 	return tooSlow
 }
 
-// OnClientStall leaves a time out of the window in which the client, not the mirror, was slow.
+// OnClientStall excludes a time span from the window because the client, not the mirror, was slow.
 func (t *Transfer) OnClientStall(span Tick) { t.windowStart += span }
 
-// NextCheck is when the transfer is too slow if nothing comes until then.
+// NextCheck returns the time at which the transfer is too slow if no bytes arrive until then.
 func (t *Transfer) NextCheck() Tick {
 	if !t.started {
 		return t.windowStart + firstByteTimeout
