--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -19,15 +19,15 @@
 
 // attemptResult is the outcome of one attempt at a mirror.
 type attemptResult struct {
-	status   int                   // of the HTTP answer; 0 without one that counts
-	accepted bool                  // the answer was verified
+	status   int                   // HTTP status code; 0 if there was no response, or none that counts
+	accepted bool                  // the response was verified
 	closed   transport.CloseStatus // how the connection ended early, if it did
-	err      error                 // what was wrong
-	final    bool                  // no other mirror is to be asked
+	err      error                 // why the attempt failed
+	final    bool                  // do not ask another mirror
 }
 
-// request makes one request: try is called for each attempt at a mirror that the dispatcher chooses, until a result is
-// accepted or final, the dispatcher gives up, or ctx ends. Its error is that of the last attempt.
+// request makes one request. It calls try for each attempt at a mirror that the dispatcher chooses, until a result is
+// accepted or final, the dispatcher gives up, or ctx ends. It returns the error of the last failed attempt.
 func (r *Repository) request(ctx context.Context, class string, try func(*dispatch.Attempt) attemptResult) error {
 	last := errNoMirror
 	id, _ := r.dispatcher.Accept(dispatch.Request{Class: class, ReceivedAt: time.Now(), Timeout: r.timeouts[class]})
@@ -37,7 +37,7 @@
 		if attempt == nil {
 			return last
 		}
-		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) { // as if it had never been chosen
+		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) { // reported as canceled, as if the mirror had not been chosen
 			r.dispatcher.ReportMirror(attempt, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// fetchFile requests a metadata file of at most maxSize bytes. take verifies what a mirror answered; a refusal has another
-// mirror asked.
+// fetchFile requests a metadata file of at most maxSize bytes. verify checks a mirror's response; after a refusal another
+// mirror is asked.
 func (r *Repository) fetchFile(class string, f tufverify.File, maxSize int,
 	verify func(ctx context.Context, mirror dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.request(context.Background(), class, func(attempt *dispatch.Attempt) attemptResult {
--- a/internal/metadataproxy/byte_range.go
+++ b/internal/metadataproxy/byte_range.go
@@ -6,33 +6,33 @@
 	"strings"
 )
 
-// rangeKind tells how a Range header is to be answered (RFC 9110, section 14.2).
+// rangeKind is how a Range header must be answered (RFC 9110, section 14.2).
 type rangeKind uint8
 
 const (
-	rangeIgnored       rangeKind = iota // none, malformed or several: the whole file is the answer
+	rangeIgnored       rangeKind = iota // no range, a malformed one or several ranges: the response is the whole file
 	rangePartial                        // one range of the file
-	rangeUnsatisfiable                  // it begins behind the end of the file
+	rangeUnsatisfiable                  // the range begins after the end of the file
 )
 
-// byteRange is a part of a file by its first and last byte, both included.
+// byteRange is a part of a file, given by the offsets of its first and last byte, both included.
 type byteRange struct {
 	first int64
 	last  int64
 }
 
-// wholeFile is the range of all bytes of a file of a length.
+// wholeFile returns the range of all bytes of a file of the given length.
 func wholeFile(length int64) byteRange { return byteRange{first: 0, last: length - 1} }
 
 func (b byteRange) length() int64 { return b.last - b.first + 1 }
 
-// contentRange is the Content-Range header of a partial answer out of a file of a length.
+// contentRange returns the Content-Range header of a partial response from a file of the given length.
 func (b byteRange) contentRange(length int64) string {
 	return fmt.Sprintf("bytes %d-%d/%d", b.first, b.last, length)
 }
 
-// parseRange reads a Range header for a file of a length. Where the kind is rangeIgnored the range is the whole file;
-// where it is rangeUnsatisfiable the range is of no use.
+// parseRange parses a Range header for a file of the given length. If the kind is rangeIgnored the returned range is the
+// whole file; if it is rangeUnsatisfiable the returned range must not be used.
 func parseRange(header string, length int64) (byteRange, rangeKind) {
 	ignored := wholeFile(length)
 	list, ok := strings.CutPrefix(header, "bytes=")
@@ -60,7 +60,7 @@
 	return requested, rangePartial
 }
 
-// parseSuffixRange reads the range of the last bytes of a file.
+// parseSuffixRange parses a range that is given as the number of last bytes of a file.
 func parseSuffixRange(count string, length int64) (byteRange, rangeKind) {
 	n, err := parseOffset(count)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return requested, rangePartial
 }
 
-// parseOffset reads a byte offset, which is never negative.
+// parseOffset parses a byte offset. A negative number is an error.
 func parseOffset(digits string) (int64, error) {
 	n, err := strconv.ParseInt(digits, 10, 62)
 	if err == nil && n < 0 {
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -19,14 +19,14 @@
 	"silvercove/internal/tufverify"
 )
 
-// mirrorResponse is a mirror's answer to one request. data is nil unless the status is 200 and the body came whole.
+// mirrorResponse is a mirror's response to one request. data is nil unless the status is 200 and the body is complete.
 type mirrorResponse struct {
 	status int
 	data   []byte
 	closed transport.CloseStatus
 }
 
-// download gets a whole file of at most maxSize bytes from a mirror.
+// download fetches a whole file of at most maxSize bytes from a mirror.
 func (r *Repository) download(ctx context.Context, mirror dispatch.Backend, path string, maxSize int) (answer mirrorResponse) {
 	answer.status, answer.closed = r.roundTrip(ctx, mirror, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
 		if status != http.StatusOK {
@@ -48,8 +48,8 @@
 	return answer
 }
 
-// roundTrip sends one request to a mirror, for the bytes from an offset on, and has read take the body. It ends once the
-// body comes too slowly; status is 0 without an answer.
+// roundTrip sends one request to a mirror for the bytes from an offset on, and calls read with the body. It cancels the
+// request if the body arrives too slowly. status is 0 if there was no response.
 func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, offset int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -65,7 +65,7 @@
 	if offset > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	}
-	if !r.dispatcher.IsCurrent(mirror) { // it began to drain after it was chosen
+	if !r.dispatcher.IsCurrent(mirror) { // the mirror began to drain after it was chosen
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
 	}
 	r.Attempts.Add(1)
@@ -88,8 +88,8 @@
 	return resp.StatusCode, closed
 }
 
-// pacedReader reads a body, and cancels the request once that comes too slowly (see metadatarefresh.Transfer). Read and
-// addClientStall belong to one goroutine; stop is also the timer's.
+// pacedReader reads a body, and cancels the request if the body arrives too slowly (see metadatarefresh.Transfer). Read and
+// addClientStall must be called from one goroutine; the timer calls stop from another.
 type pacedReader struct {
 	io.Reader
 	transfer metadatarefresh.Transfer
@@ -109,7 +109,7 @@
 	return n, err
 }
 
-// addClientStall leaves the time since a moment out of the mirror's rate, as the client was slow to accept bytes.
+// addClientStall excludes the time since the given time from the mirror's rate, because the client was slow to accept bytes.
 func (p *pacedReader) addClientStall(since tufverify.Tick) {
 	now := p.tick()
 	p.transfer.OnClientStall(now - since)
@@ -121,7 +121,7 @@
 	p.cancel()
 }
 
-// closeStatus maps an error of net/http to the way in which the connection ended. sent: the request was written.
+// closeStatus maps an error of net/http to the way in which the connection ended. sent means that the request was written.
 func closeStatus(ctx context.Context, err error, sent bool) transport.CloseStatus {
 	var op *net.OpError
 	var timeout interface{ Timeout() bool }
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -8,17 +8,18 @@
 	"silvercove/internal/tufverify"
 )
 
-// minLookUpInterval is the least time between two look-ups of a path that is kept looked up.
+// minLookUpInterval is the minimum interval between two look-ups of a watched path.
 const minLookUpInterval = 50 * time.Millisecond
 
-// WatchTargets has targets looked up periodically, so that Known finds them without asking a mirror.
+// WatchTargets sets the paths of targets that are looked up periodically, so that FindCached finds them without asking a
+// mirror.
 func (r *Repository) WatchTargets(paths []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchedPaths = paths
 }
 
-// lookUpWatched looks the paths of KeepLookedUp up at once, and then twice in the time that a timestamp counts as current.
+// lookUpWatched looks up the paths of WatchTargets at once, and then twice in the time that a timestamp counts as current.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
 	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
 	defer ticker.Stop()
@@ -37,7 +38,7 @@
 	}
 }
 
-// FindCached looks a target up in what is held and has not expired, without asking a mirror.
+// FindCached looks up a target in the metadata that are held and have not expired, without asking a mirror.
 func (r *Repository) FindCached(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,14 +49,15 @@
 	return t, refusal
 }
 
-// Find looks a target up, and asks mirrors for the metadata that are missing on the way (TUF 1.0.31, section 5.6.7).
+// Find looks up a target, and asks mirrors for the metadata that the look-up needs and that are not held (TUF 1.0.31,
+// section 5.6.7).
 func (r *Repository) Find(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.refreshIfDue(true)
 	for {
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
-		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, as the package depends on it
+		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, because the target depends on it
 		if refusal = metadatarefresh.CheckConfirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
@@ -69,30 +71,34 @@
 	}
 }
 
-// FindByStoredName looks a target up by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section 3.1.2).
+// FindByStoredName looks up a target by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section
+// 3.1.2).
 func (r *Repository) FindByStoredName(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	path, sum, hashed := r.verified.ParseStoredPath(name)
 	r.mu.Unlock()
 	t, refusal := r.Find(path)
 	if refusal == nil && hashed && t.Sum != sum {
-		return nil, &tufverify.RefusalError{Reason: tufverify.ReasonOlderVersion, Repository: r.name, Role: path, Text: "other bytes count now"}
+		return nil, &tufverify.RefusalError{Reason: tufverify.ReasonOlderVersion, Repository: r.name, Role: path, Text: "the metadata now name other content"}
 	}
 	return t, refusal
 }
 
+// assigned returns the targets that a mirrored Director repository assigns now.
 func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.AssignedTargets(r.tick())
 }
 
+// compare refuses an assigned target that differs from the image repository's target, or does not fit the hardware.
 func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.VerifyAssignment(assigned, image, hardware)
 }
 
+// open returns a reader that verifies a target.
 func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -14,7 +14,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateMirrors replaces the list of mirrors, and closes the connections to those that are gone.
+// UpdateMirrors replaces the list of mirrors, and closes the idle connections to mirrors that were removed.
 func (r *Repository) UpdateMirrors(mirrors []dispatch.Endpoint) {
 	r.dispatcher.UpdateEndpoints(true, mirrors)
 	listed := map[string]bool{}
@@ -31,10 +31,10 @@
 	}
 }
 
-// maxResponseHeader bounds the header of a mirror's answer, in bytes.
+// maxResponseHeader is the maximum size of the header of a mirror's response, in bytes.
 const maxResponseHeader = 16 << 10
 
-// Dispatcher is the mirrors' dispatcher, for a watcher of their list.
+// Dispatcher returns the mirrors' dispatcher, for a watcher of their endpoint list.
 func (r *Repository) Dispatcher() *dispatch.Dispatcher { return r.dispatcher }
 
 func (r *Repository) closeIdle(name string) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// transport is the connection pool of one mirror.
+// transport returns the connection pool of one mirror, which it creates on first use.
 func (r *Repository) transport(mirror dispatch.Backend) *http.Transport {
 	r.transportMu.Lock()
 	defer r.transportMu.Unlock()
@@ -64,7 +64,7 @@
 	return t
 }
 
-// surveyMirrors asks every mirror for its timestamp, again and again, until enough have shown one.
+// surveyMirrors repeatedly asks every mirror for its timestamp until the survey is complete.
 func (r *Repository) surveyMirrors(ctx context.Context) error {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
@@ -96,7 +96,7 @@
 	return r.survey.Done
 }
 
-// surveyRound asks each mirror that is ready once, SurveyWidth of them at a time, and returns their number.
+// surveyRound asks each ready mirror once, SurveyConcurrency of them at a time, and returns their number.
 func (r *Repository) surveyRound(ctx context.Context) (asked int) {
 	ready := r.dispatcher.ReadyBackends()
 	var names []string
@@ -115,7 +115,7 @@
 	return len(ready)
 }
 
-// surveyMirror asks one mirror for its timestamp. names are those of all mirrors that are ready.
+// surveyMirror asks one mirror for its timestamp. names are the names of all ready mirrors.
 func (r *Repository) surveyMirror(ctx context.Context, mirror dispatch.Backend, names []string) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
 	defer cancel()
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -6,17 +6,17 @@
 	"silvercove/internal/tufverify"
 )
 
-// RepoStatus is the state of one repository on the status page. The JSON names are part of that interface.
+// RepoStatus is the state of one repository on the status page. The JSON names are part of the HTTP interface.
 type RepoStatus struct {
 	Name      string
-	Root      int64 // versions held, 0 for none
+	Root      int64 // version of the root that is held; of this and the next three fields, 0 means none
 	Timestamp int64
 	Snapshot  int64
 	Targets   int64
-	Expires   time.Time        // the earliest end of what is held
-	Surveyed  bool             // a majority of mirrors has shown its timestamp
-	Refused   map[string]int64 // by reason
-	Mirrors   int              // mirrors that may be asked now
+	Expires   time.Time        // the earliest expiry of the metadata that are held
+	Surveyed  bool             // the mirror survey is complete
+	Refused   map[string]int64 // number of refusals by reason
+	Mirrors   int              // number of mirrors that may be asked now
 	Attempts  int64            `json:"Deliveries"` // requests sent to mirrors
 }
 
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -22,10 +22,10 @@
 	"silvercove/internal/tufverify"
 )
 
-// defaultRetryAfter is the time to retry after of an answer that belongs to no repository.
+// defaultRetryAfter is the time to retry after in a response that belongs to no repository.
 const defaultRetryAfter = time.Second
 
-// ServeHTTP answers one request. The paths are /r/REPOSITORY/metadata/FILE, /r/REPOSITORY/targets/PATH,
+// ServeHTTP handles one request. The paths are /r/REPOSITORY/metadata/FILE, /r/REPOSITORY/targets/PATH,
 // /director/SERVER/metadata/FILE, /director/SERVER/manifest (POST), /explain/SERVER and /status.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	p.Counts.Requests.Add(1)
@@ -54,8 +54,8 @@
 	}
 }
 
-// respond gives the one final answer of a request that gets no file. The time to retry after is the repository's, or
-// defaultRetryAfter where r is nil.
+// respond sends the final response to a request that gets no file. The time to retry after is the repository's, or
+// defaultRetryAfter if r is nil.
 func (p *Proxy) respond(w http.ResponseWriter, r *Repository, answer metadatarefresh.Response) {
 	p.Counts.Refused.Add(1)
 	header := w.Header()
@@ -74,8 +74,8 @@
 	http.Error(w, answer.Text, answer.Status)
 }
 
-// acquire admits a request that may wait for mirrors; the caller calls release at its end. Where too many are admitted
-// already it answers the request and ok is false.
+// acquire admits a request that may wait for mirrors. The caller must call release at the end of the request. If too many
+// requests are admitted already, acquire sends the response and ok is false.
 func (p *Proxy) acquire(w http.ResponseWriter, req *http.Request, r *Repository) (release func(), ok bool) {
 	client, _, _ := net.SplitHostPort(req.RemoteAddr)
 	p.mu.Lock()
@@ -93,7 +93,8 @@
 	}, true
 }
 
-// serveMetadata answers with one metadata file of a repository, asking its mirrors where what is held will not do.
+// serveMetadata serves one metadata file of a repository. It asks the mirrors if the file cannot be served from the metadata
+// that are held.
 func (p *Proxy) serveMetadata(w http.ResponseWriter, req *http.Request, r *Repository, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
@@ -123,19 +124,19 @@
 	p.serveFile(w, req, data)
 }
 
-// serveFile answers with a metadata file and its entity tag.
+// serveFile serves a metadata file with its entity tag.
 func (p *Proxy) serveFile(w http.ResponseWriter, req *http.Request, data []byte) {
 	sum := sha256.Sum256(data)
 	header := w.Header()
 	header.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
 	header.Set("Content-Type", "application/json")
-	header.Set("Cache-Control", "no-cache") // a cache on the way might serve it after its expiry
+	header.Set("Cache-Control", "no-cache") // an intermediate cache might serve the file after its expiry
 	p.Counts.Served.Add(1)
 	p.Counts.Bytes.Add(int64(len(data)))
 	http.ServeContent(w, req, "", time.Time{}, bytes.NewReader(data))
 }
 
-// checkAgreement refuses where the image repository does not agree with a target of a mirrored Director repository.
+// checkAgreement returns a refusal if the image repository does not agree with a target of a mirrored Director repository.
 func (p *Proxy) checkAgreement(r *Repository) *tufverify.RefusalError {
 	targets, refusal := r.assigned()
 	if refusal != nil {
@@ -145,7 +146,7 @@
 		image, refusal := r.imageRepository.Find(target.Path)
 		if refusal != nil && refusal.Reason == tufverify.ReasonNotListed {
 			refusal = &tufverify.RefusalError{Reason: tufverify.ReasonDisagreement, Repository: r.name, Role: target.Path,
-				Text: "the other does not know it"}
+				Text: "the image repository does not name it"}
 			p.logDisagreement(refusal)
 		}
 		if refusal != nil {
@@ -169,7 +170,7 @@
 	p.log(slog.LevelWarn, "director and image repository disagree", refusal.LogFields()...)
 }
 
-// serveDirectorMetadata answers with a metadata file that the Director issues for one server.
+// serveDirectorMetadata serves a metadata file that the Director issues for one server.
 func (p *Proxy) serveDirectorMetadata(w http.ResponseWriter, req *http.Request, server, name string) {
 	f, ok := tufverify.ParseFile(name)
 	if !ok {
@@ -190,8 +191,8 @@
 	}
 }
 
-// receiveReport takes a server's version report (Uptane Standard 2.1, section 5.4.2.1). It is idempotent: a report that
-// was accepted before gets the same answer and has no further effect.
+// receiveReport handles a server's version report (Uptane Standard 2.1, section 5.4.2.1). It is idempotent: a report that
+// was accepted before gets the same response and has no further effect.
 func (p *Proxy) receiveReport(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
@@ -237,7 +238,7 @@
 	return s.verifier.VerifyReport(server, data)
 }
 
-// serveExplanation answers in plain text why a server is assigned what it is.
+// serveExplanation serves a plain-text explanation of why a server is assigned its version.
 func (p *Proxy) serveExplanation(w http.ResponseWriter, server string) {
 	lines, err := p.director.Explain(server)
 	if err != nil {
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -12,7 +12,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// serveTarget answers for a package: the whole, or one range of its bytes.
+// serveTarget serves a package, or one range of its bytes.
 func (p *Proxy) serveTarget(w http.ResponseWriter, req *http.Request, r *Repository, path string) {
 	release, ok := p.acquire(w, req, r)
 	if !ok {
@@ -52,13 +52,13 @@
 		p.Counts.Served.Add(1)
 	case !out.headerSent:
 		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "no mirror has it now", RetryLater: true})
-	default: // the client can tell, as fewer bytes come than the header names
+	default: // the client notices, because it receives fewer bytes than Content-Length
 		p.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// matchesTag tells whether an If-None-Match header names an entity tag.
+// matchesTag reports whether an If-None-Match header lists an entity tag.
 func matchesTag(header, tag string) bool {
 	for _, listed := range strings.Split(header, ",") {
 		if strings.TrimSpace(listed) == tag {
@@ -68,8 +68,8 @@
 	return false
 }
 
-// requestedRange is the part of a file that a request asks for. A Range that an If-Range with another tag goes with is
-// ignored (RFC 9110, section 13.1.5).
+// requestedRange returns the part of a file that a request asks for. The Range header is ignored if the request has an
+// If-Range header with another tag (RFC 9110, section 13.1.5).
 func requestedRange(req *http.Request, tag string, length int64) (byteRange, rangeKind) {
 	condition := req.Header.Get("If-Range")
 	if condition != "" && condition != tag {
@@ -78,22 +78,23 @@
 	return parseRange(req.Header.Get("Range"), length)
 }
 
-// rangeWriter writes the part of a package that a client asked for, out of bytes that come in order. It belongs to the
-// goroutine of its request.
+// rangeWriter writes the requested part of a package to a client, given the bytes of the package in order. Only the
+// goroutine of the request may use it.
 type rangeWriter struct {
 	response     http.ResponseWriter
 	control      *http.ResponseController
 	requested    byteRange
-	offset       int64 // of the next byte that comes
-	length       int64 // of the answer's body
+	offset       int64 // offset in the package of the next byte passed to write
+	length       int64 // length of the response body
 	status       int
-	contentRange string // header of a partial answer
+	contentRange string // Content-Range header of a partial response
 	headerSent   bool
 	disconnected bool
 	counts       *Counts
 }
 
-// newRangeWriter starts the body where the range needs it. Where only the whole can be verified, the answer is the whole.
+// newRangeWriter returns a rangeWriter, and makes body start where the range needs it. If only the whole package can be
+// verified, the response is the whole package.
 func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, requested byteRange, kind rangeKind,
 	counts *Counts) *rangeWriter {
 	start := int64(0)
@@ -119,7 +120,7 @@
 	return out
 }
 
-// sendHeader sends status and headers, once.
+// sendHeader sends the status and the headers, unless they have been sent.
 func (r *rangeWriter) sendHeader() {
 	if r.headerSent {
 		return
@@ -133,8 +134,8 @@
 	r.response.WriteHeader(r.status)
 }
 
-// write takes the next verified bytes and sends those that were asked for. The client has ClientWriteTimeout to accept
-// them; its error is errClientGone.
+// write takes the next verified bytes and sends the requested ones. The client must accept them within ClientWriteTimeout;
+// otherwise write returns errClientGone.
 func (r *rangeWriter) write(data []byte) error {
 	first := max(r.requested.first-r.offset, 0)
 	end := min(r.requested.last+1-r.offset, int64(len(data)))
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// done tells that every byte asked for was written.
+// done reports whether every requested byte was passed to write.
 func (r *rangeWriter) done() bool { return r.offset > r.requested.last }
 
-var errClientGone = errors.New("the client has gone")
+var errClientGone = errors.New("the client has disconnected")
--- a/internal/metadataproxy/status.go
+++ b/internal/metadataproxy/status.go
@@ -8,29 +8,29 @@
 	"sync/atomic"
 )
 
-// Counts are the proxy's counters since its start. They are safe for concurrent use; the zero value is ready.
+// Counts are the proxy's counters since its start. They are safe for concurrent use. The zero value is ready to use.
 type Counts struct {
 	Requests   atomic.Int64 // requests received
 	CacheHits  atomic.Int64 // metadata files answered without asking a mirror
 	Served     atomic.Int64 // files served whole
 	Refused    atomic.Int64 // requests answered without a file
-	Aborted    atomic.Int64 // downloads broken off after their header was sent
-	Overloaded atomic.Int64 // requests turned away, as too many waited
+	Aborted    atomic.Int64 // downloads aborted after their header was sent
+	Overloaded atomic.Int64 // requests refused because too many were in flight
 	Reports    atomic.Int64 // version reports accepted
-	Bytes      atomic.Int64 // bytes of bodies sent
+	Bytes      atomic.Int64 // body bytes sent
 }
 
-// Status is the answer of /status. The JSON names are part of that interface.
+// Status is the response of /status. The JSON names are part of the HTTP interface.
 type Status struct {
 	Requests     int64 `json:"Asked"`   // requests received
 	CacheHits    int64 `json:"Held"`    // metadata files answered without asking a mirror
 	Served       int64 `json:"Given"`   // files served whole
 	Refused      int64 `json:"Refused"` // requests answered without a file
-	Aborted      int64 `json:"Spoilt"`  // downloads broken off after their header was sent
-	Overloaded   int64 `json:"Crowded"` // requests turned away, as too many waited
+	Aborted      int64 `json:"Spoilt"`  // downloads aborted after their header was sent
+	Overloaded   int64 `json:"Crowded"` // requests refused because too many were in flight
 	Reports      int64 `json:"Reports"` // version reports accepted
-	Bytes        int64 `json:"Bytes"`   // bytes of bodies sent
-	InFlight     int   `json:"In"`      // requests that wait for mirrors or are being passed a package
+	Bytes        int64 `json:"Bytes"`   // body bytes sent
+	InFlight     int   `json:"In"`      // requests that wait for mirrors or are being sent a package
 	Repositories []RepoStatus
 
 	Servers    int   `json:"Fleet"`  // servers listed
--- a/internal/metadataproxy/time.go
+++ b/internal/metadataproxy/time.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// tickLength is the length of a tufverify.Tick.
+// tickLength is the duration of a tufverify.Tick.
 const tickLength = 100 * time.Microsecond
 
 func toDuration(t tufverify.Tick) time.Duration { return time.Duration(t) * tickLength }
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -14,7 +14,8 @@
 }
 
 // MustRenew reports whether the metadata must be issued again before they are served. That is the case after half of their
-// lifetime at the latest, so that a server that asks within half a lifetime of its last request never finds them expired.
+// lifetime at the latest, so that served metadata are valid for at least half of their lifetime, and a server that asks again
+// within that time never finds them expired.
 func (i Issue) MustRenew(now Tick) bool {
 	return !i.Exists || !i.AssignmentCurrent || !i.ImageAgrees || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
--- a/internal/metadataservice/assignment.go
+++ b/internal/metadataservice/assignment.go
@@ -13,10 +13,11 @@
 	"silvercove/internal/tufverify"
 )
 
-// fetchTimeout bounds the fetch of one metadata file.
+// fetchTimeout is the timeout for fetching one metadata file.
 const fetchTimeout = 10 * time.Second
 
-// Fetcher fetches metadata files from below a URL, for tufverify's client workflow.
+// Fetcher returns a function that fetches metadata files for tufverify's client workflow. base is a URL to which the file name
+// is appended.
 func Fetcher(base string) tufverify.FetchFunc {
 	client := &http.Client{Timeout: fetchTimeout}
 	return func(f tufverify.File) ([]byte, error) {
@@ -38,8 +39,9 @@
 	}
 }
 
-// PartialAssignment is what a server finds that verifies the Director's targets alone (Uptane Standard 2.1, section 5.4.4.1):
-// the timestamp tells it the version to ask for, and is not verified. pinned is the Director's root, at the time.
+// PartialAssignment returns the assignment that a server finds by partial verification, which verifies only the Director's targets
+// (Uptane Standard 2.1, section 5.4.4.1). The timestamp only gives the version of the targets to fetch and is not verified. pinned
+// is the Director's pinned root, at is the time of the verification.
 func PartialAssignment(proxyURL, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	get := Fetcher(proxyURL + "/director/" + server + "/metadata/")
 	root, err := (&metadata.Metadata[metadata.RootType]{}).FromBytes(pinned)
@@ -64,7 +66,8 @@
 	return all, nil
 }
 
-// Assignment asks a proxy what its Director assigns a server, and verifies that from the Director's pinned root.
+// Assignment asks a proxy which targets its Director assigns a server, and verifies the answer starting from the Director's pinned
+// root.
 func Assignment(proxyURL, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	now := tufverify.FromTime(at)
 	r, err := tufverify.New("director", monotonic.NewMemoryStore(1<<10), now, pinned)
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -8,17 +8,17 @@
 	"silvercove/internal/metadataproxy"
 )
 
-// config is the metadata block of an operator's file. Paths are as the file gives them: see Service.resolvePath.
+// config is the metadata block of the operator's configuration file. Relative paths are unresolved: see Service.resolvePath.
 type config struct {
 	listen              string // HOST:PORT
 	maxConnections      int
 	maxInFlight         int // requests that wait for mirrors or are being sent a package
 	versionStorePaths   []string
 	versionStoreEntries int
-	freshFor            time.Duration // a timestamp counts as current for so long
-	unconfirmedFor      time.Duration // and for so long while no mirror can be asked
-	survey              bool          // ask a majority of the mirrors after the start
-	proxyCount          float64       // processes that share the mirrors
+	freshFor            time.Duration // how long a timestamp counts as current
+	unconfirmedFor      time.Duration // how long a timestamp counts as current while no mirror can be asked
+	survey              bool          // require the timestamps of a majority of the mirrors after the start
+	proxyCount          float64       // number of processes that share the mirrors
 	connectTimeout      float64       // seconds
 	maxRetryAfter       float64       // seconds
 	classes             []balancer.RequestClass
@@ -26,33 +26,33 @@
 	repositories        []repositoryConfig
 	director            *directorConfig // nil without one
 
-	directives map[string]any // the block as it was read, to find what differs in a later one
+	directives map[string]any // the block as it was read, to find the directives that a later block changes
 }
 
 // repositoryConfig is one repository block.
 type repositoryConfig struct {
 	name             string
 	rootPath         string // path of the pinned root
-	imageRepository  string // image repository that must agree with its targets, empty for none
-	discoveryAddress string // HOST:PORT of the agent that lists the mirrors, empty where the file lists them
+	imageRepository  string // name of the image repository that must agree with the targets; empty for none
+	discoveryAddress string // HOST:PORT of the discovery agent that lists the mirrors; empty if the file lists them
 	mirrors          []dispatch.Endpoint
 }
 
 // directorConfig is the director block.
 type directorConfig struct {
 	imageRepository   string // name of the image repository
-	chainDir          string // folder with the chain of roots
+	chainDir          string // directory of the root chain
 	keyPaths          []string
 	lifetime          time.Duration // of issued metadata
-	initialVersion    uint16        // version that every server runs if nothing is known, 0 for none
+	initialVersion    uint16        // version that every server runs if no released version is recorded; 0 means none
 	packages          []packageConfig
 	servers           []serverConfig
-	discoveryAddress  string                 // HOST:PORT of the agent that lists the servers, empty where the file lists them
-	releaseAPIAddress string                 // HOST:PORT of the release API, empty where the file gives the stage
-	stage             *dispatch.RolloutStage // nil where the release API gives it
+	discoveryAddress  string                 // HOST:PORT of the discovery agent that lists the servers; empty if the file lists them
+	releaseAPIAddress string                 // HOST:PORT of the release API; empty if the file gives the stage
+	stage             *dispatch.RolloutStage // nil if the release API gives the stage
 }
 
-// packageConfig names the package of a version.
+// packageConfig is the package of one version.
 type packageConfig struct {
 	version uint16
 	path    string // in the image repository
@@ -63,10 +63,10 @@
 	name     string
 	zone     string
 	hardware string
-	keyPath  string // path of its public key
+	keyPath  string // path of the public key file
 }
 
-// newConfig reads a metadata block that operatorconfig has checked.
+// newConfig converts a metadata block that operatorconfig has validated.
 func newConfig(directives map[string]any) *config {
 	c := &config{
 		listen:              text(directives["listen"]),
@@ -140,7 +140,7 @@
 	return c
 }
 
-// endpoints are the servers of the file as a list of those that are there.
+// endpoints returns the servers of the file as an endpoint list in which each server is up.
 func (c *directorConfig) endpoints() []dispatch.Endpoint {
 	var endpoints []dispatch.Endpoint
 	for _, server := range c.servers {
@@ -150,7 +150,7 @@
 	return endpoints
 }
 
-// markNew sets the start of the mirrors that an earlier list did not have to now, so that they are warmed up.
+// markNew sets the start time of each mirror that the earlier list does not have to now, so that the mirror is warmed up.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
 	known := map[mirror]bool{}
@@ -164,25 +164,28 @@
 	}
 }
 
-// text is a word of a directive, empty for one that is not given.
+// text returns a value of a directive as a string, or "" if the directive is not given.
 func text(value any) string {
 	s, _ := value.(string)
 	return s
 }
 
-// number is a figure of a directive, 0 for one that is not given.
+// number returns a value of a directive as a number, or 0 if the directive is not given.
 func number(value any) float64 {
 	f, _ := value.(float64)
 	return f
 }
 
+// seconds converts a value of a directive in seconds to a duration; it is 0 if the directive is not given.
 func seconds(value any) time.Duration { return time.Duration(number(value) * float64(time.Second)) }
 
+// list returns the values of a directive, or nil if the directive is not given.
 func list(value any) []any {
 	values, _ := value.([]any)
 	return values
 }
 
+// texts returns the values of a directive as strings.
 func texts(value any) []string {
 	var all []string
 	for _, v := range list(value) {
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -19,7 +19,7 @@
 	"silvercove/internal/tufrepo"
 )
 
-// releaseAPITimeout bounds one request to the release API.
+// releaseAPITimeout is the timeout of one request to the release API.
 const releaseAPITimeout = time.Second
 
 // directorKeys are the Director's root chain, by file name, and its online keys.
@@ -28,14 +28,14 @@
 	online []*keys.Key
 }
 
-// publicKeyFile is a server's public key, with time and size of the file that it was read from.
+// publicKeyFile is a server's public key, with the modification time and size of the file that it was read from.
 type publicKeyFile struct {
 	key        crypto.PublicKey
 	modifiedAt time.Time
 	size       int64 // bytes
 }
 
-// addDirector makes the Director and gives it servers and stage, or what tells it of them.
+// addDirector creates the Director, and gives it the servers and the stage of the file or connects it to their sources.
 func (s *Service) addDirector(c *directorConfig) error {
 	loaded, err := s.loadDirectorKeys(c)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// updateDirector gives the Director the servers and the stage that the file has.
+// updateDirector gives the Director the servers and the stage that the file lists.
 func (s *Service) updateDirector(c *directorConfig) {
 	if c.discoveryAddress == "" {
 		s.director.UpdateServers(true, c.endpoints())
@@ -85,8 +85,8 @@
 	}
 }
 
-// connectDirector connects the Director to the release API and the discovery agent, through a dispatcher of its own that
-// passes on what it is notified of. No requests go through it, so it has nothing to vote by and casts no vote.
+// connectDirector connects the Director to the release API and the discovery agent. It uses a separate dispatcher that passes
+// their notifications on to the Director. No requests go through this dispatcher, so it has no evidence and casts no vote.
 func (s *Service) connectDirector(c *directorConfig) {
 	if c.discoveryAddress == "" && c.releaseAPIAddress == "" {
 		return
@@ -121,8 +121,8 @@
 	}
 }
 
-// loadServerKeys reads the servers' public keys, by server. A file that was read before and has not changed is not read
-// again: thousands of them take long, and a changed exposure cap may wait for it.
+// loadServerKeys reads the servers' public keys, by server name. A file that was read before and has not changed is not read
+// again, because reading thousands of files takes long and a changed exposure cap may have to wait for it.
 func (s *Service) loadServerKeys(servers []serverConfig) (map[string]crypto.PublicKey, error) {
 	byServer := map[string]crypto.PublicKey{}
 	byPath := map[string]publicKeyFile{}
@@ -139,7 +139,8 @@
 	return byServer, nil
 }
 
-// loadPublicKey reads a public key unless it is one of those just loaded, or unchanged since an earlier load.
+// loadPublicKey reads a public key file. It returns the known key if the file is in loaded, or has not changed since an earlier
+// load.
 func (s *Service) loadPublicKey(path string, loaded map[string]publicKeyFile) (publicKeyFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -11,18 +11,19 @@
 	"silvercove/internal/operatorconfig"
 )
 
-// FixedDirectiveError is the error of Reload for a file that changes a directive which can't change while the service runs.
+// FixedDirectiveError is the error of Reload if the file changes a directive that cannot change while the service runs.
 type FixedDirectiveError struct {
-	Path      string // of the file
-	Directive string // by its blocks, as in metadata.listen
+	Path      string // path of the file
+	Directive string // name with its blocks, such as metadata.listen
 }
 
 func (e *FixedDirectiveError) Error() string {
-	return fmt.Sprintf("%s: %s can't change in service: restart", e.Path, e.Directive)
+	return fmt.Sprintf("%s: %s cannot change while the service runs: restart", e.Path, e.Directive)
 }
 
-// Reload takes the operator's file again: mirrors, servers, the Director's keys and the stage may have changed. If anything
-// in it is wrong or can't change in service, it is refused as a whole and nothing changes. It is safe for concurrent use.
+// Reload reads the operator's file again and applies it. Mirrors, servers, the Director's keys and the stage may have changed. If
+// the file has an error, or changes a directive that cannot change while the service runs, Reload rejects the whole file and
+// nothing changes. It is safe for concurrent use.
 func (s *Service) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// updateMirrors replaces the mirrors of the repositories whose mirrors the file lists.
+// updateMirrors replaces the mirrors of each repository whose mirrors the file lists.
 func (s *Service) updateMirrors(next *config) {
 	earlier := map[string][]dispatch.Endpoint{}
 	for _, c := range s.config.repositories {
@@ -65,14 +66,14 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // by the dispatcher's clock
+			markNew(c.mirrors, earlier[c.name], time.Now()) // real time, which is the dispatcher's clock
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
 }
 
-// fixedDirectiveChanged names a directive that differs between two metadata blocks and that can't change in service, empty
-// for none.
+// fixedDirectiveChanged returns the name of a directive that differs between two metadata blocks and that cannot change while the
+// service runs, or "" if there is none.
 func fixedDirectiveChanged(old, changed map[string]any) string {
 	if changed == nil {
 		return "the block itself"
@@ -107,7 +108,8 @@
 	return ""
 }
 
-// differingDirective names a directive that differs between two blocks, leaving out some, empty for none.
+// differingDirective returns the name of a directive that differs between two blocks and is not in except, or "" if there is
+// none.
 func differingDirective(old, changed any, except ...string) string {
 	a, b := old.(map[string]any), changed.(map[string]any)
 	for _, block := range []map[string]any{a, b} {
--- a/internal/metadataservice/repository.go
+++ b/internal/metadataservice/repository.go
@@ -14,14 +14,14 @@
 	"silvercove/internal/transport"
 )
 
-// Times of a watcher of an endpoint list.
+// Timeouts of a watcher of an endpoint list.
 const (
 	discoveryPollWait      = time.Second
 	discoveryAnswerTimeout = time.Second / 2
 	discoveryOpenTimeout   = time.Second
 )
 
-// addRepository makes a repository, and a watcher of its mirrors where an agent lists them.
+// addRepository creates a repository, and a watcher of its mirrors if a discovery agent lists them.
 func (s *Service) addRepository(c repositoryConfig) (*metadataproxy.Repository, error) {
 	pinned, err := os.ReadFile(s.resolvePath(c.rootPath))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return repository, nil
 }
 
-// newWatcher makes a watcher of the endpoint list of the discovery agent at an address.
+// newWatcher returns a watcher of the endpoint list of the discovery agent at the given address.
 func (s *Service) newWatcher(address string) *discovery.Watcher {
 	return discovery.New(discovery.Config{
 		Address:       transport.NewAddress(address),
@@ -64,8 +64,8 @@
 	})
 }
 
-// seedFrom makes the seed of random draws from names alone: the same at every start, another for each process and
-// repository.
+// seedFrom derives the seed of random numbers from names alone. The seed is the same at every start, and differs between processes
+// and between repositories.
 func seedFrom(names ...string) uint64 {
 	hash := fnv.New64a()
 	for _, name := range names {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -1,5 +1,5 @@
-// Package metadataservice runs the metadata proxy of one operator's file: it opens the version store, the repositories and
-// the Director that the file names, listens, and takes a changed file while it runs.
+// Package metadataservice runs a metadata proxy as an operator's configuration file describes it: it opens the version store,
+// the repositories and the Director that the file names, listens, and applies a changed file while it runs.
 package metadataservice
 
 import (
@@ -24,46 +24,46 @@
 	"silvercove/internal/tufverify"
 )
 
-// bufferBudget bounds the memory of connections to discovery agents and the release API, in bytes.
+// bufferBudget is the maximum memory for connections to discovery agents and the release API, in bytes.
 const bufferBudget = 64 << 20
 
-// errNoMetadataBlock is the error of New for a file that does not switch the proxy on.
-var errNoMetadataBlock = errors.New("no metadata block: nothing is switched on")
+// errNoMetadataBlock is the error of New for a file without a metadata block, which enables the proxy.
+var errNoMetadataBlock = errors.New("no metadata block: the metadata proxy is not enabled")
 
-// errProxyEnded is the error of Run where the proxy ended without being asked to.
-var errProxyEnded = errors.New("the front has ended by itself")
+// errProxyEnded is the error of Run if the proxy ended before the context did.
+var errProxyEnded = errors.New("the metadata proxy ended unexpectedly")
 
-// Service is the metadata proxy of one operator's file. Reload may be called while Run runs; Address and Director are safe
+// Service is the metadata proxy that one operator's file describes. Reload may be called while Run runs; Address and Director are safe
 // for concurrent use.
 type Service struct {
 	// Proxy is set by New.
 	Proxy *metadataproxy.Proxy
 
-	path         string // of the operator's file
+	path         string // path of the operator's file
 	log          zerolog.Logger
 	env          func(string) string
 	now          func() time.Time
 	store        versionStore
 	closeStore   func() error
 	repositories map[string]*metadataproxy.Repository // by name
-	director     *director.Director                   // nil without one
+	director     *director.Director                   // nil if none is configured
 	buffers      *transport.BufferBudget
-	tasks        []func(ctx context.Context) error // of discovery and the release API; Run owns their goroutines
+	tasks        []func(ctx context.Context) error // tasks for discovery and the release API; Run owns their goroutines
 	listener     net.Listener
 
-	mu         sync.Mutex // guards config and publicKeys once New has returned
+	mu         sync.Mutex // guards config and publicKeys after New has returned
 	config     *config
-	publicKeys map[string]publicKeyFile // of servers, by path
+	publicKeys map[string]publicKeyFile // public keys of servers, by path
 }
 
-// versionStore is what a version store in memory and one on disk have in common.
+// versionStore is the common interface of a version store in memory and a version store on disk.
 type versionStore interface {
 	tufverify.VersionStore
 	Entries() []monotonic.Entry
 }
 
-// New reads an operator's file and assembles the service. It listens from then on; the caller must call Run, which closes
-// the listener and the version store. env gives the environment's variables, now the time.
+// New reads an operator's file and assembles the service. The service listens once New has returned; the caller must call Run,
+// which closes the listener and the version store. env returns the value of an environment variable, now the current time.
 func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Service, error) {
 	blocks, err := operatorconfig.OperatorTable.Read(path)
 	if err != nil {
@@ -94,13 +94,13 @@
 	return s, nil
 }
 
-// Address is where the service listens, HOST:PORT.
+// Address returns the address on which the service listens, as HOST:PORT.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// Director is the service's Director, nil without one.
+// Director returns the service's Director, or nil if none is configured.
 func (s *Service) Director() *director.Director { return s.director }
 
-// resolvePath is a path of the operator's file: a relative one is from the file's folder.
+// resolvePath resolves a path of the operator's file. A relative path is relative to the directory of the file.
 func (s *Service) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -108,7 +108,7 @@
 	return filepath.Join(filepath.Dir(s.path), path)
 }
 
-// assemble makes everything that the configuration names.
+// assemble creates the version store, the repositories, the proxy and the Director that the configuration names.
 func (s *Service) assemble() error {
 	if err := s.openVersionStore(); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	return s.addDirector(s.config.director)
 }
 
-// openVersionStore opens the version store's files, or makes one in memory where none is named.
+// openVersionStore opens the files of the version store, or creates a version store in memory if no file is configured.
 func (s *Service) openVersionStore() error {
 	log := logging.Leveled(s.log, "metadataservice")
 	if len(s.config.versionStorePaths) == 0 {
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Run serves until the context ends, and closes the listener and the version store. It owns the goroutines of the proxy,
-// the discovery watchers and the release API's client, and returns once all have ended.
+// Run serves until the context ends, then closes the listener and the version store. It owns the goroutines of the proxy, the
+// discovery watchers and the release API's client, and returns once all of them have ended.
 func (s *Service) Run(ctx context.Context) error {
 	s.mu.Lock()
 	shutdownTimeout := s.config.packageDeadline
