--- a/internal/metadataproxy/byte_range_test.go
+++ b/internal/metadataproxy/byte_range_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestParseRange checks the result of parseRange for a file of 100 bytes.
 func TestParseRange(t *testing.T) {
 	for _, c := range []struct {
 		header      string
@@ -20,6 +21,7 @@
 	}
 }
 
+// FuzzParseRange checks that a partial range lies within the file, and that an ignored range is the whole file.
 func FuzzParseRange(f *testing.F) {
 	f.Add("bytes=0-9", int64(100))
 	f.Add("bytes=-5", int64(0))
