--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -96,7 +96,7 @@
 	timer    *time.Timer
 	cancel   func()
 	tick     func() tufverify.Tick
-	slow     atomic.Bool // the request was cancelled as too slow
+	slow     atomic.Bool // the request was canceled because the body arrived too slowly
 }
 
 func (p *pacedReader) Read(b []byte) (int, error) {
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -35,7 +35,7 @@
 	now             func() time.Time
 	log             logging.Func
 	repositories    map[string]*Repository // by name
-	director        *director.Director     // nil without one
+	director        *director.Director     // nil if there is none
 	imageRepository string                 // name of the image repository of the Director's packages
 	reportShards    []*reportShard
 	maxConnections  int // maximum number of client connections
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -22,8 +22,8 @@
 	return r.currentLocked(f)
 }
 
-// currentLocked implements cached; the caller holds r.mu. A timestamp, and the answer which root is the newest, are valid
-// only if mirrors were asked recently.
+// currentLocked implements cached; the caller holds r.mu. A timestamp, and the newest root or the answer that there is no
+// newer one, are valid only if mirrors were asked recently.
 func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, refusal := r.verified.Current(now, f)
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -27,8 +27,8 @@
 }
 
 // CheckConfirmed returns tufverify's refusal of a file, or a refusal because the mirrors have not confirmed the file. Before the
-// survey is complete, only root files are served. A timestamp, and the answer which root is the newest, are served only if mirrors
-// were asked recently.
+// survey is complete, only root files are served. A timestamp, and the newest root or the answer that there is no newer
+// one, are served only if mirrors were asked recently.
 func CheckConfirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
 	repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -24,7 +24,7 @@
 	classes             []balancer.RequestClass
 	packageDeadline     time.Duration
 	repositories        []repositoryConfig
-	director            *directorConfig // nil without one
+	director            *directorConfig // nil if there is none
 
 	directives map[string]any // the block as it was read, to find the directives that a later block changes
 }
