--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -37,7 +37,7 @@
 		if attempt == nil {
 			return last
 		}
-		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) { // reported as canceled, as if the mirror had not been chosen
+		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) { // report it as canceled, as if never chosen
 			r.dispatcher.ReportMirror(attempt, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
 		}
--- a/internal/metadatarefresh/limits.go
+++ b/internal/metadatarefresh/limits.go
@@ -7,7 +7,7 @@
 // Limits of a metadata proxy, in addition to those of package tufverify.
 const (
 	MaxRootsPerRequest  = 64                    // root files that are fetched for one request
-	MaxFilesPerRefresh  = 8                     // files that one refresh may fetch until the set is complete, even if new keys make it start again
+	MaxFilesPerRefresh  = 8                     // files that one refresh may fetch for a complete set, restarts by new keys included
 	SurveyConcurrency   = 4                     // mirrors that a survey asks concurrently
 	MaxIdleMirrorConns  = 8                     // idle connections per mirror
 	MirrorIdleTimeout   = 10 * tufverify.Second // until an idle connection to a mirror is closed
