--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -19,7 +19,7 @@
 	"silvercove/internal/tufrepo"
 )
 
-// releaseAPITimeout bounds one request to the release API.
+// releaseAPITimeout is the timeout of one request to the release API.
 const releaseAPITimeout = time.Second
 
 // directorKeys are the Director's root chain, by file name, and its online keys.
@@ -28,14 +28,14 @@
 	online []*keys.Key
 }
 
-// publicKeyFile is a server's public key, with time and size of the file that it was read from.
+// publicKeyFile is a server's public key, with the modification time and size of the file that it was read from.
 type publicKeyFile struct {
 	key        crypto.PublicKey
 	modifiedAt time.Time
 	size       int64 // bytes
 }
 
-// addDirector makes the Director and gives it servers and stage, or what tells it of them.
+// addDirector creates the Director, and gives it the servers and the stage of the file or connects it to their sources.
 func (s *Service) addDirector(c *directorConfig) error {
 	loaded, err := s.loadDirectorKeys(c)
 	if err != nil {
@@ -47,18 +47,18 @@
 		packages[p.version] = p.path
 		paths = append(paths, p.path)
 	}
-	image := s.repositories[c.image]
-	image.KeepLookedUp(paths)
+	image := s.repositories[c.imageRepository]
+	image.WatchTargets(paths)
 	s.director, err = director.New(director.Config{
-		Chain:    loaded.chain,
-		Keys:     loaded.online,
-		Store:    s.store,
-		Image:    image.Known,
-		Now:      s.now,
-		Lifetime: c.lifetime,
-		Packages: packages,
-		Running:  c.running,
-		Log:      logging.Leveled(s.log, "director"),
+		Chain:          loaded.chain,
+		Keys:           loaded.online,
+		Store:          s.store,
+		LookUpImage:    image.FindCached,
+		Now:            s.now,
+		Lifetime:       c.lifetime,
+		Packages:       packages,
+		InitialVersion: c.initialVersion,
+		Log:            logging.Leveled(s.log, "director"),
 	})
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Proxy.SetDirector(s.director, c.image, s.store, serverKeys); err != nil {
+	if err := s.Proxy.SetDirector(s.director, c.imageRepository, s.store, serverKeys); err != nil {
 		return err
 	}
 	s.updateDirector(c)
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// updateDirector gives the Director the servers and the stage that the file has.
+// updateDirector gives the Director the servers and the stage that the file lists.
 func (s *Service) updateDirector(c *directorConfig) {
-	if c.discovery == "" {
+	if c.discoveryAddress == "" {
 		s.director.UpdateServers(true, c.endpoints())
 	}
 	if c.stage != nil {
@@ -85,16 +85,16 @@
 	}
 }
 
-// connectDirector connects the Director to the release API and the discovery agent, through a dispatcher of its own that
-// passes on what it is notified of. No requests go through it, so it has nothing to vote by and casts no vote.
+// connectDirector connects the Director to the release API and the discovery agent. It uses a separate dispatcher that passes
+// their notifications on to the Director. No requests go through this dispatcher, so it has no evidence and casts no vote.
 func (s *Service) connectDirector(c *directorConfig) {
-	if c.discovery == "" && c.platform == "" {
+	if c.discoveryAddress == "" && c.releaseAPIAddress == "" {
 		return
 	}
 	install := balancer.RequestClass{Name: "install", LatencyObjective: 1, Deadline: 10, PriorityWeight: 1}
-	site := metadatarefresh.Rules(1, 0.3, 10, []balancer.RequestClass{install})
+	site := metadatarefresh.MirrorSettings(1, 0.3, 10, []balancer.RequestClass{install})
 	site.Balancer.Rollout.Control = balancer.AdvanceByClock
-	dispatcher := dispatch.New(seedFrom(c.discovery, c.platform), site, dispatch.Callbacks{
+	dispatcher := dispatch.New(seedFrom(c.discoveryAddress, c.releaseAPIAddress), site, dispatch.Callbacks{
 		WatchEndpoints: func(bool) {},
 		FetchEndpoints: func() {},
 		Probe:          func(dispatch.Backend) {},
@@ -105,29 +105,29 @@
 		OnStage:        s.director.OnStage,
 	})
 	s.tasks = append(s.tasks, dispatcher.RunTimers)
-	if c.platform != "" {
+	if c.releaseAPIAddress != "" {
 		client := releaseapi.New(releaseapi.Config{
-			Address: transport.NewAddress(c.platform),
+			Address: transport.NewAddress(c.releaseAPIAddress),
 			Timeout: releaseAPITimeout,
 			Buffers: s.buffers,
 			Log:     logging.Component(s.log, "releaseapi"),
 		})
 		s.tasks = append(s.tasks, func(ctx context.Context) error { return client.Run(ctx, dispatcher) })
 	}
-	if c.discovery != "" {
-		watcher := s.newWatcher(c.discovery)
+	if c.discoveryAddress != "" {
+		watcher := s.newWatcher(c.discoveryAddress)
 		watcher.Fetch()
 		s.tasks = append(s.tasks, func(ctx context.Context) error { return watcher.Run(ctx, dispatcher, discovery.Pushed) })
 	}
 }
 
-// loadServerKeys reads the servers' public keys, by server. A file that was read before and has not changed is not read
-// again: thousands of them take long, and a changed exposure cap may wait for it.
+// loadServerKeys reads the servers' public keys, by server name. A file that was read before and has not changed is not read
+// again, because reading thousands of files takes long and a changed exposure cap may have to wait for it.
 func (s *Service) loadServerKeys(servers []serverConfig) (map[string]crypto.PublicKey, error) {
 	byServer := map[string]crypto.PublicKey{}
 	byPath := map[string]publicKeyFile{}
 	for _, server := range servers {
-		path := s.resolvePath(server.key)
+		path := s.resolvePath(server.keyPath)
 		file, err := s.loadPublicKey(path, byPath)
 		if err != nil {
 			return nil, fmt.Errorf("server %s: %w", server.name, err)
@@ -139,7 +139,8 @@
 	return byServer, nil
 }
 
-// loadPublicKey reads a public key unless it is one of those just loaded, or unchanged since an earlier load.
+// loadPublicKey reads a public key file. It returns the known key if the file is in loaded, or has not changed since an earlier
+// load.
 func (s *Service) loadPublicKey(path string, loaded map[string]publicKeyFile) (publicKeyFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -161,12 +162,12 @@
 
 // loadDirectorKeys reads the Director's root chain and online keys.
 func (s *Service) loadDirectorKeys(c *directorConfig) (directorKeys, error) {
-	chain, _, err := tufrepo.PublishedFiles(s.resolvePath(c.chain))
+	chain, _, err := tufrepo.PublishedFiles(s.resolvePath(c.chainDir))
 	if err != nil {
 		return directorKeys{}, fmt.Errorf("director: chain: %w", err)
 	}
 	loaded := directorKeys{chain: chain}
-	for _, path := range c.keys {
+	for _, path := range c.keyPaths {
 		key, err := keys.Load(s.resolvePath(path), keys.PassphraseFrom(s.env))
 		if err != nil {
 			return directorKeys{}, fmt.Errorf("director: %w", err)
