--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -36,15 +36,15 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	defer context.AfterFunc(ctx, stop)() // the second signal finds the ordinary end of a process
-	return p.during(func(alive context.Context) error {
-		k, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
+	return p.runWhile(func(alive context.Context) error {
+		node, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
 			return withDiskFull(err)
 		}
 		p.log.Info().Str("event", "starts").Str("component", "controller").Str("why", "peers at "+p.net.Self().Address).Msg("process started")
 		ctx, end := context.WithCancel(ctx)
 		defer context.AfterFunc(alive, end)()
-		if err := k.Run(ctx); err != nil {
+		if err := node.Run(ctx); err != nil {
 			return withDiskFull(err)
 		}
 		p.log.Info().Str("event", "ends").Str("component", "controller").Msg("process ended")
@@ -53,56 +53,56 @@
 }
 
 // fleetCall is what calls to the keepers need.
-type fleetCall struct {
+type controllerCommand struct {
 	File string        `arg:"" help:"The operator's file of any process of the fleet."`
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
 // withClient calls with a client that reaches others as the file's process does. It does not take that one's place.
-func (c *fleetCall) withClient(call func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error) error {
-	f, err := fleet.Read(c.File)
+func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
+	file, err := fleet.Read(c.File)
 	if err != nil {
 		return err
 	}
-	at, self := f.Self.Address, f.Self
+	ownAddress, self := file.Self.Address, file.Self
 	self.Address = "127.0.0.1:0"
-	network, err := peertransport.Open(f.FleetName, self, f.Peers, zerolog.Nop())
+	network, err := peertransport.Open(file.FleetName, self, file.Peers, zerolog.Nop())
 	if err != nil {
 		return err
 	}
-	network.OverrideSelf(at)
-	nets, cut := context.WithCancel(context.Background())
-	ran := make(chan struct{})
+	network.OverrideSelf(ownAddress)
+	networkCtx, stopNetwork := context.WithCancel(context.Background())
+	done := make(chan struct{})
 	go func() {
-		defer close(ran)
-		_ = network.Run(nets) // it says only that the context was cancelled
+		defer close(done)
+		_ = network.Run(networkCtx) // it says only that the context was cancelled
 	}()
 	defer func() {
-		cut()
-		<-ran
+		stopNetwork()
+		<-done
 	}()
-	k := controllerclient.New(network, f.Settings, uint64(time.Now().UnixNano()))
-	defer k.Close()
+	client := controllerclient.New(network, file.Settings, uint64(time.Now().UnixNano()))
+	defer client.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	return call(ctx, k, f, network)
+	return call(ctx, client, file, network)
 }
 
 type fleetShowCmd struct {
-	fleetCall
+	controllerCommand
 	Controllers bool `name:"keepers" help:"Show how each controller stands in place of nodes and instances."`
 }
 
 // Run shows where instances run, and the units.
 func (c *fleetShowCmd) Run() error {
-	return c.withClient(func(ctx context.Context, k *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
+	return c.withClient(func(ctx context.Context, client *controllerclient.Client, f *fleet.File, net *peertransport.Network) error {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		if c.Controllers {
 			_, _ = fmt.Fprintln(w, "keeper\tstate\tleader\tterm\tapplied\tinstances\tmoves\tdisk\twhy")
-			for _, name := range k.Controllers() {
-				s, err := k.Status(ctx, name)
+			for _, name := range client.Controllers() {
+				s, err := client.Status(ctx, name)
 				if err != nil {
 					_, _ = fmt.Fprintf(w, "%s\tsilent\t\t\t\t\t\t\t%v\n", name, err)
 					continue
@@ -116,11 +116,11 @@
 			}
 			return w.Flush()
 		}
-		u, err := k.Nodes(ctx)
+		u, err := client.Nodes(ctx)
 		if err != nil {
 			return err
 		}
-		p, err := k.Assignments(ctx, 0)
+		p, err := client.Assignments(ctx, 0)
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", p.Instance, p.Zone, p.Primary, p.Epoch, p.State,
 				strings.Join(p.Replicas, ","), p.CopyTarget, strings.Join(why, "; "))
 		}
-		floor, err := k.LastResort(ctx)
+		floor, err := client.LastResort(ctx)
 		if err != nil {
 			return err
 		}
@@ -156,21 +156,21 @@
 }
 
 type fleetDeviceCmd struct {
-	fleetCall
+	controllerCommand
 	Name string `arg:"" help:"The instance, such as camera-7."`
 	Zone string `arg:"" help:"Where its device is now."`
 }
 
 // Run says where a device is.
 func (c *fleetDeviceCmd) Run() error {
-	return c.withClient(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
-		p, err := k.MoveDevice(ctx, c.Name, c.Zone)
-		return shown(p, err)
+	return c.withClient(func(ctx context.Context, client *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
+		p, err := client.MoveDevice(ctx, c.Name, c.Zone)
+		return printAssignment(p, err)
 	})
 }
 
 // shown prints a place, or what stands in its stead.
-func shown(p placement.Assignment, err error) error {
+func printAssignment(p placement.Assignment, err error) error {
 	var no *controllerclient.RefusalError
 	if errors.As(err, &no) && no.Assignment != nil {
 		return fmt.Errorf("%w; it stands as: %s of epoch %d at %q", err, no.Assignment.State, no.Assignment.Epoch, no.Assignment.Primary)
@@ -182,7 +182,7 @@
 }
 
 type fleetCreateCmd struct {
-	fleetCall
+	controllerCommand
 	Name   string  `arg:"" help:"The instance."`
 	Node   string  `name:"unit" arg:"" help:"The edge node where it begins."`
 	Zone   string  `arg:"" help:"Where its device is."`
@@ -191,14 +191,14 @@
 
 // Run makes an instance.
 func (c *fleetCreateCmd) Run() error {
-	return c.step(placement.Operation{Kind: placement.OpCreate, Instance: c.Name, Target: c.Node, Zone: c.Zone, Weight: c.Weight,
+	return c.propose(placement.Operation{Kind: placement.OpCreate, Instance: c.Name, Target: c.Node, Zone: c.Zone, Weight: c.Weight,
 		Reason: "an operator made it"})
 }
 
-func (c *fleetCall) step(e placement.Operation) error {
-	return c.withClient(func(ctx context.Context, k *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
+func (c *controllerCommand) propose(e placement.Operation) error {
+	return c.withClient(func(ctx context.Context, client *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
 		if e.Kind != placement.OpCreate { // of the epoch that stands
-			all, err := k.Assignments(ctx, 0)
+			all, err := client.Assignments(ctx, 0)
 			if err != nil {
 				return err
 			}
@@ -208,28 +208,28 @@
 			}
 			e.Epoch = all.Assignments[at].Epoch
 		}
-		p, err := k.Propose(ctx, e)
-		return shown(p, err)
+		p, err := client.Propose(ctx, e)
+		return printAssignment(p, err)
 	})
 }
 
 type fleetReleaseCmd struct {
-	fleetCall
+	controllerCommand
 	Name string `arg:"" help:"A quarantined instance."`
 	Node string `name:"unit" arg:"" help:"Where it runs again."`
 }
 
 // Run releases an instance.
 func (c *fleetReleaseCmd) Run() error {
-	return c.step(placement.Operation{Kind: placement.OpRelease, Instance: c.Name, Target: c.Node, Reason: "an operator released it"})
+	return c.propose(placement.Operation{Kind: placement.OpRelease, Instance: c.Name, Target: c.Node, Reason: "an operator released it"})
 }
 
 type fleetForgetCmd struct {
-	fleetCall
+	controllerCommand
 	Name string `arg:"" help:"The instance. Where its primary may still serve it, it has to be stopped first."`
 }
 
 // Run forgets an instance.
 func (c *fleetForgetCmd) Run() error {
-	return c.step(placement.Operation{Kind: placement.OpDelete, Instance: c.Name, Reason: "an operator had it forgotten"})
+	return c.propose(placement.Operation{Kind: placement.OpDelete, Instance: c.Name, Reason: "an operator had it forgotten"})
 }
--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -22,38 +22,38 @@
 	if err != nil {
 		return err
 	}
-	return p.during(func(alive context.Context) error { return c.serve(p, alive) })
+	return p.runWhile(func(alive context.Context) error { return c.serve(p, alive) })
 }
 
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
-	e, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
+	node, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return withDiskFull(err)
 	}
 	signals := make(chan os.Signal, 2) // the second one may come before the first was looked at
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	leave, end := context.WithCancel(context.Background())
-	defer end()
-	now, kill := context.WithCancel(alive)
-	defer kill()
-	over := make(chan struct{})
-	watched := make(chan struct{})
+	drain, startDrain := context.WithCancel(context.Background())
+	defer startDrain()
+	running, stop := context.WithCancel(alive)
+	defer stop()
+	done := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		for _, heard := range []func(){end, kill} {
+		defer close(watcherDone)
+		for _, onSignal := range []func(){startDrain, stop} {
 			select {
 			case <-signals:
-				heard()
-			case <-over:
+				onSignal()
+			case <-done:
 				return
 			}
 		}
 	}()
-	p.log.Info().Str("event", "starts").Str("component", "edgenode").Str("why", "requests at "+e.Addr().String()).Msg("process started")
-	err = e.Run(leave, now)
-	close(over)
-	<-watched
+	p.log.Info().Str("event", "starts").Str("component", "edgenode").Str("why", "requests at "+node.Addr().String()).Msg("process started")
+	err = node.Run(drain, running)
+	close(done)
+	<-watcherDone
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return withDiskFull(err)
 	}
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -43,22 +43,22 @@
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	run, fresh, err := membership.NextIncarnation(f.DataDir, time.Now())
+	incarnation, startedEmpty, err := membership.NextIncarnation(f.DataDir, time.Now())
 	if err != nil {
 		return nil, withDiskFull(err)
 	}
-	p.members, err = membership.Open(p.net, run, fresh, f.Settings, func(m membership.Member) {
+	p.members, err = membership.Open(p.net, incarnation, startedEmpty, f.Settings, func(m membership.Member) {
 		p.log.Info().Str("event", "member").Str("component", "membership").Str("from", m.Name).Str("why", string(m.State)).
 			Uint64("run", m.Incarnation).Msg("member state changed")
 	})
 	if err == nil && p.metricsListener != nil {
-		p.gauges()
+		p.registerGauges()
 	}
 	return p, err
 }
 
 // gauges are those that every process has.
-func (p *fleetProcess) gauges() {
+func (p *fleetProcess) registerGauges() {
 	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
 			n := 0.0
@@ -88,9 +88,9 @@
 // of, it says so and goes on: which of two may act is the leases' business, and a second one started by mistake must
 // not end the first.
 func (p *fleetProcess) run(ctx context.Context) error {
-	nets, cut := context.WithCancel(context.WithoutCancel(ctx)) // goodbyes still go out
-	ran := make(chan error, 1)
-	go func() { ran <- p.net.Run(nets) }()
+	networkCtx, stopNetwork := context.WithCancel(context.WithoutCancel(ctx)) // goodbyes still go out
+	done := make(chan error, 1)
+	go func() { done <- p.net.Run(networkCtx) }()
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return p.members.Run(ctx) })
 	if p.metricsListener != nil {
@@ -106,19 +106,19 @@
 		return nil
 	})
 	err := group.Wait()
-	cut()
-	return errors.Join(err, <-ran)
+	stopNetwork()
+	return errors.Join(err, <-done)
 }
 
 // during keeps them while do runs, and ends do where they end first.
-func (p *fleetProcess) during(do func(context.Context) error) error {
+func (p *fleetProcess) runWhile(do func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	ran := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
-		ran <- p.run(ctx)
+		done <- p.run(ctx)
 		cancel()
 	}()
 	err := do(ctx)
 	cancel()
-	return errors.Join(err, <-ran)
+	return errors.Join(err, <-done)
 }
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -58,11 +58,11 @@
 	if err != nil {
 		return err
 	}
-	on := "nothing is switched on"
+	enabled := "nothing is switched on"
 	if blocks := slices.DeleteFunc([]string{"metadata", "verdicts"}, func(b string) bool { return all[b] == nil }); len(blocks) > 0 {
-		on = "switched on: " + strings.Join(blocks, ", ")
+		enabled = "switched on: " + strings.Join(blocks, ", ")
 	}
-	fmt.Printf("%s: in order; %s\n", c.File, on)
+	fmt.Printf("%s: in order; %s\n", c.File, enabled)
 	return nil
 }
 
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -40,7 +40,7 @@
 	}
 	level, _ := all["log_level"].(string)
 	log := logger(level)
-	own := log.With().Str("component", "metadataservice").Logger()
+	serviceLog := log.With().Str("component", "metadataservice").Logger()
 	m, err := metadataservice.New(c.File, os.Getenv, time.Now, log)
 	if err != nil {
 		return withDiskFull(err)
@@ -52,18 +52,18 @@
 	defer signal.Stop(hup)
 	ended := make(chan error, 1)
 	go func() { ended <- m.Run(ctx) }()
-	own.Info().Str("listen", m.Address()).Msg("metadata front serving")
+	serviceLog.Info().Str("listen", m.Address()).Msg("metadata front serving")
 	for {
 		select {
 		case err := <-ended:
-			own.Info().Msg("metadata front stopped")
+			serviceLog.Info().Msg("metadata front stopped")
 			return err
 		case <-hup:
 			if err := m.Reload(); err != nil {
-				own.Error().Err(err).Msg("operator's file refused")
+				serviceLog.Error().Err(err).Msg("operator's file refused")
 				continue
 			}
-			own.Info().Msg("operator's file reloaded")
+			serviceLog.Info().Msg("operator's file reloaded")
 		}
 	}
 }
@@ -73,9 +73,9 @@
 }
 
 // Run prints the counters.
-func (c *statusCmd) Run() error { return show("http://" + c.Address + "/status") }
+func (c *statusCmd) Run() error { return printURL("http://" + c.Address + "/status") }
 
-func show(url string) error {
+func printURL(url string) error {
 	client := &http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get(url)
 	if err != nil {
@@ -228,7 +228,7 @@
 	if _, _, err := net.SplitHostPort(c.Address); err != nil {
 		return err
 	}
-	return show("http://" + c.Address + "/explain/" + c.Server)
+	return printURL("http://" + c.Address + "/explain/" + c.Server)
 }
 
 type versionStoreCmd struct {
@@ -275,14 +275,14 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	was, now := f.TrustedTime(), tufverify.FromTime(time.Now())
-	if was <= now {
-		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", was.Time().Format(time.RFC3339))
+	before, now := f.TrustedTime(), tufverify.FromTime(time.Now())
+	if before <= now {
+		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", before.Time().Format(time.RFC3339))
 		return nil
 	}
 	if err := f.ResetTime(now); err != nil {
 		return withDiskFull(err)
 	}
-	fmt.Printf("set back from %s to %s\n", was.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
+	fmt.Printf("set back from %s to %s\n", before.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
 	return nil
 }
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -32,7 +32,7 @@
 	if c.Rollouts > 0 {
 		e.Rollouts = c.Rollouts
 	}
-	all, err := runTo(e, c.Out)
+	all, err := runExperiment(e, c.Out)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 }
 
 // runTo runs an experiment with progress on a terminal, and writes the results.
-func runTo(e lab.Experiment, path string) ([]lab.Result, error) {
+func runExperiment(e lab.Experiment, path string) ([]lab.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	out, err := os.Create(path)
@@ -49,12 +49,12 @@
 		return nil, err
 	}
 	defer func() { _ = out.Close() }()
-	began, seen := time.Now(), time.Now()
+	start, lastProgress := time.Now(), time.Now()
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
 	all, err := e.Run(ctx, out, func(done, of int) {
-		if terminal && (done == of || time.Since(seen) > 100*time.Millisecond) {
-			seen = time.Now()
-			fmt.Fprintf(os.Stderr, "\r%d of %d rollouts, %s ", done, of, lab.Elapsed(began))
+		if terminal && (done == of || time.Since(lastProgress) > 100*time.Millisecond) {
+			lastProgress = time.Now()
+			fmt.Fprintf(os.Stderr, "\r%d of %d rollouts, %s ", done, of, lab.Elapsed(start))
 		}
 	})
 	if terminal {
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		all, err := runTo(e, filepath.Join(c.Out, c.Name+"-"+strings.Trim(v, "%")+".jsonl"))
+		all, err := runExperiment(e, filepath.Join(c.Out, c.Name+"-"+strings.Trim(v, "%")+".jsonl"))
 		if err != nil {
 			return err
 		}
@@ -108,18 +108,18 @@
 
 // Run sets two results side by side.
 func (c *labCompareCmd) Run() error {
-	a, err := resultsOf(c.A)
+	a, err := readResults(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := resultsOf(c.B)
+	b, err := readResults(c.B)
 	if err != nil {
 		return err
 	}
 	return lab.Compare(os.Stdout, filepath.Base(c.A), filepath.Base(c.B), a, b)
 }
 
-func resultsOf(path string) ([]lab.Result, error) {
+func readResults(path string) ([]lab.Result, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -146,18 +146,18 @@
 
 // Run writes the report.
 func (c *labReportCmd) Run() error {
-	all, err := resultsOf(c.Results)
+	all, err := readResults(c.Results)
 	if err != nil {
 		return err
 	}
 	if c.HTML != "" {
-		if err := to(c.HTML, func(w io.Writer) error { return lab.HTML(w, c.Title, all, c.FalseAlarms, c.Misses) }); err != nil {
+		if err := writeFile(c.HTML, func(w io.Writer) error { return lab.HTML(w, c.Title, all, c.FalseAlarms, c.Misses) }); err != nil {
 			return err
 		}
 	}
 	write := func(w io.Writer) error { lab.Print(w, c.Title, all, c.FalseAlarms, c.Misses); return nil }
 	if c.Text != "" {
-		return to(c.Text, write)
+		return writeFile(c.Text, write)
 	}
 	if c.HTML == "" {
 		return write(os.Stdout)
@@ -166,7 +166,7 @@
 }
 
 // to writes a file.
-func to(path string, write func(io.Writer) error) error {
+func writeFile(path string, write func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	terminal := term.IsTerminal(int(os.Stderr.Fd()))
-	sockets, err := e.Loopbacks(ctx, c.Rollouts, c.Width, os.Stdout, func(done, of int) {
+	sockets, err := e.CompareLoopback(ctx, c.Rollouts, c.Width, os.Stdout, func(done, of int) {
 		if terminal {
 			fmt.Fprintf(os.Stderr, "\r%d of %d rollouts ", done, of)
 		}
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -50,12 +50,12 @@
 		return fmt.Errorf("base %g, effect %g, miss %g: shares between 0 and 1 are wanted, base and effect below 1 together",
 			c.Base, c.Effect, c.Miss)
 	}
-	least := math.Log(1/c.Miss) / math.Log((1-c.Base)/(1-c.Base-c.Effect))
+	minOutcomes := math.Log(1/c.Miss) / math.Log((1-c.Base)/(1-c.Base-c.Effect))
 	// With failures at the base the wealth grows by this on average: the outcomes that are needed in the middle.
 	growth := c.Base*math.Log(max(c.Base, 1e-9)/(c.Base+c.Effect)) + (1-c.Base)*math.Log((1-c.Base)/(1-c.Base-c.Effect))
-	middle := math.Log(1/c.Miss) / growth
-	fmt.Printf("%.0f outcomes at the least, about %.0f at a base of %.3g, for each op type at one relay\n", math.Ceil(least),
-		math.Ceil(middle), c.Base)
+	meanOutcomes := math.Log(1/c.Miss) / growth
+	fmt.Printf("%.0f outcomes at the least, about %.0f at a base of %.3g, for each op type at one relay\n", math.Ceil(minOutcomes),
+		math.Ceil(meanOutcomes), c.Base)
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprint(w, "op type\ta second\t")
 	for i := range c.Caps {
@@ -66,8 +66,8 @@
 		rate := c.Rates[name]
 		_, _ = fmt.Fprintf(w, "%s\t%g\t", name, rate)
 		for _, stageCap := range c.Caps {
-			took := middle / (rate * stageCap * 0.9 / float64(c.Relays))
-			_, _ = fmt.Fprintf(w, "%s\t", time.Duration(min(took, 1e7)*float64(time.Second)).Round(100*time.Millisecond))
+			seconds := meanOutcomes / (rate * stageCap * 0.9 / float64(c.Relays))
+			_, _ = fmt.Fprintf(w, "%s\t", time.Duration(min(seconds, 1e7)*float64(time.Second)).Round(100*time.Millisecond))
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -36,7 +36,7 @@
 	_ = os.RemoveAll(w.dir)
 }
 
-func (m Metadata) world(n int) (w *frontFixture, err error) {
+func (m Metadata) newFrontFixture(n int) (w *frontFixture, err error) {
 	w = &frontFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
 	if w.dir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, err
