--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -11,12 +11,13 @@
 	"silvercove/internal/edgenode"
 )
 
+// fleetNodeCmd is the sub-command that runs an edge node.
 type fleetNodeCmd struct {
 	File string `arg:"" help:"The operator's file of this process."`
 }
 
-// Run is an edge unit until SIGTERM or SIGINT: then its instances are handed on, and it ends within ten leases. A second
-// signal ends it at once.
+// Run runs an edge node until SIGTERM or SIGINT. The node then migrates its instances to other nodes and ends within ten
+// lease durations. A second signal ends it at once.
 func (c *fleetNodeCmd) Run() error {
 	p, err := openProcess(c.File, "edge")
 	if err != nil {
@@ -25,12 +26,13 @@
 	return p.runWhile(func(alive context.Context) error { return c.serve(p, alive) })
 }
 
+// serve runs the edge node. The first signal starts its drain and the second one stops it, as does the end of alive.
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	node, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
 		return withDiskFull(err)
 	}
-	signals := make(chan os.Signal, 2) // the second one may come before the first was looked at
+	signals := make(chan os.Signal, 2) // room for a second signal that arrives before the first one is received
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	drain, startDrain := context.WithCancel(context.Background())
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -17,17 +17,18 @@
 	"silvercove/internal/peertransport"
 )
 
-// fleetProcess is what each process of a fleet has: its file, its log, its connections and its view of the members.
+// fleetProcess holds what every process of a fleet has: its configuration, its logger, its connections and its membership
+// agent.
 type fleetProcess struct {
 	file    *fleet.File
 	log     zerolog.Logger
 	net     *peertransport.Network
 	members *membership.Agent
 
-	metricsListener net.Listener // nil: metrics are served nowhere
+	metricsListener net.Listener // nil: metrics are not served
 }
 
-// openProcess makes one of a file for a role. The connections work once run is called.
+// openProcess opens the process of a configuration file, which must name the role. Its connections work once run is called.
 func openProcess(path, role string) (*fleetProcess, error) {
 	f, err := fleet.ReadRole(path, role)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return p, err
 }
 
-// gauges are those that every process has.
+// registerGauges registers the gauges that every process has.
 func (p *fleetProcess) registerGauges() {
 	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
@@ -72,7 +73,7 @@
 	}
 }
 
-// serveMetrics serves what the process has counted until the context ends.
+// serveMetrics serves the process's metrics until the context ends.
 func serveMetrics(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
@@ -84,11 +85,11 @@
 	return nil
 }
 
-// run keeps the connections and the board until the context ends. Where a later start of this process's name is heard
-// of, it says so and goes on: which of two may act is the leases' business, and a second one started by mistake must
-// not end the first.
+// run runs the connections, the membership agent and the metrics server until the context ends. If a later start of this
+// process's name becomes known, run logs that and goes on: leases decide which of the two processes may act, and a second
+// process that was started by mistake must not end the first.
 func (p *fleetProcess) run(ctx context.Context) error {
-	networkCtx, stopNetwork := context.WithCancel(context.WithoutCancel(ctx)) // goodbyes still go out
+	networkCtx, stopNetwork := context.WithCancel(context.WithoutCancel(ctx)) // the leave message is sent after ctx ends
 	done := make(chan error, 1)
 	go func() { done <- p.net.Run(networkCtx) }()
 	group, ctx := errgroup.WithContext(ctx)
@@ -100,7 +101,7 @@
 		select {
 		case <-p.members.Superseded():
 			p.log.Error().Str("event", "outrun").Str("component", "membership").
-				Str("why", "a later start of this name runs; others take this one for an old copy").Msg("process superseded")
+				Str("why", "a later start of this name is running; other processes treat this one as an old copy").Msg("process superseded")
 		case <-ctx.Done():
 		}
 		return nil
@@ -110,7 +111,7 @@
 	return errors.Join(err, <-done)
 }
 
-// during keeps them while do runs, and ends do where they end first.
+// runWhile calls run while do runs. If run ends first, the context of do is cancelled.
 func (p *fleetProcess) runWhile(do func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -14,11 +14,12 @@
 	"silvercove/internal/routing"
 )
 
+// fleetRelayCmd is the sub-command that runs a relay.
 type fleetRelayCmd struct {
 	File string `arg:"" type:"existingfile" help:"The operator's file of this relay."`
 }
 
-// Run is one relay of a fleet.
+// Run runs one relay of a fleet.
 func (c *fleetRelayCmd) Run() error {
 	p, err := openProcess(c.File, "relay")
 	if err != nil {
@@ -48,7 +49,8 @@
 	})
 }
 
-// relayEnv is what a relay reads of its environment elsewhere.
+// relayEnv returns a function that looks up the environment variables of a relay. In a fleet their values come from the
+// configuration file, except for NODE_OPERATOR.
 func relayEnv(f *fleet.File) func(string) string {
 	return func(name string) string {
 		switch name {
--- a/cmd/silvercovectl/lab.go
+++ b/cmd/silvercovectl/lab.go
@@ -9,37 +9,40 @@
 	"silvercove/internal/lab"
 )
 
+// labCmd holds the sub-commands of lab.
 type labCmd struct {
 	Run      labRunCmd      `cmd:"" help:"Run an experiment of simulated rollouts."`
 	Sweep    labSweepCmd    `cmd:"" help:"Run an experiment for each of several values of a directive."`
-	Compare  labCompareCmd  `cmd:"" help:"Set two results side by side, and say what is noise."`
-	Loopback labLoopbackCmd `cmd:"" help:"Play rollouts with real relays on loopback, and the same in the model."`
+	Compare  labCompareCmd  `cmd:"" help:"Compare two results, and tell differences from noise."`
+	Loopback labLoopbackCmd `cmd:"" help:"Run rollouts with real relays on loopback, and compare them with the model."`
 	Report   labReportCmd   `cmd:"" help:"Write results as a page with plots, or as plain text."`
 	Metadata labMetadataCmd `cmd:"" help:"Measure the metadata front, its version store and its verification."`
-	Overload labOverloadCmd `cmd:"" help:"Play a fleet's overload in simulated time, with and without its parts."`
-	Fleet    labFleetCmd    `cmd:"" help:"Play a whole fleet in simulated time: times to quiet, an event, or a search of faults."`
+	Overload labOverloadCmd `cmd:"" help:"Simulate the overload of a fleet, with and without each overload feature."`
+	Fleet    labFleetCmd    `cmd:"" help:"Simulate a whole fleet: recovery times, an event, or a search for faults."`
 }
 
+// labOverloadCmd is the sub-command that simulates the overload of a fleet.
 type labOverloadCmd struct {
 	Seed uint64 `default:"1" help:"The same seed gives the same tables."`
-	Full bool   `name:"whole" help:"Also the map of load against failing share, and the table of lost news."`
+	Full bool   `name:"whole" help:"Also print the tables of load against failing attempts, of lost load reports and of the ejection of a backend."`
 }
 
-// Run plays it.
+// Run simulates the overloads and prints their tables.
 func (c *labOverloadCmd) Run() error {
 	return lab.OverloadTables(os.Stdout, c.Seed, c.Full)
 }
 
+// labMetadataCmd is the sub-command that measures the metadata proxy.
 type labMetadataCmd struct {
-	Servers  []int         `default:"10,1000,10000" help:"Sizes of the fleet."`
-	Requests int           `name:"asks" default:"20000" help:"Requests of each kind for a size."`
-	Width    int           `default:"256" help:"Connections at once."`
+	Servers  []int         `default:"10,1000,10000" help:"Numbers of servers."`
+	Requests int           `name:"asks" default:"20000" help:"Requests of each kind for each number of servers."`
+	Width    int           `default:"256" help:"Concurrent connections."`
 	Entries  int           `default:"1000000" help:"Entries of the version store."`
-	Poll     time.Duration `default:"200ms" help:"Between two polls of a server."`
+	Poll     time.Duration `default:"200ms" help:"Pause between two polls of a server."`
 	Out      string        `type:"existingdir" help:"Folder for the plot."`
 }
 
-// Run measures.
+// Run measures the metadata proxy and prints the figures.
 func (c *labMetadataCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -1,5 +1,6 @@
-// Command silvercovectl is the control program: it checks operators' files, keeps keys and repositories, runs the
-// metadata front and its measurements. What is heavy stands here, so that the relay stays lean.
+// Command silvercovectl is the control program. It checks operators' files, manages keys and TUF repositories, runs the
+// metadata proxy (the front, on the command line), runs the processes of a fleet, and measures all of them. Large
+// dependencies are used here, so that the binary of the relay stays small.
 package main
 
 import (
@@ -16,19 +17,19 @@
 	"silvercove/internal/operatorconfig"
 )
 
-// commandLine are all sub-commands.
+// commandLine holds all sub-commands.
 type commandLine struct {
 	Check        checkCmd        `cmd:"" help:"Check an operator's file."`
 	Reference    referenceCmd    `cmd:"" help:"Print the reference page of the operator's file."`
-	Keys         keysCmd         `cmd:"" help:"Make and list signing keys."`
-	Tuf          tufCmd          `cmd:"" help:"Keep a TUF repository."`
-	Uptane       uptaneCmd       `cmd:"" help:"Look into what a Director tells servers."`
-	Metadata     metadataCmd     `cmd:"" help:"Run or watch the metadata front."`
-	VersionStore versionStoreCmd `cmd:"" aliases:"floor" help:"Look into a store of metadata versions, or set its time back."`
-	Verdict      verdictCmd      `cmd:"" help:"Look into a relay's votes, and plan for evidence."`
-	Standin      standinCmd      `cmd:"" help:"Stand-ins for trying things out."`
-	Fleet        fleetCmd        `cmd:"" help:"Processes of a fleet that work together."`
-	Lab          labCmd          `cmd:"" help:"Measurements against stand-ins."`
+	Keys         keysCmd         `cmd:"" help:"Generate, list, rotate and revoke signing keys."`
+	Tuf          tufCmd          `cmd:"" help:"Manage a TUF repository."`
+	Uptane       uptaneCmd       `cmd:"" help:"Inspect what a Director assigns to servers, and send reports to it."`
+	Metadata     metadataCmd     `cmd:"" help:"Run the metadata front, or print its counters."`
+	VersionStore versionStoreCmd `cmd:"" aliases:"floor" help:"Inspect a store of metadata versions, or set its time back."`
+	Verdict      verdictCmd      `cmd:"" help:"Explain a relay's votes, and plan how long evidence takes."`
+	Standin      standinCmd      `cmd:"" help:"Stand-ins for mirrors and servers, for trials."`
+	Fleet        fleetCmd        `cmd:"" help:"Run and manage the processes of a fleet."`
+	Lab          labCmd          `cmd:"" help:"Simulations, and measurements against stand-ins."`
 }
 
 func main() {
@@ -48,11 +49,12 @@
 	}
 }
 
+// checkCmd is the sub-command that checks an operator's file.
 type checkCmd struct {
 	File string `arg:"" help:"The operator's file."`
 }
 
-// Run checks a file.
+// Run checks the file and prints which of the blocks metadata and verdicts it has.
 func (c *checkCmd) Run() error {
 	all, err := operatorconfig.OperatorTable.Read(c.File)
 	if err != nil {
@@ -66,15 +68,17 @@
 	return nil
 }
 
+// referenceCmd is the sub-command that prints the reference page.
 type referenceCmd struct{}
 
-// Run prints the page.
+// Run prints the reference page of the operator's file.
 func (c *referenceCmd) Run() error {
 	_, err := fmt.Print(operatorconfig.OperatorTable.Reference())
 	return err
 }
 
-// logger writes structured lines to standard error, at a level of the operator's file.
+// logger returns a logger that writes structured lines to standard error, at a level that the operator's file names. The
+// level is info if the name is unknown.
 func logger(level string) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -83,7 +87,7 @@
 	return zerolog.New(os.Stderr).Level(l).With().Timestamp().Logger()
 }
 
-// withDiskFull tells a full disk from other errors, for a plain word about it.
+// withDiskFull returns err, with an explanation if the disk is full.
 func withDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
@@ -91,14 +95,15 @@
 	return err
 }
 
-// earlierNames are the sub-commands that have another name now; they still work.
+// earlierNames maps the earlier names of sub-commands, which still work, to the present ones.
 var earlierNames = map[string]string{
 	"fleet edge":   "fleet node",
 	"fleet keeper": "fleet controller",
 	"floor":        "version-store",
 }
 
-// earlierName finds the earlier name of a sub-command that a command line begins with, and its name now; "" where it has none.
+// earlierName returns the earlier name of a sub-command that a command line begins with, and the present name. Both are ""
+// if the command line begins with none.
 func earlierName(args []string) (earlier, now string) {
 	for words := 1; words <= min(2, len(args)); words++ {
 		earlier = strings.Join(args[:words], " ")
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -23,16 +23,18 @@
 	"silvercove/internal/tufverify"
 )
 
+// metadataCmd holds the sub-commands of metadata.
 type metadataCmd struct {
 	Serve  serveCmd  `cmd:"" help:"Run the metadata front of an operator's file."`
 	Status statusCmd `cmd:"" help:"Print the counters of a running front."`
 }
 
+// serveCmd is the sub-command that runs the metadata proxy.
 type serveCmd struct {
 	File string `arg:"" help:"The operator's file."`
 }
 
-// Run serves until SIGTERM or SIGINT; SIGHUP takes the file again.
+// Run runs the metadata proxy until SIGTERM or SIGINT. SIGHUP reloads the operator's file.
 func (c *serveCmd) Run() error {
 	all, err := operatorconfig.OperatorTable.Read(c.File)
 	if err != nil {
@@ -68,13 +70,15 @@
 	}
 }
 
+// statusCmd is the sub-command that prints a metadata proxy's counters.
 type statusCmd struct {
 	Address string `arg:"" help:"HOST:PORT of the front."`
 }
 
-// Run prints the counters.
+// Run prints the counters of a running metadata proxy.
 func (c *statusCmd) Run() error { return printURL("http://" + c.Address + "/status") }
 
+// printURL prints the body of a GET request. Any status but 200 is an error.
 func printURL(url string) error {
 	client := &http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get(url)
@@ -90,13 +94,14 @@
 	return err
 }
 
+// tufVerifyCmd is the sub-command that runs the TUF client workflow.
 type tufVerifyCmd struct {
 	Root string `required:"" type:"existingfile" help:"The pinned root."`
 	From string `arg:"" help:"A repository's folder, or http://HOST:PORT/r/NAME of a front."`
 	Path string `help:"Also look this target up."`
 }
 
-// Run walks the client workflow with an empty floor.
+// Run runs the TUF client workflow with an empty version store: no versions are known from earlier.
 func (c *tufVerifyCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
@@ -140,20 +145,22 @@
 	return nil
 }
 
+// uptaneCmd holds the sub-commands of uptane.
 type uptaneCmd struct {
-	Assign   assignCmd   `cmd:"" help:"Print what the Director of a front tells a server."`
-	Manifest manifestCmd `cmd:"" help:"Sign a report and print it, or send it."`
-	Explain  explainCmd  `cmd:"" help:"Tell why a server may run what it is told."`
+	Assign   assignCmd   `cmd:"" help:"Print the packages that the Director of a front assigns to a server."`
+	Manifest manifestCmd `cmd:"" help:"Sign a server's report, and print it or send it."`
+	Explain  explainCmd  `cmd:"" help:"Explain why a server may run the package that it is assigned."`
 }
 
+// assignCmd is the sub-command that prints a server's assignment.
 type assignCmd struct {
 	Address string `arg:"" help:"HOST:PORT of the front."`
 	Server  string `arg:"" help:"Name of the server."`
 	Root    string `required:"" type:"existingfile" help:"The Director's pinned root."`
-	Partial bool   `help:"Verify the Director's targets alone, as a server with little memory does."`
+	Partial bool   `help:"Verify the Director's targets only, as a server with little memory does."`
 }
 
-// Run verifies and prints the assignment.
+// Run verifies the assignment of a server and prints it.
 func (c *assignCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
@@ -176,19 +183,20 @@
 	return nil
 }
 
+// manifestCmd is the sub-command that signs a server's report.
 type manifestCmd struct {
 	Key       string `required:"" help:"Key file of the server."`
 	Server    string `arg:"" help:"Name of the server."`
 	Hardware  string `required:"" help:"Its kind of hardware."`
-	Counter   int64  `required:"" help:"Higher than that of any report before."`
-	Running   string `help:"Path of the package that it runs."`
-	Build     uint16 `help:"Its build."`
-	Installed string `enum:",ok,failed,declined" default:"" help:"How the last installation went."`
+	Counter   int64  `required:"" help:"Counter of the report, above that of every earlier one."`
+	Running   string `help:"Path of the package that the server runs."`
+	Build     uint16 `help:"Build number of that package."`
+	Installed string `enum:",ok,failed,declined" default:"" help:"Result of the last installation."`
 	Tried     string `help:"Path of the package that was to be installed."`
 	Send      string `help:"HOST:PORT of a front to send it to."`
 }
 
-// Run signs a report.
+// Run signs a report, and prints it or sends it to a metadata proxy.
 func (c *manifestCmd) Run() error {
 	k, err := keys.Load(c.Key, keys.PassphraseFrom(os.Getenv))
 	if err != nil {
@@ -218,12 +226,13 @@
 	return nil
 }
 
+// explainCmd is the sub-command that explains an assignment.
 type explainCmd struct {
 	Address string `arg:"" help:"HOST:PORT of the front."`
 	Server  string `arg:"" help:"Name of the server."`
 }
 
-// Run prints the reasons.
+// Run prints the reasons that a metadata proxy gives for the assignment of a server.
 func (c *explainCmd) Run() error {
 	if _, _, err := net.SplitHostPort(c.Address); err != nil {
 		return err
@@ -231,21 +240,23 @@
 	return printURL("http://" + c.Address + "/explain/" + c.Server)
 }
 
+// versionStoreCmd holds the sub-commands of version-store.
 type versionStoreCmd struct {
-	Show  versionStoreShowCmd  `cmd:"" help:"List what a version store holds; it must not be in use."`
-	Clock versionStoreClockCmd `cmd:"" help:"Set the version store's time back to now, after a clock was far ahead."`
+	Show  versionStoreShowCmd  `cmd:"" help:"List the entries of a version store, which must not be in use."`
+	Clock versionStoreClockCmd `cmd:"" help:"Set the version store's trusted time back to now, after the clock was far ahead."`
 }
 
-// logToStderr writes a log line for a person at a terminal.
+// logToStderr writes a log line to standard error, as text for a terminal.
 func logToStderr(_ slog.Level, message string, fields ...slog.Attr) {
 	fmt.Fprintln(os.Stderr, balancer.LogLine(message, fields...))
 }
 
+// versionStoreShowCmd is the sub-command that lists a version store.
 type versionStoreShowCmd struct {
 	Paths []string `arg:"" type:"existingfile" help:"The version store's copies."`
 }
 
-// Run lists a floor.
+// Run prints the trusted time and the entries of a version store.
 func (c *versionStoreShowCmd) Run() error {
 	f, err := monotonic.Open(c.Paths, 1<<30, logToStderr)
 	if err != nil {
@@ -259,16 +270,17 @@
 	return nil
 }
 
+// versionStoreClockCmd is the sub-command that sets a version store's trusted time back.
 type versionStoreClockCmd struct {
 	Paths []string `arg:"" type:"existingfile" help:"The version store's copies."`
-	Yes   bool     `help:"Do it: what has expired since may count as current again until its own end."`
+	Yes   bool     `help:"Confirm: metadata that had expired by the later time count as valid again until they expire."`
 }
 
-// Run sets the time back.
+// Run sets the version store's trusted time back to now, if it is ahead.
 func (c *versionStoreClockCmd) Run() error {
 	if !c.Yes {
-		return errors.New("this makes metadata that had expired by the floor's time current again: say --yes if the clock " +
-			"was wrong, and is right now")
+		return errors.New("this makes metadata that have expired by the trusted time of the version store valid again: give --yes if the clock " +
+			"was wrong and is right now")
 	}
 	f, err := monotonic.Open(c.Paths, 1<<30, logToStderr)
 	if err != nil {
@@ -277,7 +289,7 @@
 	defer func() { _ = f.Close() }()
 	before, now := f.TrustedTime(), tufverify.FromTime(time.Now())
 	if before <= now {
-		fmt.Printf("the floor's time %s is not ahead: nothing was changed\n", before.Time().Format(time.RFC3339))
+		fmt.Printf("the trusted time %s of the version store is not ahead: nothing was changed\n", before.Time().Format(time.RFC3339))
 		return nil
 	}
 	if err := f.ResetTime(now); err != nil {
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -17,13 +17,14 @@
 	"silvercove/internal/lab"
 )
 
+// labRunCmd is the sub-command that runs an experiment.
 type labRunCmd struct {
 	File     string `arg:"" type:"existingfile" help:"The experiment's file."`
 	Out      string `required:"" help:"File for the results, lines of JSON."`
-	Rollouts int    `help:"Of each package under each condition, in place of the file's number."`
+	Rollouts int    `help:"Rollouts of each package under each condition, instead of the file's number."`
 }
 
-// Run runs an experiment.
+// Run runs the experiment, writes its results and prints their rates.
 func (c *labRunCmd) Run() error {
 	e, err := lab.ReadExperiment(c.File, "")
 	if err != nil {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// runTo runs an experiment with progress on a terminal, and writes the results.
+// runExperiment runs an experiment and writes its results to a file. It shows the progress if standard error is a terminal.
 func runExperiment(e lab.Experiment, path string) ([]lab.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -66,14 +67,15 @@
 	return all, withDiskFull(out.Close())
 }
 
+// labSweepCmd is the sub-command that runs an experiment for several values of a directive.
 type labSweepCmd struct {
 	File   string   `arg:"" type:"existingfile" help:"The experiment's file."`
-	Name   string   `arg:"" help:"Directive that is swept, with one value, such as rate."`
-	Values []string `arg:"" help:"Its values."`
+	Name   string   `arg:"" help:"Directive to vary, which takes one value, such as rate."`
+	Values []string `arg:"" help:"Values of the directive."`
 	Out    string   `required:"" type:"existingdir" help:"Folder for the results, a file for each value."`
 }
 
-// Run runs an experiment once for each value.
+// Run runs the experiment once for each value of the directive.
 func (c *labSweepCmd) Run() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -101,12 +103,13 @@
 	return nil
 }
 
+// labCompareCmd is the sub-command that compares two results.
 type labCompareCmd struct {
-	A string `arg:"" type:"existingfile" help:"Results."`
-	B string `arg:"" type:"existingfile" help:"Other results."`
+	A string `arg:"" type:"existingfile" help:"Results of lab run."`
+	B string `arg:"" type:"existingfile" help:"Results to compare them with."`
 }
 
-// Run sets two results side by side.
+// Run prints a comparison of two results.
 func (c *labCompareCmd) Run() error {
 	a, err := readResults(c.A)
 	if err != nil {
@@ -119,6 +122,7 @@
 	return lab.Compare(os.Stdout, filepath.Base(c.A), filepath.Base(c.B), a, b)
 }
 
+// readResults reads a file of results. A file without any is an error.
 func readResults(path string) ([]lab.Result, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -135,16 +139,17 @@
 	return all, nil
 }
 
+// labReportCmd is the sub-command that writes a report of results.
 type labReportCmd struct {
 	Results     string  `arg:"" type:"existingfile" help:"Results of lab run."`
 	HTML        string  `help:"File for the page with plots."`
-	Text        string  `help:"File for the plain text; without both it goes to the terminal."`
+	Text        string  `help:"File for the plain text. Without --html and --text the text is printed."`
 	Title       string  `default:"Simulated rollouts" help:"Title of the page."`
 	FalseAlarms float64 `default:"0.05" help:"Declared rate of false alarms."`
 	Misses      float64 `default:"0.05" help:"Declared rate of misses."`
 }
 
-// Run writes the report.
+// Run writes the report as a page, as text, or both.
 func (c *labReportCmd) Run() error {
 	all, err := readResults(c.Results)
 	if err != nil {
@@ -165,7 +170,7 @@
 	return nil
 }
 
-// to writes a file.
+// writeFile creates a file and has write fill it.
 func writeFile(path string, write func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
@@ -178,13 +183,14 @@
 	return withDiskFull(out.Close())
 }
 
+// labLoopbackCmd is the sub-command that runs rollouts with real relays.
 type labLoopbackCmd struct {
 	File     string `arg:"" type:"existingfile" help:"The experiment's file."`
-	Rollouts int    `default:"6" help:"Of each package."`
-	Width    int    `default:"6" help:"Rollouts at once; each has real relays, backends and clients."`
+	Rollouts int    `default:"6" help:"Rollouts of each package."`
+	Width    int    `default:"6" help:"Concurrent rollouts; each has its own relays, backends and clients."`
 }
 
-// Run plays rollouts with real relays and in the model.
+// Run runs rollouts with real relays and in the model, and compares the results.
 func (c *labLoopbackCmd) Run() error {
 	e, err := lab.ReadExperiment(c.File, "")
 	if err != nil {
@@ -201,6 +207,6 @@
 	if err != nil {
 		return err
 	}
-	lab.Print(os.Stdout, "Rollouts with real relays on loopback, stand-in units and platform", sockets, e.FalseAlarms, e.Misses)
+	lab.Print(os.Stdout, "Rollouts with real relays on loopback, stand-in backends and platform", sockets, e.FalseAlarms, e.Misses)
 	return nil
 }
--- a/cmd/silvercovectl/standin.go
+++ b/cmd/silvercovectl/standin.go
@@ -15,17 +15,19 @@
 	"silvercove/internal/standin/repository"
 )
 
+// standinCmd holds the sub-commands of standin.
 type standinCmd struct {
 	Mirror standinMirrorCmd `cmd:"" help:"Serve a repository's folder as a mirror, on loopback."`
-	Server standinServerCmd `cmd:"" help:"Be a picture server: update from a front, install, report."`
+	Server standinServerCmd `cmd:"" help:"Run a stand-in for a server: update from a front, install and report."`
 }
 
+// standinMirrorCmd is the sub-command that runs a mirror.
 type standinMirrorCmd struct {
 	Repo    string `arg:"" type:"existingdir" help:"The repository."`
 	Address string `arg:"" help:"Loopback HOST:PORT."`
 }
 
-// loopback refuses every other address.
+// requireLoopback returns an error for an address that is not a loopback IP address with a port.
 func requireLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// Run serves until it is stopped.
+// Run serves the folders metadata and targets of a repository until SIGTERM or SIGINT.
 func (c *standinMirrorCmd) Run() error {
 	if err := requireLoopback(c.Address); err != nil {
 		return err
@@ -56,6 +58,7 @@
 	return nil
 }
 
+// standinServerCmd is the sub-command that runs a stand-in for a server.
 type standinServerCmd struct {
 	Name         string        `arg:"" help:"Name of the server."`
 	Kind         string        `arg:"" help:"Its kind of hardware."`
@@ -64,12 +67,12 @@
 	ImageRoot    string        `required:"" type:"existingfile" help:"Its pinned root."`
 	DirectorRoot string        `required:"" type:"existingfile" help:"The Director's pinned root."`
 	Key          string        `required:"" help:"Key file of the server."`
-	Until        uint16        `help:"End once it runs this build."`
-	For          time.Duration `default:"30s" help:"Give up after this time."`
-	Poll         time.Duration `default:"200ms" help:"Between two rounds."`
+	Until        uint16        `help:"End once the server runs this build."`
+	For          time.Duration `default:"30s" help:"End after this time; that is an error."`
+	Poll         time.Duration `default:"200ms" help:"Pause between two rounds of updating."`
 }
 
-// Run updates until the build runs.
+// Run updates the server until it runs the build, or until the time is over.
 func (c *standinServerCmd) Run() error {
 	if err := requireLoopback(c.Front); err != nil {
 		return err
@@ -87,7 +90,7 @@
 	if s.Key, err = keys.Load(c.Key, keys.PassphraseFrom(os.Getenv)); err != nil {
 		return err
 	}
-	s.SetCounter(time.Now().UnixMilli()) // reports count further than those of an earlier run
+	s.SetCounter(time.Now().UnixMilli()) // above the counters of the reports of earlier runs
 	for end := time.Now().Add(c.For); ; time.Sleep(c.Poll) {
 		before := s.Build
 		err := s.Step()
