--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab measures what the program's parts do, against stand-ins on loopback or in a model of their own.
-// Its figures are of this machine and of stand-ins, and its tables say so.
+// Package lab measures parts of the program, either against stand-ins on loopback or in simulations. Its figures hold for
+// this machine and for stand-ins only, and its tables say so.
 package lab
 
 import (
@@ -16,14 +16,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is one table of figures.
+// Table is a table of figures that is printed as text.
 type Table struct {
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// Add adds a row.
+// Add adds a row. Durations and floating-point numbers are shortened to a few digits.
 func (t *Table) Add(cells ...any) {
 	var row []string
 	for _, c := range cells {
@@ -39,7 +39,7 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// shortDuration gives a duration with three digits.
+// shortDuration formats a duration with three digits.
 func shortDuration(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -62,13 +62,13 @@
 	_, _ = fmt.Fprintln(to)
 }
 
-// Series is one line of a plot.
+// Series is one curve of a plot.
 type Series struct {
 	Name string
 	X, Y []float64
 }
 
-// Plot draws lines with logarithmic axes into an SVG file.
+// Plot draws curves with logarithmic axes into an SVG file. Points that are not above 0 are left out.
 func Plot(path, title, x, y string, all ...Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -91,18 +91,21 @@
 	return p.Save(16*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// latencies is a histogram of durations from 1 us to 10 minutes.
+// latencies is a histogram of durations from 1 us to 10 minutes, with a resolution of 1 us and three digits.
 type latencies struct{ *hdrhistogram.Histogram }
 
+// newLatencies returns an empty histogram.
 func newLatencies() latencies { return latencies{hdrhistogram.New(1, 600_000_000, 3)} }
 
+// add records a duration.
 func (l latencies) add(d time.Duration) { _ = l.RecordValue(max(1, d.Microseconds())) }
 
+// at returns the duration at a percentile, from 0 to 100.
 func (l latencies) at(percent float64) time.Duration {
 	return time.Duration(l.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// stickyWriter passes on what is written until an error, which it keeps and gives to each later write.
+// stickyWriter forwards writes until one fails. Later writes then return the error of that one.
 type stickyWriter struct {
 	to  io.Writer
 	err error
--- a/internal/lab/model_events.go
+++ b/internal/lab/model_events.go
@@ -4,19 +4,20 @@
 	"silvercove/balancer"
 )
 
-// event is one thing that happens.
+// event is a function that is due at a time of a simulation.
 type event struct {
 	at       balancer.Tick
-	sequence int
+	sequence int // breaks ties between events of the same time
 	run      func()
 }
 
+// events is a heap of events for container/heap.
 type events []event
 
-// Len is the number of events that wait.
+// Len returns the number of pending events.
 func (e events) Len() int { return len(e) }
 
-// Less orders events by time, then by order of coming.
+// Less orders events by time, and events of the same time by sequence.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
@@ -27,5 +28,5 @@
 // Push adds an event.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last event out.
+// Pop removes the last event of the slice and returns it.
 func (e *events) Pop() any { last := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return last }
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -14,30 +14,32 @@
 	"silvercove/internal/tick"
 )
 
+// overloadRelay is a simulated relay: a balancer with its host, and the overload manager of the fleet.
 type overloadRelay struct {
 	*balancer.Balancer
 	model       *overloadModel
 	number      int
 	incarnation uint64
 	overload    *overload.Manager
-	serving     bool // serves
-	alive       bool
+	serving     bool // accepts requests
+	alive       bool // its process runs
 	known       []*balancer.Backend
 	requests    map[*balancer.Request]*clientRequest
 	attempts    map[*balancer.Attempt]*overloadAttempt
-	connected   []bool // backends that it has a connection to
+	connected   []bool // by backend: whether it has a connection to the backend
 }
 
+// overloadAttempt is an attempt of a request at a backend.
 type overloadAttempt struct {
 	attempt       *balancer.Attempt
 	relay         *overloadRelay
 	incarnation   uint64
 	sentAt        balancer.Tick
 	ended         bool
-	newConnection bool // its connection is to be made
+	newConnection bool // it makes a new connection
 }
 
-// start starts a relay's process, without memory; serve has it take requests.
+// start starts the process of a relay, without state. The relay accepts requests after beginServing.
 func (n *overloadRelay) start() {
 	n.incarnation++
 	n.alive = true
@@ -50,6 +52,7 @@
 	n.updatePressure(n.incarnation)
 }
 
+// beginServing gives the relay the endpoint list, after which it accepts requests.
 func (n *overloadRelay) beginServing() {
 	n.known = nil
 	host := n.model.wrapHost.apply(n, n.number, func() balancer.Tick { return n.model.now })
@@ -63,7 +66,7 @@
 	n.serving = true
 }
 
-// updatePressure gives the fleet's module what the relay sees of its load, ten times a second.
+// updatePressure gives the overload manager the load that the relay measures, ten times a second.
 func (n *overloadRelay) updatePressure(incarnation uint64) {
 	if n.incarnation != incarnation || !n.alive {
 		return
@@ -74,7 +77,8 @@
 	n.model.after(0.1, func() { n.updatePressure(incarnation) })
 }
 
-// gossip brings a relay's news to the others, as they would travel.
+// gossip delivers a load report of the relay to the other relays, in its encoded form, with the loss, the delay and the split
+// of the simulation.
 func (n *overloadRelay) gossip() {
 	m := n.model
 	m.after(m.gossipInterval(), n.gossip)
@@ -111,7 +115,7 @@
 	send()
 }
 
-// falsify has the first relay tell what is not so, if it is to.
+// falsify replaces the verdicts and the evidence in the report of the first relay as FalseReports says.
 func (n *overloadRelay) falsify(report *overload.Report) {
 	hash := func(unit int) uint64 { return xxhash.Sum64String(fmt.Sprint("unit-", unit)) }
 	switch {
@@ -128,14 +132,14 @@
 	}
 }
 
-// openRequests are the open requests in the order in which they came, so that chance falls alike each time.
+// openRequests returns the open requests in the order of their arrival, so that the same seed gives the same result.
 func (n *overloadRelay) openRequests() []*balancer.Request {
 	all := slices.Collect(maps.Keys(n.requests))
 	slices.SortFunc(all, func(a, b *balancer.Request) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// restart asks for the list and serves once it has come. The list's service turns away what it has no room for.
+// restart fetches the endpoint list, after which the relay serves. With the feature Ramp it waits for its startup delay first.
 func (n *overloadRelay) restart(incarnation uint64) {
 	m := n.model
 	wait := 0.0
@@ -145,6 +149,8 @@
 	m.after(wait, func() { n.callList(incarnation, 0.5) })
 }
 
+// callList fetches the endpoint list. The list service refuses calls while its queue is full; a refused call is repeated after
+// a random pause, with a mean that doubles each time.
 func (n *overloadRelay) callList(incarnation uint64, pause float64) {
 	m := n.model
 	m.listCallsBySecond[int(m.seconds())]++
@@ -160,7 +166,7 @@
 	})
 }
 
-// StartAttempt sends to a backend.
+// StartAttempt starts an attempt at a backend. A sick backend, or a cut link, gives no answer.
 func (n *overloadRelay) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
 	m, u := n.model, n.model.backends[d.Backend.ID]
 	a := n.requests[d.Request]
@@ -192,7 +198,7 @@
 	}
 }
 
-// finish tells a relay how an attempt ended, unless it has gone or stopped waiting.
+// finish reports the outcome of an attempt to its relay, unless that relay has restarted or has ended the attempt.
 func (s *overloadAttempt) finish(outcome balancer.Outcome) {
 	n, m := s.relay, s.relay.model
 	if s.ended || n.incarnation != s.incarnation || !n.serving {
@@ -214,14 +220,15 @@
 	n.OnOutcome(m.now, s.attempt, outcome, m.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request; its client comes back.
+// Reject ends a request. Its client retries after the time that it is given.
 func (n *overloadRelay) Reject(c *balancer.Request, retryAfter balancer.Tick) {
 	n.endRequest(c, float64(retryAfter)/second)
 }
 
-// Fail ends a request; its client asks again.
+// Fail ends a request with an error. Its client retries.
 func (n *overloadRelay) Fail(c *balancer.Request) { n.endRequest(c, 0) }
 
+// endRequest ends a request without success and schedules the retry of its client.
 func (n *overloadRelay) endRequest(c *balancer.Request, retryAfter float64) {
 	a, open := n.requests[c]
 	if !open {
@@ -232,14 +239,14 @@
 	n.model.retry(a, retryAfter)
 }
 
-// CancelAttempt stops waiting.
+// CancelAttempt ends an attempt. Its backend works on it nevertheless.
 func (n *overloadRelay) CancelAttempt(d *balancer.Attempt) {
 	if s := n.attempts[d]; s != nil {
 		n.model.after(0, func() { s.finish(balancer.Cancelled) })
 	}
 }
 
-// SetTimer sets an alarm.
+// SetTimer schedules a timer event of the balancer.
 func (n *overloadRelay) SetTimer(at balancer.Tick, tag uint32) {
 	incarnation := n.incarnation
 	n.model.after(float64(at-n.model.now)/second, func() {
@@ -249,12 +256,12 @@
 	})
 }
 
-// AllowRetry asks the fleet, where it has a budget.
+// AllowRetry asks the overload manager with the feature Budget; without it every retry is allowed.
 func (n *overloadRelay) AllowRetry(c *balancer.Request) bool {
 	return !n.model.Features.Budget || n.overload.AllowRetry(n.model.clock(), c.ClientRetry)
 }
 
-// IsEjected asks the fleet, where it chooses probers.
+// IsEjected asks the overload manager with the feature Probes; without it no backend is ejected.
 func (n *overloadRelay) IsEjected(u *balancer.Backend) bool {
 	if !n.model.Features.Probes || !n.overload.IsEjected(n.model.clock(), fmt.Sprint("unit-", u.ID)) {
 		return false
@@ -265,17 +272,18 @@
 	return true
 }
 
-// AllowProbe asks the fleet, where it chooses probers.
+// AllowProbe asks the overload manager with the feature Probes; without it every probe is allowed.
 func (n *overloadRelay) AllowProbe(u *balancer.Backend) bool {
 	return !n.model.Features.Probes || n.overload.AllowProbe(n.model.clock(), fmt.Sprint("unit-", u.ID))
 }
 
+// Probe does nothing: probes are not simulated.
 func (n *overloadRelay) Probe(*balancer.Backend) {}
 
 // CloseIdle does nothing: connections are not simulated.
 func (n *overloadRelay) CloseIdle(*balancer.Backend) {}
 
-// SendGossip does nothing: relays here do not gossip by the balancer.
+// SendGossip does nothing: gossip between balancers is not simulated.
 func (n *overloadRelay) SendGossip(uint32, []byte) {}
 
 // Log drops log lines.
