--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -8,7 +8,7 @@
 	"silvercove/balancer"
 )
 
-const atMostOnce = 2 // the index of its request class
+const atMostOnce = 2 // index of the at-most-once class of Day.Run
 
 // dayRelay is a simulated relay: a balancer and its host.
 type dayRelay struct {
@@ -146,7 +146,7 @@
 // Fail ends a request with an error.
 func (n *dayRelay) Fail(c *balancer.Request) {
 	if _, open := n.attempts[c]; !open {
-		n.day.recordViolation("a second answer")
+		n.day.recordViolation("a second answer to a request")
 	}
 	delete(n.attempts, c)
 }
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -134,7 +134,7 @@
 	capacity         float64 // requests a second that a warm backend can serve
 	wrapHost         hostWrapper
 	cores            float64 // of a backend, shared among its requests in progress; 0: the latency of an attempt is drawn when it starts
-	warmUp           float64 // seconds until a backend with cores is warm
+	warmUp           float64 // seconds until a backend that shares its cores is warm
 }
 
 // Run simulates a day. The same day with the same seed always gives the same result.
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -47,11 +47,11 @@
 		}
 		servers = append(servers, u)
 	}
-	var parts []float64
+	var shares []float64
 	for _, w := range r.Stages {
-		parts = append(parts, w.Share)
+		shares = append(shares, w.Share)
 	}
-	platform, err := backends.NewPlatform(servers, stableVersion, parts, time.Duration(r.Bake*float64(time.Second)))
+	platform, err := backends.NewPlatform(servers, stableVersion, shares, time.Duration(r.Bake*float64(time.Second)))
 	if err != nil {
 		return result, err
 	}
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -59,7 +59,7 @@
 }
 
 // replaceBackends moves backends to a version until a target number of them runs it. Backends are taken in steps of seven, so
-// that consecutive ones differ in their number modulo six, which failureShare uses; if the number of backends is divisible by
+// that consecutive ones mostly differ in their number modulo six, which failureShare uses; if the number of backends is divisible by
 // seven, they are taken in their order.
 func (m *model) replaceBackends(version uint16, target int) {
 	updated := 0
