--- a/internal/lab/days_test.go
+++ b/internal/lab/days_test.go
@@ -42,7 +42,8 @@
 }
 
 // TestDay_Release checks that no backend is overloaded while two thirds of the backends are cold, and that about half of the
-// requests are answered in time: a share of 0.53, and of 0.89 with each cold backend that is due in reach, see docs/design.md.
+// requests are answered in time: a share of 0.53. The share is 0.89 with an alternative that is not in use, in which a relay also
+// adds to its subset of backends each cold one whose slow-start budget is due; see docs/design.md.
 func TestDay_Release(t *testing.T) {
 	r := ReleaseDay.Run(1)
 	for what, n := range r.Violations {
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -86,8 +86,8 @@
 	return runs
 }
 
-// goldenRollouts lists a rollout for each package and condition of a shipped experiment, each with one seed. The rollouts are
-// shortened: they have the rate of requests a second that is given, and end after 12 s.
+// goldenRollouts lists a rollout for each package and condition of a shipped experiment, each with one seed. Their rate is in
+// requests a second. They are shortened: each ends after 12 s without a verdict, or 2 s after its release.
 func goldenRollouts(t *testing.T, name string, rate float64) (runs []goldenRun) {
 	t.Helper()
 	e, err := ReadExperiment("../../deploy/"+name+".conf", "")
