--- a/internal/standin/battery/machine.go
+++ b/internal/standin/battery/machine.go
@@ -63,7 +63,7 @@
 // charge|temp|draw VALUE, swing PART SECONDS COUNT (sun on and off).
 func New(seed uint64, script string) (*Machine, error) {
 	v := &Machine{Charge: 1, Temperature: 40, Air: 22, random: rand.New(rand.NewPCG(seed, 29))}
-	v.heal()
+	v.clearFaults()
 	lines := bufio.NewScanner(strings.NewReader(script))
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(lines.Text())
@@ -102,7 +102,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (v *Machine) heal() {
+func (v *Machine) clearFaults() {
 	v.faults, v.missing, v.falseReadings = map[string]string{}, map[string]bool{}, map[string]float64{}
 }
 
@@ -142,7 +142,7 @@
 	case "freeze", "thaw":
 		v.frozen = f[0] == "freeze"
 	case "heal":
-		v.heal()
+		v.clearFaults()
 	case "miss":
 		if len(f) != 2 || !filepath.IsLocal(f[1]) {
 			return bad
--- a/internal/standin/faultproxy/mesh.go
+++ b/internal/standin/faultproxy/mesh.go
@@ -18,7 +18,7 @@
 			if from.Name == to.Name {
 				continue
 			}
-			link, err := network.Add(from.Name, to.Name, to.Address)
+			link, err := network.AddLink(from.Name, to.Name, to.Address)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -153,10 +153,10 @@
 	for _, p := range c.nodes {
 		columns = append(columns, p.Name)
 	}
-	told := map[string]bool{}
+	seen := map[string]bool{}
 	events := slices.DeleteFunc(c.Events(), func(e Event) bool { // that all are there at first, and the news of many of many
-		first := !told[e.Node+e.From]
-		told[e.Node+e.From] = true
+		first := !seen[e.Node+e.From]
+		seen[e.Node+e.From] = true
 		return e.Name == "member" && (len(columns) > 8 || first && e.Is("* member alive"))
 	})
 	return Draw(append(columns, linkColumn, TestNode), c.started, events)
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -57,7 +57,7 @@
 		for _, q := range c.nodes {
 			at := net.JoinHostPort(q.address, requestPort)
 			if p != q {
-				l, err := c.Links.Add(p.Name, q.Name, net.JoinHostPort(q.address, fleetPort))
+				l, err := c.Links.AddLink(p.Name, q.Name, net.JoinHostPort(q.address, fleetPort))
 				if err != nil {
 					return err
 				}
@@ -81,7 +81,7 @@
 
 // addRequestLink makes the link by which one sends requests to a process.
 func (c *Cluster) addRequestLink(from string, q *process) (address string, err error) {
-	l, err := c.Links.Add(from, q.Name, net.JoinHostPort(q.address, requestPort))
+	l, err := c.Links.AddLink(from, q.Name, net.JoinHostPort(q.address, requestPort))
 	if err != nil {
 		return "", err
 	}
@@ -102,7 +102,7 @@
 			}
 			continue
 		}
-		l, err := c.Links.Add(TestNode, q.Name, net.JoinHostPort(q.address, fleetPort))
+		l, err := c.Links.AddLink(TestNode, q.Name, net.JoinHostPort(q.address, fleetPort))
 		if err != nil {
 			return err
 		}
--- a/internal/standin/testcluster/race.go
+++ b/internal/standin/testcluster/race.go
@@ -2,4 +2,4 @@
 
 package testcluster
 
-const raced = true
+const raceDetector = true
--- a/internal/standin/testcluster/script.go
+++ b/internal/standin/testcluster/script.go
@@ -57,23 +57,23 @@
 			return errors.New("it does not run")
 		}
 	}
-	note := Event{At: time.Now(), Node: p.Name, Name: verb, Script: true}
+	event := Event{At: time.Now(), Node: p.Name, Name: verb, Script: true}
 	switch verb {
 	case "start":
-		c.addEvent(note)
+		c.addEvent(event)
 		return c.start(p)
 	case "kill", "end":
 		c.mu.Lock()
 		p.mayEnd = true
 		c.mu.Unlock()
 		if verb == "kill" {
-			c.addEvent(note)
+			c.addEvent(event)
 			_ = p.command.Process.Kill()
 			<-p.ended
 			p.command = nil
 			return nil
 		}
-		c.addEvent(note)
+		c.addEvent(event)
 		_ = p.command.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.ended:
@@ -83,7 +83,7 @@
 		p.command = nil
 		return nil
 	case "stop":
-		c.addEvent(note)
+		c.addEvent(event)
 		p.stopped = true
 		if err := p.command.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
@@ -95,26 +95,26 @@
 		}
 		return nil
 	case "wake":
-		c.addEvent(note)
+		c.addEvent(event)
 		p.stopped = false
 		return p.command.Process.Signal(syscall.SIGCONT)
 	case "sick", "well":
-		c.addEvent(note)
+		c.addEvent(event)
 		for _, l := range p.requestLinks {
 			l.Refuse(verb == "sick")
 		}
 		return nil
 	case "wipe":
-		c.addEvent(note)
+		c.addEvent(event)
 		return os.RemoveAll(p.dataDir)
 	case "save":
-		c.addEvent(note)
+		c.addEvent(event)
 		if err := os.RemoveAll(p.savedDir); err != nil {
 			return err
 		}
 		return os.CopyFS(p.savedDir, os.DirFS(p.dataDir))
 	case "restore":
-		c.addEvent(note)
+		c.addEvent(event)
 		if err := os.RemoveAll(p.dataDir); err != nil {
 			return err
 		}
