--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// A testEvent is a line of go test -json (go doc cmd/test2json).
+// testEvent is a line of the output of go test -json (go doc cmd/test2json).
 type testEvent struct {
 	Action      string
 	Package     string
@@ -14,7 +14,7 @@
 	FailedBuild string
 }
 
-// The actions that are looked at.
+// The actions of test events that the program handles.
 const (
 	actionRun    = "run"
 	actionOutput = "output"
@@ -23,14 +23,14 @@
 	actionSkip   = "skip"
 )
 
-// Lines of go test and of the testing package, by which their output is told apart.
+// Lines that go test and the testing package print, and prefixes of such lines.
 const (
-	linePassed     = "ok  \t"        // a package's last line, where it passed
-	lineNoTests    = "?   \t"        // and where it has no test files
-	lineFailed     = "FAIL\t"        // and where it failed
-	lineTestsEnded = "FAIL\n"        // the testing package's own last line
-	lineExitStatus = "exit status 1" // after it
-	lineProgress   = "=== "          // a test starts, pauses or goes on
+	linePassed     = "ok  \t"        // the last line of a package that passed
+	lineNoTests    = "?   \t"        // the last line of a package without test files
+	lineFailed     = "FAIL\t"        // the last line of a package that failed
+	lineTestsEnded = "FAIL\n"        // the last line of the testing package itself after a failure
+	lineExitStatus = "exit status 1" // the line after lineTestsEnded
+	lineProgress   = "=== "          // a test starts, pauses or continues
 	lineTestFailed = "--- FAIL: "    // a test's result
 )
 
@@ -39,22 +39,21 @@
 	return e.Action == actionPass || e.Action == actionFail || e.Action == actionSkip
 }
 
-// isResultLine reports whether the event is the line by which a package's failure is reported.
+// isResultLine reports whether the event is the line that reports a package's failure.
 func (e testEvent) isResultLine() bool {
 	return e.Test == "" && strings.HasPrefix(e.Output, lineFailed)
 }
 
-// A packageRun is one package's tests while they run. Their output is kept until it is known whether it is to
-// be printed.
+// packageRun tracks one package's tests while they run. It keeps their output until it is known whether to print it.
 type packageRun struct {
 	output []testEvent
-	open   map[string]bool // tests that have started and not ended
+	open   map[string]bool // tests that have started but not ended
 	failed []string
 }
 
 func newPackageRun() *packageRun { return &packageRun{open: map[string]bool{}} }
 
-// endTest records the end of one test. The output of one that did not fail is dropped: go test prints none.
+// endTest records the end of one test. It drops the output of a test that did not fail, which go test does not print either.
 func (p *packageRun) endTest(e testEvent) {
 	delete(p.open, e.Test)
 	if e.Action == actionFail {
@@ -64,9 +63,8 @@
 	p.output = slices.DeleteFunc(p.output, func(o testEvent) bool { return o.Test == e.Test })
 }
 
-// endedInOrder reports whether the testing package came to its own last line, with nothing printed after it. A
-// panic, an exit or a time-out leaves that line out, so that the tests that had not run yet would count as
-// passed.
+// endedInOrder reports whether the testing package printed its own last line, with nothing after it. After a panic, an exit or a
+// timeout that line is missing, and the tests that had not run yet would count as passed.
 func (p *packageRun) endedInOrder() bool {
 	last := -1
 	for i, o := range p.output {
@@ -82,7 +80,7 @@
 	})
 }
 
-// printedByItself reports whether a test printed anything but its result.
+// printedByItself reports whether a test printed anything besides its result.
 func (p *packageRun) printedByItself(test string) bool {
 	return slices.ContainsFunc(p.output, func(o testEvent) bool {
 		return o.Test == test && !strings.HasPrefix(o.Output, lineProgress) &&
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,20 +1,19 @@
-// Command knownred runs test commands as CI does while KNOWN-RED.txt lists tests that are known to fail: it
-// prints what go test prints, names each listed test that failed with its entry, and fails unless just these
+// Command knownred runs test commands as CI does while KNOWN-RED.txt lists tests that are known to fail. It prints the output of
+// go test, names each listed test that failed together with its entry, and exits with a failure unless exactly the listed tests
 // have failed.
 //
-//	knownred DIRECTORY 'go test ./a ./b' 'go test -p 2 ./c'
+// knownred DIRECTORY 'go test ./a ./b' 'go test -p 2 ./c'
 //
-// The commands run in the directory whose KNOWN-RED.txt is read. An entry of the list is a block of lines,
-// with a blank line between two entries:
+// The commands run in the given directory, whose KNOWN-RED.txt is read. An entry of the list is a block of lines, and a blank line
+// separates two entries:
 //
-//	test: silvercove/internal/edgenode.TestTakeover/late
-//	command: go test -run TestTakeover ./internal/edgenode
-//	seed: 7
-//	seen: the replica serves 1.2 s after the lease has ended
-//	issue: 7
+// test: silvercove/internal/edgenode.TestTakeover/late
+// command: go test -run TestTakeover ./internal/edgenode
+// seed: 7
+// seen: the replica serves 1.2 s after the lease has ended
+// issue: 7
 //
-// Files: list.go reads the list, runner.go runs the commands, events.go and results.go judge what go test
-// reports.
+// Files: list.go reads the list, runner.go runs the commands, events.go and results.go evaluate the events of go test.
 package main
 
 import (
@@ -27,7 +26,7 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // a test failed that is not listed, or the list does not hold
+	exitFailed = 1 // an unlisted test failed, a listed test did not fail, or a command or the list is invalid
 	exitUsage  = 2
 )
 
@@ -42,7 +41,7 @@
 	}
 }
 
-// run executes all test commands, also after one has failed, as CI does without a list.
+// run executes all test commands, even after one of them has failed, as CI does without a list.
 func run(directory string, commands []string, out io.Writer) error {
 	text, err := os.ReadFile(filepath.Join(directory, listFile))
 	if err != nil {
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// results is what the test commands have reported so far. It is not safe for concurrent use.
+// results collects what the test commands have reported so far. It is not safe for concurrent use.
 type results struct {
 	listed         []knownFailure
 	out            io.Writer
-	outcomes       map[testID][]string    // the action by which each listed test ended, one for each run
+	outcomes       map[testID][]string    // the final action of each run of a listed test
 	running        map[string]*packageRun // by import path
 	failedPackages int
 	problems       []error
@@ -21,7 +21,7 @@
 	return &results{listed: listed, out: out, outcomes: map[testID][]string{}, running: map[string]*packageRun{}}
 }
 
-// record takes one event, and prints a package's output once the package has ended.
+// record handles one event, and prints a package's output once the package has ended.
 func (r *results) record(e testEvent) {
 	if e.Package == "" {
 		// The compiler's output has no package.
@@ -50,7 +50,7 @@
 	}
 }
 
-// endPackage prints what go test prints of a package that has ended, and checks a failed one.
+// endPackage prints the output of a package that has ended, as go test does, and checks a package that failed.
 func (r *results) endPackage(e testEvent, p *packageRun) {
 	if e.Action != actionFail {
 		for _, o := range p.output {
@@ -70,8 +70,8 @@
 	r.checkPackageEnd(e, p, known)
 }
 
-// printFailedPackage prints a failed package's output, with the entries of its known failures before its last
-// line, and returns how many these are.
+// printFailedPackage prints a failed package's output, with the entries of its known failures before the last line. It returns the
+// number of these entries.
 func (r *results) printFailedPackage(importPath string, p *packageRun) (known int) {
 	for _, o := range p.output {
 		if !o.isResultLine() && !strings.HasPrefix(o.Output, lineProgress) {
@@ -92,7 +92,7 @@
 	return known
 }
 
-// checkPackageEnd notes a failure that no test explains.
+// checkPackageEnd records a package failure that no failed test explains.
 func (r *results) checkPackageEnd(e testEvent, p *packageRun, known int) {
 	switch {
 	case e.FailedBuild != "":
@@ -100,14 +100,14 @@
 	case len(p.open) > 0:
 		r.problem("%s ended while %d of its tests were running", e.Package, len(p.open))
 	case !p.endedInOrder():
-		r.problem("%s did not run to its end in order (panic, exit, time-out or a check after the tests)", e.Package)
+		r.problem("%s did not run to its end (panic, exit, timeout or a check after the tests)", e.Package)
 	case known == 0 && len(p.failed) == 0:
-		r.problem("%s fails with no test that does", e.Package)
+		r.problem("%s fails, but none of its tests does", e.Package)
 	}
 }
 
-// isExplained reports whether a test that failed is listed, or failed just because a listed subtest of it did:
-// it has printed nothing itself then.
+// isExplained reports whether a failed test is listed, or failed only because a listed subtest of it failed. In the second case
+// the test itself has printed nothing.
 func (r *results) isExplained(importPath, name string, p *packageRun) bool {
 	if r.isListed(testID{importPath: importPath, name: name}) {
 		return true
@@ -119,7 +119,7 @@
 	return listedBelow && !p.printedByItself(name)
 }
 
-// finish is called after the last command, and returns all that CI is to fail for.
+// finish returns all problems for which CI must fail. It is called after the last command.
 func (r *results) finish() []error {
 	for importPath := range r.running {
 		r.problem("%s has not ended", importPath)
@@ -130,7 +130,7 @@
 		case len(outcomes) == 0:
 			r.problem("%s is listed, but no test of that name was run to its end", f.test)
 		case slices.Contains(outcomes, actionPass):
-			r.problem("%s is listed, but passes: take it off the list", f.test)
+			r.problem("%s is listed, but passes: remove it from the list", f.test)
 		case slices.Contains(outcomes, actionSkip):
 			r.problem("%s is listed, but is skipped", f.test)
 		}
@@ -146,5 +146,5 @@
 	r.problems = append(r.problems, fmt.Errorf(format, args...))
 }
 
-// print writes to CI's log; there is nothing to do where that fails.
+// print writes to CI's log. A write error is ignored, as there is no other place to report it.
 func (r *results) print(text string) { _, _ = io.WriteString(r.out, text) }
