--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,6 +1,6 @@
 // Command sites derives variants of a bench site file. A short file of changes lists the differences from the original.
 //
-// go run ./deploy/sites -from SITE.toml deploy/sites/harbour-radio.toml ...
+//	go run ./deploy/sites -from SITE.toml deploy/sites/harbour-radio.toml ...
 //
 // Each variant is written to a directory of its own, with copies of the files that the bench reads from the directory of a site
 // file. The generated files are not kept in the repository.
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -2,16 +2,16 @@
 // go test, names each listed test that failed together with its entry, and exits with a failure unless exactly the listed tests
 // have failed.
 //
-// knownred DIRECTORY 'go test ./a ./b' 'go test -p 2 ./c'
+//	knownred DIRECTORY 'go test ./a ./b' 'go test -p 2 ./c'
 //
 // The commands run in the given directory, whose KNOWN-RED.txt is read. An entry of the list is a block of lines, and a blank line
 // separates two entries:
 //
-// test: silvercove/internal/edgenode.TestTakeover/late
-// command: go test -run TestTakeover ./internal/edgenode
-// seed: 7
-// seen: the replica serves 1.2 s after the lease has ended
-// issue: 7
+//	test: silvercove/internal/edgenode.TestTakeover/late
+//	command: go test -run TestTakeover ./internal/edgenode
+//	seed: 7
+//	seen: the replica serves 1.2 s after the lease has ended
+//	issue: 7
 //
 // Files: list.go reads the list, runner.go runs the commands, events.go and results.go evaluate the events of go test.
 package main
