--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Platform is the list's agent and the platform at one address.
+// Platform simulates the endpoint list's agent and the release platform at one address.
 type Platform struct {
 	Backends   []*Backend
-	Stages     []float64 // parts of the fleet, which are the caps too
+	Stages     []float64 // shares of the fleet, which are also the exposure caps
 	Bake       time.Duration
 	server     *http.Server
 	listener   net.Listener
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	sequence       int64
-	changed        chan struct{} // closed when anything has changed
+	changed        chan struct{} // closed and replaced at each change
 	Version        uint16
 	stageIndex     int
 	state          string
@@ -32,11 +32,11 @@
 	StagesPassed   int
 	Released       bool
 	RolledBack     bool
-	TimeToVerdict  time.Duration // from the first stage on
+	TimeToVerdict  time.Duration // since the start of the first stage
 	offered        time.Time
 }
 
-// NewPlatform starts one with its backends, all on the earlier version, which is released.
+// NewPlatform starts a platform for backends that all run the given version, which counts as released.
 func NewPlatform(backends []*Backend, version uint16, stages []float64, bake time.Duration) (*Platform, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,16 +49,16 @@
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address on which the platform listens.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the platform and waits for its goroutines.
 func (p *Platform) Close() {
 	_ = p.server.Close()
 	p.goroutines.Wait()
 }
 
-// Changed has those who wait for changes look again, after a backend was set.
+// Changed wakes the requests that wait for a change. A test calls it after it has set a backend's state.
 func (p *Platform) Changed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +71,7 @@
 	p.changed = make(chan struct{})
 }
 
-// EndpointList is the list as the agent words it.
+// EndpointList returns the endpoint list in the agent's format.
 func (p *Platform) EndpointList() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 	return string(text)
 }
 
-// StageText is where the newest package stands, as the platform words it.
+// StageText returns the stage of the newest package in the platform's format.
 func (p *Platform) StageText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +126,7 @@
 	return string(text)
 }
 
-// ServeHTTP answers for the agent and for the platform.
+// ServeHTTP serves the requests to the agent and to the platform.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	switch req.URL.Path {
 	case "/v1/servers":
@@ -157,7 +157,7 @@
 			}
 			select {
 			case <-changed:
-			case <-time.After(200 * time.Millisecond): // a sign of life
+			case <-time.After(200 * time.Millisecond): // keep-alive
 			case <-req.Context().Done():
 				return
 			}
@@ -169,7 +169,7 @@
 			Decision string
 		}
 		if json.NewDecoder(req.Body).Decode(&v) != nil {
-			http.Error(w, "no vote", http.StatusBadRequest)
+			http.Error(w, "malformed vote", http.StatusBadRequest)
 			return
 		}
 		p.mu.Lock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// onVote acts on a vote, as one decides.
+// onVote applies a vote. One vote is enough for a decision.
 func (p *Platform) onVote(decision string) {
 	switch {
 	case decision == "ROLLBACK" && !p.RolledBack:
@@ -207,8 +207,8 @@
 	}
 }
 
-// Offer rolls a package out, stage by stage as votes say, until it is released and watched for a while, taken back, or
-// the context ends.
+// Offer rolls a package out. It moves from stage to stage as votes allow, until the package is released and the watch time is over,
+// the package is rolled back, or the context ends.
 func (p *Platform) Offer(ctx context.Context, version uint16, watch time.Duration) {
 	p.mu.Lock()
 	p.Version, p.offered = version, time.Now()
@@ -247,7 +247,8 @@
 	waitFor(ctx, watch)
 }
 
-// replaceBackends has backends run a version until so many do.
+// replaceBackends restarts backends on a version, after a drain time, until upTo of them run it. It returns false if the
+// context has ended.
 func (p *Platform) replaceBackends(ctx context.Context, version uint16, upTo int) bool {
 	var moved []*Backend
 	updated := 0
--- a/internal/standin/faultproxy/link.go
+++ b/internal/standin/faultproxy/link.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Link leads from one process to another one's address.
+// Link forwards connections from one process to the address of another one.
 type Link struct {
 	From, To string
 	network  *Network
@@ -17,20 +17,20 @@
 	target      string
 	faults      [2]Fault
 	refuse      bool
-	changed     chan struct{} // closed at each change
+	changed     chan struct{} // closed and replaced at each change of a fault
 	connections map[*connection]bool
-	passed      [2]int64 // that were passed on
-	opened      int      // connections that came, refused ones too
+	passed      [2]int64 // bytes forwarded, by direction
+	opened      int      // accepted connections, including those that were refused
 }
 
 // connection is one connection through a link.
 type connection struct {
 	client, server net.Conn
 	stop           context.CancelFunc
-	lostBytes      bool // bytes of it came to nothing; under the link's lock
+	lostBytes      bool // bytes of this connection were discarded; guarded by the link's mutex
 }
 
-// Add makes a link to an address, which Lead may tell later. There may be several between two processes.
+// AddLink adds a link to an address, which may be empty until SetTarget sets it. Two processes may have several links.
 func (n *Network) AddLink(from, to, target string) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,31 +44,31 @@
 	return k, nil
 }
 
-// Address is where the link is entered.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetTarget has connections from now on lead to another address.
+// SetTarget makes later connections lead to another address.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
 }
 
-// BytesPassed is how many bytes went each way.
+// BytesPassed returns the number of bytes forwarded in each direction.
 func (l *Link) BytesPassed() (forward, backward int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed[Forward], l.passed[Backward]
 }
 
-// Opened is how many connections came, those that were refused too.
+// Opened returns the number of accepted connections, including those that were refused.
 func (l *Link) Opened() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened
 }
 
-// Set puts a fault on one way; the zero Fault heals it, and resets what lacks bytes.
+// Set puts a fault on one direction. The zero Fault heals the direction and resets the connections that have lost bytes.
 func (l *Link) Set(direction Direction, f Fault) {
 	l.mu.Lock()
 	if l.faults[direction] == f {
--- a/internal/standin/faultproxy/mesh.go
+++ b/internal/standin/faultproxy/mesh.go
@@ -4,13 +4,13 @@
 	"silvercove/internal/peertransport"
 )
 
-// Mesh has a link between any two processes of a fleet, one in each direction. Its methods are safe for concurrent use.
+// Mesh has a link between every two processes of a fleet, one for each direction. Its methods are safe for concurrent use.
 type Mesh struct {
 	peers []peertransport.Peer
-	links map[[2]string]*Link // by who connects, and to whom
+	links map[[2]string]*Link // by the names of the connecting and the listening process
 }
 
-// NewMesh makes the links of processes that listen at their peers' addresses. The network ends them.
+// NewMesh adds the links between processes that listen at their peers' addresses. Closing the network ends the links.
 func NewMesh(network *Network, peers []peertransport.Peer) (*Mesh, error) {
 	m := &Mesh{peers: peers, links: map[[2]string]*Link{}}
 	for _, from := range peers {
@@ -28,10 +28,10 @@
 	return m, nil
 }
 
-// Link is the link by which a process connects to another one; nil where one of them is not of the mesh.
+// Link returns the link over which one process connects to another, or nil if one of them is not part of the mesh.
 func (m *Mesh) Link(from, to string) *Link { return m.links[[2]string{from, to}] }
 
-// LinksOf are all links from a process and to it.
+// LinksOf returns all links from and to a process.
 func (m *Mesh) LinksOf(name string) (links []*Link) {
 	for _, peer := range m.peers {
 		if peer.Name != name {
@@ -41,7 +41,7 @@
 	return links
 }
 
-// PeersOf are the other processes as one of them reaches them, each over its link.
+// PeersOf returns the other processes with the link addresses at which the named process reaches them.
 func (m *Mesh) PeersOf(name string) (peers []peertransport.Peer) {
 	for _, peer := range m.peers {
 		if peer.Name != name {
@@ -52,7 +52,7 @@
 	return peers
 }
 
-// SetBoth sets a fault of both ways of a link. The zero Fault heals it.
+// SetBoth sets the same fault on both directions of a link. The zero Fault heals them.
 func (l *Link) SetBoth(f Fault) {
 	l.Set(Forward, f)
 	l.Set(Backward, f)
--- a/internal/standin/golden/golden_test.go
+++ b/internal/standin/golden/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Any change of a text is a difference, and its line is named.
+// Any change of a text must be reported as a difference, with its line.
 func TestFirstDifference_NamesLine(t *testing.T) {
 	const recorded = "head\n\ta 1\n\tb 2\nnext\n"
 	for name, test := range map[string]struct {
@@ -29,7 +29,7 @@
 	}
 }
 
-// A file is written by a run with -update alone; any other compares with what is there.
+// Only a run with -update may write a golden file. Any other run compares with the existing one.
 func TestRecorded_WritesOnlyWithUpdate(t *testing.T) {
 	t.Chdir(t.TempDir())
 	before := *update
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -1,6 +1,6 @@
-// Package goldentrace records what the balancer asks of its host, so that a test can hold a later version of the code
-// against an earlier one. A trace is a hash of every call with all of its arguments. Log lines are left out, as their
-// wording is no decision. Only tests import it.
+// Package goldentrace records the calls of the balancer to its host, so that a test can compare a later version of the code with an
+// earlier one. A trace is a hash of every call with all of its arguments. Log lines are excluded, because their wording is
+// not a decision. Only tests import the package.
 package goldentrace
 
 import (
@@ -18,7 +18,7 @@
 	"silvercove/internal/standin/golden"
 )
 
-// checkpointEvery is how many calls lie between two intermediate hashes of a trace.
+// checkpointEvery is the number of calls between two intermediate hashes of a trace.
 const checkpointEvery = 1000
 
 // The constants of the 64-bit FNV-1a hash.
@@ -27,7 +27,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// The kinds of calls. Their numbers are part of the recorded hashes.
+// The kinds of recorded calls. Their numbers are part of the recorded hashes.
 const (
 	callStartAttempt = 1 + iota
 	callReject
@@ -46,7 +46,7 @@
 	callNote
 )
 
-// Trace is the record of one run, of any number of balancers. It is not safe for concurrent use.
+// Trace is the record of one run of any number of balancers. It is not safe for concurrent use.
 type Trace struct {
 	hash        uint64
 	calls       int
@@ -54,12 +54,12 @@
 	requests    map[*balancer.Request]uint64
 }
 
-// New makes an empty trace.
+// New returns an empty trace.
 func New() *Trace {
 	return &Trace{hash: fnvOffset, requests: map[*balancer.Request]uint64{}}
 }
 
-// Note adds what a balancer answered its caller, such as the result of BeginAttempt.
+// Note adds a value that a balancer returned to its caller, such as the result of BeginAttempt.
 func (t *Trace) Note(balancer int, values ...uint64) { t.add(callNote, balancer, values...) }
 
 func (t *Trace) add(kind, balancer int, values ...uint64) {
@@ -73,13 +73,13 @@
 	}
 }
 
-// mix adds one value (FNV-1a, a whole word at a time, then a shift so that high bits reach low ones).
+// mix adds one value: FNV-1a on a whole word, then a shift that carries high bits to low ones.
 func (t *Trace) mix(v uint64) {
 	t.hash = (t.hash ^ v) * fnvPrime
 	t.hash ^= t.hash >> 29
 }
 
-// request numbers requests in the order in which a balancer first speaks of them.
+// request numbers requests in the order in which they first appear in the trace.
 func (t *Trace) request(request *balancer.Request) uint64 {
 	n, known := t.requests[request]
 	if !known {
@@ -89,14 +89,14 @@
 	return n
 }
 
-// fleet is what a host of a fleet offers beside.
+// fleet is the interface that the host of a fleet implements in addition to balancer.Host.
 type fleet interface {
 	AllowRetry(request *balancer.Request) bool
 	IsEjected(backend *balancer.Backend) bool
 	AllowProbe(backend *balancer.Backend) bool
 }
 
-// Host wraps the host of one balancer. What the wrapped host offers beside balancer.Host, the wrapper offers too.
+// WrapHost wraps the host of one balancer so that its calls are recorded. If the host also implements fleet, so does the wrapper.
 func (t *Trace) WrapHost(host balancer.Host, balancer int, now func() balancer.Tick) balancer.Host {
 	r := &recorder{host: host, trace: t, balancer: balancer, now: now}
 	if f, ok := host.(fleet); ok {
@@ -170,10 +170,10 @@
 	r.host.SendGossip(peer, data)
 }
 
-// Log passes a log line on; its wording is no decision.
+// Log forwards a log line without recording it, because its wording is not a decision.
 func (r *recorder) Log(message string, fields ...slog.Attr) { r.host.Log(message, fields...) }
 
-// WatchEndpoints records whether endpoint changes are watched.
+// WatchEndpoints records a call that starts or ends the watch for endpoint changes.
 func (r *recorder) WatchEndpoints(on bool) {
 	r.add(callWatchEndpoints, bit(on))
 	r.host.WatchEndpoints(on)
@@ -203,7 +203,7 @@
 	return allowed
 }
 
-// IsEjected records whether a backend is avoided.
+// IsEjected records whether a backend is ejected.
 func (r *fleetRecorder) IsEjected(backend *balancer.Backend) bool {
 	ejected := r.fleet.IsEjected(backend)
 	r.add(callIsEjected, uint64(backend.ID), bit(ejected))
@@ -224,10 +224,10 @@
 	return 0
 }
 
-// Float is the bits of a number, for Note.
+// Float returns the bits of a number, for Note.
 func Float(v float64) uint64 { return math.Float64bits(v) }
 
-// String is the number of calls, the hash of all, and the shorter hashes on the way.
+// String returns the number of calls, the final hash, and the shorter hashes of the checkpoints.
 func (t *Trace) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %016x", t.calls, t.hash)
@@ -237,8 +237,8 @@
 	return b.String()
 }
 
-// Compare holds traces by name against those of testdata/name, which a run with -update writes anew. Each line of it is a
-// name without spaces, the number of calls, the hash of all, and a shorter hash after each thousand of them.
+// Compare compares traces by name with those of testdata/name, which a run with -update rewrites. Each line of the file holds a
+// name without spaces, the number of calls, the final hash, and a shorter hash after each thousand calls.
 func Compare(tb testing.TB, name string, traces map[string]*Trace) {
 	tb.Helper()
 	recorded := parseTraces(tb, golden.Recorded(tb, name, formatTraces(traces)))
@@ -250,7 +250,7 @@
 	for run, want := range recorded {
 		got, ok := traces[run]
 		if !ok {
-			tb.Errorf("%s: recorded in %s, but not played", run, name)
+			tb.Errorf("%s: recorded in %s, but not run", run, name)
 			continue
 		}
 		if fields := strings.Fields(got.String()); !slices.Equal(fields, want) {
@@ -259,7 +259,7 @@
 	}
 }
 
-// difference says where two traces begin to differ. The first two fields are the number of calls and the hash.
+// difference describes where two traces begin to differ. The first two fields are the number of calls and the final hash.
 func difference(got, want []string) string {
 	for i := 2; i < min(len(got), len(want)); i++ {
 		if got[i] != want[i] {
@@ -269,7 +269,7 @@
 	return fmt.Sprintf("first after call %d; %s calls, recorded %s", (min(len(got), len(want))-2)*checkpointEvery, got[0], want[0])
 }
 
-// text is traces as the file keeps them, by name.
+// formatTraces returns the text of a trace file, sorted by name.
 func formatTraces(traces map[string]*Trace) string {
 	var b strings.Builder
 	b.WriteString("# Recorded decisions: name, calls, hash, and a shorter hash after each thousand calls.\n")
@@ -279,7 +279,7 @@
 	return b.String()
 }
 
-// parse reads the fields of each trace by its name.
+// parseTraces returns the fields of each trace by its name.
 func parseTraces(tb testing.TB, text string) map[string][]string {
 	tb.Helper()
 	recorded := map[string][]string{}
@@ -289,7 +289,7 @@
 			continue
 		}
 		if len(fields) < 3 {
-			tb.Fatalf("a line of %d fields: %s", len(fields), line)
+			tb.Fatalf("trace line has %d fields, want at least 3: %s", len(fields), line)
 		}
 		if _, err := strconv.Atoi(fields[1]); err != nil {
 			tb.Fatalf("%s: %v", fields[0], err)
