--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -1,7 +1,7 @@
-// Package repository stands in for what the metadata front deals with: a publisher of a TUF repository,
-// mirrors that serve it with faults by script, and picture servers that update from it. It is written from the TUF
-// specification (1.0.31) and the Uptane Standard (2.1); the servers verify by the public TUF library's own
-// workflow, which the product does not use, so that a fault of ours shows.
+// Package repository simulates the peers of the metadata service: a publisher of a TUF repository, mirrors that serve it with faults
+// by script, and client servers that update from it. It is written from the TUF specification (1.0.31) and the Uptane
+// Standard (2.1). The client servers verify with the workflow of the public TUF library, which the product itself does not use, so
+// that a fault in the product's own implementation is noticed.
 package repository
 
 import (
@@ -17,7 +17,7 @@
 	"silvercove/internal/tufrepo"
 )
 
-// Clock is a time that tests set.
+// Clock is a clock that tests set.
 type Clock struct {
 	mu   sync.Mutex
 	from time.Time
@@ -25,12 +25,12 @@
 	runs bool
 }
 
-// NewClock starts at a fixed moment. It goes on by itself only if runs.
+// NewClock returns a clock that starts at a fixed time. It advances by itself only if runs is true.
 func NewClock(runs bool) *Clock {
 	return &Clock{at: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC), from: time.Now(), runs: runs}
 }
 
-// Now is the time.
+// Now returns the clock's time.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,27 +40,27 @@
 	return c.at
 }
 
-// Jump moves it, also back.
+// Jump moves the clock by a duration, which may be negative.
 func (c *Clock) Jump(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = c.at.Add(by)
 }
 
-// Set sets it.
+// Set sets the clock to a time.
 func (c *Clock) Set(to time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at, c.from = to, time.Now()
 }
 
-// Set of files as they were published at once.
+// FileSet is the set of files of one publication.
 type FileSet struct {
 	Files   map[string][]byte
 	Targets map[string][]byte
 }
 
-// Publisher publishes one repository and remembers what it published.
+// Publisher publishes one repository and keeps every set that it has published.
 type Publisher struct {
 	Dir     string
 	Repo    *tufrepo.Repo
@@ -68,10 +68,10 @@
 	Keys    map[string][]*keys.Key // by role
 	mu      sync.Mutex
 	history []FileSet
-	content map[string][]byte // of all targets ever, by path as stored
+	content map[string][]byte // all targets that were ever staged, by their stored path
 }
 
-// NewPublisher makes a repository in a folder: root and targets signed by two of three keys, the others by one.
+// NewPublisher creates a repository in a directory. Two of three keys sign root and targets, one key signs each other role.
 func NewPublisher(dir string, clock *Clock, life tufrepo.Lifetimes, consistent bool) (*Publisher, error) {
 	k := &Publisher{Dir: dir, Clock: clock, Keys: map[string][]*keys.Key{}, content: map[string][]byte{}}
 	roles := map[string]tufrepo.Role{}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Init takes the real clock for its first ends: set them by this one.
+	// Init sets the first expiry times by the real clock: renew them with this one.
 	r.Now, k.Repo = clock.Now, r
 	for _, role := range []string{"root", "targets"} {
 		if err := r.Renew(role); err != nil {
@@ -107,7 +107,7 @@
 	return k, k.Publish("root", "targets")
 }
 
-// Sign signs what is staged of a role with as many of its keys as its threshold asks for.
+// Sign signs a role's staged file with as many of its keys as the threshold requires.
 func (k *Publisher) Sign(role string) error {
 	need := (len(k.Keys[role]) + 1) / 2
 	for _, one := range k.Keys[role][:need] {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// Publish signs the staged roles that are named, and publishes.
+// Publish signs the named staged roles, and publishes.
 func (k *Publisher) Publish(staged ...string) error {
 	for _, role := range staged {
 		if err := k.Sign(role); err != nil {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// Add publishes a package.
+// Add stages and publishes a package.
 func (k *Publisher) Add(path string, build uint16, content []byte, kinds ...string) error {
 	if err := k.Stage(path, build, content, kinds...); err != nil {
 		return err
@@ -177,7 +177,7 @@
 	})
 }
 
-// Rotate gives a role one new key in place of its first, and publishes the next root, signed by old and new.
+// Rotate replaces a role's first key by a new one, and publishes the next root, signed by the old and the new keys.
 func (k *Publisher) Rotate(role string) error {
 	newKey, err := keys.Generate("ed25519")
 	if err != nil {
@@ -204,35 +204,36 @@
 	return k.Publish(staged...)
 }
 
-// Root is a published root.
+// Root returns a version of the root file.
 func (k *Publisher) Root(version int) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.history[len(k.history)-1].Files[fmt.Sprintf("%d.root.json", version)]
 }
 
-// At is what was published at one of the times, from 0; behind the last it is the last.
+// At returns the n-th published set, counted from 0. An n after the last set returns the last one.
 func (k *Publisher) At(n int) FileSet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.history[max(0, min(n, len(k.history)-1))]
 }
 
-// Len tells how often was published.
+// Len returns the number of published sets.
 func (k *Publisher) Len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.history)
 }
 
-// Version is the version of a role in the last published set's unversioned or newest file.
+// Version returns the highest version of a role in the last published set.
 func (k *Publisher) Version(role string) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return newestVersion(k.history[len(k.history)-1].Files, role)
 }
 
-// TestLifetimes for tests in which things expire.
+// ShortLifetimes returns lifetimes for tests in which metadata expires. A timestamp lives for the given time, the others for
+// multiples of it.
 func ShortLifetimes(each time.Duration) tufrepo.Lifetimes {
 	return tufrepo.Lifetimes{Root: 1000 * each, Targets: 100 * each, Snapshot: 10 * each, Timestamp: each}
 }
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -1,8 +1,9 @@
-// Package scriptedbackend is a backend for tests that does on each connection what a test says, byte by byte: it may reset,
-// stall or answer twice at any point of PostgreSQL's protocol. It keeps every query that it got whole, answered or not.
+// Package scriptedbackend provides a backend for tests that handles each connection as the test's script demands, byte by byte: it may
+// reset, stall or answer twice at any point of PostgreSQL's protocol. It keeps every query that it received whole, answered
+// or not.
 //
-// Start owns a goroutine for the listener and one for each connection, and ends and awaits them when the test ends. Unless
-// said otherwise everything may be called from any goroutine.
+// Start starts a goroutine for the listener and one for each connection, and ends and awaits them when the test ends. Unless
+// stated otherwise, everything may be called from any goroutine.
 package scriptedbackend
 
 import (
@@ -19,25 +20,25 @@
 	"silvercove/internal/pgwire"
 )
 
-// Backend is one listening stand-in. It is made by Start.
+// Backend is one listening backend. Start makes it.
 type Backend struct {
-	// Address is where it listens, as host:port.
+	// Address is the address on which the backend listens, as host:port.
 	Address string
 
 	tb       testing.TB
 	listener net.Listener
 	tasks    sync.WaitGroup
 
-	mu       sync.Mutex // guards all that follows
+	mu       sync.Mutex // guards the fields below
 	queries  []string
 	accepted int
 	open     map[*net.TCPConn]struct{}
 }
 
-// Script is what a backend does with a connection, which is closed after it. Connections are numbered from 0.
+// Script handles a backend's connection, which is closed after it returns. Connections are numbered from 0.
 type Script func(b *Backend, number int, conn *net.TCPConn)
 
-// Start listens on a free port of the loopback until the test ends.
+// Start listens on a free loopback port until the test ends.
 func Start(tb testing.TB, script Script) *Backend {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,7 +76,7 @@
 }
 
 func (b *Backend) close(conn *net.TCPConn) {
-	_ = conn.Close() // the script may have done so
+	_ = conn.Close() // the script may have closed it already
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, conn)
@@ -91,46 +92,46 @@
 	b.tasks.Wait()
 }
 
-// Accepted is how many connections have come.
+// Accepted returns the number of accepted connections.
 func (b *Backend) Accepted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.accepted
 }
 
-// OpenConnections is how many connections have a script that has not ended.
+// OpenConnections returns the number of connections whose script has not ended.
 func (b *Backend) OpenConnections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.open)
 }
 
-// Queries are the texts of all queries that came whole, in their order.
+// Queries returns the texts of all queries that were received whole, in their order.
 func (b *Backend) Queries() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.queries)
 }
 
-// QueryCount is how many queries came whole. Each is an effect.
+// QueryCount returns the number of queries that were received whole. Each query counts as one effect.
 func (b *Backend) QueryCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queries)
 }
 
-// ReadStartup reads a startup message, or up to the connection's end.
+// ReadStartup reads a startup message, or until the connection ends.
 func (b *Backend) ReadStartup(conn net.Conn) {
 	_, _ = io.ReadFull(conn, make([]byte, len(pgwire.StartupMessage()))) // the script's next read fails too
 }
 
-// Greet reads a startup message and says that the backend is ready.
+// Greet reads a startup message and answers that the backend is ready.
 func (b *Backend) Greet(conn net.Conn) {
 	b.ReadStartup(conn)
 	Write(conn, pgwire.AuthenticationOK())
 }
 
-// ReadQuery reads one whole query and keeps it; false: the connection has ended before. Number counts the backend's queries
+// ReadQuery reads and keeps one whole query. ok is false if the connection has ended before. number counts the backend's queries
 // from 1. Any other message fails the test.
 func (b *Backend) ReadQuery(conn net.Conn) (text string, number int, ok bool) {
 	header := make([]byte, pgwire.HeaderSize)
@@ -138,7 +139,7 @@
 		return "", 0, false
 	}
 	if header[0] != pgwire.FrontendQuery {
-		b.tb.Errorf("the backend got a message of type %q", header[0])
+		b.tb.Errorf("the backend received a message of type %q, want a query", header[0])
 		return "", 0, false
 	}
 	body := make([]byte, binary.BigEndian.Uint32(header[1:])-4)
@@ -152,7 +153,7 @@
 	return text, len(b.queries), true
 }
 
-// Reply answers each query with what reply says, up to the connection's end. Nothing is sent where that is empty.
+// Reply answers each query with the result of reply until the connection ends. An empty result sends nothing.
 func (b *Backend) Reply(conn net.Conn, reply func(text string, number int) string) {
 	for {
 		text, number, ok := b.ReadQuery(conn)
@@ -163,19 +164,19 @@
 	}
 }
 
-// Write sends bytes. A test that needs them to arrive sees that they don't.
+// Write sends bytes and ignores errors. A test that needs the bytes to arrive notices that they did not.
 func Write(conn net.Conn, bytes []byte) {
 	_, _ = conn.Write(bytes)
 }
 
-// Kill ends a connection as the death of its process does.
+// Kill resets a connection, as the death of its process does.
 func Kill(conn *net.TCPConn) {
 	_ = conn.SetLinger(0) // fails only on a closed connection
 	_ = conn.Close()
 }
 
-// AwaitBytes waits until bytes or the other side's close have come, and leaves them unread. The connection's deadlines don't
-// count; its own close ends the wait.
+// AwaitBytes waits until bytes or the other side's close have arrived, and leaves them unread. The connection's deadlines do not
+// apply; closing the connection ends the wait.
 func AwaitBytes(conn *net.TCPConn) {
 	const poll = 100 * time.Microsecond
 	raw, err := conn.SyscallConn()
@@ -195,18 +196,18 @@
 	}
 }
 
-// Message is a message of a type with a body.
+// Message returns a message of a type with a body.
 func Message(messageType byte, body string) string {
 	return string(binary.BigEndian.AppendUint32([]byte{messageType}, uint32(4+len(body)))) + body
 }
 
-// Row is the messages of one row of one column, without the word that the backend is ready.
+// Row returns the messages of one row of one column, without ReadyForQuery.
 func Row(value string) string {
-	const attributes = 18 // bytes that describe a column behind its name
+	const attributes = 18 // bytes that describe a column after its name
 	return Message(pgwire.BackendRowDescription, "\x00\x01content\x00"+strings.Repeat("\x00", attributes)) +
 		Message(pgwire.BackendDataRow, "\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(len(value))))+value) +
 		Message(pgwire.BackendCommandComplete, "SELECT 1\x00")
 }
 
-// RowReply is a whole reply of one row.
+// RowReply returns a whole reply of one row.
 func RowReply(value string) string { return Row(value) + string(pgwire.ReadyForQuery()) }
