--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -116,7 +116,7 @@
 }
 
 // checkDialect returns an error if a JSON file beside the site contains the name of a removed element. The file is copied unchanged,
-// and a word in it cannot be told from a reference to an element.
+// and a word in it cannot be distinguished from a reference to an element.
 func checkDialect(file string, text []byte, removed []element) error {
 	if filepath.Ext(file) != ".json" {
 		return nil
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -13,7 +13,7 @@
 	"silvercove/internal/peertransport"
 )
 
-// relaySettings is a relay's JSON file; its one request class is that of Client.
+// relaySettings is a relay's JSON file. Its only request class is the one that Client uses.
 const relaySettings = `{"seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
 	"release_api": {%s"news": {"Revision": 1, "Wave": 0, "State": "live", "MaxShare": 1.0, "AgeMs": 0}},
@@ -23,7 +23,7 @@
 		"deadline": 2.0, "worth": 1.0}]}}
 `
 
-// writeFiles makes the links and writes the files.
+// writeFiles adds the links and writes the configuration files of the processes.
 func (c *Cluster) writeFiles(lines []string) error {
 	relays := 0
 	for _, p := range c.nodes {
@@ -79,7 +79,7 @@
 	return c.openNetwork()
 }
 
-// addRequestLink makes the link by which one sends requests to a process.
+// addRequestLink adds the link over which a process, or the test, sends requests to another process.
 func (c *Cluster) addRequestLink(from string, q *process) (address string, err error) {
 	l, err := c.Links.AddLink(from, q.Name, net.JoinHostPort(q.address, requestPort))
 	if err != nil {
@@ -89,8 +89,8 @@
 	return l.Address(), nil
 }
 
-// openNetwork opens the desk's links. As only processes of the file are heard, the desk speaks by the name of one that is no
-// controller, over links of its own; it is no member.
+// openNetwork opens the test's own links to the controllers. Processes accept only peers of their configuration file, so the test uses
+// the name of a process that is not a controller, over links of its own. The test is not a member of the fleet.
 func (c *Cluster) openNetwork() (err error) {
 	as := c.nodes[len(c.nodes)-1]
 	var others []peertransport.Peer
--- a/internal/standin/testcluster/stalls.go
+++ b/internal/standin/testcluster/stalls.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// stall is a span in which this process, and with it its clients, was not run.
+// stall is a span of time in which the test process, and with it its clients, was not scheduled.
 type stall struct{ from, to time.Time }
 
-// recordStalls notes stalls, so that an answer is not held to be late that only its reader was late for.
+// recordStalls records stalls, so that a response does not count as late if only its reader was late.
 func (c *Cluster) recordStalls(ctx context.Context) {
 	const every = 20 * time.Millisecond
 	tick := time.NewTicker(every)
@@ -29,7 +29,7 @@
 	}
 }
 
-// RequestsWithoutStalls are the requests that have ended, without the time for which this process was stalled.
+// RequestsWithoutStalls returns the requests that have ended, without the time for which this process was stalled.
 func (c *Cluster) RequestsWithoutStalls() []Request {
 	all := c.Requests()
 	c.mu.Lock()
