--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -31,7 +31,7 @@
 	Instance, ID string
 	Write        bool
 	Start, End   time.Time
-	Timeout      time.Duration // request timeout
+	Timeout      time.Duration
 	Outcome      Outcome
 	Why          string // SQLSTATE, or the error that broke the connection
 	Seq, Epoch   uint64 // as the response states
@@ -110,7 +110,7 @@
 			break
 		}
 		if ending == Unknown {
-			m.Outcome = Unknown // whatever other nodes answer later, unless one acknowledges the request
+			m.Outcome = Unknown // later refusals by other nodes do not change this; an acknowledgement does
 			k.dropConnection(k.next)
 		}
 		if ending == Rejected { // a relay's refusal is final
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -156,7 +156,8 @@
 		columns = append(columns, p.Name)
 	}
 	seen := map[string]bool{}
-	events := slices.DeleteFunc(c.Events(), func(e Event) bool { // drops the first report of each live member, and all of them in a large fleet
+	// Drops the first report of each live member, and all reports of members in a large fleet.
+	events := slices.DeleteFunc(c.Events(), func(e Event) bool {
 		first := !seen[e.Node+e.From]
 		seen[e.Node+e.From] = true
 		return e.Name == "member" && (len(columns) > 8 || first && e.Is("* member alive"))
