--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -58,8 +58,8 @@
 	p.goroutines.Wait()
 }
 
-// Changed wakes the requests that wait for a change. A test calls it after it has set a backend's state.
-func (p *Platform) Changed() {
+// NotifyChange wakes the requests that wait for a change. A test calls it after it has set a backend's state.
+func (p *Platform) NotifyChange() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.change()
--- a/internal/standin/battery/machine.go
+++ b/internal/standin/battery/machine.go
@@ -58,19 +58,19 @@
 
 // New returns a fully charged machine in the shade. The script has one event a line, "SECONDS VERB ARGUMENTS":
 //
-//	load PART                 sets the load
-//	sun PART                  sets the sun
-//	air DEGREES               sets the outside temperature
-//	mains on|off              connects or disconnects mains power
-//	charge PART               sets the charge at once, as a battery swap does
-//	temp DEGREES              sets the temperature at once, as a swap does
-//	freeze                    stops all updates of the files
-//	thaw                      resumes them
-//	write FILE TEXT           replaces a file's content
-//	miss FILE                 removes a file or directory
+//	load PART                   sets the load
+//	sun PART                    sets the sun
+//	air DEGREES                 sets the outside temperature
+//	mains on|off                connects or disconnects mains power
+//	charge PART                 sets the charge at once, as a swap of the battery does
+//	temp DEGREES                sets the temperature at once, as a swap does
+//	freeze                      stops all updates of the files
+//	thaw                        resumes the updates of the files
+//	write FILE TEXT             replaces a file's content
+//	miss FILE                   removes a file or directory
 //	lie charge|temp|draw VALUE  reports a false reading
-//	heal                      ends all write, miss and lie faults
-//	swing PART SECONDS COUNT  turns the sun on and off
+//	heal                        ends all write, miss and lie faults
+//	swing PART SECONDS COUNT    sets the sun to PART and back to 0 COUNT times, SECONDS each
 func New(seed uint64, script string) (*Machine, error) {
 	v := &Machine{Charge: 1, Temperature: 40, Air: 22, random: rand.New(rand.NewPCG(seed, 29))}
 	v.clearFaults()
@@ -320,7 +320,8 @@
 	return names
 }
 
-// Run steps the simulation and writes the files until ctx ends. Simulated time passes by the factor times faster than real time.
+// Run steps the simulation and writes the files until ctx ends. times is the factor by which simulated time passes faster than
+// real time.
 func (v *Machine) Run(ctx context.Context, dir string, every time.Duration, times float64) error {
 	t := time.NewTicker(every)
 	defer t.Stop()
--- a/internal/standin/faultproxy/network.go
+++ b/internal/standin/faultproxy/network.go
@@ -107,7 +107,7 @@
 	n.goroutines.Wait()
 }
 
-// Refuse(true) resets all connections, and new ones until Refuse(false).
+// Refuse turns the refusal of connections on or off. While it is on, all connections are reset, and new ones too.
 func (l *Link) Refuse(on bool) {
 	l.mu.Lock()
 	was := l.refuse
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -261,7 +261,7 @@
 	return f.Role
 }
 
-// newestVersion returns the highest version of a role among files.
+// newestVersion returns the highest version of a role among files. If a file's name has no version, the file's content states it.
 func newestVersion(files map[string][]byte, role string) (v int64) {
 	for name, text := range files {
 		if roleOf(name) != role {
