--- a/internal/standin/testcluster/event_file_test.go
+++ b/internal/standin/testcluster/event_file_test.go
@@ -12,7 +12,8 @@
 
 // eventFileDir is the directory into which each test that checks its run writes the events of its processes. The simulation model of
 // the fleet is compared with these files:
-// go test -run NAMES -courses ../../lab/fleetsim/testdata/processes ./internal/standin/testcluster
+//
+//	go test -run NAMES -courses ../../lab/fleetsim/testdata/processes ./internal/standin/testcluster
 var eventFileDir = flag.String("courses", "", "directory for the files with the events of each test's processes")
 
 func (c *Cluster) writeEventFile(t *testing.T) {
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -41,7 +41,7 @@
 	},
 }
 
-// CheckHistory checks what clients observed of each instance. Each acknowledged effect stands in the journal once, in an order that
+// CheckHistory checks what clients observed of each instance. Each acknowledged effect appears in the journal once, in an order that
 // agrees with time. Numbers rise by one, and an epoch never falls. A read returns the last effect, and a retry of an ID returns
 // the first response. All writers of the instances must be among the requests. An effect whose client does not know its
 // outcome may be in the journal or not.
