--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -20,10 +20,10 @@
 	"silvercove/internal/tufverify"
 )
 
-// Checker reads every byte that reaches the clients and records violations of these rules. Metadata passed on with status 200 must not
-// have expired, must not be older than what the same client was given before or than what any client had been given before
-// the request, must be signed correctly, and must have the version that its name states. Packages must have the right hash. A request
-// must have exactly one final answer.
+// Checker reads every response that reaches the clients, counts the requests and answers, and records violations of these rules.
+// Metadata passed on with status 200 must be signed correctly and have the version that its name states. It must not have
+// expired, and must not be older than what the same client was given before or than what any client had been given before the
+// request. A root must equal the publisher's, and may have expired. A response with status 503 must have a Retry-After.
 type Checker struct {
 	Now  func() time.Time
 	Root func(version int) []byte // the publisher's root chain, for the keys of each version
@@ -32,7 +32,7 @@
 	newestGiven    map[string]int64 // highest version that any client was given, by repository and role
 	newestByClient map[string]int64
 	Faults         []string
-	Answers        map[int]int
+	Answers        map[int]int // number of responses by status; 0 for requests without a response
 	Requests       int
 }
 
