--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -19,8 +19,8 @@
 // Experiments is the table of the directives of an experiment's file. In such a file an op type is a request class, a unit
 // is a backend and a wave is a stage.
 var Experiments = operatorconfig.Table{Directives: []operatorconfig.Directive{
-	{Name: "relays", Values: numberValue("number", 1, 1000), Default: "5", Text: "Number of relays."},
-	{Name: "units", Values: numberValue("number", 2, 10000), Default: "30", Text: "Number of units."},
+	{Name: "relays", Values: numberValue("number", 1, 1000), Default: "5", Text: "Relays."},
+	{Name: "units", Values: numberValue("number", 2, 10000), Default: "30", Text: "Units."},
 	{Name: "zones", Values: numberValue("number", 1, 100), Default: "3", Text: "Number of zones that the units are spread over."},
 	{Name: "rate", Values: decimalValue("a_second"), Default: "400", Text: "Commands per second at all relays together."},
 	{Name: "op_type", Repeatable: true, Required: true, Values: []operatorconfig.Value{{Name: "name", Kind: operatorconfig.Name},
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -215,7 +215,7 @@
 		k.change(&o)
 		names, days = append(names, k.name), append(days, o)
 	}
-	t := Table{Title: "Overload with lost or late load reports, simulated, all features", Head: []string{"load reports",
+	t := Table{Title: "Overload with lost or late load reports, simulated, all features", Head: []string{"news",
 		"at 10x of capacity", "weight served a second", "tenants all or nothing", "recovered after", "attempts per first", "list calls a second, most"}}
 	for i, r := range runAll(days) {
 		t.Add(names[i], r.goodputDuringTrigger(days[i]), r.ServedWeight, r.AllOrNothingTenants, secondsText(r.RecoverySeconds(days[i])), r.AttemptsPerFirst(), r.MaxListCalls)
