--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -50,7 +50,8 @@
 	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
 	// drop them.
 	DedupScope DedupScope
-	// DedupWindow is how long those backends drop repeats, from the first attempt that may have run. Missing: no time.
+	// DedupWindow is how long the backends of DedupScope drop repeats, from the first attempt that may have run.
+	// Missing: no time.
 	DedupWindow Seconds
 	// LatencyObjective is the time within which an answer has its full value. Missing: the deadline.
 	LatencyObjective Seconds
@@ -124,7 +125,8 @@
 	// OverloadMultiple is the multiple of its current capacity that overloads a backend that is warming up. Range: 0
 	// and above.
 	OverloadMultiple float64
-	// OverloadWindow is the time over which that load is counted. Missing or 0: Window (set by the parser).
+	// OverloadWindow is the time over which a backend's load is counted and compared with OverloadMultiple. Missing or 0:
+	// Window (set by the parser).
 	OverloadWindow Seconds
 }
 
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -30,7 +30,8 @@
 	warmUpCreditNeeded float64 // fraction of one attempt's budget that must accrue after lastWarmUpSend
 }
 
-// warmUpFraction returns the fraction of its capacity that a backend has at least.
+// warmUpFraction returns a lower bound of a backend's current capacity, as a fraction of its warm capacity. It is 1 once
+// the warm-up is over, and for a backend without a start time.
 func (b *Balancer) warmUpFraction(backend *Backend) float64 {
 	if backend.StartedAt == 0 {
 		return 1
--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -26,7 +26,8 @@
 	return p.runWhile(func(alive context.Context) error { return c.serve(p, alive) })
 }
 
-// serve runs the edge node. The first signal starts its drain and the second one stops it, as does the end of alive.
+// serve runs the edge node. The first SIGTERM or SIGINT starts the node's drain. The second one stops the node at once, and so
+// does the end of the context alive.
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	node, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// runProposer proposes the planner's operations and the due record counts until the context ends, in batches.
+// runProposer proposes, in batches, the planner's operations and the nodes' record counts that are to be proposed now
+// (leases.RecordCounts.Due), until the context ends.
 func (c *Controller) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -52,7 +53,7 @@
 	}
 }
 
-// nextBatch takes the next proposals and the due record counts. ok is false if there are none or another controller leads.
+// nextBatch takes the next proposals and the record counts that are due. ok is false if there are none or another controller leads.
 func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -13,7 +13,7 @@
 	maxBaselineShare     = 0.9              // highest failure share that outcomes are tested against
 	defaultBaselineShare = 0.2              // expected failure share of a node without enough peer outcomes to compare with
 	outcomeWindowSize    = 256              // latest outcomes of each peer, from which the peers' failure share is computed
-	minPeerOutcomes      = recoveryOutcomes // of all peers together, from which their failure share is used
+	minPeerOutcomes      = recoveryOutcomes // outcomes of all peers together that are needed to use the peers' failure share
 	overheatClaimMargin  = 15.0             // degrees C: a temperature at most this far below its limit supports a claim of overheating
 	maxNodes             = 4096
 	verifiedStrictness   = 1 / riseMargin // below 1: readings override a healthy report only if they clearly contradict it
@@ -37,7 +37,7 @@
 	temperature  series // reported values, checked for physical plausibility
 	detector     failureDetector
 	outcomes     outcomeWindow
-	claimGranted bool // the node may evacuate on its claim alone
+	claimGranted bool // the node may evacuate although neither readings nor outcomes support its claim
 }
 
 // zone holds the nodes of one zone and the claims withdrawn in it.
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -28,7 +28,7 @@
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // the balancer has it, or the fleet policy has shed it
+	submitted    bool      // the balancer has received the call, or the fleet policy has shed it
 	abandoned    bool      // the client left before the call was submitted; guarded by the dispatcher's lock
 	steps        chan Step // at most one attempt and one final answer wait in it at any time, so that a send never blocks
 }
@@ -40,7 +40,7 @@
 type Step struct {
 	Attempt    *Attempt
 	Answer     FinalAnswer
-	RetryAfter time.Duration // of a rejection; 0: the client is given no time
+	RetryAfter time.Duration // after a rejection, how long the client is told to wait; 0: the client is told no time
 }
 
 // FinalAnswer is an answer that the relay itself gives and that ends a call.
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -34,11 +34,11 @@
 	lastReply      chan struct{}  // closed once the last pending reply has been written
 	pendingReplies chan struct{}  // holds one element for each pending reply
 	workers        sync.WaitGroup // requests in progress and replies that wait for their turn
-	overLimit      bool           // no slot was free when it connected: its requests are rejected
+	overLimit      bool           // no slot was free when the client connected: its requests are rejected
 	skippingToSync bool           // an extended query was refused: messages up to the next Sync are discarded
 
 	// Guarded by the server's mu.
-	lastActivity    time.Time // when it connected, was greeted, its last request ended, or a later message began
+	lastActivity    time.Time // when the client connected, was greeted, had its last request end, or began a later message
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
 	awaitingMessage bool                        // waiting for the first byte of a message
--- a/internal/edgenode/sql_client_test.go
+++ b/internal/edgenode/sql_client_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/pgwire"
 )
 
-// sqlClient is one connection for requests.
+// sqlClient is a test client with one connection to a node, over which it sends requests.
 type sqlClient struct {
 	conn     net.Conn
 	received []byte
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -102,7 +102,7 @@
 // objective, and the attempts at cold backends.
 type daySecond struct{ Accepted, OnTime, WarmUpAttempts int }
 
-// second returns the counts of the second of a time.
+// second returns the counts of the second that contains a time.
 func (r *DayResult) second(t balancer.Tick) *daySecond {
 	return &r.Seconds[(t-ticksOf(100))/balancer.Second]
 }
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -65,7 +65,8 @@
 
 // recordCount is the count of records on a disk, as instancestore.Store keeps it. The simulation also keeps serial, which no
 // process knows: the number of the last record written under the node's name up to which the disk has all records or the
-// node has resolved the missing ones. settled tells whether the node has done so since its start; only then does it count.
+// node has resolved the missing ones. settled reports whether the node has resolved missing records, if any, since its process
+// started; only then does each written record raise count.
 type recordCount struct {
 	count, serial uint64
 	settled       bool
--- a/internal/lab/fleetsim/timer_wheel.go
+++ b/internal/lab/fleetsim/timer_wheel.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// next removes and returns the first event that is due by a time. It reports false if there is none.
+// next removes and returns the first event that is due at the time by or earlier. It returns false if there is none.
 func (w *wheel) next(by tick.Tick) (event, bool) {
 	for len(w.current) == 0 {
 		switch {
@@ -45,7 +45,7 @@
 			return event{}, false
 		}
 		if w.currentSlot > by/slotSpan {
-			w.currentSlot-- // the slot is after by
+			w.currentSlot-- // the slot begins after the time by, so it does not become current yet
 			return event{}, false
 		}
 		s := w.slots[w.currentSlot%wheelSlots]
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// observedState is the state that follows from records, probes and the library's marks, without a hold-down.
+// observedState returns the state that follows from a member's records, the probes, and the gossip library's view of the member
+// (MarkDown, MarkUp). It ignores the hold-down of a flapping member.
 func (t *Table) observedState(now tick.Tick, e *entry) State {
 	unanswered := e.missedProbes >= suspectProbes
 	silent := unanswered && now-max(e.answeredAt, e.missedSince-t.silence) >= t.silence
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -11,7 +11,7 @@
 // Constants of fail-overs.
 const (
 	shortLeaseDivisor       = 3 // a fail-over waits for a replica with less than Lease/shortLeaseDivisor left
-	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined, whatever else ran on the failed node
+	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined even if it is not the only suspect
 	shortLeaseReviewDivisor = 6 // a fail-over that waits for a replica is reviewed every Lease/shortLeaseReviewDivisor
 )
 
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -34,18 +34,18 @@
 	primaryOf    map[*instance]struct{}
 	replicaOf    map[*instance]struct{}
 
-	moves    int                    // in progress or proposed, from it and to it
-	incoming map[*instance]struct{} // instances of the moves to it
+	moves    int                    // moves from and to this node that are in progress or proposed
+	incoming map[*instance]struct{} // instances of the moves to this node
 	reserved int                    // slots of FreeSlots taken since it reported them
 	recent   recentMoves
 
-	poisonCandidates int // instances on it when it failed that may have failed it and the primaries before it
+	poisonCandidates int // instances that may have caused this node's failure and those of their earlier primaries; set when it fails
 	pendingFailOvers int // fail-overs and quarantines without a result yet that declare its lease expired
 
 	ready            queue        // instances that are to move, the most urgent first
-	waitingForBound  boundWaiters // instances that wait for the share of copies in its moves
+	waitingForBound  boundWaiters // instances that wait until the bound on this node's moves allows another copy
 	eligible         bool         // it is in its zone's list of nodes that may receive an instance
-	readyPosition    int          // in Planner.readyNodes, or notQueued
+	readyPosition    int          // index in Planner.readyNodes, or notQueued
 	nextExcessReview tick.Tick
 }
 
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -198,7 +198,8 @@
 	}
 }
 
-// boundWaiters lists instances that wait for the share of copies in a bound on moves, in order of arrival.
+// boundWaiters lists, in order of arrival, the instances that wait to be copied because the moves in progress or proposed
+// use up the share of a bound on moves that is open to copies.
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances that only lack a replica in another zone
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -30,7 +30,7 @@
 // PeerUpdate is what is known of another relay.
 type PeerUpdate struct {
 	Name        string
-	Incarnation uint64 // of its process; a larger one is a restart, a smaller one an old copy, which is ignored
+	Incarnation uint64 // of the relay's process; a larger one means a restart, a smaller one an old copy of an update, which is ignored
 	Report      Report
 	Age         tick.Tick // of the report; a negative age counts as 0
 	State       PeerState
@@ -49,8 +49,8 @@
 	hasReport  bool
 	reportedAt tick.Tick // when its report was made
 	fresh      bool      // the report is counted in the fleet's sums
-	queueIndex int       // in fleetView.fresh
-	bucket     int       // in fleetView.fractionHistogram; noBucket for none
+	queueIndex int       // index in fleetView.fresh
+	bucket     int       // index in fleetView.fractionHistogram; noBucket if the peer is not counted there
 
 	evidence [maxEvidence]peerEvidence // as counted in the tallies of the suspected backends
 }
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -11,8 +11,8 @@
 	DefaultLease         = tick.Second
 )
 
-// Intervals as fractions of the lease duration, so that all of them scale with it: an interval is the lease duration
-// divided by the constant.
+// Intervals that scale with the lease duration: each constant is the number of intervals in one lease duration, and its
+// comment describes the interval, which is the lease duration divided by the constant.
 const (
 	ticksPerLease            = 20 // longest interval between two calls of OnTick
 	resendsPerLease          = 10 // interval after which a message without an answer is sent again
--- a/internal/stagedrollout/server.go
+++ b/internal/stagedrollout/server.go
@@ -16,7 +16,7 @@
 	rank            float64 // position in the order of the newest version, from 0 to 1
 	failures        int     // failed installations of the newest version
 	retryAt         Tick    // after a failed installation: not assigned the newest version before this time
-	excluded        bool    // permanently, from the newest version
+	excluded        bool    // permanently excluded from the newest version: the server declined the version or failed too often
 }
 
 // Assigned is the version that the server's metadata must name; 0 means none.
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -26,7 +26,7 @@
 	Unknown   Outcome = "unknown"   // the connection broke, or the request timed out
 )
 
-// Request is what a client observed of one request.
+// Request describes a request and the result that its client observed.
 type Request struct {
 	Instance, ID string
 	Write        bool
@@ -34,7 +34,7 @@
 	Timeout      time.Duration
 	Outcome      Outcome
 	Why          string // SQLSTATE, or the error that broke the connection
-	Seq, Epoch   uint64 // as the response states
+	Seq, Epoch   uint64 // sequence number and epoch that the response states
 	Node         string
 	Sends        int
 }
