--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -74,7 +74,7 @@
 }
 
 // maxAnsweredVersions is the number of versions whose answered keys are kept: the newest, one that is not announced
-// yet, and a spare one.
+// yet, and one more.
 const maxAnsweredVersions = 3
 
 // keyFilter is a Bloom filter of fixed size for the keys of one version. It never misses a key that was added. It
@@ -119,8 +119,8 @@
 	}
 }
 
-// addAnsweredKey adds a key to those that a version has answered. If more versions are kept than can be under way at
-// once, it drops the earliest one.
+// addAnsweredKey adds a key to those that a version has answered. If keys of more than maxAnsweredVersions versions are
+// kept, which is more than can be under way at once, it drops those of the earliest version.
 func (b *Balancer) addAnsweredKey(key uint64, version uint16) {
 	if b.answeredKeys[version] == nil {
 		b.answeredKeys[version] = &keyFilter{}
--- a/balancer/logline_test.go
+++ b/balancer/logline_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestLogSampled checks that a single relay logs every event, and that a few of many relays do.
+// TestLogSampled checks that every relay logs every event if there are at most loggingRelays relays, and only some of
+// the events if there are many relays.
 func TestLogSampled(t *testing.T) {
 	for _, c := range []struct {
 		relays      float64
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -18,7 +18,8 @@
 	// connections would cost more than they serve, and a relay would see next to nothing of each backend. A small relay
 	// keeps to a few backends, by an order of its own.
 	minSubsetSize = 5
-	// minCanarySubsetSize is the same for the backends of a canary. The canary's part of subsetSize is added.
+	// minCanarySubsetSize is the least number of backends of a canary that a relay chooses from. The canary's part of
+	// subsetSize is added.
 	minCanarySubsetSize = 2
 )
 
@@ -28,11 +29,10 @@
 	canaryCandidates []*Backend
 }
 
-// Refusal is the reason why a backend may not take a request now. A higher value is found later in the order of the
-// checks.
+// Refusal is the reason why a backend may not take a request now. The values are in the order of the checks.
 type Refusal uint8
 
-// The refusals, in the order of the checks.
+// The reasons for refusing a backend, in the order in which they are checked.
 const (
 	NotRefused           Refusal = iota
 	RefusedByLimit               // the relay has reached its concurrency limit
@@ -40,7 +40,7 @@
 	RefusedByIdempotency         // a repeat could have a second effect, or a later version has answered the key
 	RefusedByLastAttempt         // the backend had the last attempt
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
-	RefusedBySlowStart           // the backend warms up, and its budget is used up
+	RefusedBySlowStart           // the backend is warming up, and its slow-start budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
 	RefusedByDegradation         // the backend failed recently, and others are available
 	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -50,7 +50,8 @@
 	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
 	// drop them.
 	DedupScope DedupScope
-	// DedupWindow is how long those backends drop repeats, from the first attempt that may have run. Missing: no time.
+	// DedupWindow is how long the backends of DedupScope drop repeats, from the first attempt that may have run.
+	// Missing: no time.
 	DedupWindow Seconds
 	// LatencyObjective is the time within which an answer has its full value. Missing: the deadline.
 	LatencyObjective Seconds
@@ -76,7 +77,7 @@
 // DedupScope is the set of backends that drop a repeated request.
 type DedupScope uint8
 
-// The scopes.
+// The scopes of deduplication.
 const (
 	DedupNowhere DedupScope = iota
 	DedupCell               // the backends of the cell that ran the request
@@ -84,7 +85,7 @@
 	DedupEverywhere
 )
 
-// Limits are the site's limits on what a relay does.
+// Limits holds the site's limits on what a relay does.
 type Limits struct {
 	// MaxAttempts is the maximum number of attempts of a request. Range: 1 to 32. Missing: 1 (set by the parser).
 	MaxAttempts int
@@ -103,7 +104,7 @@
 	Gossip bool
 }
 
-// EndpointRules are the site's rules on the endpoint list.
+// EndpointRules holds the site's rules for the endpoint list.
 type EndpointRules struct {
 	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
 	// lowered. Missing: none.
@@ -115,7 +116,7 @@
 	PollInterval Seconds
 }
 
-// SlowStart are the site's rules on backends that have just started.
+// SlowStart holds the site's rules for backends that have just started.
 type SlowStart struct {
 	// Window is how long a backend warms up. Missing or 0: no warm-up.
 	Window Seconds
@@ -124,11 +125,12 @@
 	// OverloadMultiple is the multiple of its current capacity that overloads a backend that is warming up. Range: 0
 	// and above.
 	OverloadMultiple float64
-	// OverloadWindow is the time over which that load is counted. Missing or 0: Window (set by the parser).
+	// OverloadWindow is the time over which the load for OverloadMultiple is counted. Missing or 0: Window (set by the
+	// parser).
 	OverloadWindow Seconds
 }
 
-// Rollout are the site's rules on staged rollouts.
+// Rollout holds the site's rules for staged rollouts.
 type Rollout struct {
 	// Control is what advances a rollout from stage to stage. Missing or unknown: votes.
 	Control RolloutControl
@@ -152,8 +154,8 @@
 	ForwardOnly bool
 	// FoundShare is the share of the wrong answers that clients detect and report. Range: 0 to 1. Missing: 0.
 	FoundShare float64
-	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. Missing: it counts
-	// none.
+	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. Missing: the
+	// release API counts no outcomes.
 	MetricsPeriod Seconds
 	// VoteLifetime is how long a vote is valid. Missing: no time.
 	VoteLifetime Seconds
@@ -174,7 +176,7 @@
 // RolloutControl is what advances a rollout from stage to stage.
 type RolloutControl uint8
 
-// The kinds of control.
+// The kinds of rollout control.
 const (
 	// AdvanceByVotes advances when relays vote to promote.
 	AdvanceByVotes RolloutControl = iota
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,16 +3,16 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // of full, above empty: less would not suffice for migrating if mains or sun failed
+	holdingCharge    = 0.05 // fraction of full charge above the empty level; less would not suffice for migrating if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
 	mainsOnThreshold = 0.5  // reading from which mains counts as on
 )
 
 // batteryTotals sums up all batteries of a node.
 type batteryTotals struct {
-	fullJoules      float64 // of full batteries
-	remainingJoules float64 // above the empty level
-	fallRate        float64 // joules per second, by the slope of the charge
+	fullJoules      float64 // energy of the full batteries
+	remainingJoules float64 // energy above the empty level
+	fallRate        float64 // joules lost per second, by the slope of the charge; assessBattery raises it to a measured draw
 	draw            float64 // watts out of the batteries
 	measured        bool    // full charge and draw are known for all batteries
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,13 +12,13 @@
 
 // Limits on a response, in bytes.
 const (
-	MaxHeader = 8 << 10 // of a status line and its header fields
-	MaxBody   = 4 << 20 // of a body; large enough for a list of tens of thousands of backends
+	MaxHeader = 8 << 10 // size of a status line and its header fields together
+	MaxBody   = 4 << 20 // size of a body; large enough for a list of tens of thousands of backends
 
-	maxChunkLine = 1 << 10 // of a chunk's size line or a trailer field
+	maxChunkLine = 1 << 10 // length of a chunk's size line or a trailer field
 )
 
-// Errors in a response. After either, nothing more can be read.
+// Errors in a response. After either error, nothing more of the response can be read.
 var (
 	ErrMalformed = errors.New("malformed response")
 	ErrTooLong   = errors.New("response too long")
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -22,7 +22,7 @@
 const (
 	keptRoundTrips = 5 // answers whose round trips are kept
 	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
-	slowDivisor    = 8 // an answer is slow from this part of the silence timeout on
+	slowDivisor    = 8 // an answer is slow if it takes the silence timeout divided by slowDivisor, or longer
 	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
 	keptChanges    = 4 // changes kept per member while nobody calls Changes
 )
@@ -165,7 +165,7 @@
 }
 
 // holdDown is how long the member must stay healthy before its state is believed. It guards against decisions of other
-// packages that would change with each swing of a flapping member. A healthy member behind a link whose delay is at the
+// packages that would change each time a flapping member fails or recovers. A healthy member behind a link whose delay is at the
 // edge of the probe timeout looks the same; the hold-down keeps such a member out of the fleet's work for that time.
 func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
 	excess := f.recoveries - undampedRecoveries
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -96,7 +96,8 @@
 	return r.survey.Done
 }
 
-// surveyRound asks each ready mirror once, SurveyConcurrency of them at a time, and returns their number.
+// surveyRound asks each ready mirror once, SurveyConcurrency of them at a time, and returns the
+// number of ready mirrors.
 func (r *Repository) surveyRound(ctx context.Context) (asked int) {
 	ready := r.dispatcher.ReadyBackends()
 	var names []string
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -9,7 +9,7 @@
 // the newest versions. The guard holds because a majority of the mirrors shows the newest timestamp. It does not guard against a
 // majority of mirrors that are out of date.
 type MirrorSurvey struct {
-	shownBy map[string]bool // mirrors whose timestamp counts, by name
+	shownBy map[string]bool // names of the mirrors that have shown a correctly signed timestamp
 
 	// Done reports whether the survey is complete. It never becomes false again.
 	Done bool
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -129,7 +129,7 @@
 // Each connection has a goroutine until its hello has arrived and a listener has accepted the connection.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.listener.Close() // closed only once
+		_ = n.listener.Close() // fails only on a closed listener, and the listener is closed only once
 		for _, listener := range n.listeners {
 			_ = listener.Close() // never fails
 		}
--- a/internal/releaseapi/change.go
+++ b/internal/releaseapi/change.go
@@ -17,7 +17,7 @@
 	Object json.RawMessage `json:"object"`
 }
 
-// wireObservation is the object of a change of kind tally or flag.
+// wireObservation is the JSON object of a change whose kind is changeTally or changeFlag.
 type wireObservation struct {
 	Version uint16  `json:"Revision"`
 	Class   string  `json:"Lane"`
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -12,7 +12,7 @@
 	maxReasonLength        = 1024      // bytes in the reason of a message
 	maxBatchBytes          = 256 << 10 // bytes of log entries from which on no further entry is added to a message
 	maxPendingAcks         = 4         // messages of a primary that wait for this node's disk; the oldest ones beyond it stay unanswered
-	maxAcksWithoutProgress = 4         // consecutive answers without progress, before a replica is sent to more slowly
+	maxAcksWithoutProgress = 4         // consecutive answers without progress; each further one delays the next message to the replica
 	maxPendingRequests     = 256       // requests of an instance that wait for the disk and the replicas
 )
 
@@ -20,7 +20,7 @@
 const (
 	MessageCatchUp     = "copy"   // entries for a copy target
 	MessageAppend      = "effect" // entries for a replica; without any it asks for the replica's last entry
-	MessageFinalAppend = "stop"   // the same from a primary that has stopped for a cut-over
+	MessageFinalAppend = "stop"   // like MessageAppend, but from a primary that has stopped for a cut-over
 	MessageAck         = "held"   // an answer: the state of the sender's log, all of which is durable
 	MessageStaleEpoch  = "old"    // an answer: the sender knows Epoch, and the message came from an earlier epoch or not from its primary
 	MessageRejected    = "unfit"  // an answer: the message was refused, for Reason
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -55,7 +55,7 @@
 
 func (r *recovery) awaitsConfirmation() bool { return len(r.awaitedReplicas) > 0 }
 
-// startVerification has the node wait until all replicas have shown their logs.
+// startVerification makes the node wait until each of the replicas has shown that it has no more entries.
 func (r *recovery) startVerification(replicas []string) { r.awaitedReplicas = slices.Clone(replicas) }
 
 // retainAwaited stops waiting for nodes that are not among the replicas.
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -33,14 +33,14 @@
 	installWindow     = 300 * Second  // an installation that is not reported within this time counts as failed
 	maxPendingShare   = 0.1           // installations that may be pending at once, as a share of the listed servers
 	minPending        = 2             // lower bound of the installations that may be pending at once
-	maxFailedShare    = 0.5           // of the recent installations; above it, only one may be pending
+	maxFailedShare    = 0.5           // failed or declined share of the recent installations; above it, only one may be pending
 	recentResults     = 16            // number of installations that count as recent
 	roundingTolerance = 1e-9          // added to cap times servers, so that a rounding error of the product does not lower its floor
 )
 
 // Host carries out the decisions of a Rollout. It must not call back into the Rollout.
 type Host interface {
-	// Assign makes a server's metadata name a version, at once.
+	// Assign assigns a version to a server, and has metadata that name the version issued at once.
 	Assign(s *Server, version uint16)
 	// SetTimer requests a call of OnTimer at the given time or later.
 	SetTimer(at Tick)
@@ -75,8 +75,8 @@
 	timerAt          Tick      // 0 if no timer is set
 }
 
-// New makes the Rollout of a fleet. Until OnStage every server is assigned the released version; 0 means that there is
-// none.
+// New makes the Rollout of a fleet. Until the first call of OnStage, every server is assigned the released version; 0
+// means that there is none.
 func New(host Host, metadataLifetime Tick, released uint16) *Rollout {
 	return &Rollout{host: host, metadataLifetime: metadataLifetime, releasedVersion: released, phase: Withdrawn, version: released}
 }
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -46,8 +46,8 @@
 	c.Faults = append(c.Faults, fmt.Sprintf(form, args...))
 }
 
-// Reset forgets the versions that clients were given. It is called after publishers have rotated a role's keys, which lets
-// versions start anew.
+// Reset clears the record of the versions that clients were given. It is called after publishers have rotated a role's
+// keys, which lets versions start anew.
 func (c *Checker) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +203,7 @@
 	counter int64
 }
 
-// SetCounter sets the number from which reports are counted on.
+// SetCounter sets the counter value of the last report. The next report has the value after it.
 func (s *Server) SetCounter(from int64) { s.counter = from }
 
 // fetcher connects the public TUF library to a transport.
