--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -25,7 +25,7 @@
 		return 0, errNoControllerConfigured
 	}
 	pause, maxPause := c.timings.RetryDelayMin, c.timings.RetryDelayMax
-	if method == http.MethodGet { // a watcher can wait longer than a node whose lease is running out
+	if method == http.MethodGet { // a caller that only reads can wait longer than a node whose lease is running out
 		maxPause *= 4
 	}
 	var lastErr error
@@ -49,7 +49,9 @@
 		}
 		lastErr = err
 		redirected := c.chooseNext(p.controller, refusal)
-		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) { // controllers that redirect to each other get a pause too
+		// Only every (len(c.controllers)+1)th redirected attempt pauses, so that controllers that redirect to each other are not
+		// called without a pause.
+		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) {
 			continue
 		}
 		if err := c.pause(ctx, pause); err != nil {
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -30,7 +30,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	lineage Lineage
-	leader  string                   // destination of the next call; "" if the file lists no controller
+	leader  string                   // controller to call next; "" if the configuration file lists none
 	polls   map[*activeCall]struct{} // calls that wait for a change, and other calls with a long timeout
 	random  *rand.Rand
 }
@@ -75,8 +75,8 @@
 }
 
 // Propose submits an operation to the agreed log and returns the resulting assignment. A *RefusalError contains the assignment
-// that is in force instead, if any. After any other error the operation may or may not have been agreed, and may be proposed
-// again: an operation that was already applied changes nothing, or is refused with the assignment that resulted from it.
+// that is in force instead, if any. After any other error the operation may or may not have been agreed. The caller may propose
+// it again: an operation that was already applied changes nothing, or is refused with the assignment that resulted from it.
 func (c *Client) Propose(ctx context.Context, op placement.Operation) (assignment placement.Assignment, err error) {
 	op.Version = placement.FormatVersion
 	_, err = c.call(ctx, http.MethodPost, "/v1/step", op, &assignment, c.timings.ProposalTimeout)
@@ -170,11 +170,11 @@
 			continue
 		}
 		if response.StatusCode != http.StatusOK {
-			_ = response.Body.Close() // not the leader
+			_ = response.Body.Close() // this controller does not lead
 			continue
 		}
 		_, err = io.Copy(w, response.Body)
-		_ = response.Body.Close() // read to the end, or failed already
+		_ = response.Body.Close() // the body was read to its end, or reading it has failed
 		return err
 	}
 	return fmt.Errorf("no leading controller answered: %w", lastErr)
--- a/internal/controllerclient/errors.go
+++ b/internal/controllerclient/errors.go
@@ -12,7 +12,7 @@
 // carried the call out nevertheless. Client.Backup wraps it if no controller answered as the leader.
 var ErrNoController = errors.New("no controller completed the call")
 
-// ErrOtherLineage is wrapped by the error for a controller whose lineage does not match the lineage accepted before.
+// ErrOtherLineage is wrapped by the error for a controller whose lineage does not match the lineage that CheckLineage accepted last.
 var ErrOtherLineage = errors.New("the controllers' lineage does not match, their disks may have been lost")
 
 // errNoControllerConfigured is returned by each call if the configuration file lists no controller.
--- a/internal/controllerclient/lineage.go
+++ b/internal/controllerclient/lineage.go
@@ -10,11 +10,11 @@
 	return c.lineage
 }
 
-// CheckLineage accepts a controller's lineage as the current one, or fails with ErrOtherLineage: if its generation is lower than
+// CheckLineage accepts a controller's lineage as the current one. It fails with ErrOtherLineage if the generation is lower than
 // the accepted one, or if the generation is the same and the log has another origin.
 //
-// This protects a primary against controllers that have no record of it, because their disks were emptied or are from before a
-// rebuild of placement. Controllers whose disks were emptied on purpose cannot be told apart from these;
+// The check protects a primary against controllers that have no record of the primary, because their disks were emptied or are
+// from before a rebuild of placement. Controllers whose disks were emptied on purpose cannot be told apart from these. For them,
 // silvercovectl fleet rebuild raises the generation, and every client accepts the higher one.
 func (c *Client) CheckLineage(lineage Lineage) error {
 	c.mu.Lock()
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -15,21 +15,21 @@
 const MaxBodyBytes = 256 << 10
 
 // LeaseRequest asks for a lease or renews it. The JSON names of this and all other types in this file are wire names, which stay as
-// they are even where a Go name differs. RecordCount is that of instancestore.Store.
+// they are even where a Go name differs. RecordCount is the result of Store.RecordCount in package instancestore.
 type LeaseRequest struct {
 	Version         int                      `json:"v"`
 	Node            string                   `json:"unit"`
-	Incarnation     uint64                   `json:"run"` // of the process: above 0, and greater at each start
+	Incarnation     uint64                   `json:"run"` // incarnation of the process: above 0, and greater at each start
 	Report          json.RawMessage          `json:"report,omitempty"`
 	RequestAddress  string                   `json:"commands,omitempty"` // address at which the node accepts requests, HOST:PORT
 	Zone            string                   `json:"zone,omitempty"`
 	SoftwareVersion uint16                   `json:"build,omitempty"`
-	StartedAtMS     int64                    `json:"born_ms,omitempty"` // start of the process, Unix time; for lists, not for decisions
+	StartedAtMS     int64                    `json:"born_ms,omitempty"` // Unix time at the start of the process; only for lists
 	Draining        bool                     `json:"draining,omitempty"`
-	RollingBack     bool                     `json:"going_back,omitempty"` // as a controller last told it, see LeaseResponse.RollingBack
+	RollingBack     bool                     `json:"going_back,omitempty"` // the last LeaseResponse.RollingBack that the node received
 	WarmingUp       bool                     `json:"cold,omitempty"`
 	LostCopies      bool                     `json:"fresh,omitempty"`  // this incarnation started without the copies of the previous one
-	RecordCount     uint64                   `json:"kept,omitempty"`   // records ever written to its disk; 0: unknown
+	RecordCount     uint64                   `json:"kept,omitempty"`   // number of records ever written to the node's disk; 0: unknown
 	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // copies that the node serves although entries may be missing
 }
 
@@ -98,7 +98,7 @@
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone,omitempty"`
 	Incarnation     uint64   `json:"run,omitempty"`
-	HasLease        bool     `json:"held"` // its lease has not expired
+	HasLease        bool     `json:"held"` // the node has a lease that has not expired
 	State           string   `json:"state,omitempty"`
 	Accepting       bool     `json:"accepts"`
 	AcceptFraction  float64  `json:"share"`
@@ -126,7 +126,7 @@
 	Version         int            `json:"v"`
 	Nodes           []NodeOutcomes `json:"units"`
 	SoftwareVersion uint16         `json:"build,omitempty"` // the newest version that the release API reported to the relay
-	RolloutState    string         `json:"state,omitempty"` // of SoftwareVersion, as named by the release API; "" if it reported none
+	RolloutState    string         `json:"state,omitempty"` // state of SoftwareVersion as the release API names it; "" if not reported
 }
 
 // Values of OutcomeReport.RolloutState for a version that is being rolled back and for one that was withdrawn.
@@ -179,16 +179,16 @@
 	Version  int    `json:"v"`
 	Node     string `json:"node"`
 	StoreID  string `json:"store"`
-	CaughtUp bool   `json:"ready,omitempty"` // it has all entries up to JoinResponse.Index of an earlier answer
+	CaughtUp bool   `json:"ready,omitempty"` // the controller has all entries up to JoinResponse.Index of an earlier answer
 }
 
 // JoinResponse tells a controller whether it is a voter of the agreed log, and which entries it needs to become one.
 type JoinResponse struct {
 	Voter      bool       `json:"votes"`
-	Index      uint64     `json:"index"`          // of the last entry that it needs before it becomes a voter
-	Term       uint64     `json:"term,omitempty"` // in which it was admitted; it accepts no entry of an earlier term
+	Index      uint64     `json:"index"`          // index of the last entry that the controller needs before it becomes a voter
+	Term       uint64     `json:"term,omitempty"` // term in which the controller was admitted; it accepts no entry of an earlier term
 	Origin     *LogOrigin `json:"birth"`
-	Generation uint64     `json:"line,omitempty"` // of the log, see Lineage
+	Generation uint64     `json:"line,omitempty"` // generation of the log, see Lineage
 }
 
 // Inventory lists the copies that an edge node has, independent of the controllers' assignments. It is the answer to GET /v1/holds.
@@ -237,14 +237,14 @@
 	Applied      uint64                 `json:"applied"`
 	Last         LogPosition            `json:"last"`
 	Assignments  int                    `json:"places"`
-	Migrations   int                    `json:"moves"` // in progress
+	Migrations   int                    `json:"moves"` // number of migrations in progress
 	Reasons      []string               `json:"reasons,omitempty"`
 	Generation   uint64                 `json:"generation"`
 	Origin       *LogOrigin             `json:"birth,omitempty"`
 	StoreID      string                 `json:"store"`            // identity of the controller's disk
 	StoreIDs     map[string]string      `json:"stores,omitempty"` // by controller name: the agreed identity of its disk
-	Controllers  []string               `json:"keepers"`          // names of all controllers in its configuration file, sorted
-	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller name: the last entry known to be on its disk
+	Controllers  []string               `json:"keepers"`          // names of all controllers in the controller's configuration file, sorted
+	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller name: the last entry known to be on that controller's disk
 	Disk         *DiskSpace             `json:"disk,omitempty"`   // nil: unknown, or the controller has an earlier version
 }
 
@@ -252,7 +252,7 @@
 type DiskSpace struct {
 	Free       uint64 `json:"free"`
 	Total      uint64 `json:"total"`
-	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only if no other has space
+	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only if no other one has free space
 }
 
 // FreeFraction returns the free fraction of the disk, 0 if the size is unknown.
--- a/internal/controllerclient/watch.go
+++ b/internal/controllerclient/watch.go
@@ -24,8 +24,8 @@
 }
 
 // Watch calls notify with all assignments and then with each change, in order, until the context ends. The first
-// AssignmentChanges are Complete, and so are later ones whenever this process or the controllers lack some of the changes between.
-// Watch returns the context's error, or the error of a call that was refused.
+// AssignmentChanges are Complete. Later ones are Complete if this process or the controllers lack some of the changes since the
+// previous call of notify. Watch returns the context's error, or the error of a call that was refused.
 func (c *Client) Watch(ctx context.Context, notify func(AssignmentChanges)) error {
 	var version uint64
 	for first := true; ; {
--- a/internal/evidence/bounds.go
+++ b/internal/evidence/bounds.go
@@ -8,8 +8,8 @@
 // bisections is the number of bisection steps of ConfidenceBounds. More steps would not change a float64.
 const bisections = 60
 
-// ConfidenceBounds are the ends of a confidence sequence for a share of failures. With probability 1 − level they hold
-// at all times at once, so a vote may check them at any time (Shekhar and Ramdas, definition 1.1; the mixture is
+// ConfidenceBounds are the ends of a confidence sequence for a share of failures. With probability 1 − level the true
+// share is within the bounds at all times, so a vote may check them at any time (Shekhar and Ramdas, definition 1.1; the mixture is
 // Robbins's). Without outcomes they are 0 and 1.
 func ConfidenceBounds(failures, outcomes, level float64) (low, high float64) {
 	if outcomes <= 0 {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -37,9 +37,9 @@
 // The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
 // observed itself. They are therefore explained separately, and no bound is derived from them.
 const (
-	SourceRelay       Source = iota // this relay
-	SourceWrongAnswer               // a client's report of a wrong answer
-	SourcePlatform                  // the counts of the release platform
+	SourceRelay       Source = iota // observed by this relay
+	SourceWrongAnswer               // reported by a client as a wrong answer
+	SourcePlatform                  // counted by the release platform
 	sourceCount
 )
 
@@ -58,7 +58,7 @@
 // delayLimits are the upper ends of the first four ranges of WrongAnswerDelays.
 var delayLimits = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
 
-// Vote is one vote, as it was cast.
+// Vote is one vote, with the estimates at the time when it was cast.
 type Vote struct {
 	At        balancer.Tick `json:"at"`
 	Stage     int           `json:"stage"`
@@ -82,19 +82,19 @@
 	FirstSeen                 balancer.Tick     `json:"first"`
 	LastSeen                  balancer.Tick     `json:"last"`
 	State                     string            `json:"state"`
-	Counts                    map[string]*Count `json:"cells"` // by countKey
+	Counts                    map[string]*Count `json:"cells"` // counts by countKey
 	WrongAnswerDelays         WrongAnswerDelays `json:"late"`
 	Votes                     []Vote            `json:"votes"`
-	DroppedVotes              int64             `json:"dropped"`  // votes beyond maxVotes
-	WrongAnswersAfterRollback int64             `json:"afterend"` // reported while the version was being rolled back or afterwards
+	DroppedVotes              int64             `json:"dropped"`  // number of votes that were dropped because of maxVotes
+	WrongAnswersAfterRollback int64             `json:"afterend"` // wrong answers reported during or after the rollback of the version
 }
 
 // Store keeps the evidence of one relay. It is not safe for concurrent use.
 type Store struct {
 	classes   []string
-	level     float64    // of the bounds of one class
+	level     float64    // probability that a bound of one class is ever wrong
 	versions  []*Version // oldest first
-	Orphans   int64      // reports on versions or classes that are not kept
+	Orphans   int64      // number of reports on versions or classes that are not kept
 	LoadError string     // why an earlier snapshot could not be read; "" if it could, or if there was none
 }
 
@@ -207,7 +207,7 @@
 
 func (v *Version) rolledBack() bool { return v.State == stateRollingBack || v.State == stateRolledBack }
 
-// RecordVote keeps a vote with the estimates at the time when it was cast.
+// RecordVote records a vote that is cast now, together with the current estimates.
 func (s *Store) RecordVote(now balancer.Tick, number uint16, stage int, verdict, reason string) {
 	v := s.find(number)
 	if v == nil {
@@ -244,7 +244,7 @@
 	return all
 }
 
-// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that starts again.
+// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts.
 // The counts are halved for each half-life since the last outcome. Outcomes are rounded down and failures are rounded
 // up, as evidence against a version must not be lost by a restart.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -20,9 +20,9 @@
 // gossip is the interface of the gossip library that an Agent uses. Its calls may block; none is made with the agent's
 // lock held.
 type gossip interface {
-	Ping(name string) (time.Duration, error)                       // blocks for the probe timeout at most
-	Broadcast(name string, record []byte)                          // to all members; replaces an earlier record of the same name
-	Reconnect(name string)                                         // drops the kept connection, which may be broken
+	Ping(name string) (time.Duration, error)                       // probes a member; blocks for the probe timeout at most
+	Broadcast(name string, record []byte)                          // sends to all members; replaces an earlier record of the name
+	Reconnect(name string)                                         // drops the kept connection to a member, which may be broken
 	Leave(timeout time.Duration)                                   // tells the other members that this process leaves
 	Close()                                                        // shuts the library down and waits for its goroutines
 	Sync(ctx context.Context, names []string, every time.Duration) // exchanges whole states with members that are not alive to the library
@@ -48,7 +48,7 @@
 
 	mu           sync.Mutex // guards the fields below
 	table        *Table
-	broadcastSeq uint64          // sequence of the own record that was last broadcast
+	broadcastSeq uint64          // sequence of the own record that was broadcast last
 	pinging      map[string]bool // members with a ping under way
 }
 
@@ -82,11 +82,12 @@
 func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
 // Publish sets this process's payload of a kind, which is sent to all members from now on. It is an error to publish
-// more than MaxKinds kinds, or a payload of more than MaxPayloadSize bytes; nothing changes then.
+// more than MaxKinds kinds, or a payload of more than MaxPayloadSize bytes; such a call changes nothing.
 func (a *Agent) Publish(kind string, data []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.table.Publish(kind, data) // sent in the next round, so that many payloads cost no more than the newest
+	// Run sends the payload in a later round. Of several payloads of a kind that are published until then, only the newest is sent.
+	return a.table.Publish(kind, data)
 }
 
 // Members are all members, this process included, sorted by name.
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,8 +19,8 @@
 
 const (
 	maxPacketSize     = 16 << 10 // bytes
-	retransmitFactor  = 3        // a record is sent this many times the logarithm of the number of members
-	initialSyncs      = 3        // members to exchange whole states with at the start
+	retransmitFactor  = 3        // a record is sent retransmitFactor times the logarithm of the number of members
+	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
 	maxGossipInterval = 200 * time.Millisecond
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -12,28 +12,28 @@
 // The states of a member.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "suspect" // it does not answer this process, and no record of it has arrived since
-	StateUnreachable State = "cut"     // it does not answer this process, but others pass on its records
-	StateSlow        State = "slow"    // its answers take an eighth of the silence timeout or longer
+	StateSuspect     State = "suspect" // the member does not answer this process, and its records have stopped arriving too
+	StateUnreachable State = "cut"     // the member does not answer this process, but others pass on its records
+	StateSlow        State = "slow"    // the member's answers take an eighth of the silence timeout or longer
 	StateDead        State = "dead"
-	StateLeft        State = "left" // it left on purpose
+	StateLeft        State = "left" // the member left on purpose
 )
 
 const (
-	keptRoundTrips = 5 // answers whose round trips are kept
+	keptRoundTrips = 5 // number of answers whose round trips are kept
 	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
-	slowDivisor    = 8 // an answer is slow from this part of the silence timeout on
+	slowDivisor    = 8 // an answer is slow if it takes the silence timeout divided by slowDivisor, or longer
 	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
 	keptChanges    = 4 // changes kept per member while nobody calls Changes
 )
 
-// A member that keeps coming back is held down: its state stays suspect for longer each time.
+// Limits of the hold-down: a member that repeatedly stops answering and recovers stays suspect for longer after each recovery.
 const (
-	undampedRecoveries = 3  // recoveries without a hold-down
-	maxRecoveries      = 16 // cap of the count of recoveries
-	recoveryHalfLife   = 20 // silence timeouts after which the count of recoveries halves
-	maxHoldDown        = 32 // silence timeouts: the longest hold-down of a member that keeps coming back
-	maxHoldDownShift   = 10 // bounds the shift
+	undampedRecoveries = 3  // recoveries that cause no hold-down
+	maxRecoveries      = 16 // upper bound of the count of recoveries
+	recoveryHalfLife   = 20 // time after which the count of recoveries halves, in silence timeouts
+	maxHoldDown        = 32 // the longest hold-down, in silence timeouts
+	maxHoldDownShift   = 10 // upper bound of the shift that doubles the hold-down with each recovery
 	minRecoveries      = 0.5
 )
 
@@ -42,11 +42,11 @@
 	wasHealthy   bool // the member has been healthy before
 	healthy      bool
 	healthySince tick.Tick
-	recoveries   float64 // into alive or slow; the count decays over time
+	recoveries   float64 // number of recoveries into alive or slow; it decays over time
 	recoveredAt  tick.Tick
 }
 
-// RecordReply records that a member answered a probe of this process, with the round trip.
+// RecordReply records that a member answered a probe of this process, and the round trip of the answer.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -165,9 +165,10 @@
 	f.wasHealthy = true
 }
 
-// holdDown is how long the member must stay healthy before its state is believed. It guards against decisions of other
-// packages that would change with each swing of a flapping member. A healthy member behind a link whose delay is at the
-// edge of the probe timeout looks the same; the hold-down keeps such a member out of the fleet's work for that time.
+// holdDown is how long the member must stay healthy before its state changes from suspect to alive or slow. It guards against
+// decisions of other packages that would change with each failure and recovery of a flapping member. A healthy member behind a
+// link whose delay is close to the probe timeout looks like a flapping one: the hold-down keeps such a member out of the fleet's
+// work, too.
 func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
 	excess := f.recoveries - undampedRecoveries
 	if excess <= 0 {
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -16,7 +16,7 @@
 const (
 	packetHeaderSize = 4                 // bytes: the packet's length, big endian
 	maxInboundSize   = 4 * maxPacketSize // bytes of a received packet, which may combine several packets of the library
-	redialDivisor    = 8                 // a failed connection is tried again after this part of the silence timeout
+	redialDivisor    = 8                 // a failed connection is tried again after the silence timeout divided by this number
 )
 
 // sender sends packets to one member.
@@ -39,7 +39,7 @@
 	return s
 }
 
-// send sends queued packets to one member until the transport shuts down, and connects again where necessary.
+// send sends queued packets to one member until the transport shuts down, and opens a new connection if necessary.
 func (t *transport) send(name string, s *sender) {
 	defer t.closeSender(s)
 	var nextDial time.Time
@@ -110,8 +110,8 @@
 	}
 }
 
-// reconnect closes the kept connection to a member, so that the next packet uses a new one. After a cut of the link,
-// packets that the kernel retransmits on the old connection would arrive late.
+// reconnect closes the kept connection to a member, so that the next packet uses a new one. After an interruption of the
+// link, packets that the kernel retransmits on the old connection would arrive late.
 func (t *transport) reconnect(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +134,7 @@
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: packet, From: memberAddr(from), Timestamp: time.Now()}:
-		default: // the library is busy; it sends again what matters
+		default: // the queue is full and the packet is dropped; the sender's library repeats what matters
 		}
 	}
 }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -17,9 +17,10 @@
 	maxSyncs                 = 4.0 // exchanges of whole states within a silence timeout, by one member
 )
 
-// ProbeTargets are the members to probe now; it is called every ProbeInterval. They are members that have missed
-// probes, and some others in turn. Each member has its turn within four silence timeouts; with more than 96 members
-// that time grows in proportion to their number, so that a round costs no more.
+// ProbeTargets returns the members to probe now. It is called every ProbeInterval. The targets are members that have
+// missed probes, and some others in turn. With up to 128 members, each has its turn within four silence timeouts. From
+// 96 members on, a round has no more targets in turn, so the time between two turns grows in proportion to the number of
+// members.
 func (t *Table) ProbeTargets() []string {
 	var names []string
 	for _, e := range t.byName {
@@ -43,10 +44,10 @@
 // heartbeatPeriod is the longest time between two sends of a member's record. It grows with the number of members.
 func (t *Table) heartbeatPeriod() tick.Tick { return t.silence * tick.Tick(1+len(t.byName)/largeFleet) }
 
-// Heartbeat reports whether the own record must be sent again. It is due one heartbeat period after it was last sent,
-// so that others know that this process is alive. Changed payloads are sent sooner, up to payloadSendsPerHeartbeat times
-// within that period. The bound guards against payloads that change with each measurement of a relay: every member
-// passes them on, so in a large fleet they would fill the links between members.
+// Heartbeat reports whether the own record must be sent again. The record is due one heartbeat period after it was last
+// sent, so that others know that this process is alive. Changed payloads are sent sooner, up to payloadSendsPerHeartbeat
+// times within a heartbeat period. That bound guards against payloads that change with each measurement of a relay:
+// every member passes them on, so in a large fleet they would fill the links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
@@ -72,10 +73,10 @@
 
 // SyncCount is the number of members considered gone with which a process exchanges whole states within a silence
 // timeout. alive is the number of live members as the process sees them, itself included; random is drawn from 0 to 1.
-// All live members together make about fleetSyncs exchanges: a split that heals ends with the first exchange that
-// succeeds, and whole states of a large fleet are large. The bound guards against every member of one side contacting
-// every member of the other when a zone comes back. It delays the end of a split if links lose most packets, as few
-// members try.
+// All live members together make about fleetSyncs exchanges. So few are enough, because the first exchange that succeeds
+// after the links are back ends a split. Whole states of a large fleet are large, and without the bound every member of
+// one side would contact every member of the other when a zone comes back. If links lose most packets, the bound delays
+// the end of a split, as few members try.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
 	return min(gone, int(each+random))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -18,7 +18,7 @@
 	MaxKinds       = 8    // payloads of one member
 	MaxPayloadSize = 512  // bytes of one payload
 	MaxRecordSize  = 8192 // bytes of an encoded record
-	maxKindSize    = 64   // bytes of the name of a kind
+	maxKindSize    = 64   // bytes of a kind's name
 )
 
 // Record is a member's description of itself. Of two records, the one with the larger Incarnation is newer; within an
@@ -28,8 +28,8 @@
 	Name         string            `json:"name"`
 	Role         string            `json:"role"`
 	Zone         string            `json:"zone"`
-	Incarnation  uint64            `json:"run"`             // of the member's process; a later start has a larger one
-	Sequence     uint64            `json:"number"`          // of this record within the incarnation
+	Incarnation  uint64            `json:"run"`             // incarnation of the member's process; a later start has a larger one
+	Sequence     uint64            `json:"number"`          // sequence of this record within the incarnation
 	StartedEmpty bool              `json:"fresh,omitempty"` // the incarnation began without the data of an earlier one
 	Left         bool              `json:"left,omitempty"`  // the member left on purpose
 	Payloads     map[string][]byte `json:"news,omitempty"`  // by kind
@@ -114,7 +114,8 @@
 	case r.Incarnation > t.self.Incarnation:
 		t.superseded = true
 	case r.Incarnation == t.self.Incarnation && r.Sequence > t.self.Sequence:
-		t.self.Sequence = r.Sequence + 1 // two processes have this incarnation, or this one has forgotten a record that it sent
+		// Either two processes have this incarnation, or this process does not remember a record that it has sent.
+		t.self.Sequence = r.Sequence + 1
 	}
 }
 
@@ -135,8 +136,8 @@
 	return all
 }
 
-// Publish sets this process's payload of a kind. It is sent with the next Heartbeat that may send it. A payload beyond
-// the limits is refused, and nothing changes.
+// Publish sets this process's payload of a kind. The payload is sent with the next own record (Heartbeat). A payload
+// beyond the limits is refused, and nothing changes.
 func (t *Table) Publish(kind string, data []byte) error {
 	old, known := t.self.Payloads[kind]
 	if unsent, ok := t.unsent[kind]; ok {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,9 +7,9 @@
 // Incarnation, and StartedEmpty); and an old copy of a member (a smaller Incarnation), whose records are refused.
 //
 // How to drive a Table: Merge takes records; RecordReply and RecordTimeout take the results of probes of ProbeTargets;
-// MarkDown and MarkUp take the library's view. Call Reassess, Heartbeat and ProbeTargets every ProbeInterval. Changes
+// MarkDown and MarkUp take the library's view of a member. Call Reassess, Heartbeat and ProbeTargets every ProbeInterval. Changes
 // returns the members whose state has changed. Most times derive from the silence timeout, the setting fleet.silence:
-// after so long without an answer a member is suspected.
+// a member that has not answered for that time is suspected.
 //
 // Files: table.go, record.go (a member's description of itself), liveness.go (the state of a member), probing.go (which
 // members to probe, and how often to send records), agent.go and incarnation.go (the member of one process), gossip.go,
@@ -51,7 +51,7 @@
 	missedProbes int       // consecutive probes without an answer
 	missedSince  tick.Tick // when the first of the missed probes failed
 	roundTrips   []tick.Tick
-	markedDown   bool // by the library; a later sign of life overrides it
+	markedDown   bool // the library considers the member dead; a later sign of life overrides it
 	markedDownAt tick.Tick
 
 	flapping flapping
@@ -70,7 +70,7 @@
 	lastSentAt   tick.Tick         // when the own record was last sent
 	unsent       map[string][]byte // own payloads that are not yet in the own record
 	superseded   bool
-	changes      []Member // since the last call of Changes
+	changes      []Member // changes of state since the last call of Changes
 }
 
 // defaultSilence is the silence timeout, in seconds, if the setting fleet.silence is missing.
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -16,9 +16,9 @@
 
 const (
 	packetQueue  = 64               // packets queued for one member; further ones are dropped, as the library expects
-	inboundQueue = 4 * packetQueue  // received packets that the library has not taken yet
-	idleTimeout  = 30 * time.Second // of a kept connection
-	helloSlack   = time.Second      // added to the silence timeout, for the first byte of a connection
+	inboundQueue = 4 * packetQueue  // limit of received packets that the library has not taken yet
+	idleTimeout  = 30 * time.Second // a connection for packets is closed after this time without a packet to send
+	helloSlack   = time.Second      // added to the silence timeout while the first byte of a connection is awaited
 
 	// The first byte of a connection gives its purpose.
 	packetConn = byte('p')
@@ -26,14 +26,14 @@
 )
 
 // transport carries the library's packets and streams over connections between processes. Packets for one member go
-// over one connection that is kept open; they are dropped if that connection is slow. Each stream has a connection of
+// over one connection that is kept open. They are dropped if that connection is slow. Each stream has a connection of
 // its own. transport implements memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
 	net     *peertransport.Network
 	silence time.Duration
 	ctx     context.Context // ends with Shutdown
 	stop    context.CancelFunc
-	done    sync.WaitGroup // of the transport's goroutines
+	done    sync.WaitGroup // waits for the transport's goroutines
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 
--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -49,7 +49,7 @@
 )
 
 // recordFailure rolls a server back after a failed installation. The server may retry after a delay that doubles with
-// each failure; after maxFailures failures it is excluded. Another server is assigned the version in its place.
+// each failure. After maxFailures failures the server is excluded. Another server is assigned the version in its place.
 func (r *Rollout) recordFailure(now Tick, s *Server) {
 	s.failures++
 	if s.failures >= maxFailures {
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -51,8 +51,8 @@
 	return 0
 }
 
-// rollBackExcess rolls back as many servers as are assigned the newest version in excess of the limit, the last in the
-// order first.
+// rollBackExcess rolls back as many servers as are assigned the newest version in excess of the limit, beginning with the
+// last one in the order.
 func (r *Rollout) rollBackExcess(now Tick, excess int) {
 	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
 		if s := r.servers[i]; s.assigned == r.version {
@@ -74,7 +74,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // the server is already counted, by its earlier assignment
+			counts.MayInstall-- // the count already includes the server, because of its earlier assignment
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
@@ -83,7 +83,7 @@
 	}
 }
 
-// maxPending is the number of installations that may be pending at once. It is one while most of the recent
+// maxPending returns the number of installations that may be pending at once. The number is one while most of the recent
 // installations have failed, until some succeed.
 func (r *Rollout) maxPending(servers int) int {
 	if n := len(r.results); n >= recentResults/2 && sum(r.results) > maxFailedShare*float64(n) {
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -5,8 +5,8 @@
 // the Rollout acts at once through its Host. How far a version may go is decided elsewhere: OnStage brings the exposure
 // cap.
 //
-// Invariant: the number of servers that may install a canary version never exceeds the exposure cap's share of the
-// listed servers, rounded down, when one more server is assigned. A server may install the version while its newest
+// Invariant: whenever one more server is assigned a canary version, the number of servers that may install the version
+// does not exceed the exposure cap's share of the listed servers, rounded down. A server may install the version while its newest
 // metadata name the version. After a roll-back it may still do so until it has fetched newer metadata, or until the
 // metadata that named the version have expired.
 //
@@ -28,12 +28,12 @@
 
 const (
 	maxFailures       = 3             // installations of a version that may fail on a server before the server is excluded
-	minRetryDelay     = 60 * Second   // after the first failed installation; the delay doubles with each further one
+	minRetryDelay     = 60 * Second   // retry delay after the first failed installation; it doubles with each further one
 	maxRetryDelay     = 1800 * Second // upper bound of the retry delay
 	installWindow     = 300 * Second  // an installation that is not reported within this time counts as failed
 	maxPendingShare   = 0.1           // installations that may be pending at once, as a share of the listed servers
 	minPending        = 2             // lower bound of the installations that may be pending at once
-	maxFailedShare    = 0.5           // of the recent installations; above it, only one may be pending
+	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one may be pending
 	recentResults     = 16            // number of installations that count as recent
 	roundingTolerance = 1e-9          // added to cap times servers, so that a rounding error of the product does not lower its floor
 )
@@ -65,12 +65,12 @@
 	metadataLifetime Tick // how long metadata that name a version are valid
 	servers          []*Server
 	version          uint16 // the newest version
-	releasedVersion  uint16 // what all other servers run; equal to version unless a newer one is out
+	releasedVersion  uint16 // version that all other servers are assigned; equal to version if no newer one is out
 	phase            Phase
-	exposureCap      float64   // share of the listed servers
-	hardwareKinds    []string  // kinds that the newest version's package fits; empty means all
+	exposureCap      float64   // maximum share of the listed servers that may be assigned the newest version
+	hardwareKinds    []string  // kinds of hardware that the newest version's package fits; empty means all
 	paused           bool      // no further server is assigned the newest version until a later stage
-	results          []float64 // of recent installations of the newest version: 1 if it failed or was declined, else 0
+	results          []float64 // results of recent installations of the newest version: 1 if failed or declined, else 0
 	ordered          bool      // servers are sorted in the order of the newest version
 	timerAt          Tick      // 0 if no timer is set
 }
@@ -81,15 +81,15 @@
 	return &Rollout{host: host, metadataLifetime: metadataLifetime, releasedVersion: released, phase: Withdrawn, version: released}
 }
 
-// Restore adds a server with its state before a restart: the version it was assigned, and until when it may act on
-// metadata that name a later version. Restore must be called before OnStage and OnListed.
+// Restore adds a server with its state before a restart: the version that it was assigned, and the time until
+// which it may act on metadata that name a later version. Restore must be called before OnStage and OnListed.
 func (r *Rollout) Restore(now Tick, s *Server, assigned uint16, mayInstallUntil Tick) {
 	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = assigned, r.releasedVersion, mayInstallUntil, now
 	r.servers, s.tracked = append(r.servers, s), true
 	r.ordered = false
 }
 
-// OnListed records that a server is listed in the fleet, or no longer. The caller calls OnListComplete after the last
+// OnListed records whether a server is listed in the fleet. The caller calls OnListComplete after the last
 // server of a list or of an update of it.
 func (r *Rollout) OnListed(now Tick, s *Server, listed bool) {
 	if !s.tracked {
@@ -141,7 +141,7 @@
 		r.results, r.ordered, r.paused = nil, false, false
 	}
 	if phase == Canary && exposureCap > r.exposureCap && r.phase == Canary {
-		r.paused = false // the version is promoted in spite of the vote
+		r.paused = false // a greater cap ends the pause: the version is promoted in spite of the vote
 	}
 	r.version, r.releasedVersion, r.phase, r.exposureCap, r.hardwareKinds = version, released, phase, exposureCap, hardwareKinds
 	r.reconcile(now)
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -6,16 +6,16 @@
 
 // AssignmentStatus explains the assignment of one server to an operator.
 type AssignmentStatus struct {
-	Assigned        uint16 // the version that its metadata name
-	Running         uint16 // the version in its last report
+	Assigned        uint16 // the version that the server's metadata name
+	Running         uint16 // the version in the server's last report
 	Failures        int    // failed installations of the newest version
-	Excluded        bool   // permanently, from the newest version
-	NotBefore       Tick   // not assigned the newest version again before this time
-	MayInstallUntil Tick   // after a roll-back: until this time it may act on the newest version
+	Excluded        bool   // the server is permanently excluded from the newest version
+	NotBefore       Tick   // the server is not assigned the newest version again before this time
+	MayInstallUntil Tick   // after a roll-back: the server may act on the newest version until this time
 	Rank            int    // index in the order of assignment, from 0
-	Servers         int    // servers in the order, including removed ones that are still kept
-	MaxAssigned     int    // servers that may be assigned the newest version
-	MayInstall      int    // servers that may act on metadata that name the newest version
+	Servers         int    // number of servers in the order, including servers that are no longer listed but still kept
+	MaxAssigned     int    // number of servers that may be assigned the newest version
+	MayInstall      int    // number of servers that may act on metadata that name the newest version
 }
 
 // Explain returns the state that explains the assignment of a server.
@@ -30,11 +30,11 @@
 
 // Counts are numbers of servers.
 type Counts struct {
-	Servers    int // listed
+	Servers    int // listed servers
 	Assigned   int // servers assigned the newest version; 0 once it is released
 	MayInstall int // servers that may act on metadata that name the newest version; 0 once it is released
 
-	pending int // servers assigned the newest version that have not reported to run it
+	pending int // servers assigned the newest version that have not reported that they run it
 }
 
 // Count counts the servers.
