--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -17,8 +17,8 @@
 //
 // It guards against a leader that grants leases after another leader has been elected. raft's VerifyLeader does not suffice:
 // it also counts an answer to an earlier message, which a slow link may have held back until after the election. The guard
-// holds because each controller is queried after the lease request arrived, and a controller that is then still in the
-// leader's term has not voted for another leader before.
+// holds because each controller is queried after the lease request arrived, and a controller that is still in the leader's
+// term when it answers has not yet voted in a later term.
 type leadershipConfirmer struct {
 	controller *Controller
 	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that queries it
@@ -86,8 +86,8 @@
 	return true
 }
 
-// retryLater waits for CommitInterval after a query without an answer, and then wakes the controller's goroutine if a call of
-// confirm was waiting.
+// retryLater waits for CommitInterval after a query without an answer. It then wakes the controller's goroutine if a call of
+// confirm was in progress before the wait.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
 	hasWaiters := l.waiters > 0
@@ -102,8 +102,8 @@
 	}
 }
 
-// wake requests a query of a controller. If a query is pending already, that one will be for the newest round. This
-// controller's own name has no channel and is ignored.
+// wake requests a query of a controller. If a query is already requested and has not begun, one query is enough, because it
+// will be for the newest round. This controller's own name has no channel and is ignored.
 func (l *leadershipConfirmer) wake(name string) {
 	select {
 	case l.wakeups[name] <- struct{}{}:
@@ -129,7 +129,7 @@
 	for {
 		count, changed := l.countConfirmations(voters, round, term)
 		if count >= majority {
-			if !leadsInTerm(r, term) { // this controller is one of the majority, and its own term is checked last
+			if !leadsInTerm(r, term) { // this controller is one of the majority, and its own term is checked after the others
 				return raft.ErrLeadershipLost
 			}
 			return nil
--- a/internal/controller/confirmer_test.go
+++ b/internal/controller/confirmer_test.go
@@ -23,8 +23,8 @@
 			others = append(others, name)
 		}
 	}
-	// raft would count answers that are still in flight, even if another leader was elected meanwhile. Here the followers'
-	// answers are from the round before the partition.
+	// raft's VerifyLeader would count answers that were still in flight when another leader was elected. The test simulates such
+	// answers: the followers have confirmed the round before the partition.
 	for _, name := range others {
 		ctrl.confirmer.mu.Lock()
 		ctrl.confirmer.confirmations[name] = confirmation{round: ctrl.confirmer.lastRound, term: term}
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -12,8 +12,8 @@
 // two for watches and a few for operations. The limit per process has room for all operations that one process proposes at once
 // after a failover, and keeps that process from taking the connections that others need for their leases.
 const (
-	maxConns           = 8192 // of all processes except controllers
-	maxConnsPerProcess = 256  // of one process, which may be a controller
+	maxConns           = 8192 // connections of all processes except controllers
+	maxConnsPerProcess = 256  // connections of one process, which may be a controller
 )
 
 // connLimiter limits the connections that carry calls. Connections of other controllers do not count towards the total,
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -17,8 +17,8 @@
 
 // Log compaction while the disk is not low on space.
 const (
-	snapshotEntries  = 8192 // entries after which a snapshot is taken
-	trailingEntries  = 2048 // entries that stay in the log for followers that lag
+	snapshotEntries  = 8192 // number of entries after which a snapshot is taken
+	trailingEntries  = 2048 // number of entries that stay in the log for followers that lag
 	snapshotInterval = 30 * time.Second
 )
 
@@ -146,7 +146,8 @@
 	config.ElectionTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.LeaderLeaseTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.CommitTimeout = c.timings.CommitInterval.Duration()
-	config.MaxAppendEntries = maxEntryOperations // BatchApplyCh stays off: raft never answers entries that its queue holds at shutdown
+	// BatchApplyCh stays off: with it raft has a queue, and never answers the entries that are in the queue at shutdown.
+	config.MaxAppendEntries = maxEntryOperations
 	config.SnapshotThreshold = c.spacePolicy.snapshotEntries
 	config.SnapshotInterval = snapshotInterval
 	config.TrailingLogs = c.spacePolicy.TrailingEntries()
@@ -197,7 +198,7 @@
 	}
 }
 
-// noteDiskResult records the result of a write to the log for the status call, and logs a changed result.
+// noteDiskResult records the result of a write to the log for the status call. It logs the result if it has changed.
 func (c *Controller) noteDiskResult(err error) {
 	fault := ""
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -21,9 +21,9 @@
 
 // Options configures a Controller. Network, DataDir and Settings are required.
 type Options struct {
-	Network  *peertransport.Network // run by the caller
+	Network  *peertransport.Network // the caller runs the network
 	DataDir  string                 // directory of the log, its snapshots and the marker; created if missing
-	Settings map[string]any         // by name in the configuration file
+	Settings map[string]any         // settings by their names in the configuration file
 	Log      zerolog.Logger         // the zero value logs nothing
 
 	// Planner creates the planner of one leadership; nil selects migration.NewPlanner.
@@ -76,7 +76,7 @@
 	waitReason   string      // why the controller does not take part in the log yet, or "" if it does
 	diskFault    string      // error of the last write to the log, or "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
-	logPositions map[string]controllerclient.LogPosition // by controller: last entry that it acknowledged as stored on its disk
+	logPositions map[string]controllerclient.LogPosition // by controller: last entry that the controller acknowledged as stored
 }
 
 // Open reads the controller's data directory and creates it if it is missing. It fails with ErrNewerVersion or ErrCorrupt if
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -21,15 +21,15 @@
 }
 
 // guardedStore is the Store that raft uses. It refuses to delete applied entries, keeps the position of its last entry, and
-// retries until a term is written: raft would exit the process if that write failed, and to go on without it could let this
-// controller vote twice in one term. It is safe for concurrent use.
+// retries until a term is written. If the write of a term failed, raft would exit the process, and a controller that continued
+// without the write could vote twice in one term. A guardedStore is safe for concurrent use.
 type guardedStore struct {
 	Store
 	lastApplied       func() uint64
 	fatal             func(error)
 	onDiskResult      func(error)   // called with the error of each write, or nil if it succeeded
 	termRetryInterval time.Duration // pause before a failed write of the term is retried
-	closed            chan struct{} // closed by the owner after raft's transport, when raft can no longer send
+	closed            chan struct{} // the owner closes it after raft's transport, so that raft can send nothing any more
 
 	mu   sync.Mutex
 	last controllerclient.LogPosition // guarded by mu
@@ -64,9 +64,9 @@
 	return err
 }
 
-// DeleteRange deletes either the earliest entries, after a snapshot, or the last entries, which the leader replaces. If the
-// range has an applied entry and is not a range of earliest, applied entries, it fails with ErrLogWentBack and stops the
-// controller.
+// DeleteRange deletes either the earliest entries, after a snapshot, or the last entries, which the leader replaces. It fails
+// with ErrLogWentBack and stops the controller if the range has an applied entry, unless the range begins with the first entry
+// of the log and all its entries are applied.
 func (g *guardedStore) DeleteRange(low, high uint64) error {
 	first, err := g.FirstIndex()
 	if err != nil {
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -52,7 +52,8 @@
 	}
 	request.Unverified = nil
 	request = l.withVerifiedReport(now, c.zoneOf(request), request)
-	// If this leader has no report of the version, the node's request repeats what an earlier leader told the node.
+	// If this leader has no report of the version's rollout state, request.RollingBack stays the state that an earlier leader
+	// told the node.
 	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known {
 		request.RollingBack = rollingBack
 	}
@@ -110,7 +111,7 @@
 		l.lessor.OnIncarnationAgreed(request.Node, request.Incarnation)
 	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
 		l.lessor.OnIncarnationDropped(request.Node)
-	} // after any other error the result is unknown, and this leadership has ended
+	} // any other error means that the result is unknown and that this leadership has ended
 	c.mu.Unlock()
 	if errors.Is(err, leases.ErrStaleIncarnation) {
 		return refuse(http.StatusConflict, "%s: %v", request.Node, err)
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/controllerclient"
 )
 
-// handleStatus returns this controller's status. It answers before the controller takes part in the log, too.
+// handleStatus returns this controller's status. It also answers while the controller does not take part in the log yet.
 func (c *Controller) handleStatus(call[struct{}]) (controllerclient.Status, error) {
 	marker := c.disk.currentMarker()
 	status := controllerclient.Status{
@@ -89,7 +89,7 @@
 	return c.admitDisk(r, l.term, req.body)
 }
 
-// handleConfirm returns this controller's term to a leader that has its leadership confirmed.
+// handleConfirm returns this controller's term to a leader that asks for a confirmation of its leadership.
 func (c *Controller) handleConfirm(req call[controllerclient.ConfirmRequest]) (controllerclient.ConfirmRequest, error) {
 	if err := checkVersion(req.body.Version); err != nil {
 		return controllerclient.ConfirmRequest{}, err
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -20,7 +20,7 @@
 // longPoll is a call that waits for a change. Its release function must be called once.
 type longPoll struct {
 	leadership *leadership // the call ends with this leadership
-	since      uint64      // version that the caller has
+	since      uint64      // version that the caller already has
 	timer      *time.Timer // fires after the call's timeout
 	release    func()      // stops timer and frees the slot
 }
@@ -66,7 +66,7 @@
 	return number, nil
 }
 
-// coalesce waits for the duration wait, so that one response has all changes in that time.
+// coalesce waits for the given duration, so that one response has all changes that occur in that time.
 func (p longPoll) coalesce(req call[struct{}], wait time.Duration) {
 	p.timer.Reset(wait)
 	select {
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -12,7 +12,7 @@
 // maxJoinLag is how many log entries an admitted disk may lack when it becomes a voter.
 const maxJoinLag = 64
 
-// requestJoin asks the leader to admit this disk, or to make it a voter once it has caught up.
+// requestJoin asks the leader to admit this disk or, if caughtUp is set, to make it a voter.
 func (c *Controller) requestJoin(ctx context.Context, caughtUp bool) (controllerclient.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration()) // admitDisk commits up to three entries
 	defer cancel()
@@ -33,7 +33,7 @@
 		}
 		caughtUp := needed > 0 && r.AppliedIndex()+maxJoinLag >= needed && r.LastIndex() > 0
 		if caughtUp && !marker.Started {
-			// Written before the disk becomes a voter: from now on, an empty log counts as damaged.
+			// The marker is written before the disk becomes a voter: from now on, an empty log counts as damaged.
 			marker.Started = true
 			if err := c.disk.putMarker(marker); err != nil {
 				c.noteDiskResult(explainDiskError(err))
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -33,19 +33,19 @@
 	planner        Planner
 	verifier       *devicehealth.Verifier
 	recordCounts   *leases.RecordCounts
-	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as reported by relays in this term
+	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as relays reported in this term
 	rolloutReports map[string]rolloutReport // by relay: its last report
 
 	nodes        map[string]*controllerclient.LeaseRequest // by edge node: its last granted request
-	nodesVersion uint64                                    // version of nodes; its upper half is the term, so it grows across leaders
+	nodesVersion uint64                                    // version of nodes; upper half: the term, so later leaders have greater versions
 	nodesChanged chan struct{}                             // closed at the next change of nodes
 
 	proposals        []queuedProposal
-	renewalBlocks    map[string]int // by edge node: operations in progress that require that its lease has expired
-	renewalUnblocked chan struct{}  // closed when a node has no such operation left
+	renewalBlocks    map[string]int // by edge node: number of operations in progress that require an expired lease of the node
+	renewalUnblocked chan struct{}  // closed when a node has no block in renewalBlocks any more
 
 	decisions      []string // last decisions of the planner
-	lackedMajority bool     // at the last timer run there were too few voters to grant a lease
+	lackedMajority bool     // the last runTimers found too few voters to grant a lease
 }
 
 // newLeadership returns the leadership of a term, without a planner.
@@ -169,7 +169,7 @@
 	l.publishNodes()
 }
 
-// publishNodes increments the version of the nodes and wakes the watches of them. It is called with mu held.
+// publishNodes increments the version of the nodes and wakes the calls that watch the nodes. It is called with mu held.
 func (l *leadership) publishNodes() {
 	l.nodesVersion++
 	close(l.nodesChanged)
@@ -186,8 +186,8 @@
 	}
 }
 
-// blockRenewal keeps a node's expired lease from being granted again until unblockRenewal, while an operation that requires the
-// expiry is in progress. It fails with errLeaseRunning if the lease has not expired. It is called with mu held.
+// blockRenewal keeps a node's expired lease from being granted again until unblockRenewal is called. It is called for each
+// operation that requires the expiry. It fails with errLeaseRunning if the lease has not expired. It is called with mu held.
 //
 // It guards against a primary that gets a lease again while its instance is assigned to another node. The guard holds because
 // handleLease waits in awaitRenewalUnblocked. A node whose current incarnation started without the copies of the earlier one
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -19,7 +19,7 @@
 type logEntry struct {
 	FormatVersion int                   `json:"v"`
 	Term          uint64                `json:"term,omitempty"`  // the only term in which the entry is valid, or 0 for any term
-	Operations    []placement.Operation `json:"steps,omitempty"` // each is applied or refused separately
+	Operations    []placement.Operation `json:"steps,omitempty"` // each operation is applied or refused separately
 
 	// EdgeNode and Incarnation: from this entry on, only this incarnation of the edge node, or a later one, may have leases.
 	EdgeNode    string `json:"unit,omitempty"`
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -9,7 +9,8 @@
 // Planner decides at the leading controller which operations to propose. Its production implementation is migration.Planner. A
 // new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
 type Planner interface {
-	// OnElected is called when the leader counts all leases that may have been granted as renewed now.
+	// OnElected is called when the leader begins to count every lease that may have been granted as renewed at the time now:
+	// after the election, and when there are enough voters again.
 	OnElected(now tick.Tick)
 
 	// OnNodeStatus is called for each granted lease, and when the rollback of a node's version begins or ends.
@@ -18,7 +19,7 @@
 	// OnLeaseExpired is called when a node's lease has certainly expired, whatever the drift of the clocks.
 	OnLeaseExpired(now tick.Tick, node string)
 
-	// OnAssignment is called with each assignment after the election, and after each applied operation with its assignment.
+	// OnAssignment is called for each assignment after the election, and later for the assignment after each applied operation.
 	OnAssignment(now tick.Tick, a placement.Assignment)
 
 	// OnProposalRefused is called for a proposed operation that was not applied.
@@ -27,14 +28,15 @@
 	// OnDeviceMoved is called when an instance's device has entered a zone.
 	OnDeviceMoved(now tick.Tick, instance, zone string)
 
-	// OnTick performs the work that is due. It returns when it should be called next, which is at most a lease later.
+	// OnTick performs the work that is due. It returns the time of the next call, which is at most a lease later.
 	OnTick(now tick.Tick) (next tick.Tick)
 }
 
-// Host carries out a Planner's decisions. A Planner calls its methods from within its own; they do not block.
+// Host carries out a Planner's decisions. A Planner calls the Host's methods from within the Planner's own methods. They do not
+// block.
 type Host interface {
 	// Propose queues an operation for the agreed log. The result is reported by OnAssignment or OnProposalRefused, unless the
-	// leadership ends before.
+	// leadership ends first.
 	Propose(op placement.Operation)
 
 	// Explain records a decision for the log and for the status call.
--- a/internal/controller/planner_host.go
+++ b/internal/controller/planner_host.go
@@ -10,7 +10,7 @@
 	leadership *leadership
 }
 
-// requiresExpiredLease reports whether an operation may be committed only while its Node has no lease.
+// requiresExpiredLease reports whether an operation may be committed only while op.Node has no lease.
 func requiresExpiredLease(op placement.Operation) bool {
 	switch op.Kind {
 	case placement.OpFailOver, placement.OpQuarantine, placement.OpDelete:
--- a/internal/controller/proposals_test.go
+++ b/internal/controller/proposals_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// An entry of an earlier term is refused: if the leadership was lost and won again, the node may have renewed its lease meanwhile.
+// An entry of an earlier term is refused: if the leadership was lost and won again, the node may have renewed its lease in between.
 func TestProposal_IsFencedByItsTerm(t *testing.T) {
 	c := newTestFleet(t, time.Second, 1, 1)
 	c.start()
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -22,9 +22,9 @@
 
 // RebuildOptions configures Rebuild. All fields except Backup and AllowUnreachable are required.
 type RebuildOptions struct {
-	Network          *peertransport.Network // of the controller that is rebuilt; run by the caller
+	Network          *peertransport.Network // network of the controller that is rebuilt; the caller runs it
 	DataDir          string                 // data directory of that controller; an existing log in it is set aside
-	Settings         map[string]any         // by name in the configuration file
+	Settings         map[string]any         // settings by their names in the configuration file
 	Client           *controllerclient.Client
 	Backup           io.Reader // an earlier snapshot, or nil for none
 	AllowUnreachable []string  // edge nodes that need not answer
@@ -35,8 +35,8 @@
 	// inventoryParallelism is the number of edge nodes that are queried at the same time.
 	inventoryParallelism = 64
 
-	statusTimeout       = 2 * time.Second // for each controller
-	maxInventoryTimeout = 5 * time.Second // for each edge node
+	statusTimeout       = 2 * time.Second // limit of the status query of one controller
+	maxInventoryTimeout = 5 * time.Second // limit of the inventory query of one edge node
 
 	// termsPerGeneration is the range of raft terms that each generation of the log has.
 	//
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -11,17 +11,18 @@
 // maxTrackedVersions is the number of software versions whose rollout state is tracked.
 const maxTrackedVersions = 64
 
-// rolloutReport is the state of a software version that the release API told a relay.
+// rolloutReport is the state of a software version that a relay received from the release API.
 type rolloutReport struct {
 	version     uint16
 	rollingBack bool // the version is being rolled back or was withdrawn
 }
 
 // onRolloutReport handles a relay's report of a version's rollout state. The nodes that run the version are updated at once
-// rather than with their next lease: within a third of a lease, many instances could be moved to nodes that are rolled back.
-// One relay's report is enough to begin a version's rollback. The rollback ends with a relay's report of its end, if no relay's
-// last report still has it: a relay that is partitioned from the release API keeps reporting the last state that it received.
-// It is called with mu held.
+// rather than with their next lease request: until that request, up to a third of a lease later, many instances could be moved
+// to nodes that are rolled back. One relay's report is enough to begin a version's rollback. The rollback ends when a relay
+// reports its end and no relay's last report still says that the version is rolled back. So a relay that is partitioned from
+// the release API and keeps reporting the last state that it received does not end a rollback that others report.
+// onRolloutReport is called with mu held.
 func (c *Controller) onRolloutReport(l *leadership, now tick.Tick, relay string, report rolloutReport) {
 	before := l.rollingBack[report.version]
 	if !l.noteRolloutReport(relay, report) {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -19,9 +19,9 @@
 	Applied       uint64                      `json:"applied"` // index of the last applied entry
 	Generation    uint64                      `json:"generation"`
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"`
-	StoreIDs      map[string]string           `json:"stores,omitempty"` // by controller
-	Incarnations  map[string]uint64           `json:"runs,omitempty"`   // by edge node
-	RecordCounts  map[string]uint64           `json:"kept,omitempty"`   // by edge node
+	StoreIDs      map[string]string           `json:"stores,omitempty"` // by controller: the identity of the controller's disk
+	Incarnations  map[string]uint64           `json:"runs,omitempty"`   // by edge node: the newest incarnation
+	RecordCounts  map[string]uint64           `json:"kept,omitempty"`   // by edge node: the greatest record count
 	unknown       placement.UnknownFields     // fields that a later version of the program added
 }
 
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -11,7 +11,7 @@
 // Limits on a controller's disk and log.
 const (
 	lowFreeFraction       = 0.05 // a disk becomes low on space at this free fraction
-	recoveredFreeFraction = 0.08 // and stays so until this free fraction; the gap keeps the state from flapping
+	recoveredFreeFraction = 0.08 // a disk is no longer low on space from this free fraction on; the gap keeps the state from flapping
 
 	maxDiskCheckInterval     = tick.Second
 	lowSpaceCompactionFactor = 8 // the log is compacted at 1/8 of its usual length while the disk is low on space
@@ -116,7 +116,7 @@
 	if !p.TransferDue(now) {
 		return ""
 	}
-	best := recoveredFreeFraction // a controller with less would soon transfer the leadership again
+	best := recoveredFreeFraction // a controller with a smaller free fraction would soon transfer the leadership again
 	byName := func(a, b controllerclient.Status) int { return cmp.Compare(a.Node, b.Node) }
 	for _, s := range slices.SortedFunc(slices.Values(others), byName) {
 		if s.Role != controllerclient.RoleFollower || s.Term != term || s.Disk == nil || s.Disk.LowOnSpace ||
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -15,7 +15,7 @@
 type startDecision uint8
 
 const (
-	startLater    startDecision = iota // not yet known: the controller has to query the others again
+	startLater    startDecision = iota // the result is not known yet: the controller has to query the others again
 	startNow                           // the disk may take part in the log
 	storeOutdated                      // the disk lacks entries that it had acknowledged, and must not take part
 )
@@ -72,7 +72,7 @@
 	return c.disk.putMarker(marker)
 }
 
-// decideStarted decides for a disk that already belongs to a log.
+// decideStarted decides whether a disk that already belongs to a log may take part in it.
 func (c *Controller) decideStarted(marker storeMarker, last controllerclient.LogPosition, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -98,8 +98,8 @@
 	return startLater, nil
 }
 
-// decideEmpty decides for a disk that belongs to no log yet. The disk may start if the log's origin names it, if the leader of
-// an existing log admits it, or if it creates a log together with all other controllers.
+// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may start if the log's origin
+// names the disk, if the leader of an existing log admits the disk, or if all controllers together create a log.
 func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -128,8 +128,8 @@
 	return c.decideFounding(marker, statuses)
 }
 
-// decideFounding decides once all controllers answer and none has started. The first controller by name creates the log's
-// origin, and the others then find their identities in it.
+// decideFounding decides if all controllers answer and none has started. The first controller by name creates the log's origin.
+// The other controllers find the identities of their disks in the origin at a later query.
 func (c *Controller) decideFounding(marker storeMarker, statuses []controllerclient.Status) (startDecision, error) {
 	names := append([]string{c.name}, c.peers...)
 	slices.Sort(names)
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -18,7 +18,7 @@
 // stateMachine is the state that the agreed log produces. It implements raft.FSM. raft calls Apply, Snapshot and Restore from
 // one goroutine; the other methods are safe for concurrent use. onApplied and fatal are called without mu.
 type stateMachine struct {
-	onApplied func([]placement.Operation, []operationResult) // called for each entry with operations, in order
+	onApplied func([]placement.Operation, []operationResult) // called for each entry with operations, in the log's order
 	fatal     func(error)
 
 	mu      sync.Mutex // guards the fields below; no code blocks while it holds mu
@@ -70,7 +70,7 @@
 	return err
 }
 
-// decodeEntry decodes an entry. If an entry of a later version can't be decoded, only its version is returned.
+// decodeEntry decodes an entry. If an entry of a later version can't be decoded, decodeEntry returns only the entry's version.
 func decodeEntry(text []byte) (logEntry, error) {
 	var entry logEntry
 	err := json.Unmarshal(text, &entry)
@@ -163,8 +163,7 @@
 	return &frozenState{header, m.table.Freeze()}
 }
 
-// Snapshot freezes the state for raft. A state machine that has failed refuses it, unless it is still in the state before the
-// first entry.
+// Snapshot freezes the state for raft. A state machine that has failed refuses to, unless no entry was applied.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	state := m.freeze()
 	if state.header.Applied > 0 && m.hasFailed() {
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -47,7 +47,7 @@
 	Node          string                      `json:"node"`
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
-	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; otherwise it was admitted later
+	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; otherwise the disk was admitted later
 	Started       bool                        `json:"begun,omitempty"` // the log must not be empty; an empty log counts as damaged
 	Generation    uint64                      `json:"line,omitempty"`  // generation of the log; may be 0 for the first one
 	unknown       placement.UnknownFields     // fields that a later version of the program added
@@ -79,7 +79,7 @@
 	return d.marker
 }
 
-// putMarker replaces the marker on the disk and then in memory.
+// putMarker replaces the marker on the disk and then d.marker.
 func (d *storeDir) putMarker(marker storeMarker) error {
 	text, err := placement.MarshalWithUnknown(marker, marker.unknown)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// openStoreDir opens a data directory, or creates one with the marker of an empty disk. A log without a marker is set aside, and
-// so is a disk whose marker names a log that is missing; both then count as empty disks.
+// openStoreDir opens a data directory, or creates one with the marker of an empty disk. If there is a log without a marker, or if
+// the marker names a log that is missing, openStoreDir sets the log and the snapshots aside, and the disk counts as empty.
 func openStoreDir(folder, fleet, node string) (*storeDir, error) {
 	if err := os.MkdirAll(filepath.Join(folder, snapshotDir), 0o700); err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 // a memory fault.
 func (d *storeDir) openLog() (s Store, err error) {
 	defer func() {
-		if r := recover(); r != nil { // bbolt panics on a damaged page, or a mapped page lies beyond the end of the file
+		if r := recover(); r != nil { // either bbolt has panicked on a damaged page, or a mapped page lies beyond the end of the file
 			s, err = nil, d.corruptLog(fmt.Errorf("%v", r))
 		}
 	}()
@@ -217,8 +217,8 @@
 }
 
 // openSnapshots opens the snapshots and checks that no entry is missing between the newest intact snapshot and the log. It returns
-// the position of the disk's last entry. Damaged snapshots that are newer are removed, because raft would fail to start with
-// them.
+// the position of the disk's last entry. Damaged snapshots that are newer than the intact one are removed, because raft would
+// fail to start with them.
 func (d *storeDir) openSnapshots(log Store, logger hclog.Logger) (raft.SnapshotStore, controllerclient.LogPosition, error) {
 	var last controllerclient.LogPosition
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.folder, retainedSnapshots, logger)
@@ -285,7 +285,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reader.Close() }() // opened for reading only
+	defer func() { _ = reader.Close() }() // the error does not matter, as the snapshot was opened for reading only
 	if _, err := readSnapshotHeader(reader); err != nil {
 		return err
 	}
--- a/internal/controller/stream_layer.go
+++ b/internal/controller/stream_layer.go
@@ -45,7 +45,7 @@
 		}
 		s.controller.Log.Warn().Str("event", "refused").
 			Str("why", "the process at the other end is not another controller").Msg("log connection refused")
-		_ = conn.Close() // never used
+		_ = conn.Close() // the connection was never used
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 // positionTransport is raft's transport. It records the last entries that other controllers have acknowledged as stored, before
-// raft counts them as agreed. So an outdated disk is recognized when its controller starts again.
+// raft counts these entries as agreed. The records show whether a disk is outdated when its controller starts again.
 type positionTransport struct {
 	*raft.NetworkTransport
 	controller *Controller
--- a/internal/edgenode/assignments.go
+++ b/internal/edgenode/assignments.go
@@ -11,7 +11,7 @@
 
 // loadAssignments loads all assignments, which show what the controllers rely on this node for, and creates the replica.Manager. It
 // runs before the first lease request, when the controllers do not know this incarnation yet. It retries until it succeeds, and
-// fails only with the context's error.
+// returns only the context's error.
 func (n *Node) loadAssignments(ctx context.Context) error {
 	for {
 		changes, err := n.client.Assignments(ctx, 0)
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -5,15 +5,15 @@
 	"silvercove/internal/replica"
 )
 
-// diskState is the progress of the check whether the node's disk was restored from an older image. The states are passed in order;
-// after a write error diskConfirming falls back to diskChecked.
+// diskState is the progress of the check whether the node's disk was restored from an older image. The states follow each other in
+// this order, except that diskConfirming returns to diskChecked after a write error.
 type diskState uint8
 
 const (
 	diskUnchecked  diskState = iota // no controller has sent the disk's last known record count yet
-	diskChecked                     // the result is known; the replica.Manager verifies copies that may be outdated
-	diskConfirming                  // all copies are verified; the store is recording this
-	diskConfirmed                   // the store has recorded it; records written from now on count
+	diskChecked                     // the result of the check is known; the replica.Manager verifies copies that may be outdated
+	diskConfirming                  // all copies are verified; the store is writing this to the disk
+	diskConfirmed                   // the store has written that all copies are verified; records written from now on count
 )
 
 // diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
@@ -21,7 +21,7 @@
 type diskCheck struct {
 	state              diskState
 	restored           bool   // the disk was restored from an older image
-	recordCountAtStart uint64 // 0 if the node has no disk
+	recordCountAtStart uint64 // number of records on the disk at the start; 0 if the node has no disk
 	maxRecordCount     uint64 // the greatest count that the controllers have answered with
 }
 
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -20,7 +20,7 @@
 	defer ticker.Stop()
 	meter := loadMeter{since: time.Now()}
 	loggedReason := ""   // reason of the failed renewal that was logged last
-	rollingBack := false // of this node's software version, as last told by a controller
+	rollingBack := false // whether this node's software version is rolled back, according to the last response of a controller
 	for {
 		report, began := n.assessHealth(&meter), time.Now()
 		granted := false
@@ -82,7 +82,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
-	if response.Lineage == n.lineage { // else the assignments were rebuilt and must be loaded first
+	if response.Lineage == n.lineage { // otherwise the assignments were rebuilt and must be loaded first
 		n.replicas.OnLease(controllerclient.Now(), sentAt+n.leaseDuration, response.AssignmentsVersion)
 	}
 	lineage = n.client.Lineage()
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -36,7 +36,7 @@
 // Options are the arguments of Open. All fields are required.
 type Options struct {
 	File    *fleet.File
-	Network *peertransport.Network // the caller runs it, and must keep it running until Node.Run returns
+	Network *peertransport.Network // the caller must run the network until Node.Run returns
 	Log     zerolog.Logger
 	Seed    uint64 // seed of the controller client, see controllerclient.New
 }
@@ -45,13 +45,13 @@
 type Node struct {
 	options       Options
 	name          string
-	incarnation   uint64 // greater at each start: Unix time in microseconds, or the previous one + 1 if that is greater
+	incarnation   uint64 // Unix time in microseconds at the start, or the previous incarnation + 1 if that is greater
 	leaseDuration tick.Tick
 	client        *controllerclient.Client
 	store         *instancestore.Store
-	listener      net.Listener // for requests
+	listener      net.Listener // listener for requests
 	powerReader   *devicepower.Reader
-	outgoing      map[string]chan replica.Message // by node
+	outgoing      map[string]chan replica.Message // by node: messages waiting to be sent
 	proposals     chan placement.Operation
 	renewNow      chan struct{} // holds an element if the lease is to be requested at once
 	changed       chan struct{} // holds an element if terminate has to check its condition again
@@ -60,12 +60,12 @@
 	replicas          *replica.Manager // nil until the first assignments are loaded
 	logsAtStart       []replica.Log    // logs found on the disk; nil once replicas has them
 	health            *devicehealth.Monitor
-	report            devicehealth.Report // the last one
+	report            devicehealth.Report // the last report of the health monitor
 	pendingRequests   map[*replica.Request]chan replica.Response
-	pendingReplies    map[uint64]chan replica.Message // by ReplyTo: answers awaited by handleMessage
+	pendingReplies    map[uint64]chan replica.Message // by ReplyTo: receives the answer that a handleMessage call waits for
 	lastReplyID       uint64
 	inFlight          int                      // number of requests in progress
-	lineage           controllerclient.Lineage // of the assignments that replicas has
+	lineage           controllerclient.Lineage // lineage of the assignments that replicas has
 	storedLineage     controllerclient.Lineage // the lineage in the note on the disk
 	unknownNoteFields placement.UnknownFields
 	disk              diskCheck
@@ -188,7 +188,7 @@
 	return err
 }
 
-// followControllers loads the assignments, and then renews the lease, watches the assignments and runs the timers until the context
+// followControllers loads the assignments. It then renews the lease, watches the assignments and runs the timers until the context
 // ends.
 func (n *Node) followControllers(ctx context.Context) error {
 	if err := n.loadAssignments(ctx); err != nil {
--- a/internal/edgenode/note.go
+++ b/internal/edgenode/note.go
@@ -9,7 +9,7 @@
 
 // note is the node's own data in the store, beside the instances' logs. Its JSON names are those of the stored format.
 type note struct {
-	Incarnation uint64                   `json:"run"` // the last one that was started
+	Incarnation uint64                   `json:"run"` // incarnation of the last start
 	Lineage     controllerclient.Lineage `json:"line"`
 	unknown     placement.UnknownFields  // fields added by a later version of the program
 }
--- a/internal/edgenode/peer_server.go
+++ b/internal/edgenode/peer_server.go
@@ -47,7 +47,7 @@
 			return ctx
 		},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the handlers have ended with the context, see BaseContext
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the contexts of the handlers end with ctx, see BaseContext
 	defer stop()
 	err := server.Serve(n.options.Network.Listener(peertransport.KindHTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -95,7 +95,8 @@
 	if n.replicas != nil {
 		inventory.Copies = append(inventory.Copies, n.replicas.Copies(controllerclient.Now())...)
 	}
-	for _, log := range n.logsAtStart { // assignments not loaded yet: it is unknown whether the controllers rely on these
+	// While logsAtStart has logs, the assignments are not loaded yet, and it is unknown whether the controllers rely on these copies.
+	for _, log := range n.logsAtStart {
 		inventory.Copies = append(inventory.Copies, replica.CopyStatus{
 			Instance:  log.Instance,
 			Epoch:     log.LastEpoch(),
--- a/internal/edgenode/planner_test.go
+++ b/internal/edgenode/planner_test.go
@@ -8,7 +8,7 @@
 )
 
 // failoverPlanner is a minimal planner: a replica takes over from a primary whose lease has expired, and an instance of a terminating
-// node is moved to its replica. It also proposes the operations of testFleet.
+// node is moved to its replica. The planner also proposes testFleet.operations.
 type failoverPlanner struct {
 	fleet       *testFleet
 	host        controller.Host
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -15,7 +15,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxRequestWait limits the time of one request, whatever timeout it asks for.
+// maxRequestWait limits the time of one request, even if the request asks for a longer timeout.
 const maxRequestWait = time.Minute
 
 // outcomeCounters are the names of the request counters, by outcome.
--- a/internal/edgenode/replica_host.go
+++ b/internal/edgenode/replica_host.go
@@ -53,7 +53,7 @@
 	h.node.store.Truncate(instance, index, h.onStored(instance, index))
 }
 
-// ResetLog makes the store replace an instance's log by one that has no entries and starts after index base with the given checksum.
+// ResetLog makes the store replace an instance's log by an empty log that starts after index base with the given checksum.
 func (h replicaHost) ResetLog(instance string, base, checksum uint64) {
 	h.node.store.Reset(instance, base, checksum, h.onStored(instance, base))
 }
@@ -89,8 +89,8 @@
 	replica.EventRefused:    "proposal refused",
 }
 
-// Notify logs an event. For an unverified copy it also renews the lease at once, as the lease request reports the copy to the
-// controllers.
+// Notify logs an event. For an unverified copy, Notify also requests the lease at once, because the lease request reports the copy
+// to the controllers.
 func (h replicaHost) Notify(e replica.Event) {
 	if e.Kind == replica.EventUnverified {
 		h.node.renewSoon()
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -13,10 +13,10 @@
 // Limits of the connections for requests.
 const (
 	maxRequestConns  = 1024
-	startupTimeout   = 5 * time.Second // for the whole startup message to arrive
+	startupTimeout   = 5 * time.Second // limit of the time until the whole startup message has arrived
 	idleTimeout      = 5 * time.Minute
 	writeTimeout     = 5 * time.Second
-	refusalTimeout   = time.Millisecond // to write the error "too many connections"
+	refusalTimeout   = time.Millisecond // limit of the time to write the error "too many connections"
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
@@ -27,19 +27,19 @@
 	defer sessions.Wait()
 	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() }) // the error of a second Close is ignored
 	defer stop()
-	defer func() { _ = n.listener.Close() }() // close at return, without waiting for the function above
+	defer func() { _ = n.listener.Close() }() // closes the listener at return even if ctx has not ended
 	slots := make(chan struct{}, maxRequestConns)
 	for {
 		conn, err := n.listener.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				_ = conn.Close() // nothing was read
+				_ = conn.Close() // nothing was read from the connection
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // such as too many open file descriptors
+		case err != nil: // an error such as too many open file descriptors
 			n.options.Log.Warn().Str("why", err.Error()).Msg("request connection not accepted")
 			sleep(ctx, acceptRetryDelay)
 			continue
@@ -52,7 +52,8 @@
 		}
 		sessions.Go(func() {
 			defer func() { <-slots }()
-			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) }) // if this fails, Close ends the read
+			// The past deadline ends a pending read. If setting it fails, the connection is closed already.
+			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) })
 			defer unblock()
 			defer func() { _ = conn.Close() }() // all answers have been written
 			session := &session{node: n, conn: conn, chunk: make([]byte, sessionChunkBytes)}
--- a/internal/edgenode/session.go
+++ b/internal/edgenode/session.go
@@ -98,8 +98,8 @@
 	return n > 0 || err == nil
 }
 
-// write reports whether the whole message was written. Setting the deadline fails only on a closed connection, on which Write fails
-// too.
+// write writes a message and reports whether the whole message was written. Setting the deadline fails only on a closed connection,
+// on which Write fails too.
 func (s *session) write(message []byte) bool {
 	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.conn.Write(message)
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -17,8 +17,8 @@
 
 // remainingDuties is what a terminating node is still needed for.
 type remainingDuties struct {
-	primary          bool // of at least one instance
-	replica          bool // of at least one instance
+	primary          bool // the node is primary of at least one instance
+	replica          bool // the node is a replica of at least one instance
 	requestsInFlight bool
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,16 +15,16 @@
 type File struct {
 	FleetName string
 	Self      peertransport.Peer
-	Peers     []peertransport.Peer // in the file's order
+	Peers     []peertransport.Peer // other processes, in the file's order
 
-	DataDir  string // "": no data directory
-	PowerDir string // in the layout that package devicepower reads; "": none
+	DataDir  string // data directory; "": none
+	PowerDir string // directory in the layout that package devicepower reads; "": none
 	LogLevel string // minimum level of the log lines that are written
 
-	ClientAddress   string // of a relay: address for its clients, HOST:PORT
+	ClientAddress   string // of a relay: address for the relay's clients, HOST:PORT
 	SettingsPath    string // of a relay: path of its JSON file
 	MetricsAddress  string // address at which metrics are served, HOST:PORT; "": not served
-	SoftwareVersion uint16 // of an edge node: version of the software that it runs
+	SoftwareVersion uint16 // of an edge node: version of the software that the node runs
 
 	// Settings are the settings of the decision packages. Each value is a float64: durations in seconds, shares as fractions.
 	// The key is "fleet." and the name of the directive, such as "fleet.lease". The directive moves is split into
