--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -29,7 +29,7 @@
 	fatal             func(error)
 	onDiskResult      func(error)   // called with the error of each write, or nil if it succeeded
 	termRetryInterval time.Duration // pause before a failed write of the term is retried
-	closed            chan struct{} // the owner closes it after raft's transport, so that raft can send nothing any more
+	closed            chan struct{} // the owner closes the channel after raft's transport, when raft can no longer send
 
 	mu   sync.Mutex
 	last controllerclient.LogPosition // guarded by mu
--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -21,7 +21,7 @@
 	c.mu.Lock()
 	zones := c.reportsByZone(l)
 	c.mu.Unlock()
-	var assignments []placement.Assignment // read only if a zone needs them, as there may be many and a zone rarely needs them
+	var assignments []placement.Assignment // read only if a zone needs them: there may be many, and a zone rarely needs them
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllEvacuating(zones[zone]) {
 			continue
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -52,8 +52,8 @@
 	}
 	request.Unverified = nil
 	request = l.withVerifiedReport(now, c.zoneOf(request), request)
-	// If this leader has no report of the version's rollout state, request.RollingBack stays the state that an earlier leader
-	// told the node.
+	// If this leader has no report of the version's rollout state, request.RollingBack keeps the value that the node
+	// received from an earlier leader.
 	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known {
 		request.RollingBack = rollingBack
 	}
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -174,7 +174,7 @@
 			continue
 		}
 		_, err = io.Copy(w, response.Body)
-		_ = response.Body.Close() // the body was read to its end, or reading it has failed
+		_ = response.Body.Close() // the body was copied to its end, or the copy has failed
 		return err
 	}
 	return fmt.Errorf("no leading controller answered: %w", lastErr)
--- a/internal/edgenode/fleet_test.go
+++ b/internal/edgenode/fleet_test.go
@@ -30,7 +30,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // testLease is long enough that a node does not lose its lease on a busy machine. If a node lost its lease, the planner of most
-// tests would give up the node's instances without a replica.
+// tests would give up those instances of the node that have no replica.
 const testLease = time.Second
 
 // logBuffer collects the log of all processes. It is safe for concurrent use.
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -45,7 +45,7 @@
 type Node struct {
 	options       Options
 	name          string
-	incarnation   uint64 // Unix time in microseconds at the start, or the previous incarnation + 1 if that is greater
+	incarnation   uint64 // greater at each start: Unix time in microseconds, or the previous incarnation + 1 if that is greater
 	leaseDuration tick.Tick
 	client        *controllerclient.Client
 	store         *instancestore.Store
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -27,7 +27,7 @@
 	defer sessions.Wait()
 	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() }) // the error of a second Close is ignored
 	defer stop()
-	defer func() { _ = n.listener.Close() }() // closes the listener at return even if ctx has not ended
+	defer func() { _ = n.listener.Close() }() // closes the listener before the return: the function above may not have run yet
 	slots := make(chan struct{}, maxRequestConns)
 	for {
 		conn, err := n.listener.Accept()
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -14,7 +14,7 @@
 
 const (
 	maxPings     = 16                     // pings under way at once
-	leaveTimeout = 500 * time.Millisecond // for the leave message to be delivered
+	leaveTimeout = 500 * time.Millisecond // limit of the time to deliver the leave message
 )
 
 // gossip is the interface of the gossip library that an Agent uses. Its calls may block; none is made with the agent's
@@ -148,7 +148,7 @@
 	}
 }
 
-// turnResult is what Run has to do after one round.
+// turnResult holds the results of one call of turn, which Run carries out.
 type turnResult struct {
 	targets    []string // members to ping
 	changes    []Member
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -28,7 +28,7 @@
 	Name         string            `json:"name"`
 	Role         string            `json:"role"`
 	Zone         string            `json:"zone"`
-	Incarnation  uint64            `json:"run"`             // incarnation of the member's process; a later start has a larger one
+	Incarnation  uint64            `json:"run"`             // incarnation of the member's process; larger at each start
 	Sequence     uint64            `json:"number"`          // sequence of this record within the incarnation
 	StartedEmpty bool              `json:"fresh,omitempty"` // the incarnation began without the data of an earlier one
 	Left         bool              `json:"left,omitempty"`  // the member left on purpose
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -130,8 +130,8 @@
 			switch {
 			case s.assigned == released, s.assigned == r.version && r.phase == Released:
 				s.released = s.assigned
-			case s.assigned == s.released: // excluded from a version that was released: it stays on its older version
-			case s.assigned != version: // assigned a version that was never released
+			case s.assigned == s.released: // the server was excluded from a released version, and stays on its older version
+			case s.assigned != version: // the server is assigned a version that was never released
 				s.released = released
 				r.rollBack(now, s)
 			default:
