--- a/internal/migration/config.go
+++ b/internal/migration/config.go
@@ -15,18 +15,18 @@
 	DefaultMaxMoves        = 64
 )
 
-// Config holds a planner's settings. Each field's comment ends with the name of its setting in the fleet block of the
-// operator's file.
+// Config holds a planner's settings. Each field's comment ends with a colon and the name of its setting in the fleet
+// block of the operator's file.
 type Config struct {
 	Lease           tick.Tick // duration of a node's lease, above 0: lease
 	Dwell           tick.Tick // minimum stay after a move before an instance follows its device again: dwell
 	RestartAfter    tick.Tick // time after which a lost instance restarts from an older copy: restart_after
-	Replicas        int       // wanted for each instance: copies
-	RemoteReplicas  int       // wanted in a zone other than the primary's, counted in Replicas: away
+	Replicas        int       // number of replicas that each instance should have: copies
+	RemoteReplicas  int       // number of the Replicas that should be in a zone other than the primary's: away
 	MaxFailures     int       // consecutive primaries that an instance may fail before it is quarantined: falls
-	MaxMovesPerNode int       // in progress from and to one node: the first value of moves
-	MaxMovesPerLink int       // in progress between two zones: the second value of moves
-	MaxMoves        int       // in progress in total: the third value of moves
+	MaxMovesPerNode int       // limit on the moves from and to one node that are in progress or proposed: the first value of moves
+	MaxMovesPerLink int       // limit on the moves between two zones that are in progress or proposed: the second value of moves
+	MaxMoves        int       // limit on all moves that are in progress or proposed: the third value of moves
 }
 
 // ConfigFrom returns the configuration from the settings of the fleet block, which are keyed "fleet.lease" and so on, with
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -15,7 +15,7 @@
 	n := p.node(status.Name)
 	old, wasReported, leaseHadEnded := n.NodeStatus, n.reported, n.leaseHadEnded(now)
 	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
-		status.LeaseEnd = old.LeaseEnd // a later renewal overtook this one
+		status.LeaseEnd = old.LeaseEnd // a later renewal was reported before this one
 	}
 	lostCopies := status.LostCopies && wasReported && status.Incarnation != old.Incarnation
 	p.makeIneligible(n)
@@ -48,8 +48,8 @@
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
 
-// onCopiesLost records that a node has restarted without its copies: the instances that it was the primary of can only
-// continue at a replica, and its own replicas are empty.
+// onCopiesLost records that a node has restarted without its copies. The instances whose primary it was can only continue
+// on a replica, and the node itself is an empty replica of the others.
 func (p *Planner) onCopiesLost(n *node) {
 	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
@@ -170,8 +170,8 @@
 	}
 }
 
-// avoidDroppedReplicas excludes a node from being a target for a while after the primary has dropped it as a replica, because
-// the primary can't reach it.
+// avoidDroppedReplicas excludes a node as a target for avoidDroppedLeases lease durations after the primary has dropped that
+// node as a replica. A primary drops a replica that it can't reach.
 func (p *Planner) avoidDroppedReplicas(i *instance, old placement.Assignment) {
 	if i.proposal.operation.Kind == placement.OpDropReplica || i.Epoch != old.Epoch {
 		return
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -10,7 +10,7 @@
 
 // Constants of fail-overs.
 const (
-	shortLeaseDivisor       = 3 // a fail-over waits for a replica with less than Lease/shortLeaseDivisor left
+	shortLeaseDivisor       = 3 // a fail-over waits if its replica's lease ends in less than Lease/shortLeaseDivisor
 	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined even if it is not the only suspect
 	shortLeaseReviewDivisor = 6 // a fail-over that waits for a replica is reviewed every Lease/shortLeaseReviewDivisor
 )
@@ -18,8 +18,8 @@
 // failOver has a replica take over from a primary that no longer acts, or quarantines the instance.
 //
 // Unlike the target of a move, the successor may evacuate, drain or be rolled back: the replica has every acknowledged entry,
-// and losing one would be worse than serving on such a node, which then moves the instance on at once. Successors in better
-// condition are preferred (successorRank).
+// and losing an entry would be worse than serving on such a node. The instance then moves to another node at once. Successors
+// in better condition are preferred (successorRank).
 func (p *Planner) failOver(i *instance) {
 	if p.failsItsPrimaries(i) {
 		p.propose(i, placement.Operation{Kind: placement.OpQuarantine, Node: i.Primary,
@@ -46,8 +46,8 @@
 //
 // Guards against an instance that fails each node that runs it. Nodes that fail for other reasons are indistinguishable if
 // the same instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If
-// several instances on the failed node are suspects, they all continue, each with its replica on a different node, until one
-// fails a node alone; that costs one or two more node failures.
+// several instances on the failed node are suspects (countPoisonCandidates), they all continue, each with its replica on a
+// different node, until one fails a node alone; that costs one or two more node failures.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
 	if failures < p.config.MaxFailures {
@@ -101,7 +101,7 @@
 	return n.LeaseEnd == 0 || n.LeaseEnd+p.config.Lease/shortLeaseDivisor > p.now
 }
 
-// successorRank orders replicas by the condition of their nodes, the best first.
+// successorRank ranks a replica by the condition of its node. The best rank is 0.
 func successorRank(n *node) int {
 	switch {
 	case n.eligible:
--- a/internal/migration/faults_test.go
+++ b/internal/migration/faults_test.go
@@ -87,7 +87,8 @@
 	return sim
 }
 
-// Regardless of which operations were lost, each migration ends, lost instances are restarted, and a fleet at rest stays so.
+// TestPlanner_EveryMigrationEndsDespiteLosses checks that each migration ends, that lost instances are restarted and that a
+// fleet at rest stays at rest, whichever operations were lost.
 func TestPlanner_EveryMigrationEndsDespiteLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64Range(0, 1<<40).Draw(t, "seed")
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -18,10 +18,10 @@
 
 	primarySince    tick.Tick // when the primary began to serve or was lost
 	copySince       tick.Tick // when the copy in progress started
-	deviceZone      string    // reported zone of its device, while the assignment has another one
-	primaryLostCopy bool      // its primary restarted without its copy
-	excess          bool      // among the lightest instances of a node with too many
-	emptyReplicas   []*node   // replicas that restarted without their copy
+	deviceZone      string    // reported zone of the instance's device if the assignment has another zone, else empty
+	primaryLostCopy bool      // the primary restarted without its copy of this instance
+	excess          bool      // the instance is among the lightest ones of a node that has more instances than slots
+	emptyReplicas   []*node   // replicas that restarted without their copy of this instance
 
 	history       moveHistory
 	remoteBackoff remoteBackoff
@@ -37,7 +37,7 @@
 // moveHistory records the moves of an instance.
 type moveHistory struct {
 	last   tick.Tick // time of the last cut-over, 0 for none
-	streak int       // consecutive moves, each soon after the one before
+	streak int       // number of consecutive moves, each soon after the one before (recordMove); 0 after a first move
 }
 
 // stayUntil returns the time before which an instance makes no move that can wait. The stay doubles with each consecutive
@@ -49,7 +49,7 @@
 	return h.last + dwell<<h.streak
 }
 
-// recordMove records a cut-over.
+// recordMove records a cut-over. The streak continues if the last cut-over is at most twice the last stay ago.
 func (h *moveHistory) recordMove(now, dwell tick.Tick) {
 	if h.last != 0 && now-h.last <= 2*dwell<<h.streak {
 		h.streak = min(h.streak+1, maxMoveStreak)
@@ -59,15 +59,15 @@
 	h.last = max(1, now)
 }
 
-// remoteBackoff delays attempts to make a replica in another zone after one could not be reached.
+// remoteBackoff delays attempts to make a replica in another zone after such a replica could not be reached.
 type remoteBackoff struct {
 	until    tick.Tick
-	failures int // consecutive
+	failures int // number of consecutive failures
 }
 
 // proposal is an operation whose result is pending.
 type proposal struct {
-	operation    placement.Operation // Kind is "" for none
+	operation    placement.Operation // pending operation; its Kind is "" if there is none
 	proposedAt   tick.Tick
 	failOverFrom *node // node whose lease a pending fail-over or quarantine declares expired, nil for none
 }
@@ -79,45 +79,47 @@
 	return op.Kind == placement.OpFailOver || op.Kind == placement.OpQuarantine
 }
 
-// retry delays moves of an instance that found no target or had an operation refused. A more urgent reason is not delayed.
+// retry delays moves of an instance that found no target, had an operation refused or had its copy cancelled. Moves for
+// a more urgent reason are not delayed.
 type retry struct {
-	attempts int // consecutive
+	attempts int // number of consecutive attempts
 	until    tick.Tick
 	reason   moveReason
 }
 
-// avoidance is a node that is not chosen as a target for a while, because it did not take the instance or was not reached.
+// avoidance is a node that is not chosen as a target for a while, because a copy to it was cancelled or the primary dropped it
+// as a replica.
 type avoidance struct {
 	node  *node
 	until tick.Tick
 }
 
-// need is what an instance needs, as its last review found.
+// need is what an instance needs according to its last review.
 type need struct {
 	reason        moveReason
-	replica       bool // it has too few replicas
-	remoteReplica bool // it has too few replicas in zones other than its primary's
+	replica       bool // the instance has too few replicas
+	remoteReplica bool // the instance has too few replicas in zones other than its primary's
 }
 
 // wait is an instance's position in the queue in which it waits for a move.
 type wait struct {
-	queue    *queue // nil for none
+	queue    *queue // nil if the instance waits in no queue
 	position int
-	risk     float64 // the primary's when the instance began to wait for a node or a link
-	forBound bool    // it waits in a boundWaiters list, of its primary or of the planner
+	risk     float64 // the primary's risk when the instance began to wait for a node or a link
+	forBound bool    // the instance is in the boundWaiters of its primary or of the planner
 }
 
 // review is the schedule of an instance's next review.
 type review struct {
-	queued   bool      // it is in Planner.pendingReviews
+	queued   bool      // the instance is in Planner.pendingReviews
 	due      tick.Tick // time of the scheduled review, 0 for none
-	position int       // in Planner.scheduledReviews, or notQueued
+	position int       // index in Planner.scheduledReviews, or notQueued
 }
 
 // move is a move that is in progress or proposed.
 type move struct {
-	source, target *node // nil for none
-	link           *link // nil within a zone
+	source, target *node // nil if there is no move
+	link           *link // nil for a move within a zone
 }
 
 // notQueued is the position of an instance or node that is in no heap.
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -4,21 +4,21 @@
 
 // Shares of the bounds on moves that copies may use. The rest is kept for moves of instances.
 const (
-	replicaCopiesShare       = 0.75 // for copies that restore replicas
-	remoteReplicaCopiesShare = 0.5  // for copies that make a replica in another zone
+	replicaCopiesShare       = 0.75 // share for copies that restore replicas
+	remoteReplicaCopiesShare = 0.5  // share for copies that make a replica in another zone
 )
 
-// Intervals between scheduled reviews of waiting instances. Capacity that becomes free wakes one instance; if that one does
-// not use it, the scheduled reviews let the others try.
+// Intervals between scheduled reviews of waiting instances. When capacity becomes free, only a few waiting
+// instances are reviewed at once. If they do not use the capacity, scheduled reviews offer it to the others.
 const (
 	boundReviewDivisor      = 4 // an instance with too few replicas that waits for a bound is reviewed after Lease/boundReviewDivisor
-	fullLinkReviewLeases    = 4
-	remoteReviewFactor      = 4 // times the sum of Config.Lease and Config.RestartAfter
-	remoteBoundReviewLeases = 4
+	fullLinkReviewLeases    = 4 // lease durations until the review of an instance that waits for a full link
+	remoteReviewFactor      = 4 // an instance that waits for a node in another zone waits this multiple of Config.Lease + Config.RestartAfter
+	remoteBoundReviewLeases = 4 // lease durations until the review of an instance that waits for a bound and only lacks a remote replica
 )
 
-// beginMove starts the move of the instance at the head of its primary's queue, or adds the instance to the queue of what it
-// has to wait for.
+// beginMove starts the move of the instance at the head of its primary's queue, or adds the instance to a queue or
+// to the waiters for a bound.
 func (p *Planner) beginMove(i *instance) {
 	p.dequeue(i)
 	if i.need.reason.copiesOnly() && p.waitForCopyBound(i) {
@@ -43,14 +43,14 @@
 	p.propose(i, op)
 }
 
-// mayCopyInstead reports whether an instance that has no target to move to may be copied meanwhile, because it also lacks a
+// mayCopyInstead reports whether an instance that has no target to move to may be copied instead, because it also lacks a
 // replica.
 func (p *Planner) mayCopyInstead(i *instance) bool {
 	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.config.MaxMoves)
 }
 
-// waitForCopyBound reports whether an instance that is only to be copied has to wait, because copies use their share of a
-// bound, and adds it to the waiters for that bound.
+// waitForCopyBound reports whether an instance that is only to be copied has to wait, because the moves use up the
+// share of a bound that is open to copies. If so, the instance is added to the waiters for that bound.
 func (p *Planner) waitForCopyBound(i *instance) bool {
 	reason, primary := i.need.reason, i.primaryNode
 	switch {
@@ -69,7 +69,7 @@
 	return true
 }
 
-// copiesFull reports whether copies for a reason have no room left in their share of a bound, given the moves in progress.
+// copiesFull reports whether a number of moves uses up the share of a bound that is open to copies for a reason.
 func (p *Planner) copiesFull(reason moveReason, moves, bound int) bool {
 	share := replicaCopiesShare
 	if reason == tooFewRemoteReplicas {
@@ -78,7 +78,7 @@
 	return float64(moves) >= max(1, share*float64(bound))
 }
 
-// waitForTarget adds an instance without a target to a queue: of a full link, of instances that need a node in another zone,
+// waitForTarget adds an instance without a target to the queue of a full link, of instances that need a node in another zone,
 // of its device's zone, or of instances that accept any node.
 func (p *Planner) waitForTarget(i *instance, fullLink *link) {
 	lease, risk := p.config.Lease, i.primaryNode.Risk
@@ -100,7 +100,7 @@
 	}
 }
 
-// updateMoveCounts updates the use of the bounds by an instance's move that is in progress or proposed.
+// updateMoveCounts updates the counts of moves after a change of the move of an instance that is in progress or proposed.
 func (p *Planner) updateMoveCounts(i *instance) {
 	from, to := p.moveOf(i)
 	if from == i.move.source && to == i.move.target {
@@ -121,7 +121,7 @@
 	p.updateReadyNode(to)
 }
 
-// moveOf returns the nodes of an instance's move that is in progress or proposed, nil for none.
+// moveOf returns the nodes of an instance's move that is in progress or proposed, or nil if there is none.
 func (p *Planner) moveOf(i *instance) (from, to *node) {
 	switch {
 	case i.State != placement.Running:
@@ -143,7 +143,7 @@
 	}
 }
 
-// endMove releases a move's use of the bounds and wakes instances that waited for it.
+// endMove removes an instance's move from the counts of moves, and reviews instances that waited for a move to end.
 func (p *Planner) endMove(i *instance) {
 	ended := i.move
 	p.addMoves(ended, -1)
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -10,41 +10,41 @@
 // NodeStatus is what the leading controller knows of a node.
 type NodeStatus struct {
 	Name, Zone     string
-	Incarnation    uint64    // number of its process's start; a new one starts with empty memory
-	LeaseEnd       tick.Tick // end of its lease by the controller's clock, with drift added; the node does not act after it; 0 if unknown
-	Accepting      bool      // it accepts new instances
-	Limited        bool      // it accepts only a few new instances
-	Evacuating     bool      // its instances have to move away
-	ShuttingDown   bool      // it terminates on purpose
-	Risk           float64   // how near it is to failing, 0 to 1; instances of the nodes most at risk move first
-	FreeSlots      int       // additional instances that it accepts; below 0, the number that it has too many
-	ListedDraining bool      // draining by the endpoint list
-	Version        uint16    // software version that it runs
+	Incarnation    uint64    // number of the node's process; each later process has a greater one and starts with empty memory
+	LeaseEnd       tick.Tick // end of the node's lease by the controller's clock, with drift added; the node does not act later; 0 if unknown
+	Accepting      bool      // the node accepts new instances
+	Limited        bool      // the node accepts only a few new instances
+	Evacuating     bool      // the node's instances have to move away
+	ShuttingDown   bool      // the node terminates on purpose
+	Risk           float64   // how near the node is to failing, from 0 to 1; instances of the nodes most at risk move first
+	FreeSlots      int       // number of additional instances that the node accepts; if negative, the number of instances in excess
+	ListedDraining bool      // the endpoint list says that the node is draining
+	Version        uint16    // software version that the node runs
 	RollingBack    bool      // Version is being rolled back
-	WarmingUp      bool      // it has just started, and FreeSlots is its slow-start budget
+	WarmingUp      bool      // the node has just started, and FreeSlots is its slow-start budget
 	LostCopies     bool      // this incarnation started without the copies of the previous one
 }
 
 // node is the planner's state of a node.
 type node struct {
 	NodeStatus
-	reported     bool // it has reported its status since this planner became leader
-	leaseExpired bool // its lease has ended by every clock
+	reported     bool // the node has reported its status since this planner became leader
+	leaseExpired bool // the node's lease has ended by every clock
 	zone         *zone
 	primaryOf    map[*instance]struct{}
 	replicaOf    map[*instance]struct{}
 
 	moves    int                    // moves from and to this node that are in progress or proposed
 	incoming map[*instance]struct{} // instances of the moves to this node
-	reserved int                    // slots of FreeSlots taken since it reported them
+	reserved int                    // slots of FreeSlots that moves to this node, or starts chosen since its last status, have taken
 	recent   recentMoves
 
-	poisonCandidates int // instances that may have caused this node's failure and those of their earlier primaries; set when it fails
-	pendingFailOvers int // fail-overs and quarantines without a result yet that declare its lease expired
+	poisonCandidates int // number of instances that may cause the failures of their primaries; set when this node fails
+	pendingFailOvers int // number of pending fail-overs and quarantines that declare this node's lease expired
 
-	ready            queue        // instances that are to move, the most urgent first
+	ready            queue        // instances of this primary that are ready to be moved or copied, the most urgent first
 	waitingForBound  boundWaiters // instances that wait until the bound on this node's moves allows another copy
-	eligible         bool         // it is in its zone's list of nodes that may receive an instance
+	eligible         bool         // the node is in its zone's list of nodes that may receive an instance
 	readyPosition    int          // index in Planner.readyNodes, or notQueued
 	nextExcessReview tick.Tick
 }
@@ -121,7 +121,7 @@
 	return p.zones[name]
 }
 
-// linkBetween returns the link that a move between two nodes uses, nil within a zone.
+// linkBetween returns the link that a move between two nodes uses, or nil if both are in one zone.
 func (p *Planner) linkBetween(from, to *node) *link {
 	if from == nil || from.Zone == to.Zone || from.Zone == "" || to.Zone == "" {
 		return nil
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -11,13 +11,13 @@
 // Constants of planning for running instances.
 const (
 	resetFailuresAfter     = 60 * tick.Second // time without a failure after which an instance's failure count is reset
-	remoteBackOffLeases    = 4                // wait before the next copy to another zone; doubles with each consecutive failure
+	remoteBackOffLeases    = 4                // lease durations before the next copy to another zone; doubled with each consecutive failure
 	maxMoveStreak          = 8                // limit on doublings of the dwell and of the back-off of remote replicas
-	unreplicatedCopyLeases = 2                // time that an instance without any replica waits for a copy to another zone
+	unreplicatedCopyLeases = 2                // lease durations that an instance without any replica waits for a copy to another zone
 	cancelBackOffDivisor   = 4                // the wait after the first cancelled copy is 2*Lease/cancelBackOffDivisor
 )
 
-// planMove queues a running instance for the move or copy that it needs, or proposes an operation that needs neither.
+// planMove queues a running instance for the move or copy that it needs, or proposes an operation that requires neither.
 func (p *Planner) planMove(i *instance) {
 	primary := i.primaryNode
 	reason, notBefore := p.reasonToLeave(i)
@@ -53,7 +53,7 @@
 	p.updateReadyNode(primary)
 }
 
-// reasonToLeave returns why an instance should leave its primary, noMove for none, and the time before which it should stay.
+// reasonToLeave returns why an instance should leave its primary, or noMove, and the time before which it should stay.
 func (p *Planner) reasonToLeave(i *instance) (reason moveReason, notBefore tick.Tick) {
 	primary := i.primaryNode
 	stay := i.history.stayUntil(p.config.Dwell)
@@ -78,7 +78,7 @@
 // replicaCount summarizes the replicas of an instance.
 type replicaCount struct {
 	reliable   int  // number of reliable replicas
-	remote     int  // reliable ones in a zone other than the primary's
+	remote     int  // number of reliable replicas in a zone other than the primary's
 	zonesKnown bool // the zones of all reliable replicas are known
 }
 
@@ -125,7 +125,7 @@
 }
 
 // remoteReplicaNeed returns tooFewRemoteReplicas if an instance that needs nothing else should get a replica in another zone
-// now, else noMove.
+// now, and noMove otherwise.
 func (p *Planner) remoteReplicaNeed(i *instance, surplus int) moveReason {
 	if !i.need.remoteReplica || surplus > 0 {
 		return noMove
@@ -137,7 +137,7 @@
 	return tooFewRemoteReplicas
 }
 
-// resetFailures proposes to reset an instance's failure count once there was no failure for resetFailuresAfter, and reports
+// resetFailures proposes to reset an instance's failure count once there has been no failure for resetFailuresAfter, and reports
 // whether it did.
 func (p *Planner) resetFailures(i *instance) bool {
 	at := i.primarySince + resetFailuresAfter
@@ -149,12 +149,13 @@
 	return true
 }
 
-// backOffRemote records that a remote replica was not reached, or that a copy did not become one in time.
+// backOffRemote delays copies to other zones after a remote replica was dropped, or after a copy did not become a remote
+// replica in time.
 //
 // Guards against a link too slow or lossy for acknowledgements: copies over it would repeat without end, and between them
 // entries would exist on the primary alone. No copy to another zone is started for some leases, and that time doubles with
 // each consecutive failure. A short partition of the zones is indistinguishable: the replica then stays in the primary's zone
-// for as long.
+// for that time.
 func (p *Planner) backOffRemote(i *instance, n *node) {
 	if i.primaryNode == nil || !n.isRemoteTo(i.primaryNode) {
 		return
@@ -197,7 +198,7 @@
 	p.propose(i, placement.Operation{Kind: placement.OpCancelCopy, Target: i.CopyTarget, Reason: i.CopyTarget + " " + fault})
 }
 
-// copyFault returns why the target of a copy may no longer receive the instance, "" if it may.
+// copyFault returns why the target of a copy may no longer receive the instance, or "" if it may.
 func copyFault(i *instance, target *node) string {
 	switch {
 	case target.leaseExpired, slices.Contains(i.emptyReplicas, target):
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -7,7 +7,7 @@
 	"silvercove/internal/tick"
 )
 
-// Bounds on the work of one call, in reviews and moves. OnTick does the remaining work.
+// Limits on the number of reviews and moves in one call. OnTick does the remaining work.
 const (
 	maxWorkPerTick  = 1024
 	maxWorkPerEvent = 64
@@ -36,7 +36,7 @@
 	eligibleZones []*zone // zones with an eligible node, by name
 	links         map[[2]string]*link
 	instances     map[string]*instance
-	moves         int // in progress or proposed
+	moves         int // number of moves in progress or proposed
 
 	pendingReviews   []*instance    // instances to review now, in order of arrival
 	scheduledReviews reviewQueue    // instances with a scheduled review, by time
@@ -100,15 +100,15 @@
 	return n.Name
 }
 
-// FailOverPending reports whether an operation that declares a node's lease expired has no result yet. The node must not be
-// granted a lease until then: an operation that is agreed late would make another node the primary of its instances while
-// this node serves them.
+// FailOverPending reports whether an operation that declares a node's lease expired has no result yet. Until the result is
+// known, the node must not be granted a lease: an operation that is agreed late would make another node the primary of the
+// node's instances while the node serves them.
 func (p *Planner) FailOverPending(name string) bool {
 	return p.nodes[name] != nil && p.nodes[name].pendingFailOvers > 0
 }
 
 // processPending does the pending reviews, then the scheduled ones that are due, then the most urgent moves, until the budget
-// is used up. It reports whether it finished.
+// is used up. It reports whether no work is left that can be done now.
 func (p *Planner) processPending(budget int) bool {
 	if !p.leads || p.processing {
 		return true
@@ -132,7 +132,7 @@
 	return false
 }
 
-// reviewInstance determines what an instance needs now, and proposes it or queues the instance.
+// reviewInstance determines what an instance needs now, and proposes an operation or queues the instance.
 func (p *Planner) reviewInstance(i *instance) {
 	p.dequeue(i)
 	p.scheduleReview(i, 0)
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -8,8 +8,8 @@
 
 // Constants of proposals and of the waits after them.
 const (
-	proposalTimeoutLeases = 2 // time to wait for the result of a proposal
-	avoidDroppedLeases    = 2 // time for which a node that was dropped as a replica is no target
+	proposalTimeoutLeases = 2 // lease durations to wait for the result of a proposal
+	avoidDroppedLeases    = 2 // lease durations for which a node that was dropped as a replica is no target
 	maxBackOffDoublings   = 10
 	backOffDivisor        = 8 // the first wait is 2*Lease/backOffDivisor
 )
@@ -33,8 +33,8 @@
 	p.host.Propose(op)
 }
 
-// proposalTimedOut reports whether the result of a pending proposal counts as lost, and clears the proposal then. Otherwise
-// it schedules a review at the timeout.
+// proposalTimedOut reports whether the result of a pending proposal counts as lost. If so, it clears the proposal.
+// Otherwise it schedules a review at the timeout.
 func (p *Planner) proposalTimedOut(i *instance) bool {
 	timeout := i.proposal.proposedAt + proposalTimeoutLeases*p.config.Lease
 	if p.now < timeout {
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -60,7 +60,7 @@
 }
 
 // wake queues reviews of a limited number of instances that found no target, the most urgent and those most at risk first.
-// Scheduled reviews alone would come in any order.
+// The scheduled reviews of these instances would not follow that order.
 func (p *Planner) wake(q *queue, most int) {
 	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
@@ -107,8 +107,8 @@
 	return n
 }
 
-// updateReadyNode adds a node to Planner.readyNodes, moves it to its new position or removes it, as its queue and its moves
-// require.
+// updateReadyNode adds a node to Planner.readyNodes, moves it to its new position or removes it, depending on its queue and its
+// number of moves.
 func (p *Planner) updateReadyNode(n *node) {
 	ready := len(n.ready) > 0 && n.moves < p.config.MaxMovesPerNode
 	switch {
--- a/internal/migration/reasons.go
+++ b/internal/migration/reasons.go
@@ -5,12 +5,12 @@
 
 // The reasons for moves and copies.
 const (
-	primaryLeaving       moveReason = iota // its primary shuts down, drains, or runs a version that is being rolled back
-	primaryEvacuating                      // its primary evacuates
-	primaryOverCapacity                    // its primary has more instances than slots
-	tooFewReplicas                         // it is copied and stays
-	deviceElsewhere                        // its device is in another zone
-	tooFewRemoteReplicas                   // it has enough replicas, but too few in zones other than its primary's
+	primaryLeaving       moveReason = iota // the instance's primary shuts down, drains, or runs a version that is being rolled back
+	primaryEvacuating                      // the instance's primary evacuates
+	primaryOverCapacity                    // the instance's primary has more instances than slots
+	tooFewReplicas                         // the instance has too few replicas; it is copied and stays on its primary
+	deviceElsewhere                        // the instance's device is in another zone
+	tooFewRemoteReplicas                   // the instance has enough replicas, but too few in zones other than its primary's
 	noMove
 )
 
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	// rebuildEpochGap is added to epochs when assignments are rebuilt. The sum exceeds every epoch that was reported, and every
-	// epoch that an unresponsive node may have been assigned without another node learning of it.
+	// rebuildEpochGap is added to the latest known epoch of an instance when its assignment is rebuilt. The sum exceeds every
+	// epoch that was reported, and every epoch that an unresponsive node may have been assigned without another node learning of it.
 	rebuildEpochGap = 1000
 
 	// maxRebuiltStaleCopies bounds the older copies that are recorded for one instance.
@@ -67,9 +67,10 @@
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
-// instance rebuilds the assignment of one instance from its copies and its previous assignment, which is empty unless known.
+// instance rebuilds the assignment of one instance from its copies and its previous assignment, which is empty if known is
+// false.
 func (r *rebuild) instance(name string, previous placement.Assignment, known bool) placement.Assignment {
-	latestEpoch := previous.Epoch // the latest that anyone reported
+	latestEpoch := previous.Epoch // the latest epoch in the previous assignment or in a report
 	for _, c := range r.copies[name] {
 		latestEpoch = max(latestEpoch, c.Epoch)
 	}
@@ -93,7 +94,7 @@
 	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latestEpoch
 }
 
-// bestFirst removes incomplete copies without entries and orders the others: authoritative ones first, then the primary's,
+// bestFirst removes incomplete copies without entries and orders the others: authoritative ones first, then those of primaries,
 // then those whose last entry has the latest epoch, then those with the most entries.
 func bestFirst(all []foundCopy, latestEpoch uint64) []foundCopy {
 	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -9,32 +9,32 @@
 
 // Bounds on the search for a target, which keep its cost independent of the size of the fleet.
 const (
-	sampledNodes   = 4 // random nodes per zone, in addition to as many with the least risk
+	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
 	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
 	skippableZones = 2 // the device's zone and the primary's, which may be among those sampled
 )
 
 // Risk margins and limits of targets.
 const (
-	evacuationMargin       = 0.2 // by which a target has to be safer than an evacuating primary
-	excessMargin           = 0.1 // by which a target may be riskier than a primary that has too many instances
+	evacuationMargin       = 0.2 // margin by which a target's risk has to be lower than an evacuating primary's
+	excessMargin           = 0.1 // margin by which a target's risk may exceed that of a primary with too many instances
 	maxRiskPerInstance     = 0.1 // upper bound of the estimate of the risk that one instance adds
-	maxVoluntaryTargetRisk = 0.7 // copies, and moves to the device's zone from a safer primary, go only to targets below it
-	maxLimitedIncoming     = 1   // instances in transit to a node that accepts only a few
+	maxVoluntaryTargetRisk = 0.7 // copies, and moves to the device's zone from a safer primary, go only to targets with less risk
+	maxLimitedIncoming     = 1   // limit on the instances in transit to a node that accepts only a few
 )
 
 // Weights of the terms of a node's score (targetSearch.score). Each term is from 0 to 1 unless noted otherwise. Risk counts
 // most, then free slots and moves in progress.
 const (
-	riskWeight      = 2.0     // of the node's risk
-	freeSlotsWeight = 0.5     // of its free slots, as a fraction of enoughFreeSlots
-	enoughFreeSlots = 16      // more slots add nothing to the score
-	movesWeight     = 0.5     // of the moves that it takes part in, as a fraction of those that it may
-	replicaBonus    = 0.5     // for a replica, which already has the state
+	riskWeight      = 2.0     // weight of the node's risk
+	freeSlotsWeight = 0.5     // weight of the node's free slots, as a fraction of enoughFreeSlots
+	enoughFreeSlots = 16      // free slots beyond this number add nothing to the score
+	movesWeight     = 0.5     // weight of the node's moves in progress or proposed, as a fraction of Config.MaxMovesPerNode
+	replicaBonus    = 0.5     // added for a replica, which already has the state
 	largeStateBytes = 1 << 20 // bytes of state for which a replica scores 1 more; less state scores proportionally less
-	limitedPenalty  = 0.5     // for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // of its replicas per instance of the primary, when placing a remote replica; the term may exceed 1
-	tieBreakWeight  = 0.1     // of a hash of node and instance; 1 for an instance that has failed primaries
+	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
+	crowdingWeight  = 0.5     // weight of the node's replicas per instance of the primary, for a remote replica; the term may exceed 1
+	tieBreakWeight  = 0.1     // weight of a hash of node and instance; 1 instead if the instance has failed primaries
 )
 
 // Constants of the hash that scatters instances which have failed primaries.
@@ -52,7 +52,7 @@
 	instance *instance
 	reason   moveReason
 	remote   bool   // the search is for a replica in a zone other than the primary's
-	hash     uint64 // of the instance's name and the planner's seed
+	hash     uint64 // hash of the instance's name and the planner's seed
 	random   *rand.Rand
 
 	best      *node
