--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -13,7 +13,7 @@
 
 const (
 	unassigned assignmentState = iota // no assignment has been received from the controllers
-	orphaned                          // its log was on the disk at the start, when the controllers knew no such instance
+	orphaned                          // a log of the instance was on the disk at the start, but the controllers did not know the instance
 	assigned                          // an assignment has been received
 )
 
@@ -58,14 +58,14 @@
 	return slices.ContainsFunc(a.agreed.StaleCopies, func(c placement.StaleCopy) bool { return c.Node == node })
 }
 
-// cuttingOver reports whether the primary must have stopped so that the copy target, which is a replica by now, can
-// take over. Only a change of the assignment ends this state. The cut-over names this revision, so it cannot be agreed
-// after the primary has resumed.
+// cuttingOver reports whether the primary must have stopped so that the copy target, which is already a replica,
+// can take over. Only a change of the assignment ends this state. The proposed OpCutOver names the revision of this
+// assignment, so it cannot be agreed after the primary has resumed.
 func (a *assignment) cuttingOver() bool { return a.agreed.CutOver && a.isReplica(a.agreed.CopyTarget) }
 
 // OnAssignment handles an assignment, either news from the controllers or the result of a proposal. An assignment that
-// is not newer than the known one changes nothing. An assignment of an instance unknown here that involves only other
-// nodes is not stored: a node's memory grows with its own instances, not with the fleet.
+// is not newer than the known one changes nothing. An assignment is not stored if it involves only other nodes and
+// this node does not know the instance: a node's memory grows with its own instances, not with the fleet.
 func (m *Manager) OnAssignment(now tick.Tick, p placement.Assignment) {
 	if m.instances[p.Instance] == nil && !m.involvesSelf(p) {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// discardOrphan deletes a log that was on the disk at the start and whose instance the controllers did not know then.
+// discardOrphan deletes a log that was on the disk at the start and whose instance the controllers did not know at the start.
 // That instance was deleted, and the present one only has the same name. The log is not deleted any earlier, because
 // controllers that lost their own log would not know the instance either.
 func (m *Manager) discardOrphan(inst *instance) {
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -11,27 +11,27 @@
 	DefaultLease         = tick.Second
 )
 
-// Intervals that scale with the lease duration: each constant is the number of intervals in one lease duration, and its
-// comment describes the interval, which is the lease duration divided by the constant.
+// Divisors of Config.Lease. Each constant is the number of intervals in one lease duration. The quotient of the lease
+// duration and the constant is the interval that the comment names.
 const (
-	ticksPerLease            = 20 // longest interval between two calls of OnTick
-	resendsPerLease          = 10 // interval after which a message without an answer is sent again
-	proposalRetriesPerLease  = 10 // interval after which a refused proposal is made again
-	proposalTimeoutsPerLease = 2  // interval after which a proposal without a result is made again
-	confirmTimeoutsPerLease  = 3  // interval after which a replica that has not confirmed is dropped
+	ticksPerLease            = 20 // Lease/ticksPerLease is the longest interval between two calls of OnTick
+	resendsPerLease          = 10 // a message without an answer is sent again after Lease/resendsPerLease
+	proposalRetriesPerLease  = 10 // a refused proposal is made again after Lease/proposalRetriesPerLease
+	proposalTimeoutsPerLease = 2  // a proposal without a result is made again after Lease/proposalTimeoutsPerLease
+	confirmTimeoutsPerLease  = 3  // a replica that has not confirmed is dropped after Lease/confirmTimeoutsPerLease
 )
 
 // Timeouts in lease durations.
 const (
-	stalledCopyLeases = 2 // a copy without progress for longer is cancelled
-	unusedCopyLeases  = 2 // a copy that the controllers no longer require is kept for this long
+	stalledCopyLeases = 2 // a copy without progress for longer than this is cancelled
+	unusedCopyLeases  = 2 // a copy that the controllers no longer require is deleted after this time
 )
 
 // Config identifies the node that a Manager runs on and limits its instances.
 type Config struct {
 	Node          string
 	Incarnation   uint64    // number of the node's process; each later process has a greater one
-	MaxStateBytes int       // limit of the entries kept of one instance: the setting fleet.state
+	MaxStateBytes int       // limit on the size of one instance's kept entries, in bytes: the setting fleet.state
 	Lease         tick.Tick // duration of a lease: the setting fleet.lease
 }
 
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -5,8 +5,8 @@
 //
 // The package contains no clock, goroutine, disk or connection. A caller makes a Manager from the logs on the disk and
 // the controllers' assignments, calls the one method that stands for what has happened (OnLease, OnAssignment,
-// OnRequest, OnDurable, OnMessage and the others), and calls OnTick no later than its previous
-// call said. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not safe for
+// OnRequest, OnDurable, OnMessage and the others), and calls OnTick no later than at the time that
+// its previous call returned. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not safe for
 // concurrent use.
 //
 // # Invariants
@@ -30,7 +30,7 @@
 //
 // The state of an instance at a node has these parts: an assignment (what the controllers have agreed), a localLog (the
 // copy and its pending writes), a recovery (whether the copy may be trusted), a serving state with the pending
-// requests, and on a primary a followerProgress for each replica, as in raft's Progress.
+// requests, and on a primary a followerProgress for each replica and the copy target, as in raft's Progress.
 //
 // Kind: decision (see docs/architecture.md)
 package replica
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -25,15 +25,15 @@
 // followerProgress is what the primary knows of a replica or of the copy target. The zero value is probing.
 type followerProgress struct {
 	state             progressState
-	incarnation       uint64    // of the node's process, as last reported
+	incarnation       uint64    // incarnation of the node's process, as last reported
 	next              uint64    // the node is assumed to have the entries up to this index; the next message continues from it
 	match             uint64    // the node has confirmed the entries up to this index
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // answers still due to announcements of the last index, by which the node learns that its copy is complete
+	announcementsLeft uint8     // answers still awaited to announcements of the last index, which show the node that its copy is complete
 
-	// In truncating and resetting: the last of the entries to be replaced.
+	// In the states truncating and resetting: index and checksum of the last entry that the node has to replace.
 	replacedIndex    uint64
 	replacedChecksum uint64
 
@@ -77,7 +77,7 @@
 // recordAnswer processes an answer whose last entry has the given index.
 //
 // Guards against sending in a tight loop to a node that answers every message and accepts nothing. The fault shows as
-// consecutive answers without progress, caused by a fault of that node or by a copy that changes meanwhile. The guard
+// consecutive answers without progress, caused by a fault of that node or by a copy that changes between messages. The guard
 // holds because after maxAcksWithoutProgress answers the next message waits as long as after a lost one. Answers that
 // arrive out of order look the same and cost that wait.
 func (f *followerProgress) recordAnswer(now tick.Tick, index uint64) {
@@ -202,7 +202,7 @@
 
 // fill adds the next entries to a message, and names the entries that they replace.
 func (f *followerProgress) fill(msg *Message, log *Log, durable uint64) {
-	if f.next < log.BaseIndex { // the entries after next are no longer kept
+	if f.next < log.BaseIndex { // the log no longer keeps all entries after next
 		f.state = resetting
 		f.next = log.BaseIndex
 	}
@@ -218,13 +218,13 @@
 	}
 }
 
-// announceLog has each follower sent the last index of this log again, now that messages are no longer marked as
+// announceLog sends each follower the last index of this log again. It is called once messages are no longer marked as
 // unverified.
 func (m *Manager) announceLog(now tick.Tick, inst *instance) {
 	for _, f := range inst.followers {
 		f.announcementsLeft = 1
 		if f.inFlight {
-			f.announcementsLeft = 2 // the first answer belongs to a message sent before
+			f.announcementsLeft = 2 // the next answer is to the message in flight, which was sent before the announcement
 		}
 	}
 	inst.idle = false
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -24,8 +24,8 @@
 	// TruncateLog removes the entries of an instance's log after index.
 	TruncateLog(instance string, index uint64)
 
-	// ResetLog replaces an instance's log by one without entries that continues after the index base, with the checksum
-	// of the entries up to there.
+	// ResetLog replaces an instance's log by one without entries that continues after the index base. checksum is the
+	// checksum of the entries up to base.
 	ResetLog(instance string, base, checksum uint64)
 
 	// DeleteLog removes an instance's log.
@@ -55,5 +55,5 @@
 	Epoch         uint64
 	From, To      string
 	Reason        string
-	SinceLeaseEnd tick.Tick // of EventStopped: how long after the lease's end it came; 0 unless the process was not scheduled in time
+	SinceLeaseEnd tick.Tick // for EventStopped: time since the end of the lease; above 0 only if the process was not scheduled in time
 }
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -9,14 +9,14 @@
 type nodeLease struct {
 	until           tick.Tick // end of the lease; 0 if none runs
 	previousEnd     tick.Tick
-	requiredVersion uint64 // of assignments that must have been seen before anything is served: other nodes may be primary by then
+	requiredVersion uint64 // version of the assignments that must have been seen before the node serves: they may name other primaries
 	seenVersion     uint64
 }
 
 // upToDate reports whether the assignments that the lease requires have been seen.
 func (l *nodeLease) upToDate() bool { return l.seenVersion >= l.requiredVersion }
 
-// holds reports whether the node may serve at all.
+// holds reports whether the node may serve at all: its lease runs, and upToDate holds.
 func (l *nodeLease) holds(now tick.Tick) bool { return now < l.until && l.upToDate() }
 
 // expired reports whether a lease that ran has ended.
@@ -36,8 +36,8 @@
 }
 
 // OnLease records that the node's lease runs until a time by the node's own clock. version is the version of the
-// controllers' assignments when the lease was granted: after a gap nothing is served until the assignments up to it
-// have been seen.
+// controllers' assignments when the lease was granted. If the previous lease had ended, the node serves nothing until it
+// has seen the assignments up to that version.
 func (m *Manager) OnLease(now, until tick.Tick, version uint64) {
 	if now >= m.lease.until {
 		m.expireLease(now)
@@ -108,7 +108,7 @@
 	if !inst.local.present && !inst.local.failed {
 		m.resetLog(inst, 0, 0)
 	}
-	inst.resetProgressTimes(now) // followers are sent nothing while the node does not serve
+	inst.resetProgressTimes(now) // followers were sent nothing while the node did not serve
 }
 
 // stopServing ends serving an instance. Entries that are not durable on all replicas may be kept or dropped.
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -19,8 +19,8 @@
 	log      Log
 	present  bool              // there is a copy, possibly without entries
 	bytes    int               // size of the entries
-	requests map[string]uint64 // index of the entry of each request ID that is kept
-	pending  []diskWrite       // requested of the disk, oldest first
+	requests map[string]uint64 // by request ID: index of the kept entry with that ID
+	pending  []diskWrite       // writes requested of the disk, oldest first
 	failed   bool              // a write failed: the writes that are still pending will fail too
 	durable  uint64            // index of the last entry on the disk
 }
@@ -78,7 +78,8 @@
 	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, before: before, wasPresent: l.present})
 }
 
-// append adds the next entry. If the log drops its first entry for it, that entry's request is forgotten.
+// append adds the next entry. If the log drops its first entry to make room, the request ID of the dropped
+// entry is forgotten.
 func (l *localLog) append(e LogEntry) {
 	l.addPending(e.Index, false)
 	if len(l.log.Entries) == LogCapacity {
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -27,7 +27,7 @@
 	Checksum  uint64 `json:"sum"`
 }
 
-// Size returns the bytes that an entry counts in the setting fleet.state.
+// Size returns the number of bytes that an entry counts toward the limit fleet.state.
 func (e LogEntry) Size() int { return entryOverhead + len(e.Node) + len(e.RequestID) + len(e.Body) }
 
 // ChainChecksum returns the checksum of all entries up to e, given the checksum of those before it.
@@ -112,7 +112,7 @@
 // Truncate removes the entries after index, which must be between BaseIndex and LastIndex.
 func (l *Log) Truncate(index uint64) { l.Entries = slices.Clip(l.Entries[:index-l.BaseIndex]) }
 
-// Size returns the bytes that the entries count in the setting fleet.state.
+// Size returns the number of bytes that the entries count toward the limit fleet.state.
 func (l *Log) Size() int {
 	bytes := 0
 	for _, e := range l.Entries {
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -36,7 +36,7 @@
 	catchUp     catchUp                      // progress of the copy target; used by a primary
 	proposal    proposal
 	pendingAcks []pendingAck
-	lastUsed    tick.Tick // when the last assignment or message of a primary came
+	lastUsed    tick.Tick // time of the last assignment, or of the last message from a primary
 	tracked     bool      // in Manager.tracked
 	scheduled   bool      // in Manager.active
 	idle        bool      // nothing was left to do after the last pass
@@ -113,8 +113,8 @@
 }
 
 // updateTracking adds an instance to Manager.tracked if it has a copy here or its assignment involves this node, and
-// removes it otherwise. Of an instance that was removed only the assignment is kept. An instance with neither
-// assignment nor copy is released.
+// removes it otherwise. An instance that is removed from Manager.tracked loses its followers and request IDs, but stays in
+// Manager.instances with its assignment. An instance with neither assignment nor copy is released.
 func (m *Manager) updateTracking(inst *instance) {
 	if !inst.assignment.known() && inst.local.isAbsent() && m.instances[inst.name] == inst {
 		delete(m.instances, inst.name)
@@ -136,7 +136,7 @@
 
 func compareName(inst *instance, name string) int { return cmp.Compare(inst.name, name) }
 
-// OnTick does everything that the passing of time calls for. It must be called again at next at the latest.
+// OnTick does everything that the passing of time calls for. It must be called again no later than at next.
 func (m *Manager) OnTick(now tick.Tick) (next tick.Tick) {
 	m.expireLease(now)
 	m.advanceActive(now)
@@ -154,8 +154,8 @@
 	}
 }
 
-// advanceActive does what can be done now for the instances that the passing of time may change. An idle instance costs
-// nothing, however many of them a node has.
+// advanceActive does what can be done now for the instances that the passing of time may change. Idle instances cost
+// nothing, however many a node has.
 func (m *Manager) advanceActive(now tick.Tick) {
 	due := m.active
 	m.active = nil
@@ -169,8 +169,8 @@
 	}
 }
 
-// advance does what can be done now for one instance, and puts it on the list for OnTick if the passing of time alone
-// may call for more.
+// advance does what can be done now for one instance, and adds the instance to Manager.active if the passing of time
+// alone may call for more.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
 	if inst.idle { // its replicas had nothing to confirm until now
 		inst.resetProgressTimes(now)
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -10,19 +10,19 @@
 	maxRequestID           = 256       // bytes in a request ID
 	maxNameLength          = 256       // bytes in the name of a node or instance in a message
 	maxReasonLength        = 1024      // bytes in the reason of a message
-	maxBatchBytes          = 256 << 10 // bytes of log entries from which on no further entry is added to a message
-	maxPendingAcks         = 4         // messages of a primary that wait for this node's disk; the oldest ones beyond it stay unanswered
-	maxAcksWithoutProgress = 4         // consecutive answers without progress, before a replica is sent to more slowly
+	maxBatchBytes          = 256 << 10 // bytes of log entries in a message; at this size or more, no further entry is added
+	maxPendingAcks         = 4         // messages of a primary that wait for this node's disk; if there are more, the oldest stays unanswered
+	maxAcksWithoutProgress = 4         // consecutive answers without progress; after more of them, messages to the node are delayed
 	maxPendingRequests     = 256       // requests of an instance that wait for the disk and the replicas
 )
 
 // Kinds of messages, as they stand on the wire.
 const (
 	MessageCatchUp     = "copy"   // entries for a copy target
-	MessageAppend      = "effect" // entries for a replica; without any it asks for the replica's last entry
-	MessageFinalAppend = "stop"   // the same from a primary that has stopped for a cut-over
+	MessageAppend      = "effect" // entries for a replica; a message without entries asks for the replica's last entry
+	MessageFinalAppend = "stop"   // entries as in MessageAppend, from a primary that has stopped for a cut-over
 	MessageAck         = "held"   // an answer: the state of the sender's log, all of which is durable
-	MessageStaleEpoch  = "old"    // an answer: the sender knows Epoch, and the message came from an earlier epoch or not from its primary
+	MessageStaleEpoch  = "old"    // an answer: the message is of an epoch before Epoch, or its sender is not the primary of Epoch
 	MessageRejected    = "unfit"  // an answer: the message was refused, for Reason
 )
 
@@ -33,7 +33,7 @@
 	Instance            string `json:"name"`
 	Epoch               uint64 `json:"epoch"`
 	SenderIncarnation   uint64 `json:"own"`
-	ReceiverIncarnation uint64 `json:"run,omitempty"` // as last reported; another incarnation answers and takes no entries
+	ReceiverIncarnation uint64 `json:"run,omitempty"` // as last reported; another incarnation answers the message but takes no entries
 
 	PrevIndex    uint64     `json:"prev,omitempty"`     // index of the last entry before Entries
 	PrevChecksum uint64     `json:"prev_sum,omitempty"` // checksum of all entries up to PrevIndex
@@ -53,8 +53,8 @@
 	ReplacedIndex    uint64 `json:"was,omitempty"`
 	ReplacedChecksum uint64 `json:"was_sum,omitempty"`
 
-	// In an answer: the last index of the sender's log and its checksum. If the two logs may differ, also all checksums
-	// that the sender knows: the one at ChecksumsFrom and those of the entries after it.
+	// In an answer: the last index and the checksum of the sender's log. If the two logs may differ, the answer also has
+	// all checksums that the sender knows: the one at ChecksumsFrom and those of the entries after ChecksumsFrom.
 	Index         uint64   `json:"seq,omitempty"`
 	Checksum      uint64   `json:"sum,omitempty"`
 	ChecksumsFrom uint64   `json:"base,omitempty"`
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -7,14 +7,14 @@
 	"silvercove/internal/tick"
 )
 
-// maxCatchUpLag is the number of entries that the copy target may still lack when it is proposed as a replica. It
-// receives them as a replica.
+// maxCatchUpLag is the number of entries that the copy target may still lack when it is proposed as a replica. The
+// target receives these entries as a replica.
 const maxCatchUpLag = 32
 
 // proposal is the operation last proposed to the controllers for an instance. The zero value means that there was none.
 type proposal struct {
 	operation placement.Operation
-	at        tick.Tick // when it was proposed; 0 if none is under way
+	at        tick.Tick // when the operation was proposed; 0 if none is in progress
 }
 
 func (p *proposal) inProgress() bool { return p.at != 0 }
@@ -60,7 +60,7 @@
 }
 
 // proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
-// copy that was lost can be told from one that never existed. It reports whether that is still to be recorded.
+// copy that was lost can be told from one that never existed. It reports whether the record is still to be made.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -23,14 +23,14 @@
 	return [...]string{"current", "unverified", "verifying", "fenced", "incomplete"}[s]
 }
 
-// recovery holds the facts that decide whether a copy may be trusted. They are stored apart because one can outlive
+// recovery holds the facts that decide whether a copy may be trusted. They are separate fields because one fact can outlive
 // another: a copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
 type recovery struct {
-	primaryAtStart     bool // this node was the primary at the start: whether its copy is complete is not known before OnDiskChecked
+	primaryAtStart     bool // this node was the primary at the start, and OnDiskChecked has not yet shown whether its copy is complete
 	unverified         bool
 	confirmedByReplica bool // a replica of this epoch has shown its log
 	incomplete         bool
-	awaitedReplicas    []string // replicas that have yet to show that they have no more entries
+	awaitedReplicas    []string // replicas that have yet to show that they have no more entries than this copy
 	fencedEpoch        uint64   // the latest epoch that another node has reported
 	pendingReport      string   // why the copy may lack entries, until the controllers have been told; empty otherwise
 }
@@ -68,8 +68,8 @@
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(n string) bool { return n == name })
 }
 
-// markComplete records that a primary has shown all its entries to be in the copy. The primary's own copy may be
-// unverified, and then this one stays unverified.
+// markComplete records that a primary has shown all its entries to be in the copy. If the primary's own
+// copy is unverified, an unverified copy on this node stays unverified.
 func (r *recovery) markComplete(primaryUnverified bool) {
 	r.incomplete = false
 	r.unverified = r.unverified && primaryUnverified
@@ -92,8 +92,8 @@
 // Guards against serving without acknowledged entries after a disk was restored. The fault shows as a disk with fewer
 // records than the controllers know of, on the primary and a replica at once or on a primary without replicas. The
 // guard holds because only a node with a later copy can tell which entries are missing, and the copies stay unverified
-// until such a node has shown them to be complete. A record count that belongs to another disk only has complete copies
-// reported as unverified.
+// until such a node has shown them to be complete. If the controllers' record count belongs to another disk, complete
+// copies are reported as unverified, which has no other effect.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskCurrent
 	if !restored {
@@ -120,17 +120,17 @@
 	Reason   string `json:"why"`
 }
 
-// AllVerified reports whether no copy on this disk is unverified or has still to be reported as such, so that the count
-// of records on the disk is valid from now on.
+// AllVerified reports whether no copy on this disk is unverified or has yet to be reported as unverified. If so, the
+// count of records on the disk is valid from now on.
 func (m *Manager) AllVerified() bool {
 	return m.disk == diskCurrent || m.disk == diskRestored && !slices.ContainsFunc(m.tracked, func(inst *instance) bool {
 		return inst.recovery.pendingReport != "" || inst.recovery.unverified && inst.assignment.involves(m.self)
 	})
 }
 
-// UnverifiedCopies returns the instances, at most limit of them and by name, that the node serves although their copies
-// may lack entries, and of which the controllers have not been told. OnUnverifiedReported confirms that they have been
-// told.
+// UnverifiedCopies returns the instances that the node serves although their copies may lack entries, if the controllers
+// have not been told of that. It returns at most limit instances, by name. OnUnverifiedReported confirms that the
+// controllers have been told.
 func (m *Manager) UnverifiedCopies(limit int) (copies []UnverifiedCopy) {
 	for _, inst := range m.tracked {
 		if inst.recovery.pendingReport != "" && len(copies) < limit {
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -8,7 +8,7 @@
 	Instance string
 	Write    bool
 	Body     []byte
-	Deadline tick.Tick // the request is not started later, and is answered by then
+	Deadline tick.Tick // the request is not started after this time, and is answered at this time at the latest
 }
 
 // Outcome says how a request ended.
@@ -17,9 +17,9 @@
 // Outcomes of requests.
 const (
 	Rejected      Outcome = iota // the request was not executed and never will be
-	Succeeded                    // the write's entry is durable on every replica; for a read, the last entry that was read is
+	Succeeded                    // the write's entry, or the last entry that the read has seen, is durable on every replica
 	Indeterminate                // the write's entry may be kept or dropped
-	TooLarge                     // the request was not executed, and would not fit if it were repeated
+	TooLarge                     // the request was not executed, and its entry would still not fit if the request were repeated
 )
 
 // Response is the only answer to a request. Index, Epoch and Node belong to the write's log entry, or to the last entry
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -134,7 +134,7 @@
 	s.pending = remaining
 }
 
-// successResponse returns the answer that the entry at index gives, the same as the first time.
+// successResponse returns the answer that belongs to the entry at index. A repeated write thus gets its first answer again.
 func (m *Manager) successResponse(inst *instance, index uint64) Response {
 	log := &inst.local.log
 	switch {
@@ -165,7 +165,8 @@
 }
 
 // mustConfirm reports whether a node must have an entry before the entry is acknowledged. That holds for the agreed
-// replicas and for a copy target that was proposed as a replica, as the controllers may have agreed to that by now.
+// replicas and for a copy target that was proposed as a replica, because the controllers may already have
+// agreed to that proposal.
 func (inst *instance) mustConfirm(name string) bool {
 	return inst.assignment.isReplica(name) || name == inst.assignment.agreed.CopyTarget && inst.caughtUp()
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -11,12 +11,12 @@
 	Instance   string `json:"name"`
 	Epoch      uint64 `json:"epoch"`
 	Index      uint64 `json:"seq"`
-	LastEpoch  uint64 `json:"last,omitempty"` // of the last entry; 0 if it is not known
+	LastEpoch  uint64 `json:"last,omitempty"` // epoch of the last entry; 0 if it is not known
 	Checksum   uint64 `json:"sum"`
-	Size       int    `json:"size"`            // bytes
-	IsPrimary  bool   `json:"owns,omitempty"`  // by the assignment
-	Serving    bool   `json:"acts,omitempty"`  // at the moment
-	IsReplica  bool   `json:"holds,omitempty"` // by the assignment
+	Size       int    `json:"size"`            // size of the copy's entries, in bytes
+	IsPrimary  bool   `json:"owns,omitempty"`  // the assignment names the node as the primary
+	Serving    bool   `json:"acts,omitempty"`  // the node serves the instance now
+	IsReplica  bool   `json:"holds,omitempty"` // the assignment names the node as a replica
 	Incomplete bool   `json:"lacks,omitempty"` // the copy lacks entries that the controllers require
 }
 
