--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -17,8 +17,8 @@
 	recordOverhead  = 64      // approximate size of a record in the file without its content, in bytes
 )
 
-// compact replaces the file by one without obsolete records, if the new one has at most half the size. If the new file
-// cannot be written, the old one stays in use.
+// compact replaces the file by one without obsolete records, if the new file has at most half the size. If the new
+// file cannot be written, the old one stays in use.
 func (s *Store) compact() {
 	out := s.encodeAll()
 	s.compactAt = 2*max(s.liveSize, s.fileSize) + compactionSlack
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -38,14 +38,14 @@
 // countingEnabled is the sum of a kindCount request after which records are counted.
 const countingEnabled = 1
 
-const numberSize = 8 // bytes
+const numberSize = 8 // size of a number in a payload, in bytes
 
 // request is a queued change of the store. done is called with its result, in the order of the requests.
 type request struct {
 	kind     recordKind
 	instance string
-	number   uint64 // index of kindTruncate, base index of kindReset, count of kindCount
-	sum      uint64 // base checksum of kindReset, countingEnabled or 0 of kindCount
+	number   uint64 // index for kindTruncate, base index for kindReset, count for kindCount
+	sum      uint64 // base checksum for kindReset, countingEnabled or 0 for kindCount
 	entry    replica.LogEntry
 	note     []byte
 	done     func(error)
@@ -94,7 +94,7 @@
 
 var errShortRecord = errors.New("record too short")
 
-// decode decodes a record's payload. Its only error is errShortRecord. An unknown kind is not an error here, but in apply.
+// decode decodes a record's payload. Its only error is errShortRecord. An unknown kind is an error of apply, not of decode.
 func decode(payload []byte) (request, error) {
 	d := decoder{rest: payload}
 	var r request
--- a/internal/instancestore/run.go
+++ b/internal/instancestore/run.go
@@ -2,8 +2,8 @@
 
 import "silvercove/internal/replica"
 
-// enqueue adds a request to the queue. If the queue is full, the request is queued as a rejected one, so that its done is
-// called in order.
+// enqueue adds a request to the queue. If the queue is full, the request is queued with kindRefused, so that its done
+// function is called in the order of the requests.
 func (s *Store) enqueue(r request) {
 	s.mu.Lock()
 	if len(s.queue) >= maxQueue {
@@ -18,8 +18,8 @@
 	}
 }
 
-// Run executes queued requests until stop is closed. It still executes those that were queued before that, and then
-// closes the file.
+// Run executes queued requests until stop is closed. It then executes the requests that are still queued, and closes the
+// file.
 func (s *Store) Run(stop <-chan struct{}) {
 	for stopped := false; !stopped; {
 		select {
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -50,7 +50,7 @@
 	logName     = "instances.log"
 	lockName    = "instances.lock"
 	maxQueue    = 1 << 16 // largest number of queued requests
-	maxNoteSize = 4 << 10 // bytes
+	maxNoteSize = 4 << 10 // largest note, in bytes
 	// confirmStep is the number of records that the first ConfirmCurrent of a run adds to the count, so that the count
 	// of a copy of the file that is written at the same time stays lower.
 	confirmStep = 1 << 20
@@ -67,14 +67,14 @@
 	file            File
 	fileSize        int64
 	liveSize        int64 // approximate size of the current state in the file, in bytes
-	compactAt       int64 // size above which the file is compacted; larger after a compaction that failed or saved little
+	compactAt       int64 // file size above which the file is compacted; larger after a compaction that failed or saved little
 	logs            map[string]*replica.Log
 	note            []byte
 	count           recordCount
 	runCountWritten bool  // this run's first kindCount record, which stops the counting until ConfirmCurrent, is durable
 	writeFailed     error // not nil if the state of the file is unknown: all requests fail with it
 
-	durableCount atomic.Uint64 // what RecordCount returns
+	durableCount atomic.Uint64 // durable count of records, which RecordCount returns
 
 	mu    sync.Mutex // guards queue
 	queue []request
@@ -200,7 +200,7 @@
 
 // RecordCount returns the durable count of records: the count that the last ConfirmCurrent set, plus the records written
 // after it in the same run. The count is above 0 and decreases only if the disk is restored from an older image. It is 0
-// for a store without a file, where that cannot happen.
+// for a store without a file, which no image can restore.
 func (s *Store) RecordCount() uint64 { return s.durableCount.Load() }
 
 // The methods below queue a request. Run calls done, if it is not nil, in the order of the requests: with nil once the
@@ -208,8 +208,8 @@
 // disk.
 
 // ConfirmCurrent starts the counting of records in this run, and raises the count to at least minCount. The caller
-// declares that no file of this node is known to have more than minCount records, or that whatever this file may lack has
-// been reported.
+// declares that no file of this node is known to have more than minCount records, or that the entries which this file may
+// lack have been reported.
 func (s *Store) ConfirmCurrent(minCount uint64, done func(error)) {
 	s.enqueue(request{kind: kindCount, number: max(1, minCount), sum: countingEnabled, done: done})
 }
@@ -225,7 +225,7 @@
 }
 
 // Reset replaces an instance's log, if any, by an empty one that starts after the entry with index baseIndex. baseSum is
-// the checksum of the entries up to that one.
+// the checksum of the entries up to that entry.
 func (s *Store) Reset(instance string, baseIndex, baseSum uint64, done func(error)) {
 	s.enqueue(request{kind: kindReset, instance: instance, number: baseIndex, sum: baseSum, done: done})
 }
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// restore returns the state in memory to that before the batch.
+// restore sets the state in memory back to the state before the batch.
 func (u *undo) restore(s *Store) {
 	s.note, s.count = u.note, u.count
 	for name, l := range u.logs {
@@ -132,8 +132,8 @@
 	}
 }
 
-// confirmedCount returns the count that a ConfirmCurrent with minCount sets. The first one in a run adds confirmStep, to
-// exceed what a copy of the file that is written at the same time may count.
+// confirmedCount returns the count that a ConfirmCurrent with minCount sets. The first ConfirmCurrent in a run adds
+// confirmStep, to exceed the count that a copy of the file that is written at the same time may count.
 func (s *Store) confirmedCount(minCount uint64) uint64 {
 	count := max(minCount, s.count.records)
 	if !s.count.counting {
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -30,8 +30,8 @@
 	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
 	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
 	ErrExpired          = errors.New("the lease was over before it was granted")
-	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. It may be the requesting incarnation
-	// itself, if its first request was abandoned. The node should repeat the request.
+	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. The requesting incarnation may
+	// itself be the pending one, if its first request was abandoned. The node should repeat the request.
 	ErrIncarnationPending = errors.New("a start of this name is being agreed")
 )
 
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -14,11 +14,12 @@
 // lease request. A node whose count at its start is below the greatest known one learns from that difference that its disk was
 // restored from an older image.
 //
-// The leading controller receives the counts every third of a lease. The controllers agree on all changed counts together once
-// a lease, so a new leader knows the state of at most about a lease ago. The cost is one entry of the agreed log a lease,
-// whatever the number of nodes up to maxCountsPerOperation, with some 25 bytes for each node that wrote records.
+// The leading controller receives the counts every third of a lease duration. The controllers agree on all changed counts
+// together once per lease duration, so the counts that a new leader knows are at most about one lease duration old. The cost
+// is one entry of the agreed log per lease duration, whatever the number of nodes up to maxCountsPerOperation, with some 25
+// bytes for each node that wrote records.
 type RecordCounts struct {
-	interval tick.Tick         // between two agreements: one lease
+	interval tick.Tick         // time between two agreements: one lease duration
 	known    map[string]uint64 // the greatest count of each node, agreed or not
 	pending  map[string]uint64 // reported and not yet agreed; 0 means that the agreed count is to be deleted
 	nextDue  tick.Tick
@@ -30,9 +31,9 @@
 	return &RecordCounts{interval: interval, known: maps.Clone(agreed), pending: map[string]uint64{}, nextDue: now + interval}
 }
 
-// Report records the count that a node sent with its lease request, and returns the greatest count known before, 0 for none. A
-// node that sends no count (0) runs an earlier version or has no disk. It may write its file without counting, so the count
-// known before is no longer meaningful and is deleted.
+// Report records the count that a node sent with its lease request, and returns the greatest count known before this
+// report, 0 for none. A node that sends no count (0) runs an earlier version or has no disk. The node may write its file
+// without counting, so the count known before is no longer meaningful and is deleted.
 func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
 	previous = c.known[node]
 	switch {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -31,8 +31,9 @@
 
 func newBatch() *batch { return &batch{entries: map[string]entry{}} }
 
-// commit waits until the current next batch is durable or its write has failed. The first caller that finds no write in
-// progress writes the batch for all callers. The lock is held on entry and on return, but not while the batch is written.
+// commit waits until the batch that is s.next at the call is durable or its write has failed. The first caller that finds no
+// write in progress writes the batch for all callers. The lock is held on entry and on return, but not while the batch is
+// written.
 func (s *Store) commit() error {
 	b := s.next
 	for s.writing && !b.done {
@@ -56,8 +57,8 @@
 	return err
 }
 
-// finish moves a batch's entries from pending to entries, or drops them if err is not nil, since the batch was not
-// written then.
+// finish moves a batch's entries from pending to entries, or drops them if err is not nil, because then the
+// batch was not written.
 func (s *Store) finish(b *batch, err error) {
 	for key, e := range b.entries {
 		if s.pending[key] == e {
@@ -77,7 +78,7 @@
 	s.compact()
 }
 
-// write appends records to every copy and syncs it. After a partial write, it truncates the file to its former size.
+// write appends records to every copy and syncs it. After a failed write, it truncates the file to its former size.
 // unusable is true, and the state of the files is unknown, if that truncation fails, if a sync fails, or if an earlier
 // copy already has the records.
 func (s *Store) write(records []byte) (unusable bool, err error) {
@@ -93,8 +94,8 @@
 	return false, nil
 }
 
-// compact rewrites the files if most of their content is obsolete. It computes the compacted size only if the files
-// have outgrown the last known one.
+// compact rewrites the files if most of their content is obsolete. It computes the compacted size only if the
+// files have outgrown the one last computed.
 func (s *Store) compact() {
 	if s.size < 2*s.compacted+compactionSlack {
 		return
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -1,6 +1,7 @@
 // Package monotonic implements the version store, which persists values that must never decrease: the highest version of
 // each key that was ever trusted, issued or reported, with its checksum, and the latest time ever trusted. It consists of
-// one append-only file, or of several copies of it on different disks, of which the most advanced counts.
+// one append-only file, or of several copies of the file on different disks. Open takes the highest version of each key and
+// the latest time from all copies.
 //
 // A record is durable in all copies before Record or AdvanceTime returns. An incomplete record at the end of a file was
 // never acknowledged and is truncated. Any other inconsistency makes Open reject the whole file, since a damaged record
@@ -49,8 +50,8 @@
 	committed *sync.Cond // signals that the write of a batch has ended
 	entries   map[string]entry
 	latest    tufverify.Tick   // latest time recorded
-	pending   map[string]entry // recorded, but not yet durable
-	next      *batch           // written by the next commit
+	pending   map[string]entry // entries that are recorded, but not yet durable
+	next      *batch           // batch that the next commit writes
 	writing   bool             // a commit is in progress, with the lock released
 	broken    bool             // the state of the files is unknown, or the store is closed: all writes fail
 	files     []File
@@ -149,8 +150,8 @@
 	return storedCopy{contents: c, exists: true}, nil
 }
 
-// merge adds the entries and the time of a copy that are newer than those of the store. Copies with different content
-// for the same version of a key are an error.
+// merge adds the entries and the time of a copy that are newer than those of the store. It returns an error if the
+// copy has different content for the same version of a key.
 func (s *Store) merge(c contents) error {
 	for key, e := range c.entries {
 		known, ok := s.entries[key]
--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -47,8 +47,8 @@
 	return r.assignment, nil
 }
 
-// create adds an instance with an epoch that its name has never had, so that a primary from before a deletion of the same
-// name has an older epoch.
+// create adds an instance with an epoch that its name has never had, so that a primary of a deleted instance of the
+// same name has an older epoch.
 func (t *Table) create(existing *row, op Operation) (Assignment, error) {
 	if existing != nil {
 		return existing.assignment, ErrExists
@@ -86,7 +86,7 @@
 // SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record.
 //
 // The record does not count as a change of the assignment: no decision depends on it, and a controller of an earlier version,
-// which ignores it, must arrive at the same revisions and versions. Followers of Since therefore receive it with the next
+// which ignores it, must arrive at the same revisions and versions. Callers of Since therefore receive the reason with the next
 // change of the instance or with a complete list.
 func (t *Table) SetUnverified(instance string, epoch uint64, reason string) {
 	r := t.rows[instance]
--- a/internal/placement/assignment.go
+++ b/internal/placement/assignment.go
@@ -25,17 +25,17 @@
 	CutOver    bool     `json:"switch,omitempty"`  // CopyTarget is to become the primary after the copy: a migration is under way
 
 	EverServed bool    `json:"begun,omitempty"`  // a primary has served the instance, so acknowledged entries may exist
-	Index      uint64  `json:"seq"`              // of the primary's last entry, as of the last operation that reported an index
-	Reason     string  `json:"reason,omitempty"` // of the last change
-	Zone       string  `json:"zone,omitempty"`   // of the instance's device
+	Index      uint64  `json:"seq"`              // index of the primary's last entry, as of the last operation that reported an index
+	Reason     string  `json:"reason,omitempty"` // reason for the last change
+	Zone       string  `json:"zone,omitempty"`   // zone of the instance's device
 	Weight     float64 `json:"weight,omitempty"` // priority weight, 1 to 100
-	Size       int     `json:"size,omitempty"`   // bytes of the instance's state, as last reported
+	Size       int     `json:"size,omitempty"`   // size of the instance's state in bytes, as last reported
 	Failures   int     `json:"falls,omitempty"`  // consecutive primaries that failed while they ran the instance
 
 	MissingEntries   uint64      `json:"missing,omitempty"` // at least so many entries were lost in restarts from older copies
-	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // the latest ones, at most maxStaleCopies
+	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // the latest stale copies, at most maxStaleCopies
 	UnverifiedReason string      `json:"doubts,omitempty"`  // why more than MissingEntries may be missing, as last reported by the primary
-	Extension        []byte      `json:"more,omitempty"`    // data of a later version, preserved unchanged
+	Extension        []byte      `json:"more,omitempty"`    // data of a later version of the program, preserved unchanged
 }
 
 // NewerThan reports whether an assignment is newer than another one of the same instance: its Epoch is greater, or its
--- a/internal/placement/changes.go
+++ b/internal/placement/changes.go
@@ -6,7 +6,7 @@
 
 // Changes lists the instances that were changed or deleted since a version of a table.
 type Changes struct {
-	Version     uint64       `json:"version"` // of the table that the changes lead to
+	Version     uint64       `json:"version"` // version of the table after the changes
 	Complete    bool         `json:"whole"`   // Assignments lists all instances; any other instance is deleted
 	Assignments []Assignment `json:"places"`
 	Deleted     []string     `json:"gone,omitempty"`
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -6,7 +6,7 @@
 type OperationKind string
 
 // Kinds of operations. An operation names the epoch that its proposer saw, and fails with ErrStaleEpoch if the instance has a
-// later epoch by then. OpMoveDevice is accepted at a later epoch, and OpCreate does not use the epoch.
+// later epoch when the operation is applied. OpMoveDevice is accepted at a later epoch, and OpCreate does not use the epoch.
 const (
 	// OpCreate adds the instance with the primary Target, in Zone, with Weight. Its epoch is 1 unless the name was used before.
 	OpCreate OperationKind = "create"
@@ -48,20 +48,20 @@
 // ones, and refuses later ones.
 const FormatVersion = 1
 
-// Operation is one change to one instance in the agreed log. The kinds say which fields they use.
+// Operation is one change to one instance in the agreed log. The comment of each kind says which fields that kind uses.
 type Operation struct {
-	Version  int           `json:"v"` // of the format, from 1 to FormatVersion
+	Version  int           `json:"v"` // version of the format, from 1 to FormatVersion
 	Kind     OperationKind `json:"kind"`
 	Instance string        `json:"name"`
-	Epoch    uint64        `json:"epoch,omitempty"`  // of the assignment that the proposer saw
-	Revision uint64        `json:"change,omitempty"` // that the proposer saw, 0 for any; at another one the operation fails, however late
+	Epoch    uint64        `json:"epoch,omitempty"`  // epoch of the assignment that the proposer saw
+	Revision uint64        `json:"change,omitempty"` // revision that the proposer saw, 0 for any; at any other one the operation fails, however late
 	Node     string        `json:"by,omitempty"`     // the node that the operation comes from or is about, usually the primary
 	Target   string        `json:"to,omitempty"`     // the node that the instance is copied, moved or assigned to, or a replica
 	CutOver  bool          `json:"switch,omitempty"` // the target of OpStartCopy is to become the primary
-	Index    uint64        `json:"seq,omitempty"`    // of the last entry
+	Index    uint64        `json:"seq,omitempty"`    // index of the last entry
 	Zone     string        `json:"zone,omitempty"`
 	Weight   float64       `json:"weight,omitempty"`
-	Size     int           `json:"size,omitempty"` // bytes
+	Size     int           `json:"size,omitempty"` // size of the instance's state in bytes, 0 if not reported
 	Reason   string        `json:"reason,omitempty"`
 }
 
--- a/internal/placement/operations.go
+++ b/internal/placement/operations.go
@@ -282,11 +282,11 @@
 	return nil
 }
 
-// mayStillServe reports whether the instance is running and the operation does not name its primary. In that case the primary
-// has not been stopped.
+// mayStillServe reports whether the instance is running and the operation does not name the instance's primary as its
+// node. In that case the primary has not been stopped.
 func (t *transition) mayStillServe() bool { return t.running() && t.op.Node != t.next.Primary }
 
-// stopQuarantined makes an instance quarantined. If it was running, that counts as one more failure.
+// stopQuarantined makes an instance quarantined. If the instance was running, the quarantine counts as one more failure.
 func (t *transition) stopQuarantined() {
 	if t.running() {
 		t.next.Failures++
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -26,32 +26,33 @@
 
 // Limits of the fields of an operation and of the records that are kept.
 const (
-	maxNameBytes   = 256  // of the name of an instance, a node or a zone
-	maxReasonBytes = 1024 // of a reason
-	maxReplicas    = 16   // of one instance
-	maxStaleCopies = 4    // recorded for one instance
+	maxNameBytes   = 256  // length of the name of an instance, a node or a zone
+	maxReasonBytes = 1024 // length of a reason
+	maxReplicas    = 16   // replicas of one instance
+	maxStaleCopies = 4    // stale copies that are recorded for one instance
 	maxDeletions   = 4096 // deletions that are recorded
 )
 
 // Table holds the assignments of all instances.
 type Table struct {
 	rows      map[string]*row // by instance name
-	byPrimary index           // by node
-	byReplica index           // by node
-	byZone    index           // by the zone of the device
+	byPrimary index           // rows by primary
+	byReplica index           // rows by replica
+	byZone    index           // rows by the zone of the device
 	version   uint64
 	newest    *row // the row that was changed last; row.older leads to the one changed before it
 	oldest    *row
 
-	deletions     []deletion          // the latest ones, ordered by version
+	deletions     []deletion          // the latest deletions, ordered by version
 	deletedByName map[string]deletion // the latest deletion of each name in deletions
 	prunedEpoch   uint64              // the greatest epoch of all deletions that are no longer recorded
 	prunedVersion uint64              // deletions up to this version are no longer recorded
 
-	unknown UnknownFields // of the header of the restored snapshot
+	unknown UnknownFields // unknown fields of the header of the restored snapshot
 }
 
-// row holds one instance. A change replaces the assignment and never modifies the lists in it, as copies of it were returned.
+// row holds one instance. A change replaces the assignment and never modifies its lists, because callers
+// have copies of the assignment that share them.
 type row struct {
 	assignment   Assignment
 	changedAt    uint64 // the table's version at the last change
@@ -63,7 +64,7 @@
 type deletion struct {
 	Instance string `json:"name"`
 	Epoch    uint64 `json:"epoch"` // the last epoch of the instance
-	Version  uint64 `json:"at"`    // of the table, after the deletion
+	Version  uint64 `json:"at"`    // version of the table after the deletion
 }
 
 // New returns a table without instances.
@@ -111,7 +112,7 @@
 	return all
 }
 
-// put replaces the assignment of a row, and makes that the newest change of the table.
+// put replaces the assignment of a row. The replacement becomes the newest change of the table.
 func (t *Table) put(r *row, next Assignment) {
 	old := r.assignment
 	next.Revision = old.Revision + 1
@@ -128,7 +129,7 @@
 	t.reindex(r, old, next)
 }
 
-// remove removes a row, and makes that the newest change of the table.
+// remove removes a row. The removal becomes the newest change of the table.
 func (t *Table) remove(r *row) {
 	a := r.assignment
 	t.unlink(r)
--- a/internal/recordlog/file.go
+++ b/internal/recordlog/file.go
@@ -24,7 +24,7 @@
 }
 
 // Lock takes an exclusive lock on the file at path, which it creates if necessary, and holds the lock until the returned
-// file is closed. The error is ErrInUse if the lock cannot be taken, or that of opening the file.
+// file is closed. The error is ErrInUse if the lock cannot be taken, or the error of opening the file.
 func Lock(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -48,7 +48,7 @@
 	Version      uint32 // files with a later version are rejected
 	MaxPayload   int    // largest payload of a record, in bytes
 	Checksum     func([]byte) uint64
-	WideChecksum bool // store 8 bytes of a payload's checksum; otherwise the low 4, as of all other checksums
+	WideChecksum bool // store all 8 bytes of a payload's checksum; otherwise its low 4 bytes, as for all other checksums
 	// TornTail is set if a crash may leave any part of the last record on disk, and zeros in space that was allocated
 	// for later records. If it is not set, each record is synced before the next, and only the end of the last record
 	// may be missing.
@@ -159,7 +159,7 @@
 		return payload, size, nil
 	}
 	if f.TornTail && len(rest) == size {
-		return nil, 0, nil // the last record, whose pages did not reach the disk in order
+		return nil, 0, nil // the last record: a crash left only some of its pages on disk
 	}
 	return nil, 0, ErrCorrupt
 }
