--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// endMove removes an instance's move from the counts of moves, and reviews instances that waited for a move to end.
+// endMove removes an instance's move from the counts of moves, and queues reviews of instances that waited for its end.
 func (p *Planner) endMove(i *instance) {
 	ended := i.move
 	p.addMoves(ended, -1)
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -116,7 +116,7 @@
 	sim.compareTimeline(t, "zone-evacuates")
 }
 
-// countInstances makes a node report free slots that its instances reduce.
+// countInstances subtracts the number of a node's instances from its free slots, every lease/50.
 func (n *simulatedNode) countInstances() {
 	slots := n.FreeSlots
 	var again func()
@@ -259,7 +259,8 @@
 	sim.compareTimeline(t, "instance-fails-its-primaries")
 }
 
-// Of many instances on the failed nodes, only the one that causes the failures is quarantined.
+// TestPlanner_QuarantinesNoBystanders checks that, of many instances on the failed nodes, only the one that causes the failures
+// is quarantined.
 func TestPlanner_QuarantinesNoBystanders(t *testing.T) {
 	sim := newSimulation(t, 1, "north a b c d e f g h", nil)
 	names := []string{"bad"}
@@ -448,7 +449,8 @@
 	}
 }
 
-// A node must get no lease while a fail-over is pending: the operation could be agreed while the node serves again.
+// TestPlanner_FailOverPendingUntilItIsDecided checks that a fail-over counts as pending until its result is known. Until then,
+// the node must get no lease: the operation could be agreed while the node serves again.
 func TestPlanner_FailOverPendingUntilItIsDecided(t *testing.T) {
 	h := &recordingHost{}
 	p := NewPlanner(h, 1, 1, ConfigFrom(nil))
@@ -517,8 +519,8 @@
 	}
 }
 
-// If all instances of a node lose their replica, one copy starts as soon as another ends, without waiting for scheduled
-// reviews.
+// TestPlanner_RestoresManyReplicasWithoutPauses checks that, if all instances of a node lose their replica, one copy starts as
+// soon as another ends, without waiting for scheduled reviews.
 func TestPlanner_RestoresManyReplicasWithoutPauses(t *testing.T) {
 	sim := newSimulation(t, 1, "north a b c d", map[string]any{"fleet.moves.all": 64.0})
 	for i := range 40 {
--- a/internal/migration/planner_trace_test.go
+++ b/internal/migration/planner_trace_test.go
@@ -92,7 +92,8 @@
 	return sim
 }
 
-// Devices move between three zones, some of them repeatedly, while links between zones are full.
+// TestPlannerTrace_DevicesMove traces a fleet whose devices move between three zones, some of them repeatedly, while links
+// between zones are full.
 func TestPlannerTrace_DevicesMove(t *testing.T) {
 	comparePlannerTraces(t, "devices", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
@@ -111,8 +112,8 @@
 	})
 }
 
-// Nodes fail and come back, alone and with their whole zone. With even seeds, the failed node is the primary of one and the
-// same instance.
+// TestPlannerTrace_NodesFail traces a fleet whose nodes fail and come back, alone and with their whole zone. With even seeds,
+// the failed node is the primary of the instance cam-0, if that instance runs.
 func TestPlannerTrace_NodesFail(t *testing.T) {
 	comparePlannerTraces(t, "falls", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
@@ -147,7 +148,8 @@
 	})
 }
 
-// Nodes evacuate, drain, shut down, run a version that is rolled back, warm up, or have more instances than slots.
+// TestPlannerTrace_NodesEvacuate traces a fleet whose nodes evacuate, drain, shut down, run a version that is rolled back, warm
+// up, or have more instances than slots.
 func TestPlannerTrace_NodesEvacuate(t *testing.T) {
 	comparePlannerTraces(t, "tired", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
@@ -185,7 +187,7 @@
 	})
 }
 
-// Replicas are kept in other zones, which are partitioned for a while.
+// TestPlannerTrace_ZonesArePartitioned traces a fleet that keeps replicas in other zones, which are partitioned for a while.
 func TestPlannerTrace_ZonesArePartitioned(t *testing.T) {
 	comparePlannerTraces(t, "zones", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
@@ -215,7 +217,8 @@
 	})
 }
 
-// All faults combined: failed nodes, partitions, evacuations, device moves, lost operations and changes of leader.
+// TestPlannerTrace_AllFaults traces a fleet with all faults combined: failed nodes, partitions, evacuations, device moves, lost
+// operations and changes of leader.
 func TestPlannerTrace_AllFaults(t *testing.T) {
 	comparePlannerTraces(t, "faults", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
@@ -408,7 +411,7 @@
 	}
 }
 
-// Events and results of proposals come in any order.
+// TestPlannerTrace_EventsInAnyOrder traces a planner to which events and results of proposals come in any order.
 func TestPlannerTrace_EventsInAnyOrder(t *testing.T) {
 	comparePlannerTraces(t, "facts", func(t *testing.T, seed uint64, trace *plannerTrace) {
 		t.Helper()
--- a/internal/migration/remote_replicas_test.go
+++ b/internal/migration/remote_replicas_test.go
@@ -15,8 +15,8 @@
 	return n
 }
 
-// Proposals for an instance in the north that should have one replica, in another zone. Nodes n1 and n2 are in the north, s1
-// and s2 in the south.
+// TestPlanner_PlacesRemoteReplicas checks the proposals for an instance in the north that should have one replica, in another
+// zone. Nodes n1 and n2 are in the north, s1 and s2 in the south.
 func TestPlanner_PlacesRemoteReplicas(t *testing.T) {
 	oneRemote := map[string]any{"fleet.away": 1.0}
 	evacuating := NodeStatus{Name: "s1", Evacuating: true, Risk: 0.6}
@@ -76,7 +76,8 @@
 	}
 }
 
-// Once a zone that was full or absent has room, all instances get a replica there, one after the other.
+// TestPlanner_UsesAZoneThatBecomesAvailable checks that, once a zone that was full or absent has room, all instances get a
+// replica there, one after the other.
 func TestPlanner_UsesAZoneThatBecomesAvailable(t *testing.T) {
 	sim := newSimulation(t, 1, "north a b c; south d e f", map[string]any{"fleet.away": 1.0})
 	for i, name := range []string{"d", "e", "f"} {
@@ -120,8 +121,8 @@
 	}
 }
 
-// When a zone is partitioned, its instances continue in another zone with all their entries and return once the zone is back.
-// No instance is copied repeatedly.
+// TestPlanner_FailsOverAPartitionedZone checks that the instances of a partitioned zone continue in another zone with all their
+// entries, that they return once the zone is back, and that no instance is copied repeatedly.
 func TestPlanner_FailsOverAPartitionedZone(t *testing.T) {
 	for _, copies := range []float64{1, 2} {
 		sim := newSimulation(t, 1, "north a b; south c d; west e f", map[string]any{"fleet.away": 1.0, "fleet.copies": copies})
@@ -157,8 +158,9 @@
 	}
 }
 
-// If links between zones are too slow for acknowledgements, primaries drop each remote replica soon after it is ready. Copies
-// to other zones become rarer and rarer, and between them the replica is in the primary's zone.
+// TestPlanner_BacksOffFromUnreachableRemoteReplicas simulates links between zones that are too slow for acknowledgements, so
+// that primaries drop each remote replica soon after it is ready. It checks that copies to other zones become rarer and rarer,
+// and that between them the replica is in the primary's zone.
 func TestPlanner_BacksOffFromUnreachableRemoteReplicas(t *testing.T) {
 	for _, copies := range []float64{1, 2} {
 		sim := newSimulation(t, 1, "north a b c; south d e; west f", map[string]any{"fleet.away": 1.0, "fleet.copies": copies})
@@ -182,8 +184,8 @@
 	}
 }
 
-// An instance whose device oscillates between zones is copied no more often with a remote replica than without, because the
-// previous primary stays as the replica.
+// TestPlanner_OscillatingDeviceWithRemoteReplica checks that an instance whose device oscillates between zones is copied no more
+// often with a remote replica than without, because the previous primary stays as the replica.
 func TestPlanner_OscillatingDeviceWithRemoteReplica(t *testing.T) {
 	countMovesAndCopies := func(remoteReplicas float64, zones string) (n, moves int) {
 		sim := newSimulation(t, 1, zones, map[string]any{"fleet.away": remoteReplicas})
@@ -213,7 +215,8 @@
 	}
 }
 
-// Of two replicas, the one in the device's zone takes over, unless its lease is about to end too.
+// TestPlanner_PrefersSuccessorInTheDevicesZone checks that, of two replicas, the one in the device's zone takes over, unless
+// its lease is about to end too.
 func TestPlanner_PrefersSuccessorInTheDevicesZone(t *testing.T) {
 	for left, want := range map[tick.Tick]string{lease: "fail cam n2", lease / 5: "fail cam s1"} {
 		n2, s1 := inZone("north", healthyNode("n2", 0.3)), inZone("south", healthyNode("s1", 0.1))
@@ -225,8 +228,8 @@
 	}
 }
 
-// An instance without any replica waits less than restart_after for a copy to an unreachable zone; one with a replica waits
-// that long.
+// TestPlanner_CancelsSlowRemoteCopyOfAnUnreplicatedInstance checks that an instance without any replica waits less than
+// restart_after for a copy to an unreachable zone, and that an instance with a replica waits for restart_after.
 func TestPlanner_CancelsSlowRemoteCopyOfAnUnreplicatedInstance(t *testing.T) {
 	for _, c := range []struct {
 		replicas []string
@@ -255,7 +258,8 @@
 	}
 }
 
-// Copies to other zones leave room for copies of instances that have no replica.
+// TestPlanner_RemoteCopiesLeaveRoomForOthers checks that copies to other zones leave room for copies of instances that have no
+// replica.
 func TestPlanner_RemoteCopiesLeaveRoomForOthers(t *testing.T) {
 	h, p := newScriptedPlanner(map[string]any{"fleet.away": 1.0, "fleet.moves.all": 8.0, "fleet.moves.link": 8.0}, inZone("north", healthyNode("n1", 0.1)),
 		inZone("north", healthyNode("n2", 0.3)), inZone("south", healthyNode("s1", 0.1)))
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -54,7 +54,7 @@
 	Kind     OperationKind `json:"kind"`
 	Instance string        `json:"name"`
 	Epoch    uint64        `json:"epoch,omitempty"`  // epoch of the assignment that the proposer saw
-	Revision uint64        `json:"change,omitempty"` // revision that the proposer saw, 0 for any; at any other one the operation fails, however late
+	Revision uint64        `json:"change,omitempty"` // revision that the proposer saw, 0 for any; fails at another revision, however late
 	Node     string        `json:"by,omitempty"`     // the node that the operation comes from or is about, usually the primary
 	Target   string        `json:"to,omitempty"`     // the node that the instance is copied, moved or assigned to, or a replica
 	CutOver  bool          `json:"switch,omitempty"` // the target of OpStartCopy is to become the primary
