--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -16,8 +16,8 @@
 	primaryNode  *node
 	replicaNodes []*node
 
-	primarySince    tick.Tick // when the primary began to serve or was lost
-	copySince       tick.Tick // when the copy in progress started
+	primarySince    tick.Tick // when the primary began to serve or was lost, or the time of OnElected if that is later
+	copySince       tick.Tick // when the copy in progress started, or the time of OnElected if that is later
 	deviceZone      string    // reported zone of the instance's device if the assignment has another zone, else empty
 	primaryLostCopy bool      // the primary restarted without its copy of this instance
 	excess          bool      // the instance is among the lightest ones of a node that has more instances than slots
