--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,7 +19,7 @@
 	call     *Call
 	cancel   context.CancelFunc
 	chosenAt time.Time
-	version  uint16 // version of the backend when the backend was chosen
+	version  uint16 // version that the backend had when the balancer chose it
 }
 
 // ChosenAt is when the balancer chose the backend of the attempt.
@@ -30,7 +30,7 @@
 // attempt. The attempt counts as sent from now on.
 //
 // A client whose close has arrived counts as gone even if its session has not run since: one update of the endpoint
-// list may send many queued requests at once.
+// list may release many queued requests at once.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -15,7 +15,7 @@
 	Cell                             int
 	State                            string // up, draining or removed
 	Weight                           float64
-	StartedAtMs                      int64 // Unix time in milliseconds; 0 means long ago
+	StartedAtMs                      int64 // start time in Unix milliseconds; 0 means long ago
 	Version                          uint16
 }
 
@@ -39,7 +39,7 @@
 // start time, is not one to this backend.
 type Backend struct {
 	Name, Address string
-	StartedAt     int64 // ticks; 0 means long ago
+	StartedAt     int64 // in ticks; 0 means that the start time is long ago
 }
 
 // backend holds what the dispatcher knows about a backend of the endpoint list.
@@ -47,7 +47,7 @@
 	balancer.Backend
 	name      string
 	address   string
-	inFlight  int           // attempts that have not ended
+	inFlight  int           // number of attempts that have not ended
 	removedAt balancer.Tick // when the backend was last removed from the list
 }
 
@@ -126,7 +126,7 @@
 // updateBackend applies the current entry of a backend.
 func (d *Dispatcher) updateBackend(now balancer.Tick, b *backend, endpoint balancer.Endpoint) {
 	if endpoint.State != balancer.Ready || endpoint.StartedAt != b.StartedAt || endpoint.Version != b.Version {
-		d.callbacks.CloseIdle(b.name) // its connections are of no more use
+		d.callbacks.CloseIdle(b.name) // its idle connections are of no more use: it is not ready, or its process was replaced
 	}
 	index := slices.Index(d.removed, b)
 	switch gone := endpoint.State == balancer.Removed; {
@@ -164,7 +164,7 @@
 	d.balancer.OnListSynced(d.clock.now(), false)
 }
 
-// ReadyBackends are the backends that may get attempts, in the order of their IDs. That is the order in which the
+// ReadyBackends returns the backends that may get attempts, in the order of their IDs. That is the order in which the
 // backends were first listed, except that the ID of a dropped backend is used again.
 func (d *Dispatcher) ReadyBackends() (ready []Backend) {
 	d.mu.Lock()
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -9,9 +9,9 @@
 // Request is one request as a client sent it.
 type Request struct {
 	Class, Tenant, Key string
-	ReceivedAt         time.Time     // when its last byte was read
-	Timeout            time.Duration // how long the client waits, from ReceivedAt on
-	EstimatedWork      time.Duration // an estimate; 0 means unknown
+	ReceivedAt         time.Time     // time at which the last byte of the request was read
+	Timeout            time.Duration // how long the client waits, counted from ReceivedAt
+	EstimatedWork      time.Duration // the client's estimate of the work; 0 means that there is none
 	Write              bool
 	ClientRetry        bool // the client says that it has sent the same request before
 
@@ -40,7 +40,7 @@
 type Step struct {
 	Attempt    *Attempt
 	Answer     FinalAnswer
-	RetryAfter time.Duration // after a rejection, how long the client is told to wait; 0: the client is told no time
+	RetryAfter time.Duration // how long a rejected client is told to wait; if 0, the answer names no time
 }
 
 // FinalAnswer is an answer that the relay itself gives and that ends a call.
@@ -49,8 +49,8 @@
 // The final answers.
 const (
 	NoAnswer   FinalAnswer = iota
-	Rejected               // a retry by the client is harmless: nothing has run, or running again does no harm
-	Failed                 // the request may have run: nothing is promised about its effect
+	Rejected               // a retry by the client is harmless: nothing has run, or a second run does no harm
+	Failed                 // the request may have run: the answer promises nothing about its effect
 	ClientGone             // the client has left: no answer is sent
 )
 
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -17,7 +17,7 @@
 // Backends, which are current numbers.
 type Counters struct {
 	Classes         []ClassCounters
-	Outcomes        [balancer.Discarded + 1]int64 // of attempts
+	Outcomes        [balancer.Discarded + 1]int64 // number of attempts by outcome
 	VoteOutcomes    [balancer.Discarded + 1]int64
 	Attempts        int64
 	Votes           int64
@@ -27,12 +27,12 @@
 	ReleaseMetrics  int64
 	WrongAnswers    int64
 	OpenRequests    int64
-	InFlight        int64 // attempts
+	InFlight        int64 // number of attempts in flight
 	Backends        int64
-	Wakeups         int64 // timers that fired
+	Wakeups         int64 // number of timers that have fired
 	WakeupDelayMean time.Duration
 	WakeupDelayMax  time.Duration
-	TimerCallMean   time.Duration // how long the balancer takes for one timer
+	TimerCallMean   time.Duration // mean time that the balancer takes for one timer
 	TimerCallMax    time.Duration
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -24,17 +24,17 @@
 
 // Dispatcher serialises the calls of one balancer.
 type Dispatcher struct {
-	// Set by New and constant afterwards.
+	// New sets the fields below, which do not change afterwards.
 	callbacks      Callbacks
 	clock          clock
 	classes        nameIndex
-	priorityWeight []float64 // by class
+	priorityWeight []float64 // priority weight of each class
 	zones          nameIndex
 	machineKinds   nameIndex
 	tenants        nameIndex
 	loadColumns    []string
-	maxRetryAfter  time.Duration // 0 if clients are given no time to retry after
-	pollsEndpoints bool          // changes of the endpoint list arrive only in answer to calls for it
+	maxRetryAfter  time.Duration // longest Retry-After; 0 if rejected clients are told no time
+	pollsEndpoints bool          // whether changes of the endpoint list arrive only in answer to calls for the list
 	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
 	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
@@ -44,17 +44,17 @@
 	timers        []timer
 	timerStats    timerStats
 	lastRequestID uint64
-	calls         map[*balancer.Request]*Call // those without a final answer
+	calls         map[*balancer.Request]*Call // calls without a final answer
 	attempts      map[*balancer.Attempt]*Attempt
-	backends      map[string]*backend  // by name
-	backendsByID  []*backend           // by ID; nil where a backend was dropped, and its ID is free
+	backends      map[string]*backend  // known backends by name
+	backendsByID  []*backend           // known backends by ID; nil if the ID is free because its backend was dropped
 	removed       []*backend           // backends that are no longer listed, the longest removed first
-	instances     map[string]*instance // by name; nil for a relay that belongs to no fleet
-	stage         int                  // of the newest version
+	instances     map[string]*instance // instances by name; nil for a relay that belongs to no fleet
+	stage         int                  // stage of the newest version
 	counters      Counters
 }
 
-// New makes the balancer of a site. The callbacks may be called from then on, even before New returns.
+// New makes the balancer of a site. The callbacks may be called as soon as New begins, even before it returns.
 func New(seed uint64, site settings.Site, callbacks Callbacks) *Dispatcher {
 	d := &Dispatcher{
 		callbacks:      callbacks,
@@ -107,7 +107,7 @@
 	do()
 }
 
-// Load is the number of attempts in flight and of queued requests, as a fraction of the balancer's own concurrency
+// Load returns the number of attempts in flight and of queued requests, as a fraction of the balancer's own concurrency
 // limit.
 func (d *Dispatcher) Load() float64 {
 	d.mu.Lock()
@@ -115,5 +115,5 @@
 	return d.balancer.Load()
 }
 
-// LoadColumns are the names of the values of a load report, in the order of the values.
+// LoadColumns returns the names of the values of a load report, in the order of the values.
 func (d *Dispatcher) LoadColumns() []string { return d.loadColumns }
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -56,12 +56,12 @@
 	h.dispatcher.timerWaker.Wake()
 }
 
-// Probe checks a backend. The balancer does not call it today.
+// Probe checks a backend. The balancer does not call Probe today.
 func (h host) Probe(b *balancer.Backend) {
 	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
 }
 
-// CloseIdle closes the idle connections to a backend. The balancer does not call it today.
+// CloseIdle closes the idle connections to a backend. The balancer does not call CloseIdle today.
 func (h host) CloseIdle(b *balancer.Backend) {
 	h.dispatcher.callbacks.CloseIdle(h.dispatcher.backendsByID[b.ID].name)
 }
@@ -77,7 +77,7 @@
 // WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 func (h host) WatchEndpoints(on bool) { h.dispatcher.callbacks.WatchEndpoints(on) }
 
-// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today.
+// FetchEndpoints asks for the whole endpoint list once. The balancer does not call FetchEndpoints today.
 func (h host) FetchEndpoints() { h.dispatcher.callbacks.FetchEndpoints() }
 
 // CastVote casts a vote on a version.
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// nameIndex maps the names of a list in the settings to their indexes in it.
+// nameIndex maps the names of a list in the settings to their indexes in the list.
 type nameIndex map[string]int
 
 // newNameIndex indexes a list of names. If a name occurs twice, its last index counts.
@@ -12,8 +12,8 @@
 	return index
 }
 
-// number returns the index of a name. A name that the list lacks must not be taken for any listed name, least of all
-// the first, so it gets a negative number that is derived from its hash.
+// number returns the index of a name. A name that is not in the list must not be taken for a listed name, such as
+// the first one, so number returns a negative number that is derived from the name's hash.
 func (x nameIndex) number(name string) int {
 	if at, ok := x[name]; ok {
 		return at
@@ -21,8 +21,8 @@
 	return -1 - int(hashKey(name)>>1)
 }
 
-// zoneNumber returns the number of an endpoint's zone. Without a zone nobody knows which other endpoints drop the same
-// repeated requests, so an endpoint without one gets a zone of its own.
+// zoneNumber returns the number of an endpoint's zone. An endpoint without a zone gets a zone of its own, because the
+// endpoints that drop the same repeated requests as this endpoint are unknown.
 func (d *Dispatcher) zoneNumber(e Endpoint) int {
 	if _, listed := d.zones[e.Zone]; e.Zone == "" && !listed {
 		return d.zones.number("\x00" + e.Name)
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -37,7 +37,7 @@
 	case status.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // also for an answer that cannot be read
+	return balancer.Reset // this includes an answer that cannot be read
 }
 
 // VoteOutcome maps the end of a vote to an outcome, by the HTTP status of its answer. The status is 0 without an answer
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -19,8 +19,8 @@
 	calls map[*balancer.Request]struct{}
 }
 
-// FollowPlacements pins each call from now on to the backend that runs the instance of the call's key. A relay whose
-// configuration file names a fleet calls it before the first call arrives.
+// FollowPlacements pins each later call to the backend that runs the instance of the call's key. A relay whose
+// configuration file names a fleet calls FollowPlacements before the first call arrives.
 func (d *Dispatcher) FollowPlacements() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -11,7 +11,7 @@
 // RolloutStage is the state of the newest version, as the release API gives it.
 type RolloutStage struct {
 	Version     uint16
-	Stage       int    // counted from 0
+	Stage       int    // index of the stage, counted from 0
 	Phase       string // testing, recalling, live or recalled
 	ExposureCap float64
 	Age         time.Duration // time since the stage began
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -16,7 +16,7 @@
 
 // open creates the session of a connection. If all slots are taken, it evicts a session that has no request in
 // progress. If there is none, the new session takes a spare slot, and its requests are rejected. open blocks only while
-// the spare slots are taken too.
+// all spare slots are taken as well.
 func (srv *Server) open(conn net.Conn) *session {
 	s := newSession(srv, conn)
 	srv.mu.Lock()
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -41,8 +41,8 @@
 }
 
 // awaitFirstByte waits for the first byte of a message and reports whether the session goes on. This is the only place
-// where the server closes a session that is between messages and has no request in progress. It does not do so if a
-// byte has arrived by then.
+// where the server closes a session that is between messages and has no request in progress. It keeps the session if a
+// byte has arrived.
 func (s *session) awaitFirstByte() bool {
 	for {
 		s.server.mu.Lock()
@@ -93,8 +93,8 @@
 }
 
 // fillMore waits for more bytes of a message and reports whether the session goes on. want is the number of bytes
-// needed in all if that is known, and 0 otherwise. A session that is being closed ends if no more bytes have arrived by
-// then.
+// needed in all if that is known, and 0 otherwise. A session that is being closed ends if no more bytes have
+// arrived.
 func (s *session) fillMore(want int, deadline time.Time) bool {
 	s.server.mu.Lock()
 	s.conn.SetReadDeadline(deadline)
--- a/internal/downstream/reply.go
+++ b/internal/downstream/reply.go
@@ -25,7 +25,7 @@
 )
 
 // awaitReplySlot waits until the session may have one more pending reply, and reports whether the session goes on. It
-// reads nothing meanwhile, but still detects that the client disconnects.
+// reads nothing while it waits, but still detects that the client disconnects.
 func (s *session) awaitReplySlot() bool {
 	if len(s.pendingReplies) < cap(s.pendingReplies) {
 		return true
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -28,26 +28,26 @@
 )
 
 // finalAcceptTime is how long Serve goes on accepting after the listener's deadline, to take the connections that the
-// kernel has accepted by then.
+// kernel accepted before the deadline.
 const finalAcceptTime = 50 * time.Millisecond
 
 // Server accepts client connections and serves their sessions. New creates one. Its exported methods may be called from
 // any goroutine.
 type Server struct {
-	// Fixed by New.
+	// New sets the fields below, which do not change afterwards.
 	dispatcher     *dispatch.Dispatcher
 	pool           *upstream.Pool
 	buffers        *transport.BufferBudget
 	limits         overload.ListenerLimits
-	messageTimeout time.Duration // for a message to arrive completely, and for a client to read a reply
-	retryAfter     string        // in milliseconds, for requests that are rejected for lack of space; empty if none is sent
+	messageTimeout time.Duration // time limit for a message to arrive completely, and for a client to read a reply
+	retryAfter     string        // Retry-After in milliseconds of a rejection for lack of space; empty if none is sent
 
 	mu          sync.Mutex          // guards the fields below up to the counters, and the session fields that are marked as guarded
 	changed     sync.Cond           // uses mu; signalled when a session has ended or has no request in progress
 	sessions    int                 // number of open sessions
 	requestIDs  map[string]struct{} // IDs of the requests in progress
-	idle        list.List           // of *session: waiting for another request after an earlier one, the longest idle first
-	incomplete  list.List           // of *session: startup, first query or a later message not complete, the oldest first
+	idle        list.List           // sessions (*session) that wait for a further request, the longest idle first
+	incomplete  list.List           // sessions (*session) whose startup, first query or later message is incomplete, the oldest first
 	closingIdle bool                // CloseIdleSessions was called: sessions are closed between requests
 	stopAt      time.Time           // time by which every request must be answered; zero if no shutdown is announced
 
@@ -102,12 +102,12 @@
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if deadlinePassed || !extendDeadline(listener) {
-				_ = listener.Close() // nothing more is accepted, whether or not this fails
+				_ = listener.Close() // nothing more is accepted, whether or not Close fails
 				return nil
 			}
 			deadlinePassed = true
 		case isResourceExhausted(err):
-			if !srv.endOneSession() { // no session holds descriptors, so others do: accepting again at once would spin
+			if !srv.endOneSession() { // others than sessions hold the descriptors: accepting again at once would spin
 				time.Sleep(srv.pollInterval())
 			}
 		case isConnectionLost(err):
@@ -123,7 +123,7 @@
 	if !ok {
 		return false
 	}
-	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // fails only on a closed listener, and then the next Accept fails too
+	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // SetDeadline fails only on a closed listener, and then the next Accept fails too
 	return true
 }
 
@@ -148,8 +148,8 @@
 	return false
 }
 
-// StopBefore announces that the process may be killed soon after stopAt. Requests that arrive from now on are answered
-// by then.
+// StopBefore announces that the process may be killed soon after stopAt. Requests that arrive later are answered
+// before stopAt.
 func (srv *Server) StopBefore(stopAt time.Time) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -29,21 +29,21 @@
 	server *Server
 	conn   *transport.Conn
 
-	// Used only by the session's own goroutine.
-	receivedAt     time.Time      // when the last bytes arrived
+	// Only the session's own goroutine uses the fields below.
+	receivedAt     time.Time      // time at which the last bytes arrived
 	lastReply      chan struct{}  // closed once the last pending reply has been written
 	pendingReplies chan struct{}  // holds one element for each pending reply
 	workers        sync.WaitGroup // requests in progress and replies that wait for their turn
 	overLimit      bool           // no slot was free when the client connected: its requests are rejected
 	skippingToSync bool           // an extended query was refused: messages up to the next Sync are discarded
 
-	// Guarded by the server's mu.
-	lastActivity    time.Time // when the client connected, was greeted, had its last request end, or began a later message
+	// The server's mu guards the fields below.
+	lastActivity    time.Time // time of the client's latest connect, greeting, end of a request, or start of a later message
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
-	awaitingMessage bool                        // waiting for the first byte of a message
+	awaitingMessage bool                        // whether the session waits for the first byte of a message
 	closing         closingState
-	list            *list.List // Server.idle, Server.incomplete or nil
+	list            *list.List // list that holds the session: Server.idle, Server.incomplete or nil
 	element         *list.Element
 }
 
@@ -149,13 +149,13 @@
 		pgwire.FrontendFlush, pgwire.FrontendFunctionCall, pgwire.FrontendSync:
 		return s.refuseExtended(kind, size)
 	case pgwire.FrontendCopyData, pgwire.FrontendCopyDone, pgwire.FrontendCopyFail:
-		return s.skipMessage(size) // left over from a copy that was never started
+		return s.skipMessage(size) // the message belongs to a copy that was never started
 	}
 	s.refuseProtocol(textUnknownMessage)
 	return false
 }
 
-// drain waits until all pending replies are written. It discards further input meanwhile, in order to detect that the
+// drain waits until all pending replies are written. While it waits, it discards further input, to detect that the
 // client disconnects.
 func (s *session) drain() {
 	s.server.mu.Lock()
@@ -177,7 +177,7 @@
 	watcher.Wait()
 }
 
-// watchForClose discards what the client sends until the client disconnects or the read is interrupted. In both cases
+// watchForClose discards the client's messages until the client disconnects or the read is interrupted. In both cases
 // nobody waits for the remaining requests.
 func (s *session) watchForClose() {
 	for !s.conn.Fill(0).Closed() {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -14,12 +14,12 @@
 
 // Limits on incoming data, in bytes.
 const (
-	MaxValue = 64 << 10           // of a value
-	MaxQuery = 2*MaxValue + 4<<10 // of a query message, which holds its value in hexadecimal
+	MaxValue = 64 << 10           // largest value
+	MaxQuery = 2*MaxValue + 4<<10 // largest query message, which holds its value in hexadecimal
 
-	maxStartup        = 10 << 10         // of a startup message; PostgreSQL's own limit
-	maxBackendMessage = MaxValue + 4<<10 // of one message of a backend
-	maxClientMessage  = 1 << 20          // of a client's message; one larger than MaxQuery is skipped and refused
+	maxStartup        = 10 << 10         // largest startup message; this is PostgreSQL's own limit
+	maxBackendMessage = MaxValue + 4<<10 // largest single message of a backend
+	maxClientMessage  = 1 << 20          // largest message of a client; a message larger than MaxQuery is skipped and refused
 )
 
 // maxOtherMessages is how many messages one reply may hold besides those of the row.
@@ -33,7 +33,7 @@
 	lengthSize = 4 // the length includes its own size
 )
 
-// Errors in incoming messages. After either, the start of the next message is unknown, and reading cannot go on.
+// Errors in incoming messages. After any of them, the start of the next message is unknown, and reading cannot go on.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLong   = errors.New("message too long")
@@ -42,7 +42,7 @@
 // SQLSTATE codes (PostgreSQL manual, "PostgreSQL Error Codes").
 const (
 	StateSuccess            = "00000"
-	StateTooManyConnections = "53300" // a rejection, or a backend at capacity
+	StateTooManyConnections = "53300" // a request is rejected, or a backend is at its capacity
 	StateCannotConnectNow   = "57P03" // sent by an edge node that is not ready, only to the health check
 	StateInternalError      = "XX000"
 	StateSyntaxError        = "42601"
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -15,9 +15,9 @@
 	Key           string
 	ID            string        // the request's ID, chosen by the client
 	Class         string        // the request class
-	Tenant        string        // empty if none is named
+	Tenant        string        // the client's tenant; empty if the comment names none
 	Timeout       time.Duration // how long the client waits, from when it sent the query
-	EstimatedWork time.Duration // the client's estimate; 0 if there is none
+	EstimatedWork time.Duration // the client's estimate of the work; 0 if there is none
 	ClientRetry   bool          // the client has sent the request before
 
 	text    []byte // the statement
@@ -29,8 +29,8 @@
 	nameID            = "id"
 	nameClass         = "c"
 	nameTenant        = "t"
-	nameTimeout       = "d" // milliseconds
-	nameEstimatedWork = "h" // microseconds
+	nameTimeout       = "d" // timeout in milliseconds
+	nameEstimatedWork = "h" // estimated work in microseconds
 	nameClientRetry   = "r" // 1 if the request is a retry
 )
 
@@ -58,7 +58,7 @@
 	commentEnd        = " */"
 )
 
-const maxKey = 256 // bytes
+const maxKey = 256 // largest size of a key in bytes
 
 // ParseQuery parses a statement of one of the two forms. The query keeps text. The names in the comment may come in any
 // order; unknown ones are ignored.
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -8,7 +8,7 @@
 
 // Response reads a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
-	SQLState    string // StateSuccess for a complete row or an empty query, otherwise an error's code; empty before either
+	SQLState    string // StateSuccess after a complete row or an empty query, or the code of an error; empty until one of them has arrived
 	Load        string // the load report, if the reply contains one
 	RowMessages []Span // RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // the backend waits for the next query
@@ -139,8 +139,8 @@
 const (
 	columnCountSize     = 2
 	valueLengthSize     = 4
-	nullLength          = -1 // of a value that is NULL
-	columnAttributeSize = 18 // of a column's description after its name
+	nullLength          = -1 // length field of a value that is NULL
+	columnAttributeSize = 18 // size in bytes of a column's description after the column's name
 )
 
 // isOneColumn reports whether the body of a RowDescription describes exactly one column.
@@ -166,7 +166,7 @@
 func isTerminated(body []byte) bool { return len(body) > 0 && body[len(body)-1] == 0 }
 
 // errorFields returns the SQLSTATE code and the severity of an ErrorResponse. If there is a severity that is never
-// localised, it is that one.
+// localised, errorFields returns that one.
 func errorFields(body []byte) (sqlState, severity string) {
 	for len(body) > 1 {
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -8,7 +8,7 @@
 	cancelRequestCode  = 1234<<16 | 5678
 	sslRequestCode     = 1234<<16 | 5679
 	gssEncRequestCode  = 1234<<16 | 5680
-	startupHeaderSize  = 8 // length and code
+	startupHeaderSize  = 8 // size in bytes of the length and the code
 	majorVersionOffset = 16
 )
 
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -20,12 +20,12 @@
 
 // Fields of an ErrorResponse (PostgreSQL manual, "Error and Notice Message Fields").
 const (
-	fieldSeverity             = 'S' // may be localised
-	fieldNonlocalizedSeverity = 'V' // is never localised
+	fieldSeverity             = 'S' // the severity, which may be localised
+	fieldNonlocalizedSeverity = 'V' // the severity, never localised
 	fieldSQLState             = 'C'
 	fieldMessage              = 'M'
 	fieldDetail               = 'D'
-	errorResponseCapacity     = 64 // bytes
+	errorResponseCapacity     = 64 // initial capacity of the buffer in bytes
 )
 
 // ErrorResponse returns an ErrorResponse message. An empty detail is omitted.
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -53,12 +53,12 @@
 
 	mu       sync.Mutex // guards the fields below
 	manager  *overload.Manager
-	outcomes map[string]*controllerclient.NodeOutcomes // by edge node, since the last report to the controllers
-	stage    dispatch.RolloutStage                     // of the newest version, as last received from the release API
+	outcomes map[string]*controllerclient.NodeOutcomes // outcomes since the last report to the controllers, by edge node
+	stage    dispatch.RolloutStage                     // stage of the newest version, as last received from the release API
 
 	// The fields below belong to the goroutine of Run.
 	meter    pressureMeter
-	shedding bool // as last logged
+	shedding bool // whether the last log line said that the relay sheds requests
 }
 
 // NewOverloadAgent makes the agent of a relay with the given number of cores and bytes of memory. The seed is that of
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -12,13 +12,13 @@
 // minCores and minMemory are lower bounds of a relay's resources. They avoid a division by zero.
 const (
 	minCores  = 0.01
-	minMemory = 1 // bytes
+	minMemory = 1 // in bytes
 )
 
 // pressureMeter measures a relay's own load between two calls of measure. It is not safe for concurrent use.
 type pressureMeter struct {
 	cores   float64
-	memory  float64 // bytes
+	memory  float64 // memory of the relay, in bytes
 	usage   syscall.Rusage
 	usageAt time.Time
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -31,7 +31,7 @@
 	log         zerolog.Logger
 
 	mu       sync.Mutex
-	hadLease map[string]bool // by known edge node: whether it held a lease when last listed; guarded by mu
+	hadLease map[string]bool // whether each known edge node held a lease when it was last listed; guarded by mu
 }
 
 // New makes a router. The request address of an edge node is the one in this process's own configuration file, or else
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,13 +14,13 @@
 
 // Reply is the result of an attempt. It is used by one goroutine, which must call Release once.
 type Reply struct {
-	SQLState    string                // of the answer; empty if none arrived
-	Status      transport.CloseStatus // how the connection ended, if it did
+	SQLState    string                // SQLSTATE of the answer; empty if none arrived
+	Status      transport.CloseStatus // how the connection ended; the zero value if the connection is open
 	Load        []float64             // the backend's load report, in the order of the load columns; nil if there was none
 	RowMessages [][]byte              // messages to forward byte for byte, valid until Release
 
 	pool     *Pool
-	conn     *conn // nil if none was used
+	conn     *conn // connection of the attempt; nil if none was used
 	reusable bool  // the reply ended with ReadyForQuery and no bytes followed it
 }
 
@@ -72,7 +72,7 @@
 	return reply, false
 }
 
-// releaseUnused gives back a connection on which nothing was written, and which can therefore be used as before. The
+// releaseUnused gives back a connection on which nothing was written. Such a connection can be used again. The
 // connection is closed if its context has ended or its backend is no longer current.
 func (p *Pool) releaseUnused(c *conn) {
 	if c.ReleaseContext() && p.dispatcher.IsCurrent(c.backend) {
@@ -95,8 +95,8 @@
 }
 
 // readReply reads one reply to its end. A row or an error counts from when it is complete. After that, the backend has
-// settleTime to report that it is ready for more, or connectTimeout if that is shorter, because the client waits
-// meanwhile.
+// settleTime to report that it is ready for more, or connectTimeout if that is shorter, because the client gets its
+// reply only after readReply returns.
 func (p *Pool) readReply(c *conn) Reply {
 	var response pgwire.Response
 	for {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -48,7 +48,7 @@
 	case p.slots <- struct{}{}:
 		return transport.StillOpen
 	case <-ctx.Done():
-		return transport.Canceled // says nothing about the backend
+		return transport.Canceled // the cancellation says nothing about the backend
 	}
 }
 
@@ -73,7 +73,7 @@
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
 		return nil, unsentReply(reply.Status.Reason) // no query was written
-	case errors.Is(ctx.Err(), context.Canceled): // canceled just as the connection became ready: says nothing about the backend
+	case errors.Is(ctx.Err(), context.Canceled): // canceled as the connection became ready: this says nothing about the backend
 		return nil, unsentReply(transport.Canceled)
 	}
 	return nil, unsentReply(transport.ConnectTimeout)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -36,10 +36,10 @@
 
 // Pool holds the connections to all backends. New creates one. Its exported methods may be called from any goroutine.
 type Pool struct {
-	// Fixed by New.
+	// New sets the fields below, which do not change afterwards.
 	buffers        *transport.BufferBudget
-	connectTimeout time.Duration // for a new connection, until the backend reports that it is ready
-	maxIdleTime    time.Duration // of a connection
+	connectTimeout time.Duration // time limit for a new connection until the backend reports that it is ready
+	maxIdleTime    time.Duration // longest time that a connection may be idle
 	dispatcher     *dispatch.Dispatcher
 	loadColumns    []string // columns of a load report
 
@@ -47,8 +47,8 @@
 	probes sync.WaitGroup // goroutines of Probe
 
 	mu                       sync.Mutex         // guards the fields below up to the counters
-	idle                     map[string][]*conn // by backend, the last used one at the end; no empty lists
-	unsolicitedExpectedUntil time.Time          // until then, more unsolicited bytes are expected
+	idle                     map[string][]*conn // idle connections by backend, the last used one at the end; no list is empty
+	unsolicitedExpectedUntil time.Time          // time until which more unsolicited bytes are expected
 
 	// Opened counts connections that were begun, Reused counts attempts on an idle connection, Failed counts attempts
 	// for which there was no connection, and Unsolicited counts idle connections on which bytes had arrived.
@@ -59,7 +59,7 @@
 type conn struct {
 	*transport.Conn
 	backend   dispatch.Backend
-	idleSince time.Time // when it last became idle; zero if it never was
+	idleSince time.Time // time at which the connection last became idle; zero if it never was
 }
 
 // New returns a pool of at most maxConnections connections in all. A connection that would be idle for as long as
