--- a/internal/benchadapter/adapter.go
+++ b/internal/benchadapter/adapter.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	bufferBytes  = 64 << 10 // buffer of the input, and of the output
-	maxReadBytes = 1 << 20  // part of a frame that is read at once
+	bufferBytes  = 64 << 10 // size in bytes of the input buffer and of the output buffer
+	maxReadBytes = 1 << 20  // largest part of a frame in bytes that is read at once
 )
 
 // server holds the state of one adapter process.
--- a/internal/benchadapter/codec.go
+++ b/internal/benchadapter/codec.go
@@ -19,7 +19,7 @@
 // caller can read a whole record and check err once.
 type reader struct {
 	buf    []byte
-	offset int // of the next byte to read
+	offset int // index in the frame of the next byte to read
 	err    error
 }
 
--- a/internal/benchadapter/instance.go
+++ b/internal/benchadapter/instance.go
@@ -16,15 +16,15 @@
 	classes      int                     // number of request classes of the site
 	requests     map[uint64]*openRequest // requests that later events may still refer to, by ID
 	backends     map[uint32]*balancer.Backend
-	backendOrder []uint32 // IDs in the order in which they were first listed
+	backendOrder []uint32 // IDs of the backends in the order in which they were first listed
 }
 
 // openRequest is a request that later events may still refer to.
 type openRequest struct {
 	request  *balancer.Request
 	attempts []*balancer.Attempt
-	inFlight int  // attempts without an outcome
-	answered bool // the request has its final answer, or its client is gone
+	inFlight int  // number of attempts without an outcome
+	answered bool // whether the request has its final answer or its client is gone
 }
 
 // newInstance creates an instance from a start event and starts its balancer.
--- a/internal/benchadapter/messages.go
+++ b/internal/benchadapter/messages.go
@@ -160,7 +160,7 @@
 	attempt     attemptID
 	outcome     balancer.Outcome
 	elapsed     balancer.Tick
-	finalAnswer bool // the request has its final answer
+	finalAnswer bool // whether the request has its final answer
 	load        []float64
 }
 
@@ -223,8 +223,8 @@
 	class    int
 	attempts int
 	failed   int
-	latency  balancer.Tick // mean over the attempts that did not fail
-	age      balancer.Tick // since the end of the period
+	latency  balancer.Tick // mean latency of the attempts that did not fail
+	age      balancer.Tick // time since the end of the period
 }
 
 func (r *reader) metricsEvent() metricsEvent {
@@ -242,7 +242,7 @@
 type wrongAnswerEvent struct {
 	backend uint32
 	class   int
-	age     balancer.Tick // since the attempt was sent
+	age     balancer.Tick // time since the attempt was sent
 }
 
 func (r *reader) wrongAnswerEvent() wrongAnswerEvent {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -19,8 +19,8 @@
 
 // poll describes one request to the agent.
 type poll struct {
-	complete bool // asks for the complete list, which is sent at once; else for the changes after the known version
-	queued   bool // the request begins a watch that discovery itself answers, after a wait in its queue
+	complete bool // whether to ask for the complete list, which is sent at once, or for the changes after the known version
+	queued   bool // whether the request begins a watch, which discovery itself answers after a wait in its queue
 }
 
 // call sends one request, on the open connection or on a new one, and applies the response. skipped reports whether the
@@ -112,7 +112,7 @@
 	return skipped, transport.CloseStatus{}
 }
 
-// closedAfterSend returns the status of a call that ended for a reason after its request was sent.
+// closedAfterSend returns the status of a call that ended for the given reason after its request was sent.
 func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,7 +17,7 @@
 // the watch misses, and so is responsible for them. A new watch must be requested within 4 s, so that 2 s are left for its
 // response. An established watch is found broken after at most maxPollWait plus maxAnswerTimeout; if watches are requested,
 // the balancer begins another one within a second. A call that begins a watch is found broken after at most
-// maxOpenCallDuration. By then the balancer's next request has arrived or is due, as its pause is also at most 4 s.
+// maxOpenCallDuration. At that time the balancer's next request has arrived or is due, as the balancer pauses for at most 4 s.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
@@ -37,9 +37,9 @@
 	Address       *transport.Address // address of the agent
 	Version       int64              // version of the list that is already known
 	PollWait      time.Duration      // how long a call may wait for a newer version; 100 ms to 2 s
-	AnswerTimeout time.Duration      // how long a call may take beyond that; 250 ms to 1 s
+	AnswerTimeout time.Duration      // how long a call may take beyond PollWait; 250 ms to 1 s
 	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
-	// discovery; from AnswerTimeout to 4 s minus PollWait.
+	// discovery. Its range is from AnswerTimeout to 4 s minus PollWait.
 	OpenTimeout time.Duration
 	Buffers     *transport.BufferBudget
 	// Log, if not nil, writes a log line for the operators: a constant message with fields.
@@ -103,7 +103,7 @@
 }
 
 // WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. A relay counts as notified of the
-// list that the agent has by then.
+// list that the agent has at that time.
 func (w *Watcher) WaitFirst(ctx context.Context) {
 	select {
 	case <-w.firstDone:
--- a/internal/fdtable/constructor.go
+++ b/internal/fdtable/constructor.go
@@ -6,11 +6,11 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
-// Runs before the Go runtime starts, when there is one thread. Taking the highest descriptor grows the table; the
+// grow_table runs before the Go runtime starts, when there is one thread. Taking the highest descriptor grows the table; the
 // descriptor is closed at once.
 __attribute__((constructor)) static void grow_table(void) {
 	struct rlimit limit;
-	long size = 1024; // TargetSize
+	long size = 1024; // the value of TargetSize
 	if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < size)
 		size = limit.rlim_cur;
 	int fd = fcntl(0, F_DUPFD_CLOEXEC, size - 1);
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -27,7 +27,7 @@
 
 // bodyFraming is what the header fields say about the body.
 type bodyFraming struct {
-	length  int // unknownLength if they do not give it
+	length  int // length of the body; unknownLength if the fields do not give it
 	chunked bool
 }
 
@@ -109,7 +109,7 @@
 func (r *Response) startBody(framing bodyFraming) error {
 	switch {
 	case framing.chunked && framing.length != unknownLength:
-		return ErrMalformed // both a length and chunks
+		return ErrMalformed // the fields give both a length and chunks
 	case framing.chunked:
 		r.state = inChunkSize
 	case framing.length > MaxBody:
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,13 +12,13 @@
 
 // Limits on a response, in bytes.
 const (
-	MaxHeader = 8 << 10 // of a status line and its header fields
-	MaxBody   = 4 << 20 // of a body; large enough for a list of tens of thousands of backends
+	MaxHeader = 8 << 10 // largest status line with its header fields
+	MaxBody   = 4 << 20 // largest body; a list of tens of thousands of backends fits
 
-	maxChunkLine = 1 << 10 // of a chunk's size line or a trailer field
+	maxChunkLine = 1 << 10 // longest size line of a chunk, or trailer field
 )
 
-// Errors in a response. After either, nothing more can be read.
+// Errors in a response. After any of them, nothing more can be read from the response.
 var (
 	ErrMalformed = errors.New("malformed response")
 	ErrTooLong   = errors.New("response too long")
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -13,7 +13,7 @@
 	Required    bool
 	Repeatable  bool   // the directive may be given more than once
 	Block       bool   // the directive has a block of further directives
-	TakesEffect string // when a change takes effect; "" for the start of the process
+	TakesEffect string // when a change takes effect; "" means at the start of the process
 	Text        string // description for the reference page
 }
 
@@ -41,7 +41,7 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText does the same as Read for a text instead of a file, and does not allow include. Errors give name as the file.
+// ReadText reads a text as Read reads a file, but does not allow include. Errors give name as the file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -22,8 +22,8 @@
 
 // Limits on the input.
 const (
-	maxFileBytes    = 4 << 20 // per file
-	maxIncludeDepth = 16      // nested files, the outermost one included
+	maxFileBytes    = 4 << 20 // largest size of one file
+	maxIncludeDepth = 16      // largest number of nested files, including the outermost one
 )
 
 // tokenRules define the tokens of the file format.
@@ -71,8 +71,8 @@
 // Error is one fault in a file.
 type Error struct {
 	File      string
-	Line      int    // from 1
-	Column    int    // from 1
+	Line      int    // line of the fault, counted from 1
+	Column    int    // column of the fault, counted from 1
 	Directive string // path of the directive; "" for a syntax error
 	Text      string // description of the fault and of what is allowed
 }
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -81,7 +81,7 @@
 }
 
 const (
-	maxNameLength = 128 // bytes
+	maxNameLength = 128 // in bytes
 	maxPort       = 65535
 )
 
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -14,8 +14,8 @@
 const Version = 1
 
 const (
-	maxHello     = 512             // bytes
-	helloTimeout = 2 * time.Second // for a hello and its answer to arrive completely
+	maxHello     = 512             // largest size of a hello in bytes
+	helloTimeout = 2 * time.Second // time limit for a hello and its answer to arrive completely
 )
 
 // hello is the first line on each connection, as JSON. The answer is one line with a JSON string: the reason for which
@@ -73,7 +73,7 @@
 // accept reads a hello and hands the connection to the listener of its kind, or answers with the reason for a refusal.
 // A connection without a readable hello is closed.
 func (n *Network) accept(ctx context.Context, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // fails only on a closed connection, where the read below fails too
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // SetDeadline fails only on a closed connection, where the read below fails too
 	var h hello
 	text, err := readLine(conn)
 	if err == nil {
@@ -88,7 +88,7 @@
 	if refusal != "" {
 		n.log.Warn().Str("from", h.From).Str("why", refusal).Msg("connection refused")
 	} else if admit := n.listeners[h.Kind].admission(); admit != nil {
-		accepted.release, refusal = admit(h.From) // not logged: many connections at once would fill the log
+		accepted.release, refusal = admit(h.From) // a refusal is not logged: many connections at once would fill the log
 	}
 	answer, err := json.Marshal(refusal)
 	if err == nil {
@@ -98,7 +98,7 @@
 		_ = accepted.Close() // the other process has the reason, or has disconnected
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection, which the acceptor notices
+	_ = conn.SetDeadline(time.Time{}) // SetDeadline fails only on a closed connection, which the acceptor notices
 	n.listeners[h.Kind].deliver(ctx, accepted)
 }
 
@@ -117,7 +117,7 @@
 		return fmt.Sprintf("no process named %s is in the file of %s", h.From, n.self.Name)
 	}
 	listener := n.listeners[h.Kind]
-	if listener == nil || !listener.enabled.Load() { // nobody would accept it: it would wait and take the place of another hello
+	if listener == nil || !listener.enabled.Load() { // nobody accepts this kind: the connection would take the place of another hello
 		return fmt.Sprintf("no connections of kind %q are taken", h.Kind)
 	}
 	return ""
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -12,7 +12,7 @@
 type Conn struct {
 	net.Conn
 	From    string
-	release func() // nil if the connection is not counted
+	release func() // ends the admission; nil if the connection is not counted
 	once    sync.Once
 }
 
@@ -32,7 +32,7 @@
 // concurrent use.
 type Listener struct {
 	addr      net.Addr
-	enabled   atomic.Bool // Network.Listener was called
+	enabled   atomic.Bool // whether Network.Listener was called for this kind
 	conns     chan net.Conn
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -61,7 +61,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	_ = conn.Close() // nobody has accepted it
+	_ = conn.Close() // nobody has accepted the connection
 }
 
 // Accept waits for a connection. It fails with net.ErrClosed once the listener is closed.
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	maxPendingHellos = 256 // connections whose hello has not arrived
+	maxPendingHellos = 256 // largest number of connections whose hello has not arrived
 	acceptRetryDelay = helloTimeout / 20
 
 	// Limits on the idle connections of a Client to one process.
@@ -42,15 +42,15 @@
 // Peer is a process of the fleet, with the addresses at which this process reaches it.
 type Peer struct {
 	Name, Role, Zone string
-	Address          string // HOST:PORT for all kinds
-	RequestAddress   string // HOST:PORT for requests; only edge nodes have one
+	Address          string // address for connections of all kinds, as HOST:PORT
+	RequestAddress   string // address for requests, as HOST:PORT; only edge nodes have one
 }
 
 // Network holds one process's connections to other processes. Its methods are safe for concurrent use, except for
 // OverrideSelf.
 type Network struct {
 	self         Peer
-	selfOverride string // address for its own name; if "", the address at which it listens
+	selfOverride string // address for connections to the process's own name; if "", the address at which the process listens
 	fleet        string
 	log          zerolog.Logger
 	peers        []Peer
@@ -129,9 +129,9 @@
 // Each connection has a goroutine until its hello has arrived and a listener has accepted the connection.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.listener.Close() // closed only once
+		_ = n.listener.Close() // Close fails only on a closed listener, and this is its only close
 		for _, listener := range n.listeners {
-			_ = listener.Close() // never fails
+			_ = listener.Close() // Listener.Close never fails
 		}
 	})
 	defer stop()
--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -17,7 +17,7 @@
 	"silvercove/internal/upstream"
 )
 
-// The division of the process's limits.
+// The constants below divide the process's limits among the components.
 const (
 	// reservedSockets is the number of descriptors kept for the standard files, the poller, the listener, and the
 	// connections to discovery and the platform.
@@ -49,7 +49,7 @@
 	evidence         *evidenceSaver // nil if no evidence is kept
 	discoveryAddress *transport.Address
 	platformAddress  *transport.Address
-	stopTimeout      time.Duration // from SIGTERM until every request must be answered
+	stopTimeout      time.Duration // time from SIGTERM until every request must be answered
 }
 
 // newRelay creates the components and gives the dispatcher the endpoint list and the stage of the configuration. It
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -33,16 +33,16 @@
 type Config struct {
 	signals          chan os.Signal // signals received since the program started; if nil, Run starts to receive them
 	name             string
-	listen           string // host:port
-	discovery        string // host:port
-	platform         string // host:port; may be empty for a relay of a fleet
+	listen           string // address for clients, as host:port
+	discovery        string // address of the agent, as host:port
+	platform         string // address of the platform, as host:port; may be empty for a relay of a fleet
 	seed             uint64
 	cores            float64
 	memoryBytes      int64
 	sockets          int // limit of the process's descriptors
 	stage            dispatch.RolloutStage
-	listVersion      int64               // version of endpoints
-	endpoints        []dispatch.Endpoint // used until discovery has answered
+	listVersion      int64               // version of the endpoint list in endpoints
+	endpoints        []dispatch.Endpoint // endpoint list that is used until discovery has answered
 	site             settings.Site
 	evidenceSettings *evidenceSettings // nil if no evidence is kept
 
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -21,15 +21,15 @@
 
 // configFile is the JSON configuration file.
 type configFile struct {
-	Discovery string `json:"discovery"` // host:port
-	Seed      string `json:"seed"`      // 64-bit number in hexadecimal
+	Discovery string `json:"discovery"` // address of the agent, as host:port
+	Seed      string `json:"seed"`      // seed of the random numbers: a 64-bit number in hexadecimal
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	ReleaseAPI struct {
-		Address string          `json:"address"` // host:port
+		Address string          `json:"address"` // address of the platform, as host:port
 		Stage   json.RawMessage `json:"news"`    // stage of the newest version, see releaseapi.ParseStage
 	} `json:"release_api"`
 	Endpoints json.RawMessage `json:"known"`    // endpoint list, see discovery.ParsePage
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -87,7 +87,7 @@
 			_ = listener.Close()
 		}
 		group.Go(func() error {
-			defer cancel() // sessions need the other components, so these end only after Serve
+			defer cancel() // sessions need the other components, so the components end only after Serve
 			return r.server.Serve(listener)
 		})
 		r.log.Info().Str("name", config.name).Str("listen", config.listen).Int("backends", len(config.endpoints)).
@@ -150,7 +150,7 @@
 	limited, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	if !config.FollowsPlacements && config.discoveryMode() == discovery.Pushed {
-		r.watcher.WaitFirst(limited) // the relay counts as notified of the agent's current list from its start on
+		r.watcher.WaitFirst(limited) // from its start on, the relay counts as notified of the agent's current list
 	}
 	relays := min(max(config.site.Balancer.Relays, 1), math.MaxInt32)
 	r.pool.Prewarm(limited, r.dispatcher.ReadyBackends(), int(relays))
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -25,7 +25,7 @@
 	listenerStopped               // no more connections are accepted
 )
 
-// signalHandler handles signals from before the first wait of the start until the relay stops. Only the goroutine in run
+// signalHandler handles signals until the relay stops, and begins before a starting relay first waits. Only the goroutine in run
 // uses its fields.
 type signalHandler struct {
 	relay     *relay
@@ -34,7 +34,7 @@
 	signals   <-chan os.Signal
 	listeners <-chan net.Listener // delivers the listener once it is open
 
-	listener net.Listener // nil until the listener is open: no client has been accepted
+	listener net.Listener // nil until the listener is open; while it is nil, no client has been accepted
 	state    shutdownState
 	nextStep <-chan time.Time // fires when the state has to change; nil if no change is due
 }
@@ -65,7 +65,7 @@
 	switch {
 	case s == syscall.SIGUSR1:
 		h.relay.logCounters()
-	case s == syscall.SIGHUP: // also after SIGTERM, as changes of the endpoint list still apply
+	case s == syscall.SIGHUP: // SIGHUP has an effect also after SIGTERM, as changes of the endpoint list still apply
 		h.relay.reload(h.env)
 	case h.listener == nil:
 		h.relay.log.Info().Str("signal", s.String()).Msg("relay stopped before serving")
@@ -92,7 +92,7 @@
 }
 
 // closeListener waits until the context ends and closes the listener. A listener that was opened while the relay was being
-// stopped has accepted no client, and the server has not been told to stop yet.
+// stopped has accepted no client, and closeListener first tells the server to stop.
 func (h *signalHandler) closeListener(ctx context.Context) {
 	<-ctx.Done()
 	select {
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -85,7 +85,7 @@
 	return group.Wait()
 }
 
-// closedAfterSend returns the status of a call that ended for a reason after its request was sent.
+// closedAfterSend returns the status of a call that ended for the given reason after its request was sent.
 func closedAfterSend(reason transport.CloseReason) transport.CloseStatus {
 	return transport.CloseStatus{Reason: reason, Flushed: true}
 }
--- a/internal/releaseapi/stage.go
+++ b/internal/releaseapi/stage.go
@@ -15,7 +15,7 @@
 // InvalidStageError reports a stage that no rollout can be at.
 type InvalidStageError struct {
 	Phase       string
-	ExposureCap float64 // a fraction
+	ExposureCap float64 // the exposure cap, as a fraction
 }
 
 // Error names the phase and the exposure cap.
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -15,8 +15,8 @@
 	changesPath = "/changes"
 	// maxLineBytes bounds the length of a line.
 	maxLineBytes = 64 << 10
-	// A stream is broken if no whole line arrives within the time limit of a call, but not before minIdleTimeout, as the
-	// platform sends a keep-alive line every second, and at the latest after maxIdleTimeout.
+	// A stream is broken if no whole line arrives within the idle timeout: the time limit of a call, but at least
+	// minIdleTimeout, as the platform sends a keep-alive line every second, and at most maxIdleTimeout.
 	minIdleTimeout = 2 * time.Second
 	maxIdleTimeout = 2 * minIdleTimeout
 	// retryDivisor sets the shortest interval between two attempts to open the stream: the time limit of a call or the
@@ -24,8 +24,8 @@
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. It reopens a stream that has lasted for a while at
-// once, and waits for a moment if the platform cannot be reached.
+// followChanges keeps the stream of changes open until the context ends. It reopens at once a stream that has lasted for a
+// while, and waits for a moment if the platform cannot be reached.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -23,7 +23,7 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	if s.Limits.ConnectTimeout == 0 { // only the deadline of the request limits a connection attempt
+	if s.Limits.ConnectTimeout == 0 { // without a connect timeout, only the deadline of the request limits a connection attempt
 		s.Limits.ConnectTimeout = longestDeadline
 	}
 	// Without an overload window, the load is counted over the whole warm-up: the widest window keeps the rule for any window.
@@ -47,7 +47,7 @@
 		switch {
 		case class.LatencyObjective == 0 && class.Deadline == 0:
 			return 0, fmt.Errorf("%s %w", strconv.Quote(truncate(class.Name)), errNoObjectiveOrDeadline)
-		case class.LatencyObjective == 0: // an answer keeps its full value as long as the client waits
+		case class.LatencyObjective == 0: // without an objective, an answer keeps its full value as long as the client waits
 			class.LatencyObjective = class.Deadline
 		case class.Deadline == 0:
 			class.Deadline = class.LatencyObjective
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = decoder.Token() // the closing bracket
+	_, err = decoder.Token() // this reads the closing bracket
 	return err
 }
 
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -36,8 +36,8 @@
 // ring is a ring buffer that grows in blocks and releases memory when it is empty.
 type ring struct {
 	buf    []byte
-	start  int // of the content
-	length int // of the content
+	start  int // index in the buffer at which the content starts
+	length int // number of bytes of content
 	budget *BufferBudget
 }
 
--- a/internal/transport/closestatus.go
+++ b/internal/transport/closestatus.go
@@ -11,15 +11,15 @@
 // Reasons for which a connection can end.
 const (
 	StillOpen        CloseReason = iota // the connection has not ended
-	Refused                             // it was refused, or there was no slot or other resource to open it
-	ConnectTimeout                      // it was not established within its time limit
-	ClosedByPeer                        // the peer closed it
-	ConnectionReset                     // it was reset or failed in another way
-	DeadlineExceeded                    // its deadline has passed
-	Canceled                            // this side canceled it
+	Refused                             // the connection was refused, or there was no slot or other resource to open it
+	ConnectTimeout                      // the connection was not established within its time limit
+	ClosedByPeer                        // the peer closed the connection
+	ConnectionReset                     // the connection was reset or failed in another way
+	DeadlineExceeded                    // the deadline of the connection has passed
+	Canceled                            // this side canceled the connection
 	Malformed                           // the peer sent malformed data
 	TooLarge                            // the peer sent more than is allowed
-	ClosedLocally                       // this side closed it when it was no longer needed
+	ClosedLocally                       // this side closed the connection when it was no longer needed
 	PeerBusy                            // the peer is reachable but accepts no more at present
 	CloseReasonCount                    // number of reasons
 )
@@ -44,8 +44,8 @@
 // CloseStatus describes how a connection ended. The zero value means that the connection is still open.
 type CloseStatus struct {
 	Reason CloseReason
-	// Flushed reports whether the last byte of the latest Flush had been written by then. If not, the peer has not
-	// received all of it.
+	// Flushed reports whether the last byte of the latest Flush was written before the connection ended. If not, the peer
+	// has not received all bytes of that Flush.
 	Flushed bool
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -22,8 +22,8 @@
 type Conn struct {
 	conn          net.Conn // a TCP connection, whose state the kernel reports
 	input, output ring
-	flushed       atomic.Bool // the last byte of the last Flush was written
-	established   bool        // the kernel has reported this state; only the reader uses the field
+	flushed       atomic.Bool // whether the last byte of the last Flush was written
+	established   bool        // whether the kernel has reported the state ESTABLISHED; only the reader uses the field
 
 	// The context that reading and writing are bound to, and the function that unbinds them; unbind is nil if there is
 	// none.
@@ -57,13 +57,13 @@
 func (c *Conn) BindContext(ctx context.Context) {
 	c.ReleaseContext()
 	c.bound = ctx
-	deadline, _ := ctx.Deadline() // the zero time if there is none, which sets no deadline
+	deadline, _ := ctx.Deadline() // a context without a deadline yields the zero time, which sets no deadline
 	c.SetDeadline(deadline)
 	c.unbind = context.AfterFunc(ctx, c.Interrupt)
 }
 
 // ReleaseContext unbinds the connection from its context and reports whether the connection can still be used. If the
-// context ended meanwhile, the deadline that its end sets may take effect late, so the connection can only be closed.
+// context has ended, the deadline that its end sets may take effect late, so the connection can only be closed.
 func (c *Conn) ReleaseContext() (intact bool) {
 	intact = c.unbind == nil || c.unbind()
 	c.bound, c.unbind = context.Background(), nil
@@ -93,7 +93,7 @@
 // SetWriteDeadline sets the deadline for writing alone.
 func (c *Conn) SetWriteDeadline(at time.Time) { _ = c.conn.SetWriteDeadline(at) }
 
-// Fill waits for more bytes. Before that, it grows the input buffer to hold at least want bytes.
+// Fill grows the input buffer to hold at least want bytes, and then waits for more bytes.
 func (c *Conn) Fill(want int) CloseStatus {
 	c.input.grow(max(want, c.input.length+1))
 	n, err := c.conn.Read(c.input.free())
@@ -122,7 +122,7 @@
 	}
 }
 
-// Flush writes all bytes that were appended.
+// Flush writes all bytes that Append has added.
 func (c *Conn) Flush() CloseStatus {
 	c.flushed.Store(false)
 	for c.output.length > 0 {
--- a/internal/transport/kernelstate.go
+++ b/internal/transport/kernelstate.go
@@ -21,13 +21,13 @@
 	}
 	ago = time.Duration(info.Last_data_recv) * time.Millisecond
 	established := info.State == unix.BPF_TCP_ESTABLISHED
-	// A kernel that does not report states always returns the same one.
+	// A kernel that does not report states always returns the same state, so a change from ESTABLISHED never shows.
 	closed = info.State == unix.BPF_TCP_CLOSE_WAIT || c.established && !established
 	c.established = c.established || established
 	return ago, closed
 }
 
-// Acknowledged reports whether the peer's machine has received all that was written.
+// Acknowledged reports whether the peer's machine has received all bytes that were written.
 func (c *Conn) Acknowledged() bool {
 	info := c.tcpInfo()
 	return info == nil || info.Unacked == 0 && info.Notsent_bytes == 0
@@ -76,7 +76,7 @@
 		return 0, false
 	}
 	var first [1]byte
-	err = raw.Control(func(fd uintptr) { // unlike raw.Read, works after the deadline too
+	err = raw.Control(func(fd uintptr) { // unlike raw.Read, raw.Control works after the deadline too
 		var recvErr error
 		n, _, recvErr = syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		wouldBlock = errors.Is(recvErr, syscall.EAGAIN)
