--- a/internal/dispatch/fleet_policy_test.go
+++ b/internal/dispatch/fleet_policy_test.go
@@ -31,7 +31,7 @@
 	return p.retries
 }
 
-// RecordOutcome records only the first letter of the backend's name, as the test does not fix which of the two is
+// RecordOutcome records only the first letter of the backend's name, as the test does not fix which of the two backends is
 // chosen.
 func (p *fakePolicy) RecordOutcome(backend string, good bool) {
 	p.note("outcome ", backend[:1], " ", good)
@@ -129,7 +129,7 @@
 }
 
 // TestFleetPolicy_DecidesProbesAndEjections: the dispatcher passes the balancer's questions about a backend on to the
-// fleet policy, by the name of the backend. Without a fleet policy it allows everything.
+// fleet policy, by the name of the backend. Without a fleet policy, the dispatcher allows everything.
 func TestFleetPolicy_DecidesProbesAndEjections(t *testing.T) {
 	policy := &fakePolicy{}
 	d := newPolicyDispatcher(policy, true)
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -70,7 +70,7 @@
 	return call
 }
 
-// How a connection ended, after the attempt was written in full.
+// Statuses of connections that ended after the attempt was written in full.
 var (
 	answered = transport.CloseStatus{Flushed: true}
 	reset    = transport.CloseStatus{Reason: transport.ConnectionReset, Flushed: true}
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -56,7 +56,7 @@
 	sendSignal(c.tb, os.Getpid(), s)
 }
 
-// waitNotAccepting waits until no new connections are accepted. By then sessions are closed between requests.
+// waitNotAccepting waits until no new connections are accepted. Sessions are then closed between requests.
 func (c *runningRelay) waitNotAccepting() {
 	c.tb.Helper()
 	waitNotAccepting(c.tb, c.listen)
--- a/internal/releaseapi/stream_test.go
+++ b/internal/releaseapi/stream_test.go
@@ -119,7 +119,7 @@
 }
 
 // TestStream_TrickleOrSilence checks that bytes without a line end do not keep a stream open, that the idle timeout is bounded
-// however long the time limit of calls is, and that a stream is opened again soon after it went silent or was cut.
+// however long the time limit of calls is, and that a stream is opened again soon after it went silent or ended.
 func TestStream_TrickleOrSilence(t *testing.T) {
 	for _, c := range []struct {
 		name  string
