--- a/internal/benchadapter/codec.go
+++ b/internal/benchadapter/codec.go
@@ -145,7 +145,7 @@
 	w.u64(math.Float64bits(float64(v) / float64(balancer.Second)))
 }
 
-// bytes writes a 16-bit count and that many bytes. Bytes beyond the greatest count are cut off.
+// bytes writes a 16-bit count and that many bytes. Bytes beyond the greatest count are dropped.
 func (w *writer) bytes(b []byte) {
 	b = b[:min(len(b), math.MaxUint16)]
 	w.u16(uint16(len(b)))
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -27,9 +27,9 @@
 
 // Begin reports whether an attempt that is about to be written may still be written: the client still waits, the
 // backend has the address and start time that it had when it was chosen, and the balancer's rules still allow the
-// attempt. The attempt counts as sent from now on.
+// attempt. If Begin returns true, the attempt counts as sent.
 //
-// A client whose close has arrived counts as gone even if its session has not run since: one update of the endpoint
+// A client whose close has arrived counts as gone even if its session has not run since then: one update of the endpoint
 // list may release many queued requests at once.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -13,10 +13,10 @@
 	Timeout            time.Duration // how long the client waits, counted from ReceivedAt
 	EstimatedWork      time.Duration // the client's estimate of the work; 0 means that there is none
 	Write              bool
-	ClientRetry        bool // the client says that it has sent the same request before
+	ClientRetry        bool // whether the client says that it has already sent this request
 
 	// ClientClosed reports whether the client has closed the connection. It is called without the dispatcher's lock. If
-	// it is nil, whoever serves the client calls Abandon in time.
+	// ClientClosed is nil, the code that serves the client calls Abandon in time.
 	ClientClosed func() bool
 }
 
@@ -28,8 +28,8 @@
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // the balancer has received the call, or the fleet policy has shed it
-	abandoned    bool      // the client left before the call was submitted; guarded by the dispatcher's lock
+	submitted    bool      // whether the balancer has received the call or the fleet policy has shed it
+	abandoned    bool      // whether the client left before the call was submitted; guarded by the dispatcher's lock
 	steps        chan Step // at most one attempt and one final answer wait in it at any time, so that a send never blocks
 }
 
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -14,14 +14,14 @@
 	Vote func(Vote)
 	// WatchEndpoints starts or ends a subscription to changes of the endpoint list.
 	WatchEndpoints func(on bool)
-	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today.
+	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call FetchEndpoints today.
 	FetchEndpoints func()
-	// Probe checks a backend; ProbeEnded takes the result. The balancer does not call it today.
+	// Probe checks a backend; ProbeEnded takes the result. The balancer does not call Probe today.
 	Probe func(Backend)
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle func(backend string)
-	// Log writes a log line for the operators: a constant message with its fields. It also gets the log lines of the
-	// balancer. If it is nil, log lines are dropped.
+	// Log writes a log line for the operators: a constant message with its fields. Log also gets the log lines of the
+	// balancer. If Log is nil, log lines are dropped.
 	Log func(message string, fields ...slog.Attr)
 
 	// OnEndpoints and OnStage, if set, are given each update of the endpoint list and of the stage before the
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,7 +2,7 @@
 // balancer's Host, and is the only package that maps the balancer's requests, attempts and backends to those of
 // clients, connections and the endpoint list.
 //
-// A listener uses it as follows. Accept makes a Call of a request. Next blocks until the call has a step: an attempt,
+// A listener uses a Dispatcher as follows. Accept makes a Call of a request. Next blocks until the call has a step: an attempt,
 // or a final answer of the relay itself. Begin announces an attempt before its first byte is written, and Report ends
 // the attempt. Abandon records that the client has left. Besides requests, the dispatcher takes updates:
 // UpdateEndpoints for the endpoint list, UpdatePlacements for where instances run, and UpdateStage and the Record
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -25,7 +25,7 @@
 	return balancer.Errored
 }
 
-// outcomeWithoutAnswer maps how a connection ended to an outcome. Until the last byte was written nothing can have run.
+// outcomeWithoutAnswer maps how a connection ended to an outcome. Before the last byte is written, nothing can have run.
 func outcomeWithoutAnswer(status transport.CloseStatus) balancer.Outcome {
 	switch {
 	case !status.Flushed && status.Reason == transport.Canceled:
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// VoteAnswered takes the answer to a vote: an HTTP status with the stage that it carries, or no answer (0).
+// VoteAnswered takes the answer to a vote: its HTTP status, which is 0 without an answer, and the stage in the answer.
 func (d *Dispatcher) VoteAnswered(httpStatus int, s RolloutStage, status transport.CloseStatus) {
 	reply := s.releaseStatus()
 	reply.VoteReply = true
@@ -103,8 +103,8 @@
 	d.balancer.OnReleaseStatus(d.clock.now(), reply)
 }
 
-// RecordReleaseMetrics takes what the release API counted for a version and class in one period: the attempts, those
-// that failed and the mean time of the others. age is the time since the end of the period.
+// RecordReleaseMetrics takes the release API's counts for a version and class in one period: the attempts, the attempts
+// that failed and the mean time of the other attempts. age is the time since the end of the period.
 func (d *Dispatcher) RecordReleaseMetrics(version uint16, class string, attempts, failed int, took, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -155,8 +155,8 @@
 	}
 }
 
-// takeGossipCounts takes off the outcomes of each class as many as fit into one gossip message. The count of wrong
-// answers stays empty. remaining is false once there was nothing to take.
+// takeGossipCounts removes as many outcomes of each class as fit into one gossip message and returns them. The count of wrong
+// answers stays empty. remaining is false if there was nothing to take.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -170,7 +170,7 @@
 
 // forwardReply passes on a backend's reply. If earlier replies are still pending, it copies the reply and releases the
 // backend's connection; only if no buffer is left for a copy does the connection wait for its turn. The connection is
-// always released before the client has the reply, because the client may send its next request as soon as it has it.
+// always released before the client has the reply, because the client may send its next request right after the reply.
 func (s *session) forwardReply(id string, reply upstream.Reply, turn <-chan struct{}) {
 	select {
 	case <-turn:
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -156,7 +156,7 @@
 	srv.stopAt = stopAt
 }
 
-// CloseIdleSessions closes all sessions between requests from now on. A new session still has a short time,
+// CloseIdleSessions closes each session that is, or later comes to be, between requests. A new session still has a short time,
 // ContendedTimeout, for its first request.
 func (srv *Server) CloseIdleSessions() {
 	srv.mu.Lock()
--- a/internal/fdtable/fdtable.go
+++ b/internal/fdtable/fdtable.go
@@ -6,6 +6,6 @@
 // Without cgo the package does nothing, and the relay grows the table itself.
 package fdtable
 
-// TargetSize is the size of the table in descriptors, if the process may have as many. constructor.go has the same
+// TargetSize is the size of the table in descriptors, if the process's limit allows as many. constructor.go has the same
 // number.
 const TargetSize = 1024
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -39,7 +39,7 @@
 	admit     atomic.Pointer[Admission]
 }
 
-// SetAdmission sets the function that admits and counts connections from now on.
+// SetAdmission sets the function that admits and counts later connections.
 func (l *Listener) SetAdmission(admit Admission) { l.admit.Store(&admit) }
 
 // admission returns the function that admits and counts connections, or nil if there is none.
--- a/internal/peertransport/network_test.go
+++ b/internal/peertransport/network_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestHandshake_IncompleteHelloBlocksNoOther checks that a hello which is cut off at any byte, or never continues, does
+// TestHandshake_IncompleteHelloBlocksNoOther checks that a hello which ends at any byte, or never continues, does
 // not delay other connections, and that its connection is closed.
 func TestHandshake_IncompleteHelloBlocksNoOther(t *testing.T) {
 	t.Parallel()
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -29,8 +29,8 @@
 	rowComplete
 )
 
-// Read continues with all bytes of a reply from its start, until the reply is Ready or Fatal. The error is ErrMalformed
-// or ErrTooLong.
+// Read reads the complete messages in buf, which holds all bytes of a reply that have arrived, from the reply's start. It
+// stops once the reply is Ready or Fatal. The error is ErrMalformed or ErrTooLong.
 func (r *Response) Read(buf []byte) error {
 	for !r.Ready && !r.Fatal {
 		messageType, size, err := header(buf[r.Consumed:], maxBackendMessage)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -54,7 +54,7 @@
 }
 
 // Run runs a relay until a signal has stopped it and every accepted request is answered. env is the environment: SIGHUP
-// reads the configuration that it names again. components run in the same process; their context ends with the relay.
+// reads again the configuration that env names. components run in the same process; their context ends with the relay.
 // Run waits for all goroutines that it starts. It returns the error of a listener that cannot be opened, or the first
 // error of a component.
 func Run(config Config, env func(string) string, components ...func(context.Context, *dispatch.Dispatcher) error) error {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -22,7 +22,7 @@
 	maxStages          = 1000
 )
 
-// maxQuoted is the number of bytes after which a value or a name in an error is cut off.
+// maxQuoted is the number of bytes after which a value or a name in an error is truncated.
 const maxQuoted = 80
 
 var (
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// moveTo copies the content to the start of another buffer and uses that buffer from then on.
+// moveTo copies the content to the start of another buffer, which replaces the ring's buffer.
 func (r *ring) moveTo(buf []byte) {
 	n := copy(buf, r.firstSegment())
 	copy(buf[n:r.length], r.buf)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -52,7 +52,7 @@
 	return nil, CloseStatus{Reason: Refused}
 }
 
-// BindContext binds reading and writing from now on to a context: both end past its deadline, or once it is canceled.
+// BindContext binds later reads and writes to a context: they end past its deadline, or once it is canceled.
 // ReleaseContext undoes that.
 func (c *Conn) BindContext(ctx context.Context) {
 	c.ReleaseContext()
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -99,7 +99,7 @@
 // first requests after a start need not wait for them. All relays together open no more connections to a backend than
 // one relay alone might open: otherwise many relays that start at once would spend the backends' work on connections
 // that few requests use. Prewarm waits at most for the connect timeout and not beyond the context, and gives up
-// connections that are not ready by then.
+// connections that are not ready when the wait ends.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,7 +21,7 @@
 // then, the second reply would be taken for the next request's reply. Connections that have settled are therefore used
 // first. Others are used only if half of the slots are taken, or seven eighths while unsolicited bytes are expected: a
 // new connection costs less than a wrong reply. An idle backend that sends an error message before it closes the
-// connection looks the same; in that case the precaution only costs connections.
+// connection also sends unsolicited bytes; in that case the precaution only costs connections.
 const (
 	settleTime              = 25 * time.Millisecond // a connection has settled this long after its last reply
 	unsolicitedExpectedTime = time.Minute           // how long after unsolicited bytes more of them are expected
