--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -25,14 +25,14 @@
 	dispatcher *dispatch.Dispatcher
 	mode       Mode
 	state      watchState
-	conn       *transport.Conn // nil if the next call has to open one
+	conn       *transport.Conn // connection of the last call; nil if the next call has to open one
 	agent      string          // address of the last call; empty before the first call
 	version    int64           // version of the known list
 	// needsComplete is set if the changes after version cannot be followed. The next call then asks for the complete list.
 	needsComplete bool
 	// opensWatch is set if the next call begins a watch, because the previous call failed or there was none.
 	opensWatch    bool
-	markFirstDone func() // closes firstDone; has an effect only once
+	markFirstDone func() // closes firstDone; only the first call has an effect
 }
 
 // Run follows the endpoint list until the context ends, and passes each update to the dispatcher. It returns nil.
--- a/internal/discovery/page.go
+++ b/internal/discovery/page.go
@@ -22,7 +22,7 @@
 // Page holds the endpoint list at a version, or the changes that led to the version.
 type Page struct {
 	Version   int64
-	Complete  bool // Endpoints is the whole list: endpoints missing from it have been removed
+	Complete  bool // whether Endpoints is the whole list: endpoints missing from the list have then been removed
 	Endpoints []dispatch.Endpoint
 }
 
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -48,7 +48,7 @@
 	requestIDs  map[string]struct{} // IDs of the requests in progress
 	idle        list.List           // sessions (*session) that wait for a further request, the longest idle first
 	incomplete  list.List           // sessions (*session) whose startup, first query or later message is incomplete, the oldest first
-	closingIdle bool                // CloseIdleSessions was called: sessions are closed between requests
+	closingIdle bool                // whether CloseIdleSessions was called: sessions are then closed between requests
 	stopAt      time.Time           // time by which every request must be answered; zero if no shutdown is announced
 
 	// Accepted counts connections, Malformed counts messages that are not a valid query, RejectedForSpace counts
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -34,8 +34,8 @@
 	lastReply      chan struct{}  // closed once the last pending reply has been written
 	pendingReplies chan struct{}  // holds one element for each pending reply
 	workers        sync.WaitGroup // requests in progress and replies that wait for their turn
-	overLimit      bool           // no slot was free when the client connected: its requests are rejected
-	skippingToSync bool           // an extended query was refused: messages up to the next Sync are discarded
+	overLimit      bool           // whether no slot was free when the client connected: its requests are then rejected
+	skippingToSync bool           // whether an extended query was refused: messages up to the next Sync are then discarded
 
 	// The server's mu guards the fields below.
 	lastActivity    time.Time // time of the client's latest connect, greeting, end of a request, or start of a later message
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -10,13 +10,13 @@
 // are skipped.
 type Response struct {
 	Status int  // 0 until the header section has arrived
-	Close  bool // the connection ends with the response
-	Done   bool // the response is complete
+	Close  bool // whether the connection ends with the response
+	Done   bool // whether the response is complete
 
 	state     state
-	remaining int  // bytes of the body or the chunk that have not arrived yet
-	bodySize  int  // bytes of the body that have arrived
-	unbounded bool // a chunked body may be longer than MaxBody
+	remaining int  // number of bytes of the body or the chunk that have not arrived yet
+	bodySize  int  // number of bytes of the body that have arrived
+	unbounded bool // whether a chunked body may be longer than MaxBody
 }
 
 // state is the part of a response that comes next.
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -9,10 +9,10 @@
 	Parent      string // path of the block that the directive belongs to; "" for the top level
 	Name        string
 	Values      []Value
-	Default     string // values of an absent directive, as in the file; "" for none
+	Default     string // values that an absent directive has, as written in the file; "" for none
 	Required    bool
-	Repeatable  bool   // the directive may be given more than once
-	Block       bool   // the directive has a block of further directives
+	Repeatable  bool   // whether the directive may be given more than once
+	Block       bool   // whether the directive has a block of further directives
 	TakesEffect string // when a change takes effect; "" means at the start of the process
 	Text        string // description for the reference page
 }
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -21,7 +21,7 @@
 	Size                 // bytes: 512, 64K, 16M, 1G
 	Fraction             // 0.1 or 10%
 	Address              // host:port, where the host is an IP address or a name
-	Path                 // a file or folder
+	Path                 // the path of a file or folder
 	Choice               // one of the Choices
 	Decimal              // any number of 0 or more
 	Words                // one word or more; only for the last value
@@ -85,7 +85,7 @@
 	maxPort       = 65535
 )
 
-// isName reports whether s may be a value of kind Name.
+// isName reports whether s is a valid value of kind Name.
 func isName(s string) bool {
 	if s == "" || len(s) > maxNameLength || strings.Trim(s, ".") == "" {
 		return false
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -18,7 +18,7 @@
 	Tenant        string        // the client's tenant; empty if the comment names none
 	Timeout       time.Duration // how long the client waits, from when it sent the query
 	EstimatedWork time.Duration // the client's estimate of the work; 0 if there is none
-	ClientRetry   bool          // the client has sent the request before
+	ClientRetry   bool          // whether the client has already sent this request
 
 	text    []byte // the statement
 	timeout Span   // position of the timeout's value in text
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -11,9 +11,9 @@
 	SQLState    string // StateSuccess after a complete row or an empty query, or the code of an error; empty until one of them has arrived
 	Load        string // the load report, if the reply contains one
 	RowMessages []Span // RowDescription, DataRow and CommandComplete, relative to the reply's start
-	Ready       bool   // the backend waits for the next query
-	Fatal       bool   // the backend ends the connection
-	Consumed    int    // bytes read so far
+	Ready       bool   // whether the backend waits for the next query
+	Fatal       bool   // whether the backend ends the connection
+	Consumed    int    // number of bytes read so far
 
 	stage         rowStage
 	otherMessages int
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -61,7 +61,7 @@
 
 // evidenceSettings holds the settings for keeping and saving the evidence of each version.
 type evidenceSettings struct {
-	path         string        // file that keeps the evidence over restarts; empty if none is written
+	path         string        // path of the file that keeps the evidence over restarts; empty if no file is written
 	saveInterval time.Duration // interval between two writes of the file
 	halfLife     balancer.Tick // half-life of outcomes from before a restart
 }
--- a/internal/releaseapi/vote.go
+++ b/internal/releaseapi/vote.go
@@ -25,9 +25,9 @@
 
 // voteResult is the result of a vote.
 type voteResult struct {
-	httpStatus int                   // 0 if there was no complete response
-	stage      dispatch.RolloutStage // set if httpStatus is statusOK
-	status     transport.CloseStatus // ClosedLocally if there was a complete response
+	httpStatus int                   // HTTP status of the response; 0 if there was no complete response
+	stage      dispatch.RolloutStage // stage after the vote; set if httpStatus is statusOK
+	status     transport.CloseStatus // how the connection ended; ClosedLocally if there was a complete response
 }
 
 // castVotes casts the queued votes one after the other until the context ends.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,7 +21,7 @@
 
 	pool     *Pool
 	conn     *conn // connection of the attempt; nil if none was used
-	reusable bool  // the reply ended with ReadyForQuery and no bytes followed it
+	reusable bool  // whether the reply ended with ReadyForQuery and no bytes followed it
 }
 
 // unsentReply returns the reply of an attempt of which nothing was written.
