--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -9,11 +9,11 @@
 	Parent      string // path of the block that the directive belongs to; "" for the top level
 	Name        string
 	Values      []Value
-	Default     string // values of an absent directive, as in the file; "" for none
+	Default     string // values that an absent directive has, as written in the file; "" for none
 	Required    bool
-	Repeatable  bool   // the directive may be given more than once
-	Block       bool   // the directive has a block of further directives
-	TakesEffect string // when a change takes effect; "" for the start of the process
+	Repeatable  bool   // whether the directive may be given more than once
+	Block       bool   // whether the directive has a block of further directives
+	TakesEffect string // when a change takes effect; "" means at the start of the process
 	Text        string // description for the reference page
 }
 
@@ -41,7 +41,7 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText does the same as Read for a text instead of a file, and does not allow include. Errors give name as the file.
+// ReadText reads a text as Read reads a file, but does not allow include. Errors give name as the file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -48,7 +48,7 @@
 	case p.slots <- struct{}{}:
 		return transport.StillOpen
 	case <-ctx.Done():
-		return transport.Canceled // says nothing about the backend
+		return transport.Canceled // the cancellation says nothing about the backend
 	}
 }
 
@@ -73,7 +73,7 @@
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
 		return nil, unsentReply(reply.Status.Reason) // no query was written
-	case errors.Is(ctx.Err(), context.Canceled): // canceled just as the connection became ready: says nothing about the backend
+	case errors.Is(ctx.Err(), context.Canceled): // canceled as the connection became ready: this says nothing about the backend
 		return nil, unsentReply(transport.Canceled)
 	}
 	return nil, unsentReply(transport.ConnectTimeout)
@@ -99,7 +99,7 @@
 // first requests after a start need not wait for them. All relays together open no more connections to a backend than
 // one relay alone might open: otherwise many relays that start at once would spend the backends' work on connections
 // that few requests use. Prewarm waits at most for the connect timeout and not beyond the context, and gives up
-// connections that are not ready by then.
+// connections that are not ready when the wait ends.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
