--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -13,15 +13,16 @@
 // the class's last answers in ticks.
 //
 // Shedding guards against overload, in which queues grow until every answer is late. A request that would be answered
-// late anyway takes no capacity, and the requests with the highest weight are served first.
+// late anyway is shed and takes no capacity. The requests with the highest weight are served first.
 
 const (
-	// maxBlockedPerPass is how many requests without an eligible backend end a pass through the queue. The requests
-	// behind them rarely find a backend either; one whose class could waits for the next pass.
+	// maxBlockedPerPass is the number of requests without an eligible backend after which a pass through the queue
+	// ends. The requests behind them rarely find a backend either; a request whose class could find one waits for the
+	// next pass.
 	maxBlockedPerPass = 4
 	// lateAttemptInterval is how long a class may go with neither an answer nor a late attempt (see allowLateAttempt).
 	// A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one request is attempted
-	// well before.
+	// well before 4 s have passed.
 	lateAttemptInterval = 3 * Second / 2
 	// deadlineMargin is how long before its deadline a request has to be answered. It is two timer intervals, since the
 	// timer call that finds a request late may itself be one interval late.
@@ -31,7 +32,7 @@
 // admission holds the queued requests and the recent arrivals.
 type admission struct {
 	queue    []*Request
-	arrivals []Tick // requests received within rateWindow, without retries by clients
+	arrivals []Tick // times of the requests received within rateWindow, without retries by clients
 }
 
 // countArrival counts a request towards the relay's arrival rate and towards the exposure of a canary.
@@ -71,12 +72,12 @@
 
 // allowLateAttempt reports whether a request that is expected to be late is attempted all the same, and records the
 // late attempt for its class. It allows one if the request has just arrived, an answer may still be useful, and the
-// class has had neither an answer nor a late attempt for lateAttemptInterval. Called again at the same time, it returns
-// the same result.
+// class has had neither an answer nor a late attempt for lateAttemptInterval. If it is called again for the same
+// request at the same time, it returns the same result.
 //
-// Late attempts guard against a class that is rejected for good. After slow answers, clients with short deadlines would
-// never be attempted, so no answer would show that backends are fast again. One attempt in each lateAttemptInterval
-// brings such an answer.
+// Late attempts guard against a class that is rejected for good. After slow answers, requests with short deadlines
+// would never be attempted, so no answer would show that backends are fast again. One attempt in each
+// lateAttemptInterval brings such an answer.
 func (b *Balancer) allowLateAttempt(r *Request) bool {
 	if b.now != r.receivedAt || b.now >= r.usefulUntil {
 		return false
@@ -135,8 +136,8 @@
 }
 
 // Load returns the number of attempts in flight and of requests that wait for a backend, divided by the concurrency
-// limit. Above 1 some requests wait. A pinned request whose instance runs nowhere waits for that instance alone and
-// does not count.
+// limit. If the load is above 1, some requests wait. A pinned request whose instance runs nowhere waits for that
+// instance alone and does not count.
 func (b *Balancer) Load() float64 {
 	n := b.openAttempts()
 	for _, r := range b.queue {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -34,7 +34,7 @@
 //     then it is queued or has an attempt in flight.
 //   - Reject is sent only if no attempt can have had an effect that a repeat would duplicate. A retry goes only to a
 //     backend where the class and its idempotency key allow it.
-//   - Nothing is written to a backend that drains, is removed, or is another process than the one chosen.
+//   - Nothing is written to a backend that drains, is removed, or runs as another process than the one that was chosen.
 //   - In any window, the attempts written to a canary stay within its exposure cap, and those written to a backend that
 //     warms up stay within the slow-start budget that all relays share.
 package balancer
@@ -139,7 +139,7 @@
 }
 
 // OnStreamStart handles the start of a streamed answer. The answer is passed on to the client from now on, so the
-// attempt is neither cancelled nor slow for its duration.
+// attempt is not cancelled any more, and it does not become slow, however long the answer takes.
 func (b *Balancer) OnStreamStart(now Tick, a *Attempt) {
 	b.now = now
 	a.Backend.lastAnswer = now
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -2,18 +2,20 @@
 
 import "math"
 
-// A backend has in flight no more than it answers within a share of a latency objective, plus one attempt. All backends
-// together have no more in flight than a limit, which early answers raise and late answers lower by a factor.
+// At each backend the relay has at most as many attempts in flight as the backend answers within a share of a latency
+// objective, plus one. At all backends together it has at most concurrencyLimit attempts in flight. Early answers raise
+// this limit by a factor, and late answers lower it by a factor.
 //
-// Inputs: the times of a backend's last answers and the shortest latency objective of any class, in ticks; for the
-// limit, how much of the time allowed to it an attempt took.
+// Inputs: the times of a backend's last answers and the shortest latency objective of any class, in ticks; for
+// concurrencyLimit, the share of its allowed time that an attempt took.
 //
-// The limits guard against slow backends, overload, and queues at backends that outlast the latency objective, all of
-// which show as answers that are late throughout. A backend that answers less gets fewer attempts. The limits work
-// worst right after an idle period, when little is known.
+// The limits guard against slow backends, overload, and queues at backends that outlast the latency objective. Each of
+// these shows as answers that are late throughout. A backend that answers fewer attempts gets fewer. The limits work
+// worst right after an idle period, when the relay knows few recent answers.
 
 const (
-	// capacityShare is the share of a latency objective whose answers a backend may have outstanding.
+	// capacityShare is a share of the shortest latency objective: a backend may have as many attempts in flight as it
+	// answers within that time, plus one.
 	capacityShare = 0.15
 	// lateAnswerShare is the share of an attempt's allowed time after which its answer counts as a sign of overloaded
 	// backends.
@@ -24,18 +26,19 @@
 	limitIncrease = 0.06
 	// rateWindow is the time over which the relay's own rates are measured.
 	rateWindow = 2 * Second
-	// minLimitPerBackend, times the warm backends per relay, is the least concurrency limit, however late answers are.
+	// minLimitPerBackend times the warm capacity per relay is the least value of concurrencyLimit, however late answers
+	// are.
 	minLimitPerBackend = 2
 )
 
-// concurrency holds the attempts in flight and what the relay knows of its own rate.
+// concurrency holds the attempts in flight and the relay's own rates.
 type concurrency struct {
 	attemptsInFlight []*Attempt // in the order in which they started
 	concurrencyLimit float64    // attempts that the relay may have in flight
 	subsetSize       int        // number of backends that the relay chooses from
 	successTimes     []Tick     // times of the successes within rateWindow
 	warmCapacity     float64    // sum of the warm-up fractions of the ready backends
-	canaryCapacity   float64    // the part of warmCapacity that runs a canary
+	canaryCapacity   float64    // the part of warmCapacity at backends that run a canary
 	ratePerBackend   float64    // this relay's successes per second at a warm backend
 }
 
@@ -64,8 +67,8 @@
 	return n
 }
 
-// adaptConcurrencyLimit adjusts the limit after the end of an attempt. If its backend has not answered since the
-// attempt was sent, that is no sign of overload, and the limit stays.
+// adaptConcurrencyLimit adjusts concurrencyLimit after the end of an attempt. If the backend has not answered anything
+// since the attempt was chosen, the outcome is no sign of overload, and the limit stays.
 func (b *Balancer) adaptConcurrencyLimit(a *Attempt) {
 	took, due := float64(b.now-a.chosenAt), float64(a.lateAfter-a.chosenAt)
 	switch {
@@ -96,8 +99,9 @@
 	b.subsetSize = minSubsetSize + len(b.arrivals)*int(b.shortestObjective)/int(rateWindow)
 }
 
-// updateRatePerBackend recomputes ratePerBackend. While most backends are warm, it is the present rate over the warm
-// capacity. Otherwise it is its previous value or the present rate over all backends, whichever is greater.
+// updateRatePerBackend recomputes ratePerBackend. While most backends are warm, ratePerBackend is the present rate of
+// successes divided by the warm capacity. Otherwise it is the greater of its previous value and the present rate
+// divided by the number of backends.
 func (b *Balancer) updateRatePerBackend(warm, all float64) {
 	rate := float64(len(b.successTimes)) * float64(Second) / float64(rateWindow)
 	b.ratePerBackend = max(b.ratePerBackend, rate/max(all, 1))
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -9,14 +9,15 @@
 //
 // Backoff guards against an overloaded discovery service, which rejects calls. Relays ask less and less often, and
 // relays that were rejected together do not ask again together. A relay is responsible for a change of the list from
-// 6 s after discovery has it (docs/fleet.md), so the bound on the pause leaves a call two seconds.
+// 6 s after the discovery service has it (docs/fleet.md). Pauses last at most 4 s, which leaves two seconds for a call.
 
 const (
 	// maxPollInterval is the longest mean pause between calls. Jitter adds up to a quarter of it.
 	maxPollInterval = 16 * Second / 5
 	// initialPollInterval is the mean pause after the first call that failed.
 	initialPollInterval = Second / 2
-	// initialPollJitter is the time within which the first pause ends at a random moment.
+	// initialPollJitter is the upper bound of the pause after the first call that failed. The length of this pause is
+	// random.
 	initialPollJitter = Second
 )
 
@@ -45,7 +46,8 @@
 	}
 }
 
-// schedulePoll doubles the poll interval up to its bound and draws the time of the next call around its end.
+// schedulePoll doubles the poll interval up to its bound and draws the time of the next call around the end of that
+// interval.
 func (b *Balancer) schedulePoll() {
 	longest := max(Second, b.settings.Endpoints.PollInterval.Ticks()/2)
 	b.pollInterval = min(2*b.pollInterval, longest, maxPollInterval)
@@ -56,7 +58,8 @@
 func (b *Balancer) OnListSynced(now Tick, ok bool) {
 	b.now = now
 	if ok && !b.listSynced && b.evaluation != nil {
-		// At the start backends are listed one by one, and some of them may already run the canary.
+		// When the relay starts, backends are listed one by one, so their number is complete only now. Some of them may
+		// already run the canary.
 		b.evaluation.baselineBackends = float64(len(b.backends))
 	}
 	b.listSynced = b.listSynced || ok
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -13,13 +13,13 @@
 // version serves the request, and they are told apart here before they reach a test.
 
 const (
-	// maxShareBound keeps the bound on a share below 1. At 1 a betting test has no bet left.
+	// maxShareBound keeps the bound on a share below 1. With a bound of 1 a betting test could place no bet.
 	maxShareBound = 0.9
-	// maxBaselineAgeForResets is how long ago an attempt at the baseline may last have been counted as on time or slow
-	// for resets at the canary to be compared with the baseline's.
+	// maxBaselineAgeForResets limits the comparison of resets: resets at the canary are compared with the baseline's
+	// only if an attempt at the baseline was counted as on time or slow within this time.
 	maxBaselineAgeForResets = Second
-	// maxBaselineMetricsAge is how old the release API's last counts of the baseline may be for its counts of the
-	// canary to be compared with them, in metrics periods.
+	// maxBaselineMetricsAge is a number of metrics periods. The release API's counts of the canary are compared with
+	// its last counts of the baseline only if those counts are at most this old.
 	maxBaselineMetricsAge = 2
 	// resetsMargin is how far the canary's share of reset attempts may exceed the baseline's. It is wider than
 	// failureMargin because a single network fault breaks many connections at once.
@@ -75,7 +75,7 @@
 	}
 }
 
-// observe adds an outcome to a stream, tested against an upper bound on the stream's share of bad outcomes.
+// observe adds an outcome to a stream and tests the stream against an upper bound on its share of bad outcomes.
 func (b *Balancer) observe(s stream, outcome, bound float64) {
 	e := b.evaluation
 	raised, ok := e.detectors.forStream(s).Observe(outcome, min(bound, maxShareBound))
@@ -109,8 +109,8 @@
 	return conservativeShare(b.baseline.class[class])
 }
 
-// conservativeShare returns the share of bad ones among the outcomes, or failureMargin if there are fewer than
-// minShareSample.
+// conservativeShare returns the share of bad outcomes, or failureMargin if there are fewer than minShareSample
+// outcomes.
 func conservativeShare(outcomes []float64) float64 {
 	if len(outcomes) < minShareSample {
 		return failureMargin
@@ -120,8 +120,8 @@
 
 // attributedToBackend reports whether an outcome counts for the backend or the link to it, and not for the version.
 // This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and for any
-// outcome at an ejected backend while others of the same version succeed. The cost is that a bad version that fails at
-// only some of its backends is blamed on those.
+// outcome at an ejected backend while others of the same version succeed. The cost is that if a bad version fails at
+// only some of its backends, those backends are blamed for it.
 func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
 	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -2,15 +2,15 @@
 
 // This file limits the exposure of canaries. In any window, the number of attempts at a canary is at most a fixed
 // allowance plus the exposure cap's share of the requests that arrived. First attempts use slightly less than the cap,
-// which leaves some for retries, and are limited by the canary's share of all warm backends.
+// which leaves room for retries. They are also limited by the canary's share of the warm capacity.
 //
 // The inputs are the times of arrivals and of canary attempts within the site's window, the cap of the current stage,
 // and the warm capacity of the canary's backends and of all backends.
 //
 // The cap keeps a bad version from reaching many requests. The limit by capacity keeps a canary with few backends from
 // receiving more than they can serve. Without that limit a good version would look slow, because a cap is announced
-// before the canary's backends have started and warmed up. First attempts therefore follow the warm capacity that is
-// there.
+// before the canary's backends have started and warmed up. First attempts therefore follow the warm capacity that the
+// canary has at the moment.
 
 const (
 	// firstAttemptCapShare is the share of the exposure cap that first attempts may use.
@@ -18,8 +18,8 @@
 	// exposureTolerance absorbs the rounding error of a sum of shares that would be an integer in exact arithmetic, so
 	// that the error does not allow one more attempt.
 	exposureTolerance = 1e-5
-	// canarySlowdownMargin is how far the canary's slow share exceeds the baseline's when the canary loses all slack.
-	// It then gets no more than its backends' share of the warm capacity.
+	// canarySlowdownMargin is the excess of the canary's slow share over the baseline's at which the canary has lost
+	// all slack (see updateCanaryFraction). The canary then gets no more than its backends' share of the warm capacity.
 	canarySlowdownMargin = 0.1
 	// minStageShare is a lower limit on the first stage's share of backends, used if the settings name no share.
 	minStageShare = 0.01
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -16,7 +16,7 @@
 const (
 	// gossipInterval is the time between two messages.
 	gossipInterval = Second / 2
-	// MaxGossipOutcomes is the maximum number of outcomes of a stream in one message. Any further ones are left out.
+	// MaxGossipOutcomes is the maximum number of outcomes of a stream in one message. Further outcomes are left out.
 	MaxGossipOutcomes = 254
 	// gossipHeader is the encoded size of the version in bytes, and gossipCountSize that of one GossipCount.
 	gossipHeader    = 2
@@ -81,7 +81,7 @@
 	clear(b.gossipCounts)
 }
 
-// OnGossip handles a message from another relay. Its bad outcomes are spread evenly among the others.
+// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the others.
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -6,9 +6,10 @@
 // A host must not call the balancer back, except for BeginAttempt from within StartAttempt and VoteReason from within
 // CastVote.
 type Host interface {
-	// StartAttempt starts the next attempt of a request, which must not last past the deadline.
+	// StartAttempt starts the next attempt of a request. The attempt must not last past the deadline.
 	StartAttempt(a *Attempt, deadline Tick)
-	// Reject answers a request for good, with the promise that a retry is harmless. A retryAfter of 0 names no time.
+	// Reject answers a request for good, with the promise that a retry is harmless. If retryAfter is 0, the answer
+	// names no time for the retry.
 	Reject(r *Request, retryAfter Tick)
 	// Fail answers a request for good, without a promise about its effect.
 	Fail(r *Request)
@@ -38,7 +39,7 @@
 const AllPeers = ^uint32(0)
 
 // fleetPolicy holds the decisions that all relays of a fleet make together. The host of a relay in a fleet implements
-// it besides Host. If a host does not, the rules of this package alone decide on retries and probation.
+// fleetPolicy besides Host. If a host does not, the rules of this package alone decide on retries and probation.
 type fleetPolicy interface {
 	// AllowRetry reports whether a request may have one more attempt.
 	AllowRetry(r *Request) bool
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -6,7 +6,8 @@
 )
 
 // An attempt that may have run is repeated only if a second effect is impossible or the receiving backend drops the
-// repeat. A request is rejected, which invites its client to retry, only if the same holds at any backend.
+// repeat. A rejection invites the client to retry. A request is therefore rejected only if a retry is as safe at any
+// backend.
 //
 // Inputs: the idempotency of the class with the scope and the window of its keys, and the attempts so far with their
 // outcomes. If the site moves keys forward only, also the keys that each version has answered.
@@ -119,8 +120,8 @@
 	}
 }
 
-// addAnsweredKey adds a key to those that a version has answered. If more versions are kept than can be under way at
-// once, it drops the earliest one.
+// addAnsweredKey adds a key to those that a version has answered. If this makes more than maxAnsweredVersions versions,
+// it drops the earliest one.
 func (b *Balancer) addAnsweredKey(key uint64, version uint16) {
 	if b.answeredKeys[version] == nil {
 		b.answeredKeys[version] = &keyFilter{}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -22,30 +22,31 @@
 	slowMultiple = 3
 	// canaryLoadMargin is the share of attempts that may be slow because the backends of a canary carry more load.
 	canaryLoadMargin = 0.22
-	// burstMultiple is how many times as many successes as before the rollout are a burst, which the clients cause.
+	// burstMultiple is the multiple of the successes before the rollout that a relay may have without a burst. The
+	// clients cause bursts.
 	burstMultiple = 1.2
 	// burstDeviations is how many standard deviations of random variation are allowed on top of burstMultiple.
 	burstDeviations = 3
 	// sampleSize is the number of latencies and outcomes that are kept for each class.
 	sampleSize = 64
 	// estimateDivisor divides a latency objective into parts. Without answers an attempt is estimated to take one part,
-	// and no estimate is longer than all parts but one. The bound guards against slow answers after which no request is
-	// attempted whose answer could show lower latencies.
+	// and no estimate is longer than all parts but one. The bound guards against a lasting effect of slow answers:
+	// without it, no request might be attempted any more, so that no answer could show lower latencies.
 	estimateDivisor = 4
-	// estimateLifetime is how long the last answer of a class, or its last late attempt, keeps an estimate valid. Load
-	// and backends may have changed after that.
+	// estimateLifetime is how long an estimate stays valid after the last answer or the last late attempt of its class.
+	// Load and backends may have changed after this time.
 	estimateLifetime = 4 * Second
 	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th
 	// percentile.
 	minLatencySample = 16
 	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise counts against
-	// the canary, which may be what slows down all backends.
+	// the canary. The canary may be what slows down all backends.
 	baselineSlowdownMargin = 0.1
 )
 
 // latencyEstimates holds the latencies of attempts and the estimates from them, by class.
 type latencyEstimates struct {
-	latencies               [][]Tick // of the last answers
+	latencies               [][]Tick // latencies of the last answers
 	lastAnswerOrLateAttempt []Tick   // when the last answer came or the last late attempt was allowed
 	p90Latency              []Tick
 	medianLatency           []Tick
@@ -101,11 +102,11 @@
 	a.newConnection = n == 0 || b.now-backend.successTimes[n-1] > b.settings.Limits.IdleTimeout.Ticks()
 }
 
-// recordTimeliness records for the version of an attempt that the attempt is slow, or that it ended before it was.
+// recordTimeliness counts an attempt for its version, either as slow or as having ended before it was slow.
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, x := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	size := sampleSize + len(b.successTimes) // at a large relay sampleSize attempts are only a small part of a second
+	size := sampleSize + len(b.successTimes) // a large relay makes sampleSize attempts in a small part of a second
 	switch {
 	case a.version < e.version:
 		b.baseline.slow = appendBounded(b.baseline.slow, x, size)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,7 +9,8 @@
 // fails most of its attempts, against the null hypothesis that it fails as this relay's last attempts did. An ejected
 // backend is on probation: it gets single attempts, more often the longer they succeed, and is readmitted when the
 // interval between them is short enough. A silent backend, which has left all attempts unanswered for long, is on
-// probation in the same way. A backend that recently failed more than others is degraded and comes last.
+// probation in the same way. A backend that recently failed more than others is degraded and comes last in the relay's
+// order.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
 // answer in ticks; in a fleet, the findings of other relays.
@@ -40,15 +41,15 @@
 	initialProbationInterval = Second / 2
 	maxProbationInterval     = 4 * Second
 	probationExitInterval    = Second / 20
-	// minProbationPause is the least pause after an attempt on probation. A backend that is silent or avoided, but has
-	// not failed, has no probation interval.
+	// minProbationPause is the least pause after an attempt on probation. It applies to a backend that is silent or
+	// avoided but has not failed, whose probation interval is 0.
 	minProbationPause = Second / 20
 	// maxProbationInFlight is how many attempts a backend on probation may have in flight.
 	maxProbationInFlight = 2
 	// maxDegradedTime is how long after its last failure a backend may be degraded.
 	maxDegradedTime = 2 * maxProbationInterval
-	// mostOnProbationDivisor defines when most backends are on probation: no more than one in this many is not. The
-	// cause is then this relay itself.
+	// mostOnProbationDivisor defines when most backends are on probation: at most one in this many backends is not on
+	// probation. The cause is then taken to be this relay itself.
 	mostOnProbationDivisor = 8
 	// avoidedDivisor limits the backends that are avoided because other relays have ejected them to one in this many.
 	avoidedDivisor = 4
@@ -64,9 +65,9 @@
 	lastFailure          Tick
 	failureWealth        float64 // wealth of the test that ejects the backend
 	ejected              bool
-	probationInterval    Tick // between attempts while the backend is ejected
+	probationInterval    Tick // time between attempts while the backend is ejected
 	nextProbationAttempt Tick
-	avoidedUntil         Tick // until then the fleet leaves the backend to other relays
+	avoidedUntil         Tick // until this time the fleet leaves the backend to other relays
 }
 
 // ejection holds what the relay knows of all its backends together.
@@ -75,7 +76,7 @@
 	mostOnProbation bool      // nearly every backend is on probation, as when this relay stalls
 }
 
-// newEjection starts with a sample of successes: backends are assumed to be healthy.
+// newEjection returns a state whose sample contains only successes, as backends are assumed to be healthy at first.
 func newEjection() ejection {
 	return ejection{recentFailures: make([]float64, backendSampleSize)}
 }
@@ -102,7 +103,7 @@
 }
 
 // dueForProbationAttempt reports whether a backend on probation may get an attempt of a request now. Only requests that
-// can be retried go there.
+// can be retried go to such a backend.
 func (b *Balancer) dueForProbationAttempt(r *Request, backend *Backend) bool {
 	return b.now >= backend.nextProbationAttempt && backend.inFlight < maxProbationInFlight &&
 		b.class(r).Idempotency != AtMostOnce
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestOutlier_AvoidsBackendEjectedByFleet: a relay avoids a backend that other relays have ejected, although it has not
-// ejected the backend itself. It does not if many backends are ejected.
+// ejected the backend itself. It does not avoid the backend if many backends are ejected.
 func TestOutlier_AvoidsBackendEjectedByFleet(t *testing.T) {
 	for _, c := range []struct{ onProbation, want int }{{0, 0}, {3, 1}} {
 		b, host := newFleetFixture(1000, false)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -14,7 +14,8 @@
 // share of the successes. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
 
 // cancelsPerSuccess is how many cancellations each success allows. It guards against cancelling attempts that are
-// merely slow: under heavy load most attempts are late at once. The budget lets no more than one in 25 be cancelled.
+// merely slow: under heavy load most attempts are late at once. The budget grows by no more than one cancellation for
+// 25 successes.
 const cancelsPerSuccess = 0.04
 
 // cancellation holds the budget for cancelling attempts.
@@ -22,7 +23,7 @@
 	cancelBudget float64 // attempts at silent backends that may be cancelled now
 }
 
-// newCancellation starts with a budget of minSubsetSize, the least number of backends that a relay chooses from.
+// newCancellation returns a budget of minSubsetSize cancellations: one for each backend of the smallest subset.
 func newCancellation() cancellation { return cancellation{cancelBudget: minSubsetSize} }
 
 // addCancelBudget adds the cancellations that one success allows, up to one for each backend in the relay's subset.
@@ -100,7 +101,7 @@
 
 // cancelAndRetry cancels an attempt at a silent backend if its request can still be served elsewhere. It guards against
 // backends that are dead or hang and against broken links, at which requests would wait for their time-out. Silence is
-// detected well before that.
+// detected well before the time-out.
 func (b *Balancer) cancelAndRetry(a *Attempt) {
 	if b.cancelBudget < 1 || !b.cancellable(a) || !b.reserveRetry(a.Request) {
 		return
@@ -144,7 +145,7 @@
 // failed. If the retry fails too, the request itself is at fault.
 //
 // The delay guards against requests that fail everywhere, which would cause good versions to be rolled back: such a
-// request fails at any version. It does harm if a version fails all attempts of a class at every backend.
+// request fails at any version. The delay does harm if a version fails all attempts of a class at every backend.
 func (b *Balancer) deferFailure(a *Attempt) bool {
 	r, first := a.Request, a.Request.deferredFailure
 	switch a.outcome {
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -96,8 +96,8 @@
 	// The state when the version appeared:
 	baselineBackends     float64 // backends that run earlier versions
 	initialWarmCapacity  float64
-	initialSuccesses     float64 // within rateWindow
-	initialSlowShare     float64 // of the baseline
+	initialSuccesses     float64 // successes within rateWindow
+	initialSlowShare     float64 // slow share of the baseline
 	initialMedianLatency []Tick  // by class
 }
 
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -14,11 +14,12 @@
 
 const (
 	// minSubsetSize is the least number of backends that a relay chooses from. One more is added for each request that
-	// arrives within a latency objective. The subset guards against hundreds of relays that reach every backend:
-	// connections would cost more than they serve, and a relay would see next to nothing of each backend. A small relay
+	// arrives within a latency objective. The subset guards against hundreds of relays that reach every backend: the
+	// connections would cost more than they bring, and a relay would see next to nothing of each backend. A small relay
 	// keeps to a few backends, by an order of its own.
 	minSubsetSize = 5
-	// minCanarySubsetSize is the same for the backends of a canary. The canary's part of subsetSize is added.
+	// minCanarySubsetSize is the least number of a canary's backends that a relay chooses from. The canary's part of
+	// subsetSize is added.
 	minCanarySubsetSize = 2
 )
 
@@ -127,8 +128,8 @@
 	return NotRefused
 }
 
-// checkHardConstraints returns the hard constraint that a further attempt would break. The hard constraints hold
-// without exception and are checked when a backend is chosen, and again when the attempt is written.
+// checkHardConstraints returns the hard constraint that a further attempt would break, or NotRefused. The hard
+// constraints hold without exception and are checked when a backend is chosen, and again when the attempt is written.
 func (b *Balancer) checkHardConstraints(r *Request, attempts []*Attempt, backend *Backend) Refusal {
 	switch {
 	case backend.State != Ready, r.Pinned && r.PinnedTo != backend:
@@ -220,11 +221,12 @@
 	return sameProcess && b.checkHardConstraints(r, r.attempts[:a.Number], backend) == NotRefused
 }
 
-// writeGracePeriod is how long after the choice an attempt may be written without being checked against the budgets
+// writeGracePeriod is how long after an attempt was chosen it may be written without being checked against the budgets
 // again.
 const writeGracePeriod = timerInterval / 10
 
-// overBudget reports whether an attempt that is written late now exceeds the budgets of exposure or slow start.
+// overBudget reports whether an attempt exceeds the budgets of exposure or slow start now. It is false until
+// writeGracePeriod has passed since the attempt was chosen.
 func (b *Balancer) overBudget(a *Attempt) bool {
 	if b.now <= a.chosenAt+writeGracePeriod {
 		return false
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -17,7 +17,7 @@
 // stream identifies one stream of outcomes.
 type stream struct {
 	kind  streamKind
-	class int // for oneClass
+	class int // index of the class; only for oneClass
 }
 
 // String returns the name of the stream in logs.
@@ -40,7 +40,7 @@
 // rareSampleSize is the number of outcomes that are kept of rare events, such as reports of wrong answers.
 const rareSampleSize = 512
 
-// samples holds the last outcomes at one version by stream, 1 for a bad one.
+// samples holds the last outcomes at one version by stream, 1 for a bad outcome and 0 for a good one.
 type samples struct {
 	class   [][]float64
 	wrong   []float64
@@ -66,7 +66,7 @@
 	return bad, n
 }
 
-// smoothedShare returns a share of bad outcomes that is never 0 or 1, and one half without any outcomes.
+// smoothedShare returns a share of bad outcomes that is never 0 or 1. Without any outcomes the share is one half.
 func smoothedShare(bad, n float64) float64 { return (bad + 0.5) / (n + 1) }
 
 // failureShare returns the share of bad outcomes among those of all classes, or of one class.
--- a/balancer/sequential/effect.go
+++ b/balancer/sequential/effect.go
@@ -8,9 +8,9 @@
 	maxMeanWithEffect = 0.95
 )
 
-// EffectTest rules out that the mean of a stream exceeds a baseline by an effect. It is a likelihood ratio of the
-// baseline to the baseline with the effect. If the mean is that of the baseline with the effect or higher, the ratio is
-// a supermartingale, so the probability that it ever reaches 1/missProbability is at most missProbability. Use
+// EffectTest rules out that the mean of a stream exceeds a baseline by an effect. Its wealth is the likelihood ratio of
+// the baseline to the baseline with the effect. If the mean is that of the baseline with the effect or higher, the
+// ratio is a supermartingale, so the probability that it ever reaches 1/missProbability is at most missProbability. Use
 // NewEffectTest to create one.
 type EffectTest struct{ wealth float64 }
 
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -14,7 +14,7 @@
 // ever reaches 1/level is at most the level.
 //
 // EffectTest is the dual: it rules out that the mean is higher by an effect. The absence of an alarm from the detector
-// does not rule that out.
+// does not rule the effect out.
 package sequential
 
 import (
@@ -90,8 +90,8 @@
 // openTest adds a test. If the maximum number of tests is open, the new test replaces the one with the least wealth
 // among those that are not permanent, if that wealth is below 1.
 //
-// This allows the detection of a change after many good outcomes, by which time the first tests have lost nearly all of
-// their wealth: half of the places go to tests that began recently.
+// Half of the places thus go to tests that began recently. These tests can detect a change after many good outcomes,
+// when the first tests have lost nearly all of their wealth.
 func (d *Detector) openTest(t bettingTest) {
 	if len(d.tests) < maxOpenTests {
 		d.tests = append(d.tests, t)
@@ -102,9 +102,10 @@
 	}
 }
 
-// bet places the plug-in bet and settles it. The plug-in bet maximizes the growth of the logarithm of wealth if the
-// mean equals the mean that the test has seen so far. A new test expects a mean of several times the bound. A long run
-// of good outcomes then reduces the power against rare faults only slightly.
+// bet places the plug-in bet on an outcome and multiplies the wealth by its result. The plug-in bet maximizes the
+// growth of the logarithm of wealth if the mean equals the mean that the test has seen so far. A new test expects a
+// mean of several times the bound. A long run of good outcomes then reduces the power against rare faults only
+// slightly.
 func (t *bettingTest) bet(outcome, bound float64) {
 	mean := (t.failures + min(maxPriorMean, priorMeanMultiple*bound)) / (t.seen + 1)
 	bet := min(max(0, (mean-bound)/(bound*(1-bound))), 1/bound)
--- a/balancer/series.go
+++ b/balancer/series.go
@@ -11,7 +11,8 @@
 	return times[i:]
 }
 
-// removeTime removes one occurrence of a time from a sorted list, if it was counted there and is still contained.
+// removeTime removes one occurrence of a time from a sorted list, if counted is true and the list still contains the
+// time.
 func removeTime(times []Tick, at Tick, counted bool) []Tick {
 	if i, has := slices.BinarySearch(times, at); has && counted {
 		return slices.Delete(times, i, i+1)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -13,8 +13,8 @@
 // Duration converts the duration to a time.Duration, rounded towards zero.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings are what a site sends to each of its relays at start. They do not change while a relay runs. The zero value
-// of each field is the meaning of a document that lacks the setting; the parser (internal/settings) fills in the few
+// Settings are what a site sends to each of its relays at start. They do not change while a relay runs. A setting that
+// the document lacks means the same as the zero value of its field; the parser (internal/settings) fills in the few
 // defaults that are named below.
 type Settings struct {
 	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; values below 1 count as 1.
@@ -93,7 +93,7 @@
 	MayCancel bool
 	// RetryAfter reports whether clients honour a retry time that is sent with a rejection. Missing: false.
 	RetryAfter bool
-	// MaxRetryAfter is the longest retry time that may be sent. Missing: none.
+	// MaxRetryAfter is the longest retry time that may be sent. Missing: 0, with which no retry time is sent.
 	MaxRetryAfter Seconds
 	// ConnectTimeout is how long establishing a connection to a backend may take. Only the relay's connections read it.
 	// Missing or 0: the longest deadline of a class (set by the parser).
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -10,8 +10,8 @@
 // successes per second, the number of relays, and the times of the attempts within the window.
 //
 // Slow start guards against backends that collapse while they are cold, as after a restart when all relays send to the
-// backend at once. The parts add up to less than the site allows. A part of less than one attempt per window accrues
-// from a random moment on, and leaves room for the random coincidence of several relays.
+// backend at once. The parts add up to less than the site allows. If a relay's part is less than one attempt per
+// window, it accrues from a random moment on, and the parts leave room for the random coincidence of several relays.
 
 const (
 	// slowStartShare is the share of the site's allowance that is used.
@@ -26,7 +26,7 @@
 // warmUp holds the attempts that a backend has been sent while it warms up.
 type warmUp struct {
 	warmUpSends        []Tick  // times of the attempts within the window
-	lastWarmUpSend     Tick    // time of the last attempt, or of the first listing of this process
+	lastWarmUpSend     Tick    // time of the last attempt, or when the backend's present process was first listed
 	warmUpCreditNeeded float64 // fraction of one attempt's budget that must accrue after lastWarmUpSend
 }
 
@@ -55,7 +55,7 @@
 	backend.warmUpSends = dropBefore(backend.warmUpSends, b.now-window-1)
 	budget := b.slowStartBudget(fraction, window)
 	if budget >= 1 {
-		return float64(len(backend.warmUpSends))+1 <= budget // if every relay rounded up, all would send up to twice as much
+		return float64(len(backend.warmUpSends))+1 <= budget // if every relay rounded up, they would send up to twice the limit
 	}
 	return float64(b.now-backend.lastWarmUpSend)*budget >= float64(window)*backend.warmUpCreditNeeded
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -79,9 +79,9 @@
 type requestState uint8
 
 const (
-	requestInFlight requestState = iota // has an attempt in flight, or has just arrived or lost its attempt
-	requestQueued                       // waits for a backend
-	requestAnswered                     // needs no further answer; serveQueue drops the request if it is queued
+	requestInFlight requestState = iota // the request has an attempt in flight, or has just arrived or lost its attempt
+	requestQueued                       // the request waits for a backend
+	requestAnswered                     // the request needs no further answer; serveQueue drops it if it is queued
 )
 
 // Refusal returns the reason why no backend can take the request at the moment.
@@ -155,7 +155,7 @@
 
 	listed            bool
 	inFlight          int
-	waitingSince      Tick      // when the first attempt in flight started after the backend had none
+	waitingSince      Tick      // when an attempt was last started while the backend had none in flight
 	lastAnswer        Tick      // when the backend last showed any sign of life, such as an answer or a reset
 	successTimes      []Tick    // when the last successful attempts ended
 	relativeLatencies []float64 // latencies of the last attempts, as fractions of the time until lateAfter
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -23,13 +23,14 @@
 	// minOutcomesIfSlow is the number of outcomes in a stage that a vote to promote needs while the baseline is slower
 	// than before the rollout or the canary appears slow.
 	minOutcomesIfSlow = 60
-	// minOutcomesTimed is the number of outcomes that a timed vote needs if few relays share the sample.
+	// minOutcomesTimed is the most outcomes that a timed vote needs. With many relays it needs fewer (see
+	// timedVoteDue).
 	minOutcomesTimed = 6
 	// timedVoteAfter is how long a stage must have lasted before a timed vote, which needs fewer outcomes.
 	timedVoteAfter = 3 * Second
 	// minVoteRate replaces a missing rate of votes per second in the settings.
 	minVoteRate = 0.1
-	// voteChanceSteps is the number of steps in which the probability of a vote is drawn.
+	// voteChanceSteps is the resolution of the random draw that decides whether a vote is cast.
 	voteChanceSteps = 1000
 	// minRecastDelay is the minimum time before a vote that may not count is cast again. A random part of recastJitter
 	// is added.
@@ -68,11 +69,11 @@
 
 const (
 	voteNone       voteState = iota // no vote is due
-	voteScheduled                   // cast when due
-	voteSkipped                     // the draw decided against casting; drawn again when due
-	voteCast                        // awaiting the reply; drawn again when due if there is none
-	voteCounted                     // accepted by the release API; drawn again when due, as the vote has then expired
-	voteNotCounted                  // according to the reply it may not count; drawn again when due
+	voteScheduled                   // the vote is cast when due
+	voteSkipped                     // the draw decided against casting the vote; drawn again when due
+	voteCast                        // the vote was cast and awaits its reply; drawn again when due if there is none
+	voteCounted                     // the release API accepted the vote; drawn again when due, as the vote has then expired
+	voteNotCounted                  // according to the reply the vote may not count; drawn again when due
 )
 
 // vote is this relay's vote.
