--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -19,10 +19,10 @@
 
 // assessment collects what a node's readings allow at one moment.
 type assessment struct {
-	timeToEmpty        tick.Tick // at the present load, Never if not foreseeable
-	timeToOverheat     tick.Tick // at the present load, Never if not foreseeable
-	timeToLimitOffered tick.Tick // the lesser of both times, at the offered load
-	migrationTime      tick.Tick // to migrate all instances
+	timeToEmpty        tick.Tick // time until the battery is empty at the present load; Never if not foreseeable
+	timeToOverheat     tick.Tick // time until the machine is too hot at the present load; Never if not foreseeable
+	timeToLimitOffered tick.Tick // the lesser of timeToEmpty and timeToOverheat, at the offered load
+	migrationTime      tick.Tick // time for migrating all instances
 	unknown            []string  // names of unknown readings
 	readings           KeyReadings
 	constraints        []constraint
@@ -113,8 +113,8 @@
 	return 0
 }
 
-// assessOutcomes adds the constraint of a node whose own requests fail: it holds while the detector waits, and is limited
-// until it has recovered.
+// assessOutcomes adds the constraint of a node whose own requests fail: the node holds while the detector waits, and is then
+// limited until the node has recovered.
 func (m *Monitor) assessOutcomes(a *assessment) {
 	switch {
 	case m.failures.waiting(m.now):
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,16 +3,16 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // of full, above empty: less would not suffice for migrating if mains or sun failed
+	holdingCharge    = 0.05 // charge above empty, as a fraction of full: less would not suffice for migrating if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
 	mainsOnThreshold = 0.5  // reading from which mains counts as on
 )
 
 // batteryTotals sums up all batteries of a node.
 type batteryTotals struct {
-	fullJoules      float64 // of full batteries
-	remainingJoules float64 // above the empty level
-	fallRate        float64 // joules per second, by the slope of the charge
+	fullJoules      float64 // energy of full batteries
+	remainingJoules float64 // energy above the empty level
+	fallRate        float64 // joules per second, computed from the slope of the charge
 	draw            float64 // watts out of the batteries
 	measured        bool    // full charge and draw are known for all batteries
 }
@@ -48,8 +48,8 @@
 		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
 		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
-	// A migration runs at full load, which draws more than the present load. drawFactor(1) converts its time to the time in
-	// which the present load draws as much.
+	// A migration runs at full load, which draws more than the present load. drawFactor(1) converts the migration time to the
+	// time in which the present load draws as much.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxClaimShare  = 0.5               // of a zone's nodes may evacuate on claims alone: a version's fault shows in all at once
+	maxClaimShare  = 0.5               // share of a zone's nodes that may evacuate on claims alone: a version's fault shows in all nodes
 	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts, so that nodes cannot evacuate in turns
 )
 
-// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. Guards against a fault that makes all
-// nodes of a zone claim to evacuate, which would empty the zone. Nodes whose cause is in readings that
-// the controller cannot check look the same: half of them evacuate, the others hold the instances they have.
+// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. The check guards against a fault that
+// makes all nodes of a zone claim to evacuate, which would empty the zone. Nodes that claim because of readings that the
+// controller cannot check look the same: half of them evacuate, and the others hold the instances they have.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -17,9 +17,9 @@
 // outcomes without an alarm. Each alarm before the recovery doubles the wait.
 type failureDetector struct {
 	test     sequential.Detector
-	failedAt tick.Tick // of the last alarm; 0 if none or recovered
-	outcomes int       // since the last alarm
-	wait     tick.Tick // from an alarm until the trial
+	failedAt tick.Tick // time of the last alarm; 0 if there was none or the node has recovered
+	outcomes int       // number of outcomes since the last alarm
+	wait     tick.Tick // time from an alarm until the node is tried again
 }
 
 func newFailureDetector() failureDetector {
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -12,28 +12,28 @@
 	maxDwell   = 960 * tick.Second // falls soon after a rise double the dwell time up to this: at most 8 rises an hour
 )
 
-// hysteresis keeps the reported level from following every reading: the level falls at once and rises after a dwell time,
-// to the lowest level that held during all of that time. It does not rise while a reading is unknown. Guards against
+// hysteresis keeps the reported level from following every reading: the level falls at once and rises after a dwell time, to
+// the lowest level that held during all of that time. It does not rise while a reading is unknown. The dwell time guards against
 // flapping around a limit; the cost is that a node just connected to mains waits a minute for its higher level.
 type hysteresis struct {
 	level     level
 	settled   bool // a level was reported while all readings were known
 	changedAt tick.Tick
-	roseAt    tick.Tick // of the last rise not yet followed by a fall; 0 for none
+	roseAt    tick.Tick // time of the last rise that no fall has followed yet; 0 for none
 	pending   pendingRise
 	dwell     tick.Tick
 }
 
 // pendingRise is a higher level that has not yet held for the dwell time.
 type pendingRise struct {
-	since  tick.Tick // 0 for none
-	lowest level     // the lowest strict target since then
+	since  tick.Tick // when the higher level was first allowed; 0 for none
+	lowest level     // the lowest strict target since that time
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
 // update sets the level. target is the level that the readings allow, strictTarget the level that they allow with riseMargin;
-// unknown says that a reading is unknown.
+// unknown reports whether a reading is unknown.
 func (h *hysteresis) update(now tick.Tick, target, strictTarget level, unknown bool) {
 	switch {
 	case !h.settled: // a process that has just started takes its level without a dwell time
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -48,7 +48,7 @@
 // Monitor assesses the health of one edge node. It is not safe for concurrent use.
 type Monitor struct {
 	settings     settings
-	now          tick.Tick // of the latest call
+	now          tick.Tick // time of the latest call
 	lastAssessed tick.Tick // when Assess was last called
 	series       []*series
 	truncated    bool // there were more readings than maxTrackedReadings
@@ -56,7 +56,7 @@
 	load              float64 // present load, as a fraction of the node's capacity
 	offeredLoad       float64 // load if the node accepted all requests; at least load
 	instances         int
-	stateBytes        int // of all instances
+	stateBytes        int // size of the state of all instances
 	shutdownRequested bool
 
 	hysteresis hysteresis
@@ -147,8 +147,8 @@
 // RecordOutcome records whether one of the node's requests succeeded in time. A rejected request is not an outcome and is
 // not to be recorded.
 //
-// Guards against a node that fails although its readings are good. A bad version looks the same; the relays' votes decide
-// about the version, and until then the only cost is that nodes that would fail new work get none.
+// RecordOutcome guards against a node that fails although its readings are good. A bad version looks the same; the relays'
+// votes decide about the version, and until then the only cost is that nodes that would fail new work get none.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, maxOwnFailureShare)
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -12,12 +12,12 @@
 
 // The kinds of readings.
 const (
-	KindCharge          Kind = "charge"   // of a battery, as a fraction of full: 0 to 1
-	KindFullCharge      Kind = "full"     // of a battery, in joules
+	KindCharge          Kind = "charge"   // charge of a battery, as a fraction of full: 0 to 1
+	KindFullCharge      Kind = "full"     // full charge of a battery, in joules
 	KindDraw            Kind = "draw"     // watts out of a battery; below 0 while it charges
 	KindCharging        Kind = "charging" // 1 if a battery charges, 0 if not
-	KindMains           Kind = "mains"    // 1 if supplied from outside, 0 if not
-	KindTemperature     Kind = "temp"     // degrees C; at Limit the machine shuts itself down
+	KindMains           Kind = "mains"    // 1 if the node is supplied from outside, 0 if not
+	KindTemperature     Kind = "temp"     // degrees C; at Reading.Limit the machine shuts itself down
 	KindCellTemperature Kind = "cell"     // degrees C inside a battery
 	KindThrottle        Kind = "throttle" // 0 to 1: the fraction by which the machine slows itself because of heat
 	KindLid             Kind = "lid"      // 1 open, 0 shut
@@ -26,11 +26,11 @@
 
 // Reading is one value from a sensor or gauge, or the reason why it could not be read.
 type Reading struct {
-	Name   string // of the source, such as BAT0; Name and Kind together identify a reading over time
+	Name   string // name of the source, such as BAT0; Name and Kind together identify a reading over time
 	Kind   Kind
 	Value  float64
-	Limit  float64   // of a temperature, 0 for none
-	Age    tick.Tick // of the value when it is passed to the Monitor
+	Limit  float64   // limit of a temperature; 0 for none
+	Age    tick.Tick // age of the value when the reading is passed to the Monitor
 	OK     bool      // whether the value was read
 	Reason string    // why the value was not read
 }
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -10,7 +10,8 @@
 	"silvercove/internal/tick"
 )
 
-// ReportVersion is the version of the reports that this program writes. Of a later version the known fields are used.
+// ReportVersion is the version of the reports that this program writes. Of a report of a later version, only the known fields
+// are used.
 const ReportVersion = 1
 
 // Never stands for a forecast time that is not foreseeable.
@@ -24,15 +25,15 @@
 type Report struct {
 	Version            int         `json:"v"`
 	State              State       `json:"state"`
-	AcceptFraction     float64     `json:"share"`             // fraction of its instance slots that it offers to new instances
-	Risk               float64     `json:"danger"`            // of failing, 0 to 1
+	AcceptFraction     float64     `json:"share"`             // fraction of the node's instance slots that it offers to new instances
+	Risk               float64     `json:"danger"`            // risk of failing, 0 to 1
 	SpareCapacity      int         `json:"room"`              // further instances that the node can take
-	LastResortCapacity int         `json:"serves"`            // instances that it could keep serving if its whole zone had to evacuate
+	LastResortCapacity int         `json:"serves"`            // instances that the node could keep serving if its whole zone had to evacuate
 	Reasons            []string    `json:"reasons,omitempty"` // sentences, the deciding one first
-	TimeToEmpty        tick.Tick   `json:"empty"`             // of the battery at the present load: a lower bound, or Never
-	TimeToOverheat     tick.Tick   `json:"hot"`               // at the present load: a lower bound, or Never
-	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of both times, at the offered load
-	MigrationTime      tick.Tick   `json:"need"`              // to migrate all instances of the node
+	TimeToEmpty        tick.Tick   `json:"empty"`             // time until the battery is empty at the present load: a lower bound, or Never
+	TimeToOverheat     tick.Tick   `json:"hot"`               // time until the machine is too hot at the present load: a lower bound, or Never
+	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of TimeToEmpty and TimeToOverheat, at the offered load
+	MigrationTime      tick.Tick   `json:"need"`              // time for migrating all instances of the node
 	UnknownReadings    []string    `json:"unknown,omitempty"` // names of readings that are unknown
 	ShutdownRequested  bool        `json:"ends,omitempty"`    // the node was told to shut down: a fact, not a forecast
 	Readings           KeyReadings `json:"shown"`             // the readings behind the state
@@ -42,8 +43,8 @@
 
 // KeyReadings holds the readings behind a report. Unknown readings are nil.
 type KeyReadings struct {
-	Charge           *float64 `json:"charge,omitempty"` // of all batteries, as a fraction of full above the empty level: 0 is empty
-	FullCharge       *float64 `json:"full,omitempty"`   // of all batteries, in joules
+	Charge           *float64 `json:"charge,omitempty"` // charge of all batteries above the empty level, as a fraction of full: 0 is empty
+	FullCharge       *float64 `json:"full,omitempty"`   // full charge of all batteries, in joules
 	Draw             *float64 `json:"draw,omitempty"`   // watts out of all batteries
 	Mains            *bool    `json:"mains,omitempty"`
 	Temperature      *float64 `json:"temp,omitempty"`  // degrees C, of the sensor closest to its limit
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -15,9 +15,9 @@
 	jumpConfirmTime     = 60 * tick.Second // how long values must stay near a jump's target: the window of a temperature slope
 	jumpMinMoves        = 2                // how often values must change in jumpConfirmTime, as those of a working sensor do
 	minStuckTime        = 30 * tick.Second // least time without a change after which a reading counts as stuck
-	stuckIntervalFactor = 10.0             // the same as a multiple of its mean interval between changes; the longer time counts
-	stuckMinMoves       = 8                // changes from which the mean interval counts as known
-	stuckDrainShare     = 0.03             // of the full charge drawn while the charge reads the same: 3 steps of the coarsest gauge
+	stuckIntervalFactor = 10.0             // like minStuckTime, as a multiple of the mean interval between changes; the longer time counts
+	stuckMinMoves       = 8                // number of changes from which the mean interval counts as known
+	stuckDrainShare     = 0.03             // share of the full charge drawn while the charge reads the same: 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // standard errors of a slope: one-sided 95% confidence bound
 	maxSamples          = 32               // most samples of a regression
 	minSamples          = 12               // fewest samples of a regression
@@ -29,10 +29,10 @@
 	name         string
 	kind         Kind
 	limit        float64
-	times        []tick.Tick // of the values, the newest last
+	times        []tick.Tick // times of the values, the newest last
 	values       []float64
 	rejectReason string    // why the last reading was rejected, "" if it was accepted
-	lastReadAt   tick.Tick // of the last reading, accepted or not
+	lastReadAt   tick.Tick // time of the last reading, accepted or not
 
 	jump             jump
 	movement         movement
@@ -43,9 +43,9 @@
 
 // jump records the values since a reading jumped, while they stay near each other.
 type jump struct {
-	since   tick.Tick // 0 for none
+	since   tick.Tick // time of the jump; 0 for none
 	value   float64   // the newest value
-	valueAt tick.Tick // of value
+	valueAt tick.Tick // when value was read
 	moves   int       // changes of value since the jump
 }
 
@@ -86,8 +86,8 @@
 
 // acceptNext reports whether a value may follow the last one, and records whether the reading changed.
 //
-// Guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut down. A
-// swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value and
+// acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
+// down. A swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value and
 // changed there.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
@@ -109,7 +109,7 @@
 }
 
 // confirmJump reports whether the values have stayed near the jump's target for jumpConfirmTime and have changed at least
-// jumpMinMoves times meanwhile.
+// jumpMinMoves times in that period.
 func (s *series) confirmJump(at tick.Tick, value float64, limits bounds) bool {
 	j := &s.jump
 	if j.since == 0 || limits.isJump(j.value, value, at-j.valueAt) {
@@ -158,9 +158,10 @@
 // unknownReason returns why the reading is unknown now, or "" if it is known. fullCharge is the full charge of the battery
 // that the reading belongs to, in joules; 0 if unknown or without a battery.
 //
-// Guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge that keeps its
-// value looks the same; the cost is that the node takes no new instances until the value changes. The check of
-// temperatures and draw skips a node that has been idle since the last change, or an idle node would never get work again.
+// unknownReason guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge that
+// keeps its value looks the same; the cost is that the node takes no new instances until the value changes. The check of
+// temperatures and draw skips a node that has been idle since the last change, because otherwise an idle node would never get
+// work again.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
 	if !s.known() {
 		return s.rejectReasonOr("no value yet")
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -54,7 +54,7 @@
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // a node without instances cools down
+	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // no lower: a node without instances cools down
 	if s.limit > 0 && value >= s.limit {
 		at = levelShuttingDown // the machine is about to shut itself down
 	}
--- a/internal/devicepower/files.go
+++ b/internal/devicepower/files.go
@@ -15,7 +15,7 @@
 
 const (
 	maxFileBytes  = 4096 // a page, the most that the kernel returns for an attribute
-	maxDirEntries = 256  // names read of one folder
+	maxDirEntries = 256  // most names that are read of one folder
 )
 
 // fileSource reads files below a root folder. Its errors name the file without its folder.
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -13,8 +13,8 @@
 	micro          = 1e-6
 	secondsPerHour = 3600
 
-	// maxAgedCharge is a fraction of full: the gauge of an aged battery may report a charge above its full charge, which
-	// counts as full if below this.
+	// maxAgedCharge is a fraction of the full charge. The gauge of an aged battery may report a charge above the full charge;
+	// below maxAgedCharge, such a charge counts as full.
 	maxAgedCharge = 1.1
 )
 
@@ -52,8 +52,8 @@
 	return readBattery(d, name)
 }
 
-// readBattery reads a battery. A reading whose files do not exist is left out; if it was there before, the Reader reports it
-// as gone.
+// readBattery reads a battery. A reading whose files do not exist is left out; if the reading was OK in an earlier pass, the
+// Reader reports it as gone.
 func readBattery(d device, name string) (readings []devicehealth.Reading) {
 	microvolts, voltsErr := d.number("voltage_now")
 	if voltsErr == nil && !(microvolts > 0) {
--- a/internal/devicepower/radio.go
+++ b/internal/devicepower/radio.go
@@ -2,7 +2,7 @@
 
 import "silvercove/internal/devicehealth"
 
-// radioUnblocked is the state of an rfkill switch whose radio is on; 0 is blocked by software, 2 by hardware.
+// radioUnblocked is the state of an rfkill switch whose radio is on; 0 means blocked by software, and 2 blocked by hardware.
 const radioUnblocked = 1
 
 // readRadios reads from the folder rfkill whether each data radio is on. Without the folder, no radio is expected.
--- a/internal/devicepower/reader.go
+++ b/internal/devicepower/reader.go
@@ -25,7 +25,7 @@
 type timedReading struct {
 	devicehealth.Reading
 	at    time.Time
-	wasOK bool // it was OK before, so that it is reported as gone if it disappears
+	wasOK bool // the reading has been OK at least once, so it is reported as gone if it disappears
 }
 
 // Open returns a Reader of a root folder with power_supply, thermal and rfkill. With root "", as of an operator's file that
--- a/internal/devicepower/thermal.go
+++ b/internal/devicepower/thermal.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxTripPoints  = 32   // read of one thermal zone
+	maxTripPoints  = 32   // most trip points that are read of one thermal zone
 	milliPerDegree = 1000 // the files have thousandths of a degree
 	maxTripDegrees = 200  // degrees C: a trip point above this, or not above 0, is not in use
 )
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -13,25 +13,25 @@
 const (
 	rateWindow           = 1.0             // seconds over which the rate of offered requests is measured
 	admittedWindow       = 4.0             // seconds over which the admitted work is compared with the target
-	maxRetryAfterExtra   = 4 * tick.Second // added to a Retry-After if nearly all requests are shed
-	minRetryAfter        = tick.Second     // Retry-After if few requests are shed; at the least half of it
+	maxRetryAfterExtra   = 4 * tick.Second // most that is added to minRetryAfter, reached if nearly all requests are shed
+	minRetryAfter        = tick.Second     // longest Retry-After if few requests are shed; the shortest is half of it
 	maxClasses           = 64              // request classes that are tracked; others are always admitted
 	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
-	minServiceTime       = 1e-3            // seconds, for one request
+	minServiceTime       = 1e-3            // seconds: least work that one request counts as
 	defaultServiceTime   = 0.01            // seconds, for one request of a class that no backend has answered yet
 )
 
 // admission holds the admitted fractions and the thresholds that implement them.
 type admission struct {
-	localFraction     float64 // admitted by this process's own capacity
-	sharedFraction    float64 // admitted by the backends' capacity
+	localFraction     float64 // fraction of the offered work that this process's own capacity admits
+	sharedFraction    float64 // fraction of the offered work that the backends' capacity admits
 	pressureUpdatedAt tick.Tick
 
 	targetWork   float64 // seconds of work that the thresholds were to admit, decayed over admittedWindow
-	admittedWork float64 // seconds of work that they did admit, decayed likewise
+	admittedWork float64 // seconds of work that the thresholds did admit, decayed over admittedWindow
 
 	classes    []classState
-	byPriority []int // indexes of classes; those to be shed first come last
+	byPriority []int // indexes of classes; the classes to be shed first come last
 }
 
 // classState is the state of one request class. Its counts decay over rateWindow.
@@ -70,8 +70,9 @@
 }
 
 // admittedShare returns the part of the target work that was admitted. Tenants that are shed send their requests again and
-// tenants that are admitted do not, so after a while most of the offered work belongs to tenants that are shed. This guards
-// against a fraction that is cut below the backends' capacity again and again for as long as shed tenants come back.
+// tenants that are admitted do not, so after a while most of the offered work belongs to tenants that are shed.
+// admittedShare guards against an admitted fraction that falls below the backends' capacity again and again for as long as
+// shed tenants come back.
 func (a *admission) admittedShare() float64 {
 	if a.targetWork <= 0 {
 		return 1
@@ -111,10 +112,10 @@
 
 // Admit reports whether a request is admitted and, if not, after which time its client should come back.
 //
-// The classes with the lowest priority weight are shed first and, among equals, the class with more work per request. A
-// class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same at all relays,
-// so that a tenant's many requests are admitted or shed together. The floor's share of the tenants is always admitted, so
-// that no class starves.
+// The classes with the lowest priority weight are shed first and, among classes of equal weight, the class with more work
+// per request. A class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same at
+// all relays, so that a tenant's many requests are admitted or shed together. The share of the tenants that the admission
+// floor sets is always admitted, so that no class starves.
 func (m *Manager) Admit(now tick.Tick, class int, priorityWeight float64, tenant string) (admitted bool, retryAfter tick.Tick) {
 	m.advance(now)
 	a := &m.admission
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// A report on the wire is a version followed by fields: a number, a length and the data. A later version may add fields,
-// which relays that do not know them keep, and may append data to a field, except to a list.
+// A report on the wire is a version followed by fields: a number, a length and the data. A later version may add fields, and
+// may append data to a field that is not a list. Relays keep the fields that they do not know.
 const (
 	fieldUptime = 1 + iota
 	fieldFractions
@@ -24,18 +24,18 @@
 	uptimeSize      = 8
 	fractionsSize   = 8
 	budgetSize      = 16
-	workSize        = 4  // of one class
-	verdictSize     = 10 // of one backend
-	evidenceSize    = 10 // of one backend
+	workSize        = 4  // bytes of one class
+	verdictSize     = 10 // bytes of one backend
+	evidenceSize    = 10 // bytes of one backend
 
 	verdictAgeUnit  = tick.Second / 100
 	evidenceAgeUnit = tick.Second / 10
-	maxVerdictAge   = math.MaxUint16 / 2 // in units; the lowest of the 16 bits is the verdict
-	maxEvidenceAge  = math.MaxUint8      // in units
+	maxVerdictAge   = math.MaxUint16 / 2 // in units of verdictAgeUnit; the lowest of the 16 bits is the verdict
+	maxEvidenceAge  = math.MaxUint8      // in units of evidenceAgeUnit
 )
 
-// Encode returns the report as a message of at most MaxReportSize bytes. Values are rounded, ages to 0.01 s for verdicts
-// and to 0.1 s for evidence.
+// Encode returns the report as a message of at most MaxReportSize bytes. Values are rounded. Ages are rounded down to 0.01 s
+// for verdicts and to 0.1 s for evidence.
 func (r Report) Encode() []byte {
 	b := make([]byte, 1, MaxReportSize)
 	b[0] = ReportVersion
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -6,15 +6,16 @@
 type ListenerLimits struct {
 	// MaxSessions is the number of sessions that are served.
 	MaxSessions int
-	// SpareSessions is the number of sessions beyond MaxSessions, which are accepted to reject their requests or to finish
-	// closing: without them, no client could be told why it is rejected.
+	// SpareSessions is the number of sessions that are accepted beyond MaxSessions, to reject their requests or to finish
+	// closing. Without spare sessions, no client could be told why it is rejected.
 	SpareSessions int
-	// MaxIdle is how many sessions may be idle, and how many may have an incomplete message; clients open few connections.
+	// MaxIdle is how many sessions may be idle, and also how many may have an incomplete message. Few are needed, as clients
+	// open few connections.
 	MaxIdle int
 	// MaxRequests is how many requests may be open at once over all sessions: each takes a buffer.
 	MaxRequests int
-	// MaxPipelined is how many replies one session may wait for. While it waits for that many, nothing more is read from
-	// it.
+	// MaxPipelined is how many replies one session may wait for. While a session waits for that many, nothing more is read
+	// from the session.
 	MaxPipelined int
 	// IdleTimeout is how long a session may be idle, and the least time that it has for its first request.
 	IdleTimeout time.Duration
@@ -33,12 +34,12 @@
 
 // LimitsFor returns the limits of a listener that has the given number of sessions.
 //
-// An eighth of the sessions is spare, so that the relay still accepts and answers when all others are taken: a smaller
-// spare part is used up by one burst of connections within a round trip, and a larger one would reduce the number of
-// sessions served. A quarter of the rest may be idle: a session that waits between two requests is cheap to
-// reopen, and more of them would take the slots of sessions with requests. There are four requests per session: clients
-// send a few at once, and a session that holds more is a queue. MaxPipelined, the limit of a single session, is larger, as
-// some clients write all their requests at once, but no session may take all requests.
+// An eighth of the sessions is spare, so that the relay still accepts and answers when all others are taken: a smaller spare
+// part is used up by one burst of connections within a round trip, and a larger one would reduce the number of sessions
+// served. A quarter of the rest may be idle: a session that waits between two requests is cheap to reopen, and more idle
+// sessions would take the slots of sessions with requests. There are four requests per session: clients send a few at once,
+// and a session that holds more is a queue. MaxPipelined, the limit of a single session, is larger, as some clients write
+// all their requests at once, but no session may take all requests.
 func LimitsFor(sessions int) ListenerLimits {
 	served := sessions - sessions/spareDivisor
 	return ListenerLimits{
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -8,8 +8,8 @@
 //
 // Without other relays (the setting fleet.relays is at most 1, and no other relay was ever heard of), a Manager is
 // standalone: it admits every request, retry and probe, and nothing waits. A relay that has heard of no other relay for
-// isolationTimeout is isolated: it admits every request and nothing waits, as when standalone, but its retry budget, which
-// then depends on its own first attempts alone, and the rate of its probes still apply.
+// isolationTimeout is isolated: it admits every request and nothing waits, as when standalone. Its retry budget and the rate
+// of its probes still apply; the budget then depends on the relay's own first attempts alone.
 //
 // Files: manager.go (time and randomness), peers.go (state of the other relays), pressure.go and admission.go (load
 // shedding), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (detection of failing backends),
@@ -47,9 +47,9 @@
 	budget    retryBudget
 
 	suspects        map[uint64]*suspectBackend // by the hash of the backend's name
-	byVerdict       []*suspectBackend          // the same backends, the one with the newest verdict last
+	byVerdict       []*suspectBackend          // the backends in suspects, the one with the newest verdict last
 	window          outcomeWindow
-	retryAfterPhase float64 // of the last Retry-After, from 0 to 1
+	retryAfterPhase float64 // phase of the last Retry-After, from 0 to 1
 }
 
 // NewManager returns the Manager of the relay named self, which starts now. It reads the directives fleet.relays,
@@ -102,7 +102,7 @@
 // standalone reports whether there is no fleet.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
-// isolated reports whether there is no fleet, or none that this relay hears of.
+// isolated reports whether there is no fleet, or this relay has heard of no other relay for isolationTimeout.
 func (m *Manager) isolated() bool {
 	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -27,11 +27,11 @@
 	ejectionLogOdds = 6.9
 	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
 	commonFailureRate = 0.3
-	// windowSize is how many of this relay's last outcomes the failure rate at other backends is taken from. The rate
-	// is computed over minWindowOutcomes at least: with fewer outcomes, it comes out low.
+	// windowSize is the number of this relay's last outcomes from which the failure rate at other backends is computed. The
+	// divisor of the rate is at least minWindowOutcomes: with fewer outcomes, the rate comes out low.
 	windowSize        = 64
 	minWindowOutcomes = 5
-	// evidenceTTL is how long an outcome counts.
+	// evidenceTTL is how long an outcome counts as evidence.
 	evidenceTTL = 10 * tick.Second
 	// maxDoublingsPerSec bounds how often per second the number of relays that use an ejected backend again may double: the
 	// backend is taken back within seconds, but not at once.
@@ -49,8 +49,8 @@
 const (
 	healthyRun = 2 // successes in a row for a verdict of healthy
 	failingRun = 2 // failures in a row for a verdict of failing
-	// maxRunProbability bounds the probability of such a run of failures at a backend that fails as often as the others:
-	// for a verdict of failing, the probability must be lower.
+	// maxRunProbability bounds the probability that a backend that fails as often as the others has such a run of failures by chance.
+	// For a verdict of failing, the probability must be lower.
 	maxRunProbability = 1.0 / 8
 )
 
@@ -62,14 +62,14 @@
 
 	// The verdict, which relays of an earlier version use.
 	healthy    bool
-	ownVerdict bool      // made by this relay; a received one is not passed on, as it would look like the verdict of many relays
+	ownVerdict bool      // made by this relay; a received verdict is not passed on, as it would look like that of many relays
 	verdictAt  tick.Tick // when the verdict was made, here or at another relay
-	successRun int       // this relay's outcomes in a row
+	successRun int       // this relay's successes in a row
 	failureRun int
 
 	// Probing.
 	nextProbe    tick.Tick // earliest time at which this relay may probe
-	lastProbe    tick.Tick // 0 if never
+	lastProbe    tick.Tick // when this relay last probed; 0 if never
 	higherRanked int       // living peers that rank before this relay for the backend
 	prober       bool      // this relay was one of the backend's probers at the last check
 
@@ -170,7 +170,7 @@
 		return
 	case b == nil: // the failure that makes a backend a suspect is no evidence: it was selected for being a failure
 		b = m.addSuspect(o.backend)
-		b.healthy = true // until a verdict is made
+		b.healthy = true // the backend counts as healthy until a verdict is made
 	default:
 		copy(b.ownOutcomes[:], b.ownOutcomes[1:])
 		b.ownOutcomes[maxOutcomesPerRelay-1] = o
@@ -194,8 +194,8 @@
 	}
 }
 
-// addSuspect adds a backend to the suspects. If there are too many, it drops the one with the oldest verdict, of those that
-// are not ejected if there are any.
+// addSuspect adds a backend to the suspects. If there are maxSuspects already, it drops the one with the oldest verdict
+// among those that are not ejected, or among all if all are ejected.
 func (m *Manager) addSuspect(backend uint64) *suspectBackend {
 	if len(m.suspects) >= maxSuspects {
 		i := max(0, slices.IndexFunc(m.byVerdict, func(b *suspectBackend) bool { return !b.ejected }))
@@ -219,10 +219,10 @@
 	return b
 }
 
-// IsEjected reports whether this relay is to avoid a backend that its own balancer does not hold to be failing: by the
-// recent counts of all relays, the backend fails most of its attempts. Otherwise each relay would find out for itself by
-// attempts that fail, which takes longer the more relays there are. A backend that fails for a part of the relays only
-// stays in use at the others.
+// IsEjected reports whether this relay is to avoid a backend because, by the recent counts of all relays, the backend fails
+// most of its attempts. The relay's own balancer need not hold the backend to be failing. Without this method each relay
+// would find out for itself by attempts that fail, which takes longer the more relays there are. A backend that fails for a
+// part of the relays only stays in use at the others.
 func (m *Manager) IsEjected(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.isolated() || len(m.suspects) == 0 {
@@ -252,8 +252,8 @@
 // The report of one relay, true or not, contributes less than half of what an ejection takes; three relays suffice if none
 // gets answers. Outcomes, including successes, count only from the time when the backend became a suspect at a relay, so
 // that no relay's choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until
-// successes outweigh failures by what one relay can contribute. Meanwhile the number of relays that use it rises with each
-// round of reports, so that they do not all return at once.
+// successes outweigh failures by what one relay can contribute. Until then, the number of relays that use the backend rises
+// with each round of reports, so that the relays do not all return at once.
 func (m *Manager) assessEvidence(b *suspectBackend) odds {
 	baseline := min(max(minBaselineRate, baselineMultiple*m.failureRateElsewhere(b)), maxBaselineRate)
 	perFailure := math.Log(failingRate / baseline)
@@ -277,7 +277,7 @@
 }
 
 // updatePermittedRelays computes how many relays may use the backend: each success doubles their number, and so does each
-// failure that expires without another one, at a bounded rate.
+// failure that expires without a new one. maxDoublingsPerSec bounds the rate.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
 	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
--- a/internal/overload/outlier_test.go
+++ b/internal/overload/outlier_test.go
@@ -172,8 +172,8 @@
 }
 
 // TestIsEjected_TakenBackGradually: all relays together try a backend that all have ejected at most fleet.probes times per
-// second. Once it answers, they take it back within seconds but not at once. Before, false successes from one relay have
-// little effect.
+// second. Once it answers, they take it back within seconds but not at once. Before it answers, false successes from one
+// relay have little effect.
 func TestIsEjected_TakenBackGradually(t *testing.T) {
 	const backend, n = "unit-7", 100
 	f := newTestFleet(n, nil)
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -10,7 +10,7 @@
 // outcomeTally counts the outcomes at a backend that are reported by the relays whose newest outcome there falls in one
 // second.
 type outcomeTally struct {
-	second    tick.Tick // of the newest outcome
+	second    tick.Tick // second of the newest outcome
 	failures  int
 	successes int
 }
@@ -18,7 +18,7 @@
 // peerEvidence is what one other relay counts at one backend. The zero value counts nothing.
 type peerEvidence struct {
 	suspect   *suspectBackend
-	second    tick.Tick // of its newest outcome
+	second    tick.Tick // second of the newest outcome
 	failures  int
 	successes int
 }
@@ -50,7 +50,7 @@
 	return failures, successes
 }
 
-// replaceEvidence replaces what the relay counted before by what it counts now.
+// replaceEvidence replaces the evidence that the peer reported last by its new evidence.
 func (p *peer) replaceEvidence(all []peerEvidence) {
 	for i := range p.evidence {
 		p.evidence[i].addToTally(-1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// applyEvidence replaces what another relay counts at backends. A relay of an earlier version reports verdicts only, which
-// are converted.
+// applyEvidence replaces the evidence of another relay by that of its new report. A relay of an earlier version reports
+// verdicts only, which are converted to evidence.
 func (m *Manager) applyEvidence(p *peer, madeAt tick.Tick, report Report) {
 	reported := report.Evidence
 	if reported == nil {
@@ -80,7 +80,7 @@
 		}
 		b := m.suspects[e.Backend]
 		if b == nil && e.Failures == 0 && e.Successes > 0 {
-			continue // no relay known to this one suspects the backend
+			continue // this relay does not suspect the backend, and successes give no reason to
 		}
 		if b == nil {
 			b = m.addSuspect(e.Backend)
@@ -105,8 +105,8 @@
 }
 
 // evidenceToReport returns what this relay counts at the suspected backends that look worst by the counts of the other
-// relays. The selection must not depend on the own outcomes that are reported with it: backends would look worse than they
-// are.
+// relays. The selection must not depend on this relay's own outcomes, which are reported: otherwise backends would look
+// worse than they are.
 func (m *Manager) evidenceToReport() []Evidence {
 	type candidate struct {
 		Evidence
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -13,7 +13,7 @@
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
 	departedTTL      = 60 * tick.Second // a relay that left or died is kept this long, so that its credit passes to its successor only once
 	maxPeers         = 1 << 14
-	fractionBuckets  = 256 // of the histogram of the peers' admitted fractions, for their median
+	fractionBuckets  = 256 // buckets of the histogram of the peers' admitted fractions, from which the median is taken
 )
 
 // PeerState is the state of a peer in the fleet's membership. Values other than those below mean that the peer is alive.
@@ -30,29 +30,29 @@
 // PeerUpdate is what is known of another relay.
 type PeerUpdate struct {
 	Name        string
-	Incarnation uint64 // of the relay's process; a larger one means a restart, a smaller one an old copy of an update, which is ignored
+	Incarnation uint64 // number of the relay's process; a larger one means a restart, a smaller one an outdated update, which is ignored
 	Report      Report
-	Age         tick.Tick // of the report; a negative age counts as 0
+	Age         tick.Tick // age of the report; a negative age counts as 0
 	State       PeerState
 }
 
 // peer is the state kept of another relay.
 type peer struct {
-	id              uint64 // hash of its name
+	id              uint64 // hash of the peer's name
 	incarnation     uint64
 	state           PeerState
-	alive           bool // as counted in the ranks of the suspected backends
+	alive           bool // whether the ranks for the suspected backends count the peer as alive
 	departedAt      tick.Tick
-	creditInherited bool // its retry credit has passed to its successor, which may be another relay
+	creditInherited bool // the peer's retry credit has passed to its successor, which need not be this relay
 
 	report     Report
 	hasReport  bool
-	reportedAt tick.Tick // when its report was made
+	reportedAt tick.Tick // when report was made
 	fresh      bool      // the report is counted in the fleet's sums
 	queueIndex int       // index in fleetView.fresh
 	bucket     int       // index in fleetView.fractionHistogram; noBucket if the peer is not counted there
 
-	evidence [maxEvidence]peerEvidence // as counted in the tallies of the suspected backends
+	evidence [maxEvidence]peerEvidence // the peer's evidence as counted in the tallies of the suspected backends
 }
 
 const noBucket = -1
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -8,7 +8,7 @@
 
 const (
 	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms; an event loop whose timers fire this late is at its limit
-	maxUtilization     = 0.9                     // of CPU and memory
+	maxUtilization     = 0.9                     // fraction of CPU or memory in use at which the pressure is 1
 	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
 	completedMargin    = 1.25                    // this multiple of the completed work is always admitted, so that backends never lack work
 	decreaseRate       = 2.0                     // per second: relative decrease of the admitted fraction for each 1 of pressure above 1
@@ -42,8 +42,8 @@
 // fraction moves toward the median of the relays that have requests, so that all relays shed alike.
 //
 // This guards against an overload that each relay handles on its own, some by rejections and others by queues. A backend or
-// a link that is slow for this relay alone looks the same as an overload; the pull toward the higher fractions of the other
-// relays does harm in that case.
+// a link that is slow for this relay alone looks the same as an overload; in that case, the pull toward the higher fractions
+// of the other relays does harm.
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -28,10 +28,11 @@
 
 // AllowProbe reports whether this relay may try a backend that it holds to be failing, with an attempt or a probe.
 //
-// Few relays may, chosen by rendezvous hashing over the living relays: when one falls silent, the next takes over, and each
-// side of a network partition has its own. The other relays learn the results from them. If a large part of the outcomes at
-// other backends are failures, as in an overload or under a bad version, no single backend is to blame, and each relay
-// tries for itself; a backend that was ejected before stays ejected until it answers.
+// Only a few relays may try the backend. They are chosen by rendezvous hashing over the living relays: when one of them
+// falls silent, the next relay takes over, and each side of a network partition has probers of its own. The other relays
+// learn the results from the probers. If a large part of the outcomes at other backends are failures, as in an overload or
+// under a bad version, no single backend is to blame, and each relay tries the backend for itself. A backend that was
+// ejected earlier stays ejected until it answers.
 //
 // This guards against hundreds of relays that each try a backend that fails for all of them. It does harm if the backend
 // fails for the few probers alone.
@@ -64,8 +65,8 @@
 	return m.allowFallbackProbe(b, interval)
 }
 
-// allowEjectedProbe is AllowProbe for an ejected backend. As many relays try the backend as may use it; while it does not
-// answer, their combined rate does not rise with their number.
+// allowEjectedProbe is AllowProbe for an ejected backend. As many relays may try the backend as permittedRelays says. While
+// the backend does not answer, the combined rate of these relays does not rise with their number.
 func (m *Manager) allowEjectedProbe(b *suspectBackend, o odds, interval tick.Tick) bool {
 	if !o.anySuccess {
 		interval = tick.Tick(float64(interval) * max(1, b.permittedRelays/probersPerBackend))
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -10,14 +10,14 @@
 // Report is the state that a relay sends to the other relays. Fractions are from 0 to 1; work is in seconds of work per
 // second.
 type Report struct {
-	Uptime         tick.Tick  // since the relay's start
+	Uptime         tick.Tick  // time since the relay's start
 	LocalFraction  float64    // part of the offered work that the relay admits by its own capacity
-	SharedFraction float64    // part of the offered work that it admits by the backends' capacity
-	CompletedWork  float64    // work that backends completed for it
-	FirstAttempts  float64    // per second
-	RetryCredit    float64    // retries that it may make
-	SpilledCredit  float64    // retries that it could not keep, since its start
-	OfferedWork    []float64  // by request class; the first 12
+	SharedFraction float64    // part of the offered work that the relay admits by the backends' capacity
+	CompletedWork  float64    // work that backends completed for the relay
+	FirstAttempts  float64    // first attempts per second
+	RetryCredit    float64    // retries that the relay may make
+	SpilledCredit  float64    // retries that the relay could not keep, since its start
+	OfferedWork    []float64  // work offered to the relay, by request class; the first 12 classes
 	Verdicts       []Verdict  // newest first, at most 8; used by relays of an earlier version
 	Evidence       []Evidence // on the suspected backends that look worst, at most 6; nil if the relay is of an earlier version
 	UnknownFields  []byte     // fields of a later version, as received
@@ -36,7 +36,7 @@
 	Backend   uint64 // hash of the backend's name
 	Failures  int
 	Successes int
-	Age       tick.Tick // of the newest outcome
+	Age       tick.Tick // age of the newest outcome
 }
 
 // Bounds of a report.
@@ -46,7 +46,7 @@
 	maxReportClasses    = 12
 	maxVerdicts         = 8
 	maxEvidence         = 6
-	maxOutcomesPerRelay = 2 // at one backend: as much as a relay can contribute for or against it
+	maxOutcomesPerRelay = 2 // outcomes at one backend: the most that a relay can contribute for or against the backend
 	maxUnknownBytes     = 64
 	maxRate             = 1e9
 	maxSpilled          = 1e15
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -8,7 +8,7 @@
 
 const (
 	budgetWindow = 10.0 // seconds of first attempts whose retries may be saved up
-	earnedShare  = 0.95 // part of the share that is credited, so that what dead relays pass on does not take the fleet above the share
+	earnedShare  = 0.95 // part of the share that is credited: credit that dead relays pass on then does not take the fleet above the share
 )
 
 // retryBudget is this relay's part of the fleet's retry budget.
@@ -19,13 +19,13 @@
 // it died passes to one successor.
 //
 // The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single backend,
-// where retries cost little; this does harm if more attempts than the budget allows fail there before the backend is
+// where retries cost little; the limit does harm if more attempts than the budget allows fail there before the backend is
 // ejected.
 type retryBudget struct {
 	share         float64 // retries per first attempt
-	credit        float64 // retries that may be made
-	spilled       float64 // retries that could not be kept, since the start
-	firstAttempts float64 // decayed over budgetWindow
+	credit        float64 // retries that the relay may make
+	spilled       float64 // retries that the relay could not keep, since its start
+	firstAttempts float64 // number of first attempts, decayed over budgetWindow
 }
 
 // limit returns the credit that may be saved up, which is next to nothing for a relay that has just started.
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// applyVerdicts adopts the newer verdicts of another relay, which it reported at madeAt.
+// applyVerdicts adopts the verdicts that another relay reported at madeAt, if they are newer than those held here.
 func (m *Manager) applyVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
 		b := m.suspects[v.Backend]
