--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -74,8 +74,8 @@
 	for _, c := range []struct {
 		name    string
 		timeout Tick
-		// most is how many of 600 requests may be rejected until sixteen answers (minLatencySample), at most one in each
-		// lateAttemptInterval, show that such clients can be served.
+		// most is how many of 600 requests may be rejected before sixteen answers (minLatencySample) show that such clients
+		// can be served. At most one of these answers comes in each lateAttemptInterval.
 		most int
 	}{{"long deadline", 2 * Second, 0}, {"below the longest estimate", 35 * Second / 100, 30}, {"hardly any time", 15 * Second / 100, 60}} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -19,7 +19,7 @@
 //   - idempotency.go: which requests may be repeated, and at which backends
 //   - retry.go: retries, cancelled attempts, and failures of a request itself
 //   - latency.go: latency estimates, and which attempts are slow
-//   - exposure.go: how much a canary may get
+//   - exposure.go: how many attempts a canary may get
 //   - rollout.go: the status of a release and the evaluation of a canary, with the tests of package sequential
 //   - evidence.go: which outcomes count for or against a version
 //   - voting.go: the vote on a version
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -33,7 +33,7 @@
 
 // concurrency holds the attempts in flight and the relay's own rates.
 type concurrency struct {
-	attemptsInFlight []*Attempt // in the order in which they started
+	attemptsInFlight []*Attempt // the attempts, in the order in which they started
 	concurrencyLimit float64    // attempts that the relay may have in flight
 	subsetSize       int        // number of backends that the relay chooses from
 	successTimes     []Tick     // times of the successes within rateWindow
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// recordForCanary counts the end of an attempt at the canary in all streams that it belongs to.
+// recordForCanary counts the end of an attempt at the canary in all streams that the attempt belongs to.
 func (b *Balancer) recordForCanary(class int, errored, broken float64) {
 	e := b.evaluation
 	e.samples.resets = appendBounded(e.samples.resets, broken, rareSampleSize)
--- a/balancer/golden_world_test.go
+++ b/balancer/golden_world_test.go
@@ -156,7 +156,7 @@
 	n.sendStatus(false, balancer.Succeeded)
 }
 
-// afterUnlessRestarted calls do after a delay, unless the relay has been restarted by then.
+// afterUnlessRestarted calls do after a delay, unless the relay has been restarted during the delay.
 func (n *simulatedRelay) afterUnlessRestarted(span balancer.Tick, do func()) {
 	incarnation := n.incarnation
 	n.after(span, func() {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -57,7 +57,7 @@
 
 // gossip holds the contents of the next message and when it is due.
 type gossip struct {
-	gossipCounts []GossipCount // by class, followed by wrong answers
+	gossipCounts []GossipCount // counts of each class, followed by those of wrong answers
 	nextGossip   Tick
 }
 
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -13,7 +13,7 @@
 	Reject(r *Request, retryAfter Tick)
 	// Fail answers a request for good, without a promise about its effect.
 	Fail(r *Request)
-	// CancelAttempt stops waiting for an attempt. Its outcome is still reported.
+	// CancelAttempt stops waiting for an attempt. The outcome of the attempt is still reported.
 	CancelAttempt(a *Attempt)
 	// SetTimer requests a call of OnTimer with this tag at the given time or later.
 	SetTimer(at Tick, tag uint32)
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -85,7 +85,7 @@
 	samples         *samples
 	detectors       detectors
 	alarm           *alarm                  // nil if none was raised
-	effects         []sequential.EffectTest // by class
+	effects         []sequential.EffectTest // effect tests, by class
 	wrongEffect     sequential.EffectTest
 	awaitingReports []Tick // times of answers on which a report may still arrive
 
@@ -98,7 +98,7 @@
 	initialWarmCapacity  float64
 	initialSuccesses     float64 // successes within rateWindow
 	initialSlowShare     float64 // slow share of the baseline
-	initialMedianLatency []Tick  // by class
+	initialMedianLatency []Tick  // median latency of each class
 }
 
 // detectors are the sequential tests of one evaluation, by stream.
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -58,7 +58,7 @@
 	return strconv.Itoa(int(r))
 }
 
-// route starts an attempt of a request if any backend may take it, and reports whether it did.
+// route starts an attempt of a request if any backend may take it, and reports whether an attempt started.
 func (b *Balancer) route(r *Request) bool {
 	for {
 		r.refusal = RefusedByEndpoint // the refusal of backends that are not listed as ready
@@ -81,7 +81,8 @@
 }
 
 // eligibleBackends returns the first backends in the relay's order that may take a request, those of a canary
-// separately. It stores the highest refusal of the others in the request. Both lists are valid until the next call.
+// separately. It stores the highest refusal of the other backends in the request. Both lists are valid until the next
+// call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -45,7 +45,7 @@
 type RequestClass struct {
 	// Name is the site's name for the class. Not empty, and unique among the classes.
 	Name string
-	// Idempotency is what a second attempt may do. Missing or unknown: at most once.
+	// Idempotency is the possible effect of a second attempt. Missing or unknown: at most once.
 	Idempotency Idempotency
 	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
 	// drop them.
@@ -107,7 +107,7 @@
 // EndpointRules are the site's rules on the endpoint list.
 type EndpointRules struct {
 	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
-	// lowered. Missing: none.
+	// lowered. Missing: no time.
 	DrainGrace Seconds
 	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
 	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
@@ -145,7 +145,7 @@
 	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above.
 	// Missing, or without a window: 0 (set by the parser).
 	ExposureFree float64
-	// ExposureWindow is the time over which exposure is counted. Missing: none.
+	// ExposureWindow is the time over which exposure is counted. Missing: no time.
 	ExposureWindow Seconds
 	// ExposurePerClass reports whether exposure is counted per class. Missing: one count for all classes.
 	ExposurePerClass bool
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -39,9 +39,9 @@
 	check(t, "attempts, but fewer than the budget", sent > 0 && sent < 20, true)
 }
 
-// TestSlowStart_StaysWithinSiteLimit: relays at full load that always want a backend that warms up send it no more in
-// any window than the limit. The limit is N + 2 x root of N + 2 requests of mean work, where N is the number that the
-// settings allow at that moment.
+// TestSlowStart_StaysWithinSiteLimit: relays at full load that always want a backend that warms up send that backend no
+// more requests in any window than the limit allows. The limit is N + 2 x root of N + 2 requests of mean work, where N
+// is the number that the settings allow at that moment.
 func TestSlowStart_StaysWithinSiteLimit(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -69,7 +69,7 @@
 	// failedTwice reports whether the request has failed at two backends, or twice at its only backend if it is pinned.
 	// The request itself is then considered faulty.
 	failedTwice       bool
-	triedDespiteDelay bool // tried although it was unlikely to be answered in time; see allowLateAttempt
+	triedDespiteDelay bool // allowLateAttempt has allowed an attempt although the request was expected to be late
 	retryReserved     bool // the fleet has allowed another attempt, which starts when the last one has ended
 	deferredFailure   *Attempt
 	refusal           Refusal
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -82,7 +82,7 @@
 	stage   int
 	verdict Verdict
 	state   voteState
-	due     Tick // when the state ends, as described at the states
+	due     Tick // when the state ends, as described at each voteState
 }
 
 // verdict returns the verdict that the evidence supports at the moment.
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -14,7 +14,8 @@
 
 // verifyClaim checks a claim to evacuate that neither readings nor outcomes support. The check guards against a fault that
 // makes all nodes of a zone claim to evacuate, which would empty the zone. Nodes that claim because of readings that the
-// controller cannot check look the same: half of them evacuate, and the others hold the instances they have.
+// controller cannot check look the same as nodes with such a fault: half of them evacuate, and the others hold the instances
+// they have.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -1,7 +1,7 @@
 package devicehealth
 
 const (
-	holdingThrottle   = 0.3 // throttling from which responses to new work would be late
+	holdingThrottle   = 0.3 // throttle reading from which responses to new work would be late
 	switchOnThreshold = 0.5 // reading from which a lid is open or a radio is up
 )
 
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -13,8 +13,9 @@
 )
 
 // hysteresis keeps the reported level from following every reading: the level falls at once and rises after a dwell time, to
-// the lowest level that held during all of that time. It does not rise while a reading is unknown. The dwell time guards against
-// flapping around a limit; the cost is that a node just connected to mains waits a minute for its higher level.
+// the lowest level that held during all of that time. The level does not rise while a reading is unknown. The dwell time
+// guards against flapping around a limit; the cost is that a node just connected to mains waits a minute for its higher
+// level.
 type hysteresis struct {
 	level     level
 	settled   bool // a level was reported while all readings were known
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -147,8 +147,8 @@
 // RecordOutcome records whether one of the node's requests succeeded in time. A rejected request is not an outcome and is
 // not to be recorded.
 //
-// RecordOutcome guards against a node that fails although its readings are good. A bad version looks the same; the relays'
-// votes decide about the version, and until then the only cost is that nodes that would fail new work get none.
+// RecordOutcome guards against a node that fails although its readings are good. A bad version looks the same as such a node;
+// the relays' votes decide about the version, and until then the only cost is that nodes that would fail new work get none.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, maxOwnFailureShare)
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -87,8 +87,8 @@
 // acceptNext reports whether a value may follow the last one, and records whether the reading changed.
 //
 // acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
-// down. A swapped battery looks the same: the node takes no new instances until its charge has stayed near the new value and
-// changed there.
+// down. A swapped battery looks the same as a failing gauge: the node takes no new instances until its charge has stayed near
+// the new value and changed there.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
@@ -159,9 +159,9 @@
 // that the reading belongs to, in joules; 0 if unknown or without a battery.
 //
 // unknownReason guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge that
-// keeps its value looks the same; the cost is that the node takes no new instances until the value changes. The check of
-// temperatures and draw skips a node that has been idle since the last change, because otherwise an idle node would never get
-// work again.
+// keeps its value looks the same as a frozen file; the cost is that the node takes no new instances until the value changes.
+// The check of temperatures and draw skips a node that has been idle since the last change, because otherwise an idle node
+// would never get work again.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
 	if !s.known() {
 		return s.rejectReasonOr("no value yet")
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -190,8 +190,8 @@
 	return n.verifyClaim(now), true
 }
 
-// verifyHealthy checks the report of a node that need not evacuate. A node that fails its requests is not believed: its
-// instances migrate away, and after the detector's wait the node is tried again as limited.
+// verifyHealthy checks the report of a node that need not evacuate. The report of a node that fails its requests is overridden:
+// its instances migrate away, and after the detector's wait the node is tried again as limited.
 func (n *node) verifyHealthy(now tick.Tick) Report {
 	r := n.report
 	switch {
--- a/internal/devicehealth/verifier_test.go
+++ b/internal/devicehealth/verifier_test.go
@@ -72,7 +72,8 @@
 		MigrationTime: 60 * second, Reasons: []string{"so it says"}}
 }
 
-// Of the nodes of a zone that claim without support to evacuate, at most half are believed, also if they claim in turn.
+// Of the nodes of a zone that claim without support to evacuate, at most half have their claim granted, also if they claim in
+// turn.
 func TestVerify_ClaimsAloneNeverDrainZone(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		verifier := devicehealth.NewVerifier()
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -46,7 +46,7 @@
 	admission admission
 	budget    retryBudget
 
-	suspects        map[uint64]*suspectBackend // by the hash of the backend's name
+	suspects        map[uint64]*suspectBackend // suspected backends, by the hash of the backend's name
 	byVerdict       []*suspectBackend          // the backends in suspects, the one with the newest verdict last
 	window          outcomeWindow
 	retryAfterPhase float64 // phase of the last Retry-After, from 0 to 1
