--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -32,9 +32,9 @@
 	maxOpenTests = 32
 	// permanentTests is the number of the first tests that are never replaced.
 	permanentTests = maxOpenTests / 2
-	// priorMeanMultiple is the mean that a new test expects, as a multiple of the bound.
+	// priorMeanMultiple is the mean of the outcomes that a new test expects, as a multiple of the bound.
 	priorMeanMultiple = 4
-	// maxPriorMean is the highest mean that a new test expects.
+	// maxPriorMean is the upper limit of the mean of the outcomes that a new test expects.
 	maxPriorMean = 0.5
 )
 
--- a/internal/benchadapter/script_test.go
+++ b/internal/benchadapter/script_test.go
@@ -146,7 +146,7 @@
 }
 
 // sendEndpointList writes a numbered list of backends, CATALOG, and the update of an instance that refers to it, ROSTER_CHANGE.
-// For a failed update, how is 1 and there is no list.
+// how is the code of an endpointUpdateKind. With how = 1, a failed update, no list is written.
 func (b *simulator) sendEndpointList(r *scriptInstance, how uint8, backends []*scriptBackend) {
 	page := uint32(b.random.IntN(16))
 	if how != 1 {
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -24,7 +24,7 @@
 type RebuildOptions struct {
 	Network          *peertransport.Network // of the controller that is rebuilt; run by the caller
 	DataDir          string                 // data directory of that controller; an existing log in it is set aside
-	Settings         map[string]any         // by name in the configuration file
+	Settings         map[string]any         // values of the settings, by their names in the configuration file
 	Client           *controllerclient.Client
 	Backup           io.Reader // an earlier snapshot, or nil for none
 	AllowUnreachable []string  // edge nodes that need not answer
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -156,8 +156,9 @@
 	srv.stopAt = stopAt
 }
 
-// CloseIdleSessions closes all sessions between requests from now on. A new session still has a short time,
-// ContendedTimeout, for its first request.
+// CloseIdleSessions closes all sessions that are between requests, and from now on each other session once it is between
+// requests. A session that has had no request yet still has a short time, ContendedTimeout from its last activity, for
+// its first request.
 func (srv *Server) CloseIdleSessions() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -17,7 +17,7 @@
 	fleet  *Fleet
 	broken string
 
-	serving          map[string][]*edgeNode // nodes that serve an instance, by their own reports
+	serving          map[string][]*edgeNode // by instance: the nodes that have reported that they serve it
 	unsettled        int                    // number of instances that do not run, are being copied or have too few replicas
 	lastChange       tick.Tick              // last time at which the state of any instance changed
 	movesByNode      map[string]int         // number of moves under way from or to each node
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -26,7 +26,7 @@
 	known       []*balancer.Backend
 	requests    map[*balancer.Request]*clientRequest
 	attempts    map[*balancer.Attempt]*overloadAttempt
-	connected   []bool // by backend: whether it has a connection to the backend
+	connected   []bool // by backend: whether the relay has a connection to the backend
 }
 
 // overloadAttempt is an attempt of a request at a backend.
@@ -36,7 +36,7 @@
 	incarnation   uint64
 	sentAt        balancer.Tick
 	ended         bool
-	newConnection bool // it makes a new connection
+	newConnection bool // the attempt makes a new connection
 }
 
 // start starts the process of a relay, without state. The relay accepts requests after beginServing.
@@ -77,8 +77,8 @@
 	n.model.after(0.1, func() { n.updatePressure(incarnation) })
 }
 
-// gossip delivers a load report of the relay to the other relays, in its encoded form, with the loss, the delay and the split
-// of the simulation.
+// gossip delivers a load report of the relay to the other relays, in its encoded form, with the loss and the delay of the
+// simulation. After Split seconds, unless Split is 0, each half of the relays gets load reports of its own half only.
 func (n *overloadRelay) gossip() {
 	m := n.model
 	m.after(m.gossipInterval(), n.gossip)
@@ -220,7 +220,7 @@
 	n.OnOutcome(m.now, s.attempt, outcome, m.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request. Its client retries after the time that it is given.
+// Reject ends a request. Its client retries after the time that the relay gives it.
 func (n *overloadRelay) Reject(c *balancer.Request, retryAfter balancer.Tick) {
 	n.endRequest(c, float64(retryAfter)/second)
 }
@@ -256,12 +256,12 @@
 	})
 }
 
-// AllowRetry asks the overload manager with the feature Budget; without it every retry is allowed.
+// AllowRetry asks the overload manager if the feature Budget is on; otherwise every retry is allowed.
 func (n *overloadRelay) AllowRetry(c *balancer.Request) bool {
 	return !n.model.Features.Budget || n.overload.AllowRetry(n.model.clock(), c.ClientRetry)
 }
 
-// IsEjected asks the overload manager with the feature Probes; without it no backend is ejected.
+// IsEjected asks the overload manager if the feature Probes is on; otherwise no backend is ejected.
 func (n *overloadRelay) IsEjected(u *balancer.Backend) bool {
 	if !n.model.Features.Probes || !n.overload.IsEjected(n.model.clock(), fmt.Sprint("unit-", u.ID)) {
 		return false
@@ -272,7 +272,7 @@
 	return true
 }
 
-// AllowProbe asks the overload manager with the feature Probes; without it every probe is allowed.
+// AllowProbe asks the overload manager if the feature Probes is on; otherwise every probe is allowed.
 func (n *overloadRelay) AllowProbe(u *balancer.Backend) bool {
 	return !n.model.Features.Probes || n.overload.AllowProbe(n.model.clock(), fmt.Sprint("unit-", u.ID))
 }
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -135,8 +135,8 @@
 }
 
 // ExpectRenewal is called for a node that is given work. If the node has no lease and does not obtain one within the duration
-// of a lease, Expired returns it. Expecting a node does not grant it a lease: another incarnation of its name does not have
-// to wait, however often ExpectRenewal is called.
+// of a lease, Expired returns the node. ExpectRenewal grants no lease: however often it is called, another incarnation of the
+// same node name does not have to wait.
 func (l *Lessor) ExpectRenewal(now tick.Tick, name string) {
 	if n := l.ensureNode(name); n.expired {
 		l.extend(n, now+l.leaseDuration)
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -16,7 +16,7 @@
 const (
 	packetHeaderSize = 4                 // bytes: the packet's length, big endian
 	maxInboundSize   = 4 * maxPacketSize // bytes of a received packet, which may combine several packets of the library
-	redialDivisor    = 8                 // a failed connection is tried again after this part of the silence timeout
+	redialDivisor    = 8                 // silence timeout / redialDivisor is the wait after a failed attempt to connect
 )
 
 // sender sends packets to one member.
@@ -134,7 +134,7 @@
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: packet, From: memberAddr(from), Timestamp: time.Now()}:
-		default: // the library is busy; it sends again what matters
+		default: // the library is busy, so the packet is dropped; the library sends again what matters
 		}
 	}
 }
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -168,7 +168,8 @@
 	return refusal
 }
 
-// update calls verify with the current time and with r.mu held. A file that is held already counts as accepted.
+// update locks r.mu and calls verify with the current time. If verify refuses a file because the repository has it already,
+// the file counts as accepted.
 func (r *Repository) update(verify func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -62,7 +62,7 @@
 	Commits          int64 // number of batches written
 	Rewrites         int64 // number of times that the files were rewritten
 	Created          bool  // whether Open found no copy at all
-	RepairedCopies   int   // number of copies that were behind another one when opened
+	RepairedCopies   int   // number of copies that Open found out of date and repaired
 	TruncatedBytes   int   // size of the incomplete records that Open truncated
 }
 
--- a/internal/overload/pressure_test.go
+++ b/internal/overload/pressure_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestUpdatePressure_FewReportsSlowRecovery: with the reports of few relays, the admitted fraction rises again only slowly.
-// An old report has no vote on it.
+// A report of age reportTTL or more is not counted.
 func TestUpdatePressure_FewReportsSlowRecovery(t *testing.T) {
 	recovery := func(peersHeard int) float64 {
 		f := newTestFleet(10, nil)
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -105,7 +105,8 @@
 
 // setAddresses sets the addresses of discovery and the platform. A relay of a fleet needs neither.
 func (c *Config) setAddresses(file *configFile) error {
-	if file.Discovery != "" { // a file that was replaced while the relay runs is newer than the environment
+	// The file overrides the environment, because a file that was replaced while the relay runs is newer.
+	if file.Discovery != "" {
 		c.discovery = file.Discovery
 	}
 	if _, _, err := net.SplitHostPort(c.discovery); err != nil && !c.FollowsPlacements {
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -24,8 +24,9 @@
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. It reopens a stream that has lasted for a while at
-// once, and waits for a moment if the platform cannot be reached.
+// followChanges keeps the stream of changes open until the context ends. If the stream lasted for at least the shortest
+// interval between two attempts, followChanges reopens it at once. If the stream ended earlier or the platform cannot be
+// reached, followChanges first waits for the rest of the interval.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -23,8 +23,9 @@
 	return [...]string{"current", "unverified", "verifying", "fenced", "incomplete"}[s]
 }
 
-// recovery holds the facts that decide whether a copy may be trusted. They are stored apart because one can outlive
-// another: a copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
+// recovery holds the facts that decide whether a copy may be trusted. Each fact is stored separately because one can
+// cease to hold while another still does: a copy that is both incomplete and unverified is still unverified once it is
+// complete. The zero value has the state current.
 type recovery struct {
 	primaryAtStart     bool // this node was the primary at the start: whether its copy is complete is not known before OnDiskChecked
 	unverified         bool
@@ -68,8 +69,8 @@
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(n string) bool { return n == name })
 }
 
-// markComplete records that a primary has shown all its entries to be in the copy. The primary's own copy may be
-// unverified, and then this one stays unverified.
+// markComplete records that a primary has shown all its entries to be in this node's copy. If the primary's own copy is
+// unverified, an unverified copy of this node stays unverified.
 func (r *recovery) markComplete(primaryUnverified bool) {
 	r.incomplete = false
 	r.unverified = r.unverified && primaryUnverified
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -17,7 +17,7 @@
 // Outcomes of requests.
 const (
 	Rejected      Outcome = iota // the request was not executed and never will be
-	Succeeded                    // the write's entry is durable on every replica; for a read, the last entry that was read is
+	Succeeded                    // the write's entry, or the last entry that was read, is durable on every replica
 	Indeterminate                // the write's entry may be kept or dropped
 	TooLarge                     // the request was not executed, and would not fit if it were repeated
 )
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -147,8 +147,8 @@
 	return Response{Outcome: Succeeded, Epoch: inst.assignment.agreed.Epoch, Node: m.self}
 }
 
-// committedIndex returns the index up to which this node and every node that must have an entry have confirmed the
-// entries.
+// committedIndex returns the index up to which all entries are durable on this node and confirmed by every node for which
+// mustConfirm holds. The index is 0 if an agreed replica is not among the followers.
 func (inst *instance) committedIndex() uint64 {
 	committed := inst.local.durable
 	for name, f := range inst.followers {
--- a/internal/standin/testcluster/event_file.go
+++ b/internal/standin/testcluster/event_file.go
@@ -20,7 +20,7 @@
 	Incomplete bool          // the ending event did not occur
 }
 
-// Summarize summarizes a run's events up to the first one that matches until (Event.Is).
+// Summarize summarizes a run's events up to the first event e for which e.Is(until) holds.
 func Summarize(events []Event, until string) (c RunSummary) {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -89,8 +89,8 @@
 	return l.Address(), nil
 }
 
-// openNetwork opens the test's own links to the controllers. Processes accept only peers of their configuration file, so the test uses
-// the name of a process that is not a controller, over links of its own. The test is not a member of the fleet.
+// openNetwork connects the test to the controllers over links that no process uses. Processes accept only peers of their
+// configuration file, so the test uses the name of a process that is not a controller. The test is not a member of the fleet.
 func (c *Cluster) openNetwork() (err error) {
 	as := c.nodes[len(c.nodes)-1]
 	var others []peertransport.Peer
--- a/internal/tufverify/target_reader.go
+++ b/internal/tufverify/target_reader.go
@@ -39,8 +39,9 @@
 	return b
 }
 
-// SeekPiece skips to the start of the piece that contains the byte at offset at, for a client that has the bytes before, and returns
-// the offset of that piece. Without piece digests ok is false unless at is 0, as only the whole target can be verified.
+// SeekPiece skips to the start of the piece that contains the byte at offset at, and returns the offset of that piece. It is for a
+// client that already has the bytes before at. Without piece digests ok is false unless at is 0, as only the whole target can be
+// verified.
 func (t *TargetReader) SeekPiece(at int64) (start int64, ok bool) {
 	if !t.hasPieces || at < 0 || at >= t.target.Length {
 		return 0, at == 0
@@ -58,7 +59,7 @@
 func (t *TargetReader) Remaining() int64 { return t.target.Length - t.NextOffset() }
 
 // SwitchMirror prepares for bytes from another mirror. The bytes of an incomplete piece are kept, as they may be valid. Once any
-// piece was invalid, they are dropped, so that each piece comes from one mirror alone.
+// piece was invalid, the bytes of an incomplete piece are dropped, so that each piece comes from one mirror alone.
 func (t *TargetReader) SwitchMirror() {
 	if t.hasPieces && t.singleMirror {
 		t.buffered = t.buffered[:0]
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// sweepInterval returns the interval at which idle connections are checked. It has a lower limit, because an idle relay
-// would do nothing but sweep if the backends' idle timeout is absent or close to 0; acquire checks the timeout itself.
+// sweepInterval returns the interval at which idle connections are checked. The interval has a lower limit: if the
+// backends' idle timeout is absent or close to 0, an idle relay would otherwise do nothing but sweep. Connections are
+// not used for too long because of the limit, as acquire checks the idle timeout itself.
 func (p *Pool) sweepInterval() time.Duration {
 	return max(p.maxIdleTime/sweepsPerIdleTime, minSweepInterval)
 }
