--- a/internal/edgenode/faults_test.go
+++ b/internal/edgenode/faults_test.go
@@ -17,7 +17,7 @@
 	"silvercove/internal/standin/faultproxy"
 )
 
-// succeededWrite is a write that succeeded, with the value of its answer.
+// succeededWrite holds the ID of a write that succeeded and the value of its answer, which begins with the index of its log entry.
 type succeededWrite struct{ id, value string }
 
 // TestFaults_RandomLoseNoSucceededWrite writes to three instances while nodes and links fail and recover at random. Only one fault is
