--- a/cmd/silvercovectl/fleet_ask.go
+++ b/cmd/silvercovectl/fleet_ask.go
@@ -36,11 +36,11 @@
 // askRetryInterval is the pause before a refused request is sent again.
 const askRetryInterval = 200 * time.Millisecond
 
-// errRefused is wrapped by errors of requests that did not run, so a retry is safe.
+// errRefused is wrapped by the error of a request that did not run. Such a request can be retried safely.
 var errRefused = errors.New("refused")
 
 // sendRequest opens a session with a relay, sends one request and returns its answer. The error wraps errRefused if the
-// request did not run. After any other error it may have run.
+// request did not run. After any other error the request may have run.
 func sendRequest(relay, instance, class string, read bool, wait time.Duration) (string, error) {
 	var id [8]byte
 	rand.Read(id[:])
--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -36,7 +36,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	defer context.AfterFunc(ctx, stop)() // after the first signal, a second one ends the process as by default
+	defer context.AfterFunc(ctx, stop)() // after the first signal, restore the default: a second signal ends the process
 	return p.runWhile(func(alive context.Context) error {
 		node, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
@@ -78,7 +78,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = network.Run(networkCtx) // it returns nil once the context is cancelled
+		_ = network.Run(networkCtx) // Run returns nil once the context is cancelled
 	}()
 	defer func() {
 		stopNetwork()
@@ -207,7 +207,7 @@
 // epoch of the current assignment.
 func (c *controllerCommand) propose(e placement.Operation) error {
 	return c.withClient(func(ctx context.Context, client *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
-		if e.Kind != placement.OpCreate { // it applies to the current epoch
+		if e.Kind != placement.OpCreate { // the operation applies to the current epoch
 			all, err := client.Assignments(ctx, 0)
 			if err != nil {
 				return err
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -101,7 +101,7 @@
 	Path string `help:"Also look this target up."`
 }
 
-// Run runs the TUF client workflow with an empty version store: no versions are known from earlier.
+// Run runs the TUF client workflow with an empty version store, so no version from an earlier run is known.
 func (c *tufVerifyCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
--- a/cmd/silvercovectl/quickstart_test.go
+++ b/cmd/silvercovectl/quickstart_test.go
@@ -14,7 +14,7 @@
 )
 
 // The range of ports that tests choose from. It is below the ephemeral ports of the kernel, so that no other process is
-// given a port between the choice and the use of it.
+// given a port between the choice and the use of that port.
 const (
 	firstPort = 20000
 	portRange = 12000
@@ -74,7 +74,8 @@
 	}
 }
 
-// TestDocs_FleetQuickStart runs the shell block of the page on the failures of a fleet in the same way.
+// TestDocs_FleetQuickStart runs the shell block of the page on the failures of a fleet, as TestDocs_MetadataQuickStart does for the
+// page on metadata.
 func TestDocs_FleetQuickStart(t *testing.T) {
 	script := shellBlock(t, "../../docs/fleet-failure.md")
 	port, err := strconv.Atoi(freePort(t))
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -66,7 +66,7 @@
 	Store          VersionStore
 	LookUpImage    ImageLookup
 	Now            func() time.Time
-	Lifetime       time.Duration     // of issued metadata; truncated to whole seconds, at least two
+	Lifetime       time.Duration     // lifetime of issued metadata; truncated to whole seconds, at least two
 	Packages       map[uint16]string // paths in the image repository, by version
 	InitialVersion uint16            // version that every server runs if no released version is recorded; 0 means none
 	Log            logging.Func
@@ -78,7 +78,7 @@
 	store       VersionStore
 	lookUpImage ImageLookup
 	now         func() time.Time
-	lifetime    time.Duration // of issued metadata
+	lifetime    time.Duration // lifetime of issued metadata
 	packages    map[uint16]string
 	log         logging.Func
 	waker       *wakeup.Waker
@@ -105,7 +105,7 @@
 	Issued             int64     // versions of servers' metadata issued
 	Assignments        int64     // assignments that the rollout has made
 	Reports            int64     // reports of known servers
-	LastChangeIssuedAt time.Time // when the last change had been issued to all servers that it affects
+	LastChangeIssuedAt time.Time // when the last change had been issued to all servers that the change affects
 }
 
 // server is one server of the fleet.
@@ -114,11 +114,11 @@
 	needsReissue         bool // guarded by Director.mu; the assignment has changed since the last issue
 
 	mu          sync.Mutex // guards the fields below; held while metadata are issued
-	version     int64      // of the last issue, 0 for none
-	issueRecord            // of the last issue
+	version     int64      // version of the last issue, 0 for none
+	issueRecord            // record of the last issue
 	issuedAt    tufverify.Tick
 	target      *tufverify.Target // target that the last issue names, nil for none
-	files       map[string][]byte // files of the last issue by name, nil if the issue was before a restart
+	files       map[string][]byte // files of the last issue by name, nil if the process has restarted since the issue
 }
 
 // New returns a Director with the state that its version store has recorded.
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -74,7 +74,7 @@
 	}
 	d.stage, d.stageKinds, d.deferredStage = stage, kinds, nil
 	now := d.tick()
-	if !known { // servers may still be rolled back; no server is assigned the version
+	if !known { // no server is assigned the version yet, but servers may still be rolled back
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -43,7 +43,7 @@
 	}
 	if current.MustRenew(now) {
 		if err := d.issue(s, now); err != nil && !current.MayServeStale(now) {
-			return nil, err // an outdated file is not served instead
+			return nil, err // return the error: an outdated file must not be served
 		}
 	}
 	text := s.files[f.String()]
@@ -75,7 +75,7 @@
 	assigned, hardware := s.Assigned(), s.Kind
 	s.needsReissue = false
 	d.mu.Unlock()
-	failed := func(err error) error { // the metadata remain to be issued
+	failed := func(err error) error { // after a failure, the metadata still have to be issued
 		d.mu.Lock()
 		s.needsReissue = true
 		d.mu.Unlock()
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -63,8 +63,8 @@
 	return group.Wait()
 }
 
-// reissue issues a server's metadata if its assignment has changed. The metadata of a server that has not fetched any since the
-// start are issued when the server asks for them.
+// reissue issues a server's metadata if the server's assignment has changed. If the server has not fetched any metadata since the
+// start of the process, its metadata are issued when the server asks for them.
 func (d *Director) reissue(s *server) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/keys/key_file.go
+++ b/internal/keys/key_file.go
@@ -32,8 +32,8 @@
 	scryptP = 1
 )
 
-// Limits on a key file that is read: its size in bytes and its scrypt cost parameters. They bound the memory that a forged
-// file can claim, as scrypt uses 128·N·r bytes.
+// Limits on a key file that is read: its size in bytes and its scrypt cost parameters. The limits bound the memory that a forged
+// file can claim, because scrypt uses 128·N·r bytes.
 const (
 	maxFileSize = 64 << 10
 	maxScryptN  = 1 << 20
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -31,7 +31,7 @@
 	Private crypto.Signer
 	Public  *metadata.Key
 	ID      string // TUF key identifier: the SHA-256 of the public key's canonical form
-	Path    string // of the key file; empty before Save
+	Path    string // path of the key file; empty before Save
 }
 
 // Signer returns the key as the signer type of the library that signs metadata.
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -11,7 +11,7 @@
 	Type      string
 	ID        string
 	Encrypted bool
-	ReadError string // why the file was refused, with Type and ID empty; empty for a valid file
+	ReadError string // why the file was refused; empty for a valid file. Type and ID are empty for a refused file.
 }
 
 // List returns the key files of a folder, sorted by path. A file that is refused is listed with its ReadError.
--- a/internal/keys/passphrase.go
+++ b/internal/keys/passphrase.go
@@ -7,7 +7,7 @@
 )
 
 // PassphraseFrom returns a function that reads the passphrase from the file that COVE_PASSPHRASE_FILE names, or else from
-// COVE_PASSPHRASE. A file that other users can read is refused with ErrInsecureMode. env looks up an environment variable.
+// COVE_PASSPHRASE. A file that other users can read is refused with ErrInsecureMode. env returns the value of an environment variable.
 func PassphraseFrom(env func(string) string) func() ([]byte, error) {
 	return func() ([]byte, error) {
 		if path := env("COVE_PASSPHRASE_FILE"); path != "" {
--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -44,7 +44,7 @@
 	return e.Test == "" && strings.HasPrefix(e.Output, lineFailed)
 }
 
-// packageRun tracks one package's tests while they run. It keeps their output until it is known whether to print it.
+// packageRun tracks one package's tests while they run. It keeps the tests' output until the program knows whether to print it.
 type packageRun struct {
 	output []testEvent
 	open   map[string]bool // tests that have started but not ended
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -15,7 +15,7 @@
 type knownFailure struct {
 	test    testID
 	command string // the go test command that shows the failure
-	seed    string // the seed of that run, "none" if the test uses no random numbers
+	seed    string // the seed of the test run, "none" if the test uses no random numbers
 	seen    string // the observed failure
 	issue   int    // the number of the open issue
 }
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -12,7 +12,7 @@
 	listed         []knownFailure
 	out            io.Writer
 	outcomes       map[testID][]string    // the final action of each run of a listed test
-	running        map[string]*packageRun // by import path
+	running        map[string]*packageRun // packages that have started and not ended, by import path
 	failedPackages int
 	problems       []error
 }
--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -14,14 +14,14 @@
 	"silvercove/internal/tufverify"
 )
 
-// errNoMirror is the error of a request that the dispatcher gave up before any attempt failed.
+// errNoMirror is the error of a request if the dispatcher gave up the request before any attempt failed.
 var errNoMirror = errors.New("no mirror can be asked now")
 
 // attemptResult is the outcome of one attempt at a mirror.
 type attemptResult struct {
 	status   int                   // HTTP status code; 0 if there was no response, or none that counts
 	accepted bool                  // the response was verified
-	closed   transport.CloseStatus // how the connection ended early, if it did
+	closed   transport.CloseStatus // how the connection ended, if it ended early
 	err      error                 // why the attempt failed
 	final    bool                  // do not ask another mirror
 }
@@ -37,7 +37,8 @@
 		if attempt == nil {
 			return last
 		}
-		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) { // report it as canceled, as if never chosen
+		// A late attempt is reported as canceled, as if the mirror had not been chosen.
+		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) {
 			r.dispatcher.ReportMirror(attempt, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
 		}
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -57,7 +57,8 @@
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
-		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, because the target depends on it
+		// The timestamp must be confirmed as the newest, because the target depends on the timestamp.
+		timestamp := tufverify.File{Role: "timestamp"}
 		if refusal = metadatarefresh.CheckConfirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -52,8 +52,8 @@
 	verifier *tufverify.ReportVerifier
 }
 
-// reportShardCount is the maximum number of reports that are verified concurrently. Concurrent reports are made durable by
-// one write.
+// reportShardCount is the maximum number of reports that are verified concurrently. The counters of
+// concurrent reports are made durable by one write.
 const reportShardCount = 64
 
 // maxRequestHeader is the maximum size of the header of a client's request, in bytes.
@@ -145,7 +145,7 @@
 		if server.Shutdown(drain) != nil {
 			_ = server.Close()
 		}
-		cancel() // repositories end last because requests in flight need mirrors
+		cancel() // end the repositories last, because requests in flight need mirrors
 		return nil
 	})
 	return group.Wait()
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,7 +12,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// errKeysKeepChanging is the error of a refresh that new roots have restarted too often.
+// errKeysKeepChanging is the error of a refresh that was restarted too often because new roots arrived.
 var errKeysKeepChanging = errors.New("keys keep changing during the refresh")
 
 // cached returns a file if it may be served without asking a mirror.
--- a/internal/metadataproxy/repository.go
+++ b/internal/metadataproxy/repository.go
@@ -36,11 +36,11 @@
 	name            string
 	now             func() time.Time
 	log             logging.Func
-	timeouts        map[string]time.Duration // by request class
+	timeouts        map[string]time.Duration // timeouts of requests to mirrors, by request class
 	connectTimeout  time.Duration
 	freshFor        time.Duration // how long a timestamp counts as current
 	dispatcher      *dispatch.Dispatcher
-	imageRepository *Repository // image repository that must agree with a mirrored Director repository, else nil
+	imageRepository *Repository // image repository that must agree with this mirrored Director repository; nil if none must agree
 	counts          *Counts
 	fetchGroup      singleflight.Group // shares one refresh, or one fetch of a role, among concurrent requests
 
@@ -51,15 +51,15 @@
 	watchedPaths []string // see WatchTargets
 
 	transportMu sync.Mutex                 // guards transports
-	transports  map[string]*http.Transport // by name of the mirror
+	transports  map[string]*http.Transport // connection pools, by name of the mirror
 
 	Attempts atomic.Int64 // requests sent to mirrors
 }
 
 // MirrorConfig configures how the mirrors of a repository are asked. It has no defaults: every field but Survey must be set.
 type MirrorConfig struct {
-	Seed           uint64                                    // of the random numbers of dispatcher and backoff
-	Settings       settings.Site                             // of the dispatcher
+	Seed           uint64                                    // seed of the random numbers of the dispatcher and the backoff
+	Settings       settings.Site                             // settings of the dispatcher
 	FreshFor       time.Duration                             // how long a timestamp counts as current
 	UnconfirmedFor time.Duration                             // how long a timestamp counts as current while no mirror can be asked
 	Survey         bool                                      // serve only roots until a majority of the mirrors has shown its timestamp
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -9,7 +9,7 @@
 // RepoStatus is the state of one repository on the status page. The JSON names are part of the HTTP interface.
 type RepoStatus struct {
 	Name      string
-	Root      int64 // version that is held, 0 for none; likewise Timestamp, Snapshot and Targets
+	Root      int64 // version of the held root, 0 for none; Timestamp, Snapshot and Targets are versions of the same kind
 	Timestamp int64
 	Snapshot  int64
 	Targets   int64
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -52,7 +52,7 @@
 		p.Counts.Served.Add(1)
 	case !out.headerSent:
 		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "no mirror has it now", RetryLater: true})
-	default: // the client notices, because it receives fewer bytes than Content-Length
+	default: // the client notices the failure, because the client receives fewer bytes than Content-Length
 		p.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
@@ -87,7 +87,7 @@
 	offset       int64 // offset in the package of the next byte passed to write
 	length       int64 // length of the response body
 	status       int
-	contentRange string // Content-Range header of a partial response
+	contentRange string // Content-Range header of a partial response; empty for the whole file
 	headerSent   bool
 	disconnected bool
 	counts       *Counts
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -9,8 +9,8 @@
 type ClientLimiter struct {
 	Limit        int // maximum number of admitted requests
 	inUse        int
-	perClient    map[string]int // admitted requests by client address; clients without any have no entry
-	maxPerClient int            // maximum per client while half of Limit or more is in use
+	perClient    map[string]int // admitted requests by client address; a client without admitted requests has no entry
+	maxPerClient int            // maximum number of admitted requests per client while half of Limit or more is in use
 }
 
 // clientShareDivisor is the divisor of the limit that gives maxPerClient.
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -20,8 +20,8 @@
 	return !i.Exists || !i.AssignmentCurrent || !i.ImageAgrees || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
 
-// MayServeStale reports whether the metadata may still be served if they could not be issued again. They may not if they name
-// another version than the server is assigned now, or have expired.
+// MayServeStale reports whether the metadata may still be served if they could not be issued again. The metadata may not be
+// served if they name another version than the server is assigned now, or have expired.
 func (i Issue) MayServeStale(now Tick) bool {
 	return i.Exists && i.AssignmentCurrent && now < i.ExpiresAt
 }
@@ -36,6 +36,6 @@
 // IssueRetryDelay is the delay before a failed issue is retried.
 const IssueRetryDelay = tufverify.Second / 5
 
-// MustPersistTime reports whether the current time must be recorded before metadata are issued whose lifetime begins now. It is
-// recorded in steps of more than a second.
+// MustPersistTime reports whether the current time must be recorded before metadata are issued whose lifetime begins now. The time
+// is recorded in steps of more than a second.
 func MustPersistTime(now, recorded Tick) bool { return now > recorded+tufverify.Second }
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -18,9 +18,9 @@
 type Tick = tufverify.Tick
 
 const (
-	minBackoff       = tufverify.Second / 5  // until mirrors are asked again after the first failure
+	minBackoff       = tufverify.Second / 5  // delay after the first failure until mirrors are asked again
 	maxBackoff       = 10 * tufverify.Second // the backoff doubles up to this maximum
-	retryAfterSpread = 2                     // random times to retry after are less than about this multiple of the minimum
+	retryAfterSpread = 2                     // a random time to retry after is at most about this multiple of the minimum
 )
 
 // Refresh decides when the mirrors of one repository are asked for newer metadata.
@@ -33,7 +33,7 @@
 	random         *rand.Rand
 }
 
-// neverRefreshed is a time long before any real time.
+// neverRefreshed is the value of refreshedAt before the first refresh: a time long before any real time.
 const neverRefreshed Tick = -1 << 40
 
 // NewRefresh returns a Refresh for a repository that was never refreshed. A timestamp counts as current for freshFor, and for
@@ -61,7 +61,7 @@
 
 // Stale reports whether the metadata that are held may no longer be treated as the newest, because the mirrors must be asked or
 // have failed for too long. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed. The expiry of
-// the metadata limits that time in any case; with unconfirmedFor an operator sets a shorter limit.
+// the metadata limits how long such metadata are served in any case; with unconfirmedFor an operator sets a shorter limit.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -11,7 +11,7 @@
 type MirrorSurvey struct {
 	shownBy map[string]bool // mirrors whose timestamp counts, by name
 
-	// Done reports whether the survey is complete. It never becomes false again.
+	// Done reports whether the survey is complete. Done never becomes false again.
 	Done bool
 }
 
--- a/internal/metadatarefresh/transfer.go
+++ b/internal/metadatarefresh/transfer.go
@@ -8,12 +8,12 @@
 // Limits of the rate of a transfer.
 const (
 	rateWindow       = 2 * tufverify.Second // length of a window in which bytes are counted
-	minWindowBytes   = 4 << 10              // minimum that must arrive in a window
+	minWindowBytes   = 4 << 10              // minimum number of bytes that must arrive in a window
 	firstByteTimeout = 2 * tufverify.Second // maximum wait for the first byte
 )
 
-// AttemptTooLate reports whether an attempt must not be sent any more because its mirror was chosen too long ago. This guards
-// against a process that was stopped between the choice and the sending, which shows as requests to a mirror that is draining.
+// AttemptTooLate reports whether an attempt must not be sent any more because its mirror was chosen too long ago. If a
+// process is stopped between the choice and the sending, its mirror may be draining by the time the attempt would be sent.
 func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxSendDelay }
 
 // Transfer decides whether the body of a response arrives fast enough: at least minWindowBytes in each rateWindow. This guards
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -26,7 +26,7 @@
 	repositories        []repositoryConfig
 	director            *directorConfig // nil if there is none
 
-	directives map[string]any // the block as it was read, to find the directives that a later block changes
+	directives map[string]any // directives of the block as read from the file, to find those that a later version of the file changes
 }
 
 // repositoryConfig is one repository block.
@@ -43,7 +43,7 @@
 	imageRepository   string // name of the image repository
 	chainDir          string // directory of the root chain
 	keyPaths          []string
-	lifetime          time.Duration // of issued metadata
+	lifetime          time.Duration // lifetime of issued metadata
 	initialVersion    uint16        // version that every server runs if no released version is recorded; 0 means none
 	packages          []packageConfig
 	servers           []serverConfig
@@ -55,7 +55,7 @@
 // packageConfig is the package of one version.
 type packageConfig struct {
 	version uint16
-	path    string // in the image repository
+	path    string // path in the image repository
 }
 
 // serverConfig is one server of the fleet.
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -14,7 +14,7 @@
 // FixedDirectiveError is the error of Reload if the file changes a directive that cannot change while the service runs.
 type FixedDirectiveError struct {
 	Path      string // path of the file
-	Directive string // name with its blocks, such as metadata.listen
+	Directive string // name of the directive, preceded by the names of its blocks, such as metadata.listen
 }
 
 func (e *FixedDirectiveError) Error() string {
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	files = append(files, targets...)
-	for _, f := range files { // fails for a version that was recorded with other content
+	for _, f := range files { // Record fails if the version was recorded with other content
 		if err := r.versions.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 	return pendingFile{metadata.TIMESTAMP, "timestamp.json", version, text}, err
 }
 
-// publishFiles writes the files in their order. It removes the staged file of a role only after the published one is written.
+// publishFiles writes the files in their order. It removes the staged file of a role only after the published file of the role is written.
 func (r *Repo) publishFiles(files []pendingFile) error {
 	for _, f := range files {
 		if r.CrashBefore(f.role) {
--- a/internal/tufrepo/repository.go
+++ b/internal/tufrepo/repository.go
@@ -38,7 +38,7 @@
 // Lifetimes holds the validity period of each role's metadata, counted from their creation.
 type Lifetimes struct {
 	Root      time.Duration
-	Targets   time.Duration // also for delegated roles
+	Targets   time.Duration // lifetime of the metadata of the top-level targets role and of delegated roles
 	Snapshot  time.Duration
 	Timestamp time.Duration
 }
@@ -50,9 +50,9 @@
 
 // Repo is a repository that is open for changes. It is not safe for concurrent use.
 type Repo struct {
-	Lifetimes   Lifetimes              // of metadata created from now on; DefaultLifetimes by default
-	Now         func() time.Time       // time.Now by default
-	CrashBefore func(role string) bool // for tests: Publish stops before it writes the file of a role for which this returns true
+	Lifetimes   Lifetimes              // lifetimes of metadata that are created from now on; DefaultLifetimes by default
+	Now         func() time.Time       // returns the current time; time.Now by default
+	CrashBefore func(role string) bool // for tests: Publish stops before it writes the file of a role for which CrashBefore returns true
 
 	dir      string
 	versions *monotonic.Store // keyed by role
--- a/internal/tufrepo/status.go
+++ b/internal/tufrepo/status.go
@@ -43,7 +43,7 @@
 	Signed    int // number of signatures
 	Threshold int
 	Staged    bool
-	Targets   []string // paths, sorted
+	Targets   []string // paths of the targets that the file lists, sorted
 }
 
 // Status returns the published metadata files, followed by the staged ones.
--- a/internal/tufrepo/stored_test.go
+++ b/internal/tufrepo/stored_test.go
@@ -20,7 +20,7 @@
 var storedRoles = []string{"root", "targets", "snapshot", "timestamp"}
 
 // TestRepo_ContinuesStoredRepository checks that a repository written by an earlier version can be opened and changed, that its
-// targets can still be looked up, and that files published before stay unchanged.
+// targets can still be looked up, and that files published earlier stay unchanged.
 func TestRepo_ContinuesStoredRepository(t *testing.T) {
 	stored := filepath.Join("testdata", "stored")
 	if *updateStored {
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -25,7 +25,7 @@
 		}
 		return r.root.raw, nil
 	case metadata.TIMESTAMP:
-		// The timestamp is served only when the complete set is held; otherwise clients would find no matching snapshot.
+		// The timestamp is served only if the complete set is held. Otherwise clients would find no matching snapshot.
 		if f.Version != 0 {
 			return nil, r.refuse(ReasonNotListed, f.Role, "the file name of a timestamp has no version")
 		}
@@ -55,8 +55,8 @@
 	return r.checkVersion(f, t.raw, t.version)
 }
 
-// checkComplete refuses unless a complete set is held, consistent and not expired: root, timestamp, snapshot and top-level
-// targets.
+// checkComplete returns a refusal unless root, timestamp, snapshot and top-level targets are held, consistent with each other and
+// not expired.
 func (r *Repository) checkComplete() *RefusalError {
 	if refusal := r.checkSnapshot(metadata.TARGETS); refusal != nil {
 		return refusal
@@ -67,7 +67,7 @@
 	return r.checkDelegationChain(metadata.TARGETS)
 }
 
-// checkDelegationChain refuses if the metadata of a targets role, or of any role on the delegation path to it, have expired or
+// checkDelegationChain returns a refusal if the metadata of a targets role, or of any role on the delegation path to it, have expired or
 // are not held.
 func (r *Repository) checkDelegationChain(role string) *RefusalError {
 	for name := role; name != metadata.ROOT; name = r.targets[name].delegator {
--- a/internal/tufverify/lookup.go
+++ b/internal/tufverify/lookup.go
@@ -46,7 +46,7 @@
 		for _, to := range matchingRoles(held.Signed.Delegations, path) {
 			next = append(next, to.Name)
 			if to.Terminating {
-				stack = nil // roles delegated to later are not searched
+				stack = nil // after a terminating delegation, the search does not go on to roles delegated to later
 				break
 			}
 		}
--- a/internal/tufverify/next_file.go
+++ b/internal/tufverify/next_file.go
@@ -7,9 +7,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// NextFile returns the next file to fetch for a complete set, and its maximum size in bytes. It asks for the next root if the held
-// root has expired or is older than the recorded one, and for the timestamp again once that has expired. ok is false if the set is
-// complete.
+// NextFile returns the next file to fetch for a complete set, and its maximum size in bytes. If the held root has expired or
+// is older than the recorded one, that is the next root. If the held timestamp has expired, that is the timestamp again. ok is false
+// if the set is complete.
 func (r *Repository) NextFile(now Tick) (f File, maxSize int, ok bool) {
 	r.advance(now)
 	recorded, _ := r.store.Recorded(r.storeKey(metadata.ROOT))
--- a/internal/tufverify/refresh.go
+++ b/internal/tufverify/refresh.go
@@ -19,7 +19,7 @@
 	return r.UpdateTargets(now, f.Role, data)
 }
 
-// FetchFunc fetches a file for Refresh or LookUp. It returns nil and no error if the file does not exist.
+// FetchFunc fetches a file for Refresh or LookUp. If the file does not exist, FetchFunc returns nil data and a nil error.
 type FetchFunc func(f File) ([]byte, error)
 
 // Refresh runs the client workflow (sections 5.3 to 5.6) from the present state: it follows the chain of roots to its end, then
--- a/internal/tufverify/report.go
+++ b/internal/tufverify/report.go
@@ -26,7 +26,7 @@
 	Build           uint16    `json:"build"`
 	InstallResult   string    `json:"installed"` // result of the last installation: "", "ok", "failed" or "declined"
 	AttemptedTarget string    `json:"tried"`     // path of the target of the last installation attempt
-	DetectedAttack  string    `json:"attack"`    // metadata that the server refused, and why
+	DetectedAttack  string    `json:"attack"`    // the metadata that the server refused, and why it refused them
 }
 
 // Manifest is a signed report.
@@ -38,8 +38,8 @@
 // MaxReportSize is the maximum size of a manifest in bytes.
 const MaxReportSize = 16 << 10
 
-// SignReport signs a report and returns its manifest. The signature is Ed25519 over the canonical form, or ECDSA over the SHA-256 of
-// the canonical form.
+// SignReport signs a report and returns its manifest. The signature is Ed25519 over the report's canonical form, or ECDSA over the
+// SHA-256 of that form.
 func SignReport(r Report, by crypto.Signer) ([]byte, error) {
 	r.Type, r.At = "report", r.At.UTC()
 	text, err := cjson.EncodeCanonical(r)
--- a/internal/tufverify/root.go
+++ b/internal/tufverify/root.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// checkRoot refuses unless the newest root that was ever recorded is held and has not expired (section 5.3.10). role is the role
+// checkRoot returns a refusal unless the newest root that was ever recorded is held and has not expired (section 5.3.10). role is the role
 // for which the check is made.
 func (r *Repository) checkRoot(role string) *RefusalError {
 	seen, sum := r.store.Recorded(r.storeKey(metadata.ROOT))
--- a/internal/tufverify/snapshot.go
+++ b/internal/tufverify/snapshot.go
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// checkSnapshot refuses unless root, timestamp and snapshot are held, consistent with each other and not expired. role is the role
-// for which the check is made.
+// checkSnapshot returns a refusal unless root, timestamp and snapshot are held, consistent with each other and not expired. role is
+// the role for which the check is made.
 func (r *Repository) checkSnapshot(role string) *RefusalError {
 	if refusal := r.checkRoot(role); refusal != nil {
 		return refusal
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -8,14 +8,14 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Digest is a SHA-256 digest. For metadata and reports it is that of the canonical form of the signed part, for a target that of
-// its bytes.
+// Digest is a SHA-256 digest. The digest of metadata or of a report covers the canonical form of the signed part. The digest of a
+// target covers the bytes of the target.
 type Digest [sha256.Size]byte
 
 // VersionStore stores the state that must survive a restart: the newest version of each role, and the trusted time. If Record or
 // AdvanceTime returns nil, the change is durable. If it returns an error, Recorded and TrustedTime return the same as before.
 type VersionStore interface {
-	// Recorded returns the version last recorded for a key and its digest. The version is 0 if there is none.
+	// Recorded returns the version last recorded for a key and its digest. The version is 0 if none is recorded.
 	Recorded(key string) (version int64, digest Digest)
 	// Record records a version. It returns an error if the version is below the recorded one.
 	Record(key string, version int64, digest Digest) error
@@ -25,11 +25,11 @@
 	AdvanceTime(now Tick) error
 }
 
-// timeRecordInterval is the interval at which AdvanceTime records the time. The trusted time may be ahead of the recorded time by
-// this interval, which is what a restart with a clock that was set back can lose.
+// timeRecordInterval is the interval at which AdvanceTime records the time. The time in memory may be ahead of the recorded time by
+// up to this interval. A restart with a clock that was set back can lose as much.
 const timeRecordInterval = 5 * Second
 
-// AdvanceTime sets the time between updates, and records it once per timeRecordInterval.
+// AdvanceTime advances the repository's time between updates. It records the time in the version store once per timeRecordInterval.
 func (r *Repository) AdvanceTime(now Tick) {
 	if r.advance(now); r.now >= r.store.TrustedTime()+timeRecordInterval {
 		if err := r.store.AdvanceTime(r.now); err != nil {
@@ -38,12 +38,12 @@
 	}
 }
 
-// logTimeNotRecorded logs that recording the time failed. The caller goes on, as the time in memory is set.
+// logTimeNotRecorded logs that recording the time failed. The caller need not fail, because the time in memory has advanced.
 func (r *Repository) logTimeNotRecorded(err error) {
 	r.log(slog.LevelError, "trusted time could not be recorded", slog.String("error", err.Error()))
 }
 
-// refuseExpired refuses an expired file. It records the time, so that the file stays expired if the clock is set back and the
+// refuseExpired refuses an expired file. It records the time: the file then stays expired even if the clock is set back and the
 // process restarts.
 func (r *Repository) refuseExpired(role string, expires Tick, format string, args ...any) *RefusalError {
 	if r.store.TrustedTime() < expires {
@@ -74,7 +74,7 @@
 	key := r.storeKey(role)
 	switch recorded, was := r.store.Recorded(key); {
 	case version == recorded && digest == was, role == metadata.ROOT && version < recorded:
-		return nil // recorded already, before a restart
+		return nil // the version was recorded before a restart
 	case version == recorded:
 		return r.refuse(ReasonConflict, role, "version %d", version)
 	}
