--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -59,9 +59,9 @@
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
-// withClient runs call with a client of the controllers. The client connects with the name and the peers of the file's
-// process, which may be running: the client listens on a port of its own, and connections to its own name go to that
-// process.
+// withClient runs call with a client of the controllers. The client uses the name and the peers of the file's
+// process. That process may be running at the same time: the client listens on a port of its own, and connections to the
+// shared name go to the process.
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
 	if err != nil {
--- a/cmd/silvercovectl/main_test.go
+++ b/cmd/silvercovectl/main_test.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestEarlierName_SubCommandsStillWork checks that an earlier name of a sub-command is recognized as one and selects the same
-// sub-command as the present name.
+// TestEarlierName_SubCommandsStillWork checks that an earlier name of a sub-command is recognized as an earlier name and
+// selects the same sub-command as the present name.
 func TestEarlierName_SubCommandsStillWork(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/deploy/sites/variant.go
+++ b/deploy/sites/variant.go
@@ -18,19 +18,19 @@
 	Add map[string]any `toml:"add"`
 	// Drop lists the keys and elements to remove.
 	Drop []string `toml:"drop"`
-	// Rename gives list elements new names, also where other entries refer to them.
+	// Rename gives list elements new names, and changes the references of other entries to them.
 	Rename map[string]string `toml:"rename"`
 }
 
 // element identifies a named table in a list of tables: [[class]] name = "upload" has the kind class.
 type element struct{ kind, name string }
 
-// apply changes the site in place, and returns the elements whose names it no longer contains.
+// apply changes the site in place, and returns the elements whose names the site no longer contains.
 func (v *variant) apply(site map[string]any) ([]element, error) {
 	if err := v.setValues(site); err != nil {
 		return nil, err
 	}
-	// A dropped element can be neither renamed nor extended: find fails for both.
+	// Elements are dropped before others are renamed or extended. Renaming or extending a dropped element is an error of find.
 	dropped, err := v.dropPaths(site)
 	if err != nil {
 		return nil, err
@@ -203,8 +203,8 @@
 }
 
 // rename gives the elements their new names and updates the references to them. A reference is a string at a key that has the list's
-// name or its plural. A removed name at any other place is an error, because its meaning there is unknown. An element's own
-// name is never a reference.
+// name or its plural. A removed name at any other place is an error, because the meaning of the name at that place is unknown.
+// An element's own name is never a reference.
 func rename(node map[string]any, location string, names map[element]string, removed []element) error {
 	for _, key := range sortedKeys(node) {
 		below := strings.TrimPrefix(location+"."+key, ".")
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -57,8 +57,8 @@
 // noHardwareKind is a list of kinds of hardware that matches no server.
 var noHardwareKind = []string{""}
 
-// OnStage records the stage of the newest version. It ignores a stage of an earlier version. If a version was
-// released before a restart, it also ignores the stages of that version before the release.
+// OnStage records the stage of the newest version. It ignores a stage of an earlier version. If a version was recorded as
+// released before a restart, OnStage also ignores the stages that preceded the release of that version.
 func (d *Director) OnStage(stage dispatch.RolloutStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -75,7 +75,7 @@
 	assigned, hardware := s.Assigned(), s.Kind
 	s.needsReissue = false
 	d.mu.Unlock()
-	failed := func(err error) error { // after a failure, the metadata still have to be issued
+	failed := func(err error) error { // mark the metadata as still to be issued
 		d.mu.Lock()
 		s.needsReissue = true
 		d.mu.Unlock()
--- a/internal/director/keys.go
+++ b/internal/director/keys.go
@@ -12,7 +12,7 @@
 )
 
 // Keys replaces the root chain, which is given by file name, and the online keys. Each online role must have at least as many
-// online keys as its threshold. If the newest root has another version than before, all servers' metadata are issued again.
+// online keys as its threshold. If the version of the newest root changes, all servers' metadata are issued again.
 // On an error nothing changes.
 func (d *Director) Keys(chain map[string][]byte, online []*keys.Key) error {
 	var newest *metadata.Metadata[metadata.RootType]
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -33,7 +33,7 @@
 
 func (t testID) String() string { return t.importPath + "." + t.name }
 
-// The fields of an entry. Each appears exactly once, on a line of its own, in any order.
+// The fields of an entry. Each field appears exactly once in an entry, on a line of its own. Their order does not matter.
 const (
 	fieldTest    = "test"
 	fieldCommand = "command"
@@ -44,14 +44,14 @@
 
 var fieldNames = []string{fieldTest, fieldCommand, fieldSeed, fieldSeen, fieldIssue}
 
-// testPattern splits a test's full name. The package ends at the first ".Test": a subtest's name may contain dots, while no element
-// of an import path contains a dot followed by an upper-case Test.
+// testPattern splits a test's full name. The package ends at the first ".Test", ".Fuzz" or ".Example": a subtest's name may contain
+// dots, while no element of an import path contains a dot followed by one of these capitalized words.
 var testPattern = regexp.MustCompile(`^(\S+?)\.((?:Test|Fuzz|Example)[^\s/]*(?:/\S+)?)$`)
 
 // block holds the lines of one entry before their values are checked.
 type block struct {
-	firstLine int               // counted from 1
-	values    map[string]string // by field name
+	firstLine int               // number of the entry's first line in the file, counted from 1
+	values    map[string]string // values by field name
 }
 
 // parseList reads the list: blocks of "field: value" lines, separated by blank lines. It returns all errors joined; each names
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -107,7 +107,7 @@
 }
 
 // isExplained reports whether a failed test is listed, or failed only because a listed subtest of it failed. In the second case
-// the test itself has printed nothing.
+// the test itself must have printed nothing but its result.
 func (r *results) isExplained(importPath, name string, p *packageRun) bool {
 	if r.isListed(testID{importPath: importPath, name: name}) {
 		return true
--- a/internal/knownred/runner.go
+++ b/internal/knownred/runner.go
@@ -34,7 +34,7 @@
 	failedBefore := r.failedPackages
 	readErr := readEvents(stdout, r)
 	if readErr != nil {
-		// Read the rest: go test blocks while nobody reads its output.
+		// Read the remaining output, because go test blocks while nobody reads its output.
 		_, _ = io.Copy(io.Discard, stdout)
 	}
 	err = cmd.Wait()
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -19,7 +19,8 @@
 	r.watchedPaths = paths
 }
 
-// lookUpWatched looks up the paths of WatchTargets at once, and then twice in the time that a timestamp counts as current.
+// lookUpWatched looks up the paths of WatchTargets immediately, and then at intervals of freshFor/2 or minLookUpInterval, whichever
+// is longer. A timestamp counts as current for freshFor.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
 	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
 	defer ticker.Stop()
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -145,7 +145,7 @@
 }
 
 // accept calls verify for a file that a mirror sent. A file that is signed by unknown keys may depend on newer roots, so
-// accept then asks the same mirror for them. Newer roots may invalidate metadata that are held; accept then returns no
+// accept then asks the same mirror for newer roots. These may invalidate metadata that are held; accept then returns no
 // refusal, because the mirror is not at fault.
 func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, verify func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	refusal := r.update(verify)
@@ -179,8 +179,8 @@
 	return refusal
 }
 
-// fetchRole fetches the targets of a delegated role, and, if metadata for that are missing, of the roles that may delegate
-// to it.
+// fetchRole fetches the targets of a delegated role. If metadata that the role depends on are missing, fetchRole fetches the other
+// missing roles, one of which may delegate to the role, and then tries again.
 func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
 	v, _, _ := r.fetchGroup.Do("role "+role, func() (any, error) {
 		refusal := r.fetchTargets(role)
@@ -212,7 +212,7 @@
 	err := r.fetchFile(classTargets, f, maxSize, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
 		refusal = r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTargets(now, role, data) })
 		if refusal != nil && refusal.Reason == tufverify.ReasonMissing {
-			return nil // the mirror is not at fault
+			return nil // the metadata that delegate to the role are missing: the mirror is not at fault
 		}
 		return refusal
 	})
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -87,7 +87,7 @@
 	offset       int64 // offset in the package of the next byte passed to write
 	length       int64 // length of the response body
 	status       int
-	contentRange string // Content-Range header of a partial response; empty for the whole file
+	contentRange string // Content-Range header of a partial response; empty if the response is the whole package
 	headerSent   bool
 	disconnected bool
 	counts       *Counts
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -5,7 +5,7 @@
 )
 
 // ClientLimiter limits the number of requests that wait for mirrors or are being sent a package, because each of them needs
-// memory. Requests for metadata files that are held need almost none and are not counted.
+// memory. Requests for metadata files that are held need almost no memory and are not counted.
 type ClientLimiter struct {
 	Limit        int // maximum number of admitted requests
 	inUse        int
@@ -21,8 +21,8 @@
 	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShareDivisor)}
 }
 
-// Acquire admits a request of a client, and reports whether it did. A single client cannot use up the limit: once half of the
-// limit is in use, each client is limited to a quarter of the limit, and to one request at least.
+// Acquire admits a request of a client if the limits allow that, and reports whether the request was admitted. A single client
+// cannot use up the limit: once half of the limit is in use, each client may have a quarter of the limit, and one request at least.
 func (l *ClientLimiter) Acquire(client string) bool {
 	if l.inUse >= l.Limit || l.inUse >= l.Limit/2 && l.perClient[client] >= l.maxPerClient {
 		return false
@@ -44,5 +44,5 @@
 func (l *ClientLimiter) InUse() int { return l.inUse }
 
 // ClientWriteTimeout is the maximum time for a client to accept one write of a package. After the timeout the client's connection
-// is closed, because it also occupies a connection to a mirror.
+// is closed, because the client's request also occupies a connection to a mirror.
 const ClientWriteTimeout = 10 * tufverify.Second
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -13,9 +13,9 @@
 	ImageAgrees       bool // the image repository still has the package that the metadata name, or cannot be asked
 }
 
-// MustRenew reports whether the metadata must be issued again before they are served. That is the case after half of their
-// lifetime at the latest, so that served metadata are valid for at least half of their lifetime, and a server that asks again
-// within that time never finds them expired.
+// MustRenew reports whether the metadata must be issued again before they are served. Metadata are issued again after
+// half of their lifetime at the latest. Served metadata are therefore valid for at least half of their lifetime, and a server that
+// asks again within that time never finds its metadata expired.
 func (i Issue) MustRenew(now Tick) bool {
 	return !i.Exists || !i.AssignmentCurrent || !i.ImageAgrees || now >= i.IssuedAt+(i.ExpiresAt-i.IssuedAt)/2
 }
--- a/internal/metadatarefresh/mirror_settings.go
+++ b/internal/metadatarefresh/mirror_settings.go
@@ -8,7 +8,7 @@
 // MirrorSettings returns the settings of the dispatcher of one repository's mirrors. The operator configures the parameters: the
 // number of processes that share the mirrors, the connect timeout and the maximum Retry-After in seconds, and the request
 // classes. The other settings are fixed: a new mirror starts at a tenth of its capacity and is warmed up after ten seconds; in
-// no second a new mirror gets more than twice what a warm mirror answers; a draining mirror has a grace period of one second;
+// any second a new mirror gets at most twice the requests that a warm mirror answers; a draining mirror has a grace period of one second;
 // a request has at most sixteen attempts.
 func MirrorSettings(relays, connectTimeout, maxRetryAfter float64, classes []balancer.RequestClass) settings.Site {
 	for i := range classes {
--- a/internal/metadataservice/assignment.go
+++ b/internal/metadataservice/assignment.go
@@ -41,7 +41,7 @@
 
 // PartialAssignment returns the assignment that a server finds by partial verification, which verifies only the Director's targets
 // (Uptane Standard 2.1, section 5.4.4.1). The timestamp only gives the version of the targets to fetch and is not verified. pinned
-// is the Director's pinned root, at is the time of the verification.
+// is the Director's pinned root, and at is the time of the verification.
 func PartialAssignment(proxyURL, server string, pinned []byte, at time.Time) ([]*tufverify.Target, error) {
 	get := Fetcher(proxyURL + "/director/" + server + "/metadata/")
 	root, err := (&metadata.Metadata[metadata.RootType]{}).FromBytes(pinned)
--- a/internal/metadataservice/helpers_test.go
+++ b/internal/metadataservice/helpers_test.go
@@ -147,7 +147,7 @@
 	w.must(os.WriteFile(filepath.Join(w.dir, "cove.conf"), []byte(b.String()), 0o600))
 }
 
-// start writes the operator's file and runs the service. stop ends it.
+// start writes the operator's file and runs the service. stop ends the service.
 func (w *testService) start() {
 	w.Helper()
 	w.writeConfig()
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // real time, which is the dispatcher's clock
+			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now, because the dispatcher's clock is the real time
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/tufverify/helpers_test.go
+++ b/internal/tufverify/helpers_test.go
@@ -85,7 +85,7 @@
 	return k
 }
 
-// open creates the Repository anew from a pinned root, as after a restart. The store stays.
+// open creates the Repository anew from a pinned root, as after a restart. The version store stays the same.
 func (b *testRepository) open(pinned []byte) {
 	b.Helper()
 	var err error
--- a/internal/tufverify/parse.go
+++ b/internal/tufverify/parse.go
@@ -53,8 +53,8 @@
 	return h, nil
 }
 
-// canonicalDigest returns the digest of the canonical form of the signed part. It decodes the bytes without the metadata types, as
-// a client may do. An object with a duplicate member is an error, because parsers differ in which of the two they use.
+// canonicalDigest returns the digest of the canonical form of the signed part. canonicalDigest decodes the bytes without the metadata
+// types, as a client may do. An object with a duplicate member is an error, because parsers differ in which of the two they use.
 func canonicalDigest(data []byte) (digest Digest, err error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -82,7 +82,8 @@
 const maxNestingDepth = 32
 
 // checkUniqueMembers reads one JSON value and returns an error if an object in it has a duplicate member. It does not detect names
-// that differ in case alone, which the JSON decoder of go-tuf treats as equal: those change the canonical form, which parse compares.
+// that differ in case alone, which the JSON decoder of go-tuf treats as equal. Such names change the canonical form, so parse
+// detects them when it compares the canonical forms.
 func checkUniqueMembers(dec *json.Decoder, depth int) error {
 	t, err := dec.Token()
 	if err != nil {
