--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -100,12 +100,12 @@
 	deferredStage        *dispatch.RolloutStage // stage whose package the image repository does not have yet; nil for none
 	released             uint16                 // newest released version, 0 for none
 	timerAt              stagedrollout.Tick     // time of the rollout's timer, 0 for none
-	pendingIssues        []*server              // servers whose metadata Run must issue
+	pendingIssues        []*server              // servers whose metadata Run must issue again
 
 	Issued             int64     // versions of servers' metadata issued
 	Assignments        int64     // assignments that the rollout has made
 	Reports            int64     // reports of known servers
-	LastChangeIssuedAt time.Time // when the last change had been issued to all servers that the change affects
+	LastChangeIssuedAt time.Time // when Run last finished a pass over the servers whose metadata had to be issued
 }
 
 // server is one server of the fleet.
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,7 +12,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// errKeysKeepChanging is the error of a refresh that was restarted too often because new roots arrived.
+// errKeysKeepChanging is the error of a refresh that needs more than MaxFilesPerRefresh files, because new keys made the set of
+// metadata incomplete again and again.
 var errKeysKeepChanging = errors.New("keys keep changing during the refresh")
 
 // cached returns a file if it may be served without asking a mirror.
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -150,7 +150,8 @@
 	return endpoints
 }
 
-// markNew sets the start time of each mirror that the earlier list does not have to now, so that the mirror is warmed up.
+// markNew sets the start time of each mirror that is not in the earlier list. The start time becomes now, so that the mirror is
+// warmed up.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
 	known := map[mirror]bool{}
--- a/internal/tufrepo/roles.go
+++ b/internal/tufrepo/roles.go
@@ -15,7 +15,7 @@
 
 // Rotate stages the next root, in which keys of a role are replaced. added holds the public keys to add, and revoked the
 // identifiers, or prefixes of them, of the keys to revoke. threshold is the new threshold of the role, or 0 to keep the present
-// one. Signatures of a revoked key no longer count. The error wraps ErrUnknownKey if a key to revoke does not belong to the role.
+// threshold. Signatures of a revoked key no longer count. The error wraps ErrUnknownKey if a key to revoke does not belong to the role.
 func (r *Repo) Rotate(role string, added []*metadata.Key, revoked []string, threshold int) error {
 	m, err := openForChange(r, metadata.ROOT, func(m *metadata.Metadata[metadata.RootType], version int64) {
 		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Lifetimes.Root)
