--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// errKeysKeepChanging is the error of a refresh that needs more than MaxFilesPerRefresh files, because new keys made the set of
-// metadata incomplete again and again.
+// errKeysKeepChanging is the error of a refresh that has fetched MaxFilesPerRefresh files without finding the set complete, because
+// new keys made the set of metadata incomplete again.
 var errKeysKeepChanging = errors.New("keys keep changing during the refresh")
 
 // cached returns a file if it may be served without asking a mirror.
