--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -1,6 +1,6 @@
 // Command silvercovectl is the control program. It checks operators' files, manages keys and TUF repositories, runs the
 // metadata proxy (the front, on the command line), runs the processes of a fleet, and runs simulations and measurements of
-// them. Large dependencies are used in this program, so that the binary of the relay stays small.
+// them. This program uses the large dependencies, so that the binary of the relay stays small.
 package main
 
 import (
