--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -36,7 +36,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	defer context.AfterFunc(ctx, stop)() // after the first signal, a second one ends the process as by default
+	defer context.AfterFunc(ctx, stop)() // after the first signal, restore the default: a second signal ends the process
 	return p.runWhile(func(alive context.Context) error {
 		node, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
@@ -59,9 +59,9 @@
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
-// withClient runs call with a client of the controllers. The client connects with the name and the peers of the file's
-// process, which may be running: the client listens on a port of its own, and connections to its own name go to that
-// process.
+// withClient runs call with a client of the controllers. The client uses the name and the peers of the file's
+// process. That process may be running at the same time: the client listens on a port of its own, and connections to the
+// shared name go to the process.
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
 	if err != nil {
@@ -78,7 +78,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = network.Run(networkCtx) // it returns nil once the context is cancelled
+		_ = network.Run(networkCtx) // Run returns nil once the context is cancelled
 	}()
 	defer func() {
 		stopNetwork()
@@ -207,7 +207,7 @@
 // epoch of the current assignment.
 func (c *controllerCommand) propose(e placement.Operation) error {
 	return c.withClient(func(ctx context.Context, client *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
-		if e.Kind != placement.OpCreate { // it applies to the current epoch
+		if e.Kind != placement.OpCreate { // the operation applies to the current epoch
 			all, err := client.Assignments(ctx, 0)
 			if err != nil {
 				return err
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -11,7 +11,7 @@
 type MirrorSurvey struct {
 	shownBy map[string]bool // names of the mirrors that have shown a correctly signed timestamp
 
-	// Done reports whether the survey is complete. It never becomes false again.
+	// Done reports whether the survey is complete. Done never becomes false again.
 	Done bool
 }
 
