--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -133,7 +133,7 @@
 	listDelay        float64 // seconds by which the endpoint list is late
 	capacity         float64 // requests a second that a warm backend can serve
 	wrapHost         hostWrapper
-	cores            float64 // of a backend, shared among its requests in progress; 0: the latency of an attempt is drawn when it starts
+	cores            float64 // cores of a backend, shared among its requests in progress; 0: the latency of an attempt is drawn when the attempt starts
 	warmUp           float64 // seconds until a backend that shares its cores is warm
 }
 
--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -44,8 +44,8 @@
 type leaseRequest struct {
 	node        *edgeNode
 	incarnation uint64
-	status      migration.NodeStatus // passed to the planner
-	reported    migration.NodeStatus // as the node sent it
+	status      migration.NodeStatus // the status that is passed to the planner
+	reported    migration.NodeStatus // the status as the node sent it
 	records     recordCount
 	unverified  []replica.UnverifiedCopy
 	granted     func(version, known uint64)
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -23,11 +23,11 @@
 // controller is a controller process with its disk and clock.
 type controller struct {
 	endpoint     *endpoint
-	downCount    int       // number of crashes under way
+	downCount    int       // number of faults under way that stop the controller
 	diskDelay    tick.Tick // duration of one write
 	clockRate    float64
 	clockOffset  tick.Tick
-	laterVersion int // above 0: it runs a later version
+	laterVersion int // above 0: the controller runs a later version
 }
 
 func (k *controller) clock(now tick.Tick) tick.Tick {
--- a/internal/lab/fleetsim/later_versions_test.go
+++ b/internal/lab/fleetsim/later_versions_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// All processes restart in turn under load, with a node and a controller of a later version among them, and a zone is cut off
-// meanwhile. No rule may be broken, no effects lost, and the field that the later controller added must be kept.
+// All processes restart in turn under load, with a node and a controller of a later version among them. A zone is cut off during the
+// restarts. No rule may be broken, no effects may be lost, and the field that the later controller added must be kept.
 func TestLaterVersion_RollingRestartOfMixedVersionsDuringPartition(t *testing.T) {
 	s := fleetOf(30, 5, 300)
 	s.RestartAfter, s.RequestRate = 60, 50
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -54,7 +54,7 @@
 		for ; n < len(q); n++ {
 			w := q[n]
 			if m.newest[w.newestSlot()] != w {
-				continue // superseded by a later one
+				continue // a later update supersedes this one
 			}
 			if size+w.size() > maxPacketBytes {
 				break
@@ -110,7 +110,7 @@
 	f, name := m.group.fleet, m.group.members[w.member].endpoint.name
 	if w.raw != nil {
 		if old := m.records[w.member]; old != nil && &old.raw[0] == &w.raw[0] {
-			return // the same bytes again, which the table would reject with membership.ErrStale
+			return // the member already has the same bytes, which the table would reject with membership.ErrStale
 		}
 		if m.table.MergeDecoded(f.now, *w.record, w.raw) != nil {
 			return
@@ -124,7 +124,7 @@
 	}
 	seen, known := m.table.Member(name)
 	switch {
-	case name == m.endpoint.name: // refutes that it is down
+	case name == m.endpoint.name: // the member refutes the news that it is down
 		if w.isDown && f.now-m.lastRefuted > m.group.timeout {
 			m.lastRefuted = f.now
 			m.enqueue(&update{member: w.member, isUp: true, since: f.now})
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -27,15 +27,15 @@
 // memberGroup is the group of all members of the fleet.
 type memberGroup struct {
 	fleet            *Fleet
-	rng              *rand.Rand // a separate source, so that a fleet without membership runs the same
+	rng              *rand.Rand // random source of the members alone, so that a fleet without membership runs the same
 	members          []*member  // controllers, nodes and relays, by id
 	byName           map[string]*member
 	timeout          tick.Tick
 	maxTransmissions int // number of times that a member sends an update
 	onChange         func(m *member, seen membership.Member)
 
-	Messages, Bytes             int // sent in all
-	secondMessages, secondBytes int // sent in the current second
+	Messages, Bytes             int // messages and bytes that all members have sent since resetCounts
+	secondMessages, secondBytes int // messages and bytes that all members have sent in the current second
 	WorstMessages, WorstOne     int // maxima over all seconds: messages of all members; bytes that one member sent and received
 	WorstBytes                  int // maximum over all seconds: bytes that all members sent
 }
@@ -49,7 +49,7 @@
 	diskWiped   bool                       // the next start is one without a disk
 	replyDelay  tick.Tick                  // delay of its replies to pings, added by a test
 	condition   func() (down, frozen bool) // state of the process
-	relay       *relay                     // nil: it is not a relay
+	relay       *relay                     // nil: the member is not a relay
 	running     bool
 	incarnation uint64
 	stopped     bool   // the process has ended for good
@@ -60,8 +60,8 @@
 	records     []*update               // newest record of each member that the table has merged
 	ownRecord   *update
 	probing     map[string]bool
-	lastRefuted tick.Tick // last time that it refuted being down
-	bytes       int       // sent and received in the current second
+	lastRefuted tick.Tick // last time that the member refuted the news that it is down
+	bytes       int       // bytes that the member has sent and received in the current second
 	worstSecond int       // maximum of bytes over all seconds
 }
 
@@ -126,7 +126,7 @@
 }
 
 // start starts a process of the member. Its table knows only the names, roles and zones of the others, as from a file. fresh
-// tells whether it starts with an empty disk.
+// reports whether the process starts with an empty disk.
 func (m *member) start(incarnation uint64, fresh bool) {
 	c := m.group
 	zone := func(n *endpoint) string {
--- a/internal/lab/fleetsim/membership_views.go
+++ b/internal/lab/fleetsim/membership_views.go
@@ -18,7 +18,7 @@
 
 // Load is the gossip traffic per member and second.
 type Load struct {
-	Messages, Bytes float64 // per member: average over a span, or of the worst second
+	Messages, Bytes float64 // per member and second: the average over a span, or the value of the worst second
 	MaxMemberBytes  int     // maximum of the bytes that one member sent and received in one second
 }
 
--- a/internal/lab/fleetsim/network.go
+++ b/internal/lab/fleetsim/network.go
@@ -10,7 +10,7 @@
 	uplinkRate float64 // bytes per second
 	busyUntil  tick.Tick
 	lossRate   float64
-	extraDelay tick.Tick // added by faults
+	extraDelay tick.Tick // delay that faults add
 	nodes      []*edgeNode
 	sunshine   float64
 	partitions int // number of faults under way that cut the zone off from outside
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -29,7 +29,7 @@
 		ok := u.diskFull == 0 && do(u.logs[name])
 		if ok {
 			if *u.recordsWritten++; u.diskRecords.serial == *u.recordsWritten-1 {
-				u.diskRecords.serial++ // otherwise records that the disk lacks are still missing
+				u.diskRecords.serial++ // if the condition is false, records that the disk lacks are still missing
 			}
 			if u.diskRecords.settled {
 				u.diskRecords.count++
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -10,7 +10,7 @@
 	Lease, Dwell, RestartAfter                   float64 // seconds: the settings fleet.lease, fleet.dwell and fleet.restart_after
 	Replicas, RemoteReplicas                     int
 	RequestRate                                  float64   // simulated requests per second over the whole fleet, a sample of its load
-	ReportInterval                               tick.Tick // between two load reports of a relay
+	ReportInterval                               tick.Tick // time between two load reports of a relay
 	UplinkRate                                   float64   // bytes per second of a zone's uplink
 	KeepTimeline                                 bool      // keep the events for Timeline
 	MembershipTimeout                            float64   // silence timeout of members in seconds; 0: membership is not simulated
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -17,13 +17,13 @@
 	second            = float64(balancer.Second)
 	stableVersion     = 1    // the version that all backends run at first; packages have the versions after it
 	exposureWindow    = 4.0  // window of the exposure rule
-	releaseLag        = 0.05 // until relays get a stage, or the platform a vote
-	listLag           = 0.1  // until relays get a change of the endpoint list
-	replaceSpan       = 1.0  // during which a backend that is being replaced is away
-	warmUp            = 4.0  // from the start of a backend until it is warm
+	releaseLag        = 0.05 // delay until relays get a stage, or until the platform gets a vote
+	listLag           = 0.1  // delay until relays get a change of the endpoint list
+	replaceSpan       = 1.0  // time for which a backend that is being replaced is away
+	warmUp            = 4.0  // time from the start of a backend until the backend is warm
 	slotsPerBackend   = 8    // requests that a backend works on at once
-	medianServiceTime = 0.02 // that a backend works on a request
-	metricsLag        = 1.0  // from the end of a period until relays get the counts of the platform
+	medianServiceTime = 0.02 // median time that a backend works on a request
+	metricsLag        = 1.0  // delay from the end of a period until relays get the counts of the platform
 )
 
 // model is the state of a simulated rollout.
@@ -69,8 +69,8 @@
 	started      balancer.Tick
 	state        balancer.EndpointState
 	incarnation  int                            // increases with each replacement; attempts of an earlier one are reset
-	isSick       bool                           // fails requests whatever version it runs, see Condition.SickShare
-	slots        [slotsPerBackend]balancer.Tick // when each becomes free
+	isSick       bool                           // the backend fails requests whatever version it runs, see Condition.SickShare
+	slots        [slotsPerBackend]balancer.Tick // time at which each slot becomes free
 	replacements int                            // replacements that were requested; only the last one takes effect
 }
 
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -21,12 +21,12 @@
 	number      int
 	incarnation uint64
 	overload    *overload.Manager
-	serving     bool // accepts requests
-	alive       bool // its process runs
+	serving     bool // the relay accepts requests
+	alive       bool // the relay's process runs
 	known       []*balancer.Backend
 	requests    map[*balancer.Request]*clientRequest
 	attempts    map[*balancer.Attempt]*overloadAttempt
-	connected   []bool // by backend: whether it has a connection to the backend
+	connected   []bool // by backend: the relay has a connection to the backend
 }
 
 // overloadAttempt is an attempt of a request at a backend.
@@ -36,7 +36,7 @@
 	incarnation   uint64
 	sentAt        balancer.Tick
 	ended         bool
-	newConnection bool // it makes a new connection
+	newConnection bool // the attempt makes a new connection
 }
 
 // start starts the process of a relay, without state. The relay accepts requests after beginServing.
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -61,8 +61,8 @@
 type SummaryLine struct {
 	Package, Condition string
 	Bad                bool
-	Wrong              Rate // a good package was rolled back, or a bad one released
-	Advanced           Rate // advanced past the first stage
+	Wrong              Rate // rollouts in which a good package was rolled back, or a bad one released
+	Advanced           Rate // rollouts that advanced past the first stage
 	Undecided          Rate
 	P50, P95           float64   // seconds to the verdict
 	Harm               float64   // share of the requests that failed
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	fleetPort, requestPort = "7001", "5501" // below the ephemeral ports; each process has a loopback address of its own
+	fleetPort, requestPort = "7001", "5501" // both are below the ephemeral ports; each process has its own loopback address
 	maxOutputLines         = 200            // lines kept of a process's output besides its events
 )
 
@@ -31,15 +31,15 @@
 // than needed on an idle machine.
 var endTimeout, waitTimeout = 5 * time.Second, 40 * time.Second
 
-// TimeScale is the factor by which leases and waits are longer than on an idle machine. Processes that are not scheduled for the length
-// of a lease lose it, and if controllers are not scheduled there is no agreement at all. Tests check the order of causally
-// related events, so the factor does not change what they show.
+// TimeScale is the factor by which leases and waits are longer than on an idle machine. A process that is not scheduled for the length
+// of a lease loses its lease, and controllers that are not scheduled cannot agree on anything. Tests check the order of causally
+// related events, so the factor does not change what the tests show.
 var TimeScale = machineLoad()
 
 func machineLoad() float64 {
 	var load float64
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		_, _ = fmt.Sscan(string(text), &load) // the load average of the last minute
+		_, _ = fmt.Sscan(string(text), &load) // the first number of the file is the load average of the last minute
 	}
 	return min(4, max(1, load/float64(2*runtime.NumCPU())))
 }
--- a/internal/standin/testcluster/events.go
+++ b/internal/standin/testcluster/events.go
@@ -33,7 +33,7 @@
 		e.To = l.Member + l.Unit
 	}
 	switch t := l.Time.(type) {
-	case string: // as precise as its digits; a time without a fraction of a second is too coarse
+	case string: // a time without a fraction of a second is too coarse to use
 		if at, err := time.Parse(time.RFC3339Nano, t); err == nil && strings.Contains(t, ".") {
 			e.At = at
 		}
--- a/internal/standin/testcluster/stalls.go
+++ b/internal/standin/testcluster/stalls.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// RequestsWithoutStalls returns the requests that have ended, without the time for which this process was stalled.
+// RequestsWithoutStalls returns the requests that have ended. Each End is earlier by the time for which this process was stalled during
+// the request.
 func (c *Cluster) RequestsWithoutStalls() []Request {
 	all := c.Requests()
 	c.mu.Lock()
