--- a/internal/lab/day_backend.go
+++ b/internal/lab/day_backend.go
@@ -16,7 +16,7 @@
 	completion     int // number of the scheduled completion; events of earlier numbers are outdated
 	silentUntil    balancer.Tick
 	warmUpAttempts []warmUpAttempt // attempts of the last second, while the backend is cold
-	overloaded     bool            // since its start
+	overloaded     bool            // the backend has been overloaded since its start
 }
 
 // warmUpAttempt is an attempt at a cold backend. Its work is in requests of mean work. announced reports whether its relay
@@ -46,7 +46,7 @@
 // run advances a backend that shares its cores to the present: it completes the attempts whose work is done, drops those that
 // their relay has ended, adds an attempt unless added is nil, and schedules the next completion.
 func (u *dayBackend) run(f *fleetDay, added *dayAttempt) {
-	speed := min(1, f.cores/float64(max(1, len(u.work)))) // of each attempt, in seconds of work per second
+	speed := min(1, f.cores/float64(max(1, len(u.work)))) // speed of each attempt, in seconds of work per second
 	if u.StartedAt > 0 {
 		speed *= min(1, 0.5+0.5*float64(f.now-u.StartedAt)/(f.warmUp*second))
 	}
--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -19,7 +19,7 @@
 	attempts   map[*balancer.Request][]*dayAttempt
 	dead       bool
 	draining   bool
-	drainSince []balancer.Tick // by backend: when this relay was notified that the backend drains, or 0
+	drainSince []balancer.Tick // by backend: time at which this relay was notified that the backend drains, or 0
 	rate       float64
 }
 
@@ -31,7 +31,7 @@
 	ended      bool
 	mayHaveRun bool // the backend may have run the request
 	relay      *dayRelay
-	workLeft   float64 // seconds of one core
+	workLeft   float64 // remaining work, in seconds of one core
 }
 
 // startRelay starts a relay and the requests of its clients.
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -55,7 +55,7 @@
 
 // onLeaseGranted handles the record count that comes with a lease, as the process of a node does. known is the count that the
 // controllers know of. A start with a lower count means that the disk was restored from a backup. Once all copies are
-// verified, it raises the count by countsPerIncarnation, once per incarnation.
+// verified, onLeaseGranted raises the node's count by countsPerIncarnation, once per incarnation.
 func (u *edgeNode) onLeaseGranted(incarnation, known uint64, reported []replica.UnverifiedCopy) {
 	if !u.diskChecked {
 		u.diskChecked = true
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -41,8 +41,8 @@
 // Recovery describes how a fleet recovered from one fault.
 type Recovery struct {
 	Quiet, Idle tick.Tick // time until Fleet.Quiet; longest time that an instance was served by no node
-	Moves       int       // maximum number at once
-	Operations  int       // number that the controllers agreed on
+	Moves       int       // maximum number of moves at once
+	Operations  int       // number of operations that the controllers agreed on
 	Lost        int       // number of instances that restarted without a current replica
 	Broken      string    // broken rule or unsettled instance, "" if there is none
 }
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -58,8 +58,8 @@
 	return count, w.front.Director().IssuedCount() - before, h, ctx.Err()
 }
 
-// pollers are servers that poll the metadata proxy for their assignment. Its methods are for one goroutine at a time, except
-// for waitForEarlierPackage.
+// pollers are servers that poll the metadata proxy for their assignment. Only one goroutine at a time may
+// call the methods, except for waitForEarlierPackage.
 type pollers struct {
 	Metadata
 	*frontFixture
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -55,7 +55,7 @@
 	done           bool
 }
 
-// outcomeCounts counts outcomes: all of them and the failed ones. serviceTime is the sum over the others.
+// outcomeCounts counts all outcomes and the failed ones. serviceTime is the sum of the service times of the outcomes that did not fail.
 type outcomeCounts struct {
 	total, failed int
 	serviceTime   balancer.Tick
@@ -68,7 +68,7 @@
 	version      uint16
 	started      balancer.Tick
 	state        balancer.EndpointState
-	incarnation  int                            // increases with each replacement; attempts of an earlier one are reset
+	incarnation  int                            // increases with each replacement; attempts at an earlier incarnation are reset
 	isSick       bool                           // the backend fails requests whatever version it runs, see Condition.SickShare
 	slots        [slotsPerBackend]balancer.Tick // time at which each slot becomes free
 	replacements int                            // replacements that were requested; only the last one takes effect
@@ -126,7 +126,7 @@
 // after schedules an event after a number of seconds.
 func (m *model) after(seconds float64, do func()) { m.at(m.now+max(0, ticksOf(seconds)), do) }
 
-// at schedules an event for a time, or for now if that is past.
+// at schedules an event for a time, or for now if the time is past.
 func (m *model) at(t balancer.Tick, do func()) {
 	m.sequence++
 	heap.Push(&m.queue, event{max(t, m.now), m.sequence, do})
--- a/internal/lab/model_relay.go
+++ b/internal/lab/model_relay.go
@@ -22,7 +22,7 @@
 	capSince    balancer.Tick
 	capVersion  uint16 // the version that stageCap applies to
 	previousCap float64
-	outcomes    int // of a relay that misreads every tenth one
+	outcomes    int // number of outcomes at a relay that reads every tenth outcome as an error
 }
 
 // start starts the relay, or restarts it without its state.
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -343,7 +343,7 @@
 }
 
 // startWork has the free workers of a backend take requests from its queue. A backend also works on requests whose relay has
-// stopped waiting, as it does not know about that.
+// stopped waiting, because the backend does not know that the relay has stopped.
 func (m *overloadModel) startWork(u *overloadBackend) {
 	for u.working < workersPerBackend && len(u.queue) > 0 {
 		s := u.queue[0]
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -220,12 +220,12 @@
 	n.OnOutcome(m.now, s.attempt, outcome, m.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request. Its client retries after the time that it is given.
+// Reject ends a request. The request's client retries after retryAfter.
 func (n *overloadRelay) Reject(c *balancer.Request, retryAfter balancer.Tick) {
 	n.endRequest(c, float64(retryAfter)/second)
 }
 
-// Fail ends a request with an error. Its client retries.
+// Fail ends a request with an error. The request's client retries.
 func (n *overloadRelay) Fail(c *balancer.Request) { n.endRequest(c, 0) }
 
 // endRequest ends a request without success and schedules the retry of its client.
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -36,11 +36,11 @@
 	RestartInterval                       float64 // seconds between two restarts of relays, one relay after the other; 0: none
 	ClumpShare                            float64 // share of a package's failures that occur at one backend of every six
 	GarbageRelays                         int     // number of relays that read every tenth outcome as an error, at any version
-	GarbageFrom                           float64 // seconds after the first offer from which they do so
+	GarbageFrom                           float64 // seconds after the first offer from which these relays do so
 	MoreBaseFailures                      float64 // share of failures of the earlier package beyond the base
 	SlowZoneFactor                        float64 // factor on the usual service time in one zone; 0: none
 	SickShare, SickFailures               float64 // share of the backends that fail a share of their requests, at any version
-	SickFrom                              float64 // seconds after the first offer from which they do so
+	SickFrom                              float64 // seconds after the first offer from which these backends fail requests
 }
 
 // Rollout holds the parameters of one simulated rollout.
@@ -85,7 +85,7 @@
 	Seed            uint64  `json:"seed"`
 	Bad             bool    `json:"bad"`
 	StagesPassed    int     `json:"waves"`    // stages that the package was advanced past
-	Released        bool    `json:"released"` // at any time
+	Released        bool    `json:"released"` // the package was released at some time
 	RolledBack      bool    `json:"back"`     // the package was rolled back
 	VerdictSeconds  float64 `json:"verdict"`  // seconds from the offer to the release or the roll-back, whichever came first
 	Undecided       bool    `json:"undecided"`
@@ -93,5 +93,5 @@
 	Failed          int     `json:"failed"`           // requests that got an error, a rejection or no answer in time
 	CanaryAttempts  int     `json:"trial"`            // attempts at the package before its release
 	ExposureBreaks  int     `json:"broken"`           // violations of the exposure rule
-	EarlierOutcomes string  `json:"before,omitempty"` // how the packages before it ended: "back" (rolled back) or "released", one word each
+	EarlierOutcomes string  `json:"before,omitempty"` // how the packages before this one ended: "back" (rolled back) or "released", one word each
 }
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -15,7 +15,7 @@
 
 // Fault is a deviation of a mirror from a correct answer.
 type Fault struct {
-	From, To int    // numbers of the first and last request at this mirror that it applies to, from 0; To -1: no end
+	From, To int    // numbers of the first and last request at this mirror that the fault applies to, from 0; To -1: no end
 	Match    string // substring of the path; "" matches all paths
 	Kind     string // lag, freeze, mix, endless, slow, length, half, foreign, status, refuse, silent, flip
 	Value    int    // sets to lag, ms a byte (slow), status code, index of the byte (flip), per cent (half)
@@ -61,7 +61,7 @@
 type Mirror struct {
 	Name      string
 	publisher *Publisher
-	foreign   *Publisher // its files are served by the fault foreign
+	foreign   *Publisher // publisher whose files the fault foreign serves
 	listener  net.Listener
 	server    *http.Server
 	done      sync.WaitGroup
--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -65,7 +65,7 @@
 	Dir     string
 	Repo    *tufrepo.Repo
 	Clock   *Clock
-	Keys    map[string][]*keys.Key // by role
+	Keys    map[string][]*keys.Key // keys by role
 	mu      sync.Mutex
 	history []FileSet
 	content map[string][]byte // all targets that were ever staged, by their stored path
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Init sets the first expiry times by the real clock: renew them with this one.
+	// Init sets the first expiry times by the real clock. Renew sets them by the test's clock.
 	r.Now, k.Repo = clock.Now, r
 	for _, role := range []string{"root", "targets"} {
 		if err := r.Renew(role); err != nil {
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -195,8 +195,8 @@
 	Now            func() time.Time
 	ImageHTTP      http.RoundTripper
 	DirectorHTTP   http.RoundTripper
-	FailFirst      int  // number of installations that fail at first
-	Decline        bool // whether it declines each package
+	FailFirst      int  // number of first installations that fail
+	Decline        bool // the server declines each package
 
 	Running string
 	Build   uint16
