--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -237,7 +237,8 @@
 				e.Target, name, u.leaseSince/milli)
 		}
 	}
-	// A single crash must not lose acknowledged effects. With remote replicas, nor must a zone that is cut off for any time.
+	// A single crash must not lose acknowledged effects. With remote replicas, a zone that is cut off for any length of time must not
+	// lose them either.
 	if k.nodeFaults+len(k.partitionedZones) <= 1 && f.Replicas > 0 {
 		k.fail("rule 2: %s restarted from an older copy after %d faults of nodes and %d of zones", c.name,
 			k.nodeFaults, len(k.partitionedZones))
--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// call sends a call from a node to the leader, which runs ask, and sends the answer back. If no answer arrives within wait, call
-// runs fail.
+// call sends a call from a node to the leader. The leader runs ask, and the answer is sent back to the node. If no answer arrives
+// within wait, call runs fail.
 func (c *cluster) call(from *endpoint, wait tick.Tick, ask func(l *leadership, answer func(func())), fail func(error)) {
 	f, over := c.fleet, false
 	f.after(wait, func() {
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -45,8 +45,8 @@
 	term                 uint64
 	leader               *leadership
 	inFlight             []*logEntry
-	lastAgreed           tick.Tick // time when the last scheduled entry is agreed
-	election             int       // number of attempted elections, so that the end of an earlier one is ignored
+	lastAgreed           tick.Tick // time at which the last scheduled entry will be agreed
+	election             int       // number of attempted elections; the end of an earlier attempt is ignored
 	leaderSince          tick.Tick // time when the current leader was elected
 	inheritedAt          tick.Tick // time when a new leader last took over entries of an earlier one
 	timings              leases.Timings
@@ -74,8 +74,8 @@
 	c.becomeLeader(c.controllers[0])
 }
 
-// majorityDelay returns the time until a majority has answered a controller, with or without a write to their disks. It reports
-// false if no majority answers.
+// majorityDelay returns the time until a majority has answered a controller, with or without a write to their disks. The bool
+// result reports whether a majority answers.
 func (c *cluster) majorityDelay(k *controller, disks bool) (tick.Tick, bool) {
 	if k.downCount > 0 {
 		return 0, false
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -128,8 +128,8 @@
 	u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: what, Instance: instance, Epoch: epoch, To: to, Why: reasonTitle(why)})
 }
 
-// start starts the process. It fetches the assignments that the controllers rely on it for before they know of its new
-// incarnation.
+// start starts the process. Before the controllers know of the new incarnation, the process fetches the assignments for which they
+// rely on the node.
 func (u *edgeNode) start() {
 	if u.manager != nil || u.downCount > 0 {
 		return
@@ -195,7 +195,7 @@
 	})
 }
 
-// baseline returns the assignments that a node gets before it starts, as the controllers already rely on it for them.
+// baseline returns the assignments that a node gets before it starts, because the controllers already rely on the node for them.
 func (w disabledDefences) baseline(assignments []placement.Assignment) []placement.Assignment {
 	if w.noBaseline {
 		return nil
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -63,8 +63,8 @@
 			f.checker.fail("publishing the load report of %s: %v", r.endpoint.name, err)
 		}
 	}
-	// If no relay has been under pressure for 10 s, reports only show whether a relay is cut off, so only a sample of the
-	// relays gets one.
+	// If no relay has been under pressure for 10 s, reports only show whether a relay is cut off. Then only a sample of the
+	// relays gets a report.
 	peers := f.relays
 	if r.member != nil {
 		peers = nil
@@ -94,9 +94,9 @@
 	}
 }
 
-// sample returns the relays that get a report while no relay is under pressure. Up to 4*sampledRelays relays all get every
-// third report. Of more relays it returns sampledRelays ones with numbers far apart, as relays with consecutive numbers
-// report at about the same time.
+// sample returns the relays that get a report while no relay is under pressure. In a fleet of up to 4*sampledRelays relays, all
+// relays get every third report. In a larger fleet, sample returns sampledRelays relays whose numbers are far apart, because relays
+// with consecutive numbers report at about the same time.
 func (r *relay) sample() (peers []*relay) {
 	all := r.fleet.relays
 	if len(all) <= 4*sampledRelays {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -105,7 +105,7 @@
 	return time.Duration(l.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// stickyWriter forwards writes until one fails. Later writes then return the error of that one.
+// stickyWriter forwards writes until one fails. Later writes return the error of the failed write.
 type stickyWriter struct {
 	to  io.Writer
 	err error
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -101,7 +101,8 @@
 }
 
 // TestExperiment_ThinFleet runs 200 relays, each of which has next to no evidence on a package. A package whose backends stop
-// answering must be rolled back with the counts of the platform, and is not without them. Good packages are never rolled back.
+// answering must be rolled back if the platform reports its counts, and is not rolled back without these counts. Good packages are
+// never rolled back.
 func TestExperiment_ThinFleet(t *testing.T) {
 	e, err := ReadExperiment("../../deploy/thin.conf", "")
 	if err != nil {
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -98,7 +98,7 @@
 	return float64(r.Attempts) / float64(max(1, r.SentRequests))
 }
 
-// MeanPerSecond returns the mean per second of a curve of half seconds, from one second to another.
+// MeanPerSecond returns the mean per second of a curve that has one value per half second, from one second to another.
 func MeanPerSecond(curve []float64, from, to float64) float64 {
 	sum, n := 0.0, 0
 	for i := int(from * 2); i < min(len(curve), int(to*2)); i++ {
@@ -235,7 +235,7 @@
 // halfSecond returns the index of the present half second in the curves of the result.
 func (m *overloadModel) halfSecond() int { return int(2 * m.seconds()) }
 
-// triggered reports whether the trigger lasts now.
+// triggered reports whether the trigger is active now.
 func (m *overloadModel) triggered() bool {
 	return m.seconds() >= m.From && m.seconds() < m.From+m.Duration
 }
@@ -309,7 +309,7 @@
 	n.OnRequest(m.now, c)
 }
 
-// retry has a client send a request again after a number of seconds, or after a random pause if that is 0. A client sends a
+// retry has a client send a request again after a number of seconds, or after a random pause if the number is 0. A client sends a
 // request clientMaxTries times at most.
 func (m *overloadModel) retry(a *clientRequest, after float64) {
 	if a.tries >= clientMaxTries {
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// reportLossTable prints how the fleet does with all features while load reports are lost or late.
+// reportLossTable prints the results of a fleet with all features while load reports are lost or late.
 func reportLossTable(to io.Writer, seed uint64) {
 	names, days := []string{"without a fleet"}, []Overload{overloadDay(WithoutFleet, seed)}
 	for _, k := range []struct {
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -66,8 +66,8 @@
 	wrapHost hostWrapper
 }
 
-// hostWrapper returns a host that records the calls of a relay and forwards them to its host. It may be nil; only tests set
-// it.
+// hostWrapper returns a host that records the calls of a relay and forwards them to the relay's host. A hostWrapper may be nil; only
+// tests set one.
 type hostWrapper func(host balancer.Host, relay int, now func() balancer.Tick) balancer.Host
 
 // apply wraps a host, or returns it as it is if wrap is nil.
@@ -93,5 +93,5 @@
 	Failed          int     `json:"failed"`           // requests that got an error, a rejection or no answer in time
 	CanaryAttempts  int     `json:"trial"`            // attempts at the package before its release
 	ExposureBreaks  int     `json:"broken"`           // violations of the exposure rule
-	EarlierOutcomes string  `json:"before,omitempty"` // how the packages before this one ended: "back" (rolled back) or "released", one word each
+	EarlierOutcomes string  `json:"before,omitempty"` // one word for each package before this one: "back" (rolled back) or "released"
 }
--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -32,7 +32,7 @@
 	StagesPassed   int
 	Released       bool
 	RolledBack     bool
-	TimeToVerdict  time.Duration // since the start of the first stage
+	TimeToVerdict  time.Duration // time from the start of the first stage to the first verdict
 	offered        time.Time
 }
 
@@ -157,7 +157,7 @@
 			}
 			select {
 			case <-changed:
-			case <-time.After(200 * time.Millisecond): // keep-alive
+			case <-time.After(200 * time.Millisecond): // repeats the stage as a keep-alive
 			case <-req.Context().Done():
 				return
 			}
--- a/internal/standin/battery/machine.go
+++ b/internal/standin/battery/machine.go
@@ -215,8 +215,8 @@
 // Dead reports whether the battery is empty, which means that the machine is off.
 func (v *Machine) Dead() bool { return v.dead }
 
-// VisibleFiles returns the files as a reader sees them now. While the machine is frozen these are the last files, and a dead machine
-// has none.
+// VisibleFiles returns the files as a reader sees them now. A frozen machine shows the files that VisibleFiles
+// returned last, and a dead machine shows none.
 func (v *Machine) VisibleFiles() map[string]string {
 	switch {
 	case v.dead:
--- a/internal/standin/battery/machine_test.go
+++ b/internal/standin/battery/machine_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// The battery's figures: 60 Wh last two hours at 30 W, and an hour and a half at 40 W fills it.
+// A battery of 60 Wh must last two hours at 30 W, and an hour and a half at 40 W must fill the battery.
 func TestMachine_BatteryDrainsAndCharges(t *testing.T) {
 	v, err := New(1, "0 load 1\n7100 mains on")
 	if err != nil {
--- a/internal/standin/faultproxy/mesh.go
+++ b/internal/standin/faultproxy/mesh.go
@@ -52,7 +52,7 @@
 	return peers
 }
 
-// SetBoth sets the same fault on both directions of a link. The zero Fault removes the faults of both.
+// SetBoth sets the same fault on both directions of a link. The zero Fault removes the faults of both directions.
 func (l *Link) SetBoth(f Fault) {
 	l.Set(Forward, f)
 	l.Set(Backward, f)
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -131,7 +131,7 @@
 	Write(conn, pgwire.AuthenticationOK())
 }
 
-// ReadQuery reads and keeps one whole query. ok is false if the connection has ended before. number counts the backend's queries
+// ReadQuery reads and keeps one whole query. ok is false if no whole query was received. number counts the backend's queries
 // from 1. Any other message fails the test.
 func (b *Backend) ReadQuery(conn net.Conn) (text string, number int, ok bool) {
 	header := make([]byte, pgwire.HeaderSize)
--- a/internal/standin/testcluster/fleet_test.go
+++ b/internal/standin/testcluster/fleet_test.go
@@ -115,7 +115,7 @@
 	return stop
 }
 
-// waitForReplica waits until the controllers have agreed that an instance has a replica. Before that, the failure of the primary may
+// waitForReplica waits until the controllers have agreed that an instance has a replica. Until then, a failure of the primary may
 // lose acknowledged effects.
 func (c *Cluster) waitForReplica(t *testing.T, instance string) {
 	t.Helper()
--- a/internal/standin/testcluster/relay_test.go
+++ b/internal/standin/testcluster/relay_test.go
@@ -95,8 +95,8 @@
 	c.checkRun(t)
 }
 
-// All relays together must probe a node that refuses all connections only a few times a second, though each relay has requests for
-// that node. During the test, one relay stalls and the relays are partitioned.
+// A node refuses all connections. All relays together must probe the node only a few times a second, though each relay has requests
+// for the node. During the test, one relay stalls and the relays are partitioned.
 func TestSickUnitUnderManyRelays(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
