--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -177,7 +177,7 @@
 // after schedules an event after a number of seconds.
 func (f *fleetDay) after(seconds float64, do func()) { f.at(f.now+ticksOf(seconds), do) }
 
-// pauseBackends makes every of-th backend unresponsive for 1 s, six times, every 3 s.
+// pauseBackends makes every of-th backend unresponsive for 1 s, six times, with a start every 3 s.
 func (f *fleetDay) pauseBackends(of int) {
 	for i := 0; i < len(f.backends); i += of {
 		for s := range 6 {
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -25,11 +25,11 @@
 	disturbed        map[string]bool // nodes that faults have affected since the start
 	nodeFaults       int             // number of faults of nodes
 	diskReplaced     map[string]bool // nodes whose disk was erased or restored from a backup
-	undetectable     map[string]bool // nodes that could not detect a restored disk: no leader knew of the records it lacks
+	undetectable     map[string]bool // nodes that could not detect a restored disk: no leader knew of the records that the disk lacks
 	RestoredDisks    int             // number of restored disks that were detected
 	UndetectedDisks  int             // number of restored disks that were not detected
 	partitionedZones map[string]bool // zones that were cut off, if the fleet has remote replicas; each one counts as one fault
-	UnverifiedCopies int             // number of copies that a node started to serve without knowing that they are complete
+	UnverifiedCopies int             // number of copies that a node started to serve without knowing that the copy is complete
 
 	Requests, Succeeded, Rejected, Unknown, Shed, Retries, Moves, Crashes, Lost, MostMoves int
 	// longestIdle is the longest time for which no node served an instance.
--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -51,7 +51,7 @@
 	granted     func(version, known uint64)
 
 	leader     *leadership
-	receivedAt tick.Tick // arrival at the leader, by its clock
+	receivedAt tick.Tick // arrival at the leader, by the leader's clock
 	answer     func(func())
 }
 
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -15,7 +15,7 @@
 const (
 	laterOperation        = placement.OperationKind("dim")
 	laterField            = "lights"
-	laterProposalInterval = 150 * milli // a node of a later version proposes its operation again
+	laterProposalInterval = 150 * milli // pause after which a node of a later version proposes its operation again
 )
 
 // laterVersionFaults returns the faults that run processes of a later version, and the rolling restart of all processes.
@@ -121,7 +121,7 @@
 		if k.laterVersion > 0 {
 			continue
 		}
-		k.laterVersion++ // takes effect at its next start
+		k.laterVersion++ // takes effect at the controller's next start
 		if k.downCount > 0 {
 			continue
 		}
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -47,16 +47,16 @@
 	endpoint    *endpoint
 	role        string
 	diskWiped   bool                       // the next start is one without a disk
-	replyDelay  tick.Tick                  // delay of its replies to pings, added by a test
+	replyDelay  tick.Tick                  // delay that a test adds to the member's replies to pings
 	condition   func() (down, frozen bool) // state of the process
 	relay       *relay                     // nil: the member is not a relay
 	running     bool
 	incarnation uint64
 	stopped     bool   // the process has ended for good
-	starts      uint64 // number of starts, also of those with the same incarnation
+	starts      uint64 // number of starts, including starts with the same incarnation
 	table       *membership.Table
 	queue       [maxTiers + 1][]*update // updates to send, by the number of times that they were sent
-	newest      []*update               // newest record of each member, and newest update that it is down or up; see update.newestSlot
+	newest      []*update               // newest record of each member, and newest update that the member is down or up; see update.newestSlot
 	records     []*update               // newest record of each member that the table has merged
 	ownRecord   *update
 	probing     map[string]bool
--- a/internal/lab/fleetsim/membership_views.go
+++ b/internal/lab/fleetsim/membership_views.go
@@ -28,7 +28,7 @@
 	Members                  int
 	Baseline, AfterPartition Load
 	ZoneRecovered            tick.Tick // time from the end of a zone's partition until all members see the true states
-	// Times from the change until half of the running members see it, and until all of them do.
+	// Times from the change until half of the running members see the change, and until all of them see it.
 	Dead, Slow, Restarted, Wiped [2]tick.Tick
 	Unreachable                  tick.Tick // until both of two members cut off from each other see the other as unreachable; never as dead
 	Superseded                   tick.Tick // time until an earlier incarnation that runs again detects that it is superseded
@@ -191,7 +191,7 @@
 	}
 	others := len(s.group.members) - 1
 	s.result.Dead = halfAndAll(s.seen[deadMember], begin, others)
-	s.result.Slow = halfAndAll(s.seen[slowMember], begin, others-1) // the dead member does not see it
+	s.result.Slow = halfAndAll(s.seen[slowMember], begin, others-1) // the dead member does not see the change
 	s.result.Restarted = halfAndAll(s.started[restartedMember], begin+2*tick.Second, others)
 	s.result.Wiped = halfAndAll(s.started[wipedMember], begin+2*tick.Second, others)
 	s.result.Unreachable = halfAndAll(s.seen[cutMember], begin, 2)[1]
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -32,7 +32,7 @@
 	inFlight    int       // attempts at nodes
 	shedding    bool
 	reports     int
-	member      *member // nil: membership is not simulated; otherwise gossip carries its load reports
+	member      *member // nil: membership is not simulated; otherwise gossip carries the relay's load reports
 }
 
 func (r *relay) now() tick.Tick { return r.clockOffset + r.fleet.now }
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -9,7 +9,7 @@
 	Relays, Nodes, Zones, Instances, Controllers int
 	Lease, Dwell, RestartAfter                   float64 // seconds: the settings fleet.lease, fleet.dwell and fleet.restart_after
 	Replicas, RemoteReplicas                     int
-	RequestRate                                  float64   // simulated requests per second over the whole fleet, a sample of its load
+	RequestRate                                  float64   // simulated requests per second over the whole fleet, a sample of the fleet's load
 	ReportInterval                               tick.Tick // time between two load reports of a relay
 	UplinkRate                                   float64   // bytes per second of a zone's uplink
 	KeepTimeline                                 bool      // keep the events for Timeline
--- a/internal/lab/fleetsim/timer_wheel.go
+++ b/internal/lab/fleetsim/timer_wheel.go
@@ -45,7 +45,7 @@
 			return event{}, false
 		}
 		if w.currentSlot > by/slotSpan {
-			w.currentSlot-- // the slot begins after the time by, so it does not become current yet
+			w.currentSlot-- // the slot begins after the time by, so the slot does not become current yet
 			return event{}, false
 		}
 		s := w.slots[w.currentSlot%wheelSlots]
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -30,7 +30,7 @@
 	Split             float64 // seconds after which each half of the relays gets load reports of its own half only; 0: never
 	LostReports       float64 // share of the load reports that are lost
 	ReportDelay       float64 // seconds by which load reports are late
-	NotReceivingShare float64 // share of the relays that get no load reports, but send them
+	NotReceivingShare float64 // share of the relays that send load reports, but get none
 	Seed              uint64
 
 	wrapHost hostWrapper
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -239,7 +239,7 @@
 	n.model.retry(a, retryAfter)
 }
 
-// CancelAttempt ends an attempt. Its backend works on it nevertheless.
+// CancelAttempt ends an attempt. The backend continues to work on the attempt.
 func (n *overloadRelay) CancelAttempt(d *balancer.Attempt) {
 	if s := n.attempts[d]; s != nil {
 		n.model.after(0, func() { s.finish(balancer.Cancelled) })
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -56,7 +56,7 @@
 	MaxSpan                 float64 // seconds after the first offer at which a rollout without a verdict ends
 	EvidenceWait            float64 // seconds that a stage waits for evidence on request classes that lack it
 	ReportWithin            float64 // seconds within which reports of wrong answers are expected
-	MetricsPeriod           float64 // seconds of a period after which the platform reports its counts of outcomes; 0: it counts none
+	MetricsPeriod           float64 // seconds of a period after which the platform reports its counts of outcomes; 0: the platform counts none
 	MetricsShare            float64 // share of the outcomes that the platform counts
 	Package                 Package
 	EarlierPackages         []Package // packages that are offered before Package, in order
--- a/internal/standin/faultproxy/network.go
+++ b/internal/standin/faultproxy/network.go
@@ -38,7 +38,7 @@
 type Fault struct {
 	Silent      bool          // bytes are discarded
 	Stall       bool          // bytes wait until the stall ends
-	Delay       time.Duration // bytes are delayed by this and a random additional part of up to a quarter of it
+	Delay       time.Duration // bytes are delayed by Delay plus a random part of up to a quarter of Delay
 	Rate        float64       // bytes a second, 0 for no limit
 	BreakChance float64       // probability with which each chunk breaks its connection
 }
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -86,7 +86,7 @@
 	_ = b.listener.Close() // ends accept
 	b.mu.Lock()
 	for conn := range b.open {
-		_ = conn.Close() // ends its script
+		_ = conn.Close() // ends the connection's script
 	}
 	b.mu.Unlock()
 	b.tasks.Wait()
@@ -164,7 +164,7 @@
 	}
 }
 
-// Write sends bytes and ignores errors. A test that needs the bytes to arrive notices that they did not.
+// Write sends bytes and ignores errors. A test that needs the bytes fails in its own checks if the bytes do not arrive.
 func Write(conn net.Conn, bytes []byte) {
 	_, _ = conn.Write(bytes)
 }
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -28,7 +28,7 @@
 	Step: func(state, input, _ any) (bool, any) {
 		s, o := state.(history), input.(operation)
 		switch {
-		case o.outcomeUnknown: // acknowledgedOrder gave it a number that no acknowledged request has
+		case o.outcomeUnknown: // acknowledgedOrder gave the request a number that no acknowledged request has
 			return o.Seq == s.lastIndex+1, history{o.Seq, s.epoch}
 		case o.Write:
 			return o.Seq == s.lastIndex+1 && o.Epoch >= s.epoch, history{o.Seq, o.Epoch}
--- a/internal/standin/testcluster/process.go
+++ b/internal/standin/testcluster/process.go
@@ -43,7 +43,7 @@
 	savedDir     string
 	command      *exec.Cmd
 	ended        chan struct{} // closed when the process has ended and all of its output is read
-	mayEnd       bool          // the test itself ends the process, so the end is no fault
+	mayEnd       bool          // the test itself ended the process, so the end is no fault
 	stopped      bool
 	otherOutput  []string                    // output lines that are not events
 	requestLinks map[string]*faultproxy.Link // links over which requests reach the process, by sender
--- a/internal/standin/testcluster/recovery_test.go
+++ b/internal/standin/testcluster/recovery_test.go
@@ -123,8 +123,8 @@
 	c.checkEventOrder(t, "edge-a stop", "desk rebuild", lost[0]+" leads", p.Primary+" acts cam-1", "edge-a wake", "edge-a stops cam-1@1")
 }
 
-// checkRebuildRefused checks that a rebuild is refused, and writes nothing, while a node is silent, or from a backup that a later
-// version has written.
+// checkRebuildRefused checks that a rebuild is refused and writes nothing in two cases: a node is silent, or a later version has
+// written the backup.
 func (c *Cluster) checkRebuildRefused(t *testing.T, backup string) {
 	t.Helper()
 	if said, err := c.runControlProgram(t, "rebuild", "keeper-2", "--backup", backup); err == nil ||
@@ -218,7 +218,7 @@
 			t.Errorf("wrong write after the rebuild: %+v after %+v", m, before)
 		}
 	}
-	// No node has cam-4, so it starts empty after restart_after.
+	// No node has cam-4, so cam-4 starts empty after restart_after.
 	c.waitForAssignment(t, "cam-4", func(p placement.Assignment) bool {
 		return p.State == placement.Running && p.Primary != "edge-c" && p.Index == 0
 	})
--- a/internal/standin/testcluster/relay_test.go
+++ b/internal/standin/testcluster/relay_test.go
@@ -20,7 +20,7 @@
 	return all
 }
 
-// goodput returns the share of acknowledged requests among those that began in a span of time, and the number of the latter.
+// goodput returns the number n of requests that began in a span of time, and the share of these that were acknowledged.
 func goodput(all []Request, from, to time.Time) (share float64, n int) {
 	good := 0
 	for _, m := range all {
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -113,8 +113,8 @@
 	c.checkRun(t)
 }
 
-// A node's false claims about its health or its power must not be believed. Relays' outcomes disprove a claim of good health, and the
-// node's own readings do not support a claim of low power.
+// False claims of nodes about their health or their power must have a limited effect. Relays' outcomes disprove a claim of good health.
+// If the readings of several nodes of a zone do not support their claims of low power, only one of these nodes may be evacuated.
 func TestNodeHealth_FalseReports(t *testing.T) {
 	t.Run("says it is well and fails", testClaimsHealth)
 	t.Run("says it is tired", testClaimsLowPower)
--- a/internal/standin/testcluster/versions_test.go
+++ b/internal/standin/testcluster/versions_test.go
@@ -183,7 +183,7 @@
 				ask load 2500ms                  # nodes that lost their leases meanwhile serve again
 			`)
 			// Primaries of the earlier version drop a replica that could not confirm while no node had a lease. On a busy machine edge-b may
-			// have lost its lease meanwhile and regained it, which raises the epoch.
+			// have lost and regained its lease, which raises the epoch.
 			before := c.waitForPrimary(t, "cam-1", "edge-b")
 			c.playScript(t, "kill edge-b")
 			c.waitForAssignment(t, "cam-1", func(p placement.Assignment) bool { return p.Primary == "edge-a" && p.Epoch > before.Epoch })
