--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -25,11 +25,11 @@
 	disturbed        map[string]bool // nodes that faults have affected since the start
 	nodeFaults       int             // number of faults of nodes
 	diskReplaced     map[string]bool // nodes whose disk was erased or restored from a backup
-	undetectable     map[string]bool // nodes that could not detect a restored disk: no leader knew of the records it lacks
+	undetectable     map[string]bool // nodes that could not detect a restored disk: no leader knew of the records that the disk lacks
 	RestoredDisks    int             // number of restored disks that were detected
 	UndetectedDisks  int             // number of restored disks that were not detected
 	partitionedZones map[string]bool // zones that were cut off, if the fleet has remote replicas; each one counts as one fault
-	UnverifiedCopies int             // number of copies that a node started to serve without knowing that they are complete
+	UnverifiedCopies int             // number of copies that a node started to serve without knowing that the copy is complete
 
 	Requests, Succeeded, Rejected, Unknown, Shed, Retries, Moves, Crashes, Lost, MostMoves int
 	// longestIdle is the longest time for which no node served an instance.
@@ -237,7 +237,8 @@
 				e.Target, name, u.leaseSince/milli)
 		}
 	}
-	// A single crash must not lose acknowledged effects. With remote replicas, nor must a zone that is cut off for any time.
+	// A single crash must not lose acknowledged effects. With remote replicas, a zone that is cut off for any length of time must not
+	// lose them either.
 	if k.nodeFaults+len(k.partitionedZones) <= 1 && f.Replicas > 0 {
 		k.fail("rule 2: %s restarted from an older copy after %d faults of nodes and %d of zones", c.name,
 			k.nodeFaults, len(k.partitionedZones))
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -21,12 +21,12 @@
 	number      int
 	incarnation uint64
 	overload    *overload.Manager
-	serving     bool // accepts requests
-	alive       bool // its process runs
+	serving     bool // the relay accepts requests
+	alive       bool // the relay's process runs
 	known       []*balancer.Backend
 	requests    map[*balancer.Request]*clientRequest
 	attempts    map[*balancer.Attempt]*overloadAttempt
-	connected   []bool // by backend: whether the relay has a connection to the backend
+	connected   []bool // by backend: the relay has a connection to the backend
 }
 
 // overloadAttempt is an attempt of a request at a backend.
@@ -220,12 +220,12 @@
 	n.OnOutcome(m.now, s.attempt, outcome, m.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request. Its client retries after the time that the relay gives it.
+// Reject ends a request. The request's client retries after retryAfter.
 func (n *overloadRelay) Reject(c *balancer.Request, retryAfter balancer.Tick) {
 	n.endRequest(c, float64(retryAfter)/second)
 }
 
-// Fail ends a request with an error. Its client retries.
+// Fail ends a request with an error. The request's client retries.
 func (n *overloadRelay) Fail(c *balancer.Request) { n.endRequest(c, 0) }
 
 // endRequest ends a request without success and schedules the retry of its client.
@@ -239,7 +239,7 @@
 	n.model.retry(a, retryAfter)
 }
 
-// CancelAttempt ends an attempt. Its backend works on it nevertheless.
+// CancelAttempt ends an attempt. The backend continues to work on the attempt.
 func (n *overloadRelay) CancelAttempt(d *balancer.Attempt) {
 	if s := n.attempts[d]; s != nil {
 		n.model.after(0, func() { s.finish(balancer.Cancelled) })
