--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -85,7 +85,7 @@
 	samples         *samples
 	detectors       detectors
 	alarm           *alarm                  // nil if none was raised
-	effects         []sequential.EffectTest // by class
+	effects         []sequential.EffectTest // effect tests, by class
 	wrongEffect     sequential.EffectTest
 	awaitingReports []Tick // times of answers on which a report may still arrive
 
@@ -96,9 +96,9 @@
 	// The state when the version appeared:
 	baselineBackends     float64 // backends that run earlier versions
 	initialWarmCapacity  float64
-	initialSuccesses     float64 // within rateWindow
-	initialSlowShare     float64 // of the baseline
-	initialMedianLatency []Tick  // by class
+	initialSuccesses     float64 // successes within rateWindow
+	initialSlowShare     float64 // slow share of the baseline
+	initialMedianLatency []Tick  // median latency of each class
 }
 
 // detectors are the sequential tests of one evaluation, by stream.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -13,8 +13,8 @@
 // Duration converts the duration to a time.Duration, rounded towards zero.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings are what a site sends to each of its relays at start. They do not change while a relay runs. The zero value
-// of each field is the meaning of a document that lacks the setting; the parser (internal/settings) fills in the few
+// Settings are what a site sends to each of its relays at start. They do not change while a relay runs. A setting that
+// the document lacks means the same as the zero value of its field; the parser (internal/settings) fills in the few
 // defaults that are named below.
 type Settings struct {
 	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; values below 1 count as 1.
@@ -45,7 +45,7 @@
 type RequestClass struct {
 	// Name is the site's name for the class. Not empty, and unique among the classes.
 	Name string
-	// Idempotency is what a second attempt may do. Missing or unknown: at most once.
+	// Idempotency is the possible effect of a second attempt. Missing or unknown: at most once.
 	Idempotency Idempotency
 	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
 	// drop them.
@@ -93,7 +93,7 @@
 	MayCancel bool
 	// RetryAfter reports whether clients honour a retry time that is sent with a rejection. Missing: false.
 	RetryAfter bool
-	// MaxRetryAfter is the longest retry time that may be sent. Missing: none.
+	// MaxRetryAfter is the longest retry time that may be sent. Missing: 0, with which no retry time is sent.
 	MaxRetryAfter Seconds
 	// ConnectTimeout is how long establishing a connection to a backend may take. Only the relay's connections read it.
 	// Missing or 0: the longest deadline of a class (set by the parser).
@@ -107,7 +107,7 @@
 // EndpointRules holds the site's rules for the endpoint list.
 type EndpointRules struct {
 	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
-	// lowered. Missing: none.
+	// lowered. Missing: no time.
 	DrainGrace Seconds
 	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
 	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
@@ -145,7 +145,7 @@
 	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above.
 	// Missing, or without a window: 0 (set by the parser).
 	ExposureFree float64
-	// ExposureWindow is the time over which exposure is counted. Missing: none.
+	// ExposureWindow is the time over which exposure is counted. Missing: no time.
 	ExposureWindow Seconds
 	// ExposurePerClass reports whether exposure is counted per class. Missing: one count for all classes.
 	ExposurePerClass bool
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,7 +19,7 @@
 	call     *Call
 	cancel   context.CancelFunc
 	chosenAt time.Time
-	version  uint16 // version of the backend when the backend was chosen
+	version  uint16 // version that the backend had when the balancer chose it
 }
 
 // ChosenAt is when the balancer chose the backend of the attempt.
@@ -27,10 +27,10 @@
 
 // Begin reports whether an attempt that is about to be written may still be written: the client still waits, the
 // backend has the address and start time that it had when it was chosen, and the balancer's rules still allow the
-// attempt. The attempt counts as sent from now on.
+// attempt. If Begin returns true, the attempt counts as sent.
 //
-// A client whose close has arrived counts as gone even if its session has not run since: one update of the endpoint
-// list may send many queued requests at once.
+// A client whose close has arrived counts as gone even if its session has not run since then: one update of the endpoint
+// list may release many queued requests at once.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -9,14 +9,14 @@
 // Request is one request as a client sent it.
 type Request struct {
 	Class, Tenant, Key string
-	ReceivedAt         time.Time     // when its last byte was read
-	Timeout            time.Duration // how long the client waits, from ReceivedAt on
-	EstimatedWork      time.Duration // an estimate; 0 means unknown
+	ReceivedAt         time.Time     // time at which the last byte of the request was read
+	Timeout            time.Duration // how long the client waits, counted from ReceivedAt
+	EstimatedWork      time.Duration // the client's estimate of the work; 0 means that there is none
 	Write              bool
-	ClientRetry        bool // the client says that it has sent the same request before
+	ClientRetry        bool // whether the client says that it has already sent this request
 
 	// ClientClosed reports whether the client has closed the connection. It is called without the dispatcher's lock. If
-	// it is nil, whoever serves the client calls Abandon in time.
+	// ClientClosed is nil, the code that serves the client calls Abandon in time.
 	ClientClosed func() bool
 }
 
@@ -28,8 +28,8 @@
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // the balancer has received the call, or the fleet policy has shed it
-	abandoned    bool      // the client left before the call was submitted; guarded by the dispatcher's lock
+	submitted    bool      // whether the balancer has received the call or the fleet policy has shed it
+	abandoned    bool      // whether the client left before the call was submitted; guarded by the dispatcher's lock
 	steps        chan Step // at most one attempt and one final answer wait in it at any time, so that a send never blocks
 }
 
@@ -40,7 +40,7 @@
 type Step struct {
 	Attempt    *Attempt
 	Answer     FinalAnswer
-	RetryAfter time.Duration // after a rejection, how long the client is told to wait; 0: the client is told no time
+	RetryAfter time.Duration // how long a rejected client is told to wait; if 0, the answer names no time
 }
 
 // FinalAnswer is an answer that the relay itself gives and that ends a call.
@@ -49,8 +49,8 @@
 // The final answers.
 const (
 	NoAnswer   FinalAnswer = iota
-	Rejected               // a retry by the client is harmless: nothing has run, or running again does no harm
-	Failed                 // the request may have run: nothing is promised about its effect
+	Rejected               // a retry by the client is harmless: nothing has run, or a second run does no harm
+	Failed                 // the request may have run: the answer promises nothing about its effect
 	ClientGone             // the client has left: no answer is sent
 )
 
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -25,7 +25,7 @@
 	return balancer.Errored
 }
 
-// outcomeWithoutAnswer maps how a connection ended to an outcome. Until the last byte was written nothing can have run.
+// outcomeWithoutAnswer maps how a connection ended to an outcome. Before the last byte is written, nothing can have run.
 func outcomeWithoutAnswer(status transport.CloseStatus) balancer.Outcome {
 	switch {
 	case !status.Flushed && status.Reason == transport.Canceled:
@@ -37,7 +37,7 @@
 	case status.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // also for an answer that cannot be read
+	return balancer.Reset // this includes an answer that cannot be read
 }
 
 // VoteOutcome maps the end of a vote to an outcome, by the HTTP status of its answer. The status is 0 without an answer
--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// call sends a call from a node to the leader, which runs ask, and sends the answer back. If no answer arrives within wait, call
-// runs fail.
+// call sends a call from a node to the leader. The leader runs ask, and the answer is sent back to the node. If no answer arrives
+// within wait, call runs fail.
 func (c *cluster) call(from *endpoint, wait tick.Tick, ask func(l *leadership, answer func(func())), fail func(error)) {
 	f, over := c.fleet, false
 	f.after(wait, func() {
@@ -44,14 +44,14 @@
 type leaseRequest struct {
 	node        *edgeNode
 	incarnation uint64
-	status      migration.NodeStatus // passed to the planner
-	reported    migration.NodeStatus // as the node sent it
+	status      migration.NodeStatus // the status that is passed to the planner
+	reported    migration.NodeStatus // the status as the node sent it
 	records     recordCount
 	unverified  []replica.UnverifiedCopy
 	granted     func(version, known uint64)
 
 	leader     *leadership
-	receivedAt tick.Tick // arrival at the leader, by its clock
+	receivedAt tick.Tick // arrival at the leader, by the leader's clock
 	answer     func(func())
 }
 
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -19,7 +19,8 @@
 	r.watchedPaths = paths
 }
 
-// lookUpWatched looks up the paths of WatchTargets at once, and then twice in the time that a timestamp counts as current.
+// lookUpWatched looks up the paths of WatchTargets immediately, and then at intervals of freshFor/2 or minLookUpInterval, whichever
+// is longer. A timestamp counts as current for freshFor.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
 	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
 	defer ticker.Stop()
@@ -57,7 +58,8 @@
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
-		timestamp := tufverify.File{Role: "timestamp"} // it must be confirmed as the newest, because the target depends on it
+		// The timestamp must be confirmed as the newest, because the target depends on the timestamp.
+		timestamp := tufverify.File{Role: "timestamp"}
 		if refusal = metadatarefresh.CheckConfirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
 		}
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -14,7 +14,7 @@
 // FixedDirectiveError is the error of Reload if the file changes a directive that cannot change while the service runs.
 type FixedDirectiveError struct {
 	Path      string // path of the file
-	Directive string // name with its blocks, such as metadata.listen
+	Directive string // name of the directive, preceded by the names of its blocks, such as metadata.listen
 }
 
 func (e *FixedDirectiveError) Error() string {
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // real time, which is the dispatcher's clock
+			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now, because the dispatcher's clock is the real time
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -21,15 +21,15 @@
 
 // configFile is the JSON configuration file.
 type configFile struct {
-	Discovery string `json:"discovery"` // host:port
-	Seed      string `json:"seed"`      // 64-bit number in hexadecimal
+	Discovery string `json:"discovery"` // address of the agent, as host:port
+	Seed      string `json:"seed"`      // seed of the random numbers: a 64-bit number in hexadecimal
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	ReleaseAPI struct {
-		Address string          `json:"address"` // host:port
+		Address string          `json:"address"` // address of the platform, as host:port
 		Stage   json.RawMessage `json:"news"`    // stage of the newest version, see releaseapi.ParseStage
 	} `json:"release_api"`
 	Endpoints json.RawMessage `json:"known"`    // endpoint list, see discovery.ParsePage
@@ -105,7 +105,8 @@
 
 // setAddresses sets the addresses of discovery and the platform. A relay of a fleet needs neither.
 func (c *Config) setAddresses(file *configFile) error {
-	if file.Discovery != "" { // a file that was replaced while the relay runs is newer than the environment
+	// The file overrides the environment, because a file that was replaced while the relay runs is newer.
+	if file.Discovery != "" {
 		c.discovery = file.Discovery
 	}
 	if _, _, err := net.SplitHostPort(c.discovery); err != nil && !c.FollowsPlacements {
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -86,7 +86,7 @@
 	_ = b.listener.Close() // ends accept
 	b.mu.Lock()
 	for conn := range b.open {
-		_ = conn.Close() // ends its script
+		_ = conn.Close() // ends the connection's script
 	}
 	b.mu.Unlock()
 	b.tasks.Wait()
@@ -131,7 +131,7 @@
 	Write(conn, pgwire.AuthenticationOK())
 }
 
-// ReadQuery reads and keeps one whole query. ok is false if the connection has ended before. number counts the backend's queries
+// ReadQuery reads and keeps one whole query. ok is false if no whole query was received. number counts the backend's queries
 // from 1. Any other message fails the test.
 func (b *Backend) ReadQuery(conn net.Conn) (text string, number int, ok bool) {
 	header := make([]byte, pgwire.HeaderSize)
@@ -164,7 +164,7 @@
 	}
 }
 
-// Write sends bytes and ignores errors. A test that needs the bytes to arrive notices that they did not.
+// Write sends bytes and ignores errors. A test that needs the bytes fails in its own checks if the bytes do not arrive.
 func Write(conn net.Conn, bytes []byte) {
 	_, _ = conn.Write(bytes)
 }
--- a/internal/standin/testcluster/restored_disk_test.go
+++ b/internal/standin/testcluster/restored_disk_test.go
@@ -8,9 +8,9 @@
 	"silvercove/internal/placement"
 )
 
-// Disks are replaced by a copy from some effects earlier in the same run. If no other node can prove what was there, the node that
-// continues must log that effects may be missing before any client can notice it, and the controllers must show it. If another
-// node can, nothing may be lost.
+// Disks are replaced by an older copy from the same run, which lacks some effects. If no other node can prove which effects the disk
+// held, the node that continues must log that effects may be missing before any client can notice the loss, and the controllers must
+// show the doubt. If another node can prove it, no effect may be lost.
 func TestRestoredDisk_IsDetected(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -36,8 +36,8 @@
 // ring is a ring buffer that grows in blocks and releases memory when it is empty.
 type ring struct {
 	buf    []byte
-	start  int // of the content
-	length int // of the content
+	start  int // index in the buffer at which the content starts
+	length int // number of bytes of content
 	budget *BufferBudget
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// moveTo copies the content to the start of another buffer and uses that buffer from then on.
+// moveTo copies the content to the start of another buffer, which replaces the ring's buffer.
 func (r *ring) moveTo(buf []byte) {
 	n := copy(buf, r.firstSegment())
 	copy(buf[n:r.length], r.buf)
