--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -31,7 +31,8 @@
 	minNullShare      = 0.2
 	maxNullShare      = 0.7
 	nullShareMultiple = 1.5
-	// silenceShare is the share of a latency objective for which a backend may leave all attempts unanswered.
+	// silenceShare bounds how long a backend may leave all attempts unanswered: for this share of the shortest latency
+	// objective.
 	silenceShare = 0.6
 	// degradedMargin is how far the failure share of a degraded backend exceeds that of all backends.
 	degradedMargin = 0.25
--- a/balancer/rollout_test.go
+++ b/balancer/rollout_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestRollout_WaitsForReports checks that answers count for the stream of wrong answers once their reports would have
-// arrived.
+// TestRollout_WaitsForReports checks when an answer that no client has reported counts as correct in the stream of wrong
+// answers. It counts only after ReportWithin, the time within which a client's report would have arrived.
 func TestRollout_WaitsForReports(t *testing.T) {
 	b := newFixture(func(s *Settings) {
 		s.Rollout.FoundShare = 1
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -51,7 +51,7 @@
 	// drop them.
 	DedupScope DedupScope
 	// DedupWindow is how long the backends of DedupScope drop repeats, from the first attempt that may have run.
-	// Missing: no time.
+	// Missing: 0, not unlimited.
 	DedupWindow Seconds
 	// LatencyObjective is the time within which an answer has its full value. Missing: the deadline.
 	LatencyObjective Seconds
@@ -98,7 +98,7 @@
 	// ConnectTimeout is how long establishing a connection to a backend may take. Only the relay's connections read it.
 	// Missing or 0: the longest deadline of a class (set by the parser).
 	ConnectTimeout Seconds
-	// IdleTimeout is how long a connection may be idle before it is closed. Missing: no time.
+	// IdleTimeout is how long a connection may be idle before it is closed. Missing: 0, not unlimited.
 	IdleTimeout Seconds
 	// Gossip allows messages between the relays. Missing: false.
 	Gossip bool
@@ -107,7 +107,7 @@
 // EndpointRules holds the site's rules for the endpoint list.
 type EndpointRules struct {
 	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
-	// lowered. Missing: no time.
+	// lowered. Missing: 0, not unlimited.
 	DrainGrace Seconds
 	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
 	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
@@ -145,7 +145,7 @@
 	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above.
 	// Missing, or without a window: 0 (set by the parser).
 	ExposureFree float64
-	// ExposureWindow is the time over which exposure is counted. Missing: no time.
+	// ExposureWindow is the time over which exposure is counted. Missing: 0, not unlimited.
 	ExposureWindow Seconds
 	// ExposurePerClass reports whether exposure is counted per class. Missing: one count for all classes.
 	ExposurePerClass bool
@@ -157,9 +157,9 @@
 	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. Missing: the
 	// release API counts no outcomes.
 	MetricsPeriod Seconds
-	// VoteLifetime is how long a vote is valid. Missing: no time.
+	// VoteLifetime is how long a vote is valid. Missing: 0, not unlimited.
 	VoteLifetime Seconds
-	// VoteTimeout is how long the reply to a vote may take. Missing: no time.
+	// VoteTimeout is how long the reply to a vote may take, besides voteReplyGrace. Missing: 0, not unlimited.
 	VoteTimeout Seconds
 	// VotesPerSecond is the rate of votes from all relays that the release API accepts. Range: 0 and above. Missing: 0,
 	// which counts as one in ten seconds.
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -223,7 +223,7 @@
 		return
 	}
 	v.state, v.due = voteCounted, b.now+b.settings.Rollout.VoteLifetime.Ticks()
-	if status.Outcome == Discarded && v.verdict == RollBack { // the stage has passed
+	if status.Outcome == Discarded && v.verdict == RollBack { // the stage of the vote is over
 		b.evaluation.minStageFromReplies = (v.stage + 1) % b.stageCount()
 	}
 	if status.Outcome != Succeeded {
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -124,8 +124,9 @@
 	}
 }
 
-// knownNotAgreed reports whether an error of proposeEntry means that the entry is certainly not agreed although the leadership
-// may continue: the entry waited too long in raft's queue, or a leadership transfer, which may fail, was in progress.
+// knownNotAgreed reports whether an error of proposeEntry proves that the entry was not agreed. It covers only the errors after
+// which the leadership may continue: the entry waited too long for raft's queue, or a leadership transfer, which may fail, was in
+// progress.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -88,7 +88,7 @@
 //
 // acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
 // down. A swapped battery looks the same as a failing gauge: the node takes no new instances until its charge has stayed near
-// the new value and changed there.
+// the new value for jumpConfirmTime. In that time the charge must also have made at least jumpMinMoves changes without a jump.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -233,8 +233,8 @@
 	return levelFor(left, Never, r.effectiveMigrationTime(), riseMargin) <= levelEvacuating
 }
 
-// overheatDemandsEvacuation reports whether the node is within overheatClaimMargin of its temperature limit and its own
-// forecast until overheating demands evacuation.
+// overheatDemandsEvacuation reports whether two conditions hold: the temperature is at most overheatClaimMargin below its
+// limit, and the node's own forecast TimeToOverheat is so short that the node must evacuate.
 func (r Report) overheatDemandsEvacuation() bool {
 	value, limit := r.Readings.Temperature, r.Readings.TemperatureLimit
 	return value != nil && limit != nil && *limit-*value <= overheatClaimMargin &&
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -27,7 +27,7 @@
 // memberGroup is the group of all members of the fleet.
 type memberGroup struct {
 	fleet            *Fleet
-	rng              *rand.Rand // random source of the members alone, so that a fleet without membership runs the same
+	rng              *rand.Rand // random source of the members' own choices: only the delays and losses of their messages draw on Fleet.rng
 	members          []*member  // controllers, nodes and relays, by id
 	byName           map[string]*member
 	timeout          tick.Tick
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -328,7 +328,8 @@
 	return s
 }
 
-// ruleSignature returns the first 8 words of a broken rule that hold no digits, and its number.
+// ruleSignature returns the first 8 words of the text of a broken rule, after it drops the words with digits. It keeps the rule
+// numbers "1:", "2:", "4:" and "5:", and each of them counts as one of the 8 words.
 func ruleSignature(text string) string {
 	var kept []string
 	for _, w := range strings.Fields(text) {
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -36,7 +36,7 @@
 }
 
 // disabledDefences names the defences that a run goes without. Tests disable each one to show that the checker detects the
-// broken rule that follows.
+// rule that is broken as a result.
 type disabledDefences struct {
 	longLease               bool // a node assumes that its lease is longer than granted
 	ignoreNodeStatus        bool // the planner assumes that all nodes are healthy
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -43,8 +43,8 @@
 	return testcluster.Draw(columns, timelineStart, f.timeline)
 }
 
-// recordDecision adds a decision for an instance to the coverage: the pair with the decision before it, and the pair together
-// with the state of the assignment and the faults under way.
+// recordDecision adds two keys to the coverage for a decision for an instance. One is the pair of the instance's previous decision
+// and this one. The other is that pair together with the state of the assignment and, with KeepTimeline, the faults under way.
 func (f *Fleet) recordDecision(name string, decision uint8, place placement.Assignment) {
 	before := f.lastDecision[name]
 	f.lastDecision[name] = decision
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -69,7 +69,7 @@
 	counter   int64    // counter of the servers' reports
 }
 
-// count returns the number of servers that were assigned a package last.
+// count returns the number of servers whose last assigned package is build.
 func (p *pollers) count(build uint16) (n int) {
 	for _, b := range p.assigned {
 		if b == build {
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -59,9 +59,10 @@
 	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
 }
 
-// Stale reports whether the metadata that are held may no longer be treated as the newest, because the mirrors must be asked or
-// have failed for too long. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed. The expiry of
-// the metadata limits how long such metadata are served in any case; with unconfirmedFor an operator sets a shorter limit.
+// Stale reports whether the metadata that are held may no longer be treated as the newest. If the mirrors failed when they were
+// last asked, this holds from unconfirmedFor after the last refresh. Otherwise it holds from freshFor after the last refresh, because
+// the mirrors must then be asked. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed. The expiry
+// of the metadata limits how long such metadata are served in any case; with unconfirmedFor an operator sets a shorter limit.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	budgetWindow = 10.0 // seconds of first attempts whose retries may be saved up
+	budgetWindow = 10.0 // seconds over which firstAttempts decays; limit bounds the credit by the retries that firstAttempts earns
 	earnedShare  = 0.95 // part of the share that is credited: credit that dead relays pass on then does not take the fleet above the share
 )
 
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -55,7 +55,8 @@
 
 func (r *recovery) awaitsConfirmation() bool { return len(r.awaitedReplicas) > 0 }
 
-// startVerification makes the node wait until each of the replicas has shown that it has no more entries.
+// startVerification makes this node wait until each of the replicas has shown that the replica's copy has no more entries
+// than this node's copy.
 func (r *recovery) startVerification(replicas []string) { r.awaitedReplicas = slices.Clone(replicas) }
 
 // retainAwaited stops waiting for nodes that are not among the replicas.
--- a/internal/replica/recovery_test.go
+++ b/internal/replica/recovery_test.go
@@ -41,10 +41,10 @@
 		Checksum: last.Checksum, Unverified: unverified}
 }
 
-// TestManager_PrimaryOnRestoredDisk: a primary on a restored disk must not serve without acknowledged entries
-// unnoticed. It serves if a replica with a verified copy shows its copy to be complete, yields to a replica with more
-// entries, and otherwise reports that entries may be missing. Until the controllers have been told, its messages are
-// marked as unverified.
+// TestManager_PrimaryOnRestoredDisk: the copy of a primary on a restored disk may lack acknowledged entries. The primary
+// serves without a report if a replica with a verified copy shows that the primary's copy is complete. It yields to a
+// replica with more entries. Otherwise it serves and reports that entries may be missing. Until the controllers have been
+// told, its messages are marked as unverified.
 func TestManager_PrimaryOnRestoredDisk(t *testing.T) {
 	log, third := twoEntries()
 	second := log.Entries[1]
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -18,7 +18,7 @@
 	From, To int    // numbers of the first and last request at this mirror that the fault applies to, from 0; To -1: no end
 	Match    string // substring of the path; "" matches all paths
 	Kind     string // lag, freeze, mix, endless, slow, length, half, foreign, status, refuse, silent, flip
-	Value    int    // sets to lag, ms a byte (slow), status code, index of the byte (flip), per cent (half)
+	Value    int    // lag: sets behind; slow: ms per byte; status: status code; flip: index of the byte; half: per cent sent, 0 for 50
 }
 
 // ParseScript parses faults, one a line: FROM-TO MATCH KIND [N]. "*" matches all paths, and an omitted TO means no end.
--- a/internal/tufverify/refusal.go
+++ b/internal/tufverify/refusal.go
@@ -12,7 +12,7 @@
 	ReasonNone            Reason = iota
 	ReasonAlreadyHeld            // the file is held already, or the report was accepted before
 	ReasonOlderVersion           // a newer version is known; for a root, also the held version with other content
-	ReasonExpired                // the metadata have expired at the latest time that was ever trusted
+	ReasonExpired                // the metadata have expired, judged by the latest time that was ever trusted
 	ReasonBadSignature           // a signature by a key of the role is invalid
 	ReasonBelowThreshold         // fewer keys of the role have signed than the role's threshold
 	ReasonUnknownKey             // no key of the role has signed, for example because another repository's or a revoked key signed
