--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -14,11 +14,11 @@
 
 const (
 	compactionSlack = 4 << 20 // bytes by which a file must exceed twice its live content before it is compacted
-	recordOverhead  = 64      // approximate size of a record in the file without its content, in bytes
+	recordOverhead  = 64      // approximate size of a record in the file, in bytes, not counting the size of its log entry
 )
 
-// compact replaces the file by one without obsolete records, if the new file has at most half the size. If the new
-// file cannot be written, the old one stays in use.
+// compact replaces the file by one without obsolete records if the new file is at most half as large as the old one. If
+// the new file cannot be written, the old one stays in use. If the new file cannot be opened, all later requests fail.
 func (s *Store) compact() {
 	out := s.encodeAll()
 	s.compactAt = 2*max(s.liveSize, s.fileSize) + compactionSlack
@@ -39,7 +39,7 @@
 	s.compactAt = 2*s.liveSize + compactionSlack
 }
 
-// encodeAll returns the content of a file with only the current state, and recomputes liveSize.
+// encodeAll returns the content of a file that holds only the current state. It also recomputes s.liveSize.
 func (s *Store) encodeAll() []byte {
 	out := format.Header()
 	if s.note != nil {
@@ -54,7 +54,7 @@
 			out = appendRecord(out, request{kind: kindEntry, instance: name, entry: e})
 		}
 	}
-	return appendRecord(out, countRequest(s.count)) // last, so that rewritten records are not counted again
+	return appendRecord(out, countRequest(s.count)) // last: on reading, it replaces the count of the rewritten records before it
 }
 
 // sizeInFile returns the approximate size of an instance's log in the file, in bytes.
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -30,21 +30,23 @@
 	kindNote     recordKind = 5
 
 	// kindCount stores the number of records ever written to the file, and whether the records after it are counted. On
-	// disk it is a kindDelete with an empty instance name and a count above 0, which earlier versions of the program
-	// ignore.
+	// disk, the record has the kind kindDelete, an empty instance name and a count above 0. Earlier versions of the
+	// program ignore such a record.
 	kindCount recordKind = 1 << 8
 )
 
-// countingEnabled is the sum of a kindCount request after which records are counted.
+// countingEnabled is the value of request.sum in a kindCount request that enables the counting of the records after it.
+// The value 0 disables the counting.
 const countingEnabled = 1
 
 const numberSize = 8 // size of a number in a payload, in bytes
 
-// request is a queued change of the store. done is called with its result, in the order of the requests.
+// request is a queued change of the store. If done is not nil, Run calls it with the result of the request, in the
+// order of the requests.
 type request struct {
 	kind     recordKind
 	instance string
-	number   uint64 // index for kindTruncate, base index for kindReset, count for kindCount
+	number   uint64 // last index to keep for kindTruncate, base index for kindReset, count for kindCount
 	sum      uint64 // base checksum for kindReset, countingEnabled or 0 for kindCount
 	entry    replica.LogEntry
 	note     []byte
@@ -60,7 +62,7 @@
 	return r
 }
 
-// appendRecord appends a request, encoded as a record.
+// appendRecord appends the record that encodes the request r to out.
 func appendRecord(out []byte, r request) []byte {
 	start := len(out)
 	kind := r.kind
@@ -86,7 +88,7 @@
 	return format.SealRecord(out, start)
 }
 
-// appendText appends a string with its length.
+// appendText appends the length of text, in 4 bytes, and then text itself to out.
 func appendText(out []byte, text string) []byte {
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(text)))
 	return append(out, text...)
--- a/internal/instancestore/format_test.go
+++ b/internal/instancestore/format_test.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/replica"
 )
 
-// TestFormat_CompatibleWithEarlierVersion compares the encoding with bytes that an earlier version of the program wrote,
-// and reads them.
+// TestFormat_CompatibleWithEarlierVersion checks that records are encoded to the same bytes as by an earlier version of
+// the program, and that a store can read these bytes.
 func TestFormat_CompatibleWithEarlierVersion(t *testing.T) {
 	const wrote = "Y292ZWluc3QBAAAA+UJPLRYAAACSbzllozmTS7G4+EUDAQAAAHgCAAAAAAAAAAkAAAAAAAAALwAAAH+vWu7MBnO2lanDCQEBAAAAeAMAAAAAAAAA" +
 		"AwAAAAAAAAAiDUs+0N2MsAYAAABlZGdlLWECAAAAYzBiLwAAAH+vWu7aDSyU4pCdHwEBAAAAeAQAAAAAAAAAAwAAAAAAAAAX6fZktYA3mwYAAABlZGdlLWEC" +
@@ -54,8 +54,9 @@
 	})
 }
 
-// TestOpen_RefusesUnknownRecordKind checks that Open rejects a file with a complete record of an unknown kind as written
-// by a later version, not as damaged, and that it does not truncate the file.
+// TestOpen_RefusesUnknownRecordKind checks that Open rejects a file with a complete record of an unknown kind. The
+// error must say that a later version wrote the file, and not that the file is damaged. Open must not truncate the
+// file.
 func TestOpen_RefusesUnknownRecordKind(t *testing.T) {
 	folder := t.TempDir()
 	s, _, end := openStore(t, folder)
--- a/internal/instancestore/run.go
+++ b/internal/instancestore/run.go
@@ -2,8 +2,8 @@
 
 import "silvercove/internal/replica"
 
-// enqueue adds a request to the queue. If the queue is full, the request is queued with kindRefused, so that its done
-// function is called in the order of the requests.
+// enqueue adds a request to the queue. If the queue is full, the request is queued as kindRefused, and Run rejects it.
+// Its done function is thus still called in the order of the requests.
 func (s *Store) enqueue(r request) {
 	s.mu.Lock()
 	if len(s.queue) >= maxQueue {
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -1,19 +1,19 @@
-// Package instancestore persists an edge node's state of running instances across restarts: their logs, each entry with
-// its epoch, and one short note. The store is one append-only file in the node's data directory. Without a directory it
-// stores nothing and only acknowledges requests in order.
+// Package instancestore persists the logs of an edge node's instances and one short note across restarts. Each log
+// entry is stored with its epoch. The note holds data of the node itself. The store is one append-only file in the
+// node's data directory. Without a directory, the store keeps nothing and only acknowledges requests in order.
 //
 // Usage: Open reads the directory. The request methods (Append, Truncate, Reset, Delete, SetNote, ConfirmCurrent) only
 // queue a request. Run executes queued requests in order, many with one write and one fsync, and calls the done function
 // of each.
 //
-// An incomplete record at the end of the file was never acknowledged and is truncated. Any other inconsistency makes Open
-// reject the whole file, since records after it may have been acknowledged. If the disk is full, requests fail and the
-// file stays as it was.
+// An incomplete record at the end of the file was never acknowledged and is truncated. Any other inconsistency makes
+// Open reject the whole file, since the records after the inconsistency may have been acknowledged. If the disk is
+// full, requests fail and the content of the file does not change.
 //
-// A disk that was restored from an older image looks intact. The file therefore counts all records ever written to it, and
-// the controllers, which store the highest count that a node has reported, detect a restored disk by its lower count.
-// Records of a run are counted only after ConfirmCurrent has declared the file to be the newest one known. Until then, the
-// count of a restored file cannot catch up with the reported one.
+// A disk that was restored from an older image looks intact. The file therefore counts all records ever written to it,
+// and the controllers, which store the highest count that a node has reported, detect a restored disk by its lower
+// count. Each time the store is opened, records are counted only after ConfirmCurrent has declared the file to be the
+// newest one known. Until then, the count of a restored file cannot catch up with the reported count.
 //
 // Files: store.go (opening and requests), run.go (the queue), write.go (applying requests in memory and writing them to
 // the file), compaction.go (compaction), format.go (records).
@@ -36,7 +36,7 @@
 	"silvercove/internal/replica"
 )
 
-// Errors that are wrapped by those of Open and by those passed to done.
+// Open returns errors that wrap one of these errors, and so do the errors that are passed to done functions.
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
@@ -49,10 +49,11 @@
 const (
 	logName     = "instances.log"
 	lockName    = "instances.lock"
-	maxQueue    = 1 << 16 // largest number of queued requests
+	maxQueue    = 1 << 16 // number of queued requests from which on further requests are rejected
 	maxNoteSize = 4 << 10 // largest note, in bytes
-	// confirmStep is the number of records that the first ConfirmCurrent of a run adds to the count, so that the count
-	// of a copy of the file that is written at the same time stays lower.
+	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. If another process counts
+	// records in a copy of the file at the same time, the count of the copy thus stays lower than the count of this
+	// file.
 	confirmStep = 1 << 20
 )
 
@@ -67,12 +68,12 @@
 	file            File
 	fileSize        int64
 	liveSize        int64 // approximate size of the current state in the file, in bytes
-	compactAt       int64 // file size above which the file is compacted; larger after a compaction that failed or saved little
+	compactAt       int64 // file size in bytes above which the file is compacted; a compaction that fails or saves less than half raises it
 	logs            map[string]*replica.Log
 	note            []byte
 	count           recordCount
-	runCountWritten bool  // this run's first kindCount record, which stops the counting until ConfirmCurrent, is durable
-	writeFailed     error // not nil if the state of the file is unknown: all requests fail with it
+	runCountWritten bool  // the first kindCount record since Open is durable; it disables the counting until ConfirmCurrent
+	writeFailed     error // if the state of the file is unknown, the error with which all requests fail; otherwise nil
 
 	durableCount atomic.Uint64 // durable count of records, which RecordCount returns
 
@@ -81,14 +82,14 @@
 	wake  chan struct{}
 }
 
-// recordCount is the number of records ever written to the file, as far as they were counted.
+// recordCount is the number of records that were ever written to the file while counting was enabled.
 type recordCount struct {
 	records  uint64
-	counting bool // whether further records are counted; in each run only after ConfirmCurrent
+	counting bool // whether further records are counted: enabled by ConfirmCurrent, and disabled by the first write after Open
 }
 
-// Open opens the store in a folder and returns its logs and its note, which the caller may modify. If folder is empty,
-// the store keeps nothing. The error wraps ErrInUse, ErrCorrupt, ErrNewerVersion or an error of the disk.
+// Open opens the store in a folder and returns its logs and its note, which the caller may modify. If folder is "", the
+// store keeps nothing. The error wraps ErrInUse, ErrCorrupt, ErrNewerVersion or an error of the disk.
 func Open(folder string, log func(string)) (*Store, []replica.Log, []byte, error) {
 	s := &Store{
 		logf:  log,
@@ -148,7 +149,8 @@
 	return nil
 }
 
-// read applies the complete records of a file's content, and returns their size with the header, in bytes.
+// read applies the complete records in data, the content of a file. It returns the size of the header and of these
+// records, in bytes.
 func (s *Store) read(data []byte) (completeSize int, err error) {
 	rejected := false
 	completeSize, err = format.ReadRecords(data, func(payload []byte) error {
@@ -157,7 +159,7 @@
 			err = s.apply(r)
 		}
 		rejected = err != nil
-		if rejected && !errors.Is(err, ErrNewerVersion) { // a file of a newer version is intact and must not be moved away
+		if rejected && !errors.Is(err, ErrNewerVersion) { // a file of a newer version is intact, so it must not be reported as corrupt and moved away
 			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
 		return err
@@ -168,8 +170,8 @@
 	return completeSize, err
 }
 
-// prepareFile truncates the file to its complete records, writes the header of an empty file, and makes the file and its
-// name durable.
+// prepareFile truncates the file to its complete records, writes the header if the file is empty, and makes the file
+// and its directory entry durable.
 func (s *Store) prepareFile(completeSize int64) error {
 	if err := s.file.Truncate(completeSize); err != nil {
 		return err
@@ -198,14 +200,14 @@
 	return all
 }
 
-// RecordCount returns the durable count of records: the count that the last ConfirmCurrent set, plus the records written
-// after it in the same run. The count is above 0 and decreases only if the disk is restored from an older image. It is 0
-// for a store without a file, which no image can restore.
+// RecordCount returns the durable count of records: the count that the last ConfirmCurrent set, plus the records
+// written after it in the same run. For a store with a file, the count is above 0, and it decreases only if the disk is
+// restored from an older image. For a store without a file, the count is always 0.
 func (s *Store) RecordCount() uint64 { return s.durableCount.Load() }
 
-// The methods below queue a request. Run calls done, if it is not nil, in the order of the requests: with nil once the
-// change is durable, or with the reason why nothing was changed: ErrGap, ErrQueueFull, ErrWriteFailed, or an error of the
-// disk.
+// The methods below queue a request. Run calls the done functions that are not nil, in the order of the requests. done
+// receives nil once the change is durable. Otherwise nothing was changed, and done receives the reason: ErrGap,
+// ErrQueueFull, ErrWriteFailed, an error of the disk, or an error of SetNote because the note is too long.
 
 // ConfirmCurrent starts the counting of records in this run, and raises the count to at least minCount. The caller
 // declares that no file of this node is known to have more than minCount records, or that the entries which this file may
--- a/internal/instancestore/stored_test.go
+++ b/internal/instancestore/stored_test.go
@@ -10,10 +10,10 @@
 	"silvercove/internal/standin/golden"
 )
 
-// storedNote is the note in the stored file.
+// storedNote is the note in testdata/stored/instances.log.
 const storedNote = `{"note":"of the program that stored it"}`
 
-// storedCount is the count that was passed to ConfirmCurrent when the stored file was written.
+// storedCount is the count that was passed to ConfirmCurrent when testdata/stored/instances.log was written.
 const storedCount = 5000
 
 // TestOpen_StoredFileIsReadAndContinued opens a file that an earlier version of the program wrote, appends to it, and
@@ -64,7 +64,8 @@
 	last.Run(stop)
 }
 
-// checkStored checks that logs has the logs and entries of the stored file.
+// checkStored checks that logs are the logs in testdata/stored/instances.log. The log of camera-7 may have further
+// entries.
 func checkStored(t *testing.T, logs []replica.Log) {
 	t.Helper()
 	if len(logs) != 2 || logs[0].Instance != "camera-7" || logs[1].Instance != "camera-9" {
@@ -84,7 +85,7 @@
 	}
 }
 
-// writeStored records the stored file anew, with a record of each kind.
+// writeStored writes a new file at the path stored, with a record of each kind.
 func writeStored(t *testing.T, stored string) {
 	t.Helper()
 	folder := t.TempDir()
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -12,7 +12,8 @@
 type File = recordlog.File
 
 // apply applies a request to the state in memory. Its error wraps ErrGap if the request does not continue the log, or
-// ErrNewerVersion if its kind is unknown; a note that is too long is an error too.
+// ErrNewerVersion if the kind of the request is unknown. apply also returns an error if a note is longer than
+// maxNoteSize.
 func (s *Store) apply(r request) error {
 	if r.kind == kindCount {
 		s.count = recordCount{records: r.number, counting: r.sum == countingEnabled}
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// undo holds the state before a batch of requests, as far as the batch may change it.
+// undo holds the part of the state that a batch of requests may change, as it was before the batch.
 type undo struct {
 	logs  map[string]*replica.Log // by instance; nil for an instance that did not exist
 	note  []byte
@@ -60,7 +61,8 @@
 	return undo{logs: map[string]*replica.Log{}, note: s.note, count: s.count}
 }
 
-// save saves an instance's log before the batch first changes it.
+// save adds an instance's log to u. It must be called before the batch first changes the log; later calls have no
+// effect.
 func (u *undo) save(s *Store, instance string) {
 	if _, saved := u.logs[instance]; saved {
 		return
@@ -132,8 +134,9 @@
 	}
 }
 
-// confirmedCount returns the count that a ConfirmCurrent with minCount sets. The first ConfirmCurrent in a run adds
-// confirmStep, to exceed the count that a copy of the file that is written at the same time may count.
+// confirmedCount returns the count that ConfirmCurrent(minCount) sets. The first ConfirmCurrent after Open adds
+// confirmStep, so that the count exceeds that of a copy of the file in which another process counts records at the same
+// time.
 func (s *Store) confirmedCount(minCount uint64) uint64 {
 	count := max(minCount, s.count.records)
 	if !s.count.counting {
@@ -143,7 +146,7 @@
 }
 
 // appendToFile appends out to the file and syncs it. If that fails, it truncates the file to its former size and syncs
-// it; if that fails too, it sets writeFailed, so that nothing more is written.
+// it. If that fails too, it sets writeFailed, so that nothing more is written.
 func (s *Store) appendToFile(out []byte) error {
 	_, err := s.file.Write(out)
 	if err == nil {
