--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -1,17 +1,17 @@
-// Package recordlog implements the format of append-only files: a header, followed by records. Each record has its
-// length and checksums, so that a reader can tell an incomplete record at the end, which was never acknowledged, from a
+// Package recordlog implements a format of append-only files: a header, followed by records. Each record has its length
+// and checksums, so that a reader can tell an incomplete record at the end, which was never acknowledged, from a
 // corrupt one.
 //
 // The encoding is little endian. The header consists of 8 bytes of magic, the format version, and a checksum of both. A
 // record consists of its length, a checksum of the length, a checksum of the payload, and the payload.
 //
-// The package also has functions that writers of such files share: Lock excludes other processes, and SyncDir syncs a
-// directory.
+// The package also has functions that writers of such files share: Lock prevents other processes from using a file, and
+// SyncDir syncs a directory.
 //
 // Usage: write Format.Header at the start of a file; append records with BeginRecord and SealRecord; read a whole file
 // with ReadRecords. A Format must not be changed after its first use; it is then safe for concurrent use.
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package recordlog
 
 import (
@@ -21,14 +21,14 @@
 	"fmt"
 )
 
-// Errors that ReadRecords wraps.
+// ReadRecords returns errors that wrap one of these errors.
 var (
 	ErrCorrupt      = errors.New("damaged")
 	ErrNewerVersion = errors.New("written by a later version of this program")
 )
 
-// Sizes and offsets in bytes. The offsets with "header" or "version" in their names are within a file's header, those
-// with "length" or "payload" within a record's header.
+// Sizes and offsets in bytes. versionOffset and headerSumOffset are offsets in a file's header. lengthSumOffset and
+// payloadSumOffset are offsets in a record's header.
 const (
 	HeaderSize = 16 // size of a file's header, before the first record
 
@@ -45,10 +45,10 @@
 // Format describes one type of record file.
 type Format struct {
 	Magic        string // 8 bytes
-	Version      uint32 // files with a later version are rejected
+	Version      uint32 // format version of new files; files with a later version are rejected
 	MaxPayload   int    // largest payload of a record, in bytes
 	Checksum     func([]byte) uint64
-	WideChecksum bool // store all 8 bytes of a payload's checksum; otherwise its low 4 bytes, as for all other checksums
+	WideChecksum bool // store all 8 bytes of a payload's checksum instead of the low 4; other checksums always have 4 bytes
 	// TornTail is set if a crash may leave any part of the last record on disk, and zeros in space that was allocated
 	// for later records. If it is not set, each record is synced before the next, and only the end of the last record
 	// may be missing.
@@ -98,11 +98,11 @@
 }
 
 // ReadRecords calls handle with the payload of each complete record of a file's content. It returns the size in bytes
-// of the header and the complete records, which is 0 if the header is incomplete. It stops at the first error: that of
-// handle, which it wraps, or one that wraps ErrCorrupt or ErrNewerVersion. Payloads are slices of data.
+// of the header and the complete records, which is 0 if the header is incomplete. It stops at the first error, which is
+// an error of handle, wrapped, or an error that wraps ErrCorrupt or ErrNewerVersion. The payloads are slices of data.
 func (f *Format) ReadRecords(data []byte, handle func(payload []byte) error) (completeSize int, err error) {
 	if len(data) < HeaderSize && bytes.HasPrefix(f.Header(), data) {
-		return 0, nil // the file was created, but its header is not complete yet
+		return 0, nil // the file is empty, or a crash left only a part of its header
 	}
 	if err := f.checkHeader(data); err != nil {
 		return 0, err
@@ -136,7 +136,7 @@
 }
 
 // nextRecord returns the payload of the record at the start of rest, and the size of that record with its header. The
-// size is 0 if rest is not a complete record, but could be left by an incomplete write.
+// size is 0 if rest does not start with a complete record, but may be what an incomplete write left.
 func (f *Format) nextRecord(rest []byte) (payload []byte, size int, err error) {
 	headerSize := f.RecordHeaderSize()
 	if len(rest) < headerSize {
@@ -146,7 +146,7 @@
 	lengthSum := binary.LittleEndian.Uint32(rest[lengthSumOffset:])
 	if lengthSum != uint32(f.Checksum(rest[:lengthSize])) || length > f.MaxPayload {
 		if f.TornTail && len(bytes.TrimRight(rest, "\x00")) == 0 {
-			return nil, 0, nil // space allocated for records that were never written
+			return nil, 0, nil // zeros in space that was allocated for records that were never written
 		}
 		return nil, 0, ErrCorrupt
 	}
