--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -17,7 +17,7 @@
 // compactionSlack is the number of bytes by which a file must exceed twice its compacted size before it is compacted.
 const compactionSlack = 1 << 20
 
-// File is an open file of a copy. *os.File implements it.
+// File is the open file of one copy of the store. *os.File implements it.
 type File = recordlog.File
 
 // batch holds the records that are written and synced together, and the entries and the time that they contain.
@@ -25,15 +25,15 @@
 	records []byte
 	entries map[string]entry
 	latest  tufverify.Tick
-	done    bool  // the write of the batch has ended, with err
+	done    bool  // the write of the batch has ended, and err is its result
 	err     error // nil if the batch is durable
 }
 
 func newBatch() *batch { return &batch{entries: map[string]entry{}} }
 
-// commit waits until the batch that is s.next at the call is durable or its write has failed. The first caller that finds no
-// write in progress writes the batch for all callers. The lock is held on entry and on return, but not while the batch is
-// written.
+// commit waits until the batch that is s.next at the call is durable or its write has failed. The first caller that
+// finds no write in progress writes the batch for all callers. The caller holds s.mu, which commit releases while it
+// waits or writes.
 func (s *Store) commit() error {
 	b := s.next
 	for s.writing && !b.done {
@@ -57,8 +57,8 @@
 	return err
 }
 
-// finish moves a batch's entries from pending to entries, or drops them if err is not nil, because then the
-// batch was not written.
+// finish handles the end of a batch's write. If err is nil, it moves the batch's entries from s.pending to s.entries.
+// Otherwise it drops them, because the batch is not durable.
 func (s *Store) finish(b *batch, err error) {
 	for key, e := range b.entries {
 		if s.pending[key] == e {
@@ -79,8 +79,8 @@
 }
 
 // write appends records to every copy and syncs it. After a failed write, it truncates the file to its former size.
-// unusable is true, and the state of the files is unknown, if that truncation fails, if a sync fails, or if an earlier
-// copy already has the records.
+// unusable is true if the state of the files is unknown: the truncation failed, a sync failed, or another copy already
+// has the records.
 func (s *Store) write(records []byte) (unusable bool, err error) {
 	for i, file := range s.files {
 		if _, err := file.Write(records); err != nil {
@@ -94,8 +94,8 @@
 	return false, nil
 }
 
-// compact rewrites the files if most of their content is obsolete. It computes the compacted size only if the
-// files have outgrown the one last computed.
+// compact rewrites the files if most of their content is obsolete. It computes the compacted size, for which it visits
+// every entry, only if the files have grown too large by the size computed last.
 func (s *Store) compact() {
 	if s.size < 2*s.compacted+compactionSlack {
 		return
--- a/internal/monotonic/format.go
+++ b/internal/monotonic/format.go
@@ -14,7 +14,7 @@
 	kindSize   = 1
 	numberSize = 8
 	sumSize    = 32
-	entrySize  = kindSize + numberSize + sumSize // kind, version, checksum; the key follows
+	entrySize  = kindSize + numberSize + sumSize // kind, version and checksum of an entry; its key follows them in the payload
 	timeSize   = kindSize + numberSize
 	maxKeySize = 1 << 10
 )
@@ -69,7 +69,8 @@
 	return c, completeSize, err
 }
 
-// apply adds the entry or the time in a record's payload to c. Older versions and times have no effect.
+// apply adds the entry or the time in a record's payload to c. A version or a time that is older than the one in c has
+// no effect.
 func (c *contents) apply(payload []byte) error {
 	switch {
 	case len(payload) > entrySize && payload[0] == kindEntry:
--- a/internal/monotonic/format_test.go
+++ b/internal/monotonic/format_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestFormat_CompatibleWithEarlierVersion compares the encoding with bytes that an earlier version of the program wrote,
-// and reads them.
+// TestFormat_CompatibleWithEarlierVersion checks that records are encoded to the same bytes as by an earlier version of
+// the program, and that a store can read these bytes.
 func TestFormat_CompatibleWithEarlierVersion(t *testing.T) {
 	const wrote = "Y292ZWZsb28BAAAAxi20Vi4AAADYLkOtXOCwMAEHAAAAAAAAAMqXgRLKG73K+sIxs5oj3E2nhu/4FHxOcrmAd4Wv7ki7a2V5L2EJAAAAmYJmY7/Z" +
 		"m8sC0gQAAAAAAAAuAAAA2C5DrXuBUkwBCAAAAAAAAAA+I+gWADlZSjOJT2Vk4bE0i716AIjULErLc+6u1ZwAnWtleS9h"
--- a/internal/monotonic/helpers_test.go
+++ b/internal/monotonic/helpers_test.go
@@ -32,8 +32,7 @@
 	}
 }
 
-// encodedStore returns the file content of a store with n versions of up to three keys, and n times, appended after the
-// file was created.
+// encodedStore returns the content of a file that holds n versions of up to three keys and the recorded times 1 to n-1.
 func encodedStore(tb testing.TB, n int) []byte {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "versions")
--- a/internal/monotonic/memory.go
+++ b/internal/monotonic/memory.go
@@ -31,7 +31,7 @@
 }
 
 // Record records a version of a key and the checksum of its content. The error wraps ErrOlderVersion, ErrConflict or
-// ErrFull; the store is unchanged then.
+// ErrFull. After an error, the store is unchanged.
 func (s *MemoryStore) Record(key string, version int64, sum tufverify.Digest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -5,14 +5,14 @@
 //
 // A record is durable in all copies before Record or AdvanceTime returns. An incomplete record at the end of a file was
 // never acknowledged and is truncated. Any other inconsistency makes Open reject the whole file, since a damaged record
-// could have been newer than the remaining ones. A copy that is behind another one was restored from a backup or
-// replaced, and is repaired. If all copies are restored from a backup at once, the files do not show it: docs/metadata.md
-// describes the protection against that.
+// could have been newer than the remaining ones. A copy that is behind another copy was restored from a backup or is on
+// a replaced disk. Open repairs it. If all copies are restored from a backup at once, Open cannot detect the restore:
+// docs/metadata.md describes the protection against it.
 //
 // Files: store.go (opening, reading and recording), commit.go (group commit and compaction), format.go (records),
 // memory.go (a store in memory).
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package monotonic
 
 import (
@@ -28,7 +28,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Errors that are wrapped by those of Open and of the methods that write.
+// Open and the methods that write return errors that wrap one of these errors, or an error of the disk.
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
@@ -50,9 +50,9 @@
 	committed *sync.Cond // signals that the write of a batch has ended
 	entries   map[string]entry
 	latest    tufverify.Tick   // latest time recorded
-	pending   map[string]entry // entries that are recorded, but not yet durable
+	pending   map[string]entry // entries that were passed to Record, but are not durable yet
 	next      *batch           // batch that the next commit writes
-	writing   bool             // a commit is in progress, with the lock released
+	writing   bool             // a batch is being written, with mu released
 	broken    bool             // the state of the files is unknown, or the store is closed: all writes fail
 	files     []File
 	locks     []*os.File
@@ -64,7 +64,7 @@
 	Rewrites         int64 // number of times that the files were rewritten
 	Created          bool  // whether Open found no copy at all
 	RepairedCopies   int   // number of copies that Open found out of date and repaired
-	TruncatedBytes   int   // size of the incomplete records that Open truncated
+	TruncatedBytes   int   // size of the incomplete records that Open truncated, in bytes
 }
 
 // storedCopy holds the contents of one copy as it was found on disk.
@@ -213,9 +213,9 @@
 	return sortedEntries(s.entries)
 }
 
-// Record makes a version of a key durable, with the checksum of its content. Versions that several callers record at the
-// same time are synced together. The error wraps ErrOlderVersion, ErrConflict, ErrFull, ErrWriteFailed or an error of
-// the disk; the recorded versions are unchanged then.
+// Record makes a version of a key durable, with the checksum of its content. Versions that several callers record at
+// the same time are synced together. The error wraps ErrOlderVersion, ErrConflict, ErrFull, ErrWriteFailed or an error
+// of the disk. After an error, the recorded versions are unchanged.
 func (s *Store) Record(key string, version int64, sum tufverify.Digest) error {
 	if key == "" || len(key) > maxKeySize {
 		return fmt.Errorf("version store: invalid key length of %d bytes", len(key))
@@ -252,8 +252,8 @@
 	return s.commit()
 }
 
-// ResetTime sets the latest time back to now. An operator orders this after a clock was far ahead. No other process may
-// have the store open.
+// ResetTime sets the latest time to now, even if now is earlier. An operator uses it after a clock that was far ahead
+// has advanced the latest time. No other process may have the store open.
 func (s *Store) ResetTime(now tufverify.Tick) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/monotonic/stored_test.go
+++ b/internal/monotonic/stored_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// storedVersions are the versions in the stored file, which an earlier version of the program wrote.
+// storedVersions are the versions in testdata/stored/versions.floor, which an earlier version of the program wrote.
 var storedVersions = []struct {
 	key     string
 	version int64
@@ -20,7 +20,7 @@
 	{"issued/server-1", 7, "issue 7"},
 }
 
-// storedTime is the latest time in the stored file.
+// storedTime is the latest time in testdata/stored/versions.floor.
 const storedTime = tufverify.Tick(987654321)
 
 // TestOpen_StoredFileIsReadAndContinued opens a file that an earlier version of the program wrote, records more, and
@@ -54,8 +54,8 @@
 	}
 }
 
-// checkStored checks the number of entries, and that the store has each stored version and the stored time, or newer
-// ones.
+// checkStored checks that the store has the given number of entries, and that each of storedVersions and storedTime is
+// present or replaced by a newer one.
 func checkStored(t *testing.T, store *Store, entries int) {
 	t.Helper()
 	if store.Len() != entries || store.TrustedTime() < storedTime {
@@ -69,8 +69,8 @@
 	}
 }
 
-// writeStored records the stored file anew. The file contains versions and a time that later records replace, and is
-// not compacted.
+// writeStored writes a new file at the path stored. The file is not compacted: it also contains a version and a time
+// that later records in it replace.
 func writeStored(t *testing.T, stored string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "versions")
