--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -8,11 +8,11 @@
 	"silvercove/internal/tick"
 )
 
-// assignmentState says whether the controllers have assigned an instance.
+// assignmentState says whether this node knows an assignment of an instance.
 type assignmentState uint8
 
 const (
-	unassigned assignmentState = iota // no assignment has been received from the controllers
+	unassigned assignmentState = iota // no assignment is known
 	orphaned                          // a log of the instance was on the disk at the start, but the controllers did not know the instance
 	assigned                          // an assignment has been received
 )
@@ -25,10 +25,10 @@
 
 func (a *assignment) known() bool { return a.state == assigned }
 
-// set stores a newer assignment.
+// set stores p, which must be newer than the known assignment.
 func (a *assignment) set(p placement.Assignment) { a.state, a.agreed = assigned, p }
 
-// withdraw clears an assignment that the controllers no longer have. An orphaned log stays orphaned.
+// withdraw clears the assignment, because the controllers no longer have it. The state orphaned does not change.
 func (a *assignment) withdraw() {
 	a.agreed = placement.Assignment{}
 	if a.state == assigned {
@@ -36,7 +36,7 @@
 	}
 }
 
-// supersededBy reports whether p is newer than the known assignment.
+// supersededBy reports whether p is newer than the known assignment, or no assignment is known.
 func (a *assignment) supersededBy(p placement.Assignment) bool {
 	return !a.known() || p.NewerThan(a.agreed)
 }
@@ -48,19 +48,20 @@
 
 func (a *assignment) isReplica(node string) bool { return slices.Contains(a.agreed.Replicas, node) }
 
-// requiresCopyOn reports whether the controllers require a complete copy on node: it is the primary or a replica.
+// requiresCopyOn reports whether the controllers require a complete copy on node, because node is the primary or a
+// replica.
 func (a *assignment) requiresCopyOn(node string) bool {
 	return a.agreed.Primary == node || a.isReplica(node)
 }
 
-// hasStaleCopyOn reports whether the controllers know of a stale copy on node.
+// hasStaleCopyOn reports whether the assignment lists a stale copy on node.
 func (a *assignment) hasStaleCopyOn(node string) bool {
 	return slices.ContainsFunc(a.agreed.StaleCopies, func(c placement.StaleCopy) bool { return c.Node == node })
 }
 
-// cuttingOver reports whether the primary must have stopped so that the copy target, which is already a replica,
-// can take over. Only a change of the assignment ends this state. The proposed OpCutOver names the revision of this
-// assignment, so it cannot be agreed after the primary has resumed.
+// cuttingOver reports whether the primary must not execute requests, so that the copy target, which is already a
+// replica, can take over. Only a newer assignment ends this state. OpCutOver is proposed with the revision of this
+// assignment, so it cannot be agreed after a newer assignment has let the primary resume.
 func (a *assignment) cuttingOver() bool { return a.agreed.CutOver && a.isReplica(a.agreed.CopyTarget) }
 
 // OnAssignment handles an assignment, either news from the controllers or the result of a proposal. An assignment that
@@ -108,8 +109,8 @@
 	}
 }
 
-// updateRecovery adapts the recovery state to a new assignment. unconfirmed says that under the previous assignment
-// this node was waiting for replicas to confirm its copy, and that none had.
+// updateRecovery adapts the recovery state to a new assignment. newEpoch says that the epoch has changed. unconfirmed
+// says that under the previous assignment this node was waiting for replicas to confirm its copy, and that none had.
 func (m *Manager) updateRecovery(inst *instance, newEpoch, unconfirmed bool) {
 	p, r := &inst.assignment.agreed, &inst.recovery
 	required := inst.assignment.requiresCopyOn(m.self)
@@ -121,20 +122,20 @@
 	if p.Primary == m.self && newEpoch {
 		r.confirmedByReplica = false
 		if r.unverified && m.disk == diskRestored {
-			r.startVerification(p.Replicas) // a replica may have more entries, or know that there are no more
+			r.startVerification(p.Replicas) // a replica may have more entries than this copy, or show that there are none
 		}
 		if p.Index > inst.local.log.LastIndex() {
-			r.incomplete = true // the disk was restored, or this node was counted as a replica without having the entries
+			r.incomplete = true // entries are missing: the disk was restored, or this node was counted as a replica without having them
 		}
 	}
 	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
-		r.incomplete = true // another process with this node's name received the copy
+		r.incomplete = true // there is no copy here: another process with this node's name received it
 	}
 }
 
-// discardOrphan deletes a log that was on the disk at the start and whose instance the controllers did not know at the start.
-// That instance was deleted, and the present one only has the same name. The log is not deleted any earlier, because
-// controllers that lost their own log would not know the instance either.
+// discardOrphan deletes an orphaned log. It is called when an assignment or a message shows that an instance of this
+// name exists now. The instance of the orphaned log was deleted, and the new instance only has the same name. The log
+// is kept until then, because controllers that lost their own log would not know its instance either.
 func (m *Manager) discardOrphan(inst *instance) {
 	if inst.assignment.state != orphaned {
 		return
@@ -172,7 +173,8 @@
 	}
 }
 
-// OnInstanceDeleted handles the news that an instance has been deleted.
+// OnInstanceDeleted records that the controllers have deleted an instance. The node stops serving the instance and
+// deletes its copy.
 func (m *Manager) OnInstanceDeleted(now tick.Tick, name string) {
 	inst := m.instances[name]
 	if inst == nil {
@@ -195,8 +197,8 @@
 	clear(inst.followers)
 }
 
-// OnProposalRefused records that a proposal changed nothing, or may have changed nothing. The next proposal is made a
-// tenth of a lease later at the earliest.
+// OnProposalRefused records that the controllers refused a proposal, or that the caller does not know its result. The
+// next proposal for the instance is made a tenth of a lease duration later at the earliest.
 func (m *Manager) OnProposalRefused(now tick.Tick, op placement.Operation, err error) {
 	inst := m.instances[op.Instance]
 	if inst == nil || !inst.proposal.inProgress() || inst.proposal.operation != op {
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -18,20 +18,20 @@
 	resendsPerLease          = 10 // a message without an answer is sent again after Lease/resendsPerLease
 	proposalRetriesPerLease  = 10 // a refused proposal is made again after Lease/proposalRetriesPerLease
 	proposalTimeoutsPerLease = 2  // a proposal without a result is made again after Lease/proposalTimeoutsPerLease
-	confirmTimeoutsPerLease  = 3  // a replica that has not confirmed is dropped after Lease/confirmTimeoutsPerLease
+	confirmTimeoutsPerLease  = 3  // a primary proposes to drop a replica that has not confirmed for Lease/confirmTimeoutsPerLease
 )
 
-// Timeouts in lease durations.
+// Timeouts as multiples of Config.Lease.
 const (
 	stalledCopyLeases = 2 // a copy without progress for longer than this is cancelled
-	unusedCopyLeases  = 2 // a copy that the controllers no longer require is deleted after this time
+	unusedCopyLeases  = 2 // a copy that is not required and has not been used for this time is deleted
 )
 
 // Config identifies the node that a Manager runs on and limits its instances.
 type Config struct {
 	Node          string
 	Incarnation   uint64    // number of the node's process; each later process has a greater one
-	MaxStateBytes int       // limit on the size of one instance's kept entries, in bytes: the setting fleet.state
+	MaxStateBytes int       // largest size of one instance's kept entries, in bytes: the setting fleet.state
 	Lease         tick.Tick // duration of a lease: the setting fleet.lease
 }
 
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -4,10 +4,10 @@
 // is primary of.
 //
 // The package contains no clock, goroutine, disk or connection. A caller makes a Manager from the logs on the disk and
-// the controllers' assignments, calls the one method that stands for what has happened (OnLease, OnAssignment,
-// OnRequest, OnDurable, OnMessage and the others), and calls OnTick no later than at the time that
-// its previous call returned. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not safe for
-// concurrent use.
+// the controllers' assignments, calls one method for each event (OnLease, OnAssignment, OnRequest, OnDurable, OnMessage
+// and the other methods whose names begin with On), and calls OnTick no later than at the time that the previous call
+// of OnTick returned. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not
+// safe for concurrent use.
 //
 // # Invariants
 //
@@ -21,10 +21,11 @@
 // runs. A replica confirms an entry only after the entry is on its disk. A request that is answered with Rejected was
 // never sent to any node.
 //
-// A copy that counts is complete. A node whose copy lacks entries that the controllers require reports that (recovery
-// state incomplete), does not serve, and marks its answers as unverified. A node that restarted as primary waits for
-// all replicas to show that none of them has more entries (verifying). A node whose disk was restored from an older
-// image reports its copy as unverified until a node with a verified copy has shown it to be complete.
+// A copy that the controllers require is complete, or the node reports that it may not be. A node whose copy lacks
+// entries that the controllers require reports that (recovery state incomplete), does not serve, and marks its answers
+// as unverified. A node that restarted as primary waits for all replicas to show that none of them has more entries
+// (verifying). A node whose disk was restored from an older image reports its copy as unverified until a node with a
+// verified copy has shown it to be complete.
 //
 // # Parts of an instance
 //
--- a/internal/replica/export_test.go
+++ b/internal/replica/export_test.go
@@ -1,4 +1,4 @@
 package replica
 
-// ActiveInstances returns the number of instances that OnTick looks at.
+// ActiveInstances returns the number of instances that the next OnTick processes.
 func (m *Manager) ActiveInstances() int { return len(m.active) }
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -7,14 +7,14 @@
 	"silvercove/internal/tick"
 )
 
-// progressState says how a primary sends to another node, as in raft's Progress.
+// progressState says what a primary sends to a replica or to the copy target next, as in raft's Progress.
 type progressState uint8
 
 const (
-	probing     progressState = iota // the node has not answered in this incarnation: it is asked for its last entry
+	probing     progressState = iota // the node's current process has not answered yet: the node is asked for its last entry
 	replicating                      // the node is sent the entries that follow its last one
-	truncating                       // the node's entries after next differ and are to be removed
-	resetting                        // the node's whole log is to be replaced by the primary's log from its base on
+	truncating                       // the node's entries after next differ from the primary's and are to be removed
+	resetting                        // the node's whole log is to be replaced by the primary's log, which begins after its BaseIndex
 )
 
 // String returns the name of the state.
@@ -22,18 +22,20 @@
 	return [...]string{"probing", "replicating", "truncating", "resetting"}[s]
 }
 
-// followerProgress is what the primary knows of a replica or of the copy target. The zero value is probing.
+// followerProgress is what the primary knows of a replica or of the copy target. The zero value is in the state
+// probing.
 type followerProgress struct {
 	state             progressState
-	incarnation       uint64    // incarnation of the node's process, as last reported
+	incarnation       uint64    // incarnation of the node's process, as last reported; 0 if the node has not answered
 	next              uint64    // the node is assumed to have the entries up to this index; the next message continues from it
 	match             uint64    // the node has confirmed the entries up to this index
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // answers still awaited to announcements of the last index, which show the node that its copy is complete
+	announcementsLeft uint8     // number of further answers until the node has answered an announcement of the last index, which shows the node that its copy is complete
 
-	// In the states truncating and resetting: index and checksum of the last entry that the node has to replace.
+	// replacedIndex and replacedChecksum are the index and the checksum of the node's last entry when its log was found
+	// to differ from the primary's. They are used in the states truncating and resetting.
 	replacedIndex    uint64
 	replacedChecksum uint64
 
@@ -51,7 +53,8 @@
 	return f.state == replicating && !f.inFlight && f.announcementsLeft == 0 && f.match >= durable && f.next >= durable
 }
 
-// needsMessage reports whether the node is to be sent a message now.
+// needsMessage reports whether the node is to be sent a message now. A message without an answer is followed by another
+// one after retryAfter.
 func (f *followerProgress) needsMessage(now, retryAfter tick.Tick, durable uint64) bool {
 	if f.inFlight && now-f.sentAt < retryAfter {
 		return false
@@ -60,8 +63,9 @@
 	return !upToDate
 }
 
-// observeIncarnation processes an answer from an incarnation of the node, and reports whether it is the latest one
-// known. A later incarnation than the known one is probed anew.
+// observeIncarnation processes the incarnation in an answer of the node. It reports false if the answer is outdated,
+// because a later incarnation is known. If the answer is from a later incarnation than the known one, the state returns
+// to probing.
 func (f *followerProgress) observeIncarnation(incarnation uint64) bool {
 	switch {
 	case incarnation < f.incarnation:
@@ -74,12 +78,13 @@
 	return true
 }
 
-// recordAnswer processes an answer whose last entry has the given index.
+// recordAnswer processes an answer in which the node's last entry has the given index.
 //
-// Guards against sending in a tight loop to a node that answers every message and accepts nothing. The fault shows as
-// consecutive answers without progress, caused by a fault of that node or by a copy that changes between messages. The guard
-// holds because after maxAcksWithoutProgress answers the next message waits as long as after a lost one. Answers that
-// arrive out of order look the same and cost that wait.
+// It prevents the primary from sending in a tight loop to a node that answers every message and accepts nothing. The
+// cause is a fault of that node or a copy that changes between messages; the fault shows as consecutive answers without
+// progress. The guard holds because, after more than maxAcksWithoutProgress such answers, the next message is delayed
+// as if the last one had been lost. Answers that arrive out of order also count as answers without progress and can
+// cause that delay.
 func (f *followerProgress) recordAnswer(now tick.Tick, index uint64) {
 	f.inFlight = false
 	f.acksWithoutProgress++
@@ -112,8 +117,9 @@
 	return true
 }
 
-// resolveDivergence has the node remove its entries after the last durable one that is known to be the same in both
-// logs, or replace its whole log if there is no such entry.
+// resolveDivergence makes the next message ask the node to remove the entries that differ from log, the primary's log.
+// The node keeps its entries up to the last one that is durable at the primary and known to be the same in both logs.
+// If no such entry is known, the node is asked to replace its whole log. msg is the node's answer.
 func (f *followerProgress) resolveDivergence(log *Log, durable uint64, msg *Message) {
 	f.state = resetting
 	f.replacedIndex, f.replacedChecksum = msg.Index, msg.Checksum
@@ -141,7 +147,7 @@
 	return f
 }
 
-// resetProgressTimes restarts the time that each follower has to confirm.
+// resetProgressTimes restarts the confirmation timeout of each follower.
 func (inst *instance) resetProgressTimes(now tick.Tick) {
 	for _, f := range inst.followers {
 		f.progressAt = now
@@ -200,9 +206,9 @@
 	return MessageAppend
 }
 
-// fill adds the next entries to a message, and names the entries that they replace.
+// fill adds the next entries to a message. If the node has to replace entries, fill also adds what identifies them.
 func (f *followerProgress) fill(msg *Message, log *Log, durable uint64) {
-	if f.next < log.BaseIndex { // the log no longer keeps all entries after next
+	if f.next < log.BaseIndex { // log no longer keeps all entries after f.next
 		f.state = resetting
 		f.next = log.BaseIndex
 	}
@@ -235,7 +241,7 @@
 func (m *Manager) onAnswer(now tick.Tick, inst *instance, from string, msg *Message) {
 	p := &inst.assignment.agreed
 	if msg.Kind == MessageStaleEpoch {
-		if msg.Epoch > p.Epoch { // the controllers will send the new assignment
+		if msg.Epoch > p.Epoch { // another node is primary in a later epoch; the controllers will send that assignment
 			inst.recovery.fencedEpoch = max(inst.recovery.fencedEpoch, msg.Epoch)
 			m.advance(now, inst)
 		}
@@ -268,7 +274,7 @@
 	r := &inst.recovery
 	r.confirmedBy(from)
 	if !inst.assignment.isReplica(from) {
-		return // a copy target proves nothing about this copy
+		return // a copy target may lack acknowledged entries, so its answer does not show that this copy is complete
 	}
 	r.confirmedByReplica = true
 	if r.unverified && !msg.Unverified {
--- a/internal/replica/follower_test.go
+++ b/internal/replica/follower_test.go
@@ -38,9 +38,11 @@
 	}
 }
 
-// TestManager_ResetsReplicaTimesAfterLostLease: an entry that was under way when the lease ended must not cause its
-// replica to be dropped as soon as the lease is back. Otherwise the failure of a controller stops all nodes from
-// serving.
+// TestManager_ResetsReplicaTimesAfterLostLease guards against counting the time without a lease as time in which a
+// replica did not confirm. When the leading controller fails, all nodes lose their leases, and a primary without a
+// lease sends its replicas nothing. If an entry is unconfirmed at that time, the primary would propose to drop the
+// replica as soon as the lease is back. Its own copy would then be the only one, and acknowledged entries would be lost
+// if the primary failed next.
 func TestManager_ResetsReplicaTimesAfterLostLease(t *testing.T) {
 	n := primaryWithoutReplicas(1 << 20)
 	n.manager.OnAssignment(2, placement.Assignment{Instance: "x", State: placement.Running, Primary: "a", Epoch: 1, Revision: 2, EverServed: true, Replicas: []string{"b"}})
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -16,10 +16,10 @@
 const (
 	goldenFile = "golden_host_calls.txt"
 
-	// goldenCheckpoint is the number of calls between two hashes of a trace.
+	// goldenCheckpoint is the number of calls between two hashes of a trace in the golden file.
 	goldenCheckpoint = 1000
 
-	// goldenSeeds is the number of simulated fleets that are traced, with the seeds from 1 on.
+	// goldenSeeds is the number of simulated fleets that are traced. Their seeds are 1 to goldenSeeds.
 	goldenSeeds = 40
 
 	milli          = tick.Second / 1000
@@ -27,7 +27,7 @@
 	goldenDuration = 60 * tick.Second
 )
 
-// Numbers in the trace for the calls on a Host, OnTick and the status methods.
+// Numbers that identify a call in a trace: a call of a method of Host, of OnTick, or of the status methods of Manager.
 const (
 	callSend = iota + 1
 	callPropose
@@ -50,7 +50,7 @@
 	w.checkpointTimes = append(w.checkpointTimes, w.now)
 }
 
-// call starts the record of one call.
+// call adds the start of the record of one call to the trace. The caller adds the arguments.
 func (w *goldenWorld) call(n *goldenNode, kind int) {
 	if w.calls++; w.calls%goldenCheckpoint == 0 {
 		w.checkpoint()
@@ -89,7 +89,7 @@
 	w.words(e.Node, e.RequestID, string(e.Body))
 }
 
-// wire hashes a value as it is encoded on the wire.
+// wire adds the JSON encoding of a value, as it is sent between processes, to the trace.
 func (w *goldenWorld) wire(v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // TestGoldenHostCalls checks that managers make the recorded calls on their hosts, at the recorded times. A change that
-// is meant to preserve behaviour must pass it without a new record.
+// is meant to preserve behaviour must pass the test without new recorded traces.
 func TestGoldenHostCalls(t *testing.T) {
 	worlds := make([]*goldenWorld, goldenSeeds)
 	var all sync.WaitGroup
@@ -145,7 +145,7 @@
 	t.Logf("calls by kind: %v", kinds[1:])
 }
 
-// difference says where a trace first differs from the recorded one.
+// difference returns a description of the first place where the trace differs from want, the recorded trace.
 func (w *goldenWorld) difference(want string) string {
 	words := strings.Fields(want)[2:]
 	from := tick.Tick(0)
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -10,32 +10,33 @@
 	// Send sends a message to another edge node. The message may be lost, duplicated or overtaken by another one.
 	Send(to string, m Message)
 
-	// Propose proposes an entry of the controllers' log. The result is passed to OnAssignment or OnProposalRefused, or
-	// is lost.
+	// Propose proposes op as an entry of the controllers' agreed log. The result is passed to OnAssignment or
+	// OnProposalRefused, or is lost.
 	Propose(op placement.Operation)
 
 	// Respond ends a request. It is called once for each request that was passed to OnRequest.
 	Respond(r *Request, response Response)
 
 	// AppendEntry has the disk append the next entry to an instance's log. Each call of AppendEntry, TruncateLog,
-	// ResetLog or DeleteLog ends in OnDurable or OnDiskError, in the order of the calls for an instance.
+	// ResetLog or DeleteLog ends in OnDurable or OnDiskError. The results for one instance come in the order of the
+	// calls.
 	AppendEntry(instance string, e LogEntry)
 
 	// TruncateLog removes the entries of an instance's log after index.
 	TruncateLog(instance string, index uint64)
 
-	// ResetLog replaces an instance's log by one without entries that continues after the index base. checksum is the
-	// checksum of the entries up to base.
+	// ResetLog replaces an instance's log, if any, by one without entries whose next entry has the index base+1.
+	// checksum is the checksum of the entries up to base.
 	ResetLog(instance string, base, checksum uint64)
 
 	// DeleteLog removes an instance's log.
 	DeleteLog(instance string)
 
-	// Notify reports an event for the log and the timelines.
+	// Notify reports an event, which the host writes to the node's log output or to the timeline of a simulation.
 	Notify(e Event)
 }
 
-// Kinds of events, as they stand in logs and timelines.
+// Kinds of events, as they stand in log output and in timelines of simulations.
 const (
 	EventLease      = "lease"   // the node's lease was gained or lost, as Reason says
 	EventDisk       = "disk"    // a write failed, or the disk was restored from an older image
@@ -48,7 +49,8 @@
 	EventRefused    = "refused" // a proposal was refused
 )
 
-// Event is an entry for the log and the timelines.
+// Event is an event of a Manager that is worth an entry in the node's log output. The fields that do not apply to the
+// event are empty.
 type Event struct {
 	Kind          string
 	Instance      string
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -69,7 +69,7 @@
 	return all
 }
 
-// primaryWithoutReplicas returns a node that is the primary of instance x.
+// primaryWithoutReplicas returns a node that is the primary of instance x and holds a lease until 9000.
 func primaryWithoutReplicas(maxStateBytes float64) *recordingHost {
 	n := &recordingHost{}
 	n.manager = newManager(n, 1, "a", 1, map[string]any{"fleet.state": maxStateBytes}, nil, nil, 0)
@@ -135,7 +135,7 @@
 
 func (discardingHost) Notify(replica.Event) {}
 
-// sendingHost is a Host that records what is sent, proposed and notified.
+// sendingHost is a Host that records what is sent, proposed and notified, and ignores all other calls.
 type sendingHost struct {
 	discardingHost
 	sent      []replica.Message
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -5,11 +5,11 @@
 	"silvercove/internal/tick"
 )
 
-// nodeLease is the lease of the node, which covers all of its instances and runs by its own clock.
+// nodeLease is the lease of the node. It covers all instances of the node and runs by the node's own clock.
 type nodeLease struct {
 	until           tick.Tick // end of the lease; 0 if none runs
 	previousEnd     tick.Tick
-	requiredVersion uint64 // version of the assignments that must have been seen before the node serves: they may name other primaries
+	requiredVersion uint64 // the node serves only after it has seen the assignments up to this version, since they may name other primaries
 	seenVersion     uint64
 }
 
@@ -19,7 +19,7 @@
 // holds reports whether the node may serve at all: its lease runs, and upToDate holds.
 func (l *nodeLease) holds(now tick.Tick) bool { return now < l.until && l.upToDate() }
 
-// expired reports whether a lease that ran has ended.
+// expired reports whether the lease has ended and expireLease has not handled its end yet.
 func (l *nodeLease) expired(now tick.Tick) bool { return l.until != 0 && now >= l.until }
 
 // lastEnd returns the end of the lease that runs, or of the last one that ran.
@@ -30,14 +30,14 @@
 	return l.until
 }
 
-// reset ends the lease without an event, and sets the versions anew.
+// reset ends the lease without an event, and sets the required and the seen version to version.
 func (l *nodeLease) reset(version uint64) {
 	l.until, l.requiredVersion, l.seenVersion = 0, version, version
 }
 
-// OnLease records that the node's lease runs until a time by the node's own clock. version is the version of the
-// controllers' assignments when the lease was granted. If the previous lease had ended, the node serves nothing until it
-// has seen the assignments up to that version.
+// OnLease records that the node's lease runs until the given time of the node's own clock. version is the version of
+// the controllers' assignments when the lease was granted. If the previous lease had ended, the node serves nothing
+// until it has seen the assignments up to that version.
 func (m *Manager) OnLease(now, until tick.Tick, version uint64) {
 	if now >= m.lease.until {
 		m.expireLease(now)
@@ -55,7 +55,7 @@
 	m.advanceActive(now) // a renewed lease changes nothing for idle instances
 }
 
-// expireLease stops serving every instance if the lease has ended.
+// expireLease handles the end of the lease, if it has ended: the node stops serving every instance.
 func (m *Manager) expireLease(now tick.Tick) {
 	if !m.lease.expired(now) {
 		return
@@ -69,7 +69,8 @@
 // requires.
 func (m *Manager) HoldsLease(now tick.Tick) bool { return m.lease.holds(now) }
 
-// mayServe reports whether the node may serve an instance now, as its lease holder.
+// mayServe reports whether the node may serve an instance now: its lease runs, it is the agreed primary, and its copy
+// can be trusted.
 func (m *Manager) mayServe(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	return m.lease.holds(now) && inst.assignment.known() && p.State == placement.Running && p.Primary == m.self && p.EverServed &&
@@ -98,8 +99,8 @@
 	return may
 }
 
-// beginServing prepares the node to serve an instance, which stays paused until updateServing finds that no cut-over is
-// under way.
+// beginServing prepares the node to serve an instance. The state is paused until updateServing finds that no cut-over
+// is under way.
 func (m *Manager) beginServing(now tick.Tick, inst *instance) {
 	if inst.recovery.unverified {
 		m.serveUnverified(inst)
@@ -111,7 +112,8 @@
 	inst.resetProgressTimes(now) // followers were sent nothing while the node did not serve
 }
 
-// stopServing ends serving an instance. Entries that are not durable on all replicas may be kept or dropped.
+// stopServing ends serving an instance. The outcome of pending writes is Indeterminate, since the next primary may keep
+// or drop their entries. Pending reads are rejected.
 func (m *Manager) stopServing(now tick.Tick, inst *instance, reason string) {
 	if inst.serving.state == leased {
 		m.notifyStopped(now, inst, reason)
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -18,7 +18,7 @@
 type localLog struct {
 	log      Log
 	present  bool              // there is a copy, possibly without entries
-	bytes    int               // size of the entries
+	bytes    int               // size of the kept entries, in bytes
 	requests map[string]uint64 // by request ID: index of the kept entry with that ID
 	pending  []diskWrite       // writes requested of the disk, oldest first
 	failed   bool              // a write failed: the writes that are still pending will fail too
@@ -61,7 +61,7 @@
 	return len(entries) > 0
 }
 
-// replace stores another log in place of the present one.
+// replace sets the log, and recomputes the size and the request IDs of its entries.
 func (l *localLog) replace(log Log) {
 	l.log = log
 	l.bytes = log.Size()
@@ -74,7 +74,7 @@
 // addPending records a write that is requested of the disk. It must be called before the log changes.
 func (l *localLog) addPending(index uint64, deletes bool) {
 	before := l.log
-	before.Entries = slices.Clip(before.Entries) // entries appended to one log must not show in the other
+	before.Entries = slices.Clip(before.Entries) // append to a clipped slice allocates, so it cannot overwrite entries of the other log
 	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, before: before, wasPresent: l.present})
 }
 
@@ -135,8 +135,8 @@
 	return first
 }
 
-// rollBack restores the log from before a write that failed. The writes that are still pending depend on that one and
-// fail too.
+// rollBack restores the log from before a write that failed. The writes that are still pending depend on the failed one
+// and will fail too.
 func (l *localLog) rollBack(w diskWrite) {
 	l.failed = true
 	l.replace(w.before)
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// LogCapacity is the number of log entries that are kept with their request IDs. A repeated request gets its first
-	// answer again as long as its entry is kept.
+	// LogCapacity is the largest number of log entries that are kept with their request IDs. A repeated request gets
+	// its first answer again as long as its entry is kept.
 	LogCapacity = 1024
 
 	// entryOverhead is the number of bytes by which the size of a log entry exceeds its body, node and request ID.
@@ -30,7 +30,8 @@
 // Size returns the number of bytes that an entry counts toward the limit fleet.state.
 func (e LogEntry) Size() int { return entryOverhead + len(e.Node) + len(e.RequestID) + len(e.Body) }
 
-// ChainChecksum returns the checksum of all entries up to e, given the checksum of those before it.
+// ChainChecksum returns the checksum of all entries up to e. The parameter before is the checksum of the entries before
+// e.
 func (e LogEntry) ChainChecksum(before uint64) uint64 {
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[:], before)
@@ -38,7 +39,7 @@
 	binary.LittleEndian.PutUint64(b[16:], e.Epoch)
 	binary.LittleEndian.PutUint32(b[24:], uint32(len(e.Node)))
 	binary.LittleEndian.PutUint32(b[28:], uint32(len(e.RequestID)))
-	d := xxhash.New() // its writes do not fail
+	d := xxhash.New() // writes to an xxhash.Digest never fail
 	_, _ = d.Write(b[:])
 	_, _ = d.WriteString(e.Node)
 	_, _ = d.WriteString(e.RequestID)
@@ -105,7 +106,7 @@
 	if len(l.Entries) > LogCapacity {
 		l.BaseIndex++
 		l.BaseChecksum = l.Entries[0].Checksum
-		l.Entries = l.Entries[1:] // the dropped entry is released when append moves the rest to a new array
+		l.Entries = l.Entries[1:] // the memory of the dropped entry is released when a later append moves the rest to a new array
 	}
 }
 
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -10,17 +10,17 @@
 )
 
 // Manager decides what one edge node may do at each moment with the instances that it is primary of, replicates or
-// receives a copy of. The package documentation says how a Manager is driven.
+// receives a copy of. The package documentation explains how a caller uses a Manager.
 type Manager struct {
 	host          Host
 	self          string
 	incarnation   uint64
-	maxStateBytes int // limit of the entries of one instance
+	maxStateBytes int // largest size of one instance's kept entries, in bytes
 	leaseDuration tick.Tick
 	lease         nodeLease
 	instances     map[string]*instance
-	tracked       []*instance // the instances that have a copy here or involve this node, by name
-	active        []*instance // the tracked instances that the passing of time may change, by name
+	tracked       []*instance // the instances with a copy on this node or an assignment that involves it, sorted by name
+	active        []*instance // the tracked instances that OnTick processes, because the passing of time may change them, sorted by name
 	disk          diskState
 	diskFullUntil tick.Tick // after a failed write: nothing is written before this time
 }
@@ -32,14 +32,14 @@
 	local       localLog
 	recovery    recovery
 	serving     serving
-	followers   map[string]*followerProgress // by node; used by a primary
+	followers   map[string]*followerProgress // by node name; used by a primary
 	catchUp     catchUp                      // progress of the copy target; used by a primary
 	proposal    proposal
 	pendingAcks []pendingAck
-	lastUsed    tick.Tick // time of the last assignment, or of the last message from a primary
-	tracked     bool      // in Manager.tracked
-	scheduled   bool      // in Manager.active
-	idle        bool      // nothing was left to do after the last pass
+	lastUsed    tick.Tick // when the last assignment, or the last message from a primary, was received
+	tracked     bool      // whether the instance is in Manager.tracked
+	scheduled   bool      // whether the instance is in Manager.active
+	idle        bool      // result of isIdle after the last advanceOnce
 }
 
 // NewManager returns the manager of a node whose process starts at now.
@@ -136,7 +136,7 @@
 
 func compareName(inst *instance, name string) int { return cmp.Compare(inst.name, name) }
 
-// OnTick does everything that the passing of time calls for. It must be called again no later than at next.
+// OnTick handles timeouts and the end of the lease. It must be called again no later than at next.
 func (m *Manager) OnTick(now tick.Tick) (next tick.Tick) {
 	m.expireLease(now)
 	m.advanceActive(now)
@@ -172,7 +172,7 @@
 // advance does what can be done now for one instance, and adds the instance to Manager.active if the passing of time
 // alone may call for more.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
-	if inst.idle { // its replicas had nothing to confirm until now
+	if inst.idle { // the replicas of an idle instance had nothing to confirm
 		inst.resetProgressTimes(now)
 	}
 	m.advanceOnce(now, inst)
@@ -204,7 +204,8 @@
 	m.proposeNext(now, inst)
 }
 
-// isIdle reports whether nothing is left to do for an instance until a call names it or the lease ends.
+// isIdle reports whether nothing is left to do for an instance until a method is called for this instance or the lease
+// ends.
 func (m *Manager) isIdle(now tick.Tick, inst *instance) bool {
 	if inst.hasPendingWork() {
 		return false
@@ -236,7 +237,8 @@
 		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
 }
 
-// deleteUnusedCopy deletes a copy that the controllers no longer require, while other nodes have the instance.
+// deleteUnusedCopy deletes a copy that has not been used for unusedCopyLeases. It does so only if the instance runs
+// with at least one replica, and its assignment neither involves this node nor lists the copy as stale.
 func (m *Manager) deleteUnusedCopy(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.involves(m.self) ||
--- a/internal/replica/manager_test.go
+++ b/internal/replica/manager_test.go
@@ -23,7 +23,7 @@
 	return o
 }
 
-// TestManager_TickSkipsIdleInstances: OnTick looks at instances with pending work, and not at idle ones.
+// TestManager_TickSkipsIdleInstances checks that OnTick processes instances with pending work and skips idle ones.
 func TestManager_TickSkipsIdleInstances(t *testing.T) {
 	o := idleManager(200)
 	for _, h := range o.Copies(3) {
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	maxRequestID           = 256       // bytes in a request ID
-	maxNameLength          = 256       // bytes in the name of a node or instance in a message
-	maxReasonLength        = 1024      // bytes in the reason of a message
-	maxBatchBytes          = 256 << 10 // bytes of log entries in a message; at this size or more, no further entry is added
-	maxPendingAcks         = 4         // messages of a primary that wait for this node's disk; if there are more, the oldest stays unanswered
-	maxAcksWithoutProgress = 4         // consecutive answers without progress; after more of them, messages to the node are delayed
-	maxPendingRequests     = 256       // requests of an instance that wait for the disk and the replicas
+	maxRequestID           = 256       // largest size of a request ID, in bytes
+	maxNameLength          = 256       // largest size of the name of a node or instance in a message, in bytes
+	maxReasonLength        = 1024      // largest size of the reason of a message, in bytes
+	maxBatchBytes          = 256 << 10 // no entry is added to a message whose entries have this size in bytes or more
+	maxPendingAcks         = 4         // largest number of a primary's messages that wait for this node's disk; if there are more, the oldest stays unanswered
+	maxAcksWithoutProgress = 4         // after more consecutive answers without progress, messages to the answering node are delayed
+	maxPendingRequests     = 256       // largest number of an instance's requests that wait for the disk and the replicas
 )
 
 // Kinds of messages, as they stand on the wire.
 const (
 	MessageCatchUp     = "copy"   // entries for a copy target
-	MessageAppend      = "effect" // entries for a replica; a message without entries asks for the replica's last entry
+	MessageAppend      = "effect" // entries for a replica; without entries, the message asks for the replica's last entry
 	MessageFinalAppend = "stop"   // entries as in MessageAppend, from a primary that has stopped for a cut-over
 	MessageAck         = "held"   // an answer: the state of the sender's log, all of which is durable
-	MessageStaleEpoch  = "old"    // an answer: the message is of an epoch before Epoch, or its sender is not the primary of Epoch
-	MessageRejected    = "unfit"  // an answer: the message was refused, for Reason
+	MessageStaleEpoch  = "old"    // an answer: the answered message has an epoch before Epoch, or its sender is not the primary of Epoch
+	MessageRejected    = "unfit"  // an answer: the answered message was refused, for Reason
 )
 
 // Message is a message between edge nodes. It may be lost, duplicated or overtaken by another one.
@@ -33,7 +33,7 @@
 	Instance            string `json:"name"`
 	Epoch               uint64 `json:"epoch"`
 	SenderIncarnation   uint64 `json:"own"`
-	ReceiverIncarnation uint64 `json:"run,omitempty"` // as last reported; another incarnation answers the message but takes no entries
+	ReceiverIncarnation uint64 `json:"run,omitempty"` // the receiver's incarnation as last reported; a process with another incarnation answers the message but stores no entries
 
 	PrevIndex    uint64     `json:"prev,omitempty"`     // index of the last entry before Entries
 	PrevChecksum uint64     `json:"prev_sum,omitempty"` // checksum of all entries up to PrevIndex
@@ -46,15 +46,17 @@
 	Unverified bool `json:"doubt,omitempty"`
 
 	// Truncate asks the receiver to remove its entries after PrevIndex, or with Reset all its entries, provided that
-	// its last entry is ReplacedIndex with ReplacedChecksum. A log that has changed since is left alone, so a late
-	// message cannot remove entries that were confirmed after it was sent.
+	// its last entry is ReplacedIndex with ReplacedChecksum. If the last entry is another one, the receiver's log has
+	// changed and is left alone. A late message thus cannot remove entries that were confirmed after the message was
+	// sent.
 	Truncate         bool   `json:"replace,omitempty"`
 	Reset            bool   `json:"begin,omitempty"`
 	ReplacedIndex    uint64 `json:"was,omitempty"`
 	ReplacedChecksum uint64 `json:"was_sum,omitempty"`
 
-	// In an answer: the last index and the checksum of the sender's log. If the two logs may differ, the answer also has
-	// all checksums that the sender knows: the one at ChecksumsFrom and those of the entries after ChecksumsFrom.
+	// In an answer, Index and Checksum are the last index and the checksum of the sender's log. If the logs of sender
+	// and receiver may differ, the answer also has all checksums that the sender knows: the checksum at the index
+	// ChecksumsFrom, and the checksum of each entry after ChecksumsFrom.
 	Index         uint64   `json:"seq,omitempty"`
 	Checksum      uint64   `json:"sum,omitempty"`
 	ChecksumsFrom uint64   `json:"base,omitempty"`
@@ -65,7 +67,8 @@
 	ReplyTo uint64 `json:"-"`
 }
 
-// Validate checks a message without regard to the instances of a node. Its errors wrap those of package placement.
+// Validate checks what can be checked of a message without the state of its instance. The error wraps
+// placement.ErrUnsupportedVersion or placement.ErrInvalid.
 func (m *Message) Validate() error {
 	switch {
 	case m.Version > placement.FormatVersion:
@@ -86,7 +89,7 @@
 	return nil
 }
 
-// isAppend reports whether a message is from a primary.
+// isAppend reports whether a message is of a kind that a primary sends to a replica or to the copy target.
 func (m *Message) isAppend() bool {
 	switch m.Kind {
 	case MessageCatchUp, MessageAppend, MessageFinalAppend:
@@ -95,7 +98,7 @@
 	return false
 }
 
-// isAnswer reports whether a message answers a message of a primary.
+// isAnswer reports whether a message is of a kind that answers a message of a primary.
 func (m *Message) isAnswer() bool {
 	switch m.Kind {
 	case MessageAck, MessageStaleEpoch, MessageRejected:
@@ -104,7 +107,7 @@
 	return false
 }
 
-// endIndex returns the index of the last entry that a message shows.
+// endIndex returns the index of the last of a message's Entries, or PrevIndex if Entries is empty.
 func (m *Message) endIndex() uint64 { return m.PrevIndex + uint64(len(m.Entries)) }
 
 // endChecksum returns the checksum of all entries up to endIndex.
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -21,9 +21,9 @@
 
 func (p *proposal) done() { p.at = 0 }
 
-// catchUp is the progress of the copy to another node.
+// catchUp is the progress of the copy to the copy target.
 type catchUp struct {
-	readyRevision uint64    // revision of the assignment at which the copy target was proposed as a replica
+	readyRevision uint64    // revision of the assignment at which the copy target was last proposed as a replica; 0 if it never was
 	progressAt    tick.Tick // when the copy last made progress, or began
 }
 
@@ -42,8 +42,9 @@
 	m.host.Propose(operation)
 }
 
-// proposeReportIncomplete tells the controllers that this node's copy lacks entries that they require. It returns false
-// if the copy lacks none, if the node's lease does not hold, or if the assignment does not involve the node.
+// proposeReportIncomplete proposes to record that this node's copy lacks entries that the controllers require, and
+// reports whether that is necessary. It returns false if the copy lacks no such entries, if the node's lease does not
+// hold, or if the assignment does not involve the node.
 func (m *Manager) proposeReportIncomplete(now tick.Tick, inst *instance) bool {
 	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
@@ -60,7 +61,7 @@
 }
 
 // proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
-// copy that was lost can be told from one that never existed. It reports whether the record is still to be made.
+// copy that was lost can be told from one that never existed. It reports whether that record is still missing.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -10,7 +10,7 @@
 	to       string
 	replyTo  uint64
 	epoch    uint64
-	index    uint64 // index of the last entry that the message showed
+	index    uint64 // endIndex of the message
 	checksum uint64
 }
 
@@ -42,7 +42,7 @@
 	}
 	inst.recovery.fencedEpoch = msg.Epoch
 	if inst.assignment.known() && msg.Epoch > inst.assignment.agreed.Epoch && inst.serving.state != stopped {
-		m.advance(now, inst) // another node is primary, and the new assignment is still to come
+		m.advance(now, inst) // stops serving: another node is primary, and this node has not received the new assignment yet
 	}
 	m.discardOrphan(inst)
 	inst.lastUsed = now
@@ -80,7 +80,8 @@
 	return latest, epoch < latest
 }
 
-// applyEntries adds a message's entries to the log as far as they fit, and returns the reason if they are refused.
+// applyEntries appends the entries of a message that continue the log. If an entry would exceed the size limit, it
+// returns the reason for refusing the message; otherwise it returns "".
 func (m *Manager) applyEntries(inst *instance, msg *Message) (reason string) {
 	m.prepareLog(inst, msg)
 	l := &inst.local
@@ -125,7 +126,7 @@
 	}
 }
 
-// checkComplete marks the copy as complete if a message has shown that it has all entries of the primary.
+// checkComplete marks the copy as complete if msg shows that the copy has all entries of the primary.
 func (inst *instance) checkComplete(msg *Message) {
 	if !inst.recovery.incomplete && !inst.recovery.unverified {
 		return
@@ -144,7 +145,7 @@
 	}
 }
 
-// sendPendingAcks answers the messages that wait for the disk, once all writes are durable.
+// sendPendingAcks answers the messages that wait for the disk. It does nothing as long as a write is pending.
 func (m *Manager) sendPendingAcks(inst *instance) {
 	if len(inst.local.pending) > 0 {
 		return
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -28,14 +28,14 @@
 type recovery struct {
 	primaryAtStart     bool // this node was the primary at the start, and OnDiskChecked has not yet shown whether its copy is complete
 	unverified         bool
-	confirmedByReplica bool // a replica of this epoch has shown its log
+	confirmedByReplica bool // a replica's log has matched this copy in the current epoch
 	incomplete         bool
 	awaitedReplicas    []string // replicas that have yet to show that they have no more entries than this copy
 	fencedEpoch        uint64   // the latest epoch that another node has reported
-	pendingReport      string   // why the copy may lack entries, until the controllers have been told; empty otherwise
+	pendingReport      string   // why the copy may lack entries; empty if the controllers have been told or need not be told
 }
 
-// state returns the most severe of the states that hold at an epoch.
+// state returns the most severe state that applies to a primary of the given epoch.
 func (r *recovery) state(epoch uint64) recoveryState {
 	switch {
 	case r.incomplete:
@@ -50,7 +50,7 @@
 	return current
 }
 
-// trusted reports whether a primary of an epoch may serve from the copy.
+// trusted reports whether a primary of the given epoch may serve from the copy.
 func (r *recovery) trusted(epoch uint64) bool { return r.state(epoch) <= unverified }
 
 func (r *recovery) awaitsConfirmation() bool { return len(r.awaitedReplicas) > 0 }
@@ -59,12 +59,12 @@
 // than this node's copy.
 func (r *recovery) startVerification(replicas []string) { r.awaitedReplicas = slices.Clone(replicas) }
 
-// retainAwaited stops waiting for nodes that are not among the replicas.
+// retainAwaited stops waiting for nodes that are no longer among the replicas.
 func (r *recovery) retainAwaited(replicas []string) {
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(name string) bool { return !slices.Contains(replicas, name) })
 }
 
-// confirmedBy stops waiting for a replica that has shown that it has no more entries.
+// confirmedBy stops waiting for a replica that has shown that it has no more entries than this copy.
 func (r *recovery) confirmedBy(name string) {
 	r.awaitedReplicas = slices.DeleteFunc(r.awaitedReplicas, func(n string) bool { return n == name })
 }
@@ -90,11 +90,11 @@
 // image: the controllers know of more records on it than there were at the start. Each copy on a restored disk is
 // unverified until a node with a verified copy has shown it to be complete.
 //
-// Guards against serving without acknowledged entries after a disk was restored. The fault shows as a disk with fewer
-// records than the controllers know of, on the primary and a replica at once or on a primary without replicas. The
-// guard holds because only a node with a later copy can tell which entries are missing, and the copies stay unverified
-// until such a node has shown them to be complete. If the controllers' record count belongs to another disk, complete
-// copies are reported as unverified, which has no other effect.
+// The check guards against serving without acknowledged entries, and without a report, after a disk was restored. The
+// fault shows as a disk with fewer records than the controllers know of, on the primary and a replica at once or on a
+// primary without replicas. The guard holds because only a node with a later copy can tell which entries are missing,
+// and the copies stay unverified until such a node has shown them to be complete. If the controllers' record count
+// belongs to another disk, complete copies are reported as unverified, which has no other effect.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskCurrent
 	if !restored {
@@ -122,7 +122,7 @@
 }
 
 // AllVerified reports whether no copy on this disk is unverified or has yet to be reported as unverified. If so, the
-// count of records on the disk is valid from now on.
+// caller may call ConfirmCurrent of the instance store.
 func (m *Manager) AllVerified() bool {
 	return m.disk == diskCurrent || m.disk == diskRestored && !slices.ContainsFunc(m.tracked, func(inst *instance) bool {
 		return inst.recovery.pendingReport != "" || inst.recovery.unverified && inst.assignment.involves(m.self)
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -4,7 +4,7 @@
 
 // Request is a client's request at an edge node.
 type Request struct {
-	ID       string // ID of a write; a repeated write with the same ID gets the first answer again
+	ID       string // ID of a write; a write with the ID of a kept log entry gets the answer of the first write with that ID
 	Instance string
 	Write    bool
 	Body     []byte
@@ -23,7 +23,7 @@
 )
 
 // Response is the only answer to a request. Index, Epoch and Node belong to the write's log entry, or to the last entry
-// that was read.
+// that a read has seen.
 type Response struct {
 	Outcome   Outcome
 	Index     uint64
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -10,17 +10,17 @@
 type servingState uint8
 
 const (
-	stopped servingState = iota // the node is not the lease holder
+	stopped servingState = iota // the node may not serve the instance
 	leased                      // the node executes requests
-	paused                      // the node is the lease holder and executes no requests: it has yet to begin, or a cut-over is under way
+	paused                      // the node may serve the instance, but executes no requests: it has yet to begin, or a cut-over is under way
 )
 
-// serving is the state of an instance's lease holder. The zero value is stopped.
+// serving holds whether this node serves an instance, and its pending requests. The zero value is in the state stopped.
 type serving struct {
 	state        servingState
 	pending      []pendingRequest
 	acknowledged uint64 // index up to which entries may have been acknowledged: a copy without them is incomplete
-	committed    uint64 // index up to which every replica has confirmed
+	committed    uint64 // index up to which all entries are durable on this node and on every replica
 }
 
 // pendingRequest is answered once the entries up to index are committed.
@@ -67,7 +67,8 @@
 	}
 }
 
-// rejectionReason returns why a lease holder does not start a request, or "" if it does.
+// rejectionReason returns why the node does not start a request although it may serve the instance, or "" if it can
+// start it.
 func (inst *instance) rejectionReason(now tick.Tick, request *Request) (reason string) {
 	switch {
 	case inst.assignment.cuttingOver():
@@ -84,7 +85,8 @@
 	s.pending = append(s.pending, pendingRequest{request, index})
 }
 
-// execute appends the entry of a write whose ID no kept entry has.
+// execute executes a write whose ID is not the ID of a kept entry. It appends the write's entry, or answers the write
+// if the entry cannot be appended.
 func (m *Manager) execute(now tick.Tick, inst *instance, request *Request) {
 	e := LogEntry{Index: inst.local.log.LastIndex() + 1, Epoch: inst.assignment.agreed.Epoch, Node: m.self, RequestID: request.ID,
 		Body: request.Body}
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -53,7 +53,7 @@
 	return inst.serving.state == leased && m.mayServe(now, inst)
 }
 
-// KnownInstances returns the names of all instances that have an assignment known here, in order.
+// KnownInstances returns the names of all instances whose assignment is known on this node, sorted.
 func (m *Manager) KnownInstances() (names []string) {
 	for name, inst := range m.instances {
 		if inst.assignment.known() {
@@ -65,8 +65,8 @@
 }
 
 // LostAllCopies reports whether this incarnation began without any of the copies that the controllers require. A node
-// that lacks only some of them, as with a restored disk, serves the others and reports those that it lacks as
-// incomplete.
+// that lacks only some of the copies, for example because its disk was restored, serves the instances whose copies are
+// complete and reports the other copies as incomplete.
 func (m *Manager) LostAllCopies() bool {
 	counted := false
 	for _, inst := range m.tracked {
