--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -148,9 +148,9 @@
 // OnPlacementVersion records that all changes of assignments up to version have been passed to OnAssignment and
 // OnInstanceDeleted.
 func (m *Manager) OnPlacementVersion(now tick.Tick, version uint64) {
-	waited := !m.lease.upToDate()
+	wasOutdated := !m.lease.upToDate()
 	m.lease.seenVersion = max(m.lease.seenVersion, version)
-	if waited && m.lease.upToDate() {
+	if wasOutdated && m.lease.upToDate() {
 		m.advanceAll(now)
 	}
 }
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -78,25 +78,25 @@
 }
 
 // updateServing starts or stops serving an instance, and reports whether the node may serve it.
-func (m *Manager) updateServing(now tick.Tick, inst *instance) (may bool) {
-	may = m.mayServe(now, inst)
+func (m *Manager) updateServing(now tick.Tick, inst *instance) (allowed bool) {
+	allowed = m.mayServe(now, inst)
 	s := &inst.serving
 	switch {
-	case !may && s.state != stopped:
+	case !allowed && s.state != stopped:
 		m.stopServing(now, inst, "the lease is over, or another one owns it")
-	case may && s.state == stopped:
+	case allowed && s.state == stopped:
 		m.beginServing(now, inst)
 	}
 	switch cuttingOver := inst.assignment.cuttingOver(); {
-	case may && !cuttingOver && s.state == paused:
+	case allowed && !cuttingOver && s.state == paused:
 		m.host.Notify(Event{Kind: EventServing, Instance: inst.name, Epoch: inst.assignment.agreed.Epoch,
 			Reason: inst.assignment.agreed.Reason})
 		s.state = leased
-	case may && cuttingOver && s.state == leased:
+	case allowed && cuttingOver && s.state == leased:
 		m.notifyStopped(now, inst, "handed over")
 		s.state = paused
 	}
-	return may
+	return allowed
 }
 
 // beginServing prepares the node to serve an instance. The state is paused until updateServing finds that no cut-over
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -68,7 +68,7 @@
 // that lacks only some of the copies, for example because its disk was restored, serves the instances whose copies are
 // complete and reports the other copies as incomplete.
 func (m *Manager) LostAllCopies() bool {
-	counted := false
+	anyRequired := false
 	for _, inst := range m.tracked {
 		if !inst.assignment.known() || !inst.assignment.agreed.EverServed || !inst.assignment.requiresCopyOn(m.self) {
 			continue
@@ -76,7 +76,7 @@
 		if !inst.recovery.incomplete {
 			return false
 		}
-		counted = true
+		anyRequired = true
 	}
-	return counted
+	return anyRequired
 }
