--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -64,7 +64,7 @@
 	lock *os.File
 	logf func(string)
 
-	// The fields of this block are used only by the goroutine of Run, once Open has returned.
+	// Once Open has returned, only the goroutine of Run uses the fields of this block.
 	file            File
 	fileSize        int64
 	liveSize        int64 // approximate size of the current state in the file, in bytes
@@ -201,17 +201,17 @@
 }
 
 // RecordCount returns the durable count of records: the count that the last ConfirmCurrent set, plus the records
-// written after it in the same run. For a store with a file, the count is above 0, and it decreases only if the disk is
-// restored from an older image. For a store without a file, the count is always 0.
+// written between that call and the next Open. For a store with a file, the count is above 0, and it decreases only if
+// the disk is restored from an older image. For a store without a file, the count is always 0.
 func (s *Store) RecordCount() uint64 { return s.durableCount.Load() }
 
 // The methods below queue a request. Run calls the done functions that are not nil, in the order of the requests. done
 // receives nil once the change is durable. Otherwise nothing was changed, and done receives the reason: ErrGap,
 // ErrQueueFull, ErrWriteFailed, an error of the disk, or an error of SetNote because the note is too long.
 
-// ConfirmCurrent starts the counting of records in this run, and raises the count to at least minCount. The caller
-// declares that no file of this node is known to have more than minCount records, or that the entries which this file may
-// lack have been reported.
+// ConfirmCurrent enables the counting of records, which is disabled after Open, and raises the count to at least
+// minCount. The caller declares that no file of this node is known to have more than minCount records, or that the
+// entries which this file may lack have been reported.
 func (s *Store) ConfirmCurrent(minCount uint64, done func(error)) {
 	s.enqueue(request{kind: kindCount, number: max(1, minCount), sum: countingEnabled, done: done})
 }
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -44,7 +44,7 @@
 
 // Format describes one type of record file.
 type Format struct {
-	Magic        string // 8 bytes
+	Magic        string // identifies the type of file; 8 bytes long
 	Version      uint32 // format version of new files; files with a later version are rejected
 	MaxPayload   int    // largest payload of a record, in bytes
 	Checksum     func([]byte) uint64
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -33,7 +33,7 @@
 	wasPresent bool   // whether there was a copy before the write
 }
 
-// restore takes over a log that was on the disk at the start.
+// restore sets the log to one that was on the disk at the start.
 func (l *localLog) restore(log Log) {
 	l.replace(log)
 	l.present = true
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -70,7 +70,7 @@
 	return m
 }
 
-// restoreLog takes over a log that was on the disk at the start.
+// restoreLog adds an instance in the state orphaned with a log that was on the disk at the start.
 func (m *Manager) restoreLog(log Log) {
 	inst := m.ensureInstance(log.Instance)
 	inst.local.restore(log)
@@ -78,7 +78,7 @@
 	inst.assignment.state = orphaned
 }
 
-// restoreAssignment takes over an assignment from before this incarnation.
+// restoreAssignment sets an assignment from before this incarnation, and the recovery state of the instance's copy.
 func (m *Manager) restoreAssignment(now tick.Tick, p placement.Assignment) {
 	inst := m.ensureInstance(p.Instance)
 	inst.assignment.set(p)
@@ -154,8 +154,8 @@
 	}
 }
 
-// advanceActive does what can be done now for the instances that the passing of time may change. Idle instances cost
-// nothing, however many a node has.
+// advanceActive does what can be done now for the instances in Manager.active. Idle instances cost nothing, however
+// many a node has.
 func (m *Manager) advanceActive(now tick.Tick) {
 	due := m.active
 	m.active = nil
@@ -170,7 +170,7 @@
 }
 
 // advance does what can be done now for one instance, and adds the instance to Manager.active if the passing of time
-// alone may call for more.
+// alone may require further actions.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
 	if inst.idle { // the replicas of an idle instance had nothing to confirm
 		inst.resetProgressTimes(now)
@@ -231,7 +231,8 @@
 	return true
 }
 
-// hasPendingWork reports whether something waits for the disk, the replicas, the controllers or the recovery.
+// hasPendingWork reports whether a write to the disk, a request, an answer or a proposal is pending, or the copy cannot
+// be trusted.
 func (inst *instance) hasPendingWork() bool {
 	return len(inst.local.pending) > 0 || inst.local.failed || len(inst.serving.pending) > 0 || len(inst.pendingAcks) > 0 ||
 		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -12,7 +12,7 @@
 
 const (
 	current    recoveryState = iota // the copy has all entries that the controllers require
-	unverified                      // the copy is from before the start, and no other node has shown since then that it is complete
+	unverified                      // the copy is from before the process started, and no other node has shown it to be complete
 	verifying                       // the node restarted as primary: the replicas must first show that none of them has more entries
 	fenced                          // another node has reported a later epoch
 	incomplete                      // the copy lacks entries that the controllers require
@@ -129,9 +129,9 @@
 	})
 }
 
-// UnverifiedCopies returns the instances that the node serves although their copies may lack entries, if the controllers
-// have not been told of that. It returns at most limit instances, by name. OnUnverifiedReported confirms that the
-// controllers have been told.
+// UnverifiedCopies returns the instances that the node serves although their copies may lack entries, if the
+// controllers have not been told of that. It returns at most limit instances, sorted by name. OnUnverifiedReported
+// confirms that the controllers have been told.
 func (m *Manager) UnverifiedCopies(limit int) (copies []UnverifiedCopy) {
 	for _, inst := range m.tracked {
 		if inst.recovery.pendingReport != "" && len(copies) < limit {
--- a/internal/replica/recovery_test.go
+++ b/internal/replica/recovery_test.go
@@ -41,10 +41,10 @@
 		Checksum: last.Checksum, Unverified: unverified}
 }
 
-// TestManager_PrimaryOnRestoredDisk: the copy of a primary on a restored disk may lack acknowledged entries. The primary
-// serves without a report if a replica with a verified copy shows that the primary's copy is complete. It yields to a
-// replica with more entries. Otherwise it serves and reports that entries may be missing. Until the controllers have been
-// told, its messages are marked as unverified.
+// TestManager_PrimaryOnRestoredDisk checks what a primary does whose disk may have been restored, so that its copy may
+// lack acknowledged entries. The primary serves without a report if a replica with a verified copy shows that the
+// primary's copy is complete. It yields to a replica with more entries. Otherwise it serves and reports that entries
+// may be missing. Until the controllers have been told, its messages are marked as unverified.
 func TestManager_PrimaryOnRestoredDisk(t *testing.T) {
 	log, third := twoEntries()
 	second := log.Entries[1]
@@ -112,8 +112,8 @@
 	return len(h.proposals) == 1 && h.proposals[0].Kind == placement.OpReportIncomplete && h.proposals[0].Target == node
 }
 
-// TestManager_CopyIsUnverifiedBeforeTheDiskIsChecked: a node that was primary at its start proves nothing to the next
-// primary until it knows whether its own disk was restored.
+// TestManager_CopyIsUnverifiedBeforeTheDiskIsChecked checks that a node that was primary at its start marks its answers
+// to the next primary as unverified until it knows whether its own disk was restored.
 func TestManager_CopyIsUnverifiedBeforeTheDiskIsChecked(t *testing.T) {
 	log, _ := twoEntries()
 	for _, checked := range []bool{false, true} {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestManager_ReplicaOnRestoredDiskTrustsVerifiedPrimary: a replica on a restored disk takes its copy as complete only
-// if a primary with a verified copy has shown it to be.
+// TestManager_ReplicaOnRestoredDiskTrustsVerifiedPrimary checks that a replica on a restored disk considers its copy
+// complete only if a primary with a verified copy has shown that the copy is complete.
 func TestManager_ReplicaOnRestoredDiskTrustsVerifiedPrimary(t *testing.T) {
 	log, _ := twoEntries()
 	for _, unverified := range []bool{true, false} {
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -30,5 +30,5 @@
 	Epoch     uint64
 	Node      string
 	Detail    string // reason, unless the request succeeded
-	LeaseLost bool   // the node was not allowed to go on: its lease ended, or another node is the primary now
+	LeaseLost bool   // the node stopped serving the instance while the write was pending, for example because its lease ended
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -20,7 +20,7 @@
 	Incomplete bool   `json:"lacks,omitempty"` // the copy lacks entries that the controllers require
 }
 
-// Copies returns the status of every instance of which this node has a copy or should have one, by name.
+// Copies returns the status of every instance of which this node has a copy or should have one, sorted by name.
 func (m *Manager) Copies(now tick.Tick) (copies []CopyStatus) {
 	for _, inst := range m.tracked {
 		log := &inst.local.log
