--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -20,7 +20,7 @@
 	Incomplete bool   `json:"lacks,omitempty"` // the copy lacks entries that the controllers require
 }
 
-// Copies returns the status of every instance of which this node has a copy or should have one, by name.
+// Copies returns the status of every instance of which this node has a copy or should have one, sorted by name.
 func (m *Manager) Copies(now tick.Tick) (copies []CopyStatus) {
 	for _, inst := range m.tracked {
 		log := &inst.local.log
@@ -53,7 +53,7 @@
 	return inst.serving.state == leased && m.mayServe(now, inst)
 }
 
-// KnownInstances returns the names of all instances that have an assignment known here, in order.
+// KnownInstances returns the names of all instances whose assignment is known on this node, sorted.
 func (m *Manager) KnownInstances() (names []string) {
 	for name, inst := range m.instances {
 		if inst.assignment.known() {
@@ -65,10 +65,10 @@
 }
 
 // LostAllCopies reports whether this incarnation began without any of the copies that the controllers require. A node
-// that lacks only some of them, as with a restored disk, serves the others and reports those that it lacks as
-// incomplete.
+// that lacks only some of the copies, for example because its disk was restored, serves the instances whose copies are
+// complete and reports the other copies as incomplete.
 func (m *Manager) LostAllCopies() bool {
-	counted := false
+	anyRequired := false
 	for _, inst := range m.tracked {
 		if !inst.assignment.known() || !inst.assignment.agreed.EverServed || !inst.assignment.requiresCopyOn(m.self) {
 			continue
@@ -76,7 +76,7 @@
 		if !inst.recovery.incomplete {
 			return false
 		}
-		counted = true
+		anyRequired = true
 	}
-	return counted
+	return anyRequired
 }
