--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,9 +7,11 @@
 	"silvercove/internal/tick"
 )
 
-// Ratios of the time left to the time for migrating all instances, below which a level applies. Below 10 a node takes few
-// instances. It holds below 5, as a new instance would have to migrate again at once. It evacuates below 2, not 1, as
-// migrations from other nodes of its zone may be under way. Below 0.5 no migration can be finished.
+// The level of a node follows from a ratio: the time left until the battery is empty or the machine too hot, divided by
+// the time for migrating all instances. Below limitedRatio the node takes few instances. Below holdingRatio it takes
+// none, as a new instance would have to migrate again at once. Below evacuatingRatio its instances migrate away; this
+// ratio is 2, not 1, as migrations from other nodes of its zone may be under way. Below shuttingDownRatio no migration
+// can be finished.
 const (
 	shuttingDownRatio = 0.5
 	evacuatingRatio   = 2.0
@@ -21,22 +23,23 @@
 type assessment struct {
 	timeToEmpty        tick.Tick // time until the battery is empty at the present load; Never if not foreseeable
 	timeToOverheat     tick.Tick // time until the machine is too hot at the present load; Never if not foreseeable
-	timeToLimitOffered tick.Tick // the lesser of timeToEmpty and timeToOverheat, at the offered load
-	migrationTime      tick.Tick // time for migrating all instances
-	unknown            []string  // names of unknown readings
+	timeToLimitOffered tick.Tick // time until the battery is empty or the machine too hot, whichever is first, at the offered load; Never if not foreseeable
+	migrationTime      tick.Tick // time to reserve for migrating all instances
+	unknown            []string  // labels of the unknown readings
 	readings           KeyReadings
 	constraints        []constraint
 	untrusted          map[*series]bool
-	strictness         float64 // factor on the required margins: above 1 they are wider
+	strictness         float64 // factor by which the required margins are multiplied; above 1, each level needs wider margins
 }
 
 // constraint is the highest level that one reading or condition allows.
 type constraint struct {
 	level  level
-	reason string // empty if strictness is above 1: then only the level is used
+	reason string // why no higher level is allowed; empty if strictness is above 1, as only the level of such an assessment is used
 }
 
-// addConstraint adds a constraint, unless it allows the highest level.
+// addConstraint adds a constraint with the given level and reason. It adds none for levelAccepting, the highest level,
+// which constrains nothing.
 func (a *assessment) addConstraint(at level, format string, args ...any) {
 	if at == levelAccepting {
 		return
@@ -48,7 +51,7 @@
 	a.constraints = append(a.constraints, c)
 }
 
-// level returns the lowest level of the constraints.
+// level returns the lowest level of the constraints, or levelAccepting if there are none.
 func (a *assessment) level() level {
 	lowest := levelAccepting
 	for _, c := range a.constraints {
@@ -57,7 +60,7 @@
 	return lowest
 }
 
-// trusts reports whether a reading has a value and is not untrusted.
+// trusts reports whether a reading has a value that findUntrustedReadings has not marked as untrusted.
 func (a *assessment) trusts(s *series) bool { return s.known() && !a.untrusted[s] }
 
 // assess computes what the readings allow, with the required margins multiplied by strictness.
@@ -81,8 +84,9 @@
 	return a
 }
 
-// findUntrustedReadings finds the readings without a trustworthy value, and holds the node if there are any. A temperature
-// sensor that has never worked, beside another that does, adds no constraint: it may belong to a radio that is off.
+// findUntrustedReadings marks the readings that have no trustworthy value. For each of them it adds the constraint
+// levelHolding, so the node takes no new instances. A temperature sensor that has no value adds no constraint while
+// another temperature sensor has one: the sensor without a value may belong to a radio that is off.
 func (m *Monitor) findUntrustedReadings(a *assessment) {
 	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.known() })
 	for _, s := range m.series {
@@ -113,8 +117,8 @@
 	return 0
 }
 
-// assessOutcomes adds the constraint of a node whose own requests fail: the node holds while the detector waits, and is then
-// limited until the node has recovered.
+// assessOutcomes adds the constraint of a node whose own requests fail too often. The constraint is levelHolding while
+// the failure detector waits, and then levelLimited until the node has recovered.
 func (m *Monitor) assessOutcomes(a *assessment) {
 	switch {
 	case m.failures.waiting(m.now):
@@ -124,8 +128,8 @@
 	}
 }
 
-// levelFor returns the level that the time left allows, at the present and at the offered load, if migrating all instances
-// takes the time migration.
+// levelFor returns the level that the time left until a limit allows. present and offered are the time left at the
+// present and at the offered load; migration is the time for migrating all instances.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,22 +3,22 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // charge above empty, as a fraction of full: less would not suffice for migrating if mains or sun failed
+	holdingCharge    = 0.05 // fraction of full, above empty: with less, a node could not migrate its instances if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
-	mainsOnThreshold = 0.5  // reading from which mains counts as on
+	mainsOnThreshold = 0.5  // a mains reading of this value or more counts as on
 )
 
-// batteryTotals sums up all batteries of a node.
+// batteryTotals holds the sums over all batteries of a node.
 type batteryTotals struct {
-	fullJoules      float64 // energy of full batteries
-	remainingJoules float64 // energy above the empty level
-	fallRate        float64 // joules per second, computed from the slope of the charge
-	draw            float64 // watts out of the batteries
-	measured        bool    // full charge and draw are known for all batteries
+	fullJoules      float64 // joules in full batteries; a battery whose full charge is unknown counts as 1
+	remainingJoules float64 // joules above the empty level, in the same units as fullJoules
+	fallRate        float64 // joules per second by which the charge falls, by the confidence bound of its slope
+	draw            float64 // watts drawn from the batteries; below 0 while they charge
+	measured        bool    // true if the full charge of each battery is known, and there are draw readings, all of them trusted
 }
 
-// assessBattery assesses all batteries together, by the measured draw or the slope of the charge, whichever empties them
-// sooner.
+// assessBattery adds the constraints of the power supply. It takes all batteries together and uses either the measured
+// draw or the slope of the charge, whichever gives the shorter time until the batteries are empty.
 func (m *Monitor) assessBattery(a *assessment) {
 	mains := m.onMains(a)
 	charges := m.ofKind(KindCharge)
@@ -34,7 +34,7 @@
 	a.readings.Mains = &mains
 	b, known := m.sumBatteries(a, charges)
 	if !known {
-		return // findUntrustedReadings holds the node: no new instances, but no evacuation
+		return // findUntrustedReadings has added levelHolding: no new instances, but no evacuation
 	}
 	charge := b.remainingJoules / b.fullJoules
 	a.readings.Charge = &charge
@@ -48,8 +48,8 @@
 		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
 		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
-	// A migration runs at full load, which draws more than the present load. drawFactor(1) converts the migration time to the
-	// time in which the present load draws as much.
+	// A migration runs at full load, which draws more power than the present load. drawFactor(1) lengthens the migration
+	// time to the time in which the present load draws as much energy as the migration.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
@@ -59,7 +59,7 @@
 	}
 }
 
-// onMains reports whether a trusted mains reading is on.
+// onMains reports whether at least one trusted mains reading is on.
 func (m *Monitor) onMains(a *assessment) bool {
 	on := false
 	for _, s := range m.ofKind(KindMains) {
@@ -71,13 +71,13 @@
 	return on
 }
 
-// sumBatteries returns the sums over all batteries, and false if the charge of any battery is untrusted.
+// sumBatteries returns the sums over all batteries. known is false if the charge of any battery is untrusted.
 func (m *Monitor) sumBatteries(a *assessment, charges []*series) (b batteryTotals, known bool) {
 	b.measured = true
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
-			b.measured, full = false, 1 // without the full charge, only the slope counts
+			b.measured, full = false, 1 // the battery counts as 1 instead of its joules; only the slope of its charge is used
 		}
 		if a.untrusted[s] {
 			return batteryTotals{}, false
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	maxClaimShare  = 0.5               // share of a zone's nodes that may evacuate on claims alone: a version's fault shows in all nodes
-	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts, so that nodes cannot evacuate in turns
+	maxClaimShare  = 0.5               // share of a zone's nodes that may evacuate without support for their claims: a faulty version makes all nodes claim
+	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted, so that nodes cannot evacuate in turn
 )
 
-// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. The check guards against a fault that
-// makes all nodes of a zone claim to evacuate, which would empty the zone. Nodes that claim because of readings that the
-// controller cannot check look the same as nodes with such a fault: half of them evacuate, and the others hold the instances
-// they have.
+// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. It grants such claims of at most
+// maxClaimShare of a zone's nodes; the other nodes that claim hold the instances that they have. The limit guards against
+// a fault that makes all nodes of a zone claim to evacuate, which would empty the zone. The limit also applies to nodes
+// that claim because of readings that the controller cannot check, as the controller cannot tell them from nodes with
+// such a fault.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
@@ -29,7 +30,7 @@
 	return n.report
 }
 
-// grantedClaims returns the number of granted claims, including withdrawn ones that still count.
+// grantedClaims returns the number of granted claims in the zone, including withdrawn claims that still count as granted.
 func (z *zone) grantedClaims(now tick.Tick) int {
 	granted := 0
 	for _, n := range z.nodes {
@@ -41,7 +42,8 @@
 	return granted + len(z.withdrawnClaims)
 }
 
-// withdrawClaim withdraws the node's granted claim, if any; the claim still counts for claimRetention.
+// withdrawClaim withdraws the node's granted claim, if there is one. The withdrawn claim still counts as granted for
+// claimRetention.
 func (n *node) withdrawClaim(now tick.Tick) {
 	if !n.claimGranted {
 		return
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -1,8 +1,8 @@
 package devicehealth
 
 const (
-	holdingThrottle   = 0.3 // throttle reading from which responses to new work would be late
-	switchOnThreshold = 0.5 // reading from which a lid is open or a radio is up
+	holdingThrottle   = 0.3 // at this throttle reading or more, the node takes no new instances, as their responses would be late
+	switchOnThreshold = 0.5 // a lid reading of this value or more means open, a radio reading on
 )
 
 // assessCondition adds the constraints of throttling, the lid and the radios.
--- a/internal/devicehealth/export_test.go
+++ b/internal/devicehealth/export_test.go
@@ -1,4 +1,4 @@
 package devicehealth
 
-// DefaultSettings returns the settings' defaults.
+// DefaultSettings returns the defaults of the settings, by name without the prefix "fleet.".
 func DefaultSettings() map[string]float64 { return defaultSettings }
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -6,15 +6,17 @@
 )
 
 const (
-	// falseAlarmChance bounds the probability that a node's test ever raises a false alarm. Each alarm starts a new test.
+	// falseAlarmChance bounds the probability that one test of a healthy node ever raises an alarm. Each alarm starts a
+	// new test.
 	falseAlarmChance = 0.01
 	// recoveryOutcomes is the number of outcomes without an alarm after which a failing node counts as recovered.
 	recoveryOutcomes = 20
 )
 
-// failureDetector detects that a node's requests fail more often than a baseline, by the sequential test that a relay applies
-// to a canary. After an alarm the node is failing: it waits, is then tried again, and has recovered after recoveryOutcomes
-// outcomes without an alarm. Each alarm before the recovery doubles the wait.
+// failureDetector detects that a node's requests fail more often than a baseline, by the sequential test that a relay
+// applies to a canary. From an alarm until its recovery, the node is failing. A failing node is not tried again before
+// the end of the wait. It has recovered after recoveryOutcomes outcomes without an alarm, if the wait is over. Each alarm
+// before the recovery doubles the wait, up to maxDwell.
 type failureDetector struct {
 	test     sequential.Detector
 	failedAt tick.Tick // time of the last alarm; 0 if there was none or the node has recovered
@@ -26,7 +28,7 @@
 	return failureDetector{test: sequential.NewDetector(falseAlarmChance), wait: minDwell}
 }
 
-// record tests one outcome against a baseline failure share.
+// record tests one outcome against a baseline, which is the expected share of failures.
 func (d *failureDetector) record(now tick.Tick, succeeded bool, baselineShare float64) {
 	outcome := 0.0
 	if !succeeded {
@@ -46,8 +48,8 @@
 	}
 }
 
-// failing reports whether there was an alarm from which the node has not recovered.
+// failing reports whether the node has not yet recovered from an alarm.
 func (d *failureDetector) failing() bool { return d.failedAt > 0 }
 
-// waiting reports whether the node is failing and its trial has not begun yet.
+// waiting reports whether the node is failing and the wait since its last alarm is not over.
 func (d *failureDetector) waiting(now tick.Tick) bool { return d.failing() && now-d.failedAt < d.wait }
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	riseMargin = 1.5               // a rise must clear this multiple of the threshold of the fall
-	minDwell   = 60 * tick.Second  // how long a higher level must hold before it is reported
-	maxDwell   = 960 * tick.Second // falls soon after a rise double the dwell time up to this: at most 8 rises an hour
+	riseMargin = 1.5               // to rise to a level, a node must have the level's margins multiplied by this factor
+	minDwell   = 60 * tick.Second  // shortest dwell time: how long a higher level must be allowed before it is reported
+	maxDwell   = 960 * tick.Second // longest dwell time, reached as falls soon after a rise double it: at most 8 rises an hour
 )
 
-// hysteresis keeps the reported level from following every reading: the level falls at once and rises after a dwell time, to
-// the lowest level that held during all of that time. The level does not rise while a reading is unknown. The dwell time
-// guards against flapping around a limit; the cost is that a node just connected to mains waits a minute for its higher
-// level.
+// hysteresis keeps the reported level from following every reading. The level falls at once. It rises after a higher
+// level has been allowed for the dwell time, and then to the lowest level that was allowed during that time. The level
+// does not rise while a reading is unknown. The dwell time guards against flapping around a limit; the cost is that a
+// node just connected to mains waits a minute for its higher level.
 type hysteresis struct {
 	level     level
-	settled   bool // a level was reported while all readings were known
+	settled   bool // true once a level was reported while all readings were known
 	changedAt tick.Tick
-	roseAt    tick.Tick // time of the last rise that no fall has followed yet; 0 for none
+	roseAt    tick.Tick // time of the last rise; 0 if a fall has followed it, or without a rise
 	pending   pendingRise
 	dwell     tick.Tick
 }
 
-// pendingRise is a higher level that has not yet held for the dwell time.
+// pendingRise is a higher level that has not yet been allowed for the dwell time.
 type pendingRise struct {
-	since  tick.Tick // when the higher level was first allowed; 0 for none
-	lowest level     // the lowest strict target since that time
+	since  tick.Tick // time since which a higher level has been allowed; 0 if none is
+	lowest level     // lowest strictTarget that update was given since then
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
-// update sets the level. target is the level that the readings allow, strictTarget the level that they allow with riseMargin;
-// unknown reports whether a reading is unknown.
+// update sets the level. target is the level that the readings allow. strictTarget is the level that they allow with
+// margins multiplied by riseMargin. unknown reports whether any reading is unknown.
 func (h *hysteresis) update(now tick.Tick, target, strictTarget level, unknown bool) {
 	switch {
-	case !h.settled: // a process that has just started takes its level without a dwell time
+	case !h.settled: // the level follows target without a dwell time until all readings were known once
 		h.level, h.changedAt, h.settled = target, now, !unknown
 	case target < h.level:
 		h.fall(now, target)
@@ -48,8 +48,9 @@
 	}
 }
 
-// fall lowers the level at once. A fall less than maxDwell after a rise doubles the dwell time; otherwise, a fall after at
-// least maxDwell without a change halves it.
+// fall lowers the level at once and adapts the dwell time. The dwell time doubles, up to maxDwell, if the level last rose
+// less than maxDwell ago. Otherwise the dwell time halves, down to minDwell, if the level has not changed for at least
+// maxDwell.
 func (h *hysteresis) fall(now tick.Tick, target level) {
 	switch {
 	case h.roseAt > 0 && now-h.roseAt < maxDwell:
@@ -60,7 +61,8 @@
 	h.level, h.changedAt, h.roseAt, h.pending.since = target, now, 0, 0
 }
 
-// tryRise raises the level to the lowest target of the dwell time, once that time is over.
+// tryRise raises the level once a higher level has been allowed for the dwell time. The new level is the lowest
+// strictTarget of that time.
 func (h *hysteresis) tryRise(now tick.Tick, strictTarget level) {
 	if h.pending.since == 0 {
 		h.pending = pendingRise{since: now, lowest: strictTarget}
@@ -71,7 +73,7 @@
 	}
 }
 
-// waitReason returns why a higher level is not reported yet.
+// waitReason returns why the reported level is below the level that the readings allow.
 func (h *hysteresis) waitReason(now tick.Tick) string {
 	if h.pending.since > 0 {
 		return fmt.Sprintf("better for %s, is believed after %s", readableTime(now-h.pending.since), readableTime(h.dwell))
--- a/internal/devicehealth/hysteresis_test.go
+++ b/internal/devicehealth/hysteresis_test.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// However the temperature swings around a limit, the state changes at most 44 times in an hour: at most eight rises, as the
-// dwell time doubles, and four steps down after each.
+// However the temperature swings around a limit, the state changes at most 44 times in an hour. The dwell time doubles,
+// so there are at most eight rises. There are at most four falls before the first rise and after each rise.
 func TestAssess_TemperatureSwingsDoNotFlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -45,8 +45,8 @@
 	})
 }
 
-// A machine is throttled each time that it accepts instances again. Its state rises at most eight times in the first hour and
-// four times in each later one.
+// The machine in this test is throttled whenever its node accepts instances. The node's state rises at most eight times
+// in the first hour and at most four times in the second.
 func TestAssess_DwellTimeDoubles(t *testing.T) {
 	monitor := devicehealth.NewMonitor(0, nil)
 	rises, previous, slow := [2]int{}, devicehealth.StateAccepting, 0.5
--- a/internal/devicehealth/last_resort.go
+++ b/internal/devicehealth/last_resort.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Instance is one instance in the ranking by which a zone goes on serving while all of its nodes must evacuate.
+// Instance is one of the instances that LastResort ranks while all nodes of a zone must evacuate.
 type Instance struct {
 	Name           string
-	Node           string  // the node that has the instance; in the result of LastResort the node that serves it, "" for none
-	PriorityWeight float64 // 1 to 100
+	Node           string  // in the argument of LastResort the node that has the instance; in its result the node that serves it, "" for none
+	PriorityWeight float64 // from 1 to 100; the higher, the earlier the instance is ranked
 }
 
-// AllEvacuating reports whether all of these nodes must evacuate, so that none can take the instances of another. It is
-// false if there are no nodes.
+// AllEvacuating reports whether all nodes with a report must evacuate, so that none can take the instances of another. It
+// is false if there are no reports.
 func AllEvacuating(reports map[string]Report) bool {
 	for _, r := range reports {
 		if !r.MustEvacuate() {
@@ -24,10 +24,11 @@
 	return len(reports) > 0
 }
 
-// LastResort ranks the instances of nodes that must all evacuate: the highest priority weight first, then by name. An
-// instance stays on its node while that node has capacity left; else it is assigned to the node of least risk that has
-// capacity left. Instances for which no node has capacity left come last, without a node. Each node that is not shutting
-// down by request has a capacity of at least one, so a zone goes on serving until its last node is gone.
+// LastResort ranks the instances of nodes that must all evacuate, the highest priority weight first and, among equal
+// weights, by name. A node's capacity is the LastResortCapacity of its report. An instance stays on its node while that
+// node has capacity left; else it is assigned to the node of least risk that has capacity left. Instances for which no
+// node has capacity left come last, without a node. The capacity is at least one unless the node was told to shut down,
+// so a zone goes on serving until its last node is gone.
 func LastResort(reports map[string]Report, instances []Instance) []Instance {
 	nodes := nodesByRisk(reports)
 	capacityLeft := map[string]int{}
@@ -54,7 +55,8 @@
 	return append(served, unserved...)
 }
 
-// nodesByRisk returns the node names in order of rising risk, then the healthiest state first, then by name.
+// nodesByRisk returns the names of the nodes, the lowest risk first. Of nodes with equal risk, the healthiest comes
+// first; of equally healthy ones, the first by name.
 func nodesByRisk(reports map[string]Report) []string {
 	return slices.SortedFunc(maps.Keys(reports), func(a, b string) int {
 		x, y := reports[a], reports[b]
@@ -62,7 +64,7 @@
 	})
 }
 
-// firstWithCapacity returns the first node with capacity left, or "" if there is none.
+// firstWithCapacity returns the first of the nodes that has capacity left, or "" if none has.
 func firstWithCapacity(nodes []string, capacityLeft map[string]int) string {
 	for _, name := range nodes {
 		if capacityLeft[name] > 0 {
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -1,15 +1,15 @@
-// Package devicehealth decides how much work an edge node on battery takes (Monitor). For the leading controller it decides
-// which nodes' reports to believe (Verifier) and which instances continue to be served while all nodes of a zone must
-// evacuate (LastResort).
+// Package devicehealth decides how much work an edge node on battery takes (Monitor). For the leading controller it
+// decides which nodes' reports to believe (Verifier) and which instances continue to be served while all nodes of a zone
+// must evacuate (LastResort).
 //
-// The caller of a Monitor passes in the node's readings (AddReading), its load (SetLoad), its instances (SetInstances) and
-// the outcomes of its requests (RecordOutcome), and calls Assess about once a second for the node's report. The report's
-// state is the lowest of the states that each reading allows. For batteries and temperatures, the time until the battery is
-// empty or the machine too hot, forecast by the lower confidence bound, is compared with the time for migrating all
-// instances. The state falls at once and rises after a dwell time.
+// The caller of a Monitor passes in the node's readings (AddReading), its load (SetLoad), its instances (SetInstances)
+// and the outcomes of its requests (RecordOutcome), and calls Assess about once a second for the node's report. The
+// report's state is the lowest of the states that the single readings allow. For batteries and temperatures, the Monitor
+// forecasts the time until the battery is empty or the machine too hot. It compares the lower confidence bound of that
+// time with the time for migrating all instances. The state falls at once and rises after a dwell time.
 //
 // Files: monitor.go (inputs and reports), assessment.go, battery.go, temperature.go and condition.go (what each reading
-// allows), hysteresis.go (falls and rises), reading.go and series.go (which readings are accepted),
+// allows), hysteresis.go (falls and rises of the state), reading.go and series.go (which readings are accepted),
 // failure_detector.go (outcomes), report.go and state.go, verifier.go and claims.go, last_resort.go.
 //
 // Kind: decision (see docs/architecture.md)
@@ -25,30 +25,33 @@
 )
 
 const (
-	// timePerMigration is the time that a migration may take besides copying: it pauses the instance's requests for at most
-	// 0.3 s over a good link, and for three times that over a radio link.
+	// timePerMigration is the time reserved for a migration besides copying. A migration pauses the instance's requests
+	// for at most 0.3 s over a good link, and for at most 0.9 s over a radio link.
 	timePerMigration = tick.Second
-	// copyRate is the rate at which state is copied, in bytes per second: all copies share an uplink of 2 Mbit/s, as of a
-	// weak mobile connection.
+	// copyRate is the rate at which state is copied, in bytes per second. All copies share one uplink, which is assumed
+	// to have 2 Mbit/s, as a weak mobile connection has.
 	copyRate = 250e3
-	// migrationMargin doubles the sum of both times, to leave room for a second attempt at each migration.
+	// migrationMargin is the factor on the time for migrating and copying; 2 leaves room for a second attempt at each
+	// migration.
 	migrationMargin = 2.0
 
-	// unknownRisk is the least risk of a node that has unknown readings or fails its requests.
+	// unknownRisk is a lower bound: the risk of a node that has unknown readings, or that is failing by its outcomes, is
+	// at least this.
 	unknownRisk = 0.5
-	// maxTrackedReadings bounds the readings that are tracked; further ones are ignored.
+	// maxTrackedReadings bounds the number of readings that a Monitor tracks; it ignores further ones.
 	maxTrackedReadings = 64
-	// busyLoad is the load above which a node counts as busy, so that its readings should change.
+	// busyLoad is the load above which a node counts as busy. The temperatures and the draw of a busy node should change:
+	// if they do not, they may be stuck.
 	busyLoad = 0.05
-	// maxOwnFailureShare is the share of a node's own outcomes that may be failures. Above it the node is unhealthy,
-	// whatever its readings.
+	// maxOwnFailureShare is the baseline share of failures that a node's own outcomes are tested against. A node that
+	// fails more often is unhealthy, whatever its readings.
 	maxOwnFailureShare = 0.2
 )
 
 // Monitor assesses the health of one edge node. It is not safe for concurrent use.
 type Monitor struct {
 	settings     settings
-	now          tick.Tick // time of the latest call
+	now          tick.Tick // time that the latest method call passed in
 	lastAssessed tick.Tick // when Assess was last called
 	series       []*series
 	truncated    bool // there were more readings than maxTrackedReadings
@@ -56,7 +59,7 @@
 	load              float64 // present load, as a fraction of the node's capacity
 	offeredLoad       float64 // load if the node accepted all requests; at least load
 	instances         int
-	stateBytes        int // size of the state of all instances
+	stateBytes        int // bytes of the state of all instances together
 	shutdownRequested bool
 
 	hysteresis hysteresis
@@ -65,15 +68,15 @@
 
 // settings holds the fleet's settings, in the units of this package.
 type settings struct {
-	reserve            float64 // seconds: least time kept for migrating instances
-	temperatureCap     float64 // degrees C: limit of every sensor
+	reserve            float64 // seconds: lower bound of the time reserved for migrating all instances
+	temperatureCap     float64 // degrees C: upper bound of the limit of each temperature sensor
 	emptyCharge        float64 // fraction of full at which a battery counts as empty
 	maxInstances       int
-	parallelMigrations float64 // migrations of one node at the same time
+	parallelMigrations float64 // number of migrations that one node runs at the same time
 }
 
-// defaultSettings has the defaults of the settings that the operator's file does not contain. They equal the file's own
-// defaults.
+// defaultSettings has the defaults of the settings, by name without the prefix "fleet.". They equal the defaults in the
+// operator's file.
 var defaultSettings = map[string]float64{"reserve": 60, "hot": 85, "empty": 0.05, "places": 8, "moves.unit": 8}
 
 func parseSettings(set map[string]any) settings {
@@ -92,8 +95,8 @@
 	}
 }
 
-// NewMonitor returns the Monitor of one node. It uses the settings fleet.reserve, fleet.hot, fleet.empty, fleet.places and
-// fleet.moves.unit; a missing one takes the default of the operator's file.
+// NewMonitor returns the Monitor of one node. It uses the settings fleet.reserve, fleet.hot, fleet.empty, fleet.places
+// and fleet.moves.unit. A setting that the map set does not contain takes its value from defaultSettings.
 func NewMonitor(now tick.Tick, set map[string]any) *Monitor {
 	return &Monitor{
 		settings:     parseSettings(set),
@@ -104,7 +107,7 @@
 	}
 }
 
-// AddReading adds one reading, valid or not. A reading of an unknown kind, as of a later version, is ignored.
+// AddReading adds one reading, valid or not. It ignores a reading of an unknown kind, which a later version may define.
 func (m *Monitor) AddReading(now tick.Tick, r Reading) {
 	m.now = now
 	if _, known := plausibility[r.Kind]; !known {
@@ -128,7 +131,7 @@
 // SetLoad sets the node's load as fractions of its capacity: the present load, and the offered load, which the node would
 // have if it accepted all requests. The call is ignored if a value is below 0 or NaN; values above 1 count as 1.
 func (m *Monitor) SetLoad(now tick.Tick, present, offered float64) {
-	if !(present >= 0) || !(offered >= 0) { // also true for NaN
+	if !(present >= 0) || !(offered >= 0) { // the negated comparisons are also true for NaN
 		return
 	}
 	m.now = now
@@ -147,8 +150,9 @@
 // RecordOutcome records whether one of the node's requests succeeded in time. A rejected request is not an outcome and is
 // not to be recorded.
 //
-// RecordOutcome guards against a node that fails although its readings are good. A bad version looks the same as such a node;
-// the relays' votes decide about the version, and until then the only cost is that nodes that would fail new work get none.
+// RecordOutcome guards against a node whose requests fail although its readings are good. Outcomes do not tell such a
+// node from one that runs a bad version. The relays' votes decide about the version; until then, the only cost is that
+// nodes that would fail new work get none.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, maxOwnFailureShare)
@@ -165,8 +169,9 @@
 	return m.report(a)
 }
 
-// updateSeries drops readings that never had a value and are no longer delivered. For the others it updates what unknownReason
-// needs to find a stuck reading: whether the node was busy, and the charge drawn.
+// updateSeries drops readings that never had a value and have not been delivered for staleAfter. For the remaining
+// readings it records what unknownReason needs to find a stuck reading: whether the node was busy, and the energy drawn
+// from the battery.
 func (m *Monitor) updateSeries() {
 	m.series = slices.DeleteFunc(m.series, func(s *series) bool {
 		return !s.known() && m.now-s.lastReadAt > staleAfter
@@ -184,7 +189,7 @@
 	}
 }
 
-// ofKind returns the series of one kind of reading.
+// ofKind returns the series of all readings of one kind.
 func (m *Monitor) ofKind(kind Kind) []*series {
 	var all []*series
 	for _, s := range m.series {
@@ -195,8 +200,8 @@
 	return all
 }
 
-// report builds the node's report from an assessment and the level of the hysteresis. The constraint of the lowest level
-// gives the first reason.
+// report builds the node's report from an assessment and the level of the hysteresis. The reasons are those of the
+// constraints, the one of the lowest level first.
 func (m *Monitor) report(a *assessment) Report {
 	state := m.hysteresis.level
 	r := Report{
@@ -227,7 +232,7 @@
 }
 
 // risk returns the node's risk of failing, 0 to 1. It rises as the time left falls below limitedRatio times the migration
-// time, is at least unknownRisk if readings are unknown or requests fail, and is 1 after a shutdown request.
+// time. It is at least unknownRisk if readings are unknown or requests fail, and 1 after a shutdown request.
 func (m *Monitor) risk(a *assessment) float64 {
 	if m.shutdownRequested {
 		return 1
@@ -242,15 +247,16 @@
 	return risk
 }
 
-// migrationTimeOf returns the time to reserve for migrating the given instances: at least the reserve setting, and at least
-// one second.
+// migrationTimeOf returns the time to reserve for migrating the given number of instances, whose state has stateBytes in
+// all. The time is at least the reserve setting and at least one second.
 func (m *Monitor) migrationTimeOf(instances, stateBytes int) tick.Tick {
 	rounds := math.Ceil(float64(instances) / m.settings.parallelMigrations)
 	copying := float64(stateBytes) / copyRate
 	return ticks(max(1, m.settings.reserve, migrationMargin*(rounds*timePerMigration.Seconds()+copying)))
 }
 
-// spareCapacity returns how many more instances the node can take so that all could still migrate in time.
+// spareCapacity returns how many more instances the node can take before the time for migrating all instances would lower
+// its level below at. It is at most 1 for a limited node, and 0 below levelLimited.
 func (m *Monitor) spareCapacity(a *assessment, at level) int {
 	if at < levelLimited {
 		return 0
@@ -263,14 +269,14 @@
 	if m.instances > 0 {
 		average = m.stateBytes / m.instances
 	}
-	return sort.Search(most, func(k int) bool { // the time needed grows with the number of instances
+	return sort.Search(most, func(k int) bool { // a binary search, as the time needed grows with the number of instances
 		more := k + 1
 		needed := tick.Tick(float64(m.migrationTimeOf(m.instances+more, m.stateBytes+more*average)) * m.drawFactor(1))
 		return levelFor(Never, a.timeToLimitOffered, needed, 1) < at
 	})
 }
 
-// ticks converts seconds to a tick.Tick, or to Never if they are too many for one.
+// ticks converts seconds to a tick.Tick. A time of half of Never or more becomes Never.
 func ticks(s float64) tick.Tick {
 	if t := s * float64(tick.Second); t < float64(Never/2) {
 		return tick.Tick(t)
@@ -278,7 +284,7 @@
 	return Never
 }
 
-// readableTime is a time that prints as text in seconds, minutes or hours.
+// readableTime is a time whose String method prints it in seconds, minutes or hours.
 type readableTime tick.Tick
 
 func (t readableTime) String() string {
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -10,18 +10,18 @@
 // Kind is the quantity that a reading measures.
 type Kind string
 
-// The kinds of readings.
+// The kinds of readings, with the unit or the meaning of their values.
 const (
 	KindCharge          Kind = "charge"   // charge of a battery, as a fraction of full: 0 to 1
 	KindFullCharge      Kind = "full"     // full charge of a battery, in joules
-	KindDraw            Kind = "draw"     // watts out of a battery; below 0 while it charges
+	KindDraw            Kind = "draw"     // watts drawn from a battery; below 0 while it charges
 	KindCharging        Kind = "charging" // 1 if a battery charges, 0 if not
 	KindMains           Kind = "mains"    // 1 if the node is supplied from outside, 0 if not
-	KindTemperature     Kind = "temp"     // degrees C; at Reading.Limit the machine shuts itself down
+	KindTemperature     Kind = "temp"     // degrees C; the machine shuts itself down at Reading.Limit
 	KindCellTemperature Kind = "cell"     // degrees C inside a battery
 	KindThrottle        Kind = "throttle" // 0 to 1: the fraction by which the machine slows itself because of heat
-	KindLid             Kind = "lid"      // 1 open, 0 shut
-	KindRadio           Kind = "radio"    // 1 up, 0 off
+	KindLid             Kind = "lid"      // 1 if the lid is open, 0 if it is shut
+	KindRadio           Kind = "radio"    // 1 if the radio is on, 0 if it is off
 )
 
 // Reading is one value from a sensor or gauge, or the reason why it could not be read.
@@ -29,18 +29,18 @@
 	Name   string // name of the source, such as BAT0; Name and Kind together identify a reading over time
 	Kind   Kind
 	Value  float64
-	Limit  float64   // limit of a temperature; 0 for none
+	Limit  float64   // degrees C: limit of a temperature; 0 for none
 	Age    tick.Tick // age of the value when the reading is passed to the Monitor
 	OK     bool      // whether the value was read
-	Reason string    // why the value was not read
+	Reason string    // why the value was not read, "" if the source gave no reason or the value was read
 }
 
 // bounds holds the physically possible values and changes of a kind of reading.
 type bounds struct {
 	min, max       float64   // range of possible values
-	slack          float64   // change that is possible in any time
-	rate           float64   // further change that is possible per second
-	sampleInterval tick.Tick // between samples: the window of a slope is maxSamples intervals
+	slack          float64   // plausible change between two readings, however short the time between them
+	rate           float64   // plausible change per second, in addition to slack
+	sampleInterval tick.Tick // least time between two samples; the window of a slope has maxSamples such intervals
 }
 
 // plausibility has the bounds of each kind. The fastest batteries empty in minutes, and gauges correct themselves by a few
@@ -58,14 +58,14 @@
 	KindRadio:           {min: 0, max: 1, slack: 1, sampleInterval: tick.Second},
 }
 
-// invalidReason returns why a reading has no possible value, or "" if it has one.
+// invalidReason returns why a reading has no valid value, or "" if it has one.
 func (b bounds) invalidReason(r Reading) string {
 	switch {
 	case !r.OK && r.Reason == "":
 		return "missing"
 	case !r.OK:
 		return r.Reason
-	case !(r.Value >= b.min && r.Value <= b.max): // also true for NaN
+	case !(r.Value >= b.min && r.Value <= b.max): // the negated comparison is also true for NaN
 		return fmt.Sprintf("impossible: %.4g", r.Value)
 	}
 	return ""
@@ -75,7 +75,7 @@
 // more time has passed.
 const maxJumpSpan = 2 * tick.Second
 
-// isJump reports whether a value cannot plausibly have changed that much in the given time.
+// isJump reports whether the change between two values is too large to be plausible in the time between them.
 func (b bounds) isJump(from, to float64, within tick.Tick) bool {
 	return math.Abs(to-from) > b.slack+b.rate*min(within, maxJumpSpan).Seconds()
 }
--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -10,11 +10,11 @@
 	"silvercove/internal/tick"
 )
 
-// ReportVersion is the version of the reports that this program writes. Of a report of a later version, only the known fields
-// are used.
+// ReportVersion is the version of the reports that this program writes. If a report has a later version, only its known
+// fields are used.
 const ReportVersion = 1
 
-// Never stands for a forecast time that is not foreseeable.
+// Never is the time until a limit that the node is not foreseen to reach.
 const Never = tick.Tick(math.MaxInt64)
 
 // ErrMalformedReport is wrapped by the errors of Report.UnmarshalJSON.
@@ -29,11 +29,11 @@
 	Risk               float64     `json:"danger"`            // risk of failing, 0 to 1
 	SpareCapacity      int         `json:"room"`              // further instances that the node can take
 	LastResortCapacity int         `json:"serves"`            // instances that the node could keep serving if its whole zone had to evacuate
-	Reasons            []string    `json:"reasons,omitempty"` // sentences, the deciding one first
+	Reasons            []string    `json:"reasons,omitempty"` // reasons for the state, as sentences; the reason that decided comes first
 	TimeToEmpty        tick.Tick   `json:"empty"`             // time until the battery is empty at the present load: a lower bound, or Never
 	TimeToOverheat     tick.Tick   `json:"hot"`               // time until the machine is too hot at the present load: a lower bound, or Never
-	TimeToLimitOffered tick.Tick   `json:"offered"`           // the lesser of TimeToEmpty and TimeToOverheat, at the offered load
-	MigrationTime      tick.Tick   `json:"need"`              // time for migrating all instances of the node
+	TimeToLimitOffered tick.Tick   `json:"offered"`           // like TimeToEmpty or TimeToOverheat, whichever is less, but at the offered load
+	MigrationTime      tick.Tick   `json:"need"`              // time to reserve for migrating all instances of the node
 	UnknownReadings    []string    `json:"unknown,omitempty"` // names of readings that are unknown
 	ShutdownRequested  bool        `json:"ends,omitempty"`    // the node was told to shut down: a fact, not a forecast
 	Readings           KeyReadings `json:"shown"`             // the readings behind the state
@@ -48,7 +48,7 @@
 	Draw             *float64 `json:"draw,omitempty"`   // watts out of all batteries
 	Mains            *bool    `json:"mains,omitempty"`
 	Temperature      *float64 `json:"temp,omitempty"`  // degrees C, of the sensor closest to its limit
-	TemperatureLimit *float64 `json:"limit,omitempty"` // degrees C, of that sensor
+	TemperatureLimit *float64 `json:"limit,omitempty"` // degrees C: the limit of that sensor
 }
 
 // knownFields lists the JSON names of Report's fields.
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -8,23 +8,23 @@
 	"silvercove/internal/tick"
 )
 
-// Limits by which readings are accepted. If a value is rejected, the last accepted one stays valid for staleAfter; then the
-// reading is unknown, and the node takes no new instances.
+// Constants for accepting readings and for computing slopes and quartiles. If a value is rejected, the last
+// accepted one stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
-	staleAfter          = 10 * tick.Second // ten readings at one a second: a single failure or jump has no effect
-	jumpConfirmTime     = 60 * tick.Second // how long values must stay near a jump's target: the window of a temperature slope
-	jumpMinMoves        = 2                // how often values must change in jumpConfirmTime, as those of a working sensor do
-	minStuckTime        = 30 * tick.Second // least time without a change after which a reading counts as stuck
-	stuckIntervalFactor = 10.0             // like minStuckTime, as a multiple of the mean interval between changes; the longer time counts
-	stuckMinMoves       = 8                // number of changes from which the mean interval counts as known
-	stuckDrainShare     = 0.03             // share of the full charge drawn while the charge reads the same: 3 steps of the coarsest gauge
-	confidenceStdErrors = 1.6              // standard errors of a slope: one-sided 95% confidence bound
-	maxSamples          = 32               // most samples of a regression
-	minSamples          = 12               // fewest samples of a regression
-	quartileSamples     = 16               // newest samples of an upper quartile
+	staleAfter          = 10 * tick.Second // age above which a value is not used; at a reading a second, a single failure or jump has no effect
+	jumpConfirmTime     = 60 * tick.Second // how long values must stay near the value after a jump; about the window of a temperature slope
+	jumpMinMoves        = 2                // fewest changes of the value in jumpConfirmTime, as the values of a working sensor change
+	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
+	stuckIntervalFactor = 10.0             // the same time as a multiple of the mean interval between changes; the longer time applies
+	stuckMinMoves       = 8                // fewest changes from which the mean interval is used
+	stuckDrainShare     = 0.03             // share of the full charge: a charge is stuck if more is drawn without a change; 3 steps of the coarsest gauge
+	confidenceStdErrors = 1.6              // number of standard errors from a slope to its one-sided 95% confidence bound
+	maxSamples          = 32               // largest number of samples of a regression
+	minSamples          = 12               // smallest number of samples of a regression
+	quartileSamples     = 16               // number of newest samples from which an upper quartile is computed
 )
 
-// series holds the accepted samples of one reading and what is needed to judge the next one.
+// series holds the accepted samples of one reading, and the state by which the next value is accepted or rejected.
 type series struct {
 	name         string
 	kind         Kind
@@ -36,15 +36,15 @@
 
 	jump             jump
 	movement         movement
-	workedSinceMove  bool    // the node has been busy since the value last changed
-	stuck            bool    // set by unknownReason, cleared by the next change
-	drainedSinceMove float64 // joules drawn since the value last changed
+	workedSinceMove  bool    // true if the node was busy at any time since the value last changed
+	stuck            bool    // unknownReason found the reading stuck, and the value has not changed since
+	drainedSinceMove float64 // joules drawn from the battery since the value last changed
 }
 
 // jump records the values since a reading jumped, while they stay near each other.
 type jump struct {
 	since   tick.Tick // time of the jump; 0 for none
-	value   float64   // the newest value
+	value   float64   // newest value since the jump
 	valueAt tick.Tick // when value was read
 	moves   int       // changes of value since the jump
 }
@@ -53,19 +53,19 @@
 type movement struct {
 	lastAt       tick.Tick
 	count        int
-	meanInterval float64 // ticks
+	meanInterval float64 // mean time between two changes, in ticks
 }
 
 func (s *series) known() bool { return len(s.values) > 0 }
 
-// last returns the newest value and its time. The series must be known.
+// last returns the newest value and its time. It may be called only if known returns true.
 func (s *series) last() (float64, tick.Tick) {
 	return s.values[len(s.values)-1], s.times[len(s.times)-1]
 }
 
 func (s *series) clear() { s.times, s.values = s.times[:0], s.values[:0] }
 
-// add accepts a reading or records why it is rejected. A reading that is no newer than the last one is ignored.
+// add accepts a reading or records why it is rejected. It ignores a reading that is no newer than the last accepted one.
 func (s *series) add(now tick.Tick, r Reading) {
 	limits := plausibility[s.kind]
 	s.lastReadAt = now
@@ -84,11 +84,12 @@
 	s.appendSample(at, r.Value, limits.sampleInterval)
 }
 
-// acceptNext reports whether a value may follow the last one, and records whether the reading changed.
+// acceptNext reports whether a value may follow the last accepted one, and records whether the value changed.
 //
-// acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or shut
-// down. A swapped battery looks the same as a failing gauge: the node takes no new instances until its charge has stayed near
-// the new value for jumpConfirmTime. In that time the charge must also have made at least jumpMinMoves changes without a jump.
+// acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or
+// shut down. A swapped battery cannot be told from a failing gauge. After a swap, the node takes no new instances until
+// its charge has stayed near the new value for jumpConfirmTime. In that time the charge must also have made at least
+// jumpMinMoves changes without a jump.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
@@ -108,8 +109,8 @@
 	return true
 }
 
-// confirmJump reports whether the values have stayed near the jump's target for jumpConfirmTime and have changed at least
-// jumpMinMoves times in that period.
+// confirmJump reports whether the values since a jump have stayed near each other for jumpConfirmTime and have changed at
+// least jumpMinMoves times in that period.
 func (s *series) confirmJump(at tick.Tick, value float64, limits bounds) bool {
 	j := &s.jump
 	if j.since == 0 || limits.isJump(j.value, value, at-j.valueAt) {
@@ -121,9 +122,10 @@
 	return at-j.since >= jumpConfirmTime && j.moves >= jumpMinMoves
 }
 
-// recordMove updates the mean interval between changes, and resets what is counted since the last change.
+// recordMove records a change of the value: it updates the mean interval between changes and resets the state that is
+// kept from one change to the next.
 func (s *series) recordMove(at tick.Tick) {
-	if s.stuck { // samples of the stuck period must not enter the slope
+	if s.stuck { // values repeated while the reading was stuck must not count in the regression of slope
 		s.clear()
 		s.stuck = false
 	}
@@ -142,10 +144,10 @@
 // appendSample appends a value. Within one sample interval only the newest value is kept.
 func (s *series) appendSample(at tick.Tick, value float64, interval tick.Tick) {
 	if last := len(s.values) - 1; s.kind == KindDraw && last >= 0 && (s.values[last] > 0) != (value > 0) {
-		s.clear() // switched from mains to battery or back: the earlier draw does not predict the later one
+		s.clear() // the node switched from mains to battery or back: earlier values do not predict later ones
 	}
 	if n := len(s.times); n >= 2 && s.times[n-1]-s.times[n-2] < interval {
-		s.times, s.values = s.times[:n-1], s.values[:n-1] // replaced by the newest value of its interval
+		s.times, s.values = s.times[:n-1], s.values[:n-1] // the new value replaces the last one, which is in the same sample interval
 	}
 	if len(s.times) == maxSamples {
 		s.times = append(s.times[:0], s.times[1:]...)
@@ -155,13 +157,13 @@
 	s.values = append(s.values, value)
 }
 
-// unknownReason returns why the reading is unknown now, or "" if it is known. fullCharge is the full charge of the battery
-// that the reading belongs to, in joules; 0 if unknown or without a battery.
+// unknownReason returns why the reading is unknown now, or "" if it is known. fullCharge is the full charge, in joules,
+// of the battery that the reading belongs to; it is 0 if the full charge is unknown or the reading belongs to no battery.
 //
-// unknownReason guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge that
-// keeps its value looks the same as a frozen file; the cost is that the node takes no new instances until the value changes.
-// The check of temperatures and draw skips a node that has been idle since the last change, because otherwise an idle node
-// would never get work again.
+// unknownReason guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge
+// whose value stays the same cannot be told from a frozen file; the cost is that the node takes no new instances until
+// the value changes. Temperatures and draw count as stuck only if the node was busy since the last change. On an idle
+// node they may stay the same; if they then counted as stuck, an idle node would never get work again.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
 	if !s.known() {
 		return s.rejectReasonOr("no value yet")
@@ -192,7 +194,7 @@
 }
 
 // slope returns the change per second by least squares over the samples, and its standard error. ok is false if there are
-// fewer than minSamples samples.
+// fewer than minSamples samples, or all of them have the same time.
 func (s *series) slope() (slope, stdErr float64, ok bool) {
 	n := float64(len(s.values))
 	if n < minSamples {
@@ -218,7 +220,8 @@
 	return slope, math.Sqrt(max(0, sumYY-slope*sumXY) / (n - 2) / sumXX), true
 }
 
-// upperQuartile returns the upper quartile of the last quartileSamples values: a high value that no single reading can move.
+// upperQuartile returns the upper quartile of the last quartileSamples values. From four values on, a single high value
+// does not determine the result.
 func (s *series) upperQuartile() float64 {
 	var array [quartileSamples]float64
 	sorted := append(array[:0], s.values[max(0, len(s.values)-quartileSamples):]...)
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	holdingMargin      = 5.0  // degrees C below the limit: a passing cloud changes the temperature by as much
-	maxCellTemperature = 60.0 // degrees C: the highest at which makers of lithium cells allow discharging
-	heatCapacity       = 500  // joules per degree C: half a kilogram of board and metal, without a fan
+	holdingMargin      = 5.0  // degrees C below the limit; closer to it, the node takes no new instances: a passing cloud changes the temperature by as much
+	maxCellTemperature = 60.0 // degrees C: the highest cell temperature at which makers of lithium cells allow discharging
+	heatCapacity       = 500  // joules per degree C: that of half a kilogram of board and metal, without a fan
 )
 
-// assessTemperature assesses every temperature sensor. The readings of the report are those of the sensor closest to its
-// limit.
+// assessTemperature adds the constraints of all temperature sensors. The report shows the temperature and the limit of
+// the sensor that is closest to its limit.
 func (m *Monitor) assessTemperature(a *assessment) {
-	extraRate := 0.0 // degrees C a second that the offered load would add initially
+	extraRate := 0.0 // degrees C per second by which the offered load would heat the machine faster at first
 	if draw := a.readings.Draw; draw != nil && *draw > 0 {
 		extraRate = *draw * (m.drawFactor(m.offeredLoad) - 1) / heatCapacity
 	}
@@ -47,16 +47,17 @@
 	return limit
 }
 
-// assessSensor adds the constraints of one sensor: by the forecast time until the value reaches its limit and by how far
-// the value is below the limit.
+// assessSensor adds two constraints of one sensor: one by the forecast time until the value reaches its limit, and one by
+// how far the value is below its limit.
 func (m *Monitor) assessSensor(a *assessment, s *series, value, limit, extraRate float64) {
 	margin := max(0, limit-value)
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating) // no lower: a node without instances cools down
+	// A forecast alone never gives levelShuttingDown: once its instances have migrated, the node cools down.
+	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating)
 	if s.limit > 0 && value >= s.limit {
-		at = levelShuttingDown // the machine is about to shut itself down
+		at = levelShuttingDown // at this limit the machine shuts itself down
 	}
 	a.addConstraint(at, "%s %.1f C, at its limit of %.1f C in %s, in %s at the offered load",
 		s.name, value, limit, readableTime(present), readableTime(offered))
@@ -65,8 +66,9 @@
 	}
 }
 
-// timesToLimit forecasts how long a sensor takes to reach its limit, at the present and at the offered load. The rate of
-// change is the upper confidence bound of the slope.
+// timesToLimit forecasts how long a sensor takes to reach its limit, which is margin degrees C above its value, at the
+// present and at the offered load. The rate of change is the upper confidence bound of the slope; the offered load adds
+// extraRate, in degrees C per second.
 func timesToLimit(s *series, margin, extraRate float64) (present, offered tick.Tick) {
 	if margin == 0 {
 		return 0, 0
