--- a/internal/devicepower/files.go
+++ b/internal/devicepower/files.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxFileBytes  = 4096 // a page, the most that the kernel returns for an attribute
-	maxDirEntries = 256  // most names that are read of one folder
+	maxFileBytes  = 4096 // one page, which is the most that the kernel returns for an attribute
+	maxDirEntries = 256  // largest number of names that are read from one folder
 )
 
-// fileSource reads files below a root folder. Its errors name the file without its folder.
+// fileSource reads files below a root folder. Its errors contain the name of the file but not the path of its folder.
 type fileSource interface {
 	// readLine returns the first line of a file.
 	readLine(path string) (string, error)
 
-	// listDir returns the names in a folder, sorted.
+	// listDir returns the sorted names of the entries of a folder.
 	listDir(dir string) ([]string, error)
 }
 
@@ -65,15 +65,15 @@
 // diskFiles is the path of a root folder on disk.
 type diskFiles string
 
-// readLine returns the first line of a regular file. Other files are refused, as the path may also name a pipe, a folder or
-// an endless device.
+// readLine returns the first line of a regular file. Any other file is an error, as the path may also name a pipe, a
+// folder or an endless device.
 func (root diskFiles) readLine(path string) (string, error) {
 	name := filepath.Base(path)
 	f, err := os.OpenFile(filepath.Join(string(root), path), os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return "", withoutPath(name, err)
 	}
-	defer func() { _ = f.Close() }() // only read: an error of Close loses nothing
+	defer func() { _ = f.Close() }() // the file is only read, so an error of Close loses no data
 	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
 		return "", fmt.Errorf("%s: not a regular file", name)
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, withoutPath(dir, err)
 	}
-	defer func() { _ = f.Close() }() // only read: an error of Close loses nothing
+	defer func() { _ = f.Close() }() // the folder is only read, so an error of Close loses no data
 	names, err := f.Readdirnames(maxDirEntries)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, withoutPath(dir, err)
@@ -131,7 +131,8 @@
 	return line, nil
 }
 
-// withoutPath replaces the path in an error by the name: paths are long and share the same root.
+// withoutPath returns an error with the given name in place of the file's path. The paths of all files are long and begin
+// with the same root.
 func withoutPath(name string, err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -13,12 +13,13 @@
 	micro          = 1e-6
 	secondsPerHour = 3600
 
-	// maxAgedCharge is a fraction of the full charge. The gauge of an aged battery may report a charge above the full charge;
-	// below maxAgedCharge, such a charge counts as full.
+	// maxAgedCharge, a fraction of the full charge, bounds the charges above full that count as full. The gauge of an
+	// aged battery may report such charges.
 	maxAgedCharge = 1.1
 )
 
-// readPowerSupplies reads the folder power_supply.
+// readPowerSupplies reads the supplies in the folder power_supply. If the folder cannot be listed, the only reading says
+// why.
 func readPowerSupplies(files fileSource) (readings []devicehealth.Reading) {
 	supplies, err := files.listDir("power_supply")
 	if err != nil {
@@ -42,7 +43,7 @@
 	if kind != "Battery" {
 		online, err := d.number("online")
 		if online > 0 {
-			online = 1 // 2 means online with a programmable voltage
+			online = 1 // the value 2 also means online, with a programmable voltage
 		}
 		return []devicehealth.Reading{newReading(name, devicehealth.KindMains, online, err)}
 	}
@@ -88,7 +89,7 @@
 		fraction, err = d.fraction("charge_now", "charge_full")
 	}
 	if errors.Is(err, fs.ErrNotExist) {
-		fraction, err = d.number("capacity") // percent
+		fraction, err = d.number("capacity") // in percent
 		fraction /= 100
 	}
 	if fraction > 1 && fraction < maxAgedCharge {
@@ -125,7 +126,7 @@
 	watts = math.Abs(watts)
 	switch {
 	case errors.Is(statusErr, fs.ErrNotExist), status == "Unknown":
-		if signed > 0 { // without a status, only the sign tells the direction: below 0 the battery discharges
+		if signed > 0 { // without a status, the sign tells the direction: it is negative if the battery discharges
 			watts = -watts
 		}
 	case statusErr != nil:
@@ -140,8 +141,8 @@
 	return watts, err
 }
 
-// cellTemperature returns the reading of the cells' temperature, with the lower of its limits. The files have tenths of a
-// degree.
+// cellTemperature returns the reading of the cells' temperature. Its limit is the lower of temp_max and temp_alert_max.
+// The files contain tenths of a degree.
 func cellTemperature(d device, name string, tenths float64, err error) devicehealth.Reading {
 	reading := newReading(name, devicehealth.KindCellTemperature, tenths/10, err)
 	for _, file := range []string{"temp_max", "temp_alert_max"} {
--- a/internal/devicepower/radio.go
+++ b/internal/devicepower/radio.go
@@ -5,7 +5,8 @@
 // radioUnblocked is the state of an rfkill switch whose radio is on; 0 means blocked by software, and 2 blocked by hardware.
 const radioUnblocked = 1
 
-// readRadios reads from the folder rfkill whether each data radio is on. Without the folder, no radio is expected.
+// readRadios reads from the folder rfkill whether each radio that carries data is on. If the folder cannot be listed,
+// there are no readings, as a node need not have radios.
 func readRadios(files fileSource) (readings []devicehealth.Reading) {
 	names, _ := files.listDir("rfkill")
 	for _, name := range names {
--- a/internal/devicepower/reader.go
+++ b/internal/devicepower/reader.go
@@ -10,7 +10,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxReadings bounds the readings that a Reader keeps, including those that are gone.
+// maxReadings is the number of readings beyond which a Reader drops the readings of devices that have disappeared.
 const maxReadings = 4 * maxDirEntries
 
 // Reader keeps the newest readings of one folder. It is safe for concurrent use.
@@ -21,15 +21,15 @@
 	latest []timedReading // guarded by mu
 }
 
-// timedReading is a reading, the time it was made, and whether it ever was OK.
+// timedReading is a reading, the time when it was read, and whether it was ever OK.
 type timedReading struct {
 	devicehealth.Reading
 	at    time.Time
-	wasOK bool // the reading has been OK at least once, so it is reported as gone if it disappears
+	wasOK bool // true if the reading was ever OK: if it disappears, it is reported as gone
 }
 
-// Open returns a Reader of a root folder with power_supply, thermal and rfkill. With root "", as of an operator's file that
-// names no folder, its only reading says that the node is on mains.
+// Open returns a Reader of a root folder that contains the folders power_supply, thermal and rfkill. If root is "", as
+// when the operator's file names no folder, the only reading says that the node is on mains.
 func Open(root string) *Reader { return &Reader{root: root} }
 
 // Run reads the folder at each interval until the context ends. A hanging driver blocks only Run; Latest keeps returning the
@@ -91,7 +91,8 @@
 	return readFolder(memoryFiles(files), "memory")
 }
 
-// readFolder reads all files once. With root "" it reads none and returns that the node is on mains.
+// readFolder reads all files once. If root is "", it reads none and returns one reading, which says that the node is on
+// mains.
 func readFolder(files fileSource, root string) (readings []devicehealth.Reading) {
 	if root == "" {
 		return []devicehealth.Reading{{Name: "file", Kind: devicehealth.KindMains, Value: 1, OK: true}}
--- a/internal/devicepower/thermal.go
+++ b/internal/devicepower/thermal.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	maxTripPoints  = 32   // most trip points that are read of one thermal zone
-	milliPerDegree = 1000 // the files have thousandths of a degree
-	maxTripDegrees = 200  // degrees C: a trip point above this, or not above 0, is not in use
+	maxTripPoints  = 32   // largest number of trip points that are read of one thermal zone
+	milliPerDegree = 1000 // the files contain thousandths of a degree
+	maxTripDegrees = 200  // degrees C: a trip point above this or at most 0 is not in use
 )
 
-// readThermal reads the folder thermal. Without the folder, no sensor is expected.
+// readThermal reads the folder thermal. If the folder does not exist, there are no readings, as a node need not have
+// sensors.
 func readThermal(files fileSource) (readings []devicehealth.Reading) {
 	names, err := files.listDir("thermal")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -84,7 +85,7 @@
 	return []devicehealth.Reading{newReading(name+" "+kind, devicehealth.KindThrottle, max(0, state)/max(1, maxState), err)}
 }
 
-// throttlesProcessor reports whether cooling devices of the given type slow down a processor.
+// throttlesProcessor reports whether cooling devices of the given type, in lower case, slow down a processor.
 func throttlesProcessor(kind string) bool {
 	return kind == "processor" || strings.Contains(kind, "cpu") || strings.Contains(kind, "devfreq") ||
 		strings.Contains(kind, "powerclamp")
