--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	rateWindow           = 1.0             // seconds over which the rate of offered requests is measured
-	admittedWindow       = 4.0             // seconds over which the admitted work is compared with the target
-	maxRetryAfterExtra   = 4 * tick.Second // most that is added to minRetryAfter, reached if nearly all requests are shed
-	minRetryAfter        = tick.Second     // longest Retry-After if few requests are shed; the shortest is half of it
-	maxClasses           = 64              // request classes that are tracked; others are always admitted
+	rateWindow           = 1.0             // seconds: time constant with which the counts of requests decay
+	admittedWindow       = 4.0             // seconds: time constant with which the target work and the admitted work decay
+	maxRetryAfterExtra   = 4 * tick.Second // if all requests are shed, the longest Retry-After is minRetryAfter plus this
+	minRetryAfter        = tick.Second     // if few requests are shed, Retry-After is from half of this to this
+	maxClasses           = 64              // number of request classes that are tracked; requests of any other class are always admitted
 	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
-	minServiceTime       = 1e-3            // seconds: least work that one request counts as
-	defaultServiceTime   = 0.01            // seconds, for one request of a class that no backend has answered yet
+	minServiceTime       = 1e-3            // seconds: lower bound of the work that one request counts as
+	defaultServiceTime   = 0.01            // seconds: work of one request of a class that no backend has answered yet
 )
 
 // admission holds the admitted fractions and the thresholds that implement them.
@@ -27,27 +27,27 @@
 	sharedFraction    float64 // fraction of the offered work that the backends' capacity admits
 	pressureUpdatedAt tick.Tick
 
-	targetWork   float64 // seconds of work that the thresholds were to admit, decayed over admittedWindow
-	admittedWork float64 // seconds of work that the thresholds did admit, decayed over admittedWindow
+	targetWork   float64 // seconds of work that the thresholds were meant to admit, decayed over admittedWindow
+	admittedWork float64 // seconds of work that was admitted by the thresholds, decayed over admittedWindow
 
 	classes    []classState
-	byPriority []int // indexes of classes; the classes to be shed first come last
+	byPriority []int // indexes into classes; the classes to be shed first come last
 }
 
 // classState is the state of one request class. Its counts decay over rateWindow.
 type classState struct {
 	priorityWeight float64
-	offered        float64 // requests
-	completed      float64 // requests that a backend answered
+	offered        float64 // number of requests, decayed
+	completed      float64 // number of requests that a backend answered, decayed
 	serviceTime    float64 // seconds of work per request; 0 if unknown
-	threshold      float64 // tenants whose hash, mapped to [0, 1), is lower are admitted
+	threshold      float64 // a tenant is admitted if its hash, mapped to [0, 1), is below this
 }
 
 func newAdmission(now tick.Tick) admission {
 	return admission{localFraction: 1, sharedFraction: 1, pressureUpdatedAt: now}
 }
 
-// decay decays the counts by the elapsed seconds.
+// decay decays the counts of the classes and the sums of work by the elapsed seconds.
 func (a *admission) decay(elapsed float64) {
 	for i := range a.classes {
 		a.classes[i].offered *= math.Exp(-elapsed / rateWindow)
@@ -69,10 +69,11 @@
 	return &a.classes[class]
 }
 
-// admittedShare returns the part of the target work that was admitted. Tenants that are shed send their requests again and
-// tenants that are admitted do not, so after a while most of the offered work belongs to tenants that are shed.
-// admittedShare guards against an admitted fraction that falls below the backends' capacity again and again for as long as
-// shed tenants come back.
+// admittedShare returns the part of the target work that was admitted, from minAdmittedShare to 1. Tenants that are shed
+// send their requests again and tenants that are admitted do not. After a while, most of the offered work therefore
+// belongs to shed tenants, and less work is admitted than the thresholds were meant to admit. UpdatePressure corrects the
+// offered work by this share. Without the correction, the admitted fraction would fall below the backends' capacity again
+// and again for as long as shed tenants come back.
 func (a *admission) admittedShare() float64 {
 	if a.targetWork <= 0 {
 		return 1
@@ -95,7 +96,7 @@
 	return exponent
 }
 
-// RecordServiceTime records that a backend answered a request, and how long the backend worked on it.
+// RecordServiceTime records that a backend answered a request of a class, and how long the backend worked on the request.
 func (m *Manager) RecordServiceTime(now tick.Tick, class int, took tick.Tick) {
 	m.advance(now)
 	c := m.admission.class(class)
@@ -113,9 +114,9 @@
 // Admit reports whether a request is admitted and, if not, after which time its client should come back.
 //
 // The classes with the lowest priority weight are shed first and, among classes of equal weight, the class with more work
-// per request. A class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same at
-// all relays, so that a tenant's many requests are admitted or shed together. The share of the tenants that the admission
-// floor sets is always admitted, so that no class starves.
+// per request. A class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same
+// at all relays, so that a tenant's many requests are admitted or shed together. The threshold is at least the admission
+// floor: a share of each class's tenants is always admitted, so that no class starves.
 func (m *Manager) Admit(now tick.Tick, class int, priorityWeight float64, tenant string) (admitted bool, retryAfter tick.Tick) {
 	m.advance(now)
 	a := &m.admission
@@ -140,8 +141,8 @@
 	return false, m.RetryAfter(now, minDelay, maxDelay)
 }
 
-// recomputeThresholds computes the share of tenants to admit in each class from the work that is offered to the whole
-// fleet.
+// recomputeThresholds computes the share of tenants to admit in each class. The shares follow from the work that is
+// offered to the whole fleet.
 func (m *Manager) recomputeThresholds() {
 	a := &m.admission
 	if len(a.classes) == 0 {
@@ -164,7 +165,7 @@
 		total += a.classes[i].offeredWork() + m.fleet.offeredWork[i]
 	}
 	floor := m.settings.admissionFloor
-	remaining := total * (fraction - floor) // work to distribute beyond the floors
+	remaining := total * (fraction - floor) // work to admit in addition to the floors of all classes
 	for _, i := range a.byPriority {
 		aboveFloor := (a.classes[i].offeredWork() + m.fleet.offeredWork[i]) * (1 - floor)
 		share := 1.0
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -8,8 +8,9 @@
 	"silvercove/internal/tick"
 )
 
-// A report on the wire is a version followed by fields: a number, a length and the data. A later version may add fields, and
-// may append data to a field that is not a list. Relays keep the fields that they do not know.
+// A report on the wire is a version byte followed by fields. Each field is a number, the length of its data and the data.
+// A later version may add fields, and may append data to a field that is not a list. Relays keep the fields that they do
+// not know.
 const (
 	fieldUptime = 1 + iota
 	fieldFractions
@@ -24,18 +25,18 @@
 	uptimeSize      = 8
 	fractionsSize   = 8
 	budgetSize      = 16
-	workSize        = 4  // bytes of one class
-	verdictSize     = 10 // bytes of one backend
-	evidenceSize    = 10 // bytes of one backend
+	workSize        = 4  // bytes per request class
+	verdictSize     = 10 // bytes per backend
+	evidenceSize    = 10 // bytes per backend
 
 	verdictAgeUnit  = tick.Second / 100
 	evidenceAgeUnit = tick.Second / 10
-	maxVerdictAge   = math.MaxUint16 / 2 // in units of verdictAgeUnit; the lowest of the 16 bits is the verdict
+	maxVerdictAge   = math.MaxUint16 / 2 // in units of verdictAgeUnit, in the upper 15 of 16 bits; the lowest bit is the verdict
 	maxEvidenceAge  = math.MaxUint8      // in units of evidenceAgeUnit
 )
 
-// Encode returns the report as a message of at most MaxReportSize bytes. Values are rounded. Ages are rounded down to 0.01 s
-// for verdicts and to 0.1 s for evidence.
+// Encode returns the report as a message of at most MaxReportSize bytes. Values are rounded. Ages are rounded down, to a
+// multiple of 0.01 s for verdicts and of 0.1 s for evidence.
 func (r Report) Encode() []byte {
 	b := make([]byte, 1, MaxReportSize)
 	b[0] = ReportVersion
@@ -103,7 +104,7 @@
 	return data
 }
 
-// DecodeReport decodes a message. It keeps up to 64 bytes of unknown fields. Its errors wrap ErrMalformedReport.
+// DecodeReport decodes a message. It keeps at most 64 bytes of unknown fields. Its errors wrap ErrMalformedReport.
 func DecodeReport(b []byte) (Report, error) {
 	if len(b) == 0 || len(b) > MaxReportSize || b[0] == 0 {
 		return Report{}, fmt.Errorf("%w: message of %d bytes with an invalid length or version", ErrMalformedReport, len(b))
@@ -140,7 +141,7 @@
 	return r, nil
 }
 
-// decodeField decodes one field and reports whether its length is valid.
+// decodeField decodes the data of one known field and reports whether the data has a valid length.
 func (r *Report) decodeField(field byte, data []byte) bool {
 	switch field {
 	case fieldUptime:
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -24,22 +24,22 @@
 }
 
 const (
-	spareDivisor       = 8 // an eighth of the sessions is spare
-	idleDivisor        = 4 // a quarter of the served sessions may be idle
+	spareDivisor       = 8 // one of this many sessions is spare
+	idleDivisor        = 4 // one of this many served sessions may be idle
 	requestsPerSession = 4
 	maxPipelined       = 64
 	idleTimeout        = 2 * time.Second
-	contendedDivisor   = 8 // the contended timeout is an eighth of the idle timeout
+	contendedDivisor   = 8 // the contended timeout is the idle timeout divided by this
 )
 
 // LimitsFor returns the limits of a listener that has the given number of sessions.
 //
-// An eighth of the sessions is spare, so that the relay still accepts and answers when all others are taken: a smaller spare
-// part is used up by one burst of connections within a round trip, and a larger one would reduce the number of sessions
-// served. A quarter of the rest may be idle: a session that waits between two requests is cheap to reopen, and more idle
-// sessions would take the slots of sessions with requests. There are four requests per session: clients send a few at once,
-// and a session that holds more is a queue. MaxPipelined, the limit of a single session, is larger, as some clients write
-// all their requests at once, but no session may take all requests.
+// An eighth of the sessions is spare, so that the relay still accepts and answers when all served sessions are taken. A
+// smaller part would be used up by one burst of connections within a round trip, and a larger one would reduce the number
+// of sessions served. A quarter of the served sessions may be idle: a session that waits between two requests is cheap to
+// reopen, and more idle sessions would take the slots of sessions with requests. There are four requests per session:
+// clients send a few at once, and further requests of a session would only queue. MaxPipelined, the limit of a single
+// session, is larger, as some clients write all their requests at once, but no session may take all requests.
 func LimitsFor(sessions int) ListenerLimits {
 	served := sessions - sessions/spareDivisor
 	return ListenerLimits{
--- a/internal/overload/listener_limits_test.go
+++ b/internal/overload/listener_limits_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestLimitsFor_DividesSessions: the limits that listeners rely on for a number of sessions do not change.
+// TestLimitsFor_DividesSessions: LimitsFor returns the limits that listeners rely on, for several numbers of sessions.
 func TestLimitsFor_DividesSessions(t *testing.T) {
 	for places, want := range map[int]ListenerLimits{
 		0:    {MaxPipelined: 64, IdleTimeout: 2 * time.Second, ContendedTimeout: time.Second / 4},
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -1,15 +1,15 @@
 // Package overload decides how the relays of one fleet handle overload together: which requests are shed, which attempts
-// may be retried, which relays probe a failing backend, and how starts, requests for the endpoint list and connections are
-// spread over time after a common restart. It also computes the session limits of a listener.
+// may be retried, which relays probe a failing backend, and how starts, requests for the endpoint list and connections
+// are spread over time after a common restart. It also computes the session limits of a listener.
 //
-// NewManager returns the Manager of one relay. For each event, the caller calls the method that is named after it, with the
-// current time, one call at a time. UpdatePeer takes what is known of the other relays; LocalReport returns what this relay
-// sends to them.
+// NewManager returns the Manager of one relay. For each event, the caller calls the method that is named after it, with
+// the current time, one call at a time. UpdatePeer takes what is known of another relay; LocalReport returns what this
+// relay sends to the other relays.
 //
-// Without other relays (the setting fleet.relays is at most 1, and no other relay was ever heard of), a Manager is
-// standalone: it admits every request, retry and probe, and nothing waits. A relay that has heard of no other relay for
-// isolationTimeout is isolated: it admits every request and nothing waits, as when standalone. Its retry budget and the rate
-// of its probes still apply; the budget then depends on the relay's own first attempts alone.
+// Without other relays (the setting fleet.relays is at most 1, and no other relay is known), a Manager is standalone: it
+// admits every request, retry and probe, and nothing waits. A relay that has heard of no other relay for isolationTimeout
+// is isolated: it admits every request and nothing waits, as when standalone. Its retry budget and the rate of its probes
+// still apply; the budget then depends on the relay's own first attempts alone.
 //
 // Files: manager.go (time and randomness), peers.go (state of the other relays), pressure.go and admission.go (load
 // shedding), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (detection of failing backends),
@@ -38,7 +38,7 @@
 	settings     settings
 	id           uint64 // hash of the relay's name
 	rng          *rand.Rand
-	now          tick.Tick // the latest time of any call
+	now          tick.Tick // latest time that a call passed in
 	startedAt    tick.Tick
 	recomputedAt tick.Tick
 
@@ -49,7 +49,7 @@
 	suspects        map[uint64]*suspectBackend // suspected backends, by the hash of the backend's name
 	byVerdict       []*suspectBackend          // the backends in suspects, the one with the newest verdict last
 	window          outcomeWindow
-	retryAfterPhase float64 // phase of the last Retry-After, from 0 to 1
+	retryAfterPhase float64 // phase of the last Retry-After, in [0, 1)
 }
 
 // NewManager returns the Manager of the relay named self, which starts now. It reads the directives fleet.relays,
@@ -77,11 +77,11 @@
 	relays         float64   // relays in the fleet, at least 1
 	retryShare     float64   // retries per first attempt
 	admissionFloor float64   // share of each class's tenants that is always admitted
-	probesPerSec   float64   // probes of one failing backend by the whole fleet
+	probesPerSec   float64   // probes per second at one failing backend, by the whole fleet
 	startupWindow  tick.Tick // time over which a common restart is spread
 }
 
-// parseSettings reads the directives; a missing one counts as 0.
+// parseSettings reads the directives. A directive that is missing or not a number counts as 0.
 func parseSettings(directives map[string]any) settings {
 	number := func(name string) float64 {
 		value, _ := directives["fleet."+name].(float64)
@@ -99,22 +99,23 @@
 // unitInterval maps a hash to a number in [0, 1).
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// standalone reports whether there is no fleet.
+// standalone reports whether the relay is without a fleet: fleet.relays is at most 1, and no other relay is known.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
-// isolated reports whether there is no fleet, or this relay has heard of no other relay for isolationTimeout.
+// isolated reports whether this relay is standalone, or has heard of no other relay for isolationTimeout.
 func (m *Manager) isolated() bool {
 	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
 
-// fleetSize returns the number of relays in the fleet.
+// fleetSize returns the number of relays in the fleet: fleet.relays, or the number of known relays if that is larger.
 func (m *Manager) fleetSize() float64 { return max(m.settings.relays, float64(len(m.fleet.peers)+1)) }
 
 // coverage returns the part of the fleet whose reports are fresh, including this relay. The lower the coverage, the more
 // slowly the admitted fractions rise.
 func (m *Manager) coverage() float64 { return float64(len(m.fleet.fresh)+1) / m.fleetSize() }
 
-// advance moves the clock forward, removes expired reports and recomputes what is due.
+// advance moves the clock forward and removes expired reports. If recomputeInterval has passed, it also decays the counts
+// and recomputes the admission thresholds.
 func (m *Manager) advance(now tick.Tick) {
 	m.now = max(m.now, now)
 	m.expireReports()
@@ -131,16 +132,16 @@
 	m.recomputeThresholds()
 }
 
-// Each Retry-After advances the phase of the last one by the inverse of the golden ratio, which spreads any number of
-// phases evenly, and by a small random jitter.
+// RetryAfter advances the phase by the inverse of the golden ratio, which spreads any number of phases evenly, and by a
+// small random jitter.
 const (
 	inverseGoldenRatio = 0.6180339887498949
 	retryAfterJitter   = 0.05
 )
 
-// RetryAfter returns a time after which a client should come back, from minDelay up to maxDelay. The times of one relay are
-// spread evenly, and so are those of all relays, since each relay starts at a phase of its own. This guards against clients
-// that come back in step.
+// RetryAfter returns a time after which a client should come back, from minDelay up to maxDelay. The times of one relay
+// are spread evenly, and so are those of all relays, since each relay starts at a phase of its own. Without the spread,
+// clients that were rejected together would come back together.
 func (m *Manager) RetryAfter(now tick.Tick, minDelay, maxDelay tick.Tick) tick.Tick {
 	m.advance(now)
 	_, m.retryAfterPhase = math.Modf(m.retryAfterPhase + inverseGoldenRatio + retryAfterJitter*m.rng.Float64())
--- a/internal/overload/manager_test.go
+++ b/internal/overload/manager_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestManager_IsolatedShedsNothing: a relay that hears of no other relay for 5 s sheds nothing and waits for nothing, but
-// keeps its own retry budget.
+// TestManager_IsolatedShedsNothing: a relay that hears of no other relay for 5 s sheds nothing and waits for nothing. Its
+// own retry budget still applies.
 func TestManager_IsolatedShedsNothing(t *testing.T) {
 	f := newTestFleet(4, map[string]float64{"ramp": 60})
 	m := f.relays[0]
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestRetryAfter_SpreadsEvenly: the delays fill their range evenly, at one relay and over all relays.
+// TestRetryAfter_SpreadsEvenly: the delays are spread evenly from minDelay to maxDelay, both at one relay and over all
+// relays.
 func TestRetryAfter_SpreadsEvenly(t *testing.T) {
 	const minDelay, maxDelay, n = tick.Second, 3 * tick.Second, 20
 	var all [10]int
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -15,42 +15,44 @@
 const (
 	// failingRate is the failure rate of a failing backend: the hypothesis that the evidence supports or refutes.
 	failingRate = 0.8
-	// minBaselineRate and maxBaselineRate bound the baseline failure rate that failingRate is tested against.
-	// baselineMultiple is the baseline in multiples of the failure rate at other backends. One failure multiplies the odds
-	// by failingRate over minBaselineRate at most.
+	// minBaselineRate and maxBaselineRate bound the baseline failure rate that failingRate is tested against. The
+	// baseline is baselineMultiple times the failure rate at other backends. One failure multiplies the odds by at most
+	// failingRate/minBaselineRate, which is 4.
 	minBaselineRate  = 0.2
 	maxBaselineRate  = 0.5
 	baselineMultiple = 1.5
-	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. With maxOutcomesPerRelay
-	// failures, one relay contributes ln 16, which is the most, so that two relays (odds of 256) eject no backend and three
-	// (odds of 4096) may.
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay contributes at most
+	// ln 16, by maxOutcomesPerRelay failures. Two relays (odds of 256) therefore eject no backend, and three (odds of
+	// 4096) may.
 	ejectionLogOdds = 6.9
-	// commonFailureRate is the failure rate at other backends above which no single backend is to blame.
+	// commonFailureRate is the failure rate at other backends above which the failures are not attributed to a single
+	// backend.
 	commonFailureRate = 0.3
-	// windowSize is the number of this relay's last outcomes from which the failure rate at other backends is computed. The
-	// divisor of the rate is at least minWindowOutcomes: with fewer outcomes, the rate comes out low.
+	// windowSize is the number of this relay's last outcomes from which the failure rate at other backends is computed.
+	// The failures are divided by at least minWindowOutcomes, which understates the rate if there are fewer outcomes.
 	windowSize        = 64
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts as evidence.
 	evidenceTTL = 10 * tick.Second
-	// maxDoublingsPerSec bounds how often per second the number of relays that use an ejected backend again may double: the
-	// backend is taken back within seconds, but not at once.
+	// maxDoublingsPerSec bounds how many times per second permittedRelays may double: an ejected backend is taken back
+	// within seconds, but not at once.
 	maxDoublingsPerSec = 4.0
 	// maxEjection is how long a backend without any outcome stays ejected.
 	maxEjection = 600 * tick.Second
-	// maxSuspects is how many backends are kept that are, or recently were, suspected.
+	// maxSuspects is the number of backends whose state is kept because they are, or recently were, suspected.
 	maxSuspects = 256
 
-	// never is a time before all others. It is half of the smallest value, so that durations since never do not overflow.
+	// never is a time before all others. It is half of the smallest tick, so that durations since never do not overflow.
 	never = math.MinInt64 / 2
 )
 
-// Relays of an earlier version do not know evidence, but only verdicts, which depend on runs of equal outcomes.
+// Constants of verdicts. Relays of an earlier version know verdicts but not evidence. A verdict depends on a run of equal
+// outcomes.
 const (
 	healthyRun = 2 // successes in a row for a verdict of healthy
 	failingRun = 2 // failures in a row for a verdict of failing
-	// maxRunProbability bounds the probability that a backend that fails as often as the others has such a run of failures by chance.
-	// For a verdict of failing, the probability must be lower.
+	// maxRunProbability bounds a probability: that a backend that fails as often as the others has a given run of
+	// failures by chance. A run leads to a verdict of failing only if this probability is lower than the bound.
 	maxRunProbability = 1.0 / 8
 )
 
@@ -60,31 +62,31 @@
 	id        uint64 // hash of the backend's name
 	ownWeight uint64 // this relay's rendezvous weight for the backend
 
-	// The verdict, which relays of an earlier version use.
+	// The verdict, for relays of an earlier version.
 	healthy    bool
-	ownVerdict bool      // made by this relay; a received verdict is not passed on, as it would look like that of many relays
+	ownVerdict bool      // true if this relay made the verdict; a received one is not passed on, as it would then seem to come from many relays
 	verdictAt  tick.Tick // when the verdict was made, here or at another relay
-	successRun int       // this relay's successes in a row
+	successRun int       // number of this relay's successes since its last failure
 	failureRun int
 
-	// Probing.
+	// The state of probing.
 	nextProbe    tick.Tick // earliest time at which this relay may probe
 	lastProbe    tick.Tick // when this relay last probed; 0 if never
-	higherRanked int       // living peers that rank before this relay for the backend
+	higherRanked int       // number of living peers that rank before this relay for the backend
 	prober       bool      // this relay was one of the backend's probers at the last check
 
-	// Evidence of the last evidenceTTL.
-	suspectedAt    tick.Tick                                 // when a failure here, or AllowProbe, last put the backend under suspicion
+	// Outcomes of the last evidenceTTL, which are the evidence.
+	suspectedAt    tick.Tick                                 // when a failure here or AllowProbe last made this relay suspect the backend; never if none did
 	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend was added, the newest last
 	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by second
-	windowOutcomes int                                       // this relay's outcomes at the backend in Manager.window
-	windowFailures int                                       // failures among windowOutcomes
+	windowOutcomes int                                       // number of this relay's outcomes at the backend in Manager.window
+	windowFailures int                                       // number of failures among windowOutcomes
 
-	// Ejection, by the outcomes that all relays count.
+	// The state of ejection, which the outcomes at all relays decide.
 	ejected           bool
 	permittedRelays   float64   // number of relays that may use the backend while it is ejected
 	permittedRelaysAt tick.Tick // when permittedRelays was last computed
-	lastEvidence      tick.Tick // when there was last any outcome that had not expired
+	lastEvidence      tick.Tick // when assessEvidence last counted an outcome that had not expired
 }
 
 // outcome is the result of an attempt at a backend.
@@ -104,7 +106,7 @@
 
 func (w *outcomeWindow) oldest() *outcome { return &w.ring[(w.next-w.size+windowSize)%windowSize] }
 
-// newest returns the i-th newest outcome, counted from 0.
+// newest returns the i-th newest outcome; 0 is the newest.
 func (w *outcomeWindow) newest(i int) outcome { return w.ring[(w.next-1-i+windowSize)%windowSize] }
 
 func (w *outcomeWindow) push(o outcome) {
@@ -125,8 +127,8 @@
 	return o
 }
 
-// countInWindow adds one of the window's outcomes to the backend's counts if by is 1, and removes the outcome if by is -1.
-// A nil backend counts nothing.
+// countInWindow adds one of the window's outcomes to the backend's counts if by is 1, and removes the outcome if by is
+// -1. If b is nil, it does nothing.
 func (b *suspectBackend) countInWindow(o outcome, by int) {
 	if b == nil {
 		return
@@ -168,7 +170,7 @@
 	switch {
 	case b == nil && succeeded:
 		return
-	case b == nil: // the failure that makes a backend a suspect is no evidence: it was selected for being a failure
+	case b == nil: // only a failure makes a backend a suspect, so that failure is biased and does not count as evidence
 		b = m.addSuspect(o.backend)
 		b.healthy = true // the backend counts as healthy until a verdict is made
 	default:
@@ -183,7 +185,7 @@
 	m.updateVerdictFromRuns(b)
 }
 
-// updateVerdictFromRuns makes a verdict from this relay's outcomes in a row.
+// updateVerdictFromRuns makes a verdict if this relay's current run of equal outcomes suffices for one.
 func (m *Manager) updateVerdictFromRuns(b *suspectBackend) {
 	if b.successRun >= healthyRun {
 		m.setVerdict(b, true, true, m.now)
@@ -219,10 +221,10 @@
 	return b
 }
 
-// IsEjected reports whether this relay is to avoid a backend because, by the recent counts of all relays, the backend fails
-// most of its attempts. The relay's own balancer need not hold the backend to be failing. Without this method each relay
-// would find out for itself by attempts that fail, which takes longer the more relays there are. A backend that fails for a
-// part of the relays only stays in use at the others.
+// IsEjected reports whether this relay should avoid a backend because, by the recent counts of all relays, the backend
+// fails most of its attempts. The relay's own balancer may still consider the backend healthy. Without this method, each
+// relay would find out by failed attempts of its own, which takes longer the more relays there are. If a backend fails
+// for some of the relays and answers the others, the others keep using it.
 func (m *Manager) IsEjected(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.isolated() || len(m.suspects) == 0 {
@@ -236,7 +238,7 @@
 	return b.ejected
 }
 
-// odds is the weight of the evidence on a backend.
+// odds is the weight of the evidence for and against the hypothesis that a backend fails at failingRate.
 type odds struct {
 	logOdds    float64 // natural logarithm of the odds of failingRate against the baseline rate
 	perFailure float64 // what one failure adds to logOdds
@@ -246,14 +248,16 @@
 // refuted reports whether successes outweigh failures by at least the weight of the given number of failures.
 func (o odds) refuted(outcomes float64) bool { return o.logOdds <= -outcomes*o.perFailure }
 
-// assessEvidence weighs whether a backend fails most of its attempts against whether it fails a little more often than
-// others, by the last two outcomes of each relay, and ejects the backend or takes it back.
+// assessEvidence compares two hypotheses: that a backend fails most of its attempts, and that it fails a little more
+// often than others. The evidence is the last two outcomes of each relay. assessEvidence ejects the backend or takes it
+// back, and returns the odds.
 //
-// The report of one relay, true or not, contributes less than half of what an ejection takes; three relays suffice if none
-// gets answers. Outcomes, including successes, count only from the time when the backend became a suspect at a relay, so
-// that no relay's choice of what to report makes a backend look worse. At ejectionLogOdds the backend is ejected, until
-// successes outweigh failures by what one relay can contribute. Until then, the number of relays that use the backend rises
-// with each round of reports, so that the relays do not all return at once.
+// The report of one relay, true or not, contributes less than half of what an ejection takes; three relays suffice if
+// none gets answers. Outcomes, including successes, count only from the time when the backend became a suspect at a
+// relay, so that no relay's choice of what to report makes a backend look worse. At ejectionLogOdds the backend is
+// ejected. It is taken back once successes outweigh failures by what one relay can contribute and all relays may use it
+// again. Until then, the number of relays that may use the backend rises with each round of reports, so that the relays
+// do not all return at once. A backend without any outcome for maxEjection is taken back too.
 func (m *Manager) assessEvidence(b *suspectBackend) odds {
 	baseline := min(max(minBaselineRate, baselineMultiple*m.failureRateElsewhere(b)), maxBaselineRate)
 	perFailure := math.Log(failingRate / baseline)
@@ -276,8 +280,9 @@
 	return result
 }
 
-// updatePermittedRelays computes how many relays may use the backend: each success doubles their number, and so does each
-// failure that expires without a new one. maxDoublingsPerSec bounds the rate.
+// updatePermittedRelays computes how many relays may use the backend while it is ejected. The number starts at
+// probersPerBackend. Each success doubles it, and so does each failure that expires without a new one. maxDoublingsPerSec
+// bounds the rate.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
 	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,23 +7,24 @@
 	"silvercove/internal/tick"
 )
 
-// outcomeTally counts the outcomes at a backend that are reported by the relays whose newest outcome there falls in one
-// second.
+// outcomeTally counts the outcomes that other relays report at one backend. It has those of the relays whose newest
+// outcome at the backend falls in one given second.
 type outcomeTally struct {
-	second    tick.Tick // second of the newest outcome
+	second    tick.Tick // when the newest outcome ended, in whole seconds
 	failures  int
 	successes int
 }
 
-// peerEvidence is what one other relay counts at one backend. The zero value counts nothing.
+// peerEvidence is what one other relay reports of its outcomes at one backend. The zero value has no outcomes.
 type peerEvidence struct {
 	suspect   *suspectBackend
-	second    tick.Tick // second of the newest outcome
+	second    tick.Tick // when the newest outcome ended, in whole seconds
 	failures  int
 	successes int
 }
 
-// addToTally adds the evidence to the tally of its second if by is 1, and removes the evidence again if by is -1.
+// addToTally adds the evidence to the backend's tally for its second if by is 1, and removes the evidence from the tally
+// if by is -1.
 func (e peerEvidence) addToTally(by int) {
 	if e.suspect == nil {
 		return
@@ -50,7 +51,7 @@
 	return failures, successes
 }
 
-// replaceEvidence replaces the evidence that the peer reported last by its new evidence.
+// replaceEvidence replaces the evidence of the peer's previous report by the given evidence.
 func (p *peer) replaceEvidence(all []peerEvidence) {
 	for i := range p.evidence {
 		p.evidence[i].addToTally(-1)
@@ -62,8 +63,8 @@
 	}
 }
 
-// applyEvidence replaces the evidence of another relay by that of its new report. A relay of an earlier version reports
-// verdicts only, which are converted to evidence.
+// applyEvidence replaces the evidence of another relay by the evidence of its new report. A relay of an earlier version
+// reports only verdicts, which are converted to evidence.
 func (m *Manager) applyEvidence(p *peer, madeAt tick.Tick, report Report) {
 	reported := report.Evidence
 	if reported == nil {
@@ -80,7 +81,7 @@
 		}
 		b := m.suspects[e.Backend]
 		if b == nil && e.Failures == 0 && e.Successes > 0 {
-			continue // this relay does not suspect the backend, and successes give no reason to
+			continue // successes alone are no reason to suspect the backend
 		}
 		if b == nil {
 			b = m.addSuspect(e.Backend)
@@ -91,7 +92,7 @@
 	p.replaceEvidence(all)
 }
 
-// evidenceOf converts verdicts to as much evidence as one relay may contribute.
+// evidenceOf converts each verdict to evidence with as many outcomes as one relay may contribute.
 func evidenceOf(verdicts []Verdict) []Evidence {
 	var all []Evidence
 	for _, v := range verdicts[:min(len(verdicts), maxEvidence)] {
@@ -104,13 +105,13 @@
 	return all
 }
 
-// evidenceToReport returns what this relay counts at the suspected backends that look worst by the counts of the other
+// evidenceToReport returns this relay's evidence on the suspected backends that look worst by the outcomes at other
 // relays. The selection must not depend on this relay's own outcomes, which are reported: otherwise backends would look
 // worse than they are.
 func (m *Manager) evidenceToReport() []Evidence {
 	type candidate struct {
 		Evidence
-		surplus int // failures minus successes at the other relays
+		surplus int // failures minus successes at other relays
 	}
 	var candidates []candidate
 	for _, b := range slices.Backward(m.byVerdict) {
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	reportTTL        = 3 * tick.Second  // a report this old is not counted; a relay silent for this long does not probe
+	reportTTL        = 3 * tick.Second  // a report of this age is no longer counted, and its relay no longer ranks among the probers
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
-	departedTTL      = 60 * tick.Second // a relay that left or died is kept this long, so that its credit passes to its successor only once
+	departedTTL      = 60 * tick.Second // how long a relay that left or died is remembered, so that its credit passes to its successor only once
 	maxPeers         = 1 << 14
-	fractionBuckets  = 256 // buckets of the histogram of the peers' admitted fractions, from which the median is taken
+	fractionBuckets  = 256 // number of buckets in the histogram of the peers' admitted fractions, from which the median is taken
 )
 
-// PeerState is the state of a peer in the fleet's membership. Values other than those below mean that the peer is alive.
+// PeerState is the state of a peer in the fleet's membership. A value other than the constants below means that the peer
+// is alive.
 type PeerState string
 
-// The states that are told apart.
+// The peer states that UpdatePeer tells apart.
 const (
 	PeerAlive       PeerState = "alive"
-	PeerUnreachable PeerState = "cut"  // unreachable by this relay, while other relays forward its messages
-	PeerDead        PeerState = "dead" // dead; its retry credit passes to a successor
-	PeerLeft        PeerState = "left" // left on purpose; its retry credit passes to a successor too
+	PeerUnreachable PeerState = "cut"  // the peer cannot be reached by this relay; other relays forward its messages
+	PeerDead        PeerState = "dead" // the peer died; its retry credit passes to a successor
+	PeerLeft        PeerState = "left" // the peer left on purpose; its retry credit also passes to a successor
 )
 
 // PeerUpdate is what is known of another relay.
 type PeerUpdate struct {
 	Name        string
-	Incarnation uint64 // number of the relay's process; a larger one means a restart, a smaller one an outdated update, which is ignored
+	Incarnation uint64 // number of the relay's start; a larger number means a restart, and an update with a smaller number is outdated and ignored
 	Report      Report
 	Age         tick.Tick // age of the report; a negative age counts as 0
 	State       PeerState
 }
 
-// peer is the state kept of another relay.
+// peer is the state that is kept of another relay.
 type peer struct {
 	id              uint64 // hash of the peer's name
 	incarnation     uint64
 	state           PeerState
-	alive           bool // whether the ranks for the suspected backends count the peer as alive
+	alive           bool // whether the peer counts as alive in the ranks for the suspected backends
 	departedAt      tick.Tick
-	creditInherited bool // the peer's retry credit has passed to its successor, which need not be this relay
+	creditInherited bool // true if the peer's retry credit has passed to its successor, which need not be this relay
 
 	report     Report
 	hasReport  bool
 	reportedAt tick.Tick // when report was made
-	fresh      bool      // the report is counted in the fleet's sums
+	fresh      bool      // true if the report is counted in the sums of fleetView
 	queueIndex int       // index in fleetView.fresh
 	bucket     int       // index in fleetView.fractionHistogram; noBucket if the peer is not counted there
 
@@ -57,19 +58,19 @@
 
 const noBucket = -1
 
-// fleetView is what is known of the other relays, with sums over those whose reports are fresh. Adding a report to the sums
-// or removing one takes time logarithmic in the number of fresh reports.
+// fleetView is what is known of the other relays. Its sums cover the relays whose reports are fresh, which means younger
+// than reportTTL. Adding a report to the sums or removing one takes time logarithmic in the number of fresh reports.
 type fleetView struct {
 	peers          map[string]*peer
 	newestReportAt tick.Tick // when the newest report of any peer was made
-	lowerIDs       int       // peers whose IDs are below this relay's
+	lowerIDs       int       // number of peers whose IDs are below this relay's
 
 	fresh             reportQueue
-	warmedUp          int // fresh peers that have run for longer than the startup window
+	warmedUp          int // number of fresh peers that have run for longer than the startup window
 	fractionHistogram [fractionBuckets]int
-	voters            int                 // peers counted in fractionHistogram
-	offeredWork       [maxClasses]float64 // seconds of work per second, by class
-	completedWork     float64             // seconds of work per second
+	voters            int                 // number of peers counted in fractionHistogram, which are those with requests
+	offeredWork       [maxClasses]float64 // seconds of work per second that are offered to fresh peers, by class
+	completedWork     float64             // seconds of work per second that backends complete for fresh peers
 }
 
 // UpdatePeer updates what is known of another relay.
@@ -99,7 +100,8 @@
 	m.applyReport(now, p, u.Report, now-max(0, u.Age))
 }
 
-// findOrAddPeer returns the peer of an update, adding it if it is new, or nil if the update is to be ignored.
+// findOrAddPeer returns the peer that an update is about, adding the peer if it is new. It returns nil if the update is
+// to be ignored.
 func (m *Manager) findOrAddPeer(u PeerUpdate) *peer {
 	p := m.fleet.peers[u.Name]
 	if p != nil {
@@ -120,13 +122,13 @@
 	return p
 }
 
-// applyReport replaces a peer's report by one made at madeAt if that one is newer and valid.
+// applyReport replaces a peer's report by the given one, made at madeAt, if the given report is newer and valid.
 func (m *Manager) applyReport(now tick.Tick, p *peer, report Report, madeAt tick.Tick) {
 	if p.hasReport && madeAt <= p.reportedAt {
 		return
 	}
 	if report.LocalFraction <= 0 || report.validate() != nil {
-		return // invalid, or the peer has sent no report yet
+		return // the report is invalid, or the zero report of a peer that has sent none yet
 	}
 	if p.hasReport {
 		m.absorbSpilled(p.report.SpilledCredit, report.SpilledCredit)
@@ -162,7 +164,7 @@
 	}
 }
 
-// updateLiveness updates a peer's rank among the relays that may probe if the peer has come alive or fallen silent. The
+// updateLiveness updates this relay's ranks for the suspected backends if the peer has come alive or fallen silent. The
 // cost does not grow with the number of peers.
 func (m *Manager) updateLiveness(p *peer) {
 	alive := p.fresh || p.state == PeerUnreachable
@@ -173,7 +175,7 @@
 	m.updateRanks(p)
 }
 
-// addReport adds a peer's report to the sums.
+// addReport adds a peer's report to the sums over fresh reports.
 func (v *fleetView) addReport(p *peer, s settings) {
 	p.fresh = true
 	heap.Push(&v.fresh, p)
@@ -212,7 +214,7 @@
 		p.bucket = noBucket
 	}
 	v.completedWork = max(0, v.completedWork-p.report.CompletedWork)
-	if len(v.fresh) == 0 { // removes rounding errors
+	if len(v.fresh) == 0 { // without reports the sums are 0; rounding errors are dropped
 		v.completedWork = 0
 		v.offeredWork = [maxClasses]float64{}
 	}
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms; an event loop whose timers fire this late is at its limit
+	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms, at which the pressure is 1: an event loop whose timers fire this late is at its limit
 	maxUtilization     = 0.9                     // fraction of CPU or memory in use at which the pressure is 1
 	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
-	completedMargin    = 1.25                    // this multiple of the completed work is always admitted, so that backends never lack work
-	decreaseRate       = 2.0                     // per second: relative decrease of the admitted fraction for each 1 of pressure above 1
-	increaseRate       = 1.5                     // per second: relative increase of the admitted fraction
-	consensusRate      = 1.0                     // per second: part of the distance to the relays' median that is covered
-	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates counts as this one
-	minCoverage        = 0.25                    // lower bound of the coverage, by which increases are scaled
+	completedMargin    = 1.25                    // this multiple of the completed work stays admitted under pressure, so that backends never lack work
+	decreaseRate       = 2.0                     // per second, for each 1 of pressure above 1: relative decrease of the admitted fraction
+	increaseRate       = 1.5                     // per second, at full coverage: relative increase of the admitted fraction
+	consensusRate      = 1.0                     // per second: part of its distance to the relays' median by which the shared fraction moves
+	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates is treated as this long
+	minCoverage        = 0.25                    // lower bound of the coverage that increases are multiplied by
 	minFraction        = 0.01                    // lower bound of the admitted fraction
 	minAdmittedShare   = 0.25                    // lower bound of admittedShare, the part of the target work that is admitted
-	minWork            = 1e-9                    // avoids a division by 0
+	minWork            = 1e-9                    // lower bound of divisors, to avoid a division by 0
 )
 
 // Pressure is the load that a relay measures at itself and at its backends. Loads are fractions of the capacity; a value
 // above 1 is an overload.
 type Pressure struct {
 	SchedulingDelay    tick.Tick // how late timers fire
-	CPU                float64   // fraction of the CPU time available to the process
-	Memory             float64   // fraction of the memory available to the process
-	BackendUtilization float64   // requests at backends and waiting for one, as a fraction of the backends' capacity
+	CPU                float64   // CPU time that the process uses, as a fraction of the CPU time that it may use
+	Memory             float64   // memory that the process uses, as a fraction of the memory that it may use
+	BackendUtilization float64   // requests at backends and requests that wait for one, as a fraction of the backends' capacity
 }
 
-// local returns the pressure on this process alone.
+// local returns the pressure on this process; it does not include the backends.
 func (p Pressure) local() float64 {
 	return max(float64(p.SchedulingDelay)/float64(maxSchedulingDelay), p.CPU/maxUtilization, p.Memory/maxUtilization)
 }
 
 // UpdatePressure updates the admitted fractions from the relay's own load. It is to be called a few times per second.
 //
-// A fraction falls faster the higher the pressure is, and rises again when the pressure is low. Pressure does not lower the
-// shared fraction below a little more than the work that backends are seen to complete (completedMargin). The shared
-// fraction moves toward the median of the relays that have requests, so that all relays shed alike.
+// A fraction falls faster the higher the pressure is, and rises again when the pressure is low. Pressure does not lower
+// the shared fraction below completedMargin times the work that backends are seen to complete. The shared fraction moves
+// toward the median of the relays that have requests, so that all relays shed alike.
 //
-// This guards against an overload that each relay handles on its own, some by rejections and others by queues. A backend or
-// a link that is slow for this relay alone looks the same as an overload; in that case, the pull toward the higher fractions
-// of the other relays does harm.
+// UpdatePressure guards against relays that handle a common overload differently, some by rejecting requests and others
+// by queueing them. A backend or a link that is slow for this relay alone looks like an overload. In that case it does
+// harm that the higher fractions of the other relays pull this relay's fraction up.
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
@@ -69,8 +69,8 @@
 	m.recomputeThresholds()
 }
 
-// nextFraction returns an admitted fraction after elapsed seconds. A pressure above 1 lowers it, though not below
-// lowerBound; a pressure below lowPressure raises it.
+// nextFraction returns the value of an admitted fraction after elapsed seconds. A pressure above 1 lowers the fraction,
+// though not below lowerBound; a pressure below lowPressure raises it, in proportion to coverage.
 func (m *Manager) nextFraction(fraction, pressure, elapsed, coverage, lowerBound float64) float64 {
 	switch {
 	case math.IsNaN(pressure):
--- a/internal/overload/pressure_test.go
+++ b/internal/overload/pressure_test.go
@@ -6,8 +6,8 @@
 	"silvercove/internal/tick"
 )
 
-// TestUpdatePressure_RelaysConverge: relays under different pressure come to admit about the same fraction, and a relay
-// that is overloaded itself sheds more.
+// TestUpdatePressure_RelaysConverge: relays under different pressure come to admit about the same fraction. A relay whose
+// own process is overloaded sheds more.
 func TestUpdatePressure_RelaysConverge(t *testing.T) {
 	f := newTestFleet(10, nil)
 	offer := func(i int, m *Manager) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestUpdatePressure_FewReportsSlowRecovery: with the reports of few relays, the admitted fraction rises again only slowly.
-// An old report has no vote on the fraction.
+// TestUpdatePressure_FewReportsSlowRecovery: a relay that gets the reports of few others raises its admitted fraction
+// more slowly. An old report does not enter the median of the fractions.
 func TestUpdatePressure_FewReportsSlowRecovery(t *testing.T) {
 	recovery := func(peersHeard int) float64 {
 		f := newTestFleet(10, nil)
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -11,10 +11,10 @@
 const (
 	// probersPerBackend is how many relays probe a failing backend.
 	probersPerBackend = 2
-	// maxMembershipViews is how many views of which relays are alive may differ, each with probers of its own, while the
-	// probes stay within their rate.
+	// maxMembershipViews is the number of different views of which relays are alive that may exist at a time without the
+	// probes exceeding their rate. Each view has probers of its own.
 	maxMembershipViews = 2.5
-	// minProbesPerSec is the lower bound of the probe rate.
+	// minProbesPerSec is the lower bound of the probe rate, by which probeInterval divides.
 	minProbesPerSec = 0.01
 )
 
@@ -26,16 +26,16 @@
 	return xxhash.Sum64(b[:])
 }
 
-// AllowProbe reports whether this relay may try a backend that it holds to be failing, with an attempt or a probe.
+// AllowProbe reports whether this relay may try a backend that it considers failing, with an attempt or a probe.
 //
-// Only a few relays may try the backend. They are chosen by rendezvous hashing over the living relays: when one of them
-// falls silent, the next relay takes over, and each side of a network partition has probers of its own. The other relays
-// learn the results from the probers. If a large part of the outcomes at other backends are failures, as in an overload or
-// under a bad version, no single backend is to blame, and each relay tries the backend for itself. A backend that was
-// ejected earlier stays ejected until it answers.
+// Only a few relays, the backend's probers, may try it. They are chosen by rendezvous hashing over the living relays:
+// when a prober falls silent, the next relay takes over, and each side of a network partition has probers of its own. The
+// other relays learn the results from the probers. If a large part of the outcomes at other backends are failures, as in
+// an overload or under a bad version, the failures are not attributed to one backend, and each relay tries the backend
+// for itself. A backend that was ejected earlier stays ejected until it answers.
 //
-// This guards against hundreds of relays that each try a backend that fails for all of them. It does harm if the backend
-// fails for the few probers alone.
+// AllowProbe guards against hundreds of relays that each try a backend that fails for all of them. It does harm if the
+// backend fails for its probers and would answer the other relays.
 func (m *Manager) AllowProbe(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.standalone() {
@@ -65,8 +65,9 @@
 	return m.allowFallbackProbe(b, interval)
 }
 
-// allowEjectedProbe is AllowProbe for an ejected backend. As many relays may try the backend as permittedRelays says. While
-// the backend does not answer, the combined rate of these relays does not rise with their number.
+// allowEjectedProbe is AllowProbe for an ejected backend. Only the first permittedRelays relays in the rank order for the
+// backend may try it. While the backend does not answer, the combined rate of these relays does not rise with their
+// number.
 func (m *Manager) allowEjectedProbe(b *suspectBackend, o odds, interval tick.Tick) bool {
 	if !o.anySuccess {
 		interval = tick.Tick(float64(interval) * max(1, b.permittedRelays/probersPerBackend))
@@ -82,8 +83,8 @@
 	return m.takeProbe(b, interval)
 }
 
-// allowFallbackProbe is AllowProbe for a backend of which the probers report nothing. The backend may fail for this relay
-// alone, which therefore tries it, but rarely.
+// allowFallbackProbe is AllowProbe for a backend about which the probers report nothing. The backend may fail for this
+// relay alone, so the relay tries it, but rarely.
 func (m *Manager) allowFallbackProbe(b *suspectBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probersPerBackend))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
@@ -107,8 +108,9 @@
 	return tick.Tick(float64(tick.Second) * probersPerBackend * maxMembershipViews / max(minProbesPerSec, m.settings.probesPerSec))
 }
 
-// isProber reports whether this relay is among the first proberCount relays in a backend's rank order. A relay that has
-// just become a prober waits for a random part of the interval, as the previous prober may have probed just before.
+// isProber reports whether this relay is among the first proberCount relays in the rank order for a backend. A relay that
+// has just become a prober waits for a random part of the interval before its first probe, as the previous prober may
+// have probed just before.
 func (m *Manager) isProber(b *suspectBackend, proberCount float64, interval tick.Tick) bool {
 	wasProber := b.prober
 	b.prober = float64(b.higherRanked) < proberCount
--- a/internal/overload/probing_test.go
+++ b/internal/overload/probing_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// probeFailing lets every live relay probe one failing backend over some seconds and counts the probes, in all and by
-// relay. Reports pass only between live relays on the same side.
+// probeFailing lets every live relay probe one failing backend for some seconds. It returns the number of probes, in all
+// and by relay. Reports pass only between live relays on the same side of a network partition.
 func probeFailing(f *testFleet, side func(i int) int, seconds float64, live func(i int) bool) (probes int, byRelay map[int]int) {
 	byRelay = map[int]int{}
 	f.delivers = func(from, to int) bool { return side(from) == side(to) && live(from) && live(to) }
@@ -28,9 +28,9 @@
 
 func twoSides(i int) int { return i % 2 }
 
-// TestAllowProbe_FewRelaysProbe: few relays probe a failing backend, together at most fleet.probes times per second, also in
-// a network partition. When they fall silent, the next ones take over. The others learn from them that the backend is
-// healthy.
+// TestAllowProbe_FewRelaysProbe: few relays probe a failing backend, together at most fleet.probes times per second on
+// each side of a network partition. When the probers fall silent, the next relays take over. The other relays learn from
+// the probers that the backend is healthy.
 func TestAllowProbe_FewRelaysProbe(t *testing.T) {
 	for _, n := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(n, " relays"), func(t *testing.T) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestAllowProbe_FailureOfOneRelay: a relay tries a backend that fails for this relay alone, but rarely, though other relays
-// would be the backend's probers.
+// TestAllowProbe_FailureOfOneRelay: a relay that is the only one to see a backend fail tries the backend, but rarely,
+// even if it is not one of the backend's probers.
 func TestAllowProbe_FailureOfOneRelay(t *testing.T) {
 	f := newTestFleet(30, nil)
 	f.run(1, nil)
@@ -88,8 +88,9 @@
 	}
 }
 
-// TestAllowProbe_StaysWithinRate: under any order of network partitions, silent relays and reports, the probes of all
-// relays at a backend stay within the rate of as many pairs of probers as there were views of which relays are alive.
+// TestAllowProbe_StaysWithinRate: relays have different views of which relays are alive, and each view has a pair of
+// probers. Under any order of network partitions, silent relays and reports, the probes of all relays at a backend stay
+// within the rate of as many pairs as there were views.
 func TestAllowProbe_StaysWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "relays")
@@ -105,8 +106,8 @@
 			span := float64(rapid.IntRange(2, 30).Draw(t, "seconds"))
 			count, _ := probeFailing(f, func(i int) int { return i % sides }, span, func(i int) bool { return live[i] })
 			probes, seconds = probes+count, seconds+span
-			// With each change of view, one pair of successors may probe beside the previous pair until that pair's reports
-			// expire, as may a relay that probes for itself after a long silence.
+			// With each change of the views, a new pair of probers may probe beside the previous pair until the previous
+			// pair's reports expire. A relay that probes for itself after a long silence may also do so.
 			if limit := float64(sides)*(seconds+reportTTL.Duration().Seconds())*0.8 + float64(2*probersPerBackend*sides*n); float64(probes) > limit {
 				t.Fatalf("%d probes in %.0f s, %d sides", probes, seconds, sides)
 			}
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -16,10 +16,10 @@
 	CompletedWork  float64    // work that backends completed for the relay
 	FirstAttempts  float64    // first attempts per second
 	RetryCredit    float64    // retries that the relay may make
-	SpilledCredit  float64    // retries that the relay could not keep, since its start
-	OfferedWork    []float64  // work offered to the relay, by request class; the first 12 classes
-	Verdicts       []Verdict  // newest first, at most 8; used by relays of an earlier version
-	Evidence       []Evidence // on the suspected backends that look worst, at most 6; nil if the relay is of an earlier version
+	SpilledCredit  float64    // credit beyond the relay's limit, summed since its start; the other relays share it
+	OfferedWork    []float64  // work offered to the relay, by request class, for the first 12 classes
+	Verdicts       []Verdict  // at most 8, the newest first; used by relays of an earlier version
+	Evidence       []Evidence // on at most 6 suspected backends, those that look worst; nil in a report of an earlier version
 	UnknownFields  []byte     // fields of a later version, as received
 }
 
@@ -30,23 +30,23 @@
 	Age     tick.Tick // time since the decision
 }
 
-// Evidence counts the outcomes of a relay's last two attempts at a suspected backend. Evidence without any outcome asks the
-// other relays for theirs.
+// Evidence counts the outcomes of a relay's last two attempts at a suspected backend. Evidence without any outcome asks
+// the other relays to report their outcomes.
 type Evidence struct {
 	Backend   uint64 // hash of the backend's name
 	Failures  int
 	Successes int
-	Age       tick.Tick // age of the newest outcome
+	Age       tick.Tick // time since the newest outcome or, if that is later, since the relay last suspected the backend
 }
 
-// Bounds of a report.
+// The version of the reports that this program writes, and the bounds of a report.
 const (
 	ReportVersion       = 1
-	MaxReportSize       = 300 // bytes
+	MaxReportSize       = 300 // in bytes
 	maxReportClasses    = 12
 	maxVerdicts         = 8
 	maxEvidence         = 6
-	maxOutcomesPerRelay = 2 // outcomes at one backend: the most that a relay can contribute for or against the backend
+	maxOutcomesPerRelay = 2 // most outcomes at one backend that a relay can contribute for or against the backend
 	maxUnknownBytes     = 64
 	maxRate             = 1e9
 	maxSpilled          = 1e15
@@ -55,7 +55,7 @@
 // ErrMalformedReport is wrapped by the errors of DecodeReport. A malformed report is discarded whole.
 var ErrMalformedReport = errors.New("malformed relay report")
 
-// LocalReport returns the report that this relay sends to the others now.
+// LocalReport returns the report that this relay now sends to the other relays.
 func (m *Manager) LocalReport(now tick.Tick) Report {
 	m.advance(now)
 	r := Report{
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	budgetWindow = 10.0 // seconds over which firstAttempts decays; limit bounds the credit by the retries that firstAttempts earns
-	earnedShare  = 0.95 // part of the share that is credited: credit that dead relays pass on then does not take the fleet above the share
+	budgetWindow = 10.0 // seconds: time constant with which firstAttempts decays
+	earnedShare  = 0.95 // part of the share that a first attempt earns; the rest allows for credit that dead relays pass on
 )
 
 // retryBudget is this relay's part of the fleet's retry budget.
 //
-// Each first attempt credits its relay with a share of a retry, so the budget is divided by traffic. A relay spills the
-// credit that it cannot keep and reports the total spilled since its start. Each other relay takes the same part of the
-// increase, so that a lost or late report never creates more credit than was spilled. The credit that a relay had left when
-// it died passes to one successor.
+// Each first attempt credits its relay with a share of a retry, so the budget is divided in proportion to traffic. Credit
+// above the limit is spilled: the relay gives it up and reports the total spilled since its start. Each other relay takes
+// an equal part of the increase of that total, so that a lost or late report never creates more credit than was spilled.
+// The credit that a relay had left when it died passes to one successor.
 //
-// The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single backend,
-// where retries cost little; the limit does harm if more attempts than the budget allows fail there before the backend is
-// ejected.
+// The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single
+// backend, where retries cost little. That limit does harm if more attempts than the budget allows fail before the
+// backend is ejected.
 type retryBudget struct {
 	share         float64 // retries per first attempt
 	credit        float64 // retries that the relay may make
-	spilled       float64 // retries that the relay could not keep, since its start
+	spilled       float64 // credit above the limit, summed since the relay's start
 	firstAttempts float64 // number of first attempts, decayed over budgetWindow
 }
 
-// limit returns the credit that may be saved up, which is next to nothing for a relay that has just started.
+// limit returns the highest credit that the relay may save up: one retry, and those that firstAttempts earns. A relay
+// that has just started may save up one retry.
 func (b *retryBudget) limit() float64 { return 1 + b.share*b.firstAttempts }
 
 // deposit adds credit and spills what exceeds the limit.
@@ -40,19 +41,20 @@
 	}
 }
 
-// receive adds another relay's credit up to the limit. Credit beyond the limit is lost: if it were spilled again, it would
-// circulate among the relays forever.
+// receive adds credit of another relay, up to the limit. Credit beyond the limit is lost: if it were spilled again, it
+// would circulate among the relays forever.
 func (b *retryBudget) receive(credit float64) {
 	b.credit = min(max(b.credit, b.limit()), b.credit+credit)
 }
 
-// decay decays the budget by the elapsed seconds.
+// decay decays the first attempts by the elapsed seconds, and spills the credit above the limit, which falls with them.
 func (b *retryBudget) decay(elapsed float64) {
 	b.firstAttempts *= math.Exp(-elapsed / budgetWindow)
 	b.deposit(0)
 }
 
-// RecordFirstAttempt records that the first attempt of a request is sent. It is not called for a client's own retry.
+// RecordFirstAttempt records that the first attempt of a request is sent. It must not be called for a request that is its
+// client's own retry.
 func (m *Manager) RecordFirstAttempt(now tick.Tick) {
 	m.advance(now)
 	m.budget.firstAttempts++
@@ -73,15 +75,16 @@
 	return true
 }
 
-// absorbSpilled adds this relay's part of the credit that another relay spilled between two of its reports.
+// absorbSpilled adds this relay's part of the credit that another relay spilled between two of its reports, which have
+// the totals before and after.
 func (m *Manager) absorbSpilled(before, after float64) {
 	if after > before {
 		m.budget.receive((after - before) / m.fleetSize())
 	}
 }
 
-// inheritCredit adds the credit that a dead relay had left if this relay is its successor: the first of the living relays
-// by rendezvous hashing, so that each side of a network partition has at most one.
+// inheritCredit adds the credit that a dead relay had left if this relay is its successor. The successor is the first of
+// the living relays by rendezvous hashing, so that each side of a network partition has at most one.
 func (m *Manager) inheritCredit(dead *peer) {
 	if dead.creditInherited {
 		return
--- a/internal/overload/startup.go
+++ b/internal/overload/startup.go
@@ -19,18 +19,18 @@
 // stepOffset is the part of the startup window by which a relay's positions in two consecutive steps differ.
 const stepOffset = 0.38
 
-// idMultiplier derives a second number from a relay's ID (2^64 divided by the golden ratio).
+// idMultiplier is multiplied by a relay's ID to derive a second number from it. It is 2^64 divided by the golden ratio.
 const idMultiplier = 0x9e3779b97f4a7c15
 
 // StartupDelay returns how long a relay that has just started waits before a step.
 //
-// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that
-// started recently too, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the delay
-// follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports arrive, so a
-// relay that waits may ask again.
+// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that also
+// started recently, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the delay
+// follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports arrive, so
+// a relay that waits may call StartupDelay again.
 //
-// This guards against the combined load of a common restart, when all relays start at once. A relay that restarts alone
-// hardly waits: its delay is close to 0 once the reports of the others, which have warmed up, have arrived.
+// StartupDelay guards against the combined load of a common restart, when all relays start at once. A relay that restarts
+// alone hardly waits: its delay is close to 0 once the reports of the other relays, which have warmed up, have arrived.
 func (m *Manager) StartupDelay(now tick.Tick, step StartupStep) tick.Tick {
 	m.advance(now)
 	if m.isolated() || m.settings.startupWindow == 0 {
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -9,8 +9,8 @@
 // verdictTTL is how long a verdict is reported, and how long it is trusted if the probers report nothing newer.
 const verdictTTL = 20 * tick.Second
 
-// setVerdict sets the backend's verdict unless it is older than the current one, and moves the backend to the end of
-// byVerdict.
+// setVerdict sets the backend's verdict unless the new verdict is older than the current one. It also moves the backend
+// to the end of byVerdict.
 func (m *Manager) setVerdict(b *suspectBackend, healthy, own bool, at tick.Tick) {
 	if at < b.verdictAt {
 		return
@@ -22,7 +22,8 @@
 	}
 }
 
-// applyVerdicts adopts the verdicts that another relay reported at madeAt, if they are newer than those held here.
+// applyVerdicts adopts the verdicts that another relay reported at madeAt, if they are newer than this relay's verdicts
+// on the same backends.
 func (m *Manager) applyVerdicts(madeAt tick.Tick, verdicts []Verdict) {
 	for _, v := range verdicts {
 		b := m.suspects[v.Backend]
@@ -40,7 +41,8 @@
 	}
 }
 
-// verdictsToReport returns this relay's own verdicts that are recent enough, the newest first.
+// verdictsToReport returns the verdicts that this relay made in the last verdictTTL, the newest first, at most
+// maxVerdicts.
 func (m *Manager) verdictsToReport() []Verdict {
 	var all []Verdict
 	for _, b := range slices.Backward(m.byVerdict) {
