--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -61,7 +61,7 @@
 }
 
 // trusts reports whether a reading has a value that findUntrustedReadings has not marked as untrusted.
-func (a *assessment) trusts(s *series) bool { return s.known() && !a.untrusted[s] }
+func (a *assessment) trusts(s *series) bool { return s.hasValue() && !a.untrusted[s] }
 
 // assess computes what the readings allow, with the required margins multiplied by strictness.
 func (m *Monitor) assess(strictness float64) *assessment {
@@ -88,9 +88,9 @@
 // levelHolding, so the node takes no new instances. A temperature sensor that has no value adds no constraint while
 // another temperature sensor has one: the sensor without a value may belong to a radio that is off.
 func (m *Monitor) findUntrustedReadings(a *assessment) {
-	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.known() })
+	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.hasValue() })
 	for _, s := range m.series {
-		if s.kind == KindTemperature && !s.known() && hasTemperature {
+		if s.kind == KindTemperature && !s.hasValue() && hasTemperature {
 			a.untrusted[s] = true
 			continue
 		}
@@ -109,7 +109,7 @@
 // fullCharge returns the full charge of a battery in joules, or 0 if it is unknown.
 func (m *Monitor) fullCharge(battery string) float64 {
 	for _, s := range m.series {
-		if s.kind == KindFullCharge && s.name == battery && s.known() {
+		if s.kind == KindFullCharge && s.name == battery && s.hasValue() {
 			value, _ := s.last()
 			return value
 		}
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -14,7 +14,7 @@
 	remainingJoules float64 // joules above the empty level, in the same units as fullJoules
 	fallRate        float64 // joules per second by which the charge falls, by the confidence bound of its slope
 	draw            float64 // watts drawn from the batteries; below 0 while they charge
-	measured        bool    // true if the full charge of each battery is known, and there are draw readings, all of them trusted
+	drawUsable      bool    // true if the full charge of each battery is known, and there are draw readings, all of them trusted
 }
 
 // assessBattery adds the constraints of the power supply. It takes all batteries together and uses either the measured
@@ -38,7 +38,7 @@
 	}
 	charge := b.remainingJoules / b.fullJoules
 	a.readings.Charge = &charge
-	if b.measured {
+	if b.drawUsable {
 		a.readings.FullCharge, a.readings.Draw = &b.fullJoules, &b.draw
 		if b.draw > 0 {
 			b.fallRate = max(b.fallRate, b.draw)
@@ -73,11 +73,11 @@
 
 // sumBatteries returns the sums over all batteries. known is false if the charge of any battery is untrusted.
 func (m *Monitor) sumBatteries(a *assessment, charges []*series) (b batteryTotals, known bool) {
-	b.measured = true
+	b.drawUsable = true
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
-			b.measured, full = false, 1 // the battery counts as 1 instead of its joules; only the slope of its charge is used
+			b.drawUsable, full = false, 1 // the battery counts as 1 instead of its joules; only the slope of its charge is used
 		}
 		if a.untrusted[s] {
 			return batteryTotals{}, false
@@ -92,12 +92,12 @@
 	draws := m.ofKind(KindDraw)
 	for _, s := range draws {
 		if !a.trusts(s) {
-			b.measured = false
+			b.drawUsable = false
 			continue
 		}
 		b.draw += s.upperQuartile()
 	}
-	b.measured = b.measured && len(draws) > 0
+	b.drawUsable = b.drawUsable && len(draws) > 0
 	return b, true
 }
 
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -174,7 +174,7 @@
 // from the battery.
 func (m *Monitor) updateSeries() {
 	m.series = slices.DeleteFunc(m.series, func(s *series) bool {
-		return !s.known() && m.now-s.lastReadAt > staleAfter
+		return !s.hasValue() && m.now-s.lastReadAt > staleAfter
 	})
 	for _, s := range m.series {
 		s.workedSinceMove = s.workedSinceMove || m.load > busyLoad
@@ -182,7 +182,7 @@
 			continue
 		}
 		for _, draw := range m.ofKind(KindDraw) {
-			if draw.name == s.name && draw.known() {
+			if draw.name == s.name && draw.hasValue() {
 				s.drainedSinceMove += max(0, draw.upperQuartile()) * (m.now - m.lastAssessed).Seconds()
 			}
 		}
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -56,9 +56,9 @@
 	meanInterval float64 // mean time between two changes, in ticks
 }
 
-func (s *series) known() bool { return len(s.values) > 0 }
+func (s *series) hasValue() bool { return len(s.values) > 0 }
 
-// last returns the newest value and its time. It may be called only if known returns true.
+// last returns the newest value and its time. It may be called only if hasValue returns true.
 func (s *series) last() (float64, tick.Tick) {
 	return s.values[len(s.values)-1], s.times[len(s.times)-1]
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	s.limit = r.Limit
-	if !s.known() {
+	if !s.hasValue() {
 		s.movement.lastAt = at
 	} else if !s.acceptNext(at, r.Value, limits) {
 		return
@@ -165,7 +165,7 @@
 // the value changes. Temperatures and draw count as stuck only if the node was busy since the last change. On an idle
 // node they may stay the same; if they then counted as stuck, an idle node would never get work again.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
-	if !s.known() {
+	if !s.hasValue() {
 		return s.rejectReasonOr("no value yet")
 	}
 	_, at := s.last()
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -35,9 +35,9 @@
 // deposit adds credit and spills what exceeds the limit.
 func (b *retryBudget) deposit(credit float64) {
 	b.credit += credit
-	if over := b.credit - b.limit(); over > 0 {
-		b.credit -= over
-		b.spilled += over
+	if excess := b.credit - b.limit(); excess > 0 {
+		b.credit -= excess
+		b.spilled += excess
 	}
 }
 
