--- a/internal/devicehealth/report.go
+++ b/internal/devicehealth/report.go
@@ -45,9 +45,9 @@
 type KeyReadings struct {
 	Charge           *float64 `json:"charge,omitempty"` // charge of all batteries above the empty level, as a fraction of full: 0 is empty
 	FullCharge       *float64 `json:"full,omitempty"`   // full charge of all batteries, in joules
-	Draw             *float64 `json:"draw,omitempty"`   // watts out of all batteries
+	Draw             *float64 `json:"draw,omitempty"`   // watts drawn from all batteries; below 0 while they charge
 	Mains            *bool    `json:"mains,omitempty"`
-	Temperature      *float64 `json:"temp,omitempty"`  // degrees C, of the sensor closest to its limit
+	Temperature      *float64 `json:"temp,omitempty"`  // degrees C: the value of the sensor closest to its limit
 	TemperatureLimit *float64 `json:"limit,omitempty"` // degrees C: the limit of that sensor
 }
 
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -8,14 +8,14 @@
 	"silvercove/internal/tick"
 )
 
-// Constants for accepting readings and for computing slopes and quartiles. If a value is rejected, the last
-// accepted one stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
+// Constants for accepting readings and for computing slopes and quartiles. If a value is rejected, the last accepted one
+// stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
 	staleAfter          = 10 * tick.Second // age above which a value is not used; at a reading a second, a single failure or jump has no effect
 	jumpConfirmTime     = 60 * tick.Second // how long values must stay near the value after a jump; about the window of a temperature slope
-	jumpMinMoves        = 2                // fewest changes of the value in jumpConfirmTime, as the values of a working sensor change
+	jumpMinMoves        = 2                // fewest changes of the value in jumpConfirmTime; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
-	stuckIntervalFactor = 10.0             // the same time as a multiple of the mean interval between changes; the longer time applies
+	stuckIntervalFactor = 10.0             // a reading counts as stuck after this multiple of its mean interval between changes, if that is longer than minStuckTime
 	stuckMinMoves       = 8                // fewest changes from which the mean interval is used
 	stuckDrainShare     = 0.03             // share of the full charge: a charge is stuck if more is drawn without a change; 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // number of standard errors from a slope to its one-sided 95% confidence bound
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -18,8 +18,8 @@
 	maxAgedCharge = 1.1
 )
 
-// readPowerSupplies reads the supplies in the folder power_supply. If the folder cannot be listed, the only reading says
-// why.
+// readPowerSupplies reads the supplies in the folder power_supply. If the folder cannot be listed, the only reading is
+// not OK and says why.
 func readPowerSupplies(files fileSource) (readings []devicehealth.Reading) {
 	supplies, err := files.listDir("power_supply")
 	if err != nil {
--- a/internal/devicepower/reader_test.go
+++ b/internal/devicepower/reader_test.go
@@ -205,7 +205,8 @@
 	}
 }
 
-// The readings of a simulated machine follow its state, and its faults: a missing folder, garbage and frozen files.
+// The readings of a simulated machine follow the machine's state. They also follow its faults, which are a missing
+// folder, garbage and frozen files.
 func TestReader_ReadsSimulatedBattery(t *testing.T) {
 	machine, err := standin.New(3, "0 load 1\n0 charge 0.5\n5 miss thermal\n6 write power_supply/BAT0/energy_now x\n8 heal\n9 freeze")
 	if err != nil {
--- a/internal/devicepower/thermal.go
+++ b/internal/devicepower/thermal.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxTripPoints  = 32   // largest number of trip points that are read of one thermal zone
+	maxTripPoints  = 32   // largest number of trip points that are read from one thermal zone
 	milliPerDegree = 1000 // the files contain thousandths of a degree
 	maxTripDegrees = 200  // degrees C: a trip point above this or at most 0 is not in use
 )
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -13,8 +13,8 @@
 const (
 	rateWindow           = 1.0             // seconds: time constant with which the counts of requests decay
 	admittedWindow       = 4.0             // seconds: time constant with which the target work and the admitted work decay
-	maxRetryAfterExtra   = 4 * tick.Second // if all requests are shed, the longest Retry-After is minRetryAfter plus this
-	minRetryAfter        = tick.Second     // if few requests are shed, Retry-After is from half of this to this
+	maxRetryAfterExtra   = 4 * tick.Second // if all requests are shed, the longest Retry-After is baseRetryAfter plus this
+	baseRetryAfter       = tick.Second     // if few requests are shed, Retry-After is from half of this to this
 	maxClasses           = 64              // number of request classes that are tracked; requests of any other class are always admitted
 	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
 	minServiceTime       = 1e-3            // seconds: lower bound of the work that one request counts as
@@ -136,8 +136,8 @@
 		return true, 0
 	}
 	shedFraction := 1 - m.AdmittedFraction()
-	minDelay := minRetryAfter/2 + tick.Tick(shedFraction*float64(minRetryAfter))
-	maxDelay := minRetryAfter + tick.Tick(shedFraction*float64(maxRetryAfterExtra))
+	minDelay := baseRetryAfter/2 + tick.Tick(shedFraction*float64(baseRetryAfter))
+	maxDelay := baseRetryAfter + tick.Tick(shedFraction*float64(maxRetryAfterExtra))
 	return false, m.RetryAfter(now, minDelay, maxDelay)
 }
 
--- a/internal/overload/fleet_helpers_test.go
+++ b/internal/overload/fleet_helpers_test.go
@@ -25,7 +25,7 @@
 	return directives
 }
 
-// testFleet is a fleet of relays whose reports reach each other at once.
+// testFleet is a fleet of relays whose reports reach each other without delay.
 type testFleet struct {
 	now          tick.Tick
 	relays       []*Manager
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -9,15 +9,16 @@
 	// SpareSessions is the number of sessions that are accepted beyond MaxSessions, to reject their requests or to finish
 	// closing. Without spare sessions, no client could be told why it is rejected.
 	SpareSessions int
-	// MaxIdle is how many sessions may be idle, and also how many may have an incomplete message. Few are needed, as clients
-	// open few connections.
+	// MaxIdle is how many sessions may be idle, and also how many may have an incomplete message. Few idle sessions are
+	// needed, as a client opens few connections.
 	MaxIdle int
-	// MaxRequests is how many requests may be open at once over all sessions: each takes a buffer.
+	// MaxRequests is how many requests may be open at once over all sessions. It is bounded because each open request
+	// takes a buffer.
 	MaxRequests int
 	// MaxPipelined is how many replies one session may wait for. While a session waits for that many, nothing more is read
 	// from the session.
 	MaxPipelined int
-	// IdleTimeout is how long a session may be idle, and the least time that it has for its first request.
+	// IdleTimeout is how long a session may be idle. A new session has at least this long for its first request.
 	IdleTimeout time.Duration
 	// ContendedTimeout is how long a session may take for a message while other sessions wait for its slot.
 	ContendedTimeout time.Duration
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -27,7 +27,7 @@
 	"silvercove/internal/tick"
 )
 
-// recomputeInterval is the minimum time between two recomputations of the decaying values and the admission thresholds.
+// recomputeInterval is the minimum time between two updates of the decaying counts and the admission thresholds.
 const recomputeInterval = tick.Second / 10
 
 // randomStream distinguishes this package's random generator from others with the same seed.
@@ -74,7 +74,7 @@
 
 // settings are the values of the fleet's directives, in the units of this package.
 type settings struct {
-	relays         float64   // relays in the fleet, at least 1
+	relays         float64   // number of relays in the fleet, at least 1
 	retryShare     float64   // retries per first attempt
 	admissionFloor float64   // share of each class's tenants that is always admitted
 	probesPerSec   float64   // probes per second at one failing backend, by the whole fleet
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -29,7 +29,7 @@
 	// backend.
 	commonFailureRate = 0.3
 	// windowSize is the number of this relay's last outcomes from which the failure rate at other backends is computed.
-	// The failures are divided by at least minWindowOutcomes, which understates the rate if there are fewer outcomes.
+	// The divisor of that rate is at least minWindowOutcomes, so the rate comes out too low if there are fewer outcomes.
 	windowSize        = 64
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts as evidence.
@@ -73,12 +73,12 @@
 	nextProbe    tick.Tick // earliest time at which this relay may probe
 	lastProbe    tick.Tick // when this relay last probed; 0 if never
 	higherRanked int       // number of living peers that rank before this relay for the backend
-	prober       bool      // this relay was one of the backend's probers at the last check
+	prober       bool      // true if this relay was one of the backend's probers when isProber was last called
 
 	// Outcomes of the last evidenceTTL, which are the evidence.
 	suspectedAt    tick.Tick                                 // when a failure here or AllowProbe last made this relay suspect the backend; never if none did
-	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend was added, the newest last
-	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by second
+	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend became a suspect, the newest last
+	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by the second of the newest one
 	windowOutcomes int                                       // number of this relay's outcomes at the backend in Manager.window
 	windowFailures int                                       // number of failures among windowOutcomes
 
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -11,8 +11,8 @@
 // second.
 type Report struct {
 	Uptime         tick.Tick  // time since the relay's start
-	LocalFraction  float64    // part of the offered work that the relay admits by its own capacity
-	SharedFraction float64    // part of the offered work that the relay admits by the backends' capacity
+	LocalFraction  float64    // fraction of the offered work that the relay's own capacity admits
+	SharedFraction float64    // fraction of the offered work that the backends' capacity admits
 	CompletedWork  float64    // work that backends completed for the relay
 	FirstAttempts  float64    // first attempts per second
 	RetryCredit    float64    // retries that the relay may make
