--- a/internal/devicehealth/state.go
+++ b/internal/devicehealth/state.go
@@ -9,7 +9,7 @@
 	StateLimited      State = "trickle"  // takes a few new instances
 	StateHolding      State = "keeps"    // serves the instances it has, takes no new ones
 	StateEvacuating   State = "hands-on" // its instances must migrate to other nodes, those of the highest priority weight first
-	StateShuttingDown State = "leaves"   // the node shuts down, because it was told to or because too little time is left for migrations
+	StateShuttingDown State = "leaves"   // the node shuts down, because it was told to or because power or heat leaves no time for migrations
 )
 
 // level orders the states, the least healthy first. If several constraints apply, the lowest level counts.
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -193,8 +193,8 @@
 }
 
 // verifyHealthy checks a report whose state does not demand evacuation. If the node fails its requests, it is verified as
-// evacuating while the detector waits, and then as limited until it has recovered. If its own readings clearly contradict
-// the report, the node is verified as holding.
+// evacuating while the detector waits, and then as at most limited until it has recovered. If its own readings clearly
+// contradict the report, the node is verified as at most holding.
 func (n *node) verifyHealthy(now tick.Tick) Report {
 	r := n.report
 	switch {
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -280,9 +280,9 @@
 	return result
 }
 
-// updatePermittedRelays computes how many relays may use the backend while it is ejected. The number starts at
-// probersPerBackend. Each success doubles it, and so does each failure that expires without a new one. maxDoublingsPerSec
-// bounds the rate.
+// updatePermittedRelays computes how many relays may use the backend while it is ejected. The number is at least
+// probersPerBackend. Once the evidence weighs less than maxOutcomesPerRelay failures, each success doubles the number, and
+// so does each failure that expires without a new one. maxDoublingsPerSec bounds the rate.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
 	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -11,7 +11,7 @@
 	maxUtilization     = 0.9                     // fraction of CPU or memory in use at which the pressure is 1
 	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
 	completedMargin    = 1.25                    // this multiple of the completed work stays admitted under pressure, so that backends never lack work
-	decreaseRate       = 2.0                     // per second, for each 1 of pressure above 1: relative decrease of the admitted fraction
+	decreaseRate       = 2.0                     // per second, for each 1 of pressure above 1 and up to 2: relative decrease of the admitted fraction
 	increaseRate       = 1.5                     // per second, at full coverage: relative increase of the admitted fraction
 	consensusRate      = 1.0                     // per second: part of its distance to the relays' median by which the shared fraction moves
 	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates is treated as this long
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -8,7 +8,7 @@
 
 const (
 	budgetWindow = 10.0 // seconds: time constant with which firstAttempts decays
-	earnedShare  = 0.95 // part of the share that a first attempt earns; the rest allows for credit that dead relays pass on
+	earnedShare  = 0.95 // part of the share that a first attempt earns; the rest keeps the fleet within the share when dead relays pass on credit
 )
 
 // retryBudget is this relay's part of the fleet's retry budget.
