--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -17,12 +17,12 @@
 
 const (
 	// maxBlockedPerPass is the number of requests without an eligible backend after which a pass through the queue
-	// ends. The requests behind them rarely find a backend either; a request whose class could find one waits for the
-	// next pass.
+	// ends. The requests behind them rarely find a backend either. A request behind them whose class could find a
+	// backend waits for the next pass.
 	maxBlockedPerPass = 4
-	// lateAttemptInterval is how long a class may go with neither an answer nor a late attempt (see allowLateAttempt).
-	// A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one request is attempted
-	// well before 4 s have passed.
+	// lateAttemptInterval is the time without an answer or a late attempt after which a class may get a late attempt
+	// (see allowLateAttempt). A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one
+	// request is attempted well before 4 s have passed.
 	lateAttemptInterval = 3 * Second / 2
 	// deadlineMargin is how long before its deadline a request has to be answered. It is two timer intervals, since the
 	// timer call that finds a request late may itself be one interval late.
@@ -45,8 +45,8 @@
 	}
 }
 
-// enqueue inserts a request at its place in the queue. It sheds a request that is expected to be late, unless a late
-// attempt is allowed.
+// enqueue inserts a request at its place in the queue. If the request is expected to be late and a late attempt is not
+// allowed, enqueue sheds it.
 func (b *Balancer) enqueue(r *Request) {
 	r.usefulUntil = min(r.Deadline-deadlineMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
 	if b.expectedLate(r) && !b.allowLateAttempt(r) {
@@ -70,9 +70,9 @@
 	return b.now >= r.usefulUntil-b.medianLatency[r.Class]
 }
 
-// allowLateAttempt reports whether a request that is expected to be late is attempted all the same, and records the
-// late attempt for its class. It allows one if the request has just arrived, an answer may still be useful, and the
-// class has had neither an answer nor a late attempt for lateAttemptInterval. If it is called again for the same
+// allowLateAttempt reports whether a request is attempted although it is expected to be late, and records the late
+// attempt for its class. It allows a late attempt if the request has just arrived, an answer may still be useful, and
+// the class has had neither an answer nor a late attempt for lateAttemptInterval. If it is called again for the same
 // request at the same time, it returns the same result.
 //
 // Late attempts guard against a class that is rejected for good. After slow answers, requests with short deadlines
@@ -120,7 +120,7 @@
 
 // shed answers a request at once: it rejects the request if a retry by the client is safe, and fails it otherwise. If
 // clients honour a retry-after time, a rejection names half a latency objective plus a random part of another half, so
-// that clients that were shed together do not come back together.
+// that clients whose requests were shed at the same time do not all retry at the same time.
 func (b *Balancer) shed(r *Request) {
 	r.state = requestAnswered
 	if !b.safeToReject(r) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -55,7 +55,7 @@
 	now       Tick // time of the event that is being handled
 	startedAt Tick
 
-	backends []*Backend // backends listed as ready, in an order of this relay's own that decides which ones it prefers
+	backends []*Backend // ready backends, in the order in which this relay prefers them
 
 	admission
 	candidates
@@ -139,12 +139,12 @@
 }
 
 // OnStreamStart handles the start of a streamed answer. The answer is passed on to the client from now on, so the
-// attempt is not cancelled any more, and it does not become slow, however long the answer takes.
+// attempt is not cancelled any more and does not count as slow, however long the rest of the answer takes.
 func (b *Balancer) OnStreamStart(now Tick, a *Attempt) {
 	b.now = now
 	a.Backend.lastAnswer = now
 	a.Request.streaming = true
-	a.slowAfter = Tick(math.MaxInt64) // the time-out of the attempt has stopped running
+	a.slowAfter = Tick(math.MaxInt64) // never slow: the time-out ends when the stream starts
 }
 
 // OnClientGone handles a client that has disconnected: its request needs no answer, and nothing more is sent for it.
@@ -167,8 +167,8 @@
 	b.serveQueue()
 }
 
-// OnProbe handles the result of a probe. It only sets the time: the balancer does not call Host.Probe today, as it
-// judges backends by the outcomes of attempts.
+// OnProbe handles the result of a probe. It only sets the time. The balancer judges backends by the outcomes of
+// attempts and does not call Host.Probe today.
 func (b *Balancer) OnProbe(now Tick, _ *Backend, _ Outcome, _ Tick, _ []float64) { b.now = now }
 
 // OnTimer handles the periodic timer: it counts overdue attempts, recomputes the estimates, sends gossip, polls the
@@ -189,8 +189,8 @@
 	b.considerVote()
 }
 
-// checkOverdue counts a running attempt as slow for its version or as a failure of its silent backend once it is
-// overdue, and may cancel it.
+// checkOverdue handles an attempt in flight. It counts the attempt as slow for its version after slowAfter, and as a
+// failure of its backend if the backend is silent. It may also cancel the attempt.
 func (b *Balancer) checkOverdue(a *Attempt) {
 	if b.now > a.slowAfter && !a.countedAsSlow && !a.newConnection && !b.attributedToBackend(a, true) {
 		b.recordTimeliness(a, true)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// BenchmarkRequest measures a request from its arrival over the start of an attempt to the answer, with many backends
-// and classes. To compare two versions of the balancer, run both alternately and compare the results with benchstat.
+// BenchmarkRequest measures the decisions for one request from its arrival to its answer, including the start of an
+// attempt, with many backends and classes. To compare two versions of the balancer, run both alternately and compare
+// the results with benchstat.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 1000, 10000} {
 		for _, classes := range []int{1, 10, 200} {
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -9,9 +9,9 @@
 // Inputs: the times of a backend's last answers and the shortest latency objective of any class, in ticks; for
 // concurrencyLimit, the share of its allowed time that an attempt took.
 //
-// The limits guard against slow backends, overload, and queues at backends that outlast the latency objective. Each of
-// these shows as answers that are late throughout. A backend that answers fewer attempts gets fewer. The limits work
-// worst right after an idle period, when the relay knows few recent answers.
+// The limits guard against slow backends, overload, and queues at backends in which requests wait for longer than the
+// latency objective. Each of these shows as answers that are late throughout. A backend that answers fewer attempts
+// gets fewer. The limits work worst right after an idle period, when the relay knows few recent answers.
 
 const (
 	// capacityShare is a share of the shortest latency objective: a backend may have as many attempts in flight as it
@@ -34,7 +34,7 @@
 // concurrency holds the attempts in flight and the relay's own rates.
 type concurrency struct {
 	attemptsInFlight []*Attempt // the attempts, in the order in which they started
-	concurrencyLimit float64    // attempts that the relay may have in flight
+	concurrencyLimit float64    // maximum number of attempts in flight at all backends together
 	subsetSize       int        // number of backends that the relay chooses from
 	successTimes     []Tick     // times of the successes within rateWindow
 	warmCapacity     float64    // sum of the warm-up fractions of the ready backends
@@ -46,9 +46,9 @@
 	return concurrency{subsetSize: minSubsetSize, concurrencyLimit: minSubsetSize}
 }
 
-// capacity returns how many attempts a backend may have in flight, by the times of its last successes.
+// capacity returns how many attempts a backend may have in flight, computed from the times of its last successes.
 func (b *Balancer) capacity(backend *Backend) float64 {
-	least := b.warmUpFraction(backend) // one attempt in flight at a warm backend
+	least := b.warmUpFraction(backend) // 1 at a warm backend: it may always have one attempt in flight
 	answers := backend.successTimes
 	if len(answers) < 2 {
 		return least
@@ -76,7 +76,8 @@
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
 		least := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(least, b.concurrencyLimit*(1-limitDecrease))
-	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2: // at least half of the limit is in use
+	// An early answer raises the limit only if at least half of it was in use, counting the attempt that has ended.
+	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2:
 		b.concurrencyLimit *= 1 + limitIncrease
 	}
 }
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -23,7 +23,7 @@
 
 // endpointPolling holds when to ask for the endpoint list.
 type endpointPolling struct {
-	listSynced   bool // the first list has arrived completely
+	listSynced   bool // whether the first list has arrived completely
 	polling      bool
 	nextPoll     Tick
 	pollInterval Tick
@@ -54,7 +54,7 @@
 	b.nextPoll = b.now + b.pollInterval*3/4 + Tick(b.random.intN(int(b.pollInterval/2)))
 }
 
-// OnListSynced handles the end of one update of the endpoint list, or a failed call for it.
+// OnListSynced handles the end of an update of the endpoint list. If ok is false, the call for the update has failed.
 func (b *Balancer) OnListSynced(now Tick, ok bool) {
 	b.now = now
 	if ok && !b.listSynced && b.evaluation != nil {
@@ -97,7 +97,8 @@
 	backend.lastAnswer, backend.waitingSince = now, now
 }
 
-// applyListing inserts a ready backend at a position of a list that lacks it, and removes a backend that is not ready.
+// applyListing inserts a ready backend at the given position if the list lacks it, and removes a backend that is not
+// ready.
 func applyListing(backends []*Backend, backend *Backend, position int) []*Backend {
 	at := slices.Index(backends, backend)
 	switch {
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -9,8 +9,8 @@
 // The inputs are the outcome of each attempt, the time of the last answer of its backend, reports of wrong answers, and
 // the outcome counts of the release API.
 //
-// This keeps a good version from being blamed for broken backends, links or requests. Such failures occur whichever
-// version serves the request, and they are told apart here before they reach a test.
+// These rules keep a good version from being blamed for broken backends, links or requests. Such failures occur
+// whichever version serves the request, and they are told apart here before they reach a test.
 
 const (
 	// maxShareBound keeps the bound on a share below 1. With a bound of 1 a betting test could place no bet.
@@ -103,8 +103,8 @@
 	return b.baseline.wrongShare() + failureMargin*b.settings.Rollout.FoundShare
 }
 
-// baselineShare returns the baseline's failure share in a class, for ruling out an effect. With little data on the
-// baseline, the share is assumed to be low, so that no effect is ruled out too early.
+// baselineShare returns the baseline's failure share in a class, for the effect test of the class. With little data on
+// the baseline, the share is assumed to be low, so that ruledOutEffect is not ruled out too early.
 func (b *Balancer) baselineShare(class int) float64 {
 	return conservativeShare(b.baseline.class[class])
 }
@@ -118,10 +118,10 @@
 	return smoothedShare(failures(outcomes))
 }
 
-// attributedToBackend reports whether an outcome counts for the backend or the link to it, and not for the version.
-// This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and for any
-// outcome at an ejected backend while others of the same version succeed. The cost is that if a bad version fails at
-// only some of its backends, those backends are blamed for it.
+// attributedToBackend reports whether an outcome is attributed to the backend or the link to it, and not to the
+// version. This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and
+// for any outcome at an ejected backend while other backends of the same version succeed. The cost is that if a bad
+// version fails at only some of its backends, those backends are blamed for it.
 func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
 	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
@@ -173,10 +173,10 @@
 // OnMetrics handles the release API's counts of the outcomes at all relays, for one version and class over one period.
 // The counts form a stream of their own, which is the same for all relays. The canary's counts are tested against the
 // baseline's counts of the same periods, plus a margin for the higher load of the canary's backends. Bad outcomes are
-// spread evenly among the others.
+// spread evenly among the good ones.
 //
-// This detects a version whose backends stop answering. A single relay sees almost no traffic at each backend, and
-// attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
+// The stream detects a version whose backends stop answering. A single relay sees almost no traffic at each backend,
+// and attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
 // that a network fault that isolates only the canary's backends counts against the version.
 func (b *Balancer) OnMetrics(now Tick, version uint16, _ int, outcomes, failed int, _, _ Tick) {
 	b.now = now
@@ -195,7 +195,7 @@
 	b.considerVote()
 }
 
-// spreadOutcome returns the i-th of n outcomes, of which the bad ones are spread evenly.
+// spreadOutcome returns the i-th of n outcomes: 1 if it is bad, otherwise 0. The bad outcomes are spread evenly.
 func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
 // countUnreportedAnswers counts answers as correct once the time within which a report would have arrived has passed.
@@ -207,8 +207,8 @@
 	}
 }
 
-// missingEvidence returns the first stream with traffic for which the effect is not ruled out. Call
-// countUnreportedAnswers first.
+// missingEvidence returns the first stream with traffic for which ruledOutEffect is not ruled out. Answers without a
+// report are included only if countUnreportedAnswers has counted them.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -18,10 +18,11 @@
 	// exposureTolerance absorbs the rounding error of a sum of shares that would be an integer in exact arithmetic, so
 	// that the error does not allow one more attempt.
 	exposureTolerance = 1e-5
-	// canarySlowdownMargin is the excess of the canary's slow share over the baseline's at which the canary has lost
-	// all slack (see updateCanaryFraction). The canary then gets no more than its backends' share of the warm capacity.
+	// canarySlowdownMargin is the excess of the canary's slow share over the baseline's at which the slack of
+	// updateCanaryFraction is reduced to 1. The canary then gets no more than its backends' share of the warm capacity.
 	canarySlowdownMargin = 0.1
-	// minStageShare is a lower limit on the first stage's share of backends, used if the settings name no share.
+	// minStageShare is the lower limit of the first stage's share of backends in updateCanaryFraction, which divides by
+	// that share. It also replaces a missing share.
 	minStageShare = 0.01
 )
 
@@ -29,13 +30,13 @@
 type exposureCounter struct {
 	arrivals []Tick  // arrival times of requests within the window
 	attempts []Tick  // times of canary attempts within the window
-	credit   float64 // first attempts that are due to the canary
+	credit   float64 // first attempts that may go to the canary now; grows with each request, and one attempt takes 1
 }
 
 // exposureState is the state of the exposure limit.
 type exposureState struct {
 	exposure        []exposureCounter // one counter for all requests, or one per class
-	exposureResetAt Tick              // when counting restarts after the cap was lowered; 0 means never
+	exposureResetAt Tick              // when counting restarts after the cap was last lowered; 0 if it was never lowered
 	canaryFraction  float64           // share of the requests whose first attempt goes to the canary
 }
 
@@ -76,8 +77,8 @@
 	}
 	window := b.settings.Rollout.ExposureWindow.Ticks() + 1
 	b.trimExposure(e, window)
-	// Attempts that the previous process of this relay sent before it was killed still count in the first window, but
-	// are unknown here. The allowance is therefore withheld in that window.
+	// The site still counts the attempts that a previous process of this relay sent before it was killed, but this
+	// process does not know them. The allowance is therefore withheld in the first window after the start.
 	free := b.settings.Rollout.ExposureFree * indicator(b.now > b.startedAt+window)
 	return float64(len(e.attempts)+1) <= free+share*float64(len(e.arrivals))-exposureTolerance
 }
@@ -93,11 +94,11 @@
 	}
 }
 
-// updateCanaryFraction computes the share of first attempts that goes to the canary. This is the share of the warm
-// capacity that its backends have, times the slack: the ratio of the first stage's cap to the first stage's share of
-// backends. It is limited by the exposure cap and then scaled by firstAttemptCapShare. While the canary answers more
-// slowly than the baseline, the slack is withdrawn in proportion, so that the version is judged under the same load per
-// backend as the baseline.
+// updateCanaryFraction computes the share of first attempts that goes to the canary. The share starts as the canary's
+// part of the warm capacity, times a factor that is called the slack. The slack is the ratio of the first stage's
+// exposure cap to the first stage's share of backends, and at least 1. The result is limited by the exposure cap and
+// then scaled by firstAttemptCapShare. While the canary answers more slowly than the baseline, the slack is reduced
+// towards 1 in proportion, so that the version is judged under the same load per backend as the baseline.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
 	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
--- a/balancer/fixture_test.go
+++ b/balancer/fixture_test.go
@@ -100,21 +100,22 @@
 	return &fixture{Balancer: New(host, testStart, 7, testSettings(change)), host: host, now: testStart}
 }
 
-// addBackend lists a ready backend with a version and a start time (0: long ago), each in a zone of its own.
+// addBackend lists a ready backend with the given version and start time; 0 means long ago. Each added backend is in a
+// zone of its own.
 func (b *fixture) addBackend(id uint32, version uint16, started Tick) *Backend {
 	backend := &Backend{ID: id}
 	b.OnEndpoint(b.now, backend, Endpoint{Zone: int(id), State: Ready, Version: version, StartedAt: started})
 	return backend
 }
 
-// request passes a request of a class to the balancer, with a deadline in two seconds.
+// request passes a request of a class to the balancer, with a deadline two seconds from now.
 func (b *fixture) request(class int) *Request {
 	r := &Request{Class: class, Deadline: b.now + 2*Second}
 	b.OnRequest(b.now, r)
 	return r
 }
 
-// advance moves the clock and calls the timer on the way.
+// advance moves the clock forward and calls OnTimer after each timerInterval.
 func (b *fixture) advance(span Tick) {
 	for end := b.now + span; b.now < end; {
 		b.now = min(end, b.now+timerInterval)
@@ -122,7 +123,7 @@
 	}
 }
 
-// finish ends the last attempt of a request.
+// finish ends the last attempt of a request with an outcome.
 func (b *fixture) finish(r *Request, outcome Outcome) {
 	b.OnOutcome(b.now, r.attempts[len(r.attempts)-1], outcome, 100, outcome == Succeeded, nil)
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -17,9 +17,9 @@
 )
 
 // TestGoldenDecisions simulates relays in front of backends that warm up, fail, stall, leave the list or run a new
-// version, and compares every decision of each relay with the recorded ones. A change that is not meant to change
-// decisions must leave this test as it is. For a change that is meant to, run the test with -update and say in the
-// commit what changes.
+// version, and compares every decision of each relay with the recorded ones. A change of the code that is not meant to
+// change decisions must pass this test with the recorded file unchanged. If decisions are meant to change, run the test
+// with -update and say in the commit which decisions change.
 func TestGoldenDecisions(t *testing.T) {
 	traces := map[string]*goldentrace.Trace{}
 	var mu sync.Mutex
--- a/balancer/golden_world_test.go
+++ b/balancer/golden_world_test.go
@@ -57,7 +57,7 @@
 	retryQueries  int
 }
 
-// fleetRelay is a host that also implements the fleet's policy.
+// fleetRelay is a host that also implements the methods of fleetPolicy.
 type fleetRelay struct{ *simulatedRelay }
 
 func (n fleetRelay) AllowRetry(*balancer.Request) bool {
@@ -392,7 +392,7 @@
 	g.deploy(g.version, []int{1, 4, 10}[stage]*len(g.backends)/10)
 }
 
-// deploy restarts the first count backends with a version. Each is unavailable for a moment.
+// deploy restarts the first backends, up to the given count, with a version. Each of them first drains for a second.
 func (g *simulation) deploy(version uint16, count int) {
 	for i := range min(count, len(g.backends)) {
 		if backend := g.backends[i]; backend.endpoint.Version != version {
@@ -429,7 +429,7 @@
 	})
 }
 
-// announce sends the state of a backend to all relays, each after a delay of its own.
+// announce sends the state of a backend to all relays, each after a random delay.
 func (g *simulation) announce(i int, state balancer.EndpointState) {
 	backend := g.backends[i]
 	backend.endpoint.State = state
@@ -442,7 +442,7 @@
 	}
 }
 
-// restart restarts a backend after a second. It then has to warm up.
+// restart restarts a backend, which is silent for a second and then has to warm up.
 func (g *simulation) restart(i int) {
 	backend := g.backends[i]
 	backend.silentUntil = g.now + balancer.Second
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,12 +3,12 @@
 import "slices"
 
 // This file exchanges evidence between relays. If the settings allow messages between relays, each relay sends its
-// outcome counts for the version under evaluation, and counts the outcomes that others send as its own. Each relay sees
-// only part of the traffic; together they detect a bad version sooner.
+// outcome counts for the version under evaluation, and counts the outcomes that other relays send like its own. Each
+// relay sees only part of the traffic; together they detect a bad version sooner.
 //
-// This detects a failure that is too rare for a single relay to see often, which would leave a bad version under
-// evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed. Outcomes
-// are counted for the version alone, so a message contains nothing about individual backends.
+// The exchange detects a failure that is too rare for a single relay to see often, which would leave a bad version
+// under evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed.
+// Outcomes are counted for the version alone, so a message contains nothing about individual backends.
 //
 // A message consists of the version in two bytes, the low byte first, followed by two bytes for each class and two for
 // wrong answers: the number of outcomes since the last message, and how many of them were bad.
@@ -81,7 +81,7 @@
 	clear(b.gossipCounts)
 }
 
-// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the others.
+// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the good ones.
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -8,12 +8,12 @@
 type Host interface {
 	// StartAttempt starts the next attempt of a request. The attempt must not last past the deadline.
 	StartAttempt(a *Attempt, deadline Tick)
-	// Reject answers a request for good, with the promise that a retry is harmless. If retryAfter is 0, the answer
-	// names no time for the retry.
+	// Reject ends a request with an answer that promises that a retry by the client is harmless. If retryAfter is 0,
+	// the answer names no time for the retry.
 	Reject(r *Request, retryAfter Tick)
-	// Fail answers a request for good, without a promise about its effect.
+	// Fail ends a request with an answer that promises nothing about its effect.
 	Fail(r *Request)
-	// CancelAttempt stops waiting for an attempt. The outcome of the attempt is still reported.
+	// CancelAttempt stops waiting for an attempt. The outcome of the attempt is still reported through OnOutcome.
 	CancelAttempt(a *Attempt)
 	// SetTimer requests a call of OnTimer with this tag at the given time or later.
 	SetTimer(at Tick, tag uint32)
@@ -26,7 +26,8 @@
 	SendGossip(peer uint32, data []byte)
 	// Log writes a log line for the operators: a constant message with its fields.
 	Log(message string, fields ...slog.Attr)
-	// WatchEndpoints asks for changes of the endpoint list.
+	// WatchEndpoints requests changes of the endpoint list if on is true, and ends the request otherwise. The balancer
+	// always passes true today.
 	WatchEndpoints(on bool)
 	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today, as WatchEndpoints
 	// brings the list.
@@ -35,11 +36,11 @@
 	CastVote(version uint16, stage int, verdict Verdict)
 }
 
-// AllPeers addresses every relay of the tier in SendGossip.
+// AllPeers addresses all other relays in SendGossip.
 const AllPeers = ^uint32(0)
 
 // fleetPolicy holds the decisions that all relays of a fleet make together. The host of a relay in a fleet implements
-// fleetPolicy besides Host. If a host does not, the rules of this package alone decide on retries and probation.
+// fleetPolicy besides Host. With any other host, the rules of this package alone decide on retries and probation.
 type fleetPolicy interface {
 	// AllowRetry reports whether a request may have one more attempt.
 	AllowRetry(r *Request) bool
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -6,11 +6,11 @@
 )
 
 // An attempt that may have run is repeated only if a second effect is impossible or the receiving backend drops the
-// repeat. A rejection invites the client to retry. A request is therefore rejected only if a retry is as safe at any
-// backend.
+// repeat. A rejection invites the client to retry. A request is therefore rejected only if a retry at any backend has
+// no second effect.
 //
 // Inputs: the idempotency of the class with the scope and the window of its keys, and the attempts so far with their
-// outcomes. If the site moves keys forward only, also the keys that each version has answered.
+// outcomes. If Rollout.ForwardOnly is set, the inputs also include the keys that each version has answered.
 //
 // These rules guard against duplicate effects, as from a repeat of an attempt that timed out but ran. An attempt is
 // repeated only if it certainly did not run, or if the repeat has no second effect at its backend.
@@ -55,7 +55,7 @@
 	return !slices.ContainsFunc(r.attempts, (*Attempt).mayHaveRun)
 }
 
-// covers reports whether a backend drops repeats of requests that another backend has run.
+// covers reports whether the receiver drops a repeat of a request that the executor has run.
 func (s DedupScope) covers(ran, other *Backend) bool {
 	switch s {
 	case DedupEverywhere:
@@ -74,8 +74,8 @@
 	return a.state != attemptEnded || a.outcome != AtCapacity && a.outcome != ConnectFailed && a.outcome != Discarded
 }
 
-// maxAnsweredVersions is the number of versions whose answered keys are kept: the newest, one that is not announced
-// yet, and one more.
+// maxAnsweredVersions is the number of versions whose answered keys are kept: the newest announced version, one that is
+// not announced yet, and one in reserve.
 const maxAnsweredVersions = 3
 
 // keyFilter is a Bloom filter of fixed size for the keys of one version. It never misses a key that was added. It
@@ -92,8 +92,8 @@
 }
 
 // mayServeKey reports whether a request for a key may go to a version. It may not if a later version that may still be
-// released has answered the key: if the site moves keys forward only, the earlier version cannot read what the later
-// one has written.
+// released has answered the key. Answered keys are recorded only if Rollout.ForwardOnly is set; the earlier version
+// then cannot read what the later one has written.
 func (b *Balancer) mayServeKey(key uint64, version uint16) bool {
 	for by, keys := range b.answeredKeys {
 		if version < by && keys.mayContain(key) && b.mayBeReleased(by) {
@@ -111,8 +111,8 @@
 	return b.release.Phase == Canary || b.release.Phase == Released
 }
 
-// recordAnsweredKey records that the version of an attempt has answered the key of its request, if keys move forward
-// only.
+// recordAnsweredKey records that the version of an attempt has answered the key of its request, if Rollout.ForwardOnly
+// is set.
 func (b *Balancer) recordAnsweredKey(a *Attempt) {
 	key := a.Request.Key
 	if key != 0 && a.version >= b.release.Version && b.settings.Rollout.ForwardOnly {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -15,23 +15,24 @@
 //
 // The comparison guards against versions that are slow, become slow, or slow down all backends through the requests
 // they get. Such versions still answer, but late. A rise of the baseline's own slow share is excused only up to a
-// margin. Slowness in a burst of requests or on a new connection has a known cause and is left out.
+// margin. Slowness in a burst of requests or on a new connection has a known cause and does not count.
 
 const (
 	// slowMultiple is the multiple of the median from before the rollout at which an attempt is slow.
 	slowMultiple = 3
 	// canaryLoadMargin is the share of attempts that may be slow because the backends of a canary carry more load.
 	canaryLoadMargin = 0.22
-	// burstMultiple is the multiple of the successes before the rollout that a relay may have without a burst. The
-	// clients cause bursts.
+	// burstMultiple is the multiple of a relay's successes before the rollout above which inBurst reports a burst of
+	// requests. A burst is caused by the clients and not by the canary.
 	burstMultiple = 1.2
 	// burstDeviations is how many standard deviations of random variation are allowed on top of burstMultiple.
 	burstDeviations = 3
 	// sampleSize is the number of latencies and outcomes that are kept for each class.
 	sampleSize = 64
-	// estimateDivisor divides a latency objective into parts. Without answers an attempt is estimated to take one part,
-	// and no estimate is longer than all parts but one. The bound guards against a lasting effect of slow answers:
-	// without it, no request might be attempted any more, so that no answer could show lower latencies.
+	// estimateDivisor is the number of equal parts of a latency objective. With fewer than minLatencySample answers an
+	// attempt is estimated to take one part, and every estimate is shorter than the objective by at least one part.
+	// This bound guards against a lasting effect of slow answers: without the bound, no request might be attempted any
+	// more, so that no answer could show lower latencies.
 	estimateDivisor = 4
 	// estimateLifetime is how long an estimate stays valid after the last answer or the last late attempt of its class.
 	// Load and backends may have changed after this time.
@@ -40,7 +41,7 @@
 	// percentile.
 	minLatencySample = 16
 	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise counts against
-	// the canary. The canary may be what slows down all backends.
+	// the canary. A greater rise counts because the canary may have slowed down all backends.
 	baselineSlowdownMargin = 0.1
 )
 
@@ -106,7 +107,8 @@
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, x := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	size := sampleSize + len(b.successTimes) // a large relay makes sampleSize attempts in a small part of a second
+	// A busy relay keeps more, as it makes sampleSize attempts in a small part of a second.
+	size := sampleSize + len(b.successTimes)
 	switch {
 	case a.version < e.version:
 		b.baseline.slow = appendBounded(b.baseline.slow, x, size)
--- a/balancer/logline.go
+++ b/balancer/logline.go
@@ -30,8 +30,8 @@
 // loggingRelays is the average number of relays that log an event that many relays observe alike.
 const loggingRelays = 4
 
-// logSampled logs an event at a random few of the relays. It keeps hundreds of relays from logging the same line each;
-// each relay draws independently whether to log.
+// logSampled logs an event at a few random relays, so that hundreds of relays do not all log the same line. Each relay
+// draws independently whether it logs the event.
 func (b *Balancer) logSampled(message string, fields ...slog.Attr) {
 	if b.random.intN(int(max(1, b.settings.Relays))) < loggingRelays {
 		b.host.Log(message, fields...)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,18 +9,18 @@
 // fails most of its attempts, against the null hypothesis that it fails as this relay's last attempts did. An ejected
 // backend is on probation: it gets single attempts, more often the longer they succeed, and is readmitted when the
 // interval between them is short enough. A silent backend, which has left all attempts unanswered for long, is on
-// probation in the same way. A backend that recently failed more than others is degraded and comes last in the relay's
-// order.
+// probation in the same way. A backend that recently failed more than backends do on average is degraded and comes last
+// in the relay's order.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
 // answer in ticks; in a fleet, the findings of other relays.
 //
-// The rules guard against backends that fail, fall silent or run out of connections, perhaps for this relay alone. Such
-// a backend shows as one of many at which attempts fail. The test compares with the relay's own last outcomes, so a
-// failure that affects all backends ejects none.
+// The rules guard against backends that fail, fall silent or run out of connections, possibly only as seen by this
+// relay. Such a fault shows as attempts that fail at one backend among many. The test compares with the relay's own
+// last outcomes, so a failure that affects all backends ejects none.
 
 const (
-	// ejectionFailureShare is the failure share of a backend that should be ejected.
+	// ejectionFailureShare is the failure share that the test assumes of a backend that should be ejected.
 	ejectionFailureShare = 0.75
 	// ejectionWealth is the wealth of the test at which a backend is ejected. It lies below the 53 that three failures
 	// in a row reach if the null share is minNullShare, and above the 14 of two failures.
@@ -31,8 +31,8 @@
 	minNullShare      = 0.2
 	maxNullShare      = 0.7
 	nullShareMultiple = 1.5
-	// silenceShare bounds how long a backend may leave all attempts unanswered: for this share of the shortest latency
-	// objective.
+	// silenceShare is a share of the shortest latency objective: a warm backend that leaves all attempts unanswered for
+	// longer is silent.
 	silenceShare = 0.6
 	// degradedMargin is how far the failure share of a degraded backend exceeds that of all backends.
 	degradedMargin = 0.25
@@ -52,7 +52,8 @@
 	// mostOnProbationDivisor defines when most backends are on probation: at most one in this many backends is not on
 	// probation. The cause is then taken to be this relay itself.
 	mostOnProbationDivisor = 8
-	// avoidedDivisor limits the backends that are avoided because other relays have ejected them to one in this many.
+	// avoidedDivisor limits how many backends are avoided because other relays have ejected them: while one in
+	// avoidedDivisor or more is ejected or avoided, no further backend is avoided for this reason.
 	avoidedDivisor = 4
 	// backendSampleSize is the number of outcomes that are kept for each backend.
 	backendSampleSize = 16
@@ -77,7 +78,7 @@
 	mostOnProbation bool      // nearly every backend is on probation, as when this relay stalls
 }
 
-// newEjection returns a state whose sample contains only successes, as backends are assumed to be healthy at first.
+// newEjection returns a state whose sample contains only successes, as backends are assumed to be healthy at the start.
 func newEjection() ejection {
 	return ejection{recentFailures: make([]float64, backendSampleSize)}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -24,8 +24,8 @@
 	check(t, "ejected while all backends fail", backend.ejected, false)
 }
 
-// TestOutlier_RelayStallPutsMostOnProbation: a relay that stalls finds every backend silent at once. That says nothing
-// about the backends.
+// TestOutlier_RelayStallPutsMostOnProbation: a relay that stalls finds every backend silent at once. The cause is the
+// relay and not the backends, and mostOnProbation records this.
 func TestOutlier_RelayStallPutsMostOnProbation(t *testing.T) {
 	b := newFixture(nil)
 	for i := range 3 {
--- a/balancer/random.go
+++ b/balancer/random.go
@@ -8,7 +8,7 @@
 	// carryMultiplier gives the generator a period of about 2^63.
 	carryMultiplier = 4294957665
 	// carryModulus is one below the multiplier. A carry ranges from 0 to carryModulus, and with a word of 0 and a carry
-	// of 0 the generator would stand still. newRandom therefore starts with a carry of at least 1.
+	// of 0 the generator would return only zeros. newRandom therefore starts with a carry of at least 1.
 	carryModulus = carryMultiplier - 1
 )
 
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// A request whose attempt has failed gets another attempt if its class allows one at any backend and the fleet's retry
-// budget has one left. An attempt at a silent backend is cancelled early, so that another backend can serve the request
-// in time. A request that fails twice, at two backends unless it is pinned to one, counts as at fault itself.
+// A request whose attempt has failed gets another attempt if its class allows a repeat at one of the backends and the
+// fleet's retry budget has a retry left. An attempt at a silent backend is cancelled early, so that another backend can
+// serve the request in time. A request that fails twice, at two backends unless it is pinned to one, counts as at fault
+// itself.
 //
 // Inputs: the outcomes of a request's attempts, the settings' limit on their number, the fleet's decision on each
 // retry, and the silence of the backend.
@@ -99,9 +100,9 @@
 	return r.Pinned && r.attempts[len(r.attempts)-1].outcome == AtCapacity
 }
 
-// cancelAndRetry cancels an attempt at a silent backend if its request can still be served elsewhere. It guards against
-// backends that are dead or hang and against broken links, at which requests would wait for their time-out. Silence is
-// detected well before the time-out.
+// cancelAndRetry cancels an attempt at a silent backend if its request can still be served by another backend. It
+// guards against backends that are dead or hang and against broken links, at which requests would wait for their
+// time-out. Silence is detected well before the time-out.
 func (b *Balancer) cancelAndRetry(a *Attempt) {
 	if b.cancelBudget < 1 || !b.cancellable(a) || !b.reserveRetry(a.Request) {
 		return
@@ -125,7 +126,8 @@
 	return b.class(r).Idempotency != AtMostOnce && a.Number+1 < b.settings.Limits.MaxAttempts
 }
 
-// recordOutcome counts the end of an attempt for the load, the backend, the version or the request itself.
+// recordOutcome counts the end of an attempt towards the concurrency limit and the health of its backend, and as
+// evidence on its version or the request itself.
 func (b *Balancer) recordOutcome(a *Attempt) {
 	if a.outcome == AtCapacity && a.Request.Pinned {
 		return // the instance runs elsewhere: the placement was outdated, and the backend is not at fault
@@ -140,9 +142,9 @@
 	b.recordForVersion(a, b.now > a.slowAfter || a.outcome == TimedOut)
 }
 
-// deferFailure reports whether the end of an attempt does not count against its version now. If a request fails and is
-// retried, its failure waits for the next answer. If that answer is a success, the version of the first attempt has
-// failed. If the retry fails too, the request itself is at fault.
+// deferFailure reports whether the end of an attempt must not count as evidence on its version now. If a request fails
+// and is retried, its failure waits for the next answer. If that answer is a success, the version of the first attempt
+// has failed. If the retry fails too, the request itself is at fault.
 //
 // The delay guards against requests that fail everywhere, which would cause good versions to be rolled back: such a
 // request fails at any version. The delay does harm if a version fails all attempts of a class at every backend.
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -71,8 +71,8 @@
 	check(t, "counted outcomes", n, 1)
 }
 
-// TestRetry_CancelledAttemptTakesOneRetry: an attempt is cancelled only if the fleet allows another one, and that
-// attempt does not ask the fleet again.
+// TestRetry_CancelledAttemptTakesOneRetry: an attempt is cancelled only if the fleet allows a retry. When the retry
+// starts, the relay does not ask the fleet again.
 func TestRetry_CancelledAttemptTakesOneRetry(t *testing.T) {
 	for _, retries := range []int{0, 1} {
 		b, host := newFleetFixture(retries, true)
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -10,15 +10,16 @@
 // This file evaluates canaries. Outcomes at a canary are compared with those at the baseline, the version before it, in
 // several streams: all requests, each class, wrong answers, slowness, resets, and the counts of the release API. If the
 // sequential test of any stream rejects, it raises an alarm, which makes the relay vote to roll back. Before a vote to
-// promote, the dual of that test rules out, for each class with traffic, that the canary's failure share exceeds the
-// baseline's by the effect. A timed vote may be cast without this; see readyToPromote.
+// promote, sequential.EffectTest must rule out, for each class with traffic, that the canary's failure share exceeds
+// the baseline's by ruledOutEffect. A timed vote may be cast without this evidence; see readyToPromote.
 //
 // The inputs are the outcomes of attempts at both versions (1 is bad), reports of wrong answers, and the counts of the
 // release API.
 //
-// This detects versions that fail a class, a part of the requests, or only some time after their start: they cause more
-// failures at the canary than at the baseline. The probability of an alarm without such a difference is bounded over
-// the whole rollout, and the probability of promoting a version with the effect is bounded for each class.
+// The evaluation detects versions that fail a class, a part of the requests, or only some time after their start: they
+// cause more failures at the canary than at the baseline. The probability of an alarm without such a difference is
+// bounded over the whole rollout, and so is, for each class, the probability of promoting a version whose failure share
+// exceeds the baseline's by ruledOutEffect.
 
 const (
 	// failureMargin is how far the canary's failure share may exceed the baseline's.
@@ -68,7 +69,7 @@
 	// Stage is the current stage, from 0.
 	Stage int
 	Phase RolloutPhase
-	// VoteReply reports whether this is the reply to this relay's vote. Outcome then says how the vote ended.
+	// VoteReply reports whether the message is the reply to this relay's vote. Outcome then says how the vote ended.
 	VoteReply bool
 	// Outcome is Succeeded if the other fields are valid. For any other value, such as that of a vote that does not
 	// count, only VoteReply and Outcome are read.
@@ -207,8 +208,8 @@
 		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keyFilter) bool { return by < status.Version })
 	}
 	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
-		// The lower cap applies at once to the attempts counted so far. Counting restarts after the drain grace, during
-		// which the site still excuses attempts.
+		// The lower cap applies at once, also to the attempts counted so far. Counting restarts after DrainGrace,
+		// during which the site still excuses attempts over the lower cap.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -3,8 +3,8 @@
 import "strconv"
 
 // The relay takes the first backends in its own order that may take a request, draws two of them, and sends the request
-// to the one with fewer attempts in flight (power of two choices). A canary gets the first attempt of a request if
-// exposure credit is due, and every request that no other version can take.
+// to the one with fewer attempts in flight (power of two choices). A canary gets the first attempt of a request if the
+// exposure credit is at least 1. Within the exposure cap, it also gets the requests that no stable backend can take.
 //
 // Inputs: the backends in the relay's own order, the attempts in flight at each, relative latencies to break ties, and
 // the exposure credit of the request's class.
@@ -14,9 +14,9 @@
 
 const (
 	// minSubsetSize is the least number of backends that a relay chooses from. One more is added for each request that
-	// arrives within a latency objective. The subset guards against hundreds of relays that reach every backend: the
-	// connections would cost more than they bring, and a relay would see next to nothing of each backend. A small relay
-	// keeps to a few backends, by an order of its own.
+	// arrives within the shortest latency objective. If each of hundreds of relays sent to every backend, the
+	// connections would cost more than they are worth, and a relay would see almost no traffic at each backend. A relay
+	// with little traffic therefore uses only the first few backends in its own random order.
 	minSubsetSize = 5
 	// minCanarySubsetSize is the least number of a canary's backends that a relay chooses from. The canary's part of
 	// subsetSize is added.
@@ -42,7 +42,7 @@
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
 	RefusedBySlowStart           // the backend is warming up, and its slow-start budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
-	RefusedByDegradation         // the backend failed recently, and others are available
+	RefusedByDegradation         // the backend failed recently, and enough other backends are available
 	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
 )
 
@@ -79,9 +79,9 @@
 	}
 }
 
-// eligibleBackends returns the first backends in the relay's order that may take a request, those of a canary
-// separately. It stores the highest refusal of the other backends in the request. Both lists are valid until the next
-// call.
+// eligibleBackends returns the first backends in the relay's order that may take a request, with those of a canary in a
+// separate list. It stores in the request the highest refusal of the backends that may not take it. Both lists are
+// valid until the next call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
@@ -109,7 +109,8 @@
 	return stable, canary
 }
 
-// checkBackend returns why a backend may not take a request, in the order of the constants.
+// checkBackend returns the first reason, in the order of the constants of type Refusal, why a backend may not take a
+// request, or NotRefused.
 func (b *Balancer) checkBackend(r *Request, backend *Backend) Refusal {
 	if refusal := b.checkHardConstraints(r, r.attempts, backend); refusal != NotRefused {
 		return refusal
@@ -141,7 +142,7 @@
 }
 
 // excludedByLastAttempt reports whether a backend may not take a request because it had the last attempt. A pinned
-// request has no other backend: it may go there again after a pause that doubles with each attempt.
+// request has no other backend, so it may go to the same backend again after a pause that doubles with each attempt.
 func (b *Balancer) excludedByLastAttempt(r *Request, backend *Backend) bool {
 	n := len(r.attempts)
 	if n == 0 || r.attempts[n-1].Backend != backend {
@@ -150,8 +151,8 @@
 	return !r.Pinned || b.now < r.attempts[n-1].chosenAt+timerInterval<<n
 }
 
-// pickVersion picks the backends of the canary or the stable ones. The part of the exposure cap that first attempts
-// leave over is for requests that no stable backend can take.
+// pickVersion picks the backends of the canary or the stable ones. The part of the exposure cap that first attempts do
+// not use is reserved for requests that no stable backend can take.
 func (b *Balancer) pickVersion(r *Request, stable, canary []*Backend) []*Backend {
 	if len(stable) == 0 {
 		return canary
--- a/balancer/routing_test.go
+++ b/balancer/routing_test.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// TestRouting_PinnedRequestFollowsItsInstance: a pinned request goes only to the backend of its instance, and after a
-// pause if that backend refused it. It waits while the instance runs nowhere. Refused pinned requests eject no backend
-// and lower no limit.
+// TestRouting_PinnedRequestFollowsItsInstance: a pinned request goes only to the backend of its instance. If that
+// backend refuses the request, the request goes there again after a pause. The request waits while the instance runs
+// nowhere. Refused pinned requests eject no backend and lower no limit.
 func TestRouting_PinnedRequestFollowsItsInstance(t *testing.T) {
 	b := newFixture(nil)
 	first, second := b.addBackend(1, 1, 0), b.addBackend(2, 1, 0)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Seconds is a duration as the site's documents give it. It is stored as a number of seconds, so that each reader
-// converts it once, to its own unit. The zero value is no time at all, which is also the meaning of a missing setting
-// unless its field says otherwise.
+// Seconds is a duration as the site's documents give it. It is stored as a number of seconds, so that each user of the
+// value converts it once, to its own unit. The zero value is a duration of zero, which is also the meaning of a missing
+// setting unless its field says otherwise.
 type Seconds float64
 
 // Ticks converts the duration to the balancer's clock, rounded towards zero.
@@ -19,9 +19,9 @@
 type Settings struct {
 	// Relays is the number of relays that share the backends. Range: 0 to 1,000,000; values below 1 count as 1.
 	Relays float64
-	// Discovery is how changes of the endpoint list reach the relay. Missing: DiscoveryAutomatic.
+	// Discovery is how changes of the endpoint list reach the relay. If missing: DiscoveryAutomatic.
 	Discovery DiscoveryMode
-	// Classes are the request classes, in the order of their indexes in requests. At least one.
+	// Classes are the request classes, in the order of their indexes in requests. There is at least one class.
 	Classes []RequestClass
 
 	Limits    Limits
@@ -43,25 +43,25 @@
 
 // RequestClass is the site's description of one kind of requests.
 type RequestClass struct {
-	// Name is the site's name for the class. Not empty, and unique among the classes.
+	// Name is the site's name for the class. It is not empty, and no other class has the same name.
 	Name string
-	// Idempotency is the possible effect of a second attempt. Missing or unknown: at most once.
+	// Idempotency says whether a second attempt may have a second effect. If missing or unknown: at most once.
 	Idempotency Idempotency
-	// DedupScope is which backends drop repeats of an idempotency key. Missing or unknown: no backend is relied on to
-	// drop them.
+	// DedupScope says which backends drop repeats of an idempotency key. If missing or unknown: no backend is relied on
+	// to drop them.
 	DedupScope DedupScope
-	// DedupWindow is how long the backends of DedupScope drop repeats, from the first attempt that may have run.
-	// Missing: 0, not unlimited.
+	// DedupWindow is how long the backends of DedupScope drop repeats, from the first attempt that may have run. If
+	// missing: 0, which does not mean unlimited.
 	DedupWindow Seconds
-	// LatencyObjective is the time within which an answer has its full value. Missing: the deadline.
+	// LatencyObjective is the time within which an answer has its full value. If missing: the deadline.
 	LatencyObjective Seconds
-	// Deadline is how long a client waits in total, over all its tries. Missing: the latency objective.
+	// Deadline is how long a client waits in total, over all its tries. If missing: the latency objective.
 	Deadline Seconds
-	// PriorityWeight is the value of a request relative to those of other classes. Range: 0 and above. Missing: 0.
+	// PriorityWeight is the value of a request relative to those of other classes. Range: 0 and above. If missing: 0.
 	PriorityWeight float64
 }
 
-// Idempotency is the possible effect of a second attempt of a request.
+// Idempotency says whether a second attempt of a request may have a second effect.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -87,89 +87,92 @@
 
 // Limits holds the site's limits on what a relay does.
 type Limits struct {
-	// MaxAttempts is the maximum number of attempts of a request. Range: 1 to 32. Missing: 1 (set by the parser).
+	// MaxAttempts is the maximum number of attempts of a request. Range: 1 to 32. If missing: 1 (set by the parser).
 	MaxAttempts int
-	// MayCancel allows cancelling an attempt that is in flight. Missing: false.
+	// MayCancel allows cancelling an attempt that is in flight. If missing: false.
 	MayCancel bool
-	// RetryAfter reports whether clients honour a retry time that is sent with a rejection. Missing: false.
+	// RetryAfter reports whether clients honour a retry time that is sent with a rejection. If missing: false.
 	RetryAfter bool
-	// MaxRetryAfter is the longest retry time that may be sent. Missing: 0, with which no retry time is sent.
+	// MaxRetryAfter is the longest retry time that may be sent. If missing: 0, with which no retry time is sent.
 	MaxRetryAfter Seconds
-	// ConnectTimeout is how long establishing a connection to a backend may take. Only the relay's connections read it.
-	// Missing or 0: the longest deadline of a class (set by the parser).
+	// ConnectTimeout is how long establishing a connection to a backend may take. The relay's connections use it; the
+	// balancer does not read it. If missing or 0: the longest deadline of a class (set by the parser).
 	ConnectTimeout Seconds
-	// IdleTimeout is how long a connection may be idle before it is closed. Missing: 0, not unlimited.
+	// IdleTimeout is how long a connection may be idle before it is closed. If missing: 0, which does not mean
+	// unlimited.
 	IdleTimeout Seconds
-	// Gossip allows messages between the relays. Missing: false.
+	// Gossip allows messages between the relays. If missing: false.
 	Gossip bool
 }
 
 // EndpointRules holds the site's rules for the endpoint list.
 type EndpointRules struct {
 	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
-	// lowered. Missing: 0, not unlimited.
+	// lowered. If missing: 0, which does not mean unlimited.
 	DrainGrace Seconds
-	// PollInterval is the longest interval at which the site wants a relay without a subscription to request the
-	// endpoint list. If a relay has not requested the list for this long, the site treats it as informed of the entries
-	// listed then; after a failed request, the site waits four times as long. schedulePoll keeps its pauses to half of
-	// PollInterval. Missing: one second.
+	// PollInterval is the longest time that the site allows between two requests for the endpoint list by a relay
+	// without a subscription. Once this time has passed since the last request, the site treats the relay as informed
+	// of the entries that are listed at that moment. After a failed request, the site waits four times as long.
+	// schedulePoll limits its mean pause to half of PollInterval, or to one second if that is longer. If PollInterval
+	// is missing, the limit is one second.
 	PollInterval Seconds
 }
 
 // SlowStart holds the site's rules for backends that have just started.
 type SlowStart struct {
-	// Window is how long a backend warms up. Missing or 0: no warm-up.
+	// Window is how long a backend warms up. If missing or 0: no warm-up.
 	Window Seconds
-	// InitialFraction is the fraction of its capacity that a backend has when it starts. Range: 0 to 1. Missing: 0.
+	// InitialFraction is the fraction of its capacity that a backend has when it starts. Range: 0 to 1. If missing: 0.
 	InitialFraction float64
 	// OverloadMultiple is the multiple of its current capacity that overloads a backend that is warming up. Range: 0
 	// and above.
 	OverloadMultiple float64
-	// OverloadWindow is the time over which the load for OverloadMultiple is counted. Missing or 0: Window (set by the
-	// parser).
+	// OverloadWindow is the time over which the load for OverloadMultiple is counted. If missing or 0: Window (set by
+	// the parser).
 	OverloadWindow Seconds
 }
 
 // Rollout holds the site's rules for staged rollouts.
 type Rollout struct {
-	// Control is what advances a rollout from stage to stage. Missing or unknown: votes.
+	// Control is what advances a rollout from stage to stage. If missing or unknown: votes.
 	Control RolloutControl
 	// StageShares is the share of the backends that run the new version, for each stage. Range of each: 0 to 1.
 	StageShares []float64
 	// StageCaps is the exposure cap of each stage: the share of the requests whose attempts may go to the new version.
-	// Range of each: 0 to 1. Missing: 0, which allows none.
+	// Range of each: 0 to 1. If missing: 0, which allows no attempts.
 	StageCaps []float64
 	// GuardedStages is the number of initial stages in which only idempotent requests may go to the new version. Range:
-	// 0 to 1,000. Missing: 0.
+	// 0 to 1,000. If missing: 0.
 	GuardedStages int
-	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above.
-	// Missing, or without a window: 0 (set by the parser).
+	// ExposureFree is the number of attempts per window that the exposure cap does not count. Range: 0 and above. If
+	// missing, or without a window: 0 (set by the parser).
 	ExposureFree float64
-	// ExposureWindow is the time over which exposure is counted. Missing: 0, not unlimited.
+	// ExposureWindow is the time over which exposure is counted. If missing: 0, which does not mean unlimited.
 	ExposureWindow Seconds
-	// ExposurePerClass reports whether exposure is counted per class. Missing: one count for all classes.
+	// ExposurePerClass reports whether exposure is counted per class. If missing: one count for all classes.
 	ExposurePerClass bool
-	// ForwardOnly forbids asking an earlier version for a key once a later version has answered for that key. Missing:
-	// false.
+	// ForwardOnly forbids asking an earlier version for a key once a later version has answered for that key. If
+	// missing: false.
 	ForwardOnly bool
-	// FoundShare is the share of the wrong answers that clients detect and report. Range: 0 to 1. Missing: 0.
+	// FoundShare is the share of the wrong answers that clients detect and report. Range: 0 to 1. If missing: 0.
 	FoundShare float64
-	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. Missing: the
-	// release API counts no outcomes.
+	// MetricsPeriod is the period over which the release API counts the outcomes of all relays. If missing: the release
+	// API counts no outcomes.
 	MetricsPeriod Seconds
-	// VoteLifetime is how long a vote is valid. Missing: 0, not unlimited.
+	// VoteLifetime is how long a vote is valid. If missing: 0, which does not mean unlimited.
 	VoteLifetime Seconds
-	// VoteTimeout is how long the reply to a vote may take, besides voteReplyGrace. Missing: 0, not unlimited.
+	// VoteTimeout is how long the reply to a vote may take, besides voteReplyGrace. If missing: 0, which does not mean
+	// unlimited.
 	VoteTimeout Seconds
-	// VotesPerSecond is the rate of votes from all relays that the release API accepts. Range: 0 and above. Missing: 0,
-	// which counts as one in ten seconds.
+	// VotesPerSecond is the rate of votes from all relays that the release API accepts. Range: 0 and above. If missing:
+	// 0, which counts as one in ten seconds.
 	VotesPerSecond float64
 
-	// ReportWithin is the time within which reports of wrong answers are expected. It is set by the operator. Missing:
-	// 0, which waits for no such evidence.
+	// ReportWithin is the time within which reports of wrong answers are expected. It is set by the operator. If
+	// missing: 0, and no vote waits for evidence on wrong answers.
 	ReportWithin Seconds
-	// EvidenceWait is how long a stage waits for evidence on classes that lack it. It is set by the operator. Missing:
-	// 0.
+	// EvidenceWait is how long a stage must have lasted before a timed vote to promote may be cast without the evidence
+	// that rules out ruledOutEffect. It is set by the operator. If missing: 0.
 	EvidenceWait Seconds
 }
 
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,23 +3,25 @@
 import "math"
 
 // In any window of the site's length, a backend that warms up gets from all relays together no more than a multiple of
-// its present capacity. No relay knows what others send, so each keeps to a part of its own rate at warm backends.
-// Since all relays do so, the sum stays within the limit.
+// its present capacity. No relay knows how much the other relays send, so each relay limits itself to a part of its own
+// rate at warm backends. If every relay does so, the sum stays within the limit.
 //
 // Inputs: the start time of a backend and the site's slow-start settings, the relay's rate at a warm backend in
 // successes per second, the number of relays, and the times of the attempts within the window.
 //
 // Slow start guards against backends that collapse while they are cold, as after a restart when all relays send to the
 // backend at once. The parts add up to less than the site allows. If a relay's part is less than one attempt per
-// window, it accrues from a random moment on, and the parts leave room for the random coincidence of several relays.
+// window, the relay accrues it over time and sends an attempt when one has accrued. The first attempt needs only a
+// random fraction of that time. The parts also leave room for several relays that happen to send in the same window.
 
 const (
 	// slowStartShare is the share of the site's allowance that is used.
 	slowStartShare = 0.85
-	// slowStartDeviations is how many standard deviations of random variation are left free within that share.
+	// slowStartDeviations is how many standard deviations of the number of attempts are left free within
+	// slowStartShare, for relays that happen to send in the same window.
 	slowStartDeviations = 3
 	// minSlowStartAttempts is the number of attempts in a window that overload no backend, whatever its capacity: the
-	// site's rule has a slack of two.
+	// site's rule allows two attempts above its limit.
 	minSlowStartAttempts = 1
 )
 
@@ -55,7 +57,9 @@
 	backend.warmUpSends = dropBefore(backend.warmUpSends, b.now-window-1)
 	budget := b.slowStartBudget(fraction, window)
 	if budget >= 1 {
-		return float64(len(backend.warmUpSends))+1 <= budget // if every relay rounded up, they would send up to twice the limit
+		// The budget is not rounded up: if every relay rounded it up, the relays together would send up to twice the
+		// limit.
+		return float64(len(backend.warmUpSends))+1 <= budget
 	}
 	return float64(b.now-backend.lastWarmUpSend)*budget >= float64(window)*backend.warmUpCreditNeeded
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -15,8 +15,8 @@
 	Succeeded Outcome = 1 + iota
 	// Errored means that the backend answered with an error.
 	Errored
-	// AtCapacity means that the backend refused the attempt without serving it. For a vote, the release API accepts no
-	// more votes at the moment.
+	// AtCapacity means that the backend refused the attempt without serving it. For a vote, AtCapacity means that the
+	// release API accepts no more votes at the moment.
 	AtCapacity
 	// TimedOut means that no answer arrived in time.
 	TimedOut
@@ -26,8 +26,8 @@
 	Reset
 	// Cancelled means that the relay stopped waiting for the answer.
 	Cancelled
-	// Discarded means that the attempt was never sent. For a vote, it does not count because the stage that it was cast
-	// on has passed.
+	// Discarded means that the attempt was never sent. For a vote, Discarded means that the vote does not count because
+	// the stage that it was cast on has passed.
 	Discarded
 )
 
@@ -79,7 +79,7 @@
 type requestState uint8
 
 const (
-	requestInFlight requestState = iota // the request has an attempt in flight, or has just arrived or lost its attempt
+	requestInFlight requestState = iota // the request has an attempt in flight, or is about to be queued
 	requestQueued                       // the request waits for a backend
 	requestAnswered                     // the request needs no further answer; serveQueue drops it if it is queued
 )
@@ -130,7 +130,7 @@
 	Removed EndpointState = iota
 	// Ready means that the backend accepts requests.
 	Ready
-	// Draining means that the backend finishes its requests and gets no new ones.
+	// Draining means that the backend finishes its requests and gets no new requests.
 	Draining
 )
 
@@ -156,9 +156,9 @@
 	listed            bool
 	inFlight          int
 	waitingSince      Tick      // when an attempt was last started while the backend had none in flight
-	lastAnswer        Tick      // when the backend last showed any sign of life, such as an answer or a reset
+	lastAnswer        Tick      // when the backend last reacted to an attempt, for instance with an answer or a reset
 	successTimes      []Tick    // when the last successful attempts ended
-	relativeLatencies []float64 // latencies of the last attempts, as fractions of the time until lateAfter
+	relativeLatencies []float64 // latencies of the last attempts, as fractions of the time from chosenAt to lateAfter
 
 	backendHealth
 	warmUp
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -6,10 +6,11 @@
 )
 
 // This file decides how the relay votes on a rollout. A relay with an alarm votes to roll back. If votes advance the
-// rollout, a relay without an alarm votes to promote once the stage has enough outcomes and the effect is ruled out, or
-// once the stage has lasted long enough (a timed vote), unless a detector is half-way to an alarm. If the clock
-// advances the rollout, a detector half-way to an alarm makes the relay vote to pause. Whether and when a vote is cast
-// is random: the probability and the delay are chosen so that the release API can accept the votes if all relays vote.
+// rollout, a relay without an alarm votes to promote once the stage has enough outcomes and ruledOutEffect is ruled
+// out, or once the stage has lasted long enough (a timed vote). It does not vote to promote while a detector is
+// half-way to an alarm. If the clock advances the rollout, a detector half-way to an alarm makes the relay vote to
+// pause. Whether and when a vote is cast is random: the probability and the delay are chosen so that the release API
+// can accept the votes if all relays vote.
 //
 // The inputs are the evidence of rollout.go, the release API's status and its age, the endpoint list, the number of
 // relays, and the rate of votes per second that the release API accepts.
@@ -23,12 +24,13 @@
 	// minOutcomesIfSlow is the number of outcomes in a stage that a vote to promote needs while the baseline is slower
 	// than before the rollout or the canary appears slow.
 	minOutcomesIfSlow = 60
-	// minOutcomesTimed is the most outcomes that a timed vote needs. With many relays it needs fewer (see
-	// timedVoteDue).
+	// minOutcomesTimed is the number of outcomes that a timed vote needs if there are few relays. With many relays a
+	// timed vote needs fewer (see timedVoteDue).
 	minOutcomesTimed = 6
-	// timedVoteAfter is how long a stage must have lasted before a timed vote, which needs fewer outcomes.
+	// timedVoteAfter is how long a stage must have lasted before a timed vote, which needs fewer outcomes than another
+	// vote to promote.
 	timedVoteAfter = 3 * Second
-	// minVoteRate replaces a missing rate of votes per second in the settings.
+	// minVoteRate is the lower limit of the rate of votes per second in the settings. It also replaces a missing rate.
 	minVoteRate = 0.1
 	// voteChanceSteps is the resolution of the random draw that decides whether a vote is cast.
 	voteChanceSteps = 1000
@@ -124,8 +126,8 @@
 }
 
 // readyToPromote reports whether there is enough evidence for a vote to promote. A timed vote needs no minimum number
-// of outcomes in the stage, and once the stage has lasted for EvidenceWait, it does not need the effect to be ruled
-// out. Answers whose reports would have arrived by now are counted first.
+// of outcomes in the stage. Once the stage has lasted for EvidenceWait, a timed vote does not need ruledOutEffect to be
+// ruled out either. Answers whose reports would have arrived by now are counted first.
 func (b *Balancer) readyToPromote(required int, timedVote bool) bool {
 	b.countUnreportedAnswers()
 	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= required || timedVote) {
@@ -138,8 +140,8 @@
 // later one if more backends run the version than the announced stage allows, or if replies to votes showed that stages
 // have passed. A stage that is recognized in this way starts now, and its outcomes are counted from zero.
 //
-// If restarted backends of the version appear in the list under new names, this stage can be too high and votes too
-// early.
+// If restarted backends of the version appear in the list under new names, the returned stage can be too high, and the
+// relay then votes too early.
 func (b *Balancer) advanceStage() int {
 	e, stage := b.evaluation, b.release.Stage
 	if e == nil || e.version != b.release.Version || b.release.Phase != Canary {
@@ -178,7 +180,7 @@
 	}
 	if v.state == voteScheduled {
 		b.castVote()
-	} else { // draw again
+	} else { // the next call of considerVote draws again
 		v.state = voteNone
 	}
 }
