--- a/balancer/sequential/effect.go
+++ b/balancer/sequential/effect.go
@@ -1,10 +1,10 @@
 package sequential
 
 const (
-	// missProbability is the probability with which an effect that exists may still be ruled out.
+	// missProbability is the upper limit of the probability that a test rules out an effect that exists.
 	missProbability = 0.05
-	// maxMeanWithEffect bounds the mean with the effect that is tested for, so that a good outcome keeps some
-	// probability even with the effect.
+	// maxMeanWithEffect is the upper limit of the baseline plus the effect. Being below 1, it keeps the probability of
+	// a good outcome above 0 under the hypothesis that the effect exists.
 	maxMeanWithEffect = 0.95
 )
 
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -13,8 +13,8 @@
 // While the mean is at most b, wealth is a non-negative supermartingale. By Ville's inequality, the probability that it
 // ever reaches 1/level is at most the level.
 //
-// EffectTest is the dual: it rules out that the mean is higher by an effect. The absence of an alarm from the detector
-// does not rule the effect out.
+// EffectTest is the dual of the detector: it rules out that the mean exceeds a baseline by a given difference, the
+// effect. The absence of an alarm from the detector does not rule the effect out.
 package sequential
 
 import (
@@ -25,12 +25,13 @@
 const (
 	// Margin is how far the mean may exceed the failure share that it is compared with, as a share of the outcomes.
 	Margin = 0.02
-	// FalseAlarmBudget is α, the probability of any false alarm, which all streams of one comparison share.
+	// FalseAlarmBudget is α, the bound on the probability of any false alarm. The streams of one comparison divide it
+	// among them.
 	FalseAlarmBudget = 0.01
 
-	// maxOpenTests bounds the memory and the computation of one detector.
+	// maxOpenTests is the maximum number of open tests of a detector. It bounds the memory and the computation.
 	maxOpenTests = 32
-	// permanentTests is the number of the first tests that are never replaced.
+	// permanentTests is how many of the first tests are never replaced.
 	permanentTests = maxOpenTests / 2
 	// priorMeanMultiple is the mean of the outcomes that a new test expects, as a multiple of the bound.
 	priorMeanMultiple = 4
@@ -71,9 +72,9 @@
 // Outcomes returns the number of outcomes so far.
 func (d *Detector) Outcomes() int { return d.outcomes }
 
-// Observe adds an outcome between 0 (good) and 1 (bad), tested against a mean of bound, which must be above 0 and below
-// 1. It opens a test that begins with this outcome, and reports whether any test rejects. The alarm is that of the
-// first such test.
+// Observe adds an outcome between 0 (good) and 1 (bad) and tests whether the mean exceeds bound, which must be above 0
+// and below 1. It opens a test that begins with this outcome, and reports whether any test rejects. The alarm is that
+// of the first such test.
 func (d *Detector) Observe(outcome, bound float64) (alarm Alarm, raised bool) {
 	d.outcomes++
 	d.openTest(bettingTest{start: d.outcomes, wealth: 1})
--- a/balancer/sequential/sequential_test.go
+++ b/balancer/sequential/sequential_test.go
@@ -16,7 +16,8 @@
 
 func TestDetector_Wealth(t *testing.T) {
 	// With a bound of 0.1, a new test expects a mean of 4 x 0.1. A first failure bets (0.4-0.1)/(0.1*0.9), so wealth
-	// becomes 0.4/0.1; a first good outcome leaves 0.6/0.9. The next expected mean is (failures+0.4)/(seen+1).
+	// becomes 0.4/0.1; a first good outcome leaves 0.6/0.9. The next expected mean is (failures+0.4)/(n+1) after n
+	// outcomes.
 	for _, c := range []struct {
 		name     string
 		outcomes []float64
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestEffectTest_RulesOut checks that 14 good outcomes at a baseline share of 0.01 rule out a failure share that is
-// higher by the effect, and that no number of outcomes rules it out if it is the true share.
+// TestEffectTest_RulesOut checks that 14 good outcomes at a baseline share of 0.01 rule out the baseline share plus the
+// effect, and that no number of outcomes rules out this share if it is the true one.
 func TestEffectTest_RulesOut(t *testing.T) {
 	const effect = 0.2
 	for _, c := range []struct {
