--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -46,7 +46,7 @@
 	callNote
 )
 
-// Trace is the record of one run of any number of balancers. It is not safe for concurrent use.
+// Trace is the record of one run, in which any number of balancers take part. It is not safe for concurrent use.
 type Trace struct {
 	hash        uint64
 	calls       int
@@ -73,13 +73,13 @@
 	}
 }
 
-// mix adds one value: FNV-1a on a whole word, then a shift that carries high bits to low ones.
+// mix adds one value to the hash: FNV-1a on a whole word, then a shift that carries high bits to low ones.
 func (t *Trace) mix(v uint64) {
 	t.hash = (t.hash ^ v) * fnvPrime
 	t.hash ^= t.hash >> 29
 }
 
-// request numbers requests in the order in which they first appear in the trace.
+// request returns the number of a request. Requests are numbered in the order in which they first appear in the trace.
 func (t *Trace) request(request *balancer.Request) uint64 {
 	n, known := t.requests[request]
 	if !known {
@@ -89,7 +89,7 @@
 	return n
 }
 
-// fleet is the interface that the host of a fleet implements in addition to balancer.Host.
+// fleet is the interface that the host of a relay in a fleet implements in addition to balancer.Host.
 type fleet interface {
 	AllowRetry(request *balancer.Request) bool
 	IsEjected(backend *balancer.Backend) bool
@@ -196,7 +196,7 @@
 	fleet fleet
 }
 
-// AllowRetry records an answer of the retry budget.
+// AllowRetry records whether the fleet allows a retry.
 func (r *fleetRecorder) AllowRetry(request *balancer.Request) bool {
 	allowed := r.fleet.AllowRetry(request)
 	r.add(callAllowRetry, r.trace.request(request), request.ID, bit(allowed))
@@ -237,8 +237,9 @@
 	return b.String()
 }
 
-// Compare compares traces by name with those of testdata/name, which a run with -update rewrites. Each line of the file holds a
-// name without spaces, the number of calls, the final hash, and a shorter hash after each thousand calls.
+// Compare compares each trace with the recorded one of the same name. The recorded traces are in testdata/name, where
+// name is the parameter; a run with -update rewrites this file. Each line of the file holds the name of a trace,
+// without spaces, the number of calls, the final hash, and a shorter hash after each thousand calls.
 func Compare(tb testing.TB, name string, traces map[string]*Trace) {
 	tb.Helper()
 	recorded := parseTraces(tb, golden.Recorded(tb, name, formatTraces(traces)))
@@ -259,7 +260,8 @@
 	}
 }
 
-// difference describes where two traces begin to differ. The first two fields are the number of calls and the final hash.
+// difference describes where two traces begin to differ. The first two fields of each trace are the number of calls and
+// the final hash.
 func difference(got, want []string) string {
 	for i := 2; i < min(len(got), len(want)); i++ {
 		if got[i] != want[i] {
--- a/internal/tick/tick.go
+++ b/internal/tick/tick.go
@@ -1,4 +1,5 @@
-// Package tick defines the unit of time in which decision modules count.
+// Package tick defines the unit of time that decisions are computed in, and its conversion to and from durations and
+// seconds.
 package tick
 
 import "time"
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,5 +1,5 @@
-// Package wakeup runs work that must be done when it falls due or is asked for. One goroutine does the work. It wakes
-// when the time that the work returned has passed, or earlier when Wake is called.
+// Package wakeup does recurring work in one goroutine. The work is done each time that it falls due, or earlier if Wake
+// is called. The work itself returns the time until it is due again.
 package wakeup
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Waker wakes one worker. New creates one; the zero value cannot be woken. Wake may be called from any goroutine, Run
-// by one goroutine at a time.
+// Waker wakes the goroutine that does the work in Run. Create one with New; Wake has no effect on the zero value. Wake
+// may be called from any goroutine, and Run by one goroutine at a time.
 type Waker struct {
 	wake chan struct{} // holds one wake-up, so that none is lost while the work runs
 }
