--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -74,8 +74,8 @@
 	switch {
 	case a.Backend.lastAnswer < a.chosenAt:
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
-		least := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
-		b.concurrencyLimit = max(least, b.concurrencyLimit*(1-limitDecrease))
+		minLimit := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
+		b.concurrencyLimit = max(minLimit, b.concurrencyLimit*(1-limitDecrease))
 	// An early answer raises the limit only if at least half of it was in use, counting the attempt that has ended.
 	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2:
 		b.concurrencyLimit *= 1 + limitIncrease
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -138,25 +138,25 @@
 }
 
 // recordAnswer adds an answer (0) or a report of a wrong answer (1) to the stream of wrong answers.
-func (b *Balancer) recordAnswer(version uint16, x float64) {
+func (b *Balancer) recordAnswer(version uint16, outcome float64) {
 	e, found := b.evaluation, b.settings.Rollout.FoundShare
 	if found == 0 {
 		return
 	}
 	if version < e.version {
-		b.baseline.wrong = appendBounded(b.baseline.wrong, x, rareSampleSize)
+		b.baseline.wrong = appendBounded(b.baseline.wrong, outcome, rareSampleSize)
 	}
 	if version != e.version {
 		return
 	}
-	e.samples.wrong = appendBounded(e.samples.wrong, x, rareSampleSize)
-	if x > 0 {
-		e.wrongEffect.Observe(x, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
+	e.samples.wrong = appendBounded(e.samples.wrong, outcome, rareSampleSize)
+	if outcome > 0 {
+		e.wrongEffect.Observe(outcome, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
 	} else if b.settings.Rollout.ReportWithin.Ticks() > 0 { // a report on this answer may still arrive
 		e.awaitingReports = appendBounded(e.awaitingReports, b.now, rareSampleSize)
 	}
-	b.addToGossip(len(b.settings.Classes), x)
-	b.observe(stream{kind: wrongAnswers}, x, b.wrongAnswerBound())
+	b.addToGossip(len(b.settings.Classes), outcome)
+	b.observe(stream{kind: wrongAnswers}, outcome, b.wrongAnswerBound())
 }
 
 // OnWrongAnswer handles a client's report that an answer was wrong. The report counts as one additional bad outcome.
@@ -183,13 +183,13 @@
 	e := b.evaluation
 	period := b.settings.Rollout.MetricsPeriod.Ticks()
 	for i := range min(outcomes, rareSampleSize) {
-		x := spreadOutcome(i, min(failed, outcomes), outcomes)
+		outcome := spreadOutcome(i, min(failed, outcomes), outcomes)
 		switch {
 		case version < e.version:
-			b.baseline.metrics = appendBounded(b.baseline.metrics, x, rareSampleSize)
+			b.baseline.metrics = appendBounded(b.baseline.metrics, outcome, rareSampleSize)
 			b.baselineMetricsAt = now
 		case version == e.version && b.baselineMetricsAt > 0 && now-b.baselineMetricsAt <= maxBaselineMetricsAge*period:
-			b.observe(stream{kind: releaseMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+failureMargin)
+			b.observe(stream{kind: releaseMetrics}, outcome, b.baseline.metricsShare()+canaryLoadMargin+failureMargin)
 		}
 	}
 	b.considerVote()
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -79,8 +79,8 @@
 	b.trimExposure(e, window)
 	// The site still counts the attempts that a previous process of this relay sent before it was killed, but this
 	// process does not know them. The allowance is therefore withheld in the first window after the start.
-	free := b.settings.Rollout.ExposureFree * indicator(b.now > b.startedAt+window)
-	return float64(len(e.attempts)+1) <= free+share*float64(len(e.arrivals))-exposureTolerance
+	allowance := b.settings.Rollout.ExposureFree * indicator(b.now > b.startedAt+window)
+	return float64(len(e.attempts)+1) <= allowance+share*float64(len(e.arrivals))-exposureTolerance
 }
 
 // trimExposure drops arrivals and attempts outside the window. A time that lies within a tick of the boundary counts in
@@ -107,8 +107,8 @@
 		return
 	}
 	share, _ := b.exposureCapOf(b.evaluation.version)
-	slower := max(0, mean(b.evaluation.samples.slow)-b.baseline.slowShare())
-	b.canaryFraction = firstAttemptCapShare * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slower/canarySlowdownMargin))
+	slowdown := max(0, mean(b.evaluation.samples.slow)-b.baseline.slowShare())
+	b.canaryFraction = firstAttemptCapShare * min(b.canaryFraction, share) * (1 - (1-1/slack)*min(1, slowdown/canarySlowdownMargin))
 }
 
 func firstOrZero(list []float64) float64 {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -65,10 +65,10 @@
 
 // addToGossip counts an outcome of the version under evaluation. The index is that of the class, or the number of
 // classes for wrong answers.
-func (b *Balancer) addToGossip(index int, x float64) {
+func (b *Balancer) addToGossip(index int, outcome float64) {
 	count := &b.gossipCounts[index]
 	count.Outcomes = min(count.Outcomes+1, MaxGossipOutcomes)
-	count.Bad = min(count.Bad+uint8(x), count.Outcomes)
+	count.Bad = min(count.Bad+uint8(outcome), count.Outcomes)
 }
 
 // sendGossip sends a message to all relays if one is due.
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -56,14 +56,14 @@
 }
 
 // covers reports whether the receiver drops a repeat of a request that the executor has run.
-func (s DedupScope) covers(ran, other *Backend) bool {
+func (s DedupScope) covers(executor, receiver *Backend) bool {
 	switch s {
 	case DedupEverywhere:
 		return true
 	case DedupZone:
-		return ran.Zone == other.Zone
+		return executor.Zone == receiver.Zone
 	case DedupCell:
-		return ran.Cell == other.Cell
+		return executor.Cell == receiver.Cell
 	}
 	return false
 }
@@ -95,8 +95,8 @@
 // released has answered the key. Answered keys are recorded only if Rollout.ForwardOnly is set; the earlier version
 // then cannot read what the later one has written.
 func (b *Balancer) mayServeKey(key uint64, version uint16) bool {
-	for by, keys := range b.answeredKeys {
-		if version < by && keys.mayContain(key) && b.mayBeReleased(by) {
+	for answeredBy, keys := range b.answeredKeys {
+		if version < answeredBy && keys.mayContain(key) && b.mayBeReleased(answeredBy) {
 			return false
 		}
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -105,18 +105,18 @@
 
 // recordTimeliness counts an attempt for its version, either as slow or as having ended before it was slow.
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
-	e, x := b.evaluation, indicator(slow)
+	e, outcome := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
 	// A busy relay keeps more, as it makes sampleSize attempts in a small part of a second.
 	size := sampleSize + len(b.successTimes)
 	switch {
 	case a.version < e.version:
-		b.baseline.slow = appendBounded(b.baseline.slow, x, size)
+		b.baseline.slow = appendBounded(b.baseline.slow, outcome, size)
 		b.baselineTimelinessAt = b.now
 	case a.version == e.version:
-		e.samples.slow = appendBounded(e.samples.slow, x, size)
+		e.samples.slow = appendBounded(e.samples.slow, outcome, size)
 		if !b.inBurst() {
-			b.observe(stream{kind: slowness}, x, b.slownessBound())
+			b.observe(stream{kind: slowness}, outcome, b.slownessBound())
 		}
 	}
 }
@@ -124,8 +124,8 @@
 // inBurst reports whether far more attempts succeed than before the rollout, in proportion to the warm capacity.
 func (b *Balancer) inBurst() bool {
 	e := b.evaluation
-	most := max(1, b.warmCapacity) * (burstMultiple*e.initialSuccesses + burstDeviations*math.Sqrt(e.initialSuccesses)) / e.initialWarmCapacity
-	return float64(len(b.successTimes)) > most
+	maxSuccesses := max(1, b.warmCapacity) * (burstMultiple*e.initialSuccesses + burstDeviations*math.Sqrt(e.initialSuccesses)) / e.initialWarmCapacity
+	return float64(len(b.successTimes)) > maxSuccesses
 }
 
 // slownessBound returns the slow share above which a canary is suspect.
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -37,8 +37,8 @@
 	check(t, "most on probation", b.mostOnProbation, true)
 }
 
-// TestOutlier_LeavesProbingToOtherRelays: a relay that may not probe a backend on probation sends its requests
-// elsewhere without a delay.
+// TestOutlier_LeavesProbingToOtherRelays: a relay that may not probe a backend on probation sends its requests to other
+// backends without a delay.
 func TestOutlier_LeavesProbingToOtherRelays(t *testing.T) {
 	for _, probesAllowed := range []bool{false, true} {
 		b, host := newFleetFixture(1000, probesAllowed)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -149,10 +149,10 @@
 // The delay guards against requests that fail everywhere, which would cause good versions to be rolled back: such a
 // request fails at any version. The delay does harm if a version fails all attempts of a class at every backend.
 func (b *Balancer) deferFailure(a *Attempt) bool {
-	r, first := a.Request, a.Request.deferredFailure
+	r, deferred := a.Request, a.Request.deferredFailure
 	switch a.outcome {
 	case Errored:
-		if first != nil {
+		if deferred != nil {
 			b.requestFaults = appendBounded(b.requestFaults, 1, sampleSize)
 			r.deferredFailure, r.failedTwice = nil, true
 			return true
@@ -164,8 +164,8 @@
 	case Succeeded:
 		b.requestFaults = appendBounded(b.requestFaults, 0, sampleSize)
 		r.deferredFailure = nil
-		if first != nil {
-			b.recordForVersion(first, false)
+		if deferred != nil {
+			b.recordForVersion(deferred, false)
 		}
 	}
 	return false
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -42,8 +42,8 @@
 	if age >= window {
 		return 1
 	}
-	from := b.settings.SlowStart.InitialFraction
-	return from + (1-from)*float64(max(0, age))/float64(window)
+	initialFraction := b.settings.SlowStart.InitialFraction
+	return initialFraction + (1-initialFraction)*float64(max(0, age))/float64(window)
 }
 
 // slowStartAllows reports whether a backend may get one more attempt from this relay within the relay's part of the
