--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -24,8 +24,8 @@
 	// (see allowLateAttempt). A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one
 	// request is attempted well before 4 s have passed.
 	lateAttemptInterval = 3 * Second / 2
-	// deadlineMargin is how long before its deadline a request has to be answered. It is two timer intervals, since the
-	// timer call that finds a request late may itself be one interval late.
+	// deadlineMargin is how long before the deadline of a request its answer has to arrive. It is two timer intervals,
+	// since the timer call that finds a request late may itself be one interval late.
 	deadlineMargin = 2 * timerInterval
 )
 
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// updateConcurrency recomputes the relay's rates, the capacity of the ready backends and the subset size.
+// updateConcurrency recomputes the relay's rates, the capacity of the ready backends, whether most of them are on
+// probation, and the subset size.
 func (b *Balancer) updateConcurrency() {
 	b.successTimes = dropBefore(b.successTimes, b.now-rateWindow)
 	b.arrivals = dropBefore(b.arrivals, b.now-rateWindow)
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -19,7 +19,7 @@
 	// only if an attempt at the baseline was counted as on time or slow within this time.
 	maxBaselineAgeForResets = Second
 	// maxBaselineMetricsAge is a number of metrics periods. The release API's counts of the canary are compared with
-	// its last counts of the baseline only if those counts are at most this old.
+	// its last counts of the baseline only if the counts of the baseline are at most this many periods old.
 	maxBaselineMetricsAge = 2
 	// resetsMargin is how far the canary's share of reset attempts may exceed the baseline's. It is wider than
 	// failureMargin because a single network fault breaks many connections at once.
@@ -195,7 +195,8 @@
 	b.considerVote()
 }
 
-// spreadOutcome returns the i-th of n outcomes: 1 if it is bad, otherwise 0. The bad outcomes are spread evenly.
+// spreadOutcome returns the i-th of n outcomes, where i starts at 0: 1 if it is bad, otherwise 0. The bad outcomes are
+// spread evenly.
 func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
 // countUnreportedAnswers counts answers as correct once the time within which a report would have arrived has passed.
--- a/balancer/golden_world_test.go
+++ b/balancer/golden_world_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/standin/goldentrace"
 )
 
-// simulation is the relays and backends of one run.
+// simulation holds the relays and backends of one run.
 type simulation struct {
 	scenario
 	trace          *goldentrace.Trace
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -23,7 +23,7 @@
 	gossipCountSize = 2
 )
 
-// GossipCount is the number of outcomes of one stream since the last message.
+// GossipCount holds the numbers of outcomes and of bad outcomes of one stream since the last message.
 type GossipCount struct {
 	// Outcomes is the number of outcomes, at most MaxGossipOutcomes.
 	Outcomes uint8
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -71,7 +71,7 @@
 }
 
 // updateLatencies recomputes the estimates. If a class has had neither an answer nor a late attempt for
-// estimateLifetime, it drops all latencies of the class but the last one.
+// estimateLifetime, updateLatencies drops all latencies of the class but the last one.
 func (b *Balancer) updateLatencies() {
 	for class, latencies := range b.latencies {
 		defaultEstimate := b.settings.Classes[class].LatencyObjective.Ticks() / estimateDivisor
--- a/balancer/logline.go
+++ b/balancer/logline.go
@@ -27,7 +27,7 @@
 	return line.String()
 }
 
-// loggingRelays is the average number of relays that log an event that many relays observe alike.
+// loggingRelays is the average number of relays that log an event that many relays observe.
 const loggingRelays = 4
 
 // logSampled logs an event at a few random relays, so that hundreds of relays do not all log the same line. Each relay
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -21,7 +21,7 @@
 
 // cancellation holds the budget for cancelling attempts.
 type cancellation struct {
-	cancelBudget float64 // attempts at silent backends that may be cancelled now
+	cancelBudget float64 // number of attempts at silent backends that may be cancelled now
 }
 
 // newCancellation returns a budget of minSubsetSize cancellations: one for each backend of the smallest subset.
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -60,9 +60,9 @@
 	Start int
 	// Outcomes is the number of outcomes up to the alarm.
 	Outcomes int
-	// Wealth is the wealth of the test.
+	// Wealth is the wealth of the test after the last outcome.
 	Wealth float64
-	// Bound is the mean that the last outcome was tested against.
+	// Bound is the upper bound that the mean was tested against at the last outcome.
 	Bound float64
 }
 
--- a/balancer/series.go
+++ b/balancer/series.go
@@ -26,7 +26,7 @@
 	return values[max(0, len(values)-n):]
 }
 
-// mean returns the mean of samples, or 0 without any.
+// mean returns the mean of samples, or 0 if there are none.
 func mean(samples []float64) float64 {
 	sum := 0.0
 	for _, v := range samples {
