--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -9,8 +9,8 @@
 // The inputs are the outcome of each attempt, the time of the last answer of its backend, reports of wrong answers, and
 // the outcome counts of the release API.
 //
-// This keeps a good version from being blamed for broken backends, links or requests. Such failures occur whichever
-// version serves the request, and they are told apart here before they reach a test.
+// These rules keep a good version from being blamed for broken backends, links or requests. Such failures occur
+// whichever version serves the request, and they are told apart here before they reach a test.
 
 const (
 	// maxShareBound keeps the bound on a share below 1. With a bound of 1 a betting test could place no bet.
@@ -19,7 +19,7 @@
 	// only if an attempt at the baseline was counted as on time or slow within this time.
 	maxBaselineAgeForResets = Second
 	// maxBaselineMetricsAge is a number of metrics periods. The release API's counts of the canary are compared with
-	// its last counts of the baseline only if those counts are at most this old.
+	// its last counts of the baseline only if the counts of the baseline are at most this many periods old.
 	maxBaselineMetricsAge = 2
 	// resetsMargin is how far the canary's share of reset attempts may exceed the baseline's. It is wider than
 	// failureMargin because a single network fault breaks many connections at once.
@@ -103,8 +103,8 @@
 	return b.baseline.wrongShare() + failureMargin*b.settings.Rollout.FoundShare
 }
 
-// baselineShare returns the baseline's failure share in a class, for ruling out an effect. With little data on the
-// baseline, the share is assumed to be low, so that no effect is ruled out too early.
+// baselineShare returns the baseline's failure share in a class, for the effect test of the class. With little data on
+// the baseline, the share is assumed to be low, so that ruledOutEffect is not ruled out too early.
 func (b *Balancer) baselineShare(class int) float64 {
 	return conservativeShare(b.baseline.class[class])
 }
@@ -118,10 +118,10 @@
 	return smoothedShare(failures(outcomes))
 }
 
-// attributedToBackend reports whether an outcome counts for the backend or the link to it, and not for the version.
-// This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and for any
-// outcome at an ejected backend while others of the same version succeed. The cost is that if a bad version fails at
-// only some of its backends, those backends are blamed for it.
+// attributedToBackend reports whether an outcome is attributed to the backend or the link to it, and not to the
+// version. This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and
+// for any outcome at an ejected backend while other backends of the same version succeed. The cost is that if a bad
+// version fails at only some of its backends, those backends are blamed for it.
 func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
 	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
@@ -138,25 +138,25 @@
 }
 
 // recordAnswer adds an answer (0) or a report of a wrong answer (1) to the stream of wrong answers.
-func (b *Balancer) recordAnswer(version uint16, x float64) {
+func (b *Balancer) recordAnswer(version uint16, outcome float64) {
 	e, found := b.evaluation, b.settings.Rollout.FoundShare
 	if found == 0 {
 		return
 	}
 	if version < e.version {
-		b.baseline.wrong = appendBounded(b.baseline.wrong, x, rareSampleSize)
+		b.baseline.wrong = appendBounded(b.baseline.wrong, outcome, rareSampleSize)
 	}
 	if version != e.version {
 		return
 	}
-	e.samples.wrong = appendBounded(e.samples.wrong, x, rareSampleSize)
-	if x > 0 {
-		e.wrongEffect.Observe(x, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
+	e.samples.wrong = appendBounded(e.samples.wrong, outcome, rareSampleSize)
+	if outcome > 0 {
+		e.wrongEffect.Observe(outcome, conservativeShare(b.baseline.wrong), ruledOutEffect*found)
 	} else if b.settings.Rollout.ReportWithin.Ticks() > 0 { // a report on this answer may still arrive
 		e.awaitingReports = appendBounded(e.awaitingReports, b.now, rareSampleSize)
 	}
-	b.addToGossip(len(b.settings.Classes), x)
-	b.observe(stream{kind: wrongAnswers}, x, b.wrongAnswerBound())
+	b.addToGossip(len(b.settings.Classes), outcome)
+	b.observe(stream{kind: wrongAnswers}, outcome, b.wrongAnswerBound())
 }
 
 // OnWrongAnswer handles a client's report that an answer was wrong. The report counts as one additional bad outcome.
@@ -173,29 +173,30 @@
 // OnMetrics handles the release API's counts of the outcomes at all relays, for one version and class over one period.
 // The counts form a stream of their own, which is the same for all relays. The canary's counts are tested against the
 // baseline's counts of the same periods, plus a margin for the higher load of the canary's backends. Bad outcomes are
-// spread evenly among the others.
+// spread evenly among the good ones.
 //
-// This detects a version whose backends stop answering. A single relay sees almost no traffic at each backend, and
-// attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
+// The stream detects a version whose backends stop answering. A single relay sees almost no traffic at each backend,
+// and attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
 // that a network fault that isolates only the canary's backends counts against the version.
 func (b *Balancer) OnMetrics(now Tick, version uint16, _ int, outcomes, failed int, _, _ Tick) {
 	b.now = now
 	e := b.evaluation
 	period := b.settings.Rollout.MetricsPeriod.Ticks()
 	for i := range min(outcomes, rareSampleSize) {
-		x := spreadOutcome(i, min(failed, outcomes), outcomes)
+		outcome := spreadOutcome(i, min(failed, outcomes), outcomes)
 		switch {
 		case version < e.version:
-			b.baseline.metrics = appendBounded(b.baseline.metrics, x, rareSampleSize)
+			b.baseline.metrics = appendBounded(b.baseline.metrics, outcome, rareSampleSize)
 			b.baselineMetricsAt = now
 		case version == e.version && b.baselineMetricsAt > 0 && now-b.baselineMetricsAt <= maxBaselineMetricsAge*period:
-			b.observe(stream{kind: releaseMetrics}, x, b.baseline.metricsShare()+canaryLoadMargin+failureMargin)
+			b.observe(stream{kind: releaseMetrics}, outcome, b.baseline.metricsShare()+canaryLoadMargin+failureMargin)
 		}
 	}
 	b.considerVote()
 }
 
-// spreadOutcome returns the i-th of n outcomes, of which the bad ones are spread evenly.
+// spreadOutcome returns the i-th of n outcomes, where i starts at 0: 1 if it is bad, otherwise 0. The bad outcomes are
+// spread evenly.
 func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
 // countUnreportedAnswers counts answers as correct once the time within which a report would have arrived has passed.
@@ -207,8 +208,8 @@
 	}
 }
 
-// missingEvidence returns the first stream with traffic for which the effect is not ruled out. Call
-// countUnreportedAnswers first.
+// missingEvidence returns the first stream with traffic for which ruledOutEffect is not ruled out. Answers without a
+// report are included only if countUnreportedAnswers has counted them.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,12 +3,12 @@
 import "slices"
 
 // This file exchanges evidence between relays. If the settings allow messages between relays, each relay sends its
-// outcome counts for the version under evaluation, and counts the outcomes that others send as its own. Each relay sees
-// only part of the traffic; together they detect a bad version sooner.
+// outcome counts for the version under evaluation, and counts the outcomes that other relays send like its own. Each
+// relay sees only part of the traffic; together they detect a bad version sooner.
 //
-// This detects a failure that is too rare for a single relay to see often, which would leave a bad version under
-// evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed. Outcomes
-// are counted for the version alone, so a message contains nothing about individual backends.
+// The exchange detects a failure that is too rare for a single relay to see often, which would leave a bad version
+// under evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed.
+// Outcomes are counted for the version alone, so a message contains nothing about individual backends.
 //
 // A message consists of the version in two bytes, the low byte first, followed by two bytes for each class and two for
 // wrong answers: the number of outcomes since the last message, and how many of them were bad.
@@ -23,7 +23,7 @@
 	gossipCountSize = 2
 )
 
-// GossipCount is the number of outcomes of one stream since the last message.
+// GossipCount holds the numbers of outcomes and of bad outcomes of one stream since the last message.
 type GossipCount struct {
 	// Outcomes is the number of outcomes, at most MaxGossipOutcomes.
 	Outcomes uint8
@@ -65,10 +65,10 @@
 
 // addToGossip counts an outcome of the version under evaluation. The index is that of the class, or the number of
 // classes for wrong answers.
-func (b *Balancer) addToGossip(index int, x float64) {
+func (b *Balancer) addToGossip(index int, outcome float64) {
 	count := &b.gossipCounts[index]
 	count.Outcomes = min(count.Outcomes+1, MaxGossipOutcomes)
-	count.Bad = min(count.Bad+uint8(x), count.Outcomes)
+	count.Bad = min(count.Bad+uint8(outcome), count.Outcomes)
 }
 
 // sendGossip sends a message to all relays if one is due.
@@ -81,7 +81,7 @@
 	clear(b.gossipCounts)
 }
 
-// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the others.
+// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the good ones.
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
