--- a/internal/leases/config.go
+++ b/internal/leases/config.go
@@ -4,12 +4,12 @@
 
 // Config holds the lease duration and the clock drift. All processes of a fleet must use the same values.
 type Config struct {
-	Seconds    float64 // lease duration by the node's clock, in seconds: the setting lease in the operator's block fleet
-	ClockDrift float64 // fraction by which one process's clock may run faster than another's: the setting drift in the same block
+	Seconds    float64 // lease duration by the node's clock, in seconds; set by lease in the operator's fleet block
+	ClockDrift float64 // fraction by which one process's clock may run faster than another's, 0 for exact clocks; set by drift in the fleet block
 }
 
 // ConfigFrom reads the configuration from the settings "fleet.lease", in seconds, and "fleet.drift", a fraction. The lease
-// setting is required. Without a drift setting, clocks are taken as exact.
+// setting is required. Without a drift setting, ClockDrift is 0.
 func ConfigFrom(settings map[string]any) Config {
 	drift, _ := settings["fleet.drift"].(float64)
 	return Config{Seconds: settings["fleet.lease"].(float64), ClockDrift: drift}
@@ -19,7 +19,7 @@
 func (c Config) Duration() tick.Tick { return tick.Tick(c.Seconds * float64(tick.Second)) }
 
 // controllerDuration returns how long the controller waits, by its own clock, before it counts a lease as expired. Twice the
-// drift is added so that the node has stopped by then, however the two clocks drift.
+// drift is added so that the lease has already ended by the node's own clock, whichever of the two clocks runs faster.
 func (c Config) controllerDuration() tick.Tick {
 	return tick.Tick(c.Seconds*(1+2*c.ClockDrift)*float64(tick.Second)) + 1
 }
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -1,9 +1,10 @@
-// Package leases decides on the leading controller which edge nodes hold a lease and may therefore act.
+// Package leases decides which edge nodes hold a lease and may therefore act. The leading controller runs it.
 //
 // On the controller a lease runs from the time at which its request was received, for the lease duration plus twice the clock
-// drift. It therefore expires on the controller only after the node has stopped by its own clock. A node name has one
-// incarnation of its process at a time. A restarted process has a greater incarnation number and is admitted once the lease
-// of the earlier incarnation has expired. An old copy of the process has a smaller number and is refused permanently.
+// drift. The lease therefore expires on the controller only after it has ended by the node's own clock. At most one process of
+// a node name has a lease at a time; each process is an incarnation of the node. A restarted process has a greater incarnation
+// number and is admitted once the lease of the earlier incarnation has expired. An old copy of the process has a smaller number
+// and is refused permanently.
 //
 // A controller creates a Lessor with New when it becomes the leader and calls OnElected. It calls Request for each lease
 // request. If Request returns ProposeIncarnation, the controller proposes the incarnation to the agreed log and then calls
@@ -38,9 +39,9 @@
 // Decision is the step that a lease request needs before the lease can be granted.
 type Decision int
 
-// Decisions of Request for a request that it does not refuse.
+// The decisions that Request returns without an error.
 const (
-	Renew              Decision = iota // the incarnation is the agreed one, and Grant may follow
+	Renew              Decision = iota // the incarnation is the agreed one, and Grant may be called
 	ProposeIncarnation                 // the controllers must agree on the incarnation first
 )
 
@@ -48,11 +49,11 @@
 type node struct {
 	name        string
 	incarnation uint64    // the agreed incarnation, 0 for none yet
-	leaseEnd    tick.Tick // every granted lease has expired from this time on
-	expiry      tick.Tick // when Expired returns the node: at leaseEnd, or later after ExpectRenewal
-	expired     bool      // not in Lessor.queue: Expired has returned the node, or it was never granted a lease or expected
-	pending     bool      // an incarnation is being agreed, and no incarnation may renew
-	queueIndex  int       // position in Lessor.queue, valid unless expired
+	leaseEnd    tick.Tick // time from which no lease of the node is active; 0 if it never had one
+	expiry      tick.Tick // time from which Expired returns the node: leaseEnd, or later if ExpectRenewal set it
+	expired     bool      // the node is not in Lessor.queue: Expired has returned it, or no lease or renewal of it was ever expected
+	pending     bool      // an incarnation is being agreed; meanwhile requests of all incarnations are refused
+	queueIndex  int       // position in Lessor.queue; valid only while expired is false
 }
 
 // expiryQueue is a heap of nodes ordered by expiry and then by name, so that the order is deterministic for equal expiries.
@@ -87,9 +88,9 @@
 	return n
 }
 
-// Lessor tracks the leases that one controller grants while it leads without a break. It isn't safe for concurrent use.
+// Lessor tracks the leases that one controller grants during one term of leadership. It is not safe for concurrent use.
 type Lessor struct {
-	leaseDuration tick.Tick // by the controller's clock, with the drift added
+	leaseDuration tick.Tick // Config.controllerDuration: by the controller's clock, with twice the drift added
 	nodes         map[string]*node
 	queue         expiryQueue // the nodes that have not expired
 }
@@ -99,11 +100,12 @@
 	return &Lessor{leaseDuration: config.controllerDuration(), nodes: map[string]*node{}}
 }
 
-// OnElected begins a term of leadership. The incarnations are the agreed ones, by node. Each of these nodes may still hold a
-// lease from an earlier leader, so its lease is counted as renewed now.
+// OnElected begins a term of leadership. The map incarnations holds the agreed incarnation of each node name. Each of these
+// nodes may still hold a lease from an earlier leader, so OnElected counts the node's lease as renewed now.
 //
-// Guards against two incarnations of a node, or two primaries of an instance, at the same time after a controller failed. The
-// cost is a wait of one lease before a node that failed together with the controller is given up.
+// This guards against two incarnations of a node, or two primaries of an instance, that act at the same time after a controller
+// has failed. The cost is that the lease of a node that failed together with the controller expires up to one lease duration
+// later.
 func (l *Lessor) OnElected(now tick.Tick, incarnations map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(incarnations)) {
 		n := l.ensureNode(name)
@@ -113,7 +115,8 @@
 	}
 }
 
-// extend moves the expiry of a node to a later time, and queues the node if it had expired. An earlier time is ignored.
+// extend moves the expiry of a node to a later time, and adds the node to the queue if it is not there. An earlier time is
+// ignored.
 func (l *Lessor) extend(n *node, expiry tick.Tick) {
 	n.expiry = max(n.expiry, expiry)
 	if n.expired {
@@ -124,7 +127,7 @@
 	heap.Fix(&l.queue, n.queueIndex)
 }
 
-// ensureNode returns the state of a node, and adds the node if it is not known.
+// ensureNode returns the state of a node. It adds a node that is not known.
 func (l *Lessor) ensureNode(name string) *node {
 	n := l.nodes[name]
 	if n == nil {
@@ -134,9 +137,9 @@
 	return n
 }
 
-// ExpectRenewal is called for a node that is given work. If the node has no lease and does not obtain one within the duration
-// of a lease, Expired returns the node. ExpectRenewal grants no lease: however often it is called, another incarnation of the
-// same node name does not have to wait.
+// ExpectRenewal is called for a node that becomes the primary or a replica of a running instance. If the node has no lease and
+// does not obtain one within the duration of a lease, Expired returns the node. ExpectRenewal grants no lease: however often it
+// is called, another incarnation of the same node name does not have to wait.
 func (l *Lessor) ExpectRenewal(now tick.Tick, name string) {
 	if n := l.ensureNode(name); n.expired {
 		l.extend(n, now+l.leaseDuration)
@@ -186,7 +189,7 @@
 		return 0, ErrIncarnationPending
 	case incarnation != n.incarnation:
 		return 0, ErrOtherIncarnation
-	case now >= receivedAt+l.leaseDuration: // Expired may already have returned the node
+	case now >= receivedAt+l.leaseDuration: // the lease would have expired already, and Expired may have returned the node
 		return 0, ErrExpired
 	}
 	n.leaseEnd = max(n.leaseEnd, receivedAt+l.leaseDuration)
@@ -203,8 +206,8 @@
 	return n.leaseEnd, now < n.leaseEnd
 }
 
-// Expired returns the nodes whose leases have expired, earliest expiry first. It returns a node once, and again only if
-// Grant, OnElected or ExpectRenewal has set a new expiry since.
+// Expired returns the nodes whose leases have expired, earliest expiry first. It returns a node once, and again only if Grant,
+// OnElected or ExpectRenewal has set a new expiry in the meantime.
 func (l *Lessor) Expired(now tick.Tick) (names []string) {
 	for len(l.queue) > 0 && now >= l.queue[0].expiry {
 		n := heap.Pop(&l.queue).(*node)
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -10,18 +10,18 @@
 // maxCountsPerOperation is the maximum number of record counts in one entry of the agreed log.
 const maxCountsPerOperation = 1024
 
-// RecordCounts tracks the greatest record count that each node has reported for its disk. A node reports its count with each
-// lease request. A node whose count at its start is below the greatest known one learns from that difference that its disk was
-// restored from an older image.
+// RecordCounts tracks the greatest number of records that each node has reported to be on its disk. A node reports this count
+// with each lease request. A node whose count at its start is below the greatest known count detects that its disk was restored
+// from an older image.
 //
 // The leading controller receives the counts every third of a lease duration. The controllers agree on all changed counts
 // together once per lease duration, so the counts that a new leader knows are at most about one lease duration old. The cost
-// is one entry of the agreed log per lease duration, whatever the number of nodes up to maxCountsPerOperation, with some 25
-// bytes for each node that wrote records.
+// for up to maxCountsPerOperation nodes is one entry of the agreed log per lease duration. The entry has about 25 bytes for
+// each node that wrote records.
 type RecordCounts struct {
-	interval tick.Tick         // time between two agreements: one lease duration
+	interval tick.Tick         // time between two proposals of counts: one lease duration
 	known    map[string]uint64 // the greatest count of each node, agreed or not
-	pending  map[string]uint64 // reported and not yet agreed; 0 means that the agreed count is to be deleted
+	pending  map[string]uint64 // counts that wait to be proposed; 0 means that the agreed count is to be deleted
 	nextDue  tick.Tick
 }
 
@@ -31,9 +31,9 @@
 	return &RecordCounts{interval: interval, known: maps.Clone(agreed), pending: map[string]uint64{}, nextDue: now + interval}
 }
 
-// Report records the count that a node sent with its lease request, and returns the greatest count known before this
-// report, 0 for none. A node that sends no count (0) runs an earlier version or has no disk. The node may write its file
-// without counting, so the count known before is no longer meaningful and is deleted.
+// Report records the count that a node sent with its lease request, and returns the greatest count known before this report, 0
+// for none. A node that sends no count (0) runs an earlier version or has no disk. The node may then write records without
+// counting them, so the count known before is no longer meaningful and is deleted.
 func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
 	previous = c.known[node]
 	switch {
@@ -50,7 +50,7 @@
 }
 
 // Due returns the counts that are to be proposed now, at most maxCountsPerOperation, and nil for none. The returned counts no
-// longer wait for agreement; Requeue puts them back.
+// longer wait to be proposed, unless Requeue adds them again.
 func (c *RecordCounts) Due(now tick.Tick) (counts map[string]uint64) {
 	if now < c.nextDue || len(c.pending) == 0 {
 		return nil
@@ -80,11 +80,11 @@
 	}
 }
 
-// NextDue returns when Due returns counts next, and false if no counts wait for agreement.
+// NextDue returns when Due returns counts next, and false if no counts wait to be proposed.
 func (c *RecordCounts) NextDue() (next tick.Tick, ok bool) { return c.nextDue, len(c.pending) > 0 }
 
-// MergeRecordCounts adds newly agreed counts to the agreed ones, which it modifies. Each node keeps its greatest count, and a
-// new count of 0 deletes the count of its node.
+// MergeRecordCounts adds newly agreed counts to the map agreed. Each node keeps its greatest count, and a new count of 0
+// deletes the count of its node.
 func MergeRecordCounts(agreed, counts map[string]uint64) {
 	for node, count := range counts {
 		if count == 0 {
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -3,15 +3,15 @@
 import "silvercove/internal/tick"
 
 // Timings are the timeouts and intervals of the controllers and their clients. All are derived from the lease duration: after a
-// leader fails, the controllers must elect a new one and the nodes must renew their leases with it before the leases expire.
-// On average half a lease is left for the election and the renewals.
+// leader fails, the controllers must elect a new one and the nodes must renew their leases with it before the leases expire. On
+// average, half a lease duration is left for the election and the renewals.
 type Timings struct {
 	HeartbeatTimeout         tick.Tick // a follower starts an election after this long without a heartbeat
 	CommitInterval           tick.Tick // longest time until followers learn what has been agreed
 	ConfirmTimeout           tick.Tick // longest time for a majority to confirm the leadership
 	ProposalTimeout          tick.Tick // longest time for an operation to be agreed; after it the caller is told that there is no majority
-	NodeUpdateInterval       tick.Tick // shortest interval between two updates about nodes; changes in between are batched
-	AssignmentUpdateInterval tick.Tick // shortest interval between two updates about assignments; changes in between are batched
+	NodeUpdateInterval       tick.Tick // shortest interval between two node updates to a watching client; changes in between are batched
+	AssignmentUpdateInterval tick.Tick // shortest interval between two assignment updates to a watching client; changes in between are batched
 	RetryDelayMin            tick.Tick // first delay between two attempts of a client, doubled after each attempt
 	RetryDelayMax            tick.Tick // upper limit of the delay between two attempts of a client
 }
