--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -6,9 +6,9 @@
 	"unicode/utf8"
 )
 
-// Apply applies an operation to the table and returns the resulting assignment. If it fails, it returns the unchanged
-// assignment, if there is one, and an error that wraps one of this package's sentinels; the table is unchanged then. An
-// operation whose effect is already in place changes nothing and succeeds.
+// Apply applies an operation to the table and returns the resulting assignment. If an operation is refused, the table is
+// unchanged. Apply then returns the unchanged assignment, if there is one, and an error that wraps one of this package's error
+// variables. An operation whose effect is already in place changes nothing and succeeds.
 func (t *Table) Apply(op Operation) (Assignment, error) {
 	if op.Version > FormatVersion {
 		return Assignment{}, fmt.Errorf("%w: operation format %d, this program reads up to %d", ErrUnsupportedVersion, op.Version, FormatVersion)
@@ -47,8 +47,8 @@
 	return r.assignment, nil
 }
 
-// create adds an instance with an epoch that its name has never had, so that a primary of a deleted instance of the
-// same name has an older epoch.
+// create adds an instance with an epoch that its name has never had, so that operations of the primary of a deleted instance of
+// the same name have an older epoch and are refused.
 func (t *Table) create(existing *row, op Operation) (Assignment, error) {
 	if existing != nil {
 		return existing.assignment, ErrExists
@@ -83,7 +83,8 @@
 		slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.StaleCopies, b.StaleCopies)
 }
 
-// SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record.
+// SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record. A reason
+// for a later epoch than the current one, or one that is too long or not valid UTF-8, is ignored.
 //
 // The record does not count as a change of the assignment: no decision depends on it, and a controller of an earlier version,
 // which ignores it, must arrive at the same revisions and versions. Callers of Since therefore receive the reason with the next
@@ -93,5 +94,5 @@
 	if r == nil || r.assignment.Epoch < epoch || len(reason) > maxReasonBytes || !utf8.ValidString(reason) {
 		return
 	}
-	r.assignment.UnverifiedReason = reason // safe to write: assignments that were returned before are copies
+	r.assignment.UnverifiedReason = reason // does not change an assignment that was returned: callers have copies
 }
--- a/internal/placement/assignment.go
+++ b/internal/placement/assignment.go
@@ -6,9 +6,9 @@
 // The states of an instance.
 const (
 	Running     State = "runs"        // the primary may act while its lease is active
-	Lost        State = "lost"        // the primary and all replicas failed; the instance waits for one to return, or for a restart
+	Lost        State = "lost"        // the primary and all replicas failed; the instance waits for one of them to return, or for a restart from an older copy
 	Quarantined State = "quarantined" // too many primaries failed while they ran the instance; an operator must release it
-	Deleted     State = "gone"        // returned once by Apply, never stored
+	Deleted     State = "gone"        // the instance was deleted; Apply returns this state once and never stores it
 )
 
 // Assignment is the agreed placement of an instance: its primary, its replicas and the copy or migration under way. NewerThan
@@ -32,9 +32,9 @@
 	Size       int     `json:"size,omitempty"`   // size of the instance's state in bytes, as last reported
 	Failures   int     `json:"falls,omitempty"`  // consecutive primaries that failed while they ran the instance
 
-	MissingEntries   uint64      `json:"missing,omitempty"` // at least so many entries were lost in restarts from older copies
+	MissingEntries   uint64      `json:"missing,omitempty"` // lower bound of the number of entries lost in restarts from older copies
 	StaleCopies      []StaleCopy `json:"kept,omitempty"`    // the latest stale copies, at most maxStaleCopies
-	UnverifiedReason string      `json:"doubts,omitempty"`  // why more than MissingEntries may be missing, as last reported by the primary
+	UnverifiedReason string      `json:"doubts,omitempty"`  // why more entries than MissingEntries may be missing, as last reported by the primary; "" for no reason
 	Extension        []byte      `json:"more,omitempty"`    // data of a later version of the program, preserved unchanged
 }
 
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -8,14 +8,15 @@
 // Kinds of operations. An operation names the epoch that its proposer saw, and fails with ErrStaleEpoch if the instance has a
 // later epoch when the operation is applied. OpMoveDevice is accepted at a later epoch, and OpCreate does not use the epoch.
 const (
-	// OpCreate adds the instance with the primary Target, in Zone, with Weight. Its epoch is 1 unless the name was used before.
+	// OpCreate adds the instance with the primary Target, in Zone, with Weight. Its epoch is greater than any that an earlier
+	// instance of the name may have had.
 	OpCreate OperationKind = "create"
 	// OpStartCopy begins to copy the instance to Target, and with CutOver to make Target the primary after the copy.
 	OpStartCopy OperationKind = "copy"
 	// OpReplicaReady makes Target a replica. The primary Node reports that Target has every acknowledged entry.
 	OpReplicaReady OperationKind = "synced"
-	// OpDropReplica removes the replica Target. The primary Node cannot reach Target and acknowledges without it from now on.
-	// An empty Node stands for the controllers.
+	// OpDropReplica removes the replica Target. The primary Node cannot reach Target and acknowledges entries without Target
+	// from now on. An empty Node stands for the controllers.
 	OpDropReplica OperationKind = "drop"
 	// OpCutOver makes the replica Target the primary of the next epoch. The old primary Node has stopped at Index, and Target
 	// has all entries.
@@ -33,8 +34,9 @@
 	OpResetFailures OperationKind = "steady"
 	// OpMarkServed records that the primary Node is about to serve the instance for the first time.
 	OpMarkServed OperationKind = "begin"
-	// OpReportIncomplete removes Node as the primary or a replica, because Node lacks entries that it must have. If Node is the
-	// primary, the replica Target becomes the primary of the next epoch, or without a Target the instance becomes lost.
+	// OpReportIncomplete removes Node as the primary or a replica, because Node lacks entries that a primary or a replica must
+	// have. If Node is the primary, the replica Target becomes the primary of the next epoch, or without a Target the instance
+	// becomes lost.
 	OpReportIncomplete OperationKind = "lacks"
 	// OpQuarantine stops the instance until OpRelease. The primary Node has stopped, or its lease has certainly expired.
 	OpQuarantine OperationKind = "quarantine"
@@ -54,7 +56,7 @@
 	Kind     OperationKind `json:"kind"`
 	Instance string        `json:"name"`
 	Epoch    uint64        `json:"epoch,omitempty"`  // epoch of the assignment that the proposer saw
-	Revision uint64        `json:"change,omitempty"` // revision that the proposer saw, 0 for any; fails at another revision, however late
+	Revision uint64        `json:"change,omitempty"` // revision that the proposer saw, 0 for any; the operation is refused at any other revision
 	Node     string        `json:"by,omitempty"`     // the node that the operation comes from or is about, usually the primary
 	Target   string        `json:"to,omitempty"`     // the node that the instance is copied, moved or assigned to, or a replica
 	CutOver  bool          `json:"switch,omitempty"` // the target of OpStartCopy is to become the primary
--- a/internal/placement/operations.go
+++ b/internal/placement/operations.go
@@ -14,8 +14,8 @@
 	next Assignment // starts as a copy of the current assignment
 }
 
-// applyOperation returns the assignment that results from an operation, or current with an error. The epoch and the revision of
-// the operation were checked before (checkEpochAndRevision).
+// applyOperation returns the assignment that results from an operation, or current with an error. The caller has checked the
+// epoch and the revision of the operation with checkEpochAndRevision.
 func applyOperation(current Assignment, op Operation) (Assignment, error) {
 	t := &transition{op: op, next: current}
 	if err := t.apply(); err != nil {
@@ -233,7 +233,7 @@
 
 // resume makes the target the primary of the next epoch. If the target is not a replica, the instance continues from an older
 // copy. Entries that other nodes have beyond that copy then belong to an abandoned history: the missing entries are counted,
-// and the replicas and the longer stale copies are no longer listed.
+// and the replicas and the stale copies that reach further are no longer listed.
 func (t *transition) resume() {
 	a := &t.next
 	if !t.targetIsReplica() {
@@ -316,7 +316,7 @@
 	}
 }
 
-// makePrimary makes a node the primary of the next epoch.
+// makePrimary makes a node the primary of the next epoch. A copy or cut-over under way ends.
 func makePrimary(a *Assignment, node string) {
 	a.State, a.Primary, a.CopyTarget, a.CutOver = Running, node, "", false
 	a.Epoch++
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -17,7 +17,7 @@
 const snapshotChunkBytes = 64 << 10
 
 // snapshotHead is the first line of a snapshot. Format is its format version, and Instances is the number of lines that follow.
-// The other fields are those of Table.
+// The other fields have the values of the Table fields of the same names.
 type snapshotHead struct {
 	Format        int        `json:"v"`
 	Version       uint64     `json:"version"`
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// FromAssignments returns a table with the given assignments, which must be sorted by instance name. It is used to rebuild the
-// placement. The error names the assignment that violates an invariant.
+// FromAssignments returns a table with the given assignments, which must be sorted by instance name. It is used after Rebuild
+// of package migration. The error names the assignment that violates an invariant.
 func FromAssignments(all []Assignment) (*Table, error) {
 	var buf bytes.Buffer
 	if err := writeLine(&buf, snapshotHead{Format: FormatVersion, Version: uint64(len(all)), Instances: len(all)}, nil); err != nil {
@@ -150,7 +150,7 @@
 	table        *Table
 	head         snapshotHead
 	rows         []*row
-	usedVersions map[uint64]bool // versions of the changes and deletions read so far: each version belongs to one of them
+	usedVersions map[uint64]bool // versions of the changes and deletions read so far; a version may occur only once
 	lastInstance string          // name of the instance that was read last
 }
 
--- a/internal/placement/stored_test.go
+++ b/internal/placement/stored_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// buildStoredSnapshot returns the snapshot that storedLog produces, with an unknown field, as of a later version, in the header and
-// in one instance.
+// buildStoredSnapshot returns the snapshot that storedLog produces. It adds an unknown field to the header and to one instance,
+// as a later version of the program may write.
 func buildStoredSnapshot(t *testing.T) []byte {
 	t.Helper()
 	tab := New()
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -6,11 +6,11 @@
 //
 // Invariants:
 //   - In one epoch an instance is served by one primary only. Each new primary has a greater epoch, and an operation of an
-//     older epoch changes nothing, except that OpMoveDevice is valid in any earlier epoch.
+//     older epoch changes nothing, except that OpMoveDevice is accepted with any earlier epoch.
 //   - A running instance has a primary. Only a running instance has a primary or a copy under way.
 //   - The primary is never one of the replicas. A node with a stale copy is neither the primary nor a replica.
-//   - A replica has every acknowledged entry. A node that lacks some is removed from the replicas before the instance
-//     acknowledges entries without it.
+//   - A replica has every acknowledged entry. A node that lacks an acknowledged entry is removed from the replicas before the
+//     instance acknowledges entries without it.
 //   - Revisions of an instance and versions of the table only increase, and each version belongs to one change.
 //
 // The cost of an operation depends only on the number of replicas of its instance, not on the number of instances. A Table is
@@ -26,11 +26,11 @@
 
 // Limits of the fields of an operation and of the records that are kept.
 const (
-	maxNameBytes   = 256  // length of the name of an instance, a node or a zone
-	maxReasonBytes = 1024 // length of a reason
-	maxReplicas    = 16   // replicas of one instance
-	maxStaleCopies = 4    // stale copies that are recorded for one instance
-	maxDeletions   = 4096 // deletions that are recorded
+	maxNameBytes   = 256  // maximum length of the name of an instance, a node or a zone
+	maxReasonBytes = 1024 // maximum length of a reason
+	maxReplicas    = 16   // maximum number of replicas of one instance, but see maxExtraReplicas
+	maxStaleCopies = 4    // maximum number of stale copies that are recorded for one instance
+	maxDeletions   = 4096 // maximum number of deletions that are recorded
 )
 
 // Table holds the assignments of all instances.
@@ -51,8 +51,8 @@
 	unknown UnknownFields // unknown fields of the header of the restored snapshot
 }
 
-// row holds one instance. A change replaces the assignment and never modifies its lists, because callers
-// have copies of the assignment that share them.
+// row holds one instance. A change replaces the assignment and never modifies its lists, because callers have copies of the
+// assignment that share the lists.
 type row struct {
 	assignment   Assignment
 	changedAt    uint64 // the table's version at the last change
@@ -156,7 +156,8 @@
 	t.prunedVersion = first.Version
 }
 
-// lastEpoch returns the greatest epoch that earlier instances of a name may have had. There is no instance of this name now.
+// lastEpoch returns the greatest epoch that earlier instances of a name may have had. It must only be called if there is no
+// instance of the name now.
 func (t *Table) lastEpoch(instance string) uint64 {
 	return max(t.prunedEpoch, t.deletedByName[instance].Epoch)
 }
--- a/internal/placement/unknown_fields.go
+++ b/internal/placement/unknown_fields.go
@@ -14,9 +14,9 @@
 // object. Otherwise a program that was rolled back to an earlier version would delete the data of the later version.
 type UnknownFields map[string]json.RawMessage
 
-// UnmarshalKeepingUnknown decodes a JSON object into the struct that a pointer points to, and returns the fields that the struct
-// does not have. A field whose name differs from a struct field's only in case is refused: the decoder would store it in the
-// struct field, and the object would then be written with both fields.
+// UnmarshalKeepingUnknown decodes a JSON object into the struct that into points to, and returns the fields of the object that
+// the struct does not have. A field whose name differs from a struct field's only in case is refused: the decoder would store
+// it in the struct field, and the object would then be written with both fields.
 func UnmarshalKeepingUnknown(text []byte, into any) (UnknownFields, error) {
 	return unmarshalWithKnownFields(text, into, jsonFields(reflect.TypeOf(into).Elem()))
 }
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// unmarshalWithKnownFields decodes a JSON object as UnmarshalKeepingUnknown does, given the field names that the struct has.
+// unmarshalWithKnownFields does what UnmarshalKeepingUnknown does. The names in known are the JSON names of the struct's fields
+// (jsonFields).
 func unmarshalWithKnownFields(text []byte, into any, known map[string]bool) (UnknownFields, error) {
 	if err := json.Unmarshal(text, into); err != nil {
 		return nil, err
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -10,7 +10,7 @@
 // Limits of the numbers in operations and assignments.
 const (
 	maxWeight = 100
-	maxCount  = math.MaxInt64 // the largest index and epoch
+	maxCount  = math.MaxInt64 // largest valid index and epoch
 
 	// maxExtraReplicas is how many replicas an instance may have beyond maxReplicas. A primary that has stopped becomes a
 	// replica, whatever the number of replicas.
@@ -20,8 +20,9 @@
 // CheckSupported returns ErrUnsupportedVersion if an operation has a later format version or an unknown kind, whatever the state
 // of the table.
 //
-// Table.Apply refuses such an operation, which is sufficient for a single table. If several controllers apply the same log, those
-// that support the operation apply it. A controller that does not would diverge from them, so it must stop applying the log.
+// Table.Apply refuses an unsupported operation, which is sufficient for a single table. If several controllers apply the same
+// log, those that support the operation apply it. A controller that refused the operation and went on would diverge from them,
+// so such a controller must stop applying the log.
 func CheckSupported(op Operation) error {
 	if op.Version > FormatVersion {
 		return fmt.Errorf("%w: operation format %d, this program reads up to %d", ErrUnsupportedVersion, op.Version, FormatVersion)
