--- a/internal/migration/bench_test.go
+++ b/internal/migration/bench_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// newFleet returns a planner whose fleet is at rest: 20 zones, each instance in its primary's zone, with a replica there or,
-// with fleet.away, in another zone.
+// newFleet returns a planner whose fleet is at rest. The fleet has 20 zones. The device of each instance is in its primary's
+// zone. The replica is in that zone too or, if fleet.away is 1, in another zone.
 func newFleet(b *testing.B, nodes, instances int, settings map[string]any) (*immediateHost, []NodeStatus) {
 	b.Helper()
 	h := &immediateHost{table: placement.New(), now: 1}
--- a/internal/migration/config.go
+++ b/internal/migration/config.go
@@ -15,18 +15,18 @@
 	DefaultMaxMoves        = 64
 )
 
-// Config holds a planner's settings. Each field's comment ends with a colon and the name of its setting in the fleet
-// block of the operator's file.
+// Config holds a planner's settings. Each field's comment names the setting in the fleet block of the operator's file. A move
+// is a migration of an instance or a copy that makes a replica.
 type Config struct {
-	Lease           tick.Tick // duration of a node's lease, above 0: lease
-	Dwell           tick.Tick // minimum stay after a move before an instance follows its device again: dwell
-	RestartAfter    tick.Tick // time after which a lost instance restarts from an older copy: restart_after
-	Replicas        int       // number of replicas that each instance should have: copies
-	RemoteReplicas  int       // number of the Replicas that should be in a zone other than the primary's: away
-	MaxFailures     int       // consecutive primaries that an instance may fail before it is quarantined: falls
-	MaxMovesPerNode int       // limit on the moves from and to one node that are in progress or proposed: the first value of moves
-	MaxMovesPerLink int       // limit on the moves between two zones that are in progress or proposed: the second value of moves
-	MaxMoves        int       // limit on all moves that are in progress or proposed: the third value of moves
+	Lease           tick.Tick // duration of a node's lease, above 0 (setting lease)
+	Dwell           tick.Tick // minimum time that an instance stays after a migration before it follows its device again (setting dwell)
+	RestartAfter    tick.Tick // time after which a lost instance restarts from an older copy (setting restart_after)
+	Replicas        int       // number of replicas that each instance should have (setting copies)
+	RemoteReplicas  int       // how many of the Replicas should be in a zone other than the primary's (setting away)
+	MaxFailures     int       // number of consecutive primaries that fail while they run an instance before it is quarantined (setting falls)
+	MaxMovesPerNode int       // limit on the moves from and to one node that are in progress or proposed (first value of the setting moves)
+	MaxMovesPerLink int       // limit on the moves between two zones that are in progress or proposed (second value of the setting moves)
+	MaxMoves        int       // limit on all moves that are in progress or proposed (third value of the setting moves)
 }
 
 // ConfigFrom returns the configuration from the settings of the fleet block, which are keyed "fleet.lease" and so on, with
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -15,7 +15,7 @@
 	n := p.node(status.Name)
 	old, wasReported, leaseHadEnded := n.NodeStatus, n.reported, n.leaseHadEnded(now)
 	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
-		status.LeaseEnd = old.LeaseEnd // a later renewal was reported before this one
+		status.LeaseEnd = old.LeaseEnd // two renewals were reported out of order: the later lease end stays
 	}
 	lostCopies := status.LostCopies && wasReported && status.Incarnation != old.Incarnation
 	p.makeIneligible(n)
@@ -48,8 +48,8 @@
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
 
-// onCopiesLost records that a node has restarted without its copies. The instances whose primary it was can only continue
-// on a replica, and the node itself is an empty replica of the others.
+// onCopiesLost records that a node has restarted without its copies. An instance whose primary it was can only continue on a
+// replica. For an instance of which it was a replica, the node is now an empty replica.
 func (p *Planner) onCopiesLost(n *node) {
 	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
@@ -62,7 +62,7 @@
 	}
 }
 
-// markExcess marks as excess the lightest instances of a node that has more instances than slots.
+// markExcess marks as excess the lightest instances of a node that has more instances than slots, as many as exceed the slots.
 func (p *Planner) markExcess(n *node) {
 	all := byWeight(maps.Keys(n.primaryOf))
 	for at, i := range all {
@@ -74,7 +74,8 @@
 	}
 }
 
-// OnLeaseExpired tells the planner that a node's lease has ended by every clock: the node no longer acts.
+// OnLeaseExpired tells the planner that a node's lease has expired by the controller's clock, and therefore by the node's own:
+// the node no longer acts.
 func (p *Planner) OnLeaseExpired(now tick.Tick, name string) {
 	p.now = now
 	n := p.node(name)
@@ -85,7 +86,7 @@
 	p.processPending(maxWorkPerEvent)
 }
 
-// OnAssignment tells the planner an agreed assignment. It is called for each change and, after OnElected, for every
+// OnAssignment tells the planner of an agreed assignment. It is called for each change and, after OnElected, for every
 // assignment. An assignment older than the known one is ignored.
 func (p *Planner) OnAssignment(now tick.Tick, a placement.Assignment) {
 	p.now = now
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -10,12 +10,13 @@
 
 // Constants of fail-overs.
 const (
-	shortLeaseDivisor       = 3 // a fail-over waits if its replica's lease ends in less than Lease/shortLeaseDivisor
-	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined even if it is not the only suspect
-	shortLeaseReviewDivisor = 6 // a fail-over that waits for a replica is reviewed every Lease/shortLeaseReviewDivisor
+	shortLeaseDivisor       = 3 // a fail-over waits if the lease of the replica that takes over ends in less than Lease/shortLeaseDivisor
+	poisonFailureFactor     = 2 // at this multiple of Config.MaxFailures an instance is quarantined even if other instances may have caused the failures
+	shortLeaseReviewDivisor = 6 // a fail-over that waits for a replica's lease is reviewed every Lease/shortLeaseReviewDivisor
 )
 
-// failOver has a replica take over from a primary that no longer acts, or quarantines the instance.
+// failOver has a replica take over from a primary that no longer acts. Without a replica that can take over, the instance is
+// declared lost. An instance that is presumed to cause the failures is quarantined instead.
 //
 // Unlike the target of a move, the successor may evacuate, drain or be rolled back: the replica has every acknowledged entry,
 // and losing an entry would be worse than serving on such a node. The instance then moves to another node at once. Successors
@@ -28,10 +29,10 @@
 	}
 	successor := p.successor(i)
 	if successor != nil && p.leaseEndsSoon(successor) {
-		// Guards against failing over to a replica that failed at the same moment as the primary, which would count another failure
-		// and leave the instance without a primary for another lease. The fail-over therefore waits until the replica renews its
-		// lease or the lease expires. A live replica that is slow to renew looks the same and delays the fail-over by up to the
-		// rest of its lease.
+		// The wait guards against failing over to a replica that failed at the same moment as the primary. Such a fail-over would
+		// count another failure and leave the instance without a primary for another lease duration. The fail-over therefore
+		// waits until the replica renews its lease or the lease expires. A live replica that is slow to renew looks the same and
+		// delays the fail-over by up to the rest of its lease.
 		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReviewDivisor))
 		return
 	}
@@ -44,10 +45,10 @@
 
 // failsItsPrimaries reports whether an instance is presumed to cause the failures of its primaries.
 //
-// Guards against an instance that fails each node that runs it. Nodes that fail for other reasons are indistinguishable if
-// the same instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If
-// several instances on the failed node are suspects (countPoisonCandidates), they all continue, each with its replica on a
-// different node, until one fails a node alone; that costs one or two more node failures.
+// This guards against an instance that makes each node that runs it fail. Nodes that fail for other reasons look the same if
+// one instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If several
+// instances on the failed node are candidates (countPoisonCandidates), they all continue, each with its replica on a different
+// node, until a node fails on which only one of them was. That costs one or two more node failures.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
 	if failures < p.config.MaxFailures {
@@ -57,7 +58,8 @@
 	return alone || failures >= poisonFailureFactor*p.config.MaxFailures
 }
 
-// countPoisonCandidates counts the instances on a failed node that reach Config.MaxFailures with this failure.
+// countPoisonCandidates counts the instances on a failed node that may have caused its failure, because this failure makes
+// their failure count reach Config.MaxFailures.
 func (p *Planner) countPoisonCandidates(n *node) {
 	n.poisonCandidates = 0
 	for i := range n.primaryOf {
@@ -70,11 +72,11 @@
 	return n.LeaseEnd != 0 && n.LeaseEnd-p.now < p.config.Lease/shortLeaseDivisor
 }
 
-// successor returns the best live replica, or nil for none. Replicas are compared by successorRank, then by whether the lease
-// does not end soon, then by whether the node is in the device's zone, then by risk.
+// successor returns the best live replica, or nil for none. A replica with a lower successorRank is preferred, then one whose
+// lease does not end soon, then one in the device's zone, then one with less risk.
 //
-// The lease precedes the zone because the leases of all nodes in a partitioned zone, primaries and replicas, expire together:
-// a replica in another zone can then take over without waiting for them.
+// The lease is compared before the zone because the leases of all nodes in a partitioned zone, primaries and replicas, expire
+// together. A replica in another zone can then take over without waiting for those leases.
 func (p *Planner) successor(i *instance) *node {
 	var best *node
 	compare := func(a, b *node) int {
@@ -93,7 +95,8 @@
 	return best
 }
 
-// canTakeOver reports whether a replica is live and has every acknowledged entry.
+// canTakeOver reports whether a replica is live and has every acknowledged entry. A replica still counts as live for
+// Lease/shortLeaseDivisor after the lease end that it last reported, unless OnLeaseExpired was called for it.
 func (p *Planner) canTakeOver(i *instance, n *node) bool {
 	if !n.reported || n.leaseExpired || slices.Contains(i.emptyReplicas, n) {
 		return false
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -37,11 +37,11 @@
 // moveHistory records the moves of an instance.
 type moveHistory struct {
 	last   tick.Tick // time of the last cut-over, 0 for none
-	streak int       // number of consecutive moves, each soon after the one before (recordMove); 0 after a first move
+	streak int       // number of cut-overs in a row that each came soon after the previous one (recordMove); 0 if the last one did not
 }
 
-// stayUntil returns the time before which an instance makes no move that can wait. The stay doubles with each consecutive
-// move.
+// stayUntil returns the time before which an instance makes no move that is not urgent. The stay doubles with each consecutive
+// move of the streak.
 func (h moveHistory) stayUntil(dwell tick.Tick) tick.Tick {
 	if h.last == 0 {
 		return 0
@@ -49,7 +49,8 @@
 	return h.last + dwell<<h.streak
 }
 
-// recordMove records a cut-over. The streak continues if the last cut-over is at most twice the last stay ago.
+// recordMove records a cut-over. The streak grows if at most twice the last stay has passed since the previous cut-over, and
+// otherwise restarts at 0.
 func (h *moveHistory) recordMove(now, dwell tick.Tick) {
 	if h.last != 0 && now-h.last <= 2*dwell<<h.streak {
 		h.streak = min(h.streak+1, maxMoveStreak)
@@ -59,7 +60,8 @@
 	h.last = max(1, now)
 }
 
-// remoteBackoff delays attempts to make a replica in another zone after such a replica could not be reached.
+// remoteBackoff delays copies of an instance to other zones after the primary dropped a replica in another zone, or after a
+// copy there did not end in time (backOffRemote).
 type remoteBackoff struct {
 	until    tick.Tick
 	failures int // number of consecutive failures
@@ -82,7 +84,7 @@
 // retry delays moves of an instance that found no target, had an operation refused or had its copy cancelled. Moves for
 // a more urgent reason are not delayed.
 type retry struct {
-	attempts int // number of consecutive attempts
+	attempts int // number of consecutive failed attempts
 	until    tick.Tick
 	reason   moveReason
 }
@@ -101,7 +103,7 @@
 	remoteReplica bool // the instance has too few replicas in zones other than its primary's
 }
 
-// wait is an instance's position in the queue in which it waits for a move.
+// wait says where an instance waits for a move: its position in a queue, and whether it is among the waiters for a bound.
 type wait struct {
 	queue    *queue // nil if the instance waits in no queue
 	position int
@@ -116,17 +118,17 @@
 	position int       // index in Planner.scheduledReviews, or notQueued
 }
 
-// move is a move that is in progress or proposed.
+// move is a migration or a copy of an instance that is in progress or proposed.
 type move struct {
-	source, target *node // nil if there is no move
+	source, target *node // both nil if there is no move
 	link           *link // nil for a move within a zone
 }
 
 // notQueued is the position of an instance or node that is in no heap.
 const notQueued = -1
 
-// lastMoveOf returns the latest time at which an instance may have last moved, judged by its assignment, or 0 if it has never
-// moved.
+// lastMoveOf returns 0 for an instance in its first epoch, which has never moved. For any other instance it returns now, the
+// latest time at which the instance may have moved: an assignment does not say when its instance last moved.
 func lastMoveOf(a placement.Assignment, now tick.Tick) tick.Tick {
 	if a.Epoch > 1 {
 		return max(1, now)
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -2,23 +2,23 @@
 
 import "silvercove/internal/placement"
 
-// Shares of the bounds on moves that copies may use. The rest is kept for moves of instances.
+// Fractions of the bounds on moves that copies may use. The rest is kept for migrations.
 const (
-	replicaCopiesShare       = 0.75 // share for copies that restore replicas
-	remoteReplicaCopiesShare = 0.5  // share for copies that make a replica in another zone
+	replicaCopiesShare       = 0.75 // fraction for copies that restore replicas
+	remoteReplicaCopiesShare = 0.5  // fraction for copies that make a replica in another zone
 )
 
-// Intervals between scheduled reviews of waiting instances. When capacity becomes free, only a few waiting
-// instances are reviewed at once. If they do not use the capacity, scheduled reviews offer it to the others.
+// Intervals between scheduled reviews of waiting instances. When capacity becomes free, only a few waiting instances are
+// reviewed at once. If those instances do not use the capacity, scheduled reviews offer it to the remaining ones.
 const (
-	boundReviewDivisor      = 4 // an instance with too few replicas that waits for a bound is reviewed after Lease/boundReviewDivisor
+	boundReviewDivisor      = 4 // an instance with too few replicas that waits because a bound is used up is reviewed after Lease/boundReviewDivisor
 	fullLinkReviewLeases    = 4 // lease durations until the review of an instance that waits for a full link
-	remoteReviewFactor      = 4 // an instance that waits for a node in another zone waits this multiple of Config.Lease + Config.RestartAfter
-	remoteBoundReviewLeases = 4 // lease durations until the review of an instance that waits for a bound and only lacks a remote replica
+	remoteReviewFactor      = 4 // an instance that waits for a node in another zone is reviewed after this multiple of Config.Lease + Config.RestartAfter
+	remoteBoundReviewLeases = 4 // lease durations until the review of an instance that only lacks a remote replica and waits because a bound is used up
 )
 
-// beginMove starts the move of the instance at the head of its primary's queue, or adds the instance to a queue or
-// to the waiters for a bound.
+// beginMove starts the move of the instance at the head of its primary's ready queue. If the move has to wait, the instance is
+// added to another queue or to the waiters for a bound.
 func (p *Planner) beginMove(i *instance) {
 	p.dequeue(i)
 	if i.need.reason.copiesOnly() && p.waitForCopyBound(i) {
@@ -69,7 +69,7 @@
 	return true
 }
 
-// copiesFull reports whether a number of moves uses up the share of a bound that is open to copies for a reason.
+// copiesFull reports whether a number of moves uses up the share of a bound that copies for a reason may use.
 func (p *Planner) copiesFull(reason moveReason, moves, bound int) bool {
 	share := replicaCopiesShare
 	if reason == tooFewRemoteReplicas {
@@ -78,8 +78,8 @@
 	return float64(moves) >= max(1, share*float64(bound))
 }
 
-// waitForTarget adds an instance without a target to the queue of a full link, of instances that need a node in another zone,
-// of its device's zone, or of instances that accept any node.
+// waitForTarget adds an instance for which no target was found to a queue: that of the full link, Planner.waitingRemote, that
+// of its device's zone, or Planner.waitingAnywhere.
 func (p *Planner) waitForTarget(i *instance, fullLink *link) {
 	lease, risk := p.config.Lease, i.primaryNode.Risk
 	switch {
@@ -87,8 +87,8 @@
 		p.enqueue(&fullLink.waiting, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+fullLinkReviewLeases*lease))
 	case i.need.reason == tooFewRemoteReplicas:
-		// There is only one zone, or all other zones evacuate or have no room. A zone or a slot that becomes available wakes the
-		// instance earlier.
+		// Either there is only one zone, or the nodes of all other zones evacuate or have no room. A zone or a slot that becomes
+		// available wakes the instance earlier.
 		p.enqueue(&p.waitingRemote, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewFactor*(lease+p.config.RestartAfter)))
 	case i.need.reason == deviceElsewhere:
@@ -100,7 +100,7 @@
 	}
 }
 
-// updateMoveCounts updates the counts of moves after a change of the move of an instance that is in progress or proposed.
+// updateMoveCounts updates the counts of moves if the move of an instance has begun, changed or ended.
 func (p *Planner) updateMoveCounts(i *instance) {
 	from, to := p.moveOf(i)
 	if from == i.move.source && to == i.move.target {
@@ -121,7 +121,7 @@
 	p.updateReadyNode(to)
 }
 
-// moveOf returns the nodes of an instance's move that is in progress or proposed, or nil if there is none.
+// moveOf returns the nodes of an instance's move that is in progress or proposed, or nil for both if there is none.
 func (p *Planner) moveOf(i *instance) (from, to *node) {
 	switch {
 	case i.State != placement.Running:
@@ -143,7 +143,7 @@
 	}
 }
 
-// endMove removes an instance's move from the counts of moves, and queues reviews of instances that waited for its end.
+// endMove removes an instance's move from the counts of moves, and queues reviews of instances that waited for the move to end.
 func (p *Planner) endMove(i *instance) {
 	ended := i.move
 	p.addMoves(ended, -1)
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -29,33 +29,34 @@
 type node struct {
 	NodeStatus
 	reported     bool // the node has reported its status since this planner became leader
-	leaseExpired bool // the node's lease has ended by every clock
+	leaseExpired bool // the node's lease has expired, by the controller's clock and by the node's own
 	zone         *zone
 	primaryOf    map[*instance]struct{}
 	replicaOf    map[*instance]struct{}
 
 	moves    int                    // moves from and to this node that are in progress or proposed
 	incoming map[*instance]struct{} // instances of the moves to this node
-	reserved int                    // slots of FreeSlots that moves to this node, or starts chosen since its last status, have taken
+	reserved int                    // number of the FreeSlots that are taken by moves to this node and by starts chosen for it since its last status
 	recent   recentMoves
 
 	poisonCandidates int // number of instances that may cause the failures of their primaries; set when this node fails
 	pendingFailOvers int // number of pending fail-overs and quarantines that declare this node's lease expired
 
-	ready            queue        // instances of this primary that are ready to be moved or copied, the most urgent first
+	ready            queue        // instances with this primary that are ready to be moved or copied, the most urgent first
 	waitingForBound  boundWaiters // instances that wait until the bound on this node's moves allows another copy
 	eligible         bool         // the node is in its zone's list of nodes that may receive an instance
 	readyPosition    int          // index in Planner.readyNodes, or notQueued
 	nextExcessReview tick.Tick
 }
 
-// recentMoves counts moves to and from a node in the current window, one lease long, and in the previous one.
+// recentMoves counts migrations to and from a node in the current window, index 0, and in the previous one, index 1. A window
+// is at least one lease duration long.
 type recentMoves struct {
 	arrivals, departures [2]int
 	since                tick.Tick // start of the current window
 }
 
-// rotate starts a new window once the current one has lasted a lease.
+// rotate starts a new window once the current one has lasted a lease duration.
 func (m *recentMoves) rotate(now, lease tick.Tick) {
 	if now-m.since < lease {
 		return
@@ -73,7 +74,7 @@
 // link is the connection between two zones, in both directions.
 type link struct {
 	moves   int
-	waiting queue // instances that wait until the link has room
+	waiting queue // instances that wait until fewer moves use the link
 }
 
 // unreliable reports whether a node can't be relied upon to keep its copies.
@@ -84,7 +85,8 @@
 // isLeaving reports whether a node shuts down, drains, or runs a version that is being rolled back.
 func (n *node) isLeaving() bool { return n.ShuttingDown || n.ListedDraining || n.RollingBack }
 
-// leaseHadEnded reports whether a node's lease had ended before its current report.
+// leaseHadEnded reports whether the lease that a node last reported has ended. OnNodeStatus calls it before it stores the
+// node's new status.
 func (n *node) leaseHadEnded(now tick.Tick) bool {
 	return n.leaseExpired || n.LeaseEnd != 0 && n.LeaseEnd <= now
 }
@@ -133,8 +135,8 @@
 	return p.links[key]
 }
 
-// updateEligibility adds a node to its zone's list of eligible nodes, or removes it, as its status requires. A node that
-// becomes eligible wakes instances that found no target.
+// updateEligibility adds a node to its zone's list of eligible nodes if the node qualifies, and removes it otherwise. If a node
+// becomes eligible, instances that found no target are reviewed again.
 func (p *Planner) updateEligibility(n *node) {
 	if !n.qualifies() {
 		p.makeIneligible(n)
@@ -157,8 +159,8 @@
 	p.wake(&p.waitingRemote, free)
 }
 
-// makeIneligible removes a node from its zone's list, which is ordered by risk. The node's risk and zone may only change
-// while the node is not in the list.
+// makeIneligible removes a node from its zone's list of eligible nodes. The list is ordered by risk and searched by risk, so a
+// node's risk and zone must not change while the node is in the list.
 func (p *Planner) makeIneligible(n *node) {
 	if !n.eligible {
 		return
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -11,8 +11,8 @@
 // Constants of planning for running instances.
 const (
 	resetFailuresAfter     = 60 * tick.Second // time without a failure after which an instance's failure count is reset
-	remoteBackOffLeases    = 4                // lease durations before the next copy to another zone; doubled with each consecutive failure
-	maxMoveStreak          = 8                // limit on doublings of the dwell and of the back-off of remote replicas
+	remoteBackOffLeases    = 4                // lease durations to wait after a failed copy to another zone before the next one; doubled with each consecutive failure
+	maxMoveStreak          = 8                // limit on the number of doublings of Config.Dwell and of the back-off of remote replicas
 	unreplicatedCopyLeases = 2                // lease durations that an instance without any replica waits for a copy to another zone
 	cancelBackOffDivisor   = 4                // the wait after the first cancelled copy is 2*Lease/cancelBackOffDivisor
 )
@@ -53,7 +53,7 @@
 	p.updateReadyNode(primary)
 }
 
-// reasonToLeave returns why an instance should leave its primary, or noMove, and the time before which it should stay.
+// reasonToLeave returns why an instance should leave its primary, or noMove. The instance should stay until the time notBefore.
 func (p *Planner) reasonToLeave(i *instance) (reason moveReason, notBefore tick.Tick) {
 	primary := i.primaryNode
 	stay := i.history.stayUntil(p.config.Dwell)
@@ -63,7 +63,8 @@
 	case primary.isLeaving():
 		return primaryLeaving, 0
 	case primary.Evacuating && i.history.streak > 0:
-		// Guards against two evacuating nodes that hand an instance back and forth: the stay doubles with each consecutive move.
+		// The stay guards against two evacuating nodes that hand an instance back and forth: it doubles with each consecutive
+		// move.
 		return primaryEvacuating, stay
 	case primary.Evacuating:
 		return primaryEvacuating, 0
@@ -101,7 +102,7 @@
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
 		if c.remote <= p.config.RemoteReplicas && n.isRemoteTo(i.primaryNode) && !n.unreliable() {
-			continue // a replica in the primary's zone is dropped instead
+			continue // this remote replica is needed: one in the primary's zone or an unreliable one is dropped instead
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
 			worst = n
@@ -114,8 +115,9 @@
 }
 
 // droppedBefore reports whether replica a is dropped before replica b: an unreliable replica first, then one on an evacuating
-// node, then one in a zone other than the primary's, then one in a zone other than the device's. Each weight exceeds the sum
-// of those after it, so that the comparison is lexicographic. Among equals, the replica most at risk is dropped first.
+// node, then one in a zone other than the primary's, then one in a zone other than the device's. Each of the weights 8, 4, 2
+// and 1 exceeds the sum of the smaller ones, so that an earlier condition outweighs all later ones. Among equals, the replica
+// most at risk is dropped first.
 func droppedBefore(i *instance, a, b *node) bool {
 	demerits := func(n *node) int {
 		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.isRemoteTo(i.primaryNode)) +
@@ -137,8 +139,8 @@
 	return tooFewRemoteReplicas
 }
 
-// resetFailures proposes to reset an instance's failure count once there has been no failure for resetFailuresAfter, and reports
-// whether it did.
+// resetFailures proposes to reset an instance's failure count once there has been no failure for resetFailuresAfter, and
+// reports whether it proposed that.
 func (p *Planner) resetFailures(i *instance) bool {
 	at := i.primarySince + resetFailuresAfter
 	if p.now < at {
@@ -152,10 +154,10 @@
 // backOffRemote delays copies to other zones after a remote replica was dropped, or after a copy did not become a remote
 // replica in time.
 //
-// Guards against a link too slow or lossy for acknowledgements: copies over it would repeat without end, and between them
-// entries would exist on the primary alone. No copy to another zone is started for some leases, and that time doubles with
-// each consecutive failure. A short partition of the zones is indistinguishable: the replica then stays in the primary's zone
-// for that time.
+// The delay guards against a link that is too slow or lossy for acknowledgements. Copies over such a link would be repeated
+// without end, and between two copies entries would exist on the primary alone. No copy to another zone is started for
+// remoteBackOffLeases lease durations, and this delay doubles with each consecutive failure. A short partition of the zones
+// looks the same: the replica then stays in the primary's zone during the delay.
 func (p *Planner) backOffRemote(i *instance, n *node) {
 	if i.primaryNode == nil || !n.isRemoteTo(i.primaryNode) {
 		return
@@ -219,8 +221,8 @@
 func (p *Planner) copyDeadline(i *instance, target *node) tick.Tick {
 	end := i.copySince + p.config.RestartAfter
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
-		// Guards against entries that exist on the primary alone for as long as another zone is unreachable. A large state on a
-		// slow link is indistinguishable: the instance is then first copied within its own zone.
+		// The shorter deadline guards against entries that exist on the primary alone while another zone is unreachable. A large
+		// state on a slow link looks the same: the instance is then first copied within its own zone.
 		end = min(end, i.copySince+unreplicatedCopyLeases*p.config.Lease)
 	}
 	return end
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -7,7 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// Limits on the number of reviews and moves in one call. OnTick does the remaining work.
+// Limits on the number of reviews and moves in one call of OnTick (maxWorkPerTick) or of another method (maxWorkPerEvent).
+// OnTick does the remaining work.
 const (
 	maxWorkPerTick  = 1024
 	maxWorkPerEvent = 64
@@ -22,7 +23,7 @@
 	Explain(text string)
 }
 
-// Planner decides, at the leading controller, when an instance moves to another node, to which one and how. The package
+// Planner decides, at the leading controller, when an instance moves to another node, to which node and how. The package
 // documentation describes the order of calls.
 type Planner struct {
 	host          Host
@@ -33,7 +34,7 @@
 	now           tick.Tick
 	nodes         map[string]*node
 	zones         map[string]*zone
-	eligibleZones []*zone // zones with an eligible node, by name
+	eligibleZones []*zone // zones with an eligible node, sorted by name
 	links         map[[2]string]*link
 	instances     map[string]*instance
 	moves         int // number of moves in progress or proposed
@@ -101,14 +102,14 @@
 }
 
 // FailOverPending reports whether an operation that declares a node's lease expired has no result yet. Until the result is
-// known, the node must not be granted a lease: an operation that is agreed late would make another node the primary of the
-// node's instances while the node serves them.
+// known, the node must not be granted a lease. If the operation were agreed after the grant, another node would become the
+// primary of an instance that this node still serves.
 func (p *Planner) FailOverPending(name string) bool {
 	return p.nodes[name] != nil && p.nodes[name].pendingFailOvers > 0
 }
 
-// processPending does the pending reviews, then the scheduled ones that are due, then the most urgent moves, until the budget
-// is used up. It reports whether no work is left that can be done now.
+// processPending does the pending reviews, then the scheduled ones that are due, then the most urgent moves, until the budget,
+// a number of reviews and moves, is used up. It reports whether no work is left that can be done now.
 func (p *Planner) processPending(budget int) bool {
 	if !p.leads || p.processing {
 		return true
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -11,7 +11,7 @@
 	proposalTimeoutLeases = 2 // lease durations to wait for the result of a proposal
 	avoidDroppedLeases    = 2 // lease durations for which a node that was dropped as a replica is no target
 	maxBackOffDoublings   = 10
-	backOffDivisor        = 8 // the first wait is 2*Lease/backOffDivisor
+	backOffDivisor        = 8 // the first wait of backOff is 2*Lease/backOffDivisor
 )
 
 // propose submits an operation for an instance, unless one is pending or the planner does not lead.
@@ -89,7 +89,7 @@
 	return false
 }
 
-// backOff delays the next move of an instance. The delay doubles with each consecutive attempt.
+// backOff delays the next move of an instance. The delay doubles with each consecutive failed attempt, up to a limit.
 func (p *Planner) backOff(i *instance) {
 	lease := p.config.Lease
 	i.retry.attempts = min(i.retry.attempts+1, maxBackOffDoublings)
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -41,7 +41,8 @@
 	return i
 }
 
-// enqueue adds an instance to a queue. The risk orders the queues of links and zones, and is 0 in a node's queue.
+// enqueue adds an instance to a queue. Among instances with the same reason to move, those with more risk come first. In the
+// ready queue of a node the risk is 0 for all.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
@@ -59,8 +60,8 @@
 	}
 }
 
-// wake queues reviews of a limited number of instances that found no target, the most urgent and those most at risk first.
-// The scheduled reviews of these instances would not follow that order.
+// wake queues reviews of at most the given number of instances that found no target: the most urgent first, and among equals
+// those most at risk. The scheduled reviews of these instances would not follow that order.
 func (p *Planner) wake(q *queue, most int) {
 	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
@@ -188,8 +189,8 @@
 	return i
 }
 
-// queueReviewsOf queues reviews of all instances that a node is a primary, a replica or a target of, each group by descending
-// weight.
+// queueReviewsOf queues reviews of all instances of which a node is the primary, then of those of which it is a replica, then
+// of those that are being moved or copied to it. Each group is in order of descending weight.
 func (p *Planner) queueReviewsOf(n *node) {
 	for _, all := range []map[*instance]struct{}{n.primaryOf, n.replicaOf, n.incoming} {
 		for _, i := range byWeight(maps.Keys(all)) {
@@ -198,8 +199,8 @@
 	}
 }
 
-// boundWaiters lists, in order of arrival, the instances that wait to be copied because the moves in progress or proposed
-// use up the share of a bound on moves that is open to copies.
+// boundWaiters lists the instances that wait to be copied because moves use up the share of a bound on moves that copies may
+// use. The instances are in order of arrival, and the moves are those in progress or proposed.
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances that only lack a replica in another zone
@@ -218,7 +219,7 @@
 }
 
 // reviewNextWaiting queues a review of the first instance that waits for a bound; instances with too few replicas come first.
-// A node whose instances all lost a replica thus has them copied one after the other, rather than a few at each scheduled
+// If all instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
 // review.
 func (p *Planner) reviewNextWaiting(at *boundWaiters) {
 	for len(at.replicas)+len(at.remoteReplicas) > 0 {
--- a/internal/migration/reasons.go
+++ b/internal/migration/reasons.go
@@ -1,6 +1,6 @@
 package migration
 
-// moveReason is why an instance is to be moved or copied, the most urgent first.
+// moveReason is why an instance is to be moved or copied. A smaller value is more urgent.
 type moveReason int
 
 // The reasons for moves and copies.
@@ -24,5 +24,5 @@
 	tooFewRemoteReplicas: "too few copies in another zone",
 }
 
-// copiesOnly reports whether a reason calls for a copy while the instance stays.
+// copiesOnly reports whether a reason calls for a copy while the instance stays on its primary.
 func (r moveReason) copiesOnly() bool { return r == tooFewReplicas || r == tooFewRemoteReplicas }
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -27,10 +27,10 @@
 )
 
 // Rebuild derives assignments from the copies that nodes report and from an earlier state of the table, if there is one. An
-// instance continues on a node that certainly has every acknowledged entry: one that was its primary or a replica in the
-// latest epoch that anyone reports, or the one with the most entries if no node is unresponsive. Otherwise the instance is
-// lost: it waits for a node that has every entry, and is restarted from a known older copy after a while. The notes name each
-// instance that is lost or may have lost entries.
+// instance continues on a node that certainly has every acknowledged entry: one that was its primary or a replica in the latest
+// epoch that anyone reports, or the one with the most entries if no node is unresponsive. Otherwise the instance is lost: it
+// waits for a node that has every entry, and is restarted from a known older copy after Config.RestartAfter. The notes name
+// each instance that is lost or may have lost entries.
 func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
 	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
 	for _, n := range nodes {
@@ -152,7 +152,8 @@
 	r.note("%s: lost: no unit that answered has it", a.Instance)
 }
 
-// keepQuarantined keeps an instance without a primary that was quarantined before the rebuild.
+// keepQuarantined makes the rebuilt assignment of an instance that was quarantined before the rebuild quarantined again. A
+// quarantined instance has no primary, so the chosen primary becomes a replica.
 func keepQuarantined(a *placement.Assignment) {
 	a.State = placement.Quarantined
 	if a.Primary != "" {
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -11,7 +11,7 @@
 const (
 	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
 	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
-	skippableZones = 2 // the device's zone and the primary's, which may be among those sampled
+	skippableZones = 2 // number of zones that the sample skips if it contains them: the device's and the primary's
 )
 
 // Risk margins and limits of targets.
@@ -19,8 +19,8 @@
 	evacuationMargin       = 0.2 // margin by which a target's risk has to be lower than an evacuating primary's
 	excessMargin           = 0.1 // margin by which a target's risk may exceed that of a primary with too many instances
 	maxRiskPerInstance     = 0.1 // upper bound of the estimate of the risk that one instance adds
-	maxVoluntaryTargetRisk = 0.7 // copies, and moves to the device's zone from a safer primary, go only to targets with less risk
-	maxLimitedIncoming     = 1   // limit on the instances in transit to a node that accepts only a few
+	maxVoluntaryTargetRisk = 0.7 // limit on the risk of a target of a copy, or of a move to the device's zone from a primary with less risk than the target
+	maxLimitedIncoming     = 1   // limit on the instances in transit to a node that accepts only a few instances
 )
 
 // Weights of the terms of a node's score (targetSearch.score). Each term is from 0 to 1 unless noted otherwise. Risk counts
@@ -33,16 +33,16 @@
 	replicaBonus    = 0.5     // added for a replica, which already has the state
 	largeStateBytes = 1 << 20 // bytes of state for which a replica scores 1 more; less state scores proportionally less
 	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // weight of the node's replicas per instance of the primary, for a remote replica; the term may exceed 1
-	tieBreakWeight  = 0.1     // weight of a hash of node and instance; 1 instead if the instance has failed primaries
+	crowdingWeight  = 0.5     // weight of the number of replicas on the node per instance of the primary; only for remote replicas; the term may exceed 1
+	tieBreakWeight  = 0.1     // weight of a hash of node and instance; 1 instead if primaries of the instance have failed
 )
 
-// Constants of the hash that scatters instances which have failed primaries.
+// Constants of the hash that scatters instances whose primaries have failed (targetSearch.tieBreak).
 const (
 	scatterMultiplier1 = 0x9e3779b97f4a7c15
 	scatterMultiplier2 = 0xbf58476d1ce4e5b9
 	scatterShift       = 29
-	fractionBits       = 24 // bits of the hash that make a fraction from 0 to 1
+	fractionBits       = 24 // number of bits of the hash that are read as a fraction from 0 to 1
 	fractionShift      = 64 - fractionBits
 )
 
@@ -57,17 +57,18 @@
 
 	best      *node
 	bestScore float64
-	fullLink  *link // a link without room, which excluded a node
+	fullLink  *link // a full link that excluded a node; nil if there is none
 }
 
-// chooseTarget chooses a target for an instance: a node in the device's zone, else in the primary's, else in a few others. A
-// remote replica goes to the device's zone, else to a few others except the primary's. The nodes with the least risk and a
-// random sample of each zone are considered. If a full link excluded a node, fullLink is that link.
+// chooseTarget chooses a target for an instance: a node in the device's zone, else in the primary's zone, else in one of a few
+// other zones. A remote replica goes to the device's zone unless that is the primary's, else to one of a few other zones. The
+// nodes with the least risk and a random sample of each zone are considered. If a full link excluded a node, fullLink is that
+// link.
 func (p *Planner) chooseTarget(i *instance, reason moveReason) (target *node, fullLink *link) {
 	s := &targetSearch{planner: p, instance: i, reason: reason, hash: xxhash.Sum64String(i.Instance) ^ p.seed}
 	attempt := uint64(i.retry.attempts)
 	if reason == tooFewRemoteReplicas {
-		attempt = uint64(p.now) // so that each attempt samples other zones
+		attempt = uint64(p.now) // a seed that changes with time, so that each attempt samples other zones
 	}
 	s.random = rand.New(rand.NewPCG(s.hash, attempt))
 	s.remote = i.need.remoteReplica && (reason == tooFewRemoteReplicas || reason == tooFewReplicas && p.now >= i.remoteBackoff.until)
@@ -111,14 +112,15 @@
 	}
 }
 
-// scattersPoisonCandidates reports whether a replica may go to any zone, so that no two instances that may fail their
-// primaries meet on one node.
+// scattersPoisonCandidates reports whether a replica may go to any zone, because the instance may have caused the failures of
+// its primaries. Such instances get their replicas on different nodes, so that the next failure shows which instance causes it.
 func (s *targetSearch) scattersPoisonCandidates() bool {
 	i := s.instance
 	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.config.MaxFailures
 }
 
-// considerZone considers the instance's replicas in a zone, the zone's nodes with the least risk, and a sample of the others.
+// considerZone considers the instance's replicas in a zone, the zone's nodes with the least risk, and a sample of the zone's
+// remaining nodes.
 func (s *targetSearch) considerZone(z *zone) {
 	for _, n := range s.instance.replicaNodes {
 		if n.zone == z {
@@ -197,13 +199,13 @@
 	return true
 }
 
-// isSaferTarget reports whether a node is less at risk than an evacuating primary by evacuationMargin, with the recent and
-// current moves of both counted.
+// isSaferTarget reports whether a node's risk is lower than an evacuating primary's by evacuationMargin. The estimate of both
+// risks includes the recent and the current moves of the two nodes.
 //
-// Guards against two evacuating nodes that hand all their instances to each other. Because reports lag behind, the moves in
-// progress and those of the last one to two leases count on both sides, each at the primary's risk per instance. Risk that
-// comes from an empty battery is indistinguishable, but does not go down with each instance that leaves: the instances then
-// leave in several rounds, one per report.
+// The estimate guards against two evacuating nodes that hand all their instances to each other. Reports of risk lag behind, so
+// the moves in progress and those of the last one to two lease durations are counted on both nodes, each at the primary's risk
+// per instance. Risk that comes from an empty battery looks the same, but does not go down with each instance that leaves: the
+// instances then leave in several rounds, one per report.
 func isSaferTarget(n, primary *node) bool {
 	riskPerInstance := min(maxRiskPerInstance, primary.Risk/float64(max(1, len(primary.primaryOf))))
 	arriving := float64(len(n.incoming) + n.recent.arrivals[0] + n.recent.arrivals[1] + 1)
@@ -223,14 +225,15 @@
 	if n.Limited {
 		score -= limitedPenalty
 	}
-	if s.remote { // guards against a few nodes that hold the replicas of the whole fleet
+	if s.remote { // guards against remote replicas of the whole fleet that all go to a few nodes
 		score -= crowdingWeight * float64(len(n.replicaOf)) / float64(1+len(i.primaryNode.primaryOf))
 	}
 	return score + s.tieBreak(n)
 }
 
-// tieBreak spreads instances over nodes with similar scores. Instances that failed together with a node get the hash at its
-// full weight, which scatters them so that they do not fail together again: one of them may have caused the failure.
+// tieBreak spreads instances over nodes with similar scores. Instances whose primary has failed get the hash at the weight 1
+// instead of tieBreakWeight. That scatters instances that failed together, one of which may have caused the failure, so that
+// they do not fail together again.
 func (s *targetSearch) tieBreak(n *node) float64 {
 	mixed := s.hash ^ xxhash.Sum64String(n.Name)
 	if s.instance.Failures > 0 {
