--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -26,7 +26,8 @@
 	"silvercove/internal/tick"
 )
 
-// Errors for which a lease is not granted. Callers recognize them on the wire by their texts (package controllerclient).
+// Errors that Request and Grant return if they refuse a lease. Callers recognize the errors on the wire by their texts (package
+// controllerclient).
 var (
 	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
 	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
--- a/internal/leases/lessor_test.go
+++ b/internal/leases/lessor_test.go
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestRecordCounts_AreAgreedInBoundedOperations checks that an operation has at most maxCountsPerOperation counts, however many
-// nodes report, that the remaining counts are due at once, and that counts that were not agreed are due again unless there
-// is a newer count.
+// TestRecordCounts_AreAgreedInBoundedOperations checks that an operation has at most maxCountsPerOperation counts if more nodes
+// report, and that the remaining counts are due at once. Counts that were not agreed must be due again, except those of nodes
+// that have reported a newer count.
 func TestRecordCounts_AreAgreedInBoundedOperations(t *testing.T) {
 	c := NewRecordCounts(0, Config{Seconds: 1}, nil)
 	const nodes = 2*maxCountsPerOperation + 10
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -39,7 +39,7 @@
 	reserved int                    // number of the FreeSlots that are taken by moves to this node and by starts chosen for it since its last status
 	recent   recentMoves
 
-	poisonCandidates int // number of instances that may cause the failures of their primaries; set when this node fails
+	poisonCandidates int // number of this node's instances that may have caused its failure; set when the node fails
 	pendingFailOvers int // number of pending fail-overs and quarantines that declare this node's lease expired
 
 	ready            queue        // instances with this primary that are ready to be moved or copied, the most urgent first
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// wake queues reviews of at most the given number of instances that found no target: the most urgent first, and among equals
-// those most at risk. The scheduled reviews of these instances would not follow that order.
+// wake queues reviews of at most limit and at most Config.MaxMovesPerNode instances that found no target: the most urgent
+// first, and among equals those most at risk. The scheduled reviews of these instances would not follow that order.
 func (p *Planner) wake(q *queue, most int) {
 	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -173,8 +173,8 @@
 	return l.moves >= bound || s.reason.copiesOnly() && s.planner.copiesFull(s.reason, l.moves, bound)
 }
 
-// isSuitable reports whether a node may receive the instance. All eligible nodes already accept instances, have room, and
-// neither drain nor are rolled back.
+// isSuitable reports whether a node may receive the instance. It does not check again what makes a node eligible: accepting
+// instances, having room, and neither draining nor being rolled back.
 func (s *targetSearch) isSuitable(n *node) bool {
 	i, p := s.instance, s.planner
 	switch {
@@ -213,8 +213,8 @@
 	return n.Risk+riskPerInstance*arriving <= primary.Risk-riskPerInstance*departing-evacuationMargin
 }
 
-// score rates a node for the instance. Risk counts most, then free slots and moves in progress. A replica scores more, as it
-// already has the state, and the more the larger the state is.
+// score rates a node for the instance. Risk counts most, then free slots and moves in progress. A replica scores higher because
+// it already has the state. The larger the state is, the higher a replica scores.
 func (s *targetSearch) score(n *node) float64 {
 	i := s.instance
 	score := -riskWeight*n.Risk + freeSlotsWeight*min(1, float64(n.FreeSlots-n.reserved)/enoughFreeSlots) -
--- a/internal/placement/assignment.go
+++ b/internal/placement/assignment.go
@@ -44,7 +44,7 @@
 	return a.Epoch > other.Epoch || a.Epoch == other.Epoch && a.Revision > other.Revision
 }
 
-// StaleCopy is a copy of an instance that is no longer updated.
+// StaleCopy describes a node's copy of an instance. The copy is no longer updated.
 type StaleCopy struct {
 	Node  string `json:"unit"`
 	Index uint64 `json:"seq,omitempty"` // the copy has at least the entries up to this index
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -11,7 +11,7 @@
 	// OpCreate adds the instance with the primary Target, in Zone, with Weight. Its epoch is greater than any that an earlier
 	// instance of the name may have had.
 	OpCreate OperationKind = "create"
-	// OpStartCopy begins to copy the instance to Target, and with CutOver to make Target the primary after the copy.
+	// OpStartCopy begins to copy the instance to Target. With CutOver, Target is to become the primary after the copy.
 	OpStartCopy OperationKind = "copy"
 	// OpReplicaReady makes Target a replica. The primary Node reports that Target has every acknowledged entry.
 	OpReplicaReady OperationKind = "synced"
