--- a/internal/migration/config.go
+++ b/internal/migration/config.go
@@ -33,22 +33,22 @@
 // durations in seconds. The three values of moves are keyed "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all".
 // Absent settings have their defaults.
 func ConfigFrom(settings map[string]any) Config {
-	span := func(name string, absent tick.Tick) tick.Tick {
+	duration := func(name string, defaultValue tick.Tick) tick.Tick {
 		if seconds, ok := settings[name].(float64); ok {
 			return tick.Tick(seconds * float64(tick.Second))
 		}
-		return absent
+		return defaultValue
 	}
-	count := func(name string, absent int) int {
+	count := func(name string, defaultValue int) int {
 		if n, ok := settings[name].(float64); ok {
 			return int(n)
 		}
-		return absent
+		return defaultValue
 	}
 	config := Config{
-		Lease:           max(1, span("fleet.lease", DefaultLease)),
-		Dwell:           span("fleet.dwell", DefaultDwell),
-		RestartAfter:    span("fleet.restart_after", DefaultRestartAfter),
+		Lease:           max(1, duration("fleet.lease", DefaultLease)),
+		Dwell:           duration("fleet.dwell", DefaultDwell),
+		RestartAfter:    duration("fleet.restart_after", DefaultRestartAfter),
 		Replicas:        count("fleet.copies", DefaultReplicas),
 		RemoteReplicas:  count("fleet.away", DefaultRemoteReplicas),
 		MaxFailures:     count("fleet.falls", DefaultMaxFailures),
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -54,8 +54,8 @@
 	if failures < p.config.MaxFailures {
 		return false
 	}
-	alone := i.primaryNode.poisonCandidates <= 1
-	return alone || failures >= poisonFailureFactor*p.config.MaxFailures
+	onlyCandidate := i.primaryNode.poisonCandidates <= 1
+	return onlyCandidate || failures >= poisonFailureFactor*p.config.MaxFailures
 }
 
 // countPoisonCandidates counts the instances on a failed node that may have caused its failure, because this failure makes
@@ -124,8 +124,8 @@
 			Reason: n.Name + " holds all of it and is back"})
 		return
 	}
-	if at := i.primarySince + p.config.RestartAfter; p.now < at {
-		p.scheduleReview(i, at)
+	if restartAt := i.primarySince + p.config.RestartAfter; p.now < restartAt {
+		p.scheduleReview(i, restartAt)
 		return
 	}
 	if p.now < i.retry.until {
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -119,11 +119,11 @@
 // and 1 exceeds the sum of the smaller ones, so that an earlier condition outweighs all later ones. Among equals, the replica
 // most at risk is dropped first.
 func droppedBefore(i *instance, a, b *node) bool {
-	demerits := func(n *node) int {
+	dropWeight := func(n *node) int {
 		return 8*countIf(n.unreliable()) + 4*countIf(n.Evacuating) + 2*countIf(n.isRemoteTo(i.primaryNode)) +
 			countIf(n.Zone != i.Zone)
 	}
-	return cmp.Or(cmp.Compare(demerits(b), demerits(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
+	return cmp.Or(cmp.Compare(dropWeight(b), dropWeight(a)), cmp.Compare(b.Risk, a.Risk), cmp.Compare(b.Name, a.Name)) < 0
 }
 
 // remoteReplicaNeed returns tooFewRemoteReplicas if an instance that needs nothing else should get a replica in another zone
@@ -142,9 +142,9 @@
 // resetFailures proposes to reset an instance's failure count once there has been no failure for resetFailuresAfter, and
 // reports whether it proposed that.
 func (p *Planner) resetFailures(i *instance) bool {
-	at := i.primarySince + resetFailuresAfter
-	if p.now < at {
-		p.scheduleReview(i, earlier(i.review.due, at))
+	resetAt := i.primarySince + resetFailuresAfter
+	if p.now < resetAt {
+		p.scheduleReview(i, earlier(i.review.due, resetAt))
 		return false
 	}
 	p.propose(i, placement.Operation{Kind: placement.OpResetFailures, Reason: "no fall for long"})
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -62,8 +62,8 @@
 
 // wake queues reviews of at most limit and at most Config.MaxMovesPerNode instances that found no target: the most urgent
 // first, and among equals those most at risk. The scheduled reviews of these instances would not follow that order.
-func (p *Planner) wake(q *queue, most int) {
-	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
+func (p *Planner) wake(q *queue, limit int) {
+	for range min(limit, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
 		p.dequeue(i)
 		i.retry.until = 0
@@ -207,10 +207,10 @@
 }
 
 // waitForBound adds an instance to the waiters for a bound unless it already waits for one.
-func (p *Planner) waitForBound(at *boundWaiters, i *instance) {
-	list := &at.replicas
+func (p *Planner) waitForBound(waiters *boundWaiters, i *instance) {
+	list := &waiters.replicas
 	if i.need.reason == tooFewRemoteReplicas {
-		list = &at.remoteReplicas
+		list = &waiters.remoteReplicas
 	}
 	if !i.wait.forBound {
 		i.wait.forBound = true
@@ -221,11 +221,11 @@
 // reviewNextWaiting queues a review of the first instance that waits for a bound; instances with too few replicas come first.
 // If all instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
 // review.
-func (p *Planner) reviewNextWaiting(at *boundWaiters) {
-	for len(at.replicas)+len(at.remoteReplicas) > 0 {
-		list := &at.replicas
+func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
+	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
+		list := &waiters.replicas
 		if len(*list) == 0 {
-			list = &at.remoteReplicas
+			list = &waiters.remoteReplicas
 		}
 		i := (*list)[0]
 		*list = (*list)[1:]
