--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -8,8 +8,8 @@
 //
 // A controller creates a Lessor with New when it becomes the leader and calls OnElected. It calls Request for each lease
 // request. If Request returns ProposeIncarnation, the controller proposes the incarnation to the agreed log and then calls
-// OnIncarnationAgreed or OnIncarnationDropped. Once a majority has confirmed its leadership, it calls Grant. Expired returns
-// the nodes whose leases have expired, and NextExpiry returns when to call Expired next.
+// OnIncarnationAgreed or OnIncarnationDropped. Once a majority has confirmed the controller's leadership, the controller calls
+// Grant. Expired returns the nodes whose leases have expired, and NextExpiry returns when to call Expired next.
 //
 // Invariants: no two incarnations of a node have a lease at the same time; a lease is never shortened; Expired returns a node
 // only after every lease that was granted to it has expired.
@@ -52,7 +52,7 @@
 	incarnation uint64    // the agreed incarnation, 0 for none yet
 	leaseEnd    tick.Tick // time from which no lease of the node is active; 0 if it never had one
 	expiry      tick.Tick // time from which Expired returns the node: leaseEnd, or later if ExpectRenewal set it
-	expired     bool      // the node is not in Lessor.queue: Expired has returned it, or no lease or renewal of it was ever expected
+	expired     bool      // the node is not in Lessor.queue: Expired has returned it, or nothing has set its expiry yet
 	pending     bool      // an incarnation is being agreed; meanwhile requests of all incarnations are refused
 	queueIndex  int       // position in Lessor.queue; valid only while expired is false
 }
@@ -104,9 +104,9 @@
 // OnElected begins a term of leadership. The map incarnations holds the agreed incarnation of each node name. Each of these
 // nodes may still hold a lease from an earlier leader, so OnElected counts the node's lease as renewed now.
 //
-// This guards against two incarnations of a node, or two primaries of an instance, that act at the same time after a controller
-// has failed. The cost is that the lease of a node that failed together with the controller expires up to one lease duration
-// later.
+// Counting the leases as renewed guards against two incarnations of a node, or two primaries of an instance, that act at the
+// same time after a controller has failed. The cost is that the lease of a node that failed together with the controller
+// expires up to one lease duration later.
 func (l *Lessor) OnElected(now tick.Tick, incarnations map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(incarnations)) {
 		n := l.ensureNode(name)
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -45,8 +45,8 @@
 
 // failsItsPrimaries reports whether an instance is presumed to cause the failures of its primaries.
 //
-// This guards against an instance that makes each node that runs it fail. Nodes that fail for other reasons look the same if
-// one instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If several
+// The check guards against an instance that makes each node that runs it fail. Nodes that fail for other reasons look the same
+// if one instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If several
 // instances on the failed node are candidates (countPoisonCandidates), they all continue, each with its replica on a different
 // node, until a node fails on which only one of them was. That costs one or two more node failures.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -34,7 +34,7 @@
 	move          move
 }
 
-// moveHistory records the moves of an instance.
+// moveHistory records the migrations of an instance.
 type moveHistory struct {
 	last   tick.Tick // time of the last cut-over, 0 for none
 	streak int       // number of cut-overs in a row that each came soon after the previous one (recordMove); 0 if the last one did not
@@ -103,7 +103,7 @@
 	remoteReplica bool // the instance has too few replicas in zones other than its primary's
 }
 
-// wait says where an instance waits for a move: its position in a queue, and whether it is among the waiters for a bound.
+// wait says where an instance waits for a move: its position in a queue, and whether it is in a boundWaiters.
 type wait struct {
 	queue    *queue // nil if the instance waits in no queue
 	position int
@@ -118,7 +118,7 @@
 	position int       // index in Planner.scheduledReviews, or notQueued
 }
 
-// move is a migration or a copy of an instance that is in progress or proposed.
+// move is an instance's migration or copy that is in progress or proposed.
 type move struct {
 	source, target *node // both nil if there is no move
 	link           *link // nil for a move within a zone
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -2,7 +2,8 @@
 
 import "silvercove/internal/placement"
 
-// Fractions of the bounds on moves that copies may use. The rest is kept for migrations.
+// Fractions of Config.MaxMoves, MaxMovesPerNode and MaxMovesPerLink. Copies may use this fraction of a bound, and the rest is
+// kept for migrations.
 const (
 	replicaCopiesShare       = 0.75 // fraction for copies that restore replicas
 	remoteReplicaCopiesShare = 0.5  // fraction for copies that make a replica in another zone
@@ -12,13 +13,13 @@
 // reviewed at once. If those instances do not use the capacity, scheduled reviews offer it to the remaining ones.
 const (
 	boundReviewDivisor      = 4 // an instance with too few replicas that waits because a bound is used up is reviewed after Lease/boundReviewDivisor
-	fullLinkReviewLeases    = 4 // lease durations until the review of an instance that waits for a full link
+	fullLinkReviewLeases    = 4 // lease durations until the review of an instance that waits because a link is full
 	remoteReviewFactor      = 4 // an instance that waits for a node in another zone is reviewed after this multiple of Config.Lease + Config.RestartAfter
 	remoteBoundReviewLeases = 4 // lease durations until the review of an instance that only lacks a remote replica and waits because a bound is used up
 )
 
 // beginMove starts the move of the instance at the head of its primary's ready queue. If the move has to wait, the instance is
-// added to another queue or to the waiters for a bound.
+// added to another queue or to a boundWaiters.
 func (p *Planner) beginMove(i *instance) {
 	p.dequeue(i)
 	if i.need.reason.copiesOnly() && p.waitForCopyBound(i) {
@@ -49,8 +50,8 @@
 	return i.need.replica && i.need.reason != tooFewReplicas && !p.copiesFull(tooFewReplicas, p.moves, p.config.MaxMoves)
 }
 
-// waitForCopyBound reports whether an instance that is only to be copied has to wait, because the moves use up the
-// share of a bound that is open to copies. If so, the instance is added to the waiters for that bound.
+// waitForCopyBound reports whether an instance that is only to be copied has to wait, because the moves reach the fraction of a
+// bound that copies may use. If so, the instance is added to the boundWaiters of that bound.
 func (p *Planner) waitForCopyBound(i *instance) bool {
 	reason, primary := i.need.reason, i.primaryNode
 	switch {
@@ -69,7 +70,7 @@
 	return true
 }
 
-// copiesFull reports whether a number of moves uses up the share of a bound that copies for a reason may use.
+// copiesFull reports whether a number of moves reaches the fraction of a bound that copies for the given reason may use.
 func (p *Planner) copiesFull(reason moveReason, moves, bound int) bool {
 	share := replicaCopiesShare
 	if reason == tooFewRemoteReplicas {
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -96,8 +96,8 @@
 	return c
 }
 
-// surplusReplicas returns how many replicas an instance has beyond Config.Replicas, negative if there are too few, and the
-// replica to drop first. The surplus is 0 if dropping that replica would leave too few reliable ones.
+// surplusReplicas returns the replica to drop first, and how many replicas an instance has beyond Config.Replicas. The surplus
+// is negative if there are too few replicas, and 0 if dropping that replica would leave too few reliable ones.
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -16,8 +16,8 @@
 
 // Host carries out a planner's decisions.
 type Host interface {
-	// Propose submits an operation to the agreed log. Its result arrives through OnAssignment or OnProposalRefused, possibly
-	// before Propose returns.
+	// Propose submits an operation to the agreed log. The result of the operation arrives through OnAssignment or
+	// OnProposalRefused, possibly before Propose returns.
 	Propose(op placement.Operation)
 	// Explain records the reason for a decision, for operators. Nothing depends on it.
 	Explain(text string)
@@ -54,8 +54,8 @@
 		zones: map[string]*zone{}, links: map[[2]string]*link{}, instances: map[string]*instance{}}
 }
 
-// OnElected tells the planner that this controller leads from now on. The planner forgets pending proposals, restarts each
-// instance's stay at now, and treats every node's lease as unknown.
+// OnElected tells the planner that this controller leads from now on. The planner forgets pending proposals and treats every
+// node's lease as unknown. It counts the time that each instance has stayed with its primary from now.
 func (p *Planner) OnElected(now tick.Tick) {
 	p.now, p.leads = now, true
 	for _, n := range p.nodes {
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -199,14 +199,14 @@
 	}
 }
 
-// boundWaiters lists the instances that wait to be copied because moves use up the share of a bound on moves that copies may
-// use. The instances are in order of arrival, and the moves are those in progress or proposed.
+// boundWaiters lists the instances that wait to be copied because the moves in progress or proposed reach the fraction of a
+// bound that copies may use (copiesFull). The instances are in order of arrival.
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances that only lack a replica in another zone
 }
 
-// waitForBound adds an instance to the waiters for a bound unless it already waits for one.
+// waitForBound adds an instance to waiters unless it is in a boundWaiters already.
 func (p *Planner) waitForBound(waiters *boundWaiters, i *instance) {
 	list := &waiters.replicas
 	if i.need.reason == tooFewRemoteReplicas {
@@ -218,8 +218,8 @@
 	}
 }
 
-// reviewNextWaiting queues a review of the first instance that waits for a bound; instances with too few replicas come first.
-// If all instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
+// reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. If all
+// instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
 // review.
 func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
 	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -27,10 +27,10 @@
 )
 
 // Rebuild derives assignments from the copies that nodes report and from an earlier state of the table, if there is one. An
-// instance continues on a node that certainly has every acknowledged entry: one that was its primary or a replica in the latest
-// epoch that anyone reports, or the one with the most entries if no node is unresponsive. Otherwise the instance is lost: it
-// waits for a node that has every entry, and is restarted from a known older copy after Config.RestartAfter. The notes name
-// each instance that is lost or may have lost entries.
+// instance continues on a node that certainly has every acknowledged entry. That is a node that was the primary or a replica in
+// the latest known epoch. If no node is unresponsive, it is the node with the best copy (bestFirst). Otherwise the instance is
+// lost: it waits for a node that has every entry, and is restarted from a known older copy after Config.RestartAfter. The notes
+// name each instance that is lost or may have lost entries.
 func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
 	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
 	for _, n := range nodes {
@@ -51,7 +51,7 @@
 	return all, r.notes
 }
 
-// foundCopy is a copy of an instance together with its node.
+// foundCopy is a copy of an instance, with the node that reported the copy and the node's zone.
 type foundCopy struct {
 	replica.CopyStatus
 	node, zone string
@@ -94,8 +94,8 @@
 	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latestEpoch
 }
 
-// bestFirst removes incomplete copies without entries and orders the others: authoritative ones first, then those of primaries,
-// then those whose last entry has the latest epoch, then those with the most entries.
+// bestFirst removes incomplete copies without entries and orders the remaining ones: authoritative ones first, then those of
+// primaries, then those whose last entry has the latest epoch, then those with the most entries.
 func bestFirst(all []foundCopy, latestEpoch uint64) []foundCopy {
 	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
 	slices.SortFunc(copies, func(a, b foundCopy) int {
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// considerOtherZones considers a few zones, starting at a random one, except the device's and the primary's.
+// considerOtherZones considers a few successive zones, starting at a random one. It skips the device's zone and the primary's.
 func (s *targetSearch) considerOtherZones(deviceZone, primaryZone *zone) {
 	zones := s.planner.eligibleZones
 	if len(zones) == 0 {
@@ -154,7 +154,8 @@
 	}
 }
 
-// consider makes a node the best one if it is suitable and scores higher than the best so far.
+// consider makes a node the best one if the node is suitable, its link is not full, and it scores higher than the best node so
+// far.
 func (s *targetSearch) consider(n *node) {
 	if !s.isSuitable(n) {
 		return
