--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -41,7 +41,8 @@
 	return i
 }
 
-// enqueue adds an instance to a queue. The risk orders the queues of links and zones, and is 0 in a node's queue.
+// enqueue adds an instance to a queue. Among instances with the same reason to move, those with more risk come first. In the
+// ready queue of a node the risk is 0 for all.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
@@ -59,10 +60,10 @@
 	}
 }
 
-// wake queues reviews of a limited number of instances that found no target, the most urgent and those most at risk first.
-// The scheduled reviews of these instances would not follow that order.
-func (p *Planner) wake(q *queue, most int) {
-	for range min(most, p.config.MaxMovesPerNode, len(*q)) {
+// wake queues reviews of at most limit and at most Config.MaxMovesPerNode instances that found no target: the most urgent
+// first, and among equals those most at risk. The scheduled reviews of these instances would not follow that order.
+func (p *Planner) wake(q *queue, limit int) {
+	for range min(limit, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
 		p.dequeue(i)
 		i.retry.until = 0
@@ -188,8 +189,8 @@
 	return i
 }
 
-// queueReviewsOf queues reviews of all instances that a node is a primary, a replica or a target of, each group by descending
-// weight.
+// queueReviewsOf queues reviews of all instances of which a node is the primary, then of those of which it is a replica, then
+// of those that are being moved or copied to it. Each group is in order of descending weight.
 func (p *Planner) queueReviewsOf(n *node) {
 	for _, all := range []map[*instance]struct{}{n.primaryOf, n.replicaOf, n.incoming} {
 		for _, i := range byWeight(maps.Keys(all)) {
@@ -198,18 +199,18 @@
 	}
 }
 
-// boundWaiters lists, in order of arrival, the instances that wait to be copied because the moves in progress or proposed
-// use up the share of a bound on moves that is open to copies.
+// boundWaiters lists the instances that wait to be copied because the moves in progress or proposed reach the fraction of a
+// bound that copies may use (copiesFull). The instances are in order of arrival.
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances that only lack a replica in another zone
 }
 
-// waitForBound adds an instance to the waiters for a bound unless it already waits for one.
-func (p *Planner) waitForBound(at *boundWaiters, i *instance) {
-	list := &at.replicas
+// waitForBound adds an instance to waiters unless it is in a boundWaiters already.
+func (p *Planner) waitForBound(waiters *boundWaiters, i *instance) {
+	list := &waiters.replicas
 	if i.need.reason == tooFewRemoteReplicas {
-		list = &at.remoteReplicas
+		list = &waiters.remoteReplicas
 	}
 	if !i.wait.forBound {
 		i.wait.forBound = true
@@ -217,14 +218,14 @@
 	}
 }
 
-// reviewNextWaiting queues a review of the first instance that waits for a bound; instances with too few replicas come first.
-// A node whose instances all lost a replica thus has them copied one after the other, rather than a few at each scheduled
+// reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. If all
+// instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
 // review.
-func (p *Planner) reviewNextWaiting(at *boundWaiters) {
-	for len(at.replicas)+len(at.remoteReplicas) > 0 {
-		list := &at.replicas
+func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
+	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
+		list := &waiters.replicas
 		if len(*list) == 0 {
-			list = &at.remoteReplicas
+			list = &waiters.remoteReplicas
 		}
 		i := (*list)[0]
 		*list = (*list)[1:]
