--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -14,18 +14,18 @@
 	"silvercove/internal/tick"
 )
 
-// maxResponseBytes limits the body of a response; it leaves room for the assignments of more than 100,000 instances.
+// maxResponseBytes is the maximum size of a response body. The assignments of more than 100,000 instances fit into it.
 const maxResponseBytes = 256 << 20
 
 // call calls one controller after another until one gives a final answer or the context ends. A final answer is a success or a
-// refusal with a status other than 421 and 503. sentAt is the time at which the answered request was sent. A call whose timeout
-// exceeds ProposalTimeout is treated as a poll, which endCall may cancel.
+// refusal with a status other than 421 and 503. sentAt is the time by Now at which the answered request was sent. A call whose
+// timeout exceeds ProposalTimeout is treated as a poll, which endCall may cancel.
 func (c *Client) call(ctx context.Context, method, path string, request, response any, timeout tick.Tick) (sentAt tick.Tick, err error) {
 	if len(c.controllers) == 0 {
 		return 0, errNoControllerConfigured
 	}
 	pause, maxPause := c.timings.RetryDelayMin, c.timings.RetryDelayMax
-	if method == http.MethodGet { // a caller that only reads can wait longer than a node whose lease is running out
+	if method == http.MethodGet { // a reader can wait longer than a node that renews its lease
 		maxPause *= 4
 	}
 	var lastErr error
@@ -49,8 +49,8 @@
 		}
 		lastErr = err
 		redirected := c.chooseNext(p.controller, refusal)
-		// Only every (len(c.controllers)+1)th redirected attempt pauses, so that controllers that redirect to each other are not
-		// called without a pause.
+		// The next attempt after a redirect follows without a pause, except after every (len(c.controllers)+1)th attempt.
+		// Without that exception, controllers that redirect to each other would be called in a loop without pauses.
 		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) {
 			continue
 		}
@@ -61,13 +61,14 @@
 	}
 }
 
-// activeCall is a call in progress.
+// activeCall is a call in progress. cancel ends the call.
 type activeCall struct {
 	controller string
 	cancel     context.CancelFunc
 }
 
-// beginCall registers a call to the controller that was last known to lead.
+// beginCall returns a call to the controller that was last known to lead. If isPoll is set, the call is registered, so that
+// endCall can cancel it.
 func (c *Client) beginCall(cancel context.CancelFunc, isPoll bool) *activeCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,11 +79,12 @@
 	return p
 }
 
-// endCall removes a finished call. If its controller gave a final answer, endCall cancels the polls at all other controllers.
+// endCall removes a call that has ended. If final is set, the call's controller gave a final answer, and endCall cancels the
+// polls at all other controllers.
 //
-// This guards against a former leader that hangs with its connections open: polls there would last for their whole timeout while
-// the next leader already grants leases, and the client would miss all changes agreed there. If a former leader answers late, a
-// poll at the current leader may be canceled too; the client then polls again.
+// This guards against a former leader that hangs with its connections open: a poll at that controller would last for its whole
+// timeout while the next leader already grants leases, and the client would miss all changes that are agreed meanwhile. If a
+// former leader answers late, a poll at the current leader may be canceled, too; the client then polls again.
 func (c *Client) endCall(ended *activeCall, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +99,9 @@
 	}
 }
 
-// chooseNext selects the controller for the next call after controller tried gave no final answer, unless another call has
-// selected one in the meantime. redirected reports whether tried named another configured controller as the leader.
+// chooseNext selects the controller for the next call, after the controller named by tried gave no final answer. It keeps the
+// selection if another call has changed it since. redirected reports whether the refusal names another controller of the
+// configuration file as the leader.
 func (c *Client) chooseNext(tried string, refusal *RefusalError) (redirected bool) {
 	next := ""
 	if refusal != nil && refusal.Code == http.StatusMisdirectedRequest && slices.Contains(c.controllers, refusal.Leader) &&
@@ -131,8 +134,8 @@
 	}
 }
 
-// callOnce calls one process once. sentAt is the time at which the request was sent. An answer with a status other than 200
-// is returned as a *RefusalError, whatever the status, if its body is an ErrorBody.
+// callOnce calls one process once. sentAt is the time at which the request was sent. If the answer has a status other than 200
+// and its body is an ErrorBody, the error is a *RefusalError.
 func (c *Client) callOnce(ctx context.Context, process, method, path string, request, response any, timeout tick.Tick) (sentAt tick.Tick, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -153,7 +156,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = httpResponse.Body.Close() }() // the needed part of the body has been read
+	defer func() { _ = httpResponse.Body.Close() }() // an error does not matter: the needed part of the body has been read
 	decoder := json.NewDecoder(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if httpResponse.StatusCode == http.StatusOK {
 		if err := decoder.Decode(response); err != nil {
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -19,19 +19,19 @@
 // inventoryTimeout is how long an edge node may take to answer with its inventory.
 const inventoryTimeout = time.Minute
 
-// randomStream is the second word of the seed of the client's random generator.
+// randomStream is the second word of the seed of the client's random generator; the first word is New's seed.
 const randomStream = 29
 
-// Client calls the leading controller. It is safe for concurrent use; each call ends when its context does.
+// Client calls the leading controller. It is safe for concurrent use. Each call ends at the latest when its context ends.
 type Client struct {
 	http        *http.Client
-	controllers []string // names, sorted
+	controllers []string // names of all controllers in the configuration file, sorted
 	timings     leases.Timings
 
 	mu      sync.Mutex // guards the fields below
 	lineage Lineage
 	leader  string                   // controller to call next; "" if the configuration file lists none
-	polls   map[*activeCall]struct{} // calls that wait for a change, and other calls with a long timeout
+	polls   map[*activeCall]struct{} // calls with a timeout above ProposalTimeout, which endCall may cancel
 	random  *rand.Rand
 }
 
@@ -63,8 +63,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// RequestLease asks for a lease. The lease runs from sentAt, the time by Now at which the granted request was sent. RequestLease
-// fails with a *RefusalError, ErrNoController or, if CheckLineage refuses the controller's lineage, ErrOtherLineage.
+// RequestLease requests or renews a lease. The lease's duration counts from sentAt, which is the time by Now at which the
+// granted request was sent. RequestLease fails with a *RefusalError, ErrNoController or, if CheckLineage refuses the
+// controller's lineage, ErrOtherLineage.
 func (c *Client) RequestLease(ctx context.Context, request LeaseRequest) (response LeaseResponse, sentAt tick.Tick, err error) {
 	request.Version = Version
 	sentAt, err = c.call(ctx, http.MethodPost, "/v1/lease", request, &response, c.timings.ConfirmTimeout)
@@ -74,9 +75,10 @@
 	return response, sentAt, err
 }
 
-// Propose submits an operation to the agreed log and returns the resulting assignment. A *RefusalError contains the assignment
-// that is in force instead, if any. After any other error the operation may or may not have been agreed. The caller may propose
-// it again: an operation that was already applied changes nothing, or is refused with the assignment that resulted from it.
+// Propose submits an operation to the agreed log and returns the resulting assignment. A *RefusalError contains the instance's
+// current assignment, if there is one. After any other error the operation may or may not have been agreed. The caller may
+// propose it again: an operation that was already applied changes nothing, or is refused with the assignment that resulted from
+// it.
 func (c *Client) Propose(ctx context.Context, op placement.Operation) (assignment placement.Assignment, err error) {
 	op.Version = placement.FormatVersion
 	_, err = c.call(ctx, http.MethodPost, "/v1/step", op, &assignment, c.timings.ProposalTimeout)
@@ -97,7 +99,7 @@
 	return err
 }
 
-// LastResort returns which instances continue to be served in zones whose nodes are all draining.
+// LastResort returns which instances continue to be served in the zones whose nodes are all evacuating.
 func (c *Client) LastResort(ctx context.Context) (plan LastResortPlan, err error) {
 	_, err = c.call(ctx, http.MethodGet, "/v1/floor", nil, &plan, c.timings.ProposalTimeout)
 	return plan, err
@@ -118,10 +120,12 @@
 	return list, err
 }
 
-// Join asks the leading controller to admit a controller whose disk was emptied, or reports that it has caught up.
+// Join asks the leading controller to admit a controller whose disk was emptied, or reports that the controller to be admitted
+// has caught up.
 func (c *Client) Join(ctx context.Context, request JoinRequest) (response JoinResponse, err error) {
 	request.Version = Version
-	_, err = c.call(ctx, http.MethodPost, "/v1/join", request, &response, 4*c.timings.ProposalTimeout) // the leader may make three proposals
+	// The leader may make three proposals; the timeout allows for more than these.
+	_, err = c.call(ctx, http.MethodPost, "/v1/join", request, &response, 4*c.timings.ProposalTimeout)
 	return response, err
 }
 
@@ -139,8 +143,8 @@
 	return response.Term, err
 }
 
-// Inventory asks one edge node for its copies. It fails with placement.ErrUnsupportedVersion if the node answers in a later format
-// version, in which the fields may have another meaning.
+// Inventory asks one edge node for its copies. It fails with placement.ErrUnsupportedVersion if the node answers in a later
+// format version, in which fields may have another meaning.
 func (c *Client) Inventory(ctx context.Context, node string) (inventory Inventory, err error) {
 	_, err = c.callOnce(ctx, node, http.MethodGet, "/v1/holds", nil, &inventory, tick.FromDuration(inventoryTimeout))
 	switch {
@@ -154,9 +158,9 @@
 	return inventory, err
 }
 
-// Backup writes a snapshot of the state that the controllers have agreed. It fails with ErrNoController if no controller answers
-// as the leader, and with the last connection error if a controller could not be reached. After any other error, part of the
-// snapshot may have been written.
+// Backup writes a snapshot of the controllers' agreed state to w. It fails with ErrNoController if no controller answers as the
+// leader, and with the last connection error if a controller could not be reached. After any other error, part of the snapshot
+// may have been written.
 func (c *Client) Backup(ctx context.Context, w io.Writer) error {
 	lastErr := ErrNoController
 	for _, name := range c.controllers {
@@ -170,11 +174,11 @@
 			continue
 		}
 		if response.StatusCode != http.StatusOK {
-			_ = response.Body.Close() // this controller does not lead
+			_ = response.Body.Close() // an error does not matter: this controller does not lead
 			continue
 		}
 		_, err = io.Copy(w, response.Body)
-		_ = response.Body.Close() // the body was copied to its end, or the copy has failed
+		_ = response.Body.Close() // an error does not matter: the copy has succeeded or failed already
 		return err
 	}
 	return fmt.Errorf("no leading controller answered: %w", lastErr)
--- a/internal/controllerclient/lineage.go
+++ b/internal/controllerclient/lineage.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Lineage returns the last lineage that CheckLineage accepted. A process whose state survives a restart stores the lineage and
-// passes it to CheckLineage at the next start.
+// passes it to CheckLineage when it starts again.
 func (c *Client) Lineage() Lineage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -11,11 +11,12 @@
 }
 
 // CheckLineage accepts a controller's lineage as the current one. It fails with ErrOtherLineage if the generation is lower than
-// the accepted one, or if the generation is the same and the log has another origin.
+// the generation accepted last, or if the generations are equal and the log has another origin.
 //
 // The check protects a primary against controllers that have no record of the primary, because their disks were emptied or are
-// from before a rebuild of placement. Controllers whose disks were emptied on purpose cannot be told apart from these. For them,
-// silvercovectl fleet rebuild raises the generation, and every client accepts the higher one.
+// from before a rebuild of the assignments. The check can't tell whether disks were emptied by mistake or on purpose. After
+// disks were emptied on purpose, silvercovectl fleet rebuild raises the generation, and every client accepts the higher
+// generation.
 func (c *Client) CheckLineage(lineage Lineage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -8,10 +8,10 @@
 	"silvercove/internal/replica"
 )
 
-// Version is the version of the API. A controller refuses a call of another version with status 400.
+// Version is the version of the API. A controller answers a call that has another version with status 400.
 const Version = 1
 
-// MaxBodyBytes limits the body of a request to a controller.
+// MaxBodyBytes is the maximum size of the body of a request to a controller.
 const MaxBodyBytes = 256 << 10
 
 // LeaseRequest asks for a lease or renews it. The JSON names of this and all other types in this file are wire names, which stay as
@@ -24,21 +24,22 @@
 	RequestAddress  string                   `json:"commands,omitempty"` // address at which the node accepts requests, HOST:PORT
 	Zone            string                   `json:"zone,omitempty"`
 	SoftwareVersion uint16                   `json:"build,omitempty"`
-	StartedAtMS     int64                    `json:"born_ms,omitempty"` // Unix time at the start of the process; only for lists
+	StartedAtMS     int64                    `json:"born_ms,omitempty"` // Unix time at the start of the process, passed on in Node
 	Draining        bool                     `json:"draining,omitempty"`
-	RollingBack     bool                     `json:"going_back,omitempty"` // the last LeaseResponse.RollingBack that the node received
+	RollingBack     bool                     `json:"going_back,omitempty"` // RollingBack of the last LeaseResponse that the node received
 	WarmingUp       bool                     `json:"cold,omitempty"`
 	LostCopies      bool                     `json:"fresh,omitempty"`  // this incarnation started without the copies of the previous one
 	RecordCount     uint64                   `json:"kept,omitempty"`   // number of records ever written to the node's disk; 0: unknown
 	Unverified      []replica.UnverifiedCopy `json:"doubts,omitempty"` // copies that the node serves although entries may be missing
 }
 
-// MaxUnverified is the maximum number of unverified copies in one LeaseRequest; further copies follow in the next request.
+// MaxUnverified is the maximum number of unverified copies in one LeaseRequest; a node reports further copies in its next
+// request.
 const MaxUnverified = 64
 
-// HealthReport contains the fields of LeaseRequest.Report that a controller needs for a node's status and its entry in NodeList. The
-// full report is a devicehealth.Report, which the controller passes on: to the verifier, which checks it against OutcomeReports,
-// and to the LastResortPlan.
+// HealthReport contains the fields of LeaseRequest.Report that a controller needs for the node's status and for the node's
+// entry in NodeList. The full report is a devicehealth.Report. A controller checks the full report against OutcomeReports, and
+// computes the LastResortPlan from it.
 type HealthReport struct {
 	State          string   `json:"state"` // one of the State constants
 	AcceptFraction float64  `json:"share"`
@@ -56,21 +57,24 @@
 	StateShuttingDown = "leaves"
 )
 
-// LeaseResponse grants a lease. A node that had no lease, or whose previous lease had expired, starts to serve only once it has the
-// assignments of AssignmentsVersion or a later version: it may have lost some of its assignments in the meantime.
+// LeaseResponse grants a lease. A node that had no lease, or whose previous lease had expired, starts to serve only once it has
+// the assignments of AssignmentsVersion or a later version: while the node had no lease, instances may have been assigned to
+// other nodes.
 type LeaseResponse struct {
-	Granted            bool   `json:"granted"`
-	Controller         string `json:"keeper"`
-	RollingBack        bool   `json:"going_back,omitempty"` // the node's version is or was rolled back; the node tells later leaders
+	Granted    bool   `json:"granted"`
+	Controller string `json:"keeper"`
+	// The node's version is being rolled back or was withdrawn. The node repeats the value in LeaseRequest.RollingBack.
+	RollingBack        bool   `json:"going_back,omitempty"`
 	AssignmentsVersion uint64 `json:"places"`
-	RecordCount        uint64 `json:"kept,omitempty"`   // the greatest LeaseRequest.RecordCount that the leader knew of this node before
+	RecordCount        uint64 `json:"kept,omitempty"`   // greatest LeaseRequest.RecordCount of the node before this request
 	AcceptedUnverified int    `json:"doubts,omitempty"` // number of copies, from the start of LeaseRequest.Unverified, that were agreed
 	Lineage
 }
 
-// Lineage identifies the history of assignments that a controller belongs to. Generation is raised when the assignments are rebuilt
-// after a loss of disks; assignments of a lower generation are no longer valid. OriginID identifies the start of the log:
-// controllers with the same generation but another origin have all had their disks emptied, and are not trusted either.
+// Lineage identifies the history of the assignments that a controller has. Generation is raised when the assignments are
+// rebuilt after a loss of disks; assignments of a lower generation are no longer valid. OriginID identifies the start of the
+// log: if controllers have the same generation but another origin, all their disks were emptied, and their assignments are not
+// valid either.
 type Lineage struct {
 	Generation uint64 `json:"generation"`
 	OriginID   string `json:"birth"`
@@ -79,12 +83,12 @@
 // ErrorBody is the body of every answer with a status other than 200.
 type ErrorBody struct {
 	Error      string                `json:"error,omitempty"`
-	Assignment *placement.Assignment `json:"place,omitempty"`  // the assignment in force instead
+	Assignment *placement.Assignment `json:"place,omitempty"`  // of a refused operation: the current assignment, if any
 	Leader     string                `json:"leader,omitempty"` // with status 421: the leading controller, "" if unknown
 }
 
-// AssignmentChanges contains the assignments that changed after the version that the caller asked about. If Complete is set it
-// contains all assignments: an instance that is not among them is deleted.
+// AssignmentChanges contains the assignments that changed after the version that the caller has. If Complete is set, it
+// contains all assignments, and an instance without one is deleted.
 type AssignmentChanges struct {
 	Version uint64 `json:"version"`
 	Lineage
@@ -93,7 +97,7 @@
 	Deleted     []string               `json:"gone,omitempty"`
 }
 
-// Node is the leading controller's view of an edge node.
+// Node describes an edge node as the leading controller knows it.
 type Node struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone,omitempty"`
@@ -117,16 +121,17 @@
 	Nodes   []Node `json:"units"`
 }
 
-// MaxOutcomes is the number of outcomes of one node that count per call. Greater counts are scaled down to it in proportion.
+// MaxOutcomes is the maximum number of outcomes of one node that count per OutcomeReport. If a report has more, its successes
+// and failures are scaled down in proportion.
 const MaxOutcomes = 64
 
-// OutcomeReport contains the outcomes of requests at edge nodes that a relay has seen since its last report. Rejected requests are
-// not counted.
+// OutcomeReport contains the outcomes of requests at edge nodes that a relay has observed since its previous report. Rejected
+// requests are not counted.
 type OutcomeReport struct {
 	Version         int            `json:"v"`
 	Nodes           []NodeOutcomes `json:"units"`
 	SoftwareVersion uint16         `json:"build,omitempty"` // the newest version that the release API reported to the relay
-	RolloutState    string         `json:"state,omitempty"` // state of SoftwareVersion as the release API names it; "" if not reported
+	RolloutState    string         `json:"state,omitempty"` // state of SoftwareVersion, as the release API names it; "" if not known
 }
 
 // Values of OutcomeReport.RolloutState for a version that is being rolled back and for one that was withdrawn.
@@ -142,8 +147,8 @@
 	Failures  int    `json:"bad"`
 }
 
-// LastResortPlan lists, for each zone whose nodes are all draining, its instances by descending weight and the nodes that continue
-// to serve them.
+// LastResortPlan lists, for each zone whose nodes are all evacuating, the instances in descending order of their weight, and
+// the nodes that continue to serve them.
 type LastResortPlan struct {
 	Zones []LastResortZone `json:"zones"`
 }
@@ -161,37 +166,39 @@
 	Weight float64 `json:"weight"`
 }
 
-// DeviceRequest reports the zone in which an instance's device now is.
+// DeviceRequest reports the zone that an instance's device has entered.
 type DeviceRequest struct {
 	Version int    `json:"v"`
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 }
 
-// LogOrigin identifies the start of a fleet's agreed log and the disks on which the log was started.
+// LogOrigin identifies the start of a fleet's agreed log, and the disks on which the log was created.
 type LogOrigin struct {
 	ID     string            `json:"id"`
 	Stores map[string]string `json:"stores"` // by controller name: the identity of its disk
 }
 
-// JoinRequest asks the leader to admit a controller whose disk was emptied, or reports that the controller has caught up.
+// JoinRequest asks the leader to admit a controller whose disk was emptied. With CaughtUp, it reports that the controller has
+// caught up.
 type JoinRequest struct {
 	Version  int    `json:"v"`
 	Node     string `json:"node"`
 	StoreID  string `json:"store"`
-	CaughtUp bool   `json:"ready,omitempty"` // the controller has all entries up to JoinResponse.Index of an earlier answer
+	CaughtUp bool   `json:"ready,omitempty"` // the controller has nearly all entries up to JoinResponse.Index of an earlier response
 }
 
 // JoinResponse tells a controller whether it is a voter of the agreed log, and which entries it needs to become one.
 type JoinResponse struct {
 	Voter      bool       `json:"votes"`
-	Index      uint64     `json:"index"`          // index of the last entry that the controller needs before it becomes a voter
-	Term       uint64     `json:"term,omitempty"` // term in which the controller was admitted; it accepts no entry of an earlier term
+	Index      uint64     `json:"index"`          // index that the log must nearly reach before the controller votes
+	Term       uint64     `json:"term,omitempty"` // term of the admitting leader; the controller accepts no entry of an earlier term
 	Origin     *LogOrigin `json:"birth"`
 	Generation uint64     `json:"line,omitempty"` // generation of the log, see Lineage
 }
 
-// Inventory lists the copies that an edge node has, independent of the controllers' assignments. It is the answer to GET /v1/holds.
+// Inventory lists all copies on an edge node, whether they are assigned to the node or not. An edge node returns it for GET
+// /v1/holds.
 type Inventory struct {
 	Version     int                  `json:"v"`
 	Node        string               `json:"unit"`
@@ -200,7 +207,8 @@
 	Copies      []replica.CopyStatus `json:"holds"`
 }
 
-// ConfirmRequest sends the caller's term to a controller. The answer has the same form and contains that controller's term.
+// ConfirmRequest asks a controller for its term, and contains the caller's term. The response has the same form and contains
+// the called controller's term.
 type ConfirmRequest struct {
 	Version int    `json:"v"`
 	Term    uint64 `json:"term"`
@@ -219,7 +227,7 @@
 
 // The values of Status.Role.
 const (
-	RoleWaiting   = "waits" // does not take part in the agreed log yet
+	RoleWaiting   = "waits" // the controller does not take part in the agreed log yet
 	RoleFollower  = "follower"
 	RoleCandidate = "candidate"
 	RoleLeader    = "leader"
@@ -244,21 +252,23 @@
 	StoreID      string                 `json:"store"`            // identity of the controller's disk
 	StoreIDs     map[string]string      `json:"stores,omitempty"` // by controller name: the agreed identity of its disk
 	Controllers  []string               `json:"keepers"`          // names of all controllers in the controller's configuration file, sorted
-	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller name: the last entry known to be on that controller's disk
+	LogPositions map[string]LogPosition `json:"marks,omitempty"`  // by controller name: last entry that the controller acknowledged
 	Disk         *DiskSpace             `json:"disk,omitempty"`   // nil: unknown, or the controller has an earlier version
 }
 
-// DiskSpace is the free and total space, in bytes, of the disk with a controller's data directory.
+// DiskSpace is the space, in bytes, of the file system that contains a controller's data directory.
 type DiskSpace struct {
-	Free       uint64 `json:"free"`
-	Total      uint64 `json:"total"`
-	LowOnSpace bool   `json:"short,omitempty"` // the log is compacted sooner, and the controller leads only if no other one has free space
+	Free  uint64 `json:"free"`
+	Total uint64 `json:"total"`
+	// The free space is low: the log is compacted sooner, and the leadership goes to a controller with enough free space.
+	LowOnSpace bool `json:"short,omitempty"`
 }
 
-// FreeFraction returns the free fraction of the disk, 0 if the size is unknown.
+// FreeFraction returns the free fraction of the disk, or 0 if the size is unknown.
 func (d DiskSpace) FreeFraction() float64 { return float64(d.Free) / float64(max(1, d.Total)) }
 
-// String returns the text shown to operators: "41% free", "4.2% free, short of room", or "" if the size is unknown.
+// String returns the text that is shown to operators, such as "41% free" or "4.2% free, short of room". It is "" if the size is
+// unknown.
 func (d DiskSpace) String() string {
 	switch share := 100 * d.FreeFraction(); {
 	case d.Total == 0:
--- a/internal/controllerclient/watch.go
+++ b/internal/controllerclient/watch.go
@@ -13,7 +13,7 @@
 // pollTimeout is how long a poll waits at a controller for a change before the client polls again.
 const pollTimeout = 20 * time.Second
 
-// watchPath returns the path and query of a call that waits up to the given time for a change after version since.
+// watchPath returns path with the query of a call that waits up to the given time for a change after the version since.
 func (c *Client) watchPath(path string, since uint64, wait time.Duration) string {
 	query := url.Values{
 		"since":      {strconv.FormatUint(since, 10)},
@@ -24,7 +24,7 @@
 }
 
 // Watch calls notify with all assignments and then with each change, in order, until the context ends. The first
-// AssignmentChanges are Complete. Later ones are Complete if this process or the controllers lack some of the changes since the
+// AssignmentChanges are Complete. Later AssignmentChanges are Complete if the controllers can't list all changes since the
 // previous call of notify. Watch returns the context's error, or the error of a call that was refused.
 func (c *Client) Watch(ctx context.Context, notify func(AssignmentChanges)) error {
 	var version uint64
@@ -46,8 +46,8 @@
 	}
 }
 
-// WatchNodes calls notify with all edge nodes at first and after each change of a node, until the context ends. It returns the
-// context's error, or the error of a call that was refused.
+// WatchNodes calls notify with all edge nodes, first at once and then after nodes have changed, until the context ends. It
+// returns the context's error, or the error of a call that was refused.
 func (c *Client) WatchNodes(ctx context.Context, notify func(NodeList)) error {
 	var version uint64
 	for first := true; ; first = false {
@@ -62,8 +62,8 @@
 	}
 }
 
-// pollOnce asks for the changes after version since. The first poll is answered at once, a later one as soon as there is a change
-// or after pollTimeout.
+// pollOnce requests the changes after the version since. The first poll is answered at once, a later one as soon as there is a
+// change or after pollTimeout.
 func (c *Client) pollOnce(ctx context.Context, path string, since uint64, first bool, response any) error {
 	wait := pollTimeout
 	if first {
