--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet reads the fleet block of a process's configuration file, which describes the fleet that the process belongs to. It
-// maps the directives to typed fields, and passes the settings of the decision packages on under the directives' names
-// (File.Settings).
+// Package fleet reads a process's configuration file. The file's fleet block describes the fleet that the process belongs to.
+// The package maps the block's directives to typed fields. Settings for packages such as leases and migration are passed on
+// under the directives' names (File.Settings).
 package fleet
 
 import (
@@ -15,25 +15,25 @@
 type File struct {
 	FleetName string
 	Self      peertransport.Peer
-	Peers     []peertransport.Peer // other processes, in the file's order
+	Peers     []peertransport.Peer // the fleet's other processes, in the file's order
 
-	DataDir  string // data directory; "": none
-	PowerDir string // directory in the layout that package devicepower reads; "": none
-	LogLevel string // minimum level of the log lines that are written
+	DataDir  string // data directory; "" if the file names none
+	PowerDir string // directory in the layout that package devicepower reads; "" if the file names none
+	LogLevel string // lowest level of the log lines that are written
 
-	ClientAddress   string // of a relay: address for the relay's clients, HOST:PORT
-	SettingsPath    string // of a relay: path of its JSON file
-	MetricsAddress  string // address at which metrics are served, HOST:PORT; "": not served
+	ClientAddress   string // of a relay: address at which the relay accepts clients, HOST:PORT
+	SettingsPath    string // of a relay: path of the relay's JSON settings file
+	MetricsAddress  string // address at which metrics are served, HOST:PORT; "" if they are not served
 	SoftwareVersion uint16 // of an edge node: version of the software that the node runs
 
-	// Settings are the settings of the decision packages. Each value is a float64: durations in seconds, shares as fractions.
-	// The key is "fleet." and the name of the directive, such as "fleet.lease". The directive moves is split into
-	// "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all". "fleet.keepers", "fleet.relays" and "fleet.edges" are the
-	// numbers of controllers, relays and edge nodes, including this process.
+	// Settings are the settings of packages such as leases and migration. Each value is a float64: durations in seconds, shares
+	// as fractions. The key is "fleet." and the name of the directive, such as "fleet.lease". The directive named moves is
+	// split into "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all". "fleet.keepers", "fleet.relays" and
+	// "fleet.edges" are the numbers of controllers, relays and edge nodes, including this process.
 	Settings map[string]any
 }
 
-// block is the fleet block as read and validated by package operatorconfig.
+// block contains the fleet block's directives by name, as package operatorconfig has read and validated them.
 type block map[string]any
 
 // Read reads a configuration file. It fails if the file cannot be read, is invalid or contradictory, or has no fleet block.
@@ -76,13 +76,13 @@
 	return f, err
 }
 
-// text returns the text of a directive, "" if the directive is missing.
+// text returns the text of a directive, or "" if the directive is missing.
 func (b block) text(name string) string {
 	text, _ := b[name].(string)
 	return text
 }
 
-// path returns the path in a directive, "" if the directive is missing. A relative path is taken relative to dir.
+// path returns the path in a directive, or "" if the directive is missing. A relative path is joined to dir.
 func (b block) path(name, dir string) string {
 	path := b.text(name)
 	if path == "" || filepath.IsAbs(path) {
@@ -101,7 +101,7 @@
 	return rows
 }
 
-// requestAddresses returns the addresses at which edge nodes accept requests, by node name.
+// requestAddresses returns, by node name, the addresses at which edge nodes accept requests.
 func (b block) requestAddresses() map[string]string {
 	addresses := map[string]string{}
 	for _, row := range b.rows("commands") {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,8 @@
 }
 `
 
-// readText writes text to a file and reads the file.
+// readText writes text to a file and reads the file with Read. It checks that the relative data directory was joined to the
+// file's directory.
 func readText(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "edge.conf")
