--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -12,25 +12,26 @@
 // errNoMajority means that too few controllers have answered in time. The caller may retry.
 var errNoMajority = errors.New("a majority of the controllers has not confirmed the leadership")
 
-// leadershipConfirmer checks whether a majority of the controllers still follows this controller's leadership. Many lease
-// requests share one round trip. It is safe for concurrent use.
+// leadershipConfirmer checks whether a majority of the controllers still follows this controller's leadership. Concurrent lease
+// requests share one query of each controller. A leadershipConfirmer is safe for concurrent use.
 //
-// It guards against a leader that grants leases after another leader has been elected. raft's VerifyLeader does not suffice:
-// it also counts an answer to an earlier message, which a slow link may have held back until after the election. The guard
-// holds because each controller is queried after the lease request arrived, and a controller that is still in the leader's
-// term when it answers has not yet voted in a later term.
+// The check guards against a leader that grants leases after another leader has been elected. raft's VerifyLeader does not
+// suffice: it also counts an answer to an earlier message, which a slow link may have held back until after the election. The
+// guard holds because each controller is queried after the lease request arrived, and a controller that is still in the
+// leader's term when it answers has not yet voted in a later term.
 type leadershipConfirmer struct {
 	controller *Controller
-	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that queries it
+	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that queries that controller
 
 	mu            sync.Mutex              // guards the fields below
 	lastRound     uint64                  // number of the newest round; each call of confirm begins one
-	confirmations map[string]confirmation // by controller: its newest answer
+	confirmations map[string]confirmation // by controller: the controller's newest answer
 	changed       chan struct{}           // closed at the next confirmation
 	waiters       int                     // calls of confirm in progress
 }
 
-// confirmation is a controller's answer: the newest round that had begun when the controller was queried, and its term.
+// confirmation is a controller's answer to a query: the newest round that had begun when the query was sent, and the
+// controller's term.
 type confirmation struct{ round, term uint64 }
 
 func newLeadershipConfirmer(controller *Controller) *leadershipConfirmer {
@@ -46,7 +47,7 @@
 	return l
 }
 
-// run queries the other controllers until the context ends. It has at most one query in flight to each of them and returns
+// run queries the other controllers until the context ends. At most one query to each controller is in flight. run returns
 // after its goroutines have ended.
 func (l *leadershipConfirmer) run(ctx context.Context) {
 	var group sync.WaitGroup
@@ -86,8 +87,8 @@
 	return true
 }
 
-// retryLater waits for CommitInterval after a query without an answer. It then wakes the controller's goroutine if a call of
-// confirm was in progress before the wait.
+// retryLater is called after a query without an answer. It waits for the duration CommitInterval. Then it requests another
+// query of the controller if a call of confirm was in progress before the wait.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
 	hasWaiters := l.waiters > 0
@@ -102,8 +103,8 @@
 	}
 }
 
-// wake requests a query of a controller. If a query is already requested and has not begun, one query is enough, because it
-// will be for the newest round. This controller's own name has no channel and is ignored.
+// wake requests a query of a controller. If a query is already requested and has not begun, wake does nothing, because that
+// query will be for the newest round. This controller's own name has no channel and is ignored.
 func (l *leadershipConfirmer) wake(name string) {
 	select {
 	case l.wakeups[name] <- struct{}{}:
@@ -111,8 +112,8 @@
 	}
 }
 
-// confirm waits until a majority of the controllers in the configuration file, queried after this call began, is in the term.
-// It fails with errNoMajority, raft.ErrLeadershipLost or another error of raft.
+// confirm waits until a majority of the controllers in the configuration file has confirmed the given term, in answer to
+// queries that were sent after this call began. It fails with errNoMajority, raft.ErrLeadershipLost or another error of raft.
 func (l *leadershipConfirmer) confirm(ctx context.Context, r *raft.Raft, term uint64) error {
 	voters, err := l.controller.voters(r)
 	if err != nil {
@@ -129,7 +130,7 @@
 	for {
 		count, changed := l.countConfirmations(voters, round, term)
 		if count >= majority {
-			if !leadsInTerm(r, term) { // this controller is one of the majority, and its own term is checked after the others
+			if !leadsInTerm(r, term) { // this controller is counted in the majority; its own term is checked last
 				return raft.ErrLeadershipLost
 			}
 			return nil
@@ -151,15 +152,15 @@
 	return l.lastRound
 }
 
-// endRound ends the wait of a call of confirm.
+// endRound records that a call of confirm has ended.
 func (l *leadershipConfirmer) endRound() {
 	l.mu.Lock()
 	l.waiters--
 	l.mu.Unlock()
 }
 
-// countConfirmations counts the voters, including this controller, that have confirmed the term in the round or a later one.
-// changed is closed at the next confirmation.
+// countConfirmations counts the voters, including this controller, that have confirmed the given term in the given round or a
+// later one. changed is closed at the next confirmation.
 func (l *leadershipConfirmer) countConfirmations(voters []string, round, term uint64) (count int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,11 +187,11 @@
 	return names, nil
 }
 
-// majority returns how many voters have to confirm a leadership.
+// majority returns how many voters have to confirm that a controller leads.
 //
-// It counts all controllers in the configuration file even if fewer are voters. This guards against two controllers that were
-// both rebuilt by mistake and can't reach each other: a rebuilt log begins with one voter, so both would lead. The guard holds
-// because only one of them can have a majority of the controllers in the file.
+// All controllers in the configuration file count, even if fewer are voters. This guards against two controllers that were both
+// rebuilt by mistake and can't reach each other: a rebuilt log begins with one voter, so both would lead. The guard holds
+// because only one of them can reach a majority of the controllers in the file.
 func (c *Controller) majority(voters []string) int {
 	return max(len(voters), len(c.peers)+1)/2 + 1
 }
--- a/internal/controller/confirmer_test.go
+++ b/internal/controller/confirmer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A confirmation must not count answers to earlier queries, as raft's VerifyLeader does: those answers may predate the election
-// of another leader.
+// confirm must not count answers to queries that were sent before the call: the answers may predate the election of another
+// leader. raft's VerifyLeader counts such answers.
 func TestConfirmer_CountsNoEarlierConfirmation(t *testing.T) {
 	c := newTestFleet(t, 2*time.Second, 3, 0)
 	c.start()
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -9,8 +9,8 @@
 
 // Limits on the connections that carry calls. Each connection costs a goroutine, a file descriptor and about 10 KiB. With a
 // thousand edge nodes and three hundred relays, each of these processes has up to six connections when idle: one for its lease,
-// two for watches and a few for operations. The limit per process has room for all operations that one process proposes at once
-// after a failover, and keeps that process from taking the connections that others need for their leases.
+// two for watches and a few for operations. maxConnsPerProcess has room for all operations that one process proposes at once
+// after a failover, and keeps that process from taking the connections that other processes need for their leases.
 const (
 	maxConns           = 8192 // connections of all processes except controllers
 	maxConnsPerProcess = 256  // connections of one process, which may be a controller
@@ -24,11 +24,12 @@
 	isController           func(name string) bool
 
 	mu        sync.Mutex     // guards the fields below
-	total     int            // connections of all processes but controllers
-	byProcess map[string]int // connections of each process that has any
+	total     int            // connections of all processes except controllers
+	byProcess map[string]int // by process, including controllers: number of its connections
 }
 
-// admit counts a connection of a process until release is called, or returns why the connection is refused.
+// admit counts a connection of a process until release is called. If a limit is reached, release is nil and refusal is the
+// reason.
 func (l *connLimiter) admit(from string) (release func(), refusal string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,7 @@
 	return nil, refusal
 }
 
-// remove undoes the counting of a connection.
+// remove stops counting a connection of a process. counted is the connection's share in total: 1, or 0 for a controller.
 func (l *connLimiter) remove(from string, counted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -15,9 +15,9 @@
 	"silvercove/internal/controllerclient"
 )
 
-// Log compaction while the disk is not low on space.
+// Parameters of the log compaction while the disk is not low on space.
 const (
-	snapshotEntries  = 8192 // number of entries after which a snapshot is taken
+	snapshotEntries  = 8192 // number of new entries after which a snapshot is taken
 	trailingEntries  = 2048 // number of entries that stay in the log for followers that lag
 	snapshotInterval = 30 * time.Second
 )
@@ -29,7 +29,7 @@
 type openedStore struct {
 	log       Store
 	snapshots raft.SnapshotStore
-	last      controllerclient.LogPosition // last entry on the disk
+	last      controllerclient.LogPosition // position of the last entry on the disk
 }
 
 // runConsensus waits until this disk may take part in the log, and then runs raft until the context ends. If the disk must not
@@ -56,7 +56,8 @@
 				Str("why", "the disk is outdated: other controllers know a later disk of this one, or later entries on it").
 				Msg("outdated store set aside")
 		case errors.Is(err, ErrCorrupt) && len(c.peers) > 0:
-			// The entries that this disk acknowledged are lost, so it counts as emptied: the leader has to readmit it.
+			// Entries that this disk acknowledged are lost. The disk is therefore treated like an emptied one, and the leader
+			// has to readmit it.
 			c.Log.Error().Err(err).Str("event", "aside").Str("why", "the directory's log is damaged and is set aside").
 				Msg("damaged store set aside")
 		default:
@@ -146,7 +147,8 @@
 	config.ElectionTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.LeaderLeaseTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.CommitTimeout = c.timings.CommitInterval.Duration()
-	// BatchApplyCh stays off: with it raft has a queue, and never answers the entries that are in the queue at shutdown.
+	// BatchApplyCh stays false: if it is set, raft queues proposed entries, and a proposal that is in the queue at shutdown
+	// never gets a result.
 	config.MaxAppendEntries = maxEntryOperations
 	config.SnapshotThreshold = c.spacePolicy.snapshotEntries
 	config.SnapshotInterval = snapshotInterval
@@ -155,7 +157,8 @@
 	return config
 }
 
-// startRaft starts raft. On a founding disk that has not started yet, it first creates the log.
+// startRaft starts raft. If the log's origin names this disk (storeMarker.Founding) and the disk has not started yet, startRaft
+// first creates the log on the disk.
 func (c *Controller) startRaft(config *raft.Config, transport positionTransport, opened openedStore) (*raft.Raft, error) {
 	if marker := c.disk.currentMarker(); marker.Founding && !marker.Started {
 		if opened.last.Index == 0 {
@@ -173,8 +176,8 @@
 		}
 	}
 	// Guards against an emptied disk that follows an outdated leader. Such a disk has no term and would follow the first
-	// controller that sends entries, such as one that led before a rebuild, was paused and has just been resumed. The guard
-	// holds because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
+	// controller that sends entries. That controller may have led before a rebuild and have been paused since. The guard holds
+	// because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
 	if term, err := c.store.GetUint64(raftTermKey); c.minTerm > 0 && (err != nil || term < c.minTerm) {
 		if err := c.store.SetUint64(raftTermKey, c.minTerm); err != nil {
 			return nil, err
@@ -183,13 +186,13 @@
 	return raft.NewRaft(config, c.stateMachine, c.store, c.store, opened.snapshots, transport)
 }
 
-// watchLeadership starts and stops leading as raft's state changes, until the context ends.
+// watchLeadership calls startLeading and stopLeading when raft gains or loses the leadership, until the context ends.
 func (c *Controller) watchLeadership(ctx context.Context, r *raft.Raft) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case leads := <-r.LeaderCh(): // a leadership that was lost and regained may arrive as a second true
+		case leads := <-r.LeaderCh(): // true may follow true if the leadership was lost and regained
 			c.stopLeading()
 			if leads {
 				c.startLeading(r)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,17 +22,18 @@
 // Options configures a Controller. Network, DataDir and Settings are required.
 type Options struct {
 	Network  *peertransport.Network // the caller runs the network
-	DataDir  string                 // directory of the log, its snapshots and the marker; created if missing
-	Settings map[string]any         // settings by their names in the configuration file
+	DataDir  string                 // directory of the log, its snapshots and the disk's marker; created if missing
+	Settings map[string]any         // settings by their names, as in fleet.File.Settings
 	Log      zerolog.Logger         // the zero value logs nothing
 
-	// Planner creates the planner of one leadership; nil selects migration.NewPlanner.
+	// Planner creates the planner for one term of leadership; nil selects migration.NewPlanner.
 	Planner func(host Host, now tick.Tick) Planner
 
-	// WrapStore wraps the log's store in tests of disk faults; nil means no wrapper.
+	// WrapStore lets tests inject disk faults: raft uses the store that it returns instead of the log's store. nil means no
+	// wrapper.
 	WrapStore func(Store) Store
 
-	// Now returns the time by which leases are counted; nil selects controllerclient.Now.
+	// Now returns the time by which the durations of leases are measured; nil selects controllerclient.Now.
 	Now func() tick.Tick
 
 	// DiskFree returns the free and total bytes of the file system that contains a directory; nil asks the operating system.
@@ -46,7 +47,7 @@
 const (
 	maxEntryOperations  = 256     // operations in one log entry
 	maxQueuedOperations = 1 << 17 // operations of the planner that wait to be proposed
-	maxLongPolls        = 4096    // concurrent calls that wait for a change
+	maxLongPolls        = 4096    // concurrent long polls, which are calls that wait for a change
 )
 
 // Controller is one controller of a fleet. Open creates it, and it serves while Run runs.
@@ -58,30 +59,30 @@
 	disk           *storeDir
 	stateMachine   *stateMachine
 	waker          *wakeup.Waker
-	longPolls      chan struct{} // holds one element per long poll
-	fatalErrors    chan error    // holds the first unrecoverable error
+	longPolls      chan struct{} // holds one element for each long poll in progress
+	fatalErrors    chan error    // holds the first unrecoverable error until Run returns it
 	confirmer      *leadershipConfirmer
 	client         *controllerclient.Client
-	proposalQueued chan struct{} // wakes the proposer
+	proposalQueued chan struct{} // wakes runProposer
 	joinMutex      sync.Mutex    // serializes the admission of disks
 
 	// raft is nil until this disk may take part in the log. store and minTerm are set before raft.
 	raft    atomic.Pointer[raft.Raft]
 	store   *guardedStore
-	minTerm uint64 // term in which this disk was admitted empty, or 0 if it was not
+	minTerm uint64 // term in which the leader admitted this disk as an empty one; 0 if the leader has not admitted it in this run
 
-	// mu guards the fields below and all fields of the leadership. No code blocks while it holds mu.
+	// mu guards the fields below and all fields of the leadership. No goroutine blocks while it holds mu.
 	mu           sync.Mutex
 	leadership   *leadership // nil while another controller leads
-	waitReason   string      // why the controller does not take part in the log yet, or "" if it does
-	diskFault    string      // error of the last write to the log, or "" if the write succeeded
+	waitReason   string      // why the controller does not take part in the log yet; "" if it does
+	diskFault    string      // error of the last write to the log; "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
 	logPositions map[string]controllerclient.LogPosition // by controller: last entry that the controller acknowledged as stored
 }
 
 // Open reads the controller's data directory and creates it if it is missing. It fails with ErrNewerVersion or ErrCorrupt if
-// the marker can't be read, and with another error if the directory belongs to another controller. Run returns the faults of
-// the log itself.
+// the directory's marker (storeMarker) can't be read, and with another error if the directory belongs to another controller.
+// Run, not Open, reports faults of the log.
 func Open(o Options) (*Controller, error) {
 	o = o.withDefaults()
 	c := &Controller{
@@ -131,7 +132,7 @@
 	return o
 }
 
-// fatal ends Run with an error. Only the first error is kept.
+// fatal makes Run stop and return an error. If fatal is called more than once, Run returns the first error.
 func (c *Controller) fatal(err error) {
 	select {
 	case c.fatalErrors <- err:
@@ -139,9 +140,9 @@
 	}
 }
 
-// Run takes part in the log and answers calls until the context ends. Then it transfers the leadership, if it has it, and
-// waits for all goroutines. It returns nil after the context has ended. If the controller can't continue, Run returns
-// ErrNewerVersion, ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
+// Run takes part in the log and answers calls until the context ends. Then Run transfers the leadership if this controller
+// leads, and waits for all goroutines. It returns nil after the context has ended. If the controller can't continue, Run
+// returns ErrNewerVersion, ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/controller/disk_space.go
+++ b/internal/controller/disk_space.go
@@ -20,12 +20,12 @@
 	return stat.Bavail * blockBytes, (stat.Blocks - stat.Bfree + stat.Bavail) * blockBytes, nil
 }
 
-// watchDisk checks the free disk space and the log's length until the context ends, and carries out the spacePolicy's
-// decisions.
+// watchDisk checks the free disk space and the log's length until the context ends, and carries out the decisions of the
+// spacePolicy.
 func (c *Controller) watchDisk(ctx context.Context, r *raft.Raft) {
 	ticker := time.NewTicker(min(c.timings.ConfirmTimeout, maxDiskCheckInterval).Duration())
 	defer ticker.Stop()
-	lastLogged := "" // the last error that was logged
+	lastLogged := "" // error of the previous check, which is not logged again; "" if there was none
 	for {
 		free, total, err := c.DiskFree(c.DataDir)
 		if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // onDiskSpace updates the spacePolicy and the status call with the disk's free and total bytes. If the disk has become low on
-// space, or no longer is, it reconfigures raft and logs the change.
+// space or has recovered, onDiskSpace reconfigures raft and logs the change.
 func (c *Controller) onDiskSpace(r *raft.Raft, free, total uint64) {
 	changed := c.spacePolicy.OnDiskSpace(free, total)
 	space := c.spacePolicy.space
@@ -76,8 +76,8 @@
 		Str("why", "the disk has enough free space again").Msg("disk no longer low on space")
 }
 
-// compactLog takes a snapshot if the log is too long. raft's own check runs at most twice a minute, and the log may grow by a
-// hundred thousand entries between two checks.
+// compactLog takes a snapshot if the log is too long. raft's own check is not enough: it runs at most twice a minute, and the
+// log may grow by a hundred thousand entries between two of these checks.
 func (c *Controller) compactLog(r *raft.Raft) {
 	first, err := c.store.FirstIndex()
 	if err != nil || first == 0 {
@@ -94,7 +94,8 @@
 	}
 }
 
-// transferLeadership transfers the leadership to a voter whose disk has enough free space, if there is one.
+// transferLeadership transfers the leadership to a voter whose disk has enough free space (spacePolicy.TransferTarget), if
+// there is one.
 func (c *Controller) transferLeadership(ctx context.Context, r *raft.Raft) {
 	statuses, _ := c.peerStatuses(ctx)
 	future := r.GetConfiguration()
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,9 +1,9 @@
-// Package controller implements a controller of a fleet. A fleet has one, three or five controllers. Together they agree where
-// each instance runs and grant the edge nodes the leases under which they serve. The leading controller also decides when an
-// instance moves.
+// Package controller implements a controller of a fleet. A fleet has one, three or five controllers. The controllers agree on
+// where each instance runs, and grant the leases under which the edge nodes serve instances. The leading controller also
+// decides when to move an instance.
 //
-// Open reads the controller's data directory, and Controller.Run serves until its context ends. Rebuild writes a new data
-// directory from the copies on the edge nodes after a majority of the controllers' disks was lost.
+// Open reads the controller's data directory, and Controller.Run serves until its context ends. After a majority of the
+// controllers' disks was lost, Rebuild writes a new data directory from the copies on the edge nodes.
 //
 // # Agreed and unagreed state
 //
@@ -17,11 +17,11 @@
 // # Invariants
 //
 // A lease is granted only after a majority of the controllers, queried after the request arrived, was in the leader's term
-// (leadershipConfirmer). So two leaders never grant leases at the same time.
+// (leadershipConfirmer). This keeps two leaders from granting leases at the same time.
 //
-// An operation that takes an instance from a node requires that the node's lease has expired. From the operation's proposal
-// until its result is known, the node's lease is not granted again (leadership.blockRenewal), and the log entry is valid in
-// the proposer's term only.
+// A failover, quarantine or deletion of an instance requires that the lease of the instance's primary has expired
+// (leadership.blockRenewal names one exception). From the operation's proposal until its result is known, the primary's lease
+// is not granted again, and the operation's log entry is valid only in the term in which it was proposed.
 //
 // An applied entry is never undone: a log or a snapshot that ends before the last applied entry stops the controller
 // (ErrLogWentBack). A disk that was emptied, or that lacks entries that it had acknowledged, becomes a voter only after the
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -20,33 +20,34 @@
 	Close() error
 }
 
-// guardedStore is the Store that raft uses. It refuses to delete applied entries, keeps the position of its last entry, and
-// retries until a term is written. If the write of a term failed, raft would exit the process, and a controller that continued
-// without the write could vote twice in one term. A guardedStore is safe for concurrent use.
+// guardedStore is the Store that raft uses. It refuses to delete applied entries, except those that a snapshot replaces, and
+// keeps the position of its last entry in memory. It retries the write of a term until the write succeeds: if raft learned of a
+// failed write, it would exit the process, and if raft continued without the write, the controller could vote twice in one
+// term. A guardedStore is safe for concurrent use.
 type guardedStore struct {
 	Store
 	lastApplied       func() uint64
 	fatal             func(error)
 	onDiskResult      func(error)   // called with the error of each write, or nil if it succeeded
 	termRetryInterval time.Duration // pause before a failed write of the term is retried
-	closed            chan struct{} // the owner closes the channel after raft's transport, when raft can no longer send
+	closed            chan struct{} // closed after raft's transport, when raft can no longer send; ends the retries
 
 	mu   sync.Mutex
-	last controllerclient.LogPosition // guarded by mu
+	last controllerclient.LogPosition // position of the last entry; guarded by mu
 }
 
-// lastPosition returns the position of the last entry.
+// lastPosition returns the position of the last entry on the disk.
 func (g *guardedStore) lastPosition() controllerclient.LogPosition {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.last
 }
 
-// StoreLog stores one entry. Its failures are those of StoreLogs.
+// StoreLog stores one entry, as StoreLogs does.
 func (g *guardedStore) StoreLog(entry *raft.Log) error { return g.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores all entries, or none of them if it fails. After a failure raft steps down if it leads, and does not
-// acknowledge the entries if it follows.
+// StoreLogs stores all entries, or none of them if it fails. It fails with os.ErrClosed after closed is closed. After a failure
+// raft steps down if it leads, and does not acknowledge the entries if it follows.
 func (g *guardedStore) StoreLogs(entries []*raft.Log) error {
 	select {
 	case <-g.closed:
@@ -64,9 +65,9 @@
 	return err
 }
 
-// DeleteRange deletes either the earliest entries, after a snapshot, or the last entries, which the leader replaces. It fails
-// with ErrLogWentBack and stops the controller if the range has an applied entry, unless the range begins with the first entry
-// of the log and all its entries are applied.
+// DeleteRange deletes either the earliest entries, after a snapshot, or the last entries, which the leader replaces. A range
+// that begins with the first entry of the log may be deleted if all entries in the range are applied. If any other range
+// contains an applied entry, DeleteRange fails with ErrLogWentBack and stops the controller.
 func (g *guardedStore) DeleteRange(low, high uint64) error {
 	first, err := g.FirstIndex()
 	if err != nil {
@@ -80,7 +81,7 @@
 	return g.Store.DeleteRange(low, high)
 }
 
-// SetUint64 writes a term and retries until it succeeds. After the store is closed, it writes nothing and returns nil.
+// SetUint64 writes a term and retries until it succeeds. After closed is closed, SetUint64 writes nothing and returns nil.
 func (g *guardedStore) SetUint64(key []byte, value uint64) error {
 	for {
 		select {
@@ -107,7 +108,7 @@
 	return err
 }
 
-// explainDiskError adds the consequence to the error of a full disk, and returns other errors unchanged.
+// explainDiskError adds to the error of a full disk what it means for the controller, and returns other errors unchanged.
 func explainDiskError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("the disk is full; this controller acknowledges no entries until space is free: %w", err)
--- a/internal/controller/guarded_store_test.go
+++ b/internal/controller/guarded_store_test.go
@@ -15,7 +15,8 @@
 	"silvercove/internal/placement"
 )
 
-// Deleting applied entries, other than the earliest ones after a snapshot, fails and stops the controller.
+// DeleteRange fails and stops the controller if the range contains applied entries, unless it consists of the log's first
+// entries and all of them are applied, as after a snapshot.
 func TestGuardedStore_NeverDeletesAppliedEntries(t *testing.T) {
 	var fatal error
 	s := raft.NewInmemStore()
@@ -79,8 +80,8 @@
 	return s.Store.SetUint64(key, value)
 }
 
-// A controller with a full disk acknowledges no entries and reports the fault, another one takes over if there is one, and no
-// agreed entry is lost.
+// A controller with a full disk acknowledges no entries and reports the fault. If there are other controllers, one of them
+// takes over the leadership. No agreed entry is lost.
 func TestFullDisk_ConfirmsNothingAndLosesNothing(t *testing.T) {
 	for _, count := range []int{1, 3} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// Controllers that can't write their terms because the disk is full still shut down without an error, and restart.
+// Controllers that can't write their terms because their disks are full still shut down without an error, and can be restarted.
 func TestFullDisk_StopsInOrder(t *testing.T) {
 	c := newTestFleet(t, 500*time.Millisecond, 3, 1)
 	full := new(atomic.Bool)
--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/placement"
 )
 
-// handleLastResort returns a plan for each zone whose nodes are all evacuating. The plan lists the instances that are served in
-// the zone nevertheless, those with the greatest priority weight first.
+// handleLastResort returns a plan for each zone whose nodes are all evacuating. The plan lists the instances that the zone's
+// nodes continue to serve, in descending order of their priority weight.
 func (c *Controller) handleLastResort(call[struct{}]) (controllerclient.LastResortPlan, error) {
 	plan := controllerclient.LastResortPlan{Zones: []controllerclient.LastResortZone{}}
 	l, _, err := c.requireLeadership()
@@ -21,7 +21,8 @@
 	c.mu.Lock()
 	zones := c.reportsByZone(l)
 	c.mu.Unlock()
-	var assignments []placement.Assignment // read only if a zone needs them: there may be many, and a zone rarely needs them
+	// Read only if all nodes of a zone are evacuating, which is rare, because there may be many assignments.
+	var assignments []placement.Assignment
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllEvacuating(zones[zone]) {
 			continue
@@ -34,7 +35,7 @@
 	return plan, nil
 }
 
-// reportsByZone returns the health reports of all nodes with a lease, by zone and node. It is called with mu held.
+// reportsByZone returns, by zone and node name, the health reports of all nodes with a lease. It is called with mu held.
 func (c *Controller) reportsByZone(l *leadership) map[string]map[string]devicehealth.Report {
 	zones := map[string]map[string]devicehealth.Report{}
 	for name, request := range l.nodes {
--- a/internal/controller/handle_last_resort_test.go
+++ b/internal/controller/handle_last_resort_test.go
@@ -11,7 +11,8 @@
 	"silvercove/internal/placement"
 )
 
-// If all nodes of a zone are evacuating, the plan lists which node serves which instance, the greatest priority weight first.
+// If all nodes of a zone are evacuating, the plan lists which node serves which instance, in descending order of the instances'
+// priority weight.
 func TestLastResort_ServesByPriorityWeight(t *testing.T) {
 	c := newTestFleet(t, 10*time.Second, 1, 2)
 	c.start()
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -52,8 +52,8 @@
 	}
 	request.Unverified = nil
 	request = l.withVerifiedReport(now, c.zoneOf(request), request)
-	// If this leader has no report of the version's rollout state, request.RollingBack keeps the value that the node
-	// received from an earlier leader.
+	// If this leader has no report of the version's rollout state, request.RollingBack keeps the value that the node received
+	// from an earlier leader and repeats in its requests.
 	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known {
 		request.RollingBack = rollingBack
 	}
@@ -73,8 +73,8 @@
 	return response, nil
 }
 
-// checkLeaseRequest refuses a request that no leader may grant: one of another version, of another process, or with values out
-// of range.
+// checkLeaseRequest refuses a request that no leader may grant: a request in another version of the protocol, for a process
+// other than the caller, for a process that is not an edge node, or with values out of range.
 func (c *Controller) checkLeaseRequest(caller string, request controllerclient.LeaseRequest) error {
 	if err := checkVersion(request.Version); err != nil {
 		return err
@@ -111,7 +111,7 @@
 		l.lessor.OnIncarnationAgreed(request.Node, request.Incarnation)
 	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
 		l.lessor.OnIncarnationDropped(request.Node)
-	} // any other error means that the result is unknown and that this leadership has ended
+	} // after any other error the result is unknown and this leadership, with its lessor, has ended
 	c.mu.Unlock()
 	if errors.Is(err, leases.ErrStaleIncarnation) {
 		return refuse(http.StatusConflict, "%s: %v", request.Node, err)
@@ -119,8 +119,8 @@
 	return err
 }
 
-// commitUnverifiedCopies commits the request's unverified copies to the log. A node repeats a copy in its requests until a
-// lease was granted to a request with that copy.
+// commitUnverifiedCopies commits the request's unverified copies to the log. A node reports a copy again in each request until
+// a lease is granted for a request that contains the copy.
 func (c *Controller) commitUnverifiedCopies(l *leadership, request controllerclient.LeaseRequest) error {
 	if len(request.Unverified) > controllerclient.MaxUnverified {
 		return refuse(http.StatusBadRequest, "%d unverified copies, the limit is %d", len(request.Unverified),
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// awaitRenewalUnblocked waits until no operation that requires the expiry of the node's lease is in progress. It is called with
+// awaitRenewalUnblocked waits while an operation that requires the expiry of the node's lease is in progress. It is called with
 // mu held, and releases mu while it waits. It fails with raft.ErrLeadershipLost or the context's error.
 func (c *Controller) awaitRenewalUnblocked(ctx context.Context, l *leadership, node string) error {
 	for c.currentLeadership() == l && l.renewalBlocks[node] > 0 {
--- a/internal/controller/handle_operation.go
+++ b/internal/controller/handle_operation.go
@@ -10,7 +10,8 @@
 	"silvercove/internal/placement"
 )
 
-// handleOperation proposes an operation of an edge node or an operator. It refuses the kinds that only the planner proposes.
+// handleOperation proposes an operation of an edge node or an operator. It refuses the kinds of operations that only the
+// planner may propose.
 func (c *Controller) handleOperation(req call[placement.Operation]) (placement.Assignment, error) {
 	var none placement.Assignment
 	op := req.body
@@ -40,7 +41,8 @@
 	return operationResponse(c.proposeEntry(logEntry{Operations: []placement.Operation{op}}))
 }
 
-// stopInstance proposes to delete or quarantine an instance. It is refused while the lease of the instance's primary runs.
+// stopInstance proposes to delete or quarantine an instance. It refuses the call while the lease of the instance's primary has
+// not expired.
 func (c *Controller) stopInstance(l *leadership, op placement.Operation) (placement.Assignment, error) {
 	var none placement.Assignment
 	current, ok := c.stateMachine.assignment(op.Instance)
@@ -71,7 +73,8 @@
 	return operationResponse(c.proposeEntry(entry))
 }
 
-// handleDevice proposes the zone of an instance's device and tells the planner.
+// handleDevice proposes to record the zone that an instance's device has entered, and reports the zone to the planner once the
+// operation is applied.
 func (c *Controller) handleDevice(req call[controllerclient.DeviceRequest]) (placement.Assignment, error) {
 	var none placement.Assignment
 	if err := checkVersion(req.body.Version); err != nil {
@@ -105,8 +108,8 @@
 	return response, nil
 }
 
-// operationResponse returns the response to a call with one operation: the assignment after it, or a refusal that has the
-// unchanged assignment, if there is one.
+// operationResponse returns the response to a call with one operation: the assignment after the operation, or a refusal. The
+// refusal contains the unchanged assignment if the instance has one.
 func operationResponse(results []operationResult, err error) (placement.Assignment, error) {
 	var none placement.Assignment
 	if err != nil {
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -8,11 +8,12 @@
 	"silvercove/internal/tick"
 )
 
-// maxOutcomeCount is the greatest number of successes, and of failures, of a node in one report; larger numbers count as this many.
+// maxOutcomeCount is the greatest number of successes, and of failures, of a node in one report; larger numbers are reduced to
+// it.
 const maxOutcomeCount = 1 << 20
 
 // handleOutcomes records a relay's counts of successful and failed requests to edge nodes. The leader verifies the nodes' own
-// health reports against these counts. The report also carries the rollout state that the relay was told.
+// health reports against these counts. The report also contains the rollout state that the relay received from the release API.
 func (c *Controller) handleOutcomes(req call[controllerclient.OutcomeReport]) (struct{}, error) {
 	var none struct{}
 	if err := checkVersion(req.body.Version); err != nil {
--- a/internal/controller/handle_outcomes_test.go
+++ b/internal/controller/handle_outcomes_test.go
@@ -12,7 +12,8 @@
 	"silvercove/internal/migration"
 )
 
-// A node that reports itself as accepting while its requests fail is not treated as accepting. Only a relay may report outcomes.
+// A node that reports that it accepts requests, while relays report failed requests to it, is not treated as accepting. Only a
+// relay may report outcomes.
 func TestOutcomes_OverrideANodesOwnReport(t *testing.T) {
 	c, plan := newRecordingFleet(t, 10*time.Second, 3)
 	renew := func(node string, state devicehealth.State) migration.NodeStatus {
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -57,7 +57,7 @@
 	return status, nil
 }
 
-// roleOf returns the role by which the status call names a state of raft.
+// roleOf returns the value of Status.Role for a state of raft.
 func roleOf(state raft.RaftState) string {
 	switch state {
 	case raft.Follower:
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -14,12 +14,12 @@
 	"silvercove/internal/placement"
 )
 
-// maxLongPoll is the longest time for which a call waits for a change.
+// maxLongPoll is the longest time that a call waits for a change; a longer timeout_ms is reduced to it.
 const maxLongPoll = time.Minute
 
 // longPoll is a call that waits for a change. Its release function must be called once.
 type longPoll struct {
-	leadership *leadership // the call ends with this leadership
+	leadership *leadership // the call ends when this leadership ends
 	since      uint64      // version that the caller already has
 	timer      *time.Timer // fires after the call's timeout
 	release    func()      // stops timer and frees the slot
@@ -66,7 +66,8 @@
 	return number, nil
 }
 
-// coalesce waits for the given duration, so that one response has all changes that occur in that time.
+// coalesce waits for the given duration after a first change, so that one response contains all changes that occur in that
+// time.
 func (p longPoll) coalesce(req call[struct{}], wait time.Duration) {
 	p.timer.Reset(wait)
 	select {
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -14,18 +14,19 @@
 
 // requestJoin asks the leader to admit this disk or, if caughtUp is set, to make it a voter.
 func (c *Controller) requestJoin(ctx context.Context, caughtUp bool) (controllerclient.JoinResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration()) // admitDisk commits up to three entries
+	// admitDisk may commit three entries; the timeout allows for more than these.
+	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration())
 	defer cancel()
 	return c.client.Join(ctx, controllerclient.JoinRequest{Node: c.name, StoreID: c.disk.currentMarker().StoreID, CaughtUp: caughtUp})
 }
 
-// catchUpAndJoin requests this disk's vote until the disk is a voter. It does nothing if the disk is one of the log's origin,
-// because such a disk is a voter from the start.
+// catchUpAndJoin sends join requests until this disk is a voter. It does nothing if the log's origin names the disk
+// (storeMarker.Founding), because such a disk is a voter from the start.
 func (c *Controller) catchUpAndJoin(ctx context.Context, r *raft.Raft) {
 	if c.disk.currentMarker().Founding {
 		return
 	}
-	var needed uint64 // index that the disk has to reach before it votes, or 0 if not known yet
+	var needed uint64 // index that the disk has to reach before it becomes a voter; 0 until the leader has answered
 	for ; ctx.Err() == nil; c.pauseBeforeRetry(ctx) {
 		marker := c.disk.currentMarker()
 		if marker.Started && c.isVoter(r) {
@@ -33,7 +34,8 @@
 		}
 		caughtUp := needed > 0 && r.AppliedIndex()+maxJoinLag >= needed && r.LastIndex() > 0
 		if caughtUp && !marker.Started {
-			// The marker is written before the disk becomes a voter: from now on, an empty log counts as damaged.
+			// The marker is written before the disk becomes a voter: if a voter's log is empty at a later start, entries are
+			// missing, and Started makes the log count as damaged.
 			marker.Started = true
 			if err := c.disk.putMarker(marker); err != nil {
 				c.noteDiskResult(explainDiskError(err))
@@ -53,14 +55,14 @@
 	}
 }
 
-// isVoter reports whether this controller is a voter of the log.
+// isVoter reports whether this controller is a voter in raft's configuration.
 func (c *Controller) isVoter(r *raft.Raft) bool {
 	voters, err := c.voters(r)
 	return err == nil && slices.Contains(voters, c.name)
 }
 
-// admitDisk handles a join request at the leader. It removes the controller's former disk from raft's configuration, adds the
-// new disk as a nonvoter, and makes it a voter once it has caught up.
+// admitDisk handles a join request at the leader. For a disk that is not agreed yet, it removes the controller's former disk
+// from raft's configuration and adds the new disk as a nonvoter. A later request with CaughtUp set makes the disk a voter.
 func (c *Controller) admitDisk(r *raft.Raft, term uint64, join controllerclient.JoinRequest) (response controllerclient.JoinResponse, err error) {
 	c.joinMutex.Lock()
 	defer c.joinMutex.Unlock()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -17,10 +17,11 @@
 // maxRecentDecisions is how many decisions of the planner the status call returns.
 const maxRecentDecisions = 16
 
-// followerTimerInterval is how long the timer sleeps while the controller does not lead; startLeading wakes it.
+// followerTimerInterval is the time until the next call of runTimers while the controller does not lead. startLeading causes a
+// call at once.
 const followerTimerInterval = time.Hour
 
-// errLeaseRunning refuses an operation that requires an expired lease.
+// errLeaseRunning is the refusal of an operation that requires an expired lease.
 var errLeaseRunning = errors.New("the primary's lease has not expired: it may still serve")
 
 // leadership is the leader's state in memory during one term of raft. Controller.mu guards all fields except term and ended,
@@ -34,18 +35,19 @@
 	verifier       *devicehealth.Verifier
 	recordCounts   *leases.RecordCounts
 	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as relays reported in this term
-	rolloutReports map[string]rolloutReport // by relay: its last report
+	rolloutReports map[string]rolloutReport // by relay: the relay's last report
 
-	nodes        map[string]*controllerclient.LeaseRequest // by edge node: its last granted request
-	nodesVersion uint64                                    // version of nodes; upper half: the term, so later leaders have greater versions
-	nodesChanged chan struct{}                             // closed at the next change of nodes
+	nodes map[string]*controllerclient.LeaseRequest // by edge node: the node's last granted request
+	// Version of nodes; the upper 32 bits are the term, so that later leaders have greater versions.
+	nodesVersion uint64
+	nodesChanged chan struct{} // closed at the next change of nodes
 
 	proposals        []queuedProposal
-	renewalBlocks    map[string]int // by edge node: number of operations in progress that require an expired lease of the node
-	renewalUnblocked chan struct{}  // closed when a node has no block in renewalBlocks any more
+	renewalBlocks    map[string]int // by edge node: number of operations in progress that require the expiry of its lease
+	renewalUnblocked chan struct{}  // closed when the next node is removed from renewalBlocks
 
-	decisions      []string // last decisions of the planner
-	lackedMajority bool     // the last runTimers found too few voters to grant a lease
+	decisions      []string // last decisions of the planner, at most maxRecentDecisions
+	lackedMajority bool     // the last call of runTimers found too few voters for a majority
 }
 
 // newLeadership returns the leadership of a term, without a planner.
@@ -66,7 +68,8 @@
 	}
 }
 
-// startLeading begins a leadership after all entries that earlier leaders committed are applied here.
+// startLeading waits until this controller has applied all entries that earlier leaders committed, and then begins a
+// leadership.
 func (c *Controller) startLeading(r *raft.Raft) {
 	term := r.CurrentTerm()
 	if r.Barrier(0).Error() != nil || !leadsInTerm(r, term) {
@@ -98,7 +101,8 @@
 	c.waker.Wake()
 }
 
-// leadsInTerm reports whether raft leads in a term. A leadership that was lost and won again has another term.
+// leadsInTerm reports whether this controller leads in the given term. If it lost the leadership and won it again, it leads in
+// a later term.
 func leadsInTerm(r *raft.Raft, term uint64) bool {
 	return r.State() == raft.Leader && r.CurrentTerm() == term
 }
@@ -134,8 +138,8 @@
 	}
 	now := c.Now()
 	// Guards against leases that count as expired only because no node could renew them: a rebuilt controller grants no lease
-	// before it has a majority (leadershipConfirmer.confirm). The guard holds because timers do not run without a majority, and
-	// all leases count as renewed once there is one.
+	// before it has a majority (leadershipConfirmer.confirm). The guard holds because no lease expires here without a majority,
+	// and all leases count as renewed when the majority is reached.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
@@ -159,8 +163,8 @@
 	return max(next-now, 1).Duration()
 }
 
-// onLeaseExpired handles a lease that has certainly expired: it tells the planner and publishes the nodes. It is called with mu
-// held.
+// onLeaseExpired handles the expiry of a node's lease: it reports the expiry to the planner and publishes the nodes. It is
+// called with mu held.
 func (c *Controller) onLeaseExpired(l *leadership, now tick.Tick, node string) {
 	metrics.GetOrCreateCounter("cove_keeper_leases_lapsed_total").Inc()
 	c.Log.Info().Str("event", "lapsed").Str("unit", node).Str("why", "its lease has expired").Msg("lease expired")
@@ -187,12 +191,13 @@
 }
 
 // blockRenewal keeps a node's expired lease from being granted again until unblockRenewal is called. It is called for each
-// operation that requires the expiry. It fails with errLeaseRunning if the lease has not expired. It is called with mu held.
+// operation that requires the expiry of the node's lease. It fails with errLeaseRunning if the lease has not expired. It is
+// called with mu held.
 //
-// It guards against a primary that gets a lease again while its instance is assigned to another node. The guard holds because
-// handleLease waits in awaitRenewalUnblocked. A node whose current incarnation started without the copies of the earlier one
-// (LostCopies) may keep its lease: the earlier incarnation's lease has expired, and the current one does not serve the
-// instances that the earlier one was primary of.
+// The block guards against a primary that gets a lease again while its instance is assigned to another node. The guard holds
+// because handleLease waits in awaitRenewalUnblocked. There is one exception: the node may keep its lease if its current
+// incarnation started without the copies of the earlier incarnation (LostCopies). The earlier incarnation's lease has expired,
+// and the current incarnation does not serve the instances of which the earlier incarnation was primary.
 func (l *leadership) blockRenewal(now tick.Tick, node string) error {
 	if _, hasLease := l.lessor.LeaseEnd(now, node); hasLease && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
 		return errLeaseRunning
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -9,10 +9,12 @@
 )
 
 // entryVersion is the format version of a log entry; operations have a version of their own. A controller that reads an entry
-// of a later version stops: it can neither apply the entry as other controllers do nor skip it.
+// of a later version stops: it can't apply the entry as other controllers do, and if it skipped the entry, its state would
+// differ from theirs.
 const entryVersion = 1
 
-// errTermEnded means that an entry was valid only in its proposer's term, which ended before the entry was agreed.
+// errTermEnded means that an entry changed nothing, because it was valid only in its proposer's term and was agreed in a later
+// term.
 var errTermEnded = errors.New("the leadership that proposed it has ended")
 
 // logEntry is one entry of the agreed log. Its JSON form is stored data.
@@ -25,15 +27,16 @@
 	EdgeNode    string `json:"unit,omitempty"`
 	Incarnation uint64 `json:"run,omitempty"`
 
-	Origin *controllerclient.LogOrigin `json:"birth,omitempty"` // the log's origin, in its first entry
+	// Origin of the log, which a leader proposes if the agreed state has none; nil in other entries.
+	Origin *controllerclient.LogOrigin `json:"birth,omitempty"`
 
 	// Controller and StoreID: from this entry on, the controller has the disk with this identity.
 	Controller string `json:"node,omitempty"`
 	StoreID    string `json:"store,omitempty"`
 
-	// An earlier version of the program skips an entry that has only these fields, which is safe: none of the state that it
-	// knows depends on them.
-	RecordCounts map[string]uint64        `json:"kept,omitempty"`   // by edge node, as in leases.RecordCounts
+	// An earlier version of the program ignores these fields if it does not know them. That is safe, because no state that such
+	// a version has depends on them.
+	RecordCounts map[string]uint64        `json:"kept,omitempty"`   // by edge node: its record count, see leases.RecordCounts
 	Unverified   []replica.UnverifiedCopy `json:"doubts,omitempty"` // unverified copies of one edge node
 }
 
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -16,7 +16,7 @@
 	return ok && peer.Role == peertransport.RoleEdge
 }
 
-// zoneOf returns a node's zone: that of the request, or else that of this controller's configuration file.
+// zoneOf returns a node's zone: the zone in the request or, if that is empty, the zone in this controller's configuration file.
 func (c *Controller) zoneOf(request controllerclient.LeaseRequest) string {
 	if request.Zone != "" {
 		return request.Zone
@@ -26,7 +26,7 @@
 }
 
 // withVerifiedReport returns the request with its health report corrected by the outcomes that relays have reported. A report
-// that can't be decoded is kept, and is handled by decodeHealthReport. It is called with Controller.mu held.
+// that can't be decoded stays as it is; decodeHealthReport handles it. It is called with Controller.mu held.
 func (l *leadership) withVerifiedReport(now tick.Tick, zone string, request controllerclient.LeaseRequest) controllerclient.LeaseRequest {
 	var report devicehealth.Report
 	if json.Unmarshal(request.Report, &report) != nil {
@@ -57,8 +57,8 @@
 	return status
 }
 
-// decodeHealthReport returns a node's health report. For a report that can't be decoded, it returns one with StateHolding: the
-// node gets no new instances and keeps those that it has.
+// decodeHealthReport returns a node's health report. If the report can't be decoded, the result has StateHolding: the node gets
+// no new instances and keeps those that it has.
 func decodeHealthReport(request controllerclient.LeaseRequest) controllerclient.HealthReport {
 	var report controllerclient.HealthReport
 	if err := json.Unmarshal(request.Report, &report); err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// sameForRouting reports whether two states of a node have the same fields that relays route by.
+// sameForRouting reports whether two published states of a node agree in all fields by which relays route requests.
 func sameForRouting(a, b controllerclient.Node) bool {
 	return a.Name == b.Name &&
 		a.Zone == b.Zone &&
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -6,11 +6,11 @@
 	"silvercove/internal/tick"
 )
 
-// Planner decides at the leading controller which operations to propose. Its production implementation is migration.Planner. A
-// new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
+// Planner decides at the leading controller which operations to propose. Outside tests, the implementation is
+// migration.Planner. A new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
 type Planner interface {
-	// OnElected is called when the leader begins to count every lease that may have been granted as renewed at the time now:
-	// after the election, and when there are enough voters again.
+	// OnElected is called after the election, and when there are enough voters for a majority again. From then on, every lease
+	// that may have been granted counts as renewed at the time now.
 	OnElected(now tick.Tick)
 
 	// OnNodeStatus is called for each granted lease, and when the rollback of a node's version begins or ends.
@@ -19,7 +19,8 @@
 	// OnLeaseExpired is called when a node's lease has certainly expired, whatever the drift of the clocks.
 	OnLeaseExpired(now tick.Tick, node string)
 
-	// OnAssignment is called for each assignment after the election, and later for the assignment after each applied operation.
+	// OnAssignment is called for each assignment when the leadership begins, and then for the changed assignment after each
+	// applied operation.
 	OnAssignment(now tick.Tick, a placement.Assignment)
 
 	// OnProposalRefused is called for a proposed operation that was not applied.
@@ -32,8 +33,8 @@
 	OnTick(now tick.Tick) (next tick.Tick)
 }
 
-// Host carries out a Planner's decisions. A Planner calls the Host's methods from within the Planner's own methods. They do not
-// block.
+// Host carries out a Planner's decisions. A Planner calls the Host's methods from within the Planner's own methods. The Host's
+// methods do not block.
 type Host interface {
 	// Propose queues an operation for the agreed log. The result is reported by OnAssignment or OnProposalRefused, unless the
 	// leadership ends first.
--- a/internal/controller/planners_test.go
+++ b/internal/controller/planners_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// recordingPlanner sends each node status that it receives to a channel.
+// recordingPlanner is a failoverPlanner that also sends each node status that it receives to a channel.
 type recordingPlanner struct {
 	failoverPlanner
 	statuses chan migration.NodeStatus
@@ -19,7 +19,8 @@
 	p.statuses <- status
 }
 
-// failoverPlanner only fails instances over to a replica when the lease of their primary has expired.
+// failoverPlanner proposes only failovers: when the lease of an instance's primary has expired, it proposes a failover to the
+// first replica, or without a target if there is no replica.
 type failoverPlanner struct {
 	host        Host
 	assignments map[string]placement.Assignment
@@ -59,7 +60,8 @@
 
 func (*idlePlanner) OnLeaseExpired(tick.Tick, string) {}
 
-// replicaPlanner is a failoverPlanner that also creates a replica on the other node for each instance without a replica.
+// replicaPlanner is a failoverPlanner that also creates a replica for each running instance without one, on the node that
+// replicaOf names for the instance's primary.
 type replicaPlanner struct {
 	failoverPlanner
 	replicaOf map[string]string
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// runProposer proposes, in batches, the planner's operations and the nodes' record counts that are to be proposed now
-// (leases.RecordCounts.Due), until the context ends.
+// runProposer proposes the planner's operations and the record counts that are due (leases.RecordCounts.Due), in batches, until
+// the context ends.
 func (c *Controller) runProposer(ctx context.Context) {
 	for {
 		select {
@@ -53,7 +53,8 @@
 	}
 }
 
-// nextBatch takes the next proposals and the record counts that are due. ok is false if there are none or another controller leads.
+// nextBatch takes the next proposals from the queue, and the record counts that are due. ok is false if there is nothing to
+// propose or this controller does not lead.
 func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,8 +107,8 @@
 	c.waker.Wake()
 }
 
-// onBatchResult reports the refused proposals to the planner. results has the results of the proposals without a refusal, in
-// their order. It is called with Controller.mu held.
+// onBatchResult reports the refused proposals to the planner. results contains the results of the proposals without a refusal,
+// in the order of the proposals. It is called with Controller.mu held.
 func (l *leadership) onBatchResult(now tick.Tick, proposals []queuedProposal, results []operationResult) {
 	for _, proposal := range proposals {
 		err := proposal.refusal
--- a/internal/controller/proposals_test.go
+++ b/internal/controller/proposals_test.go
@@ -11,8 +11,9 @@
 	"silvercove/internal/placement"
 )
 
-// A leadership transfer to a controller that does not answer fails, and the leadership continues. Operations proposed during the
-// transfer are refused as not agreed, and do not keep nodes from renewing their leases afterwards.
+// A leadership transfer to a controller that does not answer fails, and the leadership continues. Operations proposed during
+// the transfer fail and are known not to be agreed. They do not keep nodes from renewing their leases after the transfer has
+// failed.
 func TestProposals_SurviveAFailedLeadershipTransfer(t *testing.T) {
 	c := newTestFleet(t, 2*time.Second, 3, 3)
 	c.start()
--- a/internal/controller/raft_logger.go
+++ b/internal/controller/raft_logger.go
@@ -20,7 +20,8 @@
 // raftLogWriter writes raft's log lines to the controller's log.
 type raftLogWriter struct{ logger zerolog.Logger }
 
-// Write writes one line. An error of raft is logged as a warning: most often it means that another controller does not answer.
+// Write writes one line. An error of raft is logged as a warning: most often, the cause is another controller that does not
+// answer.
 func (w raftLogWriter) Write(text []byte) (int, error) {
 	line := strings.TrimSpace(string(text))
 	level := zerolog.DebugLevel
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -23,11 +23,11 @@
 // RebuildOptions configures Rebuild. All fields except Backup and AllowUnreachable are required.
 type RebuildOptions struct {
 	Network          *peertransport.Network // network of the controller that is rebuilt; the caller runs it
-	DataDir          string                 // data directory of that controller; an existing log in it is set aside
-	Settings         map[string]any         // settings by their names in the configuration file
+	DataDir          string                 // data directory of the rebuilt controller; a log in it is set aside
+	Settings         map[string]any         // settings by their names, as in fleet.File.Settings
 	Client           *controllerclient.Client
-	Backup           io.Reader // an earlier snapshot, or nil for none
-	AllowUnreachable []string  // edge nodes that need not answer
+	Backup           io.Reader // agreed state from before the loss, as Client.Backup writes it; nil if there is none
+	AllowUnreachable []string  // names of edge nodes that need not answer
 	Progress         func(string)
 }
 
@@ -35,28 +35,29 @@
 	// inventoryParallelism is the number of edge nodes that are queried at the same time.
 	inventoryParallelism = 64
 
-	statusTimeout       = 2 * time.Second // limit of the status query of one controller
-	maxInventoryTimeout = 5 * time.Second // limit of the inventory query of one edge node
+	statusTimeout       = 2 * time.Second // time limit for the status query of one controller
+	maxInventoryTimeout = 5 * time.Second // greatest time limit for the inventory query of one edge node
 
-	// termsPerGeneration is the range of raft terms that each generation of the log has.
+	// termsPerGeneration is the number of raft terms that are reserved for each generation of the log.
 	//
-	// It guards against a controller that led before the rebuild and was only paused. The guard holds because that controller's
-	// terms are below those of the rebuilt log: the rebuilt controllers refuse its entries, and with their terms they confirm
-	// none of its leases. Only a million elections within one generation would exhaust the range.
+	// The separate ranges guard against a controller that led before the rebuild and was only paused during the rebuild. The
+	// guard holds because that controller's terms are lower than those of the rebuilt log: the rebuilt controllers refuse the
+	// controller's entries, and they do not confirm its leadership, so that it grants no leases. Only a million elections
+	// within one generation would exhaust a range.
 	termsPerGeneration = 1 << 20
 )
 
 // raftTermKey is the key under which raft stores its term.
 var raftTermKey = []byte("CurrentTerm")
 
-// Rebuild writes a data directory whose log begins with the copies that the edge nodes hold, after a majority of the
-// controllers' disks was lost. The new generation is one above the highest that Rebuild finds, so that every node ignores
-// controllers and primaries from before the rebuild. The other controllers have to start with empty disks, which this
-// controller admits.
+// Rebuild writes a new data directory after a majority of the controllers' disks was lost. The directory's log begins with
+// assignments that are derived from the copies on the edge nodes. The log's generation is one above the highest that Rebuild
+// finds, so that every node ignores controllers and primaries from before the rebuild. The other controllers have to start with
+// empty disks, which the rebuilt controller admits.
 //
-// Rebuild waits for the duration of a lease before it queries the edge nodes, so that no node still serves under an earlier
-// grant. It fails, without a change to the directory, if the controllers have a majority or if an edge node that is not in
-// AllowUnreachable does not answer.
+// Rebuild waits for the duration of a lease before it queries the edge nodes, so that no node still serves under a lease from
+// before the rebuild. It fails, without a change to the directory, if the controllers have a majority or if an edge node that
+// is not in AllowUnreachable does not answer.
 func Rebuild(ctx context.Context, o RebuildOptions) error {
 	if err := checkControllersStopped(ctx, o); err != nil {
 		return err
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// checkControllersStopped fails if another controller has a leader or runs on its disk from before the rebuild. A controller
-// that does not answer counts as stopped.
+// checkControllersStopped fails if another controller knows a leader, or takes part in a log with its disk from before the
+// rebuild. A controller that does not answer counts as stopped.
 func checkControllersStopped(ctx context.Context, o RebuildOptions) error {
 	for _, peer := range o.Network.Peers(peertransport.RoleController) {
 		statusContext, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// awaitLeaseEnd waits until all earlier leases have expired, by the same computation as in a controller.
+// awaitLeaseEnd waits until all leases that were granted before the call have expired. It computes the end of the leases with a
+// leases.Lessor, as a controller does.
 func awaitLeaseEnd(ctx context.Context, o RebuildOptions) error {
 	lessor := leases.New(leases.ConfigFrom(o.Settings))
 	lessor.ExpectRenewal(0, "any")
@@ -134,7 +136,7 @@
 }
 
 // collectInventories queries the copies that all edge nodes hold, and raises the header's generation and incarnations to the
-// highest that they report. unreachable has the names of the nodes that did not answer.
+// highest that they report. unreachable lists the names of the nodes that did not answer.
 func collectInventories(ctx context.Context, o RebuildOptions, header *snapshotHeader) (found []migration.NodeInventory, unreachable []string) {
 	nodes := o.Network.Peers(peertransport.RoleEdge)
 	inventories := make([]controllerclient.Inventory, len(nodes))
@@ -150,7 +152,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // each node's error is in errs
+	_ = group.Wait() // Wait returns nil: each node's error is in errs
 	for i, node := range nodes {
 		if err := errs[i]; err != nil {
 			unreachable = append(unreachable, node.Name)
@@ -166,14 +168,16 @@
 	return found, unreachable
 }
 
-// writeRebuiltStore sets the directory's log aside and writes a log that begins with the table. It returns the new generation.
+// writeRebuiltStore sets the log in the data directory aside, if there is one, and writes a log that begins with the given
+// table. It returns the generation of the new log.
 func writeRebuiltStore(o RebuildOptions, header snapshotHeader, table *placement.Table) (generation uint64, err error) {
 	self := o.Network.Self().Name
 	dir, err := openStoreDir(o.DataDir, o.Network.Fleet(), self)
 	if err != nil {
 		return 0, err
 	}
-	// The directory's generation is higher if an earlier rebuild wrote it and no node has learned of that generation.
+	// The generation in the directory's marker is the highest if an earlier rebuild wrote the directory and no node has learned
+	// of its generation yet.
 	header.Generation = max(header.Generation, dir.currentMarker().Generation)
 	if err := dir.archive(); err != nil {
 		return 0, err
@@ -201,7 +205,7 @@
 	return header.Generation, dir.putMarker(marker)
 }
 
-// writeFirstSnapshot writes a state as the snapshot with which a log of one controller begins.
+// writeFirstSnapshot writes a state as the first snapshot of a log whose only voter is the controller named self.
 func writeFirstSnapshot(dir *storeDir, self string, term uint64, state *frozenState) error {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir.folder, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
@@ -215,10 +219,10 @@
 	return state.Persist(sink)
 }
 
-// addressCodec is a raft.Transport that implements only EncodePeer, which is all that a snapshot store calls.
+// addressCodec is a raft.Transport that implements only EncodePeer, the only method that a snapshot store calls.
 type addressCodec struct{ raft.Transport }
 
-// EncodePeer encodes an address without a change.
+// EncodePeer returns the bytes of an address unchanged.
 func (addressCodec) EncodePeer(_ raft.ServerID, address raft.ServerAddress) []byte {
 	return []byte(address)
 }
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -17,12 +17,12 @@
 	rollingBack bool // the version is being rolled back or was withdrawn
 }
 
-// onRolloutReport handles a relay's report of a version's rollout state. The nodes that run the version are updated at once
-// rather than with their next lease request: until that request, up to a third of a lease later, many instances could be moved
-// to nodes that are rolled back. One relay's report is enough to begin a version's rollback. The rollback ends when a relay
-// reports its end and no relay's last report still says that the version is rolled back. So a relay that is partitioned from
-// the release API and keeps reporting the last state that it received does not end a rollback that others report.
-// onRolloutReport is called with mu held.
+// onRolloutReport handles a relay's report of a version's rollout state. The nodes that run the version are updated at once and
+// not with their next lease request. That request may come a third of a lease later, and until then many instances could be
+// moved to nodes that are being rolled back. One relay's report is enough to begin a version's rollback. The rollback ends when
+// a relay reports the end and no relay's last report still says that the version is rolled back. Therefore, a relay that is
+// partitioned from the release API and keeps reporting the last state that it received does not end a rollback that other
+// relays report. onRolloutReport is called with mu held.
 func (c *Controller) onRolloutReport(l *leadership, now tick.Tick, relay string, report rolloutReport) {
 	before := l.rollingBack[report.version]
 	if !l.noteRolloutReport(relay, report) {
@@ -40,7 +40,7 @@
 	c.waker.Wake()
 }
 
-// noteRolloutReport records a report and reports whether the version's rollout state is new or has changed.
+// noteRolloutReport records a report. It reports whether the version's rollout state became known or changed.
 func (l *leadership) noteRolloutReport(relay string, report rolloutReport) (changed bool) {
 	l.rolloutReports[relay] = report
 	if !report.rollingBack {
@@ -62,7 +62,7 @@
 }
 
 // evictVersion makes room for another tracked version: at maxTrackedVersions, it drops the lowest version that is not rolled
-// back. It reports whether there is room.
+// back. It reports whether there is room now.
 func (l *leadership) evictVersion() bool {
 	if len(l.rollingBack) < maxTrackedVersions {
 		return true
@@ -76,8 +76,8 @@
 	return false
 }
 
-// updateRollingBack updates the nodes that run the version and have a lease, reports them to the planner and publishes the
-// change. It is called with mu held.
+// updateRollingBack updates the nodes that run the report's version and have a lease, reports these nodes to the planner and
+// publishes the change. It is called with mu held.
 func (c *Controller) updateRollingBack(l *leadership, now tick.Tick, report rolloutReport) {
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.nodes)) {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -49,9 +49,9 @@
 	body   In
 }
 
-// handle returns an HTTP handler that decodes a call of at most MaxBody bytes, calls f and encodes the response. A callError is
-// answered with its status code. Any other error, which comes from raft or from an ended context, is answered with 503, so
-// that the caller retries.
+// handle returns an HTTP handler that decodes a call with a body of at most MaxBodyBytes bytes, calls f and encodes the
+// response. If f returns a callError, the response has that error's status code. Any other error comes from raft or from an
+// ended context; the response then has status 503, so that the caller retries.
 func handle[In, Out any](f func(call[In]) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := call[In]{ctx: r.Context(), query: r.URL.Query()}
@@ -113,13 +113,13 @@
 			return context.WithValue(ctx, callerKey{}, conn.(*peertransport.Conn).From)
 		},
 	}
-	// The calls in progress have ended with the context, so an error of Close does not matter.
+	// An error of Close does not matter, because calls in progress end with the context anyway.
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
 	listener.SetAdmission(c.connLimiter.admit)
 	err := server.Serve(listener)
-	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // net.ErrClosed: the process's Network has ended
+	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) { // net.ErrClosed means that the process's Network has ended
 		return nil
 	}
 	return err
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/placement"
 )
 
-// snapshotHeader is the first line of a snapshot, in JSON. The lines of the assignment table follow it. Its JSON form is stored
-// data.
+// snapshotHeader is the first line of a snapshot, in JSON. The lines of the assignment table follow the header. The header's
+// JSON form is stored data.
 type snapshotHeader struct {
 	FormatVersion int                         `json:"v"`
 	Applied       uint64                      `json:"applied"` // index of the last applied entry
@@ -54,7 +54,7 @@
 	return sink.Close()
 }
 
-// Release does nothing: a frozen state holds only memory.
+// Release does nothing, because a frozenState holds no resources but memory.
 func (f *frozenState) Release() {}
 
 // readSnapshot reads a whole snapshot. It fails with ErrNewerVersion if a later version of the program wrote it.
@@ -112,12 +112,13 @@
 	return nil
 }
 
-// versionOf returns the format version of a JSON text, or 0 if none can be decoded.
+// versionOf returns the format version of a JSON text, or 0 if none can be decoded. It decodes no other field, because the
+// other fields of a later version may have any form.
 func versionOf(text []byte) int {
 	var versioned struct {
 		FormatVersion int `json:"v"`
 	}
-	_ = json.Unmarshal(text, &versioned) // in a later version, the other fields may have any form
+	_ = json.Unmarshal(text, &versioned) // an error leaves the version 0
 	return versioned.FormatVersion
 }
 
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -25,8 +25,8 @@
 	return c
 }
 
-// A snapshot with assignments of a later version is refused before raft starts. raft would otherwise skip it and start from an
-// earlier snapshot.
+// A snapshot with assignments of a later version is refused before raft starts. Otherwise raft would skip the snapshot and
+// start from an earlier one.
 func TestSnapshot_NewerTableVersionIsRefused(t *testing.T) {
 	c := fleetWithSnapshots(t)
 	c.rewriteSnapshot("keeper-1", func(text []byte) []byte {
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -10,8 +10,10 @@
 
 // Limits on a controller's disk and log.
 const (
-	lowFreeFraction       = 0.05 // a disk becomes low on space at this free fraction
-	recoveredFreeFraction = 0.08 // a disk is no longer low on space from this free fraction on; the gap keeps the state from flapping
+	lowFreeFraction = 0.05 // a disk is low on space if its free fraction is at most this
+	// A disk that is low on space recovers when its free fraction is at least this; the gap between the two fractions keeps the
+	// state from flapping.
+	recoveredFreeFraction = 0.08
 
 	maxDiskCheckInterval     = tick.Second
 	lowSpaceCompactionFactor = 8 // the log is compacted at 1/8 of its usual length while the disk is low on space
@@ -24,10 +26,10 @@
 // spacePolicy decides whether the disk is low on space, when the log is compacted by a snapshot, and to which controller the
 // leadership is transferred. It performs no I/O and is not safe for concurrent use.
 //
-// It guards against a leader whose disk is full: each operation fails until another controller is elected, and terms and votes
-// can't be written. The guard holds because the leadership is transferred to a controller with free space before the disk is
-// full. A large disk that is filled by other programs is treated in the same way, which is a disadvantage: with 5% of several
-// terabytes free, the leadership is transferred although there is no urgency.
+// The policy guards against a leader whose disk is full. With such a leader, each operation fails until another controller is
+// elected, and terms and votes can't be written. The guard holds because the leadership is transferred to a controller with
+// free space before the disk is full. A disadvantage is that a large disk that other programs fill is treated in the same way:
+// with 5% of several terabytes free, the leadership is transferred although there is no urgency.
 type spacePolicy struct {
 	snapshotEntries   uint64 // the log is compacted when it exceeds trailingEntries by more than this number of entries
 	trailingEntries   uint64 // number of entries that a compaction leaves in the log
@@ -45,7 +47,8 @@
 	}
 }
 
-// backoff delays the retries of a failed action, by a pause that doubles from minPause to maxPause.
+// backoff delays the retries of a failed action by a pause that doubles from minPause to maxPause. next is the time from which
+// the action may be tried again.
 type backoff struct{ minPause, maxPause, pause, next tick.Tick }
 
 func (b *backoff) due(now tick.Tick) bool { return now >= b.next }
@@ -57,7 +60,7 @@
 
 func (b *backoff) reset() { b.pause, b.next = 0, 0 }
 
-// OnDiskSpace updates the free and total bytes of the disk. It reports whether the disk has become low on space or has
+// OnDiskSpace records the free and total bytes of the disk. It reports whether the disk has become low on space or has
 // recovered. A total of 0 means that the sizes are unknown, and changes nothing.
 func (p *spacePolicy) OnDiskSpace(free, total uint64) (changed bool) {
 	if total == 0 {
@@ -83,8 +86,8 @@
 	return p.trailingEntries
 }
 
-// CompactionDue reports whether a log with this number of entries has to be compacted now. The caller reports the result to
-// OnCompaction.
+// CompactionDue reports whether a log with the given number of entries has to be compacted now. The caller reports the result
+// of the compaction to OnCompaction.
 func (p *spacePolicy) CompactionDue(now tick.Tick, entries uint64) bool {
 	limit := p.snapshotEntries
 	if p.space.LowOnSpace {
@@ -108,15 +111,16 @@
 	return p.space.LowOnSpace && p.transferBackoff.due(now)
 }
 
-// TransferTarget returns the controller to which the leadership is transferred: the follower in this term with the greatest
-// free fraction of its disk. It returns "" if no transfer is due, or if every follower has too little space or runs a version
-// that does not report its space; the leader then continues to lead. A result other than "" counts as an attempt, which starts
+// TransferTarget returns the controller to which the leadership is transferred: the follower in the given term whose disk has
+// the greatest free fraction. It returns "", and the leader continues to lead, if no transfer is due, or if every follower has
+// too little space or runs a version that does not report its space. A result other than "" counts as an attempt, which starts
 // the backoff.
 func (p *spacePolicy) TransferTarget(now tick.Tick, term uint64, others []controllerclient.Status) (target string) {
 	if !p.TransferDue(now) {
 		return ""
 	}
-	best := recoveredFreeFraction // a controller with a smaller free fraction would soon transfer the leadership again
+	// A controller with a smaller free fraction might soon be low on space and transfer the leadership again.
+	best := recoveredFreeFraction
 	byName := func(a, b controllerclient.Status) int { return cmp.Compare(a.Node, b.Node) }
 	for _, s := range slices.SortedFunc(slices.Values(others), byName) {
 		if s.Role != controllerclient.RoleFollower || s.Term != term || s.Disk == nil || s.Disk.LowOnSpace ||
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -15,25 +15,26 @@
 type startDecision uint8
 
 const (
-	startLater    startDecision = iota // the result is not known yet: the controller has to query the others again
-	startNow                           // the disk may take part in the log
-	storeOutdated                      // the disk lacks entries that it had acknowledged, and must not take part
+	startLater startDecision = iota // the decision is not possible yet: the controller queries the other controllers again
+	startNow                        // the disk may take part in the log
+	// The disk must not take part: it lacks entries that it had acknowledged, or a later disk was admitted.
+	storeOutdated
 )
 
-// awaitStart waits until this disk, whose last entry is last, may take part in the log. It returns outdated if the disk must
-// not take part because it lacks entries that it had acknowledged.
+// awaitStart waits until this disk may take part in the log. last is the position of the disk's last entry. outdated is true if
+// the disk must not take part, because it lacks entries that it had acknowledged or because a later disk of this controller was
+// admitted.
 //
-// The check guards against a majority of emptied or outdated disks that agrees on a different history. It holds because:
-//   - An empty disk creates a log only together with all other controllers in the configuration file, none of which has
-//     started, or if the log's origin names the disk's identity. Otherwise the leader has to admit the disk. The leader first
-//     removes the former disk of that controller from the voters, which takes a majority of the remaining voters with their
-//     logs.
-//   - A disk that has started waits for answers from enough other controllers to form a majority with it. Without a majority
-//     it could not make progress anyway.
+// The check guards against a majority of emptied or outdated disks that agrees on a different history. The guard holds because:
+//   - An empty disk creates a log only if all other controllers in the configuration file answer and none belongs to a log, or
+//     if the log's origin names the disk. Otherwise the leader has to admit the disk. The leader first removes the former disk
+//     of that controller from the voters. The removal takes a majority of the remaining voters, which have their logs.
+//   - A disk that has started waits for answers from enough other controllers to form a majority with it. Without a majority,
+//     the disk could not make progress anyway.
 //
-// The check can't detect an outdated disk if all controllers that have seen its later entries are unreachable or have
-// restarted. The log then ends before an entry that another controller has applied. That controller detects it and stops with
-// ErrLogWentBack.
+// The check can't detect an outdated disk if all controllers that have recorded its later entries (positionTransport) are
+// unreachable or have restarted. In that case, the log ends before an entry that another controller has applied. That
+// controller detects the missing entry and stops with ErrLogWentBack.
 func (c *Controller) awaitStart(ctx context.Context, last controllerclient.LogPosition) (outdated bool, err error) {
 	marker := c.disk.currentMarker()
 	if len(c.peers) == 0 && marker.Origin == nil {
@@ -64,7 +65,8 @@
 	}
 }
 
-// putOrigin records in the marker which log the disk belongs to.
+// putOrigin writes the origin and the generation of the disk's log to the marker. founding tells whether the origin names the
+// disk.
 func (c *Controller) putOrigin(marker storeMarker, origin *controllerclient.LogOrigin, founding bool, generation uint64) error {
 	marker.Origin = origin
 	marker.Founding = founding
@@ -76,8 +78,8 @@
 func (c *Controller) decideStarted(marker storeMarker, last controllerclient.LogPosition, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
-	// A controller with a disk from before a rebuild, which was stopped or partitioned during the rebuild, is ignored: it must
-	// not keep this controller from starting. Its own start fails.
+	// Controllers with a disk from before a rebuild, which were stopped or partitioned during the rebuild, are ignored: they
+	// must not keep this controller from starting. Their own start fails, because their log has another origin.
 	statuses = slices.DeleteFunc(statuses, func(s controllerclient.Status) bool {
 		return s.Origin != nil && s.Origin.ID != marker.Origin.ID && s.Generation < marker.Generation
 	})
@@ -98,8 +100,9 @@
 	return startLater, nil
 }
 
-// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may start if the log's origin
-// names the disk, if the leader of an existing log admits the disk, or if all controllers together create a log.
+// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may take part if the log's
+// origin names the disk, if the leader of an existing log admits the disk, or if no controller belongs to a log and they create
+// one (decideFounding).
 func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -128,8 +131,9 @@
 	return c.decideFounding(marker, statuses)
 }
 
-// decideFounding decides if all controllers answer and none has started. The first controller by name creates the log's origin.
-// The other controllers find the identities of their disks in the origin at a later query.
+// decideFounding decides whether this disk may take part in a new log. It is called if all controllers answer and none belongs
+// to a log yet. The controller whose name sorts first creates the log's origin, which names the disks of all controllers. The
+// other controllers wait until a later status query returns that origin.
 func (c *Controller) decideFounding(marker storeMarker, statuses []controllerclient.Status) (startDecision, error) {
 	names := append([]string{c.name}, c.peers...)
 	slices.Sort(names)
@@ -149,7 +153,7 @@
 	return startLater, nil
 }
 
-// pauseBeforeRetry waits for ConfirmTimeout, or until the context ends.
+// pauseBeforeRetry waits for the duration ConfirmTimeout, or until the context ends.
 func (c *Controller) pauseBeforeRetry(ctx context.Context) {
 	timer := time.NewTimer(c.timings.ConfirmTimeout.Duration())
 	defer timer.Stop()
@@ -159,7 +163,8 @@
 	}
 }
 
-// setWaitReason records why this controller does not take part in the log yet, or "" if it does, and logs a new reason.
+// setWaitReason records why this controller does not take part in the log yet, as the words that follow "waiting", or "" if it
+// does. It logs a reason that differs from the recorded one.
 func (c *Controller) setWaitReason(reason string) {
 	c.mu.Lock()
 	before := c.waitReason
@@ -170,8 +175,8 @@
 	}
 }
 
-// peerStatuses queries the status of all other controllers in parallel. unreachable has one message for each controller that
-// did not answer.
+// peerStatuses queries the status of all other controllers in parallel. unreachable contains one message for each controller
+// that did not answer.
 func (c *Controller) peerStatuses(ctx context.Context) (statuses []controllerclient.Status, unreachable []string) {
 	ctx, cancel := context.WithTimeout(ctx, c.timings.ConfirmTimeout.Duration())
 	defer cancel()
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -15,17 +15,17 @@
 	"silvercove/internal/placement"
 )
 
-// stateMachine is the state that the agreed log produces. It implements raft.FSM. raft calls Apply, Snapshot and Restore from
-// one goroutine; the other methods are safe for concurrent use. onApplied and fatal are called without mu.
+// stateMachine holds the state that results from the agreed log's entries. It implements raft.FSM. raft calls Apply, Snapshot
+// and Restore from one goroutine; the other methods are safe for concurrent use. onApplied and fatal are called without mu.
 type stateMachine struct {
 	onApplied func([]placement.Operation, []operationResult) // called for each entry with operations, in the log's order
 	fatal     func(error)
 
-	mu      sync.Mutex // guards the fields below; no code blocks while it holds mu
+	mu      sync.Mutex // guards the fields below; no goroutine blocks while it holds mu
 	header  snapshotHeader
 	table   *placement.Table
 	changed chan struct{} // closed at the next change of the table
-	failed  bool          // if set, no further entries are applied
+	failed  bool          // set by fail: no further entries are applied
 }
 
 // newStateMachine returns the state before the first entry.
@@ -45,8 +45,8 @@
 	}
 }
 
-// Apply applies an agreed entry. It returns the results of the entry's operations as []operationResult. For an entry without
-// operations or with an error, it returns the error or nil.
+// Apply applies an agreed entry. It returns the results of the entry's operations as []operationResult. If the entry has no
+// operations or can't be applied, it returns nil or an error instead.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	entry, err := decodeEntry(l.Data)
 	if err != nil {
@@ -56,8 +56,8 @@
 	if m.hasFailed() {
 		return raft.ErrRaftShutdown
 	}
-	// An entry that only later versions of the program can apply must not be skipped as if it were refused: the states of the
-	// controllers would diverge.
+	// An entry that only later versions of the program can apply must not be treated as refused: this controller's state would
+	// diverge from that of later versions, which apply the entry.
 	if err := checkEntrySupported(entry, l.Index); err != nil {
 		m.fail(err)
 		return err
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// applyEntry applies a supported entry to the state.
+// applyEntry applies an entry that passed checkEntrySupported to the state.
 func (m *stateMachine) applyEntry(entry logEntry, l *raft.Log) ([]operationResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,7 +163,8 @@
 	return &frozenState{header, m.table.Freeze()}
 }
 
-// Snapshot freezes the state for raft. A state machine that has failed refuses to, unless no entry was applied.
+// Snapshot freezes the state for raft. If the state machine has failed, Snapshot fails with raft.ErrRaftShutdown, unless no
+// entry was applied.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	state := m.freeze()
 	if state.header.Applied > 0 && m.hasFailed() {
@@ -173,7 +174,7 @@
 }
 
 // Restore replaces the state by a snapshot. A snapshot that ends before the last applied entry stops the controller with
-// ErrLogWentBack: it would undo operations whose results callers have received.
+// ErrLogWentBack: the snapshot would undo operations whose results callers have received.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	header, table, err := readSnapshot(from)
 	if err != nil {
@@ -204,7 +205,8 @@
 	return m.header.Applied
 }
 
-// lineage returns the lineage of the assignments. Its OriginID is "" before the entry with the log's origin is applied.
+// lineage returns the lineage of the assignments. The lineage's OriginID is "" until the entry with the log's origin is
+// applied.
 func (m *stateMachine) lineage() controllerclient.Lineage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,8 +263,8 @@
 	return m.table.All()
 }
 
-// changesSince returns the assignments that changed since a version, or all of them if the version is of another origin. The
-// channel is closed at the next change.
+// changesSince returns the assignments that changed since a version of the table, or all assignments if originID is not the
+// origin of this log. The returned channel is closed at the next change.
 func (m *stateMachine) changesSince(version uint64, originID string) (controllerclient.AssignmentChanges, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/state_machine_test.go
+++ b/internal/controller/state_machine_test.go
@@ -11,7 +11,8 @@
 )
 
 // A controller that reads an entry or an operation of an unknown version or kind stops before it applies any part of the entry.
-// If it refused the operation and continued, its assignments would silently diverge from those of later controllers.
+// If it refused the operation and continued, its assignments would silently diverge from those of controllers with a later
+// version.
 func TestStateMachine_EndsAtAnEntryOfALaterVersion(t *testing.T) {
 	first := placement.Operation{Version: 1, Kind: placement.OpCreate, Instance: "camera-0", Target: "edge-a", Weight: 1}
 	for name, e := range map[string]placement.Operation{
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -21,7 +21,8 @@
 	"silvercove/internal/placement"
 )
 
-// The files of a controller's data directory. A file that is set aside keeps its name with the time as a suffix.
+// The names in a controller's data directory. If a log or a snapshot directory is set aside, ".aside-" and the time are
+// appended to its name.
 const (
 	markerFile  = "keeper.json"
 	logFile     = "raft.db"
@@ -29,7 +30,7 @@
 )
 
 const (
-	// storeVersion is the format version of the data directory and of snapshots. A later version is refused.
+	// storeVersion is the format version of the marker and of snapshots. A file with a later version is refused.
 	storeVersion = 1
 
 	// retainedSnapshots is the number of snapshots that raft keeps.
@@ -47,13 +48,14 @@
 	Node          string                      `json:"node"`
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
-	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; otherwise the disk was admitted later
-	Started       bool                        `json:"begun,omitempty"` // the log must not be empty; an empty log counts as damaged
-	Generation    uint64                      `json:"line,omitempty"`  // generation of the log; may be 0 for the first one
-	unknown       placement.UnknownFields     // fields that a later version of the program added
+	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; if false, the disk was admitted later
+	// The disk has stored entries; if none is found at a start, the log counts as damaged.
+	Started    bool                    `json:"begun,omitempty"`
+	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
+	unknown    placement.UnknownFields // fields that a later version of the program added
 }
 
-// Errors of the store.
+// Errors of Open and Run that concern the data directory or the log.
 var (
 	ErrNewerVersion = errors.New("the store was written by a later version of this program; start that one")
 	ErrCorrupt      = errors.New("the store is damaged")
@@ -69,17 +71,17 @@
 	folder string
 
 	mu     sync.Mutex
-	marker storeMarker // the marker on the disk; guarded by mu
+	marker storeMarker // content of the marker's file; guarded by mu
 }
 
-// currentMarker returns the marker on the disk.
+// currentMarker returns the content of the marker's file, without reading the file.
 func (d *storeDir) currentMarker() storeMarker {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.marker
 }
 
-// putMarker replaces the marker on the disk and then d.marker.
+// putMarker replaces the marker's file and, if that succeeds, d.marker.
 func (d *storeDir) putMarker(marker storeMarker) error {
 	text, err := placement.MarshalWithUnknown(marker, marker.unknown)
 	if err != nil {
@@ -94,8 +96,9 @@
 	return nil
 }
 
-// openStoreDir opens a data directory, or creates one with the marker of an empty disk. If there is a log without a marker, or if
-// the marker names a log that is missing, openStoreDir sets the log and the snapshots aside, and the disk counts as empty.
+// openStoreDir opens the data directory of the named controller, or creates one with the marker of an empty disk. If there is a
+// log without a marker, or if the marker names a log that is missing, openStoreDir sets the log and the snapshots aside, and
+// the disk counts as empty.
 func openStoreDir(folder, fleet, node string) (*storeDir, error) {
 	if err := os.MkdirAll(filepath.Join(folder, snapshotDir), 0o700); err != nil {
 		return nil, err
@@ -125,8 +128,8 @@
 	return d, nil
 }
 
-// readMarker decodes the marker's file. It fails with ErrNewerVersion for a later version, whatever the form of its other fields,
-// or with ErrCorrupt.
+// readMarker decodes the marker's file. It fails with ErrNewerVersion if the file has a later version, whatever the form of the
+// other fields, and with ErrCorrupt if the file can't be decoded or lacks the version or the disk's identity.
 func (d *storeDir) readMarker(text []byte) (marker storeMarker, err error) {
 	if version := versionOf(text); version > storeVersion {
 		return marker, fmt.Errorf("%w: %s has version %d, this program reads %d", ErrNewerVersion, d.path(markerFile), version, storeVersion)
@@ -147,9 +150,10 @@
 	return d.putMarker(storeMarker{FormatVersion: storeVersion, Fleet: marker.Fleet, Node: marker.Node, StoreID: newIdentity()})
 }
 
-// archive renames the log and the snapshots, and makes the disk an empty one with a new identity.
+// archive sets the log and the snapshots aside by renaming them, so that the disk counts as an empty one with a new identity.
 func (d *storeDir) archive() error {
-	if err := d.reset(); err != nil { // before the renames, so that the archived log is never used under the new identity
+	// the marker is reset before the renames, so that a log that could not be renamed is never used under the old identity
+	if err := d.reset(); err != nil {
 		return err
 	}
 	suffix := ".aside-" + time.Now().UTC().Format("20060102T150405.000000")
@@ -165,7 +169,8 @@
 // a memory fault.
 func (d *storeDir) openLog() (s Store, err error) {
 	defer func() {
-		if r := recover(); r != nil { // either bbolt has panicked on a damaged page, or a mapped page lies beyond the end of the file
+		// bbolt has panicked on a damaged page, or has accessed a mapped page beyond the end of the file.
+		if r := recover(); r != nil {
 			s, err = nil, d.corruptLog(fmt.Errorf("%v", r))
 		}
 	}()
@@ -185,7 +190,7 @@
 	return opened, nil
 }
 
-// checkLog checks all pages of the log's file. bytes is the size of the file.
+// checkLog checks all pages of the log's file. bytes is the size of the file on the disk.
 func (d *storeDir) checkLog(bytes int64) error {
 	db, err := bbolt.Open(d.path(logFile), 0o600, &bbolt.Options{ReadOnly: true, Timeout: logLockTimeout})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
@@ -216,9 +221,9 @@
 	return fmt.Errorf("%s is in use by another process", d.path(logFile))
 }
 
-// openSnapshots opens the snapshots and checks that no entry is missing between the newest intact snapshot and the log. It returns
-// the position of the disk's last entry. Damaged snapshots that are newer than the intact one are removed, because raft would
-// fail to start with them.
+// openSnapshots opens the snapshots and checks that no entry is missing between the newest intact snapshot and the log. It
+// returns the position of the disk's last entry. Damaged snapshots that are newer than the newest intact one are removed,
+// because raft would fail to start with them.
 func (d *storeDir) openSnapshots(log Store, logger hclog.Logger) (raft.SnapshotStore, controllerclient.LogPosition, error) {
 	var last controllerclient.LogPosition
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(d.folder, retainedSnapshots, logger)
@@ -263,9 +268,9 @@
 	return snapshots, last, nil
 }
 
-// newestIntact returns the index of the first intact snapshot in list, which begins with the newest, or -1 if there is none. It
-// fails with ErrNewerVersion if a newer snapshot is of a later version of the program: raft would start from an earlier snapshot,
-// and entries that the disk has acknowledged would be lost.
+// newestIntact returns the index of the first intact snapshot in list, which begins with the newest snapshot, or -1 if no
+// snapshot is intact. It fails with ErrNewerVersion if a snapshot before the intact one was written by a later version of the
+// program. Otherwise raft would start from the earlier snapshot, and entries that the disk has acknowledged would be lost.
 func (d *storeDir) newestIntact(snapshots raft.SnapshotStore, list []*raft.SnapshotMeta) (int, error) {
 	for i, meta := range list {
 		err := checkSnapshot(snapshots, meta.ID)
@@ -285,7 +290,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reader.Close() }() // the error does not matter, as the snapshot was opened for reading only
+	// An error does not matter, because the snapshot was opened for reading only.
+	defer func() { _ = reader.Close() }()
 	if _, err := readSnapshotHeader(reader); err != nil {
 		return err
 	}
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -13,8 +13,8 @@
 
 var updateStored = flag.Bool("update", false, "rewrite testdata/stored")
 
-// storedEntries are agreed before the stored snapshot. storedLaterEntries are agreed after it and are read from the stored log.
-// Together they have every kind of entry and operation.
+// storedEntries are the log entries that precede raft's snapshot in testdata/stored. storedLaterEntries follow the snapshot in
+// the stored log. Together they contain every kind of entry and operation.
 var (
 	storedEntries = []string{
 		`{"v":1,"unit":"edge-a","run":5}`,
@@ -55,7 +55,8 @@
 	}
 )
 
-// A data directory that an earlier program wrote can be read, both its snapshot and its log, and can be continued.
+// A controller can read the snapshot and the log of a data directory that an earlier version of the program wrote, and can
+// continue the log.
 func TestStoredFolder_IsReadAndContinued(t *testing.T) {
 	stored := filepath.Join("testdata", "stored")
 	if *updateStored {
@@ -121,8 +122,8 @@
 	return c
 }
 
-// snapshotBytes returns the controller's state in the snapshot format, without the index of the last applied entry, which each
-// start increases.
+// snapshotBytes returns the controller's state in the snapshot format, with 0 as the index of the last applied entry, because
+// each start increases that index.
 func snapshotBytes(t *testing.T, c *testFleet) []byte {
 	t.Helper()
 	var buf bytes.Buffer
@@ -134,7 +135,7 @@
 	return buf.Bytes()
 }
 
-// assignmentLines returns the line of each instance in a snapshot.
+// assignmentLines returns, by instance, the line of the instance's assignment in a snapshot.
 func assignmentLines(t *testing.T, snapshot []byte) map[string]string {
 	t.Helper()
 	byName := map[string]string{}
@@ -149,8 +150,8 @@
 	return byName
 }
 
-// writeStoredFolder replaces the stored data directory by that of a controller that has written a snapshot and has agreed on
-// further entries since.
+// writeStoredFolder replaces the stored data directory with the directory of a controller that has applied storedEntries,
+// written a snapshot and then applied storedLaterEntries.
 func writeStoredFolder(t *testing.T, stored string) {
 	t.Helper()
 	c := newStoredFleet(t)
--- a/internal/controller/stream_layer.go
+++ b/internal/controller/stream_layer.go
@@ -17,7 +17,7 @@
 // addresses are process names, which each process resolves by its own configuration file.
 type streamLayer struct{ controller *Controller }
 
-// nodeAddr is a process's name as a net.Addr.
+// nodeAddr is the net.Addr of a process: the process's name.
 type nodeAddr string
 
 // Network returns the name of the address's network.
@@ -45,7 +45,7 @@
 		}
 		s.controller.Log.Warn().Str("event", "refused").
 			Str("why", "the process at the other end is not another controller").Msg("log connection refused")
-		_ = conn.Close() // the connection was never used
+		_ = conn.Close() // an error does not matter: the connection was never used
 	}
 }
 
@@ -63,7 +63,8 @@
 	controller *Controller
 }
 
-// notePosition records the last entry that a controller has acknowledged.
+// notePosition records the position of the last entry that a controller has acknowledged, if it is later than the recorded
+// position.
 func (p positionTransport) notePosition(id raft.ServerID, last controllerclient.LogPosition) {
 	p.controller.mu.Lock()
 	defer p.controller.mu.Unlock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// AppendEntries sends entries, and records the position of the last one after it is acknowledged.
+// AppendEntries sends entries, and records the position of the last entry after the entries are acknowledged.
 func (p positionTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, request *raft.AppendEntriesRequest,
 	response *raft.AppendEntriesResponse) error {
 
@@ -89,7 +90,7 @@
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// InstallSnapshot sends a snapshot, and records the position of its last entry after it is acknowledged.
+// InstallSnapshot sends a snapshot, and records the position of the snapshot's last entry after the snapshot is acknowledged.
 func (p positionTransport) InstallSnapshot(id raft.ServerID, to raft.ServerAddress, request *raft.InstallSnapshotRequest,
 	response *raft.InstallSnapshotResponse, data io.Reader) error {
 
