--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -27,7 +27,7 @@
 	lastRound     uint64                  // number of the newest round; each call of confirm begins one
 	confirmations map[string]confirmation // by controller: the controller's newest answer
 	changed       chan struct{}           // closed at the next confirmation
-	waiters       int                     // calls of confirm in progress
+	pendingCalls  int                     // calls of confirm in progress
 }
 
 // confirmation is a controller's answer to a query: the newest round that had begun when the query was sent, and the
@@ -91,14 +91,14 @@
 // query of the controller if a call of confirm was in progress before the wait.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
-	hasWaiters := l.waiters > 0
+	hasPendingCalls := l.pendingCalls > 0
 	l.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(l.controller.timings.CommitInterval.Duration()):
 	}
-	if hasWaiters {
+	if hasPendingCalls {
 		l.wake(name)
 	}
 }
@@ -148,14 +148,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastRound++
-	l.waiters++
+	l.pendingCalls++
 	return l.lastRound
 }
 
 // endRound records that a call of confirm has ended.
 func (l *leadershipConfirmer) endRound() {
 	l.mu.Lock()
-	l.waiters--
+	l.pendingCalls--
 	l.mu.Unlock()
 }
 
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -143,10 +143,10 @@
 // mu held, and releases mu while it waits. It fails with raft.ErrLeadershipLost or the context's error.
 func (c *Controller) awaitRenewalUnblocked(ctx context.Context, l *leadership, node string) error {
 	for c.currentLeadership() == l && l.renewalBlocks[node] > 0 {
-		settled := l.renewalUnblocked
+		unblocked := l.renewalUnblocked
 		c.mu.Unlock()
 		select {
-		case <-settled:
+		case <-unblocked:
 		case <-l.ended:
 		case <-ctx.Done():
 		}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -78,13 +78,13 @@
 	if err := awaitLeaseEnd(ctx, o); err != nil {
 		return err
 	}
-	found, unreachable := collectInventories(ctx, o, &header)
-	required := slices.DeleteFunc(slices.Clone(unreachable), func(node string) bool { return slices.Contains(o.AllowUnreachable, node) })
-	if len(required) > 0 {
+	inventories, unreachable := collectInventories(ctx, o, &header)
+	missing := slices.DeleteFunc(slices.Clone(unreachable), func(node string) bool { return slices.Contains(o.AllowUnreachable, node) })
+	if len(missing) > 0 {
 		return fmt.Errorf("%s: what they alone have would be lost; bring them back, or name them as nodes to rebuild without",
-			strings.Join(required, ", "))
+			strings.Join(missing, ", "))
 	}
-	assignments, notes := migration.Rebuild(found, unreachable, backupAssignments)
+	assignments, notes := migration.Rebuild(inventories, unreachable, backupAssignments)
 	for _, note := range notes {
 		o.Progress(note)
 	}
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -44,8 +44,8 @@
 func (l *leadership) noteRolloutReport(relay string, report rolloutReport) (changed bool) {
 	l.rolloutReports[relay] = report
 	if !report.rollingBack {
-		for _, other := range l.rolloutReports {
-			if other == (rolloutReport{report.version, true}) {
+		for _, lastReport := range l.rolloutReports {
+			if lastReport == (rolloutReport{report.version, true}) {
 				return false
 			}
 		}
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -115,14 +115,14 @@
 // the greatest free fraction. It returns "", and the leader continues to lead, if no transfer is due, or if every follower has
 // too little space or runs a version that does not report its space. A result other than "" counts as an attempt, which starts
 // the backoff.
-func (p *spacePolicy) TransferTarget(now tick.Tick, term uint64, others []controllerclient.Status) (target string) {
+func (p *spacePolicy) TransferTarget(now tick.Tick, term uint64, peers []controllerclient.Status) (target string) {
 	if !p.TransferDue(now) {
 		return ""
 	}
 	// A controller with a smaller free fraction might soon be low on space and transfer the leadership again.
 	best := recoveredFreeFraction
 	byName := func(a, b controllerclient.Status) int { return cmp.Compare(a.Node, b.Node) }
-	for _, s := range slices.SortedFunc(slices.Values(others), byName) {
+	for _, s := range slices.SortedFunc(slices.Values(peers), byName) {
 		if s.Role != controllerclient.RoleFollower || s.Term != term || s.Disk == nil || s.Disk.LowOnSpace ||
 			s.Disk.FreeFraction() <= best {
 			continue
--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -31,13 +31,13 @@
 	var lastErr error
 	for attempt := 0; ; attempt++ {
 		callContext, cancel := context.WithCancel(ctx)
-		p := c.beginCall(cancel, timeout > c.timings.ProposalTimeout)
-		sentAt, err = c.callOnce(callContext, p.controller, method, path, request, response, timeout)
+		active := c.beginCall(cancel, timeout > c.timings.ProposalTimeout)
+		sentAt, err = c.callOnce(callContext, active.controller, method, path, request, response, timeout)
 		cancel()
 		var refusal *RefusalError
 		isRefusal := errors.As(err, &refusal)
 		final := err == nil || isRefusal && refusal.Code != http.StatusMisdirectedRequest && refusal.Code != http.StatusServiceUnavailable
-		c.endCall(p, final)
+		c.endCall(active, final)
 		if final {
 			return sentAt, err
 		}
@@ -48,7 +48,7 @@
 			return 0, fmt.Errorf("%w: %w (%w)", ErrNoController, lastErr, ctx.Err())
 		}
 		lastErr = err
-		redirected := c.chooseNext(p.controller, refusal)
+		redirected := c.chooseNext(active.controller, refusal)
 		// The next attempt after a redirect follows without a pause, except after every (len(c.controllers)+1)th attempt.
 		// Without that exception, controllers that redirect to each other would be called in a loop without pauses.
 		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) {
@@ -72,11 +72,11 @@
 func (c *Client) beginCall(cancel context.CancelFunc, isPoll bool) *activeCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := &activeCall{c.leader, cancel}
+	active := &activeCall{c.leader, cancel}
 	if isPoll {
-		c.polls[p] = struct{}{}
+		c.polls[active] = struct{}{}
 	}
-	return p
+	return active
 }
 
 // endCall removes a call that has ended. If final is set, the call's controller gave a final answer, and endCall cancels the
@@ -92,28 +92,28 @@
 	if !final {
 		return
 	}
-	for p := range c.polls {
-		if p.controller != ended.controller {
-			p.cancel()
+	for poll := range c.polls {
+		if poll.controller != ended.controller {
+			poll.cancel()
 		}
 	}
 }
 
-// chooseNext selects the controller for the next call, after the controller named by tried gave no final answer. It keeps the
-// selection if another call has changed it since. redirected reports whether the refusal names another controller of the
+// chooseNext selects the controller for the next call, after the given controller gave no final answer. If another call has
+// changed the selection since, chooseNext keeps it. redirected reports whether the refusal names another controller of the
 // configuration file as the leader.
-func (c *Client) chooseNext(tried string, refusal *RefusalError) (redirected bool) {
+func (c *Client) chooseNext(controller string, refusal *RefusalError) (redirected bool) {
 	next := ""
 	if refusal != nil && refusal.Code == http.StatusMisdirectedRequest && slices.Contains(c.controllers, refusal.Leader) &&
-		refusal.Leader != tried {
+		refusal.Leader != controller {
 		next = refusal.Leader
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == tried {
+	if c.leader == controller {
 		c.leader = next
 		if next == "" {
-			c.leader = c.controllers[(slices.Index(c.controllers, tried)+1)%len(c.controllers)]
+			c.leader = c.controllers[(slices.Index(c.controllers, controller)+1)%len(c.controllers)]
 		}
 	}
 	return next != ""
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -133,8 +133,8 @@
 			settings["fleet."+name] = number
 		}
 	}
-	for i, part := range []string{"unit", "link", "all"} {
-		settings["fleet.moves."+part] = b["moves"].([]any)[i]
+	for i, scope := range []string{"unit", "link", "all"} {
+		settings["fleet.moves."+scope] = b["moves"].([]any)[i]
 	}
 	counts := map[string]float64{f.Self.Role: 1}
 	for _, peer := range f.Peers {
