--- a/internal/controller/confirmer_test.go
+++ b/internal/controller/confirmer_test.go
@@ -23,8 +23,8 @@
 			followers = append(followers, name)
 		}
 	}
-	// raft's VerifyLeader would count answers that were still in flight when another leader was elected. The test simulates such
-	// answers: the followers have confirmed the round before the partition.
+	// raft's VerifyLeader would count answers that were still in flight when another leader was elected. The test simulates
+	// such answers: before the partition, it records that each follower has confirmed the last round.
 	for _, name := range followers {
 		ctrl.confirmer.mu.Lock()
 		ctrl.confirmer.confirmations[name] = confirmation{round: ctrl.confirmer.lastRound, term: term}
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -157,8 +157,8 @@
 	return config
 }
 
-// startRaft starts raft. If the log's origin names this disk (storeMarker.Founding) and the disk has not started yet, startRaft
-// first creates the log on the disk.
+// startRaft starts raft. If the log's origin names this disk (storeMarker.Founding) and raft has not started on the disk yet
+// (Started), startRaft first creates the log.
 func (c *Controller) startRaft(config *raft.Config, transport positionTransport, opened openedStore) (*raft.Raft, error) {
 	if marker := c.disk.currentMarker(); marker.Founding && !marker.Started {
 		if opened.last.Index == 0 {
@@ -175,9 +175,9 @@
 			return nil, err
 		}
 	}
-	// Guards against an emptied disk that follows an outdated leader. Such a disk has no term and would follow the first
-	// controller that sends entries. That controller may have led before a rebuild and have been paused since. The guard holds
-	// because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
+	// Setting the term guards against an emptied disk that follows an outdated leader. Such a disk has no term and would follow
+	// the first controller that sends entries. That controller may have led before a rebuild and have been paused since. The
+	// guard holds because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
 	if term, err := c.store.GetUint64(raftTermKey); c.minTerm > 0 && (err != nil || term < c.minTerm) {
 		if err := c.store.SetUint64(raftTermKey, c.minTerm); err != nil {
 			return nil, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,7 +73,7 @@
 
 	// mu guards the fields below and all fields of the leadership. No goroutine blocks while it holds mu.
 	mu           sync.Mutex
-	leadership   *leadership // nil while another controller leads
+	leadership   *leadership // nil while this controller does not lead
 	waitReason   string      // why the controller does not take part in the log yet; "" if it does
 	diskFault    string      // error of the last write to the log; "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -30,7 +30,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// net/http ends this goroutine by itself half a second after it has begun to close a connection
+	// net/http ends this goroutine by itself half a second after it has begun to close a connection.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*conn).closeWriteAndWait"))
 }
 
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -108,7 +108,8 @@
 	return err
 }
 
-// explainDiskError adds to the error of a full disk what it means for the controller, and returns other errors unchanged.
+// explainDiskError adds to the error of a full disk what the controller can't do until space is free, and returns other errors
+// unchanged.
 func explainDiskError(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("the disk is full; this controller acknowledges no entries until space is free: %w", err)
--- a/internal/controller/handle_lease_test.go
+++ b/internal/controller/handle_lease_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// A lease request waits while a failover of the node's instances is in progress. Without the wait, the primary would serve the
+// A lease request waits while a failover of the node's instances is in progress. Without the wait, the node would serve these
 // instances again because of its earlier assignments.
 func TestLease_WaitsForAFailoverUnderWay(t *testing.T) {
 	c := newTestFleet(t, time.Second, 1, 1)
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -61,8 +61,9 @@
 	return err == nil && slices.Contains(voters, c.name)
 }
 
-// admitDisk handles a join request at the leader. For a disk that is not agreed yet, it removes the controller's former disk
-// from raft's configuration and adds the new disk as a nonvoter. A later request with CaughtUp set makes the disk a voter.
+// admitDisk handles a join request at the leader. If the identity of the controller's disk is not agreed yet, it removes the
+// controller's former disk from raft's configuration and adds the new disk as a nonvoter. A later request with CaughtUp set
+// makes the disk a voter.
 func (c *Controller) admitDisk(r *raft.Raft, term uint64, join controllerclient.JoinRequest) (response controllerclient.JoinResponse, err error) {
 	c.joinMutex.Lock()
 	defer c.joinMutex.Unlock()
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -14,7 +14,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxRecentDecisions is how many decisions of the planner the status call returns.
+// maxRecentDecisions is the maximum number of the planner's decisions that the status call returns.
 const maxRecentDecisions = 16
 
 // followerTimerInterval is the time until the next call of runTimers while the controller does not lead. startLeading causes a
@@ -34,11 +34,11 @@
 	planner        Planner
 	verifier       *devicehealth.Verifier
 	recordCounts   *leases.RecordCounts
-	rollingBack    map[uint16]bool          // by software version: whether it is rolled back, as relays reported in this term
+	rollingBack    map[uint16]bool          // by software version: whether relays reported in this term that it is rolled back
 	rolloutReports map[string]rolloutReport // by relay: the relay's last report
 
 	nodes map[string]*controllerclient.LeaseRequest // by edge node: the node's last granted request
-	// Version of nodes; the upper 32 bits are the term, so that later leaders have greater versions.
+	// nodesVersion is the version of nodes. Its upper 32 bits are the term, so that later leaders have greater versions.
 	nodesVersion uint64
 	nodesChanged chan struct{} // closed at the next change of nodes
 
@@ -137,9 +137,9 @@
 		return followerTimerInterval
 	}
 	now := c.Now()
-	// Guards against leases that count as expired only because no node could renew them: a rebuilt controller grants no lease
-	// before it has a majority (leadershipConfirmer.confirm). The guard holds because no lease expires here without a majority,
-	// and all leases count as renewed when the majority is reached.
+	// The check for a majority guards against leases that count as expired only because no node could renew them: a rebuilt
+	// controller grants no lease before it has a majority (leadershipConfirmer.confirm). The guard holds because no lease
+	// expires here without a majority, and all leases count as renewed when the majority is reached.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -23,14 +23,14 @@
 	Term          uint64                `json:"term,omitempty"`  // the only term in which the entry is valid, or 0 for any term
 	Operations    []placement.Operation `json:"steps,omitempty"` // each operation is applied or refused separately
 
-	// EdgeNode and Incarnation: from this entry on, only this incarnation of the edge node, or a later one, may have leases.
+	// If EdgeNode is set, only Incarnation and later incarnations of this edge node may have leases after the entry is applied.
 	EdgeNode    string `json:"unit,omitempty"`
 	Incarnation uint64 `json:"run,omitempty"`
 
-	// Origin of the log, which a leader proposes if the agreed state has none; nil in other entries.
+	// Origin is the origin of the log. A leader proposes it if the agreed state has none. It is nil in other entries.
 	Origin *controllerclient.LogOrigin `json:"birth,omitempty"`
 
-	// Controller and StoreID: from this entry on, the controller has the disk with this identity.
+	// If Controller is set, StoreID is the identity of this controller's disk after the entry is applied.
 	Controller string `json:"node,omitempty"`
 	StoreID    string `json:"store,omitempty"`
 
--- a/internal/controller/rebuild_test.go
+++ b/internal/controller/rebuild_test.go
@@ -63,7 +63,7 @@
 	if text := strings.Join(notes, "\n"); !strings.Contains(text, "camera-8: lost: no unit that answered has it") {
 		t.Error(text)
 	}
-	// A second rebuild, before any node has learned of the first rebuild's generation.
+	// This is a second rebuild, before any node has learned of the first rebuild's generation.
 	if err := rebuild("edge-b"); err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,8 @@
 func checkRebuiltAssignments(t *testing.T, assignments []placement.Assignment) {
 	t.Helper()
 	for i, want := range []struct {
-		// The primary; if its lease has expired and there is none, the first replica; "" if there is neither.
+		// node is the primary. If there is no primary because its lease has expired, node is the first replica, or "" if there
+		// is none.
 		node  string
 		epoch uint64
 	}{{"edge-a", 1004}, {"", 1001}, {"edge-a", 1002}} {
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -17,7 +17,8 @@
 const (
 	startLater startDecision = iota // the decision is not possible yet: the controller queries the other controllers again
 	startNow                        // the disk may take part in the log
-	// The disk must not take part: it lacks entries that it had acknowledged, or a later disk was admitted.
+	// storeOutdated means that the disk must not take part: it lacks entries that it had acknowledged, or a later disk of this
+	// controller was admitted.
 	storeOutdated
 )
 
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -138,7 +138,7 @@
 	m.changed = make(chan struct{})
 }
 
-// fail stops the controller, because its state would diverge from that of the other controllers.
+// fail stops the controller. If the controller continued, its state would diverge from the state of the other controllers.
 func (m *stateMachine) fail(err error) {
 	m.mu.Lock()
 	m.failed = true
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -49,7 +49,7 @@
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
 	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; if false, the disk was admitted later
-	// The disk has stored entries; if none is found at a start, the log counts as damaged.
+	// Started means that the disk has stored entries. If none is found at a start, the log counts as damaged.
 	Started    bool                    `json:"begun,omitempty"`
 	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
 	unknown    placement.UnknownFields // fields that a later version of the program added
@@ -152,7 +152,7 @@
 
 // archive sets the log and the snapshots aside by renaming them, so that the disk counts as an empty one with a new identity.
 func (d *storeDir) archive() error {
-	// the marker is reset before the renames, so that a log that could not be renamed is never used under the old identity
+	// The marker is reset before the renames, so that a log that could not be renamed is never used under the old identity.
 	if err := d.reset(); err != nil {
 		return err
 	}
--- a/internal/controller/stream_layer.go
+++ b/internal/controller/stream_layer.go
@@ -56,8 +56,9 @@
 	return s.controller.Network.Dial(ctx, string(to), peertransport.KindLog)
 }
 
-// positionTransport is raft's transport. It records the last entries that other controllers have acknowledged as stored, before
-// raft counts these entries as agreed. The records show whether a disk is outdated when its controller starts again.
+// positionTransport is raft's transport. For each other controller, it records the last entry that the controller acknowledged
+// as stored, before raft counts the acknowledgment. When a controller starts again, the records of the other controllers show
+// whether its disk is outdated.
 type positionTransport struct {
 	*raft.NetworkTransport
 	controller *Controller
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -63,7 +63,8 @@
 type LeaseResponse struct {
 	Granted    bool   `json:"granted"`
 	Controller string `json:"keeper"`
-	// The node's version is being rolled back or was withdrawn. The node repeats the value in LeaseRequest.RollingBack.
+	// RollingBack means that the node's version is being rolled back or was withdrawn. The node repeats the value in
+	// LeaseRequest.RollingBack.
 	RollingBack        bool   `json:"going_back,omitempty"`
 	AssignmentsVersion uint64 `json:"places"`
 	RecordCount        uint64 `json:"kept,omitempty"`   // greatest LeaseRequest.RecordCount of the node before this request
@@ -88,7 +89,7 @@
 }
 
 // AssignmentChanges contains the assignments that changed after the version that the caller has. If Complete is set, it
-// contains all assignments, and an instance without one is deleted.
+// contains all assignments, and an instance that is not among them was deleted.
 type AssignmentChanges struct {
 	Version uint64 `json:"version"`
 	Lineage
@@ -260,7 +261,7 @@
 type DiskSpace struct {
 	Free  uint64 `json:"free"`
 	Total uint64 `json:"total"`
-	// The free space is low: the log is compacted sooner, and the leadership goes to a controller with enough free space.
+	// LowOnSpace means that the log is compacted sooner, and that the leadership goes to a controller with enough free space.
 	LowOnSpace bool `json:"short,omitempty"`
 }
 
