--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -165,8 +165,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range voters {
-		confirmed := l.confirmations[name]
-		if name == l.controller.name || confirmed.round >= round && confirmed.term == term {
+		newest := l.confirmations[name]
+		if name == l.controller.name || newest.round >= round && newest.term == term {
 			count++
 		}
 	}
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -207,7 +207,7 @@
 
 // writeFirstSnapshot writes a state as the first snapshot of a log whose only voter is the controller named self.
 func writeFirstSnapshot(dir *storeDir, self string, term uint64, state *frozenState) error {
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir.folder, retainedSnapshots, hclog.NewNullLogger())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(dir.dirPath, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
