--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// pollsPerContendedTimeout is how many times within ContendedTimeout the server checks whether it can evict a session.
-// ContendedTimeout is how long a silent session keeps a slot that others wait for.
+// pollsPerContendedTimeout is how many times per ContendedTimeout the server checks whether it can evict a session.
+// ContendedTimeout is how long a client may take to send a message while other clients wait for its session slot.
 const pollsPerContendedTimeout = 10
 
 func (srv *Server) pollInterval() time.Duration {
 	return srv.limits.ContendedTimeout / pollsPerContendedTimeout
 }
 
-// open creates the session of a connection. If all slots are taken, it evicts a session that has no request in
-// progress. If there is none, the new session takes a spare slot, and its requests are rejected. open blocks only while
-// all spare slots are taken as well.
+// open creates the session of a connection. If all session slots are taken, open evicts a session that has no request
+// in progress. If it can evict none, the new session takes a spare slot, and its requests are rejected. open blocks
+// only while all spare slots are taken as well.
 func (srv *Server) open(conn net.Conn) *session {
 	s := newSession(srv, conn)
 	srv.mu.Lock()
@@ -43,9 +43,9 @@
 	srv.changed.Signal()
 }
 
-// updateList moves the session to the list that it belongs to now. If that list grows beyond MaxIdle, its first session
-// is evicted: clients open few connections, and idle sessions take slots that requests need. The server's mu must be
-// held.
+// updateList moves the session to the list that properList returns. If that list grows beyond MaxIdle, updateList
+// evicts the first session of the list, because each session holds a slot that a request of a new client may need. A
+// low MaxIdle suffices, because clients open few connections. The server's mu must be held.
 func (s *session) updateList() {
 	l := s.properList()
 	if l == s.list {
@@ -65,7 +65,8 @@
 }
 
 // properList returns the list that the session belongs to, or nil while it has a request in progress or is closing. A
-// session is never idle before its first request, because that may be on its way. The server's mu must be held.
+// session is never idle before its first request, because the first request may be on its way. The server's mu must be
+// held.
 func (s *session) properList() *list.List {
 	switch {
 	case len(s.calls) > 0 || s.closing >= closingBetweenRequests:
@@ -76,9 +77,9 @@
 	return &s.server.incomplete
 }
 
-// evictOne evicts the session that has been idle the longest, or else the one whose message has been incomplete the
-// longest. It reports whether there was one. This guards against clients that open hundreds of connections and send
-// nothing, or only part of a message. The server's mu must be held.
+// evictOne evicts the session that has been idle the longest or, if none is idle, the session whose message has been
+// incomplete the longest. It reports whether it has evicted a session. The eviction guards against clients that open
+// hundreds of connections and send nothing, or only part of a message. The server's mu must be held.
 func (srv *Server) evictOne() bool {
 	return srv.evictFirst(&srv.idle) || srv.evictFirst(&srv.incomplete)
 }
@@ -101,8 +102,8 @@
 	return true
 }
 
-// endOneSession evicts a session, if one can be evicted, to free its descriptor, and then waits as awaitChange does. It
-// returns false if there is no session.
+// endOneSession evicts a session, if one can be evicted, to free its descriptor, and then calls awaitChange. If no
+// session is open, it returns false at once.
 func (srv *Server) endOneSession() bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -114,8 +115,9 @@
 	return true
 }
 
-// awaitChange waits until a session has ended or has no request in progress, or until one more session may have been
-// silent for too long, which is checked every pollInterval. The server's mu must be held; it is released while waiting.
+// awaitChange waits until a session has ended or has been added to the idle or incomplete list, but at most for
+// pollInterval. The limit is needed because nothing signals that a client has been silent for ContendedTimeout. The
+// server's mu must be held; it is released while waiting.
 func (srv *Server) awaitChange() {
 	wake := time.AfterFunc(srv.pollInterval(), func() {
 		srv.mu.Lock()
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -124,7 +124,8 @@
 	}), backend
 }
 
-// startReplying starts a backend that answers its queries, which are numbered from 1.
+// startReplying starts a backend that answers each query with the result of reply. The number that reply gets counts
+// the queries from 1.
 func startReplying(tb testing.TB, reply func(number int) string) *scriptedbackend.Backend {
 	tb.Helper()
 	return scriptedbackend.Start(tb, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
@@ -172,7 +173,7 @@
 	return c.(*net.TCPConn)
 }
 
-// send writes for a client. A failed write shows in the replies.
+// send writes parts as a client does. It ignores a failed write, because the test then misses the expected replies.
 func send(c net.Conn, parts ...string) {
 	_, _ = io.WriteString(c, strings.Join(parts, ""))
 }
@@ -196,7 +197,7 @@
 }
 
 // replyState reads one complete reply and returns its SQLSTATE. Tests use it where a request may be rejected: a backend
-// that is warming up gets no more than a few requests at once, and the others are rejected.
+// that has answered few requests gets no more than a few at once, and further requests are rejected.
 func replyState(tb testing.TB, c net.Conn) string {
 	tb.Helper()
 	var in []byte
@@ -216,13 +217,14 @@
 	}
 }
 
-// waitUntil waits until holds returns true.
+// waitUntil waits until holds returns true. If that takes too long, the test fails with what, a description of the
+// condition.
 func waitUntil(tb testing.TB, what string, holds func() bool) {
 	tb.Helper()
 	backends.Eventually(tb, what, holds)
 }
 
-// staysOpen checks that the only session stays open for a while.
+// staysOpen checks that the only session stays open for a fifth of ContendedTimeout.
 func (s testServer) staysOpen(tb testing.TB) {
 	tb.Helper()
 	end := time.Now().Add(overload.LimitsFor(0).ContendedTimeout / 5)
@@ -233,7 +235,8 @@
 	}
 }
 
-// awaitAllIdle waits until all sessions are idle, so that none is between two states.
+// awaitAllIdle waits until all sessions are in the idle list. A session gets there only some time after its client has
+// the reply.
 func (s testServer) awaitAllIdle(tb testing.TB) {
 	tb.Helper()
 	waitUntil(tb, "all sessions are idle", func() bool {
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -13,8 +13,8 @@
 // messageDeadline returns the time by which a message that begins now must be complete.
 func (s *session) messageDeadline() time.Time { return time.Now().Add(s.server.messageTimeout) }
 
-// nextMessage waits for the header of the next message. It returns the type of the message and its size in bytes,
-// including the header. If ok is false, the session must end.
+// nextMessage waits until the header of the next message is buffered. It returns the type of the message and its size
+// in bytes, including the header. If ok is false, the session must end.
 func (s *session) nextMessage() (kind byte, size int, ok bool) {
 	var deadline time.Time
 	for {
@@ -73,10 +73,10 @@
 	}
 }
 
-// idleDeadline returns the time until which the session waits for a message. While requests are in progress, that is
-// always IdleTimeout from now. After CloseIdleSessions, a session that has had no request still has ContendedTimeout
-// from its last activity, so that a client that connected just before is not disconnected at once. The server's mu must
-// be held.
+// idleDeadline returns the time until which the session waits for a message. For an aborted session, that time has
+// passed. While requests are in progress, it is IdleTimeout from now. After CloseIdleSessions, a session that has had
+// no request still has ContendedTimeout from its last activity, so that a client that connected just before is not
+// disconnected at once. The server's mu must be held.
 func (s *session) idleDeadline() time.Time {
 	limits := &s.server.limits
 	switch {
@@ -92,9 +92,9 @@
 	return s.lastActivity.Add(limits.IdleTimeout)
 }
 
-// fillMore waits for more bytes of a message and reports whether the session goes on. want is the number of bytes
-// needed in all if that is known, and 0 otherwise. A session that is being closed ends if no more bytes have
-// arrived.
+// fillMore waits for more bytes of a message and reports whether the session goes on. want is the size in bytes that
+// the input buffer must have room for, or 0 if that is unknown. If the session is being closed, it goes on only if more
+// bytes have already arrived.
 func (s *session) fillMore(want int, deadline time.Time) bool {
 	s.server.mu.Lock()
 	s.conn.SetReadDeadline(deadline)
@@ -115,8 +115,8 @@
 	return s.continueAfterRead(status)
 }
 
-// fill reads once and records when the bytes arrived. It reports a close by the client even if unread requests precede
-// the close, because nobody waits for their replies.
+// fill reads once and records when the bytes arrived. If the client has closed the connection, fill reports the close
+// even if unread requests precede it, because the client no longer waits for their replies.
 func (s *session) fill(want int) transport.CloseStatus {
 	status := s.conn.Fill(want)
 	age, closed := s.conn.LastReceived()
@@ -152,7 +152,8 @@
 	}
 }
 
-// readMessage reads a message of size bytes into the buffer. It reports whether the session goes on.
+// readMessage waits until a message of size bytes is complete in the input buffer. It reports whether the session goes
+// on.
 func (s *session) readMessage(size int) bool {
 	deadline := s.messageDeadline()
 	for len(s.conn.Buffered()) < size {
--- a/internal/downstream/reply.go
+++ b/internal/downstream/reply.go
@@ -6,8 +6,8 @@
 	"silvercove/internal/pgwire"
 )
 
-// replySlotPoll is the interval at which a session that waits for a reply slot checks whether its client has
-// disconnected.
+// replySlotPoll is the interval at which a session that already has MaxPipelined pending replies checks whether its
+// client has disconnected.
 const replySlotPoll = 10 * time.Millisecond
 
 // Texts of error responses. They are part of the wire protocol, because clients may depend on them.
@@ -34,7 +34,7 @@
 	defer poll.Stop()
 	for {
 		select {
-		case s.pendingReplies <- struct{}{}: // a slot is free, and stays free because only this goroutine takes slots
+		case s.pendingReplies <- struct{}{}: // one more reply may be pending; this stays true, because only this goroutine adds replies
 			<-s.pendingReplies
 			return true
 		case <-poll.C:
@@ -48,7 +48,7 @@
 }
 
 // reserveTurn takes the next place in the order of replies. turn is closed once all earlier replies have been written.
-// The caller calls done to let the next reply be written.
+// The caller then writes its reply and calls done, which lets the next reply be written.
 func (s *session) reserveTurn() (turn <-chan struct{}, done func()) {
 	turn, next := s.lastReply, make(chan struct{})
 	s.lastReply = next
@@ -78,7 +78,7 @@
 	return true
 }
 
-// write writes parts to the client. The caller must have the turn. If the client does not read them within
+// write writes parts to the client. The caller must have waited for its turn. If the client does not read parts within
 // messageTimeout, write aborts the session and returns false.
 func (s *session) write(parts ...[]byte) bool {
 	if s.isAborted() {
@@ -93,20 +93,22 @@
 	return true
 }
 
-// refuseProtocol answers a protocol violation with an error, after which the session ends.
+// refuseProtocol answers a protocol violation with an error of severity FATAL. The caller must end the session
+// afterwards.
 func (s *session) refuseProtocol(text string) {
 	s.server.Malformed.Add(1)
 	s.reply(pgwire.ErrorResponse(pgwire.SeverityFatal, pgwire.StateProtocolViolation, text, ""))
 }
 
-// refuseQuery answers a query that cannot be served with an error. The session goes on unless the client no longer
-// reads.
+// refuseQuery answers a query that cannot be served with an error. It reports whether the session goes on, which is the
+// case unless the client no longer reads.
 func (s *session) refuseQuery(sqlState, text string) bool {
 	s.server.Malformed.Add(1)
 	return s.reply(pgwire.ErrorResponse(pgwire.SeverityError, sqlState, text, ""), pgwire.ReadyForQuery())
 }
 
-// rejectForSpace rejects a query for which there is no slot or buffer. A session over the limit ends afterwards.
+// rejectForSpace rejects a query because no session slot, request slot or buffer is free. If no session slot was free
+// (overLimit), the session ends after the reply.
 func (s *session) rejectForSpace() bool {
 	s.server.RejectedForSpace.Add(1)
 	if s.overLimit {
@@ -118,8 +120,9 @@
 		pgwire.ReadyForQuery())
 }
 
-// refuseExtended refuses the messages of extended queries: the first one with an error, the others up to the next Sync
-// silently (PostgreSQL manual, "Extended Query").
+// refuseExtended refuses a function call or a message of an extended query. Of the messages of an extended query, the
+// first one is answered with an error, and the later ones are ignored up to the next Sync (PostgreSQL manual, "Extended
+// Query"). refuseExtended reports whether the session goes on.
 func (s *session) refuseExtended(kind byte, size int) bool {
 	if !s.skipMessage(size) {
 		return false
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -50,7 +50,7 @@
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textUnknownClass)
 	}
 	switch s.register(call, query.ID) {
-	case duplicateID: // a client that names another client's request must not get its reply
+	case duplicateID: // the ID may be that of another client's request, whose reply this client must not get
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textDuplicateID)
 	case tooManyRequests:
 		return false, s.rejectForSpace()
@@ -114,8 +114,8 @@
 	return registered
 }
 
-// unregister records that a request has ended. If it was the last one of a session that is to be closed, the session
-// can end.
+// unregister records that a request has ended. If it was the last request of a session that is being closed, unregister
+// interrupts the wait for the next message, so that the session ends.
 func (s *session) unregister(call *dispatch.Call) {
 	srv := s.server
 	srv.mu.Lock()
@@ -169,8 +169,9 @@
 }
 
 // forwardReply passes on a backend's reply. If earlier replies are still pending, it copies the reply and releases the
-// backend's connection; only if no buffer is left for a copy does the connection wait for its turn. The connection is
-// always released before the client has the reply, because the client may send its next request right after the reply.
+// backend's connection at once. If there is no buffer for the copy, the connection stays in use until the turn of the
+// reply. The connection is always released before the client has the reply, because the client may send its next
+// request right after the reply.
 func (s *session) forwardReply(id string, reply upstream.Reply, turn <-chan struct{}) {
 	select {
 	case <-turn:
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -7,7 +7,8 @@
 //
 // Serve runs one goroutine for each session and waits for all of them. A session's goroutine reads the client's
 // messages. It starts one goroutine for each request, and one for each reply that has to wait for earlier replies, and
-// waits for them before it ends. Replies are sent in the order of the queries, whichever is answered first.
+// waits for these goroutines before it ends. Replies are sent in the order of the queries, even if a later query is
+// answered first.
 package downstream
 
 import (
@@ -40,26 +41,27 @@
 	buffers        *transport.BufferBudget
 	limits         overload.ListenerLimits
 	messageTimeout time.Duration // time limit for a message to arrive completely, and for a client to read a reply
-	retryAfter     string        // Retry-After in milliseconds of a rejection for lack of space; empty if none is sent
+	retryAfter     string        // Retry-After, in milliseconds, of the replies of rejectForSpace; empty if none is sent
 
 	mu          sync.Mutex          // guards the fields below up to the counters, and the session fields that are marked as guarded
-	changed     sync.Cond           // uses mu; signalled when a session has ended or has no request in progress
+	changed     sync.Cond           // uses mu; signalled when a session has ended or has been added to idle or incomplete
 	sessions    int                 // number of open sessions
 	requestIDs  map[string]struct{} // IDs of the requests in progress
 	idle        list.List           // sessions (*session) that wait for a further request, the longest idle first
-	incomplete  list.List           // sessions (*session) whose startup, first query or later message is incomplete, the oldest first
+	incomplete  list.List           // sessions (*session) whose startup, first query or later message is incomplete, the longest incomplete first
 	closingIdle bool                // whether CloseIdleSessions was called: sessions are then closed between requests
 	stopAt      time.Time           // time by which every request must be answered; zero if no shutdown is announced
 
 	// Accepted counts connections, Malformed counts messages that are not a valid query, RejectedForSpace counts
 	// requests for which there was no session slot, request slot or buffer, and Evicted counts sessions that were
-	// closed in favour of others.
+	// closed to free their slots.
 	Accepted, Malformed, RejectedForSpace, Evicted atomic.Int64
 }
 
 // New returns a server that sends requests to the dispatcher and runs their attempts on the pool. A client has
-// messageTimeout to send each message, and as long to read a reply. A request that is rejected for lack of space is
-// answered with retryAfter as its Retry-After, rounded down to milliseconds; if retryAfter is 0, none is sent.
+// messageTimeout to send each message, and the same time to read each reply. If a request is rejected because no slot
+// or buffer is free, the reply has retryAfter as its Retry-After, rounded down to milliseconds; if retryAfter is 0, the
+// reply has none.
 func New(dispatcher *dispatch.Dispatcher, pool *upstream.Pool, buffers *transport.BufferBudget, limits overload.ListenerLimits,
 	messageTimeout, retryAfter time.Duration) *Server {
 	srv := &Server{
@@ -82,8 +84,9 @@
 
 // Serve accepts connections until the listener is closed or its deadline passes, and waits for all its sessions. After
 // the deadline, Serve still takes the connections that the kernel has accepted, and then closes the listener: closing
-// it earlier would reset those connections, and requests may have arrived on them. Serve returns nil in both cases. Any
-// other error of Accept that ends the listener is returned unchanged.
+// it earlier would reset those connections, and requests may have arrived on them. Serve returns nil if the listener
+// was closed or its deadline has passed. It returns any other error of Accept that concerns the listener itself
+// unchanged.
 func (srv *Server) Serve(listener net.Listener) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
@@ -107,7 +110,7 @@
 			}
 			deadlinePassed = true
 		case isResourceExhausted(err):
-			if !srv.endOneSession() { // others than sessions hold the descriptors: accepting again at once would spin
+			if !srv.endOneSession() { // no session holds a descriptor, so ending sessions cannot help; Accept would fail again at once
 				time.Sleep(srv.pollInterval())
 			}
 		case isConnectionLost(err):
@@ -123,7 +126,7 @@
 	if !ok {
 		return false
 	}
-	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // SetDeadline fails only on a closed listener, and then the next Accept fails too
+	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // SetDeadline fails only on a closed listener, on which the next Accept fails too
 	return true
 }
 
@@ -132,8 +135,8 @@
 	return isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 }
 
-// isConnectionLost reports whether accept(2) failed because a single connection was already gone, and not because of
-// the listener.
+// isConnectionLost reports whether accept(2) failed because the connection that it would have returned was already
+// lost. The listener can then go on accepting.
 func isConnectionLost(err error) bool {
 	return isAny(err, syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 		syscall.ETIMEDOUT)
@@ -148,16 +151,16 @@
 	return false
 }
 
-// StopBefore announces that the process may be killed soon after stopAt. Requests that arrive later are answered
-// before stopAt.
+// StopBefore announces that the process may be killed soon after stopAt. Requests that arrive after this call are
+// answered before stopAt.
 func (srv *Server) StopBefore(stopAt time.Time) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.stopAt = stopAt
 }
 
-// CloseIdleSessions closes each session that is, or later comes to be, between requests. A new session still has a short time,
-// ContendedTimeout, for its first request.
+// CloseIdleSessions closes each session that is between requests, now or later. A session that has had no request still
+// has ContendedTimeout for its first one.
 func (srv *Server) CloseIdleSessions() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -31,14 +31,14 @@
 
 	// Only the session's own goroutine uses the fields below.
 	receivedAt     time.Time      // time at which the last bytes arrived
-	lastReply      chan struct{}  // closed once the last pending reply has been written
-	pendingReplies chan struct{}  // holds one element for each pending reply
-	workers        sync.WaitGroup // requests in progress and replies that wait for their turn
-	overLimit      bool           // whether no slot was free when the client connected: its requests are then rejected
+	lastReply      chan struct{}  // turn of the next reply: closed once all earlier replies have been written
+	pendingReplies chan struct{}  // holds one element for each pending reply; its capacity is MaxPipelined
+	workers        sync.WaitGroup // goroutines of requests in progress and of replies that wait for their turn
+	overLimit      bool           // whether no session slot was free when the client connected: its requests are then rejected
 	skippingToSync bool           // whether an extended query was refused: messages up to the next Sync are then discarded
 
 	// The server's mu guards the fields below.
-	lastActivity    time.Time // time of the client's latest connect, greeting, end of a request, or start of a later message
+	lastActivity    time.Time // latest time at which the client connected or was greeted, its last open request ended, or it began a message after its first request
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
 	awaitingMessage bool                        // whether the session waits for the first byte of a message
@@ -59,7 +59,8 @@
 	return s
 }
 
-// beginClosing makes the session end once it has no request in progress. The server's mu must be held.
+// beginClosing marks the session as closing, so that it ends once it has no request in progress. The server's mu must
+// be held.
 func (s *session) beginClosing() { s.closing = max(s.closing, closingBetweenRequests) }
 
 // isAborted reports whether the session must end at once.
@@ -78,7 +79,8 @@
 	s.conn.InterruptRead()
 }
 
-// serve reads the session's messages until the session ends, and waits for its requests.
+// serve reads the session's messages until the session ends. It then waits until the requests have ended and the
+// client's kernel has received the last reply.
 func (s *session) serve() {
 	if s.handleStartup() {
 		s.readMessages()
@@ -149,14 +151,14 @@
 		pgwire.FrontendFlush, pgwire.FrontendFunctionCall, pgwire.FrontendSync:
 		return s.refuseExtended(kind, size)
 	case pgwire.FrontendCopyData, pgwire.FrontendCopyDone, pgwire.FrontendCopyFail:
-		return s.skipMessage(size) // the message belongs to a copy that was never started
+		return s.skipMessage(size) // the message belongs to a COPY operation, which this server never starts
 	}
 	s.refuseProtocol(textUnknownMessage)
 	return false
 }
 
-// drain waits until all pending replies are written. While it waits, it discards further input, to detect that the
-// client disconnects.
+// drain waits until all pending replies are written. While it waits, it reads and discards further input, to detect
+// that the client disconnects.
 func (s *session) drain() {
 	s.server.mu.Lock()
 	s.beginClosing()
@@ -177,8 +179,9 @@
 	watcher.Wait()
 }
 
-// watchForClose discards the client's messages until the client disconnects or the read is interrupted. In both cases
-// nobody waits for the remaining requests.
+// watchForClose discards the client's messages until the client disconnects or the read is interrupted. The read is
+// interrupted when all replies have been written or the session is aborted. In each case, the client gets no further
+// reply, so the remaining requests are abandoned.
 func (s *session) watchForClose() {
 	for !s.conn.Fill(0).Closed() {
 		s.conn.Discard(len(s.conn.Buffered()))
@@ -199,7 +202,7 @@
 	}
 }
 
-// abandonCalls tells the dispatcher that the client no longer waits for its requests.
+// abandonCalls tells the dispatcher that the client no longer waits for the replies to its requests in progress.
 func (s *session) abandonCalls() {
 	s.server.mu.Lock()
 	calls := make([]*dispatch.Call, 0, len(s.calls))
