--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -9,14 +9,14 @@
 	"silvercove/internal/transport"
 )
 
-// rowMessages is the number of messages in the reply with a row: RowDescription, DataRow and CommandComplete.
+// rowMessages is the number of messages that make up a row in a reply: RowDescription, DataRow and CommandComplete.
 const rowMessages = 3
 
 // Reply is the result of an attempt. It is used by one goroutine, which must call Release once.
 type Reply struct {
-	SQLState    string                // SQLSTATE of the answer; empty if none arrived
-	Status      transport.CloseStatus // how the connection ended; the zero value if the connection is open
-	Load        []float64             // the backend's load report, in the order of the load columns; nil if there was none
+	SQLState    string                // SQLSTATE of the answer; empty if no answer arrived
+	Status      transport.CloseStatus // how the connection ended; the zero value if the connection is still open
+	Load        []float64             // values of the backend's load report, in the order of dispatch.Dispatcher.LoadColumns; nil if there was no report
 	RowMessages [][]byte              // messages to forward byte for byte, valid until Release
 
 	pool     *Pool
@@ -29,8 +29,9 @@
 	return Reply{Status: transport.CloseStatus{Reason: reason}}
 }
 
-// Attempt runs one attempt of a query, if the attempt may still begin once there is a connection. The attempt ends with
-// its context.
+// Attempt runs one attempt of a query. It first gets a connection, and then sends the query only if the dispatcher lets
+// the attempt begin. If the connection turns out to be stale before anything was written on it, Attempt gets another
+// one. The attempt ends, at the latest, when its context ends.
 func (p *Pool) Attempt(attempt *dispatch.Attempt, query *pgwire.Query) Reply {
 	for {
 		reply, stale := p.attemptOnce(attempt, query)
@@ -40,15 +41,15 @@
 	}
 }
 
-// attemptOnce runs an attempt on one connection. stale reports that the backend had closed the connection while it was
-// idle, so that nothing was written.
+// attemptOnce runs an attempt on one connection. stale reports whether that connection was reused and, before anything
+// was written on it, turned out to be closed or to hold unsolicited bytes.
 func (p *Pool) attemptOnce(attempt *dispatch.Attempt, query *pgwire.Query) (reply Reply, stale bool) {
 	c, reply := p.acquire(attempt.Context, attempt.Backend)
 	if c == nil {
 		return reply, false
 	}
 	c.BindContext(attempt.Context)
-	mayBegin := p.dispatcher.Begin(attempt) // the attempt may have waited for a slot or a dial
+	mayBegin := p.dispatcher.Begin(attempt) // the wait for a slot or a dial may have taken so long that the attempt must not begin
 	timeLeft := time.Until(attempt.Deadline)
 	if !mayBegin || timeLeft < time.Millisecond {
 		p.releaseUnused(c)
@@ -72,8 +73,8 @@
 	return reply, false
 }
 
-// releaseUnused gives back a connection on which nothing was written. Such a connection can be used again. The
-// connection is closed if its context has ended or its backend is no longer current.
+// releaseUnused gives back a connection on which nothing was written. The connection becomes idle again. It is closed
+// instead if its context has ended, or if IsCurrent returns false for its backend.
 func (p *Pool) releaseUnused(c *conn) {
 	if c.ReleaseContext() && p.dispatcher.IsCurrent(c.backend) {
 		p.addIdle(c)
@@ -94,9 +95,9 @@
 	return true
 }
 
-// readReply reads one reply to its end. A row or an error counts from when it is complete. After that, the backend has
-// settleTime to report that it is ready for more, or connectTimeout if that is shorter, because the client gets its
-// reply only after readReply returns.
+// readReply reads one reply to its end. A complete row or error is the result even if ReadyForQuery does not follow.
+// The wait for ReadyForQuery is limited to settleTime, or to connectTimeout if that is shorter, because the client gets
+// its reply only after readReply returns.
 func (p *Pool) readReply(c *conn) Reply {
 	var response pgwire.Response
 	for {
@@ -132,8 +133,8 @@
 	return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 }
 
-// newReply builds a reply from the buffered bytes of a connection. If more bytes follow the reply, the connection is
-// not reusable.
+// newReply builds a reply from the buffered bytes of a connection. The connection is reusable only if ready is set and
+// no bytes follow the reply.
 func (p *Pool) newReply(c *conn, response *pgwire.Response, ready bool) Reply {
 	reply := Reply{
 		SQLState: response.SQLState,
@@ -148,16 +149,17 @@
 	return reply
 }
 
-// attach makes Release give the connection back. It unbinds the connection from its context now, before the context is
-// cancelled: a connection whose context has ended is not reusable.
+// attach hands the connection to the reply, whose Release gives it back. attach unbinds the connection from its context
+// at once, because the context will be cancelled before Release, and a connection whose context has ended is not
+// reusable.
 func (p *Pool) attach(reply *Reply, c *conn) {
 	released := c.ReleaseContext()
 	reply.pool, reply.conn = p, c
 	reply.reusable = released && reply.reusable
 }
 
-// Release gives the connection back. The connection is used again only if the reply is reusable; otherwise it is
-// closed.
+// Release gives the connection of the attempt back to the pool, which keeps it as idle only if the reply is reusable,
+// and closes it otherwise.
 func (r *Reply) Release() {
 	c := r.conn
 	if c == nil {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/transport"
 )
 
-// acquire returns an idle connection to a backend, or makes a new one. If it returns no connection, the reply holds the
-// reason.
+// acquire returns a connection to a backend: an idle one if takeIdle yields one that is usable, and a new one
+// otherwise. If it returns nil, the reply holds the reason.
 func (p *Pool) acquire(ctx context.Context, backend dispatch.Backend) (*conn, Reply) {
 	for c := p.takeIdle(backend.Name); c != nil; c = p.takeIdle(backend.Name) {
 		if c.backend == backend && time.Since(c.idleSince) < p.maxIdleTime && c.Reusable() {
@@ -48,7 +48,7 @@
 	case p.slots <- struct{}{}:
 		return transport.StillOpen
 	case <-ctx.Done():
-		return transport.Canceled // the cancellation says nothing about the backend
+		return transport.Canceled // unlike the other reasons, Canceled is not counted against the backend
 	}
 }
 
@@ -72,15 +72,15 @@
 	case reply.SQLState == pgwire.StateTooManyConnections:
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
-		return nil, unsentReply(reply.Status.Reason) // no query was written
-	case errors.Is(ctx.Err(), context.Canceled): // canceled as the connection became ready: this says nothing about the backend
+		return nil, unsentReply(reply.Status.Reason) // only the startup message was written, and no query
+	case errors.Is(ctx.Err(), context.Canceled): // unlike ConnectTimeout, Canceled is not counted against the backend
 		return nil, unsentReply(transport.Canceled)
 	}
 	return nil, unsentReply(transport.ConnectTimeout)
 }
 
 // startSession sends the startup message and reads the backend's answer (PostgreSQL manual, "Start-up"). ready reports
-// whether queries may follow.
+// whether queries may be sent on the connection.
 func (p *Pool) startSession(ctx context.Context, c *conn) (reply Reply, ready bool) {
 	c.BindContext(ctx)
 	c.Append(pgwire.StartupMessage())
@@ -95,11 +95,11 @@
 	return reply, true
 }
 
-// Prewarm opens connections to backends that have just been listed, the same part of the slots for each, so that the
-// first requests after a start need not wait for them. All relays together open no more connections to a backend than
-// one relay alone might open: otherwise many relays that start at once would spend the backends' work on connections
-// that few requests use. Prewarm waits at most for the connect timeout and not beyond the context, and gives up
-// connections that are not ready when the wait ends.
+// Prewarm opens connections to backends that have just been listed, the same number to each backend, so that the first
+// requests after a start need not wait for a dial. relays is the configured number of relays. All of them together open
+// no more connections to a backend than one relay might open alone: otherwise, many relays that start at the same time
+// would cause the backends work for connections that few requests use. Prewarm waits at most for the connect timeout
+// and not beyond the context. It then abandons the connections that are not ready.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 	p.addIdle(c)
 }
 
-// Probe checks a backend with a query of the pool's own and reports the result to the dispatcher. It does not block.
+// Probe sends a query of its own to a backend and reports the result to the dispatcher. It does not block.
 func (p *Pool) Probe(backend dispatch.Backend) {
 	p.probes.Go(func() {
 		began := time.Now()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,41 +17,43 @@
 	"silvercove/internal/transport"
 )
 
-// A backend may answer a query twice, the second time some milliseconds late. If the connection had been used again by
-// then, the second reply would be taken for the next request's reply. Connections that have settled are therefore used
-// first. Others are used only if half of the slots are taken, or seven eighths while unsolicited bytes are expected: a
-// new connection costs less than a wrong reply. An idle backend that sends an error message before it closes the
-// connection also sends unsolicited bytes; in that case the precaution only costs connections.
+// A backend may answer a query twice, with some milliseconds between the replies. If the connection is used for another
+// request before the second reply arrives, the second reply is taken for the reply to that request. The pool therefore
+// prefers connections that have settled: settleTime has passed since their last reply, so that a second reply would
+// already have arrived and be noticed. The pool uses a connection that has not settled only if half of the slots are
+// taken, or seven eighths while unsolicited bytes are expected, because a new connection costs less than a wrong reply.
+// A backend that sends an error message before it closes an idle connection also sends unsolicited bytes; the pool then
+// only opens more connections than it needs.
 const (
-	settleTime              = 25 * time.Millisecond // a connection has settled this long after its last reply
-	unsolicitedExpectedTime = time.Minute           // how long after unsolicited bytes more of them are expected
+	settleTime              = 25 * time.Millisecond // a connection has settled when this time has passed since its last reply
+	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes have arrived, more of them are expected for this time
 )
 
 const (
-	idleMarginDivisor   = 8  // connections are closed an eighth of the idle timeout before the backends would close them
-	sweepsPerIdleTime   = 16 // checks of the idle connections within the maximum idle time
+	idleMarginDivisor   = 8  // a connection is closed when an eighth of the backends' idle timeout is left
+	sweepsPerIdleTime   = 16 // number of checks of the idle connections per Pool.maxIdleTime
 	minSweepInterval    = 50 * time.Millisecond
-	prewarmSlotsDivisor = 2 // half of the slots are used for connections opened before requests arrive
+	prewarmSlotsDivisor = 2 // Prewarm uses half of the slots
 )
 
 // Pool holds the connections to all backends. New creates one. Its exported methods may be called from any goroutine.
 type Pool struct {
 	// New sets the fields below, which do not change afterwards.
 	buffers        *transport.BufferBudget
-	connectTimeout time.Duration // time limit for a new connection until the backend reports that it is ready
+	connectTimeout time.Duration // time limit from the dial of a connection until the backend reports that it is ready
 	maxIdleTime    time.Duration // longest time that a connection may be idle
 	dispatcher     *dispatch.Dispatcher
-	loadColumns    []string // columns of a load report
+	loadColumns    []string // names of the values of a load report, in their order
 
 	slots  chan struct{}  // holds one element for each connection that is open or being made
 	probes sync.WaitGroup // goroutines of Probe
 
 	mu                       sync.Mutex         // guards the fields below up to the counters
-	idle                     map[string][]*conn // idle connections by backend, the last used one at the end; no list is empty
+	idle                     map[string][]*conn // idle connections by name of the backend, the last used one at the end; no list is empty
 	unsolicitedExpectedUntil time.Time          // time until which more unsolicited bytes are expected
 
-	// Opened counts connections that were begun, Reused counts attempts on an idle connection, Failed counts attempts
-	// for which there was no connection, and Unsolicited counts idle connections on which bytes had arrived.
+	// Opened counts dials, Reused counts idle connections that acquire returned, Failed counts attempts and probes for
+	// which there was no connection, and Unsolicited counts idle connections on which unsolicited bytes had arrived.
 	Opened, Reused, Failed, Unsolicited atomic.Int64
 }
 
@@ -62,8 +64,9 @@
 	idleSince time.Time // time at which the connection last became idle; zero if it never was
 }
 
-// New returns a pool of at most maxConnections connections in all. A connection that would be idle for as long as
-// idleTimeout is closed before the backend closes it. With an idleTimeout of 0 or less, no connection is kept.
+// New returns a pool of at most maxConnections connections in all. idleTimeout is the time after which a backend closes
+// an idle connection. The pool closes an idle connection earlier, after seven eighths of that time. If idleTimeout is 0
+// or less, it reuses no connection.
 func New(buffers *transport.BufferBudget, maxConnections int, connectTimeout, idleTimeout time.Duration,
 	dispatcher *dispatch.Dispatcher) *Pool {
 	return &Pool{
@@ -77,8 +80,8 @@
 	}
 }
 
-// Run closes idle connections before the backends' own idle timeout, until the context ends. Then it waits for the
-// probes, closes all idle connections and returns nil.
+// Run closes connections that are idle for almost as long as the backends' idle timeout, until the context ends. It
+// then waits for the probes, closes all idle connections and returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.sweepInterval())
 	defer ticker.Stop()
@@ -95,9 +98,9 @@
 	}
 }
 
-// sweepInterval returns the interval at which idle connections are checked. The interval has a lower limit: if the
-// backends' idle timeout is absent or close to 0, an idle relay would otherwise do nothing but sweep. Connections are
-// not used for too long because of the limit, as acquire checks the idle timeout itself.
+// sweepInterval returns the interval at which idle connections are checked. Without its lower limit, an idle relay
+// would do nothing but sweep if the backends' idle timeout were absent or close to 0. No connection is reused too late
+// because of the limit: acquire checks the idle time itself.
 func (p *Pool) sweepInterval() time.Duration {
 	return max(p.maxIdleTime/sweepsPerIdleTime, minSweepInterval)
 }
@@ -150,9 +153,9 @@
 	p.idle[c.backend.Name] = append(p.idle[c.backend.Name], c)
 }
 
-// takeIdle removes and returns the idle connection to a backend that was used last, among those that have settled. If
-// none has settled and slots for new connections are scarce, it returns the connection that has been idle the longest.
-// It returns nil if a new connection is to be made.
+// takeIdle removes and returns an idle connection to a backend: the last used one of those that have settled. If none
+// has settled and few slots are free, it returns the connection that has been idle the longest. It returns nil if the
+// caller should open a new connection.
 func (p *Pool) takeIdle(backend string) *conn {
 	now := time.Now()
 	p.mu.Lock()
@@ -171,7 +174,7 @@
 	return c
 }
 
-// slotsForUnsettled returns how many slots must be taken before a connection that has not settled is used again. mu
+// slotsForUnsettled returns the number of taken slots from which on connections are reused before they have settled. mu
 // must be held.
 func (p *Pool) slotsForUnsettled(now time.Time) int {
 	if now.Before(p.unsolicitedExpectedUntil) {
