--- a/internal/fdtable/fdtable_test.go
+++ b/internal/fdtable/fdtable_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestTable_GrownAtStart checks the size of the kernel's table in a process that has not asked for many descriptors.
+// TestTable_GrownAtStart checks the size of the kernel's table in a process that has opened only a few descriptors.
 func TestTable_GrownAtStart(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging lets components that write log lines as a constant message with typed fields (log/slog) use the process's
-// logger (zerolog).
+// Package logging connects components that log through a function of this package to the process's logger (zerolog).
+// Such a component passes a constant message with typed fields (log/slog), and does not depend on zerolog.
 package logging
 
 import (
@@ -8,18 +8,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Component returns a function that writes log lines of a component at level info, with each field under its own key. A
-// duration is written in milliseconds, so its key should end in _ms. The function may be called from any goroutine.
+// Component returns a function that writes log lines of the named component at level info, with each field under its
+// own key. A duration is written in milliseconds, so its key should end in _ms. The function may be called from any
+// goroutine.
 func Component(log zerolog.Logger, name string) func(message string, fields ...slog.Attr) {
 	write := Leveled(log, name)
 	return func(message string, fields ...slog.Attr) { write(slog.LevelInfo, message, fields...) }
 }
 
-// Func writes one log line at a level: a constant message with typed fields. It may be called from any goroutine.
+// Func writes one log line at the given level, with a constant message and typed fields. It may be called from any
+// goroutine.
 type Func = func(level slog.Level, message string, fields ...slog.Attr)
 
-// Leveled returns a function that writes log lines of a component at the level given in each call. Fields are written as
-// Component writes them.
+// Leveled returns a function that writes log lines of the named component at the level given in each call. It writes
+// the fields in the same way as the function that Component returns.
 func Leveled(log zerolog.Logger, name string) Func {
 	log = log.With().Str("component", name).Logger()
 	return func(level slog.Level, message string, fields ...slog.Attr) {
--- a/internal/transport/address.go
+++ b/internal/transport/address.go
@@ -25,8 +25,8 @@
 	a.current, a.end = context.WithCancel(context.Background())
 }
 
-// Update sets the address and reports whether it has changed. If so, the contexts returned with the previous address
-// are canceled.
+// Update sets the address and reports whether it has changed. If it has changed, Update cancels the contexts that
+// Current returned with the previous address.
 func (a *Address) Update(address string) (moved bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,7 +38,8 @@
 	return true
 }
 
-// Current returns the address, and a context that ends with ctx or when the peer moves. The caller must call release.
+// Current returns the address, and a context that ends when ctx ends or the peer moves. The caller must call release
+// when it no longer needs the context.
 func (a *Address) Current(ctx context.Context) (address string, current context.Context, release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -2,11 +2,13 @@
 
 import "sync/atomic"
 
-// ringBlockSize is the unit in bytes in which rings grow, and the size of the ring of an idle connection.
+// ringBlockSize is the unit in bytes in which rings grow. A ring of this size keeps its memory when it becomes empty,
+// and a larger one does not.
 const ringBlockSize = 2 << 10
 
-// BufferBudget limits the memory that requests may need for their buffers, in bytes. Memory is reserved when a request
-// is accepted, so that no buffer is missing later on. A BufferBudget may be used from any goroutine.
+// BufferBudget limits the memory, in bytes, that requests may need for their buffers. The memory for a request is
+// reserved when the request is accepted, so that the request does not lack a buffer later. A BufferBudget may be used
+// from any goroutine.
 type BufferBudget struct {
 	limit    int64
 	reserved atomic.Int64
@@ -16,7 +18,7 @@
 // NewBufferBudget returns a budget of the given number of bytes.
 func NewBufferBudget(bytes int64) *BufferBudget { return &BufferBudget{limit: bytes} }
 
-// Reserve sets n bytes aside. It returns false if the budget has fewer left.
+// Reserve sets n bytes aside. It returns false, and reserves nothing, if fewer than n bytes are left.
 func (b *BufferBudget) Reserve(n int) bool {
 	if b.reserved.Add(int64(n)) > b.limit {
 		b.reserved.Add(int64(-n))
@@ -33,7 +35,8 @@
 	return b.reserved.Load(), b.buffered.Load()
 }
 
-// ring is a ring buffer that grows in blocks and releases memory when it is empty.
+// ring is a ring buffer that grows in blocks. When it becomes empty, it releases its memory if it has more than one
+// block.
 type ring struct {
 	buf    []byte
 	start  int // index in the buffer at which the content starts
@@ -41,7 +44,7 @@
 	budget *BufferBudget
 }
 
-// grow makes space for n bytes of content in all.
+// grow makes the buffer large enough for n bytes of content, including the bytes that it already holds.
 func (r *ring) grow(n int) {
 	if size := (n + ringBlockSize - 1) / ringBlockSize * ringBlockSize; size > len(r.buf) {
 		r.budget.buffered.Add(int64(size - len(r.buf)))
@@ -90,8 +93,8 @@
 	return r.buf[r.start : r.start+r.length]
 }
 
-// discard removes n bytes from the front. When the ring is empty and has grown beyond one block, its memory is
-// released.
+// discard removes the first n bytes of the content. If the ring is then empty and has more than one block, its memory
+// is released.
 func (r *ring) discard(n int) {
 	r.start += n
 	r.length -= n
--- a/internal/transport/closestatus.go
+++ b/internal/transport/closestatus.go
@@ -11,16 +11,16 @@
 // Reasons for which a connection can end.
 const (
 	StillOpen        CloseReason = iota // the connection has not ended
-	Refused                             // the connection was refused, or there was no slot or other resource to open it
+	Refused                             // the peer refused the connection, or this side had no slot or other resource to open it
 	ConnectTimeout                      // the connection was not established within its time limit
 	ClosedByPeer                        // the peer closed the connection
 	ConnectionReset                     // the connection was reset or failed in another way
 	DeadlineExceeded                    // the deadline of the connection has passed
 	Canceled                            // this side canceled the connection
 	Malformed                           // the peer sent malformed data
-	TooLarge                            // the peer sent more than is allowed
+	TooLarge                            // the peer sent more bytes than are allowed
 	ClosedLocally                       // this side closed the connection when it was no longer needed
-	PeerBusy                            // the peer is reachable but accepts no more at present
+	PeerBusy                            // the peer is reachable but takes no more work at present
 	CloseReasonCount                    // number of reasons
 )
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,10 +1,10 @@
-// Package transport provides connections with one ring buffer for each direction and with deadlines. CloseStatus is the
-// one type for every way in which a connection can end. The buffers of all connections come from one BufferBudget.
+// Package transport provides connections with deadlines and with one ring buffer for each direction. CloseStatus
+// describes every way in which a connection can end. The buffers of all connections are counted in one BufferBudget.
 // Address holds the address of a peer that may move while the program runs.
 //
-// A caller opens a connection with Dial, or wraps an accepted one with NewConn. It reads with Fill, Buffered and
-// Discard, writes with Append and Flush, and binds both to a context with BindContext. The package starts no goroutine
-// that outlives the context to which a connection is bound.
+// A caller opens a connection with Dial, or wraps an accepted connection with NewConn. It reads with Fill, Buffered and
+// Discard, writes with Append and Flush, and limits reading and writing by a context with BindContext. The package
+// starts no goroutine that outlives the context to which a connection is bound.
 package transport
 
 import (
@@ -20,23 +20,23 @@
 // Conn is one connection. One goroutine at a time may read and one may write. Any goroutine may set deadlines, and any
 // may call Close once reading and writing are finished.
 type Conn struct {
-	conn          net.Conn // a TCP connection, whose state the kernel reports
+	conn          net.Conn // a TCP connection; kernelstate.go queries its state
 	input, output ring
-	flushed       atomic.Bool // whether the last byte of the last Flush was written
+	flushed       atomic.Bool // whether the latest Flush has written its last byte
 	established   bool        // whether the kernel has reported the state ESTABLISHED; only the reader uses the field
 
-	// The context that reading and writing are bound to, and the function that unbinds them; unbind is nil if there is
-	// none.
+	// bound is the context that limits reading and writing, and unbind ends that limit. Without such a context, bound
+	// is the background context and unbind is nil.
 	bound  context.Context
 	unbind func() bool
 }
 
-// NewConn wraps a connection. Its buffers come from budget.
+// NewConn wraps a TCP connection. The memory of its buffers is counted in budget.
 func NewConn(conn net.Conn, budget *BufferBudget) *Conn {
 	return &Conn{conn: conn, input: ring{budget: budget}, output: ring{budget: budget}, bound: context.Background()}
 }
 
-// Dial opens a TCP connection within a time limit. It returns either a connection or a status that is closed.
+// Dial opens a TCP connection within a time limit. If that fails, it returns nil and a status with the reason.
 func Dial(ctx context.Context, address string, limit time.Duration, budget *BufferBudget) (*Conn, CloseStatus) {
 	limited, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -52,8 +52,8 @@
 	return nil, CloseStatus{Reason: Refused}
 }
 
-// BindContext binds later reads and writes to a context: they end past its deadline, or once it is canceled.
-// ReleaseContext undoes that.
+// BindContext binds later reads and writes to a context: they fail once the context's deadline has passed or the
+// context is canceled. ReleaseContext ends the binding.
 func (c *Conn) BindContext(ctx context.Context) {
 	c.ReleaseContext()
 	c.bound = ctx
@@ -63,7 +63,8 @@
 }
 
 // ReleaseContext unbinds the connection from its context and reports whether the connection can still be used. If the
-// context has ended, the deadline that its end sets may take effect late, so the connection can only be closed.
+// context has ended, the connection can only be closed, because Interrupt, which runs when the context ends, may still
+// take effect later.
 func (c *Conn) ReleaseContext() (intact bool) {
 	intact = c.unbind == nil || c.unbind()
 	c.bound, c.unbind = context.Background(), nil
@@ -93,7 +94,8 @@
 // SetWriteDeadline sets the deadline for writing alone.
 func (c *Conn) SetWriteDeadline(at time.Time) { _ = c.conn.SetWriteDeadline(at) }
 
-// Fill grows the input buffer to hold at least want bytes, and then waits for more bytes.
+// Fill waits for more bytes. Before that, it grows the input buffer to hold at least want bytes, including the bytes
+// that have already arrived.
 func (c *Conn) Fill(want int) CloseStatus {
 	c.input.grow(max(want, c.input.length+1))
 	n, err := c.conn.Read(c.input.free())
@@ -154,8 +156,8 @@
 	return CloseStatus{Reason: ConnectionReset, Flushed: flushed}
 }
 
-// ReleaseBuffers releases the input buffer of a connection on which nothing is expected. A buffer that holds bytes is
-// kept.
+// ReleaseBuffers releases the input buffer of a connection on which no bytes are expected soon. A buffer that holds
+// bytes is kept.
 func (c *Conn) ReleaseBuffers() {
 	if c.input.length == 0 {
 		c.input.release()
--- a/internal/transport/kernelstate.go
+++ b/internal/transport/kernelstate.go
@@ -11,9 +11,10 @@
 // The methods in this file query the kernel about a connection. They neither block nor consume bytes, and may be called
 // while a reader waits.
 
-// LastReceived returns how long ago the last bytes arrived, whether or not they have been read: this shows how long
-// they waited for this process. It also reports whether the peer has closed the connection, even if bytes that precede
-// the close are still unread. Only the reader may call it.
+// LastReceived returns how long ago the last bytes arrived, whether or not they have been read. Directly after a read,
+// this is how long the bytes have waited for this process. LastReceived also reports whether the peer has closed the
+// connection, even if bytes that precede the close are still unread. Without information from the kernel, it returns 0
+// and false. Only the reader may call it.
 func (c *Conn) LastReceived() (ago time.Duration, closed bool) {
 	info := c.tcpInfo()
 	if info == nil {
@@ -21,13 +22,15 @@
 	}
 	ago = time.Duration(info.Last_data_recv) * time.Millisecond
 	established := info.State == unix.BPF_TCP_ESTABLISHED
-	// A kernel that does not report states always returns the same state, so a change from ESTABLISHED never shows.
+	// A kernel that does not report states always returns the same state. The second condition therefore requires a
+	// change from ESTABLISHED, which never occurs on such a kernel.
 	closed = info.State == unix.BPF_TCP_CLOSE_WAIT || c.established && !established
 	c.established = c.established || established
 	return ago, closed
 }
 
-// Acknowledged reports whether the peer's machine has received all bytes that were written.
+// Acknowledged reports whether the peer's machine has received all bytes that were written. It returns true if the
+// kernel gives no information.
 func (c *Conn) Acknowledged() bool {
 	info := c.tcpInfo()
 	return info == nil || info.Unacked == 0 && info.Notsent_bytes == 0
@@ -47,7 +50,7 @@
 	return info
 }
 
-// Reusable reports whether an idle connection is still open and no unsolicited bytes have arrived on it.
+// Reusable reports whether an idle connection is still open and holds no unsolicited bytes.
 func (c *Conn) Reusable() bool { return c.input.length == 0 && !c.Readable() }
 
 // Readable reports whether a read would return without waiting.
@@ -69,14 +72,15 @@
 	return c.input.length > 0 || n > 0
 }
 
-// peek returns how many bytes, at most one, a read would get, without consuming them, and whether a read would block.
+// peek looks at the next byte without consuming it. n is the number of bytes that it found: 1, or 0 at the end of the
+// stream, or negative after an error. wouldBlock reports whether a read would wait.
 func (c *Conn) peek() (n int, wouldBlock bool) {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, false
 	}
 	var first [1]byte
-	err = raw.Control(func(fd uintptr) { // unlike raw.Read, raw.Control works after the deadline too
+	err = raw.Control(func(fd uintptr) { // unlike raw.Read, raw.Control also works after the read deadline has passed
 		var recvErr error
 		n, _, recvErr = syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		wouldBlock = errors.Is(recvErr, syscall.EAGAIN)
