--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -25,14 +25,14 @@
 	statusNotModified = 304
 )
 
-// bodyFraming is what the header fields say about the body.
+// bodyFraming holds what the header fields say about where the body ends.
 type bodyFraming struct {
-	length  int // length of the body; unknownLength if the fields do not give it
+	length  int // Content-Length in bytes; unknownLength if there is none
 	chunked bool
 }
 
-// parseHeader parses a status line and header fields. After an informational response (RFC 9110, section 15.2) another
-// header section follows.
+// parseHeader parses a status line and header fields. An informational (1xx) response is ignored: another header
+// section follows it (RFC 9110, section 15.2).
 func (r *Response) parseHeader(text string) error {
 	statusLine, fields, _ := strings.Cut(text, lineEnd)
 	status, version, err := parseStatusLine(statusLine)
@@ -94,7 +94,7 @@
 	return framing, nil
 }
 
-// setLength sets the Content-Length, which may be given twice if both are equal.
+// setLength sets the length from a Content-Length field. The field may occur more than once if all values are equal.
 func (f *bodyFraming) setLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || f.length != unknownLength && f.length != int(length) {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// startBody determines how the body ends (RFC 9112, section 6.3). A body that would end with the connection is refused,
-// because it would be unknown whether the body is complete.
+// startBody determines where the body ends (RFC 9112, section 6.3). It refuses a response whose body would end with the
+// connection, because an incomplete body could not be recognised.
 func (r *Response) startBody(framing bodyFraming) error {
 	switch {
 	case framing.chunked && framing.length != unknownLength:
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,10 +12,10 @@
 
 // Limits on a response, in bytes.
 const (
-	MaxHeader = 8 << 10 // largest status line with its header fields
+	MaxHeader = 8 << 10 // largest status line and header fields together
 	MaxBody   = 4 << 20 // largest body; a list of tens of thousands of backends fits
 
-	maxChunkLine = 1 << 10 // longest size line of a chunk, or trailer field
+	maxChunkLine = 1 << 10 // longest size line of a chunk, and longest trailer field
 )
 
 // Errors in a response. After any of them, nothing more can be read from the response.
@@ -26,7 +26,7 @@
 
 const lineEnd = "\r\n"
 
-// FormatRequest returns a request with a JSON body, or one without a body if body is empty.
+// FormatRequest returns a request with a JSON body. If body is empty, the request has no body.
 func FormatRequest(method, path, host, body string) []byte {
 	request := method + " " + path + " HTTP/1.1" + lineEnd + "Host: " + host + lineEnd
 	if body != "" {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Response reads one response. Its zero value is ready for the first byte. Informational responses before the response
-// are skipped.
+// Response parses one response. Its zero value is ready for the first byte. It skips informational (1xx) responses that
+// precede the response.
 type Response struct {
-	Status int  // 0 until the header section has arrived
-	Close  bool // whether the connection ends with the response
+	Status int  // status code; 0 until the header section has arrived
+	Close  bool // whether the server closes the connection after the response
 	Done   bool // whether the response is complete
 
 	state     state
-	remaining int  // number of bytes of the body or the chunk that have not arrived yet
+	remaining int  // number of bytes of the body, or of the current chunk, that have not arrived yet
 	bodySize  int  // number of bytes of the body that have arrived
 	unbounded bool // whether a chunked body may be longer than MaxBody
 }
 
-// state is the part of a response that comes next.
+// state is the part of a response that Read expects next.
 type state uint8
 
 const (
@@ -31,11 +31,12 @@
 	inTrailer                // trailer fields, up to an empty line
 )
 
-// NewStream returns a Response whose chunks may go on indefinitely.
+// NewStream returns a Response for a stream: a chunked body of any size.
 func NewStream() *Response { return &Response{unbounded: true} }
 
-// Read reads as much of in as it can and appends the bytes of the body to body. It returns how many bytes it has used;
-// the caller passes the rest again, together with the bytes that follow. The error is ErrMalformed or ErrTooLong.
+// Read parses as much of in as it can and appends the bytes of the body to the slice body. It returns how many bytes of
+// in it has used, and the extended slice. The caller passes the unused bytes again, together with the bytes that arrive
+// after them. An error is ErrMalformed or ErrTooLong.
 func (r *Response) Read(in, body []byte) (used int, out []byte, err error) {
 	for !r.Done {
 		n, more, err := r.step(in[used:], &body)
@@ -50,8 +51,8 @@
 	return used, body, nil
 }
 
-// step reads the header section, one line, or one part of the body. more reports whether another step may follow at
-// once.
+// step parses the header section, one line, or one piece of the body. more is false if the next step needs more bytes
+// than have arrived.
 func (r *Response) step(in []byte, body *[]byte) (used int, more bool, err error) {
 	switch r.state {
 	case inHeader:
@@ -71,8 +72,8 @@
 	return size + len(end), true, r.parseHeader(string(in[:size]))
 }
 
-// indexWithin returns the index of a separator within the first limit bytes. The index is -1 if the separator has not
-// arrived; the error is ErrTooLong if it can no longer arrive within the limit.
+// indexWithin returns the index of a separator that ends within the first limit bytes. The index is -1 if the separator
+// has not arrived. The error is ErrTooLong if it can no longer arrive within the limit.
 func indexWithin(in []byte, separator string, limit int) (int, error) {
 	at := bytes.Index(in[:min(len(in), limit)], []byte(separator))
 	if at < 0 && len(in) >= limit {
@@ -81,7 +82,7 @@
 	return at, nil
 }
 
-// takeData reads bytes of a body or a chunk.
+// takeData reads the bytes of a body or a chunk that have arrived.
 func (r *Response) takeData(in []byte, body *[]byte) (used int, more bool, err error) {
 	n := min(r.remaining, len(in))
 	r.bodySize += n
@@ -101,7 +102,7 @@
 	return n, true, nil
 }
 
-// takeLine reads a line between chunks or after them.
+// takeLine reads the size line of a chunk, the line end after a chunk, or a trailer field.
 func (r *Response) takeLine(in []byte) (used int, more bool, err error) {
 	size, err := indexWithin(in, lineEnd, maxChunkLine)
 	if err != nil || size < 0 {
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Version is the version of the hello. A hello of another version is refused.
+// Version is the version of the handshake. A hello with another version is refused.
 const Version = 1
 
 const (
 	maxHello     = 512             // largest size of a hello in bytes
-	helloTimeout = 2 * time.Second // time limit for a hello and its answer to arrive completely
+	helloTimeout = 2 * time.Second // time limit for Dial, for the answer to an accepted connection, and for Accept to take that connection
 )
 
 // hello is the first line on each connection, as JSON. The answer is one line with a JSON string: the reason for which
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // interrupts the read below
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // a deadline in the past interrupts exchange
 	refusal, err := exchange(conn, hello{Version, kind, n.fleet, n.self.Name, to})
 	if err == nil && refusal != "" {
 		err = fmt.Errorf("%s: %w: %s", to, ErrRefused, refusal)
@@ -73,7 +73,7 @@
 // accept reads a hello and hands the connection to the listener of its kind, or answers with the reason for a refusal.
 // A connection without a readable hello is closed.
 func (n *Network) accept(ctx context.Context, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // SetDeadline fails only on a closed connection, where the read below fails too
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // SetDeadline fails only on a closed connection, from which readLine fails too
 	var h hello
 	text, err := readLine(conn)
 	if err == nil {
@@ -88,7 +88,7 @@
 	if refusal != "" {
 		n.log.Warn().Str("from", h.From).Str("why", refusal).Msg("connection refused")
 	} else if admit := n.listeners[h.Kind].admission(); admit != nil {
-		accepted.release, refusal = admit(h.From) // a refusal is not logged: many connections at once would fill the log
+		accepted.release, refusal = admit(h.From) // a refusal by admit is not logged, because many refused connections would fill the log
 	}
 	answer, err := json.Marshal(refusal)
 	if err == nil {
@@ -98,7 +98,7 @@
 		_ = accepted.Close() // the other process has the reason, or has disconnected
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // SetDeadline fails only on a closed connection, which the acceptor notices
+	_ = conn.SetDeadline(time.Time{}) // SetDeadline fails only on a closed connection, and the caller of Accept notices that at the first read
 	n.listeners[h.Kind].deliver(ctx, accepted)
 }
 
@@ -117,7 +117,7 @@
 		return fmt.Sprintf("no process named %s is in the file of %s", h.From, n.self.Name)
 	}
 	listener := n.listeners[h.Kind]
-	if listener == nil || !listener.enabled.Load() { // nobody accepts this kind: the connection would take the place of another hello
+	if listener == nil || !listener.enabled.Load() { // no one calls Accept for this kind: the connection would occupy a place in Network.pending until helloTimeout
 		return fmt.Sprintf("no connections of kind %q are taken", h.Kind)
 	}
 	return ""
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -24,8 +24,9 @@
 	return c.Conn.Close()
 }
 
-// Admission admits a connection from a process and counts it until release is called, once. Otherwise it returns the
-// reason for the refusal, which is part of the error that the process gets from Dial.
+// Admission admits a connection from a process and counts it until release is called, which must happen once. If it
+// does not admit the connection, it returns the reason as refusal. The reason is part of the error that the process
+// gets from Dial.
 type Admission func(from string) (release func(), refusal string)
 
 // Listener is a net.Listener for one kind of connections; each connection that it returns is a *Conn. It is safe for
@@ -39,7 +40,7 @@
 	admit     atomic.Pointer[Admission]
 }
 
-// SetAdmission sets the function that admits and counts later connections.
+// SetAdmission sets the function that admits and counts the connections that arrive after this call.
 func (l *Listener) SetAdmission(admit Admission) { l.admit.Store(&admit) }
 
 // admission returns the function that admits and counts connections, or nil if there is none.
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// deliver waits until the connection is accepted, and closes the connection if that takes longer than helloTimeout.
+// deliver waits until Accept takes the connection. It closes the connection if that takes longer than helloTimeout, or
+// if the listener is closed or the context ends first.
 func (l *Listener) deliver(ctx context.Context, conn net.Conn) {
 	timer := time.NewTimer(helloTimeout)
 	defer timer.Stop()
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Roles of processes, as they are named in the operator's file.
+// Roles of processes, by their names in the operator's configuration file.
 const (
 	RoleController = "keeper"
 	RoleEdge       = "edge"
@@ -31,10 +31,10 @@
 )
 
 const (
-	maxPendingHellos = 256 // largest number of connections whose hello has not arrived
+	maxPendingHellos = 256 // largest number of incoming connections that no Listener has accepted yet
 	acceptRetryDelay = helloTimeout / 20
 
-	// Limits on the idle connections of a Client to one process.
+	// Limits on the idle connections that a Client keeps to each process.
 	clientIdleConns       = 4
 	clientIdleConnTimeout = 5 * time.Second
 )
@@ -46,8 +46,8 @@
 	RequestAddress   string // address for requests, as HOST:PORT; only edge nodes have one
 }
 
-// Network holds one process's connections to other processes. Its methods are safe for concurrent use, except for
-// OverrideSelf.
+// Network accepts connections from the other processes of a fleet and dials connections to them. Its methods are safe
+// for concurrent use, except for OverrideSelf.
 type Network struct {
 	self         Peer
 	selfOverride string // address for connections to the process's own name; if "", the address at which the process listens
@@ -56,11 +56,11 @@
 	peers        []Peer
 	listener     net.Listener
 	listeners    map[Kind]*Listener
-	pending      chan struct{} // holds one element for each connection whose hello has not arrived
+	pending      chan struct{} // holds one element for each incoming connection that no Listener has accepted yet
 }
 
-// Open listens at the process's own address. peers are the other processes. Open fails if two processes have the same
-// name or the address is taken.
+// Open listens at the address of self, which is this process; peers are the other processes. Open fails if two
+// processes have the same name or the address cannot be listened at.
 func Open(fleet string, self Peer, peers []Peer, log zerolog.Logger) (*Network, error) {
 	seen := map[string]bool{self.Name: true}
 	for _, peer := range peers {
@@ -88,21 +88,22 @@
 	return n, nil
 }
 
-// Self returns this process; its Address is the address at which it listens.
+// Self returns this process. Its Address is the address at which it actually listens.
 func (n *Network) Self() Peer {
 	self := n.self
 	self.Address = n.listener.Addr().String()
 	return self
 }
 
-// OverrideSelf directs connections to the process's own name to an address: that of the process on whose behalf a tool
-// connects. It must be called before Run.
+// OverrideSelf makes Dial use the given address if it is called with the process's own name. A tool that runs under the
+// name of another process reaches that process in this way. OverrideSelf must be called before Run.
 func (n *Network) OverrideSelf(address string) { n.selfOverride = address }
 
 // Fleet returns the name of the fleet.
 func (n *Network) Fleet() string { return n.fleet }
 
-// Peers returns the other processes of a role, or all of them if role is "", in the order of the file.
+// Peers returns the other processes that have the given role, or all other processes if role is "", in the order in
+// which Open got them.
 func (n *Network) Peers(role string) (peers []Peer) {
 	for _, peer := range n.peers {
 		if role == "" || peer.Role == role {
@@ -136,7 +137,7 @@
 	})
 	defer stop()
 	var group errgroup.Group
-	defer func() { _ = group.Wait() }() // the functions of the group return nil
+	defer func() { _ = group.Wait() }() // all functions of the group return nil
 	for {
 		conn, err := n.listener.Accept()
 		switch {
@@ -166,8 +167,8 @@
 	}
 }
 
-// Dial connects to a process by name, within the context and at most within helloTimeout. It fails with ErrRefused if
-// the other process does not accept the connection.
+// Dial connects to the process with the given name. It takes no longer than helloTimeout and ends early if the context
+// ends. If the other process refuses the connection, the error wraps ErrRefused.
 func (n *Network) Dial(ctx context.Context, name string, kind Kind) (net.Conn, error) {
 	peer, ok := n.Peer(name)
 	if !ok {
@@ -196,7 +197,8 @@
 	return n.listeners[kind]
 }
 
-// Client returns an HTTP client that reaches processes by name: http://NAME/path. It keeps few idle connections.
+// Client returns an HTTP client that reaches each process by its name, as http://NAME/path. It keeps at most
+// clientIdleConns idle connections to each process.
 func (n *Network) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DisableCompression:  true,
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,6 +1,6 @@
-// Package pgwire reads and writes the part of PostgreSQL's frontend/backend protocol, version 3.0, that clients and
-// backends use here: simple queries, one statement each, no password. The messages are described in the PostgreSQL
-// manual, "Message Formats".
+// Package pgwire reads and writes the part of PostgreSQL's frontend/backend protocol, version 3.0, that this project
+// needs: simple queries of one statement each, without a password. The messages are described in the PostgreSQL manual,
+// "Message Formats".
 //
 // The package works on bytes alone: no I/O, clock or goroutine. Readers are incremental: each call is given all bytes
 // from the start of a message, until the reader reports that the message is complete. Functions may be called from any
@@ -14,15 +14,15 @@
 
 // Limits on incoming data, in bytes.
 const (
-	MaxValue = 64 << 10           // largest value
+	MaxValue = 64 << 10           // largest value of a key
 	MaxQuery = 2*MaxValue + 4<<10 // largest query message, which holds its value in hexadecimal
 
 	maxStartup        = 10 << 10         // largest startup message; this is PostgreSQL's own limit
-	maxBackendMessage = MaxValue + 4<<10 // largest single message of a backend
-	maxClientMessage  = 1 << 20          // largest message of a client; a message larger than MaxQuery is skipped and refused
+	maxBackendMessage = MaxValue + 4<<10 // largest message of a backend
+	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; after a larger one, reading cannot go on
 )
 
-// maxOtherMessages is how many messages one reply may hold besides those of the row.
+// maxOtherMessages is the largest number of authentication, parameter, notice and key messages in one reply.
 const maxOtherMessages = 64
 
 // HeaderSize is the size in bytes of a message's header: its type and its length.
@@ -30,7 +30,7 @@
 
 const (
 	typeSize   = 1
-	lengthSize = 4 // the length includes its own size
+	lengthSize = 4 // a length field also counts its own bytes
 )
 
 // Errors in incoming messages. After any of them, the start of the next message is unknown, and reading cannot go on.
@@ -42,7 +42,7 @@
 // SQLSTATE codes (PostgreSQL manual, "PostgreSQL Error Codes").
 const (
 	StateSuccess            = "00000"
-	StateTooManyConnections = "53300" // a request is rejected, or a backend is at its capacity
+	StateTooManyConnections = "53300" // the relay rejects a request, or a backend is at its capacity
 	StateCannotConnectNow   = "57P03" // sent by an edge node that is not ready, only to the health check
 	StateInternalError      = "XX000"
 	StateSyntaxError        = "42601"
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -16,7 +16,7 @@
 	ID            string        // the request's ID, chosen by the client
 	Class         string        // the request class
 	Tenant        string        // the client's tenant; empty if the comment names none
-	Timeout       time.Duration // how long the client waits, from when it sent the query
+	Timeout       time.Duration // how long the client waits for the reply after it has sent the query
 	EstimatedWork time.Duration // the client's estimate of the work; 0 if there is none
 	ClientRetry   bool          // whether the client has already sent this request
 
@@ -60,8 +60,8 @@
 
 const maxKey = 256 // largest size of a key in bytes
 
-// ParseQuery parses a statement of one of the two forms. The query keeps text. The names in the comment may come in any
-// order; unknown ones are ignored.
+// ParseQuery parses a statement of one of the two forms. The Query keeps text, which must not change afterwards. The
+// names in the comment may come in any order; unknown names are ignored.
 func ParseQuery(text []byte) (*Query, *QueryError) {
 	q := &Query{text: text}
 	commentStart, queryErr := q.parseStatement()
@@ -177,10 +177,11 @@
 	return true
 }
 
-// durationBits limits the number in a duration, so that the duration does not overflow in any unit up to a millisecond.
+// durationBits is the size in bits of the largest number that parseDuration accepts. It is small enough that the
+// duration does not overflow in any unit up to a millisecond.
 const durationBits = 40
 
-// parseDuration parses a number of units; a fraction is dropped.
+// parseDuration parses a decimal number of units. It drops a fraction.
 func parseDuration(value []byte, unit time.Duration) (d time.Duration, ok bool) {
 	whole, fraction, _ := bytes.Cut(value, []byte("."))
 	if !isDigits(whole) || !isDigits(fraction) {
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// Response reads a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
+// Response parses a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
 	SQLState    string // StateSuccess after a complete row or an empty query, or the code of an error; empty until one of them has arrived
 	Load        string // the load report, if the reply contains one
-	RowMessages []Span // RowDescription, DataRow and CommandComplete, relative to the reply's start
+	RowMessages []Span // positions of RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // whether the backend waits for the next query
 	Fatal       bool   // whether the backend ends the connection
-	Consumed    int    // number of bytes read so far
+	Consumed    int    // number of bytes of the reply that have been parsed
 
 	stage         rowStage
 	otherMessages int
@@ -29,8 +29,8 @@
 	rowComplete
 )
 
-// Read reads the complete messages in buf, which holds all bytes of a reply that have arrived, from the reply's start. It
-// stops once the reply is Ready or Fatal. The error is ErrMalformed or ErrTooLong.
+// Read parses the complete messages in buf, which holds all bytes of the reply that have arrived, from the start of the
+// reply. It stops once the reply is Ready or Fatal. An error is ErrMalformed or ErrTooLong.
 func (r *Response) Read(buf []byte) error {
 	for !r.Ready && !r.Fatal {
 		messageType, size, err := header(buf[r.Consumed:], maxBackendMessage)
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// Need returns how many bytes of the reply, counted from its start, are needed to continue.
+// Need returns the number of bytes of the reply, counted from its start, that Read needs to parse the next message. If
+// not even the header of that message has arrived, it returns the number up to the end of the header.
 func (r *Response) Need(buf []byte) int {
 	if _, size, err := header(buf[r.Consumed:], maxBackendMessage); err == nil && size > 0 {
 		return r.Consumed + size
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// advanceRow reads the next message of a row, which is valid only if the row is at the stage from.
+// advanceRow records the next message of a row. The message is valid only if it is well-formed and the row has reached
+// the stage from, and no later one.
 func (r *Response) advanceRow(from rowStage, message Span, wellFormed bool) error {
 	if r.SQLState != "" || r.stage != from || !wellFormed {
 		return ErrMalformed
@@ -165,8 +167,8 @@
 // isTerminated reports whether the body of a CommandComplete ends with a zero byte.
 func isTerminated(body []byte) bool { return len(body) > 0 && body[len(body)-1] == 0 }
 
-// errorFields returns the SQLSTATE code and the severity of an ErrorResponse. If there is a severity that is never
-// localised, errorFields returns that one.
+// errorFields returns the SQLSTATE code and the severity of an ErrorResponse. It prefers the field with the severity
+// that is never localised.
 func errorFields(body []byte) (sqlState, severity string) {
 	for len(body) > 1 {
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
@@ -188,8 +190,8 @@
 	return sqlState, severity
 }
 
-// RowValue returns the one column of a complete DataRow message. It returns false if the value is NULL or the message
-// is malformed.
+// RowValue returns the value of the only column of a complete DataRow message. It returns false if the value is NULL or
+// the message is malformed.
 func RowValue(row []byte) ([]byte, bool) {
 	const fixed = HeaderSize + columnCountSize + valueLengthSize
 	if len(row) < fixed || row[0] != BackendDataRow || binary.BigEndian.Uint16(row[HeaderSize:]) != 1 {
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -22,8 +22,8 @@
 	StartCancel                       // CancelRequest: the cancellation of another session's query
 )
 
-// ParseStartup reads a first message. It returns what the message requests and its size in bytes. If size is 0, more
-// bytes are needed. The error is ErrMalformed or ErrTooLong.
+// ParseStartup reads the first message of a client. It returns what the message requests and its size in bytes. If size
+// is 0, more bytes are needed. An error is ErrMalformed or ErrTooLong.
 func ParseStartup(buf []byte) (kind StartupKind, size int, err error) {
 	if len(buf) < startupHeaderSize {
 		return 0, 0, nil
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -52,12 +52,12 @@
 	return appendMessage(nil, FrontendQuery, append([]byte(text), 0))
 }
 
-// columnDescription is the body of the RowDescription of the one column: no table, type bytea of variable size, no
-// modifier, binary format.
-const columnDescription = "\x00\x01content\x00" + // one column, its name
-	"\x00\x00\x00\x00" + "\x00\x00" + // table and attribute
-	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, its size
-	"\xff\xff\xff\xff" + "\x00\x01" // modifier, format
+// columnDescription is the body of the RowDescription for rows with a single column: no table, type bytea of variable
+// size, no modifier, binary format.
+const columnDescription = "\x00\x01content\x00" + // number of columns, and name of the column
+	"\x00\x00\x00\x00" + "\x00\x00" + // no table, no attribute number
+	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, variable size
+	"\xff\xff\xff\xff" + "\x00\x01" // no modifier, binary format
 
 // DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the tag,
 // and ReadyForQuery.
