--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestSession_ClientDisconnectsBeforeAnAttempt checks that no attempt begins for a request that has none in flight when
-// its client disconnects.
+// TestSession_ClientDisconnectsBeforeAnAttempt checks that no attempt begins for a request that has no attempt in
+// flight when its client disconnects.
 func TestSession_ClientDisconnectsBeforeAnAttempt(t *testing.T) {
 	t.Run("while it is queued", disconnectWhileQueued)
 	t.Run("while its backend connection is being opened", disconnectWhileDialing)
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -173,7 +173,8 @@
 	return c.(*net.TCPConn)
 }
 
-// send writes parts as a client does. It ignores a failed write, because the test then misses the expected replies.
+// send writes parts as a client does. It ignores a failed write, because the test then fails for want of the expected
+// replies.
 func send(c net.Conn, parts ...string) {
 	_, _ = io.WriteString(c, strings.Join(parts, ""))
 }
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -40,9 +40,8 @@
 	}
 }
 
-// awaitFirstByte waits for the first byte of a message and reports whether the session goes on. This is the only place
-// where the server closes a session that is between messages and has no request in progress. It keeps the session if a
-// byte has arrived.
+// awaitFirstByte waits for the first byte of a message and reports whether the session goes on. Only awaitFirstByte
+// closes a session that is between messages and has no request in progress. It keeps the session if a byte has arrived.
 func (s *session) awaitFirstByte() bool {
 	for {
 		s.server.mu.Lock()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -38,7 +38,7 @@
 	skippingToSync bool           // whether an extended query was refused: messages up to the next Sync are then discarded
 
 	// The server's mu guards the fields below.
-	lastActivity    time.Time // latest time at which the client connected or was greeted, its last open request ended, or it began a message after its first request
+	lastActivity    time.Time // time of the latest connect, greeting, end of the last open request, or first byte of a message after the first request
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
 	awaitingMessage bool                        // whether the session waits for the first byte of a message
@@ -189,9 +189,9 @@
 	s.abandonCalls()
 }
 
-// awaitAcknowledgement waits until the client's kernel has received the last reply, at most for messageTimeout, the
-// time that a client has to read a reply. If this side closed the connection earlier, anything that the client writes
-// would reset it, and the part of the reply that is still in transit would be lost.
+// awaitAcknowledgement waits until the client's kernel has received the last reply, but at most for messageTimeout,
+// which is the time that a client has to read a reply. If this side closed the connection earlier, anything that the
+// client writes would reset the connection, and the part of the reply that is still in transit would be lost.
 func (s *session) awaitAcknowledgement() {
 	deadline := time.Now().Add(s.server.messageTimeout)
 	for !s.conn.Acknowledged() && time.Now().Before(deadline) {
--- a/internal/peertransport/network_test.go
+++ b/internal/peertransport/network_test.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// TestHandshake_IncompleteHelloBlocksNoOther checks that a hello which ends at any byte, or never continues, does
-// not delay other connections, and that its connection is closed.
+// TestHandshake_IncompleteHelloBlocksNoOther checks that a hello which breaks off at any byte does not delay other
+// connections, whether its connection is closed or stays open. A connection that stays open must be closed by the
+// server.
 func TestHandshake_IncompleteHelloBlocksNoOther(t *testing.T) {
 	t.Parallel()
 	b := openNetwork(t, "b", Peer{Name: "a", Role: "edge", Address: "127.0.0.1:1"})
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -3,8 +3,8 @@
 // "Message Formats".
 //
 // The package works on bytes alone: no I/O, clock or goroutine. Readers are incremental: each call is given all bytes
-// from the start of a message, until the reader reports that the message is complete. Functions may be called from any
-// goroutine; a Response or a Query belongs to one goroutine.
+// from the start of a message, or of a reply for a Response, until the reader reports that the message or reply is
+// complete. Functions may be called from any goroutine; a Response or a Query belongs to one goroutine.
 package pgwire
 
 import (
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -83,7 +83,7 @@
 		r.Ready = true
 	case BackendAuthentication:
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
-			return ErrMalformed // the backend asks for a password
+			return ErrMalformed // not AuthenticationOk; for example, the backend asks for a password
 		}
 		return r.countOther()
 	case BackendParameterStatus:
@@ -129,7 +129,8 @@
 	}
 }
 
-// countOther counts a message that does not belong to the row, and limits their number.
+// countOther counts an authentication, parameter, notice or key message. It returns ErrTooLong if the reply has more
+// than maxOtherMessages of them.
 func (r *Response) countOther() error {
 	r.otherMessages++
 	if r.otherMessages > maxOtherMessages {
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -59,8 +59,8 @@
 	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, variable size
 	"\xff\xff\xff\xff" + "\x00\x01" // no modifier, binary format
 
-// DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the tag,
-// and ReadyForQuery.
+// DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the
+// command tag, and ReadyForQuery.
 func DataRow(value []byte, tag string) []byte {
 	b := appendMessage(nil, BackendRowDescription, []byte(columnDescription))
 	body := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
@@ -68,7 +68,8 @@
 	return append(b, CommandComplete(tag)...)
 }
 
-// CommandComplete returns the reply to a statement without a row: CommandComplete with the tag, and ReadyForQuery.
+// CommandComplete returns the reply to a statement without a row: CommandComplete with the command tag, and
+// ReadyForQuery.
 func CommandComplete(tag string) []byte {
 	return append(appendMessage(nil, BackendCommandComplete, append([]byte(tag), 0)), ReadyForQuery()...)
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -32,7 +32,8 @@
 	return conn, other.(*net.TCPConn)
 }
 
-// TestConn_CloseStatus checks every way in which a connection ends, before and after something was written completely.
+// TestConn_CloseStatus checks the status for each way in which a connection can end, before anything was written and
+// after all bytes were written.
 func TestConn_CloseStatus(t *testing.T) {
 	ask := func(c *Conn) {
 		c.Append([]byte("ask"))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,10 @@
-// Package upstream keeps connections to the backends, in PostgreSQL's wire protocol, and runs attempts on them, one at
-// a time on each connection. The package never sends a query again: each further attempt is the balancer's decision.
-// Only a connection that turns out to be closed before anything was written on it is replaced by another.
+// Package upstream keeps connections to the backends, which speak PostgreSQL's wire protocol, and runs attempts on
+// them, one at a time on each connection. The package never sends a query again: each further attempt is the balancer's
+// decision. If a connection turns out to be closed, or to hold unsolicited bytes, before anything was written on it,
+// the attempt gets another connection.
 //
 // The caller creates one Pool, runs Run for as long as the pool is used, and calls Attempt from the goroutine of each
-// request. The pool starts goroutines for Prewarm, which waits for them, and one for each Probe, which Run waits for.
+// request. Prewarm starts goroutines and waits for them. Probe starts one goroutine, for which Run waits.
 package upstream
 
 import (
@@ -19,11 +20,11 @@
 
 // A backend may answer a query twice, with some milliseconds between the replies. If the connection is used for another
 // request before the second reply arrives, the second reply is taken for the reply to that request. The pool therefore
-// prefers connections that have settled: settleTime has passed since their last reply, so that a second reply would
-// already have arrived and be noticed. The pool uses a connection that has not settled only if half of the slots are
-// taken, or seven eighths while unsolicited bytes are expected, because a new connection costs less than a wrong reply.
-// A backend that sends an error message before it closes an idle connection also sends unsolicited bytes; the pool then
-// only opens more connections than it needs.
+// prefers connections that have settled, which means that settleTime has passed since their last reply: a second reply
+// would already have arrived and would be noticed. The pool uses a connection that has not settled only if half of the
+// slots are taken, or seven eighths while unsolicited bytes are expected, because a new connection costs less than a
+// wrong reply. A backend that sends an error message before it closes an idle connection also sends unsolicited bytes;
+// the pool then only opens more connections than it needs.
 const (
 	settleTime              = 25 * time.Millisecond // a connection has settled when this time has passed since its last reply
 	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes have arrived, more of them are expected for this time
@@ -45,11 +46,11 @@
 	dispatcher     *dispatch.Dispatcher
 	loadColumns    []string // names of the values of a load report, in their order
 
-	slots  chan struct{}  // holds one element for each connection that is open or being made
+	slots  chan struct{}  // holds one element for each connection that is open or being opened
 	probes sync.WaitGroup // goroutines of Probe
 
 	mu                       sync.Mutex         // guards the fields below up to the counters
-	idle                     map[string][]*conn // idle connections by name of the backend, the last used one at the end; no list is empty
+	idle                     map[string][]*conn // idle connections by name of the backend, the most recently used one at the end; a backend without idle connections has no entry
 	unsolicitedExpectedUntil time.Time          // time until which more unsolicited bytes are expected
 
 	// Opened counts dials, Reused counts idle connections that acquire returned, Failed counts attempts and probes for
@@ -134,7 +135,7 @@
 	}
 }
 
-// InUse returns how many connections are open or being made, and how many of them are idle.
+// InUse returns how many connections are open or being opened, and how many of them are idle.
 func (p *Pool) InUse() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +145,7 @@
 	return len(p.slots), idle
 }
 
-// addIdle adds a connection to the idle ones.
+// addIdle makes a connection available to takeIdle and records when it became idle.
 func (p *Pool) addIdle(c *conn) {
 	c.ReleaseBuffers()
 	c.idleSince = time.Now()
@@ -153,9 +154,9 @@
 	p.idle[c.backend.Name] = append(p.idle[c.backend.Name], c)
 }
 
-// takeIdle removes and returns an idle connection to a backend: the last used one of those that have settled. If none
-// has settled and few slots are free, it returns the connection that has been idle the longest. It returns nil if the
-// caller should open a new connection.
+// takeIdle removes and returns an idle connection to a backend: the most recently used one of those that have settled.
+// If none has settled and few slots are free, it returns the connection that has been idle the longest. It returns nil
+// if the caller should open a new connection.
 func (p *Pool) takeIdle(backend string) *conn {
 	now := time.Now()
 	p.mu.Lock()
@@ -174,7 +175,7 @@
 	return c
 }
 
-// slotsForUnsettled returns the number of taken slots from which on connections are reused before they have settled. mu
+// slotsForUnsettled returns how many slots must be taken before the pool reuses connections that have not settled. mu
 // must be held.
 func (p *Pool) slotsForUnsettled(now time.Time) int {
 	if now.Before(p.unsolicitedExpectedUntil) {
