--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -11,15 +11,15 @@
 // Conn is an accepted connection. From is the name of the process at its other end.
 type Conn struct {
 	net.Conn
-	From    string
-	release func() // ends the admission; nil if the connection is not counted
-	once    sync.Once
+	From        string
+	release     func() // ends the admission; nil if the connection is not counted
+	releaseOnce sync.Once
 }
 
 // Close closes the connection. The first call also releases the admission of the connection.
 func (c *Conn) Close() error {
 	if c.release != nil {
-		c.once.Do(c.release)
+		c.releaseOnce.Do(c.release)
 	}
 	return c.Conn.Close()
 }
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	maxPendingHellos = 256 // largest number of incoming connections that no Listener has accepted yet
+	maxPendingConns  = 256 // largest number of incoming connections that no Listener has accepted yet
 	acceptRetryDelay = helloTimeout / 20
 
 	// Limits on the idle connections that a Client keeps to each process.
@@ -80,7 +80,7 @@
 		peers:     slices.Clone(peers),
 		listener:  listener,
 		listeners: map[Kind]*Listener{},
-		pending:   make(chan struct{}, maxPendingHellos),
+		pending:   make(chan struct{}, maxPendingConns),
 	}
 	for _, kind := range []Kind{KindLog, KindMembership, KindHTTP} {
 		n.listeners[kind] = &Listener{addr: listener.Addr(), conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -156,7 +156,7 @@
 		select {
 		case n.pending <- struct{}{}:
 		default:
-			_ = conn.Close() // maxPendingHellos is reached
+			_ = conn.Close() // maxPendingConns is reached
 			continue
 		}
 		group.Go(func() error {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -22,8 +22,8 @@
 	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; after a larger one, reading cannot go on
 )
 
-// maxOtherMessages is the largest number of authentication, parameter, notice and key messages in one reply.
-const maxOtherMessages = 64
+// maxAuxiliaryMessages is the largest number of authentication, parameter, notice and key messages in one reply.
+const maxAuxiliaryMessages = 64
 
 // HeaderSize is the size in bytes of a message's header: its type and its length.
 const HeaderSize = typeSize + lengthSize
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -15,8 +15,8 @@
 	Fatal       bool   // whether the backend ends the connection
 	Consumed    int    // number of bytes of the reply that have been parsed
 
-	stage         rowStage
-	otherMessages int
+	stage             rowStage
+	auxiliaryMessages int
 }
 
 // rowStage is how much of a row has arrived.
@@ -85,12 +85,12 @@
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
 			return ErrMalformed // not AuthenticationOk; for example, the backend asks for a password
 		}
-		return r.countOther()
+		return r.countAuxiliary()
 	case BackendParameterStatus:
 		r.readParameter(body)
-		return r.countOther()
+		return r.countAuxiliary()
 	case BackendNoticeResponse, BackendKeyData:
-		return r.countOther()
+		return r.countAuxiliary()
 	default:
 		return ErrMalformed
 	}
@@ -129,11 +129,11 @@
 	}
 }
 
-// countOther counts an authentication, parameter, notice or key message. It returns ErrTooLong if the reply has more
-// than maxOtherMessages of them.
-func (r *Response) countOther() error {
-	r.otherMessages++
-	if r.otherMessages > maxOtherMessages {
+// countAuxiliary counts an authentication, parameter, notice or key message. It returns ErrTooLong if the reply has
+// more than maxAuxiliaryMessages of them.
+func (r *Response) countAuxiliary() error {
+	r.auxiliaryMessages++
+	if r.auxiliaryMessages > maxAuxiliaryMessages {
 		return ErrTooLong
 	}
 	return nil
--- a/internal/transport/address.go
+++ b/internal/transport/address.go
@@ -10,7 +10,7 @@
 	mu      sync.Mutex
 	address string
 	current context.Context // context that is canceled when the peer moves
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 }
 
 // NewAddress returns an Address with an initial address.
@@ -22,7 +22,7 @@
 
 func (a *Address) set(address string) {
 	a.address = address
-	a.current, a.end = context.WithCancel(context.Background())
+	a.current, a.cancel = context.WithCancel(context.Background())
 }
 
 // Update sets the address and reports whether it has changed. If it has changed, Update cancels the contexts that
@@ -33,7 +33,7 @@
 	if address == a.address {
 		return false
 	}
-	a.end()
+	a.cancel()
 	a.set(address)
 	return true
 }
