--- a/internal/transport/address.go
+++ b/internal/transport/address.go
@@ -10,7 +10,7 @@
 	mu      sync.Mutex
 	address string
 	current context.Context // context that is canceled when the peer moves
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 }
 
 // NewAddress returns an Address with an initial address.
@@ -22,23 +22,24 @@
 
 func (a *Address) set(address string) {
 	a.address = address
-	a.current, a.end = context.WithCancel(context.Background())
+	a.current, a.cancel = context.WithCancel(context.Background())
 }
 
-// Update sets the address and reports whether it has changed. If so, the contexts returned with the previous address
-// are canceled.
+// Update sets the address and reports whether it has changed. If it has changed, Update cancels the contexts that
+// Current returned with the previous address.
 func (a *Address) Update(address string) (moved bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if address == a.address {
 		return false
 	}
-	a.end()
+	a.cancel()
 	a.set(address)
 	return true
 }
 
-// Current returns the address, and a context that ends with ctx or when the peer moves. The caller must call release.
+// Current returns the address, and a context that ends when ctx ends or the peer moves. The caller must call release
+// when it no longer needs the context.
 func (a *Address) Current(ctx context.Context) (address string, current context.Context, release func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
