--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -26,11 +26,11 @@
 func (a *Attempt) ChosenAt() time.Time { return a.chosenAt }
 
 // Begin reports whether an attempt that is about to be written may still be written: the client still waits, the
-// backend has the address and start time that it had when it was chosen, and the balancer's rules still allow the
+// backend still has the address and start time that it had when it was chosen, and the balancer's rules still allow the
 // attempt. If Begin returns true, the attempt counts as sent.
 //
-// A client whose close has arrived counts as gone even if its session has not run since then: one update of the endpoint
-// list may release many queued requests at once.
+// One update of the endpoint list may release many queued requests at once. Some of their clients may have closed their
+// connections without their sessions having run since then. Begin therefore calls Request.ClientClosed itself.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
@@ -47,21 +47,22 @@
 	return d.balancer.BeginAttempt(d.clock.now(), a.attempt)
 }
 
-// StreamStarted records that the answer to an attempt is being passed on to the client as it arrives.
+// StreamStarted records that the answer to an attempt has begun to be passed on to the client, before it is complete.
 func (d *Dispatcher) StreamStarted(a *Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.OnStreamStart(d.clock.now(), a.attempt)
 }
 
-// Report records how an attempt ended: with the SQLSTATE of its answer, or without an answer (""). It reports whether
-// the attempt succeeded.
+// Report records how an attempt ended. state is the SQLSTATE of the answer, or "" without an answer; status is how the
+// connection ended; load is the load report of the backend, or nil. Report returns whether the attempt succeeded.
 func (d *Dispatcher) Report(a *Attempt, state string, status transport.CloseStatus, load []float64) (succeeded bool) {
 	return d.endAttempt(a, AttemptOutcome(state, status), load)
 }
 
-// ReportMirror records how an attempt at a mirror ended: with the HTTP status of its answer, or without an answer (0).
-// It reports whether the attempt succeeded.
+// ReportMirror records how an attempt at a mirror ended. httpStatus is the HTTP status of the answer, or 0 without an
+// answer; accepted is whether the content of the answer was accepted; status is how the connection ended. ReportMirror
+// returns whether the attempt succeeded.
 func (d *Dispatcher) ReportMirror(a *Attempt, httpStatus int, accepted bool, status transport.CloseStatus) (succeeded bool) {
 	return d.endAttempt(a, MirrorOutcome(httpStatus, accepted, status), nil)
 }
@@ -106,8 +107,8 @@
 	}
 }
 
-// reflectsOnBackend reports whether an outcome tells how well the backend is. A backend at its capacity is well, and an
-// attempt that was cancelled or never sent tells nothing.
+// reflectsOnBackend reports whether an outcome says anything about the health of the backend. A rejection by a backend
+// at its capacity is no sign of bad health, and an attempt that was cancelled or never sent says nothing.
 func reflectsOnBackend(outcome balancer.Outcome) bool {
 	switch outcome {
 	case balancer.Succeeded, balancer.Errored, balancer.TimedOut, balancer.ConnectFailed, balancer.Reset:
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -36,7 +36,7 @@
 }
 
 // Backend identifies the process that an attempt goes to. A connection to another address, or to a process with another
-// start time, is not one to this backend.
+// start time, does not lead to this backend.
 type Backend struct {
 	Name, Address string
 	StartedAt     int64 // in ticks; 0 means that the start time is long ago
@@ -123,10 +123,12 @@
 	}
 }
 
-// updateBackend applies the current entry of a backend.
+// updateBackend applies a backend's entry in the endpoint list: it closes idle connections that are no longer usable,
+// updates the removed backends, and passes the entry to the balancer.
 func (d *Dispatcher) updateBackend(now balancer.Tick, b *backend, endpoint balancer.Endpoint) {
 	if endpoint.State != balancer.Ready || endpoint.StartedAt != b.StartedAt || endpoint.Version != b.Version {
-		d.callbacks.CloseIdle(b.name) // its idle connections are of no more use: it is not ready, or its process was replaced
+		// The idle connections are no longer usable: the backend takes no attempts, or its process was replaced.
+		d.callbacks.CloseIdle(b.name)
 	}
 	index := slices.Index(d.removed, b)
 	switch gone := endpoint.State == balancer.Removed; {
@@ -177,8 +179,7 @@
 	return ready
 }
 
-// IsCurrent reports whether a backend still has the address and start time that it was chosen with, and may get
-// attempts.
+// IsCurrent reports whether a backend may get attempts and still has the address and start time in b.
 func (d *Dispatcher) IsCurrent(b Backend) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,7 +187,8 @@
 	return known != nil && known.State == balancer.Ready && known.identity() == b
 }
 
-// ProbeEnded records the result of a probe of a backend, as Report does for an attempt.
+// ProbeEnded records the result of a probe of the named backend. state, status and load have the same meaning as in
+// Report; took is how long the probe took.
 func (d *Dispatcher) ProbeEnded(name, state string, status transport.CloseStatus, took time.Duration, load []float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -16,7 +16,7 @@
 	ClientRetry        bool // whether the client says that it has already sent this request
 
 	// ClientClosed reports whether the client has closed the connection. It is called without the dispatcher's lock. If
-	// ClientClosed is nil, the code that serves the client calls Abandon in time.
+	// ClientClosed is nil, the code that serves the client must call Abandon when the client leaves.
 	ClientClosed func() bool
 }
 
@@ -48,13 +48,13 @@
 
 // The final answers.
 const (
-	NoAnswer   FinalAnswer = iota
-	Rejected               // a retry by the client is harmless: nothing has run, or a second run does no harm
-	Failed                 // the request may have run: the answer promises nothing about its effect
-	ClientGone             // the client has left: no answer is sent
+	NoAnswer   FinalAnswer = iota // the step is an attempt
+	Rejected                      // a retry by the client is harmless: nothing has run, or a second run does no harm
+	Failed                        // the request may have run: the answer promises nothing about its effect
+	ClientGone                    // the client has left: no answer is sent
 )
 
-// Accept makes a call of a request. It returns false if the settings have no class of the request's name.
+// Accept makes a Call from a request. It returns false if the settings have no request class with the name r.Class.
 func (d *Dispatcher) Accept(r Request) (*Call, bool) {
 	class, ok := d.classes[r.Class]
 	if !ok {
@@ -71,7 +71,7 @@
 			Tenant:        d.tenants.number(r.Tenant),
 			Key:           hashKey(r.Key),
 			Deadline:      d.clock.tickAt(r.ReceivedAt.Add(r.Timeout)),
-			EstimatedWork: ticksOf(r.EstimatedWork + tickDuration - 1), // rounded up
+			EstimatedWork: ticksOf(r.EstimatedWork + tickDuration - 1), // rounded up to a whole tick
 			ClientRetry:   r.ClientRetry,
 			Write:         r.Write,
 		},
@@ -141,8 +141,8 @@
 	call.steps <- step
 }
 
-// Abandon records that the client of a call has left. From then on Next returns ClientGone, after an attempt or another
-// final answer that is already waiting.
+// Abandon records that the client of a call has left. Next then returns ClientGone, unless a final answer is already
+// waiting. If an attempt is already waiting, Next returns the attempt first.
 func (d *Dispatcher) Abandon(c *Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -16,7 +16,8 @@
 	WatchEndpoints func(on bool)
 	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call FetchEndpoints today.
 	FetchEndpoints func()
-	// Probe checks a backend; ProbeEnded takes the result. The balancer does not call Probe today.
+	// Probe starts a probe of a backend; its result must be passed to ProbeEnded. The balancer does not call Probe
+	// today.
 	Probe func(Backend)
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle func(backend string)
@@ -41,13 +42,14 @@
 // held and must not block.
 type FleetPolicy interface {
 	// Admit reports whether a request goes to the balancer. If not, the request is rejected at once, and its client may
-	// come back after retryAfter.
+	// retry after retryAfter.
 	Admit(class int, priorityWeight float64, tenant string, clientRetry bool) (ok bool, retryAfter time.Duration)
 	// RecordFirstAttempt records the first attempt of a request that is not a retry by its client.
 	RecordFirstAttempt()
 	// AllowRetry reports whether a request may have one more attempt.
 	AllowRetry(clientRetry bool) bool
-	// RecordOutcome records the outcome of an attempt, if the outcome tells how well the backend is.
+	// RecordOutcome records the outcome of an attempt. It is not called for outcomes that say nothing about the health
+	// of the backend.
 	RecordOutcome(backend string, good bool)
 	// RecordServiceTime records how long a backend took for an attempt that succeeded.
 	RecordServiceTime(class int, took time.Duration)
@@ -62,7 +64,7 @@
 // EvidenceRecorder records what the balancer learns about versions, and each vote with its reason. It is called with
 // the dispatcher's lock held and must not block.
 type EvidenceRecorder interface {
-	// UpdateVersion records the phase of the newest version, as the release API names it.
+	// UpdateVersion records the phase of the newest version. phase is the name that the release API has for it.
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
 	// RecordOutcome records the outcome of an attempt of this relay.
 	RecordOutcome(now balancer.Tick, version uint16, class, stage int, bad bool)
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,14 +7,14 @@
 	"silvercove/balancer"
 )
 
-// ClassCounters count the requests of one class since the start.
+// ClassCounters count the requests of one class since the dispatcher was made.
 type ClassCounters struct {
 	Name                                             string
 	Accepted, Succeeded, Rejected, Failed, Abandoned int64
 }
 
-// Counters count what has passed through the dispatcher since the start, except for OpenRequests, InFlight and
-// Backends, which are current numbers.
+// Counters count what has passed through the dispatcher since it was made. OpenRequests, InFlight and Backends are
+// current values instead.
 type Counters struct {
 	Classes         []ClassCounters
 	Outcomes        [balancer.Discarded + 1]int64 // number of attempts by outcome
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -2,14 +2,14 @@
 // balancer's Host, and is the only package that maps the balancer's requests, attempts and backends to those of
 // clients, connections and the endpoint list.
 //
-// A listener uses a Dispatcher as follows. Accept makes a Call of a request. Next blocks until the call has a step: an attempt,
-// or a final answer of the relay itself. Begin announces an attempt before its first byte is written, and Report ends
-// the attempt. Abandon records that the client has left. Besides requests, the dispatcher takes updates:
+// A listener uses a Dispatcher as follows. Accept makes a Call from a request. Next blocks until the call has a step:
+// an attempt, or a final answer of the relay itself. Begin announces an attempt before its first byte is written, and
+// Report ends the attempt. Abandon records that the client has left. Besides requests, the dispatcher takes updates:
 // UpdateEndpoints for the endpoint list, UpdatePlacements for where instances run, and UpdateStage and the Record
 // methods for the release API.
 //
 // Every exported method of Dispatcher may be called from any goroutine. Only Next and RunTimers block. The package
-// starts no goroutine; whoever runs RunTimers owns its goroutine.
+// starts no goroutine; RunTimers runs on the goroutine of its caller.
 package dispatch
 
 import (
@@ -24,7 +24,7 @@
 
 // Dispatcher serialises the calls of one balancer.
 type Dispatcher struct {
-	// New sets the fields below, which do not change afterwards.
+	// New sets the fields from here to timerWaker, which do not change afterwards.
 	callbacks      Callbacks
 	clock          clock
 	classes        nameIndex
@@ -33,13 +33,15 @@
 	machineKinds   nameIndex
 	tenants        nameIndex
 	loadColumns    []string
-	maxRetryAfter  time.Duration // longest Retry-After; 0 if rejected clients are told no time
-	pollsEndpoints bool          // whether changes of the endpoint list arrive only in answer to calls for the list
+	maxRetryAfter  time.Duration // upper bound of RetryAfter for shed calls; 0 if rejected clients are told no time
+	pollsEndpoints bool          // whether the balancer polls for changes of the endpoint list, which otherwise arrive unasked
 	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
 	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
 
-	mu            sync.Mutex // guards all fields below; held during every call of the balancer, also while the balancer calls its host
+	// mu guards all fields below. It is held during every call of the balancer, and therefore also when the balancer
+	// calls its host.
+	mu            sync.Mutex
 	balancer      *balancer.Balancer
 	timers        []timer
 	timerStats    timerStats
@@ -48,13 +50,14 @@
 	attempts      map[*balancer.Attempt]*Attempt
 	backends      map[string]*backend  // known backends by name
 	backendsByID  []*backend           // known backends by ID; nil if the ID is free because its backend was dropped
-	removed       []*backend           // backends that are no longer listed, the longest removed first
+	removed       []*backend           // backends that are no longer listed, in the order of their removal
 	instances     map[string]*instance // instances by name; nil for a relay that belongs to no fleet
-	stage         int                  // stage of the newest version
+	stage         int                  // index of the stage of the newest version
 	counters      Counters
 }
 
-// New makes the balancer of a site. The callbacks may be called as soon as New begins, even before it returns.
+// New makes a dispatcher and its balancer from the settings of a site. The callbacks may be called as soon as New
+// begins, even before it returns.
 func New(seed uint64, site settings.Site, callbacks Callbacks) *Dispatcher {
 	d := &Dispatcher{
 		callbacks:      callbacks,
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/transport"
 )
 
-// class is a request class with a latency objective of 1 s and a deadline of 4 s.
+// class makes a request class with a latency objective of 1 s and a deadline of 4 s.
 func class(name string, idempotency balancer.Idempotency, weight float64) balancer.RequestClass {
 	return balancer.RequestClass{Name: name, Idempotency: idempotency, LatencyObjective: 1, Deadline: 4, PriorityWeight: weight}
 }
@@ -19,7 +19,7 @@
 	return settings.Site{Balancer: balancer.Settings{Relays: 1, Classes: classes, Limits: balancer.Limits{MaxAttempts: maxAttempts}}}
 }
 
-// noopCallbacks are callbacks that do nothing.
+// noopCallbacks makes callbacks that do nothing.
 func noopCallbacks() Callbacks {
 	return Callbacks{
 		Vote:           func(Vote) {},
@@ -48,7 +48,7 @@
 	return RolloutStage{Version: version, Phase: "live", ExposureCap: 1}
 }
 
-// readyEndpoints are endpoints of version 1 that are up.
+// readyEndpoints makes endpoints of version 1 that are up.
 func readyEndpoints(names ...string) (all []Endpoint) {
 	for _, name := range names {
 		all = append(all, Endpoint{Name: name, Address: "127.0.0.1:9", State: "up", Weight: 1, Version: 1})
@@ -70,7 +70,7 @@
 	return call
 }
 
-// Statuses of connections that ended after the attempt was written in full.
+// Statuses of connections that ended after the attempt had been written in full.
 var (
 	answered = transport.CloseStatus{Flushed: true}
 	reset    = transport.CloseStatus{Reason: transport.ConnectionReset, Flushed: true}
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -35,22 +35,22 @@
 	call.steps <- Step{Attempt: started}
 }
 
-// Reject answers a request for good, with the promise that a retry is harmless.
+// Reject ends a request with a final answer which promises that a retry is harmless.
 func (h host) Reject(request *balancer.Request, retryAfter balancer.Tick) {
 	h.dispatcher.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
 }
 
-// Fail answers a request for good, without a promise about its effect.
+// Fail ends a request with a final answer that promises nothing about the effect of the request.
 func (h host) Fail(request *balancer.Request) { h.dispatcher.finish(request, Step{Answer: Failed}) }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt ends the context of an attempt, so that the relay stops waiting for the attempt.
 func (h host) CancelAttempt(attempt *balancer.Attempt) {
 	if started := h.dispatcher.attempts[attempt]; started != nil {
 		started.cancel()
 	}
 }
 
-// SetTimer requests a call of OnTimer with a tag at the given time or later.
+// SetTimer requests a call of the balancer's OnTimer with a tag at the given time or later.
 func (h host) SetTimer(at balancer.Tick, tag uint32) {
 	h.dispatcher.timers = append(h.dispatcher.timers, timer{dueAt: at, tag: tag})
 	h.dispatcher.timerWaker.Wake()
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -21,8 +21,8 @@
 	return -1 - int(hashKey(name)>>1)
 }
 
-// zoneNumber returns the number of an endpoint's zone. An endpoint without a zone gets a zone of its own, because the
-// endpoints that drop the same repeated requests as this endpoint are unknown.
+// zoneNumber returns the number of an endpoint's zone. An endpoint without a zone gets a zone of its own, because it is
+// unknown which other endpoints share its deduplication of requests.
 func (d *Dispatcher) zoneNumber(e Endpoint) int {
 	if _, listed := d.zones[e.Zone]; e.Zone == "" && !listed {
 		return d.zones.number("\x00" + e.Name)
@@ -36,7 +36,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// hashKey hashes a key with FNV-1a. The hash 0 stands for no key.
+// hashKey hashes a key with FNV-1a. Only the empty key, which means that a request has no key, has the hash 0.
 func hashKey(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/dispatch/names_test.go
+++ b/internal/dispatch/names_test.go
@@ -16,7 +16,8 @@
 var unusualNames = []string{"window", "worth", "deadline", "read_like", "per_lane", "a.b", "limits.max_deliveries", " ", "\x00",
 	"写真", fmt.Sprintf("%09999d", 0)}
 
-// zoneDedupSite has one request class, whose retries are safe only within the zone of the first attempt.
+// zoneDedupSite makes the settings of a site with one request class, whose retries are safe only within the zone of the
+// first attempt.
 func zoneDedupSite(className, column string, zones ...string) settings.Site {
 	return settings.Site{
 		Zones:        zones,
@@ -49,9 +50,9 @@
 	}
 }
 
-// TestNext_RetriesStayInDeduplicationZone: a request that may have run at a backend is sent again only within the zone
-// that drops its repeats. A zone that the settings lack must not be taken for the first zone of the settings, and
-// endpoints without a zone share none.
+// TestNext_RetriesStayInDeduplicationZone: a request that may have run at a backend is sent again only to backends in
+// the zone of the first backend, which drops repeated requests. A zone that is missing from the settings must not be
+// taken for the first zone of the settings, and two endpoints without a zone are never in the same zone.
 func TestNext_RetriesStayInDeduplicationZone(t *testing.T) {
 	for _, c := range []struct {
 		name, first, second string
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestDispatcher_InstancesAreIndependent: two dispatchers in one process, of the relays of two tenants, share no state
-// when they are used in turn.
+// TestDispatcher_InstancesAreIndependent: two dispatchers in one process, with different settings, share no state when
+// they are called in turn.
 func TestDispatcher_InstancesAreIndependent(t *testing.T) {
 	sites := func() []settings.Site {
 		return []settings.Site{zoneDedupSite("window", "queue", "east"), zoneDedupSite("worth", "util", "west", "east")}
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -12,7 +12,7 @@
 // outcomes.
 
 // AttemptOutcome maps the end of an attempt to an outcome: by the SQLSTATE of the answer or, without an answer (""), by
-// how the connection ended. In case of doubt the outcome is one of a request that may have run.
+// how the connection ended. If it is unknown whether the request has run, the outcome is one that allows for it.
 func AttemptOutcome(state string, status transport.CloseStatus) balancer.Outcome {
 	switch state {
 	case "":
@@ -25,7 +25,8 @@
 	return balancer.Errored
 }
 
-// outcomeWithoutAnswer maps how a connection ended to an outcome. Before the last byte is written, nothing can have run.
+// outcomeWithoutAnswer maps how a connection ended to an outcome. Before the last byte of the request is written, the
+// request cannot have run.
 func outcomeWithoutAnswer(status transport.CloseStatus) balancer.Outcome {
 	switch {
 	case !status.Flushed && status.Reason == transport.Canceled:
@@ -37,11 +38,11 @@
 	case status.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // this includes an answer that cannot be read
+	return balancer.Reset // also if the answer cannot be read
 }
 
-// VoteOutcome maps the end of a vote to an outcome, by the HTTP status of its answer. The status is 0 without an answer
-// that can be read.
+// VoteOutcome maps the result of sending a vote to an outcome. httpStatus is the HTTP status of the answer, or 0 if
+// there is no answer that can be read.
 func VoteOutcome(httpStatus int, status transport.CloseStatus) balancer.Outcome {
 	switch httpStatus {
 	case http.StatusOK:
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -27,9 +27,10 @@
 	d.instances = map[string]*instance{}
 }
 
-// UpdatePlacements applies an update of where instances run: of all instances, or of those that changed and those that
-// were deleted. A placement that is not newer than the known one of its instance changes nothing. UpdatePlacements
-// returns the placements of the instances that have moved.
+// UpdatePlacements applies an update of where instances run. If complete is true, placements has all instances, and
+// instances that are missing from it count as deleted. Otherwise placements has the instances that changed. deleted has
+// the names of instances that were deleted. A placement that is not newer than the known one of its instance changes
+// nothing. UpdatePlacements returns the placements of the instances that have moved.
 func (d *Dispatcher) UpdatePlacements(complete bool, placements []Placement, deleted []string) (moved []Placement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +73,8 @@
 	return moved
 }
 
-// removePlacement records that an instance was deleted. Its entry stays as long as calls wait for the instance.
+// removePlacement records that an instance was deleted. The entry of the instance stays as long as calls for the
+// instance are open.
 func (d *Dispatcher) removePlacement(name string) {
 	i := d.instances[name]
 	if i == nil {
@@ -102,8 +104,8 @@
 	}
 }
 
-// repinCalls points all open calls to the backends of their instances: a backend may be listed only after a placement
-// has named it.
+// repinCalls points all open calls to the backends of their instances. It is called after each update of the endpoint
+// list, as a placement may name a backend that is listed only later.
 func (d *Dispatcher) repinCalls() {
 	for _, call := range d.calls {
 		if i := d.instances[call.key]; i != nil {
@@ -112,8 +114,8 @@
 	}
 }
 
-// pin ties a call that has just arrived to the instance of its key. A call for an unknown instance waits too, as the
-// placement may arrive late.
+// pin ties a call that has just arrived to the instance of its key. A call for an unknown instance waits as well,
+// because the placement of the instance may arrive later.
 func (d *Dispatcher) pin(c *Call) {
 	if d.instances == nil || c.key == "" {
 		return
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestUpdateEndpoints_ReleasesCallPinnedToLaterBackend: a placement may name a backend that is listed only later. A
-// call that waits for the backend is sent as soon as the backend is listed.
+// TestUpdateEndpoints_ReleasesCallPinnedToLaterBackend: a placement may name a backend that is not listed yet. A call
+// that waits for the backend is sent as soon as the backend is listed.
 func TestUpdateEndpoints_ReleasesCallPinnedToLaterBackend(t *testing.T) {
 	d := newFleetDispatcher(t)
 	d.UpdatePlacements(true, []Placement{{"camera-7", "c", 1, 1}}, nil)
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -17,7 +17,7 @@
 	Age         time.Duration // time since the stage began
 }
 
-// rolloutPhases maps the names of the phases on the release API to the balancer's phases.
+// Valid reports whether the phase is known and the numbers are within their valid ranges.
 var rolloutPhases = map[string]balancer.RolloutPhase{
 	"testing":   balancer.Canary,
 	"recalling": balancer.RollingBack,
@@ -31,7 +31,7 @@
 	return known && s.Stage >= 0 && s.ExposureCap >= 0 && s.ExposureCap <= 1 && s.Age >= 0
 }
 
-// releaseStatus converts a stage to the balancer's type.
+// releaseStatus converts a RolloutStage to the balancer's type.
 func (s RolloutStage) releaseStatus() balancer.ReleaseStatus {
 	return balancer.ReleaseStatus{
 		Version:     s.Version,
@@ -58,7 +58,7 @@
 	balancer.RollBack: "ROLLBACK",
 }
 
-// verdictNames are the names of the verdicts in the evidence, including evidence files of earlier releases.
+// verdictNames are the names of the verdicts in the evidence. Evidence files of earlier releases contain them too.
 var verdictNames = map[balancer.Verdict]string{
 	balancer.NoVote:   "withdraw",
 	balancer.Promote:  "go on",
@@ -85,7 +85,8 @@
 	}
 }
 
-// VoteAnswered takes the answer to a vote: its HTTP status, which is 0 without an answer, and the stage in the answer.
+// VoteAnswered takes the answer to a vote. httpStatus is the HTTP status of the answer, or 0 without an answer; s is
+// the stage in the answer; status is how the connection ended.
 func (d *Dispatcher) VoteAnswered(httpStatus int, s RolloutStage, status transport.CloseStatus) {
 	reply := s.releaseStatus()
 	reply.VoteReply = true
@@ -103,8 +104,9 @@
 	d.balancer.OnReleaseStatus(d.clock.now(), reply)
 }
 
-// RecordReleaseMetrics takes the release API's counts for a version and class in one period: the attempts, the attempts
-// that failed and the mean time of the other attempts. age is the time since the end of the period.
+// RecordReleaseMetrics takes the release API's counts for a version and class in one period. attempts is the number of
+// all attempts, failed is the number of attempts that failed, and took is the mean time of the attempts that did not
+// fail. age is the time since the end of the period.
 func (d *Dispatcher) RecordReleaseMetrics(version uint16, class string, attempts, failed int, took, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -119,7 +121,8 @@
 	d.balancer.OnMetrics(d.clock.now(), version, index, attempts, failed, ticksOf(took), ticksOf(age))
 }
 
-// RecordWrongAnswer records a report that a backend answered wrongly. age is the time since the attempt was sent.
+// RecordWrongAnswer records a report that the named backend answered a request of a class wrongly. age is the time
+// since the attempt was sent.
 func (d *Dispatcher) RecordWrongAnswer(name, class string, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -135,13 +138,13 @@
 	d.balancer.OnWrongAnswer(d.clock.now(), &b.Backend, index, ticksOf(age))
 }
 
-// maxGossipMessages bounds the number of gossip messages in which evidence of an earlier run enters the balancer.
-// Outcomes that do not fit into so many messages are dropped.
+// maxGossipMessages bounds the number of gossip messages by which RestoreEvidence passes evidence to the balancer.
+// Outcomes that do not fit into this number of messages are dropped.
 const maxGossipMessages = 64
 
 // RestoreEvidence gives the balancer what was known about a version before a restart: the number of outcomes of each
-// class, in the order of the settings, and how many of them were bad. The counts enter as the counts of another relay
-// do, split into messages of the size that gossip allows.
+// class, in the order of the settings, and how many of them were bad. The counts reach the balancer in the same way as
+// the counts of another relay, as gossip messages of limited size.
 func (d *Dispatcher) RestoreEvidence(version uint16, outcomes, bad []int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,14 +158,16 @@
 	}
 }
 
-// takeGossipCounts removes as many outcomes of each class as fit into one gossip message and returns them. The count of wrong
-// answers stays empty. remaining is false if there was nothing to take.
+// takeGossipCounts subtracts from outcomes and bad as many outcomes of each class as fit into one gossip message, and
+// returns the subtracted counts. The last of the returned counts, for wrong answers, stays empty. remaining is false if
+// there was nothing to subtract.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		if outcomes[class] > 0 { // the share of bad outcomes in this part, rounded up
+		// badPart is the share of bad outcomes among the outcomes in this message, rounded up.
+		if outcomes[class] > 0 {
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
 		counts[class] = balancer.GossipCount{Outcomes: uint8(part), Bad: uint8(badPart)}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -14,11 +14,11 @@
 	tag   uint32
 }
 
-// idleWait is how long RunTimers sleeps while no timer is set. SetTimer wakes it.
+// idleWait is how long RunTimers sleeps while no timer is set. SetTimer ends the sleep.
 const idleWait = time.Hour
 
-// RunTimers fires the balancer's timers until the context ends, and then returns nil. It must run once for each
-// dispatcher.
+// RunTimers fires the balancer's timers until the context ends, and then returns nil. It must be called exactly once
+// for each dispatcher.
 func (d *Dispatcher) RunTimers(ctx context.Context) error { return d.timerWaker.Run(ctx, d.fireTimers) }
 
 // fireTimers fires the timers that are due and returns the time until the next timer is due.
