--- a/internal/evidence/bounds.go
+++ b/internal/evidence/bounds.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// priorShape is the shape of the mixture's Beta(1/2, 1/2) prior.
+// priorShape is the parameter of the Beta(1/2, 1/2) prior over which ConfidenceBounds mixes.
 const priorShape = 0.5
 
 // bisections is the number of bisection steps of ConfidenceBounds. More steps would not change a float64.
 const bisections = 60
 
-// ConfidenceBounds are the ends of a confidence sequence for a share of failures. With probability 1 − level the true
-// share is within the bounds at all times, so a vote may check them at any time (Shekhar and Ramdas, definition 1.1; the mixture is
-// Robbins's). Without outcomes they are 0 and 1.
+// ConfidenceBounds returns the ends of a confidence sequence for a share of failures. With probability 1 − level the
+// true share is within the bounds at all times, so a vote may check them at any time (Shekhar and Ramdas, definition
+// 1.1; the mixture is Robbins's). Without outcomes the bounds are 0 and 1.
 func ConfidenceBounds(failures, outcomes, level float64) (low, high float64) {
 	if outcomes <= 0 {
 		return 0, 1
@@ -27,7 +27,8 @@
 	return low, high
 }
 
-// lowestInside finds by bisection the lowest point between outer and inner that is inside. inner must be inside.
+// lowestInside finds by bisection the lowest point between outer and inner at which the function inside returns true.
+// The function must return true at inner.
 func lowestInside(outer, inner float64, inside func(float64) bool) float64 {
 	if inside(outer) {
 		return outer
@@ -42,7 +43,7 @@
 	return inner
 }
 
-// logPower is the logarithm of p to the power of k, where 0 to the power of 0 is 1.
+// logPower is the logarithm of p to the power of k; 0 to the power of 0 counts as 1.
 func logPower(p, k float64) float64 {
 	if k == 0 {
 		return 0
--- a/internal/evidence/explain.go
+++ b/internal/evidence/explain.go
@@ -7,7 +7,7 @@
 	"silvercove/balancer"
 )
 
-// microsecondsPerTick is the length of a tick of the balancer's clock.
+// microsecondsPerTick is the length of a tick of the balancer's clock, in microseconds.
 const microsecondsPerTick = 100
 
 // Explain describes in sentences, for operators, what is known about each version and why each vote was cast.
--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -13,7 +13,7 @@
 	"github.com/google/renameio/v2"
 )
 
-// Errors of reading a snapshot.
+// Errors that Restore and ReadFile wrap if they refuse a snapshot.
 var (
 	ErrCorrupt      = errors.New("damaged")
 	ErrNewerVersion = errors.New("written by a later version of this program")
@@ -28,7 +28,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// snapshot is the JSON part of the file.
+// snapshot is the JSON part of a snapshot file.
 type snapshot struct {
 	Classes  []string   `json:"ops"`
 	Versions []*Version `json:"builds"`
@@ -37,7 +37,7 @@
 
 // Snapshot encodes the store as a snapshot.
 func (s *Store) Snapshot() []byte {
-	body, _ := json.Marshal(snapshot{Classes: s.classes, Versions: s.versions, Orphans: s.Orphans}) // plain values: never an error
+	body, _ := json.Marshal(snapshot{Classes: s.classes, Versions: s.versions, Orphans: s.Orphans}) // never fails: JSON can encode all fields
 	header := fmt.Appendf(nil, "%s %d %08x %d\n", snapshotMagic, snapshotFormat, crc32.Checksum(body, castagnoli), len(body))
 	return append(header, body...)
 }
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// valid reports whether a decoded count is within its ranges. It is false for NaN too.
+// valid reports whether the fields of a decoded count are within their ranges. A count that is NaN is not valid.
 func (c *Count) valid(classes int) bool {
 	return c != nil && c.Class >= 0 && c.Class < classes && c.Source < sourceCount &&
 		c.Outcomes >= 0 && c.Outcomes < maxCount && c.Failures >= 0 && c.Failures <= c.Outcomes
@@ -126,7 +126,8 @@
 	return renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// ReadFile reads a snapshot from a file to be explained, whatever its request classes.
+// ReadFile reads a snapshot from a file into a new store, which takes the request classes from the snapshot. It serves
+// tools that explain a snapshot and do not know the request classes.
 func ReadFile(path string) (*Store, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,7 +137,7 @@
 	var content struct {
 		Classes []string `json:"ops"`
 	}
-	_ = json.Unmarshal(body, &content) // Restore reports what is wrong with it
+	_ = json.Unmarshal(body, &content) // Restore reports damaged JSON
 	s := New(content.Classes)
 	return s, s.Restore(text)
 }
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -1,9 +1,9 @@
 // Package evidence keeps what a relay knows about each version of the backends: outcomes by request class, stage and
 // source, wrong answers by the delay of their reports, and each vote with the bounds that led to it. Its size is
-// bounded for any number of versions, classes and backends. It outlives a restart as a snapshot, if the relay has a
-// persistent disk.
+// bounded for any number of versions, classes and backends. If the relay has a persistent disk, a snapshot keeps the
+// evidence over a restart.
 //
-// How to drive it: New makes a Store for the request classes, and Load reads a snapshot. UpdateVersion and the Record
+// How to use it: New makes a Store for the request classes, and Load reads a snapshot. UpdateVersion and the Record
 // methods record events. Snapshot and Save write a snapshot.
 //
 // Files: store.go (the contents), bounds.go (the confidence sequence), snapshot.go (the file), explain.go (sentences
@@ -28,10 +28,11 @@
 	maxClasses  = 256
 )
 
-// totalLevel is the probability that any of a version's bounds is ever wrong. It is divided among the request classes.
+// totalLevel is the probability that any of the bounds of a version is ever wrong. It is divided equally among the
+// request classes.
 const totalLevel = 0.05
 
-// Source is where outcomes were observed.
+// Source is who observed an outcome.
 type Source uint8
 
 // The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
@@ -52,7 +53,8 @@
 	Failures float64 `json:"bad"`
 }
 
-// WrongAnswerDelays counts wrong answers by the delay of their reports: within 1 s, 10 s, 1 min, 10 min, and later.
+// WrongAnswerDelays counts wrong answers by the delay of their reports: up to 1 s, up to 10 s, up to 1 min, up to 10
+// min, and later.
 type WrongAnswerDelays [5]int64
 
 // delayLimits are the upper ends of the first four ranges of WrongAnswerDelays.
@@ -92,13 +94,13 @@
 // Store keeps the evidence of one relay. It is not safe for concurrent use.
 type Store struct {
 	classes   []string
-	level     float64    // probability that a bound of one class is ever wrong
+	level     float64    // probability that the bounds of one class are ever wrong
 	versions  []*Version // oldest first
-	Orphans   int64      // number of reports on versions or classes that are not kept
-	LoadError string     // why an earlier snapshot could not be read; "" if it could, or if there was none
+	Orphans   int64      // number of reports and votes on versions or classes that are not kept
+	LoadError string     // why Load could not read the snapshot; "" if it could, or if there was none
 }
 
-// New makes a store for the request classes; those beyond maxClasses are left out.
+// New makes a store for the request classes. Classes beyond the first maxClasses are left out.
 func New(classes []string) *Store {
 	return &Store{
 		classes: classes[:min(len(classes), maxClasses)],
@@ -106,15 +108,15 @@
 	}
 }
 
-// clampStage returns the stage under which an outcome is counted: the last stages share one count.
+// clampStage returns the stage under which an outcome is counted. All stages from maxStages - 1 on are counted as one.
 func clampStage(stage int) int { return min(max(0, stage), maxStages-1) }
 
-// countKey is the key of a count. It is part of the format of a snapshot.
+// countKey returns the key of a count in Version.Counts. The key is part of the format of a snapshot.
 func countKey(class, stage int, source Source) string {
 	return strconv.Itoa(class) + "/" + strconv.Itoa(clampStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
-// find returns the version with a number, or nil if it is not kept.
+// find returns the version with a number, or nil if the store does not keep that version.
 func (s *Store) find(number uint16) *Version {
 	for _, v := range s.versions {
 		if v.Number == number {
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// UpdateVersion sets the state of a version. A new version is kept from then on, in place of the oldest if the store is
-// full.
+// UpdateVersion sets the state of a version. If the version is new, the store keeps it from now on; a full store drops
+// its oldest version.
 func (s *Store) UpdateVersion(now balancer.Tick, number uint16, state string) {
 	v := s.find(number)
 	if v == nil {
@@ -149,7 +151,8 @@
 	}
 }
 
-// RecordReleaseMetrics adds counts of the release API for a version. Counts that are impossible are ignored.
+// RecordReleaseMetrics adds counts of the release API for a version. Impossible counts, such as more failures than
+// outcomes, are ignored.
 func (s *Store) RecordReleaseMetrics(now balancer.Tick, number uint16, class, stage, outcomes, failures int) {
 	v := s.versionForReport(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
@@ -222,8 +225,8 @@
 	v.Votes = append(v.Votes, vote)
 }
 
-// Estimates is what this relay itself has observed of each request class at a version, over all stages. It is nil for a
-// version that is not kept.
+// Estimates returns what this relay itself has observed of each request class at a version, over all stages. It returns
+// nil for a version that is not kept.
 func (s *Store) Estimates(number uint16) []Estimate {
 	v := s.find(number)
 	if v == nil {
@@ -252,7 +255,7 @@
 	if v == nil {
 		return nil, nil
 	}
-	const rounding = 1e-9 // tolerance for rounding errors of a decayed count above a whole number
+	const rounding = 1e-9 // a rounding error up to this size does not round a decayed count up to the next whole number
 	left := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
 	outcomes, failures = make([]int, len(s.classes)), make([]int, len(s.classes))
 	for i, e := range s.Estimates(number) {
--- a/internal/routing/outcome_reports.go
+++ b/internal/routing/outcome_reports.go
@@ -18,7 +18,7 @@
 }
 
 // Report reports the outcomes of requests at edge nodes to the controllers until the context ends, and then returns
-// nil. The outcomes of a report that failed are dropped, since outcomes describe the current state only.
+// nil. If a report fails, its outcomes are dropped and not sent again, since outcomes describe the current state only.
 func (a *OverloadAgent) Report(ctx context.Context, to OutcomeReporter) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -41,7 +41,7 @@
 	}
 }
 
-// takeOutcomes returns the outcomes since the last call, sorted by edge node, with the state of the newest version.
+// takeOutcomes returns the outcomes since its last call, sorted by edge node, and the state of the newest version.
 func (a *OverloadAgent) takeOutcomes() controllerclient.OutcomeReport {
 	a.mu.Lock()
 	outcomes, stage := a.outcomes, a.stage
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -24,8 +24,8 @@
 	// measureInterval is the time between two measurements, and between two reports to other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction is the admitted fraction below which the log calls the relay shedding. The log rounds the
-	// fraction to two digits.
+	// sheddingFraction is the fraction of admitted requests below which the log says that the relay sheds requests. The
+	// log rounds this fraction to two digits.
 	sheddingFraction = 0.99
 )
 
@@ -61,7 +61,7 @@
 	shedding bool // whether the last log line said that the relay sheds requests
 }
 
-// NewOverloadAgent makes the agent of a relay with the given number of cores and bytes of memory. The seed is that of
+// NewOverloadAgent makes the agent of a relay with the given number of cores and bytes of memory. seed is the seed of
 // the random numbers of overload.Manager.
 func NewOverloadAgent(members Membership, name string, seed uint64, settings map[string]any, cores float64, memory int64,
 	log zerolog.Logger) *OverloadAgent {
@@ -95,7 +95,8 @@
 	a.manager.RecordFirstAttempt(a.membership.Now())
 }
 
-// AllowRetry reports whether a request may have one more attempt.
+// AllowRetry reports whether a request may have one more attempt. clientRetry is whether the client has sent the
+// request before.
 func (a *OverloadAgent) AllowRetry(clientRetry bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,7 +138,8 @@
 	a.stage = stage
 }
 
-// AllowProbe reports whether this relay may send a probe to an edge node that it suspects.
+// AllowProbe reports whether an attempt of this relay may go to an edge node that is on probation at this relay or
+// ejected by the fleet.
 func (a *OverloadAgent) AllowProbe(node string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,8 +153,8 @@
 	return a.manager.IsEjected(a.membership.Now(), node)
 }
 
-// Wait blocks until this relay may take a startup step, or until the context ends. The delay gets shorter once reports
-// of other relays arrive.
+// Wait blocks until this relay may take a startup step, or until the context ends. The arrival of reports of other
+// relays may shorten the wait.
 func (a *OverloadAgent) Wait(ctx context.Context, step overload.StartupStep) {
 	for ctx.Err() == nil {
 		a.updatePeers()
@@ -188,7 +190,7 @@
 	}
 }
 
-// update applies a measurement and the reports of the other relays, and publishes this relay's report.
+// update applies a measurement and the reports of the other relays, and publishes this relay's own report.
 func (a *OverloadAgent) update(pressure overload.Pressure) {
 	a.updatePeers()
 	a.mu.Lock()
@@ -206,7 +208,7 @@
 	}
 }
 
-// logShedding logs that the relay has begun or ended to shed requests.
+// logShedding logs that the relay has begun or stopped shedding requests.
 func (a *OverloadAgent) logShedding(admitted float64, pressure overload.Pressure) {
 	event, message := "admits", "load shedding ended"
 	if a.shedding {
@@ -218,8 +220,8 @@
 		Float64("scheduling_delay_ms", float64(pressure.SchedulingDelay.Duration())/float64(time.Millisecond)).Msg(message)
 }
 
-// updatePeers applies the reports of the other relays. A report that cannot be decoded, damaged or of a later version,
-// is ignored.
+// updatePeers applies the reports of the other relays. A report that cannot be decoded, because it is damaged or of a
+// later version, is ignored.
 func (a *OverloadAgent) updatePeers() {
 	members := a.membership.Members()
 	a.mu.Lock()
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// minCores and minMemory are lower bounds of a relay's resources. They avoid a division by zero.
+// minCores and minMemory are lower bounds of a relay's resources, which prevent a division by zero.
 const (
 	minCores  = 0.01
 	minMemory = 1 // in bytes
@@ -31,8 +31,8 @@
 	return m
 }
 
-// measure returns the load since the last call. backendUtilization comes from the dispatcher; delay is how much later
-// than intended the caller was scheduled.
+// measure returns the load since its last call, or since newPressureMeter. backendUtilization is the dispatcher's Load;
+// delay is how much later than intended the caller was scheduled.
 func (m *pressureMeter) measure(backendUtilization float64, delay time.Duration) overload.Pressure {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -31,11 +31,11 @@
 	log         zerolog.Logger
 
 	mu       sync.Mutex
-	hadLease map[string]bool // whether each known edge node held a lease when it was last listed; guarded by mu
+	hadLease map[string]bool // whether each known edge node held a lease when the controllers last listed it; guarded by mu
 }
 
-// New makes a router. The request address of an edge node is the one in this process's own configuration file, or else
-// the one that the node has reported.
+// New makes a router. It sends the requests for an edge node to the address in this process's own configuration file
+// or, if there is none, to the address that the node has reported.
 func New(controllers Controllers, network *peertransport.Network, log zerolog.Logger) *Router {
 	log = log.With().Str("component", "routing").Str("node", network.Self().Name).Logger()
 	return &Router{controllers: controllers, network: network, log: log, hadLease: map[string]bool{}}
@@ -78,8 +78,8 @@
 }
 
 // endpoints converts the edge nodes that hold a lease to entries of the endpoint list. A node that is draining or
-// leaving is listed as up: it serves its instances until they have been migrated, and the controllers place no new ones
-// there.
+// leaving is listed as up: it serves its instances until they have been migrated, and the controllers place no further
+// instances there.
 func (r *Router) endpoints(nodes []controllerclient.Node) (endpoints []dispatch.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	return endpoints
 }
 
-// logLeaseChange logs that a node's lease was granted or has ended. It is called with mu held.
+// logLeaseChange logs whether a node has a lease, if the node is new or this has changed. It is called with mu held.
 func (r *Router) logLeaseChange(node controllerclient.Node) {
 	if before, known := r.hadLease[node.Name]; known && before == node.HasLease {
 		return
