--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	maxPings     = 16                     // pings under way at once
+	maxPings     = 16                     // upper bound of the pings under way at once
 	leaveTimeout = 500 * time.Millisecond // limit of the time to deliver the leave message
 )
 
-// gossip is the interface of the gossip library that an Agent uses. Its calls may block; none is made with the agent's
-// lock held.
+// gossip is the interface of the gossip library that an Agent uses. The calls of the interface may block; none is made
+// with the agent's lock held.
 type gossip interface {
 	Ping(name string) (time.Duration, error)                       // probes a member; blocks for the probe timeout at most
-	Broadcast(name string, record []byte)                          // sends to all members; replaces an earlier record of the name
-	Reconnect(name string)                                         // drops the kept connection to a member, which may be broken
+	Broadcast(name string, record []byte)                          // sends a record to all members; replaces a queued record of the same member
+	Reconnect(name string)                                         // closes the open connection to a member, since the connection may be broken
 	Leave(timeout time.Duration)                                   // tells the other members that this process leaves
 	Close()                                                        // shuts the library down and waits for its goroutines
-	Sync(ctx context.Context, names []string, every time.Duration) // exchanges whole states with members that are not alive to the library
+	Sync(ctx context.Context, names []string, every time.Duration) // exchanges all records with members that the library does not consider alive
 }
 
 // gossipEvents receives the callbacks of the library.
@@ -48,12 +48,13 @@
 
 	mu           sync.Mutex // guards the fields below
 	table        *Table
-	broadcastSeq uint64          // sequence of the own record that was broadcast last
+	broadcastSeq uint64          // sequence of this process's record that was broadcast last
 	pinging      map[string]bool // members with a ping under way
 }
 
-// Open makes an agent for the processes that the configuration file names; the caller must then call Run. settings has
-// fleet.silence. onChange, if not nil, is called for each change of a member's state, on the goroutine of Run.
+// Open makes an agent for the processes that the configuration file names; the caller must then call Run. settings may
+// have fleet.silence, the silence timeout in seconds. onChange, if not nil, is called for each change of a member's
+// state, on the goroutine of Run.
 func Open(net *peertransport.Network, incarnation uint64, startedEmpty bool, settings map[string]any, onChange func(Member)) (*Agent, error) {
 	self := net.Self()
 	own := Record{Name: self.Name, Role: self.Role, Zone: self.Zone, Incarnation: incarnation, StartedEmpty: startedEmpty}
@@ -78,30 +79,33 @@
 	return a, nil
 }
 
-// Now is the current time by the clock of Member's times.
+// Now returns the current time of the clock that the times of a Member refer to.
 func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
-// Publish sets this process's payload of a kind, which is sent to all members from now on. It is an error to publish
-// more than MaxKinds kinds, or a payload of more than MaxPayloadSize bytes; such a call changes nothing.
+// Publish sets this process's payload of a kind, which is sent to all members from now on. It returns an error for a
+// payload of more than MaxPayloadSize bytes, or of one kind more than MaxKinds; the published payloads then stay as
+// they are.
 func (a *Agent) Publish(kind string, data []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// Run sends the payload in a later round. Of several payloads of a kind that are published until then, only the newest is sent.
+	// Run sends the payload in a later round. If several payloads of a kind are published before that round, only the
+	// newest is sent.
 	return a.table.Publish(kind, data)
 }
 
-// Members are all members, this process included, sorted by name.
+// Members returns all members, this process included, sorted by name.
 func (a *Agent) Members() []Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table.Members(a.Now())
 }
 
-// Changed receives a value once a member's state or payloads have changed. It serves one reader.
+// Changed returns a channel that receives a value after the state or the payloads of any member have changed. The
+// channel serves one reader.
 func (a *Agent) Changed() <-chan struct{} { return a.changed }
 
-// Superseded is closed once a later start of this process's name is known. This process is then an old copy and must
-// end.
+// Superseded returns a channel that is closed once a later start of this process's name is known. This process is then
+// an old copy and must end.
 func (a *Agent) Superseded() <-chan struct{} { return a.superseded }
 
 // Run probes members and sends records until the context ends. Then it announces that this process leaves, and waits
@@ -148,14 +152,14 @@
 	}
 }
 
-// turnResult holds the results of one call of turn, which Run carries out.
+// turnResult holds the results of one call of turn, which Run acts on.
 type turnResult struct {
 	targets    []string // members to ping
 	changes    []Member
 	superseded bool
 }
 
-// turn advances the table to the current time, and marks the pings that begin.
+// turn advances the table to the current time, and marks the members that are to be pinged in pinging.
 func (a *Agent) turn() turnResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -209,7 +213,7 @@
 	}
 }
 
-// broadcastOwn broadcasts the own record if it is newer than the last broadcast one.
+// broadcastOwn broadcasts this process's record if the record is newer than the one that was broadcast last.
 func (a *Agent) broadcastOwn() {
 	a.mu.Lock()
 	name, sequence, raw := a.table.self.Name, a.table.self.Sequence, a.table.OwnRecord()
@@ -242,7 +246,7 @@
 	}
 }
 
-// records are all known records in encoded form.
+// records returns all known records in encoded form.
 func (a *Agent) records() [][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestGolden_Tables records the decisions of one table for seeded scripts of records, answers and marks of the library.
+// TestGolden_Tables records the decisions of one table for seeded random sequences of records, answers to probes,
+// missed probes, and calls of MarkDown and MarkUp.
 func TestGolden_Tables(t *testing.T) {
 	golden.Seeds(t, "tables.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
 		draw := rand.New(rand.NewPCG(seed, 29))
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,13 +19,13 @@
 
 const (
 	maxPacketSize     = 16 << 10 // bytes
-	retransmitFactor  = 3        // a record is sent retransmitFactor times the logarithm of the number of members
+	retransmitFactor  = 3        // each record is sent retransmitFactor times the logarithm of the number of members
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
 	maxGossipInterval = 200 * time.Millisecond
 	minStreamTimeout  = 500 * time.Millisecond
-	placeholderPort   = 1 // no address is ever dialled: members are reached by name
+	placeholderPort   = 1 // port of the placeholder addresses, which are never dialled because members are reached by name
 )
 
 // gossipLibrary implements gossip with the memberlist library.
@@ -73,7 +73,8 @@
 	c.EnableCompression = false
 	c.Delegate = g
 	c.Events = g
-	c.Logger = log.New(io.Discard, "", 0) // the library's log lines have no event fields
+	// The library logs plain text, without the fields that this program's log lines have, so its log is discarded.
+	c.Logger = log.New(io.Discard, "", 0)
 	return c
 }
 
@@ -83,7 +84,8 @@
 	raw  []byte
 }
 
-// Invalidates implements memberlist.Broadcast. It is always false, as the queue replaces broadcasts by their names.
+// Invalidates implements memberlist.Broadcast. It always returns false, as the queue itself replaces a broadcast by a
+// later one with the same Name.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
 // Name implements memberlist.NamedBroadcast: the name of the member that the record describes.
@@ -121,8 +123,9 @@
 	return g.list.Ping(name, memberAddr(name))
 }
 
-// Sync exchanges whole states with other members: first with a few of them, then in turn with some of those that the
-// library does not consider alive. The library does not contact such members itself, so a split would never heal.
+// Sync exchanges whole states, which are all records that a member knows, with other members: first with a few of them,
+// then in turn with some of those that the library does not consider alive. The library itself does not contact members
+// that it does not consider alive, so without Sync a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
@@ -151,11 +154,11 @@
 			}
 			left--
 			started := group.TryGo(func() error {
-				_ = g.join(name) // a member that does not answer is tried again in its turn
+				_ = g.join(name) // a member that does not answer is tried again when its turn comes again
 				return nil
 			})
 			if !started {
-				break // concurrentSyncs exchanges are under way
+				break // there are already concurrentSyncs exchanges under way
 			}
 		}
 	}
@@ -224,8 +227,8 @@
 	g.events.onDown(n.Name, n.State == memberlist.StateLeft)
 }
 
-// memberAddr is a member's address as the library sees it: the name alone. Each process reaches a member at the address
-// in its own configuration file, so no address is valid for all.
+// memberAddr is the address that the library has for a member: only the member's name. Each process reaches a member at
+// the address in its own configuration file, so no address is valid for all processes.
 type memberAddr string
 
 // Network implements net.Addr.
@@ -234,10 +237,12 @@
 // String implements net.Addr.
 func (a memberAddr) String() string { return "[" + placeholderIP(string(a)).String() + "]:1" }
 
-// uniqueLocalPrefix is the prefix of IPv6 addresses that are never routed (RFC 4193).
+// uniqueLocalPrefix is the first byte of locally assigned IPv6 addresses, which are not routed on the Internet (RFC
+// 4193).
 const uniqueLocalPrefix = 0xfd
 
-// placeholderIP derives an address from a name, where the library requires one. Nothing is ever sent to it.
+// placeholderIP derives an IP address from a member's name, for calls of the library that require an address. Nothing
+// is ever sent to this address.
 func placeholderIP(name string) net.IP {
 	ip := make(net.IP, net.IPv6len)
 	ip[0] = uniqueLocalPrefix
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -15,12 +15,14 @@
 // incarnationFile is the file in a process's data folder that holds the incarnation of its last start.
 const incarnationFile = "run"
 
-// ErrDamagedIncarnation is wrapped if the incarnation of the last start cannot be read.
+// ErrDamagedIncarnation is wrapped by the error of NextIncarnation if the stored incarnation of the last start cannot
+// be read.
 var ErrDamagedIncarnation = errors.New("damaged incarnation file: it holds no number; if it is removed, this start counts as one without stored data")
 
-// NextIncarnation returns the incarnation of a process's start: the clock's Unix time in milliseconds, but always more
-// than the last one that the folder holds. startedEmpty reports whether the folder holds no incarnation, so that the
-// process starts without stored data. Without a folder the clock alone gives the incarnation.
+// NextIncarnation returns the incarnation of a process's start: the clock's Unix time in milliseconds, but at least one
+// more than the incarnation that the folder holds. startedEmpty reports whether the folder holds no incarnation, which
+// means that the process starts without stored data. If folder is "", the clock alone gives the incarnation, and
+// startedEmpty is true.
 func NextIncarnation(folder string, now time.Time) (incarnation uint64, startedEmpty bool, err error) {
 	incarnation = uint64(max(1, now.UnixMilli()))
 	if folder == "" {
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -12,9 +12,9 @@
 // The states of a member.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "suspect" // the member does not answer this process, and its records have stopped arriving too
-	StateUnreachable State = "cut"     // the member does not answer this process, but others pass on its records
-	StateSlow        State = "slow"    // the member's answers take an eighth of the silence timeout or longer
+	StateSuspect     State = "suspect" // the member neither answers nor sends records, has not been heard yet, or is in its hold-down
+	StateUnreachable State = "cut"     // the member does not answer this process, but other members pass on its records
+	StateSlow        State = "slow"    // the median round trip to the member is an eighth of the silence timeout or longer
 	StateDead        State = "dead"
 	StateLeft        State = "left" // the member left on purpose
 )
@@ -22,31 +22,32 @@
 const (
 	keptRoundTrips = 5 // number of answers whose round trips are kept
 	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
-	slowDivisor    = 8 // an answer is slow if it takes the silence timeout divided by slowDivisor, or longer
+	slowDivisor    = 8 // a round trip is slow if it takes the silence timeout divided by slowDivisor, or longer
 	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
-	keptChanges    = 4 // changes kept per member while nobody calls Changes
+	keptChanges    = 4 // upper bound of the changes that wait for a call of Changes, per member of the fleet
 )
 
-// Limits of the hold-down: a member that repeatedly stops answering and recovers stays suspect for longer after each recovery.
+// Limits of the hold-down: if a member repeatedly stops answering and recovers, it stays suspect for longer after each
+// recovery.
 const (
 	undampedRecoveries = 3  // recoveries that cause no hold-down
 	maxRecoveries      = 16 // upper bound of the count of recoveries
 	recoveryHalfLife   = 20 // time after which the count of recoveries halves, in silence timeouts
 	maxHoldDown        = 32 // the longest hold-down, in silence timeouts
-	maxHoldDownShift   = 10 // upper bound of the shift that doubles the hold-down with each recovery
+	maxHoldDownShift   = 10 // upper bound of the shift by which the hold-down doubles with each recovery
 	minRecoveries      = 0.5
 )
 
 // flapping counts how often a member has recently recovered.
 type flapping struct {
-	wasHealthy   bool // the member has been healthy before
+	wasHealthy   bool // whether the member has been healthy before
 	healthy      bool
 	healthySince tick.Tick
 	recoveries   float64 // number of recoveries into alive or slow; it decays over time
 	recoveredAt  tick.Tick
 }
 
-// RecordReply records that a member answered a probe of this process, and the round trip of the answer.
+// RecordReply records that a member answered a probe of this process, and that the round trip took the given time.
 func (t *Table) RecordReply(now tick.Tick, name string, took tick.Tick) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -76,8 +77,8 @@
 	t.updateState(now, e)
 }
 
-// MarkDown records that the gossip library considers a member dead, or that the member has left. A later sign of life
-// overrides it.
+// MarkDown records that the gossip library considers a member dead, or that the member has left. A later answer or
+// record shows that a member marked dead is alive; after a member has left, only a later record does.
 func (t *Table) MarkDown(now tick.Tick, name string, left bool) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// updateState recomputes the state of a member, and records a change of it.
+// updateState recomputes the state of a member, and records the change if the state differs from the known one.
 func (t *Table) updateState(now tick.Tick, e *entry) {
 	state := t.observedState(now, e)
 	healthy := state == StateAlive || state == StateSlow
@@ -165,10 +166,10 @@
 	f.wasHealthy = true
 }
 
-// holdDown is how long the member must stay healthy before its state changes from suspect to alive or slow. It guards against
-// decisions of other packages that would change with each failure and recovery of a flapping member. A healthy member behind a
-// link whose delay is close to the probe timeout looks like a flapping one: the hold-down keeps such a member out of the fleet's
-// work, too.
+// holdDown is how long the member must stay healthy before its state changes from suspect to alive or slow. Without a
+// hold-down, the decisions of other packages would change with each failure and recovery of a flapping member. A
+// healthy member behind a link whose delay is close to the probe timeout looks like a flapping member, so the hold-down
+// keeps it suspect too, and the fleet gives it no work.
 func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
 	excess := f.recoveries - undampedRecoveries
 	if excess <= 0 {
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	packetHeaderSize = 4                 // bytes: the packet's length, big endian
-	maxInboundSize   = 4 * maxPacketSize // bytes of a received packet, which may combine several packets of the library
-	redialDivisor    = 8                 // a failed connection is tried again after the silence timeout divided by this number
+	packetHeaderSize = 4                 // in bytes; the header is the packet's length, big endian
+	maxInboundSize   = 4 * maxPacketSize // upper bound of the bytes of a received packet, which may combine several packets of the library
+	redialDivisor    = 8                 // a failed connection is tried again after the silence timeout divided by redialDivisor
 )
 
 // sender sends packets to one member.
 type sender struct {
 	queue chan []byte
-	conn  net.Conn // guarded by the transport's mu; nil if there is none
+	conn  net.Conn // nil if there is no connection; guarded by the transport's mu
 }
 
 // senderTo returns the sender for a member, and starts it if necessary. It returns nil once the transport has shut
@@ -110,8 +110,8 @@
 	}
 }
 
-// reconnect closes the kept connection to a member, so that the next packet uses a new one. After an interruption of the
-// link, packets that the kernel retransmits on the old connection would arrive late.
+// reconnect closes the open connection to a member, so that the next packet uses a new one. After an interruption of
+// the link, packets that the kernel retransmits on the old connection would arrive late.
 func (t *transport) reconnect(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +120,8 @@
 	}
 }
 
-// servePackets reads the packets of a member. It closes an earlier connection for packets of the same member.
+// servePackets reads the packets of a member from a connection. It closes an earlier connection for packets of the same
+// member.
 func (t *transport) servePackets(c net.Conn) {
 	defer func() { _ = t.closeConn(c) }()
 	from := c.(*peertransport.Conn).From
@@ -134,7 +135,9 @@
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: packet, From: memberAddr(from), Timestamp: time.Now()}:
-		default: // the queue is full and the packet is dropped; the sender's library repeats what matters
+		// The queue is full and the packet is dropped. The library on the sending side repeats the messages that have
+		// to arrive.
+		default:
 		}
 	}
 }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -9,18 +9,18 @@
 
 const (
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
-	largeFleet               = 32  // members; each such number of members adds one silence timeout to the heartbeat period
-	maxTargets               = 4   // members probed in turn in one round
-	maxMissedTargets         = 8   // members with missed probes that are probed again in one round
-	payloadSendsPerHeartbeat = 20  // times that changed payloads may be sent within a heartbeat period
-	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members of one side together
-	maxSyncs                 = 4.0 // exchanges of whole states within a silence timeout, by one member
+	largeFleet               = 32  // number of members that adds one silence timeout to the heartbeat period
+	maxTargets               = 4   // upper bound of the members that are probed in turn in one round
+	maxMissedTargets         = 8   // upper bound of the members with missed probes that are probed again in one round
+	payloadSendsPerHeartbeat = 20  // upper bound of the number of times that changed payloads are sent within a heartbeat period
+	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members on one side of a split together
+	maxSyncs                 = 4.0 // upper bound of the exchanges of whole states within a silence timeout, by one member
 )
 
 // ProbeTargets returns the members to probe now. It is called every ProbeInterval. The targets are members that have
-// missed probes, and some others in turn. With up to 128 members, each has its turn within four silence timeouts. From
-// 96 members on, a round has no more targets in turn, so the time between two turns grows in proportion to the number of
-// members.
+// missed probes, and some of the other members in turn. With up to 128 members, each has its turn within four silence
+// timeouts. From 96 members on, the number of members that have their turn in one round no longer grows, so the time
+// between two turns of a member grows in proportion to the number of members.
 func (t *Table) ProbeTargets() []string {
 	var names []string
 	for _, e := range t.byName {
@@ -38,16 +38,17 @@
 	return names
 }
 
-// ProbeInterval is the time between two rounds of ProbeTargets, Reassess and Heartbeat.
+// ProbeInterval returns the time between two rounds of ProbeTargets, Reassess and Heartbeat.
 func (t *Table) ProbeInterval() tick.Tick { return max(1, t.silence/probesPerSilence) }
 
 // heartbeatPeriod is the longest time between two sends of a member's record. It grows with the number of members.
 func (t *Table) heartbeatPeriod() tick.Tick { return t.silence * tick.Tick(1+len(t.byName)/largeFleet) }
 
-// Heartbeat reports whether the own record must be sent again. The record is due one heartbeat period after it was last
-// sent, so that others know that this process is alive. Changed payloads are sent sooner, up to payloadSendsPerHeartbeat
-// times within a heartbeat period. That bound guards against payloads that change with each measurement of a relay:
-// every member passes them on, so in a large fleet they would fill the links between members.
+// Heartbeat reports whether this process's record must be sent again, and if so renews the record. The record is due
+// one heartbeat period after it was last sent, so that other members know that this process is alive. Changed payloads
+// are sent sooner, up to payloadSendsPerHeartbeat times within a heartbeat period. That bound guards against payloads
+// that change with each measurement of a relay: every member passes them on, so in a large fleet they would fill the
+// links between members.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
@@ -57,13 +58,13 @@
 	return true
 }
 
-// Leave marks the own record as that of a member that leaves on purpose.
+// Leave renews this process's record and marks it as the record of a member that leaves on purpose.
 func (t *Table) Leave() {
 	t.self.Left = true
 	t.renewOwnRecord(t.lastSentAt)
 }
 
-// renewOwnRecord puts the published payloads into the own record, under a new sequence.
+// renewOwnRecord puts the published payloads into this process's record, and gives the record a new sequence.
 func (t *Table) renewOwnRecord(now tick.Tick) {
 	maps.Copy(t.self.Payloads, t.unsent)
 	clear(t.unsent)
@@ -71,12 +72,14 @@
 	t.lastSentAt, t.heartbeatDue = now, now+t.heartbeatPeriod()
 }
 
-// SyncCount is the number of members considered gone with which a process exchanges whole states within a silence
-// timeout. alive is the number of live members as the process sees them, itself included; random is drawn from 0 to 1.
-// All live members together make about fleetSyncs exchanges. So few are enough, because the first exchange that succeeds
-// after the links are back ends a split. Whole states of a large fleet are large, and without the bound every member of
-// one side would contact every member of the other when a zone comes back. If links lose most packets, the bound delays
-// the end of a split, as few members try.
+// SyncCount returns the number of members with which a process exchanges whole states within a silence timeout. alive
+// is the number of members that the process considers alive, itself included; gone is the number of the other members;
+// random is drawn from 0 to 1. All live members together make about fleetSyncs exchanges.
+//
+// This number is enough, because the first exchange that succeeds after the links are back ends a split. Whole states
+// of a large fleet are large, and without the bound every member on one side of a split would contact every member on
+// the other side when a zone comes back. If links lose most packets, the bound delays the end of a split, as few
+// members try.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
 	return min(gone, int(each+random))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -13,12 +13,12 @@
 // unchanged.
 const RecordVersion = 1
 
-// Limits of a member's record.
+// Limits of a record.
 const (
-	MaxKinds       = 8    // payloads of one member
-	MaxPayloadSize = 512  // bytes of one payload
-	MaxRecordSize  = 8192 // bytes of an encoded record
-	maxKindSize    = 64   // bytes of a kind's name
+	MaxKinds       = 8    // number of payloads
+	MaxPayloadSize = 512  // size of one payload, in bytes
+	MaxRecordSize  = 8192 // size of an encoded record, in bytes
+	maxKindSize    = 64   // size of the name of a payload's kind, in bytes
 )
 
 // Record is a member's description of itself. Of two records, the one with the larger Incarnation is newer; within an
@@ -35,7 +35,7 @@
 	Payloads     map[string][]byte `json:"news,omitempty"`  // by kind
 }
 
-// Reasons why a record is refused.
+// Errors that say why a record is refused.
 var (
 	ErrUnknownMember  = errors.New("no configured member has this name")
 	ErrOldIncarnation = errors.New("old incarnation: a later start of the member is known")
@@ -43,7 +43,7 @@
 	ErrMalformed      = errors.New("malformed record")
 )
 
-// DecodeRecord decodes a received record. Its error is ErrMalformed.
+// DecodeRecord decodes a received record. The only error that it returns is ErrMalformed.
 func DecodeRecord(raw []byte) (Record, error) {
 	var r Record
 	if len(raw) > MaxRecordSize || json.Unmarshal(raw, &r) != nil {
@@ -52,13 +52,14 @@
 	return r, nil
 }
 
-// Merge applies a received record, whichever way it came. A nil error means that the record is new and should be passed
-// on; otherwise the error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
+// Merge applies a received record, no matter which member sent it. A nil error means that the record is new and should
+// be passed on; otherwise the error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
-// A smaller incarnation is refused. It comes from a process whose disk or machine was restored from an older image, or
-// in a delayed message from before a restart. A true restart looks the same if the clock that gave the incarnation was
-// set back; its records are refused until its incarnation is larger than the known one. A process with a disk avoids
-// that, as it counts on from its stored incarnation.
+// A record with a smaller incarnation than the known one is refused. Such a record comes from a process whose disk or
+// machine was restored from an older image, or in a delayed message from before a restart. The record of a true restart
+// looks the same if the clock that gave the incarnation was set back; the records of that process are refused until its
+// incarnation is larger than the known one. A process with a disk avoids this, because its new incarnation is always
+// larger than its stored one.
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
 	r, err := DecodeRecord(raw)
 	if err != nil {
@@ -67,8 +68,8 @@
 	return t.MergeDecoded(now, r, bytes.Clone(raw))
 }
 
-// MergeDecoded applies a decoded record like Merge. raw is the encoded form of r. The table keeps both, so the caller
-// must not modify them.
+// MergeDecoded applies a decoded record in the same way as Merge. raw is the encoded form of r. The table keeps r and
+// raw, so the caller must not modify them.
 func (t *Table) MergeDecoded(now tick.Tick, r Record, raw []byte) error {
 	e := t.entries[r.Name]
 	switch {
@@ -96,8 +97,9 @@
 	return nil
 }
 
-// isOlderThan reports whether the known record is older than a record of the same or a later incarnation. Of two
-// records with the same sequence the one with the larger bytes counts as newer, so that all members agree.
+// isOlderThan reports whether the known record is older than r, a record of the same or a later incarnation. If both
+// have the same incarnation and sequence, the one whose bytes compare greater counts as newer, so that all members
+// agree.
 func (e *entry) isOlderThan(r Record, raw []byte) bool {
 	switch {
 	case r.Incarnation != e.Incarnation:
@@ -108,24 +110,25 @@
 	return bytes.Compare(raw, e.raw) > 0
 }
 
-// mergeOwn applies a record with this process's own name that others have passed on.
+// mergeOwn applies a record that has this process's name and was passed on by another member.
 func (t *Table) mergeOwn(r Record) {
 	switch {
 	case r.Incarnation > t.self.Incarnation:
 		t.superseded = true
 	case r.Incarnation == t.self.Incarnation && r.Sequence > t.self.Sequence:
-		// Either two processes have this incarnation, or this process does not remember a record that it has sent.
+		// Either two processes have this incarnation, or this process does not remember a record that it has sent. The
+		// next record must have a larger sequence, or the other members refuse it as stale.
 		t.self.Sequence = r.Sequence + 1
 	}
 }
 
-// OwnRecord is the encoded record of this process, to be sent to others.
+// OwnRecord returns this process's record in encoded form, to be sent to other members.
 func (t *Table) OwnRecord() []byte {
-	text, _ := json.Marshal(t.self) // plain values: never an error
+	text, _ := json.Marshal(t.self) // never fails: JSON can encode all fields
 	return text
 }
 
-// Records are all known records in encoded form, this process's own first.
+// Records returns all known records in encoded form, this process's record first.
 func (t *Table) Records() [][]byte {
 	all := [][]byte{t.OwnRecord()}
 	for _, e := range t.byName {
@@ -136,8 +139,8 @@
 	return all
 }
 
-// Publish sets this process's payload of a kind. The payload is sent with the next own record (Heartbeat). A payload
-// beyond the limits is refused, and nothing changes.
+// Publish sets this process's payload of a kind. The payload is sent with this process's next record (Heartbeat). A
+// payload beyond the limits is refused with an error, and the published payloads stay as they are.
 func (t *Table) Publish(kind string, data []byte) error {
 	old, known := t.self.Payloads[kind]
 	if unsent, ok := t.unsent[kind]; ok {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,15 +1,16 @@
 // Package membership tracks which members of a fleet are alive, how they can be reached, and how old that knowledge is.
-// Table decides this from received records and from the results of probes. Agent gets both over internal/peertransport,
-// by the gossip and the pings of the memberlist library.
+// Table decides this from received records and from the results of probes. Agent gets the records and the results over
+// internal/peertransport, by the gossip and the pings of the memberlist library.
 //
-// Besides members that are alive, the package tells apart: a dead member; one that this process cannot reach while
-// others still pass on its records; a slow one; one that has restarted, with or without its stored data (a larger
-// Incarnation, and StartedEmpty); and an old copy of a member (a smaller Incarnation), whose records are refused.
+// Besides members that are alive, the package distinguishes: a dead member; a member that this process cannot reach
+// while other members still pass on its records; a slow member; a member that has restarted, with or without its stored
+// data (a larger Incarnation, and StartedEmpty); and an old copy of a member (a smaller Incarnation), whose records are
+// refused.
 //
-// How to drive a Table: Merge takes records; RecordReply and RecordTimeout take the results of probes of ProbeTargets;
-// MarkDown and MarkUp take the library's view of a member. Call Reassess, Heartbeat and ProbeTargets every ProbeInterval. Changes
-// returns the members whose state has changed. Most times derive from the silence timeout, the setting fleet.silence:
-// a member that has not answered for that time is suspected.
+// How to use a Table: Merge takes records; RecordReply and RecordTimeout take the results of probing the members that
+// ProbeTargets returned; MarkDown and MarkUp take the library's view of a member. Call Reassess, Heartbeat and
+// ProbeTargets every ProbeInterval. Changes returns the members whose state has changed. Most times derive from the
+// silence timeout, the setting fleet.silence: a member that has not answered for that time is suspected.
 //
 // Files: table.go, record.go (a member's description of itself), liveness.go (the state of a member), probing.go (which
 // members to probe, and how often to send records), agent.go and incarnation.go (the member of one process), gossip.go,
@@ -26,16 +27,17 @@
 	"silvercove/internal/tick"
 )
 
-// Member is a process of the fleet as this process sees it. Times are by the clock of the caller of Table's methods.
+// Member is a process of the fleet as this process sees it. Its times are those that the caller passed to Table's
+// methods.
 type Member struct {
 	Name, Role, Zone string
-	Incarnation      uint64 // 0: no record of the member has arrived yet
-	StartedEmpty     bool   // this incarnation began without the data of an earlier one
+	Incarnation      uint64 // 0 if no record of the member has arrived yet
+	StartedEmpty     bool   // whether this incarnation began without the data of an earlier one
 	State            State
 	StateSince       tick.Tick
 	LastHeard        tick.Tick         // when the last answer or record of the member arrived
-	RoundTrip        tick.Tick         // the median of the last answers; 0: none yet
-	Payloads         map[string][]byte // by kind
+	RoundTrip        tick.Tick         // median round trip of the last answers; 0 if no answer has arrived yet
+	Payloads         map[string][]byte // keyed by kind
 }
 
 // entry holds what the table knows about one member.
@@ -51,7 +53,7 @@
 	missedProbes int       // consecutive probes without an answer
 	missedSince  tick.Tick // when the first of the missed probes failed
 	roundTrips   []tick.Tick
-	markedDown   bool // the library considers the member dead; a later sign of life overrides it
+	markedDown   bool // the library considers the member dead; a later answer or record overrides this
 	markedDownAt tick.Tick
 
 	flapping flapping
@@ -67,8 +69,8 @@
 
 	nextTarget   int // index of the next member to probe in turn
 	heartbeatDue tick.Tick
-	lastSentAt   tick.Tick         // when the own record was last sent
-	unsent       map[string][]byte // own payloads that are not yet in the own record
+	lastSentAt   tick.Tick         // when this process's record was last sent
+	unsent       map[string][]byte // published payloads that are not yet in this process's record
 	superseded   bool
 	changes      []Member // changes of state since the last call of Changes
 }
@@ -76,8 +78,8 @@
 // defaultSilence is the silence timeout, in seconds, if the setting fleet.silence is missing.
 const defaultSilence = 1
 
-// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. settings has
-// fleet.silence, in seconds.
+// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. settings
+// may have fleet.silence, the silence timeout in seconds.
 func NewTable(now tick.Tick, self Record, others []Record, settings map[string]any) *Table {
 	silence, ok := settings["fleet.silence"].(float64)
 	if !ok || silence <= 0 {
@@ -108,14 +110,14 @@
 	return t
 }
 
-// SilenceTimeout is how long a member may leave probes unanswered before it is suspected (fleet.silence).
+// SilenceTimeout returns how long a member may leave probes unanswered before it is suspected (fleet.silence).
 func (t *Table) SilenceTimeout() tick.Tick { return t.silence }
 
 // Superseded reports whether a later start of this process's name is known. If so, this process is an old copy and
 // should end.
 func (t *Table) Superseded() bool { return t.superseded }
 
-// otherEntry returns the entry of another member, or nil if the name is unknown or this process's own.
+// otherEntry returns the entry of a member other than this process, or nil if there is no such member.
 func (t *Table) otherEntry(name string) *entry {
 	if name == t.self.Name {
 		return nil
@@ -123,7 +125,7 @@
 	return t.entries[name]
 }
 
-// Member returns a member by its name. The caller must not modify the Payloads.
+// Member returns the member with a name. The caller must not modify its Payloads.
 func (t *Table) Member(name string) (m Member, known bool) {
 	e := t.entries[name]
 	if e == nil {
@@ -132,7 +134,7 @@
 	return e.Member, true
 }
 
-// Members are all members, this process included, sorted by name. The caller may modify the result.
+// Members returns all members, this process included, sorted by name. The caller may modify the result.
 func (t *Table) Members(now tick.Tick) []Member {
 	all := make([]Member, len(t.byName))
 	for i, e := range t.byName {
@@ -145,14 +147,15 @@
 	return all
 }
 
-// Changes are the members whose state has changed since the last call, each as it was right after its change.
+// Changes returns the members whose state has changed since the last call, each as it was right after its change. A
+// member whose state has changed repeatedly is returned repeatedly.
 func (t *Table) Changes() []Member {
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-// ownPayloads are this process's payloads, including those that are not yet sent.
+// ownPayloads returns this process's payloads, including those that are not yet sent.
 func (t *Table) ownPayloads() map[string][]byte {
 	all := maps.Clone(t.self.Payloads)
 	maps.Copy(all, t.unsent)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	packetQueue  = 64               // packets queued for one member; further ones are dropped, as the library expects
-	inboundQueue = 4 * packetQueue  // limit of received packets that the library has not taken yet
+	packetQueue  = 64               // packets queued for one member; further packets are dropped, and the library tolerates the loss
+	inboundQueue = 4 * packetQueue  // upper bound of received packets that the library has not taken yet
 	idleTimeout  = 30 * time.Second // a connection for packets is closed after this time without a packet to send
-	helloSlack   = time.Second      // added to the silence timeout while the first byte of a connection is awaited
+	helloSlack   = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
 
-	// The first byte of a connection gives its purpose.
+	// The first byte of a connection gives the purpose of the connection.
 	packetConn = byte('p')
 	streamConn = byte('s')
 )
 
 // transport carries the library's packets and streams over connections between processes. Packets for one member go
-// over one connection that is kept open. They are dropped if that connection is slow. Each stream has a connection of
+// over one connection that is kept open, and are dropped if that connection is slow. Each stream has a connection of
 // its own. transport implements memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
 	net     *peertransport.Network
 	silence time.Duration
-	ctx     context.Context // ends with Shutdown
+	ctx     context.Context // ends when Shutdown is called
 	stop    context.CancelFunc
 	done    sync.WaitGroup // waits for the transport's goroutines
 	packets chan *memberlist.Packet
@@ -39,7 +39,7 @@
 
 	mu       sync.Mutex // guards the fields below and each sender's conn
 	senders  map[string]*sender
-	inbound  map[string]net.Conn // connections for packets: the newest one from each member
+	inbound  map[string]net.Conn // newest connection for packets from each member, keyed by its name
 	openConn map[net.Conn]bool   // all open connections
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// registeredConn is the connection of a stream. Closing it removes it from openConn.
+// registeredConn is the connection of a stream. Close removes the connection from openConn.
 type registeredConn struct {
 	net.Conn
 	transport *transport
@@ -152,7 +152,7 @@
 	return c, nil
 }
 
-// FinalAdvertiseAddr implements memberlist.Transport: a placeholder address for this process's name.
+// FinalAdvertiseAddr implements memberlist.Transport. It returns a placeholder address for this process's name.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return placeholderIP(t.net.Self().Name), placeholderPort, nil
 }
@@ -174,7 +174,7 @@
 	return now, nil
 }
 
-// DialAddressTimeout implements memberlist.NodeAwareTransport: it opens a stream.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It opens a stream.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	c, err := t.dial(to.Name, streamConn, timeout)
 	if err != nil {
@@ -183,7 +183,8 @@
 	return &registeredConn{Conn: c, transport: t}, nil
 }
 
-// errNoName is returned for calls without a member's name. All calls have one, as RequireNodeNames is set.
+// errNoName is returned by the methods of memberlist.Transport that get an address without a member's name. The library
+// does not call these methods, as RequireNodeNames is set.
 var errNoName = errors.New("members are reached by name")
 
 // WriteTo implements memberlist.Transport. It is not used.
@@ -192,13 +193,13 @@
 // DialTimeout implements memberlist.Transport. It is not used.
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) { return nil, errNoName }
 
-// PacketCh implements memberlist.Transport: the received packets.
+// PacketCh implements memberlist.Transport. It returns the channel of the received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh implements memberlist.Transport: the inbound streams.
+// StreamCh implements memberlist.Transport. It returns the channel of the inbound streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown implements memberlist.Transport: it closes all connections and waits for the transport's goroutines.
+// Shutdown implements memberlist.Transport. It closes all connections and waits for the transport's goroutines.
 func (t *transport) Shutdown() error {
 	t.mu.Lock()
 	t.stop()
