--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -8,8 +8,8 @@
 // installTimeout is installWindow as a time.Duration.
 const installTimeout = time.Duration(installWindow) * (time.Second / time.Duration(Second))
 
-// OnReport records a server's report: the version that it runs, and the result of its installation of a version, if one
-// has ended.
+// OnReport records a server's report. running is the version that the server runs. tried is the version that the server
+// last tried to install, and result is the result of that installation; they are 0 and InstallPending if unknown.
 func (r *Rollout) OnReport(now Tick, s *Server, running, tried uint16, result InstallResult) {
 	s.running = running
 	if tried == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
@@ -44,12 +44,13 @@
 const (
 	InstallPending   InstallResult = iota // no installation has ended
 	InstallSucceeded                      // the server runs the version
-	InstallFailed                         // the server may retry later
-	InstallDeclined                       // the server refuses the version
+	InstallFailed                         // the installation failed; the server may retry later
+	InstallDeclined                       // the server refuses the version and is excluded from it
 )
 
-// recordFailure rolls a server back after a failed installation. The server may retry after a delay that doubles with
-// each failure. After maxFailures failures the server is excluded. Another server is assigned the version in its place.
+// recordFailure rolls a server back after a failed installation, so that another server can be assigned the version in
+// its place. The server may retry after a delay that doubles with each failure. After maxFailures failures the server
+// is excluded.
 func (r *Rollout) recordFailure(now Tick, s *Server) {
 	s.failures++
 	if s.failures >= maxFailures {
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -8,9 +8,8 @@
 )
 
 // sortServers sorts the servers into the order in which they are assigned the newest version. The order differs between
-// versions, is the same after each restart, and is spread evenly over zones and kinds of hardware, so that the first
-// tenth of the servers has a tenth of each zone and kind. If a server joins the list, no other server loses its
-// assignment.
+// versions and is the same after each restart. It is spread evenly over zones and kinds of hardware: the first tenth of
+// the servers has a tenth of each zone and kind. If a server joins the list, no other server loses its assignment.
 func (r *Rollout) sortServers() {
 	if r.ordered {
 		return
@@ -30,7 +29,8 @@
 		slices.SortFunc(members, func(a, b *Server) int {
 			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
-		start := float64(mixBits(hashes[members[0]])%1024) / 1024 // the offset keeps groups of one server from all coming first
+		// Without the offset, the servers of all groups with one server would come first.
+		start := float64(mixBits(hashes[members[0]])%1024) / 1024
 		for i, s := range members {
 			s.rank = (float64(i) + start) / float64(len(members))
 		}
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// rollBack assigns a server the released version that it is rolled back to. The server may still act on the newest
-// version until its metadata expire.
+// rollBack assigns a server the released version again. The server may still act on metadata that name the newest
+// version until those metadata expire or the server has fetched newer ones.
 func (r *Rollout) rollBack(now Tick, s *Server) {
 	if s.assigned == s.released {
 		return
@@ -25,7 +25,8 @@
 	return s.assigned == r.version || now < s.mayInstallUntil
 }
 
-// reconcile rolls back servers above the limit of assignments, or assigns the newest version to more servers below it.
+// reconcile rolls back servers if more than the limit are assigned the newest version. If fewer are, it assigns the
+// version to more servers.
 func (r *Rollout) reconcile(now Tick) {
 	if r.version == r.releasedVersion {
 		return
@@ -40,7 +41,7 @@
 	r.scheduleTimer(now)
 }
 
-// maxAssigned is the number of listed servers that may be assigned the newest version in its current phase.
+// maxAssigned returns the number of listed servers that may be assigned the newest version in its current phase.
 func (r *Rollout) maxAssigned(servers int) int {
 	switch r.phase {
 	case Canary:
@@ -51,8 +52,8 @@
 	return 0
 }
 
-// rollBackExcess rolls back as many servers as are assigned the newest version in excess of the limit, beginning with the
-// last one in the order.
+// rollBackExcess rolls back excess servers that are assigned the newest version, beginning with the last one in the
+// order.
 func (r *Rollout) rollBackExcess(now Tick, excess int) {
 	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
 		if s := r.servers[i]; s.assigned == r.version {
@@ -74,7 +75,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // the count already includes the server, because of its earlier assignment
+			counts.MayInstall-- // MayInstall already includes the server, because of its earlier assignment
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
@@ -83,8 +84,8 @@
 	}
 }
 
-// maxPending returns the number of installations that may be pending at once. The number is one while most of the recent
-// installations have failed, until some succeed.
+// maxPending returns the number of installations that may be pending at once. While most of the recent installations
+// have failed, only one may be pending.
 func (r *Rollout) maxPending(servers int) int {
 	if n := len(r.results); n >= recentResults/2 && sum(r.results) > maxFailedShare*float64(n) {
 		return 1
@@ -97,7 +98,7 @@
 	return len(r.hardwareKinds) == 0 || slices.Contains(r.hardwareKinds, s.Kind)
 }
 
-// scheduleTimer sets the timer to the next time at which the passing of time alone changes a decision.
+// scheduleTimer sets the timer to the next time at which a decision changes without any other event.
 func (r *Rollout) scheduleTimer(now Tick) {
 	next := Tick(math.MaxInt64)
 	for _, s := range r.servers {
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -1,18 +1,18 @@
 // Package stagedrollout decides which servers of a fleet are assigned a version that is not yet released: in which
 // order, how many at once, and what happens to servers whose installation fails or that decline the version.
 //
-// New makes the Rollout of one fleet. The caller reports each event, with its time, through the method named after it;
-// the Rollout acts at once through its Host. How far a version may go is decided elsewhere: OnStage brings the exposure
-// cap.
+// New makes the Rollout of one fleet. The caller reports each event, with its time, by the method named after the
+// event; the Rollout acts at once through its Host. The Rollout does not decide how many servers may get a version: the
+// caller gives the exposure cap to OnStage.
 //
 // Invariant: whenever one more server is assigned a canary version, the number of servers that may install the version
-// does not exceed the exposure cap's share of the listed servers, rounded down. A server may install the version while its newest
-// metadata name the version. After a roll-back it may still do so until it has fetched newer metadata, or until the
-// metadata that named the version have expired.
+// does not exceed the exposure cap's share of the listed servers, rounded down. A server may install the version while
+// its newest metadata name the version. After a roll-back the server may still install the version until it has fetched
+// newer metadata, or until the metadata that named the version have expired.
 //
 // The package reads no clock, does no I/O and is not safe for concurrent use.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package stagedrollout
 
 import (
@@ -27,20 +27,21 @@
 const Second Tick = 10000
 
 const (
-	maxFailures       = 3             // installations of a version that may fail on a server before the server is excluded
-	minRetryDelay     = 60 * Second   // retry delay after the first failed installation; it doubles with each further one
+	maxFailures       = 3             // number of failed installations of a version after which a server is excluded
+	minRetryDelay     = 60 * Second   // retry delay after the first failed installation; each further failure doubles it
 	maxRetryDelay     = 1800 * Second // upper bound of the retry delay
-	installWindow     = 300 * Second  // an installation that is not reported within this time counts as failed
-	maxPendingShare   = 0.1           // installations that may be pending at once, as a share of the listed servers
-	minPending        = 2             // lower bound of the installations that may be pending at once
-	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one may be pending
-	recentResults     = 16            // number of installations that count as recent
-	roundingTolerance = 1e-9          // added to cap times servers, so that a rounding error of the product does not lower its floor
+	installWindow     = 300 * Second  // an installation whose result is not reported within this time counts as failed
+	maxPendingShare   = 0.1           // upper bound of the installations that may be pending at once, as a share of the listed servers
+	minPending        = 2             // number of installations that may be pending at once even if maxPendingShare allows fewer
+	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one installation may be pending
+	recentResults     = 16            // upper bound of the number of installations that count as recent
+	roundingTolerance = 1e-9          // added to the cap times the number of servers, so that a rounding error does not lower the floor of the product
 )
 
 // Host carries out the decisions of a Rollout. It must not call back into the Rollout.
 type Host interface {
-	// Assign assigns a version to a server, and has metadata that name the version issued at once.
+	// Assign assigns a version to a server. It causes metadata that name the version to be issued for the server at
+	// once.
 	Assign(s *Server, version uint16)
 	// SetTimer requests a call of OnTimer at the given time or later.
 	SetTimer(at Tick)
@@ -59,38 +60,39 @@
 	Withdrawn                // the version has been rolled back
 )
 
-// Rollout is the state of one fleet's servers and of the newest version.
+// Rollout holds the state of the servers of one fleet and of the newest version.
 type Rollout struct {
 	host             Host
-	metadataLifetime Tick // how long metadata that name a version are valid
+	metadataLifetime Tick // how long metadata are valid after they are issued
 	servers          []*Server
 	version          uint16 // the newest version
-	releasedVersion  uint16 // version that all other servers are assigned; equal to version if no newer one is out
+	releasedVersion  uint16 // last released version; equal to version if no newer version is being rolled out
 	phase            Phase
 	exposureCap      float64   // maximum share of the listed servers that may be assigned the newest version
 	hardwareKinds    []string  // kinds of hardware that the newest version's package fits; empty means all
-	paused           bool      // no further server is assigned the newest version until a later stage
-	results          []float64 // results of recent installations of the newest version: 1 if failed or declined, else 0
-	ordered          bool      // servers are sorted in the order of the newest version
-	timerAt          Tick      // 0 if no timer is set
+	paused           bool      // whether Pause was called since OnStage last allowed further assignments
+	results          []float64 // results of the recent installations of the newest version: 1 if failed or declined, 0 if succeeded
+	ordered          bool      // whether the servers are sorted in the order of the newest version
+	timerAt          Tick      // time of the timer that was last requested; 0 if no timer is set
 }
 
-// New makes the Rollout of a fleet. Until the first call of OnStage, every server is assigned the released version; 0
-// means that there is none.
+// New makes the Rollout of a fleet. Until the first call of OnStage, every server is assigned the released version;
+// released is 0 if there is no such version.
 func New(host Host, metadataLifetime Tick, released uint16) *Rollout {
 	return &Rollout{host: host, metadataLifetime: metadataLifetime, releasedVersion: released, phase: Withdrawn, version: released}
 }
 
-// Restore adds a server with its state before a restart: the version that it was assigned, and the time until
-// which it may act on metadata that name a later version. Restore must be called before OnStage and OnListed.
+// Restore adds a server with its state before a restart. assigned is the version that the server was assigned, and
+// mayInstallUntil is the time until which it may act on metadata that name a later version. Restore must be called
+// before OnStage and OnListed.
 func (r *Rollout) Restore(now Tick, s *Server, assigned uint16, mayInstallUntil Tick) {
 	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = assigned, r.releasedVersion, mayInstallUntil, now
 	r.servers, s.tracked = append(r.servers, s), true
 	r.ordered = false
 }
 
-// OnListed records whether a server is listed in the fleet. The caller calls OnListComplete after the last
-// server of a list or of an update of it.
+// OnListed records whether a server is listed in the fleet. After OnListed has been called for each server of a list,
+// or of an update of the list, the caller must call OnListComplete.
 func (r *Rollout) OnListed(now Tick, s *Server, listed bool) {
 	if !s.tracked {
 		r.servers, s.tracked = append(r.servers, s), true
@@ -101,8 +103,9 @@
 	}
 }
 
-// OnListComplete records the end of a list. A server that is no longer listed is assigned the released version, in case
-// it still fetches metadata. It is dropped once it cannot act on any other version.
+// OnListComplete records the end of a list or of an update of the list. A server that is no longer listed is assigned
+// the released version, in case the server still fetches metadata. The server is dropped once it cannot act on metadata
+// that name another version.
 func (r *Rollout) OnListComplete(now Tick) {
 	for _, s := range r.servers {
 		if !s.listed && s.assigned != s.released {
@@ -113,7 +116,7 @@
 	r.reconcile(now)
 }
 
-// dropGone drops the servers that are not listed and cannot act on the newest version any more.
+// dropGone drops the servers that are not listed and can no longer act on metadata that name the newest version.
 func (r *Rollout) dropGone(now Tick) {
 	r.servers = slices.DeleteFunc(r.servers, func(s *Server) bool {
 		s.tracked = s.listed || now < s.mayInstallUntil
@@ -121,8 +124,9 @@
 	})
 }
 
-// OnStage records the stage of the newest version: the released version before it, its phase, and the share of the
-// fleet that may be assigned it. hardwareKinds are the kinds that its package fits; empty means all.
+// OnStage records the stage of the newest version. released is the last released version; phase is the phase of the
+// newest version; exposureCap is the share of the fleet that may be assigned the newest version; hardwareKinds are the
+// kinds of hardware that its package fits, and empty means all.
 func (r *Rollout) OnStage(now Tick, version, released uint16, phase Phase, exposureCap float64, hardwareKinds []string) {
 	if version != r.version || released != r.releasedVersion {
 		for _, s := range r.servers {
@@ -141,18 +145,19 @@
 		r.results, r.ordered, r.paused = nil, false, false
 	}
 	if phase == Canary && exposureCap > r.exposureCap && r.phase == Canary {
-		r.paused = false // a greater cap ends the pause: the version is promoted in spite of the vote
+		r.paused = false // a greater cap ends the pause: the version is promoted in spite of the vote that caused the pause
 	}
 	r.version, r.releasedVersion, r.phase, r.exposureCap, r.hardwareKinds = version, released, phase, exposureCap, hardwareKinds
 	r.reconcile(now)
 }
 
-// Pause stops assigning the newest version to further servers until a later stage. The caller calls it for a vote to
-// hold or to roll back.
+// Pause stops the assignment of the newest version to further servers. In the phase Canary, no further server is
+// assigned the version until OnStage raises the exposure cap or names another version. In other phases, the pause has
+// no effect. The caller calls Pause for a vote to hold or to roll back.
 func (r *Rollout) Pause(now Tick) { r.paused = true }
 
-// OnFetched records that a server has fetched metadata that name a version. The server cannot act on earlier metadata
-// any more.
+// OnFetched records that a server has fetched metadata that name a version. The server can no longer act on earlier
+// metadata.
 func (r *Rollout) OnFetched(now Tick, s *Server, version uint16) {
 	if s.assigned == version && version != r.version {
 		s.mayInstallUntil = 0
@@ -160,8 +165,8 @@
 	}
 }
 
-// OnTimer is called at the time that SetTimer requested. Installations that were not reported in time count as failed,
-// servers may retry, and metadata that a roll-back has replaced expire.
+// OnTimer must be called at the time that SetTimer requested. Installations that were not reported in time then count
+// as failed, servers may retry, and metadata that a roll-back has replaced expire.
 func (r *Rollout) OnTimer(now Tick) {
 	r.timerAt = 0
 	for _, s := range r.servers {
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -6,11 +6,11 @@
 
 // AssignmentStatus explains the assignment of one server to an operator.
 type AssignmentStatus struct {
-	Assigned        uint16 // the version that the server's metadata name
-	Running         uint16 // the version in the server's last report
-	Failures        int    // failed installations of the newest version
-	Excluded        bool   // the server is permanently excluded from the newest version
-	NotBefore       Tick   // the server is not assigned the newest version again before this time
+	Assigned        uint16 // the version that the server's metadata must name; 0 if none
+	Running         uint16 // the version in the server's last report; 0 before the first report
+	Failures        int    // number of failed installations of the newest version
+	Excluded        bool   // whether the server is permanently excluded from the newest version
+	NotBefore       Tick   // the server is not assigned the newest version again before this time; 0 if no installation has failed
 	MayInstallUntil Tick   // after a roll-back: the server may act on the newest version until this time
 	Rank            int    // index in the order of assignment, from 0
 	Servers         int    // number of servers in the order, including servers that are no longer listed but still kept
@@ -18,7 +18,7 @@
 	MayInstall      int    // number of servers that may act on metadata that name the newest version
 }
 
-// Explain returns the state that explains the assignment of a server.
+// Explain returns the state that determines the assignment of a server.
 func (r *Rollout) Explain(now Tick, s *Server) AssignmentStatus {
 	r.sortServers()
 	at := AssignmentStatus{Assigned: s.assigned, Running: s.running, Failures: s.failures, Excluded: s.excluded, NotBefore: s.retryAt,
@@ -28,16 +28,16 @@
 	return at
 }
 
-// Counts are numbers of servers.
+// Counts holds numbers of servers.
 type Counts struct {
 	Servers    int // listed servers
-	Assigned   int // servers assigned the newest version; 0 once it is released
-	MayInstall int // servers that may act on metadata that name the newest version; 0 once it is released
+	Assigned   int // servers that are assigned the newest version; 0 once that version is released
+	MayInstall int // servers that may act on metadata that name the newest version; 0 once that version is released
 
-	pending int // servers assigned the newest version that have not reported that they run it
+	pending int // servers that are assigned the newest version and have not reported that they run it
 }
 
-// Count counts the servers.
+// Count counts the servers of the fleet by their state at the given time.
 func (r *Rollout) Count(now Tick) Counts {
 	var counts Counts
 	for _, s := range r.servers {
