--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -54,10 +54,10 @@
 	d.balancer.OnStreamStart(d.clock.now(), a.attempt)
 }
 
-// Report records how an attempt ended. state is the SQLSTATE of the answer, or "" without an answer; status is how the
+// Report records how an attempt ended. sqlState is the SQLSTATE of the answer, or "" without an answer; status is how the
 // connection ended; load is the load report of the backend, or nil. Report returns whether the attempt succeeded.
-func (d *Dispatcher) Report(a *Attempt, state string, status transport.CloseStatus, load []float64) (succeeded bool) {
-	return d.endAttempt(a, AttemptOutcome(state, status), load)
+func (d *Dispatcher) Report(a *Attempt, sqlState string, status transport.CloseStatus, load []float64) (succeeded bool) {
+	return d.endAttempt(a, AttemptOutcome(sqlState, status), load)
 }
 
 // ReportMirror records how an attempt at a mirror ended. httpStatus is the HTTP status of the answer, or 0 without an
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -183,16 +183,16 @@
 func (d *Dispatcher) IsCurrent(b Backend) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.backends[b.Name]
-	return known != nil && known.State == balancer.Ready && known.identity() == b
+	current := d.backends[b.Name]
+	return current != nil && current.State == balancer.Ready && current.identity() == b
 }
 
-// ProbeEnded records the result of a probe of the named backend. state, status and load have the same meaning as in
+// ProbeEnded records the result of a probe of the named backend. sqlState, status and load have the same meaning as in
 // Report; took is how long the probe took.
-func (d *Dispatcher) ProbeEnded(name, state string, status transport.CloseStatus, took time.Duration, load []float64) {
+func (d *Dispatcher) ProbeEnded(name, sqlState string, status transport.CloseStatus, took time.Duration, load []float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if b := d.backends[name]; b != nil {
-		d.balancer.OnProbe(d.clock.now(), &b.Backend, AttemptOutcome(state, status), ticksOf(took), load)
+		d.balancer.OnProbe(d.clock.now(), &b.Backend, AttemptOutcome(sqlState, status), ticksOf(took), load)
 	}
 }
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -18,12 +18,12 @@
 	if policy := d.callbacks.FleetPolicy; policy != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
 		policy.RecordFirstAttempt()
 	}
-	at := d.clock.timeAt(deadline)
-	ctx, cancel := context.WithDeadline(context.Background(), at)
+	deadlineTime := d.clock.timeAt(deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), deadlineTime)
 	started := &Attempt{
 		Backend:  backend.identity(),
 		Context:  ctx,
-		Deadline: at,
+		Deadline: deadlineTime,
 		attempt:  attempt,
 		call:     call,
 		cancel:   cancel,
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -15,8 +15,8 @@
 // number returns the index of a name. A name that is not in the list must not be taken for a listed name, such as
 // the first one, so number returns a negative number that is derived from the name's hash.
 func (x nameIndex) number(name string) int {
-	if at, ok := x[name]; ok {
-		return at
+	if index, ok := x[name]; ok {
+		return index
 	}
 	return -1 - int(hashKey(name)>>1)
 }
@@ -37,13 +37,13 @@
 )
 
 // hashKey hashes a key with FNV-1a. Only the empty key, which means that a request has no key, has the hash 0.
-func hashKey(name string) uint64 {
-	if name == "" {
+func hashKey(key string) uint64 {
+	if key == "" {
 		return 0
 	}
 	hash := uint64(fnvOffset)
-	for i := range len(name) {
-		hash = (hash ^ uint64(name[i])) * fnvPrime
+	for i := range len(key) {
+		hash = (hash ^ uint64(key[i])) * fnvPrime
 	}
 	return max(1, hash)
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -13,8 +13,8 @@
 
 // AttemptOutcome maps the end of an attempt to an outcome: by the SQLSTATE of the answer or, without an answer (""), by
 // how the connection ended. If it is unknown whether the request has run, the outcome is one that allows for it.
-func AttemptOutcome(state string, status transport.CloseStatus) balancer.Outcome {
-	switch state {
+func AttemptOutcome(sqlState string, status transport.CloseStatus) balancer.Outcome {
+	switch sqlState {
 	case "":
 		return outcomeWithoutAnswer(status)
 	case pgwire.StateSuccess:
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -45,8 +45,8 @@
 		}
 	}
 	if complete {
-		for name, i := range d.instances {
-			if !listed[name] && i.Instance != "" {
+		for name, inst := range d.instances {
+			if !listed[name] && inst.Instance != "" {
 				deleted = append(deleted, name)
 			}
 		}
@@ -61,46 +61,46 @@
 // applyPlacement applies the placement of one instance. It reports whether the instance has moved: to another backend,
 // or to a new epoch.
 func (d *Dispatcher) applyPlacement(p Placement) (moved bool) {
-	i := d.instances[p.Instance]
-	if i == nil {
-		i = d.addInstance(p.Instance)
-	} else if !p.newerThan(i.Placement) {
+	inst := d.instances[p.Instance]
+	if inst == nil {
+		inst = d.addInstance(p.Instance)
+	} else if !p.newerThan(inst.Placement) {
 		return false
 	}
-	moved = p.Backend != i.Backend || p.Epoch != i.Epoch
-	i.Placement = p
-	d.repin(i)
+	moved = p.Backend != inst.Backend || p.Epoch != inst.Epoch
+	inst.Placement = p
+	d.repin(inst)
 	return moved
 }
 
 // removePlacement records that an instance was deleted. The entry of the instance stays as long as calls for the
 // instance are open.
 func (d *Dispatcher) removePlacement(name string) {
-	i := d.instances[name]
-	if i == nil {
+	inst := d.instances[name]
+	if inst == nil {
 		return
 	}
-	i.Placement = Placement{Instance: name}
-	d.repin(i)
-	if len(i.calls) == 0 {
+	inst.Placement = Placement{Instance: name}
+	d.repin(inst)
+	if len(inst.calls) == 0 {
 		delete(d.instances, name)
 	}
 }
 
 func (d *Dispatcher) addInstance(name string) *instance {
-	i := &instance{calls: map[*balancer.Request]struct{}{}}
-	d.instances[name] = i
-	return i
+	inst := &instance{calls: map[*balancer.Request]struct{}{}}
+	d.instances[name] = inst
+	return inst
 }
 
 // repin points the open calls of an instance to the backend that runs it.
-func (d *Dispatcher) repin(i *instance) {
-	var at *balancer.Backend
-	if b := d.backends[i.Backend]; b != nil {
-		at = &b.Backend
+func (d *Dispatcher) repin(inst *instance) {
+	var pinnedTo *balancer.Backend
+	if b := d.backends[inst.Backend]; b != nil {
+		pinnedTo = &b.Backend
 	}
-	for request := range i.calls {
-		request.PinnedTo = at
+	for request := range inst.calls {
+		request.PinnedTo = pinnedTo
 	}
 }
 
@@ -108,8 +108,8 @@
 // list, as a placement may name a backend that is listed only later.
 func (d *Dispatcher) repinCalls() {
 	for _, call := range d.calls {
-		if i := d.instances[call.key]; i != nil {
-			d.repin(i)
+		if inst := d.instances[call.key]; inst != nil {
+			d.repin(inst)
 		}
 	}
 }
@@ -120,25 +120,25 @@
 	if d.instances == nil || c.key == "" {
 		return
 	}
-	i := d.instances[c.key]
-	if i == nil {
-		i = d.addInstance(c.key)
+	inst := d.instances[c.key]
+	if inst == nil {
+		inst = d.addInstance(c.key)
 	}
-	i.calls[&c.request] = struct{}{}
+	inst.calls[&c.request] = struct{}{}
 	c.request.Pinned = true
-	if b := d.backends[i.Backend]; b != nil {
+	if b := d.backends[inst.Backend]; b != nil {
 		c.request.PinnedTo = &b.Backend
 	}
 }
 
 // unpin removes a call that has ended from its instance.
 func (d *Dispatcher) unpin(c *Call) {
-	i := d.instances[c.key]
-	if i == nil {
+	inst := d.instances[c.key]
+	if inst == nil {
 		return
 	}
-	delete(i.calls, &c.request)
-	if len(i.calls) == 0 && i.Epoch == 0 {
+	delete(inst.calls, &c.request)
+	if len(inst.calls) == 0 && inst.Epoch == 0 {
 		delete(d.instances, c.key)
 	}
 }
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -123,12 +123,12 @@
 
 // RecordWrongAnswer records a report that the named backend answered a request of a class wrongly. age is the time
 // since the attempt was sent.
-func (d *Dispatcher) RecordWrongAnswer(name, class string, age time.Duration) {
+func (d *Dispatcher) RecordWrongAnswer(backendName, class string, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counters.WrongAnswers++
-	b := d.backends[name]
+	b := d.backends[backendName]
 	if !known || b == nil {
 		return
 	}
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -116,8 +116,8 @@
 	return strconv.Itoa(class) + "/" + strconv.Itoa(clampStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
-// find returns the version with a number, or nil if the store does not keep that version.
-func (s *Store) find(number uint16) *Version {
+// findVersion returns the version with a number, or nil if the store does not keep that version.
+func (s *Store) findVersion(number uint16) *Version {
 	for _, v := range s.versions {
 		if v.Number == number {
 			return v
@@ -129,7 +129,7 @@
 // UpdateVersion sets the state of a version. If the version is new, the store keeps it from now on; a full store drops
 // its oldest version.
 func (s *Store) UpdateVersion(now balancer.Tick, number uint16, state string) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		if len(s.versions) >= maxVersions {
 			s.versions = slices.Delete(s.versions, 0, 1)
@@ -163,7 +163,7 @@
 // versionForReport returns the version that a report belongs to. A report on a version or class that is not kept counts
 // as an orphan, and the result is nil.
 func (s *Store) versionForReport(now balancer.Tick, number uint16, class int) *Version {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil || class < 0 || class >= len(s.classes) {
 		s.Orphans++
 		return nil
@@ -212,7 +212,7 @@
 
 // RecordVote records a vote that is cast now, together with the current estimates.
 func (s *Store) RecordVote(now balancer.Tick, number uint16, stage int, verdict, reason string) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		s.Orphans++
 		return
@@ -228,39 +228,39 @@
 // Estimates returns what this relay itself has observed of each request class at a version, over all stages. It returns
 // nil for a version that is not kept.
 func (s *Store) Estimates(number uint16) []Estimate {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		return nil
 	}
-	all := make([]Estimate, len(s.classes))
+	estimates := make([]Estimate, len(s.classes))
 	for _, c := range v.Counts {
 		if c.Source == SourceRelay {
-			all[c.Class].Outcomes += c.Outcomes
-			all[c.Class].Failures += c.Failures
+			estimates[c.Class].Outcomes += c.Outcomes
+			estimates[c.Class].Failures += c.Failures
 		}
 	}
 	for class, name := range s.classes {
-		e := &all[class]
+		e := &estimates[class]
 		e.Class = name
 		e.Low, e.High = ConfidenceBounds(e.Failures, e.Outcomes, s.level)
 	}
-	return all
+	return estimates
 }
 
 // DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts.
 // The counts are halved for each half-life since the last outcome. Outcomes are rounded down and failures are rounded
 // up, as evidence against a version must not be lost by a restart.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		return nil, nil
 	}
-	const rounding = 1e-9 // a rounding error up to this size does not round a decayed count up to the next whole number
-	left := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
+	const roundingTolerance = 1e-9 // a rounding error up to this size does not round a decayed count up to the next whole number
+	remainingFraction := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
 	outcomes, failures = make([]int, len(s.classes)), make([]int, len(s.classes))
 	for i, e := range s.Estimates(number) {
-		failures[i] = int(math.Ceil(e.Failures*left - rounding))
-		outcomes[i] = max(failures[i], int(e.Outcomes*left))
+		failures[i] = int(math.Ceil(e.Failures*remainingFraction - roundingTolerance))
+		outcomes[i] = max(failures[i], int(e.Outcomes*remainingFraction))
 	}
 	return outcomes, failures
 }
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -136,14 +136,14 @@
 			return nil
 		case <-ticker.C:
 		}
-		t := a.turn()
-		a.notify(t.changes)
-		if t.superseded && !superseded {
+		result := a.runRound()
+		a.notify(result.changes)
+		if result.superseded && !superseded {
 			superseded = true
 			close(a.superseded)
 		}
 		a.broadcastOwn()
-		for _, name := range t.targets {
+		for _, name := range result.targets {
 			group.Go(func() error {
 				a.ping(name)
 				return nil
@@ -152,15 +152,15 @@
 	}
 }
 
-// turnResult holds the results of one call of turn, which Run acts on.
-type turnResult struct {
+// roundResult holds the results of one call of runRound, which Run acts on.
+type roundResult struct {
 	targets    []string // members to ping
 	changes    []Member
 	superseded bool
 }
 
-// turn advances the table to the current time, and marks the members that are to be pinged in pinging.
-func (a *Agent) turn() turnResult {
+// runRound advances the table to the current time, and marks the members that are to be pinged in pinging.
+func (a *Agent) runRound() roundResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Now()
@@ -171,7 +171,7 @@
 	for _, name := range targets {
 		a.pinging[name] = true
 	}
-	return turnResult{targets: targets, changes: a.table.Changes(), superseded: a.table.Superseded()}
+	return roundResult{targets: targets, changes: a.table.Changes(), superseded: a.table.Superseded()}
 }
 
 // leave announces to the other members that this process leaves.
@@ -241,7 +241,7 @@
 		return
 	}
 	a.signalChange()
-	if name := nameOf(raw); name != "" {
+	if name := recordName(raw); name != "" {
 		a.library.Broadcast(name, raw)
 	}
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -97,8 +97,8 @@
 // Finished implements memberlist.Broadcast and does nothing.
 func (b broadcast) Finished() {}
 
-// nameOf returns the member's name in an encoded record, or "" if there is none.
-func nameOf(raw []byte) string {
+// recordName returns the member's name in an encoded record, or "" if there is none.
+func recordName(raw []byte) string {
 	var r struct{ Name string }
 	_ = json.Unmarshal(raw, &r)
 	return r.Name
@@ -142,17 +142,17 @@
 		for _, m := range g.list.Members() {
 			alive[m.Name] = true
 		}
-		left := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
+		remaining := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
 		for range names {
 			name := names[next%len(names)]
-			if left == 0 {
+			if remaining == 0 {
 				break
 			}
 			next++
 			if alive[name] {
 				continue
 			}
-			left--
+			remaining--
 			started := group.TryGo(func() error {
 				_ = g.join(name) // a member that does not answer is tried again when its turn comes again
 				return nil
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -134,11 +134,11 @@
 func (t *Table) observedState(now tick.Tick, e *entry) State {
 	unanswered := e.missedProbes >= suspectProbes
 	silent := unanswered && now-max(e.answeredAt, e.missedSince-t.silence) >= t.silence
-	noSign := now-e.LastHeard > deadPeriods*t.heartbeatPeriod() && (unanswered || e.Incarnation == 0)
+	noSignOfLife := now-e.LastHeard > deadPeriods*t.heartbeatPeriod() && (unanswered || e.Incarnation == 0)
 	switch {
 	case e.left:
 		return StateLeft
-	case e.markedDown && e.LastHeard <= e.markedDownAt, noSign:
+	case e.markedDown && e.LastHeard <= e.markedDownAt, noSignOfLife:
 		return StateDead
 	case e.Incarnation == 0 && !e.hasAnswered:
 		return StateSuspect
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -34,7 +34,7 @@
 	if s == nil && t.ctx.Err() == nil {
 		s = &sender{queue: make(chan []byte, packetQueue)}
 		t.senders[name] = s
-		t.done.Go(func() { t.send(name, s) })
+		t.goroutines.Go(func() { t.send(name, s) })
 	}
 	return s
 }
@@ -82,7 +82,7 @@
 
 // connect opens the connection of a sender.
 func (t *transport) connect(name string, s *sender) (net.Conn, error) {
-	c, err := t.dial(name, packetConn, t.silence)
+	c, err := t.dial(name, packetPurpose, t.silence)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	defer func() { _ = t.closeConn(c) }()
 	from := c.(*peertransport.Conn).From
 	t.replaceInbound(from, c)
-	defer t.forgetInbound(from, c)
+	defer t.removeInbound(from, c)
 	in := bufio.NewReader(c)
 	for {
 		packet, err := readPacket(in)
@@ -169,7 +169,7 @@
 	t.inbound[from] = c
 }
 
-func (t *transport) forgetInbound(from string, c net.Conn) {
+func (t *transport) removeInbound(from string, c net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inbound[from] == c {
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -9,7 +9,7 @@
 
 const (
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
-	largeFleet               = 32  // number of members that adds one silence timeout to the heartbeat period
+	membersPerSilence        = 32  // number of members that adds one silence timeout to the heartbeat period
 	maxTargets               = 4   // upper bound of the members that are probed in turn in one round
 	maxMissedTargets         = 8   // upper bound of the members with missed probes that are probed again in one round
 	payloadSendsPerHeartbeat = 20  // upper bound of the number of times that changed payloads are sent within a heartbeat period
@@ -42,7 +42,9 @@
 func (t *Table) ProbeInterval() tick.Tick { return max(1, t.silence/probesPerSilence) }
 
 // heartbeatPeriod is the longest time between two sends of a member's record. It grows with the number of members.
-func (t *Table) heartbeatPeriod() tick.Tick { return t.silence * tick.Tick(1+len(t.byName)/largeFleet) }
+func (t *Table) heartbeatPeriod() tick.Tick {
+	return t.silence * tick.Tick(1+len(t.byName)/membersPerSilence)
+}
 
 // Heartbeat reports whether this process's record must be sent again, and if so renews the record. The record is due
 // one heartbeat period after it was last sent, so that other members know that this process is alive. Changed payloads
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	packetQueue  = 64               // packets queued for one member; further packets are dropped, and the library tolerates the loss
-	inboundQueue = 4 * packetQueue  // upper bound of received packets that the library has not taken yet
-	idleTimeout  = 30 * time.Second // a connection for packets is closed after this time without a packet to send
-	helloSlack   = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
+	packetQueue      = 64               // packets queued for one member; further packets are dropped, and the library tolerates the loss
+	inboundQueue     = 4 * packetQueue  // upper bound of received packets that the library has not taken yet
+	idleTimeout      = 30 * time.Second // a connection for packets is closed after this time without a packet to send
+	purposeReadSlack = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
 
 	// The first byte of a connection gives the purpose of the connection.
-	packetConn = byte('p')
-	streamConn = byte('s')
+	packetPurpose = byte('p')
+	streamPurpose = byte('s')
 )
 
 // transport carries the library's packets and streams over connections between processes. Packets for one member go
 // over one connection that is kept open, and are dropped if that connection is slow. Each stream has a connection of
 // its own. transport implements memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
-	net     *peertransport.Network
-	silence time.Duration
-	ctx     context.Context // ends when Shutdown is called
-	stop    context.CancelFunc
-	done    sync.WaitGroup // waits for the transport's goroutines
-	packets chan *memberlist.Packet
-	streams chan net.Conn
+	net        *peertransport.Network
+	silence    time.Duration
+	ctx        context.Context // ends when Shutdown is called
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup // waits for the transport's goroutines
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
 
 	mu       sync.Mutex // guards the fields below and each sender's conn
 	senders  map[string]*sender
@@ -55,14 +55,14 @@
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	listener := n.Listener(peertransport.KindMembership)
-	t.done.Go(func() {
+	t.goroutines.Go(func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			if t.register(c) {
-				t.done.Go(func() { t.serve(c) })
+				t.goroutines.Go(func() { t.serve(c) })
 			}
 		}
 	})
@@ -93,16 +93,16 @@
 // serve reads the purpose of an inbound connection and serves it.
 func (t *transport) serve(c net.Conn) {
 	var purpose [1]byte
-	_ = c.SetDeadline(time.Now().Add(t.silence + helloSlack))
+	_ = c.SetDeadline(time.Now().Add(t.silence + purposeReadSlack))
 	if _, err := io.ReadFull(c, purpose[:]); err != nil {
 		_ = t.closeConn(c)
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
 	switch purpose[0] {
-	case streamConn:
+	case streamPurpose:
 		t.serveStream(c)
-	case packetConn:
+	case packetPurpose:
 		t.servePackets(c)
 	default:
 		_ = t.closeConn(c)
@@ -176,7 +176,7 @@
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport. It opens a stream.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	c, err := t.dial(to.Name, streamConn, timeout)
+	c, err := t.dial(to.Name, streamPurpose, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -208,6 +208,6 @@
 	}
 	t.mu.Unlock()
 	_ = t.net.Listener(peertransport.KindMembership).Close()
-	t.done.Wait()
+	t.goroutines.Wait()
 	return nil
 }
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -159,12 +159,12 @@
 	for ctx.Err() == nil {
 		a.updatePeers()
 		a.mu.Lock()
-		left := a.manager.StartupDelay(a.membership.Now(), step)
+		remaining := a.manager.StartupDelay(a.membership.Now(), step)
 		a.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(min(measureInterval, left.Duration()))
+		timer := time.NewTimer(min(measureInterval, remaining.Duration()))
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -177,15 +177,15 @@
 func (a *OverloadAgent) Run(ctx context.Context, dispatcher *dispatch.Dispatcher) error {
 	ticker := time.NewTicker(measureInterval)
 	defer ticker.Stop()
-	next := time.Now().Add(measureInterval)
+	expectedAt := time.Now().Add(measureInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		delay := max(0, time.Since(next))
-		next = time.Now().Add(measureInterval)
+		delay := max(0, time.Since(expectedAt))
+		expectedAt = time.Now().Add(measureInterval)
 		a.update(a.meter.measure(dispatcher.Load(), delay))
 	}
 }
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -37,16 +37,16 @@
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	now := time.Now()
-	spent := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
-	cpu := float64(spent) / (float64(now.Sub(m.usageAt)) * m.cores)
+	cpuTime := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
+	cpu := float64(cpuTime) / (float64(now.Sub(m.usageAt)) * m.cores)
 	m.usage, m.usageAt = usage, now
 	samples := []runtimemetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	runtimemetrics.Read(samples)
-	used := samples[0].Value.Uint64() - samples[1].Value.Uint64()
+	usedMemory := samples[0].Value.Uint64() - samples[1].Value.Uint64()
 	return overload.Pressure{
 		SchedulingDelay:    tick.FromDuration(delay),
 		CPU:                cpu,
 		BackendUtilization: backendUtilization,
-		Memory:             float64(used) / m.memory,
+		Memory:             float64(usedMemory) / m.memory,
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -107,7 +107,7 @@
 
 // logLeaseChange logs whether a node has a lease, if the node is new or this has changed. It is called with mu held.
 func (r *Router) logLeaseChange(node controllerclient.Node) {
-	if before, known := r.hadLease[node.Name]; known && before == node.HasLease {
+	if previous, known := r.hadLease[node.Name]; known && previous == node.HasLease {
 		return
 	}
 	r.hadLease[node.Name] = node.HasLease
--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -10,9 +10,9 @@
 
 // OnReport records a server's report. running is the version that the server runs. tried is the version that the server
 // last tried to install, and result is the result of that installation; they are 0 and InstallPending if unknown.
-func (r *Rollout) OnReport(now Tick, s *Server, running, tried uint16, result InstallResult) {
+func (r *Rollout) OnReport(now Tick, s *Server, running, triedVersion uint16, result InstallResult) {
 	s.running = running
-	if tried == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
+	if triedVersion == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
 		failed := 1.0
 		if result == InstallSucceeded {
 			failed = 0
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -30,9 +30,9 @@
 			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
 		// Without the offset, the servers of all groups with one server would come first.
-		start := float64(mixBits(hashes[members[0]])%1024) / 1024
+		offset := float64(mixBits(hashes[members[0]])%1024) / 1024
 		for i, s := range members {
-			s.rank = (float64(i) + start) / float64(len(members))
+			s.rank = (float64(i) + offset) / float64(len(members))
 		}
 	}
 	slices.SortFunc(r.servers, func(a, b *Server) int {
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -112,12 +112,12 @@
 			r.rollBack(now, s)
 		}
 	}
-	r.dropGone(now)
+	r.dropUnlisted(now)
 	r.reconcile(now)
 }
 
-// dropGone drops the servers that are not listed and can no longer act on metadata that name the newest version.
-func (r *Rollout) dropGone(now Tick) {
+// dropUnlisted drops the servers that are not listed and can no longer act on metadata that name the newest version.
+func (r *Rollout) dropUnlisted(now Tick) {
 	r.servers = slices.DeleteFunc(r.servers, func(s *Server) bool {
 		s.tracked = s.listed || now < s.mayInstallUntil
 		return !s.tracked
@@ -175,6 +175,6 @@
 			r.recordFailure(now, s)
 		}
 	}
-	r.dropGone(now)
+	r.dropUnlisted(now)
 	r.reconcile(now)
 }
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -21,11 +21,11 @@
 // Explain returns the state that determines the assignment of a server.
 func (r *Rollout) Explain(now Tick, s *Server) AssignmentStatus {
 	r.sortServers()
-	at := AssignmentStatus{Assigned: s.assigned, Running: s.running, Failures: s.failures, Excluded: s.excluded, NotBefore: s.retryAt,
+	status := AssignmentStatus{Assigned: s.assigned, Running: s.running, Failures: s.failures, Excluded: s.excluded, NotBefore: s.retryAt,
 		MayInstallUntil: s.mayInstallUntil, Rank: slices.Index(r.servers, s), Servers: len(r.servers)}
 	counts := r.Count(now)
-	at.MayInstall, at.MaxAssigned = counts.MayInstall, r.maxAssigned(counts.Servers)
-	return at
+	status.MayInstall, status.MaxAssigned = counts.MayInstall, r.maxAssigned(counts.Servers)
+	return status
 }
 
 // Counts holds numbers of servers.
