--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -15,7 +15,7 @@
 	Cell                             int
 	State                            string // up, draining or removed
 	Weight                           float64
-	StartedAtMs                      int64 // start time in Unix milliseconds; 0 means long ago
+	StartedAtMs                      int64 // start time of the backend in Unix milliseconds; 0 means that it started long ago
 	Version                          uint16
 }
 
@@ -93,7 +93,7 @@
 }
 
 // backendOf returns the backend with a name, and creates it when the name is listed for the first time. A new backend
-// gets a free ID if there is one.
+// gets a free ID if there is one, and otherwise the next ID.
 func (d *Dispatcher) backendOf(name string) *backend {
 	if b := d.backends[name]; b != nil {
 		return b
@@ -156,7 +156,8 @@
 	}
 }
 
-// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed.
+// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed. It does
+// nothing if the balancer does not poll for the list.
 func (d *Dispatcher) EndpointFetchFailed() {
 	if !d.pollsEndpoints {
 		return
--- a/internal/dispatch/backends_test.go
+++ b/internal/dispatch/backends_test.go
@@ -10,10 +10,10 @@
 	"silvercove/internal/pgwire"
 )
 
-// TestUpdateEndpoints_MemoryIsBoundedOverRollouts simulates a month of rollouts. Each replaces all backends by others
-// with new names and addresses, with a request in between. It guards against a dispatcher or balancer that keeps
-// removed backends for ever: the number of kept backends has to stay at about twice the fleet, checked as at most three
-// times the fleet, and the heap must not grow by more than maxGrown.
+// TestUpdateEndpoints_MemoryIsBoundedOverRollouts simulates a month of rollouts. Each rollout replaces all backends by
+// backends with new names and addresses, while a request is in flight. The test guards against a dispatcher or balancer
+// that keeps removed backends for ever: the number of kept backends has to stay at about twice the fleet, checked as at
+// most three times the fleet, and the heap must not grow by more than maxGrown.
 func TestUpdateEndpoints_MemoryIsBoundedOverRollouts(t *testing.T) {
 	const (
 		fleet    = 12
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -38,15 +38,16 @@
 	FleetPolicy FleetPolicy
 }
 
-// FleetPolicy holds the decisions that the relays of a fleet make together. It is called with the dispatcher's lock
-// held and must not block.
+// FleetPolicy makes the decisions that the relays of a fleet make together. Its methods are called with the
+// dispatcher's lock held and must not block.
 type FleetPolicy interface {
 	// Admit reports whether a request goes to the balancer. If not, the request is rejected at once, and its client may
 	// retry after retryAfter.
 	Admit(class int, priorityWeight float64, tenant string, clientRetry bool) (ok bool, retryAfter time.Duration)
 	// RecordFirstAttempt records the first attempt of a request that is not a retry by its client.
 	RecordFirstAttempt()
-	// AllowRetry reports whether a request may have one more attempt.
+	// AllowRetry reports whether a request may have one more attempt. clientRetry is whether the client says that it
+	// has already sent the request.
 	AllowRetry(clientRetry bool) bool
 	// RecordOutcome records the outcome of an attempt. It is not called for outcomes that say nothing about the health
 	// of the backend.
@@ -61,8 +62,8 @@
 	AllowProbe(backend string) bool
 }
 
-// EvidenceRecorder records what the balancer learns about versions, and each vote with its reason. It is called with
-// the dispatcher's lock held and must not block.
+// EvidenceRecorder records what the balancer learns about versions, and each vote with its reason. Its methods are
+// called with the dispatcher's lock held and must not block.
 type EvidenceRecorder interface {
 	// UpdateVersion records the phase of the newest version. phase is the name that the release API has for it.
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -56,7 +56,7 @@
 	h.dispatcher.timerWaker.Wake()
 }
 
-// Probe checks a backend. The balancer does not call Probe today.
+// Probe starts a probe of a backend. The balancer does not call Probe today.
 func (h host) Probe(b *balancer.Backend) {
 	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
 }
@@ -102,7 +102,8 @@
 	return policy != nil && policy.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
-// AllowProbe reports whether the fleet policy allows an attempt at a backend that is on probation.
+// AllowProbe reports whether the fleet policy allows an attempt at a backend that is on probation or that the fleet has
+// ejected.
 func (h host) AllowProbe(b *balancer.Backend) bool {
 	policy := h.dispatcher.callbacks.FleetPolicy
 	return policy == nil || policy.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -17,7 +17,7 @@
 	Age         time.Duration // time since the stage began
 }
 
-// Valid reports whether the phase is known and the numbers are within their valid ranges.
+// rolloutPhases maps the names of the phases on the release API to the balancer's phases.
 var rolloutPhases = map[string]balancer.RolloutPhase{
 	"testing":   balancer.Canary,
 	"recalling": balancer.RollingBack,
@@ -25,7 +25,7 @@
 	"recalled":  balancer.Withdrawn,
 }
 
-// Valid reports whether the phase is known and the numbers are within their ranges.
+// Valid reports whether the phase is known and the numbers are within their valid ranges.
 func (s RolloutStage) Valid() bool {
 	_, known := rolloutPhases[s.Phase]
 	return known && s.Stage >= 0 && s.ExposureCap >= 0 && s.ExposureCap <= 1 && s.Age >= 0
@@ -43,7 +43,7 @@
 	}
 }
 
-// Vote is one vote, in the terms of the release API.
+// Vote is one vote, with the values that the release API uses.
 type Vote struct {
 	Version uint16
 	Stage   int
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// earliestTimer returns the index of the timer that is due first, or -1 if no timer is set. Of several that are due at
-// the same time it picks the one that was set first.
+// earliestTimer returns the index of the timer that is due first, or -1 if no timer is set. If several timers are due
+// at the same time, it picks the one that was set first.
 func (d *Dispatcher) earliestTimer() int {
 	earliest := -1
 	for i, t := range d.timers {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -84,7 +84,7 @@
 	FirstSeen                 balancer.Tick     `json:"first"`
 	LastSeen                  balancer.Tick     `json:"last"`
 	State                     string            `json:"state"`
-	Counts                    map[string]*Count `json:"cells"` // counts by countKey
+	Counts                    map[string]*Count `json:"cells"` // keyed by countKey
 	WrongAnswerDelays         WrongAnswerDelays `json:"late"`
 	Votes                     []Vote            `json:"votes"`
 	DroppedVotes              int64             `json:"dropped"`  // number of votes that were dropped because of maxVotes
@@ -95,7 +95,7 @@
 type Store struct {
 	classes   []string
 	level     float64    // probability that the bounds of one class are ever wrong
-	versions  []*Version // oldest first
+	versions  []*Version // in the order in which the store was told of them
 	Orphans   int64      // number of reports and votes on versions or classes that are not kept
 	LoadError string     // why Load could not read the snapshot; "" if it could, or if there was none
 }
@@ -247,9 +247,9 @@
 	return estimates
 }
 
-// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts.
-// The counts are halved for each half-life since the last outcome. Outcomes are rounded down and failures are rounded
-// up, as evidence against a version must not be lost by a restart.
+// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts. The
+// counts are halved for each half-life since the store was last told of the version (LastSeen). Outcomes are rounded
+// down and failures are rounded up, as evidence against a version must not be lost by a restart.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
 	v := s.findVersion(number)
 	if v == nil {
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -14,7 +14,7 @@
 
 const (
 	maxPings     = 16                     // upper bound of the pings under way at once
-	leaveTimeout = 500 * time.Millisecond // limit of the time to deliver the leave message
+	leaveTimeout = 500 * time.Millisecond // upper bound of the time to deliver the leave message
 )
 
 // gossip is the interface of the gossip library that an Agent uses. The calls of the interface may block; none is made
@@ -152,7 +152,7 @@
 	}
 }
 
-// roundResult holds the results of one call of runRound, which Run acts on.
+// roundResult holds the results of one call of runRound. Run acts on these results.
 type roundResult struct {
 	targets    []string // members to ping
 	changes    []Member
@@ -197,7 +197,7 @@
 	}
 }
 
-// ping probes one member, and drops the kept connection to it if it does not answer.
+// ping probes one member. If the member does not answer, ping closes the open connection to the member.
 func (a *Agent) ping(name string) {
 	took, err := a.library.Ping(name)
 	a.mu.Lock()
@@ -232,7 +232,7 @@
 	}
 }
 
-// onRecord merges a received record, and broadcasts it if it is new.
+// onRecord merges a received record, and broadcasts the record if it is new.
 func (a *Agent) onRecord(raw []byte) {
 	a.mu.Lock()
 	err := a.table.Merge(a.Now(), raw)
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// process is the agent of one process, with a link to each other process.
+// process is one process of a testFleet, with its agent and its network.
 type process struct {
 	*Agent
 	name string
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxPacketSize     = 16 << 10 // bytes
+	maxPacketSize     = 16 << 10 // in bytes
 	retransmitFactor  = 3        // each record is sent retransmitFactor times the logarithm of the number of members
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
@@ -73,7 +73,8 @@
 	c.EnableCompression = false
 	c.Delegate = g
 	c.Events = g
-	// The library logs plain text, without the fields that this program's log lines have, so its log is discarded.
+	// The library's log is discarded, because its lines are plain text without the event field of this program's log
+	// lines.
 	c.Logger = log.New(io.Discard, "", 0)
 	return c
 }
@@ -88,10 +89,10 @@
 // later one with the same Name.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Name implements memberlist.NamedBroadcast: the name of the member that the record describes.
+// Name implements memberlist.NamedBroadcast. It returns the name of the member that the record describes.
 func (b broadcast) Name() string { return b.name }
 
-// Message implements memberlist.Broadcast: the encoded record.
+// Message implements memberlist.Broadcast. It returns the encoded record.
 func (b broadcast) Message() []byte { return b.raw }
 
 // Finished implements memberlist.Broadcast and does nothing.
@@ -182,7 +183,8 @@
 	return err
 }
 
-// NodeMeta implements memberlist.Delegate.
+// NodeMeta implements memberlist.Delegate. It returns nil, as members exchange records instead of metadata of the
+// library.
 func (g *gossipLibrary) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg implements memberlist.Delegate.
@@ -193,7 +195,7 @@
 	return g.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: all records, each preceded by its length.
+// LocalState implements memberlist.Delegate. It returns all records, each preceded by its length.
 func (g *gossipLibrary) LocalState(bool) []byte {
 	var state []byte
 	for _, raw := range g.events.records() {
@@ -203,7 +205,7 @@
 	return state
 }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate. It merges the records in a LocalState of another member.
 func (g *gossipLibrary) MergeRemoteState(state []byte, _ bool) {
 	for len(state) > 0 {
 		length, size := binary.Uvarint(state)
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -30,12 +30,12 @@
 // Limits of the hold-down: if a member repeatedly stops answering and recovers, it stays suspect for longer after each
 // recovery.
 const (
-	undampedRecoveries = 3  // recoveries that cause no hold-down
-	maxRecoveries      = 16 // upper bound of the count of recoveries
-	recoveryHalfLife   = 20 // time after which the count of recoveries halves, in silence timeouts
-	maxHoldDown        = 32 // the longest hold-down, in silence timeouts
-	maxHoldDownShift   = 10 // upper bound of the shift by which the hold-down doubles with each recovery
-	minRecoveries      = 0.5
+	undampedRecoveries = 3   // number of recoveries that cause no hold-down
+	maxRecoveries      = 16  // upper bound of the count of recoveries
+	recoveryHalfLife   = 20  // time after which the count of recoveries halves, in silence timeouts
+	maxHoldDown        = 32  // the longest hold-down, in silence timeouts
+	maxHoldDownShift   = 10  // upper bound of the shift by which the hold-down doubles with each recovery
+	minRecoveries      = 0.5 // the count of recoveries is not halved further once it is this low
 )
 
 // flapping counts how often a member has recently recovered.
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -30,9 +30,9 @@
 	Zone         string            `json:"zone"`
 	Incarnation  uint64            `json:"run"`             // incarnation of the member's process; larger at each start
 	Sequence     uint64            `json:"number"`          // sequence of this record within the incarnation
-	StartedEmpty bool              `json:"fresh,omitempty"` // the incarnation began without the data of an earlier one
-	Left         bool              `json:"left,omitempty"`  // the member left on purpose
-	Payloads     map[string][]byte `json:"news,omitempty"`  // by kind
+	StartedEmpty bool              `json:"fresh,omitempty"` // whether the incarnation began without the data of an earlier one
+	Left         bool              `json:"left,omitempty"`  // whether the member left on purpose
+	Payloads     map[string][]byte `json:"news,omitempty"`  // keyed by kind
 }
 
 // Errors that say why a record is refused.
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -53,7 +53,7 @@
 
 	mu       sync.Mutex // guards the fields below
 	manager  *overload.Manager
-	outcomes map[string]*controllerclient.NodeOutcomes // outcomes since the last report to the controllers, by edge node
+	outcomes map[string]*controllerclient.NodeOutcomes // outcomes since the last report to the controllers, keyed by edge node
 	stage    dispatch.RolloutStage                     // stage of the newest version, as last received from the release API
 
 	// The fields below belong to the goroutine of Run.
--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -42,7 +42,7 @@
 
 // The results of an installation.
 const (
-	InstallPending   InstallResult = iota // no installation has ended
+	InstallPending   InstallResult = iota // the installation has not ended, or its result is not known
 	InstallSucceeded                      // the server runs the version
 	InstallFailed                         // the installation failed; the server may retry later
 	InstallDeclined                       // the server refuses the version and is excluded from it
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -25,8 +25,8 @@
 	return s.assigned == r.version || now < s.mayInstallUntil
 }
 
-// reconcile rolls back servers if more than the limit are assigned the newest version. If fewer are, it assigns the
-// version to more servers.
+// reconcile compares the number of servers that are assigned the newest version with the limit. It rolls back servers
+// above the limit, and assigns the version to more servers below the limit.
 func (r *Rollout) reconcile(now Tick) {
 	if r.version == r.releasedVersion {
 		return
@@ -52,8 +52,8 @@
 	return 0
 }
 
-// rollBackExcess rolls back excess servers that are assigned the newest version, beginning with the last one in the
-// order.
+// rollBackExcess rolls back the given number of the servers that are assigned the newest version, beginning with the
+// last one in the order.
 func (r *Rollout) rollBackExcess(now Tick, excess int) {
 	for i := len(r.servers) - 1; i >= 0 && excess > 0; i-- {
 		if s := r.servers[i]; s.assigned == r.version {
