--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -15,7 +15,7 @@
 	Cell                             int
 	State                            string // up, draining or removed
 	Weight                           float64
-	StartedAtMs                      int64 // start time in Unix milliseconds; 0 means long ago
+	StartedAtMs                      int64 // start time of the backend in Unix milliseconds; 0 means that it started long ago
 	Version                          uint16
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Backend identifies the process that an attempt goes to. A connection to another address, or to a process with another
-// start time, is not one to this backend.
+// start time, does not lead to this backend.
 type Backend struct {
 	Name, Address string
 	StartedAt     int64 // in ticks; 0 means that the start time is long ago
@@ -93,7 +93,7 @@
 }
 
 // backendOf returns the backend with a name, and creates it when the name is listed for the first time. A new backend
-// gets a free ID if there is one.
+// gets a free ID if there is one, and otherwise the next ID.
 func (d *Dispatcher) backendOf(name string) *backend {
 	if b := d.backends[name]; b != nil {
 		return b
@@ -123,10 +123,12 @@
 	}
 }
 
-// updateBackend applies the current entry of a backend.
+// updateBackend applies a backend's entry in the endpoint list: it closes idle connections that are no longer usable,
+// updates the removed backends, and passes the entry to the balancer.
 func (d *Dispatcher) updateBackend(now balancer.Tick, b *backend, endpoint balancer.Endpoint) {
 	if endpoint.State != balancer.Ready || endpoint.StartedAt != b.StartedAt || endpoint.Version != b.Version {
-		d.callbacks.CloseIdle(b.name) // its idle connections are of no more use: it is not ready, or its process was replaced
+		// The idle connections are no longer usable: the backend takes no attempts, or its process was replaced.
+		d.callbacks.CloseIdle(b.name)
 	}
 	index := slices.Index(d.removed, b)
 	switch gone := endpoint.State == balancer.Removed; {
@@ -154,7 +156,8 @@
 	}
 }
 
-// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed.
+// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed. It does
+// nothing if the balancer does not poll for the list.
 func (d *Dispatcher) EndpointFetchFailed() {
 	if !d.pollsEndpoints {
 		return
@@ -177,20 +180,20 @@
 	return ready
 }
 
-// IsCurrent reports whether a backend still has the address and start time that it was chosen with, and may get
-// attempts.
+// IsCurrent reports whether a backend may get attempts and still has the address and start time in b.
 func (d *Dispatcher) IsCurrent(b Backend) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.backends[b.Name]
-	return known != nil && known.State == balancer.Ready && known.identity() == b
+	current := d.backends[b.Name]
+	return current != nil && current.State == balancer.Ready && current.identity() == b
 }
 
-// ProbeEnded records the result of a probe of a backend, as Report does for an attempt.
-func (d *Dispatcher) ProbeEnded(name, state string, status transport.CloseStatus, took time.Duration, load []float64) {
+// ProbeEnded records the result of a probe of the named backend. sqlState, status and load have the same meaning as in
+// Report; took is how long the probe took.
+func (d *Dispatcher) ProbeEnded(name, sqlState string, status transport.CloseStatus, took time.Duration, load []float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if b := d.backends[name]; b != nil {
-		d.balancer.OnProbe(d.clock.now(), &b.Backend, AttemptOutcome(state, status), ticksOf(took), load)
+		d.balancer.OnProbe(d.clock.now(), &b.Backend, AttemptOutcome(sqlState, status), ticksOf(took), load)
 	}
 }
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -18,12 +18,12 @@
 	if policy := d.callbacks.FleetPolicy; policy != nil && attempt.Number == 0 && !attempt.Request.ClientRetry {
 		policy.RecordFirstAttempt()
 	}
-	at := d.clock.timeAt(deadline)
-	ctx, cancel := context.WithDeadline(context.Background(), at)
+	deadlineTime := d.clock.timeAt(deadline)
+	ctx, cancel := context.WithDeadline(context.Background(), deadlineTime)
 	started := &Attempt{
 		Backend:  backend.identity(),
 		Context:  ctx,
-		Deadline: at,
+		Deadline: deadlineTime,
 		attempt:  attempt,
 		call:     call,
 		cancel:   cancel,
@@ -35,28 +35,28 @@
 	call.steps <- Step{Attempt: started}
 }
 
-// Reject answers a request for good, with the promise that a retry is harmless.
+// Reject ends a request with a final answer which promises that a retry is harmless.
 func (h host) Reject(request *balancer.Request, retryAfter balancer.Tick) {
 	h.dispatcher.finish(request, Step{Answer: Rejected, RetryAfter: durationOf(retryAfter)})
 }
 
-// Fail answers a request for good, without a promise about its effect.
+// Fail ends a request with a final answer that promises nothing about the effect of the request.
 func (h host) Fail(request *balancer.Request) { h.dispatcher.finish(request, Step{Answer: Failed}) }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt ends the context of an attempt, so that the relay stops waiting for the attempt.
 func (h host) CancelAttempt(attempt *balancer.Attempt) {
 	if started := h.dispatcher.attempts[attempt]; started != nil {
 		started.cancel()
 	}
 }
 
-// SetTimer requests a call of OnTimer with a tag at the given time or later.
+// SetTimer requests a call of the balancer's OnTimer with a tag at the given time or later.
 func (h host) SetTimer(at balancer.Tick, tag uint32) {
 	h.dispatcher.timers = append(h.dispatcher.timers, timer{dueAt: at, tag: tag})
 	h.dispatcher.timerWaker.Wake()
 }
 
-// Probe checks a backend. The balancer does not call Probe today.
+// Probe starts a probe of a backend. The balancer does not call Probe today.
 func (h host) Probe(b *balancer.Backend) {
 	h.dispatcher.callbacks.Probe(h.dispatcher.backendsByID[b.ID].identity())
 }
@@ -102,7 +102,8 @@
 	return policy != nil && policy.IsEjected(h.dispatcher.backendsByID[b.ID].name)
 }
 
-// AllowProbe reports whether the fleet policy allows an attempt at a backend that is on probation.
+// AllowProbe reports whether the fleet policy allows an attempt at a backend that is on probation or that the fleet has
+// ejected.
 func (h host) AllowProbe(b *balancer.Backend) bool {
 	policy := h.dispatcher.callbacks.FleetPolicy
 	return policy == nil || policy.AllowProbe(h.dispatcher.backendsByID[b.ID].name)
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -14,11 +14,11 @@
 	tag   uint32
 }
 
-// idleWait is how long RunTimers sleeps while no timer is set. SetTimer wakes it.
+// idleWait is how long RunTimers sleeps while no timer is set. SetTimer ends the sleep.
 const idleWait = time.Hour
 
-// RunTimers fires the balancer's timers until the context ends, and then returns nil. It must run once for each
-// dispatcher.
+// RunTimers fires the balancer's timers until the context ends, and then returns nil. It must be called exactly once
+// for each dispatcher.
 func (d *Dispatcher) RunTimers(ctx context.Context) error { return d.timerWaker.Run(ctx, d.fireTimers) }
 
 // fireTimers fires the timers that are due and returns the time until the next timer is due.
@@ -42,8 +42,8 @@
 	}
 }
 
-// earliestTimer returns the index of the timer that is due first, or -1 if no timer is set. Of several that are due at
-// the same time it picks the one that was set first.
+// earliestTimer returns the index of the timer that is due first, or -1 if no timer is set. If several timers are due
+// at the same time, it picks the one that was set first.
 func (d *Dispatcher) earliestTimer() int {
 	earliest := -1
 	for i, t := range d.timers {
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -1,9 +1,9 @@
 // Package evidence keeps what a relay knows about each version of the backends: outcomes by request class, stage and
 // source, wrong answers by the delay of their reports, and each vote with the bounds that led to it. Its size is
-// bounded for any number of versions, classes and backends. It outlives a restart as a snapshot, if the relay has a
-// persistent disk.
+// bounded for any number of versions, classes and backends. If the relay has a persistent disk, a snapshot keeps the
+// evidence over a restart.
 //
-// How to drive it: New makes a Store for the request classes, and Load reads a snapshot. UpdateVersion and the Record
+// How to use it: New makes a Store for the request classes, and Load reads a snapshot. UpdateVersion and the Record
 // methods record events. Snapshot and Save write a snapshot.
 //
 // Files: store.go (the contents), bounds.go (the confidence sequence), snapshot.go (the file), explain.go (sentences
@@ -28,10 +28,11 @@
 	maxClasses  = 256
 )
 
-// totalLevel is the probability that any of a version's bounds is ever wrong. It is divided among the request classes.
+// totalLevel is the probability that any of the bounds of a version is ever wrong. It is divided equally among the
+// request classes.
 const totalLevel = 0.05
 
-// Source is where outcomes were observed.
+// Source is who observed an outcome.
 type Source uint8
 
 // The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
@@ -52,7 +53,8 @@
 	Failures float64 `json:"bad"`
 }
 
-// WrongAnswerDelays counts wrong answers by the delay of their reports: within 1 s, 10 s, 1 min, 10 min, and later.
+// WrongAnswerDelays counts wrong answers by the delay of their reports: up to 1 s, up to 10 s, up to 1 min, up to 10
+// min, and later.
 type WrongAnswerDelays [5]int64
 
 // delayLimits are the upper ends of the first four ranges of WrongAnswerDelays.
@@ -82,7 +84,7 @@
 	FirstSeen                 balancer.Tick     `json:"first"`
 	LastSeen                  balancer.Tick     `json:"last"`
 	State                     string            `json:"state"`
-	Counts                    map[string]*Count `json:"cells"` // counts by countKey
+	Counts                    map[string]*Count `json:"cells"` // keyed by countKey
 	WrongAnswerDelays         WrongAnswerDelays `json:"late"`
 	Votes                     []Vote            `json:"votes"`
 	DroppedVotes              int64             `json:"dropped"`  // number of votes that were dropped because of maxVotes
@@ -92,13 +94,13 @@
 // Store keeps the evidence of one relay. It is not safe for concurrent use.
 type Store struct {
 	classes   []string
-	level     float64    // probability that a bound of one class is ever wrong
-	versions  []*Version // oldest first
-	Orphans   int64      // number of reports on versions or classes that are not kept
-	LoadError string     // why an earlier snapshot could not be read; "" if it could, or if there was none
+	level     float64    // probability that the bounds of one class are ever wrong
+	versions  []*Version // in the order in which the store was told of them
+	Orphans   int64      // number of reports and votes on versions or classes that are not kept
+	LoadError string     // why Load could not read the snapshot; "" if it could, or if there was none
 }
 
-// New makes a store for the request classes; those beyond maxClasses are left out.
+// New makes a store for the request classes. Classes beyond the first maxClasses are left out.
 func New(classes []string) *Store {
 	return &Store{
 		classes: classes[:min(len(classes), maxClasses)],
@@ -106,16 +108,16 @@
 	}
 }
 
-// clampStage returns the stage under which an outcome is counted: the last stages share one count.
+// clampStage returns the stage under which an outcome is counted. All stages from maxStages - 1 on are counted as one.
 func clampStage(stage int) int { return min(max(0, stage), maxStages-1) }
 
-// countKey is the key of a count. It is part of the format of a snapshot.
+// countKey returns the key of a count in Version.Counts. The key is part of the format of a snapshot.
 func countKey(class, stage int, source Source) string {
 	return strconv.Itoa(class) + "/" + strconv.Itoa(clampStage(stage)) + "/" + strconv.Itoa(int(source))
 }
 
-// find returns the version with a number, or nil if it is not kept.
-func (s *Store) find(number uint16) *Version {
+// findVersion returns the version with a number, or nil if the store does not keep that version.
+func (s *Store) findVersion(number uint16) *Version {
 	for _, v := range s.versions {
 		if v.Number == number {
 			return v
@@ -124,10 +126,10 @@
 	return nil
 }
 
-// UpdateVersion sets the state of a version. A new version is kept from then on, in place of the oldest if the store is
-// full.
+// UpdateVersion sets the state of a version. If the version is new, the store keeps it from now on; a full store drops
+// its oldest version.
 func (s *Store) UpdateVersion(now balancer.Tick, number uint16, state string) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		if len(s.versions) >= maxVersions {
 			s.versions = slices.Delete(s.versions, 0, 1)
@@ -149,7 +151,8 @@
 	}
 }
 
-// RecordReleaseMetrics adds counts of the release API for a version. Counts that are impossible are ignored.
+// RecordReleaseMetrics adds counts of the release API for a version. Impossible counts, such as more failures than
+// outcomes, are ignored.
 func (s *Store) RecordReleaseMetrics(now balancer.Tick, number uint16, class, stage, outcomes, failures int) {
 	v := s.versionForReport(now, number, class)
 	if v != nil && outcomes > 0 && failures >= 0 && failures <= outcomes {
@@ -160,7 +163,7 @@
 // versionForReport returns the version that a report belongs to. A report on a version or class that is not kept counts
 // as an orphan, and the result is nil.
 func (s *Store) versionForReport(now balancer.Tick, number uint16, class int) *Version {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil || class < 0 || class >= len(s.classes) {
 		s.Orphans++
 		return nil
@@ -209,7 +212,7 @@
 
 // RecordVote records a vote that is cast now, together with the current estimates.
 func (s *Store) RecordVote(now balancer.Tick, number uint16, stage int, verdict, reason string) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		s.Orphans++
 		return
@@ -222,42 +225,42 @@
 	v.Votes = append(v.Votes, vote)
 }
 
-// Estimates is what this relay itself has observed of each request class at a version, over all stages. It is nil for a
-// version that is not kept.
+// Estimates returns what this relay itself has observed of each request class at a version, over all stages. It returns
+// nil for a version that is not kept.
 func (s *Store) Estimates(number uint16) []Estimate {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		return nil
 	}
-	all := make([]Estimate, len(s.classes))
+	estimates := make([]Estimate, len(s.classes))
 	for _, c := range v.Counts {
 		if c.Source == SourceRelay {
-			all[c.Class].Outcomes += c.Outcomes
-			all[c.Class].Failures += c.Failures
+			estimates[c.Class].Outcomes += c.Outcomes
+			estimates[c.Class].Failures += c.Failures
 		}
 	}
 	for class, name := range s.classes {
-		e := &all[class]
+		e := &estimates[class]
 		e.Class = name
 		e.Low, e.High = ConfidenceBounds(e.Failures, e.Outcomes, s.level)
 	}
-	return all
+	return estimates
 }
 
-// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts.
-// The counts are halved for each half-life since the last outcome. Outcomes are rounded down and failures are rounded
-// up, as evidence against a version must not be lost by a restart.
+// DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts. The
+// counts are halved for each half-life since the store was last told of the version (LastSeen). Outcomes are rounded
+// down and failures are rounded up, as evidence against a version must not be lost by a restart.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
-	v := s.find(number)
+	v := s.findVersion(number)
 	if v == nil {
 		return nil, nil
 	}
-	const rounding = 1e-9 // tolerance for rounding errors of a decayed count above a whole number
-	left := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
+	const roundingTolerance = 1e-9 // a rounding error up to this size does not round a decayed count up to the next whole number
+	remainingFraction := math.Pow(0.5, float64(max(0, now-v.LastSeen))/float64(max(1, halfLife)))
 	outcomes, failures = make([]int, len(s.classes)), make([]int, len(s.classes))
 	for i, e := range s.Estimates(number) {
-		failures[i] = int(math.Ceil(e.Failures*left - rounding))
-		outcomes[i] = max(failures[i], int(e.Outcomes*left))
+		failures[i] = int(math.Ceil(e.Failures*remainingFraction - roundingTolerance))
+		outcomes[i] = max(failures[i], int(e.Outcomes*remainingFraction))
 	}
 	return outcomes, failures
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	maxPacketSize     = 16 << 10 // bytes
-	retransmitFactor  = 3        // a record is sent retransmitFactor times the logarithm of the number of members
+	maxPacketSize     = 16 << 10 // in bytes
+	retransmitFactor  = 3        // each record is sent retransmitFactor times the logarithm of the number of members
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
 	maxGossipInterval = 200 * time.Millisecond
 	minStreamTimeout  = 500 * time.Millisecond
-	placeholderPort   = 1 // no address is ever dialled: members are reached by name
+	placeholderPort   = 1 // port of the placeholder addresses, which are never dialled because members are reached by name
 )
 
 // gossipLibrary implements gossip with the memberlist library.
@@ -73,7 +73,9 @@
 	c.EnableCompression = false
 	c.Delegate = g
 	c.Events = g
-	c.Logger = log.New(io.Discard, "", 0) // the library's log lines have no event fields
+	// The library's log is discarded, because its lines are plain text without the event field of this program's log
+	// lines.
+	c.Logger = log.New(io.Discard, "", 0)
 	return c
 }
 
@@ -83,20 +85,21 @@
 	raw  []byte
 }
 
-// Invalidates implements memberlist.Broadcast. It is always false, as the queue replaces broadcasts by their names.
+// Invalidates implements memberlist.Broadcast. It always returns false, as the queue itself replaces a broadcast by a
+// later one with the same Name.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Name implements memberlist.NamedBroadcast: the name of the member that the record describes.
+// Name implements memberlist.NamedBroadcast. It returns the name of the member that the record describes.
 func (b broadcast) Name() string { return b.name }
 
-// Message implements memberlist.Broadcast: the encoded record.
+// Message implements memberlist.Broadcast. It returns the encoded record.
 func (b broadcast) Message() []byte { return b.raw }
 
 // Finished implements memberlist.Broadcast and does nothing.
 func (b broadcast) Finished() {}
 
-// nameOf returns the member's name in an encoded record, or "" if there is none.
-func nameOf(raw []byte) string {
+// recordName returns the member's name in an encoded record, or "" if there is none.
+func recordName(raw []byte) string {
 	var r struct{ Name string }
 	_ = json.Unmarshal(raw, &r)
 	return r.Name
@@ -121,8 +124,9 @@
 	return g.list.Ping(name, memberAddr(name))
 }
 
-// Sync exchanges whole states with other members: first with a few of them, then in turn with some of those that the
-// library does not consider alive. The library does not contact such members itself, so a split would never heal.
+// Sync exchanges whole states, which are all records that a member knows, with other members: first with a few of them,
+// then in turn with some of those that the library does not consider alive. The library itself does not contact members
+// that it does not consider alive, so without Sync a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
@@ -139,23 +143,23 @@
 		for _, m := range g.list.Members() {
 			alive[m.Name] = true
 		}
-		left := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
+		remaining := SyncCount(len(alive), len(names)+1-len(alive), rand.Float64())
 		for range names {
 			name := names[next%len(names)]
-			if left == 0 {
+			if remaining == 0 {
 				break
 			}
 			next++
 			if alive[name] {
 				continue
 			}
-			left--
+			remaining--
 			started := group.TryGo(func() error {
-				_ = g.join(name) // a member that does not answer is tried again in its turn
+				_ = g.join(name) // a member that does not answer is tried again when its turn comes again
 				return nil
 			})
 			if !started {
-				break // concurrentSyncs exchanges are under way
+				break // there are already concurrentSyncs exchanges under way
 			}
 		}
 	}
@@ -179,7 +183,8 @@
 	return err
 }
 
-// NodeMeta implements memberlist.Delegate.
+// NodeMeta implements memberlist.Delegate. It returns nil, as members exchange records instead of metadata of the
+// library.
 func (g *gossipLibrary) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg implements memberlist.Delegate.
@@ -190,7 +195,7 @@
 	return g.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: all records, each preceded by its length.
+// LocalState implements memberlist.Delegate. It returns all records, each preceded by its length.
 func (g *gossipLibrary) LocalState(bool) []byte {
 	var state []byte
 	for _, raw := range g.events.records() {
@@ -200,7 +205,7 @@
 	return state
 }
 
-// MergeRemoteState implements memberlist.Delegate.
+// MergeRemoteState implements memberlist.Delegate. It merges the records in a LocalState of another member.
 func (g *gossipLibrary) MergeRemoteState(state []byte, _ bool) {
 	for len(state) > 0 {
 		length, size := binary.Uvarint(state)
@@ -224,8 +229,8 @@
 	g.events.onDown(n.Name, n.State == memberlist.StateLeft)
 }
 
-// memberAddr is a member's address as the library sees it: the name alone. Each process reaches a member at the address
-// in its own configuration file, so no address is valid for all.
+// memberAddr is the address that the library has for a member: only the member's name. Each process reaches a member at
+// the address in its own configuration file, so no address is valid for all processes.
 type memberAddr string
 
 // Network implements net.Addr.
@@ -234,10 +239,12 @@
 // String implements net.Addr.
 func (a memberAddr) String() string { return "[" + placeholderIP(string(a)).String() + "]:1" }
 
-// uniqueLocalPrefix is the prefix of IPv6 addresses that are never routed (RFC 4193).
+// uniqueLocalPrefix is the first byte of locally assigned IPv6 addresses, which are not routed on the Internet (RFC
+// 4193).
 const uniqueLocalPrefix = 0xfd
 
-// placeholderIP derives an address from a name, where the library requires one. Nothing is ever sent to it.
+// placeholderIP derives an IP address from a member's name, for calls of the library that require an address. Nothing
+// is ever sent to this address.
 func placeholderIP(name string) net.IP {
 	ip := make(net.IP, net.IPv6len)
 	ip[0] = uniqueLocalPrefix
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	packetQueue  = 64               // packets queued for one member; further ones are dropped, as the library expects
-	inboundQueue = 4 * packetQueue  // limit of received packets that the library has not taken yet
-	idleTimeout  = 30 * time.Second // a connection for packets is closed after this time without a packet to send
-	helloSlack   = time.Second      // added to the silence timeout while the first byte of a connection is awaited
-
-	// The first byte of a connection gives its purpose.
-	packetConn = byte('p')
-	streamConn = byte('s')
+	packetQueue      = 64               // packets queued for one member; further packets are dropped, and the library tolerates the loss
+	inboundQueue     = 4 * packetQueue  // upper bound of received packets that the library has not taken yet
+	idleTimeout      = 30 * time.Second // a connection for packets is closed after this time without a packet to send
+	purposeReadSlack = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
+
+	// The first byte of a connection gives the purpose of the connection.
+	packetPurpose = byte('p')
+	streamPurpose = byte('s')
 )
 
 // transport carries the library's packets and streams over connections between processes. Packets for one member go
-// over one connection that is kept open. They are dropped if that connection is slow. Each stream has a connection of
+// over one connection that is kept open, and are dropped if that connection is slow. Each stream has a connection of
 // its own. transport implements memberlist.NodeAwareTransport and is safe for concurrent use.
 type transport struct {
-	net     *peertransport.Network
-	silence time.Duration
-	ctx     context.Context // ends with Shutdown
-	stop    context.CancelFunc
-	done    sync.WaitGroup // waits for the transport's goroutines
-	packets chan *memberlist.Packet
-	streams chan net.Conn
+	net        *peertransport.Network
+	silence    time.Duration
+	ctx        context.Context // ends when Shutdown is called
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup // waits for the transport's goroutines
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
 
 	mu       sync.Mutex // guards the fields below and each sender's conn
 	senders  map[string]*sender
-	inbound  map[string]net.Conn // connections for packets: the newest one from each member
+	inbound  map[string]net.Conn // newest connection for packets from each member, keyed by its name
 	openConn map[net.Conn]bool   // all open connections
 }
 
@@ -55,14 +55,14 @@
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	listener := n.Listener(peertransport.KindMembership)
-	t.done.Go(func() {
+	t.goroutines.Go(func() {
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			if t.register(c) {
-				t.done.Go(func() { t.serve(c) })
+				t.goroutines.Go(func() { t.serve(c) })
 			}
 		}
 	})
@@ -93,16 +93,16 @@
 // serve reads the purpose of an inbound connection and serves it.
 func (t *transport) serve(c net.Conn) {
 	var purpose [1]byte
-	_ = c.SetDeadline(time.Now().Add(t.silence + helloSlack))
+	_ = c.SetDeadline(time.Now().Add(t.silence + purposeReadSlack))
 	if _, err := io.ReadFull(c, purpose[:]); err != nil {
 		_ = t.closeConn(c)
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
 	switch purpose[0] {
-	case streamConn:
+	case streamPurpose:
 		t.serveStream(c)
-	case packetConn:
+	case packetPurpose:
 		t.servePackets(c)
 	default:
 		_ = t.closeConn(c)
@@ -123,7 +123,7 @@
 	}
 }
 
-// registeredConn is the connection of a stream. Closing it removes it from openConn.
+// registeredConn is the connection of a stream. Close removes the connection from openConn.
 type registeredConn struct {
 	net.Conn
 	transport *transport
@@ -152,7 +152,7 @@
 	return c, nil
 }
 
-// FinalAdvertiseAddr implements memberlist.Transport: a placeholder address for this process's name.
+// FinalAdvertiseAddr implements memberlist.Transport. It returns a placeholder address for this process's name.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return placeholderIP(t.net.Self().Name), placeholderPort, nil
 }
@@ -174,16 +174,17 @@
 	return now, nil
 }
 
-// DialAddressTimeout implements memberlist.NodeAwareTransport: it opens a stream.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It opens a stream.
 func (t *transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	c, err := t.dial(to.Name, streamConn, timeout)
+	c, err := t.dial(to.Name, streamPurpose, timeout)
 	if err != nil {
 		return nil, err
 	}
 	return &registeredConn{Conn: c, transport: t}, nil
 }
 
-// errNoName is returned for calls without a member's name. All calls have one, as RequireNodeNames is set.
+// errNoName is returned by the methods of memberlist.Transport that get an address without a member's name. The library
+// does not call these methods, as RequireNodeNames is set.
 var errNoName = errors.New("members are reached by name")
 
 // WriteTo implements memberlist.Transport. It is not used.
@@ -192,13 +193,13 @@
 // DialTimeout implements memberlist.Transport. It is not used.
 func (t *transport) DialTimeout(string, time.Duration) (net.Conn, error) { return nil, errNoName }
 
-// PacketCh implements memberlist.Transport: the received packets.
+// PacketCh implements memberlist.Transport. It returns the channel of the received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh implements memberlist.Transport: the inbound streams.
+// StreamCh implements memberlist.Transport. It returns the channel of the inbound streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown implements memberlist.Transport: it closes all connections and waits for the transport's goroutines.
+// Shutdown implements memberlist.Transport. It closes all connections and waits for the transport's goroutines.
 func (t *transport) Shutdown() error {
 	t.mu.Lock()
 	t.stop()
@@ -207,6 +208,6 @@
 	}
 	t.mu.Unlock()
 	_ = t.net.Listener(peertransport.KindMembership).Close()
-	t.done.Wait()
+	t.goroutines.Wait()
 	return nil
 }
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// minCores and minMemory are lower bounds of a relay's resources. They avoid a division by zero.
+// minCores and minMemory are lower bounds of a relay's resources, which prevent a division by zero.
 const (
 	minCores  = 0.01
 	minMemory = 1 // in bytes
@@ -31,22 +31,22 @@
 	return m
 }
 
-// measure returns the load since the last call. backendUtilization comes from the dispatcher; delay is how much later
-// than intended the caller was scheduled.
+// measure returns the load since its last call, or since newPressureMeter. backendUtilization is the dispatcher's Load;
+// delay is how much later than intended the caller was scheduled.
 func (m *pressureMeter) measure(backendUtilization float64, delay time.Duration) overload.Pressure {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	now := time.Now()
-	spent := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
-	cpu := float64(spent) / (float64(now.Sub(m.usageAt)) * m.cores)
+	cpuTime := usage.Utime.Nano() + usage.Stime.Nano() - m.usage.Utime.Nano() - m.usage.Stime.Nano()
+	cpu := float64(cpuTime) / (float64(now.Sub(m.usageAt)) * m.cores)
 	m.usage, m.usageAt = usage, now
 	samples := []runtimemetrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	runtimemetrics.Read(samples)
-	used := samples[0].Value.Uint64() - samples[1].Value.Uint64()
+	usedMemory := samples[0].Value.Uint64() - samples[1].Value.Uint64()
 	return overload.Pressure{
 		SchedulingDelay:    tick.FromDuration(delay),
 		CPU:                cpu,
 		BackendUtilization: backendUtilization,
-		Memory:             float64(used) / m.memory,
+		Memory:             float64(usedMemory) / m.memory,
 	}
 }
