--- a/internal/benchadapter/adapter.go
+++ b/internal/benchadapter/adapter.go
@@ -34,8 +34,8 @@
 
 func newServer() *server { return &server{instances: map[uint32]*instance{}} }
 
-// Serve writes one reply to each frame of in, until in ends. It returns an error if the input is malformed, a read or a write
-// fails, or the balancer panics; nothing can be served after an error.
+// Serve writes one reply to each frame of in, until in ends. It returns an error if the input is malformed, a read or a
+// write fails, or the balancer panics. It handles no further frame after an error.
 func Serve(in io.Reader, out io.Writer) error {
 	s := newServer()
 	input := bufio.NewReaderSize(in, bufferBytes)
@@ -58,10 +58,10 @@
 	}
 }
 
-// errInputEnded reports that the input has ended between two frames, as it should.
+// errInputEnded is the error of readFrame if the input ends between two frames, which is its regular end.
 var errInputEnded = errors.New("the input has ended")
 
-// readFrame reads the length of a frame and then the frame. It reuses buf if the frame fits.
+// readFrame reads the length of a frame and then the frame. It returns the frame in the memory of buf if the frame fits.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
 	var length [4]byte
 	if _, err := io.ReadFull(in, length[:]); errors.Is(err, io.EOF) {
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// handleBatch handles the events of one frame and returns the reply. If the balancer panics, the reply ends with FAULT, and
-// handleBatch returns an error too.
+// handleBatch handles the events of one frame and returns the reply. If the balancer panics, handleBatch returns both an
+// error and a reply, which ends with a FAULT record.
 func (s *server) handleBatch(frame []byte) (reply []byte, err error) {
 	r := &reader{buf: frame}
 	now := r.tick("clock")
 	count := r.u32("record count")
 	s.out.begin()
-	var current uint32 // the instance whose event is being handled
+	var current uint32 // number of the instance whose event is being handled
 	defer func() {
 		if cause := recover(); cause != nil {
 			s.out.fault(current, fmt.Sprint(cause))
@@ -133,8 +133,8 @@
 	return s.out.finish(), nil
 }
 
-// handleEvent reads one record and makes the call that it stands for. A record that is cut short has no effect: the reader
-// keeps its error.
+// handleEvent reads one record and passes the event to the balancer of its instance. A record that is cut short has no
+// effect. handleEvent then returns nil, and the caller finds the error in r.err.
 func (s *server) handleEvent(r *reader, now balancer.Tick, current *uint32) error {
 	code := eventCode(r.u8("code"))
 	if r.err == nil && code >= eventCodeCount {
@@ -166,7 +166,8 @@
 
 func unknownInstance(number uint32) error { return fmt.Errorf("unknown instance %d", number) }
 
-// start creates the instance that a start event names. The new instance replaces an instance of the same number.
+// start creates the instance that a start event names. If an instance of the same number is running, the new one replaces
+// it.
 func (s *server) start(r *reader, now balancer.Tick, number uint32) error {
 	event := r.startEvent()
 	if r.err != nil {
--- a/internal/benchadapter/adapter_test.go
+++ b/internal/benchadapter/adapter_test.go
@@ -17,8 +17,8 @@
  "family_info": {"most_shares": [0.17, 1.0], "counted_by": "per_lane"},
  "limits": {"send_cap": 3}, "rules": {"cold": 4.0, "cold_from": 0.3}}`
 
-// The example records of the wire protocol's documentation, each under its name on the wire. They are for instance 3, except
-// LEFT, which is for instance 5.
+// The example records of the wire protocol's documentation, each under its name on the wire. LEFT is addressed to
+// instance 5, and every other record that has an instance number to instance 3.
 const (
 	submit  = "02 03000000 c4913a5d708d0e00 00 00000000 640ad2557c3bf091 cba145b6f34d2540 fa7e6abc7493883f 01"
 	alarm   = "06 03000000 4d000000"
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestHandleBatch_PanicBecomesFault checks that a panic of the balancer ends the reply with a FAULT record of the instance whose
-// event was being handled, and that handleBatch returns an error, after which nothing is served.
+// TestHandleBatch_PanicBecomesFault checks a panic of the balancer. The reply must end with a FAULT record of the
+// instance whose event was being handled. handleBatch must return an error, as Serve handles no further frame after one.
 func TestHandleBatch_PanicBecomesFault(t *testing.T) {
 	s := newServer()
 	s.instances[3] = &instance{number: 3, out: &s.out} // the nil balancer panics at any event
--- a/internal/benchadapter/codec.go
+++ b/internal/benchadapter/codec.go
@@ -8,11 +8,11 @@
 	"silvercove/balancer"
 )
 
-// Times on the wire are in seconds, and the simulator's clock has a resolution of one microsecond.
+// Times on the wire are in seconds. The clock of the bench's simulator has a resolution of one microsecond.
 const (
 	microsecondsPerSecond = 1e6
 	microsecondsPerTick   = microsecondsPerSecond / float64(balancer.Second)
-	maxSeconds            = 1e11 // a greater number is not a valid time
+	maxSeconds            = 1e11 // a time on the wire beyond this number is an error
 )
 
 // reader reads the fields of one frame. After its first error, every read returns zero and err keeps that error, so that a
@@ -23,14 +23,15 @@
 	err    error
 }
 
-// require sets err unless n more bytes are left. what names the field in the error.
+// require sets err unless at least n bytes are left to read. what names the field in the error.
 func (r *reader) require(n int, what string) {
 	if r.err == nil && (n < 0 || n > len(r.buf)-r.offset) {
 		r.err = fmt.Errorf("%s at byte %d runs past the frame's %d bytes", what, r.offset, len(r.buf))
 	}
 }
 
-// take returns the next n bytes, or nil after an error. They are part of the frame and valid as long as it is.
+// take returns the next n bytes, or nil after an error. The bytes are not copied: they change if the frame's buffer is
+// reused.
 func (r *reader) take(n int, what string) []byte {
 	r.require(n, what)
 	if r.err != nil {
@@ -85,8 +86,8 @@
 // tick reads a point in time or a duration, in the balancer's ticks.
 func (r *reader) tick(what string) balancer.Tick { return toTick(r.seconds(what)) }
 
-// toTick rounds to the nearest microsecond, which gives the exact value of every time on the wire, and then rounds down to the
-// tick, so that a deadline is never read as later than it is.
+// toTick converts seconds to ticks. It rounds to the nearest microsecond first, which restores the exact value of every
+// time on the wire. It then rounds down to a tick, so that a deadline is never read as later than it is.
 func toTick(seconds float64) balancer.Tick {
 	return balancer.Tick(math.Floor(math.Round(seconds*microsecondsPerSecond) / microsecondsPerTick))
 }
@@ -115,13 +116,13 @@
 	count uint32 // number of records
 }
 
-// begin starts a reply, and reuses the memory of the previous one.
+// begin starts a new reply in the memory of the previous one.
 func (w *writer) begin() {
 	w.buf = append(w.buf[:0], make([]byte, replyHeaderSize)...)
 	w.count = 0
 }
 
-// record starts a record of an instance; the caller then writes the fields.
+// record starts a record for an instance. The caller writes the fields after it.
 func (w *writer) record(code actionCode, instance uint32) {
 	w.count++
 	w.u8(uint8(code))
@@ -145,7 +146,7 @@
 	w.u64(math.Float64bits(float64(v) / float64(balancer.Second)))
 }
 
-// bytes writes a 16-bit count and that many bytes. Bytes beyond the greatest count are dropped.
+// bytes writes a 16-bit count and that many bytes of b. It drops the bytes of b after the first 65,535.
 func (w *writer) bytes(b []byte) {
 	b = b[:min(len(b), math.MaxUint16)]
 	w.u16(uint16(len(b)))
--- a/internal/benchadapter/endpoints.go
+++ b/internal/benchadapter/endpoints.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// list returns the list of this number, or an error if none was received.
+// list returns the list with the given number, or an error if no such list was received.
 func (l *endpointLists) list(number uint32) ([]listedEndpoint, error) {
 	if number >= maxLists || !l.received[number] {
 		return nil, fmt.Errorf("list number %d was never given", number)
@@ -42,7 +42,8 @@
 	return l.lists[number], nil
 }
 
-// updateEndpoints passes an update of the endpoint list to the balancer.
+// updateEndpoints passes an update of the endpoint list to the balancer. A complete list also removes every backend that
+// is missing from it. A failed update changes no backend.
 func (i *instance) updateEndpoints(now balancer.Tick, event endpointUpdateEvent, lists *endpointLists) error {
 	switch event.kind {
 	case updateFailed:
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// findOrAddBackend returns the backend of this ID, and adds the backend if the ID is new.
+// findOrAddBackend returns the backend with the given ID, and adds a backend if the ID is new.
 func (i *instance) findOrAddBackend(id uint32) *balancer.Backend {
 	backend := i.backends[id]
 	if backend == nil {
@@ -79,7 +80,7 @@
 	return backend
 }
 
-// removeUnlisted reports the backends that are missing from a complete list to the balancer as removed.
+// removeUnlisted tells the balancer that the backends that are missing from a complete list are removed.
 func (i *instance) removeUnlisted(now balancer.Tick, listed map[uint32]bool) {
 	for _, id := range i.backendOrder {
 		backend := i.backends[id]
--- a/internal/benchadapter/instance.go
+++ b/internal/benchadapter/instance.go
@@ -13,7 +13,7 @@
 	number       uint32
 	out          *writer // shared by all instances of the process, since all actions of a batch go into one reply
 	balancer     *balancer.Balancer
-	classes      int                     // number of request classes of the site
+	classes      int                     // number of request classes in the settings
 	requests     map[uint64]*openRequest // requests that later events may still refer to, by ID
 	backends     map[uint32]*balancer.Backend
 	backendOrder []uint32 // IDs of the backends in the order in which they were first listed
@@ -44,8 +44,8 @@
 	return i, nil
 }
 
-// handle reads one event of this instance and makes the call that it stands for. Events about requests, attempts and backends
-// that the instance does not know, or has dropped, have no effect.
+// handle reads one event of this instance and passes it to the balancer. An event about a request, attempt or backend
+// that the instance does not know, or no longer keeps, has no effect.
 func (i *instance) handle(r *reader, now balancer.Tick, code eventCode, lists *endpointLists) error {
 	switch code {
 	case eventEndpointUpdate:
@@ -106,7 +106,8 @@
 	return nil
 }
 
-// attempt returns an attempt and the request that it belongs to, or nil for both if the instance does not know the attempt.
+// attempt returns the open request and the attempt that the ID names, or nil for both if the instance does not know the
+// attempt.
 func (i *instance) attempt(id attemptID) (*openRequest, *balancer.Attempt) {
 	open := i.requests[id.request]
 	if open == nil || id.number >= len(open.attempts) {
@@ -160,7 +161,8 @@
 	}
 }
 
-// dropIfFinished drops a request once it has its final answer and no attempt is in flight: no later event refers to it.
+// dropIfFinished drops a request if it has its final answer and no attempt is in flight. No later event can refer to such
+// a request.
 func (i *instance) dropIfFinished(id uint64) {
 	if open := i.requests[id]; open != nil && open.answered && open.inFlight <= 0 {
 		delete(i.requests, id)
