--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,8 +10,9 @@
 	"silvercove/internal/transport"
 )
 
-// endpointsPath is the agent's resource for the endpoint list. A request without a query is answered at once with the
-// complete list. A request with a version (since) waits for a newer version, for at most timeout_ms.
+// endpointsPath is the agent's resource for the endpoint list. The agent answers a request without a query at once with
+// the complete list. If the query names a version (since), the agent waits for a newer version before it answers, but for
+// no longer than timeout_ms.
 const endpointsPath = "/v1/servers"
 
 // statusOK is the HTTP status of a response with a page.
@@ -19,13 +20,13 @@
 
 // poll describes one request to the agent.
 type poll struct {
-	complete bool // whether to ask for the complete list, which is sent at once, or for the changes after the known version
-	queued   bool // whether the request begins a watch, which discovery itself answers after a wait in its queue
+	complete bool // whether to ask for the complete list, which the agent sends at once; if false, the request waits for changes
+	queued   bool // whether the request begins a watch and so may wait in a queue at discovery
 }
 
 // call sends one request, on the open connection or on a new one, and applies the response. skipped reports whether the
-// response held changes that lead to a version before the known one, so that some changes may be missing. If the call
-// failed, the status is closed and holds the reason.
+// response held changes that lead to an older version than the known one. Some changes may then be missing. If the call
+// failed, status is closed and holds the reason.
 func (r *run) call(ctx context.Context, p poll) (skipped bool, status transport.CloseStatus) {
 	path, wait := endpointsPath, time.Duration(0)
 	if !p.complete {
@@ -52,7 +53,7 @@
 	return skipped, status
 }
 
-// ensureConn opens a connection if the current one cannot be reused or there is none.
+// ensureConn opens a connection, unless the current one can be reused.
 func (r *run) ensureConn(ctx context.Context) transport.CloseStatus {
 	if r.conn != nil && r.conn.Reusable() {
 		return transport.CloseStatus{}
@@ -67,7 +68,7 @@
 }
 
 // exchange sends a request and applies the page in the response. The status is ClosedLocally if the page was applied but
-// the connection may not be reused.
+// the connection cannot be reused.
 func (r *run) exchange(path string) (skipped bool, status transport.CloseStatus) {
 	r.conn.Append(http1.FormatRequest("GET", path, r.agent, ""))
 	if status := r.conn.Flush(); status.Closed() {
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -14,9 +14,9 @@
 type watchState uint8
 
 const (
-	stopped   watchState = iota // no watch was requested
-	suspended                   // a call failed: the watch waits for SetWatching, or for a new agent address
-	watching                    // the next call waits for a newer version
+	stopped   watchState = iota // no watch is requested: Run makes only the calls that Fetch requests
+	suspended                   // a call failed: the watch waits for SetWatching or for a new agent address
+	watching                    // the watch is on: each call waits for a newer version, unless needsComplete is set
 )
 
 // run holds the state of a call of Watcher.Run. Only the goroutine in Run uses it.
@@ -25,9 +25,9 @@
 	dispatcher *dispatch.Dispatcher
 	mode       Mode
 	state      watchState
-	conn       *transport.Conn // connection of the last call; nil if the next call has to open one
+	conn       *transport.Conn // connection of the last call; nil before the first call and once the connection is closed
 	agent      string          // address of the last call; empty before the first call
-	version    int64           // version of the known list
+	version    int64           // version of the last list or changes that were applied
 	// needsComplete is set if the changes after version cannot be followed. The next call then asks for the complete list.
 	needsComplete bool
 	// opensWatch is set if the next call begins a watch, because the previous call failed or there was none.
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// step waits until a call is due, makes the call and handles its result.
+// step makes the next call, if one is due, and handles its result. Otherwise it waits for SetWatching, Fetch or a change
+// of the agent's address.
 func (r *run) step(ctx context.Context) {
 	address, addressCtx, release := r.address.Current(ctx)
 	defer release()
@@ -70,7 +71,9 @@
 		fetch = true
 	default:
 		if r.state == suspended && r.agent != "" && address != r.agent {
-			r.state = watching // updates at the new address count as notified, so the watch does not wait for SetWatching
+			// The relay counts as notified of the updates that the new agent has, so the watch begins there without waiting
+			// for SetWatching.
+			r.state = watching
 		}
 		if r.state != watching {
 			r.waitIdle(addressCtx)
@@ -115,8 +118,8 @@
 	}
 }
 
-// switchAgent directs the next call to an address. If the address differs from that of the last call, the call asks for
-// the complete list, as the agent there may number its versions differently.
+// switchAgent sets the address of the next call. If the address differs from that of the last call, the next call asks
+// for the complete list, as the new agent may number its versions differently.
 func (r *run) switchAgent(address string) {
 	if address == r.agent {
 		return
@@ -142,8 +145,8 @@
 	r.dispatcher.EndpointFetchFailed()
 }
 
-// pauseBeforeRetry waits for retryPause, so that an agent that is down, or answers polls at once, is not called in a tight
-// loop.
+// pauseBeforeRetry waits for retryPause. It keeps Run from calling an agent in a tight loop if the agent is down or
+// answers polls at once.
 func pauseBeforeRetry(addressCtx context.Context) {
 	select {
 	case <-time.After(retryPause):
--- a/internal/discovery/page.go
+++ b/internal/discovery/page.go
@@ -19,10 +19,10 @@
 // Error names the invalid entry.
 func (e *InvalidEndpointError) Error() string { return fmt.Sprintf("invalid entry: host %q", e.Name) }
 
-// Page holds the endpoint list at a version, or the changes that led to the version.
+// Page holds the complete endpoint list at a version, or the changes that lead to that version.
 type Page struct {
 	Version   int64
-	Complete  bool // whether Endpoints is the whole list: endpoints missing from the list have then been removed
+	Complete  bool // whether Endpoints is the complete list, so that every endpoint missing from it has been removed
 	Endpoints []dispatch.Endpoint
 }
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,7 +1,8 @@
 // Package discovery follows the endpoint list that a discovery agent on the machine serves, by long polls over HTTP/1.1.
 //
-// New creates a Watcher. Run follows the list and passes each update to a dispatcher. If discovery pushes lists, the watch
-// runs from the start. Otherwise the balancer requests it through SetWatching and Fetch.
+// New creates a Watcher. Run follows the list and passes each update to a dispatcher. There are two modes. If discovery
+// pushes lists, the watch runs from the start. Otherwise the balancer requests the watch through SetWatching, and single
+// lists through Fetch.
 package discovery
 
 import (
@@ -13,30 +14,35 @@
 	"silvercove/internal/transport"
 )
 
-// A watch whose agent stops responding is broken. 6 s after the agent stopped, a relay counts as notified of the updates that
-// the watch misses, and so is responsible for them. A new watch must be requested within 4 s, so that 2 s are left for its
-// response. An established watch is found broken after at most maxPollWait plus maxAnswerTimeout; if watches are requested,
-// the balancer begins another one within a second. A call that begins a watch is found broken after at most
-// maxOpenCallDuration. At that time the balancer's next request has arrived or is due, as the balancer pauses for at most 4 s.
+// A watch is broken if its agent stops responding. A relay counts as notified of an update once it is responsible for
+// acting on the update, whether it has received it or not. For the updates that a broken watch misses, this is 6 s after
+// the agent stopped. A new watch must be requested within 4 s, so that 2 s are left for its response.
+//
+// An established watch is found broken after at most maxPollWait plus maxAnswerTimeout. If watches have to be requested,
+// the balancer requests another one within a second. A call that begins a watch is found broken after at most
+// maxOpenCallDuration. By then the balancer has requested the next watch or is about to, as it pauses for at most 4 s
+// between two requests.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
 	maxOpenCallDuration = 4 * time.Second
-	// Without the minimums, a drain grace period close to 0 would cause calls in a tight loop, each of which would time out
-	// before the agent on a busy machine could respond.
+	// minPollWait and minAnswerTimeout are lower limits for a drain grace period close to 0, from which the relay derives
+	// both durations. Without the limits, the relay would call in a tight loop, and each call would time out before the
+	// agent on a busy machine could respond.
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
-	// retryPause is the pause after a call that failed, or that was answered early without a newer version. It keeps an
-	// agent that ignores timeout_ms from being called in a tight loop. Discovery continues a watch if its next call arrives
-	// within 200 ms.
+	// retryPause is the pause after a call that failed, or that was answered early without a newer version. It keeps Run
+	// from calling an agent that ignores timeout_ms in a tight loop. Discovery continues a watch if its next call arrives
+	// within 200 ms, so the pause is shorter than that.
 	retryPause = 125 * time.Millisecond
 )
 
-// Config configures a Watcher. New limits the durations so that a watch whose agent stops responding is found broken in time.
+// Config configures a Watcher. New brings each duration into the range in its comment, so that a watch whose agent stops
+// responding is found broken in time.
 type Config struct {
 	Address       *transport.Address // address of the agent
-	Version       int64              // version of the list that is already known
-	PollWait      time.Duration      // how long a call may wait for a newer version; 100 ms to 2 s
+	Version       int64              // version of the list that the dispatcher has already; the first poll asks for newer ones
+	PollWait      time.Duration      // how long the agent may wait for a newer version; 100 ms to 2 s
 	AnswerTimeout time.Duration      // how long a call may take beyond PollWait; 250 ms to 1 s
 	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
 	// discovery. Its range is from AnswerTimeout to 4 s minus PollWait.
@@ -46,16 +52,16 @@
 	Log func(message string, fields ...slog.Attr)
 }
 
-// Mode selects who begins the watch.
+// Mode selects what begins the watch.
 type Mode uint8
 
 const (
-	// Subscribe begins the watch when SetWatching requests it. After a failed call, the watch waits for the next such
-	// request. The balancer knows how often all relays together may call discovery, and a relay that retries at once
-	// after it was rejected would keep discovery overloaded for all relays.
+	// Subscribe begins the watch when SetWatching requests it. After a failed call, the watch waits for the next request
+	// of SetWatching. The balancer limits these requests, as it knows how often all relays together may call discovery. A
+	// relay that retried at once after a rejection would keep discovery overloaded for all relays.
 	Subscribe Mode = iota
 	// Pushed begins the watch at the start, and again without a request after a failed call. The first call, and each call
-	// after a failed one, asks for the complete list: such a call need not wait for a newer version, and an agent that has
+	// after a failed one, asks for the complete list. Such a call need not wait for a newer version, and an agent that has
 	// restarted may number its versions differently.
 	Pushed
 )
@@ -63,7 +69,7 @@
 // Watcher follows the endpoint list. SetWatching, Fetch and WaitFirst may be called from any goroutine, also before Run;
 // Run may be called once.
 type Watcher struct {
-	// Set by New and not changed afterwards.
+	// New sets the fields up to log, and they do not change afterwards.
 	address       *transport.Address
 	version       int64
 	pollWait      time.Duration
@@ -102,8 +108,8 @@
 	return w
 }
 
-// WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. A relay counts as notified of the
-// list that the agent has at that time.
+// WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. A relay counts as notified of
+// the list that the agent has when the first call ends.
 func (w *Watcher) WaitFirst(ctx context.Context) {
 	select {
 	case <-w.firstDone:
@@ -111,7 +117,8 @@
 	}
 }
 
-// SetWatching starts or stops the watch. It does not block. The last call takes effect.
+// SetWatching starts or stops the watch. It does not block. If it is called again before Run has received the previous
+// call, only the last call takes effect.
 func (w *Watcher) SetWatching(on bool) {
 	for {
 		select {
@@ -126,7 +133,8 @@
 	}
 }
 
-// Fetch requests the complete list once. It does not block. Requests that are still pending are merged into one.
+// Fetch requests the complete list once. It does not block. Calls of Fetch that Run has not yet received are merged into
+// one request.
 func (w *Watcher) Fetch() {
 	select {
 	case w.fetch <- struct{}{}:
