--- a/internal/releaseapi/change.go
+++ b/internal/releaseapi/change.go
@@ -7,8 +7,8 @@
 // The kinds of changes.
 const (
 	changeStage = "stage" // the current stage of the newest version
-	changeTally = "tally" // metrics that the platform counted for a version
-	changeFlag  = "flag"  // a report of a wrong answer
+	changeTally = "tally" // attempts, failures and mean latency that the platform counted for a version and class
+	changeFlag  = "flag"  // a report that a backend gave a wrong answer
 )
 
 // wireChange is one line of the stream of changes.
@@ -28,8 +28,8 @@
 	Backend string  `json:"InstanceId"`
 }
 
-// applyChange parses a change and passes it to the dispatcher. Changes of an unknown kind are skipped, and so is a line
-// without a kind, which the platform sends to keep the stream alive.
+// applyChange parses a change and passes it to the dispatcher. It skips a change of an unknown kind, and a line without a
+// kind, which the platform sends to keep the stream alive.
 func (c *Client) applyChange(line []byte) error {
 	c.LinesRead.Add(1)
 	var change wireChange
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -1,7 +1,7 @@
-// Package releaseapi is a client of the platform that rolls releases out in stages, over HTTP/1.1. It follows the platform's
-// stream of changes and casts votes.
+// Package releaseapi is a client of the release platform, which rolls versions out in stages. The client follows the
+// platform's stream of changes and casts votes, over HTTP/1.1.
 //
-// New creates a Client. Run follows the changes and passes them to a dispatcher. Vote queues a vote that Run casts.
+// New creates a Client. Run follows the changes and passes them to a dispatcher. Vote queues a vote, which Run casts.
 package releaseapi
 
 import (
@@ -25,21 +25,21 @@
 	Log func(message string, fields ...slog.Attr)
 }
 
-// maxPendingVotes bounds the queue of votes that wait for earlier votes.
+// maxPendingVotes is the number of votes that may wait in the queue while an earlier vote is being cast.
 const maxPendingVotes = 4
 
 // Client is a client of the release platform. Vote may be called from any goroutine, also before Run; Run may be called once.
 type Client struct {
-	// Set by New and not changed afterwards.
+	// New sets the fields up to log, and they do not change afterwards.
 	address *transport.Address
 	timeout time.Duration
 	buffers *transport.BufferBudget
 	log     func(message string, fields ...slog.Attr)
 
-	dispatcher *dispatch.Dispatcher // set by Run before it starts goroutines
+	dispatcher *dispatch.Dispatcher // set by Run before its goroutines start
 	votes      chan dispatch.Vote   // queue of votes to cast
 
-	// LinesRead counts the lines of the stream of changes, StreamsOpened counts how often the stream was opened, and
+	// LinesRead counts the lines of the stream of changes. StreamsOpened counts how often the stream was opened.
 	// VotesDropped counts the votes that were dropped because the queue was full.
 	LinesRead, StreamsOpened, VotesDropped atomic.Int64
 }
@@ -59,8 +59,8 @@
 	return c
 }
 
-// Vote queues a vote, which is cast as soon as the votes before it have been answered. It does not block. If the queue is
-// full, the vote is dropped, as the balancer casts it again.
+// Vote queues a vote. Run casts it once every vote before it has its result. Vote does not block. If the queue is full,
+// the vote is dropped; the balancer casts it again later.
 func (c *Client) Vote(vote dispatch.Vote) {
 	select {
 	case c.votes <- vote:
--- a/internal/releaseapi/stage.go
+++ b/internal/releaseapi/stage.go
@@ -12,7 +12,7 @@
 // ErrNoRevision is the error for a stage without a version.
 var ErrNoRevision = errors.New("missing Revision")
 
-// InvalidStageError reports a stage that no rollout can be at.
+// InvalidStageError is the error for a stage whose phase, stage number, exposure cap or age is not valid.
 type InvalidStageError struct {
 	Phase       string
 	ExposureCap float64 // the exposure cap, as a fraction
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -13,34 +13,35 @@
 const (
 	// changesPath is the platform's resource that streams changes, one JSON object per line.
 	changesPath = "/changes"
-	// maxLineBytes bounds the length of a line.
+	// maxLineBytes is the length beyond which a line of the stream is an error.
 	maxLineBytes = 64 << 10
-	// A stream is broken if no whole line arrives within the idle timeout: the time limit of a call, but at least
-	// minIdleTimeout, as the platform sends a keep-alive line every second, and at most maxIdleTimeout.
+	// The client gives a stream up if no whole line arrives within the idle timeout. The idle timeout is the time limit of
+	// a call, but at least minIdleTimeout and at most maxIdleTimeout. It must exceed a second, as the platform sends a
+	// keep-alive line every second.
 	minIdleTimeout = 2 * time.Second
 	maxIdleTimeout = 2 * minIdleTimeout
-	// retryDivisor sets the shortest interval between two attempts to open the stream: the time limit of a call or the
-	// idle timeout, whichever is shorter, divided by retryDivisor.
+	// retryDivisor sets the shortest interval between two attempts to open the stream. The interval is the time limit of a
+	// call or the idle timeout, whichever is shorter, divided by retryDivisor.
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. It reopens at once a stream that has lasted for a
-// while, and waits for a moment if the platform cannot be reached.
+// followChanges keeps the stream of changes open until the context ends. If a stream ends, it opens the next one at once,
+// or after a pause if the last attempt was shorter than the interval that retryDivisor sets.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
 	}
 }
 
-// followOnce opens the stream and reads it until it ends. If the stream did not last for the shortest interval between two
-// attempts, followOnce waits for the rest of the interval.
+// followOnce opens the stream and reads it until it ends. If that took less than the shortest interval between two
+// attempts, followOnce waits for the rest of the interval, unless the platform's address has changed.
 func (c *Client) followOnce(ctx context.Context) {
 	began := time.Now()
 	address, addressCtx, release := c.address.Current(ctx)
 	defer release()
 	idleTimeout := min(max(c.timeout, minIdleTimeout), maxIdleTimeout)
 	status := c.stream(addressCtx, address, idleTimeout)
-	if addressCtx.Err() != nil { // the platform's address has changed, or the context has ended
+	if addressCtx.Err() != nil { // the platform's address has changed, or the context has ended: do not pause
 		return
 	}
 	c.log("platform stream closed", slog.String("platform", address), slog.String("reason", status.Reason.String()))
@@ -82,7 +83,8 @@
 		if response.Done {
 			return closedAfterSend(transport.ClosedByPeer)
 		}
-		if ctx.Err() != nil { // the deadline set after a line may have replaced the one that the end of the context had set
+		// The end of the context sets a deadline in the past, which applyLines may have replaced by a later one.
+		if ctx.Err() != nil {
 			return closedAfterSend(transport.Canceled)
 		}
 		if status := conn.Fill(0); status.Closed() {
@@ -91,9 +93,9 @@
 	}
 }
 
-// applyLines applies the whole lines of a text and returns the incomplete line that follows them, nil if there is none. It
-// calls extend after each whole line, as bytes without a line end do not show that the platform is alive. ok is false if
-// a line is invalid.
+// applyLines applies the whole lines of a text. It returns the incomplete line that follows them, or nil if there is
+// none. It calls extend after each whole line only, as bytes without a line end do not show that the platform is alive.
+// ok is false if a line is invalid.
 func (c *Client) applyLines(text []byte, extend func()) (rest []byte, ok bool) {
 	for {
 		line, after, found := bytes.Cut(text, []byte("\n"))
--- a/internal/releaseapi/vote.go
+++ b/internal/releaseapi/vote.go
@@ -12,8 +12,8 @@
 // votesPath is the platform's resource for votes.
 const votesPath = "/judgements"
 
-// statusOK is the HTTP status of a response to the stream of changes, and of an accepted vote, whose response holds the
-// stage after the vote.
+// statusOK is the HTTP status of the stream of changes and of an accepted vote. The response to an accepted vote holds
+// the stage after the vote.
 const statusOK = 200
 
 // wireVote is the JSON form of a vote.
@@ -23,14 +23,14 @@
 	Verdict string `json:"Decision"`
 }
 
-// voteResult is the result of a vote.
+// voteResult holds the response to a vote, or the reason why there was none.
 type voteResult struct {
 	httpStatus int                   // HTTP status of the response; 0 if there was no complete response
 	stage      dispatch.RolloutStage // stage after the vote; set if httpStatus is statusOK
 	status     transport.CloseStatus // how the connection ended; ClosedLocally if there was a complete response
 }
 
-// castVotes casts the queued votes one after the other until the context ends.
+// castVotes casts the queued votes one after the other until the context ends, and passes each result to the dispatcher.
 func (c *Client) castVotes(ctx context.Context) {
 	for {
 		select {
@@ -47,7 +47,7 @@
 func (c *Client) castVote(ctx context.Context, vote dispatch.Vote) voteResult {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	address, _, release := c.address.Current(ctx) // a change of the address does not cancel a vote in flight
+	address, _, release := c.address.Current(ctx) // the second result is not used: a change of the address does not cancel a vote in flight
 	defer release()
 	conn, status := transport.Dial(limited, address, c.timeout, c.buffers)
 	if status.Closed() {
--- a/internal/releaseapi/vote_test.go
+++ b/internal/releaseapi/vote_test.go
@@ -15,7 +15,7 @@
 	"silvercove/internal/standin/backends"
 )
 
-// TestVote_Outcomes checks the outcome that is counted for each way in which a vote can fail.
+// TestVote_Outcomes checks, for each way in which a vote can fail, which outcome is counted.
 func TestVote_Outcomes(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -48,8 +48,8 @@
 	backends.Eventually(t, "the connection failure is counted", func() bool { return dispatcher.Snapshot().VoteOutcomes[balancer.ConnectFailed] == 1 })
 }
 
-// TestVote_DuringMove changes the platform's address while a vote is in flight. That vote must end at the old platform and not
-// be cast again. Votes queued behind it must be cast once at the new platform, and each vote must get one response.
+// TestVote_DuringMove changes the platform's address while a vote is in flight. That vote must get its response from the
+// old platform and must not be cast again. The vote queued behind it must be cast once, at the new platform.
 func TestVote_DuringMove(t *testing.T) {
 	open := func(w io.Writer, req *http.Request) {
 		_, _ = io.WriteString(w, liveStage)
