--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -19,40 +19,41 @@
 
 // The constants below divide the process's limits among the components.
 const (
-	// reservedSockets is the number of descriptors kept for the standard files, the poller, the listener, and the
+	// reservedSockets is the number of descriptors that are kept for the standard files, the poller, the listener, and the
 	// connections to discovery and the platform.
 	reservedSockets = 24
-	// minSockets is the smallest limit of descriptors that a configuration may set.
+	// minSockets is the smallest number of descriptors that a configuration may allow a relay.
 	minSockets = 3 * reservedSockets
-	// backendSocketsDivisor gives a sixth of the unreserved sockets to backends. The rest are for clients.
+	// backendSocketsDivisor sets the backends' part of the descriptors that are not reserved: one sixth. The rest are for
+	// clients.
 	backendSocketsDivisor = 6
-	// bufferMemoryDivisor gives half of the memory to the buffers of connections.
+	// bufferMemoryDivisor sets the part of the relay's memory that buffers of connections may use: one half.
 	bufferMemoryDivisor = 2
-	// minCallTimeout is the shortest time limit of a client for one message, and of discovery and the platform for one
-	// response.
+	// minCallTimeout is the lower limit of two timeouts: the time that a client may take for one message, and the time
+	// that the release platform, or discovery when a watch begins, may take for one response.
 	minCallTimeout = time.Second
-	// maxKillDelay caps the longest deadline of a request in the time before SIGKILL: SIGKILL follows SIGTERM 0.7 s
-	// after the longest deadline, or 0.7 s after maxKillDelay if that is shorter.
+	// maxKillDelay is the longest deadline of a request that the time until SIGKILL allows for. SIGKILL follows SIGTERM
+	// after 0.7 s plus the longest deadline of all request classes, but after no more than 0.7 s plus maxKillDelay.
 	maxKillDelay = 3 * time.Second
 )
 
 // relay holds the components of one relay. newRelay sets the fields, which do not change afterwards. Each component is
 // safe for concurrent use.
 type relay struct {
-	log              zerolog.Logger // for lines of the component "relay"
+	log              zerolog.Logger // writes log lines with the component "relay"
 	buffers          *transport.BufferBudget
 	dispatcher       *dispatch.Dispatcher
 	pool             *upstream.Pool
 	server           *downstream.Server
 	watcher          *discovery.Watcher
 	releaseClient    *releaseapi.Client
-	evidence         *evidenceSaver // nil if no evidence is kept
+	evidence         *evidenceSaver // nil if the configuration has no evidence settings
 	discoveryAddress *transport.Address
 	platformAddress  *transport.Address
 	stopTimeout      time.Duration // time from SIGTERM until every request must be answered
 }
 
-// newRelay creates the components and gives the dispatcher the endpoint list and the stage of the configuration. It
+// newRelay creates the components. It passes the endpoint list and the stage in the configuration to the dispatcher. It
 // starts no goroutine.
 func newRelay(config Config) *relay {
 	root := zerolog.New(os.Stderr).With().Timestamp().Logger()
@@ -92,10 +93,11 @@
 	return longest
 }
 
-// createPeerClients creates the clients of discovery and the platform.
+// createPeerClients creates the clients of discovery and the release platform.
 func (r *relay) createPeerClients(config Config, root zerolog.Logger) {
 	callTimeout := max(minCallTimeout, config.site.Balancer.Rollout.VoteTimeout.Duration())
-	// A silent watch must be detected before the grace period of a drain that it failed to announce has passed.
+	// A watch whose agent stops responding may miss the announcement that a backend drains. The timeouts of a call
+	// therefore follow the drain grace period.
 	grace := config.site.Balancer.Endpoints.DrainGrace.Duration()
 	if grace == 0 {
 		grace = callTimeout
@@ -117,8 +119,8 @@
 	})
 }
 
-// createDispatcher creates the dispatcher, its callbacks and the evidence saver. The callbacks use the pool through r, as
-// the pool is created later.
+// createDispatcher creates the evidence saver and the dispatcher with its callbacks. The pool is created after the
+// dispatcher, so the callbacks read r.pool when they are called.
 func (r *relay) createDispatcher(config Config, root zerolog.Logger) {
 	callbacks := dispatch.Callbacks{
 		Vote:           r.releaseClient.Vote,
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -20,10 +20,10 @@
 // The environment variables that a relay reads.
 const (
 	envName      = "NODE_NAME"
-	envListen    = "NODE_LISTEN"    // host:port for clients
-	envDiscovery = "NODE_DISCOVERY" // host:port of the agent that serves the endpoint list
-	envConfig    = "NODE_CONFIG"    // path of the configuration file
-	envOperator  = "NODE_OPERATOR"  // path of the operator's file; empty for none
+	envListen    = "NODE_LISTEN"    // host:port at which the relay accepts clients
+	envDiscovery = "NODE_DISCOVERY" // host:port of the discovery agent, which serves the endpoint list
+	envConfig    = "NODE_CONFIG"    // path of the JSON configuration file
+	envOperator  = "NODE_OPERATOR"  // path of the operator's file; empty if there is none
 )
 
 // ErrNotSet is the error for an environment variable that is missing or empty.
@@ -31,29 +31,29 @@
 
 // Config holds the configuration of a relay. ReadConfig and ReadFleetConfig create it.
 type Config struct {
-	signals          chan os.Signal // signals received since the program started; if nil, Run starts to receive them
+	signals          chan os.Signal // receives signals from the start of the program on; if nil, Run creates it
 	name             string
-	listen           string // address for clients, as host:port
-	discovery        string // address of the agent, as host:port
-	platform         string // address of the platform, as host:port; may be empty for a relay of a fleet
+	listen           string // address at which the relay accepts clients, as host:port
+	discovery        string // address of the discovery agent, as host:port; may be empty for a relay of a fleet
+	platform         string // address of the release platform, as host:port; may be empty for a relay of a fleet
 	seed             uint64
 	cores            float64
 	memoryBytes      int64
-	sockets          int // limit of the process's descriptors
+	sockets          int // number of descriptors that the process may have open
 	stage            dispatch.RolloutStage
-	listVersion      int64               // version of the endpoint list in endpoints
-	endpoints        []dispatch.Endpoint // endpoint list that is used until discovery has answered
+	listVersion      int64               // discovery's version of the list in endpoints
+	endpoints        []dispatch.Endpoint // endpoint list that the relay uses until discovery has answered
 	site             settings.Site
-	evidenceSettings *evidenceSettings // nil if no evidence is kept
+	evidenceSettings *evidenceSettings // nil without a verdicts block in the operator's file; no evidence is then kept
 
-	// FollowsPlacements is set if a component passed to Run supplies the endpoint list and the placements of instances,
-	// which come from a fleet's controllers. The relay then does not watch discovery.
+	// FollowsPlacements is set for a relay of a fleet. The endpoint list and the placements of instances then come from
+	// the fleet's controllers, through a component that is passed to Run. Such a relay does not watch discovery.
 	FollowsPlacements bool
-	// FleetPolicy makes the fleet's decisions on shedding, retries and probes. It is nil for a relay that belongs to no
-	// fleet.
+	// FleetPolicy makes the decisions of the fleet on shedding, retries and probes. It is nil for a relay that belongs to
+	// no fleet.
 	FleetPolicy dispatch.FleetPolicy
-	// WaitTurn blocks until this relay may accept clients, or until the context ends, so that the relays of a fleet do
-	// not all start at once. If it is nil, the relay accepts clients without waiting.
+	// WaitTurn blocks until this relay may accept clients, or until the context ends. It keeps the relays of a fleet from
+	// all starting at once. If it is nil, the relay accepts clients without waiting.
 	WaitTurn func(context.Context)
 	// OnStage, if not nil, is called with each stage that the release API announces.
 	OnStage func(dispatch.RolloutStage)
@@ -61,17 +61,17 @@
 
 // evidenceSettings holds the settings for keeping and saving the evidence of each version.
 type evidenceSettings struct {
-	path         string        // path of the file that keeps the evidence over restarts; empty if no file is written
-	saveInterval time.Duration // interval between two writes of the file
-	halfLife     balancer.Tick // half-life of outcomes from before a restart
+	path         string        // path of the evidence file; empty if evidence does not outlive the process
+	saveInterval time.Duration // interval between two writes of the evidence file
+	halfLife     balancer.Tick // after a restart, the saved counts are halved for each halfLife since the last outcome
 }
 
-// ReadConfig reads the environment variables and the configuration file that they name. An error names the variable or
-// the configuration key at fault. The error for a missing variable wraps ErrNotSet.
+// ReadConfig reads the environment variables, and the configuration file and operator's file that they name. An error
+// names the variable or the configuration key at fault. The error for a missing variable wraps ErrNotSet.
 func ReadConfig(env func(string) string) (Config, error) { return readConfig(env, false) }
 
-// ReadFleetConfig reads the configuration of a relay that belongs to a fleet, as ReadConfig does. The endpoint list of
-// such a relay comes from the fleet's controllers, and the release platform is optional.
+// ReadFleetConfig is like ReadConfig, but for a relay that belongs to a fleet. The endpoint list of such a relay comes
+// from the fleet's controllers, so discovery and the release platform are optional.
 func ReadFleetConfig(env func(string) string) (Config, error) { return readConfig(env, true) }
 
 func readConfig(env func(string) string, fleet bool) (Config, error) {
@@ -90,7 +90,9 @@
 	if err := c.parse(text); err != nil {
 		return c, fmt.Errorf("%s %s: %w", envConfig, path, err)
 	}
-	if fleet { // relays of a fleet may share the configuration file, but each needs its own sequence of random numbers
+	// Relays of a fleet may share the configuration file and so the seed, but each needs its own sequence of random
+	// numbers.
+	if fleet {
 		c.seed ^= xxhash.Sum64String(c.name)
 	}
 	return c, c.readOperatorFile(env(envOperator))
@@ -126,8 +128,8 @@
 // Limits returns the number of cores and the bytes of memory that the relay may use.
 func (c Config) Limits() (cores float64, memoryBytes int64) { return c.cores, c.memoryBytes }
 
-// readOperatorFile reads the operator's file, if path is not empty. The values of the file's verdicts block are added to
-// the rollout and evidence settings.
+// readOperatorFile reads the operator's file, if path is not empty. The file's verdicts block sets the evidence settings
+// and two settings of the rollout.
 func (c *Config) readOperatorFile(path string) error {
 	if path == "" {
 		return nil
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -11,15 +11,15 @@
 	"silvercove/internal/settings"
 )
 
-// The largest accepted values of the limits. A larger value is a typing error, and would overflow the integers that are
-// computed from it.
+// The largest accepted values of the limits. A larger value can only be a typing error, and would overflow the integers
+// that are computed from it.
 const (
 	maxCores    = 4096
 	maxMemoryMB = 1 << 30
 	maxSockets  = 1 << 20
 )
 
-// configFile is the JSON configuration file.
+// configFile is the content of the JSON configuration file.
 type configFile struct {
 	Discovery string `json:"discovery"` // address of the agent, as host:port
 	Seed      string `json:"seed"`      // seed of the random numbers: a 64-bit number in hexadecimal
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%s: %s is out of range, must be %s", e.Key, e.Value, e.Allowed)
 }
 
-// parse reads the text of a configuration file into c.
+// parse sets the fields of c from the text of a configuration file.
 func (c *Config) parse(text []byte) error {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -103,9 +103,10 @@
 	return nil
 }
 
-// setAddresses sets the addresses of discovery and the platform. A relay of a fleet needs neither.
+// setAddresses sets the addresses of discovery and the release platform. A relay of a fleet needs neither address.
 func (c *Config) setAddresses(file *configFile) error {
-	// The file overrides the environment, because a file that was replaced while the relay runs is newer.
+	// The file overrides the environment: the file can be replaced while the relay runs, and is then newer than the
+	// environment.
 	if file.Discovery != "" {
 		c.discovery = file.Discovery
 	}
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -48,8 +48,9 @@
 	})
 }
 
-// TestReadConfig_ExtremeValues checks that an impossible value is rejected with an error that names its key, and that a
-// value that is merely large yields durations and limits that a relay can run with.
+// TestReadConfig_ExtremeValues checks that an impossible value is rejected with an error that names its key. A value that
+// is merely large must be accepted, and the durations and limits that result from it must be ones that a relay can run
+// with.
 func TestReadConfig_ExtremeValues(t *testing.T) {
 	for _, c := range []struct{ old, put, rejected string }{
 		{`"cores":1.0`, `"cores":0`, "limits.cores"}, {`"cores":1.0`, `"cores":-1`, "limits.cores"},
--- a/internal/relay/counters.go
+++ b/internal/relay/counters.go
@@ -21,8 +21,8 @@
 	balancer.Discarded:     "discarded",
 }
 
-// logCounters logs the counters since the start: one line for each request class, and one line each for the dispatcher,
-// the connections, the peers and the process.
+// logCounters logs what was counted since the start: one line for each request class, and one line each for the
+// dispatcher, the connections, the peers (discovery and the release platform) and the process.
 func (r *relay) logCounters() {
 	counters := r.dispatcher.Snapshot()
 	for _, class := range counters.Classes {
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -11,28 +11,29 @@
 	"silvercove/internal/evidence"
 )
 
-// evidenceSaver owns the evidence store, which records the outcomes of each version. If the settings name a file, it saves
-// the store there, and gives the balancer the counts of the canary from before a restart.
+// evidenceSaver owns the evidence store, which holds the counted outcomes of each version. If the settings name an
+// evidence file, evidenceSaver writes the store to the file and, after a restart, gives the canary's counts from the file
+// to the balancer.
 type evidenceSaver struct {
 	settings   evidenceSettings
-	store      *evidence.Store // guarded by the dispatcher's lock, as the dispatcher records outcomes in it
+	store      *evidence.Store // guarded by the dispatcher's lock, under which the dispatcher records outcomes
 	dispatcher *dispatch.Dispatcher
 	log        zerolog.Logger
 
-	// pending holds the canary's counts from before the restart until the balancer has received them. It is used by
-	// newRelay, and then only by the goroutine in run.
+	// pending holds the canary's counts from before the restart until the balancer has received them. newRelay sets
+	// pending; after that, only the goroutine in run uses it.
 	pending canaryCounts
 }
 
-// canaryCounts holds the outcomes and failures of a version, indexed by request class.
+// canaryCounts holds the numbers of outcomes and failures of the canary version. The index is the request class.
 type canaryCounts struct {
 	version  uint16
 	outcomes []int
 	failures []int
 }
 
-// newEvidenceSaver creates a saver and loads the file that an earlier process has saved, if there is one. The caller sets
-// the dispatcher after creating it.
+// newEvidenceSaver creates a saver and loads the evidence file, if an earlier process has written one. The caller must
+// then set the field dispatcher.
 func newEvidenceSaver(c Config, log zerolog.Logger) *evidenceSaver {
 	var classes []string
 	for _, class := range c.site.Balancer.Classes {
@@ -45,8 +46,9 @@
 	return s
 }
 
-// prepareRestore sets pending to the canary's counts from the loaded file, before new outcomes are recorded. It leaves
-// pending empty if no version is being tested, and logs a warning if the file could not be loaded.
+// prepareRestore sets pending to the canary's counts in the loaded file. newRelay calls it before new outcomes are
+// recorded, which the counts must not include. If no version is being tested, pending stays empty. prepareRestore logs a
+// warning if the file could not be loaded.
 func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
 		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence file not loaded")
@@ -60,14 +62,15 @@
 	})
 }
 
-// wallClockTick converts a time to the clock of the evidence store: ticks of 100 microseconds since 1970.
+// wallClockTick converts a time to a tick of the evidence store's clock, which counts units of 100 microseconds since
+// 1970.
 func wallClockTick(at time.Time) balancer.Tick {
 	const microsecondsPerTick = 100
 	return balancer.Tick(at.UnixMicro() / microsecondsPerTick)
 }
 
-// restore gives the pending counts to the balancer. run calls it only after the first save interval, as the balancer
-// first needs outcomes of the stable version to compare them with.
+// restore gives the pending counts to the balancer. The first call comes only after the first save interval, because the
+// balancer compares the counts with outcomes of the stable version, which it must have first.
 func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
 	for class := range s.pending.outcomes {
@@ -82,8 +85,8 @@
 	s.pending.outcomes, s.pending.failures = nil, nil
 }
 
-// run saves the evidence at each save interval until the context ends, and then once more. Of several failed writes in a
-// row, only the first is logged. It returns nil.
+// run saves the evidence at each save interval, and once more when the context ends. If several writes in a row fail, it
+// logs only the first failure. It returns nil.
 func (s *evidenceSaver) run(ctx context.Context) error {
 	if s.settings.path == "" {
 		return nil
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -16,7 +16,8 @@
 	"silvercove/internal/standin/backends"
 )
 
-// runningRelay is a relay with a scripted backend. checkEnded checks that it leaves no goroutine or descriptor behind.
+// runningRelay is a relay in the process of the test, with a scripted backend. checkEnded checks that the relay leaves no
+// goroutine or descriptor behind.
 type runningRelay struct {
 	tb                testing.TB
 	backend           *scriptedBackend
@@ -56,7 +57,7 @@
 	sendSignal(c.tb, os.Getpid(), s)
 }
 
-// waitNotAccepting waits until no new connections are accepted. Sessions are then closed between requests.
+// waitNotAccepting waits until the relay accepts no new connections. By then it also closes idle sessions.
 func (c *runningRelay) waitNotAccepting() {
 	c.tb.Helper()
 	waitNotAccepting(c.tb, c.listen)
@@ -89,7 +90,8 @@
 	return one
 }
 
-// stopAndCheck stops the relay and checks that it leaves no goroutine behind and at most mostDescriptors descriptors.
+// stopAndCheck stops the relay. It checks that no goroutine is left besides those in before, and that the process then
+// has at most mostDescriptors open descriptors.
 func stopAndCheck(tb testing.TB, ended chan error, before goleak.Option, mostDescriptors int) {
 	tb.Helper()
 	sendSignal(tb, os.Getpid(), syscall.SIGTERM)
@@ -100,8 +102,8 @@
 	backends.Eventually(tb, "the relay's descriptors are closed", func() bool { return descriptors(tb) <= mostDescriptors })
 }
 
-// startWithDiscovery starts a relay whose configuration has the current list of s. done stops the relay and checks that it
-// leaves nothing behind.
+// startWithDiscovery starts a relay that uses s as discovery and platform and has the current list of s in its
+// configuration. done stops the relay and checks that it leaves no goroutine or descriptor behind.
 func startWithDiscovery(tb testing.TB, s *scriptedDiscovery) (replace func(string), listen string, done func()) {
 	tb.Helper()
 	before, open := goleak.IgnoreCurrent(), descriptors(tb)
@@ -109,14 +111,14 @@
 	return replace, listen, func() { stopAndCheck(tb, ended, before, open) }
 }
 
-// startRelay runs a relay whose configuration names these addresses and has the endpoint list of discovery.
+// startRelay runs a relay with these servers as discovery and platform, and with the endpoint list of discovery in its
+// configuration. It returns once the relay accepts connections.
 func startRelay(tb testing.TB, discovery, platform *controlPlane) (replace func(text string), listen string, ended chan error) {
 	tb.Helper()
 	return startRelayWithEndpoints(tb, discovery, platform, discovery.page())
 }
 
-// startRelayWithEndpoints runs a relay whose configuration names these addresses and has the page known. It returns once
-// the relay accepts connections.
+// startRelayWithEndpoints is like startRelay, but the endpoint list in the configuration is the page known.
 func startRelayWithEndpoints(tb testing.TB, discovery, platform *controlPlane, known string) (replace func(text string), listen string, ended chan error) {
 	tb.Helper()
 	replace, listen, env := newEnvironment(tb, discovery, platform, known, func(text string) string { return text })
@@ -135,8 +137,8 @@
 	}
 }
 
-// newEnvironment writes a relay's configuration, edited by change, and returns the environment that names it. replace
-// atomically replaces the configuration.
+// newEnvironment writes the configuration of a relay and returns the environment that names it. The function change edits
+// the text before it is written. replace atomically replaces the configuration with another text, which change edits too.
 func newEnvironment(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, env func(string) string) {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "config.json")
@@ -160,7 +162,7 @@
 	}
 }
 
-// accepts reports whether a connection to an address is accepted.
+// accepts reports whether a connection to the address can be opened.
 func accepts(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err == nil {
@@ -190,7 +192,8 @@
 	return l.Addr().String()
 }
 
-// TestMain runs a relay instead of the tests if a test has started this binary as a relay process.
+// TestMain runs the tests. If a test has started this binary as a relay process, which an environment variable shows,
+// TestMain runs a relay instead.
 func TestMain(m *testing.M) {
 	if os.Getenv("SILVERCOVE_ITSELF") != "" {
 		if err := Start(os.Getenv); err != nil {
@@ -221,8 +224,8 @@
 	}
 }
 
-// startRelayWithoutWaiting runs a relay with a configuration edited by change. It returns at once, as the relay may never
-// listen.
+// startRelayWithoutWaiting runs a relay with a configuration that change has edited. It does not wait for the listener,
+// which the relay may never open.
 func startRelayWithoutWaiting(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, ended chan error) {
 	tb.Helper()
 	replace, listen, env := newEnvironment(tb, discovery, platform, known, change)
@@ -244,8 +247,8 @@
 		`"vote_wait":1.0`, `"vote_wait":1e5`, `"idle_close":5.0`, `"idle_close":1e5`, `"ask_every":20.0`, `"ask_every":1e6`).Replace(text)
 }
 
-// checkGoroutines checks that the goroutines of a relay have ended. It ignores those of the test's control plane, and those
-// that existed before.
+// checkGoroutines checks that the goroutines of a relay have ended. It ignores the goroutines of controlPlane, and those
+// in before, which existed before the relay.
 func checkGoroutines(tb testing.TB, before goleak.Option) {
 	tb.Helper()
 	if err := goleak.Find(before, goleak.IgnoreAnyFunction("silvercove/internal/relay.(*controlPlane).serve"),
--- a/internal/relay/globals_test.go
+++ b/internal/relay/globals_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// readOnlyVariables lists the package variables of all packages that silvercove-relay links. None of them is written after
-// the program has started, as the state of a relay must belong to that relay alone. Review a new variable before adding it.
+// readOnlyVariables lists the package variables of all packages that silvercove-relay links. None of them may be written
+// after the program has started, as relays in one process must not share state that changes. Review a new variable before
+// adding it.
 var readOnlyVariables = []string{
 	"balancer.refusalNames", "discovery.ErrMissingField", "dispatch.endpointStates", "dispatch.releaseVerdicts",
 	"dispatch.rolloutPhases", "dispatch.verdictNames", "evidence.ErrCorrupt", "evidence.ErrNewerVersion",
@@ -92,7 +93,7 @@
 	return packages
 }
 
-// variables returns the declarations of the package variables by name.
+// variables returns the package variables of the sources: the declaration of each, by name.
 func variables(sources []*ast.File) map[string]any {
 	all := map[string]any{}
 	for _, file := range sources {
@@ -110,7 +111,7 @@
 	return all
 }
 
-// writtenVariables returns the variables that a syntax node assigns, in whole or in part, or takes the address of.
+// writtenVariables returns the identifiers that a syntax node assigns, in whole or in part, or takes the address of.
 func writtenVariables(n ast.Node) (all []*ast.Ident) {
 	var to []ast.Expr
 	switch n := n.(type) {
--- a/internal/relay/isolation_test.go
+++ b/internal/relay/isolation_test.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/dispatch"
 )
 
-// TestNewRelay_NoSharedState checks that two relays of one process, each with a configuration of its own as for two
-// customers, share no state.
+// TestNewRelay_NoSharedState checks that two relays in one process share no state. Each has a configuration of its own,
+// as the relays of two customers would.
 func TestNewRelay_NoSharedState(t *testing.T) {
 	first, err := readTestConfig(t, defaultConfigText())
 	if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -3,8 +3,8 @@
 // components and handles signals.
 //
 // A program starts a relay with Start, or reads a Config itself and calls Run. Both return once a signal has stopped the
-// relay and every accepted request is answered. A relay keeps no state outside its own components, except for the limits
-// of the process.
+// relay and every accepted request is answered. A relay keeps no state outside its own components, except that it sets
+// the processor and memory limits of the process.
 package relay
 
 import (
@@ -27,15 +27,15 @@
 )
 
 const (
-	// maxStartWait bounds the wait for the first endpoint list and for connections to backends. A restarted relay must
-	// be ready within 6 s.
+	// maxStartWait is the longest total wait for the first endpoint list and for connections to backends. A restarted
+	// relay must be ready within 6 s.
 	maxStartWait = 3 * time.Second
-	// maxPendingSignals is the number of signals that are queued while none is read.
+	// maxPendingSignals is the number of signals that are kept until the relay handles them.
 	maxPendingSignals = 4
 )
 
-// Start reads the configuration from the environment and runs a relay. It receives signals before it reads the
-// configuration, as SIGHUP would otherwise end the process.
+// Start reads the configuration from the environment and runs a relay. It starts to receive signals before it reads the
+// configuration, because a SIGHUP during the read would otherwise end the process.
 func Start(env func(string) string) error {
 	signals := catchSignals()
 	config, err := ReadConfig(env)
@@ -53,10 +53,10 @@
 	return signals
 }
 
-// Run runs a relay until a signal has stopped it and every accepted request is answered. env is the environment: SIGHUP
-// reads again the configuration that env names. components run in the same process; their context ends with the relay.
-// Run waits for all goroutines that it starts. It returns the error of a listener that cannot be opened, or the first
-// error of a component.
+// Run runs a relay until a signal has stopped it and every accepted request is answered. env looks up environment
+// variables; on SIGHUP, Run reads the configuration that they name again. Run calls each of components in a goroutine,
+// with a context that ends with the relay. Run waits for all goroutines that it starts. It returns the error of a
+// listener that cannot be opened, or the first error of a component.
 func Run(config Config, env func(string) string, components ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := config.signals
 	if signals == nil {
@@ -83,11 +83,11 @@
 	}
 	if listener != nil {
 		listeners <- listener
-		if ctx.Err() != nil { // the relay was stopped while it opened the listener: no client has been accepted
+		if ctx.Err() != nil { // the relay was stopped while it opened the listener; no client has been accepted
 			_ = listener.Close()
 		}
 		group.Go(func() error {
-			defer cancel() // sessions need the other components, so the components end only after Serve
+			defer cancel() // sessions need the components, so the context of the components ends only after Serve
 			return r.server.Serve(listener)
 		})
 		r.log.Info().Str("name", config.name).Str("listen", config.listen).Int("backends", len(config.endpoints)).
@@ -100,22 +100,24 @@
 	return err
 }
 
-// limitProcess applies the configured limits to the Go runtime and sizes the descriptor table for them.
+// limitProcess applies the configured limits of processor and memory to the Go runtime, and grows the descriptor table to
+// the configured size.
 func limitProcess(config Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.cores))))
 	debug.SetMemoryLimit(config.memoryBytes * 3 / 4)
 	growDescriptorTable(config.sockets)
 }
 
-// growDescriptorTable grows the kernel's descriptor table of the process to the configured size. If the table grew as
-// connections are opened, each doubling would stall the process for tens of milliseconds.
+// growDescriptorTable grows the kernel's descriptor table of the process to the configured size at once. If the kernel
+// instead grew the table as connections are opened, each doubling would stall the process for tens of milliseconds.
 func growDescriptorTable(sockets int) {
 	if fd, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, sockets-1); err == nil {
 		_ = unix.Close(fd)
 	}
 }
 
-// startComponents starts everything but the listener, with one goroutine of the group for each component.
+// startComponents starts a goroutine of the group for each component of the relay except the listener, and for each of
+// components.
 func (r *relay) startComponents(ctx context.Context, group *errgroup.Group, config Config, components []func(context.Context, *dispatch.Dispatcher) error) {
 	group.Go(func() error { return r.dispatcher.RunTimers(ctx) })
 	group.Go(func() error { return r.pool.Run(ctx) })
@@ -135,7 +137,8 @@
 	}
 }
 
-// discoveryMode returns the mode in which the endpoint list is watched: pushed by discovery, or requested by the balancer.
+// discoveryMode returns how the watch of the endpoint list begins: discovery pushes lists, or the balancer requests the
+// watch.
 func (c Config) discoveryMode() discovery.Mode {
 	if c.site.Balancer.Discovery == balancer.DiscoverySubscribe {
 		return discovery.Subscribe
@@ -144,13 +147,15 @@
 }
 
 // prepareAndListen waits for the first endpoint list and for connections to backends, and then opens the listener. It
-// returns nil if the context has ended. maxStartWait bounds both waits together, whatever the settings say and whichever
-// peer does not respond: a relay that serves with the endpoints it knows is better than none.
+// returns nil if the context has ended. maxStartWait limits both waits together, whatever the timeouts in the settings
+// and whichever peer does not respond: a relay that serves with the endpoints that it knows is better than a relay that
+// does not serve.
 func (r *relay) prepareAndListen(ctx context.Context, config Config) (net.Listener, error) {
 	limited, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	if !config.FollowsPlacements && config.discoveryMode() == discovery.Pushed {
-		r.watcher.WaitFirst(limited) // from its start on, the relay counts as notified of the agent's current list
+		// A starting relay counts as notified of the agent's current list, that is, as responsible for acting on it.
+		r.watcher.WaitFirst(limited)
 	}
 	relays := min(max(config.site.Balancer.Relays, 1), math.MaxInt32)
 	r.pool.Prewarm(limited, r.dispatcher.ReadyBackends(), int(relays))
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// acceptGrace is how long connections are still accepted after SIGTERM, until clients know that the relay stops.
+	// acceptGrace is how long the relay still accepts connections after SIGTERM. Clients need this time to learn that the
+	// relay stops.
 	acceptGrace = 500 * time.Millisecond
-	// closeStepDelay is the time from closing idle sessions to the end of accepting connections.
+	// closeStepDelay is the time between closing idle sessions and ending to accept connections.
 	closeStepDelay = acceptGrace / 10
 )
 
@@ -21,25 +22,25 @@
 const (
 	serving         shutdownState = iota
 	inAcceptGrace                 // SIGTERM was received; connections are still accepted
-	closingIdle                   // sessions are closed between two requests
+	closingIdle                   // each session is closed as soon as it is between two requests
 	listenerStopped               // no more connections are accepted
 )
 
-// signalHandler handles signals until the relay stops, and begins before a starting relay first waits. Only the goroutine in run
-// uses its fields.
+// signalHandler handles signals until the relay stops. It starts before prepareAndListen, so that a signal also reaches a
+// relay that is still starting. Only the goroutine in run uses its fields.
 type signalHandler struct {
 	relay     *relay
 	env       func(string) string
-	cancel    context.CancelFunc // stops the relay immediately
+	cancel    context.CancelFunc // ends the context of all components
 	signals   <-chan os.Signal
 	listeners <-chan net.Listener // delivers the listener once it is open
 
-	listener net.Listener // nil until the listener is open; while it is nil, no client has been accepted
+	listener net.Listener // nil until the listener is open; no client has been accepted before that
 	state    shutdownState
-	nextStep <-chan time.Time // fires when the state has to change; nil if no change is due
+	nextStep <-chan time.Time // fires when the next change of state is due; nil if there is none
 }
 
-// run handles signals until the context ends, and then closes the listener.
+// run handles signals until the context ends or the relay is stopped before it serves. It then closes the listener.
 func (h *signalHandler) run(ctx context.Context) {
 	defer h.closeListener(ctx)
 	for {
@@ -60,18 +61,21 @@
 	}
 }
 
-// handle acts on a signal. It returns false if it has stopped the relay, and later signals are to be ignored.
+// handle acts on a signal. It returns false if the signal has stopped a relay that was not yet serving; no later signal
+// is then handled.
 func (h *signalHandler) handle(s os.Signal) bool {
 	switch {
 	case s == syscall.SIGUSR1:
 		h.relay.logCounters()
-	case s == syscall.SIGHUP: // SIGHUP has an effect also after SIGTERM, as changes of the endpoint list still apply
+	// The configuration may move discovery to another address. A stopping relay applies that too, because it must follow
+	// the endpoint list, such as drains, until its last request is answered.
+	case s == syscall.SIGHUP:
 		h.relay.reload(h.env)
 	case h.listener == nil:
 		h.relay.log.Info().Str("signal", s.String()).Msg("relay stopped before serving")
 		h.cancel()
 		return false
-	case h.state == serving: // a second SIGTERM has no effect
+	case h.state == serving: // SIGTERM or SIGINT; a second one has no effect
 		h.relay.log.Info().Str("signal", s.String()).Dur("stop_timeout_ms", h.relay.stopTimeout).Msg("relay stopping")
 		h.relay.server.StopBefore(time.Now().Add(h.relay.stopTimeout))
 		h.state, h.nextStep = inAcceptGrace, time.After(acceptGrace)
@@ -79,7 +83,7 @@
 	return true
 }
 
-// advance moves a graceful shutdown to its next state.
+// advance performs the next step of a graceful shutdown.
 func (h *signalHandler) advance() {
 	switch h.state {
 	case inAcceptGrace:
@@ -91,8 +95,9 @@
 	}
 }
 
-// closeListener waits until the context ends and closes the listener. A listener that was opened while the relay was being
-// stopped has accepted no client, and closeListener first tells the server to stop.
+// closeListener waits until the context ends and closes the listener. A listener that was opened while the relay was
+// being stopped may still be in the channel. closeListener tells the server to stop before it closes that listener, which
+// has accepted no client.
 func (h *signalHandler) closeListener(ctx context.Context) {
 	<-ctx.Done()
 	select {
--- a/internal/relay/start_test.go
+++ b/internal/relay/start_test.go
@@ -13,9 +13,9 @@
 	"silvercove/internal/standin/backends"
 )
 
-// TestStart_FetchesAgentList checks that a relay whose configuration has an outdated list requests the agent's list before it
-// accepts requests or opens a connection to a backend, as it counts as notified of that list from its start on. If the agent
-// does not respond, the relay starts with the list that it has.
+// TestStart_FetchesAgentList checks a relay whose configuration has an outdated endpoint list. A starting relay counts as
+// notified of the agent's list, so it must request that list before it accepts requests or opens a connection to a
+// backend. If the agent does not respond, the relay must start with the list in its configuration.
 func TestStart_FetchesAgentList(t *testing.T) {
 	old, accepted := newSilentBackend(t)
 	u := newBackend(t)
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestStart_SilentPeers checks that a restarted relay is ready well within the 6 s that the shortest scenario allows, if the
-// agent and the backends do not respond and the timeouts in the settings are long. This holds both for a pushed list and for
-// a requested one.
+// TestStart_SilentPeers checks that a restarted relay is ready within 5 s even if the agent and the backends do not
+// respond and the timeouts in the settings are long. 6 s is the least time that any scenario allows. The test covers both
+// a pushed list and a requested one.
 func TestStart_SilentPeers(t *testing.T) {
 	for _, word := range []string{"automatic", "subscribe"} {
 		t.Run(word, func(t *testing.T) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestSignals_DuringStart sends signals while a starting relay waits for a silent agent, or for backends that do not respond.
-// SIGHUP must change the discovery address at once, and the list of the new agent must be used. SIGTERM must stop the relay at
-// once, before it listens.
+// TestSignals_DuringStart sends signals while a starting relay waits for a silent agent, or for backends that do not
+// respond. SIGHUP must change the discovery address at once, and the relay must use the list of the new agent. SIGTERM
+// must stop the relay at once, before it listens.
 func TestSignals_DuringStart(t *testing.T) {
 	t.Run("SIGHUP in the first call", func(t *testing.T) {
 		u := newBackend(t)
