--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -8,13 +8,14 @@
 	"silvercove/balancer"
 )
 
-// Errors for missing settings that a relay cannot work without.
+// Errors for missing settings without which a relay cannot work.
 var (
 	errNoClasses             = errors.New("a list of classes is wanted, with one of them at the least")
 	errNoObjectiveOrDeadline = errors.New("has neither on_time nor deadline")
 )
 
-// applyDefaults sets the defaults of missing settings whose zero value would stop the relay or break a rule of the site.
+// applyDefaults sets the defaults of missing settings, if the zero value would keep the relay from working or break a
+// rule of the site.
 func applyDefaults(s *balancer.Settings) error {
 	longestDeadline, err := applyClassDefaults(s.Classes)
 	if err != nil {
@@ -23,14 +24,19 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	if s.Limits.ConnectTimeout == 0 { // without a connect timeout, only the deadline of the request limits a connection attempt
+	// If the connect timeout is missing, only the deadline of its request limits a connection attempt. The longest
+	// deadline is never a shorter limit than that.
+	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
-	// Without an overload window, the load is counted over the whole warm-up: the widest window keeps the rule for any window.
+	// If the overload window is missing, the load is counted over the whole slow-start window. This is the widest window,
+	// and with it the rule on overload holds for any window.
 	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
-	if s.Rollout.ExposureWindow == 0 { // in a window of zero length, the free attempts would be available again at once
+	// ExposureFree is a number of attempts per window. In a window of zero length, these attempts would be available again
+	// at once, and so without limit.
+	if s.Rollout.ExposureWindow == 0 {
 		s.Rollout.ExposureFree = 0
 	}
 	return nil
@@ -47,7 +53,9 @@
 		switch {
 		case class.LatencyObjective == 0 && class.Deadline == 0:
 			return 0, fmt.Errorf("%s %w", strconv.Quote(truncate(class.Name)), errNoObjectiveOrDeadline)
-		case class.LatencyObjective == 0: // without an objective, an answer keeps its full value as long as the client waits
+		// Without a latency objective, an answer has its full value as long as the client waits, which is until the
+		// deadline.
+		case class.LatencyObjective == 0:
 			class.LatencyObjective = class.Deadline
 		case class.Deadline == 0:
 			class.Deadline = class.LatencyObjective
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,16 +13,17 @@
 	"silvercove/internal/standin/golden"
 )
 
-// The golden trace records the result of parsing many generated settings documents: the value of each setting that is read,
-// in the unit in which its readers use it, or the error of a document that is refused. Settings that nothing reads are not
-// in the trace; TestRead_IgnoresUnknownSettings and TestDecisions_UnknownSettingsIgnored cover them.
+// The golden trace records the result of parsing many generated settings documents. The result is the value of each
+// setting that is read, in the unit in which the code uses the setting, or the error of a document that is refused.
+// Settings that are not read are not in the trace; TestRead_IgnoresUnknownSettings and
+// TestDecisions_UnknownSettingsIgnored cover them.
 
 const (
 	goldenFile  = "settings.golden"
 	goldenSeeds = 150
 )
 
-// canonicalLines returns one line for each setting that is read, sorted.
+// canonicalLines returns the values of a Site as sorted lines "path = value", one or more for each setting that is read.
 func canonicalLines(site Site) []string {
 	var lines []string
 	say := func(path, format string, values ...any) {
@@ -110,8 +111,8 @@
 	return fmt.Sprintf("%s... (%d bytes)", name[:most], len(name))
 }
 
-// goldenPaths are the paths of the settings in the wire format's documentation, and a few that are not in it. In a list of
-// objects, a path refers to the first object.
+// goldenPaths are the paths of the settings in the wire format's documentation, and a few paths that are not in the
+// documentation. A path through a list of objects refers to the first object.
 var goldenPaths = []string{
 	"balancers", "blend", "blend/whole", "clients", "clients/marks_retry", "discovery", "family", "family_info",
 	"family_info/ayes_needed", "family_info/ballot_ttl", "family_info/behind_price", "family_info/control",
@@ -131,7 +132,7 @@
 	"unheard_of", "weights", "worth_by", "zone", "zones",
 }
 
-// goldenValues are the JSON values that each of goldenPaths is set to; "" removes the setting.
+// goldenValues are the JSON values that the trace sets at each of goldenPaths; "" removes the setting.
 var goldenValues = []string{
 	"", "null", "0", "-0.0", "-1", "-1e-9", "0.00029", "0.29", "0.5", "1", "1.0000001", "3", "32.5", "33", "1001", "1e7", "360000", "360001",
 	"1e300", "1e999", "true", "false", `""`, `"3"`, `"subscribe"`, `"clocked"`, `"all"`, `"per_lane"`, `"zone"`, `"cell"`,
@@ -164,7 +165,7 @@
 	`{"grades":[{"name":"a","on_time":1}],"` + strings.Repeat("n", 100) + `":{"x":1,"x":2}}`, sampleDocument,
 }
 
-// validValues are valid JSON values for each path, from which random documents are made.
+// validValues holds valid JSON values for the settings at some paths. The trace makes random documents from them.
 var validValues = map[string][]string{
 	"balancers": {"0", "1", "2.5", "300", "1e9", "-4"}, "discovery": {`"automatic"`, `"subscribe"`, `"other"`},
 	"family_info/ballot_ttl": {"0", "0.29", "1e9"}, "family_info/control": {`"single"`, `"clocked"`, `"majority"`, `""`},
@@ -185,8 +186,8 @@
 	"rules/tip_after": {"0", "1.5"}, "zones": {"[]", `["x","y","z"]`, `[{"name":"x"}]`},
 }
 
-// diffLines returns the lines of a document that are not among the usual lines, which are those of sampleDocument, and a line
-// for each usual setting that the document lacks.
+// diffLines returns how the lines of a document differ from usual, the lines of sampleDocument. The result has the lines
+// that are not in usual, and a line for each path in usual that the document lacks.
 func diffLines(lines, usual []string) []string {
 	var out []string
 	for _, line := range lines {
@@ -250,8 +251,8 @@
 	golden.Lines(t, goldenFile, trace)
 }
 
-// TestGoldenValues_CoverDurationRange guards against a trace that misses the limits of durations: the positive values must
-// reach from less than 0.001 s, a few ticks, to the maximum of 360,000 s.
+// TestGoldenValues_CoverDurationRange guards against a golden trace without very short and very long durations. The
+// positive numbers in goldenValues must reach from less than 0.001 s, which is a few ticks, to the maximum of 360,000 s.
 func TestGoldenValues_CoverDurationRange(t *testing.T) {
 	least, most := math.Inf(1), 0.0
 	for _, value := range goldenValues {
--- a/internal/settings/names_test.go
+++ b/internal/settings/names_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// hostileNames are names that could be mistaken for something else: settings and values of the document, paths, terms of the
-// code, and text that is hard to print.
+// hostileNames are names that a parser could mistake for something else: names and values of settings, paths, identifiers
+// of the code, and text that is hard to print.
 var hostileNames = []string{"window", "worth", "deadline", "read_like", "per_lane", "idempotency_key",
 	"non_idempotent", "a.b", "at_most_once", "op_type", "redeliverable", "all", "zone", "cell", "name", "grades",
 	"limits.max_deliveries", ".", "..", `"`, `\`, " ", "\x00", "null", "0", "Ökosystem", "写真", "\u202e", "name ",
 	strings.Repeat("long.", 4000)}
 
-// unknownPaths are paths of the document whose last name has no meaning at its position: names that are settings at another
-// position, paths, and terms of the code.
+// unknownPaths are paths of the document whose last name has no meaning at its position. The last names are settings at
+// another position, paths, and identifiers of the code.
 var unknownPaths = []string{
 	"relays", "limits.max_deliveries", "limits/max_deliveries", "rollout", "op_types", "semantics", "window", "limits/window",
 	"rollout.evidence_wait", "family_info/evidence_wait", "family_info/report_within", "grades/repeats", "grades/importance",
@@ -23,8 +23,8 @@
 	"rules/send_cap", "send_cap", "Limits", "GRADES", "grades/Name", "Name",
 }
 
-// TestRead_KeepsNamesUnchanged guards against a name that is interpreted: each hostile name, as the name of a class, tenant,
-// zone, machine kind and load column, must be read unchanged.
+// TestRead_KeepsNamesUnchanged guards against a name that the parser interprets. Each hostile name must be read unchanged
+// as the name of a class, tenant, zone, machine kind and load column.
 func TestRead_KeepsNamesUnchanged(t *testing.T) {
 	for _, name := range append([]string{""}, hostileNames...) {
 		quoted, err := json.Marshal(name)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestRead_IgnoresUnknownSettings guards against a name that is read at a position where the schema does not list it: any
-// value there must leave the settings as they are.
+// TestRead_IgnoresUnknownSettings guards against a name that is read at a position where the schema does not list it. Any
+// value at such a position must leave the settings as they are.
 func TestRead_IgnoresUnknownSettings(t *testing.T) {
 	for _, path := range unknownPaths {
 		for _, value := range []string{"77", "null", `{"caps":77}`, `[{"name":"x"}]`, `"subscribe"`} {
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -7,15 +7,16 @@
 	assign func(path string, value any, into *T) error
 }
 
-// object is the schema of one object of the document: the settings that are read, in the order of their checks.
+// object is the schema of one object of the document: the settings that are read or checked, in the order in which they
+// are checked.
 type object[T any] []setting[T]
 
 // parser converts one decoded JSON value of the document.
 type parser[V any] func(value any) (V, error)
 
-// assign reads the members of a JSON object into a T. The path is empty or ends with a dot. Settings that are missing or
-// null, and names that are not in the schema, change nothing. If several settings have errors, assign returns the first
-// one in the order of the schema.
+// assign reads the members of a JSON object into a T. path is the path of the object in the document; it is empty or ends
+// with a dot. A setting that is missing or null, and a name that is not in the schema, change nothing. If several
+// settings have errors, assign returns the first error in the order of the schema.
 func (o object[T]) assign(path string, members map[string]any, into *T) error {
 	for _, s := range o {
 		value := members[s.name]
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// field returns a setting that is stored in the field that at points to.
+// field returns a setting whose parsed value is stored at the pointer that at returns.
 func field[T, V any](name string, parse parser[V], at func(*T) *V) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, into *T) error {
 		parsed, err := parse(value)
@@ -41,7 +42,7 @@
 	}}
 }
 
-// checkedOnly returns a setting that nothing reads, but whose type is checked.
+// checkedOnly returns a setting whose value is parsed, so that a wrong type is an error, but not stored.
 func checkedOnly[T, V any](name string, parse parser[V]) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, _ *T) error {
 		if _, err := parse(value); err != nil {
@@ -62,7 +63,7 @@
 	}}
 }
 
-// uncheckedMembers returns a setting that must be an object and whose members are ignored.
+// uncheckedMembers returns a setting that must be an object. The members of the object are neither read nor checked.
 func uncheckedMembers[T any](name string) setting[T] {
 	return members(name, object[T]{}, func(into *T) *T { return into })
 }
--- a/internal/settings/read_test.go
+++ b/internal/settings/read_test.go
@@ -11,8 +11,8 @@
 	"silvercove/balancer"
 )
 
-// sampleDocument holds the settings of a fictitious site, with every setting of the wire format's documentation and a few
-// unknown ones.
+// sampleDocument is the settings document of a fictitious site. It has every setting of the wire format's documentation
+// and a few unknown ones.
 const sampleDocument = `{"balancers":3,"blend":{"whole":0.5,"worst_class":0.25,"tail_part":0.25,
 "tail_miss":0.1},
 	"clients":{"marks_retry":true},"discovery":"subscribe","family":"rollout",
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestRead_TakesEverySetting compares every field of the Site with the document.
+// TestRead_TakesEverySetting compares every field of the Site that Read returns with the value in sampleDocument.
 func TestRead_TakesEverySetting(t *testing.T) {
 	got, err := Read([]byte(sampleDocument))
 	if err != nil {
@@ -90,8 +90,9 @@
 	}
 }
 
-// TestRead_LeavesNoFieldOut guards against a gap in sampleDocument: a field that it leaves at zero would pass
-// TestRead_TakesEverySetting without being read. ReportWithin and EvidenceWait come from the operator's file.
+// TestRead_LeavesNoFieldOut guards against a gap in sampleDocument. A field that has its zero value there would pass
+// TestRead_TakesEverySetting without being read. ReportWithin and EvidenceWait are zero, as they come from the operator's
+// file.
 func TestRead_LeavesNoFieldOut(t *testing.T) {
 	var zero []string
 	var walk func(path string, v reflect.Value)
@@ -171,7 +172,7 @@
 	})
 }
 
-// checkDurations fails if a duration in ticks would exceed the range of the balancer's integers.
+// checkDurations fails if a duration of s, in ticks of 0.1 ms, exceeds the range of the balancer's 32-bit integers.
 func checkDurations(t interface{ Errorf(string, ...any) }, s balancer.Settings) {
 	for name, v := range map[string]balancer.Seconds{
 		"connect timeout": s.Limits.ConnectTimeout, "idle timeout": s.Limits.IdleTimeout,
@@ -186,14 +187,14 @@
 	}
 }
 
-// documentWith returns sampleDocument with the setting at a path set to a JSON value; "" removes the setting. The elements
-// of a path are separated by slashes, and a list in it stands for its first element.
+// documentWith returns sampleDocument with a change by setMember.
 func documentWith(t *testing.T, path, value string) []byte {
 	t.Helper()
 	return setMember(t, []byte(sampleDocument), path, value)
 }
 
-// setMember sets or removes a setting as documentWith does, in any document.
+// setMember returns the document text with the setting at a path set to a JSON value; "" removes the setting. Slashes
+// separate the elements of the path. If the path leads through a list, it continues in the first element of the list.
 func setMember(t *testing.T, text []byte, path, value string) []byte {
 	t.Helper()
 	var document map[string]any
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -2,8 +2,8 @@
 
 import "silvercove/balancer"
 
-// documentSchema maps the names of the document to the standard terms. A setting that is listed without a field is not
-// read, but its type is checked.
+// documentSchema is the schema of the whole document. It maps each name to the field of Site that holds the setting.
+// Names that are listed with checkedOnly or uncheckedMembers have no field: only their types are checked.
 var documentSchema = object[Site]{
 	field("balancers", clampedNumber(0, maxRelays), func(s *Site) *float64 { return &s.Balancer.Relays }),
 	field("discovery", discoveryMode, func(s *Site) *balancer.DiscoveryMode { return &s.Balancer.Discovery }),
@@ -49,7 +49,7 @@
 	field("columns", stringList, func(s *Site) *[]string { return &s.LoadColumns }),
 }
 
-// rolloutSchema is the schema of family_info, the rules on staged rollouts.
+// rolloutSchema is the schema of family_info, the rules of staged rollouts.
 var rolloutSchema = object[balancer.Rollout]{
 	field("ballot_ttl", clampedDuration, func(r *balancer.Rollout) *balancer.Seconds { return &r.VoteLifetime }),
 	field("control", rolloutControl, func(r *balancer.Rollout) *balancer.RolloutControl { return &r.Control }),
@@ -66,7 +66,7 @@
 	field("votes_per_s", nonNegative, func(r *balancer.Rollout) *float64 { return &r.VotesPerSecond }),
 }
 
-// rulesSchema is the schema of rules, which cover the endpoint list and slow start.
+// rulesSchema is the schema of rules, the rules on the endpoint list and on slow start.
 var rulesSchema = object[balancer.Settings]{
 	field("ask_every", clampedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.Endpoints.PollInterval }),
 	field("cold", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.Window }),
@@ -76,8 +76,8 @@
 	field("tip_after", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
 }
 
-// Parsers of the settings that take a word out of a set, with the meaning of each word. Any other word is read as the zero
-// value, except where it is refused.
+// Parsers of the settings whose value is one of a set of words, with the meaning of each word. A word outside the set is
+// read as the zero value of the setting, except by exposureCount, which refuses it.
 var (
 	discoveryMode = wordOrZero(map[string]balancer.DiscoveryMode{
 		"automatic": balancer.DiscoveryAutomatic,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,7 +33,7 @@
 	// Setting is the path of the setting in the document, such as "limits.send_cap", or the index of a list element, such
 	// as "place 0".
 	Setting string
-	// Err is the reason. For a list whose element has an error, it is the Error of the element.
+	// Err is the reason. If Setting is a list with an error in one element, Err is the *Error of that element.
 	Err error
 }
 
@@ -73,7 +73,8 @@
 	return site, nil
 }
 
-// checkUniqueNames returns an error if a name occurs twice in one object, since it would be unclear which value applies.
+// checkUniqueNames reads one JSON value and returns an error if a name occurs twice in one of its objects, since it would
+// be unclear which of the two values applies. path is the path of the value in the document, for errors.
 func checkUniqueNames(decoder *json.Decoder, path string) error {
 	token, err := decoder.Token()
 	if err != nil {
@@ -92,11 +93,11 @@
 	if err != nil {
 		return err
 	}
-	_, err = decoder.Token() // this reads the closing bracket
+	_, err = decoder.Token() // reads the closing bracket
 	return err
 }
 
-// checkUniqueMembers checks the members of an object whose opening bracket has been read.
+// checkUniqueMembers is checkUniqueNames for the members of an object whose opening bracket has been read.
 func checkUniqueMembers(decoder *json.Decoder, path string) error {
 	seen := map[string]bool{}
 	for decoder.More() {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,8 +13,8 @@
 	"silvercove/balancer"
 )
 
-// Upper bounds of values. They keep durations in ticks, and random values drawn from them, within the range of the
-// balancer's integers.
+// Upper bounds of values. They keep durations in ticks, and random numbers that are drawn up to a duration, within the
+// range of the balancer's integers.
 const (
 	maxDurationSeconds = 360_000.0
 	maxRelays          = 1e6
@@ -22,7 +22,7 @@
 	maxStages          = 1000
 )
 
-// maxQuoted is the number of bytes after which a value or a name in an error is truncated.
+// maxQuoted is the length in bytes beyond which an error truncates the value or name that it quotes.
 const maxQuoted = 80
 
 var (
@@ -30,7 +30,8 @@
 	errMissingName = errors.New("no name")
 )
 
-// unexpectedValue returns the error for a value that is not what the setting expects.
+// unexpectedValue returns the error for a value of a wrong type or out of range. expected describes what the setting
+// accepts.
 func unexpectedValue(expected string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return fmt.Errorf("%s is wanted, not %s", expected, truncate(string(text)))
 }
 
-// truncate shortens a text of more than maxQuoted bytes without splitting a UTF-8 character.
+// truncate shortens a text of more than maxQuoted bytes and marks the end with dots. It does not split a UTF-8 character.
 func truncate(text string) string {
 	if len(text) <= maxQuoted {
 		return text
@@ -74,7 +75,8 @@
 	return 0, unexpectedValue("a number that is not negative", value)
 }
 
-// clampedNumber returns a parser that accepts any number and limits it to the range from least to most.
+// clampedNumber returns a parser that accepts any number. The parser returns least for a smaller number and most for a
+// larger one.
 func clampedNumber(least, most float64) parser[float64] {
 	return func(value any) (float64, error) {
 		if v, ok := value.(float64); ok {
@@ -84,8 +86,8 @@
 	}
 }
 
-// clampedDuration parses a number of seconds and limits it to maxDurationSeconds, which is longer than any duration that
-// makes a difference.
+// clampedDuration parses a number of seconds. It returns maxDurationSeconds for a longer duration, which would make no
+// difference to a relay.
 func clampedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 {
 		return balancer.Seconds(min(v, maxDurationSeconds)), nil
@@ -93,8 +95,8 @@
 	return 0, unexpectedValue("a number of seconds that is not negative", value)
 }
 
-// boundedDuration parses a number of seconds up to maxDurationSeconds. It is for rules that a shorter duration would break,
-// so a longer value is an error and is not reduced.
+// boundedDuration parses a number of seconds and refuses one beyond maxDurationSeconds. It is for rules of a site that a
+// relay would break if the duration were reduced.
 func boundedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 && v <= maxDurationSeconds {
 		return balancer.Seconds(v), nil
@@ -127,7 +129,7 @@
 	return out, nil
 }
 
-// stageCount parses a number of stages and limits it to maxStages.
+// stageCount parses a number of stages. It returns maxStages for a larger number.
 func stageCount(value any) (int, error) {
 	if v, ok := value.(float64); ok && v >= 0 && v == math.Trunc(v) {
 		return int(min(v, maxStages)), nil
@@ -135,8 +137,8 @@
 	return 0, unexpectedValue("a whole number that is not negative", value)
 }
 
-// attemptCount parses the maximum number of attempts of a request and limits it to maxAttempts. With no attempt a relay
-// could serve nothing, so 0 is an error.
+// attemptCount parses the maximum number of attempts of a request. It returns maxAttempts for a larger number. 0 is an
+// error, as a relay without attempts could serve no request.
 func attemptCount(value any) (int, error) {
 	if v, ok := value.(float64); ok && v >= 1 && v == math.Trunc(v) {
 		return int(min(v, maxAttempts)), nil
@@ -144,7 +146,8 @@
 	return 0, unexpectedValue("a whole number from 1 on", value)
 }
 
-// wordOrZero returns a parser that accepts any string. A string that is not in the set is read as the zero value.
+// wordOrZero returns a parser that accepts any string. It returns the value that the set has for the string, or the zero
+// value if the string is not in the set.
 func wordOrZero[V any](set map[string]V) parser[V] {
 	return func(value any) (V, error) {
 		v, err := stringValue(value)
@@ -152,15 +155,16 @@
 	}
 }
 
-// unknownWordRule is how a parser treats a string that is not in its set.
+// unknownWordRule is what a parser does with a string that is not in its set.
 type unknownWordRule uint8
 
 const (
-	unknownIsZero  unknownWordRule = iota // read as the zero value
-	unknownIsError                        // refused
+	unknownIsZero  unknownWordRule = iota // the string is read as the zero value
+	unknownIsError                        // the string is an error
 )
 
-// wordOf returns a parser for a string out of a set. Its errors list the strings of the set.
+// wordOf returns a parser for one string out of a set. rule applies to a string that is not in the set. The parser's
+// errors list the strings of the set.
 func wordOf[V any](set map[string]V, rule unknownWordRule) parser[V] {
 	return func(value any) (V, error) {
 		v, ok := value.(string)
@@ -189,7 +193,7 @@
 	return out, nil
 }
 
-// names parses a list of strings, or of objects with a name each. A name may occur twice.
+// names parses a list of strings, or a list of objects that each have a name. A name may occur twice.
 func names(value any) ([]string, error) {
 	if list, _ := value.([]any); len(list) > 0 {
 		if _, ok := list[0].(map[string]any); ok {
@@ -199,7 +203,7 @@
 	return stringList(value)
 }
 
-// distinctNames parses the same lists as names does, but a repeated name is an error: a reference to it would be ambiguous.
+// distinctNames is like names, but refuses a name that occurs twice, because a reference to that name would be ambiguous.
 func distinctNames(value any) ([]string, error) {
 	list, err := names(value)
 	if err != nil {
@@ -223,13 +227,13 @@
 	return objects(value, classSchema, name, namesUniqueNonEmpty)
 }
 
-// namedObjects parses a list of objects and returns their names.
+// namedObjects parses a list of objects that each have a name, and returns the names.
 func namedObjects(value any, rule nameRule) ([]string, error) {
 	nameSchema := object[string]{field("name", stringValue, func(s *string) *string { return s })}
 	return objects(value, nameSchema, func(s *string) string { return *s }, rule)
 }
 
-// nameRule is the rule on the names of the objects of a list.
+// nameRule is a rule on the names of the objects of a list.
 type nameRule uint8
 
 const (
@@ -238,7 +242,7 @@
 	namesUniqueNonEmpty
 )
 
-// objects parses a list of objects that have a name each, and checks the names against the rule.
+// objects parses a list of objects that each have a name, which nameOf returns. It checks the names against the rule.
 func objects[T any](value any, schema object[T], nameOf func(*T) string, rule nameRule) ([]T, error) {
 	list, ok := value.([]any)
 	if !ok {
@@ -269,7 +273,7 @@
 	return out, nil
 }
 
-// checkUnique returns an error if the name is in seen, and adds it otherwise.
+// checkUnique adds the name to seen. It returns an error if the name is there already.
 func checkUnique(seen map[string]bool, name string) error {
 	if seen[name] {
 		return fmt.Errorf("%s %w", strconv.Quote(truncate(name)), errDuplicate)
