--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// Roles of a process, as the file names them.
+// Roles of a process in a fleet, as the file names them.
 const (
 	roleController = "keeper"
 	roleRelay      = "relay"
 	roleEdge       = "edge"
 )
 
-// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction. Below this bound, a lease lasts
-// longer than its allowance for drift, which internal/leases sets to twice the drift times the lease.
+// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction of the elapsed time.
+// internal/leases makes an allowance for drift, which is twice the drift times the lease. Below this bound, a lease lasts
+// longer than that allowance.
 const maxClockDrift = 0.5
 
-// checkFleet checks the fleet block and returns its first fault.
+// checkFleet is the Rule of the fleet block.
 func checkFleet(all map[string]any) (directive, fault string) {
 	block, ok := all["fleet"].(map[string]any)
 	if !ok {
@@ -65,7 +66,7 @@
 	return "", ""
 }
 
-// checkMetadata checks the metadata block and returns its first fault.
+// checkMetadata is the Rule of the metadata block.
 func checkMetadata(all map[string]any) (directive, fault string) {
 	block, ok := all["metadata"].(map[string]any)
 	if !ok {
@@ -104,11 +105,11 @@
 	return "", ""
 }
 
-// drainGraceSeconds is how long requests may still reach a mirror after it is drained.
+// drainGraceSeconds is the time, in seconds, for which requests may still reach a mirror after it starts to drain.
 const drainGraceSeconds = 1
 
-// checkRepository checks a repository block and returns its first fault. repositories holds the names of all repositories of
-// the file.
+// checkRepository checks a repository block. Like a Rule, it returns the directive at fault and the fault. repositories
+// holds the names of all repositories of the file.
 func checkRepository(block map[string]any, repositories map[string]bool) (directive, fault string) {
 	mirrors, _ := block["mirror"].([]any)
 	if (len(mirrors) == 0) == (block["discovery"] == nil) {
@@ -123,8 +124,9 @@
 	return "", ""
 }
 
-// checkDirector checks the director block and returns its first fault. repositories holds the names of all repositories of
-// the file; versionStore reports whether the file names a version store, its floor directive.
+// checkDirector checks the director block. Like a Rule, it returns the directive at fault and the fault. repositories
+// holds the names of all repositories of the file. versionStore reports whether the file has a floor directive, which
+// names the version store.
 func checkDirector(block map[string]any, repositories map[string]bool, versionStore bool) (directive, fault string) {
 	servers, _ := block["server"].([]any)
 	packages, _ := block["package"].([]any)
@@ -151,8 +153,8 @@
 	return "", ""
 }
 
-// firstDuplicate returns the first value of a line of a repeatable directive if an earlier line has the same first value, or
-// "" if no two lines have.
+// firstDuplicate compares the lines of a repeatable directive by their first value. It returns the first value that a
+// line has in common with an earlier line, or "" if there is none.
 func firstDuplicate(list []any) string {
 	seen := map[string]bool{}
 	for _, v := range list {
@@ -165,7 +167,7 @@
 	return ""
 }
 
-// hasFirstValue reports whether any line of a repeatable directive has this first value.
+// hasFirstValue reports whether first is the first value of any line of a repeatable directive.
 func hasFirstValue(list []any, first any) bool {
 	for _, v := range list {
 		if v.([]any)[0] == first {
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -9,30 +9,30 @@
 	Parent      string // path of the block that the directive belongs to; "" for the top level
 	Name        string
 	Values      []Value
-	Default     string // values that an absent directive has, as written in the file; "" for none
+	Default     string // values of the directive if it is absent, as they would be written in the file; "" for no values
 	Required    bool
 	Repeatable  bool   // whether the directive may be given more than once
 	Block       bool   // whether the directive has a block of further directives
-	TakesEffect string // when a change takes effect; "" means at the start of the process
+	TakesEffect string // when a change of the directive takes effect; "" means at the start of the process
 	Text        string // description for the reference page
 }
 
-// path returns the names of the enclosing blocks and of the directive, joined by dots.
+// path returns the names of the enclosing blocks and the name of the directive, joined by dots.
 func (d *Directive) path() string { return strings.TrimPrefix(d.Parent+"."+d.Name, ".") }
 
-// Rule checks directives of a file against each other. It returns the path of the directive at fault and a description, or an
-// empty fault.
+// Rule is a check between directives of a file, whose values all has. It returns the path of the directive at fault and a
+// description of the fault. The description is empty if there is no fault.
 type Rule func(all map[string]any) (directive, fault string)
 
 // Table holds all directives and rules of one kind of configuration file.
 type Table struct {
 	Directives []Directive
-	Rules      []Rule // checked only if the directives have no fault
+	Rules      []Rule // checked only if no directive has a fault
 }
 
-// Read reads a file and the files that it includes. The returned map holds the values of the top level, with a map for each
-// block, a list for each repeatable directive, and the defaults of absent directives. The error is an *Error, several of them
-// joined, or the reason why the file could not be read.
+// Read reads a file and the files that it includes. The returned map holds the values of the top level and the defaults
+// of absent directives. It has a map for each block and a list for each repeatable directive. The error is an *Error,
+// several of them joined, or the reason why the file could not be read.
 func (t *Table) Read(path string) (map[string]any, error) {
 	lines, err := loadFile(path, nil)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText reads a text as Read reads a file, but does not allow include. Errors give name as the file.
+// ReadText is like Read, but reads the text content, in which include is not allowed. Errors give name as the name of the
+// file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
@@ -50,7 +51,7 @@
 	return t.evaluate(name, lines)
 }
 
-// find returns the directive with this name in the block with this path, or nil.
+// find returns the directive name of the block path, or nil if the block has no such directive.
 func (t *Table) find(path, name string) *Directive {
 	for i := range t.Directives {
 		if d := &t.Directives[i]; d.Parent == path && d.Name == name {
--- a/internal/operatorconfig/error_test.go
+++ b/internal/operatorconfig/error_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestError_IsFoundInJoinedFaults checks that errors.As gives the position of the first fault, also if several faults are
-// joined.
+// TestError_IsFoundInJoinedFaults checks that errors.As gives the position of the first fault, even if the error joins
+// several faults.
 func TestError_IsFoundInJoinedFaults(t *testing.T) {
 	_, err := OperatorTable.ReadText("f", "log_level debug\nnonsense 1\nnonsense 2\n")
 	var fault *Error
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -1,10 +1,11 @@
-// Package operatorconfig reads the operator's configuration file. It defines the grammar, a single table of directives from
-// which parsing, defaults, ranges, the reference page and error messages are derived, and the checks between directives.
+// Package operatorconfig reads the operator's configuration file. It defines the grammar and a single table of
+// directives. Parsing, defaults, ranges, the reference page and error messages are derived from the table. The package
+// also has the rules that check directives against each other.
 //
-// The file has one directive per line: a name and its values, separated by blanks. "#" starts a comment, and double quotes
-// enclose a value that contains blanks. A directive with a block opens the block with "{" at the end of its line; "}" on a
-// line of its own closes the block. "include PATH" is replaced by the lines of another file. A file with any error is refused
-// as a whole. The result is a plain map.
+// The file has one directive per line: a name and its values, separated by blanks. "#" starts a comment, and double
+// quotes enclose a value that contains blanks. A directive with a block opens the block with "{" at the end of its line;
+// "}" on a line of its own closes the block. "include PATH" is replaced by the lines of another file. A file with any
+// error is refused as a whole. The result is a map from names to values; see Table.Read.
 package operatorconfig
 
 import (
@@ -22,7 +23,7 @@
 
 // Limits on the input.
 const (
-	maxFileBytes    = 4 << 20 // largest size of one file
+	maxFileBytes    = 4 << 20 // largest size of one file in bytes
 	maxIncludeDepth = 16      // largest number of nested files, including the outermost one
 )
 
@@ -42,7 +43,8 @@
 	Lines []*line `parser:"@@*"`
 }
 
-// line is one directive, or a line without one, whose Name is empty.
+// line is one line of a file with a directive, and with the block of the directive if there is one. Name is empty if the
+// line has no directive.
 type line struct {
 	Pos   lexer.Position
 	Name  string   `parser:"( @Word"`
@@ -62,7 +64,8 @@
 	Lines []*line `parser:"Open EOL @@* Close"`
 }
 
-// grammar returns the parser, which is built at its first use: a process without an operator's file does not need it.
+// grammar returns the parser. It builds the parser at the first call, as a process without an operator's file does not
+// need one.
 var grammar = sync.OnceValue(func() *participle.Parser[file] {
 	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokenRules)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
@@ -90,7 +93,7 @@
 		Text: fmt.Sprintf(format, args...)}
 }
 
-// parse reads the lines of one text and does not expand its includes.
+// parse returns the lines of one text. It does not expand includes. name is the name of the file in errors.
 func parse(name string, content []byte) ([]*line, error) {
 	if len(content) > maxFileBytes {
 		return nil, &Error{File: name, Line: 1, Column: 1, Text: fmt.Sprintf("the file is longer than %d bytes", maxFileBytes)}
@@ -131,8 +134,9 @@
 	return s
 }
 
-// loadFile reads the lines of a file and of the files that it includes. A relative path of an include starts from the folder
-// of the including file. chain holds the paths of the files through which this file is included.
+// loadFile reads the lines of a file and of the files that it includes. A relative path of an include starts from the
+// folder of the including file. chain holds the paths of the enclosing files, from the outermost file to the one that
+// includes this file.
 func loadFile(path string, chain []string) ([]*line, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -145,7 +149,8 @@
 	return expandIncludes(lines, filepath.Dir(path), append(chain, filepath.Clean(path)))
 }
 
-// expandIncludes replaces each include directive by the lines of the file that it names.
+// expandIncludes replaces each include directive in lines by the lines of the file that the directive names. dir is the
+// folder from which relative paths start. chain holds the paths of the enclosing files, including the file of lines.
 func expandIncludes(lines []*line, dir string, chain []string) (out []*line, err error) {
 	for _, l := range lines {
 		if l.Name != "include" {
@@ -183,9 +188,9 @@
 	return out, nil
 }
 
-// parseNumber parses a decimal number followed by one of the units, and returns the number times the scale of the unit. All
-// characters after the last digit or decimal point must form the unit. Exponents, hexadecimal numbers, infinities and NaN are
-// refused.
+// parseNumber parses a decimal number followed by one of the units. It returns the number times the scale that units has
+// for the unit. All characters after the last digit or decimal point must form the unit. Exponents, hexadecimal numbers,
+// infinities and NaN are refused.
 func parseNumber(s string, units map[string]float64) (float64, bool) {
 	end := len(s)
 	for end > 0 && (s[end-1] < '0' || s[end-1] > '9') && s[end-1] != '.' {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -10,15 +10,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// evaluator checks the lines of one file against a table and collects their values.
+// evaluator checks the lines of one file, with its includes, against a table and collects their values.
 type evaluator struct {
 	table      *Table
 	faults     []error          // every fault found so far
 	firstLines map[string]*line // first line of each directive, by path
 }
 
-// evaluate returns the values of the lines of a file, or all their faults. The rules are checked only if the lines have no
-// fault; a rule's fault is reported at the first line of its directive, or at the start of the file if there is no such line.
+// evaluate returns the values of the lines of a file, or an error that joins all faults. The rules are checked only if
+// the lines have no fault. The fault of a rule is reported at the first line of the directive at fault, or at the start
+// of the file if there is no such line.
 func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
 	r := &evaluator{table: t, firstLines: map[string]*line{}}
 	values := r.block("", lines, &line{})
@@ -40,7 +41,8 @@
 	return values, nil
 }
 
-// block evaluates the lines of the block with this path. openingLine is the line of the directive that has the block.
+// block evaluates the lines of one block. path is the path of the block, "" for the top level. openingLine is the line of
+// the directive that has the block.
 func (r *evaluator) block(path string, lines []*line, openingLine *line) map[string]any {
 	values := map[string]any{}
 	given := map[string]*line{}
@@ -86,7 +88,7 @@
 func (r *evaluator) applyDefault(d *Directive, values map[string]any, lines []*line, openingLine *line) {
 	if d.Required {
 		position := openingLine.Pos
-		if position.Line == 0 && len(lines) > 0 { // no line opens the top level
+		if position.Line == 0 && len(lines) > 0 { // the top level has no opening line, so the fault is at the start of the file
 			position = lines[0].Pos
 			position.Line, position.Column = 1, 1
 		}
@@ -105,8 +107,8 @@
 	r.faults = append(r.faults, errorAt(position, directive, format, args...))
 }
 
-// unknownDirective describes the fault of a directive that its block does not have. The text names the blocks that allow the
-// directive or, if there are none, the directives that this block allows.
+// unknownDirective returns the text of the fault that a block does not allow the directive name. The text names the
+// blocks that allow the directive or, if there are none, the directives that this block allows.
 func (r *evaluator) unknownDirective(path, name string) string {
 	var here, elsewhere []string
 	for _, d := range r.table.Directives {
@@ -124,9 +126,10 @@
 	return "unknown; allowed here: " + strings.Join(here, ", ")
 }
 
-// evaluateDirective reads the values and the block of one directive. A directive with a block yields a map, which also holds
-// the directive's values by their names. Without a block, no value yields true, a single value yields that value, and several
-// values yield a list. The second result reports whether the directive has no fault.
+// evaluateDirective reads the values and the block of one directive. If the directive has a block, the result is a map of
+// the block's directives and of the directive's own values, by name. Otherwise the result is true if the directive has no
+// values, the value if it has one, and a list if it has several. The second result reports whether the directive has no
+// fault.
 func (r *evaluator) evaluateDirective(d *Directive, l *line) (any, bool) {
 	faults := len(r.faults)
 	if (l.Block != nil) != d.Block {
--- a/internal/operatorconfig/table.go
+++ b/internal/operatorconfig/table.go
@@ -6,7 +6,8 @@
 	buildValue = Value{Name: "build", Kind: Number, Min: 1, Max: 65535}
 )
 
-// OperatorTable describes the operator's configuration file. Without such a file, no feature of its blocks is on.
+// OperatorTable describes the operator's configuration file. A feature that a block configures is off if the file has no
+// such block, or if there is no file.
 var OperatorTable = Table{Directives: []Directive{
 	{Name: "log_level", Values: []Value{{Name: "level", Kind: Choice, Choices: []string{"debug", "info", "warn", "error"}}},
 		Default: "info", Text: "The least level of log lines."},
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -15,19 +15,19 @@
 // Words is read as a list of strings, and every other kind as a string.
 const (
 	Word     Kind = iota // any text that is not empty
-	Name                 // letters, digits, ".", "-", "_"
-	Number               // a whole number
-	Duration             // a duration: 250ms, 10s, 5m, 2h, 7d
-	Size                 // bytes: 512, 64K, 16M, 1G
-	Fraction             // 0.1 or 10%
-	Address              // host:port, where the host is an IP address or a name
+	Name                 // letters, digits, ".", "-" and "_", and not only dots
+	Number               // a whole number, such as 12
+	Duration             // a duration, such as 250ms, 10s, 5m, 2h or 7d
+	Size                 // a number of bytes, such as 512, 64K, 16M or 1G, with K = 1024
+	Fraction             // a number from 0 to 1 or a percentage, such as 0.1 or 10%
+	Address              // host:port, where the host is an IP address or a host name and the port is a number
 	Path                 // the path of a file or folder
-	Choice               // one of the Choices
-	Decimal              // any number of 0 or more
-	Words                // one word or more; only for the last value
+	Choice               // one of the Choices of the Value
+	Decimal              // any number of 0 or more, such as 1.5
+	Words                // one or more words; only for the last value of a directive
 )
 
-// kindNames describes what each kind allows, for errors and for the reference page. The index is the Kind.
+// kindNames describes the values of each kind, for errors and for the reference page. The index is the Kind.
 var kindNames = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
 	"a duration such as 250ms, 10s, 5m, 2h or 7d", "a size such as 512, 64K, 16M or 1G",
 	"a share such as 0.1 or 10%", "HOST:PORT", "a path", "one of a list", "a number of 0 or more", "one word or more"}
@@ -41,12 +41,13 @@
 type Value struct {
 	Name    string
 	Kind    Kind
-	Min     float64  // least number, in the unit of the kind; if Min and Max are 0, the kind alone sets the range
-	Max     float64  // greatest number, in the unit of the kind
-	Choices []string // allowed words of a Choice
+	Min     float64  // least number, in the unit of Kind; if Min and Max are 0, Kind alone sets the range
+	Max     float64  // greatest number, in the unit of Kind
+	Choices []string // allowed words, if Kind is Choice
 }
 
-// read parses one value. fault describes what is wrong with the value and what is allowed, or is empty.
+// read parses one value. If the value is not allowed, fault describes the value and what is allowed; otherwise fault is
+// empty.
 func (v *Value) read(s string) (read any, fault string) {
 	wrong := func() string { return fmt.Sprintf("%s is %q, allowed: %s", v.Name, s, v.describeAllowed()) }
 	switch v.Kind {
@@ -139,7 +140,7 @@
 	return ""
 }
 
-// describeAllowed describes what is allowed for the value, for errors and for the reference page.
+// describeAllowed describes the values that are allowed, for errors and for the reference page.
 func (v *Value) describeAllowed() string {
 	if v.Kind == Choice {
 		return strings.Join(v.Choices, ", ")
@@ -150,7 +151,8 @@
 	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.formatWithUnit(v.Min), v.formatWithUnit(v.Max))
 }
 
-// formatWithUnit formats a number with the largest unit of its kind in which the number is a whole one, to within 1e-9.
+// formatWithUnit formats a number of Kind Duration or Size with the largest unit in which it is a whole number, to within
+// 1e-9. A number of another kind has no unit.
 func (v *Value) formatWithUnit(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := durationUnits
