--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -1,18 +1,18 @@
-// Command silvercove-relay runs one relay. The relay accepts clients' requests, and the balancer in it decides when and at
-// which backend each request is attempted. The relay connects to backends, discovery and the release platform. Its
-// configuration comes from the environment, see package relay. "silvercove-relay check FILE" checks an operator's file.
+// Command silvercove-relay runs one relay. The relay accepts clients' requests, and its balancer decides when and at
+// which backend each request is attempted. The relay connects to backends, discovery and the release platform. The
+// environment configures the relay; see package relay. "silvercove-relay check FILE" checks an operator's file.
 package main
 
 import (
 	"fmt"
 	"os"
 
-	_ "silvercove/internal/fdtable" // grows the descriptor table before the process has a second thread
+	_ "silvercove/internal/fdtable" // grows the descriptor table of a process that imports it, before the process has a second thread
 	"silvercove/internal/operatorconfig"
 	"silvercove/internal/relay"
 )
 
-// Exit codes.
+// Exit codes of the command.
 const (
 	exitOK = iota
 	exitFailed
@@ -29,7 +29,8 @@
 	}
 }
 
-// runSubcommand runs the subcommand that the arguments name. The only one is check, which checks an operator's file.
+// runSubcommand runs the subcommand in args and returns the exit code. The only subcommand is "check FILE", which checks
+// an operator's file.
 func runSubcommand(args []string) (exitCode int) {
 	if len(args) != 2 || args[0] != "check" {
 		fmt.Fprintln(os.Stderr, "usage: silvercove-relay, or silvercove-relay check FILE")
