--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -31,7 +31,7 @@
 
 // Config holds the configuration of a relay. ReadConfig and ReadFleetConfig create it.
 type Config struct {
-	signals          chan os.Signal // receives signals from the start of the program on; if nil, Run creates it
+	signals          chan os.Signal // channel that receives signals from the start of the program on; if nil, Run creates one
 	name             string
 	listen           string // address at which the relay accepts clients, as host:port
 	discovery        string // address of the discovery agent, as host:port; may be empty for a relay of a fleet
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -12,7 +12,7 @@
 	// acceptGrace is how long the relay still accepts connections after SIGTERM. Clients need this time to learn that the
 	// relay stops.
 	acceptGrace = 500 * time.Millisecond
-	// closeStepDelay is the time between closing idle sessions and ending to accept connections.
+	// closeStepDelay is the time from closing idle sessions until the listener accepts no more connections.
 	closeStepDelay = acceptGrace / 10
 )
 
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -24,8 +24,8 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	// If the connect timeout is missing, only the deadline of its request limits a connection attempt. The longest
-	// deadline is never a shorter limit than that.
+	// Without a connect timeout, a connection attempt is limited only by the deadline of the request that it is for. The
+	// longest deadline of all classes is never a shorter limit than that deadline.
 	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
--- a/internal/settings/read_test.go
+++ b/internal/settings/read_test.go
@@ -172,7 +172,7 @@
 	})
 }
 
-// checkDurations fails if a duration of s, in ticks of 0.1 ms, exceeds the range of the balancer's 32-bit integers.
+// checkDurations fails if a duration of s, in ticks of 0.1 ms, exceeds the range of an unsigned 32-bit integer.
 func checkDurations(t interface{ Errorf(string, ...any) }, s balancer.Settings) {
 	for name, v := range map[string]balancer.Seconds{
 		"connect timeout": s.Limits.ConnectTimeout, "idle timeout": s.Limits.IdleTimeout,
