--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs tests the project's pages against the code: the folders, declarations and tests that they name must exist.
+// Package docs tests the Markdown pages of this folder against the code. Folders, declarations and tests that a page names must
+// exist. architecture.md must name each package, and oncall.md must list each log message.
 package docs
 
 import (
@@ -13,7 +14,8 @@
 	"testing"
 )
 
-// parseSources parses the project's Go files, except tests, and returns them by folder, relative to the root.
+// parseSources parses the project's Go files and returns them by folder. Folders are relative to the project's root. Test files
+// and the folders that are named testdata, bin, journal or tools, or whose name begins with a dot, are skipped.
 func parseSources(tb testing.TB) map[string][]*ast.File {
 	tb.Helper()
 	files := token.NewFileSet()
@@ -47,8 +49,8 @@
 	return all
 }
 
-// declaredNames returns the names that a package's files declare: Name for functions, variables, constants and types, and
-// Type.Method and Type.Field.
+// declaredNames returns the names that a package's files declare: functions, variables, constants and types as Name, methods as
+// Type.Method, and fields as Type.Field.
 func declaredNames(files []*ast.File) map[string]bool {
 	names := map[string]bool{}
 	for _, file := range files {
@@ -66,7 +68,7 @@
 	return names
 }
 
-// receiver returns the name of a method's receiver type with a dot after it, and "" for a function.
+// receiver returns the name of a method's receiver type followed by a dot, or "" for a function.
 func receiver(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
@@ -113,8 +115,8 @@
 	testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
 )
 
-// TestPages_NameWhatExists checks the pages that describe the code. A page names a folder by its path, and a declaration as
-// package.Name or package.Type.Name, both in backticks.
+// TestPages_NameWhatExists checks that the folders and declarations that a page names exist. A page names a folder by its path,
+// and a declaration as package.Name or package.Type.Name, both in backticks.
 func TestPages_NameWhatExists(t *testing.T) {
 	all := parseSources(t)
 	packages := map[string]map[string]bool{}
--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -11,12 +11,13 @@
 	"testing"
 )
 
-// logFunctions are the names of the functions and methods that write a log line. Their arguments are the message, then typed fields.
+// logFunctions are the names of the functions and methods that write a log line. Their first argument is the message, or a log
+// level that the message follows.
 var logFunctions = []string{"Log", "Msg", "log", "logAt", "logSampled"}
 
 // TestOncall_ListsEachLogMessage checks that the table of docs/oncall.md lists each message that the programs log, and that the
-// code logs each message of the table. A message must be constant: a literal, a string constant, or the parameter named message
-// of a function that forwards log lines.
+// code logs each message of the table. A message must be constant: a literal, a string constant, an entry of the table
+// eventMessages, or the parameter named message of a function that forwards log lines.
 func TestOncall_ListsEachLogMessage(t *testing.T) {
 	listed := messagesOfPage(t)
 	used := map[string]string{}
@@ -60,7 +61,8 @@
 	}
 }
 
-// messagesOfPage returns the first cells, which are in backticks, of the table below the heading "Log messages".
+// messagesOfPage returns the messages that oncall.md lists in the table below the heading "Log messages". The message is the
+// first cell of a row and stands in backticks.
 func messagesOfPage(tb testing.TB) map[string]bool {
 	tb.Helper()
 	text, err := os.ReadFile("oncall.md")
@@ -82,8 +84,8 @@
 	return listed
 }
 
-// writesLog reports whether a call writes a log line: by the function's name, or because it passes fields of log/slog after a
-// string literal.
+// writesLog reports whether a call writes a log line: the called function is one of logFunctions, or the call passes fields of
+// log/slog after a string literal.
 func writesLog(call *ast.CallExpr) bool {
 	if len(call.Args) == 0 || calledName(call) == "append" || calledPackage(call) == "math" {
 		return false
@@ -128,7 +130,7 @@
 	return messages
 }
 
-// calledPackage returns the identifier before the dot of a call, and "" if the call has none.
+// calledPackage returns the identifier before the dot of the called function, or "" if there is none.
 func calledPackage(call *ast.CallExpr) string {
 	if s, ok := call.Fun.(*ast.SelectorExpr); ok {
 		if id, ok := s.X.(*ast.Ident); ok {
@@ -188,7 +190,7 @@
 	return "", false
 }
 
-// stringConstants returns the package's constants whose value is a string literal.
+// stringConstants returns the values of the package's constants that are string literals, by the constant's name.
 func stringConstants(files []*ast.File) map[string]string {
 	all := map[string]string{}
 	for _, file := range files {
