--- a/internal/standin/testcluster/binary.go
+++ b/internal/standin/testcluster/binary.go
@@ -16,9 +16,9 @@
 	built map[string]string
 }
 
-// Binary returns the path of one of the project's programs. It builds the program once for each test binary, with -race if the test
-// itself is built so. The directory is kept between runs, one for each checkout, so that unchanged programs are not
-// linked again.
+// Binary returns the path of one of the project's programs. It builds the program once for each run of a test binary, with -race
+// if the test binary was built with -race. The directory of the programs is kept between runs, one for each checkout, so that
+// unchanged programs are not linked again.
 func Binary(t Test, name string) string {
 	t.Helper()
 	binaries.Lock()
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -1,7 +1,8 @@
 // Package testcluster starts the processes of a fleet on loopback, with a link between every two of them, and injects faults by a
-// script and a seed: links are cut, and processes are killed, stopped, woken, or started again with their disk, without it or with
-// an older copy of it. It collects the processes' log events, draws them as a timeline, and checks the run by rules. If
-// CREW_TIMELINES names a directory, each test writes its timeline there, not only when it fails.
+// script and a seed: links are cut, and processes are killed, stopped, woken, or started again with their disk, without it or
+// with an older copy of it. The package collects the processes' log events, draws them as a timeline, and checks the events and
+// the clients' requests (CheckHistory, CheckEpochs, CheckOneServes, CheckDeadlines). If the environment variable CREW_TIMELINES
+// names a directory, each test writes its timeline there, not only when it fails.
 package testcluster
 
 import (
@@ -23,8 +24,8 @@
 )
 
 const (
-	fleetPort, requestPort = "7001", "5501" // both are below the ephemeral ports; each process has its own loopback address
-	maxOutputLines         = 200            // lines kept of a process's output besides its events
+	fleetPort, requestPort = "7001", "5501" // both are below the range of ephemeral ports; each process has its own loopback address
+	maxOutputLines         = 200            // maximum number of output lines kept for each process, not counting events
 )
 
 // endTimeout bounds how long a process may take to end, and waitTimeout how long a test waits for a condition. Both are much longer
@@ -82,7 +83,7 @@
 	changed      chan struct{} // closed and replaced at each event
 	requests     []Request
 	stalls       []stall
-	acknowledged map[string]bool // the keys are INSTANCE@EPOCH
+	acknowledged map[string]bool // epochs in which a request was acknowledged; the keys are INSTANCE@EPOCH
 	faults       []string
 }
 
@@ -156,7 +157,7 @@
 		columns = append(columns, p.Name)
 	}
 	seen := map[string]bool{}
-	// Drops the first report of each live member, and all reports of members in a large fleet.
+	// Leave out the first report that a member is alive, and all reports about members in a fleet of more than eight processes.
 	events := slices.DeleteFunc(c.Events(), func(e Event) bool {
 		first := !seen[e.Node+e.From]
 		seen[e.Node+e.From] = true
@@ -183,7 +184,8 @@
 			select {
 			case <-p.ended:
 				p.command = nil
-			case <-again.C: // an edge node waits until other nodes have taken its instances, and ends at a second SIGTERM
+			// An edge node waits until other nodes have taken over its instances. A second SIGTERM makes it end at once.
+			case <-again.C:
 				for _, q := range c.nodes {
 					if q.command != nil && q.Role == "edge" {
 						_ = q.command.Process.Signal(syscall.SIGTERM)
--- a/internal/standin/testcluster/event_file.go
+++ b/internal/standin/testcluster/event_file.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// comparedEvents are the events that are compared between a run of processes and a run of the simulation model.
+// comparedEvents are the names of the events by which a run of processes is compared with a run of the simulation model.
 var comparedEvents = []string{"acts", "stops", "placed", "routes", "leads", "lease", "crosses", "kill", "stop", "wake", "end", "start", "strength"}
 
 // RunSummary summarizes a run up to the event that ends it.
@@ -55,7 +55,8 @@
 	return c
 }
 
-// WriteEvents writes the compared events, one a line, in the format that ReadEvents reads. head is a comment line.
+// WriteEvents writes the compared events, one a line, in the format that ReadEvents reads. The first line is a comment with the
+// text head.
 func WriteEvents(w io.Writer, head string, began time.Time, events []Event) error {
 	b := bufio.NewWriter(w)
 	_, _ = fmt.Fprintf(b, "# %s\n", head)
--- a/internal/standin/testcluster/fleet_test.go
+++ b/internal/standin/testcluster/fleet_test.go
@@ -51,7 +51,8 @@
 	return c
 }
 
-// startWriters starts clients that send requests to an instance, each one after the other. stop ends them and waits for them.
+// startWriters starts clients, each of which sends one request after another to an instance. stop ends the clients and waits for
+// them.
 func (c *Cluster) startWriters(clients int, wait time.Duration, create func(name string) *Client, instance string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
@@ -75,7 +76,8 @@
 	return func() { cancel(); done.Wait() }
 }
 
-// checkRun checks a run by all rules, and writes its event file.
+// checkRun checks the requests and events of a run with CheckHistory, CheckEpochs, CheckOneServes and CheckDeadlines, and writes
+// the run's event file.
 func (c *Cluster) checkRun(t *testing.T) {
 	t.Helper()
 	c.writeEventFile(t)
@@ -93,7 +95,8 @@
 	t.Logf("requests: %v", n)
 }
 
-// createInstance creates an instance. It may already exist: a call whose response is lost is repeated.
+// createInstance creates an instance. It is no error if the instance exists already, because the client repeats a call whose
+// response is lost.
 func (c *Cluster) createInstance(ctx context.Context, instance, node, zone string) error {
 	_, err := c.Create(ctx, instance, node, zone)
 	if errors.Is(err, placement.ErrExists) {
@@ -102,8 +105,8 @@
 	return err
 }
 
-// startInstance creates an instance at edge-a, starts clients that write to it through all the named nodes, and waits until it has a
-// replica.
+// startInstance creates an instance at edge-a, starts clients that write to it through all the named nodes, and waits until the
+// instance has a replica.
 func (c *Cluster) startInstance(t *testing.T, instance string, nodeNames ...string) (stop func()) {
 	t.Helper()
 	if err := c.createInstance(t.Context(), instance, "edge-a", "north"); err != nil {
@@ -132,7 +135,8 @@
 	}
 }
 
-// playScript executes a script. Its ask lines may use cross INSTANCE ZONE, leader VERB and load DURATION.
+// playScript executes a script. An ask line is one of cross INSTANCE ZONE, which moves the instance's device, leader VERB, which
+// applies the verb to the leading controller, and load DURATION, which waits.
 func (c *Cluster) playScript(t *testing.T, script string) {
 	t.Helper()
 	err := c.Play(t.Context(), script, map[string]func([]string) error{
@@ -158,7 +162,7 @@
 	return name
 }
 
-// writeUntilAcknowledged writes to an instance until a write is acknowledged, in whatever epoch.
+// writeUntilAcknowledged writes to an instance until a write is acknowledged in any epoch.
 func (c *Cluster) writeUntilAcknowledged(t *testing.T, instance string, nodeNames ...string) Request {
 	t.Helper()
 	k := c.Client("last-"+instance, nodeNames...)
@@ -425,8 +429,9 @@
 	c.checkRun(t)
 }
 
-// The leading controller is stopped past an election, the primary is cut off and loses its instance under the next leader, and the old
-// leader is woken. The old leader must confirm nothing from its former term, neither an operation nor a lease.
+// The leading controller is stopped (SIGSTOP) until another controller is elected. The primary is cut off, and the new leader
+// gives its instance to another node. Then the former leader is woken. It must confirm nothing from its former term, neither an
+// operation nor a lease.
 func TestLeadingKeeperStoppedAndWoken(t *testing.T) {
 	t.Parallel()
 	c := startFleet(t, 16, 2, 1)
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -13,7 +13,8 @@
 	"silvercove/internal/peertransport"
 )
 
-// relaySettings is a relay's JSON file. Its only request class is the one that Client uses.
+// relaySettings is the content of a relay's JSON settings file, with format verbs for the address of the release platform and for
+// the number of relays. Its only request class is the one that Client uses.
 const relaySettings = `{"seed": "8c1f30d27a5be964",
 	"limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
 	"release_api": {%s"news": {"Revision": 1, "Wave": 0, "State": "live", "MaxShare": 1.0, "AgeMs": 0}},
@@ -89,8 +90,9 @@
 	return l.Address(), nil
 }
 
-// openNetwork connects the test to the controllers over links that no process uses. Processes accept only peers of their
-// configuration file, so the test uses the name of a process that is not a controller. The test is not a member of the fleet.
+// openNetwork connects the test to the controllers over links that no process uses. A process accepts connections only from the
+// peers in its configuration file, and the test is not a member of the fleet. The test therefore uses the name of a process that
+// is not a controller.
 func (c *Cluster) openNetwork() (err error) {
 	as := c.nodes[len(c.nodes)-1]
 	var others []peertransport.Peer
--- a/internal/standin/testcluster/remote_replicas_test.go
+++ b/internal/standin/testcluster/remote_replicas_test.go
@@ -30,9 +30,9 @@
 	return c, nodeNames
 }
 
-// A zone is cut off from the other zone and from the controllers for longer than restart_after, while clients write to an instance
-// there. With a replica in another zone, the instance must continue there with every acknowledged effect, and move back once the zone
-// is reachable. Without one, the instance starts empty.
+// A zone is cut off from the other zone and from the controllers for longer than restart_after, while clients write to an
+// instance in the zone that is cut off. With a replica in the other zone, the instance must continue in the other zone with every
+// acknowledged effect, and move back once its zone is reachable. Without such a replica, the instance starts empty.
 func TestAZoneCutOffForLongLosesNothing(t *testing.T) {
 	for _, away := range []int{1, 0} {
 		t.Run(fmt.Sprintf("away-%d", away), func(t *testing.T) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkAcks measures the time of a write. A client sends one request after the other to an instance whose replica is in the same
-// zone, or in another zone with the given one-way delay.
+// BenchmarkAcks measures the time until a write is acknowledged. A client sends one request after the other to an instance whose
+// replica is in the same zone, or in another zone with the given one-way delay.
 func BenchmarkAcks(b *testing.B) {
 	for _, away := range []int{0, 1} {
 		for _, delay := range []string{"0ms", "10ms", "20ms"} {
--- a/internal/standin/testcluster/script.go
+++ b/internal/standin/testcluster/script.go
@@ -16,7 +16,7 @@
 // processVerbs are the verbs for processes. The verbs for links are faultproxy.Verbs.
 var processVerbs = []string{"start", "kill", "stop", "wake", "end", "wipe", "save", "restore", "sick", "well"}
 
-// Do executes one action at once:
+// Do executes one action of a script at once. P is the name of a process, or a list of names such as a,b:
 //
 //	start P     starts the process
 //	kill P      SIGKILL
@@ -25,11 +25,11 @@
 //	end P       SIGTERM, and waits until the process has ended
 //	wipe P      deletes the disk of a process that does not run
 //	save P      copies the disk
-//	restore P   replaces the disk of a process that does not run by the saved copy
+//	restore P   replaces the disk of a process that does not run with the saved copy
 //	sick P      resets connections for requests to the process and refuses new ones
-//	well P      ends sick
+//	well P      ends the effect of sick
 //
-// or a line of faultproxy.Network.Do. P may be a list a,b.
+// Do also executes the lines of faultproxy.Network.Do.
 func (c *Cluster) Do(line string) error {
 	w := strings.Fields(line)
 	if len(w) > 0 && slices.Contains(faultproxy.Verbs, w[0]) {
@@ -83,7 +83,7 @@
 		_ = p.command.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.ended:
-		case <-time.After(waitTimeout): // an edge node may take ten leases to hand over its instances
+		case <-time.After(waitTimeout): // an edge node may take ten leases to hand over its instances (edgenode.maxTerminationLeases)
 			return errors.New("the process does not end on SIGTERM")
 		}
 		p.command = nil
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// isStopped reports whether a process is in the stopped state, which it reaches only some time after the signal.
+// isStopped reports whether a process is in the stopped state. A process reaches this state some time after SIGSTOP was sent.
 func isStopped(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, state, ok := strings.Cut(string(text), ") ")
@@ -138,10 +138,10 @@
 
 // Play executes a script, one action a line. A # begins a comment:
 //
-//	at 200ms VERB ...    executes the action so long after the start of the script
-//	when WORDS           waits for an event that matches WORDS (Event.Is), among those since the last action
-//	ask WORDS            calls the test's function of that name: ask cross cam-1 south
-//	VERB ...             executes the action at once (Do)
+//	at 200ms VERB ...    executes the action at this time after the start of the script
+//	when WORDS           waits for an event since the last action that matches WORDS (see Event.Is)
+//	ask NAME WORDS       calls the function NAME of the map ask, for example: ask cross cam-1 south
+//	VERB ...             executes the action at once (see Do)
 func (c *Cluster) Play(ctx context.Context, script string, ask map[string]func(words []string) error) error {
 	start, seen := time.Now(), 0
 	do := func(what string) error {
--- a/internal/standin/testcluster/timeline.go
+++ b/internal/standin/testcluster/timeline.go
@@ -11,7 +11,7 @@
 const (
 	linkColumn     = "links"
 	maxColumnWidth = 26  // in characters
-	maxRows        = 400 // a longer timeline shows its last rows
+	maxRows        = 400 // only the last rows of a longer timeline are shown
 )
 
 // Event is an event of a run: a process's log event, a change of a link, or an action of the script or of a client.
@@ -24,12 +24,12 @@
 	From, To string
 	State    string
 	Why      string
-	Script   bool   // an action of the script on the process
+	Script   bool   // the event is an action of the script on the process Node
 	Late     *int64 // milliseconds between the event and its log line; nil if the program does not state it
-	Line     string // the log line
+	Line     string // the log line; "" if the event was not logged by a process
 }
 
-// Text returns a short form of the event: acts cam-1@4; placed cam-1@5 a>b.
+// Text returns a short form of the event, for example "acts cam-1@4" or "placed cam-1@5 a>b".
 func (e Event) Text() string {
 	w := []string{e.Name}
 	if e.Name == "link" {
@@ -59,8 +59,9 @@
 	return strings.Join(w, " ")
 }
 
-// Is reports whether an event matches words: the process or *, the event's name or *, then any of the instance (with @EPOCH if the
-// epoch matters), from, to, state, or a word of the reason. Example: "* placed cam-1@5 edge-b".
+// Is reports whether an event matches words. The first word is the name of the process, or *. The second word is the name of the
+// event, or *. Each further word must be the event's instance, INSTANCE@EPOCH, From, To, State, or a word of Why. Example: "*
+// placed cam-1@5 edge-b".
 func (e Event) Is(words string) bool {
 	w := strings.Fields(words)
 	if len(w) < 2 || w[0] != "*" && w[0] != e.Node || w[1] != "*" && w[1] != e.Name {
@@ -76,8 +77,9 @@
 	return true
 }
 
-// Draw draws a timeline with a column for each node and a line for each moment, in the order of time. An event within the same
-// millisecond continues the line if its column is further to the right, so that causes are left of effects or above them.
+// Draw draws a timeline with a column for each node. Its lines are in the order of time, and the events of one millisecond share
+// a line. An event begins a new line if its column is not to the right of the last event's column, so that a cause is always left
+// of its effects or above them.
 func Draw(columns []string, began time.Time, events []Event) string {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
