--- a/internal/standin/backends/backend.go
+++ b/internal/standin/backends/backend.go
@@ -1,6 +1,6 @@
-// Package backends simulates the peers of a relay on loopback: backends that speak PostgreSQL's wire protocol, the agent that serves
-// the endpoint list, and the platform that takes votes and moves a package forward or back. The frames are written from the
-// protocol's documentation (PostgreSQL 15, "Message Formats").
+// Package backends simulates the peers of a relay on loopback: backends that speak PostgreSQL's wire protocol, the agent that
+// serves the endpoint list, and the release platform. The platform takes votes on a package and rolls the package out or back in
+// stages. The messages of a row are built according to the protocol's documentation (PostgreSQL 15, "Message Formats").
 package backends
 
 import (
@@ -15,7 +15,7 @@
 	"silvercove/internal/pgwire"
 )
 
-// Backend is one simulated server.
+// Backend is one simulated database server.
 type Backend struct {
 	Name       string
 	listener   net.Listener
@@ -30,7 +30,9 @@
 	closed      bool
 }
 
-// NewBackend starts a backend that runs a version. answer decides each query: whether it fails, and how long it takes.
+// NewBackend starts a backend that runs a software version. The backend calls answer for each query. answer returns whether the
+// query fails, and how long the query takes. Its parameter since is the time of the backend's last restart by Set, or zero if
+// there was none.
 func NewBackend(name string, version uint16, answer func(u *Backend, opType string, version uint16, since time.Time) (bool, time.Duration)) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/backends/testing.go
+++ b/internal/standin/backends/testing.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Test is the part of *testing.T that the helpers need.
+// Test is the part of *testing.T that the functions of this package need.
 type Test interface {
 	Helper()
 	Cleanup(func())
@@ -26,7 +26,7 @@
 	})
 }
 
-// Eventually waits until a condition holds, and fails the test after ten seconds.
+// Eventually waits until a condition holds, and fails the test after ten seconds. what describes the condition.
 func Eventually(t Test, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
--- a/internal/standin/faultproxy/link.go
+++ b/internal/standin/faultproxy/link.go
@@ -30,7 +30,8 @@
 	lostBytes      bool // bytes of this connection were discarded; guarded by the link's mutex
 }
 
-// AddLink adds a link to an address, which may be empty until SetTarget sets it. Two processes may have several links.
+// AddLink adds a link from one process to another. The link forwards connections to the address target. target may be empty: the
+// link then resets all connections until SetTarget sets an address. Two processes may have several links.
 func (n *Network) AddLink(from, to, target string) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +48,7 @@
 // Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetTarget makes later connections lead to another address.
+// SetTarget sets the address to which the link forwards later connections.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/faultproxy/mesh.go
+++ b/internal/standin/faultproxy/mesh.go
@@ -4,13 +4,13 @@
 	"silvercove/internal/peertransport"
 )
 
-// Mesh has a link between every two processes of a fleet, one for each direction. Its methods are safe for concurrent use.
+// Mesh has a link in each direction between every two processes of a fleet. Its methods are safe for concurrent use.
 type Mesh struct {
 	peers []peertransport.Peer
 	links map[[2]string]*Link // by the names of the connecting and the listening process
 }
 
-// NewMesh adds the links between processes that listen at their peers' addresses. Closing the network ends the links.
+// NewMesh adds links between all peers to a network. Each peer must listen at its address. Closing the network ends the links.
 func NewMesh(network *Network, peers []peertransport.Peer) (*Mesh, error) {
 	m := &Mesh{peers: peers, links: map[[2]string]*Link{}}
 	for _, from := range peers {
--- a/internal/standin/faultproxy/network_test.go
+++ b/internal/standin/faultproxy/network_test.go
@@ -77,7 +77,7 @@
 	return c
 }
 
-// exchange writes a text and returns the bytes that come back within a time, up to the length of the text.
+// exchange writes a text and returns the bytes that come back within the time limit, up to the length of the text.
 func exchange(c net.Conn, text string, within time.Duration) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(within))
 	if _, err := io.WriteString(c, text); err != nil {
--- a/internal/standin/faultproxy/script.go
+++ b/internal/standin/faultproxy/script.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// Verbs are the verbs that Do accepts.
+// Verbs are the verbs of a script that Network.Do accepts.
 var Verbs = []string{"cut", "reset", "stall", "delay", "rate", "drop", "heal", "split"}
 
-// Do executes one line of a script. A and B are process names, lists a,b of names, or * for any process. A fault applies to the bytes
-// from A to B and, without oneway, also to the bytes from B to A, whichever process connected.
+// Do executes one line of a script. A and B are each a process name, a list of names such as a,b, or * for any process. A fault
+// applies to the bytes from A to B and, without oneway, also to the bytes from B to A. It does not matter which of the two
+// processes opened the connection.
 //
 //	cut A B [oneway]            bytes are discarded
 //	reset A B                   connections are reset, and new ones refused
-//	stall A B [oneway]          bytes wait
+//	stall A B [oneway]          bytes wait until the fault ends
 //	delay A B 20ms [oneway]     bytes are delayed
-//	rate A B 65536 [oneway]     bytes a second
+//	rate A B 65536 [oneway]     at most this number of bytes a second pass
 //	drop A B 5% [oneway]        each chunk breaks its connection with this probability
-//	heal A B [oneway]           ends all faults
-//	split A,B C,D               as cut, between each process of the first list and each of the second
+//	heal A B [oneway]           ends all faults between A and B
+//	split A,B C,D               cuts the links between each process of the first list and each of the second
 func (n *Network) Do(line string) error {
 	c, ok := parseLine(line)
 	if !ok {
@@ -83,7 +84,8 @@
 	return scriptLine{verb: w[0], from: w[1], to: w[2], oneWay: oneWay, change: change}, ok
 }
 
-// faultChange returns the change that a verb and its value, if it takes one, make to a direction's fault.
+// faultChange returns the change that a verb makes to a direction's fault. value is the verb's value, or "" if the verb takes
+// none. ok is false if the value is invalid.
 func faultChange(verb, value string) (change func(Fault) Fault, ok bool) {
 	switch verb {
 	case "cut", "split":
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -1,11 +1,11 @@
-// Package golden compares the recorded output of a test with a file below the test's testdata directory. Only a run with -update
-// writes the file, which belongs to an intended change of behaviour:
+// Package golden compares the recorded output of a test with a golden file below the test's testdata directory. A golden file may
+// change only together with an intended change of behaviour. Only a run with -update writes the file:
 //
 //	go test ./internal/overload -run Golden -update
 //
-// File compares a text, and Seeds compares one line for each seed. Recorded returns the file's text to a test that can describe a
-// difference better than by its line. A long record is kept as the hash of its lines (Trace). The recorded text uses words
-// of the test's own instead of the names of types and fields, so that renames do not change it.
+// File compares a text, and Seeds compares one line for each seed. Recorded returns the file's text, for tests that describe a
+// difference better than File does. A long record is kept as a hash of its lines (Trace). The recorded text uses words of the
+// test's own instead of the names of types and fields, so that renames do not change it.
 package golden
 
 import (
@@ -59,17 +59,17 @@
 	}
 }
 
-// Lines compares lines with those of testdata/name, as File does.
+// Lines joins lines into a text, with a newline after each line, and compares the text with testdata/name (see File).
 func Lines(tb testing.TB, name string, lines []string) {
 	tb.Helper()
 	File(tb, name, strings.Join(lines, "\n")+"\n")
 }
 
-// missing stands for a line after the end of a text.
+// missing is shown in place of a line after the end of a text.
 const missing = "(no line)"
 
-// firstDifference describes the first line in which two texts differ, and returns "" if they are equal. A line that is indented by a
-// tab belongs to the nearest heading above it, which is named too.
+// firstDifference describes the first line in which two texts differ, and returns "" if they are equal. If the line is indented
+// by a tab, the description also names the nearest line above that is not indented.
 func firstDifference(got, want string) string {
 	if got == want {
 		return ""
--- a/internal/standin/leakcheck/leakcheck.go
+++ b/internal/standin/leakcheck/leakcheck.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	closeTimeout = 10 * time.Second // how long a test's descriptors may take to close
+	closeTimeout = 10 * time.Second // time limit for closing the test's descriptors after its end
 	pollInterval = time.Millisecond
 )
 
-// Verify checks at the end of the test that no goroutine and no file descriptor of the test is left. Call it first in a test:
-// functions that are registered with Cleanup later run before the check. It is not for parallel tests.
+// Verify checks at the end of the test that no goroutine and no file descriptor of the test is left. It must be called first in a
+// test, because functions that are registered with Cleanup later run before the check. It is not for parallel tests.
 func Verify(tb testing.TB) {
 	tb.Helper()
 	openPoller(tb)
@@ -31,14 +31,15 @@
 	})
 }
 
-// openPoller makes the runtime open the descriptors of its network poller, which it keeps open.
+// openPoller makes the runtime open the descriptors of its network poller. The runtime keeps them open, so they must be open
+// before Verify counts the descriptors.
 func openPoller(tb testing.TB) {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	_ = listener.Close() // the listener is unused
+	_ = listener.Close() // the error does not matter: the listener is unused
 }
 
 // Descriptors returns the number of file descriptors that the process has open.
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -1,9 +1,9 @@
-// Package scriptedbackend provides a backend for tests that handles each connection as the test's script demands, byte by byte: it may
-// reset, stall or answer twice at any point of PostgreSQL's protocol. It keeps every query that it received whole, answered
-// or not.
+// Package scriptedbackend provides a backend for tests that handles each connection as the test's script demands, byte by byte:
+// the script may reset the connection, stall or answer twice at any point of PostgreSQL's protocol. The backend records every
+// query that it received whole, whether it answered the query or not.
 //
-// Start starts a goroutine for the listener and one for each connection, and ends and awaits them when the test ends. Unless
-// stated otherwise, everything may be called from any goroutine.
+// Start starts a goroutine for the listener and one for each connection. When the test ends, the goroutines are ended and
+// awaited. Unless stated otherwise, all functions and methods may be called from any goroutine.
 package scriptedbackend
 
 import (
@@ -20,7 +20,7 @@
 	"silvercove/internal/pgwire"
 )
 
-// Backend is one listening backend. Start makes it.
+// Backend is a backend that listens on loopback. Start creates it.
 type Backend struct {
 	// Address is the address on which the backend listens, as host:port.
 	Address string
@@ -35,7 +35,8 @@
 	open     map[*net.TCPConn]struct{}
 }
 
-// Script handles a backend's connection, which is closed after it returns. Connections are numbered from 0.
+// Script handles one connection of a backend. The connection is closed after the script returns. number counts the backend's
+// connections from 0.
 type Script func(b *Backend, number int, conn *net.TCPConn)
 
 // Start listens on a free loopback port until the test ends.
@@ -83,10 +84,10 @@
 }
 
 func (b *Backend) stop() {
-	_ = b.listener.Close() // ends accept
+	_ = b.listener.Close() // makes Accept fail, which ends accept
 	b.mu.Lock()
 	for conn := range b.open {
-		_ = conn.Close() // ends the connection's script
+		_ = conn.Close() // makes the script's reads and writes fail, which ends the script
 	}
 	b.mu.Unlock()
 	b.tasks.Wait()
@@ -113,16 +114,17 @@
 	return slices.Clone(b.queries)
 }
 
-// QueryCount returns the number of queries that were received whole. Each query counts as one effect.
+// QueryCount returns the number of queries that were received whole. Each of them counts as executed, whether it was answered or
+// not.
 func (b *Backend) QueryCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queries)
 }
 
-// ReadStartup reads a startup message, or until the connection ends.
+// ReadStartup reads a startup message. It returns early if the connection ends.
 func (b *Backend) ReadStartup(conn net.Conn) {
-	_, _ = io.ReadFull(conn, make([]byte, len(pgwire.StartupMessage()))) // the script's next read fails too
+	_, _ = io.ReadFull(conn, make([]byte, len(pgwire.StartupMessage()))) // after an error, the script's next read fails too
 }
 
 // Greet reads a startup message and answers that the backend is ready.
