--- a/internal/edgenode/assignments.go
+++ b/internal/edgenode/assignments.go
@@ -9,9 +9,9 @@
 	"silvercove/internal/replica"
 )
 
-// loadAssignments loads all assignments, which show what the controllers rely on this node for, and creates the replica.Manager. It
-// runs before the first lease request, when the controllers do not know this incarnation yet. It retries until it succeeds, and
-// returns only the context's error.
+// loadAssignments loads all assignments and creates the replica.Manager from them. The assignments show which copies the
+// controllers expect on this node. loadAssignments runs before the first lease request, so the controllers do not know this
+// incarnation of the node yet. It retries until it succeeds or the context ends, and its only error is the context's.
 func (n *Node) loadAssignments(ctx context.Context) error {
 	for {
 		changes, err := n.client.Assignments(ctx, 0)
@@ -29,7 +29,7 @@
 	}
 }
 
-// startReplicas creates the replica.Manager from the logs that were on the disk and all assignments.
+// startReplicas creates the replica.Manager from all assignments and from the logs that the node found on its disk.
 func (n *Node) startReplicas(changes controllerclient.AssignmentChanges) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,8 +40,8 @@
 	n.logsAtStart = nil
 }
 
-// onAssignmentChanges passes changed assignments to the replica.Manager. Complete changes of a higher generation mean that placement
-// was rebuilt.
+// onAssignmentChanges passes changed assignments to the replica.Manager. If the changes contain all assignments and have a higher
+// generation than the previous ones, the controllers have rebuilt the assignments, and the new ones replace all of them.
 func (n *Node) onAssignmentChanges(changes controllerclient.AssignmentChanges) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,7 +65,8 @@
 	n.signalChange()
 }
 
-// instancesMissingFrom returns the instances known to this node that are not among all assignments.
+// instancesMissingFrom returns the instances that the replica.Manager knows but that have no assignment. assignments must contain
+// all assignments.
 func (n *Node) instancesMissingFrom(assignments []placement.Assignment) (missing []string) {
 	assigned := map[string]bool{}
 	for _, a := range assignments {
@@ -91,7 +92,7 @@
 	}
 }
 
-// propose proposes an operation to the controllers and passes the result to the replica.Manager.
+// propose proposes an operation to the controllers, and passes the new assignment or the refusal to the replica.Manager.
 func (n *Node) propose(ctx context.Context, op placement.Operation) {
 	proposalContext, cancel := context.WithTimeout(ctx, n.leaseDuration.Duration())
 	assignment, err := n.client.Propose(proposalContext, op)
--- a/internal/edgenode/benchmark_test.go
+++ b/internal/edgenode/benchmark_test.go
@@ -13,8 +13,8 @@
 	"silvercove/internal/placement"
 )
 
-// BenchmarkCutOver moves an instance with 64 KiB of state back and forth while one client writes. It reports the median and
-// the 99th percentile of the moves' longest time between two successful answers.
+// BenchmarkCutOver moves an instance with 64 KiB of state back and forth while one client writes. It takes the longest time
+// between two successful answers during each move, and reports the median and the 99th percentile over all moves.
 func BenchmarkCutOver(b *testing.B) {
 	c := newServingFleet(b, 2, false, "")
 	clients := map[string]*sqlClient{"edge-a": dialNode(b, c.processes["edge-a"].peer.RequestAddress), "edge-b": dialNode(b, c.processes["edge-b"].peer.RequestAddress)}
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -5,15 +5,15 @@
 	"silvercove/internal/replica"
 )
 
-// diskState is the progress of the check whether the node's disk was restored from an older image. The states follow each other in
-// this order, except that diskConfirming returns to diskChecked after a write error.
+// diskState is the progress of the check whether the node's disk was restored from an older image. The states follow one another
+// in the order of the constants, except that diskConfirming returns to diskChecked after a write error.
 type diskState uint8
 
 const (
-	diskUnchecked  diskState = iota // no controller has sent the disk's last known record count yet
+	diskUnchecked  diskState = iota // no lease response with the controllers' record count has arrived yet
 	diskChecked                     // the result of the check is known; the replica.Manager verifies copies that may be outdated
-	diskConfirming                  // all copies are verified; the store is writing this to the disk
-	diskConfirmed                   // the store has written that all copies are verified; records written from now on count
+	diskConfirming                  // all copies are verified; the store is writing to the disk that the disk is current
+	diskConfirmed                   // the store has written that the disk is current, and counts the records written after it
 )
 
 // diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
@@ -22,11 +22,11 @@
 	state              diskState
 	restored           bool   // the disk was restored from an older image
 	recordCountAtStart uint64 // number of records on the disk at the start; 0 if the node has no disk
-	maxRecordCount     uint64 // the greatest count that the controllers have answered with
+	maxRecordCount     uint64 // greatest record count in a lease response; 0 before the first response
 }
 
-// checkDisk processes the record count and the accepted unverified copies in a lease response. reported is the list of unverified
-// copies in the lease request. The caller holds mu.
+// checkDisk processes the record count and the number of accepted unverified copies in a lease response. reported is the list of
+// unverified copies in the lease request. The caller holds Node.mu.
 func (n *Node) checkDisk(response controllerclient.LeaseResponse, reported []replica.UnverifiedCopy) {
 	now := controllerclient.Now()
 	if n.disk.state == diskUnchecked {
@@ -42,7 +42,8 @@
 	}
 }
 
-// onDiskConfirmed receives the result of Store.ConfirmCurrent. After an error the confirmation is retried with the next lease.
+// onDiskConfirmed receives the result of Store.ConfirmCurrent. After an error, checkDisk calls ConfirmCurrent again when the next
+// lease is granted.
 func (n *Node) onDiskConfirmed(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/edgenode/doc.go
+++ b/internal/edgenode/doc.go
@@ -1,9 +1,10 @@
-// Package edgenode implements the process of an edge node in a fleet. The node answers requests like any backend, keeps its lease,
-// follows the controllers' assignments of instances, and exchanges copies and log entries with other edge nodes. The package
-// makes no decisions of its own: replica.Manager decides what the node may do, and devicehealth.Monitor assesses its health.
+// Package edgenode implements the process of an edge node in a fleet. The node answers requests like any other backend, renews
+// its lease at the controllers, follows the controllers' assignments of instances, and exchanges copies and log entries with
+// other edge nodes. The package makes no decisions of its own: replica.Manager decides what the node may do, and
+// devicehealth.Monitor assesses the node's health.
 //
-// Open reads the node's disk and listens for requests; Node.Run runs the node until it is told to stop. The node starts to serve
-// once it has the assignments and a lease from a controller.
+// Open reads the node's disk and listens for requests. Node.Run runs the node until it is told to stop. The node serves instances
+// only once it has loaded the assignments and a controller has granted it a lease.
 //
 // # Goroutines
 //
--- a/internal/edgenode/health.go
+++ b/internal/edgenode/health.go
@@ -10,8 +10,8 @@
 
 // loadMeter measures the CPU usage of the process between two calls of measure. It is not safe for concurrent use.
 type loadMeter struct {
-	used  time.Duration // CPU time of the process at the last call; 0: no call yet
-	since time.Time     // time of the last call
+	used  time.Duration // CPU time of the process at the last call of measure; 0 before the first call
+	since time.Time     // time of the last call of measure; before the first call, when the meter was created
 }
 
 // measure returns the CPU time used since the last call, divided by the elapsed time. It returns 0 at the first call, and if the
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -19,8 +19,9 @@
 	ticker := time.NewTicker(n.leaseDuration.Duration() / renewalsPerLease)
 	defer ticker.Stop()
 	meter := loadMeter{since: time.Now()}
-	loggedReason := ""   // reason of the failed renewal that was logged last
-	rollingBack := false // whether this node's software version is rolled back, according to the last response of a controller
+	loggedReason := "" // error text of the last logged failure to renew; "" once a renewal has succeeded
+	// rollingBack is true if the last granted lease said that this node's software version is being rolled back.
+	rollingBack := false
 	for {
 		report, began := n.assessHealth(&meter), time.Now()
 		granted := false
@@ -45,7 +46,8 @@
 	}
 }
 
-// requestLease sends one lease request and processes the response.
+// requestLease sends one lease request and processes the response. The request reports *rollingBack, which a granted lease then
+// sets.
 func (n *Node) requestLease(ctx context.Context, report []byte, rollingBack *bool) (granted bool, err error) {
 	n.mu.Lock()
 	unverified := n.replicas.UnverifiedCopies(controllerclient.MaxUnverified)
@@ -70,7 +72,8 @@
 	*rollingBack = response.RollingBack
 	lineage, changed := n.onLeaseGranted(response, sentAt, unverified)
 	if changed {
-		_ = n.writeNote(ctx, lineage) // if the disk is full, the node learns the lineage again after a restart
+		// The error is ignored: if the disk is full, the node learns the lineage from the controllers again after a restart.
+		_ = n.writeNote(ctx, lineage)
 	}
 	return true, nil
 }
@@ -82,7 +85,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
-	if response.Lineage == n.lineage { // otherwise the assignments were rebuilt and must be loaded first
+	// With a different lineage, the assignments were rebuilt, and the node must load them before it uses a lease.
+	if response.Lineage == n.lineage {
 		n.replicas.OnLease(controllerclient.Now(), sentAt+n.leaseDuration, response.AssignmentsVersion)
 	}
 	lineage = n.client.Lineage()
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -25,8 +25,8 @@
 
 // Limits of one process.
 const (
-	maxQueuedProposals       = 1024 // operations waiting for a proposer; there is at most one per instance
-	maxQueuedMessagesPerPeer = 256  // messages waiting to be sent to one other node; more are dropped
+	maxQueuedProposals       = 1024 // operations that wait for a proposer, at most one for each instance
+	maxQueuedMessagesPerPeer = 256  // messages that wait to be sent to one other node; further messages are dropped
 	sendersPerPeer           = 4    // concurrent messages to one other node
 	proposers                = 16   // concurrent proposals to the controllers
 
@@ -38,31 +38,31 @@
 	File    *fleet.File
 	Network *peertransport.Network // the caller must run the network until Node.Run returns
 	Log     zerolog.Logger
-	Seed    uint64 // seed of the controller client, see controllerclient.New
+	Seed    uint64 // seed of the controller client (see controllerclient.New)
 }
 
 // Node is one edge node. It is created by Open and works while Run runs.
 type Node struct {
 	options       Options
 	name          string
-	incarnation   uint64 // greater at each start: Unix time in microseconds, or the previous incarnation + 1 if that is greater
+	incarnation   uint64 // increases at each start: Unix time in microseconds, or the previous incarnation + 1 if that is greater
 	leaseDuration tick.Tick
 	client        *controllerclient.Client
 	store         *instancestore.Store
 	listener      net.Listener // listener for requests
 	powerReader   *devicepower.Reader
-	outgoing      map[string]chan replica.Message // by node: messages waiting to be sent
+	outgoing      map[string]chan replica.Message // messages waiting to be sent, by the receiving node
 	proposals     chan placement.Operation
-	renewNow      chan struct{} // holds an element if the lease is to be requested at once
-	changed       chan struct{} // holds an element if terminate has to check its condition again
+	renewNow      chan struct{} // holds an element if renewLease must request the lease at once
+	changed       chan struct{} // holds an element if terminate must check the remaining duties again
 
 	mu                sync.Mutex       // guards the fields below; is never held during a blocking operation
 	replicas          *replica.Manager // nil until the first assignments are loaded
-	logsAtStart       []replica.Log    // logs found on the disk; nil once replicas has them
+	logsAtStart       []replica.Log    // logs found on the disk; nil once replicas has been created from them
 	health            *devicehealth.Monitor
 	report            devicehealth.Report // the last report of the health monitor
 	pendingRequests   map[*replica.Request]chan replica.Response
-	pendingReplies    map[uint64]chan replica.Message // by ReplyTo: receives the answer that a handleMessage call waits for
+	pendingReplies    map[uint64]chan replica.Message // channels for the answers that handleMessage calls wait for, by Message.ReplyTo
 	lastReplyID       uint64
 	inFlight          int                      // number of requests in progress
 	lineage           controllerclient.Lineage // lineage of the assignments that replicas has
@@ -72,8 +72,8 @@
 	terminating       bool
 }
 
-// Open reads the node's disk and listens for requests. It fails if the disk cannot be read, if the lineage in its note is refused,
-// or if the address is in use.
+// Open reads the node's disk and listens for requests. It fails if the disk cannot be read, if the controller client refuses the
+// lineage in the node's note on the disk, or if the address is in use.
 func Open(o Options) (*Node, error) {
 	o.Log = o.Log.With().Str("component", "edgenode").Logger()
 	leaseSeconds, _ := o.File.Settings["fleet.lease"].(float64)
@@ -125,7 +125,8 @@
 	return err
 }
 
-// closeStore closes the store if Open fails, before Run could run it.
+// closeStore closes the store if Open fails after opening it. The store closes its file at the end of Store.Run, so closeStore
+// calls Run with a channel that is closed already.
 func (n *Node) closeStore() {
 	stop := make(chan struct{})
 	close(stop)
@@ -135,8 +136,8 @@
 // Addr returns the address at which the node listens for requests.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// Run runs the node until terminate or kill ends, and returns nil after either. When terminate ends, the node hands its instances
-// over to other nodes, and Run returns within maxTerminationLeases leases. When kill ends, Run returns at once.
+// Run runs the node until one of the contexts terminate and kill ends, and then returns nil. When terminate ends, the node hands
+// its instances over to other nodes, and Run returns within maxTerminationLeases leases. When kill ends, Run returns at once.
 func (n *Node) Run(terminate, kill context.Context) error {
 	ctx, cancel := context.WithCancel(kill)
 	defer cancel()
@@ -151,7 +152,7 @@
 	}()
 	defer n.client.Close()
 	if err := n.writeNote(ctx, n.storedLineage); err != nil {
-		_ = n.listener.Close() // no connection was accepted
+		_ = n.listener.Close() // the error does not matter: no connection was accepted
 		if errors.Is(err, syscall.ENOSPC) {
 			return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
 		}
@@ -192,7 +193,7 @@
 // ends.
 func (n *Node) followControllers(ctx context.Context) error {
 	if err := n.loadAssignments(ctx); err != nil {
-		return nil // the context ended before a controller answered
+		return nil // the context ended before the assignments were loaded
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -207,7 +208,7 @@
 	return group.Wait()
 }
 
-// runTimers calls the replica.Manager's OnTick whenever it is due, until the context ends.
+// runTimers calls replica.Manager.OnTick whenever a timer is due, until the context ends.
 func (n *Node) runTimers(ctx context.Context) {
 	for {
 		n.mu.Lock()
@@ -221,7 +222,7 @@
 	}
 }
 
-// signalChange makes terminate check its condition again.
+// signalChange makes terminate check the node's remaining duties again.
 func (n *Node) signalChange() {
 	select {
 	case n.changed <- struct{}{}:
@@ -229,7 +230,7 @@
 	}
 }
 
-// sleep waits for a time. It returns false if the context ended first.
+// sleep waits for the time span. It returns false if the context ended first.
 func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/edgenode/peer_client.go
+++ b/internal/edgenode/peer_client.go
@@ -14,8 +14,8 @@
 // maxMessageBytes limits the size of a message between nodes.
 const maxMessageBytes = 4 << 20
 
-// sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. It does not retry a message
-// that gets no answer: the replica.Manager sends again.
+// sendMessages sends the messages of a queue to one other node, one at a time, until the context ends. It does not retry a
+// message that gets no answer, because the replica.Manager sends the message again.
 func (n *Node) sendMessages(ctx context.Context, client *http.Client, to string, queue <-chan replica.Message) {
 	for {
 		select {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return answer, err
 	}
-	defer func() { _ = response.Body.Close() }() // the needed part of the body has been read
+	defer func() { _ = response.Body.Close() }() // the error does not matter: the needed part of the body has been read
 	text, err = io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return answer, err
--- a/internal/edgenode/peer_server.go
+++ b/internal/edgenode/peer_server.go
@@ -47,7 +47,8 @@
 			return ctx
 		},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // the contexts of the handlers end with ctx, see BaseContext
+	// Close does not wait for the handlers. Their contexts end with ctx, because BaseContext makes ctx the parent of each of them.
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err := server.Serve(n.options.Network.Listener(peertransport.KindHTTP))
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -82,7 +83,7 @@
 	_, _ = w.Write(text)
 }
 
-// handleInventory answers with the node's copies.
+// handleInventory answers with the list of the node's copies.
 func (n *Node) handleInventory(w http.ResponseWriter, _ *http.Request) {
 	inventory := controllerclient.Inventory{
 		Version:     placement.FormatVersion,
@@ -95,7 +96,8 @@
 	if n.replicas != nil {
 		inventory.Copies = append(inventory.Copies, n.replicas.Copies(controllerclient.Now())...)
 	}
-	// While logsAtStart has logs, the assignments are not loaded yet, and it is unknown whether the controllers rely on these copies.
+	// Until the assignments are loaded, the copies are in logsAtStart. It is then unknown whether the controllers rely on them, so
+	// IsPrimary and IsReplica stay false.
 	for _, log := range n.logsAtStart {
 		inventory.Copies = append(inventory.Copies, replica.CopyStatus{
 			Instance:  log.Instance,
@@ -147,8 +149,8 @@
 	n.refuseMessage(w, http.StatusServiceUnavailable, "timed out waiting for the disk")
 }
 
-// receiveMessage passes a message to the replica.Manager. The answer will be sent to reply, which is nil if the first assignments are
-// not loaded yet.
+// receiveMessage passes a message to the replica.Manager. The answer will be sent to reply, which is nil if the first assignments
+// are not loaded yet. id is the key of reply in pendingReplies.
 func (n *Node) receiveMessage(caller string, m replica.Message) (id uint64, reply <-chan replica.Message) {
 	answers := make(chan replica.Message, 1)
 	n.mu.Lock()
--- a/internal/edgenode/planner_test.go
+++ b/internal/edgenode/planner_test.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// failoverPlanner is a minimal planner: a replica takes over from a primary whose lease has expired, and an instance of a terminating
-// node is moved to its replica. The planner also proposes testFleet.operations.
+// failoverPlanner is a minimal planner. If the lease of a primary expires, a replica takes over. If a node terminates, each
+// instance of which it is the primary is moved to a replica. The planner also proposes the operations in testFleet.operations.
 type failoverPlanner struct {
 	fleet       *testFleet
 	host        controller.Host
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -18,7 +18,7 @@
 // maxRequestWait limits the time of one request, even if the request asks for a longer timeout.
 const maxRequestWait = time.Minute
 
-// outcomeCounters are the names of the request counters, by outcome.
+// outcomeCounters are the names of the metrics that count requests, by outcome.
 var outcomeCounters = [...]string{
 	replica.Rejected:      `cove_edge_commands_total{end="never ran"}`,
 	replica.Succeeded:     `cove_edge_commands_total{end="acked"}`,
@@ -26,7 +26,7 @@
 	replica.TooLarge:      `cove_edge_commands_total{end="too large"}`,
 }
 
-// answerQuery executes a query and returns the messages of the answer.
+// answerQuery executes a query and returns the protocol messages of the answer.
 func (n *Node) answerQuery(ctx context.Context, text string) []byte {
 	switch command, _, _ := strings.Cut(text, " "); {
 	case strings.TrimSpace(text) == "":
@@ -65,7 +65,7 @@
 	return queryError(pgwire.StateInternalError, response.Detail)
 }
 
-// unreadyReason returns why a health check fails, "" if the node is ready.
+// unreadyReason returns why a health check fails, or "" if the node is ready.
 func (n *Node) unreadyReason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -107,7 +107,9 @@
 	case replica.Succeeded:
 		n.health.RecordOutcome(now, true)
 	case replica.Indeterminate:
-		if !response.LeaseLost { // unreachable controllers or a new primary elsewhere say nothing about this node's health
+		// With LeaseLost, the controllers were unreachable or another node has become the primary. Neither says anything about this
+		// node's health.
+		if !response.LeaseLost {
 			n.health.RecordOutcome(now, false)
 		}
 	}
--- a/internal/edgenode/replica_host.go
+++ b/internal/edgenode/replica_host.go
@@ -8,11 +8,12 @@
 	"silvercove/internal/replica"
 )
 
-// replicaHost implements replica.Host, through which the replica.Manager acts. Its methods are called under Node.mu and do not block.
+// replicaHost implements replica.Host, the interface through which the replica.Manager sends messages, writes to the disk and
+// answers requests. Its methods are called under Node.mu and do not block.
 type replicaHost struct{ node *Node }
 
-// Send queues a message to another node, or passes an answer to the call that waits for it. A message is dropped if no node has the
-// given name or its queue is full; an answer is dropped if no call waits for it.
+// Send queues a message to another node, or passes an answer to the handleMessage call that waits for it. A message is dropped if
+// no node has the given name or the node's queue is full. An answer is dropped if no call waits for it.
 func (h replicaHost) Send(to string, m replica.Message) {
 	if m.ReplyTo != 0 {
 		if reply := h.node.pendingReplies[m.ReplyTo]; reply != nil {
@@ -53,7 +54,8 @@
 	h.node.store.Truncate(instance, index, h.onStored(instance, index))
 }
 
-// ResetLog makes the store replace an instance's log by an empty log that starts after index base with the given checksum.
+// ResetLog makes the store replace an instance's log by an empty log that starts after the entry with index base. checksum is the
+// checksum of the entries up to that entry.
 func (h replicaHost) ResetLog(instance string, base, checksum uint64) {
 	h.node.store.Reset(instance, base, checksum, h.onStored(instance, base))
 }
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -13,33 +13,35 @@
 // Limits of the connections for requests.
 const (
 	maxRequestConns  = 1024
-	startupTimeout   = 5 * time.Second // limit of the time until the whole startup message has arrived
+	startupTimeout   = 5 * time.Second // time limit for each read until the startup message is complete
 	idleTimeout      = 5 * time.Minute
 	writeTimeout     = 5 * time.Second
-	refusalTimeout   = time.Millisecond // limit of the time to write the error "too many connections"
+	refusalTimeout   = time.Millisecond // time limit for writing the error "too many connections"
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// serveRequests accepts connections for requests until the context ends, and then waits for its sessions. Each session has a goroutine
-// of its own, and executes one request at a time.
+// serveRequests accepts connections for requests until the context ends, and then waits until all sessions have ended. Each
+// session has a goroutine of its own, and executes one request at a time.
 func (n *Node) serveRequests(ctx context.Context) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
-	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() }) // the error of a second Close is ignored
+	// The listener may be closed twice. The error of the second Close is ignored.
+	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() })
 	defer stop()
-	defer func() { _ = n.listener.Close() }() // closes the listener before the return: the function above may not have run yet
+	// If serveRequests returns before the function above has run, this call closes the listener.
+	defer func() { _ = n.listener.Close() }()
 	slots := make(chan struct{}, maxRequestConns)
 	for {
 		conn, err := n.listener.Accept()
 		switch {
 		case ctx.Err() != nil:
 			if err == nil {
-				_ = conn.Close() // nothing was read from the connection
+				_ = conn.Close() // the error does not matter: nothing was read from the connection
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // an error such as too many open file descriptors
+		case err != nil: // for example too many open file descriptors
 			n.options.Log.Warn().Str("why", err.Error()).Msg("request connection not accepted")
 			sleep(ctx, acceptRetryDelay)
 			continue
@@ -52,10 +54,10 @@
 		}
 		sessions.Go(func() {
 			defer func() { <-slots }()
-			// The past deadline ends a pending read. If setting it fails, the connection is closed already.
+			// A deadline in the past ends a pending Read. Setting the deadline fails only if the connection is closed already.
 			unblock := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Unix(1, 0)) })
 			defer unblock()
-			defer func() { _ = conn.Close() }() // all answers have been written
+			defer func() { _ = conn.Close() }() // the error does not matter: all answers have been written
 			session := &session{node: n, conn: conn, chunk: make([]byte, sessionChunkBytes)}
 			session.run(ctx)
 		})
--- a/internal/edgenode/sql_client_test.go
+++ b/internal/edgenode/sql_client_test.go
@@ -55,7 +55,8 @@
 	return value, response.SQLState, nil
 }
 
-// write writes to an instance and returns the answer's value and SQLSTATE. The SQLSTATE is "" if there was no answer.
+// write writes to an instance and returns the answer's value and SQLSTATE. If there was no answer, write returns the error's text
+// and "".
 func (s *sqlClient) write(id, instance string, body []byte) (string, string) {
 	v, state, err := s.exchange(pgwire.SimpleQuery(fmt.Sprintf("INSERT INTO kv (name, content) VALUES ('%s', '\\x%x') RETURNING content /* id=%s,c=crop,t=x,d=5000 */", instance, body, id)))
 	if err != nil {
@@ -64,7 +65,8 @@
 	return v, state
 }
 
-// read reads the instance camera-7 and returns the answer's value and SQLSTATE. The SQLSTATE is "" if there was no answer.
+// read reads the instance camera-7 and returns the answer's value and SQLSTATE. If there was no answer, read returns the error's
+// text and "".
 func (s *sqlClient) read() (string, string) {
 	v, state, err := s.exchange(pgwire.SimpleQuery("SELECT content FROM kv WHERE name = 'camera-7' /* id=r,c=look,t=x,d=5000 */"))
 	if err != nil {
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -11,11 +11,11 @@
 	maxTerminationLeases = 10
 
 	// maxReplicaWaitLeases limits the time, in lease durations, for which a terminating node that is no longer primary of any
-	// instance waits to be dropped as a replica. The primaries continue without the node.
+	// instance waits to be dropped as a replica. The node then ends anyway, and the primaries continue without it.
 	maxReplicaWaitLeases = 2
 )
 
-// remainingDuties is what a terminating node is still needed for.
+// remainingDuties are the reasons why a terminating node must not end yet. The zero value means that it may end.
 type remainingDuties struct {
 	primary          bool // the node is primary of at least one instance
 	replica          bool // the node is a replica of at least one instance
@@ -33,7 +33,8 @@
 	n.options.Log.Info().Str("event", "leaves").Str("why", "told to end").Msg("termination begun")
 	ctx, cancel := context.WithTimeout(ctx, maxTerminationLeases*n.leaseDuration.Duration())
 	defer cancel()
-	var replicaContext context.Context // set once the node is no longer primary of any instance
+	// replicaContext limits the wait to be dropped as a replica. It is nil until the node is no longer primary of any instance.
+	var replicaContext context.Context
 	for {
 		duties := n.remainingDuties()
 		if duties == (remainingDuties{}) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// remainingDuties returns what the node is still needed for.
+// remainingDuties returns the reasons why the node must not end yet.
 func (n *Node) remainingDuties() remainingDuties {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/edgenode/workload_test.go
+++ b/internal/edgenode/workload_test.go
@@ -22,7 +22,7 @@
 	return &workload{fleet: c, connections: map[string]*sqlClient{}, succeeded: map[string]string{}}
 }
 
-// write sends a new write until it succeeds, and returns the answer's value.
+// write sends a new write until it succeeds, checks that the answer has the next log index, and returns the answer's value.
 func (w *workload) write() string {
 	w.fleet.t.Helper()
 	w.writes++
@@ -35,10 +35,10 @@
 	return value
 }
 
-// repeat sends the write with the given ID until it succeeds, and returns the answer's value.
+// repeat sends the write with the given ID to the instance camera-7 until the write succeeds, and returns the answer's value.
 func (w *workload) repeat(id string) (value string) { return w.repeatAt("camera-7", id) }
 
-// repeatAt is repeat for any instance.
+// repeatAt sends the write with the given ID to an instance until the write succeeds, and returns the answer's value.
 func (w *workload) repeatAt(instance, id string) (value string) {
 	w.fleet.t.Helper()
 	w.fleet.waitFor("success of write "+id, func() bool {
