--- a/internal/edgenode/faults_test.go
+++ b/internal/edgenode/faults_test.go
@@ -20,8 +20,8 @@
 // succeededWrite holds the ID of a write that succeeded and the value of its answer, which begins with the index of its log entry.
 type succeededWrite struct{ id, value string }
 
-// TestFaults_RandomLoseNoSucceededWrite writes to three instances while nodes and links fail and recover at random. Only one fault is
-// active at a time, so that never more than one copy is lost.
+// TestFaults_RandomLoseNoSucceededWrite writes to three instances while nodes and links fail and recover at random. Only one
+// fault is active at a time, so that at most one copy of an instance is lost at a time.
 func TestFaults_RandomLoseNoSucceededWrite(t *testing.T) {
 	span := 6 * time.Second
 	if s, err := time.ParseDuration(os.Getenv("EDGE_SOAK")); err == nil {
--- a/internal/edgenode/health.go
+++ b/internal/edgenode/health.go
@@ -14,8 +14,8 @@
 	since time.Time     // time of the last call of measure; before the first call, when the meter was created
 }
 
-// measure returns the CPU time used since the last call, divided by the elapsed time. It returns 0 at the first call, and if the
-// system does not report the CPU time.
+// measure returns the CPU time used since the last call, divided by the elapsed time. The result exceeds 1 if the process used
+// more than one CPU. It is 0 at the first call, or if the system does not report the CPU time.
 func (m *loadMeter) measure() (load float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -13,8 +13,8 @@
 // renewalsPerLease is the number of renewals per lease duration.
 const renewalsPerLease = 3
 
-// renewLease keeps the lease until the context ends. It requests a renewal after every third of the lease duration, and at once after
-// renewSoon.
+// renewLease keeps the lease until the context ends. It requests a renewal whenever a third of the lease duration has passed, and
+// at once after a call of renewSoon.
 func (n *Node) renewLease(ctx context.Context) {
 	ticker := time.NewTicker(n.leaseDuration.Duration() / renewalsPerLease)
 	defer ticker.Stop()
--- a/internal/standin/backends/backend.go
+++ b/internal/standin/backends/backend.go
@@ -79,8 +79,8 @@
 // Address returns the address on which the backend listens.
 func (u *Backend) Address() string { return u.listener.Addr().String() }
 
-// Set puts the backend into a state: up, draining or removed. Going up with another version, or after a removal, counts as a restart
-// of the process: connections are closed and the start time is set anew.
+// Set puts the backend into a state: up, draining or removed. If the backend goes up with another version or after a removal,
+// this counts as a restart of the process: the connections are closed and the start time is set anew.
 func (u *Backend) Set(state string, version uint16) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/golden/golden.go
+++ b/internal/standin/golden/golden.go
@@ -27,8 +27,8 @@
 // after the flags are parsed.
 func Updating() bool { return *update }
 
-// Recorded returns the text of testdata/name, for comparison with got. A run with -update first writes got there. If the file does
-// not exist, the test fails at once.
+// Recorded returns the text of testdata/name, for comparison with got. A run with -update first writes got to this file. If the
+// file does not exist, the test fails at once.
 func Recorded(tb testing.TB, name, got string) string {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -39,7 +39,7 @@
 // connections from 0.
 type Script func(b *Backend, number int, conn *net.TCPConn)
 
-// Start listens on a free loopback port until the test ends.
+// Start listens on a free loopback port until the test ends, and handles each connection with script.
 func Start(tb testing.TB, script Script) *Backend {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,7 +155,7 @@
 	return text, len(b.queries), true
 }
 
-// Reply answers each query with the result of reply until the connection ends. An empty result sends nothing.
+// Reply answers each query with the result of reply until the connection ends. If the result is empty, Reply sends no answer.
 func (b *Backend) Reply(conn net.Conn, reply func(text string, number int) string) {
 	for {
 		text, number, ok := b.ReadQuery(conn)
@@ -171,7 +171,7 @@
 	_, _ = conn.Write(bytes)
 }
 
-// Kill resets a connection, as the death of its process does.
+// Kill resets a connection, as if the process of the backend had been killed.
 func Kill(conn *net.TCPConn) {
 	_ = conn.SetLinger(0) // fails only on a closed connection
 	_ = conn.Close()
@@ -198,12 +198,12 @@
 	}
 }
 
-// Message returns a message of a type with a body.
+// Message returns a protocol message with a type and a body.
 func Message(messageType byte, body string) string {
 	return string(binary.BigEndian.AppendUint32([]byte{messageType}, uint32(4+len(body)))) + body
 }
 
-// Row returns the messages of one row of one column, without ReadyForQuery.
+// Row returns the protocol messages of a result with one row of one column, without ReadyForQuery.
 func Row(value string) string {
 	const attributes = 18 // bytes that describe a column after its name
 	return Message(pgwire.BackendRowDescription, "\x00\x01content\x00"+strings.Repeat("\x00", attributes)) +
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -49,7 +49,8 @@
 	relay       bool
 }
 
-// Client returns a client that sends requests directly to edge nodes, as a relay does: to each in turn until one accepts the request.
+// Client returns a client of the named nodes, which are edge nodes or one relay. It sends a request to each edge node in turn
+// until one accepts the request, as a relay does.
 func (c *Cluster) Client(name string, nodes ...string) *Client {
 	k := &Client{Name: name, cluster: c}
 	for _, u := range nodes {
@@ -263,7 +264,7 @@
 // Controllers returns the test's own client of the fleet's controllers.
 func (c *Cluster) Controllers() *controllerclient.Client { return c.controllers }
 
-// Create creates an instance at a node.
+// Create creates an instance at a node. zone is the zone of the instance's device.
 func (c *Cluster) Create(ctx context.Context, instance, node, zone string) (p placement.Assignment, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -266,7 +266,7 @@
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
-	acts := map[string]map[string]uint64{} // epoch by instance and node
+	acts := map[string]map[string]uint64{} // epoch in which a node serves an instance, by instance and node
 	var faults []error
 	endAll := func(node string) {
 		for _, nodes := range acts {
--- a/internal/standin/testcluster/recovery_test.go
+++ b/internal/standin/testcluster/recovery_test.go
@@ -53,9 +53,9 @@
 	return p
 }
 
-// Two of three controllers lose their disks under load, the third controller, which leads, is stopped, and so is the primary. The
-// assignments are rebuilt from the edge nodes. The old leader, the former primary and the old disk come back later and must
-// change nothing.
+// Two of three controllers lose their disks under load. The third controller, which leads, is stopped, and so is the primary. The
+// assignments are rebuilt from the edge nodes. The former leader with its old disk and the former primary come back later and
+// must change nothing.
 func TestRebuild_MajorityOfControllerDisksLost(t *testing.T) {
 	t.Parallel()
 	c := startFleet(t, 60, 2, 1)
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -33,7 +33,8 @@
 	return u
 }
 
-// moveDevices moves the devices of instances between the zones, one after the other, until stop is called.
+// moveDevices moves the devices of instances between the zones, one after the other, until stop is called. every is the time
+// between two moves.
 func (c *Cluster) moveDevices(every time.Duration, instances ...string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
--- a/internal/standin/testcluster/versions_test.go
+++ b/internal/standin/testcluster/versions_test.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// All processes move to the later version one after the other: controllers first, then edge nodes, then relays. In the other direction
-// they move in the reverse order.
+// All processes move to the later version one after the other: first the controllers, then the edge nodes, then the relays. In
+// the second case, they move back to the earlier version in the reverse order.
 func TestMixedVersions_RollUnderLoad(t *testing.T) {
 	order := []string{"keeper-1", "keeper-2", "keeper-3", "edge-a", "edge-b", "relay-1", "relay-2"}
 	back := slices.Clone(order)
@@ -248,7 +248,7 @@
 	}
 }
 
-// waitForPrimary waits until an instance runs at a node with a replica and no handover or copy is in progress.
+// waitForPrimary waits until an instance runs at a node, has a replica, and is neither being handed over nor copied.
 func (c *Cluster) waitForPrimary(t *testing.T, instance, node string) placement.Assignment {
 	t.Helper()
 	return c.waitForAssignment(t, instance, func(p placement.Assignment) bool {
--- a/internal/standin/testcluster/zone_test.go
+++ b/internal/standin/testcluster/zone_test.go
@@ -102,8 +102,8 @@
 	c.checkRun(t)
 }
 
-// The temperature oscillates around the limit. The node must hand over once and keep that state for its dwell time, and no instance may
-// oscillate with it.
+// The temperature oscillates around the limit. The node must hand over its instance once and then keep its health state for the
+// dwell time. No instance may move back and forth.
 func TestNodeHealth_TemperatureOscillatesAroundLimit(t *testing.T) {
 	t.Parallel()
 	north, swing := newBattery(t, 4, "0 temp 52\n1 temp 64\n2 temp 76\n3 temp 88\n5 temp 80\n7 temp 88\n9 temp 80\n11 temp 88\n")
