--- a/internal/edgenode/fleet_test.go
+++ b/internal/edgenode/fleet_test.go
@@ -294,7 +294,7 @@
 	return c
 }
 
-// primaryOf returns the primary of an instance, or before if the controller does not answer or names no primary.
+// primaryOf returns the primary of an instance, or lastPrimary if the controller does not answer or names no primary.
 func (c *testFleet) primaryOf(ctx context.Context, instance, lastPrimary string) string {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
--- a/internal/standin/faultproxy/link.go
+++ b/internal/standin/faultproxy/link.go
@@ -37,12 +37,12 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{From: from, To: to, network: n, listener: l, target: target, changed: make(chan struct{}), connections: map[*connection]bool{}}
+	link := &Link{From: from, To: to, network: n, listener: l, target: target, changed: make(chan struct{}), connections: map[*connection]bool{}}
 	n.mu.Lock()
-	n.links = append(n.links, k)
+	n.links = append(n.links, link)
 	n.mu.Unlock()
-	n.goroutines.Go(k.run)
-	return k, nil
+	n.goroutines.Go(link.run)
+	return link, nil
 }
 
 // Address returns the address on which the link listens.
--- a/internal/standin/testcluster/timeline.go
+++ b/internal/standin/testcluster/timeline.go
@@ -89,10 +89,10 @@
 		cells []string
 	}
 	var rows []*row
-	wide := make([]int, len(columns))
+	widths := make([]int, len(columns))
 	used := make([]bool, len(columns))
 	for i, c := range columns {
-		wide[i] = len(c)
+		widths[i] = len(c)
 	}
 	for _, e := range events {
 		i := slices.Index(columns, e.Node)
@@ -112,14 +112,14 @@
 			text = append(text[:maxColumnWidth-1], '…')
 		}
 		r.cells[i], r.last, used[i] = string(text), i, true
-		wide[i] = max(wide[i], len(text))
+		widths[i] = max(widths[i], len(text))
 	}
 	var b strings.Builder
 	line := func(first string, cells []string) {
 		text := fmt.Sprintf("%-7s", first)
 		for i, cell := range cells {
 			if used[i] {
-				text += " " + cell + strings.Repeat(" ", wide[i]-len([]rune(cell))+1)
+				text += " " + cell + strings.Repeat(" ", widths[i]-len([]rune(cell))+1)
 			}
 		}
 		b.WriteString(strings.TrimRight(text, " ") + "\n")
