--- a/internal/edgenode/doc.go
+++ b/internal/edgenode/doc.go
@@ -8,8 +8,8 @@
 //
 // # Goroutines
 //
-// Run owns all goroutines and returns after they have ended: the store, the SQL server with one goroutine per connection, the
-// HTTP server for other processes, the message senders, the proposers, the reader of power data, and the loops that renew the
-// lease, run the timers, watch the assignments and wait for termination. Events are passed to the replica.Manager one at a time,
-// under Node.mu.
+// Run owns all goroutines and returns after they have ended. There are goroutines for the store, for the SQL server and each of
+// its connections, for the HTTP server for other processes, for the message senders, for the proposers, and for the reader of
+// power data. One goroutine each renews the lease, runs the timers, watches the assignments, and waits for termination. Events
+// are passed to the replica.Manager one at a time, under Node.mu.
 package edgenode
--- a/internal/standin/battery/machine.go
+++ b/internal/standin/battery/machine.go
@@ -1,7 +1,7 @@
 // Package battery simulates an edge node's battery, temperature and sensors. The simulated machine drains, charges and warms with
-// its load and the sun, and writes its sensor readings into a directory in the layout of Linux's power supply and thermal
-// classes. A script changes the load and the surroundings and adds faults. A seed determines the noise of the readings. The
-// figures are those of a small computer without a fan on a 60 Wh battery.
+// its load and the sun. It writes its sensor readings into a directory in the layout of Linux's power supply and thermal classes.
+// A script changes the load and the surroundings and adds faults. A seed determines the noise of the readings. The figures are
+// those of a small computer without a fan on a 60 Wh battery.
 package battery
 
 import (
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -292,8 +292,8 @@
 	return errors.Join(faults...)
 }
 
-// CheckEpochs checks that only one node has acknowledged effects of each epoch of an instance, and that the first effect of a
-// later epoch has a higher sequence number than all effects of earlier epochs.
+// CheckEpochs checks that only one node has acknowledged effects of each epoch of an instance. It also checks that the first
+// effect of a later epoch has a higher sequence number than all effects of earlier epochs.
 func CheckEpochs(requests []Request) error {
 	type epoch struct {
 		instance string
--- a/internal/standin/testcluster/restored_disk_test.go
+++ b/internal/standin/testcluster/restored_disk_test.go
@@ -8,9 +8,9 @@
 	"silvercove/internal/placement"
 )
 
-// Disks are replaced by an older copy from the same run, which lacks some effects. If no other node can prove which effects the
-// disk held, the node that serves the instance next must log that effects may be missing before any client can notice the loss,
-// and the controllers must show the instance as doubted. If another node can prove it, no effect may be lost.
+// Disks are replaced by an older copy from the same run, which lacks some effects. If another node can prove which effects the
+// disk held, no effect may be lost. Otherwise, the node that serves the instance next must log that effects may be missing before
+// any client can notice the loss. The controllers must then show that the instance is in doubt.
 func TestRestoredDisk_IsDetected(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
--- a/internal/standin/testcluster/timeline.go
+++ b/internal/standin/testcluster/timeline.go
@@ -78,8 +78,8 @@
 }
 
 // Draw draws a timeline with a column for each node. Its lines are in the order of time, and the events of one millisecond share
-// a line. An event begins a new line if its column is not to the right of the last event's column, so that a cause is always left
-// of its effects or above them.
+// a line. An event begins a new line if its column is not to the right of the last event's column. A cause is therefore always
+// left of its effects or above them.
 func Draw(columns []string, began time.Time, events []Event) string {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
