--- a/internal/edgenode/health.go
+++ b/internal/edgenode/health.go
@@ -10,12 +10,12 @@
 
 // loadMeter measures the CPU usage of the process between two calls of measure. It is not safe for concurrent use.
 type loadMeter struct {
-	used  time.Duration // CPU time of the process at the last call; 0: no call yet
-	since time.Time     // time of the last call
+	used  time.Duration // CPU time of the process at the last call of measure; 0 before the first call
+	since time.Time     // time of the last call of measure; before the first call, when the meter was created
 }
 
-// measure returns the CPU time used since the last call, divided by the elapsed time. It returns 0 at the first call, and if the
-// system does not report the CPU time.
+// measure returns the CPU time used since the last call, divided by the elapsed time. The result exceeds 1 if the process used
+// more than one CPU. It is 0 at the first call, or if the system does not report the CPU time.
 func (m *loadMeter) measure() (load float64) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
