--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,17 +1,18 @@
 // Package director implements the Director repository of Uptane: it issues signed metadata for each server of a fleet. The
-// metadata name the package that the server must install. Package stagedrollout decides which version each server is
-// assigned; the release API and the votes decide how many servers may get a version. This package signs, numbers and records
-// the result.
+// metadata name the package that the server must install. Package stagedrollout decides which version each server is assigned;
+// the stages of the release API and the votes decide how many servers may be assigned a new version. Package director signs the
+// metadata, gives them a version number and records the assignment.
 //
 // All servers share the Director's root chain. Each server has its own timestamp, snapshot and targets, which have the same
 // version number.
 //
 // An issue is one version of a server's metadata.
 //
-// Invariant: the version number, the assigned version and the expiry of an issue are recorded durably before the issue can
-// be fetched. After a restart the numbering continues, and the Director knows which version each server may still act on.
+// Invariant: the version number, the assigned version and the expiry of an issue are recorded durably before the issue can be
+// fetched. After a restart the Director continues the version numbers, and it knows which versions each server may still install
+// from metadata that have not expired.
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package director
 
 import (
@@ -33,11 +34,11 @@
 	"silvercove/internal/wakeup"
 )
 
-// Errors of a Director.
+// Errors that methods of a Director return, possibly wrapped.
 var (
 	ErrUnknownServer = errors.New("no such server")
 	ErrUnknownFile   = errors.New("no such file")
-	ErrUnavailable   = errors.New("not available now") // the image repository or the version store is not available
+	ErrUnavailable   = errors.New("not available now") // the image repository, the version store or the path of the package is missing
 )
 
 // minLifetime is the minimum lifetime of issued metadata.
@@ -50,10 +51,12 @@
 	issuedPrefix = "issued/"
 )
 
-// ImageLookup looks up a target in the image repository, without waiting for a mirror.
+// ImageLookup looks up a target in the image repository, without waiting for a mirror. It returns the target, or a refusal if
+// the image repository cannot vouch for the target now.
 type ImageLookup func(path string) (*tufverify.Target, *tufverify.RefusalError)
 
-// VersionStore stores the state that must survive a restart.
+// VersionStore stores the state of a Director that must survive a restart: the last issue to each server, the released version
+// and the trusted time.
 type VersionStore interface {
 	tufverify.VersionStore
 	Entries() []monotonic.Entry
@@ -61,14 +64,14 @@
 
 // Config configures a Director. All fields but InitialVersion are required.
 type Config struct {
-	Chain          map[string][]byte // root chain, by file name
+	Chain          map[string][]byte // files of the root chain, keyed by file name
 	Keys           []*keys.Key       // online keys for targets, snapshots and timestamps
 	Store          VersionStore
 	LookUpImage    ImageLookup
 	Now            func() time.Time
-	Lifetime       time.Duration     // lifetime of issued metadata; truncated to whole seconds, at least two
-	Packages       map[uint16]string // paths in the image repository, by version
-	InitialVersion uint16            // version that every server runs if no released version is recorded; 0 means none
+	Lifetime       time.Duration     // lifetime of issued metadata, truncated to whole seconds; must be at least minLifetime
+	Packages       map[uint16]string // path of each version's package in the image repository, keyed by version
+	InitialVersion uint16            // version that counts as released if no newer one is recorded; 0 means none
 	Log            logging.Func
 }
 
@@ -86,39 +89,39 @@
 	rootMu     sync.RWMutex // guards root, chain and onlineKeys
 	root       *metadata.Metadata[metadata.RootType]
 	chain      map[string][]byte
-	onlineKeys map[string][]*keys.Key // by role
+	onlineKeys map[string][]*keys.Key // keyed by role
 
 	cachedTargetsMu sync.Mutex                   // guards cachedTargets
-	cachedTargets   map[string]*tufverify.Target // last targets that the image repository returned, by path
+	cachedTargets   map[string]*tufverify.Target // last target that the image repository returned for each path
 
 	mu                   sync.Mutex // guards the fields below
 	rollout              *stagedrollout.Rollout
-	servers              map[string]*server // by name
+	servers              map[string]*server // keyed by server name
 	stage                dispatch.RolloutStage
-	stageKinds           []string               // kinds of hardware that the package of the stage's version fits
-	loggedMissingVersion uint16                 // version whose package was last logged as missing
+	stageKinds           []string               // hardware kinds that the package of stage.Version supports; empty for all
+	loggedMissingVersion uint16                 // version whose package was last logged as missing, 0 for none
 	deferredStage        *dispatch.RolloutStage // stage whose package the image repository does not have yet; nil for none
 	released             uint16                 // newest released version, 0 for none
-	timerAt              stagedrollout.Tick     // time of the rollout's timer, 0 for none
+	timerAt              stagedrollout.Tick     // time at which Run must call the rollout's OnTimer, 0 for none
 	pendingIssues        []*server              // servers whose metadata Run must issue again
 
-	Issued             int64     // versions of servers' metadata issued
-	Assignments        int64     // assignments that the rollout has made
-	Reports            int64     // reports of known servers
-	LastChangeIssuedAt time.Time // when Run last finished a pass over the servers whose metadata had to be issued
+	Issued             int64     // number of issues to servers since the process started
+	Assignments        int64     // number of assignments that the rollout has made since the process started
+	Reports            int64     // number of reports from known servers since the process started
+	LastChangeIssuedAt time.Time // time when Run last finished a pass over a list of pendingIssues that was not empty
 }
 
-// server is one server of the fleet.
+// server is the state of one server of the fleet: its part in the rollout, and its last issue.
 type server struct {
 	stagedrollout.Server      // guarded by Director.mu
-	needsReissue         bool // guarded by Director.mu; the assignment has changed since the last issue
+	needsReissue         bool // guarded by Director.mu; the metadata must be issued again before they are served
 
 	mu          sync.Mutex // guards the fields below; held while metadata are issued
 	version     int64      // version of the last issue, 0 for none
 	issueRecord            // record of the last issue
 	issuedAt    tufverify.Tick
 	target      *tufverify.Target // target that the last issue names, nil for none
-	files       map[string][]byte // files of the last issue by name, nil if the process has restarted since the issue
+	files       map[string][]byte // files of the last issue, keyed by file name; nil if nothing was issued since the process started
 }
 
 // New returns a Director with the state that its version store has recorded.
@@ -150,7 +153,8 @@
 	return d, nil
 }
 
-// restore adds the servers whose last issue is recorded, and the versions that they may still act on.
+// restore adds each server whose last issue is recorded, with the version that the last issue assigned. If the previous issue
+// assigned a later version, the server may still install that version until the previous issue expires.
 func (d *Director) restore() {
 	for _, e := range d.store.Entries() {
 		name, ok := strings.CutPrefix(e.Key, issuedPrefix)
@@ -186,7 +190,7 @@
 	}
 }
 
-// SetTimer makes Run call the rollout's OnTimer at a time.
+// SetTimer makes Run call the rollout's OnTimer at the given time, or at the time already set if that is earlier.
 func (h rolloutHost) SetTimer(at stagedrollout.Tick) { h.director.setTimer(at) }
 
 // Log writes a log line of the rollout.
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateServers replaces the list of servers if the given list is complete; otherwise it adds or changes the servers that
-// the list names.
+// UpdateServers replaces the list of servers by endpoints if complete is true. Otherwise it adds or changes the servers that
+// endpoints names.
 func (d *Director) UpdateServers(complete bool, endpoints []dispatch.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,7 +28,7 @@
 	d.rollout.OnListComplete(now)
 }
 
-// updateServer adds or changes one server. A server that is unknown and listed as removed is not reported to the rollout.
+// updateServer adds or changes one server. The rollout is not told of a server that was unknown and is listed as removed.
 func (d *Director) updateServer(now stagedrollout.Tick, endpoint dispatch.Endpoint) {
 	s := d.servers[endpoint.Name]
 	added := s == nil
@@ -57,8 +57,9 @@
 // noHardwareKind is a list of kinds of hardware that matches no server.
 var noHardwareKind = []string{""}
 
-// OnStage records the stage of the newest version. It ignores a stage of an earlier version. If a version was recorded as
-// released before a restart, OnStage also ignores the stages that preceded the release of that version.
+// OnStage records the stage of the newest version. It ignores an invalid stage and a stage of an earlier version. It also
+// ignores a stage of a version that is already released, unless the phase is phaseLive: after a restart, the stages that
+// preceded the recorded release can arrive again.
 func (d *Director) OnStage(stage dispatch.RolloutStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,19 +75,19 @@
 	}
 	d.stage, d.stageKinds, d.deferredStage = stage, kinds, nil
 	now := d.tick()
-	if !known { // no server is assigned the version yet, but servers may still be rolled back
+	if !known { // kinds matches no server, so the version is not assigned yet; servers can still be rolled back
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
-	if stage.Version == d.released { // there is no newer version
+	if stage.Version == d.released { // the newest version is the released one
 		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
 		return
 	}
 	d.rollout.OnStage(now, stage.Version, d.released, phases[stage.Phase], stage.ExposureCap, kinds)
 }
 
-// hardwareKinds returns the kinds of hardware that the package of a stage's version fits. Until the image repository has the
-// package, it returns noHardwareKind and known is false.
+// hardwareKinds returns the kinds of hardware that the package of a stage's version supports; empty means all kinds. If the
+// package cannot be looked up in the image repository, hardwareKinds returns noHardwareKind, and known is false.
 func (d *Director) hardwareKinds(stage dispatch.RolloutStage) (kinds []string, known bool) {
 	if stage.Version == d.stage.Version && d.deferredStage == nil {
 		return d.stageKinds, true
@@ -103,7 +104,8 @@
 	return noHardwareKind, false
 }
 
-// recordReleased records a version as released.
+// recordReleased records a version as released in the version store. If that fails, the version counts as released until the
+// process restarts.
 func (d *Director) recordReleased(version uint16) {
 	if version <= d.released {
 		return
@@ -115,8 +117,8 @@
 	d.released = version
 }
 
-// OnVote records a vote of this installation. A vote to hold or roll back the newest version stops its assignment to further
-// servers until a later stage.
+// OnVote records a vote. If the vote is to hold or roll back the newest version, the version is assigned to no further servers
+// until a later stage raises the exposure cap.
 func (d *Director) OnVote(v dispatch.Vote) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,7 +127,8 @@
 	}
 }
 
-// installResults maps the words of a report to the results of an installation. Any other word means InstallPending.
+// installResults maps the values of Report.InstallResult to the results of an installation. Any other value means
+// InstallPending.
 var installResults = map[string]stagedrollout.InstallResult{
 	"ok":       stagedrollout.InstallSucceeded,
 	"failed":   stagedrollout.InstallFailed,
--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -11,7 +11,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Kind returns the kind of hardware that a server is listed with, and reports whether the server is known.
+// Kind returns the kind of hardware of a server, as it was last listed, and reports whether the server is known.
 func (d *Director) Kind(name string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,7 +29,7 @@
 	return d.rollout.Count(d.tick())
 }
 
-// IssuedCount returns how many versions of servers' metadata were issued since the start.
+// IssuedCount returns the number of issues to servers since the process started.
 func (d *Director) IssuedCount() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +88,7 @@
 // maxNamesInError is the maximum number of server names in an error.
 const maxNamesInError = 10
 
-// firstNames lists the first maxNamesInError names of servers in alphabetical order, for an error.
+// firstNames returns the first maxNamesInError names of servers in alphabetical order, separated by commas, for an error.
 func firstNames(all map[string]*server) string {
 	names := slices.Sorted(maps.Keys(all))
 	if len(names) > maxNamesInError {
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -11,9 +11,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// File returns a current metadata file of a server, and issues the server's metadata again first if that is due. If a current
-// file is not available it returns an error, never an outdated file; the error may wrap ErrUnknownServer, ErrUnknownFile or
-// ErrUnavailable.
+// File returns a metadata file of a server. If the server's metadata must be renewed, File first issues them again. If that
+// fails and the issued metadata may not be served any more, File returns an error and no file. The error may wrap
+// ErrUnknownServer, ErrUnknownFile or ErrUnavailable.
 func (d *Director) File(name string, f tufverify.File) ([]byte, error) {
 	if f.Role == metadata.ROOT {
 		d.rootMu.RLock()
@@ -43,7 +43,7 @@
 	}
 	if current.MustRenew(now) {
 		if err := d.issue(s, now); err != nil && !current.MayServeStale(now) {
-			return nil, err // return the error: an outdated file must not be served
+			return nil, err // return the error, because an outdated file must not be served
 		}
 	}
 	text := s.files[f.String()]
@@ -59,7 +59,8 @@
 	return text, nil
 }
 
-// imageAgrees reports whether the image repository still has the issued target unchanged, or cannot be asked now.
+// imageAgrees reports whether the issued target equals the target in the image repository. It also returns true if no target was
+// issued or if the image repository refuses the lookup.
 func (d *Director) imageAgrees(s *server) bool {
 	if s.target == nil {
 		return true
@@ -75,7 +76,7 @@
 	assigned, hardware := s.Assigned(), s.Kind
 	s.needsReissue = false
 	d.mu.Unlock()
-	failed := func(err error) error { // mark the metadata as still to be issued
+	failed := func(err error) error { // marks the metadata as still to be issued, and returns err
 		d.mu.Lock()
 		s.needsReissue = true
 		d.mu.Unlock()
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// assignedTarget returns the target for a server's assigned version: a copy of the image repository's target that is restricted
-// to this server. It returns nil for version 0.
+// assignedTarget returns the target of the version that a server is assigned: a copy of the image repository's target that is
+// restricted to this server. It returns nil for version 0.
 func (d *Director) assignedTarget(server, hardware string, version uint16) (*tufverify.Target, error) {
 	if version == 0 {
 		return nil, nil
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -7,8 +7,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// issueRecord is the part of an issue that must survive a restart: the version that the issue assigns and its expiry, and, if
-// the server may still act on an earlier issue, the version that the earlier issue assigned and until when.
+// issueRecord is the part of an issue that must survive a restart. It contains the version that the issue assigns, and its
+// expiry. If the server may still act on an earlier issue, previous is the version that the earlier issue assigned, and
+// previousUntil is the expiry of the earlier issue.
 type issueRecord struct {
 	assigned      uint16
 	previous      uint16
@@ -16,7 +17,8 @@
 	previousUntil tufverify.Tick
 }
 
-// Byte offsets of the fields in a recorded digest. The fields are big-endian. The offsets are part of the stored format.
+// Byte offsets of the fields of an issueRecord in a recorded digest. The fields are big-endian. The offsets are part of the
+// stored format.
 const (
 	assignedOffset      = 0
 	expiresAtOffset     = 2
@@ -24,8 +26,8 @@
 	previousUntilOffset = 12
 )
 
-// encode returns a digest that begins with the record. The remaining bytes are those of the SHA-256 of the issue's content, so
-// that issues with different content have different digests.
+// encode returns a digest that begins with the record. The remaining bytes are those of the SHA-256 of content, the issue's
+// timestamp file, so that issues with different content have different digests.
 func (r issueRecord) encode(content []byte) (digest tufverify.Digest) {
 	digest = sha256.Sum256(content)
 	binary.BigEndian.PutUint16(digest[assignedOffset:], r.assigned)
--- a/internal/director/run.go
+++ b/internal/director/run.go
@@ -12,7 +12,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// Run issues metadata that are due, and calls the rollout's OnTimer, until the context ends.
+// Run issues metadata and calls the rollout's OnTimer when they are due, until ctx is done.
 func (d *Director) Run(ctx context.Context) error { return d.waker.Run(ctx, d.runDue) }
 
 // runDue performs the work that is due now, and returns the delay until its next call.
@@ -63,8 +63,8 @@
 	return group.Wait()
 }
 
-// reissue issues a server's metadata if the server's assignment has changed. If the server has not fetched any metadata since the
-// start of the process, its metadata are issued when the server asks for them.
+// reissue issues a server's metadata if they are marked as still to be issued. If no metadata were issued to the server since
+// the process started, reissue does nothing: File issues them when the server asks for them.
 func (d *Director) reissue(s *server) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
