--- a/internal/keys/key_file.go
+++ b/internal/keys/key_file.go
@@ -32,8 +32,8 @@
 	scryptP = 1
 )
 
-// Limits on a key file that is read: its size in bytes and its scrypt cost parameters. The limits bound the memory that a forged
-// file can claim, because scrypt uses 128·N·r bytes.
+// Limits on a key file that Load or List reads: its size in bytes and its scrypt cost parameters. scrypt uses 128·N·r bytes, so
+// the limits bound the memory that a forged file can make Load allocate.
 const (
 	maxFileSize = 64 << 10
 	maxScryptN  = 1 << 20
@@ -61,8 +61,8 @@
 // keyFileFormat is the name and version of the key file format.
 const keyFileFormat = "silvercove-key-1"
 
-// Save writes a key file and the public key beside it (see PublicPath). With an empty passphrase the private key is stored
-// unencrypted, which is meant for online keys only. Save returns an error that wraps ErrExists if the file exists.
+// Save writes a key file, and beside it the public key file (see PublicPath). If passphrase is empty, the private key is stored
+// unencrypted, which is meant for online keys only. Save returns an error that wraps ErrExists if the key file exists.
 func (k *Key) Save(path string, passphrase []byte) error {
 	if _, err := os.Lstat(path); err == nil {
 		return fmt.Errorf("%s: %w", path, ErrExists)
@@ -97,7 +97,7 @@
 // PublicPath returns the path of the public key file beside a key file.
 func PublicPath(path string) string { return strings.TrimSuffix(path, Suffix) + PublicSuffix }
 
-// cipher returns the cipher of the private key, keyed with scrypt from a passphrase.
+// cipher returns the cipher that encrypts the private key. Its key is derived from a passphrase with scrypt.
 func (f *keyFile) cipher(passphrase []byte) (cipher.AEAD, error) {
 	secret, err := scrypt.Key(passphrase, f.Salt, f.ScryptN, f.ScryptR, f.ScryptP, chacha20poly1305.KeySize)
 	if err != nil {
@@ -109,8 +109,8 @@
 // associatedData returns the unencrypted fields that the encryption of the private key authenticates.
 func (f *keyFile) associatedData() []byte { return []byte(f.Format + "/" + f.Type + "/" + f.ID) }
 
-// Load reads a key file. It calls passphrase only if the key is encrypted. Its error wraps ErrInsecureMode, ErrNotKeyFile,
-// ErrNoPassphrase or ErrWrongPassphrase, or comes from passphrase or the file system.
+// Load reads a key file. It calls passphrase only if the private key is encrypted. The error of Load wraps ErrInsecureMode,
+// ErrNotKeyFile, ErrNoPassphrase or ErrWrongPassphrase, or comes from passphrase or the file system.
 func Load(path string, passphrase func() ([]byte, error)) (*Key, error) {
 	f, err := readFile(path)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return k, nil
 }
 
-// decrypt returns the decrypted private key. It gets the passphrase from ask.
+// decrypt returns the decrypted private key. It calls ask to get the passphrase; path is used in errors.
 func (f *keyFile) decrypt(path string, ask func() ([]byte, error)) ([]byte, error) {
 	if ask == nil {
 		return nil, fmt.Errorf("%s: %w", path, ErrNoPassphrase)
@@ -162,7 +162,8 @@
 	return der, nil
 }
 
-// readFile reads a key file without decrypting the private key. It refuses a file that other users can read.
+// readFile reads a key file without decrypting the private key. It refuses a file whose mode permits any access to users other
+// than the owner.
 func readFile(path string) (*keyFile, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -192,8 +193,8 @@
 	return f, nil
 }
 
-// LoadPublic reads a public key and returns it with its identifier. path is that of the public key file or of the key file
-// beside it. Its error wraps ErrNotKeyFile or comes from the file system.
+// LoadPublic reads a public key and returns it with its identifier. path is the path of the public key file, or of the key file
+// beside it. The error wraps ErrNotKeyFile or comes from the file system.
 func LoadPublic(path string) (*metadata.Key, string, error) {
 	if strings.HasSuffix(path, Suffix) {
 		path = PublicPath(path)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys generates signing keys and stores, encrypts, loads and lists them in key files.
+// Package keys generates signing keys, stores them in key files with or without encryption, and loads and lists the key files.
 //
 // Invariant: no error and no log line contains a private key or a passphrase, and a key file that other users can read is
 // refused.
@@ -31,15 +31,15 @@
 	Private crypto.Signer
 	Public  *metadata.Key
 	ID      string // TUF key identifier: the SHA-256 of the public key's canonical form
-	Path    string // path of the key file; empty before Save
+	Path    string // path of the key file; empty for a generated key that has not been saved
 }
 
-// Signer returns the key as the signer type of the library that signs metadata.
+// Signer returns a signer for the private key, of the type that go-tuf uses to sign metadata.
 func (k *Key) Signer() (signature.Signer, error) {
 	return signature.LoadSigner(k.Private, crypto.SHA256)
 }
 
-// String returns the key type and the first 8 characters of the identifier, and nothing private.
+// String returns the key type and the first 8 characters of the identifier. It reveals nothing of the private key.
 func (k *Key) String() string { return fmt.Sprintf("%s key %.8s", k.Public.Type, k.ID) }
 
 // Generate generates a key of the given type: "ed25519", or "ecdsa" on the curve P-256.
--- a/internal/keys/list.go
+++ b/internal/keys/list.go
@@ -11,10 +11,10 @@
 	Type      string
 	ID        string
 	Encrypted bool
-	ReadError string // why the file was refused; empty for a valid file. Type and ID are empty for a refused file.
+	ReadError string // why the file was refused; empty for a valid file. A refused file has no Type and no ID.
 }
 
-// List returns the key files of a folder, sorted by path. A file that is refused is listed with its ReadError.
+// List returns the key files of the folder dir, sorted by path. If a file is refused, its entry says why in ReadError.
 func List(dir string) ([]KeyInfo, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+Suffix))
 	if err != nil {
--- a/internal/keys/passphrase.go
+++ b/internal/keys/passphrase.go
@@ -6,8 +6,9 @@
 	"os"
 )
 
-// PassphraseFrom returns a function that reads the passphrase from the file that COVE_PASSPHRASE_FILE names, or else from
-// COVE_PASSPHRASE. A file that other users can read is refused with ErrInsecureMode. env returns the value of an environment variable.
+// PassphraseFrom returns a function that reads the passphrase. If the environment variable COVE_PASSPHRASE_FILE is set, the
+// passphrase is read from the file that it names; otherwise it is the value of COVE_PASSPHRASE. A file that other users can read
+// is refused with ErrInsecureMode. env returns the value of an environment variable.
 func PassphraseFrom(env func(string) string) func() ([]byte, error) {
 	return func() ([]byte, error) {
 		if path := env("COVE_PASSPHRASE_FILE"); path != "" {
