--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -16,14 +16,15 @@
 // pendingFile is a file that Publish is about to write.
 type pendingFile struct {
 	role    string
-	name    string // file name
+	name    string // file name in the metadata folder
 	version int64
 	text    []byte
 }
 
-// Publish publishes the staged metadata, with a new snapshot and timestamp that the online keys sign. Files are written in the
-// order in which they depend on each other, the timestamp last, so that a client never finds a file listed that is not there
-// yet. If any staged file has fewer signatures than its threshold, nothing is published and the error wraps ErrUnsigned.
+// Publish publishes the staged metadata, together with a new snapshot and a new timestamp, which are signed by the online keys.
+// A file is written before any file that lists it, and the timestamp last, so that a client never finds a file listed that does
+// not exist yet. If any staged file has fewer signatures than its threshold, nothing is published and the error wraps
+// ErrUnsigned.
 func (r *Repo) Publish(online []*keys.Key) error {
 	root, staged, err := r.rootToPublish()
 	if err != nil {
@@ -56,7 +57,8 @@
 	return r.publishFiles(append(files, snapshot, timestamp))
 }
 
-// targetsToPublish returns the staged files of the targets roles, and the snapshot entries of all targets roles.
+// targetsToPublish returns the staged files of the targets roles, and a map with the snapshot's entries for all targets roles,
+// staged or published, keyed by file name.
 func (r *Repo) targetsToPublish(root *metadata.Metadata[metadata.RootType]) ([]pendingFile, map[string]*metadata.MetaFiles, error) {
 	names, err := r.targetsRoles()
 	if err != nil {
@@ -100,7 +102,7 @@
 	return os.ReadFile(r.publishedPath(file))
 }
 
-// signSnapshot creates and signs the next snapshot, which lists the files of meta.
+// signSnapshot creates and signs the next snapshot. meta holds the entries of the files that the snapshot lists.
 func (r *Repo) signSnapshot(root *metadata.Metadata[metadata.RootType], meta map[string]*metadata.MetaFiles,
 	online []*keys.Key) (pendingFile, error) {
 	version, err := r.nextVersion(metadata.SNAPSHOT)
@@ -113,7 +115,7 @@
 	return pendingFile{metadata.SNAPSHOT, fileName(root, metadata.SNAPSHOT, version), version, text}, err
 }
 
-// signTimestamp creates and signs the next timestamp, which refers to the given snapshot.
+// signTimestamp creates and signs the next timestamp, which lists the given snapshot.
 func (r *Repo) signTimestamp(root *metadata.Metadata[metadata.RootType], snapshot pendingFile,
 	online []*keys.Key) (pendingFile, error) {
 	version, err := r.nextVersion(metadata.TIMESTAMP)
@@ -127,7 +129,8 @@
 	return pendingFile{metadata.TIMESTAMP, "timestamp.json", version, text}, err
 }
 
-// publishFiles writes the files in their order. It removes the staged file of a role only after the published file of the role is written.
+// publishFiles writes the files in the given order. It removes the staged file of a role only after the published file of the
+// role is written.
 func (r *Repo) publishFiles(files []pendingFile) error {
 	for _, f := range files {
 		if r.CrashBefore(f.role) {
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// fileName returns the name under which clients request a version of a role.
+// fileName returns the name of the file that clients request for a version of a role.
 func fileName(root *metadata.Metadata[metadata.RootType], role string, version int64) string {
 	f := tufverify.File{Role: role}
 	if root.Signed.ConsistentSnapshot {
@@ -152,8 +155,8 @@
 	return f.String()
 }
 
-// signAndRecord signs metadata with those of the online keys that belong to the role, records the version with the digest of
-// the encoded metadata, and returns the encoded metadata.
+// signAndRecord signs metadata with those of the online keys that the root lists for the role. It then records the version with
+// the digest of the encoded metadata, and returns the encoded metadata.
 func signAndRecord[T metadata.Roles](r *Repo, root *metadata.Metadata[metadata.RootType], role string, version int64,
 	m *metadata.Metadata[T], online []*keys.Key) ([]byte, error) {
 	for _, k := range online {
@@ -174,7 +177,7 @@
 }
 
 // rootToPublish returns the root that will be current after publishing, and reports whether that root is staged. A staged root
-// must be signed by a threshold of its own root keys and of those of the published root.
+// must be signed by a threshold of its own root keys, and by a threshold of the root keys of the published root.
 func (r *Repo) rootToPublish() (root *metadata.Metadata[metadata.RootType], staged bool, err error) {
 	old, err := r.loadRoot(false)
 	if err != nil {
@@ -199,8 +202,9 @@
 	return root, true, nil
 }
 
-// checkTargetsThreshold checks that the metadata of the targets role name have enough valid signatures for the threshold that
-// the root sets, or, for a delegated role, that one of the roles in names sets. Otherwise it returns ErrUnsigned.
+// checkTargetsThreshold returns ErrUnsigned unless m, the metadata of the targets role name, have as many valid signatures as
+// the threshold of the role requires. The root sets the threshold of the top-level targets role. A delegated role is accepted if
+// it meets the threshold of any delegation to it by one of the roles in names.
 func (r *Repo) checkTargetsThreshold(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
--- a/internal/tufrepo/repository.go
+++ b/internal/tufrepo/repository.go
@@ -1,13 +1,14 @@
 // Package tufrepo maintains a TUF repository on disk (TUF specification 1.0.31, sections 4 and 6). It stages changed metadata,
 // collects their signatures and publishes them. Sections in comments are those of the TUF specification.
 //
-// The folder of a repository contains metadata/ and targets/, which are served unchanged, staged/ with the metadata that wait
-// for signatures, and issued.floor, the version store.
+// The folder of a repository contains metadata/ and targets/, whose files are served unchanged, staged/ with the metadata that
+// wait for signatures, and the version store issued.floor.
 //
 // Invariant: a version number is recorded in the version store, with the digest of its content, before that content is
-// published. No version number is ever used for two contents, even if the process is killed between signing and publishing.
+// published. No version number is ever published with two different contents, even if the process is killed between signing and
+// publishing.
 //
-// Kind: state
+// Kind: state (see docs/architecture.md)
 package tufrepo
 
 import (
@@ -23,7 +24,7 @@
 	"silvercove/internal/monotonic"
 )
 
-// Errors of a repository. Methods wrap them with the role or folder concerned.
+// Errors that the functions and methods of this package return, wrapped with the role or folder concerned.
 var (
 	ErrNotInitialized = errors.New("no repository in this folder: run tuf init first")
 	ErrExists         = errors.New("repository already exists")
@@ -45,20 +46,21 @@
 
 const day = 24 * time.Hour
 
-// DefaultLifetimes are long for roles with offline keys and short for roles with online keys.
+// DefaultLifetimes are the lifetimes that Open sets. They are long for roles with offline keys and short for roles with online
+// keys.
 var DefaultLifetimes = Lifetimes{Root: 365 * day, Targets: 90 * day, Snapshot: 7 * day, Timestamp: day}
 
 // Repo is a repository that is open for changes. It is not safe for concurrent use.
 type Repo struct {
-	Lifetimes   Lifetimes              // lifetimes of metadata that are created from now on; DefaultLifetimes by default
+	Lifetimes   Lifetimes              // lifetimes of the metadata that methods create; Open sets DefaultLifetimes
 	Now         func() time.Time       // returns the current time; time.Now by default
 	CrashBefore func(role string) bool // for tests: Publish stops before it writes the file of a role for which CrashBefore returns true
 
 	dir      string
-	versions *monotonic.Store // keyed by role
+	versions *monotonic.Store // last version of each role, keyed by role
 }
 
-// Init creates the folders of a repository and stages its first root and targets. consistent sets whether the repository uses
+// Init creates the folders of a repository and stages its first root and targets. If consistent is true, the repository uses
 // consistent snapshots, in which clients request files by version and digest (section 6.2). Init returns an error that wraps
 // ErrExists if the folder already contains a repository.
 func Init(dir string, roles map[string]Role, consistent bool, lifetimes Lifetimes) (*Repo, error) {
@@ -98,7 +100,7 @@
 	return r, stageMetadata(r, metadata.TARGETS, targets)
 }
 
-// File name and capacity, in roles, of the version store of a repository.
+// File name of the version store of a repository, and the maximum number of roles that it can hold.
 const (
 	versionStoreName = "issued.floor"
 	maxRoles         = 1 << 16
@@ -127,7 +129,8 @@
 // Close closes the repository, so that another process can open it.
 func (r *Repo) Close() error { return r.versions.Close() }
 
-// expiry returns the expiry time, in whole seconds of UTC, of metadata that are created now with a lifetime.
+// expiry returns the expiry time, in UTC and truncated to whole seconds, of metadata that are created now with the given
+// lifetime.
 func (r *Repo) expiry(lifetime time.Duration) time.Time {
 	return r.Now().Add(lifetime).UTC().Truncate(time.Second)
 }
--- a/internal/tufrepo/roles.go
+++ b/internal/tufrepo/roles.go
@@ -7,15 +7,16 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Role holds the public keys of a top-level role and the number of them that must sign, for the first root.
+// Role holds the public keys of a top-level role in the first root. Threshold is the number of the keys that must sign.
 type Role struct {
 	Keys      []*metadata.Key
 	Threshold int
 }
 
-// Rotate stages the next root, in which keys of a role are replaced. added holds the public keys to add, and revoked the
-// identifiers, or prefixes of them, of the keys to revoke. threshold is the new threshold of the role, or 0 to keep the present
-// threshold. Signatures of a revoked key no longer count. The error wraps ErrUnknownKey if a key to revoke does not belong to the role.
+// Rotate stages the next root, in which keys of a role are replaced. added holds the public keys to add. revoked holds the
+// identifiers of the keys to revoke, or prefixes of the identifiers. threshold is the new threshold of the role, or 0 to keep
+// the present threshold. Signatures of a revoked key no longer count. The error wraps ErrUnknownKey if a key to revoke does not
+// belong to the role.
 func (r *Repo) Rotate(role string, added []*metadata.Key, revoked []string, threshold int) error {
 	m, err := openForChange(r, metadata.ROOT, func(m *metadata.Metadata[metadata.RootType], version int64) {
 		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Lifetimes.Root)
--- a/internal/tufrepo/sign.go
+++ b/internal/tufrepo/sign.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/keys"
 )
 
-// Sign adds a signature to the staged metadata of a role. The error wraps ErrNotStaged, or ErrUnknownKey if neither a root nor a
-// delegation lists the key for the role.
+// Sign adds a signature to the staged metadata of a role. The error wraps ErrNotStaged if the role has no staged metadata. It
+// wraps ErrUnknownKey if no staged or published root and no delegation lists the key for the role.
 func (r *Repo) Sign(role string, k *keys.Key) error {
 	if _, err := os.Stat(r.stagedPath(role)); err != nil {
 		return fmt.Errorf("%s: %w", role, ErrNotStaged)
@@ -51,7 +51,7 @@
 	return err
 }
 
-// isRoleKey reports whether the staged root, the published root or a delegation lists the key id for a role.
+// isRoleKey reports whether the staged root, the published root or a delegation lists the key with the identifier id for a role.
 func (r *Repo) isRoleKey(role, id string) (bool, error) {
 	for _, staged := range []bool{true, false} {
 		root, err := r.loadRoot(staged)
--- a/internal/tufrepo/staging.go
+++ b/internal/tufrepo/staging.go
@@ -36,8 +36,8 @@
 	return writeFile(r.stagedPath(role), text)
 }
 
-// loadMetadata reads the staged metadata of a role, or else the newest published ones. The error wraps ErrNotStaged if there are
-// neither.
+// loadMetadata reads the staged metadata of a role if there are any, and otherwise the newest published metadata; staged tells
+// which. The error wraps ErrNotStaged if the role has neither.
 func loadMetadata[T metadata.Roles](r *Repo, role string) (m *metadata.Metadata[T], staged bool, err error) {
 	m = &metadata.Metadata[T]{}
 	text, err := os.ReadFile(r.stagedPath(role))
@@ -59,7 +59,8 @@
 	return m, staged, nil
 }
 
-// newestFile returns the highest published version of a role and the name of its file. The version is 0 if there is none.
+// newestFile returns the highest published version of a role and the name of its file. The version is 0 if the role has no
+// published file.
 func (r *Repo) newestFile(role string) (file string, version int64, err error) {
 	all, err := os.ReadDir(filepath.Join(r.dir, "metadata"))
 	if err != nil {
@@ -83,7 +84,7 @@
 	return file, version, nil
 }
 
-// versionOf reads the version from the content of a published file. It is for files without a version in their name.
+// versionOf reads the version from the content of a published file. It is used for files whose names do not contain the version.
 func (r *Repo) versionOf(file string) (int64, error) {
 	var m struct{ Signed struct{ Version int64 } }
 	text, err := os.ReadFile(r.publishedPath(file))
@@ -93,15 +94,15 @@
 	return m.Signed.Version, err
 }
 
-// nextVersion returns the version that follows the highest one of a role that was published or recorded.
+// nextVersion returns the version that follows the highest published or recorded version of a role.
 func (r *Repo) nextVersion(role string) (int64, error) {
 	_, newest, err := r.newestFile(role)
 	recorded, _ := r.versions.Recorded(role)
 	return max(newest, recorded) + 1, err
 }
 
-// openForChange returns the metadata of a role for a change: the staged metadata, or else the published ones with the next
-// version, which setVersion sets. Signatures are removed, as a change invalidates them.
+// openForChange returns the metadata of a role for a change. These are the staged metadata if there are any, and otherwise the
+// published metadata, on which setVersion sets the next version. Signatures are removed, because a change invalidates them.
 func openForChange[T metadata.Roles](r *Repo, role string,
 	setVersion func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
 	m, staged, err := loadMetadata[T](r, role)
@@ -119,7 +120,8 @@
 	return m, nil
 }
 
-// loadRoot reads the staged root or the newest published root. It returns nil if there is none.
+// loadRoot reads the staged root if staged is true, and otherwise the newest published root. It returns nil if that root does
+// not exist.
 func (r *Repo) loadRoot(staged bool) (*metadata.Metadata[metadata.RootType], error) {
 	name := r.stagedPath(metadata.ROOT)
 	if !staged {
--- a/internal/tufrepo/status.go
+++ b/internal/tufrepo/status.go
@@ -15,7 +15,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// PublishedFiles returns the published metadata by file name, and the folder from which targets are served.
+// PublishedFiles returns the content of the published metadata files, keyed by file name, and the path of the folder that
+// contains the targets.
 func PublishedFiles(dir string) (map[string][]byte, string, error) {
 	out := map[string][]byte{}
 	all, err := os.ReadDir(filepath.Join(dir, "metadata"))
@@ -40,7 +41,7 @@
 	Role      string
 	Version   int64
 	Expires   time.Time
-	Signed    int // number of signatures
+	Signed    int // number of signatures, valid or not
 	Threshold int
 	Staged    bool
 	Targets   []string // paths of the targets that the file lists, sorted
--- a/internal/tufrepo/targets.go
+++ b/internal/tufrepo/targets.go
@@ -19,7 +19,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// openTargets returns the targets metadata of a role for a change.
+// openTargets returns the targets metadata of a role for a change (see openForChange), with a new version and expiry if they
+// were not staged.
 func (r *Repo) openTargets(role string) (*metadata.Metadata[metadata.TargetsType], error) {
 	return openForChange(r, role, func(m *metadata.Metadata[metadata.TargetsType], version int64) {
 		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Lifetimes.Targets)
@@ -85,7 +86,7 @@
 	return target, err
 }
 
-// storeTarget copies a file to the folder of targets, under its plain name and under the name with its digest as a prefix.
+// storeTarget copies a file to the targets folder twice: under its plain name, and under the name with the digest as a prefix.
 func (r *Repo) storeTarget(in io.ReadSeeker, target *metadata.TargetFiles) error {
 	dir, base := path.Split(target.Path)
 	folder := filepath.Join(r.dir, "targets", filepath.FromSlash(dir))
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// Remove stages the targets metadata of a role without the target of a given path.
+// Remove stages targets metadata of a role from which the target with the given path is removed.
 func (r *Repo) Remove(role, targetPath string) error {
 	m, err := r.openTargets(role)
 	if err != nil {
@@ -126,8 +127,9 @@
 	return stageMetadata(r, role, m)
 }
 
-// Delegate stages targets metadata of a role that delegate paths to the role to, with the public keys and threshold of that role.
-// An earlier delegation to the same role is replaced. If the role to has no metadata yet, empty ones are staged.
+// Delegate stages targets metadata of role that delegate paths to another role, whose name is to. public and threshold are the
+// public keys and the threshold of the delegated role. A delegation that role already has to the delegated role is replaced. If
+// the delegated role has no metadata yet, empty ones are staged.
 func (r *Repo) Delegate(role, to string, public []*metadata.Key, threshold int, paths []string, terminating bool) error {
 	if len(public) < threshold || threshold < 1 || len(paths) == 0 || to == "" ||
 		slices.Contains(metadata.TOP_LEVEL_ROLE_NAMES[:], to) || strings.ContainsAny(to, `/\`) {
