--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -4,9 +4,10 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Current returns the content of a held file if the file may be served now: all files that it depends on are held, consistent with
-// each other and not expired, and the requested version is the current one. Earlier roots of the chain are served even if they
-// have expired, as clients verify the chain root by root (sections 5.3.4 to 5.3.9); the newest root must not have expired.
+// Current returns the content of a held file if the file may be served now. All files that it depends on must be held,
+// consistent with each other and not expired, and the requested version must be the current one. Earlier roots of the chain are
+// served even if they have expired, because clients verify the chain root by root (sections 5.3.4 to 5.3.9). The newest root
+// must not have expired.
 func (r *Repository) Current(now Tick, f File) ([]byte, *RefusalError) {
 	r.advance(now)
 	switch f.Role {
@@ -25,10 +26,11 @@
 		}
 		return r.root.raw, nil
 	case metadata.TIMESTAMP:
-		// The timestamp is served only if the complete set is held. Otherwise clients would find no matching snapshot.
 		if f.Version != 0 {
 			return nil, r.refuse(ReasonNotListed, f.Role, "the file name of a timestamp has no version")
 		}
+		// The timestamp is served only if root, timestamp, snapshot and top-level targets are all held (see checkComplete).
+		// Otherwise a client that has fetched the timestamp would not find the snapshot or the targets to which it leads.
 		if refusal := r.checkComplete(); refusal != nil {
 			return nil, refusal
 		}
@@ -67,8 +69,8 @@
 	return r.checkDelegationChain(metadata.TARGETS)
 }
 
-// checkDelegationChain returns a refusal if the metadata of a targets role, or of any role on the delegation path to it, have expired or
-// are not held.
+// checkDelegationChain returns a refusal if the metadata of a targets role have expired or are not held, or those of any role on
+// the delegation path to it.
 func (r *Repository) checkDelegationChain(role string) *RefusalError {
 	for name := role; name != metadata.ROOT; name = r.targets[name].delegator {
 		t := r.targets[name]
@@ -82,8 +84,8 @@
 	return nil
 }
 
-// checkVersion returns data if the file name requests their version, or if it has no version and the repository has no consistent
-// snapshots (section 6.2).
+// checkVersion returns data, the held file of a role, if f requests the held version. It also returns data if f has no version
+// and the repository has no consistent snapshots (section 6.2). Otherwise it returns a refusal.
 func (r *Repository) checkVersion(f File, data []byte, version int64) ([]byte, *RefusalError) {
 	switch {
 	case f.Version == version:
--- a/internal/tufverify/file.go
+++ b/internal/tufverify/file.go
@@ -9,7 +9,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// File is the parsed name of a metadata file: its role, and its version, or 0 if the name has none.
+// File is the parsed name of a metadata file. Version is 0 if the name contains no version.
 type File struct {
 	Role    string
 	Version int64
@@ -45,7 +45,8 @@
 	return name
 }
 
-// MetadataType returns the top-level role whose metadata type the file has. For a delegated role that is targets.
+// MetadataType returns the top-level role whose metadata type the file has. The files of delegated roles have the type of
+// targets.
 func (f File) MetadataType() string {
 	if slices.Contains(metadata.TOP_LEVEL_ROLE_NAMES[:], f.Role) {
 		return f.Role
--- a/internal/tufverify/helpers_test.go
+++ b/internal/tufverify/helpers_test.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// start is the time at which the tests begin.
+// start is the time of at(0), at which the tests begin.
 var start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
 // at returns the time that is d after start.
@@ -112,7 +112,7 @@
 	return text
 }
 
-// root creates a root with the present keys, signed by its root keys and by also.
+// root creates a root that lists the keys of b.keys. It is signed by the root keys among them and by the keys in also.
 func (b *testRepository) root(version int64, life time.Duration, also ...*keys.Key) []byte {
 	b.Helper()
 	m := metadata.Root(start.Add(life))
@@ -128,7 +128,8 @@
 	return sign(b, m, append(append([]*keys.Key{}, b.keys["root"]...), also...)...)
 }
 
-// targets creates targets metadata, signed by the given keys or else by the keys of the top-level targets.
+// targets creates targets metadata. change, if not nil, modifies them before they are signed. They are signed by the keys in by,
+// or by the keys of the top-level targets role if by is empty.
 func (b *testRepository) targets(version int64, life time.Duration, change func(m *metadata.TargetsType), by ...*keys.Key) []byte {
 	b.Helper()
 	m := metadata.Targets(start.Add(life))
@@ -142,7 +143,7 @@
 	return sign(b, m, by...)
 }
 
-// snapshot creates a snapshot that lists the given versions by role.
+// snapshot creates a snapshot that lists a version of each role in files.
 func (b *testRepository) snapshot(version int64, life time.Duration, files map[string]int64) []byte {
 	b.Helper()
 	m := metadata.Snapshot(start.Add(life))
@@ -154,7 +155,9 @@
 	return sign(b, m, b.keys["snapshot"]...)
 }
 
-// timestamp creates a timestamp that lists a snapshot by version, and by length and hash if text is not nil.
+// timestamp creates a timestamp that lists a version of the snapshot. If text, the content of the snapshot, is not nil, the
+// entry also has a length and a hash. The timestamp is signed by the keys in by, or by the keys of the timestamp role if by is
+// empty.
 func (b *testRepository) timestamp(version int64, life time.Duration, snapshot int64, text []byte, by ...*keys.Key) []byte {
 	b.Helper()
 	m := metadata.Timestamp(start.Add(life))
@@ -171,7 +174,7 @@
 	return sign(b, m, by...)
 }
 
-// updateAll updates the repository with a timestamp, a snapshot and targets of one version.
+// updateAll updates the repository with a timestamp, a snapshot and top-level targets, each of version v.
 func (b *testRepository) updateAll(v int64) {
 	b.Helper()
 	b.checkRefusal(nil, b.repo.UpdateTimestamp(at(0), b.timestamp(v, day, v, nil)))
--- a/internal/tufverify/lookup.go
+++ b/internal/tufverify/lookup.go
@@ -10,8 +10,8 @@
 )
 
 // Find searches the held targets metadata for a target. It follows delegations in their order, depth first, until a terminating
-// delegation (section 5.6.7). If the metadata of a role are needed and not held, need is the name of that role: the caller fetches
-// them and calls Find again.
+// delegation (section 5.6.7). If the search reaches a role whose metadata are not held, need is the name of that role. The
+// caller then fetches the metadata of that role and calls Find again.
 func (r *Repository) Find(now Tick, path string) (t *Target, need string, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkComplete(); refusal != nil {
@@ -46,7 +46,7 @@
 		for _, to := range matchingRoles(held.Signed.Delegations, path) {
 			next = append(next, to.Name)
 			if to.Terminating {
-				stack = nil // after a terminating delegation, the search does not go on to roles delegated to later
+				stack = nil // a terminating delegation drops the roles left on the stack
 				break
 			}
 		}
@@ -56,8 +56,9 @@
 	return nil, "", r.refuse(ReasonNotListed, metadata.TARGETS, "no targets metadata list %s", path)
 }
 
-// matchingRoles returns the roles to which a path is delegated, in the order of the delegations. Prefixes of the path's digest are
-// hexadecimal (section 4.5). They are compared here, because go-tuf compares them with the digest in Base64.
+// matchingRoles returns the roles to which a path is delegated, in the order of the delegations. A delegation can list
+// hexadecimal prefixes of the digests of paths (section 4.5). matchingRoles compares these prefixes itself, because go-tuf
+// compares them with the digest in Base64.
 func matchingRoles(d *metadata.Delegations, path string) (roles []metadata.RoleResult) {
 	if d.SuccinctRoles != nil {
 		return d.SuccinctRoles.GetRolesForTarget(path)
--- a/internal/tufverify/next_file.go
+++ b/internal/tufverify/next_file.go
@@ -7,9 +7,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// NextFile returns the next file to fetch for a complete set, and its maximum size in bytes. If the held root has expired or
-// is older than the recorded one, that is the next root. If the held timestamp has expired, that is the timestamp again. ok is false
-// if the set is complete.
+// NextFile returns the next file to fetch, and its maximum size in bytes. ok is false if the set of root, timestamp, snapshot
+// and top-level targets is complete. If the held root has expired or is older than the recorded one, the next file is the next
+// root. If the held timestamp has expired, the next file is the timestamp.
 func (r *Repository) NextFile(now Tick) (f File, maxSize int, ok bool) {
 	r.advance(now)
 	recorded, _ := r.store.Recorded(r.storeKey(metadata.ROOT))
@@ -28,7 +28,7 @@
 	return f, 0, false
 }
 
-// TargetsFile returns the file of a targets role that the snapshot lists, and its maximum size in bytes.
+// TargetsFile returns the file that the snapshot lists for a targets role, and the maximum size of the file in bytes.
 func (r *Repository) TargetsFile(now Tick, role string) (f File, maxSize int, refusal *RefusalError) {
 	r.advance(now)
 	if refusal = r.checkSnapshot(role); refusal != nil {
@@ -41,7 +41,7 @@
 	return r.fileOf(role, m.Version), lengthLimit(m, MaxTargetsSize), nil
 }
 
-// fileOf returns the file name of a version of a role. With consistent snapshots the name contains the version (section 6.2).
+// fileOf returns the file of a version of a role. With consistent snapshots the file name contains the version (section 6.2).
 func (r *Repository) fileOf(role string, version int64) File {
 	if r.root.Signed.ConsistentSnapshot {
 		return File{Role: role, Version: version}
@@ -49,7 +49,8 @@
 	return File{Role: role}
 }
 
-// lengthLimit returns the length in a file's entry in its parent, or limit if the entry has no length or a larger one.
+// lengthLimit returns the length in m, the entry that a timestamp or snapshot has for a file. It returns limit if the entry has
+// no length or a larger one.
 func lengthLimit(m *metadata.MetaFiles, limit int) int {
 	if m.Length > 0 && m.Length < int64(limit) {
 		return int(m.Length)
@@ -57,8 +58,9 @@
 	return limit
 }
 
-// MissingRoles returns the targets roles that the snapshot lists and that are not held, sorted by name and at most maxVisitedRoles
-// of them. A role can only be accepted after the role that delegates to it.
+// MissingRoles returns the targets roles that the snapshot lists and whose metadata are not held, sorted by name. It returns at
+// most maxVisitedRoles of them. The metadata of a delegated role are accepted only if those of a role that delegates to it are
+// held.
 func (r *Repository) MissingRoles() (roles []string) {
 	if r.snapshot == nil {
 		return nil
--- a/internal/tufverify/parse.go
+++ b/internal/tufverify/parse.go
@@ -14,7 +14,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// parse parses a metadata file and checks its form. It does not verify the signatures.
+// parse parses a metadata file and checks its size, its type, its canonical form, its version and its specification version. It
+// does not verify the signatures.
 func parse[T metadata.Roles](r *Repository, role string, data []byte, maxSize int) (*verified[T], *RefusalError) {
 	if len(data) > maxSize {
 		return nil, r.refuse(ReasonTooLarge, role, "%d bytes, the limit is %d", len(data), maxSize)
@@ -53,8 +54,9 @@
 	return h, nil
 }
 
-// canonicalDigest returns the digest of the canonical form of the signed part. canonicalDigest decodes the bytes without the metadata
-// types, as a client may do. An object with a duplicate member is an error, because parsers differ in which of the two they use.
+// canonicalDigest returns the digest of the canonical form of the signed part of a file. It decodes the bytes into generic JSON
+// values instead of the metadata types, as a client may do. An object with a duplicate member is an error, because parsers
+// differ in which of the two values they use.
 func canonicalDigest(data []byte) (digest Digest, err error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -117,7 +119,8 @@
 	return err
 }
 
-// checkMetaFile checks the size of a file, and its length and hashes if the entry in its parent has them (sections 5.5.2 and 5.6.2).
+// checkMetaFile checks the size of a file, and its length and hashes if named has them. named is the entry for the file in the
+// timestamp or snapshot that lists it (sections 5.5.2 and 5.6.2).
 func (r *Repository) checkMetaFile(role string, named *metadata.MetaFiles, data []byte, maxSize int) *RefusalError {
 	if len(data) > maxSize {
 		return r.refuse(ReasonTooLarge, role, "%d bytes, the limit is %d", len(data), maxSize)
@@ -128,7 +131,8 @@
 	return nil
 }
 
-// heldRoles returns the targets roles that are held: the top-level role first, then the others sorted by name.
+// heldRoles returns the targets roles whose metadata are held: the top-level role first, then the delegated roles sorted by
+// name.
 func (r *Repository) heldRoles() []string {
 	names := slices.Sorted(maps.Keys(r.targets))
 	if at := slices.Index(names, metadata.TARGETS); at > 0 {
@@ -137,7 +141,8 @@
 	return names
 }
 
-// NewMetaFile returns the entry of a metadata file in its parent, with its version, length and digest (section 4.4).
+// NewMetaFile returns the entry of a metadata file for the timestamp or snapshot that lists the file, with the version, the
+// length and the digest of the file (section 4.4).
 func NewMetaFile(version int64, data []byte) *metadata.MetaFiles {
 	digest := sha256.Sum256(data)
 	return &metadata.MetaFiles{Version: version, Length: int64(len(data)), Hashes: metadata.Hashes{"sha256": digest[:]}}
--- a/internal/tufverify/report.go
+++ b/internal/tufverify/report.go
@@ -15,7 +15,7 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// Report is the version report of one ECU, which in this project is a server (Uptane Standard 2.1, section 5.4.2.1).
+// Report is the version report of one ECU (Uptane Standard 2.1, section 5.4.2.1). In this project each server is an ECU.
 type Report struct {
 	Type            string    `json:"_type"` // "report"
 	Server          string    `json:"server"`
@@ -82,14 +82,15 @@
 // SetKeys replaces the public keys of the servers. The recorded counters stay.
 func (v *ReportVerifier) SetKeys(keys map[string]crypto.PublicKey) { v.keys = keys }
 
-// refuse counts a refusal and returns its error.
+// refuse counts a refusal and returns it.
 func (v *ReportVerifier) refuse(reason Reason, server, format string, args ...any) *RefusalError {
 	v.Refused[reason]++
 	return &RefusalError{Reason: reason, Repository: "reports", Role: server, Text: fmt.Sprintf(format, args...)}
 }
 
-// VerifyReport verifies the signed report of a server: it must be about this server, be signed by the server's key and have a higher
-// counter than any report before. The counter is recorded. A report that was accepted before is refused with ReasonAlreadyHeld.
+// VerifyReport verifies the signed report of a server, and records its counter. The report must be about this server, be signed
+// by the server's key and have a higher counter than every report accepted before. A report that was accepted before is refused
+// with ReasonAlreadyHeld.
 func (v *ReportVerifier) VerifyReport(server string, data []byte) (*Report, *RefusalError) {
 	if len(data) > MaxReportSize {
 		return nil, v.refuse(ReasonTooLarge, server, "%d bytes, the limit is %d", len(data), MaxReportSize)
--- a/internal/tufverify/snapshot.go
+++ b/internal/tufverify/snapshot.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// validateSnapshot makes the checks that go-tuf omits: the snapshot lists no more than maxSnapshotFiles files, each with a version,
-// and the top-level targets are among them.
+// validateSnapshot makes the checks that go-tuf omits: the snapshot lists no more than maxSnapshotFiles files, every listed file
+// has a version, and the top-level targets are listed.
 func validateSnapshot(r *Repository, snapshot *verified[metadata.SnapshotType]) *RefusalError {
 	const role = metadata.SNAPSHOT
 	files := snapshot.Signed.Meta
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// checkSnapshotRollback refuses a snapshot that lists an older version of a file than the held snapshot does, or no longer lists the
-// file (section 5.5.5). It also refuses a snapshot that lists an older version of the top-level targets than was recorded.
+// checkSnapshotRollback refuses a snapshot that no longer lists a file of the held snapshot, or lists an older version of the
+// file (section 5.5.5). It also refuses a snapshot that lists an older version of the top-level targets than the recorded one.
 func (r *Repository) checkSnapshotRollback(next *verified[metadata.SnapshotType]) *RefusalError {
 	const role = metadata.SNAPSHOT
 	if r.snapshot != nil {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// checkSnapshot returns a refusal unless root, timestamp and snapshot are held, consistent with each other and not expired. role is
-// the role for which the check is made.
+// checkSnapshot returns a refusal unless root, timestamp and snapshot are held, consistent with each other and not expired. role
+// is the role that the refusal names.
 func (r *Repository) checkSnapshot(role string) *RefusalError {
 	if refusal := r.checkRoot(role); refusal != nil {
 		return refusal
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -12,10 +12,12 @@
 // target covers the bytes of the target.
 type Digest [sha256.Size]byte
 
-// VersionStore stores the state that must survive a restart: the newest version of each role, and the trusted time. If Record or
-// AdvanceTime returns nil, the change is durable. If it returns an error, Recorded and TrustedTime return the same as before.
+// VersionStore stores the state that must survive a restart: the newest version of each role, the newest counter of each
+// server's reports, and the trusted time. If Record or AdvanceTime returns nil, the change is durable. If it returns an error,
+// Recorded and TrustedTime return the same values as before the call.
 type VersionStore interface {
-	// Recorded returns the version last recorded for a key and its digest. The version is 0 if none is recorded.
+	// Recorded returns the version last recorded for a key, and the digest recorded with it. The version is 0 if none is
+	// recorded.
 	Recorded(key string) (version int64, digest Digest)
 	// Record records a version. It returns an error if the version is below the recorded one.
 	Record(key string, version int64, digest Digest) error
@@ -25,11 +27,13 @@
 	AdvanceTime(now Tick) error
 }
 
-// timeRecordInterval is the interval at which AdvanceTime records the time. The time in memory may be ahead of the recorded time by
-// up to this interval. A restart with a clock that was set back can lose as much.
+// timeRecordInterval is the interval at which AdvanceTime records the time. The time in memory may be ahead of the recorded time
+// by up to this interval. If the process restarts with a clock that was set back, the trusted time can therefore go back by up
+// to this interval.
 const timeRecordInterval = 5 * Second
 
-// AdvanceTime advances the repository's time between updates. It records the time in the version store once per timeRecordInterval.
+// AdvanceTime advances the time of the repository without an update. It records the time in the version store once per
+// timeRecordInterval.
 func (r *Repository) AdvanceTime(now Tick) {
 	if r.advance(now); r.now >= r.store.TrustedTime()+timeRecordInterval {
 		if err := r.store.AdvanceTime(r.now); err != nil {
@@ -38,13 +42,14 @@
 	}
 }
 
-// logTimeNotRecorded logs that recording the time failed. The caller need not fail, because the time in memory has advanced.
+// logTimeNotRecorded logs that recording the time failed. Callers do not fail for that reason, because the time in memory has
+// advanced.
 func (r *Repository) logTimeNotRecorded(err error) {
 	r.log(slog.LevelError, "trusted time could not be recorded", slog.String("error", err.Error()))
 }
 
-// refuseExpired refuses an expired file. It records the time: the file then stays expired even if the clock is set back and the
-// process restarts.
+// refuseExpired refuses an expired file. It also records the time, so that the file stays expired even if the clock is set back
+// and the process restarts.
 func (r *Repository) refuseExpired(role string, expires Tick, format string, args ...any) *RefusalError {
 	if r.store.TrustedTime() < expires {
 		if err := r.store.AdvanceTime(r.now); err != nil {
@@ -74,7 +79,7 @@
 	key := r.storeKey(role)
 	switch recorded, was := r.store.Recorded(key); {
 	case version == recorded && digest == was, role == metadata.ROOT && version < recorded:
-		return nil // the version was recorded before a restart
+		return nil // the version is recorded already, or is a root older than the recorded one
 	case version == recorded:
 		return r.refuse(ReasonConflict, role, "version %d", version)
 	}
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -12,13 +12,14 @@
 // Target is a file that the targets metadata of a repository list.
 type Target struct {
 	Path   string
-	Length int64  // bytes
+	Length int64  // length in bytes
 	Sum    Digest // SHA-256 of the file
 	Role   string // role whose targets metadata list the file
 	Custom Custom
 }
 
-// Custom is the custom field of a target as the tools of this project write it. Members that other tools write are ignored.
+// Custom is the custom field of a target, as the tools of this project write it. Members that only other tools write are
+// ignored.
 type Custom struct {
 	Build         uint16            `json:"build,omitempty"`  // software version
 	ECUs          map[string]string `json:"ecus,omitempty"`   // set by a Director: hardware kind by server
@@ -27,12 +28,12 @@
 	PieceDigests  []string          `json:"pieces,omitempty"` // SHA-256 of each piece, hexadecimal
 }
 
-// newTarget returns the target that the targets metadata of a role list under a path.
+// newTarget returns the target that file describes. The targets metadata of role list file under path.
 func newTarget(path, role string, file *metadata.TargetFiles) *Target {
 	t := &Target{Path: path, Length: file.Length, Role: role}
 	copy(t.Sum[:], file.Hashes["sha256"])
 	if file.Custom != nil {
-		_ = json.Unmarshal(*file.Custom, &t.Custom) // a custom field in another format is not an error
+		_ = json.Unmarshal(*file.Custom, &t.Custom) // a field that another tool wrote in another format is ignored
 	}
 	return t
 }
@@ -66,7 +67,7 @@
 	return all, nil
 }
 
-// StoredName returns the path under which a target is stored. With consistent snapshots the file name is DIGEST.NAME
+// StoredName returns the path under which a repository stores a target. With consistent snapshots the file name is DIGEST.NAME
 // (section 3.1.2).
 func (r *Repository) StoredName(t *Target) string {
 	if !r.root.Signed.ConsistentSnapshot {
--- a/internal/tufverify/targets.go
+++ b/internal/tufverify/targets.go
@@ -4,8 +4,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// UpdateTargets verifies the targets metadata of a role and holds them if they are valid (section 5.6). The role is the top-level
-// targets role, or one to which held targets metadata delegate.
+// UpdateTargets verifies the targets metadata of a role and holds them if they are valid (section 5.6). role is the top-level
+// targets role, or a role to which held targets metadata delegate.
 func (r *Repository) UpdateTargets(now Tick, role string, data []byte) *RefusalError {
 	r.advance(now)
 	if refusal := r.checkSnapshot(role); refusal != nil {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// verifyDelegation returns the role that delegates to the given role and with whose keys the signatures of t are valid.
+// verifyDelegation verifies the signatures of t with the keys that another role lists for role, and returns the name of that
+// other role: root for the top-level targets, and otherwise a role that delegates to role.
 func (r *Repository) verifyDelegation(role string, t *verified[metadata.TargetsType]) (by string, refusal *RefusalError) {
 	if role == metadata.TARGETS {
 		return metadata.ROOT, r.verifySignatures(r.root.Metadata, role, t.Metadata, t.Signatures)
--- a/internal/tufverify/tick.go
+++ b/internal/tufverify/tick.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// Tick is a point in time, in units of 0.1 ms since the Unix epoch.
+// Tick is a point in time, counted in units of 0.1 ms since the Unix epoch, or a duration in these units.
 type Tick int64
 
-// Second is one second in ticks.
+// Second is the number of ticks in one second.
 const Second Tick = 10000
 
 // FromTime converts a time to ticks.
--- a/internal/tufverify/timestamp.go
+++ b/internal/tufverify/timestamp.go
@@ -4,8 +4,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// UpdateTimestamp verifies a timestamp and holds it if it is valid (section 5.4). The timestamp that is held already is refused with
-// ReasonAlreadyHeld, or with ReasonExpired once it has expired.
+// UpdateTimestamp verifies a timestamp and holds it if it is valid (section 5.4). If the same timestamp is held already, it is
+// refused with ReasonAlreadyHeld, or with ReasonExpired if it has expired.
 func (r *Repository) UpdateTimestamp(now Tick, data []byte) *RefusalError {
 	r.advance(now)
 	const role = metadata.TIMESTAMP
--- a/internal/tufverify/uptane.go
+++ b/internal/tufverify/uptane.go
@@ -6,8 +6,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// VerifyAssignment refuses a target that a Director assigned if it differs from the target of the same path in the image repository,
-// or if the image repository's target does not support the given kind of hardware.
+// VerifyAssignment refuses a target that a Director assigned if its length, its SHA-256 or its build differs from that of image,
+// the target of the same path in the image repository. It also refuses the target if image does not support the given kind of
+// hardware.
 func (r *Repository) VerifyAssignment(assigned, image *Target, hardware string) *RefusalError {
 	fits := len(image.Custom.HardwareKinds) == 0 || slices.Contains(image.Custom.HardwareKinds, hardware)
 	switch {
@@ -23,9 +24,10 @@
 	return nil
 }
 
-// VerifyPartial performs partial verification (Uptane Standard 2.1, section 5.4.4.1), for servers that hold only the Director's keys
-// for targets. The targets metadata must be signed, not expired and no older than the recorded version, and if they list any target,
-// one must be for server. VerifyPartial returns the targets for server. It records versions under name.
+// VerifyPartial performs partial verification (Uptane Standard 2.1, section 5.4.4.1), for servers that hold only the Director's
+// keys for targets. The targets metadata in data must be signed, not expired and no older than the recorded version. If they
+// list any targets, at least one must be for server. VerifyPartial returns the targets for server. It records the version of the
+// metadata in store, under keys that begin with name.
 func VerifyPartial(now Tick, store VersionStore, name string, root *metadata.Metadata[metadata.RootType], data []byte,
 	server string) ([]*Target, *RefusalError) {
 	r := &Repository{name: name, store: store, now: store.TrustedTime(), root: &verified[metadata.RootType]{Metadata: root}}
--- a/internal/tufverify/validate.go
+++ b/internal/tufverify/validate.go
@@ -7,8 +7,8 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// validateRoot makes the checks that go-tuf omits: every top-level role has at least as many keys as its threshold, and the root
-// contains these keys.
+// validateRoot makes the checks that go-tuf omits: every top-level role has a threshold of at least 1 and at least as many keys
+// as its threshold, and the root contains these keys.
 func validateRoot(r *Repository, h *verified[metadata.RootType]) *RefusalError {
 	for _, role := range metadata.TOP_LEVEL_ROLE_NAMES {
 		is := h.Signed.Roles[role]
