--- a/internal/tufverify/root.go
+++ b/internal/tufverify/root.go
@@ -72,12 +72,12 @@
 // checkRoot returns a refusal unless the newest root that was ever recorded is held and has not expired (section 5.3.10). role
 // is the role that the refusal names.
 func (r *Repository) checkRoot(role string) *RefusalError {
-	seen, sum := r.store.Recorded(r.storeKey(metadata.ROOT))
+	recorded, recordedDigest := r.store.Recorded(r.storeKey(metadata.ROOT))
 	switch {
-	case r.root.version < seen:
-		return r.refuse(ReasonMissing, role, "root %d was recorded before, only %d is held", seen, r.root.version)
-	case r.root.version == seen && seen > r.pinnedVersion && sum != r.root.digest:
-		return r.refuse(ReasonConflict, role, "root %d was recorded before with other content", seen)
+	case r.root.version < recorded:
+		return r.refuse(ReasonMissing, role, "root %d was recorded before, only %d is held", recorded, r.root.version)
+	case r.root.version == recorded && recorded > r.pinnedVersion && recordedDigest != r.root.digest:
+		return r.refuse(ReasonConflict, role, "root %d was recorded before with other content", recorded)
 	case r.now >= r.root.expires:
 		return r.refuseExpired(role, r.root.expires, "root %d expired at %s", r.root.version, r.root.expires.Time())
 	}
--- a/internal/tufverify/target_reader.go
+++ b/internal/tufverify/target_reader.go
@@ -33,11 +33,11 @@
 
 // OpenTarget returns a TargetReader that begins at the start of a target.
 func (r *Repository) OpenTarget(t *Target) *TargetReader {
-	b := &TargetReader{target: t, repo: r, digest: sha256.New(), bufferLimit: min(tailBufferSize, t.Length)}
+	reader := &TargetReader{target: t, repo: r, digest: sha256.New(), bufferLimit: min(tailBufferSize, t.Length)}
 	if p := t.Custom.PieceLength; p > 0 && p <= maxPieceSize && int64(len(t.Custom.PieceDigests)) == (t.Length+p-1)/p {
-		b.hasPieces, b.bufferLimit = true, p
+		reader.hasPieces, reader.bufferLimit = true, p
 	}
-	return b
+	return reader
 }
 
 // SeekPiece skips to the start of the piece that contains the byte at offset at, and returns the offset of that start. It serves
