--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -185,8 +185,8 @@
 // Assign schedules a new issue of a server's metadata.
 func (h rolloutHost) Assign(s *stagedrollout.Server, _ uint16) {
 	h.director.Assignments++
-	if own := h.director.servers[s.Name]; own != nil {
-		h.director.markForReissue(own)
+	if assigned := h.director.servers[s.Name]; assigned != nil {
+		h.director.markForReissue(assigned)
 	}
 }
 
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -15,13 +15,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.tick()
-	named := map[string]bool{}
+	listedNames := map[string]bool{}
 	for _, endpoint := range endpoints {
-		named[endpoint.Name] = true
+		listedNames[endpoint.Name] = true
 		d.updateServer(now, endpoint)
 	}
 	for name, s := range d.servers {
-		if complete && !named[name] {
+		if complete && !listedNames[name] {
 			d.rollout.OnListed(now, &s.Server, false)
 		}
 	}
@@ -147,12 +147,12 @@
 	if r.DetectedAttack != "" {
 		d.log(slog.LevelWarn, "server refused metadata", slog.String("server", r.Server), slog.String("detail", r.DetectedAttack))
 	}
-	tried := uint16(0)
+	attempted := uint16(0)
 	for version, path := range d.packages {
 		if path == r.AttemptedTarget && path != "" {
-			tried = version
+			attempted = version
 		}
 	}
-	d.rollout.OnReport(d.tick(), &s.Server, r.Build, tried, installResults[r.InstallResult])
+	d.rollout.OnReport(d.tick(), &s.Server, r.Build, attempted, installResults[r.InstallResult])
 	return nil
 }
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -213,9 +213,9 @@
 		}
 		return nil
 	}
-	for _, by := range names {
-		from, _, err := loadMetadata[metadata.TargetsType](r, by)
-		if err == nil && by != name && from.VerifyDelegate(name, m) == nil {
+	for _, delegatorName := range names {
+		delegator, _, err := loadMetadata[metadata.TargetsType](r, delegatorName)
+		if err == nil && delegatorName != name && delegator.VerifyDelegate(name, m) == nil {
 			return nil
 		}
 	}
