--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -52,7 +52,7 @@
 )
 
 // ImageLookup looks up a target in the image repository, without waiting for a mirror. It returns the target, or a refusal if
-// the image repository cannot vouch for the target now.
+// the image repository does not list the target or cannot be asked now.
 type ImageLookup func(path string) (*tufverify.Target, *tufverify.RefusalError)
 
 // VersionStore stores the state of a Director that must survive a restart: the last issue to each server, the released version
--- a/internal/tufverify/parse.go
+++ b/internal/tufverify/parse.go
@@ -28,17 +28,17 @@
 	if err != nil {
 		return nil, r.refuse(ReasonMalformed, role, "%v", err)
 	}
-	h := &verified[T]{Metadata: m, raw: bytes.Clone(data), digest: digest}
+	parsed := &verified[T]{Metadata: m, raw: bytes.Clone(data), digest: digest}
 	specVersion := ""
 	switch s := any(&m.Signed).(type) {
 	case *metadata.RootType:
-		h.version, h.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
+		parsed.version, parsed.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
 	case *metadata.TimestampType:
-		h.version, h.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
+		parsed.version, parsed.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
 	case *metadata.SnapshotType:
-		h.version, h.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
+		parsed.version, parsed.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
 	case *metadata.TargetsType:
-		h.version, h.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
+		parsed.version, parsed.expires, specVersion = s.Version, FromTime(s.Expires), s.SpecVersion
 	}
 	signed, err := cjson.EncodeCanonical(m.Signed)
 	switch {
@@ -46,12 +46,12 @@
 		return nil, r.refuse(ReasonMalformed, role, "%v", err)
 	case sha256.Sum256(signed) != digest:
 		return nil, r.refuse(ReasonMalformed, role, "the signed part is ambiguous")
-	case h.version < 1:
-		return nil, r.refuse(ReasonMalformed, role, "version %d", h.version)
+	case parsed.version < 1:
+		return nil, r.refuse(ReasonMalformed, role, "version %d", parsed.version)
 	case !strings.HasPrefix(specVersion, "1."):
 		return nil, r.refuse(ReasonMalformed, role, "specification version %q, only 1.x is supported", specVersion)
 	}
-	return h, nil
+	return parsed, nil
 }
 
 // canonicalDigest returns the digest of the canonical form of the signed part of a file. It decodes the bytes into generic JSON
@@ -119,8 +119,8 @@
 	return err
 }
 
-// checkMetaFile checks the size of a file, and its length and hashes if entry has them. entry is what the timestamp or snapshot
-// that lists the file says about it (sections 5.5.2 and 5.6.2).
+// checkMetaFile checks the size of a file, and its length and hashes if entry has them. entry is the entry for the file in the
+// timestamp or snapshot that lists it (sections 5.5.2 and 5.6.2).
 func (r *Repository) checkMetaFile(role string, entry *metadata.MetaFiles, data []byte, maxSize int) *RefusalError {
 	if len(data) > maxSize {
 		return r.refuse(ReasonTooLarge, role, "%d bytes, the limit is %d", len(data), maxSize)
--- a/internal/tufverify/report.go
+++ b/internal/tufverify/report.go
@@ -71,7 +71,7 @@
 type ReportVerifier struct {
 	store   VersionStore
 	keys    map[string]crypto.PublicKey // keyed by server
-	Refused [ReasonCount]int64          // number of refusals by reason
+	Refused [ReasonCount]int64          // number of refusals, indexed by Reason
 }
 
 // NewReportVerifier returns a verifier with the public keys of the servers, keyed by server. It records report counters in store.
--- a/internal/tufverify/repository.go
+++ b/internal/tufverify/repository.go
@@ -46,7 +46,7 @@
 	store         VersionStore
 	now           Tick // latest time that a caller has passed or that was recorded before a restart; never decreases
 	root          *verified[metadata.RootType]
-	roots         map[int64][]byte // file content of each root by version, from the pinned root on
+	roots         map[int64][]byte // file content of each root since the pinned root, keyed by version
 	pinnedVersion int64
 	keyEpoch      int64 // version of the root that last changed the keys of timestamp or snapshot; pinnedVersion if none did
 
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// recordVersion records a version of a role, and the time, before anything depends on the version.
+// recordVersion records a version of a role, together with the time, before anything depends on the version.
 func (r *Repository) recordVersion(role string, version int64, digest Digest) *RefusalError {
 	key := r.storeKey(role)
 	switch recorded, recordedDigest := r.store.Recorded(key); {
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// storeKey returns the key of a role in the version store. Versions of roles other than root are recorded per key epoch.
+// storeKey returns the key of a role in the version store. The keys of roles other than root contain the key epoch, so that
+// their versions are recorded separately for each key epoch.
 func (r *Repository) storeKey(role string) string {
 	if role == metadata.ROOT {
 		return r.name + "/root"
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -22,7 +22,7 @@
 // ignored.
 type Custom struct {
 	Build         uint16            `json:"build,omitempty"`  // software version
-	ECUs          map[string]string `json:"ecus,omitempty"`   // set by a Director: hardware kind by server
+	ECUs          map[string]string `json:"ecus,omitempty"`   // set by a Director: hardware kind of each server, keyed by server name
 	HardwareKinds []string          `json:"kinds,omitempty"`  // set by an image repository: supported hardware kinds; empty for all kinds
 	PieceLength   int64             `json:"piece,omitempty"`  // length of a piece in bytes; the last piece may be shorter
 	PieceDigests  []string          `json:"pieces,omitempty"` // SHA-256 of each piece, hexadecimal
--- a/internal/tufverify/target_reader.go
+++ b/internal/tufverify/target_reader.go
@@ -40,7 +40,7 @@
 	return reader
 }
 
-// SeekPiece skips to the start of the piece that contains the byte at offset at, and returns the offset of that start. It serves
+// SeekPiece skips to the piece that contains the byte at offset at, and returns the offset at which that piece starts. It serves
 // a client that already has the earlier bytes. If the target has no piece digests, ok is false unless at is 0, because only the
 // whole target can be verified.
 func (t *TargetReader) SeekPiece(at int64) (start int64, ok bool) {
@@ -68,8 +68,9 @@
 }
 
 // Write takes the next bytes of the target. It calls deliver with the bytes that have been verified, and with those that are
-// forwarded without verification. A RefusalError means that the mirror sent wrong bytes. If the target has piece digests,
-// another mirror can then continue from NextOffset; if it has none, Corrupt reports true. Any other error comes from deliver.
+// forwarded without verification. A RefusalError means that the mirror sent wrong bytes. Another mirror can then continue from
+// NextOffset unless Corrupt reports true. Corrupt reports true if the target has no piece digests, or if every piece is valid
+// and the digest of the whole target is not. Any other error comes from deliver.
 func (t *TargetReader) Write(p []byte, deliver func([]byte) error) error {
 	if int64(len(p)) > t.Remaining() {
 		if t.corrupt = !t.hasPieces; t.hasPieces {
