--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -38,7 +38,7 @@
 var (
 	ErrUnknownServer = errors.New("no such server")
 	ErrUnknownFile   = errors.New("no such file")
-	ErrUnavailable   = errors.New("not available now") // the image repository, the version store or the path of the package is missing
+	ErrUnavailable   = errors.New("not available now") // the image repository or the version store cannot be used, or the version has no package path
 )
 
 // minLifetime is the minimum lifetime of issued metadata.
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -154,8 +154,9 @@
 }
 
 // TestDirector_KilledBetweenSigningAndRecording guards against two issues that have the same version number and different
-// content. They could arise if the process is killed after it recorded the number: after the restart the number must not be used
-// again, whether or not a server has fetched the content. Every second round kills the Director at that point and restarts it.
+// content. They could arise if the process is killed after it recorded the version number. After the restart that number must
+// not be used again, whether or not a server has fetched the first content. Every second round kills the Director at that point
+// and restarts it.
 func TestDirector_KilledBetweenSigningAndRecording(t *testing.T) {
 	h := newTestDirector(t)
 	seen := map[int64]uint16{}
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// UpdateServers replaces the list of servers by endpoints if complete is true. Otherwise it adds or changes the servers that
-// endpoints names.
+// UpdateServers replaces the list of servers by endpoints if complete is true. Otherwise it adds or changes the servers in
+// endpoints.
 func (d *Director) UpdateServers(complete bool, endpoints []dispatch.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/director/keys.go
+++ b/internal/director/keys.go
@@ -11,9 +11,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// Keys replaces the online keys and the root chain, whose files chain holds by name. Each online role must have at least as many
-// online keys as its threshold. If the version of the newest root changes, the metadata of all servers are issued again. If Keys
-// returns an error, nothing has changed.
+// Keys replaces the online keys and the root chain. chain holds the files of the root chain, keyed by file name. Each online
+// role must have at least as many online keys as its threshold. If the version of the newest root changes, the metadata of all
+// servers are issued again. If Keys returns an error, nothing has changed.
 func (d *Director) Keys(chain map[string][]byte, online []*keys.Key) error {
 	var newest *metadata.Metadata[metadata.RootType]
 	for name, text := range chain {
--- a/internal/director/sign.go
+++ b/internal/director/sign.go
@@ -10,8 +10,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// signFiles returns the signed targets, snapshot and timestamp files of one version, by file name. target is nil for a server
-// that is assigned no version.
+// signFiles returns the signed targets, snapshot and timestamp files of one version, keyed by file name. target is nil for a
+// server that is assigned no version.
 func signFiles(online map[string][]*keys.Key, version int64, expiresAt time.Time, target *tufverify.Target) (map[string][]byte, error) {
 	targets := metadata.Targets(expiresAt)
 	targets.Signed.Version = version
--- a/internal/tufverify/report.go
+++ b/internal/tufverify/report.go
@@ -25,8 +25,8 @@
 	RunningTarget   string    `json:"running"` // path of the running target; empty for none
 	Build           uint16    `json:"build"`
 	InstallResult   string    `json:"installed"` // result of the last installation: "", "ok", "failed" or "declined"
-	AttemptedTarget string    `json:"tried"`     // path of the target of the last installation attempt
-	DetectedAttack  string    `json:"attack"`    // the metadata that the server refused, and why it refused them
+	AttemptedTarget string    `json:"tried"`     // path of the target of the last installation attempt; empty for none
+	DetectedAttack  string    `json:"attack"`    // the metadata that the server refused, and why it refused them; empty for none
 }
 
 // Manifest is a signed report.
