--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -55,23 +55,23 @@
 		fmt.Sprintf("%s is in zone %s, of kind %s; it reported that it runs build %d.", name, zone, kind, explanation.Running),
 		fmt.Sprintf("Build %d is released. The newest is build %d, %s, with a cap of %g.", released, stage.Version, stage.Phase,
 			stage.ExposureCap),
-		fmt.Sprintf("It is assigned build %d; it is number %d of %d in the order in which servers are assigned build %d.", explanation.Assigned, explanation.Rank+1, explanation.Servers,
+		fmt.Sprintf("It is told build %d; it is number %d of %d in the order of build %d.", explanation.Assigned, explanation.Rank+1, explanation.Servers,
 			stage.Version),
-		fmt.Sprintf("The cap lets %d servers be assigned the newest build; %d are assigned it or may still install it.", explanation.MaxAssigned, explanation.MayInstall),
+		fmt.Sprintf("The cap lets %d servers be told; %d are, or may still act on having been.", explanation.MaxAssigned, explanation.MayInstall),
 	}
 	if version > 0 {
-		lines = append(lines, fmt.Sprintf("Its metadata have version %d, assign build %d and expire at %s.", version, issued,
+		lines = append(lines, fmt.Sprintf("Its metadata have version %d, name build %d and last until %s.", version, issued,
 			expiresAt.Time().Format(time.RFC3339)))
 	}
 	if explanation.Failures > 0 {
-		lines = append(lines, fmt.Sprintf("It failed to install the newest build %d times; it is not assigned that build again before %s.", explanation.Failures,
+		lines = append(lines, fmt.Sprintf("It failed to install the package %d times; it is put off until %s.", explanation.Failures,
 			tufverify.Tick(explanation.NotBefore).Time().Format(time.RFC3339)))
 	}
 	if explanation.Excluded {
-		lines = append(lines, "It is permanently excluded from the newest build.")
+		lines = append(lines, "It is left out of this package for good.")
 	}
 	if tufverify.Tick(explanation.MayInstallUntil) > tufverify.Tick(now) {
-		lines = append(lines, fmt.Sprintf("It was rolled back; it may still install the newest build until it has fetched its new metadata, or until %s.",
+		lines = append(lines, fmt.Sprintf("It was told back, and counts until it has fetched that or %s.",
 			tufverify.Tick(explanation.MayInstallUntil).Time().Format(time.RFC3339)))
 	}
 	if path := d.packages[explanation.Assigned]; path != "" {
