--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,4 +1,6 @@
-// Command sites derives variants of a bench site file. A short file of changes lists the differences from the original.
+// Command sites derives variants of a site file. The bench is the program that tests the balancer through cmd/bench-adapter. A site
+// file describes a deployment to the bench: its tiers, request classes, tenants, load and limits. A short file of changes lists the
+// differences of a variant from the original site file.
 //
 //	go run ./deploy/sites -from SITE.toml deploy/sites/harbour-radio.toml ...
 //
@@ -38,8 +40,8 @@
 	}
 }
 
-// makeVariant applies the changes to the site, writes the variant, and returns the path of its site file. It reads and checks all
-// input before it writes anything.
+// makeVariant applies the changes in the file changesPath to the site file from, writes the variant below the directory
+// to, and returns the path of the variant's site file. It reads and checks all input before it writes anything.
 func makeVariant(from, changesPath, to string) (string, error) {
 	var site map[string]any
 	if err := readTOML(from, &site, false); err != nil {
@@ -101,7 +103,7 @@
 		decoder.DisallowUnknownFields()
 	}
 	if err := decoder.Decode(into); err != nil {
-		// The errors' String methods show the line in the file; their Error methods do not.
+		// The String methods of both error types show the line in the file; their Error methods do not.
 		var unknown *toml.StrictMissingError
 		if errors.As(err, &unknown) {
 			return fmt.Errorf("%s: unknown entries:\n%s", path, unknown.String())
@@ -115,8 +117,9 @@
 	return nil
 }
 
-// checkDialect returns an error if a JSON file beside the site contains the name of a removed element. The file is copied unchanged,
-// and a word in it cannot be distinguished from a reference to an element.
+// checkDialect returns an error if a JSON file contains the name of a removed element as a key or as a string. The
+// variant gets an unchanged copy of the file, in which such a word cannot be distinguished from a reference to the
+// element. Other files are not checked.
 func checkDialect(file string, text []byte, removed []element) error {
 	if filepath.Ext(file) != ".json" {
 		return nil
--- a/deploy/sites/main_test.go
+++ b/deploy/sites/main_test.go
@@ -33,7 +33,8 @@
 "tier.front" = "class"
 `
 
-// makeTestVariant makes a variant of the site in testdata. The files of the map replace those beside the site.
+// makeTestVariant makes a variant of the site in testdata. replacements holds the contents of files, by name, that
+// replace files in the directory of the site file.
 func makeTestVariant(t *testing.T, changes string, other map[string]string) (dir, made string, err error) {
 	t.Helper()
 	from, dir := t.TempDir(), filepath.Join(t.TempDir(), "made")
@@ -210,7 +211,8 @@
 		"[[class]]\nname = \"a\"\n[[class]]\nname = \"b\"\n"}
 )
 
-// The repository's own change files must decode without unknown entries, whatever the site.
+// TestChangeFiles_AreValid checks that the change files in this directory decode without unknown entries. It applies
+// them to no site.
 func TestChangeFiles_AreValid(t *testing.T) {
 	files, err := filepath.Glob("*.toml")
 	if err != nil || len(files) == 0 {
--- a/deploy/sites/variant.go
+++ b/deploy/sites/variant.go
@@ -8,29 +8,31 @@
 	"strings"
 )
 
-// variant is a file of changes. A path joins keys by dots. In a list of tables, the element's name takes the place of a key, as in
-// "class.upload.aim_ms". All paths use the names of the original site.
+// variant is the content of a file of changes to a site. A path joins the keys of nested tables by dots. In a list of
+// tables, an element's name takes the place of a key, as in "class.upload.aim_ms". All paths use the names of the
+// original site.
 type variant struct {
-	// Set replaces existing values by others of the same type. A range may replace a number, and a list of choices may replace
-	// a single choice.
+	// Set holds new values of existing keys, by path. A new value has the type of the old one. A range may replace a
+	// number, and a list of choices may replace a single choice.
 	Set map[string]any `toml:"set"`
-	// Add holds new keys, and new named elements of lists.
+	// Add holds the values of new keys and of new named elements of lists, by path.
 	Add map[string]any `toml:"add"`
-	// Drop lists the keys and elements to remove.
+	// Drop lists the paths of the keys and elements to remove.
 	Drop []string `toml:"drop"`
-	// Rename gives list elements new names, and changes the references of other entries to them.
+	// Rename holds new names of list elements, by path. References to a renamed element are changed to its new name.
 	Rename map[string]string `toml:"rename"`
 }
 
 // element identifies a named table in a list of tables: [[class]] name = "upload" has the kind class.
 type element struct{ kind, name string }
 
-// apply changes the site in place, and returns the elements whose names the site no longer contains.
+// apply changes the site in place, and returns the elements that were dropped or renamed.
 func (v *variant) apply(site map[string]any) ([]element, error) {
 	if err := v.setValues(site); err != nil {
 		return nil, err
 	}
-	// Elements are dropped before others are renamed or extended. Renaming or extending a dropped element is an error of find.
+	// Elements are dropped first. A path in Rename, or a longer path in Add, that leads to a dropped element is then an
+	// error.
 	dropped, err := v.dropPaths(site)
 	if err != nil {
 		return nil, err
@@ -50,7 +52,7 @@
 	return removed, checkNames(site, "")
 }
 
-// setValues replaces the existing values that Set names.
+// setValues replaces the values at the paths of Set.
 func (v *variant) setValues(site map[string]any) error {
 	for _, path := range sortedKeys(v.Set) {
 		s, err := find(site, path)
@@ -94,7 +96,7 @@
 	return removed, nil
 }
 
-// newNames returns the elements' new names, and the elements that lose their old names.
+// newNames returns the new names by element, and the elements that are renamed.
 func (v *variant) newNames(site map[string]any) (names map[element]string, removed []element, err error) {
 	names = map[element]string{}
 	for _, path := range sortedKeys(v.Rename) {
@@ -115,7 +117,7 @@
 	return names, removed, nil
 }
 
-// addPaths inserts new keys and elements.
+// addPaths inserts the keys and elements of Add.
 func (v *variant) addPaths(site map[string]any) error {
 	for _, path := range sortedKeys(v.Add) {
 		s, err := find(site, path)
@@ -144,7 +146,7 @@
 type slot struct {
 	table map[string]any
 	key   string
-	index int // index in the list; -1 if the path ends at the key itself
+	index int // index in the list, or the list's length if the element does not exist; -1 if the path ends at the key itself
 	last  string
 	path  []string
 }
@@ -202,9 +204,10 @@
 	return s, nil
 }
 
-// rename gives the elements their new names and updates the references to them. A reference is a string at a key that has the list's
-// name or its plural. A removed name at any other place is an error, because the meaning of the name at that place is unknown.
-// An element's own name is never a reference.
+// rename gives the elements their new names and updates the references to them. A reference is a string at a key that
+// equals the key of the element's list, or a string in a list at that key or at its plural, with s or es. A removed
+// name at any other place is an error, because the meaning of the name at that place is unknown. An element's own name
+// is never a reference.
 func rename(node map[string]any, location string, names map[element]string, removed []element) error {
 	for _, key := range sortedKeys(node) {
 		below := strings.TrimPrefix(location+"."+key, ".")
@@ -266,7 +269,8 @@
 	return nil
 }
 
-// checkNames returns an error if two elements of a list have the same name, because a bench or a relay could take them for one.
+// checkNames returns an error if two elements of a list have the same name, because the bench or a relay could treat
+// the two elements as one.
 func checkNames(node any, location string) error {
 	switch node := node.(type) {
 	case map[string]any:
