--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -23,15 +23,15 @@
 	actionSkip   = "skip"
 )
 
-// Lines that go test and the testing package print, and prefixes of such lines.
+// Lines, or prefixes of lines, that go test and the testing package print.
 const (
 	linePassed     = "ok  \t"        // the last line of a package that passed
 	lineNoTests    = "?   \t"        // the last line of a package without test files
 	lineFailed     = "FAIL\t"        // the last line of a package that failed
-	lineTestsEnded = "FAIL\n"        // the last line of the testing package itself after a failure
+	lineTestsEnded = "FAIL\n"        // the last line that the testing package prints after a failure
 	lineExitStatus = "exit status 1" // the line after lineTestsEnded
-	lineProgress   = "=== "          // a test starts, pauses or continues
-	lineTestFailed = "--- FAIL: "    // a test's result
+	lineProgress   = "=== "          // printed if a test starts, pauses or continues
+	lineTestFailed = "--- FAIL: "    // the result of a failed test
 )
 
 // ended reports whether the event is the last one of a test or of a package.
@@ -53,7 +53,8 @@
 
 func newPackageRun() *packageRun { return &packageRun{open: map[string]bool{}} }
 
-// endTest records the end of one test. It drops the output of a test that did not fail, which go test does not print either.
+// endTest records the end of one test. It drops the output of a test that did not fail, because go test does not print
+// that output either.
 func (p *packageRun) endTest(e testEvent) {
 	delete(p.open, e.Test)
 	if e.Action == actionFail {
@@ -63,8 +64,9 @@
 	p.output = slices.DeleteFunc(p.output, func(o testEvent) bool { return o.Test == e.Test })
 }
 
-// endedInOrder reports whether the testing package printed its own last line, with nothing after it. After a panic, an exit or a
-// timeout that line is missing, and the tests that had not run yet would count as passed.
+// endedInOrder reports whether the testing package printed lineTestsEnded, with nothing after it but the lines of go
+// test. After a panic, an exit or a timeout, lineTestsEnded is missing. The tests that had not run yet would count as
+// passed without this check.
 func (p *packageRun) endedInOrder() bool {
 	last := -1
 	for i, o := range p.output {
@@ -80,7 +82,7 @@
 	})
 }
 
-// printedByItself reports whether a test printed anything besides its result.
+// printedByItself reports whether a test printed anything besides its progress and its result.
 func (p *packageRun) printedByItself(test string) bool {
 	return slices.ContainsFunc(p.output, func(o testEvent) bool {
 		return o.Test == test && !strings.HasPrefix(o.Output, lineProgress) &&
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -78,7 +78,8 @@
 	return listed, errors.Join(problems...)
 }
 
-// splitBlocks reads the lines. A line that is not a field of an entry is an error, and so is a field that appears twice in one entry.
+// splitBlocks splits the list at its blank lines into the blocks of the entries. A line that is not a field of an entry
+// is an error, and so is a field that appears twice in one entry.
 func splitBlocks(text string) ([]block, error) {
 	var blocks []block
 	var problems []error
--- a/internal/knownred/list_test.go
+++ b/internal/knownred/list_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// entryText returns one entry in the format of the file, with a blank line after it.
+// entryText returns one entry in the format of listFile, with a blank line after it.
 func entryText(test, seen string, issue int) string {
 	return fmt.Sprintf("test: %s\ncommand: go test ./red\nseed: none\nseen: %s\nissue: %d\n\n", test, seen, issue)
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// run executes all test commands, even after one of them has failed, as CI does without a list.
+// run executes all test commands, even after one of them has failed. CI does the same if there is no list.
 func run(directory string, commands []string, out io.Writer) error {
 	text, err := os.ReadFile(filepath.Join(directory, listFile))
 	if err != nil {
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -24,7 +24,7 @@
 // record handles one event, and prints a package's output once the package has ended.
 func (r *results) record(e testEvent) {
 	if e.Package == "" {
-		// The compiler's output has no package.
+		// An event without a package is output of the compiler.
 		r.print(e.Output)
 		return
 	}
@@ -50,7 +50,8 @@
 	}
 }
 
-// endPackage prints the output of a package that has ended, as go test does, and checks a package that failed.
+// endPackage prints what go test prints for a package that has ended. That is the last line if the package passed, and otherwise the
+// output of the package without that of tests that did not fail. It also checks that a failed package has only known failures.
 func (r *results) endPackage(e testEvent, p *packageRun) {
 	if e.Action != actionFail {
 		for _, o := range p.output {
--- a/internal/knownred/runner.go
+++ b/internal/knownred/runner.go
@@ -14,8 +14,8 @@
 // exitTestsFailed is go test's exit code if a package failed.
 const exitTestsFailed = 1
 
-// runCommand runs one test command and records its events. A failure of go test is not an error if a package that failed explains it;
-// results.finish decides whether that package's failure is a known one.
+// runCommand runs one test command and records its events. It returns no error if go test failed because a package
+// failed; results.finish decides whether the failure of that package is a known one.
 func runCommand(r *results, directory, command string) error {
 	words := strings.Fields(command)
 	if !isGoTest(words) {
--- a/internal/knownred/script_test.go
+++ b/internal/knownred/script_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// module is a small Go module whose tests end in each of the ways that the script must distinguish.
+// module is a small Go module whose tests end in each of the ways that the script .ci/test must distinguish.
 var module = map[string]string{
 	"go.mod":         "module m\n\ngo 1.26\n",
 	"good/a_test.go": testFileHead + `func TestGood(t *testing.T) { t.Log("nothing to see") }`,
@@ -56,7 +56,7 @@
 var _, _ = fmt.Sprint, os.Exit
 `
 
-// scriptCase is one run of the script on module, with a list and test commands.
+// scriptCase is one run of .ci/test on module, with a list and test commands.
 type scriptCase struct {
 	name       string
 	list       string // contents of the list; "-" for no file
@@ -66,7 +66,7 @@
 	wantError  string // substring of the standard error output
 }
 
-// causeEntry returns an entry for a test whose other fields do not matter.
+// causeEntry returns an entry for the given test, for cases in which the values of the other fields do not matter.
 func causeEntry(test string) string { return entryText(test, "the cause", 7) }
 
 var redEntry = causeEntry("m/red.TestRed")
@@ -170,7 +170,8 @@
 	}
 }
 
-// runScript returns the script's output, and an error if the exit code is not 0.
+// runScript runs the script in a directory. It returns the standard output, the standard error output, and an error if
+// the exit code is not 0.
 func runScript(tb testing.TB, script, directory string, commands []string) (out, errs string, err error) {
 	tb.Helper()
 	cmd := exec.Command(script, commands...)
@@ -195,7 +196,8 @@
 	}
 }
 
-// CI must run the test commands of the README. CI's only addition is -count=1, which keeps it from using cached results.
+// TestCI_RunsTestCommandsOfReadme checks that .ci/run runs exactly the test commands of the README, with -count=1 as
+// the only addition. This flag keeps go test from using cached results.
 func TestCI_RunsTestCommandsOfReadme(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
