--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -4,8 +4,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// ClientLimiter limits the number of requests that wait for mirrors or are being sent a package, because each of them needs
-// memory. Requests for metadata files that are held need almost no memory and are not counted.
+// ClientLimiter limits the number of requests that are waiting for mirrors or downloading a package, because each of
+// them needs memory. Requests for metadata files that are held need almost no memory and are not counted.
 type ClientLimiter struct {
 	Limit        int // maximum number of admitted requests
 	inUse        int
@@ -13,7 +13,7 @@
 	maxPerClient int            // maximum number of admitted requests per client while half of Limit or more is in use
 }
 
-// clientShareDivisor is the divisor of the limit that gives maxPerClient.
+// clientShareDivisor is the number by which the limit is divided to get maxPerClient.
 const clientShareDivisor = 4
 
 // NewClientLimiter returns a ClientLimiter that admits limit requests at a time.
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -20,15 +20,16 @@
 	return false
 }
 
-// MirrorBlameless reports whether a mirror did not cause a refusal: newer roots that the mirror sent have invalidated the metadata
-// that its file depends on.
+// MirrorBlameless reports whether a refusal is not the fault of the mirror that sent the file. That is so if newer
+// roots that the mirror sent have invalidated the metadata that the file depends on.
 func MirrorBlameless(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	return r != nil && foundNewerRoot && r.Reason == tufverify.ReasonMissing
 }
 
-// CheckConfirmed returns tufverify's refusal of a file, or a refusal because the mirrors have not confirmed the file. Before the
-// survey is complete, only root files are served. A timestamp, and the newest root or the answer that there is no newer
-// one, are served only if mirrors were asked recently.
+// CheckConfirmed returns a refusal if the mirrors have not confirmed a file. Otherwise it returns the given refusal,
+// which is tufverify's refusal of the file, or nil. Before the survey is complete, only root files are served. A
+// timestamp, and the newest root or the answer that there is no newer one, are served only if mirrors were asked
+// recently.
 func CheckConfirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
 	repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -5,7 +5,7 @@
 // The package does no I/O and reads no clock: the caller reports each event and its time through a method. Nothing in the package
 // is safe for concurrent use.
 //
-// Kind: decision
+// Kind: decision (see docs/architecture.md)
 package metadatarefresh
 
 import (
@@ -20,7 +20,7 @@
 const (
 	minBackoff       = tufverify.Second / 5  // delay after the first failure until mirrors are asked again
 	maxBackoff       = 10 * tufverify.Second // the backoff doubles up to this maximum
-	retryAfterSpread = 2                     // a random time to retry after is at most about this multiple of the minimum
+	retryAfterSpread = 2                     // maximum of a random Retry-After time, as a multiple of its minimum
 )
 
 // Refresh decides when the mirrors of one repository are asked for newer metadata.
@@ -59,10 +59,11 @@
 	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
 }
 
-// Stale reports whether the metadata that are held may no longer be treated as the newest. If the mirrors failed when they were
-// last asked, this holds from unconfirmedFor after the last refresh. Otherwise it holds from freshFor after the last refresh, because
-// the mirrors must then be asked. Between freshFor and unconfirmedFor there may be a newer version that no mirror showed. The expiry
-// of the metadata limits how long such metadata are served in any case; with unconfirmedFor an operator sets a shorter limit.
+// Stale reports whether the metadata that are held may no longer be treated as the newest. They become stale freshFor
+// after the last refresh, because the mirrors must then be asked. If the mirrors failed when they were last asked, the
+// metadata become stale only unconfirmedFor after the last refresh. Between these two times there may be a newer
+// version that no mirror has shown. The expiry of the metadata limits how long they are served in any case; with
+// unconfirmedFor an operator sets a shorter limit.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
--- a/internal/metadatarefresh/response.go
+++ b/internal/metadatarefresh/response.go
@@ -9,13 +9,13 @@
 // Response is the answer to a request that gets no file. Text is part of the HTTP interface.
 type Response struct {
 	Status     int    // HTTP status code
-	Text       string // body
+	Text       string // response body
 	RetryLater bool   // the response has a Retry-After header
 }
 
-// RefusalResponse returns the response for a refusal. A client never gets an old file. The response is 503 with a time to retry
-// after if the file is not current now, 404 if the file does not exist, and 404 with the advice to begin again if the file was
-// superseded.
+// RefusalResponse returns the response for a refusal. A client never gets an old file. The response is 503 with a
+// Retry-After header if the file is not current now, 404 if the file does not exist, and 404 with the advice to begin
+// again if the file was superseded.
 func RefusalResponse(r *tufverify.RefusalError) Response {
 	switch r.Reason {
 	case tufverify.ReasonOlderVersion:
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -5,9 +5,9 @@
 )
 
 // MirrorSurvey decides when enough mirrors have shown their timestamp after a start. It guards against mirrors that serve older
-// metadata after the version store was restored from a backup, or if there is no version store: the store then does not know
-// the newest versions. The guard holds because a majority of the mirrors shows the newest timestamp. It does not guard against a
-// majority of mirrors that are out of date.
+// metadata while the newest versions are not recorded, either because the version store was restored from a backup or because
+// there is none. A survey waits for a majority of the mirrors. If a majority of the mirrors has the newest timestamp, at least
+// one mirror of the survey therefore shows it. The survey does not guard against a majority of mirrors that are out of date.
 type MirrorSurvey struct {
 	shownBy map[string]bool // names of the mirrors that have shown a correctly signed timestamp
 
--- a/internal/metadatarefresh/transfer.go
+++ b/internal/metadatarefresh/transfer.go
@@ -12,13 +12,14 @@
 	firstByteTimeout = 2 * tufverify.Second // maximum wait for the first byte
 )
 
-// AttemptTooLate reports whether an attempt must not be sent any more because its mirror was chosen too long ago. If a
-// process is stopped between the choice and the sending, its mirror may be draining by the time the attempt would be sent.
+// AttemptTooLate reports whether an attempt must not be sent any more because its mirror was chosen too long ago. If
+// the process was paused between the choice and the sending, the mirror may be draining by the time the attempt would
+// be sent.
 func AttemptTooLate(now, chosen Tick) bool { return now >= chosen+maxSendDelay }
 
-// Transfer decides whether the body of a response arrives fast enough: at least minWindowBytes in each rateWindow. This guards
-// against mirrors that keep a transfer going forever, or send only a byte now and then. A link that is slower than this rate
-// cannot be used. The zero value is ready after Begin.
+// Transfer decides whether the body of a response arrives fast enough: at least minWindowBytes in each rateWindow. This
+// guards against mirrors that keep a transfer going forever, or send only a byte now and then. A mirror cannot be used
+// over a link that is slower than this rate. Begin must be called before the other methods.
 type Transfer struct {
 	windowStart Tick
 	windowBytes int64
@@ -28,7 +29,7 @@
 // Begin records that a request was sent.
 func (t *Transfer) Begin(now Tick) { *t = Transfer{windowStart: now} }
 
-// OnBytes records that n bytes have arrived. tooSlow means that another mirror must be asked.
+// OnBytes records that n bytes have arrived. tooSlow means that the mirror is too slow and another one must be asked.
 func (t *Transfer) OnBytes(now Tick, n int64) (tooSlow bool) {
 	t.started = true
 	t.windowBytes += n
@@ -43,7 +44,7 @@
 // OnClientStall excludes a time span from the window because the client, not the mirror, was slow.
 func (t *Transfer) OnClientStall(span Tick) { t.windowStart += span }
 
-// NextCheck returns the time at which the transfer is too slow if no bytes arrive until then.
+// NextCheck returns the time from which the transfer counts as too slow if no more bytes have arrived by then.
 func (t *Transfer) NextCheck() Tick {
 	if !t.started {
 		return t.windowStart + firstByteTimeout
