--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -19,15 +19,16 @@
 
 // attemptResult is the outcome of one attempt at a mirror.
 type attemptResult struct {
-	status   int                   // HTTP status code; 0 if there was no response, or none that counts
-	accepted bool                  // the response was verified
-	closed   transport.CloseStatus // how the connection ended, if it ended early
-	err      error                 // why the attempt failed
-	final    bool                  // do not ask another mirror
+	status   int                   // HTTP status code; 0 if the response is missing or incomplete, or if bytes of a package are invalid
+	accepted bool                  // the response passed verification
+	closed   transport.CloseStatus // how the connection ended; zero if it did not end early
+	err      error                 // why the attempt failed; nil if it succeeded
+	final    bool                  // no other mirror must be asked
 }
 
-// request makes one request. It calls try for each attempt at a mirror that the dispatcher chooses, until a result is
-// accepted or final, the dispatcher gives up, or ctx ends. It returns the error of the last failed attempt.
+// request has the dispatcher choose mirrors for one request, and calls try for each attempt. It ends if a result is
+// accepted or final, the dispatcher gives up, or ctx ends. It returns nil after a success. Otherwise it returns the
+// error of the last failed attempt, or errNoMirror if there was none.
 func (r *Repository) request(ctx context.Context, class string, try func(*dispatch.Attempt) attemptResult) error {
 	last := errNoMirror
 	id, _ := r.dispatcher.Accept(dispatch.Request{Class: class, ReceivedAt: time.Now(), Timeout: r.timeouts[class]})
@@ -37,7 +38,7 @@
 		if attempt == nil {
 			return last
 		}
-		// A late attempt is reported as canceled, as if the mirror had not been chosen.
+		// An attempt that is too late is not sent. It is reported as canceled, as if its mirror had not been chosen.
 		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) {
 			r.dispatcher.ReportMirror(attempt, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
@@ -59,8 +60,8 @@
 	}
 }
 
-// fetchFile requests a metadata file of at most maxSize bytes. verify checks a mirror's response; after a refusal another
-// mirror is asked.
+// fetchFile requests a metadata file of at most maxSize bytes. verify checks a mirror's response; after a refusal
+// another mirror is asked. For a root, verify also gets responses with status 404.
 func (r *Repository) fetchFile(class string, f tufverify.File, maxSize int,
 	verify func(ctx context.Context, mirror dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.request(context.Background(), class, func(attempt *dispatch.Attempt) attemptResult {
--- a/internal/metadataproxy/byte_range.go
+++ b/internal/metadataproxy/byte_range.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// rangeKind is how a Range header must be answered (RFC 9110, section 14.2).
+// rangeKind tells how a request with a Range header must be answered (RFC 9110, section 14.2).
 type rangeKind uint8
 
 const (
 	rangeIgnored       rangeKind = iota // no range, a malformed one or several ranges: the response is the whole file
-	rangePartial                        // one range of the file
-	rangeUnsatisfiable                  // the range begins after the end of the file
+	rangePartial                        // one range: the response is that part of the file
+	rangeUnsatisfiable                  // the range begins after the end of the file: the response has status 416
 )
 
 // byteRange is a part of a file, given by the offsets of its first and last byte, both included.
@@ -60,7 +60,7 @@
 	return requested, rangePartial
 }
 
-// parseSuffixRange parses a range that is given as the number of last bytes of a file.
+// parseSuffixRange parses a range that is given as a number of bytes at the end of a file, as in "bytes=-7".
 func parseSuffixRange(count string, length int64) (byteRange, rangeKind) {
 	n, err := parseOffset(count)
 	if err != nil {
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -48,8 +48,9 @@
 	return answer
 }
 
-// roundTrip sends one request to a mirror for the bytes from an offset on, and calls read with the body. It cancels the
-// request if the body arrives too slowly. status is 0 if there was no response.
+// roundTrip requests a file from a mirror, starting at the byte at offset, and calls read with the response. It cancels
+// the request if the body arrives too slowly. status is 0 if there was no response. closed is the result of read,
+// unless the exchange ended early for another reason.
 func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, offset int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -65,7 +66,7 @@
 	if offset > 0 {
 		req.Header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	}
-	if !r.dispatcher.IsCurrent(mirror) { // the mirror began to drain after it was chosen
+	if !r.dispatcher.IsCurrent(mirror) { // the mirror began to drain or was removed after it was chosen
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
 	}
 	r.Attempts.Add(1)
@@ -109,7 +110,8 @@
 	return n, err
 }
 
-// addClientStall excludes the time since the given time from the mirror's rate, because the client was slow to accept bytes.
+// addClientStall excludes the time since the given time from the measurement of the mirror's rate. In that time the
+// client was slow to accept bytes, not the mirror to send them.
 func (p *pacedReader) addClientStall(since tufverify.Tick) {
 	now := p.tick()
 	p.transfer.OnClientStall(now - since)
--- a/internal/metadataproxy/exchange_test.go
+++ b/internal/metadataproxy/exchange_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRoundTrip_SendsNothingToADrainingMirror checks that no request is sent to a mirror that was draining or removed after it was
-// chosen.
+// TestRoundTrip_SendsNothingToADrainingMirror checks that no request is sent to a mirror that began to drain or was
+// removed after it was chosen.
 func TestRoundTrip_SendsNothingToADrainingMirror(t *testing.T) {
 	for _, c := range []struct {
 		state string
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -19,8 +19,8 @@
 	r.watchedPaths = paths
 }
 
-// lookUpWatched looks up the paths of WatchTargets immediately, and then at intervals of freshFor/2 or minLookUpInterval, whichever
-// is longer. A timestamp counts as current for freshFor.
+// lookUpWatched looks up the paths of WatchTargets immediately and then periodically. The interval is half of freshFor,
+// the time for which a timestamp counts as current, but at least minLookUpInterval.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
 	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
 	defer ticker.Stop()
@@ -73,8 +73,8 @@
 	}
 }
 
-// FindByStoredName looks up a target by the file name that clients of consistent snapshots ask for (TUF 1.0.31, section
-// 3.1.2).
+// FindByStoredName looks up a target by the name under which it is stored. If the repository has consistent snapshots,
+// a stored name contains the target's digest (TUF 1.0.31, section 3.1.2).
 func (r *Repository) FindByStoredName(name string) (*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	path, sum, hashed := r.verified.ParseStoredPath(name)
@@ -86,21 +86,22 @@
 	return t, refusal
 }
 
-// assigned returns the targets that a mirrored Director repository assigns now.
+// assigned returns the targets that r, a mirrored Director repository, assigns now.
 func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.AssignedTargets(r.tick())
 }
 
-// compare refuses an assigned target that differs from the image repository's target, or does not fit the hardware.
+// compare returns a refusal if a target that a Director assigned differs from the image repository's target, or if the
+// image repository's target does not support the given kind of hardware.
 func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.VerifyAssignment(assigned, image, hardware)
 }
 
-// open returns a reader that verifies a target.
+// open returns a reader that verifies the bytes of a target.
 func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -34,7 +34,8 @@
 // maxResponseHeader is the maximum size of the header of a mirror's response, in bytes.
 const maxResponseHeader = 16 << 10
 
-// Dispatcher returns the mirrors' dispatcher, for a watcher of their endpoint list.
+// Dispatcher returns the mirrors' dispatcher. A watcher of the mirrors' endpoint list passes changes of the list to the
+// dispatcher.
 func (r *Repository) Dispatcher() *dispatch.Dispatcher { return r.dispatcher }
 
 func (r *Repository) closeIdle(name string) {
@@ -64,7 +65,7 @@
 	return t
 }
 
-// surveyMirrors repeatedly asks every mirror for its timestamp until the survey is complete.
+// surveyMirrors repeatedly asks every ready mirror for its timestamp until the survey is complete.
 func (r *Repository) surveyMirrors(ctx context.Context) error {
 	wait := time.NewTimer(0)
 	defer wait.Stop()
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -1,13 +1,13 @@
-// Package metadataproxy is an HTTP/1.1 proxy for TUF repositories and an Uptane Director. The servers of a fleet request
-// metadata and packages from the proxy, which fetches them from the repositories' mirrors and verifies them. Package
-// tufverify decides what is valid, package metadatarefresh decides when mirrors are asked and what response a client gets,
-// and a dispatcher per repository decides which mirror is asked.
+// Package metadataproxy is an HTTP/1.1 proxy for TUF repositories and an Uptane Director. The servers of a fleet
+// request metadata and packages from the proxy, which fetches them from the repositories' mirrors and verifies them.
+// Package tufverify decides what is valid, package metadatarefresh decides when mirrors are asked and what response a
+// client gets, and a dispatcher per repository decides which mirror is asked.
 //
-// A caller creates a Repository for each repository and a Proxy for all of them, adds a Director if there is one, and calls
-// Run.
+// A caller creates a Repository for each repository and a Proxy for all of them, adds a Director if there is one, and
+// calls Run.
 //
-// Invariant: the proxy passes on nothing that tufverify refuses. A client gets current metadata with status 200, or one
-// other final response at once.
+// Invariant: the proxy passes on only what tufverify accepts. A client that requests metadata gets either current
+// metadata with status 200, or one final response with another status.
 package metadataproxy
 
 import (
@@ -52,15 +52,15 @@
 	verifier *tufverify.ReportVerifier
 }
 
-// reportShardCount is the maximum number of reports that are verified concurrently. The counters of
-// concurrent reports are made durable by one write.
+// reportShardCount is the maximum number of reports that are verified concurrently. Concurrent verification lets one
+// write of the version store make the counters of several reports durable.
 const reportShardCount = 64
 
 // maxRequestHeader is the maximum size of the header of a client's request, in bytes.
 const maxRequestHeader = 16 << 10
 
 // New returns a Proxy for the given repositories. maxConnections limits the client connections. maxInFlight limits the
-// requests that wait for mirrors or are being sent a package; further requests get status 503.
+// requests that are waiting for mirrors or downloading a package; further requests get status 503.
 func New(repositories []*Repository, now func() time.Time, log logging.Func, maxConnections, maxInFlight int) *Proxy {
 	p := &Proxy{
 		now:            now,
@@ -98,8 +98,9 @@
 	}
 }
 
-// RequireAgreement makes the proxy serve the targets of a mirrored Director repository only while an image repository
-// agrees with each of them (Uptane Standard 2.1, section 5.4.4.2). It must be called before Run.
+// RequireAgreement makes the proxy serve the targets of the mirrored Director repository named director only while the
+// repository named image lists each of them with the same content and version (Uptane Standard 2.1, section 5.4.4.2).
+// It must be called before Run.
 func (p *Proxy) RequireAgreement(director, image string) error {
 	directorRepository, imageRepository := p.repositories[director], p.repositories[image]
 	if directorRepository == nil || imageRepository == nil || directorRepository == imageRepository {
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// errKeysKeepChanging is the error of a refresh that has fetched MaxFilesPerRefresh files without finding the set complete, because
-// new keys made the set of metadata incomplete again.
+// errKeysKeepChanging is the error of a refresh that has fetched MaxFilesPerRefresh files without completing the set of
+// metadata. New keys can invalidate files that the refresh has already fetched.
 var errKeysKeepChanging = errors.New("keys keep changing during the refresh")
 
 // cached returns a file if it may be served without asking a mirror.
@@ -48,8 +48,8 @@
 	return data, refusal
 }
 
-// refreshIfDue asks the mirrors for a complete current set of metadata if that is due. Concurrent callers share one
-// refresh. confirm means that even a complete set must be confirmed as the newest.
+// refreshIfDue asks the mirrors for a complete current set of metadata if a refresh is due. Concurrent callers share
+// one refresh. confirm means that even a complete set must be confirmed as the newest.
 func (r *Repository) refreshIfDue(confirm bool) {
 	r.mu.Lock()
 	now := r.tick()
@@ -90,7 +90,8 @@
 	return r.fetchMetadata()
 }
 
-// fetchRoots fetches the roots that follow the root that is held, until there is no newer one.
+// fetchRoots fetches the roots that follow the root that is held, until there is no newer one or MaxRootsPerRequest
+// roots were fetched.
 func (r *Repository) fetchRoots() error {
 	for range metadatarefresh.MaxRootsPerRequest {
 		r.mu.Lock()
@@ -116,7 +117,7 @@
 // fetchMetadata fetches a timestamp, and then each file that a complete set lacks.
 func (r *Repository) fetchMetadata() error {
 	fetchedTimestamp := false
-	for range metadatarefresh.MaxFilesPerRefresh { // new keys may make the set incomplete again
+	for range metadatarefresh.MaxFilesPerRefresh { // limited, because new keys may make the set incomplete again
 		r.mu.Lock()
 		f, maxSize, ok := r.verified.NextFile(r.tick())
 		r.mu.Unlock()
@@ -145,9 +146,9 @@
 	return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTimestamp(now, data) })
 }
 
-// accept calls verify for a file that a mirror sent. A file that is signed by unknown keys may depend on newer roots, so
-// accept then asks the same mirror for newer roots. These may invalidate metadata that are held; accept then returns no
-// refusal, because the mirror is not at fault.
+// accept calls verify for a file that a mirror sent. A file that is signed by unknown keys may depend on newer roots,
+// so accept asks the same mirror for newer roots and calls verify again. If the newer roots have invalidated metadata
+// that the file depends on, accept returns no refusal, because the mirror is not at fault.
 func (r *Repository) accept(ctx context.Context, mirror dispatch.Backend, verify func(now tufverify.Tick) *tufverify.RefusalError) *tufverify.RefusalError {
 	refusal := r.update(verify)
 	foundNewerRoot := false
--- a/internal/metadataproxy/repository.go
+++ b/internal/metadataproxy/repository.go
@@ -67,8 +67,9 @@
 	DispatchLog    func(message string, fields ...slog.Attr) // writes the log lines of the mirrors' dispatcher
 }
 
-// NewRepository returns a Repository that trusts the given pinned root metadata. It records the versions that it has seen in
-// store, which must survive the process. If the pinned root is not valid the error wraps a tufverify.RefusalError.
+// NewRepository returns a Repository that trusts the given pinned root metadata. It records in store the versions that
+// it has seen; store must survive the process. If the pinned root is not valid, the error wraps a
+// tufverify.RefusalError.
 func NewRepository(name string, pinned []byte, store tufverify.VersionStore, config MirrorConfig, now func() time.Time,
 	log logging.Func) (*Repository, error) {
 	verified, err := tufverify.New(name, store, tufverify.FromTime(now()), pinned)
@@ -134,7 +135,7 @@
 	return err
 }
 
-// advanceTime advances the trusted time of the verified state each second.
+// advanceTime advances the trusted time of r.verified each second.
 func (r *Repository) advanceTime(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -8,8 +8,9 @@
 
 // RepoStatus is the state of one repository on the status page. The JSON names are part of the HTTP interface.
 type RepoStatus struct {
-	Name      string
-	Root      int64 // version of the held root, 0 for none; Timestamp, Snapshot and Targets are versions of the same kind
+	Name string
+	// Root, Timestamp, Snapshot and Targets are the versions of the metadata files that are held; 0 if none is held.
+	Root      int64
 	Timestamp int64
 	Snapshot  int64
 	Targets   int64
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -22,7 +22,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// defaultRetryAfter is the time to retry after in a response that belongs to no repository.
+// defaultRetryAfter is the Retry-After time of a response that concerns no repository.
 const defaultRetryAfter = time.Second
 
 // ServeHTTP handles one request. The paths are /r/REPOSITORY/metadata/FILE, /r/REPOSITORY/targets/PATH,
@@ -54,7 +54,7 @@
 	}
 }
 
-// respond sends the final response to a request that gets no file. The time to retry after is the repository's, or
+// respond sends the final response to a request that gets no file. A Retry-After header has the repository's time, or
 // defaultRetryAfter if r is nil.
 func (p *Proxy) respond(w http.ResponseWriter, r *Repository, answer metadatarefresh.Response) {
 	p.Counts.Refused.Add(1)
@@ -74,8 +74,8 @@
 	http.Error(w, answer.Text, answer.Status)
 }
 
-// acquire admits a request that may wait for mirrors. The caller must call release at the end of the request. If too many
-// requests are admitted already, acquire sends the response and ok is false.
+// acquire admits a request that may wait for mirrors. The caller must call release at the end of the request. If too
+// many requests are admitted already, acquire sends a response with status 503 and ok is false.
 func (p *Proxy) acquire(w http.ResponseWriter, req *http.Request, r *Repository) (release func(), ok bool) {
 	client, _, _ := net.SplitHostPort(req.RemoteAddr)
 	p.mu.Lock()
@@ -130,7 +130,7 @@
 	header := w.Header()
 	header.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
 	header.Set("Content-Type", "application/json")
-	header.Set("Cache-Control", "no-cache") // an intermediate cache might serve the file after its expiry
+	header.Set("Cache-Control", "no-cache") // otherwise an intermediate cache might serve the file after its expiry
 	p.Counts.Served.Add(1)
 	p.Counts.Bytes.Add(int64(len(data)))
 	http.ServeContent(w, req, "", time.Time{}, bytes.NewReader(data))
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -52,7 +52,7 @@
 		p.Counts.Served.Add(1)
 	case !out.headerSent:
 		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "no mirror has it now", RetryLater: true})
-	default: // the client notices the failure, because the client receives fewer bytes than Content-Length
+	default: // abort the connection: the client notices the failure, because it receives fewer bytes than Content-Length
 		p.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
@@ -93,8 +93,9 @@
 	counts       *Counts
 }
 
-// newRangeWriter returns a rangeWriter, and makes body start where the range needs it. If only the whole package can be
-// verified, the response is the whole package.
+// newRangeWriter returns a rangeWriter, and moves body to the start of the piece that contains the first requested
+// byte. If the target has no piece digests, only the whole package can be verified, and the response is the whole
+// package.
 func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, requested byteRange, kind rangeKind,
 	counts *Counts) *rangeWriter {
 	start := int64(0)
--- a/internal/metadataproxy/status.go
+++ b/internal/metadataproxy/status.go
@@ -11,7 +11,7 @@
 // Counts are the proxy's counters since its start. They are safe for concurrent use. The zero value is ready to use.
 type Counts struct {
 	Requests   atomic.Int64 // requests received
-	CacheHits  atomic.Int64 // metadata files answered without asking a mirror
+	CacheHits  atomic.Int64 // metadata files served without asking a mirror
 	Served     atomic.Int64 // files served whole
 	Refused    atomic.Int64 // requests answered without a file
 	Aborted    atomic.Int64 // downloads aborted after their header was sent
@@ -23,14 +23,14 @@
 // Status is the response of /status. The JSON names are part of the HTTP interface.
 type Status struct {
 	Requests     int64 `json:"Asked"`   // requests received
-	CacheHits    int64 `json:"Held"`    // metadata files answered without asking a mirror
+	CacheHits    int64 `json:"Held"`    // metadata files served without asking a mirror
 	Served       int64 `json:"Given"`   // files served whole
 	Refused      int64 `json:"Refused"` // requests answered without a file
 	Aborted      int64 `json:"Spoilt"`  // downloads aborted after their header was sent
 	Overloaded   int64 `json:"Crowded"` // requests refused because too many were in flight
 	Reports      int64 `json:"Reports"` // version reports accepted
 	Bytes        int64 `json:"Bytes"`   // body bytes sent
-	InFlight     int   `json:"In"`      // requests that wait for mirrors or are being sent a package
+	InFlight     int   `json:"In"`      // requests that are waiting for mirrors or downloading a package
 	Repositories []RepoStatus
 
 	Servers    int   `json:"Fleet"`  // servers listed
