--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -12,7 +12,7 @@
 type config struct {
 	listen              string // HOST:PORT
 	maxConnections      int
-	maxInFlight         int // requests that wait for mirrors or are being sent a package
+	maxInFlight         int // maximum number of requests that are waiting for mirrors or downloading a package
 	versionStorePaths   []string
 	versionStoreEntries int
 	freshFor            time.Duration // how long a timestamp counts as current
@@ -26,14 +26,14 @@
 	repositories        []repositoryConfig
 	director            *directorConfig // nil if there is none
 
-	directives map[string]any // directives of the block as read from the file, to find those that a later version of the file changes
+	directives map[string]any // directives of the block as read from the file; Reload compares them with those of the changed file
 }
 
 // repositoryConfig is one repository block.
 type repositoryConfig struct {
 	name             string
 	rootPath         string // path of the pinned root
-	imageRepository  string // name of the image repository that must agree with the targets; empty for none
+	imageRepository  string // name of the image repository that must list the same targets; empty if none is required
 	discoveryAddress string // HOST:PORT of the discovery agent that lists the mirrors; empty if the file lists them
 	mirrors          []dispatch.Endpoint
 }
@@ -150,8 +150,8 @@
 	return endpoints
 }
 
-// markNew sets the start time of each mirror that is not in the earlier list. The start time becomes now, so that the mirror is
-// warmed up.
+// markNew sets the start time of each mirror that is not in the earlier list to now, so that the mirror is warmed up.
+// The name and the address identify a mirror.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
 	known := map[mirror]bool{}
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -22,7 +22,7 @@
 // releaseAPITimeout is the timeout of one request to the release API.
 const releaseAPITimeout = time.Second
 
-// directorKeys are the Director's root chain, by file name, and its online keys.
+// directorKeys holds the Director's root files, by file name, and its online keys.
 type directorKeys struct {
 	chain  map[string][]byte
 	online []*keys.Key
@@ -35,7 +35,8 @@
 	size       int64 // bytes
 }
 
-// addDirector creates the Director, and gives it the servers and the stage of the file or connects it to their sources.
+// addDirector creates the Director. It gives the Director the servers and the stage that the file lists, or connects it
+// to the discovery agent and the release API.
 func (s *Service) addDirector(c *directorConfig) error {
 	loaded, err := s.loadDirectorKeys(c)
 	if err != nil {
@@ -139,8 +140,8 @@
 	return byServer, nil
 }
 
-// loadPublicKey reads a public key file. It returns the known key if the file is in loaded, or has not changed since an earlier
-// load.
+// loadPublicKey returns the public key in a file. It does not read the file if loaded has the key, or if the file has
+// not changed since an earlier load.
 func (s *Service) loadPublicKey(path string, loaded map[string]publicKeyFile) (publicKeyFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/metadataservice/mirrors_test.go
+++ b/internal/metadataservice/mirrors_test.go
@@ -174,10 +174,11 @@
 	w.checkNoFindings()
 }
 
-// TestMirror_NewMirrorIsWarmedUp checks that a new mirror gets few requests at first, however many clients ask. The limit is half of the
-// number of requests that a warm mirror gets in the same half second, or half of its average per half second before the reload if that
-// is more. The earlier requests count because the budget of a new mirror depends on them too, and because a busy machine may slow the
-// warm mirrors in the half second of the test.
+// TestMirror_NewMirrorIsWarmedUp checks that a new mirror gets few requests at first, however many clients ask. The
+// test compares it with a warm mirror in the half second after the reload. The limit is half of the warm mirror's
+// requests in that time, or half of its average per half second before the reload if that is more. The earlier requests
+// count because the budget of a new mirror depends on them too, and because a busy machine may slow the warm mirrors in
+// the half second of the test.
 func TestMirror_NewMirrorIsWarmedUp(t *testing.T) {
 	w := newTestService(t, 3, tufrepo.Lifetimes{})
 	w.must(w.publisher.Add("app/1.tar", 1, content(20_000, 1)))
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -21,9 +21,9 @@
 	return fmt.Sprintf("%s: %s cannot change while the service runs: restart", e.Path, e.Directive)
 }
 
-// Reload reads the operator's file again and applies it. Mirrors, servers, the Director's keys and the stage may have changed. If
-// the file has an error, or changes a directive that cannot change while the service runs, Reload rejects the whole file and
-// nothing changes. It is safe for concurrent use.
+// Reload reads the operator's file again and applies it. The file may change mirrors, servers, the Director's keys and
+// the stage. If the file has an error, or changes a directive that cannot change while the service runs, Reload rejects
+// the whole file and nothing changes. Reload is safe for concurrent use.
 func (s *Service) Reload() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now, because the dispatcher's clock is the real time
+			markNew(c.mirrors, earlier[c.name], time.Now()) // not s.now, because the dispatcher uses real time
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/metadataservice/repository.go
+++ b/internal/metadataservice/repository.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// seedFrom derives the seed of random numbers from names alone. The seed is the same at every start, and differs between processes
-// and between repositories.
+// seedFrom derives the seed of random numbers from names alone. The seed is the same at every start. Callers pass names
+// that tell processes and repositories apart, so that their seeds differ.
 func seedFrom(names ...string) uint64 {
 	hash := fnv.New64a()
 	for _, name := range names {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -24,7 +24,7 @@
 	"silvercove/internal/tufverify"
 )
 
-// bufferBudget is the maximum memory for connections to discovery agents and the release API, in bytes.
+// bufferBudget is the maximum size of the buffers of all connections to discovery agents and the release API, in bytes.
 const bufferBudget = 64 << 20
 
 // errNoMetadataBlock is the error of New for a file without a metadata block, which enables the proxy.
@@ -33,8 +33,8 @@
 // errProxyEnded is the error of Run if the proxy ended before the context did.
 var errProxyEnded = errors.New("the metadata proxy ended unexpectedly")
 
-// Service is the metadata proxy that one operator's file describes. Reload may be called while Run runs; Address and Director are safe
-// for concurrent use.
+// Service is the metadata proxy that an operator's configuration file describes. Reload may be called while Run runs;
+// Address and Director are safe for concurrent use.
 type Service struct {
 	// Proxy is set by New.
 	Proxy *metadataproxy.Proxy
--- a/internal/metadataservice/service_test.go
+++ b/internal/metadataservice/service_test.go
@@ -13,8 +13,9 @@
 	"silvercove/internal/tufrepo"
 )
 
-// TestService_ServersUpdateThroughIt checks that servers install the packages that they are assigned, within the exposure cap and after
-// the release.
+// TestService_ServersUpdateThroughIt checks that servers install the packages that they are assigned. It checks this
+// under an exposure cap, which limits the number of servers with the new package, and after the release of the new
+// package.
 func TestService_ServersUpdateThroughIt(t *testing.T) {
 	w := newTestService(t, 3, tufrepo.Lifetimes{})
 	first, second := content(700_000, 1), content(300_000, 2)
@@ -52,8 +53,9 @@
 	w.checkNoFindings()
 }
 
-// TestService_MetadataExpireBetweenRequests checks that no expired file is served if the metadata expire before any one request of an
-// exchange, and that they stay refused if the clock jumps back afterwards, also after a restart.
+// TestService_MetadataExpireBetweenRequests checks that no expired file is served if the metadata expire before any one
+// request of an exchange. It also checks that expired metadata stay refused if the clock jumps back afterwards, and
+// after a restart.
 func TestService_MetadataExpireBetweenRequests(t *testing.T) {
 	for _, boundary := range []string{"timestamp.json", "snapshot.json", "targets.json", "app/1.tar"} {
 		for _, back := range []bool{false, true} {
