--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -1,7 +1,7 @@
-// Package repository simulates the peers of the metadata service: a publisher of a TUF repository, mirrors that serve it with faults
-// by script, and client servers that update from it. It is written from the TUF specification (1.0.31) and the Uptane
-// Standard (2.1). The client servers verify with the workflow of the public TUF library, which the product itself does not use, so
-// that a fault in the product's own implementation is noticed.
+// Package repository simulates the peers of the metadata service: a publisher of a TUF repository, mirrors that serve
+// it with scripted faults, and client servers that update from it. It is written from the TUF specification (1.0.31)
+// and the Uptane Standard (2.1). The client servers verify with the client workflow of the public TUF library. The
+// product does not use that workflow, so a fault in the product's own implementation is noticed.
 package repository
 
 import (
@@ -54,7 +54,7 @@
 	c.at, c.from = to, time.Now()
 }
 
-// FileSet is the set of files of one publication.
+// FileSet is the set of files of one publication: metadata files by file name, and targets by their stored path.
 type FileSet struct {
 	Files   map[string][]byte
 	Targets map[string][]byte
@@ -71,7 +71,8 @@
 	content map[string][]byte // all targets that were ever staged, by their stored path
 }
 
-// NewPublisher creates a repository in a directory. Two of three keys sign root and targets, one key signs each other role.
+// NewPublisher creates a repository in a directory and publishes it. Root and targets have three keys each, of which
+// two must sign. Snapshot and timestamp have one key each. A zero life means tufrepo.DefaultLifetimes.
 func NewPublisher(dir string, clock *Clock, life tufrepo.Lifetimes, consistent bool) (*Publisher, error) {
 	k := &Publisher{Dir: dir, Clock: clock, Keys: map[string][]*keys.Key{}, content: map[string][]byte{}}
 	roles := map[string]tufrepo.Role{}
@@ -204,7 +205,7 @@
 	return k.Publish(staged...)
 }
 
-// Root returns a version of the root file.
+// Root returns the root file of a version from the last published set, or nil if there is none.
 func (k *Publisher) Root(version int) []byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -232,8 +233,8 @@
 	return newestVersion(k.history[len(k.history)-1].Files, role)
 }
 
-// ShortLifetimes returns lifetimes for tests in which metadata expires. A timestamp lives for the given time, the others for
-// multiples of it.
+// ShortLifetimes returns lifetimes for tests in which metadata expire. A timestamp is valid for the given time, the
+// other roles for multiples of it.
 func ShortLifetimes(each time.Duration) tufrepo.Lifetimes {
 	return tufrepo.Lifetimes{Root: 1000 * each, Targets: 100 * each, Snapshot: 10 * each, Timestamp: each}
 }
