--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -31,12 +31,12 @@
 		os.Exit(2)
 	}
 	for _, changes := range flag.Args() {
-		made, err := makeVariant(*from, changes, *to)
+		sitePath, err := makeVariant(*from, changes, *to)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", changes, err)
 			os.Exit(1)
 		}
-		fmt.Println(made)
+		fmt.Println(sitePath)
 	}
 }
 
@@ -61,11 +61,11 @@
 		return "", fmt.Errorf("writing the site: %w", err)
 	}
 	files := map[string][]byte{name + ".toml": text}
-	beside := []string{"real.json", "unlock.txt"}
+	copiedFiles := []string{"real.json", "unlock.txt"}
 	if wire, named := site["wire"].(string); named {
-		beside = append(beside, wire)
+		copiedFiles = append(copiedFiles, wire)
 	}
-	for _, file := range beside {
+	for _, file := range copiedFiles {
 		if file != filepath.Base(file) {
 			return "", fmt.Errorf("%q is not the name of a file beside the site", file)
 		}
--- a/deploy/sites/variant.go
+++ b/deploy/sites/variant.go
@@ -131,8 +131,8 @@
 			s.table[s.key] = v.Add[path]
 			continue
 		}
-		table, is := v.Add[path].(map[string]any)
-		if _, named := table["name"]; !is || named {
+		table, isTable := v.Add[path].(map[string]any)
+		if _, named := table["name"]; !isTable || named {
 			return fmt.Errorf("add %q: an element is a table without a name; the path names it", path)
 		}
 		added := maps.Clone(table)
@@ -175,19 +175,19 @@
 			return s, errors.New("a part of the path is empty")
 		}
 		s.last = part
-		switch here := node.(type) {
+		switch container := node.(type) {
 		case map[string]any:
-			s.table, s.key, s.index = here, part, -1
+			s.table, s.key, s.index = container, part, -1
 		case []any:
-			if !isTables(here) {
+			if !isTables(container) {
 				return s, fmt.Errorf("%q is not a table", strings.Join(parts[:i], "."))
 			}
-			s.index = len(here)
-			for at, e := range here {
+			s.index = len(container)
+			for at, e := range container {
 				if e.(map[string]any)["name"] != part {
 					continue
 				}
-				if s.index < len(here) {
+				if s.index < len(container) {
 					return s, fmt.Errorf("two elements are called %q", part)
 				}
 				s.index = at
--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -46,17 +46,17 @@
 
 // packageRun tracks one package's tests while they run. It keeps the tests' output until the program knows whether to print it.
 type packageRun struct {
-	output []testEvent
-	open   map[string]bool // tests that have started but not ended
-	failed []string
+	output     []testEvent
+	unfinished map[string]bool // tests that have started but not ended
+	failed     []string
 }
 
-func newPackageRun() *packageRun { return &packageRun{open: map[string]bool{}} }
+func newPackageRun() *packageRun { return &packageRun{unfinished: map[string]bool{}} }
 
 // endTest records the end of one test. It drops the output of a test that did not fail, because go test does not print
 // that output either.
 func (p *packageRun) endTest(e testEvent) {
-	delete(p.open, e.Test)
+	delete(p.unfinished, e.Test)
 	if e.Action == actionFail {
 		p.failed = append(p.failed, e.Test)
 		return
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -37,7 +37,7 @@
 	case e.Action == actionOutput:
 		p.output = append(p.output, e)
 	case e.Test != "" && e.Action == actionRun:
-		p.open[e.Test] = true
+		p.unfinished[e.Test] = true
 	case e.Test != "" && e.ended():
 		test := testID{importPath: e.Package, name: e.Test}
 		if r.isListed(test) {
@@ -98,8 +98,8 @@
 	switch {
 	case e.FailedBuild != "":
 		r.problem("%s does not build", e.Package)
-	case len(p.open) > 0:
-		r.problem("%s ended while %d of its tests were running", e.Package, len(p.open))
+	case len(p.unfinished) > 0:
+		r.problem("%s ended while %d of its tests were running", e.Package, len(p.unfinished))
 	case !p.endedInOrder():
 		r.problem("%s did not run to its end (panic, exit, timeout or a check after the tests)", e.Package)
 	case known == 0 && len(p.failed) == 0:
