--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -27,8 +27,8 @@
 }
 
 // download fetches a whole file of at most maxSize bytes from a mirror.
-func (r *Repository) download(ctx context.Context, mirror dispatch.Backend, path string, maxSize int) (answer mirrorResponse) {
-	answer.status, answer.closed = r.roundTrip(ctx, mirror, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
+func (r *Repository) download(ctx context.Context, mirror dispatch.Backend, path string, maxSize int) (response mirrorResponse) {
+	response.status, response.closed = r.roundTrip(ctx, mirror, path, 0, func(status int, length int64, body io.Reader) transport.CloseStatus {
 		if status != http.StatusOK {
 			return transport.CloseStatus{}
 		}
@@ -42,10 +42,10 @@
 		case len(data) > maxSize:
 			return transport.CloseStatus{Reason: transport.TooLarge, Flushed: true}
 		}
-		answer.data = data
+		response.data = data
 		return transport.CloseStatus{}
 	})
-	return answer
+	return response
 }
 
 // roundTrip requests a file from a mirror, starting at the byte at offset, and calls read with the response. It cancels
@@ -70,20 +70,20 @@
 		return 0, transport.CloseStatus{Reason: transport.Canceled}
 	}
 	r.Attempts.Add(1)
-	p := &pacedReader{cancel: cancel, tick: func() tufverify.Tick { return tufverify.FromTime(time.Now()) }}
-	p.transfer.Begin(p.tick())
-	p.timer = time.AfterFunc(toDuration(p.transfer.NextCheck()-p.tick()), p.stop)
-	defer p.timer.Stop()
+	reader := &pacedReader{cancel: cancel, tick: func() tufverify.Tick { return tufverify.FromTime(time.Now()) }}
+	reader.transfer.Begin(reader.tick())
+	reader.timer = time.AfterFunc(toDuration(reader.transfer.NextCheck()-reader.tick()), reader.stop)
+	defer reader.timer.Stop()
 	resp, err := r.transport(mirror).RoundTrip(req)
-	if err != nil && p.slow.Load() {
+	if err != nil && reader.slow.Load() {
 		return 0, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: sent.Load()}
 	} else if err != nil {
 		return 0, closeStatus(ctx, err, sent.Load())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	p.Reader = resp.Body
-	closed = read(resp.StatusCode, resp.ContentLength, p)
-	if p.slow.Load() {
+	reader.Reader = resp.Body
+	closed = read(resp.StatusCode, resp.ContentLength, reader)
+	if reader.slow.Load() {
 		return resp.StatusCode, transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: true}
 	}
 	return resp.StatusCode, closed
@@ -125,16 +125,16 @@
 
 // closeStatus maps an error of net/http to the way in which the connection ended. sent means that the request was written.
 func closeStatus(ctx context.Context, err error, sent bool) transport.CloseStatus {
-	var op *net.OpError
+	var opError *net.OpError
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return transport.CloseStatus{Reason: transport.DeadlineExceeded, Flushed: sent}
 	case ctx.Err() != nil:
 		return transport.CloseStatus{Reason: transport.Canceled, Flushed: sent}
-	case errors.As(err, &op) && op.Op == "dial" && errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &opError) && opError.Op == "dial" && errors.As(err, &timeout) && timeout.Timeout():
 		return transport.CloseStatus{Reason: transport.ConnectTimeout}
-	case errors.As(err, &op) && op.Op == "dial":
+	case errors.As(err, &opError) && opError.Op == "dial":
 		return transport.CloseStatus{Reason: transport.Refused}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return transport.CloseStatus{Reason: transport.ClosedByPeer, Flushed: sent}
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -86,23 +86,23 @@
 	return t, refusal
 }
 
-// assigned returns the targets that r, a mirrored Director repository, assigns now.
-func (r *Repository) assigned() ([]*tufverify.Target, *tufverify.RefusalError) {
+// assignedTargets returns the targets that r, a mirrored Director repository, assigns now.
+func (r *Repository) assignedTargets() ([]*tufverify.Target, *tufverify.RefusalError) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.AssignedTargets(r.tick())
 }
 
-// compare returns a refusal if a target that a Director assigned differs from the image repository's target, or if the
+// verifyAssignment returns a refusal if a target that a Director assigned differs from the image repository's target, or if the
 // image repository's target does not support the given kind of hardware.
-func (r *Repository) compare(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
+func (r *Repository) verifyAssignment(assigned, image *tufverify.Target, hardware string) *tufverify.RefusalError {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.VerifyAssignment(assigned, image, hardware)
 }
 
-// open returns a reader that verifies the bytes of a target.
-func (r *Repository) open(t *tufverify.Target) *tufverify.TargetReader {
+// newTargetReader returns a reader that verifies the bytes of a target.
+func (r *Repository) newTargetReader(t *tufverify.Target) *tufverify.TargetReader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.verified.OpenTarget(t)
--- a/internal/metadataproxy/mirrors.go
+++ b/internal/metadataproxy/mirrors.go
@@ -121,11 +121,11 @@
 func (r *Repository) surveyMirror(ctx context.Context, mirror dispatch.Backend, names []string) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeouts[classTimestamp])
 	defer cancel()
-	answer := r.download(ctx, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
-	if answer.status != http.StatusOK || answer.closed.Closed() {
+	response := r.download(ctx, mirror, "metadata/timestamp.json", tufverify.MaxTimestampSize)
+	if response.status != http.StatusOK || response.closed.Closed() {
 		return
 	}
-	refusal := r.acceptTimestamp(ctx, mirror, answer.data)
+	refusal := r.acceptTimestamp(ctx, mirror, response.data)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.survey.OnTimestamp(mirror.Name, refusal, names)
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -122,12 +122,12 @@
 	}
 	base, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	group, inner := errgroup.WithContext(base)
+	group, groupCtx := errgroup.WithContext(base)
 	for _, r := range p.repositories {
-		group.Go(func() error { return r.run(inner) })
+		group.Go(func() error { return r.run(groupCtx) })
 	}
 	if p.director != nil {
-		group.Go(func() error { return p.director.Run(inner) })
+		group.Go(func() error { return p.director.Run(groupCtx) })
 	}
 	group.Go(func() error {
 		err := server.Serve(netutil.LimitListener(listener, p.maxConnections))
@@ -139,11 +139,11 @@
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-inner.Done():
+		case <-groupCtx.Done():
 		}
-		drain, done := context.WithTimeout(context.Background(), shutdownTimeout)
-		defer done()
-		if server.Shutdown(drain) != nil {
+		shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), shutdownTimeout)
+		defer cancelShutdown()
+		if server.Shutdown(shutdownCtx) != nil {
 			_ = server.Close()
 		}
 		cancel() // end the repositories last, because requests in flight need mirrors
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -156,9 +156,9 @@
 		r.mu.Lock()
 		f := tufverify.File{Role: "root", Version: r.verified.NextRootVersion()}
 		r.mu.Unlock()
-		answer := r.download(ctx, mirror, "metadata/"+f.String(), tufverify.MaxRootSize)
-		if answer.status != http.StatusOK || answer.closed.Closed() ||
-			r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, answer.data) }) != nil {
+		response := r.download(ctx, mirror, "metadata/"+f.String(), tufverify.MaxRootSize)
+		if response.status != http.StatusOK || response.closed.Closed() ||
+			r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateRoot(now, response.data) }) != nil {
 			break
 		}
 		foundNewerRoot = true
@@ -191,11 +191,11 @@
 			return refusal, nil
 		}
 		r.mu.Lock()
-		others := r.verified.MissingRoles()
+		missingRoles := r.verified.MissingRoles()
 		r.mu.Unlock()
-		for _, other := range others {
-			if other != role {
-				_ = r.fetchTargets(other)
+		for _, missing := range missingRoles {
+			if missing != role {
+				_ = r.fetchTargets(missing)
 			}
 		}
 		return r.fetchTargets(role), nil
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -138,7 +138,7 @@
 
 // checkAgreement returns a refusal if the image repository does not agree with a target of a mirrored Director repository.
 func (p *Proxy) checkAgreement(r *Repository) *tufverify.RefusalError {
-	targets, refusal := r.assigned()
+	targets, refusal := r.assignedTargets()
 	if refusal != nil {
 		return refusal
 	}
@@ -153,12 +153,12 @@
 			return refusal
 		}
 		for _, kind := range slices.Sorted(maps.Values(target.Custom.ECUs)) {
-			if refusal := r.compare(target, image, kind); refusal != nil {
+			if refusal := r.verifyAssignment(target, image, kind); refusal != nil {
 				p.logDisagreement(refusal)
 				return refusal
 			}
 		}
-		if refusal := r.compare(target, image, ""); len(target.Custom.ECUs) == 0 && refusal != nil {
+		if refusal := r.verifyAssignment(target, image, ""); len(target.Custom.ECUs) == 0 && refusal != nil {
 			p.logDisagreement(refusal)
 			return refusal
 		}
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -41,7 +41,7 @@
 		http.Error(w, "no such bytes", http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
-	body := r.open(target)
+	body := r.newTargetReader(target)
 	out := newRangeWriter(w, body, target.Length, requested, kind, &p.Counts)
 	if req.Method == http.MethodHead || out.length <= 0 {
 		out.sendHeader()
@@ -71,8 +71,8 @@
 // requestedRange returns the part of a file that a request asks for. The Range header is ignored if the request has an
 // If-Range header with another tag (RFC 9110, section 13.1.5).
 func requestedRange(req *http.Request, tag string, length int64) (byteRange, rangeKind) {
-	condition := req.Header.Get("If-Range")
-	if condition != "" && condition != tag {
+	ifRange := req.Header.Get("If-Range")
+	if ifRange != "" && ifRange != tag {
 		return wholeFile(length), rangeIgnored
 	}
 	return parseRange(req.Header.Get("Range"), length)
--- a/internal/metadataproxy/stream.go
+++ b/internal/metadataproxy/stream.go
@@ -34,9 +34,9 @@
 			} else if status != http.StatusOK && status != http.StatusPartialContent {
 				return transport.CloseStatus{}
 			}
-			var end transport.CloseStatus
-			end, result.err = r.copyVerified(attempt.Context, in.(*pacedReader), body, out)
-			return end
+			var copyStatus transport.CloseStatus
+			copyStatus, result.err = r.copyVerified(attempt.Context, in.(*pacedReader), body, out)
+			return copyStatus
 		})
 		switch complete := body.Done() || out.done(); {
 		case out.disconnected:
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -74,6 +74,6 @@
 // RetryAfter returns how long a client that got no file must wait: until the mirrors are asked again, plus a random time so that
 // the clients do not all retry at the same moment.
 func (r *Refresh) RetryAfter(now Tick) Tick {
-	least := max(minBackoff, r.notBefore-now)
-	return least + Tick(r.random.Int64N(int64(least)*(retryAfterSpread-1)+1))
+	minimum := max(minBackoff, r.notBefore-now)
+	return minimum + Tick(r.random.Int64N(int64(minimum)*(retryAfterSpread-1)+1))
 }
--- a/internal/metadataservice/assignment.go
+++ b/internal/metadataservice/assignment.go
@@ -59,11 +59,11 @@
 	if err != nil {
 		return nil, err
 	}
-	all, refusal := tufverify.VerifyPartial(tufverify.FromTime(at), monotonic.NewMemoryStore(16), "director", root, text, server)
+	targets, refusal := tufverify.VerifyPartial(tufverify.FromTime(at), monotonic.NewMemoryStore(16), "director", root, text, server)
 	if refusal != nil {
 		return nil, refusal
 	}
-	return all, nil
+	return targets, nil
 }
 
 // Assignment asks a proxy which targets its Director assigns a server, and verifies the answer starting from the Director's pinned
@@ -77,9 +77,9 @@
 	if err := r.Refresh(now, Fetcher(proxyURL+"/director/"+server+"/metadata/")); err != nil {
 		return nil, err
 	}
-	all, refusal := r.AssignedTargets(now)
+	targets, refusal := r.AssignedTargets(now)
 	if refusal != nil {
 		return nil, refusal
 	}
-	return all, nil
+	return targets, nil
 }
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -69,30 +69,30 @@
 // newConfig converts a metadata block that operatorconfig has validated.
 func newConfig(directives map[string]any) *config {
 	c := &config{
-		listen:              text(directives["listen"]),
-		maxConnections:      int(number(directives["connections"])),
-		maxInFlight:         int(number(directives["waiting"])),
-		versionStorePaths:   texts(directives["floor"]),
-		versionStoreEntries: int(number(directives["floor_entries"])),
-		freshFor:            seconds(directives["refresh"]),
-		unconfirmedFor:      seconds(directives["unconfirmed"]),
-		survey:              text(directives["survey"]) == "always",
-		proxyCount:          number(directives["relays"]),
-		connectTimeout:      number(directives["connect_timeout"]),
-		maxRetryAfter:       number(directives["max_come_back"]),
+		listen:              stringValue(directives["listen"]),
+		maxConnections:      int(numberValue(directives["connections"])),
+		maxInFlight:         int(numberValue(directives["waiting"])),
+		versionStorePaths:   stringValues(directives["floor"]),
+		versionStoreEntries: int(numberValue(directives["floor_entries"])),
+		freshFor:            durationValue(directives["refresh"]),
+		unconfirmedFor:      durationValue(directives["unconfirmed"]),
+		survey:              stringValue(directives["survey"]) == "always",
+		proxyCount:          numberValue(directives["relays"]),
+		connectTimeout:      numberValue(directives["connect_timeout"]),
+		maxRetryAfter:       numberValue(directives["max_come_back"]),
 		directives:          directives,
 	}
 	for _, name := range metadataproxy.RequestClasses {
-		values := list(directives[name])
+		values := listValue(directives[name])
 		c.classes = append(c.classes, balancer.RequestClass{
 			Name:             name,
-			LatencyObjective: balancer.Seconds(number(values[0])),
-			Deadline:         balancer.Seconds(number(values[1])),
-			PriorityWeight:   number(values[2]),
+			LatencyObjective: balancer.Seconds(numberValue(values[0])),
+			Deadline:         balancer.Seconds(numberValue(values[1])),
+			PriorityWeight:   numberValue(values[2]),
 		})
 	}
-	c.packageDeadline = seconds(list(directives["package"])[1])
-	for _, repository := range list(directives["repository"]) {
+	c.packageDeadline = durationValue(listValue(directives["package"])[1])
+	for _, repository := range listValue(directives["repository"]) {
 		c.repositories = append(c.repositories, newRepositoryConfig(repository.(map[string]any)))
 	}
 	if director, ok := directives["director"].(map[string]any); ok {
@@ -103,13 +103,13 @@
 
 func newRepositoryConfig(directives map[string]any) repositoryConfig {
 	c := repositoryConfig{
-		name:             text(directives["name"]),
-		rootPath:         text(directives["root"]),
-		imageRepository:  text(directives["agree"]),
-		discoveryAddress: text(directives["discovery"]),
+		name:             stringValue(directives["name"]),
+		rootPath:         stringValue(directives["root"]),
+		imageRepository:  stringValue(directives["agree"]),
+		discoveryAddress: stringValue(directives["discovery"]),
 	}
-	for _, line := range list(directives["mirror"]) {
-		values := texts(line)
+	for _, line := range listValue(directives["mirror"]) {
+		values := stringValues(line)
 		c.mirrors = append(c.mirrors, dispatch.Endpoint{Name: values[0], Address: values[1], Zone: values[2], State: values[3],
 			Weight: 1, Version: 1})
 	}
@@ -118,24 +118,24 @@
 
 func newDirectorConfig(directives map[string]any) *directorConfig {
 	c := &directorConfig{
-		imageRepository:   text(directives["image"]),
-		chainDir:          text(directives["chain"]),
-		keyPaths:          texts(directives["key"]),
-		lifetime:          seconds(directives["lasts"]),
-		initialVersion:    uint16(number(directives["running"])),
-		discoveryAddress:  text(directives["discovery"]),
-		releaseAPIAddress: text(directives["platform"]),
+		imageRepository:   stringValue(directives["image"]),
+		chainDir:          stringValue(directives["chain"]),
+		keyPaths:          stringValues(directives["key"]),
+		lifetime:          durationValue(directives["lasts"]),
+		initialVersion:    uint16(numberValue(directives["running"])),
+		discoveryAddress:  stringValue(directives["discovery"]),
+		releaseAPIAddress: stringValue(directives["platform"]),
 	}
-	for _, line := range list(directives["package"]) {
-		values := list(line)
-		c.packages = append(c.packages, packageConfig{version: uint16(number(values[0])), path: text(values[1])})
+	for _, line := range listValue(directives["package"]) {
+		values := listValue(line)
+		c.packages = append(c.packages, packageConfig{version: uint16(numberValue(values[0])), path: stringValue(values[1])})
 	}
-	for _, line := range list(directives["server"]) {
-		values := texts(line)
+	for _, line := range listValue(directives["server"]) {
+		values := stringValues(line)
 		c.servers = append(c.servers, serverConfig{name: values[0], zone: values[1], hardware: values[2], keyPath: values[3]})
 	}
-	if values := list(directives["wave"]); values != nil {
-		c.stage = &dispatch.RolloutStage{Version: uint16(number(values[0])), Phase: text(values[1]), ExposureCap: number(values[2])}
+	if values := listValue(directives["wave"]); values != nil {
+		c.stage = &dispatch.RolloutStage{Version: uint16(numberValue(values[0])), Phase: stringValue(values[1]), ExposureCap: numberValue(values[2])}
 	}
 	return c
 }
@@ -154,43 +154,45 @@
 // The name and the address identify a mirror.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
-	known := map[mirror]bool{}
+	listedEarlier := map[mirror]bool{}
 	for _, e := range earlier {
-		known[mirror{e.Name, e.Address}] = true
+		listedEarlier[mirror{e.Name, e.Address}] = true
 	}
 	for i := range mirrors {
-		if !known[mirror{mirrors[i].Name, mirrors[i].Address}] {
+		if !listedEarlier[mirror{mirrors[i].Name, mirrors[i].Address}] {
 			mirrors[i].StartedAtMs = now.UnixMilli()
 		}
 	}
 }
 
-// text returns a value of a directive as a string, or "" if the directive is not given.
-func text(value any) string {
+// stringValue returns a value of a directive as a string, or "" if the directive is not given.
+func stringValue(value any) string {
 	s, _ := value.(string)
 	return s
 }
 
-// number returns a value of a directive as a number, or 0 if the directive is not given.
-func number(value any) float64 {
+// numberValue returns a value of a directive as a number, or 0 if the directive is not given.
+func numberValue(value any) float64 {
 	f, _ := value.(float64)
 	return f
 }
 
-// seconds converts a value of a directive in seconds to a duration; it is 0 if the directive is not given.
-func seconds(value any) time.Duration { return time.Duration(number(value) * float64(time.Second)) }
+// durationValue returns a value of a directive, given in seconds, as a duration, or 0 if the directive is not given.
+func durationValue(value any) time.Duration {
+	return time.Duration(numberValue(value) * float64(time.Second))
+}
 
-// list returns the values of a directive, or nil if the directive is not given.
-func list(value any) []any {
+// listValue returns the values of a directive, or nil if the directive is not given.
+func listValue(value any) []any {
 	values, _ := value.([]any)
 	return values
 }
 
-// texts returns the values of a directive as strings.
-func texts(value any) []string {
-	var all []string
-	for _, v := range list(value) {
-		all = append(all, text(v))
+// stringValues returns the values of a directive as strings.
+func stringValues(value any) []string {
+	var values []string
+	for _, v := range listValue(value) {
+		values = append(values, stringValue(v))
 	}
-	return all
+	return values
 }
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -88,7 +88,7 @@
 			return name
 		}
 	}
-	oldRepositories, changedRepositories := list(old["repository"]), list(changed["repository"])
+	oldRepositories, changedRepositories := listValue(old["repository"]), listValue(changed["repository"])
 	if len(oldRepositories) != len(changedRepositories) {
 		return "repository"
 	}
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -166,12 +166,12 @@
 	s.mu.Lock()
 	shutdownTimeout := s.config.packageDeadline
 	s.mu.Unlock()
-	group, inner := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	for _, task := range s.tasks {
-		group.Go(func() error { return task(inner) })
+		group.Go(func() error { return task(groupCtx) })
 	}
 	group.Go(func() error {
-		err := s.Proxy.Run(inner, s.listener, shutdownTimeout)
+		err := s.Proxy.Run(groupCtx, s.listener, shutdownTimeout)
 		if err == nil && ctx.Err() == nil {
 			return errProxyEnded
 		}
