--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -23,7 +23,7 @@
 	accepted bool                  // the response passed verification
 	closed   transport.CloseStatus // how the connection ended; zero if it did not end early
 	err      error                 // why the attempt failed; nil if it succeeded
-	final    bool                  // no other mirror must be asked
+	final    bool                  // another mirror must not be asked
 }
 
 // request has the dispatcher choose mirrors for one request, and calls try for each attempt. It ends if a result is
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -6,8 +6,8 @@
 // A caller creates a Repository for each repository and a Proxy for all of them, adds a Director if there is one, and
 // calls Run.
 //
-// Invariant: the proxy passes on only what tufverify accepts. A client that requests metadata gets either current
-// metadata with status 200, or one final response with another status.
+// Invariant: the proxy passes on only what tufverify accepts. A client that requests metadata gets exactly one
+// final response: current metadata with status 200, or a response with another status.
 package metadataproxy
 
 import (
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -9,8 +9,8 @@
 	Exists            bool // metadata have been issued and are held
 	IssuedAt          Tick
 	ExpiresAt         Tick
-	AssignmentCurrent bool // the metadata name the version that the server is assigned now
-	ImageAgrees       bool // the image repository still has the package that the metadata name, or cannot be asked
+	AssignmentCurrent bool // the issued metadata are for the version that the server is assigned now
+	ImageAgrees       bool // the image repository still has the package that the issued metadata list, or it cannot be asked
 }
 
 // MustRenew reports whether the metadata must be issued again before they are served. Metadata are issued again after
@@ -21,7 +21,7 @@
 }
 
 // MayServeStale reports whether the metadata may still be served if they could not be issued again. The metadata may not be
-// served if they name another version than the server is assigned now, or have expired.
+// served if they have expired, or if they are for another version than the server is assigned now.
 func (i Issue) MayServeStale(now Tick) bool {
 	return i.Exists && i.AssignmentCurrent && now < i.ExpiresAt
 }
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// loadServerKeys reads the servers' public keys, by server name. A file that was read before and has not changed is not read
+// loadServerKeys returns the servers' public keys by server name. A file that was read before and has not changed is not read
 // again, because reading thousands of files takes long and may delay a change of the exposure cap.
 func (s *Service) loadServerKeys(servers []serverConfig) (map[string]crypto.PublicKey, error) {
 	byServer := map[string]crypto.PublicKey{}
--- a/internal/metadataservice/helpers_test.go
+++ b/internal/metadataservice/helpers_test.go
@@ -208,7 +208,7 @@
 	return resp.StatusCode, b.Bytes(), resp.Header
 }
 
-// until fails the test if holds does not return true within 10 s. condition describes holds in the error message.
+// until fails the test if holds does not return true within 10 s. condition names in the error message what holds checks.
 func (w *testService) until(condition string, holds func() bool) {
 	w.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -36,7 +36,7 @@
 // Service is the metadata proxy that an operator's configuration file describes. Reload may be called while Run runs;
 // Address and Director are safe for concurrent use.
 type Service struct {
-	// Proxy is set by New.
+	// Proxy handles the requests of clients. New sets it.
 	Proxy *metadataproxy.Proxy
 
 	path         string // path of the operator's file
--- a/internal/standin/repository/mirror.go
+++ b/internal/standin/repository/mirror.go
@@ -35,8 +35,8 @@
 	Value int // parameter of the kinds lag, slow, half, status and flip
 }
 
-// ParseScript parses faults, one per line: FROM-TO MATCH KIND [VALUE]. The match "*" matches all paths, and an omitted
-// TO means no end.
+// ParseScript parses faults, one per line: FROM-TO MATCH KIND [N]. N is the fault's Value. The match "*" matches all
+// paths, and an omitted TO means no end.
 func ParseScript(text string) ([]Fault, error) {
 	var all []Fault
 	for i, line := range strings.Split(text, "\n") {
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -203,7 +203,7 @@
 	counter int64
 }
 
-// SetCounter sets the counter value of the last report. The next report has the value after it.
+// SetCounter sets the counter value of the last report. The next report has that value plus one.
 func (s *Server) SetCounter(from int64) { s.counter = from }
 
 // fetcher connects the public TUF library to a transport.
