--- a/internal/metadataproxy/stream.go
+++ b/internal/metadataproxy/stream.go
@@ -16,8 +16,8 @@
 // copyBufferSize is the maximum number of bytes of one read from a mirror.
 const copyBufferSize = 32 << 10
 
-// streamTarget streams a package from mirrors to a client. If a mirror breaks off, is too slow or sends wrong bytes, the
-// transfer continues at another mirror from the next byte on.
+// streamTarget streams a package from mirrors to a client. If a mirror ends its response early, is too slow or sends
+// wrong bytes, the transfer continues at another mirror from the next byte on.
 func (r *Repository) streamTarget(ctx context.Context, target *tufverify.Target, body *tufverify.TargetReader, out *rangeWriter) error {
 	r.mu.Lock()
 	stored := r.verified.StoredName(target)
@@ -57,7 +57,7 @@
 	})
 }
 
-// copyVerified reads a mirror's body and sends the verified bytes to the client. It returns no error at the end of the body.
+// copyVerified reads a mirror's body and sends the verified bytes to the client. The end of the body is not an error.
 func (r *Repository) copyVerified(ctx context.Context, in *pacedReader, body *tufverify.TargetReader, out *rangeWriter) (transport.CloseStatus, error) {
 	buffer := make([]byte, copyBufferSize)
 	for body.Remaining() > 0 && !out.done() {
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -33,9 +33,9 @@
 	return r.Reason == tufverify.ReasonMissing || r.Reason == tufverify.ReasonExpired
 }
 
-// IssueRetryDelay is the delay before a failed issue is retried.
+// IssueRetryDelay is the delay before the Director tries again to issue metadata after a failure.
 const IssueRetryDelay = tufverify.Second / 5
 
-// MustPersistTime reports whether the current time must be recorded before metadata are issued whose lifetime begins now. The time
-// is recorded in steps of more than a second.
+// MustPersistTime reports whether the current time must be recorded before the Director issues metadata whose lifetime
+// begins now. The time is recorded in steps of more than a second.
 func MustPersistTime(now, recorded Tick) bool { return now > recorded+tufverify.Second }
--- a/internal/metadataservice/director_test.go
+++ b/internal/metadataservice/director_test.go
@@ -149,8 +149,9 @@
 	w.checkNoFindings()
 }
 
-// TestDirector_TwoThousandServers checks that each of two thousand servers that ask within a second gets one final response while
-// one mirror drains and another dies, and that no memory or goroutines are left behind.
+// TestDirector_TwoThousandServers checks that each of two thousand servers that ask within a second gets one final
+// response while one mirror drains and another dies. It also checks that the memory and the goroutines of the requests
+// are released afterwards.
 func TestDirector_TwoThousandServers(t *testing.T) {
 	w := newTestService(t, 4, tufrepo.Lifetimes{})
 	w.must(w.publisher.Add("app/1.tar", 1, content(50_000, 1)))
--- a/internal/metadataservice/service_test.go
+++ b/internal/metadataservice/service_test.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// TestService_RootRotatesTwice checks that new and old clients get the newest metadata if the root is rotated twice, each time with new
-// keys for a role, while a client is in the middle of an exchange and one mirror still serves metadata signed by a revoked key.
+// TestService_RootRotatesTwice checks that new and old clients get the newest metadata if the root is rotated twice,
+// each time with a new key for a role. The rotations happen while a client is in the middle of an exchange and one
+// mirror still serves metadata signed by a revoked key.
 func TestService_RootRotatesTwice(t *testing.T) {
 	for _, role := range []string{"timestamp", "snapshot", "targets", "root"} {
 		t.Run(role, func(t *testing.T) {
