--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -24,7 +24,7 @@
 // record handles one event, and prints a package's output once the package has ended.
 func (r *results) record(e testEvent) {
 	if e.Package == "" {
-		// The compiler's output has no package.
+		// An event without a package is output of the compiler.
 		r.print(e.Output)
 		return
 	}
@@ -37,7 +37,7 @@
 	case e.Action == actionOutput:
 		p.output = append(p.output, e)
 	case e.Test != "" && e.Action == actionRun:
-		p.open[e.Test] = true
+		p.unfinished[e.Test] = true
 	case e.Test != "" && e.ended():
 		test := testID{importPath: e.Package, name: e.Test}
 		if r.isListed(test) {
@@ -50,7 +50,9 @@
 	}
 }
 
-// endPackage prints the output of a package that has ended, as go test does, and checks a package that failed.
+// endPackage prints what go test prints for a package that has ended. That is the last line if the package passed.
+// Otherwise it is the output of the package, without the output of tests that did not fail. endPackage also checks that
+// a failed package has only known failures.
 func (r *results) endPackage(e testEvent, p *packageRun) {
 	if e.Action != actionFail {
 		for _, o := range p.output {
@@ -97,8 +99,8 @@
 	switch {
 	case e.FailedBuild != "":
 		r.problem("%s does not build", e.Package)
-	case len(p.open) > 0:
-		r.problem("%s ended while %d of its tests were running", e.Package, len(p.open))
+	case len(p.unfinished) > 0:
+		r.problem("%s ended while %d of its tests were running", e.Package, len(p.unfinished))
 	case !p.endedInOrder():
 		r.problem("%s did not run to its end (panic, exit, timeout or a check after the tests)", e.Package)
 	case known == 0 && len(p.failed) == 0:
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -41,7 +41,7 @@
 		http.Error(w, "no such bytes", http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
-	body := r.open(target)
+	body := r.newTargetReader(target)
 	out := newRangeWriter(w, body, target.Length, requested, kind, &p.Counts)
 	if req.Method == http.MethodHead || out.length <= 0 {
 		out.sendHeader()
@@ -52,7 +52,7 @@
 		p.Counts.Served.Add(1)
 	case !out.headerSent:
 		p.respond(w, r, metadatarefresh.Response{Status: http.StatusServiceUnavailable, Text: "no mirror has it now", RetryLater: true})
-	default: // the client notices the failure, because the client receives fewer bytes than Content-Length
+	default: // abort the connection: the client notices the failure, because it receives fewer bytes than Content-Length
 		p.Counts.Aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
@@ -71,8 +71,8 @@
 // requestedRange returns the part of a file that a request asks for. The Range header is ignored if the request has an
 // If-Range header with another tag (RFC 9110, section 13.1.5).
 func requestedRange(req *http.Request, tag string, length int64) (byteRange, rangeKind) {
-	condition := req.Header.Get("If-Range")
-	if condition != "" && condition != tag {
+	ifRange := req.Header.Get("If-Range")
+	if ifRange != "" && ifRange != tag {
 		return wholeFile(length), rangeIgnored
 	}
 	return parseRange(req.Header.Get("Range"), length)
@@ -93,8 +93,9 @@
 	counts       *Counts
 }
 
-// newRangeWriter returns a rangeWriter, and makes body start where the range needs it. If only the whole package can be
-// verified, the response is the whole package.
+// newRangeWriter returns a rangeWriter, and moves body to the start of the piece that contains the first requested
+// byte. If the target has no piece digests, only the whole package can be verified, and the response is the whole
+// package.
 func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, requested byteRange, kind rangeKind,
 	counts *Counts) *rangeWriter {
 	start := int64(0)
