--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -8,7 +8,7 @@
 	"silvercove/balancer"
 )
 
-const atMostOnce = 2 // index of the at-most-once class of Day.Run
+const atMostOnce = 2 // index of the at-most-once class in the classes of Day.Run
 
 // dayRelay is a simulated relay: a balancer and its host.
 type dayRelay struct {
@@ -19,7 +19,7 @@
 	attempts   map[*balancer.Request][]*dayAttempt
 	dead       bool
 	draining   bool
-	drainSince []balancer.Tick // by backend: time at which this relay was notified that the backend drains, or 0
+	drainSince []balancer.Tick // by backend: when this relay was notified that the backend drains; 0: the backend does not drain
 	rate       float64
 }
 
@@ -29,7 +29,7 @@
 	backend    *dayBackend
 	attempt    *balancer.Attempt
 	ended      bool
-	mayHaveRun bool // the backend may have run the request
+	mayHaveRun bool // the request was sent to the backend, which may have run it
 	relay      *dayRelay
 	workLeft   float64 // remaining work, in seconds of one core
 }
@@ -135,7 +135,8 @@
 	n.OnOutcome(n.day.now, s.attempt, outcome, n.day.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request, with the promise to its client that a retry is harmless.
+// Reject ends a request. A rejection tells the client that a retry is safe, so a request of the at-most-once class must
+// not be rejected after an attempt.
 func (n *dayRelay) Reject(c *balancer.Request, _ balancer.Tick) {
 	if len(n.attempts[c]) > 0 && c.Class == atMostOnce {
 		n.day.recordViolation("a rejection of an at-most-once request that may have run")
@@ -143,7 +144,7 @@
 	n.Fail(c)
 }
 
-// Fail ends a request with an error.
+// Fail ends a request with an error. A request that has ended already counts as a violation.
 func (n *dayRelay) Fail(c *balancer.Request) {
 	if _, open := n.attempts[c]; !open {
 		n.day.recordViolation("a second answer to a request")
@@ -151,7 +152,7 @@
 	delete(n.attempts, c)
 }
 
-// CancelAttempt ends an attempt. Its request may have run.
+// CancelAttempt ends an attempt as cancelled. The backend may have run the request.
 func (n *dayRelay) CancelAttempt(d *balancer.Attempt) {
 	for _, s := range n.attempts[d.Request] {
 		if s.attempt == d {
@@ -169,7 +170,8 @@
 	})
 }
 
-// CastVote records a violation: all backends run a good, released version, so no vote is due.
+// CastVote records a violation: every backend runs a good version that is already released, so no relay has a reason to
+// vote.
 func (n *dayRelay) CastVote(_ uint16, _ int, v balancer.Verdict) {
 	n.day.recordViolation(fmt.Sprintf("a vote %d on a good version", v))
 }
@@ -186,13 +188,14 @@
 // Log drops log lines.
 func (n *dayRelay) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is notified of changes.
+// WatchEndpoints does nothing: relays are notified of all changes without a call.
 func (n *dayRelay) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is notified of changes.
+// FetchEndpoints does nothing: relays are notified of all changes without a call.
 func (n *dayRelay) FetchEndpoints() {}
 
-// killRelay ends a relay at once. Its open requests are lost and no longer count as accepted. Another relay starts 1 s later.
+// killRelay ends a relay at once. Its open requests are lost and are subtracted from the accepted ones. A new relay
+// starts 1 s later.
 func (f *fleetDay) killRelay(n *dayRelay) {
 	n.dead = true
 	f.result.Accepted -= len(n.attempts)
@@ -206,8 +209,8 @@
 	f.after(1, f.startRelay)
 }
 
-// drainRelay stops new requests to a relay. After 2.5 s, when all of its requests are past their deadline, it must have
-// answered all of them; then another relay starts.
+// drainRelay stops new requests to a relay. 2.5 s later all of the relay's requests are past their deadline, and the
+// relay must have answered them. The relay then ends and a new relay starts.
 func (f *fleetDay) drainRelay(n *dayRelay) {
 	n.draining = true
 	f.after(2.5, func() {
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -14,19 +14,20 @@
 	goldenFile  = "golden_decisions.txt"
 )
 
-// goldenDayNames are the names of the days in the recorded file, in the order of Days and of the days that goldenRuns adds.
+// goldenDayNames are the names of the days in the recorded file, in the order of Days, followed by those of the days
+// that goldenRuns adds.
 var goldenDayNames = []string{"calm", "rolling-restart", "relays-killed", "zone-lost", "partition", "pauses-and-errors",
 	"uneven-traffic", "release", "all-cold"}
 
-// goldenRun is a simulation that is compared with its recorded trace.
+// goldenRun is a simulation whose decisions are compared with their recorded trace.
 type goldenRun struct {
 	name string
 	play func(wrap hostWrapper)
 }
 
-// TestGoldenDecisions simulates the lab's days, rollouts and overloads with smaller fleets, and compares every decision of each
-// relay with the recorded ones. It guards against unintended changes of behaviour. If a change is meant to change decisions,
-// run the test with -update and say in the commit which change.
+// TestGoldenDecisions simulates the lab's days, rollouts and overloads with smaller fleets, and compares every decision
+// of each relay with the recorded decision. It guards against unintended changes of behaviour. If a change is meant to
+// alter decisions, run the test with -update and name the altered decisions in the commit message.
 func TestGoldenDecisions(t *testing.T) {
 	traces := map[string]*goldentrace.Trace{}
 	var mu sync.Mutex
@@ -47,7 +48,7 @@
 	goldentrace.Compare(t, goldenFile, traces)
 }
 
-// goldenRuns lists the simulations of the recorded file.
+// goldenRuns lists the simulations whose decisions are in the recorded file.
 func goldenRuns(t *testing.T) (runs []goldenRun) {
 	t.Helper()
 	days := append(append([]Day(nil), Days...), FullSizeDay, ReleaseDay, Day{Name: "cold: all backends restart at once", plan: func(f *fleetDay) {
@@ -86,8 +87,9 @@
 	return runs
 }
 
-// goldenRollouts lists a rollout for each package and condition of a shipped experiment, each with one seed. Their rate is in
-// requests a second. They are shortened: each ends after 12 s without a verdict, or 2 s after its release.
+// goldenRollouts lists one rollout for each package and condition of a shipped experiment, each with a seed of its own.
+// rate is in requests a second. The rollouts are smaller and shorter than in the experiment: each has at most 20 relays
+// and 20 backends, and ends after 12 s without a verdict or 2 s after its release.
 func goldenRollouts(t *testing.T, name string, rate float64) (runs []goldenRun) {
 	t.Helper()
 	e, err := ReadExperiment("../../deploy/"+name+".conf", "")
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab measures parts of the program, either against stand-ins on loopback or in simulations. Its figures hold for
-// this machine and for stand-ins only, and its tables say so.
+// Package lab measures parts of the program, either against stand-ins on loopback or in simulations. Its figures hold
+// only for the machine on which it runs and for stand-ins, and its tables say so.
 package lab
 
 import (
@@ -39,7 +39,7 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// shortDuration formats a duration with three digits.
+// shortDuration formats a duration with three significant digits.
 func shortDuration(d time.Duration) string {
 	switch {
 	case d >= time.Second:
@@ -68,7 +68,7 @@
 	X, Y []float64
 }
 
-// Plot draws curves with logarithmic axes into an SVG file. Points that are not above 0 are left out.
+// Plot draws curves with logarithmic axes into an SVG file. It omits points with a coordinate that is not above 0.
 func Plot(path, title, x, y string, all ...Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -91,7 +91,8 @@
 	return p.Save(16*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// latencies is a histogram of durations from 1 us to 10 minutes, with a resolution of 1 us and three digits.
+// latencies is a histogram of durations from 1 us to 10 minutes, with a resolution of 1 us and three significant
+// digits.
 type latencies struct{ *hdrhistogram.Histogram }
 
 // newLatencies returns an empty histogram.
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -24,7 +24,7 @@
 
 // Metadata holds the parameters of the measurement of the metadata proxy.
 type Metadata struct {
-	Servers []int         // numbers of servers
+	Servers []int         // numbers of servers; each number is measured separately
 	Asks    int           // requests of each kind for each number of servers
 	Width   int           // concurrent connections
 	Entries int           // entries of the version store
@@ -85,7 +85,9 @@
 	return Plot(path, "Metadata proxy (stand-ins)", "servers", "milliseconds", timestampSeries, packageSeries, notifiedSeries)
 }
 
-// measureRequests requests a path Asks times, as n servers would, over Width connections or n if that is less.
+// measureRequests sends Asks GET requests for a path and waits for their answers. It uses Width connections, or n if
+// that is less, where n is the number of servers. rate is in requests a second, and failures counts answers without
+// status 200.
 func (m Metadata) measureRequests(ctx context.Context, w *frontFixture, n int, path string) (rate float64, h latencies, failures int64, err error) {
 	width := min(m.Width, n)
 	transport := &http.Transport{MaxIdleConnsPerHost: width, MaxConnsPerHost: width}
@@ -115,7 +117,8 @@
 	return float64(h.TotalCount()) / time.Since(start).Seconds(), h, failed.Load(), ctx.Err()
 }
 
-// httpRequest sends a request and reads the answer with read. It returns the status, or 0 if the answer was incomplete.
+// httpRequest sends a request and has read consume the body of the answer. It returns the status, or 0 if the request
+// failed or the answer was incomplete.
 func httpRequest(transport http.RoundTripper, method, url, text string, read func(io.Reader) error) int {
 	req, err := http.NewRequest(method, url, strings.NewReader(text))
 	if err != nil {
@@ -143,7 +146,8 @@
 	return func(body io.Reader) error { return json.NewDecoder(body).Decode(v) }
 }
 
-// measureVerification compares the verification of a whole set of metadata with the checks before a cached file is served.
+// measureVerification compares the time to verify a whole set of metadata with the time of the checks before a cached
+// file is served.
 func (m Metadata) measureVerification(to io.Writer) error {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
@@ -186,8 +190,8 @@
 	return nil
 }
 
-// measureVersionStore measures the memory, the write rate and the recovery time of a version store with many reports of
-// servers.
+// measureVersionStore measures the memory, the write rate and the recovery time of a version store that holds Entries
+// reports of servers.
 func (m Metadata) measureVersionStore(to io.Writer) error {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -23,9 +23,9 @@
 	front     *metadataservice.Service
 	clock     *repository.Clock
 	stop      func()
-	key       *keys.Key    // of all servers
-	stageLine string       // line of the configuration file with the stage
-	write     func() error // writes the configuration file with stageLine
+	key       *keys.Key    // signing key that all servers share
+	stageLine string       // line of the configuration file that sets the stage
+	write     func() error // writes the configuration file with the current stageLine
 	director  *repository.Publisher
 }
 
@@ -68,7 +68,7 @@
 	return w, w.waitCurrent()
 }
 
-// addImage makes the image repository and its mirrors, and adds them to the configuration.
+// addImage makes the image repository and its mirrors, and appends them to the configuration.
 func (w *frontFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
 	image, err := repository.NewPublisher(filepath.Join(w.dir, "image"), w.clock, tufrepo.Lifetimes{}, true)
 	if err != nil {
@@ -97,7 +97,8 @@
 	return mirrors, nil
 }
 
-// addDirector makes the Director's keys and the servers' key, and adds the Director with n servers to the configuration.
+// addDirector makes the keys of the Director and of the servers, and appends the Director with n servers to the
+// configuration.
 func (w *frontFixture) addDirector(config *strings.Builder, n int) (err error) {
 	if w.director, err = repository.NewPublisher(filepath.Join(w.dir, "director"), w.clock, tufrepo.Lifetimes{}, true); err != nil {
 		return err
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// start runs the metadata proxy until stop is called, which also closes the mirrors.
+// start runs the metadata proxy until w.stop is called, which also closes the mirrors.
 func (w *frontFixture) start(mirrors []*repository.Mirror) (err error) {
 	w.front, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
 		zerolog.Nop())
--- a/internal/lab/model_events.go
+++ b/internal/lab/model_events.go
@@ -4,10 +4,10 @@
 	"silvercove/balancer"
 )
 
-// event is a function that is due at a time of a simulation.
+// event is a function that a simulation calls at a given time.
 type event struct {
 	at       balancer.Tick
-	sequence int // breaks ties between events of the same time
+	sequence int // increases with each scheduled event; orders events of the same time
 	run      func()
 }
 
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -6,7 +6,7 @@
 	"silvercove/balancer"
 )
 
-// currentCap returns the exposure cap of the newest package in the current phase.
+// currentCap returns the exposure cap of the newest package in the current phase of the rollout.
 func (m *model) currentCap() float64 {
 	switch m.phase {
 	case balancer.Canary:
@@ -17,7 +17,8 @@
 	return 0
 }
 
-// announceRelease notifies every relay of the state of the rollout after releaseLag, or after 5 s if the relay is blind.
+// announceRelease notifies every relay of the state of the rollout after releaseLag, or after 5 s if the relay gets
+// updates late (see Condition.BlindShare).
 func (m *model) announceRelease() {
 	for _, n := range m.nodes {
 		lag, incarnation := releaseLag, n.incarnation
@@ -32,7 +33,7 @@
 	}
 }
 
-// offerPackage starts the rollout of the next package.
+// offerPackage starts the rollout of the next package in offers.
 func (m *model) offerPackage() {
 	m.newest = max(m.newest, stableVersion) + 1
 	m.packages[m.newest], m.offers = m.offers[0], m.offers[1:]
@@ -40,8 +41,8 @@
 	m.enterStage(0)
 }
 
-// nextPackage offers the next package after wait seconds. If there is none, it ends the simulation after wait seconds. outcome is
-// the outcome of the previous package.
+// nextPackage offers the next package after wait seconds. If no package is left, it ends the simulation after wait
+// seconds. outcome is the outcome of the package that was offered last.
 func (m *model) nextPackage(outcome string, wait float64) {
 	if len(m.offers) == 0 {
 		m.after(wait, func() { m.done = true })
@@ -51,16 +52,17 @@
 	m.after(wait, m.offerPackage)
 }
 
-// enterStage starts a stage, in which its share of the backends gets the package.
+// enterStage starts a stage and moves the stage's share of the backends to the newest package.
 func (m *model) enterStage(stage int) {
 	m.stage, m.phase, m.stageStart, m.advancePending = stage, balancer.Canary, m.now, false
 	m.announceRelease()
 	m.replaceBackends(m.newest, int(math.Ceil(m.Stages[stage].Share*float64(m.Backends))))
 }
 
-// replaceBackends moves backends to a version until a target number of them runs it. Backends are taken in steps of seven, so
-// that consecutive ones mostly differ in their number modulo six, which failureShare uses; if the number of backends is divisible by
-// seven, they are taken in their order.
+// replaceBackends moves backends to a version until target backends run it. It picks every seventh backend in turn, so
+// that backends that are replaced one after the other mostly differ in their number modulo six, on which failureShare
+// depends. If the number of backends is divisible by seven, steps of seven would not reach every backend, and it picks
+// them in their order.
 func (m *model) replaceBackends(version uint16, target int) {
 	updated := 0
 	for _, u := range m.backends {
@@ -93,13 +95,14 @@
 	}
 }
 
-// announceBackend notifies every relay of the state of a backend, after listLag or the longer lag of blind relays.
+// announceBackend notifies every relay of the state of a backend after listLag, or after 0.9 x replaceSpan if the relay
+// gets updates late (see Condition.BlindShare).
 func (m *model) announceBackend(u *backend) {
 	state := *u
 	for _, n := range m.nodes {
 		incarnation, lag := n.incarnation, listLag
 		if n.isBlind {
-			lag = 0.9 * replaceSpan // less than replaceSpan, so that the drain grace is kept
+			lag = 0.9 * replaceSpan // less than replaceSpan, so that the relay learns of the drain before the backend is replaced
 		}
 		m.after(lag, func() {
 			if n.incarnation == incarnation {
@@ -110,7 +113,8 @@
 	}
 }
 
-// applyVote applies a vote to the rollout: it rolls the package back, or advances it once the bake time is over.
+// applyVote applies a vote to the rollout. A vote to roll back takes effect at once. A vote to promote ends the stage
+// once the bake time is over.
 func (m *model) applyVote(v balancer.Verdict) {
 	switch {
 	case v == balancer.RollBack && m.phase != balancer.RollingBack:
@@ -143,14 +147,15 @@
 	}
 }
 
-// recordVerdictTime records the time of the first verdict.
+// recordVerdictTime records the time from the offer to the first verdict. It does not change a time that was recorded
+// earlier.
 func (m *model) recordVerdictTime() {
 	if m.result.VerdictSeconds == 0 {
 		m.result.VerdictSeconds = float64(m.now-m.offeredAt) / second
 	}
 }
 
-// advance starts the next stage, or releases the package after the last one.
+// advance starts the next stage. After the last stage it releases the package.
 func (m *model) advance() {
 	last := len(m.offers) == 0
 	if last {
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -14,7 +14,7 @@
 	"silvercove/internal/tick"
 )
 
-// overloadRelay is a simulated relay: a balancer with its host, and the overload manager of the fleet.
+// overloadRelay is a simulated relay: a balancer, the balancer's host and the relay's overload manager.
 type overloadRelay struct {
 	*balancer.Balancer
 	model       *overloadModel
@@ -26,7 +26,7 @@
 	known       []*balancer.Backend
 	requests    map[*balancer.Request]*clientRequest
 	attempts    map[*balancer.Attempt]*overloadAttempt
-	connected   []bool // by backend: the relay has a connection to the backend
+	connected   []bool // by backend: the relay has opened a connection to the backend
 }
 
 // overloadAttempt is an attempt of a request at a backend.
@@ -36,10 +36,11 @@
 	incarnation   uint64
 	sentAt        balancer.Tick
 	ended         bool
-	newConnection bool // the attempt makes a new connection
+	newConnection bool // the attempt opens a new connection
 }
 
-// start starts the process of a relay, without state. The relay accepts requests after beginServing.
+// start starts the process of a relay, without state from an earlier run. The relay accepts requests once beginServing
+// has been called.
 func (n *overloadRelay) start() {
 	n.incarnation++
 	n.alive = true
@@ -52,7 +53,7 @@
 	n.updatePressure(n.incarnation)
 }
 
-// beginServing gives the relay the endpoint list, after which it accepts requests.
+// beginServing gives the relay the endpoint list. The relay then accepts requests.
 func (n *overloadRelay) beginServing() {
 	n.known = nil
 	host := n.model.wrapHost.apply(n, n.number, func() balancer.Tick { return n.model.now })
@@ -66,7 +67,7 @@
 	n.serving = true
 }
 
-// updatePressure gives the overload manager the load that the relay measures, ten times a second.
+// updatePressure passes the load that the relay measures to the overload manager, ten times a second.
 func (n *overloadRelay) updatePressure(incarnation uint64) {
 	if n.incarnation != incarnation || !n.alive {
 		return
@@ -77,8 +78,8 @@
 	n.model.after(0.1, func() { n.updatePressure(incarnation) })
 }
 
-// gossip delivers a load report of the relay to the other relays, in its encoded form, with the loss and the delay of the
-// simulation. After Split seconds, unless Split is 0, each half of the relays gets load reports of its own half only.
+// gossip delivers a load report of the relay to the other relays in its encoded form, with the simulated loss and
+// delay. If Split is above 0, each half of the relays gets load reports from its own half only after Split seconds.
 func (n *overloadRelay) gossip() {
 	m := n.model
 	m.after(m.gossipInterval(), n.gossip)
@@ -115,7 +116,7 @@
 	send()
 }
 
-// falsify replaces the verdicts and the evidence in the report of the first relay as FalseReports says.
+// falsify replaces the verdicts and the evidence in a load report of the first relay according to FalseReports.
 func (n *overloadRelay) falsify(report *overload.Report) {
 	hash := func(unit int) uint64 { return xxhash.Sum64String(fmt.Sprint("unit-", unit)) }
 	switch {
@@ -132,14 +133,16 @@
 	}
 }
 
-// openRequests returns the open requests in the order of their arrival, so that the same seed gives the same result.
+// openRequests returns the open requests in the order of their arrival. A fixed order is needed for the same seed to
+// give the same result.
 func (n *overloadRelay) openRequests() []*balancer.Request {
 	all := slices.Collect(maps.Keys(n.requests))
 	slices.SortFunc(all, func(a, b *balancer.Request) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// restart fetches the endpoint list, after which the relay serves. With the feature Ramp it waits for its startup delay first.
+// restart fetches the endpoint list, after which the relay accepts requests. With the feature Ramp, the relay first
+// waits for its startup delay.
 func (n *overloadRelay) restart(incarnation uint64) {
 	m := n.model
 	wait := 0.0
@@ -149,8 +152,8 @@
 	m.after(wait, func() { n.callList(incarnation, 0.5) })
 }
 
-// callList fetches the endpoint list. The list service refuses calls while its queue is full; a refused call is repeated after
-// a random pause, with a mean that doubles each time.
+// callList calls the list service for the endpoint list. The list service refuses calls while its queue is full. The
+// relay repeats a refused call after a random pause whose mean is pause seconds, and doubles pause each time.
 func (n *overloadRelay) callList(incarnation uint64, pause float64) {
 	m := n.model
 	m.listCallsBySecond[int(m.seconds())]++
@@ -166,7 +169,8 @@
 	})
 }
 
-// StartAttempt starts an attempt at a backend. A sick backend, or a cut link, gives no answer.
+// StartAttempt starts an attempt at a backend. The attempt gets no answer if the backend is sick at that time or if the
+// relay's link is cut.
 func (n *overloadRelay) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
 	m, u := n.model, n.model.backends[d.Backend.ID]
 	a := n.requests[d.Request]
@@ -198,7 +202,8 @@
 	}
 }
 
-// finish reports the outcome of an attempt to its relay, unless that relay has restarted or has ended the attempt.
+// finish reports the outcome of an attempt to its relay, unless the attempt has ended already or the relay has stopped
+// or restarted.
 func (s *overloadAttempt) finish(outcome balancer.Outcome) {
 	n, m := s.relay, s.relay.model
 	if s.ended || n.incarnation != s.incarnation || !n.serving {
@@ -220,15 +225,16 @@
 	n.OnOutcome(m.now, s.attempt, outcome, m.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request. The request's client retries after retryAfter.
+// Reject ends a request that can be retried safely. The client retries after retryAfter.
 func (n *overloadRelay) Reject(c *balancer.Request, retryAfter balancer.Tick) {
 	n.endRequest(c, float64(retryAfter)/second)
 }
 
-// Fail ends a request with an error. The request's client retries.
+// Fail ends a request with an error. The client retries after a random pause.
 func (n *overloadRelay) Fail(c *balancer.Request) { n.endRequest(c, 0) }
 
-// endRequest ends a request without success and schedules the retry of its client.
+// endRequest ends a request without success. The client retries after retryAfter seconds, or after a random pause if
+// that is 0.
 func (n *overloadRelay) endRequest(c *balancer.Request, retryAfter float64) {
 	a, open := n.requests[c]
 	if !open {
@@ -239,7 +245,7 @@
 	n.model.retry(a, retryAfter)
 }
 
-// CancelAttempt ends an attempt. The backend continues to work on the attempt.
+// CancelAttempt ends an attempt as cancelled. The backend goes on to work on it.
 func (n *overloadRelay) CancelAttempt(d *balancer.Attempt) {
 	if s := n.attempts[d]; s != nil {
 		n.model.after(0, func() { s.finish(balancer.Cancelled) })
@@ -256,12 +262,13 @@
 	})
 }
 
-// AllowRetry asks the overload manager if the feature Budget is on; otherwise every retry is allowed.
+// AllowRetry reports whether the overload manager allows a retry. Without the feature Budget every retry is allowed.
 func (n *overloadRelay) AllowRetry(c *balancer.Request) bool {
 	return !n.model.Features.Budget || n.overload.AllowRetry(n.model.clock(), c.ClientRetry)
 }
 
-// IsEjected asks the overload manager if the feature Probes is on; otherwise no backend is ejected.
+// IsEjected reports whether the overload manager has ejected a backend. Without the feature Probes no backend is
+// ejected.
 func (n *overloadRelay) IsEjected(u *balancer.Backend) bool {
 	if !n.model.Features.Probes || !n.overload.IsEjected(n.model.clock(), fmt.Sprint("unit-", u.ID)) {
 		return false
@@ -272,12 +279,13 @@
 	return true
 }
 
-// AllowProbe asks the overload manager if the feature Probes is on; otherwise every probe is allowed.
+// AllowProbe reports whether the overload manager allows a probe of a backend. Without the feature Probes every probe
+// is allowed.
 func (n *overloadRelay) AllowProbe(u *balancer.Backend) bool {
 	return !n.model.Features.Probes || n.overload.AllowProbe(n.model.clock(), fmt.Sprint("unit-", u.ID))
 }
 
-// Probe does nothing: probes are not simulated.
+// Probe does nothing: probe requests are not simulated.
 func (n *overloadRelay) Probe(*balancer.Backend) {}
 
 // CloseIdle does nothing: connections are not simulated.
@@ -289,11 +297,11 @@
 // Log drops log lines.
 func (n *overloadRelay) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is notified of changes.
+// WatchEndpoints does nothing: the endpoint list does not change in this simulation.
 func (n *overloadRelay) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is notified of changes.
+// FetchEndpoints does nothing: the endpoint list does not change in this simulation.
 func (n *overloadRelay) FetchEndpoints() {}
 
-// CastVote does nothing: no version is rolled out.
+// CastVote does nothing: no version is rolled out in this simulation.
 func (n *overloadRelay) CastVote(uint16, int, balancer.Verdict) {}
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -9,14 +9,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// overloadDay returns the main overload: ten times the load for 10 s, with seven in ten relays killed during that time.
+// overloadDay returns the main scenario of an overload: ten times the load for 10 s, with seven in ten relays killed
+// during that time.
 func overloadDay(features Features, seed uint64) Overload {
 	return Overload{Relays: 30, Backends: 20, Features: features, Load: 0.6, LoadFactor: 10, From: 8, Duration: 10, Span: 34, KillShare: 0.7, Seed: seed}
 }
 
-// sickBackendDay returns an overload in which a backend does not answer from 4 s on. The relays are split in two 30 s later, and
-// 20 s after that the backend answers again. With more than 100 relays the load is 0.6 instead of 0.9 of the capacity: hundreds
-// of relays overload 20 backends at 0.95 of their capacity, even if no backend is sick.
+// sickBackendDay returns a scenario in which one backend does not answer from second 4 to second 54. From second 34 on,
+// the relays are split in two halves. With more than 100 relays, the load is 0.6 of the capacity instead of 0.9,
+// because hundreds of relays overload 20 backends at 0.95 of their capacity even if no backend is sick.
 func sickBackendDay(features Features, relays int, seed uint64) Overload {
 	o := Overload{Relays: relays, Backends: 20, Features: features, Load: 0.9, LoadFactor: 1, Span: 64, SickBackend: true, Onset: 4, Split: 34,
 		Recovery: 54, Seed: seed}
@@ -26,7 +27,7 @@
 	return o
 }
 
-// runAll simulates overloads on all processors and returns the results in the same order.
+// runAll simulates overloads, as many at once as GOMAXPROCS allows, and returns their results in the order of days.
 func runAll(days []Overload) []OverloadResult {
 	results := make([]OverloadResult, len(days))
 	var group errgroup.Group
@@ -41,13 +42,14 @@
 	return results
 }
 
-// goodputDuringTrigger returns the goodput from 1 s into the trigger to its end, in parts of the capacity of the backends.
+// goodputDuringTrigger returns the mean goodput from 1 s after the start of the trigger to its end, as a share of the
+// capacity of all backends.
 func (r OverloadResult) goodputDuringTrigger(o Overload) float64 {
 	return MeanPerSecond(r.Goodput, o.From+1, o.From+o.Duration) / r.Capacity
 }
 
-// OverloadTables simulates the overloads and prints their tables. The same seed always gives the same tables. With full it also
-// prints the tables of load against failing attempts, of lost load reports and of ejection.
+// OverloadTables simulates the overloads and prints their tables. The same seed always gives the same tables. If full
+// is true, it also prints the tables of load against failing attempts, of lost load reports and of ejection.
 func OverloadTables(to io.Writer, seed uint64, full bool) error {
 	w := &stickyWriter{to: to}
 	noShed := Features{Budget: true, Probes: true, Ramp: true}
@@ -99,8 +101,9 @@
 	return w.err
 }
 
-// ejectionRow returns a row of a table of sickBackendDay: the attempts at the sick backend in spans after Onset, and the time from
-// Recovery until the backend gets half of its share of the load again.
+// ejectionRow returns a row of a table on sickBackendDay, which begins with names. The other cells are the attempts a
+// second at the sick backend in four spans after Onset, and the time from Recovery until the backend gets half of its
+// share of the load again.
 func (o Overload) ejectionRow(r OverloadResult, names ...any) []any {
 	at := func(from, to int) float64 { return perSecond(r.SickAttempts, int(o.Onset)+from, int(o.Onset)+to) }
 	recovered := math.Inf(1)
@@ -112,8 +115,8 @@
 	return append(names, at(0, 5), at(5, 20), at(20, 30), at(34, 50), secondsText(recovered))
 }
 
-// ejectionTable prints how well a sick backend is ejected with lost load reports, with relays that report falsely, and with
-// backends that are only slow.
+// ejectionTable prints how relays eject a sick backend while load reports are lost or false, or while backends are only
+// slow.
 func ejectionTable(to io.Writer, seed uint64) {
 	t := Table{Title: "A backend that no longer answers, 30 relays, all features, simulated", Head: []string{"day", "first 5 s", "5 to 20 s",
 		"20 to 30 s", "34 to 50 s", "half of its share again after", "wrong ejections"}}
@@ -142,7 +145,7 @@
 	t.Print(to)
 }
 
-// perSecond returns the mean per second of counts by half second.
+// perSecond returns the mean per second, between the seconds from and to, of counts per half second.
 func perSecond(halves []int, from, to int) float64 {
 	n := 0
 	for _, h := range halves[2*from : min(len(halves), 2*to)] {
@@ -159,8 +162,8 @@
 	return fmt.Sprintf("%.1fs", s)
 }
 
-// loadAndFailureTable prints the recovery time and the goodput for several loads and shares of failing attempts, in a table for
-// each of several sets of features.
+// loadAndFailureTable prints one table for each of several sets of features. A table shows the recovery time and the
+// goodput for several loads and shares of failing attempts.
 func loadAndFailureTable(to io.Writer, seed uint64) {
 	loads, errs := []float64{1.5, 3, 10}, []float64{0, 0.2, 0.5}
 	featureSets := []Features{WithoutFleet, {Shed: true}, {Budget: true}, {Probes: true}, {Ramp: true}, AllFeatures}
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// smallDay returns overloadDay with a smaller fleet and a shorter time.
+// smallDay returns overloadDay with fewer relays and backends and a shorter simulated time.
 func smallDay(features Features) Overload {
 	o := overloadDay(features, 3)
 	o.Relays, o.Backends, o.From, o.Duration, o.Span = 12, 8, 5, 8, 20
 	return o
 }
 
-// TestOverload_RecoversAfterTrigger checks that ten times the load, with seven in ten relays killed and restarted, leaves no
-// lasting collapse, and that each feature has the effect that it is meant for.
+// TestOverload_RecoversAfterTrigger checks that the goodput recovers after ten times the load with seven in ten relays
+// killed and restarted. It also checks that each feature has its intended effect.
 func TestOverload_RecoversAfterTrigger(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
@@ -45,7 +45,7 @@
 	if b := withoutReports.RecoverySeconds(days[4]); b > 5 {
 		t.Errorf("without any load reports: recovered after %.1f s", b)
 	}
-	// Guards against backends that lack work for as long as clients retry.
+	// Guards against a lasting state after the trigger in which backends lack work although clients retry.
 	if g := MeanPerSecond(r[7].Goodput, 14, 21) / r[7].Capacity; g < 0.93 {
 		t.Errorf("split in two: goodput is %.2f of the capacity of the backends after the trigger", g)
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOverload_SickBackendIsEjected checks that 30 relays eject a backend that no longer answers within seconds, also if they
-// are split in two or half of the load reports are lost. One relay that reports falsely, or whose own link is cut, must not
-// cause the other relays to eject a healthy backend.
+// TestOverload_SickBackendIsEjected checks that 30 relays take only seconds to eject a backend that stops answering,
+// also if the relays are split in two or half of the load reports are lost. One relay that reports falsely, or whose
+// own link is cut, must not cause the other relays to eject a healthy backend.
 func TestOverload_SickBackendIsEjected(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
