--- a/cmd/silvercovectl/fleet_ask.go
+++ b/cmd/silvercovectl/fleet_ask.go
@@ -19,7 +19,8 @@
 	For      time.Duration `default:"10s" help:"How long to retry a refused request; a refused request had no effect."`
 }
 
-// Run sends one request as a client would, retries it while it is refused, and prints the answer.
+// Run sends one request as a client of a relay would and prints the answer. It retries the request while the relay
+// refuses it, for the time For.
 func (c *fleetAskCmd) Run() error {
 	for end := time.Now().Add(c.For); ; time.Sleep(askRetryInterval) {
 		answer, err := sendRequest(c.Relay, c.Instance, c.Class, c.Read, c.Wait)
@@ -36,7 +37,7 @@
 // askRetryInterval is the pause before a refused request is sent again.
 const askRetryInterval = 200 * time.Millisecond
 
-// errRefused is wrapped by the error of a request that did not run. Such a request can be retried safely.
+// errRefused is wrapped by the errors of requests that did not run. A request that did not run can be retried safely.
 var errRefused = errors.New("refused")
 
 // sendRequest opens a session with a relay, sends one request and returns its answer. The error wraps errRefused if the
--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -28,7 +28,7 @@
 }
 
 // Run runs a controller until SIGTERM or SIGINT. The controller then transfers its leadership and ends. A second signal
-// ends it at once. Agreed operations are on its disk in both cases.
+// ends it at once. In both cases, the operations that the controllers have agreed on are on its disk.
 func (c *fleetControllerCmd) Run() error {
 	p, err := openProcess(c.File, "keeper")
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	defer context.AfterFunc(ctx, stop)() // after the first signal, restore the default: a second signal ends the process
+	defer context.AfterFunc(ctx, stop)() // after the first signal, signals are no longer caught, so that a second one ends the process
 	return p.runWhile(func(alive context.Context) error {
 		node, err := controller.Open(controller.Options{Network: p.net, DataDir: p.file.DataDir, Settings: p.file.Settings, Log: p.log})
 		if err != nil {
@@ -59,9 +59,9 @@
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
-// withClient runs call with a client of the controllers. The client uses the name and the peers of the file's
-// process. That process may be running at the same time: the client listens on a port of its own, and connections to the
-// shared name go to the process.
+// withClient calls call with a client of the controllers. The client has the name and the peers of the process whose
+// configuration file is c.File. That process may be running at the same time: the client listens on a port of its own,
+// and connections to the name go to the running process.
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
 	if err != nil {
@@ -78,7 +78,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = network.Run(networkCtx) // Run returns nil once the context is cancelled
+		_ = network.Run(networkCtx) // Run returns nil once its context is cancelled
 	}()
 	defer func() {
 		stopNetwork()
@@ -175,8 +175,8 @@
 	})
 }
 
-// printAssignment prints an assignment. If err is a refusal that carries the current assignment, the returned error adds
-// that assignment to the text.
+// printAssignment prints an assignment if err is nil, and returns err otherwise. If err is a refusal that carries the
+// current assignment, the text of the returned error names that assignment too.
 func printAssignment(p placement.Assignment, err error) error {
 	var no *controllerclient.RefusalError
 	if errors.As(err, &no) && no.Assignment != nil {
@@ -203,11 +203,11 @@
 		Reason: "an operator made it"})
 }
 
-// propose proposes an operation to the controllers and prints the resulting assignment. Any operation but OpCreate gets the
-// epoch of the current assignment.
+// propose proposes an operation to the controllers and prints the resulting assignment. It sets the operation's epoch
+// to that of the current assignment, except for OpCreate, which uses no epoch.
 func (c *controllerCommand) propose(e placement.Operation) error {
 	return c.withClient(func(ctx context.Context, client *controllerclient.Client, _ *fleet.File, _ *peertransport.Network) error {
-		if e.Kind != placement.OpCreate { // the operation applies to the current epoch
+		if e.Kind != placement.OpCreate { // the controllers refuse an operation of an older epoch
 			all, err := client.Assignments(ctx, 0)
 			if err != nil {
 				return err
--- a/cmd/silvercovectl/fleet_example.go
+++ b/cmd/silvercovectl/fleet_example.go
@@ -17,8 +17,8 @@
 	Port        int    `default:"17000" help:"The ports on loopback follow this one."`
 }
 
-// exampleSettings is the JSON file of a relay, with the request classes of an image service. Times are in seconds. The
-// argument is the number of relays.
+// exampleSettings is the JSON file of the settings that the relays share, with the request classes of an image service.
+// Times are in seconds. The verb %d stands for the number of relays.
 const exampleSettings = `{
   "seed": "8c1f30d27a5be964",
   "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -16,8 +16,8 @@
 	File string `arg:"" help:"The operator's file of this process."`
 }
 
-// Run runs an edge node until SIGTERM or SIGINT. The node then migrates its instances to other nodes and ends within ten
-// lease durations. A second signal ends it at once.
+// Run runs an edge node until SIGTERM or SIGINT. The node then migrates its instances to other nodes and ends within
+// ten lease durations. A second signal ends the node at once.
 func (c *fleetNodeCmd) Run() error {
 	p, err := openProcess(c.File, "edge")
 	if err != nil {
@@ -26,8 +26,8 @@
 	return p.runWhile(func(alive context.Context) error { return c.serve(p, alive) })
 }
 
-// serve runs the edge node. The first SIGTERM or SIGINT starts the node's drain. The second one stops the node at once, and so
-// does the end of the context alive.
+// serve runs the edge node. The first SIGTERM or SIGINT starts the node's drain. A second signal stops the node at
+// once, and so does the cancellation of the context alive.
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	node, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -28,7 +28,8 @@
 	metricsListener net.Listener // nil: metrics are not served
 }
 
-// openProcess opens the process of a configuration file, which must name the role. Its connections work once run is called.
+// openProcess opens a process with the configuration file at path, which must name the given role. The process's
+// connections work only once run has been called.
 func openProcess(path, role string) (*fleetProcess, error) {
 	f, err := fleet.ReadRole(path, role)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return p, err
 }
 
-// registerGauges registers the gauges that every process has.
+// registerGauges registers a gauge for each state of a member, with the number of members in that state.
 func (p *fleetProcess) registerGauges() {
 	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
@@ -85,11 +86,11 @@
 	return nil
 }
 
-// run runs the connections, the membership agent and the metrics server until the context ends. If a later start of this
-// process's name becomes known, run logs that and goes on: leases decide which of the two processes may act, and a second
-// process that was started by mistake must not end the first.
+// run runs the connections, the membership agent and the metrics server until the context ends. If a process of the
+// same name that started later becomes known, run logs that and goes on. Leases decide which of the two processes may
+// act, and a second process that was started by mistake must not end the first.
 func (p *fleetProcess) run(ctx context.Context) error {
-	networkCtx, stopNetwork := context.WithCancel(context.WithoutCancel(ctx)) // the leave message is sent after ctx ends
+	networkCtx, stopNetwork := context.WithCancel(context.WithoutCancel(ctx)) // the network outlives ctx, because the membership agent sends a leave message after ctx has ended
 	done := make(chan error, 1)
 	go func() { done <- p.net.Run(networkCtx) }()
 	group, ctx := errgroup.WithContext(ctx)
@@ -111,7 +112,8 @@
 	return errors.Join(err, <-done)
 }
 
-// runWhile calls run while do runs. If run ends first, the context of do is cancelled.
+// runWhile calls do, with run in the background until do returns. If run returns first, the context that do got is
+// cancelled. The result joins the errors of both.
 func (p *fleetProcess) runWhile(do func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/cmd/silvercovectl/fleet_process_test.go
+++ b/cmd/silvercovectl/fleet_process_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// writeControllerFile writes the configuration file of a controller, with more lines at its end, and returns its path.
+// writeControllerFile writes the configuration file of a controller and returns the file's path. more holds further
+// lines for the end of the block fleet.
 func writeControllerFile(t *testing.T, more string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keeper.conf")
@@ -22,8 +23,8 @@
 	return path
 }
 
-// TestOpenProcess_ServesMetrics checks that a process serves its metrics at the address of its configuration file, and that
-// the file of another role is refused.
+// TestOpenProcess_ServesMetrics checks that a process serves its metrics at the address of its configuration file, and
+// that openProcess refuses a file with another role.
 func TestOpenProcess_ServesMetrics(t *testing.T) {
 	address := "127.0.0.1:" + freePort(t)
 	p, err := openProcess(writeControllerFile(t, " metrics "+address+"\n peer edge-a edge north 127.0.0.1:1\n"), "keeper")
--- a/cmd/silvercovectl/fleet_relay.go
+++ b/cmd/silvercovectl/fleet_relay.go
@@ -50,7 +50,7 @@
 }
 
 // relayEnv returns a function that looks up the environment variables of a relay. In a fleet their values come from the
-// configuration file, except for NODE_OPERATOR.
+// configuration file, except for NODE_OPERATOR, which comes from the environment of the process.
 func relayEnv(f *fleet.File) func(string) string {
 	return func(name string) string {
 		switch name {
--- a/cmd/silvercovectl/fleetsim.go
+++ b/cmd/silvercovectl/fleetsim.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// labFleetCmd is the sub-command that simulates a whole fleet. Flags whose help begins with "Instead" select
-// another output than the table of recovery times.
+// labFleetCmd is the sub-command that simulates a whole fleet. By default it prints the table of recovery times. Each
+// flag whose help begins with "Instead" selects another output.
 type labFleetCmd struct {
 	Nodes          []int         `name:"units" default:"100,300,1000" help:"Numbers of edge nodes, with relays, zones and instances in proportion: a table of times until the fleet has recovered."`
 	Seed           uint64        `default:"1" help:"The same seed gives the same tables."`
@@ -30,7 +30,7 @@
 	if c.RemoteReplicas < 0 || c.RemoteReplicas > 1 {
 		return fmt.Errorf("--away %d: simulated fleets have one replica of each instance, so 0 or 1 is allowed", c.RemoteReplicas)
 	}
-	debug.SetGCPercent(400) // the heap is large and most of it is long-lived
+	debug.SetGCPercent(400) // fewer garbage collections, because the heap is large and most of it is long-lived
 	switch {
 	case c.Play != "":
 		text, err := os.ReadFile(c.Play)
--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -61,7 +61,7 @@
 	Folder string `arg:"" type:"existingdir" help:"Folder with .key files."`
 }
 
-// Run lists the keys of a folder. It fails if a key file was refused.
+// Run lists the keys of a folder. After the list it returns an error if a key file was refused.
 func (c *keysListCmd) Run() error {
 	all, err := keys.List(c.Folder)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// keysRotateCmd is the sub-command that stages a root with other keys.
+// keysRotateCmd is the sub-command that stages a root with keys added to a role or removed from it.
 type keysRotateCmd struct {
 	Repo      string   `arg:"" type:"existingdir" help:"The repository."`
 	Role      string   `arg:"" enum:"root,targets,snapshot,timestamp" help:"root, targets, snapshot or timestamp."`
@@ -122,12 +122,12 @@
 	ID   string `arg:"" help:"The key's identifier, or a prefix of it."`
 }
 
-// Run stages the next root without the key.
+// Run stages the next root, in which the role no longer has the key.
 func (c *keysRevokeCmd) Run() error {
 	return (&keysRotateCmd{Repo: c.Repo, Role: c.Role, Out: []string{c.ID}}).Run()
 }
 
-// publicKeys reads the public keys of key files or public files.
+// publicKeys reads public keys from files, each of which is a key file or a file with the public part of a key.
 func publicKeys(paths []string) (all []*metadata.Key, err error) {
 	for _, p := range paths {
 		k, _, err := keys.LoadPublic(p)
@@ -152,7 +152,7 @@
 	Show     tufShowCmd     `cmd:"" help:"Show the state of each role."`
 }
 
-// lifetimes holds the arguments for how long new metadata are valid.
+// lifetimes holds the flags that set how long new metadata are valid.
 type lifetimes struct {
 	RootLife      time.Duration `default:"8760h" help:"How long a root is valid."`
 	TargetsLife   time.Duration `default:"2160h" help:"How long targets metadata are valid."`
@@ -164,7 +164,7 @@
 	return tufrepo.Lifetimes{Root: l.RootLife, Targets: l.TargetsLife, Snapshot: l.SnapshotLife, Timestamp: l.TimestampLife}
 }
 
-// withRepo opens a repository with these lifetimes, runs step and closes the repository.
+// withRepo opens the repository in dir, sets its lifetimes to l, calls step and closes the repository.
 func (l lifetimes) withRepo(dir string, step func(r *tufrepo.Repo) error) error {
 	r, err := tufrepo.Open(dir)
 	if err != nil {
@@ -222,7 +222,7 @@
 	Kinds []string `help:"Kinds of hardware that may run it; without this flag, all."`
 }
 
-// Run adds a file as a target.
+// Run adds a file as a target and stages the role's targets.
 func (c *tufAddCmd) Run() error {
 	return c.withRepo(c.Repo, func(r *tufrepo.Repo) error { return r.Add(c.Role, c.File, c.As, c.Build, c.Kinds) })
 }
@@ -235,7 +235,7 @@
 	Role string `default:"targets" help:"Role that vouches for it."`
 }
 
-// Run stages the targets without the path.
+// Run stages the role's targets without the path.
 func (c *tufRemoveCmd) Run() error {
 	return c.withRepo(c.Repo, func(r *tufrepo.Repo) error { return r.Remove(c.Role, c.Path) })
 }
@@ -307,7 +307,7 @@
 	Keys []string `arg:"" help:"Key files of the snapshot and timestamp."`
 }
 
-// Run publishes the staged metadata, with a new snapshot and timestamp signed by the online keys.
+// Run publishes the staged metadata, with a new snapshot and a new timestamp that it signs with the online keys.
 func (c *tufPublishCmd) Run() error {
 	var online []*keys.Key
 	for _, path := range c.Keys {
--- a/cmd/silvercovectl/lab.go
+++ b/cmd/silvercovectl/lab.go
@@ -32,7 +32,8 @@
 	return lab.OverloadTables(os.Stdout, c.Seed, c.Full)
 }
 
-// labMetadataCmd is the sub-command that measures the metadata proxy.
+// labMetadataCmd is the sub-command that measures the metadata proxy, its version store and its verification of
+// metadata.
 type labMetadataCmd struct {
 	Servers  []int         `default:"10,1000,10000" help:"Numbers of servers."`
 	Requests int           `name:"asks" default:"20000" help:"Requests of each kind for each number of servers."`
@@ -42,7 +43,7 @@
 	Out      string        `type:"existingdir" help:"Folder for the plot."`
 }
 
-// Run measures the metadata proxy and prints the figures.
+// Run makes the measurements and prints their figures.
 func (c *labMetadataCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -1,6 +1,7 @@
 // Command silvercovectl is the control program. It checks operators' files, manages keys and TUF repositories, runs the
-// metadata proxy (the front, on the command line), runs the processes of a fleet, and runs simulations and measurements of
-// them. This program uses the large dependencies, so that the binary of the relay stays small.
+// metadata proxy and the processes of a fleet, and runs simulations and measurements. The command line calls the
+// metadata proxy the front. Large dependencies are used in this program alone, so that the binary of the relay stays
+// small.
 package main
 
 import (
@@ -54,7 +55,7 @@
 	File string `arg:"" help:"The operator's file."`
 }
 
-// Run checks the file and prints which of the blocks metadata and verdicts it has.
+// Run checks the file and prints which of the two blocks, metadata and verdicts, the file has.
 func (c *checkCmd) Run() error {
 	all, err := operatorconfig.OperatorTable.Read(c.File)
 	if err != nil {
@@ -77,8 +78,8 @@
 	return err
 }
 
-// logger returns a logger that writes structured lines to standard error, at a level that the operator's file names. The
-// level is info if the name is unknown.
+// logger returns a logger that writes structured lines to standard error. level is the name of a zerolog level; an
+// unknown name stands for info.
 func logger(level string) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return zerolog.New(os.Stderr).Level(l).With().Timestamp().Logger()
 }
 
-// withDiskFull returns err, with an explanation if the disk is full.
+// withDiskFull returns err, wrapped in an explanation if the cause is a full disk.
 func withDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return fmt.Errorf("the disk is full, and nothing was changed: %w", err)
@@ -95,15 +96,15 @@
 	return err
 }
 
-// earlierNames maps the earlier names of sub-commands, which still work, to the present ones.
+// earlierNames maps the earlier names of sub-commands to their present names. The earlier names still work.
 var earlierNames = map[string]string{
 	"fleet edge":   "fleet node",
 	"fleet keeper": "fleet controller",
 	"floor":        "version-store",
 }
 
-// earlierName returns the earlier name of a sub-command that a command line begins with, and the present name. Both are ""
-// if the command line begins with none.
+// earlierName returns the earlier name with which a command line begins, and the present name of that sub-command. It
+// returns two empty strings if the command line does not begin with an earlier name.
 func earlierName(args []string) (earlier, now string) {
 	for words := 1; words <= min(2, len(args)); words++ {
 		earlier = strings.Join(args[:words], " ")
--- a/cmd/silvercovectl/main_test.go
+++ b/cmd/silvercovectl/main_test.go
@@ -9,8 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestEarlierName_SubCommandsStillWork checks that an earlier name of a sub-command is recognized as an earlier name and
-// selects the same sub-command as the present name.
+// TestEarlierName_SubCommandsStillWork checks that earlierName recognizes each earlier name, and that the earlier name
+// selects the same sub-command as the present one.
 func TestEarlierName_SubCommandsStillWork(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -101,7 +101,7 @@
 	Path string `help:"Also look this target up."`
 }
 
-// Run runs the TUF client workflow with an empty version store, so no version from an earlier run is known.
+// Run runs the TUF client workflow. The version store is empty, so versions from earlier runs are not known.
 func (c *tufVerifyCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
@@ -276,7 +276,8 @@
 	Yes   bool     `help:"Confirm: metadata that had expired by the later time count as valid again until they expire."`
 }
 
-// Run sets the version store's trusted time back to now, if it is ahead.
+// Run sets the version store's trusted time back to the current time if it is later than that. It refuses to run
+// without --yes.
 func (c *versionStoreClockCmd) Run() error {
 	if !c.Yes {
 		return errors.New("this makes metadata that have expired by the trusted time of the version store valid again: give --yes if the clock " +
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// runExperiment runs an experiment and writes its results to a file. It shows the progress if standard error is a terminal.
+// runExperiment runs an experiment and writes its results to a file. It shows its progress if standard error is a
+// terminal.
 func runExperiment(e lab.Experiment, path string) ([]lab.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -103,13 +104,13 @@
 	return nil
 }
 
-// labCompareCmd is the sub-command that compares two results.
+// labCompareCmd is the sub-command that compares the results of two files.
 type labCompareCmd struct {
 	A string `arg:"" type:"existingfile" help:"Results of lab run."`
 	B string `arg:"" type:"existingfile" help:"Results to compare them with."`
 }
 
-// Run prints a comparison of two results.
+// Run prints a comparison of the results of two files.
 func (c *labCompareCmd) Run() error {
 	a, err := readResults(c.A)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return lab.Compare(os.Stdout, filepath.Base(c.A), filepath.Base(c.B), a, b)
 }
 
-// readResults reads a file of results. A file without any is an error.
+// readResults reads a file of results. A file without results is an error.
 func readResults(path string) ([]lab.Result, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return all, nil
 }
 
-// labReportCmd is the sub-command that writes a report of results.
+// labReportCmd is the sub-command that writes a report on a file of results.
 type labReportCmd struct {
 	Results     string  `arg:"" type:"existingfile" help:"Results of lab run."`
 	HTML        string  `help:"File for the page with plots."`
@@ -149,7 +150,7 @@
 	Misses      float64 `default:"0.05" help:"Declared rate of misses."`
 }
 
-// Run writes the report as a page, as text, or both.
+// Run writes the report as a page, as text or as both. Without --html and --text it prints the text.
 func (c *labReportCmd) Run() error {
 	all, err := readResults(c.Results)
 	if err != nil {
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// writeFile creates a file and has write fill it.
+// writeFile creates a file and calls write to write its content.
 func writeFile(path string, write func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
@@ -190,7 +191,7 @@
 	Width    int    `default:"6" help:"Concurrent rollouts; each has its own relays, backends and clients."`
 }
 
-// Run runs rollouts with real relays and in the model, and compares the results.
+// Run runs rollouts with real relays and in the simulation, and prints a comparison of their results.
 func (c *labLoopbackCmd) Run() error {
 	e, err := lab.ReadExperiment(c.File, "")
 	if err != nil {
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// verdictPlanCmd is the sub-command that estimates how long evidence takes.
+// verdictPlanCmd is the sub-command that estimates how long it takes to gather enough evidence.
 type verdictPlanCmd struct {
 	Rates  map[string]float64 `arg:"" help:"Requests per second of each request class at all relays together, such as read=300 sell=2."`
 	Relays int                `default:"1" help:"Number of relays that share these requests and exchange no evidence."`
@@ -44,7 +44,8 @@
 	Miss   float64            `default:"0.05" help:"Probability of a miss, for one request class at one relay."`
 }
 
-// Run prints how many outcomes the evidence needs, and for each request class how long these outcomes take in each stage.
+// Run prints how many outcomes are needed to rule out the effect, and for each request class how long these outcomes
+// take in each stage.
 func (c *verdictPlanCmd) Run() error {
 	switch {
 	case len(c.Rates) == 0 || c.Relays < 1:
