--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -17,10 +17,10 @@
 	"silvercove/internal/tufrepo"
 )
 
-// frontFixture is a metadata proxy with its mirrors, its Director and the key of its servers.
-type frontFixture struct {
+// proxyFixture is a metadata proxy with its mirrors, its Director and the key of its servers.
+type proxyFixture struct {
 	dir       string
-	front     *metadataservice.Service
+	proxy     *metadataservice.Service
 	clock     *repository.Clock
 	stop      func()
 	key       *keys.Key    // signing key that all servers share
@@ -29,16 +29,16 @@
 	director  *repository.Publisher
 }
 
-func (w *frontFixture) close() {
+func (w *proxyFixture) close() {
 	if w.stop != nil {
 		w.stop()
 	}
 	_ = os.RemoveAll(w.dir)
 }
 
-// newFrontFixture starts a metadata proxy for n servers and waits until it serves current metadata.
-func (m Metadata) newFrontFixture(n int) (w *frontFixture, err error) {
-	w = &frontFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
+// newProxyFixture starts a metadata proxy for n servers and waits until it serves current metadata.
+func (m Metadata) newProxyFixture(n int) (w *proxyFixture, err error) {
+	w = &proxyFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
 	if w.dir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 }
 
 // addImage makes the image repository and its mirrors, and appends them to the configuration.
-func (w *frontFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
+func (w *proxyFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
 	image, err := repository.NewPublisher(filepath.Join(w.dir, "image"), w.clock, tufrepo.Lifetimes{}, true)
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 
 // addDirector makes the keys of the Director and of the servers, and appends the Director with n servers to the
 // configuration.
-func (w *frontFixture) addDirector(config *strings.Builder, n int) (err error) {
+func (w *proxyFixture) addDirector(config *strings.Builder, n int) (err error) {
 	if w.director, err = repository.NewPublisher(filepath.Join(w.dir, "director"), w.clock, tufrepo.Lifetimes{}, true); err != nil {
 		return err
 	}
@@ -127,8 +127,8 @@
 }
 
 // start runs the metadata proxy until w.stop is called, which also closes the mirrors.
-func (w *frontFixture) start(mirrors []*repository.Mirror) (err error) {
-	w.front, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
+func (w *proxyFixture) start(mirrors []*repository.Mirror) (err error) {
+	w.proxy, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
 		zerolog.Nop())
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = w.front.Run(ctx)
+		_ = w.proxy.Run(ctx)
 	}()
 	w.stop = func() {
 		cancel()
@@ -150,9 +150,9 @@
 }
 
 // waitCurrent waits until the metadata proxy serves the image repository, for at most 20 s.
-func (w *frontFixture) waitCurrent() error {
+func (w *proxyFixture) waitCurrent() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := http.Get("http://" + w.front.Address() + "/r/image/metadata/timestamp.json")
+		resp, err := http.Get("http://" + w.proxy.Address() + "/r/image/metadata/timestamp.json")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == 200 {
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -73,7 +73,7 @@
 // Summarize summarizes results by package and condition, in the order of their first occurrence.
 func Summarize(all []Result) (lines []SummaryLine) {
 	at := map[[2]string]int{}
-	type tally struct{ n, wrong, advanced, undecided, commands, failed int }
+	type tally struct{ n, wrong, advanced, undecided, requests, failed int }
 	var tallies []tally
 	for _, r := range all {
 		key := [2]string{r.Condition, r.Package}
@@ -86,7 +86,7 @@
 		}
 		t, l := &tallies[i], &lines[i]
 		t.n++
-		t.commands += r.Requests
+		t.requests += r.Requests
 		t.failed += r.Failed
 		l.Broken += r.ExposureBreaks
 		if r.Bad && r.Released || !r.Bad && r.RolledBack {
@@ -104,7 +104,7 @@
 	for i := range lines {
 		l, t := &lines[i], tallies[i]
 		l.Wrong, l.Advanced, l.Undecided = NewRate(t.wrong, t.n), NewRate(t.advanced, t.n), NewRate(t.undecided, t.n)
-		l.Harm = float64(t.failed) / float64(max(1, t.commands))
+		l.Harm = float64(t.failed) / float64(max(1, t.requests))
 		slices.Sort(l.Verdicts)
 		l.P50, l.P95 = quantile(l.Verdicts, 0.5), quantile(l.Verdicts, 0.95)
 	}
