--- a/cmd/silvercovectl/fleet_example.go
+++ b/cmd/silvercovectl/fleet_example.go
@@ -47,7 +47,7 @@
 	if err := os.Mkdir(c.Folder, 0o755); err != nil {
 		return err
 	}
-	type process struct{ name, role, zone, address, more string }
+	type process struct{ name, role, zone, address, extraLines string }
 	var all []process
 	port := c.Port
 	address := func() string {
@@ -74,7 +74,7 @@
 	}
 	for _, p := range all {
 		var b strings.Builder
-		fmt.Fprintf(&b, "fleet {\n  name vans\n  node %s\n  role %s\n  zone %s\n  listen %s\n  away 1\n%s", p.name, p.role, p.zone, p.address, p.more)
+		fmt.Fprintf(&b, "fleet {\n  name vans\n  node %s\n  role %s\n  zone %s\n  listen %s\n  away 1\n%s", p.name, p.role, p.zone, p.address, p.extraLines)
 		for _, o := range all {
 			if o.name != p.name {
 				fmt.Fprintf(&b, "  peer %s %s %s %s\n", o.name, o.role, o.zone, o.address)
--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -191,16 +191,16 @@
 // Run creates a repository.
 func (c *tufInitCmd) Run() error {
 	roles := map[string]tufrepo.Role{}
-	for role, of := range map[string]struct {
+	for role, roleKeys := range map[string]struct {
 		files     []string
 		threshold int
 	}{"root": {c.Root, c.RootThreshold}, "targets": {c.Targets, c.TargetsThreshold}, "snapshot": {c.Snapshot, 1},
 		"timestamp": {c.Timestamp, 1}} {
-		all, err := publicKeys(of.files)
+		all, err := publicKeys(roleKeys.files)
 		if err != nil {
 			return err
 		}
-		roles[role] = tufrepo.Role{Keys: all, Threshold: of.threshold}
+		roles[role] = tufrepo.Role{Keys: all, Threshold: roleKeys.threshold}
 	}
 	r, err := tufrepo.Init(c.Repo, roles, !c.Inconsistent, c.tufLifetimes())
 	if err != nil {
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -105,7 +105,7 @@
 
 // earlierName returns the earlier name with which a command line begins, and the present name of that sub-command. It
 // returns two empty strings if the command line does not begin with an earlier name.
-func earlierName(args []string) (earlier, now string) {
+func earlierName(args []string) (earlier, present string) {
 	for words := 1; words <= min(2, len(args)); words++ {
 		earlier = strings.Join(args[:words], " ")
 		if now, ok := earlierNames[earlier]; ok {
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -166,11 +166,11 @@
 	if err != nil {
 		return err
 	}
-	ask := metadataservice.Assignment
+	fetchAssignment := metadataservice.Assignment
 	if c.Partial {
-		ask = metadataservice.PartialAssignment
+		fetchAssignment = metadataservice.PartialAssignment
 	}
-	all, err := ask("http://"+c.Address, c.Server, pinned, time.Now())
+	all, err := fetchAssignment("http://"+c.Address, c.Server, pinned, time.Now())
 	if err != nil {
 		return err
 	}
@@ -288,14 +288,14 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	before, now := f.TrustedTime(), tufverify.FromTime(time.Now())
-	if before <= now {
-		fmt.Printf("the trusted time %s of the version store is not ahead: nothing was changed\n", before.Time().Format(time.RFC3339))
+	trusted, now := f.TrustedTime(), tufverify.FromTime(time.Now())
+	if trusted <= now {
+		fmt.Printf("the trusted time %s of the version store is not ahead: nothing was changed\n", trusted.Time().Format(time.RFC3339))
 		return nil
 	}
 	if err := f.ResetTime(now); err != nil {
 		return withDiskFull(err)
 	}
-	fmt.Printf("set back from %s to %s\n", before.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
+	fmt.Printf("set back from %s to %s\n", trusted.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
 	return nil
 }
