--- a/cmd/silvercovectl/keys.go
+++ b/cmd/silvercovectl/keys.go
@@ -97,7 +97,7 @@
 	Threshold int      `help:"The new threshold of signatures; 0 keeps the present one."`
 }
 
-// Run stages the next root.
+// Run stages the next root, with the keys and the threshold of the role changed.
 func (c *keysRotateCmd) Run() error {
 	r, err := tufrepo.Open(c.Repo)
 	if err != nil {
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -13,8 +13,8 @@
 type Day struct {
 	Name             string
 	plan             func(f *fleetDay) // schedules the events of the day
-	relays, backends int               // 0: dayRelays and dayBackends
-	span             float64           // seconds; 0: daySpan
+	relays, backends int               // size of the fleet; 0: dayRelays or dayBackends
+	span             float64           // duration in seconds; 0: daySpan
 	wrapHost         hostWrapper
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a table of figures that is printed as text.
+// Table is a table of figures that Print writes as text.
 type Table struct {
 	Title string
 	Head  []string
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -21,7 +21,7 @@
 	listLag           = 0.1  // delay until relays are notified of a change of the endpoint list
 	replaceSpan       = 1.0  // time from the start of a backend's drain until the backend is ready with another version
 	warmUp            = 4.0  // time from a backend's start until the backend is warm
-	slotsPerBackend   = 8    // requests that a backend works on at once
+	slotsPerBackend   = 8    // number of requests that a backend works on at once
 	medianServiceTime = 0.02 // median time for which a backend works on a request
 	metricsLag        = 1.0  // delay from the end of a metrics period until relays get the platform's counts
 )
--- a/internal/lab/model_events.go
+++ b/internal/lab/model_events.go
@@ -4,7 +4,7 @@
 	"silvercove/balancer"
 )
 
-// event is a function that a simulation calls at a given time.
+// event is a function that a simulation calls at the time at.
 type event struct {
 	at       balancer.Tick
 	sequence int // increases with each scheduled event; orders events of the same time
--- a/internal/lab/model_relay.go
+++ b/internal/lab/model_relay.go
@@ -264,10 +264,10 @@
 // Log drops log lines.
 func (n *relayNode) Log(string, ...slog.Attr) {}
 
-// WatchEndpoints does nothing: every relay is notified of changes.
+// WatchEndpoints does nothing: relays are notified of all changes without a call.
 func (n *relayNode) WatchEndpoints(bool) {}
 
-// FetchEndpoints does nothing: every relay is notified of changes.
+// FetchEndpoints does nothing: relays are notified of all changes without a call.
 func (n *relayNode) FetchEndpoints() {}
 
 // CastVote sends a vote to the platform, and the platform's reply back to the relay. A single vote decides. The
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -28,7 +28,7 @@
 	Recovery          float64 // seconds; 0: the backend never answers again
 	SlowFactor        float64 // factor on the service time of the last backend during the trigger; 0: the service time is not changed
 	FalseReports      string  // false content of the first relay's load reports: "bad" reports six healthy backends as sick, "good" reports the sick backend as healthy, "" changes nothing
-	FirstRelayCut     bool    // the first relay's attempts reach no backend
+	FirstRelayCut     bool    // the first relay's link is cut, so that its attempts reach no backend
 	Split             float64 // seconds after which each half of the relays gets load reports from its own half only; 0: never
 	LostReports       float64 // share of the load reports that are lost
 	ReportDelay       float64 // delay of load reports in seconds
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -154,7 +154,7 @@
 	return float64(n) / float64(to-from)
 }
 
-// secondsText formats a number of seconds; +Inf is "never".
+// secondsText formats a number of seconds for a table, and +Inf as "never".
 func secondsText(s float64) string {
 	if math.IsInf(s, 1) {
 		return "never"
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// ReadResults reads results that Experiment.Run wrote.
+// ReadResults reads results in the form in which Experiment.Run writes them.
 func ReadResults(from io.Reader) (all []Result, err error) {
 	dec := json.NewDecoder(from)
 	dec.DisallowUnknownFields()
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -21,7 +21,7 @@
 	Errors       map[string]float64 // share of requests that fail beyond BaseFailures, by request class; the key "all" applies to every class
 	Wrong        float64            // share of answers that are wrong without an error
 	SlowFactor   float64            // factor on the usual service time; 0: no change
-	SilentShare  float64            // share of requests that the backend never answers
+	SilentShare  float64            // share of requests that are never answered
 	FaultDelay   float64            // seconds from a backend's start until the faults show
 	PriorPackage string             // name of a package that is offered, and rolled back or released, before this one; "": none
 }
@@ -52,7 +52,7 @@
 	Bake                    float64 // least seconds that each stage lasts
 	BaseFailures            float64 // share of requests that fail at any version
 	FoundShare              float64 // share of the wrong answers that clients detect and report
-	WatchSpan               float64 // seconds that are simulated after the release
+	WatchSpan               float64 // seconds for which the simulation continues after the release
 	MaxSpan                 float64 // seconds after the first offer at which a rollout without a verdict ends undecided
 	EvidenceWait            float64 // seconds for which a stage waits for evidence on request classes that lack it
 	ReportWithin            float64 // seconds within which reports of wrong answers are expected
