--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -101,7 +101,7 @@
 	Path string `help:"Also look this target up."`
 }
 
-// Run runs the TUF client workflow with an empty version store, so no version from an earlier run is known.
+// Run runs the TUF client workflow. The version store is empty, so versions from earlier runs are not known.
 func (c *tufVerifyCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
@@ -166,11 +166,11 @@
 	if err != nil {
 		return err
 	}
-	ask := metadataservice.Assignment
+	fetchAssignment := metadataservice.Assignment
 	if c.Partial {
-		ask = metadataservice.PartialAssignment
+		fetchAssignment = metadataservice.PartialAssignment
 	}
-	all, err := ask("http://"+c.Address, c.Server, pinned, time.Now())
+	all, err := fetchAssignment("http://"+c.Address, c.Server, pinned, time.Now())
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,8 @@
 	Yes   bool     `help:"Confirm: metadata that had expired by the later time count as valid again until they expire."`
 }
 
-// Run sets the version store's trusted time back to now, if it is ahead.
+// Run sets the version store's trusted time back to the current time if it is later than that. It refuses to run
+// without --yes.
 func (c *versionStoreClockCmd) Run() error {
 	if !c.Yes {
 		return errors.New("this makes metadata that have expired by the trusted time of the version store valid again: give --yes if the clock " +
@@ -287,14 +288,14 @@
 		return err
 	}
 	defer func() { _ = f.Close() }()
-	before, now := f.TrustedTime(), tufverify.FromTime(time.Now())
-	if before <= now {
-		fmt.Printf("the trusted time %s of the version store is not ahead: nothing was changed\n", before.Time().Format(time.RFC3339))
+	trusted, now := f.TrustedTime(), tufverify.FromTime(time.Now())
+	if trusted <= now {
+		fmt.Printf("the trusted time %s of the version store is not ahead: nothing was changed\n", trusted.Time().Format(time.RFC3339))
 		return nil
 	}
 	if err := f.ResetTime(now); err != nil {
 		return withDiskFull(err)
 	}
-	fmt.Printf("set back from %s to %s\n", before.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
+	fmt.Printf("set back from %s to %s\n", trusted.Time().Format(time.RFC3339), now.Time().Format(time.RFC3339))
 	return nil
 }
--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -17,28 +17,28 @@
 	"silvercove/internal/tufrepo"
 )
 
-// frontFixture is a metadata proxy with its mirrors, its Director and the key of its servers.
-type frontFixture struct {
+// proxyFixture is a metadata proxy with its mirrors, its Director and the key of its servers.
+type proxyFixture struct {
 	dir       string
-	front     *metadataservice.Service
+	proxy     *metadataservice.Service
 	clock     *repository.Clock
 	stop      func()
-	key       *keys.Key    // of all servers
-	stageLine string       // line of the configuration file with the stage
-	write     func() error // writes the configuration file with stageLine
+	key       *keys.Key    // signing key that all servers share
+	stageLine string       // line of the configuration file that sets the stage
+	write     func() error // writes the configuration file with the current stageLine
 	director  *repository.Publisher
 }
 
-func (w *frontFixture) close() {
+func (w *proxyFixture) close() {
 	if w.stop != nil {
 		w.stop()
 	}
 	_ = os.RemoveAll(w.dir)
 }
 
-// newFrontFixture starts a metadata proxy for n servers and waits until it serves current metadata.
-func (m Metadata) newFrontFixture(n int) (w *frontFixture, err error) {
-	w = &frontFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
+// newProxyFixture starts a metadata proxy for n servers and waits until it serves current metadata.
+func (m Metadata) newProxyFixture(n int) (w *proxyFixture, err error) {
+	w = &proxyFixture{clock: repository.NewClock(true), stageLine: "wave 2 testing 35%"}
 	if w.dir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, err
 	}
@@ -68,8 +68,8 @@
 	return w, w.waitCurrent()
 }
 
-// addImage makes the image repository and its mirrors, and adds them to the configuration.
-func (w *frontFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
+// addImage makes the image repository and its mirrors, and appends them to the configuration.
+func (w *proxyFixture) addImage(config *strings.Builder) (mirrors []*repository.Mirror, err error) {
 	image, err := repository.NewPublisher(filepath.Join(w.dir, "image"), w.clock, tufrepo.Lifetimes{}, true)
 	if err != nil {
 		return nil, err
@@ -97,8 +97,9 @@
 	return mirrors, nil
 }
 
-// addDirector makes the Director's keys and the servers' key, and adds the Director with n servers to the configuration.
-func (w *frontFixture) addDirector(config *strings.Builder, n int) (err error) {
+// addDirector makes the keys of the Director and of the servers, and appends the Director with n servers to the
+// configuration.
+func (w *proxyFixture) addDirector(config *strings.Builder, n int) (err error) {
 	if w.director, err = repository.NewPublisher(filepath.Join(w.dir, "director"), w.clock, tufrepo.Lifetimes{}, true); err != nil {
 		return err
 	}
@@ -125,9 +126,9 @@
 	return nil
 }
 
-// start runs the metadata proxy until stop is called, which also closes the mirrors.
-func (w *frontFixture) start(mirrors []*repository.Mirror) (err error) {
-	w.front, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
+// start runs the metadata proxy until w.stop is called, which also closes the mirrors.
+func (w *proxyFixture) start(mirrors []*repository.Mirror) (err error) {
+	w.proxy, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
 		zerolog.Nop())
 	if err != nil {
 		return err
@@ -136,7 +137,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = w.front.Run(ctx)
+		_ = w.proxy.Run(ctx)
 	}()
 	w.stop = func() {
 		cancel()
@@ -149,9 +150,9 @@
 }
 
 // waitCurrent waits until the metadata proxy serves the image repository, for at most 20 s.
-func (w *frontFixture) waitCurrent() error {
+func (w *proxyFixture) waitCurrent() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := http.Get("http://" + w.front.Address() + "/r/image/metadata/timestamp.json")
+		resp, err := http.Get("http://" + w.proxy.Address() + "/r/image/metadata/timestamp.json")
 		if err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == 200 {
