--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// call sends a call from a node to the leader. The leader runs ask, and the answer is sent back to the node. If no answer arrives
-// within wait, call runs fail.
+// call sends a call from a node to the leader. The leader runs ask. ask passes a function to answer, which runs it at the node.
+// If no answer arrives within wait, call runs fail.
 func (c *cluster) call(from *endpoint, wait tick.Tick, ask func(l *leadership, answer func(func())), fail func(error)) {
 	f, over := c.fleet, false
 	f.after(wait, func() {
@@ -44,14 +44,14 @@
 type leaseRequest struct {
 	node        *edgeNode
 	incarnation uint64
-	status      migration.NodeStatus // the status that is passed to the planner
-	reported    migration.NodeStatus // the status as the node sent it
+	status      migration.NodeStatus // status for the planner; differs from reported if health reports are verified or the planner ignores them
+	reported    migration.NodeStatus // status as the node sent it
 	records     recordCount
 	unverified  []replica.UnverifiedCopy
 	granted     func(version, known uint64)
 
 	leader     *leadership
-	receivedAt tick.Tick // arrival at the leader, by the leader's clock
+	receivedAt tick.Tick // time of arrival at the leader, by the leader's clock
 	answer     func(func())
 }
 
@@ -63,7 +63,8 @@
 	}, func(error) {})
 }
 
-// receive handles the arrival of the request at the leader. A new incarnation of the node is agreed on first.
+// receive handles the arrival of the request at the leader. If the node has a new incarnation, the controllers agree on the
+// incarnation first.
 func (r *leaseRequest) receive() {
 	l, u := r.leader, r.node
 	verdict, err := l.lessor.Request(r.receivedAt, u.name, r.incarnation)
@@ -86,7 +87,7 @@
 	}})
 }
 
-// confirm asks a majority to confirm the leader, and proposes the copies that the node reports as unverified.
+// confirm waits until a majority has confirmed the leader, and then proposes the copies that the node reports as unverified.
 func (r *leaseRequest) confirm() {
 	l := r.leader
 	c := l.cluster
@@ -107,7 +108,7 @@
 	})
 }
 
-// grant grants the lease once no pending operation requires that it has expired.
+// grant grants the lease once no pending operation requires that the node's lease has expired.
 func (r *leaseRequest) grant() {
 	l, u := r.leader, r.node
 	c := l.cluster
@@ -157,7 +158,8 @@
 	}, func(err error) { done(placement.Assignment{}, err) })
 }
 
-// reportDevice proposes the zone of a device, and retries every second until the zone is agreed.
+// reportDevice proposes the new zone of a device. It retries every second until the zone is agreed, or until the device moves
+// to yet another zone.
 func (c *cluster) reportDevice(d *device, z *zone) {
 	f := c.fleet
 	p, ok := c.table.Get(d.name)
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -16,7 +16,7 @@
 	At       tick.Tick
 	Kind     string
 	Target   string // name of a process, zone or device, or "all"
-	To       string // second process or zone of kinds that take two, such as cut, part and swarm
+	To       string // second process or zone, for kinds of faults that take two, such as "cut", "part" and "swarm"; else ""
 	Duration tick.Tick
 	Amount   float64 // strength of the fault, such as the loss rate or the fraction of a zone's devices that move
 }
@@ -82,7 +82,8 @@
 	return s, nil
 }
 
-// Play schedules the faults of a script, each with its end. A fault that restores disks uses a backup taken up to 6 s before it.
+// Play schedules the start and the end of each fault of a script. A fault that restores disks uses a backup taken up to 6 s
+// before the fault.
 func (f *Fleet) Play(s Script) {
 	for _, x := range s {
 		if some := f.nodes; x.Kind == "putback" || x.Kind == "putbacks" {
@@ -124,7 +125,7 @@
 	}
 }
 
-// drawFault draws a random fault that starts between 1 s and 1 s plus span.
+// drawFault draws a random fault. Its start is drawn from the span that begins 1 s after the start of the run.
 func drawFault(r *rand.Rand, f *Fleet, span tick.Tick) Fault {
 	name := faultNames[r.IntN(len(faultNames))]
 	k := faultKinds[name]
--- a/internal/lab/fleetsim/fault_kinds.go
+++ b/internal/lab/fleetsim/fault_kinds.go
@@ -8,10 +8,10 @@
 	"silvercove/internal/tick"
 )
 
-// faultKind is a kind of fault: the kinds of its targets, the range of its amount, and a function that applies the fault and
-// returns a function that ends it, or nil.
+// faultKind is a kind of fault: the kinds of its targets, the range of its amount, and the function that applies it. apply
+// returns a function that ends the fault, or nil if nothing has to be undone.
 type faultKind struct {
-	target, to string // unit (edge node), node (any process), zone, keeper (controller), relay, camera (device) or all
+	target, to string // unit (edge node), node (any process), zone, keeper (controller), relay, camera (device) or all; to is "" without a second target
 	amount     [2]float64
 	apply      func(f *Fleet, x Fault) (undo func())
 }
@@ -31,12 +31,12 @@
 // linkFaults returns the faults of links between processes.
 func linkFaults() map[string]faultKind {
 	return map[string]faultKind{
-		"cut": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // the cut is one-way, from a to b
+		"cut": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // cuts the link in one direction, from x.Target to x.To
 			a, b := f.endpointByName[x.Target], f.endpointByName[x.To]
 			f.blockedLinks[[2]int{a.id, b.id}]++
 			return func() { f.blockedLinks[[2]int{a.id, b.id}]-- }
 		}},
-		"part": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // the cut is in both directions
+		"part": {target: "node", to: "node", apply: func(f *Fleet, x Fault) func() { // cuts the link in both directions
 			a, b := f.endpointByName[x.Target], f.endpointByName[x.To]
 			f.blockBoth(a, b, 1)
 			return func() { f.blockBoth(a, b, -1) }
@@ -120,7 +120,7 @@
 	}
 }
 
-// powerFaults returns the faults that make nodes refuse or hand over instances, and those that move load.
+// powerFaults returns the faults that make nodes refuse or hand over instances, and the faults that add load or move devices.
 func powerFaults() map[string]faultKind {
 	return map[string]faultKind{
 		"bad": {target: "unit", apply: func(f *Fleet, x Fault) func() {
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// jumpClocks sets the clock that a relay makes decisions by forward, as after a suspend of its machine. With the name "all" it
-// does so for each relay.
+// jumpClocks moves the clock of a relay forward, as after a suspend of its machine. The relay's overload decisions use this
+// clock. The name "all" stands for all relays.
 func (f *Fleet) jumpClocks(name string, by tick.Tick) {
 	for _, r := range f.relays {
 		if name == "all" || r.endpoint.name == name {
@@ -245,7 +245,7 @@
 	return func() { z.partitions-- }
 }
 
-// stallNode stops a node from handling messages and timers. They wait until the stall ends.
+// stallNode stops a node from handling messages and timers. The messages and timers wait until the stall ends.
 func stallNode(f *Fleet, x Fault) func() {
 	u := f.nodeByName[x.Target]
 	u.stalls++
@@ -265,8 +265,8 @@
 	}
 }
 
-// crashNode ends the process of a node, which starts again when the fault ends: with its disk, with an erased disk (wipe) or with
-// a disk restored from a backup (restoreBackup).
+// crashNode ends the process of a node. The process starts again when the fault ends: with its disk, with an erased disk (wipe)
+// or with a disk restored from a backup (restoreBackup).
 func crashNode(f *Fleet, x Fault, wipe, restoreBackup bool) func() {
 	u := f.nodeByName[x.Target]
 	f.checker.disturbed[u.name] = true
@@ -288,7 +288,8 @@
 	}
 }
 
-// drainBattery sets the battery of a node to 5.15 percent and cuts its mains supply.
+// drainBattery sets the battery of a node to 5.15 percent and cuts its mains supply. At the end of the fault the charge is at
+// least 50 percent, and the mains supply is as before.
 func drainBattery(f *Fleet, u *edgeNode) func() {
 	charge, mains := u.battery.Charge, u.battery.Mains
 	u.battery.Charge, u.battery.Mains = 0.0515, false
@@ -309,8 +310,8 @@
 	}
 }
 
-// moveDevices moves a fraction of the devices of a zone to another one, spread over a tenth of the duration and at most 10 s. At
-// the end of the fault they move back.
+// moveDevices moves a fraction of the devices of a zone to another zone. The moves are spread over a tenth of the fault's
+// duration, but at most 10 s. At the end of the fault the devices move back.
 func moveDevices(f *Fleet, x Fault) func() {
 	from, to := f.zoneByName(x.Target), f.zoneByName(x.To)
 	var some []*device
@@ -338,7 +339,7 @@
 	return stopControllers(f, []*controller{f.cluster.leader.controller})
 }
 
-// stopControllers stops controllers until the fault ends.
+// stopControllers stops the given controllers until the fault ends.
 func stopControllers(f *Fleet, some []*controller) func() {
 	for _, k := range some {
 		k.downCount++
@@ -353,8 +354,8 @@
 	}
 }
 
-// startDuplicate starts a second process under the name of a node, as if the node was restored from an image of its disk while
-// it still runs.
+// startDuplicate starts a second process under the name of a node, as if an image of the node's disk had been restored
+// elsewhere while the node still runs.
 func startDuplicate(f *Fleet, x Fault) func() {
 	u := f.nodeByName[x.Target]
 	v := f.newNode(u.name, u.zone)
@@ -363,7 +364,8 @@
 	v.logs, v.diskRecords, v.recordsWritten = cloneLogs(u.logs), u.diskRecords, u.recordsWritten
 	v.incarnation = u.incarnation
 	f.checker.disturbed[u.name] = true
-	// The flag is set now because the disk is copied now. The copy lacks what u records until the duplicate answers.
+	// The disk is copied now. The copy will lack what u records until the duplicate answers, so the disk counts as replaced from
+	// now on.
 	f.checker.diskReplaced[u.name] = true
 	f.nodes = append(f.nodes, v)
 	v.start()
@@ -376,7 +378,7 @@
 	}
 }
 
-// blockBoth adds n cuts to the link between two endpoints in both directions.
+// blockBoth adds n cuts to the link between two endpoints in both directions. A negative n removes cuts.
 func (f *Fleet) blockBoth(a, b *endpoint, n int) {
 	f.blockedLinks[[2]int{a.id, b.id}] += n
 	f.blockedLinks[[2]int{b.id, a.id}] += n
--- a/internal/lab/fleetsim/fleet_test.go
+++ b/internal/lab/fleetsim/fleet_test.go
@@ -7,7 +7,7 @@
 	"silvercove/internal/tick"
 )
 
-// script parses a script.
+// script parses a script and fails the test if the script is invalid.
 func script(t *testing.T, text string) Script {
 	t.Helper()
 	s, err := ParseScript(text)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Two runs with the same seed give the same timeline, line for line. Another seed gives another one.
+// Two runs with the same seed give the same timeline, line for line. A run with another seed gives another timeline.
 func TestFleet_SameSeedGivesSameTimeline(t *testing.T) {
 	play := func(seed uint64) string {
 		f := New(seed, Small())
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -10,8 +10,9 @@
 	"silvercove/internal/tick"
 )
 
-// Simulated processes of a later version differ from this version in one operation, one version of messages and one field of
-// assignments. placement.CheckSupported, replica.Message.Check and placement.Table handle these, as in the processes.
+// Simulated processes of a later version differ from this version in three ways: they know one more operation, they send
+// messages of the next version, and they add a field to the assignments. The same code as in real processes handles these
+// differences: placement.CheckSupported, replica.Message.Check and placement.Table.
 const (
 	laterOperation        = placement.OperationKind("dim")
 	laterField            = "lights"
@@ -36,7 +37,8 @@
 	return func() { u.laterVersion-- }
 }
 
-// proposeLaterOperations proposes the operation of a later version for one instance of a node, again and again while the fault lasts.
+// proposeLaterOperations proposes the operation of a later version for one instance of a node. It does so repeatedly until the
+// fault ends.
 func proposeLaterOperations(f *Fleet, u *edgeNode) {
 	if u.laterVersion == 0 {
 		return
@@ -52,7 +54,8 @@
 }
 
 // laterController runs a controller with a later version, which adds a field to the assignments. At the end of the fault the
-// controller returns to this version, unless an operation was agreed that only later versions know: then it must not.
+// controller returns to this version, unless an operation was agreed that only later versions know. This version could not
+// apply that operation.
 func laterController(f *Fleet, x Fault) func() {
 	k := f.controllerByName(x.Target)
 	k.laterVersion++
@@ -65,7 +68,8 @@
 	}
 }
 
-// addLaterField restores the table from a snapshot of a later version, which has a field that this version does not know.
+// addLaterField adds a field that this version does not know to each line of a snapshot of the table, and restores the table
+// from the result.
 func (c *cluster) addLaterField() {
 	var text []byte
 	for line := range bytes.Lines(c.table.Snapshot()) {
@@ -84,7 +88,7 @@
 	c.fieldAdded = true
 }
 
-// checkSnapshot checks rule 6: a restored snapshot equals the original, and fields of a later version are kept.
+// checkSnapshot checks rule 6: a restored snapshot equals the original, and it keeps the fields that a later version added.
 func (c *cluster) checkSnapshot() {
 	text := c.table.Snapshot()
 	other := placement.New()
@@ -97,7 +101,7 @@
 	c.fleet.snapshotsChecked++
 }
 
-// checkSupported returns an error if the leading controller does not know an operation, which then must change nothing.
+// checkSupported returns an error if the leading controller does not know an operation. Such an operation must change nothing.
 func (l *leadership) checkSupported(e placement.Operation) error {
 	if l.controller.laterVersion > 0 || l.cluster.fleet.disabled.acceptUnknownOperations {
 		return nil
@@ -109,8 +113,8 @@
 	return err
 }
 
-// onUnknownOperation handles an agreed operation that this version does not know. Controllers of this version end before they
-// apply any part of it, and start again with the later version 1 s later.
+// onUnknownOperation handles an agreed operation that this version does not know. The processes of controllers of this version
+// end before they apply any part of the operation. They start again with the later version 1 s later.
 func (c *cluster) onUnknownOperation(o *logEntry, e placement.Operation) {
 	f := c.fleet
 	c.laterOperationAgreed = true
@@ -135,8 +139,8 @@
 	f.after(0, c.onLinksChanged)
 }
 
-// rollAll restarts each process, a tenth of each kind at a time: controllers first, then nodes, which are drained before, then
-// relays.
+// rollAll restarts all processes: first the controllers one by one, then the nodes and then the relays, a tenth of them at a
+// time. Each node is drained before its process ends.
 func rollAll(f *Fleet, x Fault) func() {
 	var steps []func(span tick.Tick)
 	tenths := func(n int, of func(i int, span tick.Tick)) {
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/tick"
 )
 
-// update is a piece of gossip: a record of a member, or the news that a member is down, or that it is up after all.
+// update is a piece of gossip: a record of a member, a report that a member is down, or a report that a member is up after all.
 type update struct {
 	member int
 	raw    []byte
@@ -19,7 +19,8 @@
 // size returns the bytes of the update in a packet.
 func (w *update) size() int { return updateOverheadBytes + len(w.raw) }
 
-// newestSlot returns the index in member.newest for updates of this member and kind.
+// newestSlot returns the index in member.newest for updates of the same member and kind. Records are one kind, and reports that
+// a member is down or up are the other.
 func (w *update) newestSlot() int {
 	if w.raw == nil {
 		return 2*w.member + 1
@@ -27,7 +28,7 @@
 	return 2 * w.member
 }
 
-// publish gossips the own record of the member.
+// publish queues the member's own record as gossip.
 func (m *member) publish() {
 	raw := m.table.OwnRecord()
 	r, err := membership.DecodeRecord(raw)
@@ -38,16 +39,16 @@
 	m.enqueue(m.ownRecord)
 }
 
-// enqueue adds an update to the gossip. It replaces an earlier one of the same member and kind.
+// enqueue queues an update as gossip. The update supersedes an earlier one of the same member and kind.
 func (m *member) enqueue(w *update) {
 	m.newest[w.newestSlot()] = w
 	m.queue[0] = append(m.queue[0], w)
 }
 
-// packet returns the updates for the next packet to one member and their size in bytes. Updates that were sent the fewest times
-// come first.
+// packet returns the updates for the next packet to one member, and their size in bytes. The updates that were sent the fewest
+// times come first.
 func (m *member) packet() (some []*update, size int) {
-	var taken [maxTiers]int // end of each tier in some: these updates stay queued
+	var taken [maxTiers]int // by tier of the queue: end of its updates in the packet; these updates move to the next tier
 	for i := range m.group.maxTransmissions {
 		q := m.queue[i]
 		n := 0
@@ -67,7 +68,7 @@
 			for j := i + 1; j < m.group.maxTransmissions; j++ {
 				taken[j] = len(some)
 			}
-			break // the packet is full
+			break // the packet is full: the updates of later tiers wait
 		}
 		m.queue[i] = q[:0]
 	}
@@ -81,7 +82,7 @@
 	return some, size
 }
 
-// gossip sends updates to gossipFanOut random members.
+// gossip sends queued updates to gossipFanOut random members, and schedules the next round.
 func (m *member) gossip() {
 	c := m.group
 	c.fleet.after(c.timeout/gossipsPerTimeout, m.gossip)
@@ -124,7 +125,7 @@
 	}
 	seen, known := m.table.Member(name)
 	switch {
-	case name == m.endpoint.name: // the member refutes the news that it is down
+	case name == m.endpoint.name: // the update is about this member, which refutes a report that it is down
 		if w.isDown && f.now-m.lastRefuted > m.group.timeout {
 			m.lastRefuted = f.now
 			m.enqueue(&update{member: w.member, isUp: true, since: f.now})
--- a/internal/lab/fleetsim/member_probe.go
+++ b/internal/lab/fleetsim/member_probe.go
@@ -30,8 +30,9 @@
 	})
 }
 
-// probe simulates the failure detector of the membership library, which pings one random member per silence timeout. A member is
-// reported down if it answers neither this process nor any of three others that ping it, and nothing else is received from it.
+// probe simulates the failure detector of the membership library, which pings one random member per silence timeout. If the
+// member does not answer, up to three other members ping it as well. The member is reported down if no answer to any of these
+// pings arrives in time and nothing else is received from it.
 func (m *member) probe() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.probe)
--- a/internal/lab/fleetsim/member_sync.go
+++ b/internal/lab/fleetsim/member_sync.go
@@ -4,7 +4,7 @@
 	"silvercove/internal/membership"
 )
 
-// rejoin exchanges full states with some of the members that this one holds dead.
+// rejoin exchanges full states with members that this one considers dead. membership.SyncCount determines with how many.
 func (m *member) rejoin() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.rejoin)
@@ -27,7 +27,7 @@
 	}
 }
 
-// syncRandom exchanges full states with a random member, as the membership library does by itself.
+// syncRandom exchanges full states with a random member, as the membership library does in each process.
 func (m *member) syncRandom() {
 	m.group.fleet.after(m.group.syncInterval(), m.syncRandom)
 	if m.isRunning() {
@@ -59,7 +59,7 @@
 	})
 }
 
-// fullState returns the own record and all records of other members, and their size in bytes.
+// fullState returns the member's own record and the records of all other members that it has received, and their size in bytes.
 func (m *member) fullState() (all []*update, size int) {
 	all = append(all, m.ownRecord)
 	for _, w := range m.records {
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -21,15 +21,15 @@
 
 var errFull = errors.New("no space left")
 
-// queueWrite queues a write to the log of an instance. Writes are performed in order after a delay and end in OnDurable or
-// OnDiskError.
+// queueWrite queues a write to the log of an instance. The disk performs the writes in order after a delay. Each write ends in
+// a call of OnDurable or OnDiskError of the replica manager.
 func (u *edgeNode) queueWrite(name string, seq uint64, do func(rec *replica.Log) bool) {
 	incarnation := u.incarnation
 	u.diskQueue = append(u.diskQueue, func() func() {
 		ok := u.diskFull == 0 && do(u.logs[name])
 		if ok {
 			if *u.recordsWritten++; u.diskRecords.serial == *u.recordsWritten-1 {
-				u.diskRecords.serial++ // if the condition is false, records that the disk lacks are still missing
+				u.diskRecords.serial++ // otherwise the disk still lacks earlier records
 			}
 			if u.diskRecords.settled {
 				u.diskRecords.count++
@@ -96,7 +96,7 @@
 	})
 }
 
-// ResetLog queues the replacement of a log by an empty one that continues after a base index.
+// ResetLog queues the replacement of a log by an empty one that continues after the index base, at which the checksum is sum.
 func (u *edgeNode) ResetLog(name string, base, sum uint64) {
 	u.queueWrite(name, base, func(*replica.Log) bool {
 		u.logs[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// renewLease requests the lease, with a report of the health of the node, and repeats this after each third of the lease.
+// renewLease requests the lease and reports the health of the node. It repeats this after each third of the lease.
 func (u *edgeNode) renewLease(incarnation uint64) {
 	f := u.fleet
 	lease := tick.Tick(f.Lease * float64(tick.Second))
@@ -53,9 +53,9 @@
 	f.after(u.simulatedSpan(lease/3), func() { u.deliver(incarnation, func() { u.renewLease(incarnation) }) })
 }
 
-// onLeaseGranted handles the record count that comes with a lease, as the process of a node does. known is the count that the
-// controllers know of. A start with a lower count means that the disk was restored from a backup. Once all copies are
-// verified, onLeaseGranted raises the node's count by countsPerIncarnation, once per incarnation.
+// onLeaseGranted handles the record count that comes with a lease, as the process of a node does. known is the highest count of
+// the node that the controllers know of. If the process started with a lower count, its disk was restored from a backup. Once
+// all copies are verified, onLeaseGranted raises the node's count by countsPerIncarnation, once per incarnation.
 func (u *edgeNode) onLeaseGranted(incarnation, known uint64, reported []replica.UnverifiedCopy) {
 	if !u.diskChecked {
 		u.diskChecked = true
@@ -81,7 +81,7 @@
 	}
 }
 
-// placementChanged records a changed assignment and sends it to the node.
+// placementChanged records that an assignment changed, and starts to send it to the node if nothing is being sent yet.
 func (u *edgeNode) placementChanged(name string) {
 	if !u.unseen[name] {
 		u.unseen[name] = true
@@ -90,8 +90,8 @@
 	u.watchPlacements()
 }
 
-// watchPlacements fetches the changed assignments, as a long poll at the controllers does. It retries after a quarter of the
-// lease if the answer is lost.
+// watchPlacements fetches the changed assignments, as a long poll at the controllers does. If the answer does not arrive within
+// a quarter of the lease, watchPlacements tries again.
 func (u *edgeNode) watchPlacements() {
 	if u.watching || u.manager == nil {
 		return
--- a/internal/lab/fleetsim/node_power.go
+++ b/internal/lab/fleetsim/node_power.go
@@ -6,7 +6,8 @@
 	"silvercove/internal/standin/testcluster"
 )
 
-// updateHealth advances the battery in steps of at most 2 s, passes its readings to the monitor and updates the health report.
+// updateHealth advances the battery in steps of at most 2 s, passes the readings of the battery to the monitor and updates the
+// health report.
 func (u *edgeNode) updateHealth() {
 	f := u.fleet
 	if u.monitor == nil {
--- a/internal/lab/fleetsim/replay_test.go
+++ b/internal/lab/fleetsim/replay_test.go
@@ -7,9 +7,10 @@
 	"silvercove/internal/standin/golden"
 )
 
-// The model must match the recorded runs of real processes: the same order of events, the same number of moves, and the same time
-// without a primary within IdleTolerance. Each line of the model's timeline must match the golden timeline. The runs of the
-// processes are in testdata/processes; go test ./internal/standin/testcluster -courses FOLDER records them again.
+// The model must match the recorded runs of real processes: the same order of events, the same number of moves, and the same
+// time without a primary within IdleTolerance. The model's timeline must match the golden timeline line by line. The runs of
+// the processes are in testdata/processes. The command go test ./internal/standin/testcluster -courses FOLDER records them
+// again.
 func TestCompare_ModelMatchesProcesses(t *testing.T) {
 	played := 0
 	for _, c := range Compare("testdata/processes") {
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -11,14 +11,14 @@
 	"silvercove/internal/tick"
 )
 
-// Scenario is one fault of the table of recovery times.
+// Scenario is a fault whose recovery time is measured.
 type Scenario struct {
 	Name    string
 	Script  func(f *Fleet) string // returns a script that applies the fault at 20 s
-	FromEnd bool                  // recovery is measured from the end of the fault instead of its start
+	FromEnd bool                  // whether recovery is measured from the end of the fault instead of its start
 }
 
-// Scenarios are the faults of the table of recovery times.
+// Scenarios are the faults in the rows of RecoveryTable.
 var Scenarios = []Scenario{
 	{Name: "a unit falls for good", Script: func(*Fleet) string { return "20000 crash edge-1 for 3000000" }},
 	{Name: "a unit loses its disk and is back after 3 s",
@@ -40,11 +40,11 @@
 
 // Recovery describes how a fleet recovered from one fault.
 type Recovery struct {
-	Quiet, Idle tick.Tick // time until Fleet.Quiet; longest time that an instance was served by no node
+	Quiet, Idle tick.Tick // time until Fleet.Quiet reports true; longest time for which an instance was served by no node
 	Moves       int       // maximum number of moves at once
 	Operations  int       // number of operations that the controllers agreed on
 	Lost        int       // number of instances that restarted without a current replica
-	Broken      string    // broken rule or unsettled instance, "" if there is none
+	Broken      string    // a broken rule or an instance that has not settled; "" if there is none
 }
 
 // MeasureRecovery runs a scenario in a fleet until it is quiet, for at most 1800 s.
@@ -77,8 +77,8 @@
 	return c
 }
 
-// RecoveryTable writes a Markdown table of the recovery times of fleets of several sizes after each scenario, with the given number
-// of remote replicas.
+// RecoveryTable writes a Markdown table of the recovery times after each scenario, for fleets with the given numbers of nodes
+// and the given number of remote replicas.
 func RecoveryTable(w io.Writer, seed uint64, nodes []int, remoteReplicas int) {
 	_, _ = fmt.Fprintf(w, "| fault | nodes | quiet after, s | longest without a primary, s | moves at once | operations agreed | lost |\n")
 	_, _ = fmt.Fprintf(w, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |\n")
@@ -99,8 +99,8 @@
 
 func seconds(t tick.Tick) float64 { return float64(t) / float64(tick.Second) }
 
-// EventScript returns the script of a public event: devices arrive, cross to another zone at half-time and leave, while nodes, the
-// leading controller and a zone fail.
+// EventScript returns the script of a public event that lasts for span. Devices arrive, cross to another zone halfway and
+// leave. Meanwhile nodes, the leading controller and a zone fail.
 func EventScript(f *Fleet, span tick.Tick) (s Script) {
 	at := func(part float64) tick.Tick { return tick.Tick(part * float64(span)) }
 	s = append(s, Fault{At: at(0.1), Kind: "swarm", Target: "zone-1", To: "zone-2", Duration: at(0.8), Amount: 0.3},
@@ -118,7 +118,7 @@
 	return s
 }
 
-// PlayEvent simulates a span of a public event in a fleet and writes its cost and outcome.
+// PlayEvent simulates a public event of the given span in a fleet, and writes the cost and the outcome of the simulation.
 func PlayEvent(w io.Writer, seed uint64, s Size, span tick.Tick) {
 	began, before := time.Now(), cpuTime()
 	f := New(seed, s)
@@ -159,7 +159,8 @@
 	}
 }
 
-// pairTable writes for each decision the decisions that directly followed it for one instance.
+// pairTable writes a Markdown table that lists, for each decision, the decisions that directly followed it for the same
+// instance.
 func (s *SearchResult) pairTable(w io.Writer) {
 	after := map[string][]string{}
 	for _, pair := range s.Pairs {
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -43,8 +43,9 @@
 	return testcluster.Draw(columns, timelineStart, f.timeline)
 }
 
-// recordDecision adds two keys to the coverage for a decision for an instance. One is the pair of the instance's previous decision
-// and this one. The other is that pair together with the state of the assignment and, with KeepTimeline, the faults under way.
+// recordDecision adds two keys to the coverage for a decision for an instance. The first key is the pair of the instance's
+// previous decision and this decision. The second key is this pair together with the state of the assignment and, if
+// KeepTimeline is set, the kinds of faults under way.
 func (f *Fleet) recordDecision(name string, decision uint8, place placement.Assignment) {
 	before := f.lastDecision[name]
 	f.lastDecision[name] = decision
@@ -60,14 +61,15 @@
 	f.coverage[uint64(before)<<8|uint64(decision)] = struct{}{}
 }
 
-// decisions numbers the agreed operations and the actions of nodes, so that pairs of them can be recorded.
+// decisions lists the agreed operations and the actions of nodes. The index of a decision in this list is its number, by which
+// coverage keys record it.
 var decisions = []string{"", string(placement.OpCreate), string(placement.OpStartCopy), "move", string(placement.OpReplicaReady),
 	string(placement.OpDropReplica),
 	string(placement.OpCutOver), string(placement.OpCancelCopy), string(placement.OpFailOver), "fail-lost", string(placement.OpRestart), string(placement.OpMoveDevice),
 	string(placement.OpResetFailures), string(placement.OpMarkServed), string(placement.OpReportIncomplete), string(placement.OpQuarantine), string(placement.OpRelease),
 	string(placement.OpDelete), "acts", "stops", "drops", "refused"}
 
-// decision returns the number of a decision.
+// decision returns the number of the decision with the given name.
 func decision(name string) uint8 { return uint8(slices.Index(decisions, name)) }
 
 // Pairs returns the pairs of consecutive decisions for one instance that the run covered.
@@ -81,7 +83,8 @@
 	return all
 }
 
-// reasonTitle shortens a reason to the part before its first colon if the reason is longer than 24 bytes. Timelines show it.
+// reasonTitle shortens a reason for the timeline. If the reason is longer than 24 bytes, only the part before its first colon
+// remains.
 func reasonTitle(text string) string {
 	if first, _, ok := strings.Cut(text, ":"); ok && len(text) > 24 {
 		return first
--- a/internal/lab/fleetsim/timer_wheel.go
+++ b/internal/lab/fleetsim/timer_wheel.go
@@ -2,14 +2,14 @@
 
 import "silvercove/internal/tick"
 
-// The wheel covers 2048 slots of 1 ms: most events are due within the delay of a link or a fraction of a lease.
+// The wheel covers 2048 slots of 1 ms, because most events are due within the delay of a link or a fraction of a lease.
 const (
 	wheelSlots = 2048
 	slotSpan   = milli
 )
 
-// wheel holds the scheduled events in order of time and then of sequence number. The events of a slot are sorted only when
-// the slot becomes current. Events beyond the last slot wait in a heap.
+// wheel holds the scheduled events. It returns them in order of time and, at the same time, of sequence number. The events of a
+// slot are sorted only when the slot becomes current. Events that are due after the last slot wait in the heap later.
 type wheel struct {
 	currentSlot tick.Tick // number of the slot whose events are in current
 	current     events
@@ -33,7 +33,7 @@
 	}
 }
 
-// next removes and returns the first event that is due at the time by or earlier. It returns false if there is none.
+// next removes and returns the first event that is due no later than the time by. The bool result reports whether there is one.
 func (w *wheel) next(by tick.Tick) (event, bool) {
 	for len(w.current) == 0 {
 		switch {
@@ -45,7 +45,7 @@
 			return event{}, false
 		}
 		if w.currentSlot > by/slotSpan {
-			w.currentSlot-- // the slot begins after the time by, so the slot does not become current yet
+			w.currentSlot-- // the slot begins later than the time by, so it does not become current yet
 			return event{}, false
 		}
 		s := w.slots[w.currentSlot%wheelSlots]
