--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -169,8 +169,8 @@
 func (f *Fleet) replicaCandidate(z *zone, instance, n, copies int) *edgeNode {
 	round := instance / f.Zones
 	if copies <= f.RemoteReplicas && f.Zones > 1 {
-		other := f.zones[(instance+1+(round+n)%(f.Zones-1))%f.Zones]
-		return other.nodes[(round/(f.Zones-1)+n)%len(other.nodes)]
+		remoteZone := f.zones[(instance+1+(round+n)%(f.Zones-1))%f.Zones]
+		return remoteZone.nodes[(round/(f.Zones-1)+n)%len(remoteZone.nodes)]
 	}
 	if n < len(z.nodes) {
 		return z.nodes[(round+round/len(z.nodes)+n+1)%len(z.nodes)]
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -10,13 +10,13 @@
 
 // cloneLogs returns a deep copy of the logs of a disk.
 func cloneLogs(disk map[string]*replica.Log) map[string]*replica.Log {
-	other := map[string]*replica.Log{}
+	clone := map[string]*replica.Log{}
 	for name, rec := range disk {
 		r := *rec
 		r.Entries = slices.Clone(r.Entries)
-		other[name] = &r
+		clone[name] = &r
 	}
-	return other
+	return clone
 }
 
 var errFull = errors.New("no space left")
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -46,7 +46,7 @@
 // recordDecision adds two keys to the coverage for a decision for an instance. The first key is the pair of the instance's
 // previous decision and this decision. The second key is this pair together with the state of the assignment and, if
 // KeepTimeline is set, the kinds of faults under way.
-func (f *Fleet) recordDecision(name string, decision uint8, place placement.Assignment) {
+func (f *Fleet) recordDecision(name string, decision uint8, assignment placement.Assignment) {
 	before := f.lastDecision[name]
 	f.lastDecision[name] = decision
 	kinds := uint64(0)
@@ -55,8 +55,8 @@
 			kinds += xxhash.Sum64String(kind) // a sum does not depend on the order of the map
 		}
 	}
-	holders := min(3, len(place.Replicas))
-	key := fmt.Sprintf("%d %d %d %v %v %d", before, decision, holders, place.CopyTarget != "", place.State, kinds)
+	replicaCount := min(3, len(assignment.Replicas))
+	key := fmt.Sprintf("%d %d %d %v %v %d", before, decision, replicaCount, assignment.CopyTarget != "", assignment.State, kinds)
 	f.coverage[xxhash.Sum64String(key)] = struct{}{}
 	f.coverage[uint64(before)<<8|uint64(decision)] = struct{}{}
 }
