--- a/internal/lab/fleetsim/membership_views.go
+++ b/internal/lab/fleetsim/membership_views.go
@@ -92,7 +92,7 @@
 	case pair && changed.State == membership.StateUnreachable:
 		record(cutMember)
 	case pair && changed.State == membership.StateDead && s.fleet.zones[cutZone].partitions == 0:
-		s.result.Fault = "a member that is cut off from one other member is held dead"
+		s.result.Fault = "a member that is cut off from one other member is considered dead"
 	case changed.Name == slowMember && changed.State == membership.StateSlow:
 		record(slowMember)
 	}
