--- a/internal/lab/fleetsim/controller_log.go
+++ b/internal/lab/fleetsim/controller_log.go
@@ -45,8 +45,8 @@
 func (c *cluster) scheduleCommit(o *logEntry) bool {
 	span, ok := c.majorityDelay(o.leader.controller, true)
 	if ok {
-		c.lastAgreed = max(c.lastAgreed, c.fleet.now+span)
-		o.commitAt = c.lastAgreed
+		c.lastCommitAt = max(c.lastCommitAt, c.fleet.now+span)
+		o.commitAt = c.lastCommitAt
 	}
 	return ok
 }
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -45,7 +45,7 @@
 	term                 uint64
 	leader               *leadership
 	inFlight             []*logEntry
-	lastAgreed           tick.Tick // time at which the last scheduled entry will be agreed
+	lastCommitAt         tick.Tick // latest time at which an entry that was scheduled so far is agreed
 	election             int       // number of the latest attempt to elect a leader; a timer of an earlier attempt does nothing
 	leaderSince          tick.Tick // time when the current leader was elected
 	inheritedAt          tick.Tick // last time at which a new leader took over entries of an earlier leader
@@ -54,8 +54,8 @@
 	Entries              int
 	Operations           int
 	CountEntries         int  // number of entries that hold record counts
-	fieldAdded           bool // a controller of a later version added a field to the assignments
-	laterOperationAgreed bool // an operation that only later versions know was agreed
+	fieldAdded           bool // whether a controller of a later version added a field to the assignments
+	laterOperationAgreed bool // whether an operation was agreed that only later versions know
 }
 
 // reportedRecord holds the serial of the last record of a node that a leader knows of (see recordCount), and the value of
--- a/internal/lab/fleetsim/fault_kinds.go
+++ b/internal/lab/fleetsim/fault_kinds.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// degradeUplink divides the rate of a zone's uplink by 2 or more and adds loss and delay.
+// degradeUplink divides the rate of a zone's uplink by 2 plus 8 times the amount, and adds loss and delay in proportion to the
+// amount.
 func degradeUplink(f *Fleet, x Fault) func() {
 	z := f.zoneByName(x.Target)
 	for _, u := range z.nodes {
@@ -297,7 +298,7 @@
 	return func() { u.battery.Charge, u.battery.Mains = max(charge, 0.5), mains }
 }
 
-// addLoad adds load to each node of a zone.
+// addLoad adds the fault's amount to the load of each node of a zone, as a fraction of a node's capacity.
 func addLoad(f *Fleet, x Fault) func() {
 	z := f.zoneByName(x.Target)
 	for _, u := range z.nodes {
--- a/internal/lab/fleetsim/member_probe.go
+++ b/internal/lab/fleetsim/member_probe.go
@@ -7,7 +7,7 @@
 	"silvercove/internal/tick"
 )
 
-// ping sends a ping to a member and records in the table whether it replied within half a silence timeout.
+// ping sends a ping to a member. It records in the table whether a reply arrived within half a silence timeout.
 func (m *member) ping(o *member) {
 	f, name, starts, sent, finished := m.group.fleet, o.endpoint.name, m.starts, m.group.fleet.now, false
 	finish := func(good bool) {
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -26,7 +26,7 @@
 	manager          *replica.Manager // nil: the process is down
 	incarnation      uint64
 	lostDisk         bool
-	downCount        int      // number of crashes under way
+	downCount        int      // number of faults under way that keep the process down
 	stalls           int      // number of stalls under way
 	diskFull         int      // number of faults under way that fill the node's disk
 	rollingBack      int      // number of faults under way that roll back the version that the node runs
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -10,9 +10,9 @@
 
 // Constants of requests and load reports.
 const (
-	requestTimeout  = 2 * tick.Second       // each request has its final response within this time
+	requestTimeout  = 2 * tick.Second       // time after its start by which each request must have its final response
 	retryInterval   = 50 * milli            // pause before the next attempt after a rejection, or if the relay cannot route the request
-	attemptTimeout  = 400 * milli           // a relay treats an attempt without a response within this time as failed
+	attemptTimeout  = 400 * milli           // time without a response after which a relay treats an attempt as failed
 	assignmentDelay = 15 * milli            // delay until a relay knows of a changed assignment
 	checkSlack      = 100 * milli           // extra time that the checks grant to a response after its deadline
 	serviceTime     = 3 * tick.Second / 100 // service time that a relay records for a successful request
--- a/internal/lab/fleetsim/replay.go
+++ b/internal/lab/fleetsim/replay.go
@@ -54,7 +54,7 @@
 	Relays, Devices int
 	RequestRate     float64 // requests per second; the model runs at least 20
 	Script          string
-	Instance        string   // the instance that is compared
+	Instance        string   // instance whose events are compared
 	From, Until     string   // first and last event to compare, as patterns for Event.Is
 	Order           []string // patterns of events that must occur in this order in both runs
 }
@@ -211,7 +211,7 @@
 type Comparison struct {
 	ReplayedScript
 	Model, Processes testcluster.RunSummary
-	NotRecorded      bool // the folder has no recorded run of the processes
+	NotRecorded      bool // whether the folder given to Compare has no recorded run of the processes
 	Fault            error
 }
 
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -43,7 +43,7 @@
 	Quiet, Idle tick.Tick // time until Fleet.Quiet reports true; longest time for which an instance was served by no node
 	Moves       int       // maximum number of moves at once
 	Operations  int       // number of operations that the controllers agreed on
-	Lost        int       // number of instances that restarted without a current replica
+	Lost        int       // number of instances that restarted without a current replica, once per restart
 	Broken      string    // a broken rule or an instance that has not settled; "" if there is none
 }
 
--- a/internal/lab/fleetsim/request.go
+++ b/internal/lab/fleetsim/request.go
@@ -17,9 +17,9 @@
 	tries          int // number of times that the device sent the request
 	deadline       tick.Tick
 	minIndex       uint64 // highest index acknowledged for the instance when the request began; the index of the response must not be lower
-	reportedLosses int    // number of reported losses of the instance when the request began
+	reportedLosses int    // device.reportedLosses when the request began; if it has changed, the response is not checked
 	final          bool
-	mayHaveEffect  bool // the effect of one of the request's attempts may have been applied
+	mayHaveEffect  bool // whether an attempt of the request may have had an effect
 	attempt        int
 }
 
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -150,7 +150,8 @@
 	return p
 }
 
-// describeUnsettled describes the first instance that is not settled or that no node serves.
+// describeUnsettled describes the first instance that has not settled or that no node serves, or returns "" if there is none.
+// It skips quarantined instances.
 func (f *Fleet) describeUnsettled() string {
 	for _, c := range f.devices {
 		p, _ := f.cluster.table.Get(c.name)
