--- a/internal/lab/fleetsim/golden_test.go
+++ b/internal/lab/fleetsim/golden_test.go
@@ -29,8 +29,8 @@
 	goldenDrawn = 240
 )
 
-// recordedAs maps a word of the timeline to its form when the golden traces were recorded. If a word is renamed, an entry
-// here keeps the traces valid.
+// recordedAs maps a word of the timeline to the word that stood for it when the golden traces were recorded. If a word is
+// renamed, an entry here keeps the traces valid.
 var recordedAs = map[string]string{}
 
 // goldenWord returns a word of the timeline in its recorded form, which is the form that is hashed.
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -57,7 +57,7 @@
 	starts      uint64 // number of starts, including starts with the same incarnation
 	table       *membership.Table
 	queue       [maxTiers + 1][]*update // queued updates by tier: tier i holds those that were sent i times
-	newest      []*update               // newest record of each member, and newest report that it is down or up; see update.newestSlot
+	newest      []*update               // newest record of each member, and newest report that the member is down or up; see update.newestSlot
 	records     []*update               // by member id: newest record that the table has merged; nil: none
 	ownRecord   *update
 	probing     map[string]bool
@@ -211,8 +211,8 @@
 	}
 }
 
-// randomPeer returns a random member other than this one that this one does not consider dead or left, or nil if 8 draws find
-// none.
+// randomPeer draws up to 8 random members. It returns the first one other than m that m does not consider dead or left, or nil
+// if there is none.
 func (m *member) randomPeer() *member {
 	for range 8 {
 		o := m.group.members[m.group.rng.IntN(len(m.group.members))]
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -40,7 +40,7 @@
 	backupRecords    recordCount
 	recordsWritten   *uint64     // number of records ever written by all processes with this name
 	startRecords     recordCount // diskRecords at the start of the process
-	diskChecked      bool        // whether the process has determined if its disk was restored from a backup
+	diskChecked      bool        // true once the process knows whether its disk was restored from a backup
 	countRaised      bool        // whether this incarnation has added countsPerIncarnation to the count
 	highestCount     uint64      // highest record count of the node that the controllers have reported to this process
 	diskQueue        []func() func()
