--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,13 +16,12 @@
 // late anyway is shed and takes no capacity. The requests with the highest weight are served first.
 
 const (
-	// maxBlockedPerPass is the number of requests without an eligible backend after which a pass through the queue
-	// ends. The requests behind them rarely find a backend either. A request behind them whose class could find a
-	// backend waits for the next pass.
+	// maxBlockedPerPass is the number of requests that find no eligible backend before a pass through the queue ends.
+	// Later requests in the queue rarely find a backend either. Those that could find one wait for the next pass.
 	maxBlockedPerPass = 4
-	// lateAttemptInterval is the time without an answer or a late attempt after which a class may get a late attempt
-	// (see allowLateAttempt). A site treats a relay that rejects every request for 4 s as dead (docs/fleet.md), so one
-	// request is attempted well before 4 s have passed.
+	// lateAttemptInterval is how long a class must have had neither an answer nor a late attempt before it may get a
+	// late attempt (see allowLateAttempt). A site treats a relay that rejects every request for 4 s as dead
+	// (docs/fleet.md), so one request is attempted well before 4 s have passed.
 	lateAttemptInterval = 3 * Second / 2
 	// deadlineMargin is how long before the deadline of a request its answer has to arrive. It is two timer intervals,
 	// since the timer call that finds a request late may itself be one interval late.
@@ -45,8 +44,8 @@
 	}
 }
 
-// enqueue inserts a request at its place in the queue. If the request is expected to be late and a late attempt is not
-// allowed, enqueue sheds it.
+// enqueue inserts a request into the ordered queue. It sheds the request instead if the request is expected to be late
+// and allowLateAttempt does not allow a late attempt.
 func (b *Balancer) enqueue(r *Request) {
 	r.usefulUntil = min(r.Deadline-deadlineMargin, r.receivedAt+b.class(r).LatencyObjective.Ticks())
 	if b.expectedLate(r) && !b.allowLateAttempt(r) {
@@ -70,14 +69,14 @@
 	return b.now >= r.usefulUntil-b.medianLatency[r.Class]
 }
 
-// allowLateAttempt reports whether a request is attempted although it is expected to be late, and records the late
-// attempt for its class. It allows a late attempt if the request has just arrived, an answer may still be useful, and
-// the class has had neither an answer nor a late attempt for lateAttemptInterval. If it is called again for the same
-// request at the same time, it returns the same result.
+// allowLateAttempt reports whether a request may be attempted although it is expected to be late. If so, it records the
+// late attempt for the request's class. It allows a late attempt if the request has just arrived, an answer may still
+// be useful, and the class has had neither an answer nor a late attempt for lateAttemptInterval. If it is called again
+// for the same request at the same time, it returns the same result.
 //
-// Late attempts guard against a class that is rejected for good. After slow answers, requests with short deadlines
-// would never be attempted, so no answer would show that backends are fast again. One attempt in each
-// lateAttemptInterval brings such an answer.
+// Late attempts guard against a class that is rejected for good. Without late attempts, no request with a short
+// deadline would be attempted after slow answers. No answer would then show that backends are fast again. One late
+// attempt in each lateAttemptInterval can show it.
 func (b *Balancer) allowLateAttempt(r *Request) bool {
 	if b.now != r.receivedAt || b.now >= r.usefulUntil {
 		return false
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -144,7 +144,7 @@
 	b.now = now
 	a.Backend.lastAnswer = now
 	a.Request.streaming = true
-	a.slowAfter = Tick(math.MaxInt64) // never slow: the time-out ends when the stream starts
+	a.slowAfter = Tick(math.MaxInt64) // no time-out after the start of the stream, so the attempt never counts as slow
 }
 
 // OnClientGone handles a client that has disconnected: its request needs no answer, and nothing more is sent for it.
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -10,12 +10,13 @@
 // concurrencyLimit, the share of its allowed time that an attempt took.
 //
 // The limits guard against slow backends, overload, and queues at backends in which requests wait for longer than the
-// latency objective. Each of these shows as answers that are late throughout. A backend that answers fewer attempts
-// gets fewer. The limits work worst right after an idle period, when the relay knows few recent answers.
+// latency objective. All of these faults make answers late for as long as they last. A backend that answers fewer
+// attempts is sent fewer. The limits are least accurate right after an idle period, because the relay then knows few
+// recent answers.
 
 const (
-	// capacityShare is a share of the shortest latency objective: a backend may have as many attempts in flight as it
-	// answers within that time, plus one.
+	// capacityShare is a share of the shortest latency objective. A warm backend may have as many attempts in flight as
+	// it answers within that share, plus one.
 	capacityShare = 0.15
 	// lateAnswerShare is the share of an attempt's allowed time after which its answer counts as a sign of overloaded
 	// backends.
@@ -26,8 +27,8 @@
 	limitIncrease = 0.06
 	// rateWindow is the time over which the relay's own rates are measured.
 	rateWindow = 2 * Second
-	// minLimitPerBackend times the warm capacity per relay is the least value of concurrencyLimit, however late answers
-	// are.
+	// minLimitPerBackend sets the minimum of concurrencyLimit, which is minLimitPerBackend times the warm capacity,
+	// divided by the number of relays. The minimum is at least 1. Late answers do not lower the limit further.
 	minLimitPerBackend = 2
 )
 
@@ -67,8 +68,8 @@
 	return n
 }
 
-// adaptConcurrencyLimit adjusts concurrencyLimit after the end of an attempt. If the backend has not answered anything
-// since the attempt was chosen, the outcome is no sign of overload, and the limit stays.
+// adaptConcurrencyLimit adjusts concurrencyLimit after the end of an attempt. If the backend has not answered any
+// attempt since this one was chosen, the outcome is not taken as a sign of overload, and the limit stays.
 func (b *Balancer) adaptConcurrencyLimit(a *Attempt) {
 	took, due := float64(b.now-a.chosenAt), float64(a.lateAfter-a.chosenAt)
 	switch {
@@ -76,7 +77,8 @@
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
 		minLimit := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(minLimit, b.concurrencyLimit*(1-limitDecrease))
-	// An early answer raises the limit only if at least half of it was in use, counting the attempt that has ended.
+	// An early answer raises the limit only if at least half of the limit was in use, counting the attempt that has
+	// ended.
 	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2:
 		b.concurrencyLimit *= 1 + limitIncrease
 	}
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -97,8 +97,8 @@
 	backend.lastAnswer, backend.waitingSince = now, now
 }
 
-// applyListing inserts a ready backend at the given position if the list lacks it, and removes a backend that is not
-// ready.
+// applyListing inserts a ready backend into the list backends at the given position, unless the list contains it
+// already. It removes a backend that is not ready.
 func applyListing(backends []*Backend, backend *Backend, position int) []*Backend {
 	at := slices.Index(backends, backend)
 	switch {
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -13,10 +13,11 @@
 // whichever version serves the request, and they are told apart here before they reach a test.
 
 const (
-	// maxShareBound keeps the bound on a share below 1. With a bound of 1 a betting test could place no bet.
+	// maxShareBound is the upper limit of the bound that a share is tested against. No outcome exceeds 1, so a betting
+	// test could place no bet with a bound of 1.
 	maxShareBound = 0.9
-	// maxBaselineAgeForResets limits the comparison of resets: resets at the canary are compared with the baseline's
-	// only if an attempt at the baseline was counted as on time or slow within this time.
+	// maxBaselineAgeForResets is the maximum time since an attempt at the baseline was last counted as on time or slow.
+	// After a longer time, resets at the canary are not compared with those at the baseline.
 	maxBaselineAgeForResets = Second
 	// maxBaselineMetricsAge is a number of metrics periods. The release API's counts of the canary are compared with
 	// its last counts of the baseline only if the counts of the baseline are at most this many periods old.
@@ -88,8 +89,8 @@
 }
 
 // failureBound returns the failure share that the outcomes of a class are tested against. A failed at-most-once request
-// cannot be tried at another backend to find out whether the request itself is faulty. The bound for such classes is
-// therefore raised by the share of other requests that failed at two backends.
+// cannot be tried at another backend to find out whether the request itself is faulty. The bound for at-most-once
+// classes is therefore raised by the share of requests that failed at two backends (requestFaults).
 func (b *Balancer) failureBound(s stream, class int) float64 {
 	share := b.baseline.failureShare(s)
 	if b.settings.Classes[class].Idempotency == AtMostOnce {
@@ -120,8 +121,8 @@
 
 // attributedToBackend reports whether an outcome is attributed to the backend or the link to it, and not to the
 // version. This holds for a bad outcome at a backend that has not answered anything since the attempt was started, and
-// for any outcome at an ejected backend while other backends of the same version succeed. The cost is that if a bad
-// version fails at only some of its backends, those backends are blamed for it.
+// for any outcome at an ejected backend while other backends of the same version succeed. As a consequence, failures of
+// a bad version that fails at only some of its backends are attributed to those backends.
 func (b *Balancer) attributedToBackend(a *Attempt, bad bool) bool {
 	if bad && a.Backend.lastAnswer < a.chosenAt {
 		return true
@@ -171,9 +172,9 @@
 }
 
 // OnMetrics handles the release API's counts of the outcomes at all relays, for one version and class over one period.
-// The counts form a stream of their own, which is the same for all relays. The canary's counts are tested against the
-// baseline's counts of the same periods, plus a margin for the higher load of the canary's backends. Bad outcomes are
-// spread evenly among the good ones.
+// The counts form a stream of their own, which is the same for all relays. The canary's bad share is tested against
+// that of the baseline's last counts, plus failureMargin and a margin for the higher load of the canary's backends. Bad
+// outcomes are spread evenly among the good ones.
 //
 // The stream detects a version whose backends stop answering. A single relay sees almost no traffic at each backend,
 // and attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
@@ -208,8 +209,9 @@
 	}
 }
 
-// missingEvidence returns the first stream with traffic for which ruledOutEffect is not ruled out. Answers without a
-// report are included only if countUnreportedAnswers has counted them.
+// missingEvidence returns the first stream for which ruledOutEffect is not ruled out yet. It checks each class that has
+// had answers. It also checks wrong answers if FoundShare and ReportWithin are above 0. For that check, an answer
+// without a report counts only once countUnreportedAnswers has included it.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -15,11 +15,12 @@
 const (
 	// firstAttemptCapShare is the share of the exposure cap that first attempts may use.
 	firstAttemptCapShare = 0.9
-	// exposureTolerance absorbs the rounding error of a sum of shares that would be an integer in exact arithmetic, so
-	// that the error does not allow one more attempt.
+	// exposureTolerance is subtracted from the computed limit on canary attempts. It keeps a rounding error from
+	// allowing one more attempt when the exact limit is close to an integer.
 	exposureTolerance = 1e-5
-	// canarySlowdownMargin is the excess of the canary's slow share over the baseline's at which the slack of
-	// updateCanaryFraction is reduced to 1. The canary then gets no more than its backends' share of the warm capacity.
+	// canarySlowdownMargin is the difference between the slow shares of the canary and the baseline from which
+	// updateCanaryFraction reduces the slack to 1. The canary then gets no more than its backends' share of the warm
+	// capacity.
 	canarySlowdownMargin = 0.1
 	// minStageShare is the lower limit of the first stage's share of backends in updateCanaryFraction, which divides by
 	// that share. It also replaces a missing share.
@@ -30,13 +31,13 @@
 type exposureCounter struct {
 	arrivals []Tick  // arrival times of requests within the window
 	attempts []Tick  // times of canary attempts within the window
-	credit   float64 // first attempts that may go to the canary now; grows with each request, and one attempt takes 1
+	credit   float64 // first attempts that the canary may get now; a request adds canaryFraction, a canary attempt takes 1
 }
 
 // exposureState is the state of the exposure limit.
 type exposureState struct {
 	exposure        []exposureCounter // one counter for all requests, or one per class
-	exposureResetAt Tick              // when counting restarts after the cap was last lowered; 0 if it was never lowered
+	exposureResetAt Tick              // end of DrainGrace after the cap was last lowered, when counting restarts; 0 if never lowered
 	canaryFraction  float64           // share of the requests whose first attempt goes to the canary
 }
 
@@ -83,8 +84,8 @@
 	return float64(len(e.attempts)+1) <= allowance+share*float64(len(e.arrivals))-exposureTolerance
 }
 
-// trimExposure drops arrivals and attempts outside the window. A time that lies within a tick of the boundary counts in
-// the way that allows less exposure: attempts are kept longer, and arrivals are dropped sooner.
+// trimExposure drops arrivals and attempts outside the window. Within about a tick of the boundary, it keeps attempts
+// longer and drops arrivals sooner, which allows less exposure.
 func (b *Balancer) trimExposure(e *exposureCounter, window Tick) {
 	e.attempts = dropBefore(e.attempts, b.now-window-1)
 	e.arrivals = dropBefore(e.arrivals, b.now-window+2)
@@ -97,8 +98,8 @@
 // updateCanaryFraction computes the share of first attempts that goes to the canary. The share starts as the canary's
 // part of the warm capacity, times a factor that is called the slack. The slack is the ratio of the first stage's
 // exposure cap to the first stage's share of backends, and at least 1. The result is limited by the exposure cap and
-// then scaled by firstAttemptCapShare. While the canary answers more slowly than the baseline, the slack is reduced
-// towards 1 in proportion, so that the version is judged under the same load per backend as the baseline.
+// then scaled by firstAttemptCapShare. While the canary's slow share exceeds the baseline's, the slack is reduced
+// towards 1 in proportion to the difference. The canary is then judged under the same load per backend as the baseline.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
 	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,15 +3,17 @@
 import "slices"
 
 // This file exchanges evidence between relays. If the settings allow messages between relays, each relay sends its
-// outcome counts for the version under evaluation, and counts the outcomes that other relays send like its own. Each
+// outcome counts for the version under evaluation. A relay treats the outcomes that it receives like its own. Each
 // relay sees only part of the traffic; together they detect a bad version sooner.
 //
 // The exchange detects a failure that is too rare for a single relay to see often, which would leave a bad version
-// under evaluation for a long time. It works because the tests treat every outcome alike, wherever it was observed.
-// Outcomes are counted for the version alone, so a message contains nothing about individual backends.
+// under evaluation for a long time. Outcomes of several relays can be combined because the tests treat every outcome
+// alike, wherever it was observed. Outcomes are counted per version and not per backend, so a message contains nothing
+// about individual backends.
 //
 // A message consists of the version in two bytes, the low byte first, followed by two bytes for each class and two for
-// wrong answers: the number of outcomes since the last message, and how many of them were bad.
+// wrong answers. The first of the two bytes is the number of outcomes since the last message, and the second is the
+// number of bad outcomes among them.
 
 const (
 	// gossipInterval is the time between two messages.
@@ -23,7 +25,7 @@
 	gossipCountSize = 2
 )
 
-// GossipCount holds the numbers of outcomes and of bad outcomes of one stream since the last message.
+// GossipCount counts the outcomes of one stream since the last message, and the bad outcomes among them.
 type GossipCount struct {
 	// Outcomes is the number of outcomes, at most MaxGossipOutcomes.
 	Outcomes uint8
@@ -81,7 +83,8 @@
 	clear(b.gossipCounts)
 }
 
-// OnGossip handles a message from another relay. In each count, the bad outcomes are spread evenly among the good ones.
+// OnGossip handles a message from another relay. It adds the outcomes of each count one by one, with the bad outcomes
+// spread evenly among the good ones.
 func (b *Balancer) OnGossip(now Tick, _ uint32, data []byte) {
 	b.now = now
 	e, classes := b.evaluation, len(b.settings.Classes)
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -26,8 +26,8 @@
 	SendGossip(peer uint32, data []byte)
 	// Log writes a log line for the operators: a constant message with its fields.
 	Log(message string, fields ...slog.Attr)
-	// WatchEndpoints requests changes of the endpoint list if on is true, and ends the request otherwise. The balancer
-	// always passes true today.
+	// WatchEndpoints starts to request changes of the endpoint list if the parameter on is true, and otherwise stops.
+	// The balancer always passes true today.
 	WatchEndpoints(on bool)
 	// FetchEndpoints asks for the whole endpoint list once. The balancer does not call it today, as WatchEndpoints
 	// brings the list.
--- a/balancer/idempotency.go
+++ b/balancer/idempotency.go
@@ -12,8 +12,8 @@
 // Inputs: the idempotency of the class with the scope and the window of its keys, and the attempts so far with their
 // outcomes. If Rollout.ForwardOnly is set, the inputs also include the keys that each version has answered.
 //
-// These rules guard against duplicate effects, as from a repeat of an attempt that timed out but ran. An attempt is
-// repeated only if it certainly did not run, or if the repeat has no second effect at its backend.
+// These rules guard against duplicate effects, for instance from the repeat of an attempt that timed out but ran. An
+// attempt is repeated only if it certainly did not run, or if the repeat has no second effect at its backend.
 
 // safeToRepeat reports whether one more attempt of a request may go to a backend after the given attempts.
 func (b *Balancer) safeToRepeat(r *Request, attempts []*Attempt, backend *Backend) bool {
@@ -26,7 +26,8 @@
 	return len(attempts) < b.settings.Limits.MaxAttempts
 }
 
-// safeAfter reports whether a backend may run a request that an earlier attempt may have run.
+// safeAfter reports whether a backend may run a request again although attempt a may have run it. It returns false
+// while attempt a has not ended.
 func (b *Balancer) safeAfter(a *Attempt, class *RequestClass, backend *Backend) bool {
 	if a.state != attemptEnded {
 		return false
@@ -55,7 +56,7 @@
 	return !slices.ContainsFunc(r.attempts, (*Attempt).mayHaveRun)
 }
 
-// covers reports whether the receiver drops a repeat of a request that the executor has run.
+// covers reports whether the backend receiver drops a repeat of a request that the backend executor has run.
 func (s DedupScope) covers(executor, receiver *Backend) bool {
 	switch s {
 	case DedupEverywhere:
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -14,31 +14,34 @@
 // rollout and now.
 //
 // The comparison guards against versions that are slow, become slow, or slow down all backends through the requests
-// they get. Such versions still answer, but late. A rise of the baseline's own slow share is excused only up to a
-// margin. Slowness in a burst of requests or on a new connection has a known cause and does not count.
+// they get. Such versions still answer, but late. A canary that slows down all backends also raises the baseline's slow
+// share, and with it the bound for the canary. slownessBound therefore accepts a rise of the baseline's slow share only
+// up to baselineSlowdownMargin. Slow attempts in a burst of requests or on a new connection do not count against the
+// version, because they have another cause.
 
 const (
 	// slowMultiple is the multiple of the median from before the rollout at which an attempt is slow.
 	slowMultiple = 3
 	// canaryLoadMargin is the share of attempts that may be slow because the backends of a canary carry more load.
 	canaryLoadMargin = 0.22
-	// burstMultiple is the multiple of a relay's successes before the rollout above which inBurst reports a burst of
-	// requests. A burst is caused by the clients and not by the canary.
+	// burstMultiple is the multiple of a relay's rate of successes before the rollout above which inBurst reports a
+	// burst of requests. Both rates are relative to the warm capacity. A burst is caused by the clients and not by the
+	// canary.
 	burstMultiple = 1.2
 	// burstDeviations is how many standard deviations of random variation are allowed on top of burstMultiple.
 	burstDeviations = 3
 	// sampleSize is the number of latencies and outcomes that are kept for each class.
 	sampleSize = 64
-	// estimateDivisor is the number of equal parts of a latency objective. With fewer than minLatencySample answers an
-	// attempt is estimated to take one part, and every estimate is shorter than the objective by at least one part.
-	// This bound guards against a lasting effect of slow answers: without the bound, no request might be attempted any
-	// more, so that no answer could show lower latencies.
+	// estimateDivisor is the number of equal parts that a latency objective is divided into. With fewer than
+	// minLatencySample answers, the latency estimate is one part. Every estimate is at most the objective minus one
+	// part. Without this maximum, slow answers could keep every later request from being attempted, and no answer could
+	// show lower latencies.
 	estimateDivisor = 4
 	// estimateLifetime is how long an estimate stays valid after the last answer or the last late attempt of its class.
 	// Load and backends may have changed after this time.
 	estimateLifetime = 4 * Second
-	// minLatencySample is the least number of latencies for an estimate, so that some of them lie above the 90th
-	// percentile.
+	// minLatencySample is the minimum number of latencies that the percentiles are computed from. With 16 latencies, at
+	// least one lies above the 90th percentile.
 	minLatencySample = 16
 	// baselineSlowdownMargin is how far the baseline's slow share may rise in a rollout before the rise counts against
 	// the canary. A greater rise counts because the canary may have slowed down all backends.
@@ -91,8 +94,8 @@
 	}
 }
 
-// setLatencyBounds sets when an attempt becomes late for its backend and slow for its version, and whether it needs a
-// new connection.
+// setLatencyBounds sets the times after which an attempt is late for its backend and slow for its version. It also
+// records whether the attempt needs a new connection.
 func (b *Balancer) setLatencyBounds(a *Attempt) {
 	backend, class := a.Backend, a.Request.Class
 	objective := b.settings.Classes[class].LatencyObjective.Ticks()
@@ -107,7 +110,7 @@
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, outcome := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	// A busy relay keeps more, as it makes sampleSize attempts in a small part of a second.
+	// A busy relay makes sampleSize attempts in a small part of a second, so it keeps more outcomes than that.
 	size := sampleSize + len(b.successTimes)
 	switch {
 	case a.version < e.version:
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,28 +6,29 @@
 )
 
 // A sequential test on the outcomes at a backend decides when the backend is ejected. The test bets that the backend
-// fails most of its attempts, against the null hypothesis that it fails as this relay's last attempts did. An ejected
-// backend is on probation: it gets single attempts, more often the longer they succeed, and is readmitted when the
-// interval between them is short enough. A silent backend, which has left all attempts unanswered for long, is on
-// probation in the same way. A backend that recently failed more than backends do on average is degraded and comes last
-// in the relay's order.
+// fails most of its attempts, against a null hypothesis derived from the failure share of this relay's last attempts at
+// all backends. An ejected backend is on probation and gets single attempts. Each success shortens the interval between
+// these attempts, and below probationExitInterval the backend is readmitted. A silent backend, which has left all
+// attempts unanswered for too long (see silenceShare), also gets single attempts only. A backend that recently failed
+// more than backends do on average is degraded and comes last in the relay's order.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
 // answer in ticks; in a fleet, the findings of other relays.
 //
 // The rules guard against backends that fail, fall silent or run out of connections, possibly only as seen by this
-// relay. Such a fault shows as attempts that fail at one backend among many. The test compares with the relay's own
-// last outcomes, so a failure that affects all backends ejects none.
+// relay. Such a fault makes attempts fail at one backend among many. The test compares a backend with the relay's last
+// outcomes at all backends, so a failure that affects all backends ejects none.
 
 const (
 	// ejectionFailureShare is the failure share that the test assumes of a backend that should be ejected.
 	ejectionFailureShare = 0.75
-	// ejectionWealth is the wealth of the test at which a backend is ejected. It lies below the 53 that three failures
-	// in a row reach if the null share is minNullShare, and above the 14 of two failures.
+	// ejectionWealth is the wealth of the test at which a backend is ejected. With a null share of minNullShare, two
+	// failures in a row reach a wealth of 14, and three reach 53. The threshold lies between these values.
 	ejectionWealth = 27.0
 	// minNullShare and maxNullShare bound the failure share under the null hypothesis, which is nullShareMultiple times
 	// the relay's own failure share. The lower bound keeps few failures in a small sample from ejecting a backend.
-	// Without the upper bound, a null share near that of a bad backend would make the bet worthless.
+	// Without the upper bound, the null share could come so close to ejectionFailureShare that failures would hardly
+	// raise the wealth.
 	minNullShare      = 0.2
 	maxNullShare      = 0.7
 	nullShareMultiple = 1.5
@@ -49,11 +50,11 @@
 	maxProbationInFlight = 2
 	// maxDegradedTime is how long after its last failure a backend may be degraded.
 	maxDegradedTime = 2 * maxProbationInterval
-	// mostOnProbationDivisor defines when most backends are on probation: at most one in this many backends is not on
-	// probation. The cause is then taken to be this relay itself.
+	// mostOnProbationDivisor defines when most backends are on probation: at most one in mostOnProbationDivisor
+	// backends is not. The cause is then taken to be this relay itself.
 	mostOnProbationDivisor = 8
-	// avoidedDivisor limits how many backends are avoided because other relays have ejected them: while one in
-	// avoidedDivisor or more is ejected or avoided, no further backend is avoided for this reason.
+	// avoidedDivisor limits how many backends are avoided because other relays have ejected them. While at least one in
+	// avoidedDivisor backends is ejected or avoided, no further backend is avoided for this reason.
 	avoidedDivisor = 4
 	// backendSampleSize is the number of outcomes that are kept for each backend.
 	backendSampleSize = 16
@@ -69,7 +70,7 @@
 	ejected              bool
 	probationInterval    Tick // time between attempts while the backend is ejected
 	nextProbationAttempt Tick
-	avoidedUntil         Tick // until this time the fleet leaves the backend to other relays
+	avoidedUntil         Tick // the relay avoids the backend until this time, as the fleet declined a probe
 }
 
 // ejection holds what the relay knows of all its backends together.
@@ -140,8 +141,8 @@
 	return n
 }
 
-// recordAttemptForBackend records the outcome and the latency of an ended attempt for its backend. An attempt that
-// already counted as silence does not count as an outcome again.
+// recordAttemptForBackend records the outcome and the latency of an ended attempt for its backend. If the backend's
+// silence during the attempt was already counted as a failure, the outcome is not counted again.
 func (b *Balancer) recordAttemptForBackend(a *Attempt) {
 	if !a.silenceCounted {
 		b.recordForBackend(a.Backend, b.now > a.lateAfter || a.outcome != Succeeded)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,15 +4,16 @@
 
 // A request whose attempt has failed gets another attempt if its class allows a repeat at one of the backends and the
 // fleet's retry budget has a retry left. An attempt at a silent backend is cancelled early, so that another backend can
-// serve the request in time. A request that fails twice, at two backends unless it is pinned to one, counts as at fault
-// itself.
+// serve the request in time. A request that fails at two backends is itself considered faulty. A pinned request is
+// considered faulty after two failures at its only backend.
 //
 // Inputs: the outcomes of a request's attempts, the settings' limit on their number, the fleet's decision on each
 // retry, and the silence of the backend.
 //
-// The rules guard against retries that multiply the load, which shows as more attempts than requests while backends
-// fail. The fleet's retry budget is a share of first attempts (package overload), and cancelled attempts are a small
-// share of the successes. A relay outside a fleet has no such budget: Limits.MaxAttempts alone bounds its retries.
+// The rules guard against retries that multiply the load. Such retries make attempts outnumber requests while backends
+// fail. The fleet's retry budget is a share of first attempts (package overload), and cancelsPerSuccess limits
+// cancelled attempts to a small share of the successes. A relay outside a fleet has no such budget: Limits.MaxAttempts
+// alone bounds its retries.
 
 // cancelsPerSuccess is how many cancellations each success allows. It guards against cancelling attempts that are
 // merely slow: under heavy load most attempts are late at once. The budget grows by no more than one cancellation for
@@ -95,7 +96,7 @@
 }
 
 // missedInstance reports whether the last attempt of a pinned request reached a backend that no longer runs its
-// instance. Nothing ran there, so the next attempt is not a retry.
+// instance. That backend did not run the request, so the next attempt is not a retry.
 func (b *Balancer) missedInstance(r *Request) bool {
 	return r.Pinned && r.attempts[len(r.attempts)-1].outcome == AtCapacity
 }
@@ -143,11 +144,11 @@
 }
 
 // deferFailure reports whether the end of an attempt must not count as evidence on its version now. If a request fails
-// and is retried, its failure waits for the next answer. If that answer is a success, the version of the first attempt
-// has failed. If the retry fails too, the request itself is at fault.
+// and is retried, its failure is not counted until the retry is answered. If the retry succeeds, the failure counts
+// against the version of the failed attempt. If the retry fails too, the request itself is considered faulty.
 //
-// The delay guards against requests that fail everywhere, which would cause good versions to be rolled back: such a
-// request fails at any version. The delay does harm if a version fails all attempts of a class at every backend.
+// The delay guards against the rollback of good versions because of requests that fail at any version. The delay does
+// harm if a version fails all attempts of a class at every backend.
 func (b *Balancer) deferFailure(a *Attempt) bool {
 	r, deferred := a.Request, a.Request.deferredFailure
 	switch a.outcome {
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -18,8 +18,8 @@
 //
 // The evaluation detects versions that fail a class, a part of the requests, or only some time after their start: they
 // cause more failures at the canary than at the baseline. The probability of an alarm without such a difference is
-// bounded over the whole rollout, and so is, for each class, the probability of promoting a version whose failure share
-// exceeds the baseline's by ruledOutEffect.
+// bounded over the whole rollout. Also bounded, for each class, is the probability that EffectTest rules out
+// ruledOutEffect although the canary's failure share exceeds the baseline's by that much.
 
 const (
 	// failureMargin is how far the canary's failure share may exceed the baseline's.
@@ -76,7 +76,7 @@
 	Outcome Outcome
 	// ExposureCap is the share of the requests whose attempts may go to the version.
 	ExposureCap float64
-	// Age is how long the version has been in this state.
+	// Age is how long the version has been in its current phase and stage.
 	Age Tick
 }
 
@@ -208,8 +208,9 @@
 		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keyFilter) bool { return by < status.Version })
 	}
 	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
-		// The lower cap applies at once, also to the attempts counted so far. Counting restarts after DrainGrace,
-		// during which the site still excuses attempts over the lower cap.
+		// The lower cap applies at once, also to the attempts counted so far. During DrainGrace, the site still
+		// tolerates attempts over the lower cap. After DrainGrace, trimExposure drops the attempts and arrivals from
+		// before its end.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -2,21 +2,22 @@
 
 import "strconv"
 
-// The relay takes the first backends in its own order that may take a request, draws two of them, and sends the request
-// to the one with fewer attempts in flight (power of two choices). A canary gets the first attempt of a request if the
-// exposure credit is at least 1. Within the exposure cap, it also gets the requests that no stable backend can take.
+// For each request, the relay collects the first backends in its own order that may take the request. It draws two of
+// them and sends the request to the one with fewer attempts in flight (power of two choices). A canary gets the first
+// attempt of a request if the exposure credit is at least 1. Within the exposure cap, it also gets the requests that no
+// stable backend can take.
 //
 // Inputs: the backends in the relay's own order, the attempts in flight at each, relative latencies to break ties, and
 // the exposure credit of the request's class.
 //
 // The random choice guards against herding, in which all relays send to the one backend that looks best. Each relay
-// compares two backends that it has drawn, by its own attempts in flight there.
+// compares only the two backends that it has drawn, and only by its own attempts in flight.
 
 const (
 	// minSubsetSize is the least number of backends that a relay chooses from. One more is added for each request that
-	// arrives within the shortest latency objective. If each of hundreds of relays sent to every backend, the
-	// connections would cost more than they are worth, and a relay would see almost no traffic at each backend. A relay
-	// with little traffic therefore uses only the first few backends in its own random order.
+	// arrives, on average, within the shortest latency objective. If each of hundreds of relays sent to every backend,
+	// the cost of the connections would exceed their benefit, and a relay would see almost no traffic at each backend.
+	// A relay with little traffic therefore uses only the first few backends in its own random order.
 	minSubsetSize = 5
 	// minCanarySubsetSize is the least number of a canary's backends that a relay chooses from. The canary's part of
 	// subsetSize is added.
@@ -42,7 +43,7 @@
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
 	RefusedBySlowStart           // the backend is warming up, and its slow-start budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
-	RefusedByDegradation         // the backend failed recently, and enough other backends are available
+	RefusedByDegradation         // the backend is degraded, and at least minSubsetSize others may take the request
 	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
 )
 
@@ -80,8 +81,8 @@
 }
 
 // eligibleBackends returns the first backends in the relay's order that may take a request, with those of a canary in a
-// separate list. It stores in the request the highest refusal of the backends that may not take it. Both lists are
-// valid until the next call.
+// separate list. It raises the refusal of the request to the highest Refusal of these backends, which is that of the
+// backend that passed the most checks. Both lists are valid until the next call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
@@ -151,8 +152,8 @@
 	return !r.Pinned || b.now < r.attempts[n-1].chosenAt+timerInterval<<n
 }
 
-// pickVersion picks the backends of the canary or the stable ones. The part of the exposure cap that first attempts do
-// not use is reserved for requests that no stable backend can take.
+// pickVersion returns one of its two lists of eligible backends: stable or canary. The part of the exposure cap that
+// first attempts do not use is reserved for requests that no stable backend can take.
 func (b *Balancer) pickVersion(r *Request, stable, canary []*Backend) []*Backend {
 	if len(stable) == 0 {
 		return canary
--- a/balancer/routing_test.go
+++ b/balancer/routing_test.go
@@ -56,8 +56,8 @@
 	check(t, "rejected while the instance runs nowhere", rejected, true)
 }
 
-// TestRouting_RecordsRefusal: a request that no backend takes records the highest refusal of all backends, from the
-// backend that passed the most checks.
+// TestRouting_RecordsRefusal: a request that no backend takes records the highest value of Refusal. This is the refusal
+// by the backend that passed the most checks.
 func TestRouting_RecordsRefusal(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -2,19 +2,20 @@
 // those of the version before it. The package knows nothing of time, requests or versions: the caller passes outcomes
 // one by one and queries the result.
 //
-// The detector is that of S. Shekhar and A. Ramdas, "Reducing sequential change detection to sequential estimation": a
-// new sequential test starts at every observation, and an alarm is raised as soon as any of the tests rejects (their
-// section 2). The tests are one-sided, as in Lorden's reduction (section 3), since a canary that fails less is no
-// reason to roll back. The n-th test has level 6α/(π²n²). These levels add up to α, which bounds the probability that a
-// stream without a change ever raises an alarm (their remark on the probability of false alarms in section 2).
+// Detector implements the method of S. Shekhar and A. Ramdas, "Reducing sequential change detection to sequential
+// estimation": a new sequential test starts at every observation, and an alarm is raised as soon as any of the tests
+// rejects (their section 2). The tests are one-sided, as in Lorden's reduction (section 3), since a canary that fails
+// less is no reason to roll back. The n-th test has level 6α/(π²n²). These levels add up to α, which bounds the
+// probability that a stream without a change ever raises an alarm (their remark on the probability of false alarms in
+// section 2).
 //
 // Each test is a betting test. Its wealth starts at 1 and is multiplied by 1 + λ(x − b) at an outcome x between 0 and
 // 1, where b is the bound that the mean of the outcomes must not exceed, and the bet λ is chosen before x is seen.
 // While the mean is at most b, wealth is a non-negative supermartingale. By Ville's inequality, the probability that it
 // ever reaches 1/level is at most the level.
 //
-// EffectTest is the dual of the detector: it rules out that the mean exceeds a baseline by a given difference, the
-// effect. The absence of an alarm from the detector does not rule the effect out.
+// EffectTest tests in the opposite direction: it rules out that the mean exceeds a baseline by a given difference,
+// which is called the effect. The absence of an alarm from a Detector does not rule the effect out.
 package sequential
 
 import (
@@ -25,8 +26,8 @@
 const (
 	// Margin is how far the mean may exceed the failure share that it is compared with, as a share of the outcomes.
 	Margin = 0.02
-	// FalseAlarmBudget is α, the bound on the probability of any false alarm. The streams of one comparison divide it
-	// among them.
+	// FalseAlarmBudget is α, the upper bound on the probability of a false alarm. A caller that tests several streams
+	// of one kind divides it among them.
 	FalseAlarmBudget = 0.01
 
 	// maxOpenTests is the maximum number of open tests of a detector. It bounds the memory and the computation.
@@ -88,11 +89,11 @@
 	return alarm, raised
 }
 
-// openTest adds a test. If the maximum number of tests is open, the new test replaces the one with the least wealth
-// among those that are not permanent, if that wealth is below 1.
+// openTest adds a test. If maxOpenTests tests are open, the new test can replace only a test that is not among the
+// first permanentTests. It replaces the one with the least wealth, provided that this wealth is below 1.
 //
-// Half of the places thus go to tests that began recently. These tests can detect a change after many good outcomes,
-// when the first tests have lost nearly all of their wealth.
+// The places that are not permanent stay available to tests that began recently. Recent tests can detect a change after
+// many good outcomes, when the first tests have lost nearly all of their wealth.
 func (d *Detector) openTest(t bettingTest) {
 	if len(d.tests) < maxOpenTests {
 		d.tests = append(d.tests, t)
@@ -105,8 +106,8 @@
 
 // bet places the plug-in bet on an outcome and multiplies the wealth by its result. The plug-in bet maximizes the
 // growth of the logarithm of wealth if the mean equals the mean that the test has seen so far. A new test expects a
-// mean of several times the bound. A long run of good outcomes then reduces the power against rare faults only
-// slightly.
+// mean of priorMeanMultiple times the bound, but at most maxPriorMean. The bet is 0 while the expected mean is at most
+// the bound, so a long run of good outcomes reduces the power against rare faults only slightly.
 func (t *bettingTest) bet(outcome, bound float64) {
 	mean := (t.failures + min(maxPriorMean, priorMeanMultiple*bound)) / (t.seen + 1)
 	bet := min(max(0, (mean-bound)/(bound*(1-bound))), 1/bound)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -80,8 +80,8 @@
 // The scopes of deduplication.
 const (
 	DedupNowhere DedupScope = iota
-	DedupCell               // the backends of the cell that ran the request
-	DedupZone               // the backends of the zone that ran the request
+	DedupCell               // the backends in the cell of the backend that ran the request
+	DedupZone               // the backends in the zone of the backend that ran the request
 	DedupEverywhere
 )
 
@@ -107,14 +107,14 @@
 
 // EndpointRules holds the site's rules for the endpoint list.
 type EndpointRules struct {
-	// DrainGrace is how long an attempt is still excused after the announcement that a backend drains or that a cap is
-	// lowered. If missing: 0, which does not mean unlimited.
+	// DrainGrace is how long after an announcement the site tolerates attempts that violate it. The announcement says
+	// that a backend drains or that a cap is lowered. If missing: 0, which does not mean unlimited.
 	DrainGrace Seconds
 	// PollInterval is the longest time that the site allows between two requests for the endpoint list by a relay
 	// without a subscription. Once this time has passed since the last request, the site treats the relay as informed
 	// of the entries that are listed at that moment. After a failed request, the site waits four times as long.
-	// schedulePoll limits its mean pause to half of PollInterval, or to one second if that is longer. If PollInterval
-	// is missing, the limit is one second.
+	// schedulePoll limits its mean pause to half of PollInterval. If half of PollInterval is below one second, or if
+	// PollInterval is missing, the limit is one second.
 	PollInterval Seconds
 }
 
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -9,10 +9,11 @@
 // Inputs: the start time of a backend and the site's slow-start settings, the relay's rate at a warm backend in
 // successes per second, the number of relays, and the times of the attempts within the window.
 //
-// Slow start guards against backends that collapse while they are cold, as after a restart when all relays send to the
-// backend at once. The parts add up to less than the site allows. If a relay's part is less than one attempt per
-// window, the relay accrues it over time and sends an attempt when one has accrued. The first attempt needs only a
-// random fraction of that time. The parts also leave room for several relays that happen to send in the same window.
+// Slow start guards against the collapse of a backend that has just started, for instance when all relays send to it at
+// once after a restart. The parts add up to less than the site allows. If a relay's part is less than one attempt per
+// window, the relay accrues a budget over time. It sends an attempt when the budget for one has accrued. The first
+// attempt needs only a random fraction of the budget for one attempt. The parts also leave room for several relays that
+// happen to send in the same window.
 
 const (
 	// slowStartShare is the share of the site's allowance that is used.
@@ -28,8 +29,8 @@
 // warmUp holds the attempts that a backend has been sent while it warms up.
 type warmUp struct {
 	warmUpSends        []Tick  // times of the attempts within the window
-	lastWarmUpSend     Tick    // time of the last attempt, or when the backend's present process was first listed
-	warmUpCreditNeeded float64 // fraction of one attempt's budget that must accrue after lastWarmUpSend
+	lastWarmUpSend     Tick    // time of the last attempt, or if there is none, of the first listing of the present process
+	warmUpCreditNeeded float64 // fraction of one attempt's budget to accrue after lastWarmUpSend before the next attempt
 }
 
 // warmUpFraction returns a lower bound of a backend's current capacity, as a fraction of its warm capacity. It is 1 once
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -24,8 +24,8 @@
 	// minOutcomesIfSlow is the number of outcomes in a stage that a vote to promote needs while the baseline is slower
 	// than before the rollout or the canary appears slow.
 	minOutcomesIfSlow = 60
-	// minOutcomesTimed is the number of outcomes that a timed vote needs if there are few relays. With many relays a
-	// timed vote needs fewer (see timedVoteDue).
+	// minOutcomesTimed is the minimum number of the canary's outcomes for a timed vote if there are few relays. With
+	// many relays the minimum is lower (see timedVoteDue).
 	minOutcomesTimed = 6
 	// timedVoteAfter is how long a stage must have lasted before a timed vote, which needs fewer outcomes than another
 	// vote to promote.
@@ -34,11 +34,11 @@
 	minVoteRate = 0.1
 	// voteChanceSteps is the resolution of the random draw that decides whether a vote is cast.
 	voteChanceSteps = 1000
-	// minRecastDelay is the minimum time before a vote that may not count is cast again. A random part of recastJitter
-	// is added.
+	// minRecastDelay is the minimum delay before a new draw for a vote that the reply says may not count. A random part
+	// of recastJitter is added to the delay.
 	minRecastDelay = Second / 4
 	recastJitter   = Second / 2
-	// voteReplyGrace is how long after its timeout the reply to a vote is still awaited.
+	// voteReplyGrace is how long the reply to a vote is still awaited after VoteTimeout.
 	voteReplyGrace = Second
 )
 
@@ -125,9 +125,10 @@
 	return b.baseline.slowShare() > e.initialSlowShare+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
 }
 
-// readyToPromote reports whether there is enough evidence for a vote to promote. A timed vote needs no minimum number
-// of outcomes in the stage. Once the stage has lasted for EvidenceWait, a timed vote does not need ruledOutEffect to be
-// ruled out either. Answers whose reports would have arrived by now are counted first.
+// readyToPromote reports whether there is enough evidence for a vote to promote. It first counts, as correct, the
+// answers on which no report can be expected any more (see countUnreportedAnswers). A timed vote needs no minimum
+// number of outcomes in the stage. Once the stage has lasted for EvidenceWait, a timed vote does not need
+// ruledOutEffect to be ruled out either.
 func (b *Balancer) readyToPromote(required int, timedVote bool) bool {
 	b.countUnreportedAnswers()
 	if _, missing := b.missingEvidence(); !missing && (b.evaluation.outcomesInStage >= required || timedVote) {
@@ -185,8 +186,9 @@
 	}
 }
 
-// scheduleVote draws whether and when a vote is cast. The delay is uniform over the time that the release API needs to
-// accept a vote from every relay, but at most the lifetime of a vote: a wider range would only delay votes.
+// scheduleVote draws whether and when a vote is cast. The delay is drawn uniformly from a range that starts at 0. The
+// range ends at the time that the release API needs to accept a vote from every relay, or at VoteLifetime if that is
+// shorter. A wider range would only delay votes.
 func (b *Balancer) scheduleVote(stage int, verdict Verdict) {
 	relays, rate := max(1, b.settings.Relays), max(minVoteRate, b.settings.Rollout.VotesPerSecond)
 	lifetime := b.settings.Rollout.VoteLifetime.Ticks()
