--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -16,9 +16,10 @@
 // requests share one query of each controller. A leadershipConfirmer is safe for concurrent use.
 //
 // The check guards against a leader that grants leases after another leader has been elected. raft's VerifyLeader does not
-// suffice: it also counts an answer to an earlier message, which a slow link may have held back until after the election. The
-// guard holds because each controller is queried after the lease request arrived, and a controller that is still in the
-// leader's term when it answers has not yet voted in a later term.
+// suffice: it also counts the answer to a message that was sent before the call, and a slow link may have held back that answer
+// until after the election. Therefore each controller is queried after the lease request has arrived. A controller that is
+// still in the leader's term when it answers has not yet voted in a later term. If a majority answers so, no later leader had
+// been elected when the request arrived.
 type leadershipConfirmer struct {
 	controller *Controller
 	wakeups    map[string]chan struct{} // by controller: wakes the goroutine that queries that controller
@@ -87,8 +88,8 @@
 	return true
 }
 
-// retryLater is called after a query without an answer. It waits for the duration CommitInterval. Then it requests another
-// query of the controller if a call of confirm was in progress before the wait.
+// retryLater is called after a query without an answer. If a call of confirm is in progress when retryLater begins, it requests
+// another query of the controller after a pause of CommitInterval (leases.Timings). Otherwise it only waits for that pause.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
 	hasPendingCalls := l.pendingCalls > 0
@@ -103,8 +104,8 @@
 	}
 }
 
-// wake requests a query of a controller. If a query is already requested and has not begun, wake does nothing, because that
-// query will be for the newest round. This controller's own name has no channel and is ignored.
+// wake requests a query of a controller. If an earlier request still waits for its query to begin, wake does nothing: that
+// query will be for the newest round. wake ignores this controller's own name, which has no channel in wakeups.
 func (l *leadershipConfirmer) wake(name string) {
 	select {
 	case l.wakeups[name] <- struct{}{}:
@@ -189,9 +190,9 @@
 
 // majority returns how many voters have to confirm that a controller leads.
 //
-// All controllers in the configuration file count, even if fewer are voters. This guards against two controllers that were both
-// rebuilt by mistake and can't reach each other: a rebuilt log begins with one voter, so both would lead. The guard holds
-// because only one of them can reach a majority of the controllers in the file.
+// The majority is counted over all controllers in the configuration file, even if fewer are voters. This guards against two
+// controllers that were both rebuilt by mistake and can't reach each other. Each of their logs begins with one voter, so each
+// of them would lead by its own vote. Only one of the two can reach a majority of the controllers in the file.
 func (c *Controller) majority(voters []string) int {
 	return max(len(voters), len(c.peers)+1)/2 + 1
 }
--- a/internal/controller/confirmer_test.go
+++ b/internal/controller/confirmer_test.go
@@ -23,8 +23,9 @@
 			followers = append(followers, name)
 		}
 	}
-	// raft's VerifyLeader would count answers that were still in flight when another leader was elected. The test simulates
-	// such answers: before the partition, it records that each follower has confirmed the last round.
+	// The test simulates answers that were still in flight when another leader was elected; raft's VerifyLeader would count
+	// them. Before the partition, it records that each follower has confirmed lastRound, the newest round that began before the
+	// call of confirm.
 	for _, name := range followers {
 		ctrl.confirmer.mu.Lock()
 		ctrl.confirmer.confirmations[name] = confirmation{round: ctrl.confirmer.lastRound, term: term}
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -13,12 +13,13 @@
 // after a failover, and keeps that process from taking the connections that other processes need for their leases.
 const (
 	maxConns           = 8192 // connections of all processes except controllers
-	maxConnsPerProcess = 256  // connections of one process, which may be a controller
+	maxConnsPerProcess = 256  // connections of any one process, whether it is a controller or not
 )
 
-// connLimiter limits the connections that carry calls. Connections of other controllers do not count towards the total,
-// because no lease is granted without the confirmations of other controllers. A client treats a refused connection like an
-// unreachable controller and tries the next controller after a pause. A connLimiter is safe for concurrent use.
+// connLimiter limits the connections that carry calls. Connections of other controllers do not count towards the total. If they
+// were refused, no lease could be granted, because each lease needs the confirmations of other controllers
+// (leadershipConfirmer). A client treats a refused connection like an unreachable controller and tries the next controller
+// after a pause. A connLimiter is safe for concurrent use.
 type connLimiter struct {
 	limit, limitPerProcess int
 	isController           func(name string) bool
@@ -28,8 +29,8 @@
 	byProcess map[string]int // by process, including controllers: number of its connections
 }
 
-// admit counts a connection of a process until release is called. If a limit is reached, release is nil and refusal is the
-// reason.
+// admit counts a new connection of a process until release is called. If the connection would exceed a limit, it is not
+// counted; release is then nil, and refusal is the reason.
 func (l *connLimiter) admit(from string) (release func(), refusal string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -15,9 +15,10 @@
 	"silvercove/internal/controllerclient"
 )
 
-// Parameters of the log compaction while the disk is not low on space.
+// Parameters of the log compaction while the disk is not low on space. While it is, spacePolicy divides the two numbers of
+// entries by lowSpaceCompactionFactor.
 const (
-	snapshotEntries  = 8192 // number of new entries after which a snapshot is taken
+	snapshotEntries  = 8192 // number of entries since the last snapshot after which the next one is taken
 	trailingEntries  = 2048 // number of entries that stay in the log for followers that lag
 	snapshotInterval = 30 * time.Second
 )
@@ -32,8 +33,9 @@
 	last      controllerclient.LogPosition // position of the last entry on the disk
 }
 
-// runConsensus waits until this disk may take part in the log, and then runs raft until the context ends. If the disk must not
-// take part, its log is archived and the controller asks to be admitted with an empty store.
+// runConsensus waits until this disk may take part in the log (awaitStart), and then runs raft on the disk until the context
+// ends. If the disk is outdated, or if its log is damaged and there are other controllers, runConsensus sets the log and the
+// snapshots aside. It then starts again with an empty disk, which the leader has to admit.
 func (c *Controller) runConsensus(ctx context.Context) error {
 	logger := newRaftLogger(c.Log)
 	for {
@@ -88,8 +90,8 @@
 	return opened, nil
 }
 
-// runRaft runs raft and all goroutines that use it until the context ends, on a disk that may take part in the log. The
-// goroutines have ended when runRaft returns.
+// runRaft runs raft and all goroutines that use raft until the context ends. It is called once this disk may take part in the
+// log (awaitStart). The goroutines have ended when runRaft returns.
 func (c *Controller) runRaft(ctx context.Context, opened openedStore, logger hclog.Logger) error {
 	c.store = &guardedStore{
 		Store:             opened.log,
@@ -147,8 +149,8 @@
 	config.ElectionTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.LeaderLeaseTimeout = c.timings.HeartbeatTimeout.Duration()
 	config.CommitTimeout = c.timings.CommitInterval.Duration()
-	// BatchApplyCh stays false: if it is set, raft queues proposed entries, and a proposal that is in the queue at shutdown
-	// never gets a result.
+	// BatchApplyCh stays false. If it were set, raft would queue proposed entries, and a proposal still in the queue at
+	// shutdown would never get a result.
 	config.MaxAppendEntries = maxEntryOperations
 	config.SnapshotThreshold = c.spacePolicy.snapshotEntries
 	config.SnapshotInterval = snapshotInterval
@@ -157,8 +159,8 @@
 	return config
 }
 
-// startRaft starts raft. If the log's origin names this disk (storeMarker.Founding) and raft has not started on the disk yet
-// (Started), startRaft first creates the log.
+// startRaft starts raft. It first creates the log on this disk if the log's origin names the disk (storeMarker.Founding) and
+// the disk has no stored entries yet (storeMarker.Started).
 func (c *Controller) startRaft(config *raft.Config, transport positionTransport, opened openedStore) (*raft.Raft, error) {
 	if marker := c.disk.currentMarker(); marker.Founding && !marker.Started {
 		if opened.last.Index == 0 {
@@ -175,9 +177,10 @@
 			return nil, err
 		}
 	}
-	// Setting the term guards against an emptied disk that follows an outdated leader. Such a disk has no term and would follow
-	// the first controller that sends entries. That controller may have led before a rebuild and have been paused since. The
-	// guard holds because the disk begins in the term in which it was admitted, and raft refuses entries of earlier terms.
+	// Setting the term guards against an emptied disk that follows an outdated leader. An emptied disk has no stored term and
+	// would follow the first controller that sends entries to it. That controller may have led before a rebuild and have been
+	// paused since. With minTerm stored, the disk begins in the term in which it was admitted, and raft refuses entries of
+	// earlier terms.
 	if term, err := c.store.GetUint64(raftTermKey); c.minTerm > 0 && (err != nil || term < c.minTerm) {
 		if err := c.store.SetUint64(raftTermKey, c.minTerm); err != nil {
 			return nil, err
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,7 +33,7 @@
 	// wrapper.
 	WrapStore func(Store) Store
 
-	// Now returns the time by which the durations of leases are measured; nil selects controllerclient.Now.
+	// Now is the clock that measures the durations of leases; nil selects controllerclient.Now.
 	Now func() tick.Tick
 
 	// DiskFree returns the free and total bytes of the file system that contains a directory; nil asks the operating system.
@@ -66,15 +66,15 @@
 	proposalQueued chan struct{} // wakes runProposer
 	joinMutex      sync.Mutex    // serializes the admission of disks
 
-	// raft is nil until this disk may take part in the log. store and minTerm are set before raft.
+	// raft is nil until runRaft has started raft on this disk. store and minTerm are set before raft.
 	raft    atomic.Pointer[raft.Raft]
 	store   *guardedStore
-	minTerm uint64 // term in which the leader admitted this disk as an empty one; 0 if the leader has not admitted it in this run
+	minTerm uint64 // term of the leader that admitted this disk as an empty one; 0 if no leader has admitted the disk in this run
 
-	// mu guards the fields below and all fields of the leadership. No goroutine blocks while it holds mu.
+	// mu guards the fields below, and the fields of the leadership that change. No goroutine blocks while it holds mu.
 	mu           sync.Mutex
 	leadership   *leadership // nil while this controller does not lead
-	waitReason   string      // why the controller does not take part in the log yet; "" if it does
+	waitReason   string      // what the controller waits for before it takes part in the log, see setWaitReason; "" if it does not wait
 	diskFault    string      // error of the last write to the log; "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
 	logPositions map[string]controllerclient.LogPosition // by controller: last entry that the controller acknowledged as stored
--- a/internal/controller/disk_space_test.go
+++ b/internal/controller/disk_space_test.go
@@ -142,9 +142,9 @@
 	})
 	t.Logf("at most %d entries and %d KiB, at most %v for a call", load.maxEntries, load.maxBytes>>10,
 		time.Duration(load.longestCall.Load()))
-	// The controller checks the length of its log every third of a lease, so the bound adds the entries that are committed in
-	// two of these intervals. A fast machine may commit nearly all entries in that time; the bound is therefore at most 90% of
-	// them, and at least half.
+	// The limit is snapshotEvery+trailing plus the entries that are committed in two intervals between checks of the log's
+	// length. An interval is a third of a lease. A fast machine may commit nearly all operations in that time, so the limit is
+	// at most 90% of the operations. However slow the machine is, the limit is at least half of the operations.
 	if bound := min(operations*9/10, snapshotEvery+trailing+load.rate*2*(lease/3).Seconds()); float64(load.maxEntries) > max(operations/2, bound) || load.maxBytes > 4<<20 {
 		t.Errorf("%d entries at %.0f operations per second, %d bytes", load.maxEntries, load.rate, load.maxBytes)
 	}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -214,7 +214,7 @@
 	return false
 }
 
-// follower returns the name of a controller that does not lead.
+// follower returns the name of a controller that does not lead, or "" if there is none.
 func (c *testFleet) follower() string {
 	c.t.Helper()
 	leader := c.waitForLeader()
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -21,8 +21,8 @@
 }
 
 // guardedStore is the Store that raft uses. It refuses to delete applied entries, except those that a snapshot replaces, and
-// keeps the position of its last entry in memory. It retries the write of a term until the write succeeds: if raft learned of a
-// failed write, it would exit the process, and if raft continued without the write, the controller could vote twice in one
+// keeps the position of its last entry in memory. It retries the write of a term until the write succeeds. If the failure were
+// returned to raft, raft would exit the process. If raft continued without the write, the controller could vote twice in one
 // term. A guardedStore is safe for concurrent use.
 type guardedStore struct {
 	Store
@@ -30,7 +30,7 @@
 	fatal             func(error)
 	onDiskResult      func(error)   // called with the error of each write, or nil if it succeeded
 	termRetryInterval time.Duration // pause before a failed write of the term is retried
-	closed            chan struct{} // closed after raft's transport, when raft can no longer send; ends the retries
+	closed            chan struct{} // ends the retries; closed after raft's transport, when raft can no longer send
 
 	mu   sync.Mutex
 	last controllerclient.LogPosition // position of the last entry; guarded by mu
--- a/internal/controller/guarded_store_test.go
+++ b/internal/controller/guarded_store_test.go
@@ -15,8 +15,8 @@
 	"silvercove/internal/placement"
 )
 
-// DeleteRange fails and stops the controller if the range contains applied entries, unless it consists of the log's first
-// entries and all of them are applied, as after a snapshot.
+// DeleteRange fails and stops the controller if the range contains applied entries. The exception is a range of the log's first
+// entries that have all been applied: raft deletes such a range after a snapshot.
 func TestGuardedStore_NeverDeletesAppliedEntries(t *testing.T) {
 	var fatal error
 	s := raft.NewInmemStore()
--- a/internal/controller/handle_last_resort.go
+++ b/internal/controller/handle_last_resort.go
@@ -21,7 +21,7 @@
 	c.mu.Lock()
 	zones := c.reportsByZone(l)
 	c.mu.Unlock()
-	// Read only if all nodes of a zone are evacuating, which is rare, because there may be many assignments.
+	// There may be many assignments. They are read only if all nodes of a zone are evacuating, which is rare.
 	var assignments []placement.Assignment
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		if !devicehealth.AllEvacuating(zones[zone]) {
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -119,8 +119,8 @@
 	return err
 }
 
-// commitUnverifiedCopies commits the request's unverified copies to the log. A node reports a copy again in each request until
-// a lease is granted for a request that contains the copy.
+// commitUnverifiedCopies commits the request's unverified copies to the log. A node repeats an unverified copy in its requests
+// until a request that contains the copy is granted.
 func (c *Controller) commitUnverifiedCopies(l *leadership, request controllerclient.LeaseRequest) error {
 	if len(request.Unverified) > controllerclient.MaxUnverified {
 		return refuse(http.StatusBadRequest, "%d unverified copies, the limit is %d", len(request.Unverified),
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// maxOutcomeCount is the greatest number of successes, and of failures, of a node in one report; larger numbers are reduced to
-// it.
+// maxOutcomeCount is the maximum number of successes, and of failures, that one report can state for a node. Larger numbers are
+// reduced to this maximum.
 const maxOutcomeCount = 1 << 20
 
 // handleOutcomes records a relay's counts of successful and failed requests to edge nodes. The leader verifies the nodes' own
--- a/internal/controller/handle_watch.go
+++ b/internal/controller/handle_watch.go
@@ -22,7 +22,7 @@
 	leadership *leadership // the call ends when this leadership ends
 	since      uint64      // version that the caller already has
 	timer      *time.Timer // fires after the call's timeout
-	release    func()      // stops timer and frees the slot
+	release    func()      // stops timer and frees the call's slot in Controller.longPolls
 }
 
 // beginLongPoll reads "since" and "timeout_ms" from the query and takes a slot for a long poll. It refuses the call if another
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -9,12 +9,12 @@
 	"silvercove/internal/controllerclient"
 )
 
-// maxJoinLag is how many log entries an admitted disk may lack when it becomes a voter.
+// maxJoinLag is the maximum number of log entries that an admitted disk may still lack when it becomes a voter.
 const maxJoinLag = 64
 
 // requestJoin asks the leader to admit this disk or, if caughtUp is set, to make it a voter.
 func (c *Controller) requestJoin(ctx context.Context, caughtUp bool) (controllerclient.JoinResponse, error) {
-	// admitDisk may commit three entries; the timeout allows for more than these.
+	// admitDisk may commit three entries, each within ProposalTimeout. The fourth ProposalTimeout is a margin.
 	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration())
 	defer cancel()
 	return c.client.Join(ctx, controllerclient.JoinRequest{Node: c.name, StoreID: c.disk.currentMarker().StoreID, CaughtUp: caughtUp})
@@ -34,8 +34,8 @@
 		}
 		caughtUp := needed > 0 && r.AppliedIndex()+maxJoinLag >= needed && r.LastIndex() > 0
 		if caughtUp && !marker.Started {
-			// The marker is written before the disk becomes a voter: if a voter's log is empty at a later start, entries are
-			// missing, and Started makes the log count as damaged.
+			// Started is set before the disk becomes a voter. If a voter's log is empty at a later start, its entries are lost,
+			// and openStore reports the log as damaged because Started is set.
 			marker.Started = true
 			if err := c.disk.putMarker(marker); err != nil {
 				c.noteDiskResult(explainDiskError(err))
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -43,7 +43,7 @@
 	nodesChanged chan struct{} // closed at the next change of nodes
 
 	proposals        []queuedProposal
-	renewalBlocks    map[string]int // by edge node: number of operations in progress that require the expiry of its lease
+	renewalBlocks    map[string]int // by edge node: number of operations in progress that may be committed only after the node's lease has expired
 	renewalUnblocked chan struct{}  // closed when the next node is removed from renewalBlocks
 
 	decisions      []string // last decisions of the planner, at most maxRecentDecisions
@@ -137,9 +137,9 @@
 		return followerTimerInterval
 	}
 	now := c.Now()
-	// The check for a majority guards against leases that count as expired only because no node could renew them: a rebuilt
-	// controller grants no lease before it has a majority (leadershipConfirmer.confirm). The guard holds because no lease
-	// expires here without a majority, and all leases count as renewed when the majority is reached.
+	// A rebuilt controller begins as the only voter. Until there are enough voters for a majority, leadershipConfirmer.confirm
+	// fails, and no node can renew its lease. Therefore no lease expires in that time. Once there are enough voters, OnElected
+	// counts all leases as renewed.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
@@ -194,10 +194,11 @@
 // operation that requires the expiry of the node's lease. It fails with errLeaseRunning if the lease has not expired. It is
 // called with mu held.
 //
-// The block guards against a primary that gets a lease again while its instance is assigned to another node. The guard holds
-// because handleLease waits in awaitRenewalUnblocked. There is one exception: the node may keep its lease if its current
-// incarnation started without the copies of the earlier incarnation (LostCopies). The earlier incarnation's lease has expired,
-// and the current incarnation does not serve the instances of which the earlier incarnation was primary.
+// The block keeps a primary from getting a lease again while its instance is being assigned to another node: handleLease waits
+// in awaitRenewalUnblocked until the block ends. There is one exception to errLeaseRunning: the node may have a lease if its
+// current incarnation started without the copies of the earlier incarnation (LostCopies). That is safe, because the earlier
+// incarnation's lease has expired. The current incarnation does not serve the instances of which the earlier incarnation was
+// primary.
 func (l *leadership) blockRenewal(now tick.Tick, node string) error {
 	if _, hasLease := l.lessor.LeaseEnd(now, node); hasLease && (l.nodes[node] == nil || !l.nodes[node].LostCopies) {
 		return errLeaseRunning
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -9,14 +9,15 @@
 // Planner decides at the leading controller which operations to propose. Outside tests, the implementation is
 // migration.Planner. A new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
 type Planner interface {
-	// OnElected is called after the election, and when there are enough voters for a majority again. From then on, every lease
-	// that may have been granted counts as renewed at the time now.
+	// OnElected is called after the election. It is called again when there are enough voters for a majority after a time with
+	// too few. From then on, every lease that may have been granted counts as renewed at the time in the parameter now.
 	OnElected(now tick.Tick)
 
 	// OnNodeStatus is called for each granted lease, and when the rollback of a node's version begins or ends.
 	OnNodeStatus(now tick.Tick, status migration.NodeStatus)
 
-	// OnLeaseExpired is called when a node's lease has certainly expired, whatever the drift of the clocks.
+	// OnLeaseExpired is called once a node's lease has expired both by the controller's clock and by the node's own clock.
+	// Clock drift up to leases.Config.ClockDrift is allowed for.
 	OnLeaseExpired(now tick.Tick, node string)
 
 	// OnAssignment is called for each assignment when the leadership begins, and then for the changed assignment after each
@@ -36,8 +37,8 @@
 // Host carries out a Planner's decisions. A Planner calls the Host's methods from within the Planner's own methods. The Host's
 // methods do not block.
 type Host interface {
-	// Propose queues an operation for the agreed log. The result is reported by OnAssignment or OnProposalRefused, unless the
-	// leadership ends first.
+	// Propose queues an operation for the agreed log. The Planner learns the result through OnAssignment or OnProposalRefused,
+	// unless the leadership ends first.
 	Propose(op placement.Operation)
 
 	// Explain records a decision for the log and for the status call.
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -107,8 +107,8 @@
 	c.waker.Wake()
 }
 
-// onBatchResult reports the refused proposals to the planner. results contains the results of the proposals without a refusal,
-// in the order of the proposals. It is called with Controller.mu held.
+// onBatchResult reports the refused proposals to the planner. results contains one result for each proposal whose field refusal
+// is nil, in the order of the proposals. It is called with Controller.mu held.
 func (l *leadership) onBatchResult(now tick.Tick, proposals []queuedProposal, results []operationResult) {
 	for _, proposal := range proposals {
 		err := proposal.refusal
@@ -125,9 +125,9 @@
 	}
 }
 
-// knownNotAgreed reports whether an error of proposeEntry proves that the entry was not agreed. It covers only the errors after
-// which the leadership may continue: the entry waited too long for raft's queue, or a leadership transfer, which may fail, was in
-// progress.
+// knownNotAgreed reports whether an error of proposeEntry proves that the entry was not agreed. It recognizes only the two
+// errors after which the leadership may continue. Either the entry waited too long for raft's queue, or a leadership transfer
+// was in progress, which may fail.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
--- a/internal/controller/proposals_test.go
+++ b/internal/controller/proposals_test.go
@@ -11,9 +11,9 @@
 	"silvercove/internal/placement"
 )
 
-// A leadership transfer to a controller that does not answer fails, and the leadership continues. Operations proposed during
-// the transfer fail and are known not to be agreed. They do not keep nodes from renewing their leases after the transfer has
-// failed.
+// A leadership transfer to a controller that does not answer fails, and the leadership continues. Operations that are proposed
+// during the transfer fail with an error that proves that they were not agreed (knownNotAgreed). After the failure, these
+// operations no longer block the renewal of any node's lease.
 func TestProposals_SurviveAFailedLeadershipTransfer(t *testing.T) {
 	c := newTestFleet(t, 2*time.Second, 3, 3)
 	c.start()
@@ -72,7 +72,8 @@
 	}
 }
 
-// An entry of an earlier term is refused: if the leadership was lost and won again, the node may have renewed its lease in between.
+// An entry of an earlier term is refused. If the leadership was lost and won again in between, the node may have renewed its
+// lease, and a failover that required an expired lease would no longer be safe.
 func TestProposal_IsFencedByItsTerm(t *testing.T) {
 	c := newTestFleet(t, time.Second, 1, 1)
 	c.start()
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -26,7 +26,7 @@
 	DataDir          string                 // data directory of the rebuilt controller; a log in it is set aside
 	Settings         map[string]any         // settings by their names, as in fleet.File.Settings
 	Client           *controllerclient.Client
-	Backup           io.Reader // agreed state from before the loss, as Client.Backup writes it; nil if there is none
+	Backup           io.Reader // agreed state from before the disks were lost, as Client.Backup writes it; nil if there is none
 	AllowUnreachable []string  // names of edge nodes that need not answer
 	Progress         func(string)
 }
@@ -40,10 +40,9 @@
 
 	// termsPerGeneration is the number of raft terms that are reserved for each generation of the log.
 	//
-	// The separate ranges guard against a controller that led before the rebuild and was only paused during the rebuild. The
-	// guard holds because that controller's terms are lower than those of the rebuilt log: the rebuilt controllers refuse the
-	// controller's entries, and they do not confirm its leadership, so that it grants no leases. Only a million elections
-	// within one generation would exhaust a range.
+	// The separate ranges guard against a controller that led before the rebuild and was only paused during the rebuild. That
+	// controller's terms are lower than those of the rebuilt log. The rebuilt controllers therefore refuse its entries and do
+	// not confirm its leadership, so it grants no leases. Only a million elections within one generation would exhaust a range.
 	termsPerGeneration = 1 << 20
 )
 
@@ -102,7 +101,7 @@
 }
 
 // checkControllersStopped fails if another controller knows a leader, or takes part in a log with its disk from before the
-// rebuild. A controller that does not answer counts as stopped.
+// rebuild. It treats a controller that does not answer as stopped.
 func checkControllersStopped(ctx context.Context, o RebuildOptions) error {
 	for _, peer := range o.Network.Peers(peertransport.RoleController) {
 		statusContext, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -135,8 +134,8 @@
 	}
 }
 
-// collectInventories queries the copies that all edge nodes hold, and raises the header's generation and incarnations to the
-// highest that they report. unreachable lists the names of the nodes that did not answer.
+// collectInventories asks all edge nodes for the copies that they hold. It raises the generation and the incarnations in header
+// to the highest that the nodes report. unreachable lists the names of the nodes that did not answer.
 func collectInventories(ctx context.Context, o RebuildOptions, header *snapshotHeader) (found []migration.NodeInventory, unreachable []string) {
 	nodes := o.Network.Peers(peertransport.RoleEdge)
 	inventories := make([]controllerclient.Inventory, len(nodes))
@@ -176,8 +175,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// The generation in the directory's marker is the highest if an earlier rebuild wrote the directory and no node has learned
-	// of its generation yet.
+	// The marker's generation may be higher than any that the nodes report: an earlier rebuild may have written the marker
+	// before any node learned of that rebuild's generation.
 	header.Generation = max(header.Generation, dir.currentMarker().Generation)
 	if err := dir.archive(); err != nil {
 		return 0, err
--- a/internal/controller/rollout_state.go
+++ b/internal/controller/rollout_state.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// maxTrackedVersions is the number of software versions whose rollout state is tracked.
+// maxTrackedVersions is the maximum number of software versions whose rollout state a leader tracks.
 const maxTrackedVersions = 64
 
 // rolloutReport is the state of a software version that a relay received from the release API.
@@ -17,12 +17,12 @@
 	rollingBack bool // the version is being rolled back or was withdrawn
 }
 
-// onRolloutReport handles a relay's report of a version's rollout state. The nodes that run the version are updated at once and
-// not with their next lease request. That request may come a third of a lease later, and until then many instances could be
-// moved to nodes that are being rolled back. One relay's report is enough to begin a version's rollback. The rollback ends when
-// a relay reports the end and no relay's last report still says that the version is rolled back. Therefore, a relay that is
-// partitioned from the release API and keeps reporting the last state that it received does not end a rollback that other
-// relays report. onRolloutReport is called with mu held.
+// onRolloutReport handles a relay's report of a version's rollout state. It publishes the new state of the nodes that run the
+// version at once, and does not wait for their next lease requests. Such a request may come a third of a lease later, and until
+// then many instances could be moved to nodes that are being rolled back. A version counts as being rolled back as soon as one
+// relay reports it. The rollback ends when a relay reports the end and no relay's last report still says that the version is
+// rolled back. Therefore, a relay that is partitioned from the release API, and repeats the last state that it received, can't
+// end a rollback that other relays report. onRolloutReport is called with mu held.
 func (c *Controller) onRolloutReport(l *leadership, now tick.Tick, relay string, report rolloutReport) {
 	before := l.rollingBack[report.version]
 	if !l.noteRolloutReport(relay, report) {
@@ -40,7 +40,7 @@
 	c.waker.Wake()
 }
 
-// noteRolloutReport records a report. It reports whether the version's rollout state became known or changed.
+// noteRolloutReport records a relay's report. changed is true if the version's rollout state was unknown before or has changed.
 func (l *leadership) noteRolloutReport(relay string, report rolloutReport) (changed bool) {
 	l.rolloutReports[relay] = report
 	if !report.rollingBack {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// updateRollingBack updates the nodes that run the report's version and have a lease, reports these nodes to the planner and
-// publishes the change. It is called with mu held.
+// updateRollingBack sets RollingBack for the nodes that run the report's version and have a lease. It reports the changed nodes
+// to the planner and publishes them. It is called with mu held.
 func (c *Controller) updateRollingBack(l *leadership, now tick.Tick, report rolloutReport) {
 	changed := false
 	for _, name := range slices.Sorted(maps.Keys(l.nodes)) {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -113,7 +113,7 @@
 			return context.WithValue(ctx, callerKey{}, conn.(*peertransport.Conn).From)
 		},
 	}
-	// An error of Close does not matter, because calls in progress end with the context anyway.
+	// An error of Close does not matter, because ctx, from which the contexts of all calls derive, has ended anyway.
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/placement"
 )
 
-// snapshotHeader is the first line of a snapshot, in JSON. The lines of the assignment table follow the header. The header's
-// JSON form is stored data.
+// snapshotHeader is the first line of a snapshot, in JSON. The lines of the assignment table follow the header. Snapshots are
+// kept on disk, so the header's JSON names must not change.
 type snapshotHeader struct {
 	FormatVersion int                         `json:"v"`
 	Applied       uint64                      `json:"applied"` // index of the last applied entry
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -27,11 +27,11 @@
 // leadership is transferred. It performs no I/O and is not safe for concurrent use.
 //
 // The policy guards against a leader whose disk is full. With such a leader, each operation fails until another controller is
-// elected, and terms and votes can't be written. The guard holds because the leadership is transferred to a controller with
-// free space before the disk is full. A disadvantage is that a large disk that other programs fill is treated in the same way:
-// with 5% of several terabytes free, the leadership is transferred although there is no urgency.
+// elected, and terms and votes can't be written. Therefore the leadership is transferred to a controller with free space before
+// the disk is full. A disadvantage is that only the free fraction of the disk counts, and not its size. If other programs fill
+// a large disk and 5% of several terabytes is free, the leadership is transferred although there is no urgency.
 type spacePolicy struct {
-	snapshotEntries   uint64 // the log is compacted when it exceeds trailingEntries by more than this number of entries
+	snapshotEntries   uint64 // the log is compacted when it has more entries than trailingEntries plus this number
 	trailingEntries   uint64 // number of entries that a compaction leaves in the log
 	space             controllerclient.DiskSpace
 	transferBackoff   backoff
@@ -111,10 +111,10 @@
 	return p.space.LowOnSpace && p.transferBackoff.due(now)
 }
 
-// TransferTarget returns the controller to which the leadership is transferred: the follower in the given term whose disk has
-// the greatest free fraction. It returns "", and the leader continues to lead, if no transfer is due, or if every follower has
-// too little space or runs a version that does not report its space. A result other than "" counts as an attempt, which starts
-// the backoff.
+// TransferTarget returns the controller to which the leadership is transferred. Among the followers in the given term, it is
+// the one whose disk has the greatest free fraction. The result is "", and the leader continues to lead, if no transfer is due.
+// It is also "" if every follower has too little space or runs a version that does not report its space. A result other than
+// "" counts as an attempt to transfer, which starts the backoff.
 func (p *spacePolicy) TransferTarget(now tick.Tick, term uint64, peers []controllerclient.Status) (target string) {
 	if !p.TransferDue(now) {
 		return ""
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -11,31 +11,31 @@
 	"silvercove/internal/controllerclient"
 )
 
-// startDecision is the result of one round of status queries: whether this controller's disk may take part in the log.
+// startDecision is the decision whether this controller's disk may take part in the log (awaitStart). It results from one round
+// of status queries to the other controllers.
 type startDecision uint8
 
 const (
 	startLater startDecision = iota // the decision is not possible yet: the controller queries the other controllers again
 	startNow                        // the disk may take part in the log
-	// storeOutdated means that the disk must not take part: it lacks entries that it had acknowledged, or a later disk of this
-	// controller was admitted.
+	// storeOutdated means that the disk must not take part in the log. Either the disk lacks entries that it had acknowledged,
+	// or another disk of this controller was admitted later.
 	storeOutdated
 )
 
-// awaitStart waits until this disk may take part in the log. last is the position of the disk's last entry. outdated is true if
-// the disk must not take part, because it lacks entries that it had acknowledged or because a later disk of this controller was
-// admitted.
+// awaitStart waits until this disk may take part in the log, that is, until raft may run on the disk. last is the position of
+// the disk's last entry. outdated is true if the disk must not take part, see storeOutdated.
 //
-// The check guards against a majority of emptied or outdated disks that agrees on a different history. The guard holds because:
+// The wait keeps a majority of emptied or outdated disks from agreeing on a different history. Two rules ensure that:
 //   - An empty disk creates a log only if all other controllers in the configuration file answer and none belongs to a log, or
 //     if the log's origin names the disk. Otherwise the leader has to admit the disk. The leader first removes the former disk
-//     of that controller from the voters. The removal takes a majority of the remaining voters, which have their logs.
-//   - A disk that has started waits for answers from enough other controllers to form a majority with it. Without a majority,
-//     the disk could not make progress anyway.
+//     of this controller from the voters. The removal takes a majority of the remaining voters, which have their logs.
+//   - A disk that belongs to a log waits until enough other controllers answer to form a majority with this one. Without a
+//     majority, this controller could not make progress anyway.
 //
-// The check can't detect an outdated disk if all controllers that have recorded its later entries (positionTransport) are
-// unreachable or have restarted. In that case, the log ends before an entry that another controller has applied. That
-// controller detects the missing entry and stops with ErrLogWentBack.
+// awaitStart can't detect an outdated disk if all controllers that have recorded its later entries (positionTransport) are
+// unreachable or have restarted. The log may then end before an entry that another controller has applied. That controller
+// detects the missing entry and stops with ErrLogWentBack.
 func (c *Controller) awaitStart(ctx context.Context, last controllerclient.LogPosition) (outdated bool, err error) {
 	marker := c.disk.currentMarker()
 	if len(c.peers) == 0 && marker.Origin == nil {
@@ -79,8 +79,9 @@
 func (c *Controller) decideStarted(marker storeMarker, last controllerclient.LogPosition, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
-	// Controllers with a disk from before a rebuild, which were stopped or partitioned during the rebuild, are ignored: they
-	// must not keep this controller from starting. Their own start fails, because their log has another origin.
+	// Statuses of controllers whose disk is from before a rebuild are ignored, so that these controllers do not keep this one
+	// from starting. They were stopped or partitioned during the rebuild. Their own start fails, because their log has another
+	// origin.
 	statuses = slices.DeleteFunc(statuses, func(s controllerclient.Status) bool {
 		return s.Origin != nil && s.Origin.ID != marker.Origin.ID && s.Generation < marker.Generation
 	})
@@ -164,8 +165,9 @@
 	}
 }
 
-// setWaitReason records why this controller does not take part in the log yet, as the words that follow "waiting", or "" if it
-// does. It logs a reason that differs from the recorded one.
+// setWaitReason records what this controller waits for before it takes part in the log. The reason is the text that follows
+// "waiting" in the log line, or "" if the controller does not wait. setWaitReason logs a reason that differs from the recorded
+// one.
 func (c *Controller) setWaitReason(reason string) {
 	c.mu.Lock()
 	before := c.waitReason
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -56,8 +56,8 @@
 	if m.hasFailed() {
 		return raft.ErrRaftShutdown
 	}
-	// An entry that only later versions of the program can apply must not be treated as refused: this controller's state would
-	// diverge from that of later versions, which apply the entry.
+	// An entry that only later versions of the program can apply must stop this controller. Controllers of those versions apply
+	// the entry. If this controller refused the entry and continued, its state would diverge from their state.
 	if err := checkEntrySupported(entry, l.Index); err != nil {
 		m.fail(err)
 		return err
@@ -163,8 +163,8 @@
 	return &frozenState{header, m.table.Freeze()}
 }
 
-// Snapshot freezes the state for raft. If the state machine has failed, Snapshot fails with raft.ErrRaftShutdown, unless no
-// entry was applied.
+// Snapshot freezes the state for raft. It fails with raft.ErrRaftShutdown if the state machine has failed and any entry was
+// applied before.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	state := m.freeze()
 	if state.header.Applied > 0 && m.hasFailed() {
@@ -205,8 +205,8 @@
 	return m.header.Applied
 }
 
-// lineage returns the lineage of the assignments. The lineage's OriginID is "" until the entry with the log's origin is
-// applied.
+// lineage returns the lineage of the assignments, see controllerclient.Lineage. OriginID is "" until the entry with the log's
+// origin is applied.
 func (m *stateMachine) lineage() controllerclient.Lineage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -40,8 +40,8 @@
 	logLockTimeout = time.Second
 )
 
-// storeMarker identifies a controller's disk. A disk that was emptied gets a new identity. The marker's JSON form is stored
-// data.
+// storeMarker identifies a controller's disk. A disk that was emptied gets a new identity. The marker is stored as JSON, so the
+// JSON names must not change.
 type storeMarker struct {
 	FormatVersion int                         `json:"v"`
 	Fleet         string                      `json:"fleet"`
@@ -49,7 +49,7 @@
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
 	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; if false, the disk was admitted later
-	// Started means that the disk has stored entries. If none is found at a start, the log counts as damaged.
+	// Started means that the disk has stored entries. If the log is empty at a later start, openStore reports it as damaged.
 	Started    bool                    `json:"begun,omitempty"`
 	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
 	unknown    placement.UnknownFields // fields that a later version of the program added
@@ -71,10 +71,10 @@
 	dirPath string
 
 	mu     sync.Mutex
-	marker storeMarker // content of the marker's file; guarded by mu
+	marker storeMarker // content of the marker's file, as last read or written; guarded by mu
 }
 
-// currentMarker returns the content of the marker's file, without reading the file.
+// currentMarker returns the content of the marker's file as it was last read or written.
 func (d *storeDir) currentMarker() storeMarker {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,8 +97,8 @@
 }
 
 // openStoreDir opens the data directory of the named controller, or creates one with the marker of an empty disk. If there is a
-// log without a marker, or if the marker names a log that is missing, openStoreDir sets the log and the snapshots aside, and
-// the disk counts as empty.
+// log without a marker, or if the marker has the origin of a log that is missing, openStoreDir sets the log and the snapshots
+// aside, and the disk counts as empty.
 func openStoreDir(dir, fleet, node string) (*storeDir, error) {
 	if err := os.MkdirAll(filepath.Join(dir, snapshotDir), 0o700); err != nil {
 		return nil, err
@@ -150,7 +150,8 @@
 	return d.putMarker(storeMarker{FormatVersion: storeVersion, Fleet: marker.Fleet, Node: marker.Node, StoreID: newIdentity()})
 }
 
-// archive sets the log and the snapshots aside by renaming them, so that the disk counts as an empty one with a new identity.
+// archive renames the log and the snapshots, so that they are no longer used. It gives the disk a new identity, so that the
+// disk counts as an empty one.
 func (d *storeDir) archive() error {
 	// The marker is reset before the renames, so that a log that could not be renamed is never used under the old identity.
 	if err := d.reset(); err != nil {
@@ -268,9 +269,10 @@
 	return snapshots, last, nil
 }
 
-// newestIntact returns the index of the first intact snapshot in list, which begins with the newest snapshot, or -1 if no
-// snapshot is intact. It fails with ErrNewerVersion if a snapshot before the intact one was written by a later version of the
-// program. Otherwise raft would start from the earlier snapshot, and entries that the disk has acknowledged would be lost.
+// newestIntact returns the index of the first intact snapshot in list, or -1 if no snapshot is intact. list begins with the
+// newest snapshot. newestIntact fails with ErrNewerVersion if a later version of the program wrote a snapshot that precedes the
+// intact one in list. If that snapshot were skipped, raft would start from an earlier one, and entries that the disk has
+// acknowledged would be lost.
 func (d *storeDir) newestIntact(snapshots raft.SnapshotStore, list []*raft.SnapshotMeta) (int, error) {
 	for i, meta := range list {
 		err := checkSnapshot(snapshots, meta.ID)
@@ -284,7 +286,7 @@
 	return -1, nil
 }
 
-// checkSnapshot verifies a snapshot's checksum, and that this version of the program can read its format.
+// checkSnapshot verifies a snapshot's checksum. It also checks that this version of the program can read the snapshot's format.
 func checkSnapshot(snapshots raft.SnapshotStore, id string) error {
 	_, reader, err := snapshots.Open(id)
 	if err != nil {
--- a/internal/controller/stream_layer.go
+++ b/internal/controller/stream_layer.go
@@ -13,8 +13,8 @@
 	"silvercove/internal/peertransport"
 )
 
-// streamLayer carries raft's calls over the connections between the fleet's processes. It implements raft.StreamLayer. Its
-// addresses are process names, which each process resolves by its own configuration file.
+// streamLayer carries raft's calls over the connections between the fleet's processes. It implements raft.StreamLayer. The
+// addresses that raft passes to it are process names. Each process looks them up in its own configuration file.
 type streamLayer struct{ controller *Controller }
 
 // nodeAddr is the net.Addr of a process: the process's name.
@@ -56,9 +56,9 @@
 	return s.controller.Network.Dial(ctx, string(to), peertransport.KindLog)
 }
 
-// positionTransport is raft's transport. For each other controller, it records the last entry that the controller acknowledged
-// as stored, before raft counts the acknowledgment. When a controller starts again, the records of the other controllers show
-// whether its disk is outdated.
+// positionTransport is raft's transport. For each other controller, positionTransport records the last entry that the
+// controller acknowledged as stored, before raft counts the acknowledgment. When a controller starts again, decideStarted
+// compares the last entry on the controller's disk with these records, and so detects an outdated disk.
 type positionTransport struct {
 	*raft.NetworkTransport
 	controller *Controller
@@ -86,7 +86,8 @@
 	return err
 }
 
-// AppendEntriesPipeline is not supported, because each acknowledgment has to be recorded before the next entries are sent.
+// AppendEntriesPipeline is not supported, so raft calls AppendEntries. AppendEntries records each acknowledgment before raft
+// sends the next entries.
 func (p positionTransport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -18,14 +18,14 @@
 const maxResponseBytes = 256 << 20
 
 // call calls one controller after another until one gives a final answer or the context ends. A final answer is a success or a
-// refusal with a status other than 421 and 503. sentAt is the time by Now at which the answered request was sent. A call whose
-// timeout exceeds ProposalTimeout is treated as a poll, which endCall may cancel.
+// refusal with a status other than 421 and 503. sentAt is the time, by Now, at which the request with the final answer was
+// sent. A call whose timeout exceeds ProposalTimeout is treated as a poll, which endCall may cancel.
 func (c *Client) call(ctx context.Context, method, path string, request, response any, timeout tick.Tick) (sentAt tick.Tick, err error) {
 	if len(c.controllers) == 0 {
 		return 0, errNoControllerConfigured
 	}
 	pause, maxPause := c.timings.RetryDelayMin, c.timings.RetryDelayMax
-	if method == http.MethodGet { // a reader can wait longer than a node that renews its lease
+	if method == http.MethodGet { // a call that only reads may pause for longer than a lease request
 		maxPause *= 4
 	}
 	var lastErr error
@@ -82,9 +82,9 @@
 // endCall removes a call that has ended. If final is set, the call's controller gave a final answer, and endCall cancels the
 // polls at all other controllers.
 //
-// This guards against a former leader that hangs with its connections open: a poll at that controller would last for its whole
-// timeout while the next leader already grants leases, and the client would miss all changes that are agreed meanwhile. If a
-// former leader answers late, a poll at the current leader may be canceled, too; the client then polls again.
+// This guards against a former leader that hangs with its connections open. A poll at such a controller would last for its
+// whole timeout. Meanwhile, the next leader already grants leases, and the client would miss all changes that are agreed. If a
+// former leader gives a late answer, endCall may also cancel a poll at the current leader; the client then polls again.
 func (c *Client) endCall(ended *activeCall, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,8 +100,8 @@
 }
 
 // chooseNext selects the controller for the next call, after the given controller gave no final answer. If another call has
-// changed the selection since, chooseNext keeps it. redirected reports whether the refusal names another controller of the
-// configuration file as the leader.
+// selected a controller since, chooseNext keeps that selection. redirected reports whether the refusal names another
+// controller of the configuration file as the leader.
 func (c *Client) chooseNext(controller string, refusal *RefusalError) (redirected bool) {
 	next := ""
 	if refusal != nil && refusal.Code == http.StatusMisdirectedRequest && slices.Contains(c.controllers, refusal.Leader) &&
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -19,7 +19,7 @@
 // inventoryTimeout is how long an edge node may take to answer with its inventory.
 const inventoryTimeout = time.Minute
 
-// randomStream is the second word of the seed of the client's random generator; the first word is New's seed.
+// randomStream is the second word of the seed of Client.random. The first word is the parameter seed of New.
 const randomStream = 29
 
 // Client calls the leading controller. It is safe for concurrent use. Each call ends at the latest when its context ends.
@@ -77,8 +77,8 @@
 
 // Propose submits an operation to the agreed log and returns the resulting assignment. A *RefusalError contains the instance's
 // current assignment, if there is one. After any other error the operation may or may not have been agreed. The caller may
-// propose it again: an operation that was already applied changes nothing, or is refused with the assignment that resulted from
-// it.
+// propose the operation again. If it was already applied, the second proposal changes nothing, or is refused with the
+// assignment that resulted from the first.
 func (c *Client) Propose(ctx context.Context, op placement.Operation) (assignment placement.Assignment, err error) {
 	op.Version = placement.FormatVersion
 	_, err = c.call(ctx, http.MethodPost, "/v1/step", op, &assignment, c.timings.ProposalTimeout)
--- a/internal/controllerclient/lineage.go
+++ b/internal/controllerclient/lineage.go
@@ -13,9 +13,9 @@
 // CheckLineage accepts a controller's lineage as the current one. It fails with ErrOtherLineage if the generation is lower than
 // the generation accepted last, or if the generations are equal and the log has another origin.
 //
-// The check protects a primary against controllers that have no record of the primary, because their disks were emptied or are
-// from before a rebuild of the assignments. The check can't tell whether disks were emptied by mistake or on purpose. After
-// disks were emptied on purpose, silvercovectl fleet rebuild raises the generation, and every client accepts the higher
+// Controllers whose disks were emptied, or are from before a rebuild of the assignments, have no record of a primary. The check
+// protects the primary against such controllers. It can't tell whether disks were emptied by mistake or on purpose. After disks
+// were emptied on purpose, the command "silvercovectl fleet rebuild" raises the generation, and every client accepts the higher
 // generation.
 func (c *Client) CheckLineage(lineage Lineage) error {
 	c.mu.Lock()
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -14,8 +14,9 @@
 // MaxBodyBytes is the maximum size of the body of a request to a controller.
 const MaxBodyBytes = 256 << 10
 
-// LeaseRequest asks for a lease or renews it. The JSON names of this and all other types in this file are wire names, which stay as
-// they are even where a Go name differs. RecordCount is the result of Store.RecordCount in package instancestore.
+// LeaseRequest asks for a lease or renews it. The JSON names of all types in this file are part of the wire protocol and must
+// not change, even where they differ from the Go names. The field RecordCount is the result of Store.RecordCount in package
+// instancestore.
 type LeaseRequest struct {
 	Version         int                      `json:"v"`
 	Node            string                   `json:"unit"`
@@ -122,8 +123,8 @@
 	Nodes   []Node `json:"units"`
 }
 
-// MaxOutcomes is the maximum number of outcomes of one node that count per OutcomeReport. If a report has more, its successes
-// and failures are scaled down in proportion.
+// MaxOutcomes is the maximum number of outcomes of one node that the leader records per OutcomeReport. If a report has more
+// outcomes of the node, its successes and failures are scaled down in proportion.
 const MaxOutcomes = 64
 
 // OutcomeReport contains the outcomes of requests at edge nodes that a relay has observed since its previous report. Rejected
@@ -180,8 +181,8 @@
 	Stores map[string]string `json:"stores"` // by controller name: the identity of its disk
 }
 
-// JoinRequest asks the leader to admit a controller whose disk was emptied. With CaughtUp, it reports that the controller has
-// caught up.
+// JoinRequest asks the leader to admit a controller whose disk was emptied. If CaughtUp is set, it asks the leader to make the
+// admitted controller a voter.
 type JoinRequest struct {
 	Version  int    `json:"v"`
 	Node     string `json:"node"`
@@ -189,7 +190,7 @@
 	CaughtUp bool   `json:"ready,omitempty"` // the controller has nearly all entries up to JoinResponse.Index of an earlier response
 }
 
-// JoinResponse tells a controller whether it is a voter of the agreed log, and which entries it needs to become one.
+// JoinResponse tells a controller whether it is a voter of the agreed log, and how far its log must reach before it becomes one.
 type JoinResponse struct {
 	Voter      bool       `json:"votes"`
 	Index      uint64     `json:"index"`          // index that the log must nearly reach before the controller votes
@@ -261,7 +262,8 @@
 type DiskSpace struct {
 	Free  uint64 `json:"free"`
 	Total uint64 `json:"total"`
-	// LowOnSpace means that the log is compacted sooner, and that the leadership goes to a controller with enough free space.
+	// LowOnSpace means that the disk is nearly full, by the limits of package controller. The log is then compacted sooner, and
+	// a leader transfers the leadership to a controller with enough free space.
 	LowOnSpace bool `json:"short,omitempty"`
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,9 +27,9 @@
 	SoftwareVersion uint16 // of an edge node: version of the software that the node runs
 
 	// Settings are the settings of packages such as leases and migration. Each value is a float64: durations in seconds, shares
-	// as fractions. The key is "fleet." and the name of the directive, such as "fleet.lease". The directive named moves is
-	// split into "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all". "fleet.keepers", "fleet.relays" and
-	// "fleet.edges" are the numbers of controllers, relays and edge nodes, including this process.
+	// as fractions. Each key is "fleet." followed by the name of a directive of the fleet block, such as "fleet.lease". The
+	// directive named moves is split into "fleet.moves.unit", "fleet.moves.link" and "fleet.moves.all". "fleet.keepers",
+	// "fleet.relays" and "fleet.edges" are the numbers of controllers, relays and edge nodes, including this process.
 	Settings map[string]any
 }
 
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -1,10 +1,10 @@
 // Package leases decides which edge nodes hold a lease and may therefore act. The leading controller runs it.
 //
 // On the controller a lease runs from the time at which its request was received, for the lease duration plus twice the clock
-// drift. The lease therefore expires on the controller only after it has ended by the node's own clock. At most one process of
-// a node name has a lease at a time; each process is an incarnation of the node. A restarted process has a greater incarnation
-// number and is admitted once the lease of the earlier incarnation has expired. An old copy of the process has a smaller number
-// and is refused permanently.
+// drift. The lease therefore expires on the controller only after it has ended by the node's own clock. Each process that runs
+// under a node's name is an incarnation of the node, and at most one incarnation has a lease at a time. A restarted process has
+// a greater incarnation number than its predecessor, and is admitted once the predecessor's lease has expired. An old copy of
+// the process has a smaller number and is refused permanently.
 //
 // A controller creates a Lessor with New when it becomes the leader and calls OnElected. It calls Request for each lease
 // request. If Request returns ProposeIncarnation, the controller proposes the incarnation to the agreed log and then calls
@@ -32,8 +32,8 @@
 	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
 	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
 	ErrExpired          = errors.New("the lease was over before it was granted")
-	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. The requesting incarnation may
-	// itself be the pending one, if its first request was abandoned. The node should repeat the request.
+	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. If the first request of an incarnation
+	// was abandoned, its next request may get this error, too. The node should repeat the request.
 	ErrIncarnationPending = errors.New("a start of this name is being agreed")
 )
 
@@ -51,8 +51,8 @@
 	name        string
 	incarnation uint64    // the agreed incarnation, 0 for none yet
 	leaseEnd    tick.Tick // time from which no lease of the node is active; 0 if it never had one
-	expiry      tick.Tick // time from which Expired returns the node: leaseEnd, or later if ExpectRenewal set it
-	expired     bool      // the node is not in Lessor.queue: Expired has returned it, or nothing has set its expiry yet
+	expiry      tick.Tick // time from which Expired returns the node: leaseEnd, or a later time that ExpectRenewal has set
+	expired     bool      // the node is not in Lessor.queue, because Expired has returned it or because its expiry was never set
 	pending     bool      // an incarnation is being agreed; meanwhile requests of all incarnations are refused
 	queueIndex  int       // position in Lessor.queue; valid only while expired is false
 }
@@ -91,9 +91,9 @@
 
 // Lessor tracks the leases that one controller grants during one term of leadership. It is not safe for concurrent use.
 type Lessor struct {
-	leaseDuration tick.Tick // Config.controllerDuration: by the controller's clock, with twice the drift added
+	leaseDuration tick.Tick // duration of a lease by the controller's clock, with twice the drift added (Config.controllerDuration)
 	nodes         map[string]*node
-	queue         expiryQueue // the nodes that have not expired
+	queue         expiryQueue // the nodes that Expired has yet to return
 }
 
 // New returns a Lessor that has granted no lease.
@@ -104,9 +104,9 @@
 // OnElected begins a term of leadership. The map incarnations holds the agreed incarnation of each node name. Each of these
 // nodes may still hold a lease from an earlier leader, so OnElected counts the node's lease as renewed now.
 //
-// Counting the leases as renewed guards against two incarnations of a node, or two primaries of an instance, that act at the
-// same time after a controller has failed. The cost is that the lease of a node that failed together with the controller
-// expires up to one lease duration later.
+// If the leases did not count as renewed, two incarnations of a node or two primaries of an instance could act at the same time
+// after a controller has failed. The cost is that the lease of a node that failed together with the controller expires up to
+// one lease duration later.
 func (l *Lessor) OnElected(now tick.Tick, incarnations map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(incarnations)) {
 		n := l.ensureNode(name)
@@ -139,8 +139,8 @@
 }
 
 // ExpectRenewal is called for a node that becomes the primary or a replica of a running instance. If the node has no lease and
-// does not obtain one within the duration of a lease, Expired returns the node. ExpectRenewal grants no lease: however often it
-// is called, another incarnation of the same node name does not have to wait.
+// does not obtain one within the duration of a lease, Expired returns the node. ExpectRenewal grants no lease, so it never
+// makes another incarnation of the node wait, however often it is called.
 func (l *Lessor) ExpectRenewal(now tick.Tick, name string) {
 	if n := l.ensureNode(name); n.expired {
 		l.extend(n, now+l.leaseDuration)
@@ -173,14 +173,14 @@
 	n.pending = false
 }
 
-// OnIncarnationDropped is called if the controllers did not agree on an incarnation for which Request returned
-// ProposeIncarnation, or if the outcome is not known. A leader that does not know the outcome loses its leadership for that
-// reason, and the next leader learns the outcome from the log.
+// OnIncarnationDropped is called if an incarnation for which Request returned ProposeIncarnation was certainly not recorded:
+// the controllers did not agree on it, or the agreed entry changed nothing. If the outcome is unknown, OnIncarnationDropped is
+// not called: the leadership then ends, and the next leader learns the outcome from the log.
 func (l *Lessor) OnIncarnationDropped(name string) { l.ensureNode(name).pending = false }
 
-// Grant grants or renews a lease from the time at which its request was received. It is called once a majority has confirmed,
-// after that time, that this controller leads. It returns the errors of Request, and ErrExpired if the lease would be over
-// already because the confirmation took too long.
+// Grant grants or renews a lease. The lease runs from receivedAt, the time at which its request was received. Grant is called
+// once a majority has confirmed, after receivedAt, that this controller leads. It returns the errors of Request, and ErrExpired
+// if the lease would be over already because the confirmation took too long.
 func (l *Lessor) Grant(now, receivedAt tick.Tick, name string, incarnation uint64) (leaseEnd tick.Tick, err error) {
 	n := l.ensureNode(name)
 	switch {
@@ -190,7 +190,7 @@
 		return 0, ErrIncarnationPending
 	case incarnation != n.incarnation:
 		return 0, ErrOtherIncarnation
-	case now >= receivedAt+l.leaseDuration: // the lease would have expired already, and Expired may have returned the node
+	case now >= receivedAt+l.leaseDuration: // the requested lease would have expired already, and Expired may have returned the node
 		return 0, ErrExpired
 	}
 	n.leaseEnd = max(n.leaseEnd, receivedAt+l.leaseDuration)
@@ -218,7 +218,7 @@
 	return names
 }
 
-// NextExpiry returns when the next node expires, and false if no node is left to expire.
+// NextExpiry returns the time from which Expired returns the next node, and false if no node is left to expire.
 func (l *Lessor) NextExpiry() (next tick.Tick, ok bool) {
 	if len(l.queue) == 0 {
 		return 0, false
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -11,8 +11,8 @@
 const maxCountsPerOperation = 1024
 
 // RecordCounts tracks the greatest number of records that each node has reported to be on its disk. A node reports this count
-// with each lease request. A node whose count at its start is below the greatest known count detects that its disk was restored
-// from an older image.
+// with each lease request. At its start, a node compares its count with the greatest known count. If its count is lower, its
+// disk was restored from an older image.
 //
 // The leading controller receives the counts every third of a lease duration. The controllers agree on all changed counts
 // together once per lease duration, so the counts that a new leader knows are at most about one lease duration old. The cost
@@ -32,8 +32,8 @@
 }
 
 // Report records the count that a node sent with its lease request, and returns the greatest count known before this report, 0
-// for none. A node that sends no count (0) runs an earlier version or has no disk. The node may then write records without
-// counting them, so the count known before is no longer meaningful and is deleted.
+// for none. A node that sends no count (0) runs an earlier version or has no disk. Such a node may write records without
+// counting them. The count known before is then no longer meaningful, and Report deletes it.
 func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
 	previous = c.known[node]
 	switch {
@@ -65,7 +65,7 @@
 	for node := range counts {
 		delete(c.pending, node)
 	}
-	if len(c.pending) == 0 { // otherwise the remaining counts are due immediately
+	if len(c.pending) == 0 { // otherwise nextDue stays in the past, and the remaining counts are due immediately
 		c.nextDue = now + c.interval
 	}
 	return counts
--- a/internal/leases/timings.go
+++ b/internal/leases/timings.go
@@ -9,9 +9,9 @@
 	HeartbeatTimeout         tick.Tick // a follower starts an election after this long without a heartbeat
 	CommitInterval           tick.Tick // longest time until followers learn what has been agreed
 	ConfirmTimeout           tick.Tick // longest time for a majority to confirm the leadership
-	ProposalTimeout          tick.Tick // longest time for an operation to be agreed; after it the caller is told that there is no majority
-	NodeUpdateInterval       tick.Tick // shortest interval between two node updates to a watching client; changes in between are batched
-	AssignmentUpdateInterval tick.Tick // shortest interval between two assignment updates to a watching client; changes in between are batched
+	ProposalTimeout          tick.Tick // maximum time for an operation to be agreed; when it has passed, the caller is told that there is no majority
+	NodeUpdateInterval       tick.Tick // shortest interval between two node updates to a watching client; one update contains all changes since the previous one
+	AssignmentUpdateInterval tick.Tick // shortest interval between two assignment updates to a watching client; one update contains all changes since the previous one
 	RetryDelayMin            tick.Tick // first delay between two attempts of a client, doubled after each attempt
 	RetryDelayMax            tick.Tick // upper limit of the delay between two attempts of a client
 }
