--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,10 +7,10 @@
 	"silvercove/internal/tick"
 )
 
-// The level of a node follows from a ratio: the time left until the battery is empty or the machine too hot, divided by
-// the time for migrating all instances. Below limitedRatio the node takes few instances. Below holdingRatio it takes
-// none, as a new instance would have to migrate again at once. Below evacuatingRatio its instances migrate away; this
-// ratio is 2, not 1, as migrations from other nodes of its zone may be under way. Below shuttingDownRatio no migration
+// The constants bound a ratio: the time left until the battery is empty or the machine too hot, divided by the time for
+// migrating all instances. Below limitedRatio the node takes few new instances. Below holdingRatio it takes none, as a
+// new instance would have to migrate again at once. Below evacuatingRatio its instances migrate away. evacuatingRatio
+// is 2 rather than 1, as migrations from other nodes of the zone may be under way. Below shuttingDownRatio no migration
 // can be finished.
 const (
 	shuttingDownRatio = 0.5
@@ -23,7 +23,7 @@
 type assessment struct {
 	timeToEmpty        tick.Tick // time until the battery is empty at the present load; Never if not foreseeable
 	timeToOverheat     tick.Tick // time until the machine is too hot at the present load; Never if not foreseeable
-	timeToLimitOffered tick.Tick // time until the battery is empty or the machine too hot, whichever is first, at the offered load; Never if not foreseeable
+	timeToLimitOffered tick.Tick // shorter of the times until the battery is empty and until the machine is too hot, both at the offered load; Never if not foreseeable
 	migrationTime      tick.Tick // time to reserve for migrating all instances
 	unknown            []string  // labels of the unknown readings
 	readings           KeyReadings
@@ -35,7 +35,7 @@
 // constraint is the highest level that one reading or condition allows.
 type constraint struct {
 	level  level
-	reason string // why no higher level is allowed; empty if strictness is above 1, as only the level of such an assessment is used
+	reason string // why no higher level is allowed; empty if strictness is above 1: Assess uses only the level of such an assessment
 }
 
 // addConstraint adds a constraint with the given level and reason. It adds none for levelAccepting, the highest level,
@@ -117,8 +117,8 @@
 	return 0
 }
 
-// assessOutcomes adds the constraint of a node whose own requests fail too often. The constraint is levelHolding while
-// the failure detector waits, and then levelLimited until the node has recovered.
+// assessOutcomes adds the constraint of a node whose own requests fail too often. After an alarm of the failure
+// detector the constraint is levelHolding for failureDetector.wait, and then levelLimited until the node has recovered.
 func (m *Monitor) assessOutcomes(a *assessment) {
 	switch {
 	case m.failures.waiting(m.now):
@@ -128,8 +128,9 @@
 	}
 }
 
-// levelFor returns the level that the time left until a limit allows. present and offered are the time left at the
-// present and at the offered load; migration is the time for migrating all instances.
+// levelFor returns the level that is allowed by the time left until the battery is empty or the machine too hot.
+// present and offered are that time at the present and at the offered load; migration is the time for migrating all
+// instances. strictness multiplies the required ratios.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,16 +3,16 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // fraction of full, above empty: with less, a node could not migrate its instances if mains or sun failed
+	holdingCharge    = 0.05 // fraction of full, above the empty level; with less charge, a node could not migrate its instances if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
 	mainsOnThreshold = 0.5  // a mains reading of this value or more counts as on
 )
 
 // batteryTotals holds the sums over all batteries of a node.
 type batteryTotals struct {
-	fullJoules      float64 // joules in full batteries; a battery whose full charge is unknown counts as 1
-	remainingJoules float64 // joules above the empty level, in the same units as fullJoules
-	fallRate        float64 // joules per second by which the charge falls, by the confidence bound of its slope
+	fullJoules      float64 // sum of the full charges in joules; a battery whose full charge is unknown adds 1 instead
+	remainingJoules float64 // charge above the empty level, in the units of fullJoules
+	fallRate        float64 // joules per second by which the charge falls: the upper confidence bound, computed from the slopes of the charges
 	draw            float64 // watts drawn from the batteries; below 0 while they charge
 	drawUsable      bool    // true if the full charge of each battery is known, and there are draw readings, all of them trusted
 }
@@ -48,8 +48,8 @@
 		a.timeToEmpty = ticks(b.remainingJoules / b.fallRate)
 		a.timeToLimitOffered = ticks(b.remainingJoules / b.fallRate / m.drawFactor(m.offeredLoad))
 	}
-	// A migration runs at full load, which draws more power than the present load. drawFactor(1) lengthens the migration
-	// time to the time in which the present load draws as much energy as the migration.
+	// A migration runs at full load, which draws more power than the present load. drawFactor(1) converts the migration
+	// time into the time in which the present load draws the same energy.
 	migration := tick.Tick(float64(a.migrationTime) * m.drawFactor(1))
 	at := levelFor(a.timeToEmpty, a.timeToLimitOffered, migration, a.strictness)
 	a.addConstraint(at, "battery empty in %s, in %s at the offered load; %s to hand %d instances over",
@@ -77,7 +77,7 @@
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
-			b.drawUsable, full = false, 1 // the battery counts as 1 instead of its joules; only the slope of its charge is used
+			b.drawUsable, full = false, 1 // 1 replaces the unknown joules: the forecast then uses only the slope of the charge
 		}
 		if a.untrusted[s] {
 			return batteryTotals{}, false
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,15 +8,14 @@
 )
 
 const (
-	maxClaimShare  = 0.5               // share of a zone's nodes that may evacuate without support for their claims: a faulty version makes all nodes claim
-	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted, so that nodes cannot evacuate in turn
+	maxClaimShare  = 0.5               // maximum share of a zone's nodes that may evacuate without support for their claims; a faulty version could make all nodes claim
+	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted; it keeps the nodes of a zone from evacuating one after the other
 )
 
-// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. It grants such claims of at most
-// maxClaimShare of a zone's nodes; the other nodes that claim hold the instances that they have. The limit guards against
-// a fault that makes all nodes of a zone claim to evacuate, which would empty the zone. The limit also applies to nodes
-// that claim because of readings that the controller cannot check, as the controller cannot tell them from nodes with
-// such a fault.
+// verifyClaim checks a claim to evacuate that neither readings nor outcomes support. It grants such claims to at most
+// maxClaimShare of a zone's nodes; the other claiming nodes are verified as holding. The limit guards against a fault
+// that makes all nodes of a zone claim to evacuate, which would empty the zone. It also applies to claims because of
+// readings that the controller cannot check: the controller cannot tell these claims from claims caused by a fault.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// falseAlarmChance bounds the probability that one test of a healthy node ever raises an alarm. Each alarm starts a
-	// new test.
+	// falseAlarmChance is the maximum probability that failureDetector.test ever raises an alarm for a healthy node.
+	// Each alarm starts a new test.
 	falseAlarmChance = 0.01
 	// recoveryOutcomes is the number of outcomes without an alarm after which a failing node counts as recovered.
 	recoveryOutcomes = 20
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -9,18 +9,18 @@
 const (
 	riseMargin = 1.5               // to rise to a level, a node must have the level's margins multiplied by this factor
 	minDwell   = 60 * tick.Second  // shortest dwell time: how long a higher level must be allowed before it is reported
-	maxDwell   = 960 * tick.Second // longest dwell time, reached as falls soon after a rise double it: at most 8 rises an hour
+	maxDwell   = 960 * tick.Second // longest dwell time; a fall less than maxDwell after a rise doubles the dwell time up to this, so there are at most 8 rises an hour
 )
 
-// hysteresis keeps the reported level from following every reading. The level falls at once. It rises after a higher
-// level has been allowed for the dwell time, and then to the lowest level that was allowed during that time. The level
-// does not rise while a reading is unknown. The dwell time guards against flapping around a limit; the cost is that a
-// node just connected to mains waits a minute for its higher level.
+// hysteresis keeps the reported level from following every reading. The level falls at once. It rises once higher
+// levels have been allowed for the whole dwell time; the new level is the lowest of them. The level does not rise while
+// a reading is unknown. The dwell time guards against flapping around a limit; the cost is that a node just connected
+// to mains waits a minute for its higher level.
 type hysteresis struct {
 	level     level
 	settled   bool // true once a level was reported while all readings were known
 	changedAt tick.Tick
-	roseAt    tick.Tick // time of the last rise; 0 if a fall has followed it, or without a rise
+	roseAt    tick.Tick // time of the last rise; 0 if the level has fallen since or never rose
 	pending   pendingRise
 	dwell     tick.Tick
 }
@@ -28,7 +28,7 @@
 // pendingRise is a higher level that has not yet been allowed for the dwell time.
 type pendingRise struct {
 	since  tick.Tick // time since which a higher level has been allowed; 0 if none is
-	lowest level     // lowest strictTarget that update was given since then
+	lowest level     // lowest strictTarget that update has received since then
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -25,13 +25,14 @@
 )
 
 const (
-	// timePerMigration is the time reserved for a migration besides copying. A migration pauses the instance's requests
-	// for at most 0.3 s over a good link, and for at most 0.9 s over a radio link.
+	// timePerMigration is the time reserved for one migration, in addition to the time for copying its state. A
+	// migration pauses the instance's requests for at most 0.3 s over a good link, and for at most 0.9 s over a radio
+	// link.
 	timePerMigration = tick.Second
 	// copyRate is the rate at which state is copied, in bytes per second. All copies share one uplink, which is assumed
 	// to have 2 Mbit/s, as a weak mobile connection has.
 	copyRate = 250e3
-	// migrationMargin is the factor on the time for migrating and copying; 2 leaves room for a second attempt at each
+	// migrationMargin multiplies the time for migrating and copying; 2 leaves room for a second attempt at each
 	// migration.
 	migrationMargin = 2.0
 
@@ -40,8 +41,8 @@
 	unknownRisk = 0.5
 	// maxTrackedReadings bounds the number of readings that a Monitor tracks; it ignores further ones.
 	maxTrackedReadings = 64
-	// busyLoad is the load above which a node counts as busy. The temperatures and the draw of a busy node should change:
-	// if they do not, they may be stuck.
+	// busyLoad is the load above which a node counts as busy. The temperatures and the draw of a busy node should
+	// change: if they do not, their readings may be stuck (see series.unknownReason).
 	busyLoad = 0.05
 	// maxOwnFailureShare is the baseline share of failures that a node's own outcomes are tested against. A node that
 	// fails more often is unhealthy, whatever its readings.
@@ -75,8 +76,8 @@
 	parallelMigrations float64 // number of migrations that one node runs at the same time
 }
 
-// defaultSettings has the defaults of the settings, by name without the prefix "fleet.". They equal the defaults in the
-// operator's file.
+// defaultSettings has the default values of the settings that NewMonitor reads, by name without the prefix "fleet.".
+// They equal the defaults in the operator's file.
 var defaultSettings = map[string]float64{"reserve": 60, "hot": 85, "empty": 0.05, "places": 8, "moves.unit": 8}
 
 func parseSettings(set map[string]any) settings {
@@ -200,8 +201,9 @@
 	return all
 }
 
-// report builds the node's report from an assessment and the level of the hysteresis. The reasons are those of the
-// constraints, the one of the lowest level first.
+// report builds the node's report from an assessment and the level of the hysteresis. Its reasons are the reasons of
+// all constraints, sorted by level with the lowest first. If the hysteresis holds the state down, the last reason says
+// so.
 func (m *Monitor) report(a *assessment) Report {
 	state := m.hysteresis.level
 	r := Report{
@@ -231,8 +233,9 @@
 	return r
 }
 
-// risk returns the node's risk of failing, 0 to 1. It rises as the time left falls below limitedRatio times the migration
-// time. It is at least unknownRisk if readings are unknown or requests fail, and 1 after a shutdown request.
+// risk returns the node's risk of failing, 0 to 1. It rises from 0 toward 1 as the time left falls from limitedRatio
+// times the migration time toward 0. It is at least unknownRisk if readings are unknown or requests fail, and 1 after a
+// shutdown request.
 func (m *Monitor) risk(a *assessment) float64 {
 	if m.shutdownRequested {
 		return 1
@@ -255,8 +258,8 @@
 	return ticks(max(1, m.settings.reserve, migrationMargin*(rounds*timePerMigration.Seconds()+copying)))
 }
 
-// spareCapacity returns how many more instances the node can take before the time for migrating all instances would lower
-// its level below at. It is at most 1 for a limited node, and 0 below levelLimited.
+// spareCapacity returns how many more instances the node can take before the longer migration time would allow only a
+// level below the parameter at. The result is at most 1 if at is levelLimited, and 0 if at is lower.
 func (m *Monitor) spareCapacity(a *assessment, at level) int {
 	if at < levelLimited {
 		return 0
@@ -269,7 +272,7 @@
 	if m.instances > 0 {
 		average = m.stateBytes / m.instances
 	}
-	return sort.Search(most, func(k int) bool { // a binary search, as the time needed grows with the number of instances
+	return sort.Search(most, func(k int) bool { // a binary search is valid because the migration time never falls as the number of instances grows
 		more := k + 1
 		needed := tick.Tick(float64(m.migrationTimeOf(m.instances+more, m.stateBytes+more*average)) * m.drawFactor(1))
 		return levelFor(Never, a.timeToLimitOffered, needed, 1) < at
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -38,9 +38,9 @@
 // bounds holds the physically possible values and changes of a kind of reading.
 type bounds struct {
 	min, max       float64   // range of possible values
-	slack          float64   // plausible change between two readings, however short the time between them
-	rate           float64   // plausible change per second, in addition to slack
-	sampleInterval tick.Tick // least time between two samples; the window of a slope has maxSamples such intervals
+	slack          float64   // maximum plausible change between two readings, however short the time between them
+	rate           float64   // maximum plausible change per second between two readings, in addition to slack; see maxJumpSpan
+	sampleInterval tick.Tick // minimum time between two samples that a series keeps; series.slope uses at most maxSamples samples
 }
 
 // plausibility has the bounds of each kind. The fastest batteries empty in minutes, and gauges correct themselves by a few
@@ -71,8 +71,8 @@
 	return ""
 }
 
-// maxJumpSpan bounds the time over which bounds.rate allows further change: a jump does not become more plausible because
-// more time has passed.
+// maxJumpSpan is the longest time between two values for which isJump multiplies bounds.rate. Without this bound, any
+// jump would become plausible if enough time had passed since the last accepted value.
 const maxJumpSpan = 2 * tick.Second
 
 // isJump reports whether the change between two values is too large to be plausible in the time between them.
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -12,12 +12,12 @@
 // stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
 	staleAfter          = 10 * tick.Second // age above which a value is not used; at a reading a second, a single failure or jump has no effect
-	jumpConfirmTime     = 60 * tick.Second // how long values must stay near the value after a jump; about the window of a temperature slope
+	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; about as long as the samples of a temperature slope
 	jumpMinMoves        = 2                // fewest changes of the value in jumpConfirmTime; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
-	stuckIntervalFactor = 10.0             // a reading counts as stuck after this multiple of its mean interval between changes, if that is longer than minStuckTime
-	stuckMinMoves       = 8                // fewest changes from which the mean interval is used
-	stuckDrainShare     = 0.03             // share of the full charge: a charge is stuck if more is drawn without a change; 3 steps of the coarsest gauge
+	stuckIntervalFactor = 10.0             // multiple of a reading's mean interval between changes; a reading counts as stuck after this time or minStuckTime, whichever is longer
+	stuckMinMoves       = 8                // minimum number of changes for using the mean interval; with fewer, a temperature or a draw never counts as stuck
+	stuckDrainShare     = 0.03             // fraction of the full charge; a charge counts as stuck if more than this is drawn while it stays the same; 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // number of standard errors from a slope to its one-sided 95% confidence bound
 	maxSamples          = 32               // largest number of samples of a regression
 	minSamples          = 12               // smallest number of samples of a regression
@@ -87,9 +87,9 @@
 // acceptNext reports whether a value may follow the last accepted one, and records whether the value changed.
 //
 // acceptNext guards against a failing gauge, whose jump must neither make the node look healthy nor make it evacuate or
-// shut down. A swapped battery cannot be told from a failing gauge. After a swap, the node takes no new instances until
-// its charge has stayed near the new value for jumpConfirmTime. In that time the charge must also have made at least
-// jumpMinMoves changes without a jump.
+// shut down. The charge of a swapped battery jumps as that of a failing gauge does. After a swap, the node takes no new
+// instances until the charge has stayed near the new value for jumpConfirmTime. In that time the charge must also have
+// made at least jumpMinMoves changes without a jump.
 func (s *series) acceptNext(at tick.Tick, value float64, limits bounds) bool {
 	last, lastAt := s.last()
 	if at <= lastAt {
@@ -125,7 +125,7 @@
 // recordMove records a change of the value: it updates the mean interval between changes and resets the state that is
 // kept from one change to the next.
 func (s *series) recordMove(at tick.Tick) {
-	if s.stuck { // values repeated while the reading was stuck must not count in the regression of slope
+	if s.stuck { // slope must not include the values that were repeated while the reading was stuck
 		s.clear()
 		s.stuck = false
 	}
@@ -144,7 +144,7 @@
 // appendSample appends a value. Within one sample interval only the newest value is kept.
 func (s *series) appendSample(at tick.Tick, value float64, interval tick.Tick) {
 	if last := len(s.values) - 1; s.kind == KindDraw && last >= 0 && (s.values[last] > 0) != (value > 0) {
-		s.clear() // the node switched from mains to battery or back: earlier values do not predict later ones
+		s.clear() // the draw changed its sign: the node switched from mains to battery or back, and earlier values do not predict later ones
 	}
 	if n := len(s.times); n >= 2 && s.times[n-1]-s.times[n-2] < interval {
 		s.times, s.values = s.times[:n-1], s.values[:n-1] // the new value replaces the last one, which is in the same sample interval
@@ -158,12 +158,14 @@
 }
 
 // unknownReason returns why the reading is unknown now, or "" if it is known. fullCharge is the full charge, in joules,
-// of the battery that the reading belongs to; it is 0 if the full charge is unknown or the reading belongs to no battery.
+// of the battery that the reading belongs to; it is 0 if the full charge is unknown or the reading belongs to no
+// battery.
 //
 // unknownReason guards against a frozen file, which makes a node look healthy while its battery empties. A coarse gauge
 // whose value stays the same cannot be told from a frozen file; the cost is that the node takes no new instances until
 // the value changes. Temperatures and draw count as stuck only if the node was busy since the last change. On an idle
-// node they may stay the same; if they then counted as stuck, an idle node would never get work again.
+// node they may stay the same. If they counted as stuck there, the node would take no new instances, and so would stay
+// idle forever.
 func (s *series) unknownReason(now tick.Tick, fullCharge float64) string {
 	if !s.hasValue() {
 		return s.rejectReasonOr("no value yet")
--- a/internal/devicehealth/state.go
+++ b/internal/devicehealth/state.go
@@ -27,8 +27,8 @@
 // states lists the states by level.
 var states = []State{StateShuttingDown, StateEvacuating, StateHolding, StateLimited, StateAccepting}
 
-// acceptFractions lists, by level, the fraction of a node's instance slots that is open to new instances. A limited node
-// offers a tenth: enough to see outcomes, too little to overload the node.
+// acceptFractions lists, by level, the fraction of a node's instance slots that is open to new instances. For a limited
+// node it is a tenth of the slots: enough to see outcomes of requests, too little to overload the node.
 var acceptFractions = []float64{0, 0, 0, 0.1, 1}
 
 func (l level) state() State { return states[l] }
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	holdingMargin      = 5.0  // degrees C below the limit; closer to it, the node takes no new instances: a passing cloud changes the temperature by as much
+	holdingMargin      = 5.0  // minimum distance to the limit in degrees C; closer to the limit, the node takes no new instances: a passing cloud changes the temperature by as much
 	maxCellTemperature = 60.0 // degrees C: the highest cell temperature at which makers of lithium cells allow discharging
-	heatCapacity       = 500  // joules per degree C: that of half a kilogram of board and metal, without a fan
+	heatCapacity       = 500  // heat capacity of the machine in joules per degree C: that of half a kilogram of board and metal, without a fan
 )
 
 // assessTemperature adds the constraints of all temperature sensors. The report shows the temperature and the limit of
 // the sensor that is closest to its limit.
 func (m *Monitor) assessTemperature(a *assessment) {
-	extraRate := 0.0 // degrees C per second by which the offered load would heat the machine faster at first
+	extraRate := 0.0 // degrees C per second: initial additional rise of the temperature at the offered load, compared with the present load
 	if draw := a.readings.Draw; draw != nil && *draw > 0 {
 		extraRate = *draw * (m.drawFactor(m.offeredLoad) - 1) / heatCapacity
 	}
@@ -54,7 +54,7 @@
 	present, offered := timesToLimit(s, margin, extraRate)
 	a.timeToOverheat = min(a.timeToOverheat, present)
 	a.timeToLimitOffered = min(a.timeToLimitOffered, offered)
-	// A forecast alone never gives levelShuttingDown: once its instances have migrated, the node cools down.
+	// A forecast alone never gives levelShuttingDown: the node cools down once its instances have migrated.
 	at := max(levelFor(present, offered, a.migrationTime, a.strictness), levelEvacuating)
 	if s.limit > 0 && value >= s.limit {
 		at = levelShuttingDown // at this limit the machine shuts itself down
@@ -66,9 +66,9 @@
 	}
 }
 
-// timesToLimit forecasts how long a sensor takes to reach its limit, which is margin degrees C above its value, at the
-// present and at the offered load. The rate of change is the upper confidence bound of the slope; the offered load adds
-// extraRate, in degrees C per second.
+// timesToLimit forecasts how long a sensor takes to reach its limit, at the present and at the offered load. margin is
+// the distance to the limit in degrees C. The forecast for the present load uses the upper confidence bound of the
+// slope; the forecast for the offered load adds extraRate, in degrees C per second.
 func timesToLimit(s *series, margin, extraRate float64) (present, offered tick.Tick) {
 	if margin == 0 {
 		return 0, 0
--- a/internal/devicehealth/verifier_test.go
+++ b/internal/devicehealth/verifier_test.go
@@ -72,8 +72,9 @@
 		MigrationTime: 60 * second, Reasons: []string{"so it says"}}
 }
 
-// If all nodes of a zone claim without support that they must evacuate, at most half of the claims are granted. The nodes
-// cannot evacuate in turn by withdrawing claims and making new ones.
+// If all nodes of a zone claim without support that they must evacuate, at most half of the claims are granted.
+// Withdrawn claims count for claimRetention, so the nodes cannot evacuate one after the other by withdrawing claims and
+// making new ones.
 func TestVerify_ClaimsAloneNeverDrainZone(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		verifier := devicehealth.NewVerifier()
@@ -188,7 +189,8 @@
 	expectTimeline(t, "a unit that lies, at the keeper", timeline.String())
 }
 
-// If all nodes of a zone fail alike, each report is believed, as a node's failures are compared with those of its peers.
+// If all nodes of a zone fail alike, each report is believed: a node is distrusted only if it fails more often than its
+// peers.
 func TestVerify_FailingZoneIsBelieved(t *testing.T) {
 	const failsFrom = 30 // seconds
 	verifier := devicehealth.NewVerifier()
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -13,8 +13,8 @@
 	micro          = 1e-6
 	secondsPerHour = 3600
 
-	// maxAgedCharge, a fraction of the full charge, bounds the charges above full that count as full. The gauge of an
-	// aged battery may report such charges.
+	// maxAgedCharge bounds the charges above full that batteryCharge treats as full; it is a fraction of the full
+	// charge. The gauge of an aged battery may report such charges.
 	maxAgedCharge = 1.1
 )
 
--- a/internal/devicepower/reader.go
+++ b/internal/devicepower/reader.go
@@ -10,7 +10,8 @@
 	"silvercove/internal/tick"
 )
 
-// maxReadings is the number of readings beyond which a Reader drops the readings of devices that have disappeared.
+// maxReadings limits the readings of disappeared devices: a Reader keeps such a reading only while it has fewer than
+// maxReadings readings in all.
 const maxReadings = 4 * maxDirEntries
 
 // Reader keeps the newest readings of one folder. It is safe for concurrent use.
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -13,12 +13,12 @@
 const (
 	rateWindow           = 1.0             // seconds: time constant with which the counts of requests decay
 	admittedWindow       = 4.0             // seconds: time constant with which the target work and the admitted work decay
-	maxRetryAfterExtra   = 4 * tick.Second // if all requests are shed, the longest Retry-After is baseRetryAfter plus this
-	baseRetryAfter       = tick.Second     // if few requests are shed, Retry-After is from half of this to this
+	maxRetryAfterExtra   = 4 * tick.Second // increase of the longest Retry-After over baseRetryAfter if all requests are shed
+	baseRetryAfter       = tick.Second     // longest Retry-After if few requests are shed; the shortest is then half of this
 	maxClasses           = 64              // number of request classes that are tracked; requests of any other class are always admitted
 	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
-	minServiceTime       = 1e-3            // seconds: lower bound of the work that one request counts as
-	defaultServiceTime   = 0.01            // seconds: work of one request of a class that no backend has answered yet
+	minServiceTime       = 1e-3            // seconds: lower bound of the work of one request in targetWork and admittedWork
+	defaultServiceTime   = 0.01            // seconds: work of one request of a class for which no backend has answered a request yet
 )
 
 // admission holds the admitted fractions and the thresholds that implement them.
@@ -27,8 +27,8 @@
 	sharedFraction    float64 // fraction of the offered work that the backends' capacity admits
 	pressureUpdatedAt tick.Tick
 
-	targetWork   float64 // seconds of work that the thresholds were meant to admit, decayed over admittedWindow
-	admittedWork float64 // seconds of work that was admitted by the thresholds, decayed over admittedWindow
+	targetWork   float64 // seconds of work that the thresholds should admit: the sum of each request's work times the threshold of its class, decayed over admittedWindow
+	admittedWork float64 // seconds of work of the requests that the thresholds admitted, decayed over admittedWindow
 
 	classes    []classState
 	byPriority []int // indexes into classes; the classes to be shed first come last
@@ -69,11 +69,11 @@
 	return &a.classes[class]
 }
 
-// admittedShare returns the part of the target work that was admitted, from minAdmittedShare to 1. Tenants that are shed
-// send their requests again and tenants that are admitted do not. After a while, most of the offered work therefore
-// belongs to shed tenants, and less work is admitted than the thresholds were meant to admit. UpdatePressure corrects the
-// offered work by this share. Without the correction, the admitted fraction would fall below the backends' capacity again
-// and again for as long as shed tenants come back.
+// admittedShare returns the part of the target work that was admitted, from minAdmittedShare to 1. Tenants that are
+// shed send their requests again and tenants that are admitted do not. After a while, most of the offered work
+// therefore belongs to shed tenants, and less work is admitted than the thresholds were meant to admit. UpdatePressure
+// multiplies the offered work by this share. Without that factor, the admitted fraction would fall below the backends'
+// capacity again and again for as long as shed tenants come back.
 func (a *admission) admittedShare() float64 {
 	if a.targetWork <= 0 {
 		return 1
@@ -113,10 +113,10 @@
 
 // Admit reports whether a request is admitted and, if not, after which time its client should come back.
 //
-// The classes with the lowest priority weight are shed first and, among classes of equal weight, the class with more work
-// per request. A class that is shed in part sheds the tenants whose hash is not below its threshold. The hash is the same
-// at all relays, so that a tenant's many requests are admitted or shed together. The threshold is at least the admission
-// floor: a share of each class's tenants is always admitted, so that no class starves.
+// The classes with the lowest priority weight are shed first and, among classes of equal weight, the class with more
+// work per request. Within a class, the tenants are shed whose hash is not below the threshold of the class. The hash
+// is the same at all relays, so that a tenant's many requests are admitted or shed together. The threshold is at least
+// the admission floor (fleet.floor): that share of each class's tenants is always admitted, so that no class starves.
 func (m *Manager) Admit(now tick.Tick, class int, priorityWeight float64, tenant string) (admitted bool, retryAfter tick.Tick) {
 	m.advance(now)
 	a := &m.admission
--- a/internal/overload/fleet_helpers_test.go
+++ b/internal/overload/fleet_helpers_test.go
@@ -60,8 +60,8 @@
 }
 
 // run advances the clock in steps of a tenth of a second. At every step, each running relay records four successes at
-// another backend, and run calls each, if not nil, for the relay. The relays exchange reports every half second or, in
-// fleets of 90 relays or more, every len(relays)/15 steps.
+// the backend named "another backend". Then run calls the parameter each, if not nil, for that relay. The relays
+// exchange reports every half second or, in fleets of 90 relays or more, every len(relays)/15 steps.
 func (f *testFleet) run(seconds float64, each func(i int, m *Manager)) {
 	for step := range int(seconds * 10) {
 		f.now += tick.Second / 10
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -9,8 +9,8 @@
 	// SpareSessions is the number of sessions that are accepted beyond MaxSessions, to reject their requests or to finish
 	// closing. Without spare sessions, no client could be told why it is rejected.
 	SpareSessions int
-	// MaxIdle is how many sessions may be idle, and also how many may have an incomplete message. Few idle sessions are
-	// needed, as a client opens few connections.
+	// MaxIdle is the maximum number of idle sessions, and also the maximum number of sessions with an incomplete
+	// message. Few idle sessions are needed, as a client opens few connections.
 	MaxIdle int
 	// MaxRequests is how many requests may be open at once over all sessions. It is bounded because each open request
 	// takes a buffer.
@@ -36,11 +36,12 @@
 // LimitsFor returns the limits of a listener that has the given number of sessions.
 //
 // An eighth of the sessions is spare, so that the relay still accepts and answers when all served sessions are taken. A
-// smaller part would be used up by one burst of connections within a round trip, and a larger one would reduce the number
-// of sessions served. A quarter of the served sessions may be idle: a session that waits between two requests is cheap to
-// reopen, and more idle sessions would take the slots of sessions with requests. There are four requests per session:
-// clients send a few at once, and further requests of a session would only queue. MaxPipelined, the limit of a single
-// session, is larger, as some clients write all their requests at once, but no session may take all requests.
+// smaller part would be used up by one burst of connections within a round trip, and a larger one would reduce the
+// number of sessions served. A quarter of the served sessions may be idle: a session that waits between two requests is
+// cheap to reopen, and more idle sessions would take the slots of sessions with requests. MaxRequests is four times the
+// number of served sessions: clients send a few requests at once, and further requests of a session would only queue.
+// MaxPipelined, the limit of a single session, is larger than four, as some clients write all their requests at once.
+// It still keeps one session from taking all of MaxRequests.
 func LimitsFor(sessions int) ListenerLimits {
 	served := sessions - sessions/spareDivisor
 	return ListenerLimits{
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -1,15 +1,16 @@
-// Package overload decides how the relays of one fleet handle overload together: which requests are shed, which attempts
-// may be retried, which relays probe a failing backend, and how starts, requests for the endpoint list and connections
-// are spread over time after a common restart. It also computes the session limits of a listener.
+// Package overload decides how the relays of one fleet handle overload together: which requests are shed, which
+// attempts may be retried, which relays probe a failing backend, and how starts, requests for the endpoint list and
+// connections are spread over time after a common restart. It also computes the session limits of a listener.
 //
-// NewManager returns the Manager of one relay. For each event, the caller calls the method that is named after it, with
-// the current time, one call at a time. UpdatePeer takes what is known of another relay; LocalReport returns what this
-// relay sends to the other relays.
+// NewManager returns the Manager of one relay. For each event, the caller calls the method that is named after the
+// event, and passes the current time. Calls must not overlap. UpdatePeer takes what is known of another relay;
+// LocalReport returns what this relay sends to the other relays.
 //
-// Without other relays (the setting fleet.relays is at most 1, and no other relay is known), a Manager is standalone: it
-// admits every request, retry and probe, and nothing waits. A relay that has heard of no other relay for isolationTimeout
-// is isolated: it admits every request and nothing waits, as when standalone. Its retry budget and the rate of its probes
-// still apply; the budget then depends on the relay's own first attempts alone.
+// Without other relays (the setting fleet.relays is at most 1, and no other relay is known), a Manager is standalone:
+// it admits every request, retry and probe, and every StartupDelay is 0. A relay that has heard of no other relay for
+// isolationTimeout is isolated: it admits every request and every StartupDelay is 0, as when standalone. Unlike when
+// standalone, its retries and probes are limited; the retry budget then depends on the relay's own first attempts
+// alone.
 //
 // Files: manager.go (time and randomness), peers.go (state of the other relays), pressure.go and admission.go (load
 // shedding), retry_budget.go, startup.go, outlier.go, peer_evidence.go and verdicts.go (detection of failing backends),
@@ -102,7 +103,8 @@
 // standalone reports whether the relay is without a fleet: fleet.relays is at most 1, and no other relay is known.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
-// isolated reports whether this relay is standalone, or has heard of no other relay for isolationTimeout.
+// isolated reports whether this relay is standalone, or the newest report that it has of another relay is at least
+// isolationTimeout old. Before the first report, the time since the relay's start counts.
 func (m *Manager) isolated() bool {
 	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
@@ -132,16 +134,16 @@
 	m.recomputeThresholds()
 }
 
-// RetryAfter advances the phase by the inverse of the golden ratio, which spreads any number of phases evenly, and by a
-// small random jitter.
+// RetryAfter advances retryAfterPhase at each call by the inverse of the golden ratio, which spreads any number of
+// phases evenly. It adds a random part of retryAfterJitter.
 const (
 	inverseGoldenRatio = 0.6180339887498949
 	retryAfterJitter   = 0.05
 )
 
 // RetryAfter returns a time after which a client should come back, from minDelay up to maxDelay. The times of one relay
-// are spread evenly, and so are those of all relays, since each relay starts at a phase of its own. Without the spread,
-// clients that were rejected together would come back together.
+// are spread evenly, and so are those of all relays, since each relay starts at a phase derived from its ID. Without
+// the spread, clients that were rejected together would come back together.
 func (m *Manager) RetryAfter(now tick.Tick, minDelay, maxDelay tick.Tick) tick.Tick {
 	m.advance(now)
 	_, m.retryAfterPhase = math.Modf(m.retryAfterPhase + inverseGoldenRatio + retryAfterJitter*m.rng.Float64())
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -15,15 +15,15 @@
 const (
 	// failingRate is the failure rate of a failing backend: the hypothesis that the evidence supports or refutes.
 	failingRate = 0.8
-	// minBaselineRate and maxBaselineRate bound the baseline failure rate that failingRate is tested against. The
-	// baseline is baselineMultiple times the failure rate at other backends. One failure multiplies the odds by at most
-	// failingRate/minBaselineRate, which is 4.
+	// minBaselineRate and maxBaselineRate bound the baseline, which is the failure rate that failingRate is tested
+	// against. The baseline is baselineMultiple times the failure rate at other backends. One failure multiplies the
+	// odds by at most failingRate/minBaselineRate, which is 4.
 	minBaselineRate  = 0.2
 	maxBaselineRate  = 0.5
 	baselineMultiple = 1.5
-	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay contributes at most
-	// ln 16, by maxOutcomesPerRelay failures. Two relays (odds of 256) therefore eject no backend, and three (odds of
-	// 4096) may.
+	// ejectionLogOdds is ln 1000, the logarithm of the odds at which a backend is ejected. One relay contributes at
+	// most ln 16, for maxOutcomesPerRelay (2) failures of ln 4 each. Two relays (odds of 256) therefore eject no
+	// backend, and three (odds of 4096) may.
 	ejectionLogOdds = 6.9
 	// commonFailureRate is the failure rate at other backends above which the failures are not attributed to a single
 	// backend.
@@ -34,8 +34,8 @@
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts as evidence.
 	evidenceTTL = 10 * tick.Second
-	// maxDoublingsPerSec bounds how many times per second permittedRelays may double: an ejected backend is taken back
-	// within seconds, but not at once.
+	// maxDoublingsPerSec is the maximum number of times per second that permittedRelays may double. With this value,
+	// the relays return to an ejected backend within seconds, but not all at once.
 	maxDoublingsPerSec = 4.0
 	// maxEjection is how long a backend without any outcome stays ejected.
 	maxEjection = 600 * tick.Second
@@ -51,8 +51,8 @@
 const (
 	healthyRun = 2 // successes in a row for a verdict of healthy
 	failingRun = 2 // failures in a row for a verdict of failing
-	// maxRunProbability bounds a probability: that a backend that fails as often as the others has a given run of
-	// failures by chance. A run leads to a verdict of failing only if this probability is lower than the bound.
+	// maxRunProbability limits which runs of failures lead to a verdict of failing. The probability that a backend with
+	// the failure rate of the others has such a run by chance must be lower than maxRunProbability.
 	maxRunProbability = 1.0 / 8
 )
 
@@ -62,9 +62,9 @@
 	id        uint64 // hash of the backend's name
 	ownWeight uint64 // this relay's rendezvous weight for the backend
 
-	// The verdict, for relays of an earlier version.
+	// The verdict, which is reported for relays of an earlier version and is used by AllowProbe.
 	healthy    bool
-	ownVerdict bool      // true if this relay made the verdict; a received one is not passed on, as it would then seem to come from many relays
+	ownVerdict bool      // true if this relay made the verdict; received verdicts are not passed on, as they would seem to come from many relays
 	verdictAt  tick.Tick // when the verdict was made, here or at another relay
 	successRun int       // number of this relay's successes since its last failure
 	failureRun int
@@ -127,8 +127,8 @@
 	return o
 }
 
-// countInWindow adds one of the window's outcomes to the backend's counts if by is 1, and removes the outcome if by is
-// -1. If b is nil, it does nothing.
+// countInWindow updates windowOutcomes and windowFailures for an outcome in Manager.window. It adds the outcome if by
+// is 1, and subtracts it if by is -1. If b is nil, it does nothing.
 func (b *suspectBackend) countInWindow(o outcome, by int) {
 	if b == nil {
 		return
@@ -170,7 +170,7 @@
 	switch {
 	case b == nil && succeeded:
 		return
-	case b == nil: // only a failure makes a backend a suspect, so that failure is biased and does not count as evidence
+	case b == nil: // a first failure makes a backend a suspect, a first success does not; counting that failure as evidence would bias the evidence
 		b = m.addSuspect(o.backend)
 		b.healthy = true // the backend counts as healthy until a verdict is made
 	default:
@@ -221,10 +221,10 @@
 	return b
 }
 
-// IsEjected reports whether this relay should avoid a backend because, by the recent counts of all relays, the backend
-// fails most of its attempts. The relay's own balancer may still consider the backend healthy. Without this method, each
-// relay would find out by failed attempts of its own, which takes longer the more relays there are. If a backend fails
-// for some of the relays and answers the others, the others keep using it.
+// IsEjected reports whether this relay should avoid a backend because the backend fails most attempts. It uses the
+// outcomes that all relays counted in the last evidenceTTL. The relay's own balancer may still consider the backend
+// healthy. Without this method, each relay would find out by failed attempts of its own, which takes longer the more
+// relays there are. Relays that get answers from a backend keep using it even if it fails for other relays.
 func (m *Manager) IsEjected(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.isolated() || len(m.suspects) == 0 {
@@ -248,16 +248,17 @@
 // refuted reports whether successes outweigh failures by at least the weight of the given number of failures.
 func (o odds) refuted(outcomes float64) bool { return o.logOdds <= -outcomes*o.perFailure }
 
-// assessEvidence compares two hypotheses: that a backend fails most of its attempts, and that it fails a little more
-// often than others. The evidence is the last two outcomes of each relay. assessEvidence ejects the backend or takes it
-// back, and returns the odds.
+// assessEvidence compares two hypotheses: that a backend fails at failingRate, and that it fails at the baseline rate,
+// which is a little higher than the failure rate at other backends. The evidence is the last two outcomes of each
+// relay. assessEvidence ejects the backend or takes it back, and returns the odds.
 //
-// The report of one relay, true or not, contributes less than half of what an ejection takes; three relays suffice if
-// none gets answers. Outcomes, including successes, count only from the time when the backend became a suspect at a
-// relay, so that no relay's choice of what to report makes a backend look worse. At ejectionLogOdds the backend is
-// ejected. It is taken back once successes outweigh failures by what one relay can contribute and all relays may use it
-// again. Until then, the number of relays that may use the backend rises with each round of reports, so that the relays
-// do not all return at once. A backend without any outcome for maxEjection is taken back too.
+// The report of one relay, true or not, contributes less than half of ejectionLogOdds. The reports of three relays
+// suffice if they contain only failures. Each relay counts outcomes, including successes, only from the time when the
+// backend became a suspect there. No relay's choice of what to report then makes a backend look worse. At
+// ejectionLogOdds the backend is ejected. It is taken back once two conditions hold: successes outweigh failures by
+// what one relay can contribute, and permittedRelays has reached the size of the fleet. Until then, permittedRelays
+// rises step by step, so that the relays do not all return at once. A backend without any outcome for maxEjection is
+// taken back too.
 func (m *Manager) assessEvidence(b *suspectBackend) odds {
 	baseline := min(max(minBaselineRate, baselineMultiple*m.failureRateElsewhere(b)), maxBaselineRate)
 	perFailure := math.Log(failingRate / baseline)
@@ -280,9 +281,10 @@
 	return result
 }
 
-// updatePermittedRelays computes how many relays may use the backend while it is ejected. The number is at least
-// probersPerBackend. Once the evidence weighs less than maxOutcomesPerRelay failures, each success doubles the number, and
-// so does each failure that expires without a new one. maxDoublingsPerSec bounds the rate.
+// updatePermittedRelays computes how many relays may use the backend while it is ejected: from probersPerBackend to
+// all. The ratio of logOdds to perFailure is the weight of the evidence, in failures. The permitted number doubles for
+// each failure by which this weight is below maxOutcomesPerRelay. A success lowers the weight by at least 1; a failure
+// that expires lowers it by 1. maxDoublingsPerSec bounds how fast the number rises.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
 	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// outcomeTally counts the outcomes that other relays report at one backend. It has those of the relays whose newest
-// outcome at the backend falls in one given second.
+// outcomeTally counts the outcomes at one backend that other relays report. It includes only those relays whose newest
+// outcome at the backend ended in one given second.
 type outcomeTally struct {
 	second    tick.Tick // when the newest outcome ended, in whole seconds
 	failures  int
@@ -106,8 +106,8 @@
 }
 
 // evidenceToReport returns this relay's evidence on the suspected backends that look worst by the outcomes at other
-// relays. The selection must not depend on this relay's own outcomes, which are reported: otherwise backends would look
-// worse than they are.
+// relays. The order must not depend on this relay's own outcomes: the report would then contain mainly backends that
+// fail here, and these would look worse to the other relays than they are.
 func (m *Manager) evidenceToReport() []Evidence {
 	type candidate struct {
 		Evidence
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -11,7 +11,7 @@
 const (
 	reportTTL        = 3 * tick.Second  // a report of this age or older is not counted, and its relay does not rank among the probers
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
-	departedTTL      = 60 * tick.Second // how long a relay that left or died is remembered, so that its credit passes to its successor only once
+	departedTTL      = 60 * tick.Second // how long a relay that left or died is remembered, so that its retry credit is not inherited twice
 	maxPeers         = 1 << 14
 	fractionBuckets  = 256 // number of buckets in the histogram of the peers' admitted fractions, from which the median is taken
 )
@@ -31,7 +31,7 @@
 // PeerUpdate is what is known of another relay.
 type PeerUpdate struct {
 	Name        string
-	Incarnation uint64 // number of the relay's process; a larger number means a restart, and an update with a smaller number is outdated and ignored
+	Incarnation uint64 // identifies the relay's process; it grows with each restart, and an update with a smaller number than the known one is ignored as outdated
 	Report      Report
 	Age         tick.Tick // age of the report; a negative age counts as 0
 	State       PeerState
--- a/internal/overload/peers_test.go
+++ b/internal/overload/peers_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestUpdatePeer_ReportsRestartsAndDepartures: reports, restarts, outdated incarnations and departures of other relays
-// change two numbers. One is the number of peers with a fresh report; the other is the number of voters, whose fractions
-// enter the median.
+// update two counts: the peers with a fresh report, and the voters. The admitted fractions of the voters enter the
+// median.
 func TestUpdatePeer_ReportsRestartsAndDepartures(t *testing.T) {
 	good := Report{LocalFraction: 1, SharedFraction: 0.5, OfferedWork: []float64{1}}
 	invalid := good
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -10,10 +10,10 @@
 	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms, at which the pressure is 1: an event loop whose timers fire this late is at its limit
 	maxUtilization     = 0.9                     // fraction of CPU or memory in use at which the pressure is 1
 	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
-	completedMargin    = 1.25                    // this multiple of the completed work stays admitted under pressure, so that backends never lack work
-	decreaseRate       = 2.0                     // per second, for each 1 of pressure above 1 and up to 2: relative decrease of the admitted fraction
-	increaseRate       = 1.5                     // per second, at full coverage: relative increase of the admitted fraction
-	consensusRate      = 1.0                     // per second: part of its distance to the relays' median by which the shared fraction moves
+	completedMargin    = 1.25                    // minimum of the admitted work under pressure, as a multiple of the work that backends complete, so that backends never lack work
+	decreaseRate       = 2.0                     // relative decrease of the admitted fraction per second at a pressure of 2 or more; from 1 to 2, the decrease is proportional to the excess over 1
+	increaseRate       = 1.5                     // relative increase of the admitted fraction per second, at full coverage
+	consensusRate      = 1.0                     // part of the distance to the relays' median by which the shared fraction moves per second
 	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates is treated as this long
 	minCoverage        = 0.25                    // lower bound of the coverage that increases are multiplied by
 	minFraction        = 0.01                    // lower bound of the admitted fraction
@@ -38,12 +38,12 @@
 // UpdatePressure updates the admitted fractions from the relay's own load. It is to be called a few times per second.
 //
 // A fraction falls faster the higher the pressure is, and rises again when the pressure is low. Pressure does not lower
-// the shared fraction below completedMargin times the work that backends are seen to complete. The shared fraction moves
-// toward the median of the relays that have requests, so that all relays shed alike.
+// the shared fraction below completedMargin times the work that backends are seen to complete. The shared fraction
+// moves toward the median of the relays that have requests, so that all relays shed alike.
 //
 // UpdatePressure guards against relays that handle a common overload differently, some by rejecting requests and others
-// by queueing them. A backend or a link that is slow for this relay alone looks like an overload. In that case it does
-// harm that the higher fractions of the other relays pull this relay's fraction up.
+// by queueing them. A backend or a link that is slow for this relay alone looks like an overload. In that case, moving
+// toward the median does harm: the higher fractions of the other relays raise this relay's fraction.
 func (m *Manager) UpdatePressure(now tick.Tick, p Pressure) {
 	m.advance(now)
 	a := &m.admission
@@ -82,7 +82,7 @@
 	return m.clampFraction(fraction)
 }
 
-// clampFraction bounds an admitted fraction by the admission floor, minFraction and 1.
+// clampFraction limits an admitted fraction to at least the admission floor and minFraction, and to at most 1.
 func (m *Manager) clampFraction(fraction float64) float64 {
 	return min(1, max(fraction, m.settings.admissionFloor, minFraction))
 }
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -11,8 +11,8 @@
 const (
 	// probersPerBackend is how many relays probe a failing backend.
 	probersPerBackend = 2
-	// maxMembershipViews is the number of different views of which relays are alive that may exist at a time without the
-	// probes exceeding their rate. Each view has probers of its own.
+	// maxMembershipViews is how many different views of which relays are alive may exist at a time: with more, the
+	// probes may exceed fleet.probes per second, as each view has probers of its own.
 	maxMembershipViews = 2.5
 	// minProbesPerSec is the lower bound of the probe rate, by which probeInterval divides.
 	minProbesPerSec = 0.01
@@ -29,13 +29,13 @@
 // AllowProbe reports whether this relay may try a backend that it considers failing, with an attempt or a probe.
 //
 // Only a few relays, the backend's probers, may try it. They are chosen by rendezvous hashing over the living relays:
-// when a prober falls silent, the next relay takes over, and each side of a network partition has probers of its own. The
-// other relays learn the results from the probers. If a large part of the outcomes at other backends are failures, as in
-// an overload or under a bad version, the failures are not attributed to one backend, and each relay tries the backend
-// for itself. A backend that was ejected earlier stays ejected until it answers.
+// when a prober falls silent, the next relay takes over, and each side of a network partition has probers of its own.
+// The other relays learn the results from the probers. If a large part of the outcomes at other backends are failures,
+// as in an overload or under a bad version, the failures are not attributed to one backend, and each relay tries the
+// backend for itself. A backend that was ejected earlier stays ejected until it answers.
 //
-// AllowProbe guards against hundreds of relays that each try a backend that fails for all of them. It does harm if the
-// backend fails for its probers and would answer the other relays.
+// AllowProbe guards against hundreds of relays that each try a backend that fails for all of them. The restriction to
+// probers does harm if the backend fails for its probers but would answer the other relays.
 func (m *Manager) AllowProbe(now tick.Tick, backend string) bool {
 	m.advance(now)
 	if m.standalone() {
@@ -65,9 +65,9 @@
 	return m.allowFallbackProbe(b, interval)
 }
 
-// allowEjectedProbe is AllowProbe for an ejected backend. Only the first permittedRelays relays in the rank order for the
-// backend may try it. While the backend does not answer, the combined rate of these relays does not rise with their
-// number.
+// allowEjectedProbe is AllowProbe for an ejected backend. Only the first permittedRelays relays in the rank order for
+// the backend may try it. While no relay reports a success, the interval grows with permittedRelays, so that more
+// relays do not probe at a higher combined rate.
 func (m *Manager) allowEjectedProbe(b *suspectBackend, o odds, interval tick.Tick) bool {
 	if !o.anySuccess {
 		interval = tick.Tick(float64(interval) * max(1, b.permittedRelays/probersPerBackend))
@@ -83,8 +83,8 @@
 	return m.takeProbe(b, interval)
 }
 
-// allowFallbackProbe is AllowProbe for a backend about which the probers report nothing. The backend may fail for this
-// relay alone, so the relay tries it, but rarely.
+// allowFallbackProbe is AllowProbe for a relay that is not a prober of the backend and has no verdict on it younger
+// than verdictTTL. The backend may fail for this relay alone, so the relay tries it, but rarely.
 func (m *Manager) allowFallbackProbe(b *suspectBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probersPerBackend))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
--- a/internal/overload/probing_test.go
+++ b/internal/overload/probing_test.go
@@ -106,8 +106,9 @@
 			duration := float64(rapid.IntRange(2, 30).Draw(t, "seconds"))
 			count, _ := probeFailing(f, func(i int) int { return i % sides }, duration, func(i int) bool { return live[i] })
 			probes, seconds = probes+count, seconds+duration
-			// With each change of the views, a new pair of probers may probe beside the previous pair until the previous
-			// pair's reports expire. A relay that probes for itself after a long silence may also do so.
+			// With each change of the views, a new pair of probers may probe beside the previous pair until the
+			// previous pair's reports expire. A relay that has received no verdict for long may also probe beside them,
+			// by allowFallbackProbe.
 			if limit := float64(sides)*(seconds+reportTTL.Duration().Seconds())*0.8 + float64(2*probersPerBackend*sides*n); float64(probes) > limit {
 				t.Fatalf("%d probes in %.0f s, %d sides", probes, seconds, sides)
 			}
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -16,9 +16,9 @@
 	CompletedWork  float64    // work that backends completed for the relay
 	FirstAttempts  float64    // first attempts per second
 	RetryCredit    float64    // retries that the relay may make
-	SpilledCredit  float64    // credit beyond the relay's limit, summed since its start; the other relays share it
+	SpilledCredit  float64    // total credit above the relay's limit since its start; the other relays divide each increase (see retryBudget)
 	OfferedWork    []float64  // work offered to the relay, by request class, for the first 12 classes
-	Verdicts       []Verdict  // at most 8, the newest first; used by relays of an earlier version
+	Verdicts       []Verdict  // at most 8, the newest first; relays of an earlier version know these but not Evidence
 	Evidence       []Evidence // on at most 6 suspected backends, those that look worst; nil in a report of an earlier version
 	UnknownFields  []byte     // fields of a later version, as received
 }
@@ -36,7 +36,7 @@
 	Backend   uint64 // hash of the backend's name
 	Failures  int
 	Successes int
-	Age       tick.Tick // time since the newest outcome or, if that is later, since the relay last suspected the backend
+	Age       tick.Tick // time since the newest outcome or since the relay last suspected the backend, whichever was later
 }
 
 // The version of the reports that this program writes, and the bounds of a report.
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -8,19 +8,19 @@
 
 const (
 	budgetWindow = 10.0 // seconds: time constant with which firstAttempts decays
-	earnedShare  = 0.95 // part of the share that a first attempt earns; the rest keeps the fleet within the share when dead relays pass on credit
+	earnedShare  = 0.95 // fraction of retryBudget.share that a first attempt earns; the rest keeps the fleet within the share when dead relays pass on credit
 )
 
 // retryBudget is this relay's part of the fleet's retry budget.
 //
-// Each first attempt credits its relay with a share of a retry, so the budget is divided in proportion to traffic. Credit
-// above the limit is spilled: the relay gives it up and reports the total spilled since its start. Each other relay takes
-// an equal part of the increase of that total, so that a lost or late report never creates more credit than was spilled.
-// The credit that a relay had left when it died passes to one successor.
+// Each first attempt credits its relay with a share of a retry, so the budget is divided in proportion to traffic.
+// Credit above the limit (see limit) is spilled: the relay gives the excess up and reports the total spilled since its
+// start. Each other relay takes an equal part of the increase of that total. A lost or late report therefore never
+// creates more credit than was spilled. The credit that a relay had left when it died passes to one successor.
 //
 // The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single
-// backend, where retries cost little. That limit does harm if more attempts than the budget allows fail before the
-// backend is ejected.
+// backend, where retries cost little. That does harm if more attempts fail, before the backend is ejected, than the
+// budget allows to retry.
 type retryBudget struct {
 	share         float64 // retries per first attempt
 	credit        float64 // retries that the relay may make
@@ -47,7 +47,8 @@
 	b.credit = min(max(b.credit, b.limit()), b.credit+credit)
 }
 
-// decay decays the first attempts by the elapsed seconds, and spills the credit above the limit, which falls with them.
+// decay decays firstAttempts by the elapsed seconds. The limit falls with firstAttempts, and the credit above the new
+// limit is spilled.
 func (b *retryBudget) decay(elapsed float64) {
 	b.firstAttempts *= math.Exp(-elapsed / budgetWindow)
 	b.deposit(0)
--- a/internal/overload/startup.go
+++ b/internal/overload/startup.go
@@ -16,7 +16,8 @@
 	StepConnect                          // opening a connection to a backend
 )
 
-// stepOffset is the part of the startup window by which a relay's positions in two consecutive steps differ.
+// stepOffset is the difference between a relay's positions in two consecutive startup steps, as a fraction of the
+// startup window.
 const stepOffset = 0.38
 
 // idMultiplier is multiplied by a relay's ID to derive a second number from it. It is 2^64 divided by the golden ratio.
@@ -24,13 +25,13 @@
 
 // StartupDelay returns how long a relay that has just started waits before a step.
 //
-// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that also
-// started recently, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the delay
-// follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports arrive, so
-// a relay that waits may call StartupDelay again.
+// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that
+// also started recently, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the
+// delay follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports
+// arrive, so a relay that waits may call StartupDelay again.
 //
-// StartupDelay guards against the combined load of a common restart, when all relays start at once. A relay that restarts
-// alone hardly waits: its delay is close to 0 once the reports of the other relays, which have warmed up, have arrived.
+// StartupDelay guards against the combined load of a common restart, when all relays start at once. A relay that
+// restarts alone hardly waits: the other relays have warmed up, so its delay is close to 0 once it has their reports.
 func (m *Manager) StartupDelay(now tick.Tick, step StartupStep) tick.Tick {
 	m.advance(now)
 	if m.isolated() || m.settings.startupWindow == 0 {
