--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -13,9 +13,10 @@
 )
 
 // checker checks the numbered rules of the fleet during a run, and ends the run when one is broken. Rule 1: at most one node
-// serves an instance. Rule 2: acknowledged effects are neither lost nor applied twice. Rule 4: instances go to nodes that
-// accept them, copies end, and the fleet becomes quiet. Rule 5: moves are bounded. Rule 6: snapshots and operations of a later
-// version are handled safely. A failure without a number is an error outside these rules, such as a request with two responses.
+// serves an instance. Rule 2: the acknowledged effects of requests are neither lost nor applied twice. Rule 4: instances go to
+// nodes that accept them, each copy completes or is canceled, and Fleet.Quiet reports true in the end. Rule 5: moves are
+// bounded. Rule 6: snapshots and operations of a later version are handled safely. A failure without a number is an error
+// outside these rules, such as a request with two responses.
 type checker struct {
 	fleet  *Fleet
 	broken string
@@ -28,11 +29,11 @@
 	disturbed        map[string]bool // nodes that faults have affected since the start
 	nodeFaults       int             // number of faults so far, counted once per affected node; a poisoned instance counts as 2
 	diskReplaced     map[string]bool // nodes whose disk was erased or restored from a backup
-	undetectable     map[string]bool // nodes that did not detect their restored disk, because no leader knew of the records that the disk lacks
+	undetectable     map[string]bool // nodes that did not detect their restored disk, because the current leader did not know of the records that the disk lacks
 	RestoredDisks    int             // number of restored disks that were detected
 	UndetectedDisks  int             // number of restored disks that were not detected
 	partitionedZones map[string]bool // zones that faults have cut off, each counted as one fault; used only if the fleet has remote replicas
-	UnverifiedCopies int             // number of reports of nodes that the copy they serve may lack effects
+	UnverifiedCopies int             // number of times that a node reported its own copy of an instance as possibly incomplete; see onUnverified
 
 	Requests, Succeeded, Rejected, Unknown, Shed, Retries, Moves, Crashes, Lost, MostMoves int
 	// longestIdle is the longest time for which an instance had no serving node. The time before its first serving node does not
@@ -54,7 +55,7 @@
 	reportedLosses  int // number of reported losses of effects; each one clears highestIndex, byRequest and byIndex
 	moves           []tick.Tick
 	zoneChanges     int
-	otherMoveCauses int // number of failovers and reports of incomplete copies, which may cause moves as zone changes do
+	otherMoveCauses int // number of failovers and of reports of incomplete copies; each may cause moves, as a zone change of the device does
 }
 
 func (k *checker) start(f *Fleet) {
@@ -225,15 +226,17 @@
 	})
 }
 
-// checkStartedEmpty checks rule 2 when an instance restarts on a node that is not one of its replicas, and so loses its
-// effects. This is allowed only if more than one fault occurred and no healthy replica is back.
+// checkStartedEmpty checks rule 2 when an instance restarts on a node that is not one of its replicas. The instance then loses
+// the effects of its requests. This is allowed only if more than one fault occurred, and no replica has been available for
+// longer than two leases.
 func (k *checker) checkStartedEmpty(c *device, e placement.Operation, before placement.Assignment) {
 	f := k.fleet
 	k.Lost++
 	f.ReportedLosses = append(f.ReportedLosses, c.name)
 	c.reportedLosses++
 	c.highestIndex, c.byRequest, c.byIndex = 0, nil, nil
-	// No replica may have been back and healthy for longer than two leases.
+	// The check fails if a replica has run with its data, without a stall or a duplicate, and has held its lease for longer
+	// than two leases. The leader must also have led for longer than two leases.
 	for _, name := range before.Replicas {
 		u := f.nodeByName[name]
 		span := 2 * tick.Tick(f.Lease*float64(tick.Second))
@@ -279,8 +282,9 @@
 }
 
 // onDiskChecked checks rule 2 when a node has determined whether its disk was restored from a backup. A node must not take the
-// newest disk for a restored one. A restored disk may stay undetected only if the leader does not know of the records that the
-// disk lacks. A new leader does not know of the records that were written after the counts were last agreed.
+// newest disk for a restored one. A restored disk may stay undetected only if the current leader does not know of the records
+// that the disk lacks. A new leader knows only the record counts that the controllers last agreed on, and so does not know of
+// the records written later.
 func (k *checker) onDiskChecked(u *edgeNode, restored bool) {
 	switch older := u.startRecords.serial < *u.recordsWritten; {
 	case restored && !older:
@@ -297,8 +301,8 @@
 	}
 }
 
-// onUnverified checks rule 2 when a node reports that the copy it serves may lack effects. The report clears the acknowledged
-// effects that the checker has recorded for the instance. A single fault must not lead to such a report.
+// onUnverified checks rule 2 when a node reports that its own copy of an instance may lack effects of requests. The checker
+// then forgets the acknowledged effects that it has recorded for the instance. A single fault must not lead to such a report.
 func (k *checker) onUnverified(u *edgeNode, name string) {
 	c := k.fleet.deviceByName[name]
 	k.UnverifiedCopies++
@@ -315,7 +319,8 @@
 	if a.Outcome != replica.Succeeded || m.reportedLosses != c.reportedLosses {
 		return
 	}
-	// If the disks of two nodes were replaced and one of the nodes could not detect it, effects may be lost without a report.
+	// Effects may be lost without a report if the disks of more than one node were replaced, and a node that is or was in the
+	// instance's assignment could not detect its restored disk.
 	undetectableLoss := len(k.diskReplaced) > 1 && slices.ContainsFunc(c.interested, func(u *edgeNode) bool { return k.undetectable[u.name] })
 	same := func(b replica.Response) bool { return a.Index == b.Index && a.Epoch == b.Epoch && a.Node == b.Node }
 	if c.byRequest == nil {
--- a/internal/lab/fleetsim/controller_calls.go
+++ b/internal/lab/fleetsim/controller_calls.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tick"
 )
 
-// call sends a call from a node to the leader. The leader runs ask. ask passes a function to answer, which runs it at the node.
-// If no answer arrives within wait, call runs fail.
+// call sends a call from a node to the leader, which runs ask. To respond, ask passes a function to its parameter answer, and
+// that function runs at the node. If no answer arrives within the time wait, the function fail runs instead.
 func (c *cluster) call(from *endpoint, wait tick.Tick, ask func(l *leadership, answer func(func())), fail func(error)) {
 	f, finished := c.fleet, false
 	f.after(wait, func() {
@@ -87,7 +87,8 @@
 	}})
 }
 
-// confirm waits until a majority has confirmed the leader, and then proposes the copies that the node reports as unverified.
+// confirm waits until a majority has confirmed the leader. If the node reports unverified copies, confirm appends this report
+// to the log before it grants the lease.
 func (r *leaseRequest) confirm() {
 	l := r.leader
 	c := l.cluster
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -54,8 +54,8 @@
 // wakeSoon schedules the time-driven checks of the leader for the next tick of simulated time.
 func (l *leadership) wakeSoon() { l.wakeAfter(1) }
 
-// wakeAfter schedules the time-driven checks of the leader after a span, unless earlier ones are scheduled. The checks handle
-// expired leases, run the planner and propose the record counts that are due.
+// wakeAfter schedules the time-driven checks of the leader after a span, unless checks are already scheduled for an earlier
+// time. The checks handle expired leases, run the planner and propose the record counts that recordCounts.Due returns.
 func (l *leadership) wakeAfter(span tick.Tick) {
 	f := l.cluster.fleet
 	at := f.now + max(1, span)
@@ -116,8 +116,9 @@
 		e.Node != ""
 }
 
-// blockGrants prevents grants of a lease to a node until an operation is agreed that requires that the node's lease has
-// expired, as a controller does. It fails if the node holds a lease and has not reported lost copies.
+// blockGrants delays new grants of a lease to a node, as a controller does, while an operation is proposed that requires the
+// lease of the node to have expired. unblockGrants ends the delay. blockGrants fails if the node holds a lease and has not
+// reported lost copies.
 func (l *leadership) blockGrants(node string) error {
 	if _, held := l.lessor.LeaseEnd(l.now(), node); held && !l.cluster.fleet.disabled.grantWhileExpiring {
 		if u, known := l.nodeStatus[node]; !known || !u.LostCopies {
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -45,7 +45,7 @@
 	term                 uint64
 	leader               *leadership
 	inFlight             []*logEntry
-	lastCommitAt         tick.Tick // latest time at which an entry that was scheduled so far is agreed
+	lastCommitAt         tick.Tick // time at which the last of the entries scheduled so far is agreed; a new entry is agreed no earlier
 	election             int       // number of the latest attempt to elect a leader; a timer of an earlier attempt does nothing
 	leaderSince          tick.Tick // time when the current leader was elected
 	inheritedAt          tick.Tick // last time at which a new leader took over entries of an earlier leader
@@ -58,8 +58,8 @@
 	laterOperationAgreed bool // whether an operation was agreed that only later versions know
 }
 
-// reportedRecord holds the serial of the last record of a node that a leader knows of (see recordCount), and the value of
-// cluster.Elections under that leader.
+// reportedRecord holds the serial of the last record of a node that a leader knows of (see recordCount). election is the value
+// of cluster.Elections while that leader leads.
 type reportedRecord struct {
 	serial   uint64
 	election int
--- a/internal/lab/fleetsim/fault_kinds.go
+++ b/internal/lab/fleetsim/fault_kinds.go
@@ -11,7 +11,7 @@
 // faultKind is a kind of fault: the kinds of its targets, the range of its amount, and the function that applies it. apply
 // returns a function that ends the fault, or nil if nothing has to be undone.
 type faultKind struct {
-	target, to string // unit (edge node), node (any process), zone, keeper (controller), relay, camera (device) or all; to is "" without a second target
+	target, to string // unit (edge node), node (any process), zone, keeper (controller), relay, camera (device) or all; to is "" if the kind has no second target
 	amount     [2]float64
 	apply      func(f *Fleet, x Fault) (undo func())
 }
@@ -365,8 +365,8 @@
 	v.logs, v.diskRecords, v.recordsWritten = cloneLogs(u.logs), u.diskRecords, u.recordsWritten
 	v.incarnation = u.incarnation
 	f.checker.disturbed[u.name] = true
-	// The disk is copied now. The copy will lack what u records until the duplicate answers, so the disk counts as replaced from
-	// now on.
+	// The duplicate has a copy of the disk as it is now. The copy will lack the records that u writes later, so the disk counts
+	// as replaced.
 	f.checker.diskReplaced[u.name] = true
 	f.nodes = append(f.nodes, v)
 	v.start()
--- a/internal/lab/fleetsim/golden_test.go
+++ b/internal/lab/fleetsim/golden_test.go
@@ -50,7 +50,7 @@
 	times       []tick.Tick // simulated times of the checkpoints
 }
 
-// addNumber adds a addNumber to the hash.
+// addNumber adds a number to the hash.
 func (g *goldenTrace) addNumber(n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
@@ -259,7 +259,7 @@
 	}
 }
 
-// describeDifference describes where a trace first describeDifference from the recorded one.
+// describeDifference describes where a trace first differs from the recorded one.
 func (g *goldenTrace) describeDifference(want string) string {
 	words := strings.Fields(want)
 	if len(words) < 2 {
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -139,8 +139,8 @@
 	f.after(0, c.onLinksChanged)
 }
 
-// rollAll restarts all processes: first the controllers one by one, then the nodes and then the relays, a tenth of them at a
-// time. Each node is drained before its process ends.
+// rollAll restarts all processes: first the controllers one by one, then a tenth of the nodes at a time, and then a tenth of
+// the relays at a time. Each node is drained before its process ends.
 func rollAll(f *Fleet, x Fault) func() {
 	var steps []func(span tick.Tick)
 	tenths := func(n int, restart func(i int, span tick.Tick)) {
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -48,7 +48,7 @@
 // packet returns the updates for the next packet to one member, and their size in bytes. The updates that were sent the fewest
 // times come first.
 func (m *member) packet() (updates []*update, size int) {
-	var tierEnds [maxTiers]int // by tier of the queue: end of its updates in the packet; these updates move to the next tier
+	var tierEnds [maxTiers]int // by tier of the queue: number of updates in the packet after those of the tier were added; the updates of a tier then move to the next tier
 	for i := range m.group.maxTransmissions {
 		q := m.queue[i]
 		n := 0
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -21,7 +21,7 @@
 	updateOverheadBytes = 8 // bytes of an update besides its record
 	pingBytes           = 60
 	maxTiers            = 16 // upper limit of memberGroup.maxTransmissions
-	timeoutsPerSync     = 10 // silence timeouts between two exchanges of full states with a random member; syncInterval multiplies it in large fleets
+	timeoutsPerSync     = 10 // silence timeouts between two exchanges of full states with a random member; in large fleets a multiple, see syncInterval
 	maxProbes           = 16 // maximum number of pings that a member has under way
 )
 
@@ -37,7 +37,7 @@
 
 	Messages, Bytes             int // number of messages and bytes that all members have sent since resetCounts
 	secondMessages, secondBytes int // number of messages and bytes that all members have sent in the current second
-	WorstMessages, WorstOne     int // maximum over all seconds of the messages that all members sent, and of the bytes that one member sent and received
+	WorstMessages, WorstOne     int // WorstMessages: maximum number of messages that all members sent in one second; WorstOne: maximum number of bytes that one member sent and received in one second
 	WorstBytes                  int // maximum over all seconds of the bytes that all members sent
 }
 
--- a/internal/lab/fleetsim/membership_views.go
+++ b/internal/lab/fleetsim/membership_views.go
@@ -16,7 +16,8 @@
 		ReportInterval: tick.Second / 10, UplinkRate: 1e9, MembershipTimeout: 1}
 }
 
-// Load is the gossip traffic per member and second, either the average over a span or that of the worst second.
+// Load is the gossip traffic per member and second. Messages and Bytes are either averages over a span, or the values of the
+// second with the highest value.
 type Load struct {
 	Messages, Bytes float64 // number of messages and bytes per member and second
 	MaxMemberBytes  int     // maximum of the bytes that one member sent and received in one second
@@ -163,8 +164,8 @@
 	s.result.AfterPartition = Load{Messages: float64(c.WorstMessages) / members, Bytes: float64(c.WorstBytes) / members, MaxMemberBytes: c.WorstOne}
 }
 
-// allConverged reports whether each member sees every other member as alive or slow. It ignores the views of the dead member,
-// the views that others have of the dead and the slow member, and the views that the pair that is cut off has of each other.
+// allConverged reports whether each member sees every other member as alive or slow. It skips the dead member's own view, the
+// states in which other members see the dead and the slow member, and the states in which cutMember and cutPeer see each other.
 func (s *memberObservation) allConverged() bool {
 	at := func(name string) *member { return s.group.byName[name] }
 	for _, m := range s.group.members {
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -41,7 +41,7 @@
 	recordsWritten   *uint64     // number of records ever written by all processes with this name
 	startRecords     recordCount // diskRecords at the start of the process
 	diskChecked      bool        // true once the process knows whether its disk was restored from a backup
-	countRaised      bool        // whether this incarnation has added countsPerIncarnation to the count
+	countRaised      bool        // whether this incarnation has added countsPerIncarnation to the node's record count
 	highestCount     uint64      // highest record count of the node that the controllers have reported to this process
 	diskQueue        []func() func()
 	placementVersion uint64          // version of the placement that the node has received
@@ -63,10 +63,11 @@
 	requests    map[*replica.Request]*pendingRequest
 }
 
-// recordCount is the count of records on a disk, as instancestore.Store keeps it. serial exists only in the simulation, and no
-// process knows it. The records that are written under the node's name are numbered. The disk has all records up to the number
-// serial, or the node has resolved the records that are missing. settled reports whether the node has resolved the missing
-// records, if any, since its process started. Only then does each written record raise count.
+// recordCount is the record count of a disk. count is the number that instancestore.Store keeps. serial exists only in the
+// simulation, and no process knows it. The records that are written under the node's name are numbered, and the disk has all
+// records up to the number serial. Once all copies on the disk are verified, records that the disk lacks no longer matter, and
+// serial is the newest number (see onLeaseGranted). settled reports whether that has happened since the process started. Only
+// while settled is set does each written record raise count.
 type recordCount struct {
 	count, serial uint64
 	settled       bool
@@ -129,8 +130,8 @@
 	u.fleet.logEvent(testcluster.Event{Node: u.displayName, Name: what, Instance: instance, Epoch: epoch, To: to, Why: reasonTitle(why)})
 }
 
-// start starts the process. The process first fetches the assignments for which the controllers rely on the node. Only then do
-// the controllers learn of the new incarnation.
+// start starts the process. The process first fetches the assignments that concern the node (see fetchAssignments). Only then
+// does it request a lease, by which the controllers learn of the new incarnation.
 func (u *edgeNode) start() {
 	if u.manager != nil || u.downCount > 0 {
 		return
@@ -196,8 +197,9 @@
 	})
 }
 
-// baseline returns the assignments that a node gets before it starts, because the controllers already rely on the node for
-// them. If noBaseline is set, it returns none. If trustDisk is set, it clears the replicas and the index of each assignment.
+// baseline returns the assignments that a node starts with (see replica.InitialState): the controllers made them before this
+// incarnation first asked for a lease. If noBaseline is set, it returns none. If trustDisk is set, it clears the replicas and
+// the index of each assignment.
 func (w disabledDefences) baseline(assignments []placement.Assignment) []placement.Assignment {
 	if w.noBaseline {
 		return nil
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -29,7 +29,7 @@
 		ok := u.diskFull == 0 && do(u.logs[name])
 		if ok {
 			if *u.recordsWritten++; u.diskRecords.serial == *u.recordsWritten-1 {
-				u.diskRecords.serial++ // otherwise the disk still lacks earlier records
+				u.diskRecords.serial++ // the disk lacks no earlier record
 			}
 			if u.diskRecords.settled {
 				u.diskRecords.count++
@@ -96,7 +96,8 @@
 	})
 }
 
-// ResetLog queues the replacement of a log by an empty one that continues after the index base, at which the checksum is sum.
+// ResetLog queues the replacement of a log by an empty one, whose first entry will follow the index base. The parameter sum is
+// the checksum of the log at that index.
 func (u *edgeNode) ResetLog(name string, base, sum uint64) {
 	u.queueWrite(name, base, func(*replica.Log) bool {
 		u.logs[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
--- a/internal/lab/fleetsim/remote_replicas_test.go
+++ b/internal/lab/fleetsim/remote_replicas_test.go
@@ -6,9 +6,9 @@
 	"silvercove/internal/tick"
 )
 
-// A zone of 10 nodes and 500 instances is cut off twice for six times restart_after while devices move into it. With remote
-// replicas no effects are lost, and no instance is without a primary for longer than three leases of 2 s. Without remote
-// replicas the zone's instances restart without their effects.
+// A zone of 10 nodes and 500 instances is cut off twice, each time for six times restart_after, while devices move into it.
+// With remote replicas no effects are lost, and no instance is without a primary for longer than three leases of 2 s. Without
+// remote replicas the zone's instances restart without their effects.
 func TestRemoteReplicas_LongZonePartitionLosesNothing(t *testing.T) {
 	script := "10000 split zone-1 for 60000\n40000 swarm zone-2 zone-1 for 100000 by 0.3\n90000 split zone-1 for 60000"
 	for _, perInstance := range []int{1, 0} {
--- a/internal/lab/fleetsim/replay.go
+++ b/internal/lab/fleetsim/replay.go
@@ -102,8 +102,9 @@
 		Order: []string{"edge-a end", "edge-a stops cam-1@1", "* placed cam-1@2", "* acts cam-1@2"}},
 }
 
-// IdleTolerance returns how much the time without a primary may differ between the model and the processes. A third of a lease
-// allows for the last renewal, which is at a random time within it. 300 ms allow for a busy machine.
+// IdleTolerance returns how much the time without a primary may differ between the model and the processes. A node renews its
+// lease after each third of the lease, so the time from the last renewal to a fault varies by up to that much. 300 ms more
+// allow for a busy machine.
 func IdleTolerance(lease time.Duration) time.Duration { return lease/3 + 300*time.Millisecond }
 
 // replaySeed is the seed of the model's runs, which makes their timelines reproducible.
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -9,7 +9,7 @@
 	Relays, Nodes, Zones, Instances, Controllers int
 	Lease, Dwell, RestartAfter                   float64 // settings fleet.lease, fleet.dwell and fleet.restart_after, in seconds
 	Replicas, RemoteReplicas                     int
-	RequestRate                                  float64   // simulated requests per second over the whole fleet, which are a sample of its load; 0: none
+	RequestRate                                  float64   // simulated requests per second in the whole fleet; they are only a sample of the fleet's load; 0: none
 	ReportInterval                               tick.Tick // time between two load reports of a relay
 	UplinkRate                                   float64   // bytes per second of a zone's uplink
 	KeepTimeline                                 bool      // whether the fleet keeps its events for Timeline
--- a/internal/lab/fleetsim/timeline.go
+++ b/internal/lab/fleetsim/timeline.go
@@ -61,8 +61,7 @@
 	f.coverage[uint64(before)<<8|uint64(decision)] = struct{}{}
 }
 
-// decisions lists the agreed operations and the actions of nodes. The index of a decision in this list is its number, by which
-// coverage keys record it.
+// decisions lists the agreed operations and the actions of nodes. Coverage keys hold the index of a decision in this list.
 var decisions = []string{"", string(placement.OpCreate), string(placement.OpStartCopy), "move", string(placement.OpReplicaReady),
 	string(placement.OpDropReplica),
 	string(placement.OpCutOver), string(placement.OpCancelCopy), string(placement.OpFailOver), "fail-lost", string(placement.OpRestart), string(placement.OpMoveDevice),
@@ -72,7 +71,7 @@
 // decision returns the number of the decision with the given name.
 func decision(name string) uint8 { return uint8(slices.Index(decisions, name)) }
 
-// Pairs returns the pairs of consecutive decisions for one instance that the run covered.
+// Pairs returns the pairs of decisions that followed each other directly for any one instance during the run.
 func (f *Fleet) Pairs() (all []string) {
 	for key := range f.coverage {
 		if key < 1<<16 {
--- a/internal/lab/fleetsim/timer_wheel.go
+++ b/internal/lab/fleetsim/timer_wheel.go
@@ -8,8 +8,9 @@
 	slotSpan   = milli
 )
 
-// wheel holds the scheduled events. It returns them in order of time and, at the same time, of sequence number. The events of a
-// slot are sorted only when the slot becomes current. Events that are due after the last slot wait in the heap later.
+// wheel holds the scheduled events. It returns them in order of time; events of the same time come in order of their sequence
+// numbers. The events of a slot are sorted only when they move to the heap in the field current. Events that are due after the
+// last slot wait in the heap in the field later.
 type wheel struct {
 	currentSlot tick.Tick // number of the slot whose events are in current
 	current     events
@@ -33,7 +34,8 @@
 	}
 }
 
-// next removes and returns the first event that is due no later than the time by. The bool result reports whether there is one.
+// next removes and returns the first event, if that event is due at the time given by the parameter by, or before. The bool
+// result reports whether there is such an event.
 func (w *wheel) next(by tick.Tick) (event, bool) {
 	for len(w.current) == 0 {
 		switch {
@@ -45,7 +47,7 @@
 			return event{}, false
 		}
 		if w.currentSlot > by/slotSpan {
-			w.currentSlot-- // the slot begins later than the time by, so it does not become current yet
+			w.currentSlot-- // the slot begins after the time in the parameter by, so its events wait
 			return event{}, false
 		}
 		s := w.slots[w.currentSlot%wheelSlots]
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -82,9 +82,9 @@
 // Now returns the current time of the clock that the times of a Member refer to.
 func (a *Agent) Now() tick.Tick { return tick.FromDuration(time.Since(a.startedAt)) }
 
-// Publish sets this process's payload of a kind, which is sent to all members from now on. It returns an error for a
-// payload of more than MaxPayloadSize bytes, or of one kind more than MaxKinds; the published payloads then stay as
-// they are.
+// Publish sets this process's payload of a kind, which is sent to all members from now on. It returns an error if the
+// payload has more than MaxPayloadSize bytes, or if the kind is new and payloads of MaxKinds kinds are already
+// published. After an error the published payloads stay as they are.
 func (a *Agent) Publish(kind string, data []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,8 +104,8 @@
 // channel serves one reader.
 func (a *Agent) Changed() <-chan struct{} { return a.changed }
 
-// Superseded returns a channel that is closed once a later start of this process's name is known. This process is then
-// an old copy and must end.
+// Superseded returns a channel that is closed once this process learns that a process with the same name was started
+// later. This process is then an old copy and must end.
 func (a *Agent) Superseded() <-chan struct{} { return a.superseded }
 
 // Run probes members and sends records until the context ends. Then it announces that this process leaves, and waits
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -98,7 +98,7 @@
 // Finished implements memberlist.Broadcast and does nothing.
 func (b broadcast) Finished() {}
 
-// recordName returns the member's name in an encoded record, or "" if there is none.
+// recordName returns the member's name in an encoded record, or "" if the record has no name.
 func recordName(raw []byte) string {
 	var r struct{ Name string }
 	_ = json.Unmarshal(raw, &r)
@@ -124,9 +124,10 @@
 	return g.list.Ping(name, memberAddr(name))
 }
 
-// Sync exchanges whole states, which are all records that a member knows, with other members: first with a few of them,
-// then in turn with some of those that the library does not consider alive. The library itself does not contact members
-// that it does not consider alive, so without Sync a split would never heal.
+// Sync exchanges whole states with other members until the context ends. A whole state is all records that a member
+// knows. Sync begins with initialSyncs members. After each further interval of length every, it goes on in turn with
+// some of the members that the library does not consider alive (see SyncCount). The library itself does not contact
+// such members, so without Sync a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -34,16 +34,16 @@
 	maxRecoveries      = 16  // upper bound of the count of recoveries
 	recoveryHalfLife   = 20  // time after which the count of recoveries halves, in silence timeouts
 	maxHoldDown        = 32  // the longest hold-down, in silence timeouts
-	maxHoldDownShift   = 10  // upper bound of the shift by which the hold-down doubles with each recovery
+	maxHoldDownShift   = 10  // maximum n in the hold-down of 1<<n silence timeouts; n grows with the count of recoveries, see holdDown
 	minRecoveries      = 0.5 // the count of recoveries is not halved further once it is this low
 )
 
 // flapping counts how often a member has recently recovered.
 type flapping struct {
-	wasHealthy   bool // whether the member has been healthy before
+	wasHealthy   bool // whether the member has ever been alive or slow
 	healthy      bool
 	healthySince tick.Tick
-	recoveries   float64 // number of recoveries into alive or slow; it decays over time
+	recoveries   float64 // number of changes to alive or slow, without the first one; halves each recoveryHalfLife
 	recoveredAt  tick.Tick
 }
 
@@ -78,7 +78,8 @@
 }
 
 // MarkDown records that the gossip library considers a member dead, or that the member has left. A later answer or
-// record shows that a member marked dead is alive; after a member has left, only a later record does.
+// record shows that a member marked dead is alive. For a member that has left, an answer does not show this, but a
+// later record does.
 func (t *Table) MarkDown(now tick.Tick, name string, left bool) {
 	e := t.otherEntry(name)
 	if e == nil {
@@ -166,10 +167,10 @@
 	f.wasHealthy = true
 }
 
-// holdDown is how long the member must stay healthy before its state changes from suspect to alive or slow. Without a
-// hold-down, the decisions of other packages would change with each failure and recovery of a flapping member. A
-// healthy member behind a link whose delay is close to the probe timeout looks like a flapping member, so the hold-down
-// keeps it suspect too, and the fleet gives it no work.
+// holdDown returns how long the member must stay healthy before its state changes from suspect to alive or slow.
+// Without a hold-down, the decisions of other packages would change with each failure and recovery of a flapping
+// member. A healthy member behind a link whose delay is close to the probe timeout looks like a flapping member. The
+// hold-down keeps that member suspect too, and the fleet gives no work to a suspect member.
 func (f *flapping) holdDown(silence tick.Tick) tick.Tick {
 	excess := f.recoveries - undampedRecoveries
 	if excess <= 0 {
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestTable_StatesInSimulatedFleet: for each seed, a member that is cut off from some members only is never dead to
-// those members, and a stopped member becomes dead to all. Once links are back and all processes run, every member is
-// alive to every other member.
+// TestTable_StatesInSimulatedFleet: for each seed, a member whose link to one other member is cut never becomes dead in
+// that other member's table. A stopped member becomes dead in the tables of all others. Once links are back and all
+// processes run, every member is alive to every other member.
 func TestTable_StatesInSimulatedFleet(t *testing.T) {
 	t.Parallel()
 	seeds := 40
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -19,8 +19,8 @@
 
 // ProbeTargets returns the members to probe now. It is called every ProbeInterval. The targets are members that have
 // missed probes, and some of the other members in turn. With up to 128 members, each has its turn within four silence
-// timeouts. From 96 members on, the number of members that have their turn in one round no longer grows, so the time
-// between two turns of a member grows in proportion to the number of members.
+// timeouts. From 96 members on, maxTargets members have their turn in each round. The time between two turns of a
+// member then grows in proportion to the number of members.
 func (t *Table) ProbeTargets() []string {
 	var names []string
 	for _, e := range t.byName {
@@ -48,9 +48,9 @@
 
 // Heartbeat reports whether this process's record must be sent again, and if so renews the record. The record is due
 // one heartbeat period after it was last sent, so that other members know that this process is alive. Changed payloads
-// are sent sooner, up to payloadSendsPerHeartbeat times within a heartbeat period. That bound guards against payloads
-// that change with each measurement of a relay: every member passes them on, so in a large fleet they would fill the
-// links between members.
+// are sent sooner, but at most payloadSendsPerHeartbeat times within a heartbeat period. A relay's load report is a
+// payload that changes with each measurement, and every member passes it on. Without the maximum, such payloads would
+// fill the links between members of a large fleet.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
@@ -74,13 +74,13 @@
 	t.lastSentAt, t.heartbeatDue = now, now+t.heartbeatPeriod()
 }
 
-// SyncCount returns the number of members with which a process exchanges whole states within a silence timeout. alive
-// is the number of members that the process considers alive, itself included; gone is the number of the other members;
-// random is drawn from 0 to 1. All live members together make about fleetSyncs exchanges.
+// SyncCount returns the number of members with which a process exchanges whole states within a silence timeout. The
+// parameter alive is the number of members that the process considers alive, itself included; gone is the number of the
+// other members; random is drawn from 0 to 1. All live members together make about fleetSyncs exchanges.
 //
-// This number is enough, because the first exchange that succeeds after the links are back ends a split. Whole states
-// of a large fleet are large, and without the bound every member on one side of a split would contact every member on
-// the other side when a zone comes back. If links lose most packets, the bound delays the end of a split, as few
+// So few exchanges are enough, because the first one that succeeds after the links are back ends a split. Without the
+// bound, every member on one side of a split would contact every member on the other side when a zone comes back, and
+// whole states of a large fleet are large. If links lose most packets, the bound delays the end of a split, because few
 // members try.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -56,10 +56,10 @@
 // be passed on; otherwise the error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
 // A record with a smaller incarnation than the known one is refused. Such a record comes from a process whose disk or
-// machine was restored from an older image, or in a delayed message from before a restart. The record of a true restart
-// looks the same if the clock that gave the incarnation was set back; the records of that process are refused until its
-// incarnation is larger than the known one. A process with a disk avoids this, because its new incarnation is always
-// larger than its stored one.
+// machine was restored from an older image, or in a delayed message from before a restart. A process that has restarted
+// normally also has a smaller incarnation if its clock was set back, because the clock gives the incarnation. Its
+// records are refused until its incarnation is larger than the known one. This cannot happen to a process with a disk,
+// because its new incarnation is always larger than its stored one.
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
 	r, err := DecodeRecord(raw)
 	if err != nil {
@@ -116,7 +116,7 @@
 	case r.Incarnation > t.self.Incarnation:
 		t.superseded = true
 	case r.Incarnation == t.self.Incarnation && r.Sequence > t.self.Sequence:
-		// Either two processes have this incarnation, or this process does not remember a record that it has sent. The
+		// Either two processes have this incarnation, or this process sent the record r but does not remember it. The
 		// next record must have a larger sequence, or the other members refuse it as stale.
 		t.self.Sequence = r.Sequence + 1
 	}
@@ -139,8 +139,10 @@
 	return all
 }
 
-// Publish sets this process's payload of a kind. The payload is sent with this process's next record (Heartbeat). A
-// payload beyond the limits is refused with an error, and the published payloads stay as they are.
+// Publish sets this process's payload of a kind. The payload is sent with this process's next record (Heartbeat).
+// Publish returns an error if the payload has more than MaxPayloadSize bytes, if the kind is empty or longer than
+// maxKindSize bytes, or if a new kind would be one more than MaxKinds. After an error the published payloads stay as
+// they are.
 func (t *Table) Publish(kind string, data []byte) error {
 	old, known := t.self.Payloads[kind]
 	if unsent, ok := t.unsent[kind]; ok {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,9 +3,9 @@
 // internal/peertransport, by the gossip and the pings of the memberlist library.
 //
 // Besides members that are alive, the package distinguishes: a dead member; a member that this process cannot reach
-// while other members still pass on its records; a slow member; a member that has restarted, with or without its stored
-// data (a larger Incarnation, and StartedEmpty); and an old copy of a member (a smaller Incarnation), whose records are
-// refused.
+// while other members still pass on its records; a slow member; a member that has restarted, which has a larger
+// Incarnation, and StartedEmpty if its stored data was gone; and an old copy of a member, which has a smaller
+// Incarnation, and whose records are refused.
 //
 // How to use a Table: Merge takes records; RecordReply and RecordTimeout take the results of probing the members that
 // ProbeTargets returned; MarkDown and MarkUp take the library's view of a member. Call Reassess, Heartbeat and
@@ -13,8 +13,8 @@
 // silence timeout, the setting fleet.silence: a member that has not answered for that time is suspected.
 //
 // Files: table.go, record.go (a member's description of itself), liveness.go (the state of a member), probing.go (which
-// members to probe, and how often to send records), agent.go and incarnation.go (the member of one process), gossip.go,
-// transport.go and packets.go (the library and its connections).
+// members to probe, and how often to send records), agent.go (runs the Table of a process), incarnation.go (the
+// incarnation of a process), gossip.go, transport.go and packets.go (the library and its connections).
 //
 // Kind: state (see docs/architecture.md)
 package membership
@@ -113,8 +113,8 @@
 // SilenceTimeout returns how long a member may leave probes unanswered before it is suspected (fleet.silence).
 func (t *Table) SilenceTimeout() tick.Tick { return t.silence }
 
-// Superseded reports whether a later start of this process's name is known. If so, this process is an old copy and
-// should end.
+// Superseded reports whether a record has shown that a process with the same name was started later. If so, this
+// process is an old copy and should end.
 func (t *Table) Superseded() bool { return t.superseded }
 
 // otherEntry returns the entry of a member other than this process, or nil if there is no such member.
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -158,9 +158,10 @@
 	}
 }
 
-// TestTable_LoadIsBoundedAtSize: the load on a large fleet stays bounded. Payloads that change all the time are sent no
-// more often than the other members can pass on, few members are probed in one round, and few live members exchange
-// whole states with a member that has returned.
+// TestTable_LoadIsBoundedAtSize: the load on a large fleet stays bounded. A record whose payloads change all the time
+// is sent at most payloadSendsPerHeartbeat times within a heartbeat period, and at most maxTargets members are probed
+// in one round. All live members together make at most about fleetSyncs exchanges of whole states within a silence
+// timeout.
 func TestTable_LoadIsBoundedAtSize(t *testing.T) {
 	for _, n := range []int{3, 100, 1000} {
 		names := make([]string, n)
--- a/internal/routing/outcome_reports.go
+++ b/internal/routing/outcome_reports.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// takeOutcomes returns the outcomes since its last call, sorted by edge node, and the state of the newest version.
+// takeOutcomes returns a report of the outcomes since its last call, sorted by edge node. The report also has the
+// newest software version and the state of its rollout.
 func (a *OverloadAgent) takeOutcomes() controllerclient.OutcomeReport {
 	a.mu.Lock()
 	outcomes, stage := a.outcomes, a.stage
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -21,11 +21,12 @@
 	// reportKind is the payload kind under which relays publish their reports to other members.
 	reportKind = "overload"
 
-	// measureInterval is the time between two measurements, and between two reports to other relays.
+	// measureInterval is the time between two measurements of this relay's load. After each measurement the relay
+	// reports its load to the other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction is the fraction of admitted requests below which the log says that the relay sheds requests. The
-	// log rounds this fraction to two digits.
+	// sheddingFraction is a fraction of the requests. If the relay admits less, the log says that the relay sheds
+	// requests. The log shows the admitted fraction rounded to two digits.
 	sheddingFraction = 0.99
 )
 
--- a/internal/routing/overload_agent_test.go
+++ b/internal/routing/overload_agent_test.go
@@ -42,8 +42,8 @@
 
 var twoRelaySettings = map[string]any{"fleet.relays": 2.0, "fleet.repeats": 0.1, "fleet.floor": 0.05, "fleet.probes": 2.0, "fleet.ramp": 3.0}
 
-// TestOverloadAgent_TakesPeerReports: the report of another relay counts in admission, and a report that cannot be
-// decoded is ignored.
+// TestOverloadAgent_TakesPeerReports: the manager accepts the reports of another relay and sheds requests under
+// overload. A report that cannot be decoded is ignored.
 func TestOverloadAgent_TakesPeerReports(t *testing.T) {
 	members := &staticMembership{now: tick.Second}
 	agent := NewOverloadAgent(members, "relay-1", 1, twoRelaySettings, 1, 1<<30, zerolog.Nop())
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// TestOverloadAgent_ReportsOutcomes: a report has the outcomes by edge node since the last report, and the state of the
-// newest version.
+// TestOverloadAgent_ReportsOutcomes: a report has the outcomes since the last report, by edge node, and the rollout
+// state of the newest software version.
 func TestOverloadAgent_ReportsOutcomes(t *testing.T) {
 	agent := NewOverloadAgent(&staticMembership{now: tick.Second}, "relay-1", 1, twoRelaySettings, 1, 1<<30, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -105,7 +105,8 @@
 	return endpoints
 }
 
-// logLeaseChange logs whether a node has a lease, if the node is new or this has changed. It is called with mu held.
+// logLeaseChange logs whether a node has a lease. It logs only if the node is new, or if it has gained or lost its
+// lease since the last call. It is called with mu held.
 func (r *Router) logLeaseChange(node controllerclient.Node) {
 	if previous, known := r.hadLease[node.Name]; known && previous == node.HasLease {
 		return
