--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -28,7 +28,8 @@
 }
 
 // Run runs a controller until SIGTERM or SIGINT. The controller then transfers its leadership and ends. A second signal
-// ends it at once. In both cases, the operations that the controllers have agreed on are on its disk.
+// ends the process at once. However the process ends, the operations that the controllers have agreed on are on the
+// disk of this controller.
 func (c *fleetControllerCmd) Run() error {
 	p, err := openProcess(c.File, "keeper")
 	if err != nil {
@@ -60,8 +61,8 @@
 }
 
 // withClient calls call with a client of the controllers. The client has the name and the peers of the process whose
-// configuration file is c.File. That process may be running at the same time: the client listens on a port of its own,
-// and connections to the name go to the running process.
+// configuration file is c.File. That process may run at the same time. The client therefore listens on a port of its
+// own, and connections that other processes open to the name go to that process.
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
 	if err != nil {
@@ -176,7 +177,7 @@
 }
 
 // printAssignment prints an assignment if err is nil, and returns err otherwise. If err is a refusal that carries the
-// current assignment, the text of the returned error names that assignment too.
+// current assignment, the text of the returned error also describes that assignment.
 func printAssignment(p placement.Assignment, err error) error {
 	var refusal *controllerclient.RefusalError
 	if errors.As(err, &refusal) && refusal.Assignment != nil {
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -59,7 +59,7 @@
 	return p, err
 }
 
-// registerGauges registers a gauge for each state of a member, with the number of members in that state.
+// registerGauges registers one gauge for each membership state. The gauge shows the number of members in that state.
 func (p *fleetProcess) registerGauges() {
 	for _, state := range []membership.State{membership.StateAlive, membership.StateSuspect, membership.StateUnreachable, membership.StateSlow, membership.StateDead, membership.StateLeft} {
 		metrics.GetOrCreateGauge(fmt.Sprintf("cove_members{state=%q}", state), func() float64 {
--- a/cmd/silvercovectl/main.go
+++ b/cmd/silvercovectl/main.go
@@ -1,7 +1,6 @@
 // Command silvercovectl is the control program. It checks operators' files, manages keys and TUF repositories, runs the
-// metadata proxy and the processes of a fleet, and runs simulations and measurements. The command line calls the
-// metadata proxy the front. Large dependencies are used in this program alone, so that the binary of the relay stays
-// small.
+// metadata proxy and the processes of a fleet, and runs simulations and measurements. On the command line, the metadata
+// proxy has the name front. Only this program uses large dependencies, so that the binary of the relay stays small.
 package main
 
 import (
@@ -103,8 +102,8 @@
 	"floor":        "version-store",
 }
 
-// earlierName returns the earlier name with which a command line begins, and the present name of that sub-command. It
-// returns two empty strings if the command line does not begin with an earlier name.
+// earlierName looks for an earlier name of a sub-command at the start of a command line. It returns that name and the
+// present name of the sub-command, or two empty strings if it finds none.
 func earlierName(args []string) (earlier, present string) {
 	for words := 1; words <= min(2, len(args)); words++ {
 		earlier = strings.Join(args[:words], " ")
--- a/cmd/silvercovectl/metadata.go
+++ b/cmd/silvercovectl/metadata.go
@@ -101,7 +101,8 @@
 	Path string `help:"Also look this target up."`
 }
 
-// Run runs the TUF client workflow. The version store is empty, so versions from earlier runs are not known.
+// Run runs the TUF client workflow. It starts with an empty version store, so it does not detect that a version is
+// older than one that an earlier run saw.
 func (c *tufVerifyCmd) Run() error {
 	pinned, err := os.ReadFile(c.Root)
 	if err != nil {
@@ -276,8 +277,8 @@
 	Yes   bool     `help:"Confirm: metadata that had expired by the later time count as valid again until they expire."`
 }
 
-// Run sets the version store's trusted time back to the current time if it is later than that. It refuses to run
-// without --yes.
+// Run sets the trusted time of a version store back to the current time. It changes nothing if the trusted time is not
+// later than the current time. It refuses to run without --yes.
 func (c *versionStoreClockCmd) Run() error {
 	if !c.Yes {
 		return errors.New("this makes metadata that have expired by the trusted time of the version store valid again: give --yes if the clock " +
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -44,8 +44,8 @@
 	Miss   float64            `default:"0.05" help:"Probability of a miss, for one request class at one relay."`
 }
 
-// Run prints how many outcomes are needed to rule out the effect, and for each request class how long these outcomes
-// take in each stage.
+// Run prints how many outcomes a relay needs to rule out a failure share of Base+Effect. For each request class and
+// stage, it also prints how long a relay takes to get these outcomes.
 func (c *verdictPlanCmd) Run() error {
 	switch {
 	case len(c.Rates) == 0 || c.Relays < 1:
@@ -55,8 +55,8 @@
 			c.Base, c.Effect, c.Miss)
 	}
 	minOutcomes := math.Log(1/c.Miss) / math.Log((1-c.Base)/(1-c.Base-c.Effect))
-	// Each outcome multiplies the wealth of the betting test by a factor. growth is the mean logarithm of this factor if
-	// the failure rate is Base, so log(1/Miss)/growth outcomes are needed on average.
+	// Each outcome multiplies the wealth of the betting test by a factor. growth is the mean logarithm of this factor
+	// at the failure share Base. The wealth reaches 1/Miss after log(1/Miss)/growth outcomes on average.
 	growth := c.Base*math.Log(max(c.Base, 1e-9)/(c.Base+c.Effect)) + (1-c.Base)*math.Log((1-c.Base)/(1-c.Base-c.Effect))
 	meanOutcomes := math.Log(1/c.Miss) / growth
 	fmt.Printf("at least %.0f outcomes, about %.0f at a base of %.3g, for each request class at one relay\n", math.Ceil(minOutcomes),
--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -19,7 +19,7 @@
 	attempts      map[*balancer.Request][]*dayAttempt
 	dead          bool
 	draining      bool
-	drainSince    []balancer.Tick // by backend: when this relay was notified that the backend drains; 0: the backend does not drain
+	drainSince    []balancer.Tick // by backend: time at which this relay was notified that the backend is not ready; 0: the relay knows the backend as ready
 	rate          float64
 }
 
@@ -69,7 +69,8 @@
 	n.OnRequest(f.now, c)
 }
 
-// StartAttempt checks the rules on attempts and starts the attempt at the backend.
+// StartAttempt records a violation for each rule on attempts that the attempt breaks, and starts the attempt at the
+// backend.
 func (n *dayRelay) StartAttempt(d *balancer.Attempt, stopAt balancer.Tick) {
 	f, u := n.day, n.day.backends[d.Backend.ID]
 	for _, earlier := range n.attempts[d.Request] {
@@ -135,8 +136,8 @@
 	n.OnOutcome(n.day.now, s.attempt, outcome, n.day.now-s.sentAt, outcome == balancer.Succeeded || !open, nil)
 }
 
-// Reject ends a request. A rejection tells the client that a retry is safe, so a request of the at-most-once class must
-// not be rejected after an attempt.
+// Reject ends a request. A rejection tells the client that a retry is safe. After an attempt of an at-most-once
+// request, a rejection is a violation, because the backend may have run the request.
 func (n *dayRelay) Reject(c *balancer.Request, _ balancer.Tick) {
 	if len(n.attempts[c]) > 0 && c.Class == atMostOnce {
 		n.day.recordViolation("a rejection of an at-most-once request that may have run")
@@ -144,7 +145,8 @@
 	n.Fail(c)
 }
 
-// Fail ends a request with an error. A request that has ended already counts as a violation.
+// Fail ends a request with an error. It records a violation if the request has already ended, because the client then
+// gets a second answer.
 func (n *dayRelay) Fail(c *balancer.Request) {
 	if _, open := n.attempts[c]; !open {
 		n.day.recordViolation("a second answer to a request")
@@ -194,8 +196,8 @@
 // FetchEndpoints does nothing: relays are notified of all changes without a call.
 func (n *dayRelay) FetchEndpoints() {}
 
-// killRelay ends a relay at once. Its open requests are lost and are subtracted from the accepted ones. A new relay
-// starts 1 s later.
+// killRelay ends a relay at once. The relay's open requests are lost, and the result no longer counts them as accepted.
+// A new relay starts 1 s later.
 func (f *fleetDay) killRelay(n *dayRelay) {
 	n.dead = true
 	f.result.Accepted -= len(n.attempts)
@@ -209,8 +211,8 @@
 	f.after(1, f.startRelay)
 }
 
-// drainRelay stops new requests to a relay. 2.5 s later all of the relay's requests are past their deadline, and the
-// relay must have answered them. The relay then ends and a new relay starts.
+// drainRelay stops new requests to a relay. After 2.5 s, all of the relay's requests are past their deadline, and a
+// request that is still open is a violation. The relay then ends and a new relay starts.
 func (f *fleetDay) drainRelay(n *dayRelay) {
 	n.draining = true
 	f.after(2.5, func() {
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -59,9 +59,10 @@
 	}},
 }
 
-// FullSizeDay is the scenario that is most likely to overload cold backends, and has the largest fleet. Relays get
-// between a quarter of the mean request rate and three times that rate. A fifth of the backends restarts and is cold.
-// Half a second later the other backends pause for 3 s, so that all relays turn to the few cold backends.
+// FullSizeDay has the largest fleet of all days and is the most likely to overload cold backends. The request rate of a
+// relay is between about a quarter of the mean rate of all relays and about three times that mean. A fifth of the
+// backends restarts and is cold. Half a second later the other backends pause for 3 s, so that all relays turn to the
+// few cold backends.
 var FullSizeDay = Day{Name: "whole", relays: 300, backends: 150, plan: func(f *fleetDay) {
 	for i, n := range f.relays {
 		n.rate = dayRate * []float64{0.3, 0.5, 0.7, 1, 4}[i%5] / 1.3
@@ -76,8 +77,8 @@
 }}
 
 // ReleaseDay is the release of a good version to the whole fleet after a third of the backends has run it. The other
-// two thirds are replaced at once and are cold. Backends share their cores among the attempts in progress. They are
-// warm after 1.5 s, which is sooner than the 4 s of the settings.
+// two thirds are replaced at once and are cold. Each backend shares its cores among its attempts in progress. A
+// replaced backend is warm after 1.5 s, although the settings of the relays say 4 s.
 var ReleaseDay = Day{Name: "release", relays: 120, backends: 60, span: 11, plan: func(f *fleetDay) {
 	f.cores, f.capacity, f.warmUp = 3, 28, 1.5
 	for _, n := range f.relays {
@@ -90,7 +91,7 @@
 	}
 }}
 
-// DayResult is the result of a day. Violations counts, for each rule, how often any relay broke it.
+// DayResult is the result of a day. Violations holds, by rule, the number of violations at all relays together.
 type DayResult struct {
 	Accepted, Served int
 	Seconds          []daySecond
@@ -132,11 +133,11 @@
 	result           DayResult
 	resetShare       float64 // share of the attempts whose connection is reset after the request was sent
 	errorShare       float64 // share of the attempts that a backend answers with an error
-	listDelay        float64 // seconds by which relays are notified late of changes of the endpoint list
+	listDelay        float64 // additional delay in seconds until relays are notified of a change of the endpoint list
 	capacity         float64 // requests a second that a warm backend can serve
 	wrapHost         hostWrapper
 	cores            float64 // cores of a backend, shared among its attempts in progress; 0: the latency of an attempt is drawn when the attempt starts
-	warmUp           float64 // seconds from a backend's start until it is warm; used only if cores is above 0
+	warmUp           float64 // seconds from a backend's start until that backend is warm; used only if cores is above 0
 }
 
 // Run simulates a day. The same day with the same seed always gives the same result.
--- a/internal/lab/days_test.go
+++ b/internal/lab/days_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// TestDay_FullSize checks that all relays together do not overload a cold backend. The 300 relays have uneven traffic.
-// A fifth of the 150 backends returns cold while the other backends pause.
+// TestDay_FullSize checks that all relays together do not overload a cold backend, and that they serve most requests.
+// The 300 relays differ in their request rates. A fifth of the 150 backends restarts and is cold while the other
+// backends pause.
 func TestDay_FullSize(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
@@ -41,10 +42,10 @@
 	}
 }
 
-// TestDay_Release checks that no backend is overloaded while two thirds of the backends are cold, and that at least a
-// share of 0.45 of the requests is answered in time. The share is 0.66. In an alternative that is not in use, each
-// relay also adds to its subset of backends every cold backend whose slow-start budget is due. That alternative raised
-// the share from 0.53 to 0.89 when it was tried; see docs/design.md.
+// TestDay_Release checks that no backend is overloaded while two thirds of the backends are cold. It also checks that
+// at least a share of 0.45 of the requests is answered in time; the actual share is 0.66. In an alternative that is not
+// in use, each relay also adds to its subset of backends every cold backend whose slow-start budget is due. That
+// alternative raises the share from 0.53 to 0.89 for a balancer whose share is 0.53 without it; see docs/design.md.
 func TestDay_Release(t *testing.T) {
 	r := ReleaseDay.Run(1)
 	for what, n := range r.Violations {
@@ -59,7 +60,8 @@
 	}
 }
 
-// TestWarmUpOverload_Bounds checks the bounds of the rule on the overload of cold backends.
+// TestWarmUpOverload_Bounds checks both bounds of warmUpOverload: the work above which a cold backend is overloaded,
+// and the part of the work above which the overload is a violation.
 func TestWarmUpOverload_Bounds(t *testing.T) {
 	attempts := func(announced, others int) (all []warmUpAttempt) {
 		for i := range announced + others {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -84,8 +84,8 @@
 	return []operatorconfig.Value{{Name: name, Kind: operatorconfig.Fraction}}
 }
 
-// validateExperiment checks the values of an experiment's file that depend on each other. It returns the faulty directive
-// and the fault, or two empty strings.
+// validateExperiment checks the values of an experiment's file that depend on each other. It returns the first
+// directive with a fault and the description of that fault, or two empty strings.
 func validateExperiment(all map[string]any) (directive, fault string) {
 	total, names := 0.0, map[string]bool{"all": true}
 	for _, v := range all["op_type"].([]any) {
@@ -145,8 +145,8 @@
 	Misses      float64 // declared rate of bad packages that are released, 0 to 1
 }
 
-// ReadExperiment reads an experiment from the file at path. If text is not empty, it is read instead, and path only
-// names it in errors.
+// ReadExperiment reads an experiment. If text is not empty, text is the content of the experiment's file, and errors
+// give path as its name. Otherwise ReadExperiment reads the file at path.
 func ReadExperiment(path, text string) (e Experiment, err error) {
 	var all map[string]any
 	if text != "" {
@@ -201,7 +201,8 @@
 	return e, nil
 }
 
-// earlierPackages lists the packages that are offered before a package, in the order of their offers.
+// earlierPackages lists the packages that are rolled out before package p, in the order of their rollouts. It follows
+// PriorPackage from package to package.
 func (e Experiment) earlierPackages(p Package) (list []Package) {
 	for p.PriorPackage != "" {
 		i := slices.IndexFunc(e.Packages, func(o Package) bool { return o.Name == p.PriorPackage })
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -88,8 +88,8 @@
 }
 
 // goldenRollouts lists one rollout for each package and condition of a shipped experiment, each with a seed of its own.
-// rate is in requests a second. The rollouts are smaller and shorter than in the experiment: each has at most 20 relays
-// and 20 backends, and ends after 12 s without a verdict or 2 s after its release.
+// rate is in requests a second. The rollouts are smaller and shorter than in the experiment: MaxSpan is 12 s, WatchSpan
+// is 2 s, and there are at most 20 relays and 20 backends.
 func goldenRollouts(t *testing.T, name string, rate float64) (runs []goldenRun) {
 	t.Helper()
 	e, err := ReadExperiment("../../deploy/"+name+".conf", "")
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -102,8 +102,8 @@
 }
 
 // TestExperiment_ThinFleet runs 200 relays, each of which sees so few requests that it gets hardly any evidence on a
-// package. A package whose backends stop answering must be rolled back if the platform reports its counts of outcomes,
-// and is not rolled back without these counts. Good packages are never rolled back.
+// package. With the platform's counts of outcomes, a package whose backends stop answering must be rolled back, and a
+// good package must not. Without these counts, the relays do not roll back the package whose backends stop answering.
 func TestExperiment_ThinFleet(t *testing.T) {
 	e, err := ReadExperiment("../../deploy/thin.conf", "")
 	if err != nil {
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestExperiment_GoodPackageWithSickBackends shows a known gap. A single vote of any of the 200 relays decides, so a
-// few backends that fail with any package cause the rollback of a good one. The rollback can also happen in the last
-// stage, where no backend of the earlier package is left for a comparison.
+// TestExperiment_GoodPackageWithSickBackends shows a known gap: a few sick backends cause the rollback of a good
+// package. Sick backends fail requests at any version, and a single vote of any of the 200 relays decides. The rollback
+// can also happen in the last stage, where no backend of the earlier package is left for a comparison.
 func TestExperiment_GoodPackageWithSickBackends(t *testing.T) {
 	e, err := ReadExperiment("../../deploy/thin.conf", "")
 	if err != nil {
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestExperiment_WithoutEvidenceWait shows a known gap. With an EvidenceWait of 0, a timed vote promotes a package
-// without evidence on request classes that lack it, so a package that is bad for a rare request class is released.
+// TestExperiment_WithoutEvidenceWait shows a known gap. With an EvidenceWait of 0, a timed vote can promote a package
+// without evidence on rare request classes. A package that is bad for such a class is then released.
 func TestExperiment_WithoutEvidenceWait(t *testing.T) {
 	e := shippedExperiment(t, 8, "rare_op_type", "calm")
 	e.Rollout.EvidenceWait = 0
@@ -181,7 +181,8 @@
 	}
 }
 
-// TestNewRate_Intervals checks confidence intervals, and p-values of Fisher's exact test, against known values.
+// TestNewRate_Intervals checks the confidence intervals of NewRate and the p-values of fisherPValue against known
+// values.
 func TestNewRate_Intervals(t *testing.T) {
 	for _, c := range []struct {
 		k, n     int
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -85,9 +85,9 @@
 	return Plot(path, "Metadata proxy (stand-ins)", "servers", "milliseconds", timestampSeries, packageSeries, notifiedSeries)
 }
 
-// measureRequests sends Asks GET requests for a path and waits for their answers. It uses Width connections, or n if
-// that is less, where n is the number of servers. rate is in requests a second, and failures counts answers without
-// status 200.
+// measureRequests sends Asks GET requests for a path and waits for their answers. It uses Width connections, or n if n
+// is less; n is the number of servers. rate is in requests a second, h holds the latency of each request, and failures
+// counts the requests without an answer of status 200.
 func (m Metadata) measureRequests(ctx context.Context, w *proxyFixture, n int, path string) (rate float64, h latencies, failures int64, err error) {
 	width := min(m.Width, n)
 	transport := &http.Transport{MaxIdleConnsPerHost: width, MaxConnsPerHost: width}
@@ -146,8 +146,8 @@
 	return func(body io.Reader) error { return json.NewDecoder(body).Decode(v) }
 }
 
-// measureVerification compares the time to verify a whole set of metadata with the time of the checks before a cached
-// file is served.
+// measureVerification compares the time to verify a whole set of metadata with the time to check a cached timestamp, and
+// all that it depends on, before the timestamp is served.
 func (m Metadata) measureVerification(to io.Writer) error {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -11,9 +11,10 @@
 )
 
 // measureCapDecrease measures how fast servers get the earlier package back after the exposure cap is lowered. All
-// servers poll until 35% of them are assigned the later package. Then the cap becomes 10%. count is the number of
-// servers that were moved back, issued is the number of versions of metadata that the Director issued, and h holds, for
-// each of these servers, the time from the lower cap until the server fetched metadata that name the earlier package.
+// servers poll until 35% of them are assigned the later package. The cap is then lowered to 10%. count is the number of
+// servers that are assigned the earlier package again. issued is the number of versions of metadata that the Director
+// issued in that time. For each of these servers, h holds the time from the change of the cap until the server fetched
+// its new assignment.
 func (m Metadata) measureCapDecrease(ctx context.Context, w *proxyFixture, n int) (count int, issued int64, h latencies, err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: m.Width, MaxConnsPerHost: m.Width}
 	defer transport.CloseIdleConnections()
@@ -70,7 +71,7 @@
 	counter   int64    // counter in the reports of all servers; it increases with each round
 }
 
-// count returns the number of servers whose last assigned package has the build number build.
+// count returns the number of servers that were last assigned the package with the build number build.
 func (p *pollers) count(build uint16) (n int) {
 	for _, b := range p.assigned {
 		if b == build {
@@ -80,8 +81,8 @@
 	return n
 }
 
-// round has each server poll once. A server that is assigned another package reports that it runs that package, and the
-// Director can then assign the package to further servers.
+// round has each server poll once. A server whose assigned package has changed reports that it runs the new package.
+// The report allows the Director to assign that package to further servers.
 func (p *pollers) round(ctx context.Context) error {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -116,8 +117,8 @@
 }
 
 // waitForEarlierPackage has a server poll until it is assigned the earlier package. The first polls of the servers are
-// spread over the time Poll. It returns false if the server keeps the later package, if no assignment comes in time or
-// if ctx ends.
+// spread over the time Poll. It returns false if the lower cap is reached and the server still has the later package.
+// It also returns false if the server is not assigned the earlier package within 20 x Poll + 5 s, or if ctx ends.
 func (p *pollers) waitForEarlierPackage(ctx context.Context, server int, began time.Time) bool {
 	wait := time.Duration(server%97) * p.Poll / 97
 	for time.Since(began) < 20*p.Poll+5*time.Second && ctx.Err() == nil {
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -17,11 +17,11 @@
 	second            = float64(balancer.Second)
 	stableVersion     = 1    // version that all backends run at the start; the packages get the versions above it
 	exposureWindow    = 4.0  // window of the exposure rule, see checkExposure
-	releaseLag        = 0.05 // delay until relays are notified of a stage, and until the platform gets a vote
+	releaseLag        = 0.05 // delay until relays are notified of a stage, and delay until the platform gets a vote
 	listLag           = 0.1  // delay until relays are notified of a change of the endpoint list
 	replaceSpan       = 1.0  // time from the start of a backend's drain until the backend is ready with another version
 	warmUp            = 4.0  // time from a backend's start until the backend is warm
-	slotsPerBackend   = 8    // number of requests that a backend works on at once
+	slotsPerBackend   = 8    // maximum number of requests that a backend works on at once
 	medianServiceTime = 0.02 // median time for which a backend works on a request
 	metricsLag        = 1.0  // delay from the end of a metrics period until relays get the platform's counts
 )
@@ -44,9 +44,9 @@
 
 	metrics        map[uint16][]outcomeCounts // outcomes that the platform has counted in the current metrics period, by version and request class
 	packages       map[uint16]Package
-	newest         uint16    // version of the package that was offered last; 0 before the first offer
-	stable         uint16    // version of the backends that do not run the newest version
-	offers         []Package // packages that are still to be offered
+	newest         uint16    // version of the package whose rollout started last; 0 before the first rollout
+	stable         uint16    // version of the backends that do not run the newest version: stableVersion, or that of the last package whose release was not rolled back within WatchSpan
+	offers         []Package // packages whose rollout has not started; offerPackage starts the next one
 	offeredAt      balancer.Tick
 	stage          int
 	phase          balancer.RolloutPhase
@@ -100,7 +100,7 @@
 		n.start()
 		m.after(m.arrivals.Rand(), n.nextRequest)
 	}
-	const offerDelay = 3.0 // seconds of traffic before the first package is offered
+	const offerDelay = 3.0 // seconds of traffic before the rollout of the first package starts
 	m.stable, m.packages = stableVersion, map[uint16]Package{}
 	m.offers = append(slices.Clone(r.EarlierPackages), r.Package)
 	m.after(offerDelay, m.offerPackage)
@@ -169,8 +169,8 @@
 var idempotencyOf = map[string]balancer.Idempotency{"redeliverable": balancer.Idempotent,
 	"deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.AtMostOnce}
 
-// restartRelay restarts the relay whose number is no modulo Relays, without its state. It schedules the restart of the
-// next relay after RestartInterval.
+// restartRelay restarts a relay without its state. The index of the relay is the parameter no modulo Relays. After
+// RestartInterval, the next relay restarts.
 func (m *model) restartRelay(no int) {
 	n := m.relays[no%m.Relays]
 	n.start()
@@ -193,8 +193,8 @@
 	}
 }
 
-// reportMetrics ends a metrics period. Each relay gets the counts of the period after metricsLag, or after 5 s if it
-// gets updates late (see Condition.BlindShare). The counts of the lowest version come first.
+// reportMetrics ends a metrics period. Each relay gets the counts of the period after metricsLag, or after 5 s if the
+// relay gets updates late (see Condition.BlindShare). Each relay gets the counts of the lowest version first.
 func (m *model) reportMetrics() {
 	counts, periodEnd := m.metrics, m.now
 	m.metrics = map[uint16][]outcomeCounts{}
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -41,8 +41,8 @@
 	m.enterStage(0)
 }
 
-// nextPackage offers the next package after wait seconds. If no package is left, it ends the simulation after wait
-// seconds. outcome is the outcome of the package that was offered last.
+// nextPackage starts the rollout of the next package after wait seconds. If no package is left, it ends the simulation
+// after wait seconds. outcome says how the rollout of the package before ended: "back" (rolled back) or "released".
 func (m *model) nextPackage(outcome string, wait float64) {
 	if len(m.offers) == 0 {
 		m.after(wait, func() { m.done = true })
@@ -59,10 +59,10 @@
 	m.replaceBackends(m.newest, int(math.Ceil(m.Stages[stage].Share*float64(m.Backends))))
 }
 
-// replaceBackends moves backends to a version until target backends run it. It picks every seventh backend in turn, so
-// that backends that are replaced one after the other mostly differ in their number modulo six, on which failureShare
-// depends. If the number of backends is divisible by seven, steps of seven would not reach every backend, and it picks
-// them in their order.
+// replaceBackends moves backends to a version until target backends run it. failureShare depends on the number of a
+// backend modulo six. In steps of seven, backends that are replaced one after the other mostly differ in that
+// remainder. If the number of backends is divisible by seven, such steps would not reach every backend, and
+// replaceBackends goes through the backends in their order.
 func (m *model) replaceBackends(version uint16, target int) {
 	updated := 0
 	for _, u := range m.backends {
@@ -102,7 +102,7 @@
 	for _, n := range m.relays {
 		incarnation, lag := n.incarnation, listLag
 		if n.updatesLate {
-			lag = 0.9 * replaceSpan // less than replaceSpan, so that the relay learns of the drain before the backend is replaced
+			lag = 0.9 * replaceSpan // the relay is notified of the drain before the backend is replaced, which takes replaceSpan
 		}
 		m.after(lag, func() {
 			if n.incarnation == incarnation {
@@ -147,8 +147,8 @@
 	}
 }
 
-// recordVerdictTime records the time from the offer to the first verdict. It does not change a time that was recorded
-// earlier.
+// recordVerdictTime records the time from the start of the rollout to its first verdict. It does not change a time that
+// was recorded earlier.
 func (m *model) recordVerdictTime() {
 	if m.result.VerdictSeconds == 0 {
 		m.result.VerdictSeconds = float64(m.now-m.offeredAt) / second
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -39,8 +39,8 @@
 	newConnection bool // the attempt opens a new connection
 }
 
-// start starts the process of a relay, without state from an earlier run. The relay accepts requests once beginServing
-// has been called.
+// start starts the process of a relay, without state from an earlier run. The relay accepts requests only after a call
+// of beginServing.
 func (n *overloadRelay) start() {
 	n.incarnation++
 	n.alive = true
@@ -79,7 +79,8 @@
 }
 
 // gossip delivers a load report of the relay to the other relays in its encoded form, with the simulated loss and
-// delay. If Split is above 0, each half of the relays gets load reports from its own half only after Split seconds.
+// delay. From second Split on, if Split is above 0, a report reaches only the relays of the same half: those with even
+// numbers or those with odd numbers.
 func (n *overloadRelay) gossip() {
 	m := n.model
 	m.after(m.gossipInterval(), n.gossip)
@@ -245,7 +246,7 @@
 	n.model.retry(a, retryAfter)
 }
 
-// CancelAttempt ends an attempt as cancelled. The backend goes on to work on it.
+// CancelAttempt ends an attempt as cancelled. The backend still does the work of the attempt.
 func (n *overloadRelay) CancelAttempt(d *balancer.Attempt) {
 	if s := n.attempts[d]; s != nil {
 		n.model.after(0, func() { s.finish(balancer.Cancelled) })
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -15,9 +15,10 @@
 	return Overload{Relays: 30, Backends: 20, Features: features, Load: 0.6, LoadFactor: 10, From: 8, Duration: 10, Span: 34, KillShare: 0.7, Seed: seed}
 }
 
-// sickBackendDay returns a scenario in which one backend does not answer from second 4 to second 54. From second 34 on,
-// the relays are split in two halves. With more than 100 relays, the load is 0.6 of the capacity instead of 0.9,
-// because hundreds of relays overload 20 backends at 0.95 of their capacity even if no backend is sick.
+// sickBackendDay returns a scenario in which one of 20 backends does not answer from second 4 to second 54. From second
+// 34 on, the relays are split in two halves. The load is 0.9 of the capacity of all backends, which is about 0.95 of the
+// capacity of the 19 healthy backends. With more than 100 relays, the load is 0.6 instead, because hundreds of relays
+// overload 20 backends at 0.95 of their capacity even if no backend is sick.
 func sickBackendDay(features Features, relays int, seed uint64) Overload {
 	o := Overload{Relays: relays, Backends: 20, Features: features, Load: 0.9, LoadFactor: 1, Span: 64, SickBackend: true, Onset: 4, Split: 34,
 		Recovery: 54, Seed: seed}
@@ -101,9 +102,9 @@
 	return w.err
 }
 
-// ejectionRow returns a row of a table on sickBackendDay, which begins with names. The other cells are the attempts a
-// second at the sick backend in four spans after Onset, and the time from Recovery until the backend gets half of its
-// share of the load again.
+// ejectionRow returns a row of a table on sickBackendDay. The first cells of the row are the parameter names. The next
+// four cells are the mean attempts a second at the sick backend from 0 to 5 s, 5 to 20 s, 20 to 30 s and 34 to 50 s after
+// Onset. The last cell is the time from Recovery until the backend gets half of its share of the load again.
 func (o Overload) ejectionRow(r OverloadResult, names ...any) []any {
 	at := func(from, to int) float64 { return perSecond(r.SickAttempts, int(o.Onset)+from, int(o.Onset)+to) }
 	recovered := math.Inf(1)
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -45,7 +45,7 @@
 	if b := withoutReports.RecoverySeconds(days[4]); b > 5 {
 		t.Errorf("without any load reports: recovered after %.1f s", b)
 	}
-	// Guards against a lasting state after the trigger in which backends lack work although clients retry.
+	// Guards against a state that lasts after the trigger: backends have too little work although clients retry.
 	if g := MeanPerSecond(r[7].Goodput, 14, 21) / r[7].Capacity; g < 0.93 {
 		t.Errorf("split in two: goodput is %.2f of the capacity of the backends after the trigger", g)
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOverload_SickBackendIsEjected checks that 30 relays take only seconds to eject a backend that stops answering,
-// also if the relays are split in two or half of the load reports are lost. One relay that reports falsely, or whose
-// own link is cut, must not cause the other relays to eject a healthy backend.
+// TestOverload_SickBackendIsEjected checks that 30 relays take only seconds to eject a backend that stops answering.
+// They must also do so if they are split in two or lose half of the load reports. A single relay that sends false load
+// reports, or whose own link is cut, must not cause the other relays to eject a healthy backend.
 func TestOverload_SickBackendIsEjected(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -34,7 +34,8 @@
 </body></html>
 `))
 
-// totalRow is a row of the table of rates over all packages. pageTemplate uses its fields.
+// totalRow is a row of the table of false alarms and misses over all packages and conditions of the results.
+// pageTemplate uses its fields.
 type totalRow struct {
 	What     string
 	Is       string
@@ -42,15 +43,15 @@
 	Held     bool
 }
 
-// pageRow is a row of the table of packages and conditions. Bad marks a row whose rate is above the declared one.
-// pageTemplate uses the fields.
+// pageRow is a row of the table of packages and conditions. Bad marks a row whose measured rate of wrong verdicts is
+// not compatible with the declared rate (see Rate.Held). pageTemplate uses the fields.
 type pageRow struct {
 	Bad   bool
 	Cells []string
 }
 
-// HTML writes a page with the rates over all packages, plots of the times to a verdict and of the rates, and a table of all
-// packages and conditions.
+// HTML writes a page about results. The page has the rates of false alarms and misses, plots of the times to a verdict
+// and of the rates of wrong verdicts, and a table of all packages and conditions.
 func HTML(to io.Writer, title string, all []Result, falseAlarms, misses float64) error {
 	lines := Summarize(all)
 	f, m := Totals(lines)
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -61,13 +61,13 @@
 type SummaryLine struct {
 	Package, Condition string
 	Bad                bool
-	Wrong              Rate // rollouts in which a good package was rolled back, or a bad one released
-	Advanced           Rate // rollouts that advanced past the first stage
+	Wrong              Rate // rate of the rollouts in which a good package was rolled back, or a bad package was released
+	Advanced           Rate // rate of the rollouts that advanced past the first stage
 	Undecided          Rate
 	P50, P95           float64   // median and 95th percentile of Verdicts
 	Harm               float64   // share of the requests that failed
 	Broken             int       // violations of the exposure rule
-	Verdicts           []float64 // seconds from the offer to the verdict of each decided rollout, in ascending order
+	Verdicts           []float64 // seconds from the start of each decided rollout to its verdict, in ascending order
 }
 
 // Summarize summarizes results by package and condition, in the order of their first occurrence.
@@ -132,8 +132,8 @@
 	return NewRate(f, fn), NewRate(m, mn)
 }
 
-// Held reports whether a measured rate is compatible with a declared one, that is, whether the lower end of its
-// confidence interval is not above the declared rate.
+// Held reports whether a measured rate is compatible with a declared rate: the lower end of the measured rate's
+// confidence interval must not be above the declared rate.
 func (r Rate) Held(declared float64) bool { return r.Low <= declared }
 
 // table returns a table of summary lines.
@@ -152,8 +152,8 @@
 	return t
 }
 
-// Print writes a summary of results as plain text, under a title that should say how they were obtained. falseAlarms
-// and misses are the declared rates.
+// Print writes a summary of results as plain text. The title should say how the results were obtained. falseAlarms and
+// misses are the declared rates.
 func Print(to io.Writer, title string, all []Result, falseAlarms, misses float64) {
 	lines := Summarize(all)
 	table(title, lines).Print(to)
@@ -172,8 +172,8 @@
 }
 
 // Compare writes a table that compares two sets of results and shows which differences are more than noise. It uses
-// Fisher's exact test, two-sided. The level is 5 per cent divided by the number of lines in the summary of a, because
-// each line is tested.
+// Fisher's exact test, two-sided. Because each line is tested, the significance level is 5 per cent divided by the
+// number of lines in the summary of a.
 func Compare(to io.Writer, nameA, nameB string, a, b []Result) error {
 	la, lb := Summarize(a), Summarize(b)
 	t := &Table{Title: "Wrong verdicts, " + nameA + " against " + nameB, Head: []string{"condition", "package", nameA, nameB,
--- a/internal/lab/warm_up_test.go
+++ b/internal/lab/warm_up_test.go
@@ -5,8 +5,9 @@
 )
 
 // TestDay_AllBackendsCold checks that relays still serve requests, and do not overload a backend, if all backends
-// restart at once. A relay limits attempts at a cold backend to a part of its own rate at warm backends. A relay that
-// starts together with the backends has not measured such a rate, and begins with a rate that overloads no backend.
+// restart at once. A relay limits its attempts at a cold backend to a fraction of the rate that it has measured at warm
+// backends. A relay that starts together with the backends has not measured this rate. It begins with a rate that
+// overloads no backend.
 func TestDay_AllBackendsCold(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -12,9 +12,9 @@
 	roleEdge       = "edge"
 )
 
-// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction of the elapsed time.
-// internal/leases makes an allowance for drift, which is twice the drift times the lease. Below this bound, a lease lasts
-// longer than that allowance.
+// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction of the elapsed time. For
+// this drift, internal/leases adds an allowance to the lease duration: twice the drift times that duration. Below the
+// bound, the allowance is shorter than the lease duration.
 const maxClockDrift = 0.5
 
 // checkFleet is the Rule of the fleet block.
@@ -125,8 +125,8 @@
 }
 
 // checkDirector checks the director block. Like a Rule, it returns the directive at fault and the fault. repositories
-// holds the names of all repositories of the file. versionStore reports whether the file has a floor directive, which
-// names the version store.
+// holds the names of all repositories of the file. versionStore reports whether the file has the directive floor, whose
+// values are the paths of the version store.
 func checkDirector(block map[string]any, repositories map[string]bool, versionStore bool) (directive, fault string) {
 	servers, _ := block["server"].([]any)
 	packages, _ := block["package"].([]any)
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -64,8 +64,8 @@
 	Lines []*line `parser:"Open EOL @@* Close"`
 }
 
-// grammar returns the parser. It builds the parser at the first call, as a process without an operator's file does not
-// need one.
+// grammar returns the parser. It builds the parser at the first call, because a process without an operator's file does
+// not need a parser.
 var grammar = sync.OnceValue(func() *participle.Parser[file] {
 	return participle.MustBuild[file](participle.Lexer(lexer.MustSimple(tokenRules)), participle.Elide("Comment", "Blank"),
 		participle.UseLookahead(2))
@@ -135,8 +135,7 @@
 }
 
 // loadFile reads the lines of a file and of the files that it includes. A relative path of an include starts from the
-// folder of the including file. chain holds the paths of the enclosing files, from the outermost file to the one that
-// includes this file.
+// folder of the including file. chain holds the paths of the files that enclose this file, the outermost file first.
 func loadFile(path string, chain []string) ([]*line, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -17,9 +17,9 @@
 	firstLines map[string]*line // first line of each directive, by path
 }
 
-// evaluate returns the values of the lines of a file, or an error that joins all faults. The rules are checked only if
-// the lines have no fault. The fault of a rule is reported at the first line of the directive at fault, or at the start
-// of the file if there is no such line.
+// evaluate returns the values of the lines of a file, or an error that joins all faults. It checks the rules of the
+// table only if the lines have no fault. It reports the fault of a rule at the first line of the directive at fault, or
+// at the start of the file if no line has that directive.
 func (t *Table) evaluate(name string, lines []*line) (map[string]any, error) {
 	r := &evaluator{table: t, firstLines: map[string]*line{}}
 	values := r.block("", lines, &line{})
@@ -107,8 +107,8 @@
 	r.faults = append(r.faults, errorAt(position, directive, format, args...))
 }
 
-// unknownDirective returns the text of the fault that a block does not allow the directive name. The text names the
-// blocks that allow the directive or, if there are none, the directives that this block allows.
+// unknownDirective returns the text of the fault that the block at path does not allow the directive name. If other
+// blocks allow that directive, the text lists them. Otherwise it lists the directives that the block at path allows.
 func (r *evaluator) unknownDirective(path, name string) string {
 	var here, elsewhere []string
 	for _, d := range r.table.Directives {
--- a/internal/operatorconfig/value.go
+++ b/internal/operatorconfig/value.go
@@ -11,8 +11,8 @@
 // Kind is the type of a value. The zero value is Word.
 type Kind uint8
 
-// The kinds of values. Number, Decimal, Duration (in seconds), Size (in bytes) and Fraction (of 1) are read as a float64.
-// Words is read as a list of strings, and every other kind as a string.
+// The kinds of values. Number, Decimal, Duration, Size and Fraction are read as a float64; a Duration is in seconds and
+// a Size in bytes. Words is read as a list of strings, and every other kind as a string.
 const (
 	Word     Kind = iota // any text that is not empty
 	Name                 // letters, digits, ".", "-" and "_", and not only dots
@@ -27,7 +27,7 @@
 	Words                // one or more words; only for the last value of a directive
 )
 
-// kindNames describes the values of each kind, for errors and for the reference page. The index is the Kind.
+// kindNames describes the values of each kind, for errors and for the reference page. It is indexed by Kind.
 var kindNames = [...]string{"a word", "a name of letters, digits, '.', '-' and '_'", "a whole number",
 	"a duration such as 250ms, 10s, 5m, 2h or 7d", "a size such as 512, 64K, 16M or 1G",
 	"a share such as 0.1 or 10%", "HOST:PORT", "a path", "one of a list", "a number of 0 or more", "one word or more"}
@@ -41,8 +41,8 @@
 type Value struct {
 	Name    string
 	Kind    Kind
-	Min     float64  // least number, in the unit of Kind; if Min and Max are 0, Kind alone sets the range
-	Max     float64  // greatest number, in the unit of Kind
+	Min     float64  // minimum number, in the unit of Kind; if Min and Max are 0, Kind alone sets the range
+	Max     float64  // maximum number, in the unit of Kind
 	Choices []string // allowed words, if Kind is Choice
 }
 
@@ -108,8 +108,8 @@
 	return ok && n >= 0 && n <= maxPort && n == math.Trunc(n)
 }
 
-// parseQuantity parses a value of a numeric kind, without checking it against Min and Max. A kind that is not numeric yields
-// 0 and true.
+// parseQuantity parses a value of a numeric kind. ok reports whether the kind allows the value; Min and Max are not
+// checked. For a kind that is not numeric, the results are 0 and true.
 func (v *Value) parseQuantity(s string) (f float64, ok bool) {
 	switch v.Kind {
 	case Number:
@@ -151,8 +151,8 @@
 	return fmt.Sprintf("%s, from %s to %s", kindNames[v.Kind], v.formatWithUnit(v.Min), v.formatWithUnit(v.Max))
 }
 
-// formatWithUnit formats a number of Kind Duration or Size with the largest unit in which it is a whole number, to within
-// 1e-9. A number of another kind has no unit.
+// formatWithUnit formats a Duration or a Size with the largest unit in which the number is whole, to within 1e-9. It
+// writes no unit for 0, for a number that is whole in no unit, and for a number of another kind.
 func (v *Value) formatWithUnit(f float64) string {
 	units := map[Kind][]string{Duration: {"d", "h", "m", "s", "ms"}, Size: {"G", "M", "K", ""}}[v.Kind]
 	scales := durationUnits
--- a/internal/settings/decisions_test.go
+++ b/internal/settings/decisions_test.go
@@ -83,8 +83,8 @@
 		draw(maybeEmpty, s.tenants, "customer names"), draw(maybeEmpty, s.kinds, "kind names")}
 }
 
-// document encodes the settings with the given names. The members of more are added at the top level, but do not replace
-// the site's own.
+// document encodes the site as a settings document with the names n. It also adds the members of the parameter more at
+// the top level, but a member of the site takes precedence over one of the same name.
 func (s generatedSite) document(t *rapid.T, n siteNames, more map[string]any) []byte {
 	doc := map[string]any{}
 	for name, value := range more {
@@ -288,8 +288,9 @@
 func (w *simulatedHost) WatchEndpoints(on bool) { w.log("watch %v", on) }
 func (w *simulatedHost) FetchEndpoints()        { w.log("fetch") }
 
-// requireSameTrace fails at the first action that differs between two runs. The run plain must have at least 100 actions,
-// as a comparison of fewer would show little.
+// requireSameTrace fails the test at the first action that differs between the traces plain and other. plain must have
+// at least 100 actions, because a comparison of fewer would show little. The parameter what names the change between the
+// two runs in the failure message.
 func requireSameTrace(t *rapid.T, what string, plain, other []string) {
 	if len(plain) < 100 {
 		t.Fatalf("only %d actions to compare", len(plain))
@@ -315,9 +316,9 @@
 	})
 }
 
-// TestDecisions_UnknownSettingsIgnored guards against a setting that is read at the wrong position. Members with unknown
-// names at the top level of the document must not change an action. Many of these names are known at another position, or
-// are paths.
+// TestDecisions_UnknownSettingsIgnored guards against a setting that is read at the wrong position. It adds members
+// with unknown names at the top level of the document. They must not change an action of the balancer. Many of the
+// names are settings at another position, or are paths.
 func TestDecisions_UnknownSettingsIgnored(t *testing.T) {
 	known := map[string]bool{}
 	for _, setting := range documentSchema {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -14,7 +14,7 @@
 	errNoObjectiveOrDeadline = errors.New("has neither on_time nor deadline")
 )
 
-// applyDefaults sets the defaults of missing settings, if the zero value would keep the relay from working or break a
+// applyDefaults sets the default of each missing setting whose zero value would keep the relay from working or break a
 // rule of the site.
 func applyDefaults(s *balancer.Settings) error {
 	longestDeadline, err := applyClassDefaults(s.Classes)
@@ -24,18 +24,18 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	// Without a connect timeout, a connection attempt is limited only by the deadline of the request that it is for. The
-	// longest deadline of all classes is never a shorter limit than that deadline.
+	// Without a connect timeout, only the deadline of the request limits a connection attempt. The longest deadline of
+	// all classes is at least that deadline, so as a connect timeout it does not shorten the limit.
 	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
-	// If the overload window is missing, the load is counted over the whole slow-start window. This is the widest window,
-	// and with it the rule on overload holds for any window.
+	// If the overload window is missing, the load is counted over the whole slow-start window. This is the widest
+	// possible overload window. With it, the rule on overload (see OverloadMultiple) holds for any overload window.
 	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
-	// ExposureFree is a number of attempts per window. In a window of zero length, these attempts would be available again
-	// at once, and so without limit.
+	// The exposure cap does not count ExposureFree attempts per window. With a window of zero length, the number of
+	// these attempts would be unlimited.
 	if s.Rollout.ExposureWindow == 0 {
 		s.Rollout.ExposureFree = 0
 	}
@@ -53,8 +53,8 @@
 		switch {
 		case class.LatencyObjective == 0 && class.Deadline == 0:
 			return 0, fmt.Errorf("%s %w", strconv.Quote(truncate(class.Name)), errNoObjectiveOrDeadline)
-		// Without a latency objective, an answer has its full value as long as the client waits, which is until the
-		// deadline.
+		// Without a latency objective, an answer has its full value until the deadline, because the client waits until
+		// then.
 		case class.LatencyObjective == 0:
 			class.LatencyObjective = class.Deadline
 		case class.Deadline == 0:
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -132,7 +132,8 @@
 	"unheard_of", "weights", "worth_by", "zone", "zones",
 }
 
-// goldenValues are the JSON values that the trace sets at each of goldenPaths; "" removes the setting.
+// goldenValues are the JSON values that TestRead_MatchesGoldenTrace sets at each of goldenPaths. The value "" removes
+// the setting instead.
 var goldenValues = []string{
 	"", "null", "0", "-0.0", "-1", "-1e-9", "0.00029", "0.29", "0.5", "1", "1.0000001", "3", "32.5", "33", "1001", "1e7", "360000", "360001",
 	"1e300", "1e999", "true", "false", `""`, `"3"`, `"subscribe"`, `"clocked"`, `"all"`, `"per_lane"`, `"zone"`, `"cell"`,
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// field returns a setting whose parsed value is stored at the pointer that at returns.
+// field returns a setting that stores its parsed value. The parameter at returns a pointer to the place of the value in
+// a T.
 func field[T, V any](name string, parse parser[V], at func(*T) *V) setting[T] {
 	return setting[T]{name: name, assign: func(path string, value any, into *T) error {
 		parsed, err := parse(value)
--- a/internal/settings/read_test.go
+++ b/internal/settings/read_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestRead_LeavesNoFieldOut guards against a gap in sampleDocument. A field that has its zero value there would pass
-// TestRead_TakesEverySetting without being read. ReportWithin and EvidenceWait are zero, as they come from the operator's
-// file.
+// TestRead_LeavesNoFieldOut guards against a gap in sampleDocument. A field whose expected value is zero would pass
+// TestRead_TakesEverySetting without being read. ReportWithin and EvidenceWait are zero because they are set in the
+// operator's file, not in the document.
 func TestRead_LeavesNoFieldOut(t *testing.T) {
 	var zero []string
 	var walk func(path string, v reflect.Value)
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -76,8 +76,8 @@
 	field("tip_after", boundedDuration, func(s *balancer.Settings) *balancer.Seconds { return &s.SlowStart.OverloadWindow }),
 }
 
-// Parsers of the settings whose value is one of a set of words, with the meaning of each word. A word outside the set is
-// read as the zero value of the setting, except by exposureCount, which refuses it.
+// Parsers of the settings whose value is one of a set of words. Each parser maps every word to its meaning. A word
+// outside the set is read as the zero value of the setting; only exposureCount refuses such a word.
 var (
 	discoveryMode = wordOrZero(map[string]balancer.DiscoveryMode{
 		"automatic": balancer.DiscoveryAutomatic,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,15 +2,15 @@
 // The bench adapter and the production relay share this package.
 //
 // This package and internal/benchadapter are the only two places where the names of the bench's wire format are mapped to
-// the standard terms. Here, schema.go holds the whole mapping. The meaning of a name depends on its position in the
-// document: names of classes, tenants, zones, machine kinds and load columns may be any text, and a name that the schema
-// does not list at its position is ignored.
+// the standard terms. In this package, schema.go holds the whole mapping. The meaning of a name depends on its position
+// in the document. Names of classes, tenants, zones, machine kinds and load columns may be any text. A name that the
+// schema does not list at its position is ignored.
 //
 // The fields of Site and of balancer.Settings document the unit, the range and the default of each setting. In addition:
 //
 //   - null counts as missing. A value of a wrong type is an error for each setting that the schema checks.
-//   - A duration is a number of seconds that is not negative. A duration above 100 hours is read as 100 hours, or is an
-//     error if a shorter duration would break a rule of the site.
+//   - A duration is a number of seconds that is not negative. A duration above 100 hours is read as 100 hours. It is an
+//     error instead if 100 hours in its place would break a rule of the site; see boundedDuration.
 //   - A name that occurs twice in one object, text that is not UTF-8, and a number beyond the range of a float64 are
 //     errors.
 //
@@ -30,8 +30,8 @@
 
 // Error is an error in one setting.
 type Error struct {
-	// Setting is the path of the setting in the document, such as "limits.send_cap", or the index of a list element, such
-	// as "place 0".
+	// Setting is the path of the setting in the document, such as "limits.send_cap". For an element of a list, it is
+	// the index of the element, such as "place 0".
 	Setting string
 	// Err is the reason. If Setting is a list with an error in one element, Err is the *Error of that element.
 	Err error
@@ -73,8 +73,9 @@
 	return site, nil
 }
 
-// checkUniqueNames reads one JSON value and returns an error if a name occurs twice in one of its objects, since it would
-// be unclear which of the two values applies. path is the path of the value in the document, for errors.
+// checkUniqueNames reads one JSON value. It returns an error if a name occurs twice in an object of that value, because
+// the document then does not say which of the two members applies. path is the path of the value in the document, for
+// errors.
 func checkUniqueNames(decoder *json.Decoder, path string) error {
 	token, err := decoder.Token()
 	if err != nil {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,8 +13,8 @@
 	"silvercove/balancer"
 )
 
-// Upper bounds of values. They keep durations in ticks, and random numbers that are drawn up to a duration, within the
-// range of the balancer's integers.
+// Upper bounds of values. They keep durations in ticks within the range of the balancer's integers. The same holds for
+// random numbers that are drawn up to a duration.
 const (
 	maxDurationSeconds = 360_000.0
 	maxRelays          = 1e6
@@ -86,8 +86,8 @@
 	}
 }
 
-// clampedDuration parses a number of seconds. It returns maxDurationSeconds for a longer duration, which would make no
-// difference to a relay.
+// clampedDuration parses a number of seconds. It returns maxDurationSeconds for a longer duration, because a relay acts
+// the same with either duration.
 func clampedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 {
 		return balancer.Seconds(min(v, maxDurationSeconds)), nil
@@ -95,8 +95,9 @@
 	return 0, unexpectedValue("a number of seconds that is not negative", value)
 }
 
-// boundedDuration parses a number of seconds and refuses one beyond maxDurationSeconds. It is for rules of a site that a
-// relay would break if the duration were reduced.
+// boundedDuration parses a number of seconds and refuses a number above maxDurationSeconds. It is for durations in
+// rules of a site. A relay that read such a duration as maxDurationSeconds, as clampedDuration does, would break the
+// rule.
 func boundedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 && v <= maxDurationSeconds {
 		return balancer.Seconds(v), nil
@@ -137,8 +138,8 @@
 	return 0, unexpectedValue("a whole number that is not negative", value)
 }
 
-// attemptCount parses the maximum number of attempts of a request. It returns maxAttempts for a larger number. 0 is an
-// error, as a relay without attempts could serve no request.
+// attemptCount parses the maximum number of attempts of a request. It returns maxAttempts for a larger number. It
+// refuses 0, because a relay without attempts could serve no request.
 func attemptCount(value any) (int, error) {
 	if v, ok := value.(float64); ok && v >= 1 && v == math.Trunc(v) {
 		return int(min(v, maxAttempts)), nil
@@ -193,7 +194,7 @@
 	return out, nil
 }
 
-// names parses a list of strings, or a list of objects that each have a name. A name may occur twice.
+// names parses a list of strings, or a list of objects that each have a name. Several elements may have the same name.
 func names(value any) ([]string, error) {
 	if list, _ := value.([]any); len(list) > 0 {
 		if _, ok := list[0].(map[string]any); ok {
