--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -248,7 +248,7 @@
 	return c
 }
 
-// query sends one request and reads its answer. usable reports whether the session can be used for another request.
+// query sends one request in the session c and reads its answer. usable reports whether c can take another request.
 func query(c net.Conn, class, id string) (succeeded, usable bool) {
 	text := fmt.Sprintf("SELECT content FROM kv WHERE name = 'k' /* id=%s,c=%s,t=a,d=2000 */", id, class)
 	if _, err := c.Write(pgwire.SimpleQuery(text)); err != nil {
@@ -258,7 +258,7 @@
 }
 
 // readResponse reads messages until the relay is ready for a query. succeeded reports whether no message was an error.
-// usable reports whether the session can be used for another request.
+// usable reports whether the session c can take another request.
 func readResponse(c net.Conn) (succeeded, usable bool) {
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	succeeded = true
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -319,8 +319,8 @@
 	n.OnRequest(m.now, c)
 }
 
-// retry has a client send a request again after the given number of seconds, or after a random pause if the number is 0
-// or less. It does nothing if the client has sent the request clientMaxTries times.
+// retry has a client send a request again after a pause. The parameter after is the pause in seconds; if it is 0 or less,
+// the pause is random. retry does nothing if the client has already sent the request clientMaxTries times.
 func (m *overloadModel) retry(a *clientRequest, after float64) {
 	if a.tries >= clientMaxTries {
 		return
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -52,7 +52,7 @@
 	Classes                 []RequestClass
 	Stages                  []Stage
 	Bake                    float64 // minimum duration of each stage in seconds
-	BaseFailures            float64 // share of requests that fail at any version
+	BaseFailures            float64 // share of requests that fail whichever version a backend runs
 	FoundShare              float64 // share of the wrong answers that clients detect and report
 	WatchSpan               float64 // seconds for which the simulation continues after the release
 	MaxSpan                 float64 // seconds from the first offer until a rollout without a verdict ends as undecided
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -187,8 +187,8 @@
 	"rules/tip_after": {"0", "1.5"}, "zones": {"[]", `["x","y","z"]`, `[{"name":"x"}]`},
 }
 
-// diffLines returns how the lines of a document differ from usual, the lines of sampleDocument. The result has the lines
-// that are not in usual, and a line for each path in usual that the document lacks.
+// diffLines compares the lines of a document with the parameter usual: the lines of sampleDocument, or nil to get all
+// lines. It returns the lines that are not in usual, and one line for each path in usual that the document lacks.
 func diffLines(lines, usual []string) []string {
 	var out []string
 	for _, line := range lines {
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,6 +1,6 @@
 package settings
 
-// setting is one named member of an object of the document. Its assign function parses the value and stores it in T, the
+// setting is one named member of an object of the document. Its assign function parses the value and stores it in a T, the
 // Go type that holds the object.
 type setting[T any] struct {
 	name   string
