--- a/internal/evidence/bounds.go
+++ b/internal/evidence/bounds.go
@@ -2,15 +2,18 @@
 
 import "math"
 
-// priorShape is the parameter of the Beta(1/2, 1/2) prior over which ConfidenceBounds mixes.
+// priorShape is both parameters of the Beta(1/2, 1/2) distribution by which ConfidenceBounds weights the possible
+// shares of failures.
 const priorShape = 0.5
 
-// bisections is the number of bisection steps of ConfidenceBounds. More steps would not change a float64.
+// bisections is the number of times that lowestInside halves its interval. More steps would go beyond the precision of
+// a float64.
 const bisections = 60
 
-// ConfidenceBounds returns the ends of a confidence sequence for a share of failures. With probability 1 − level the
-// true share is within the bounds at all times, so a vote may check them at any time (Shekhar and Ramdas, definition
-// 1.1; the mixture is Robbins's). Without outcomes the bounds are 0 and 1.
+// ConfidenceBounds returns a lower and an upper bound on the true share of failures. They form a confidence sequence:
+// with a probability of at least 1 − level, the true share is within the bounds after every outcome. A vote may
+// therefore check the bounds at any time. The method is definition 1.1 of Shekhar and Ramdas, with the mixture of
+// Robbins. Without outcomes the bounds are 0 and 1.
 func ConfidenceBounds(failures, outcomes, level float64) (low, high float64) {
 	if outcomes <= 0 {
 		return 0, 1
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -28,15 +28,15 @@
 	maxClasses  = 256
 )
 
-// totalLevel is the probability that any of the bounds of a version is ever wrong. It is divided equally among the
-// request classes.
+// totalLevel is the maximum probability that any bound of a version is ever wrong. Each request class gets an equal
+// part of totalLevel (Store.level).
 const totalLevel = 0.05
 
 // Source is who observed an outcome.
 type Source uint8
 
 // The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
-// observed itself. They are therefore explained separately, and no bound is derived from them.
+// observed itself. Explain therefore describes the three sources separately, and Estimates counts SourceRelay alone.
 const (
 	SourceRelay       Source = iota // observed by this relay
 	SourceWrongAnswer               // reported by a client as a wrong answer
@@ -60,7 +60,7 @@
 // delayLimits are the upper ends of the first four ranges of WrongAnswerDelays.
 var delayLimits = [4]balancer.Tick{balancer.Second, 10 * balancer.Second, 60 * balancer.Second, 600 * balancer.Second}
 
-// Vote is one vote, with the estimates at the time when it was cast.
+// Vote is one vote, with the estimates of all request classes at the time of the vote.
 type Vote struct {
 	At        balancer.Tick `json:"at"`
 	Stage     int           `json:"stage"`
@@ -249,7 +249,7 @@
 
 // DecayedCounts returns the outcomes and failures of each request class at a version, for a balancer that restarts. The
 // counts are halved for each half-life since the store was last told of the version (LastSeen). Outcomes are rounded
-// down and failures are rounded up, as evidence against a version must not be lost by a restart.
+// down and failures are rounded up, so that a restart does not lose evidence against a version.
 func (s *Store) DecayedCounts(now balancer.Tick, number uint16, halfLife balancer.Tick) (outcomes, failures []int) {
 	v := s.findVersion(number)
 	if v == nil {
--- a/internal/migration/bench_test.go
+++ b/internal/migration/bench_test.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// BenchmarkPlanner_DeviceMove measures all operations of a migration after a device moves, in the table and the planner.
+// BenchmarkPlanner_DeviceMove measures the migration that follows the move of a device: all operations, in the planner and in
+// the placement table.
 func BenchmarkPlanner_DeviceMove(b *testing.B) {
 	benchmarkFleets(b, func(b *testing.B, h *immediateHost, all []NodeStatus) {
 		b.Helper()
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -48,8 +48,8 @@
 		(old.FreeSlots < 0) != (status.FreeSlots < 0)
 }
 
-// onCopiesLost records that a node has restarted without its copies. An instance whose primary it was can only continue on a
-// replica. For an instance of which it was a replica, the node is now an empty replica.
+// onCopiesLost records that a node has restarted without its copies. If the node was the primary of an instance, the instance
+// can only continue on a replica. If the node was a replica of an instance, the node is now an empty replica.
 func (p *Planner) onCopiesLost(n *node) {
 	p.countPoisonCandidates(n)
 	for i := range n.primaryOf {
@@ -62,7 +62,7 @@
 	}
 }
 
-// markExcess marks as excess the lightest instances of a node that has more instances than slots, as many as exceed the slots.
+// markExcess marks instances of a node that has n instances more than slots: the n lightest ones are marked as excess.
 func (p *Planner) markExcess(n *node) {
 	all := byWeight(maps.Keys(n.primaryOf))
 	for at, i := range all {
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -29,10 +29,10 @@
 	}
 	successor := p.successor(i)
 	if successor != nil && p.leaseEndsSoon(successor) {
-		// The wait guards against failing over to a replica that failed at the same moment as the primary. Such a fail-over would
-		// count another failure and leave the instance without a primary for another lease duration. The fail-over therefore
-		// waits until the replica renews its lease or the lease expires. A live replica that is slow to renew looks the same and
-		// delays the fail-over by up to the rest of its lease.
+		// The replica may have failed at the same moment as the primary. A fail-over to a failed replica would count another
+		// failure and leave the instance without a primary for another lease duration. The fail-over therefore waits until
+		// the replica renews its lease or that lease expires. A live replica that is slow to renew looks the same as a failed
+		// one. It delays the fail-over by at most the remaining time of its lease.
 		p.scheduleReview(i, p.now+max(1, p.config.Lease/shortLeaseReviewDivisor))
 		return
 	}
@@ -45,10 +45,12 @@
 
 // failsItsPrimaries reports whether an instance is presumed to cause the failures of its primaries.
 //
-// The check guards against an instance that makes each node that runs it fail. Nodes that fail for other reasons look the same
-// if one instance was on all of them: that instance is then quarantined wrongly, and an operator has to release it. If several
-// instances on the failed node are candidates (countPoisonCandidates), they all continue, each with its replica on a different
-// node, until a node fails on which only one of them was. That costs one or two more node failures.
+// The check guards against an instance that makes each of its primaries fail. Primaries that fail for other reasons look the
+// same if the instance was on all of them: the instance is then quarantined wrongly, and an operator has to release it.
+//
+// If a failed node has several candidates (countPoisonCandidates), all candidates continue, each with its replica on a
+// different node. They continue until a node fails that runs only one candidate, which costs one or two more node failures.
+// After poisonFailureFactor*Config.MaxFailures failures, an instance is quarantined even if there are other candidates.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
 	if failures < p.config.MaxFailures {
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -37,11 +37,11 @@
 // moveHistory records the migrations of an instance.
 type moveHistory struct {
 	last   tick.Tick // time of the last cut-over, 0 for none
-	streak int       // number of cut-overs in a row that each came soon after the previous one (recordMove); 0 if the last one did not
+	streak int       // number of consecutive cut-overs that each came soon after the previous one (recordMove); 0 if the last cut-over did not
 }
 
-// stayUntil returns the time before which an instance makes no move that is not urgent. The stay doubles with each consecutive
-// move of the streak.
+// stayUntil returns the time before which an instance makes no move that is not urgent. The minimum stay after a cut-over is
+// dwell, doubled for each move of the streak.
 func (h moveHistory) stayUntil(dwell tick.Tick) tick.Tick {
 	if h.last == 0 {
 		return 0
@@ -49,8 +49,8 @@
 	return h.last + dwell<<h.streak
 }
 
-// recordMove records a cut-over. The streak grows if at most twice the last stay has passed since the previous cut-over, and
-// otherwise restarts at 0.
+// recordMove records a cut-over. The streak grows if the time since the previous cut-over is at most twice the minimum stay,
+// dwell<<streak (see stayUntil). Otherwise the streak restarts at 0.
 func (h *moveHistory) recordMove(now, dwell tick.Tick) {
 	if h.last != 0 && now-h.last <= 2*dwell<<h.streak {
 		h.streak = min(h.streak+1, maxMoveStreak)
@@ -107,7 +107,7 @@
 type wait struct {
 	queue    *queue // nil if the instance waits in no queue
 	position int
-	risk     float64 // the primary's risk when the instance began to wait for a node or a link
+	risk     float64 // the primary's risk when waitForTarget added the instance to the queue; 0 in a ready queue
 	forBound bool    // the instance is in the boundWaiters of its primary or of the planner
 }
 
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -2,7 +2,7 @@
 
 import "silvercove/internal/placement"
 
-// Fractions of Config.MaxMoves, MaxMovesPerNode and MaxMovesPerLink. Copies may use this fraction of a bound, and the rest is
+// Fractions of the bounds Config.MaxMoves, MaxMovesPerNode and MaxMovesPerLink that copies may use. The rest of each bound is
 // kept for migrations.
 const (
 	replicaCopiesShare       = 0.75 // fraction for copies that restore replicas
@@ -10,7 +10,8 @@
 )
 
 // Intervals between scheduled reviews of waiting instances. When capacity becomes free, only a few waiting instances are
-// reviewed at once. If those instances do not use the capacity, scheduled reviews offer it to the remaining ones.
+// reviewed at once. If those instances do not use the capacity, the remaining instances can use it at their scheduled
+// reviews.
 const (
 	boundReviewDivisor      = 4 // an instance with too few replicas that waits because a bound is used up is reviewed after Lease/boundReviewDivisor
 	fullLinkReviewLeases    = 4 // lease durations until the review of an instance that waits because a link is full
@@ -88,8 +89,8 @@
 		p.enqueue(&fullLink.waiting, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+fullLinkReviewLeases*lease))
 	case i.need.reason == tooFewRemoteReplicas:
-		// Either there is only one zone, or the nodes of all other zones evacuate or have no room. A zone or a slot that becomes
-		// available wakes the instance earlier.
+		// Either the fleet has only one zone, or the nodes of all other zones evacuate or have no room. If a zone or a slot
+		// becomes available, the instance is reviewed before the scheduled time (wake).
 		p.enqueue(&p.waitingRemote, i, risk)
 		p.scheduleReview(i, earlier(i.review.due, p.now+remoteReviewFactor*(lease+p.config.RestartAfter)))
 	case i.need.reason == deviceElsewhere:
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -10,14 +10,14 @@
 // NodeStatus is what the leading controller knows of a node.
 type NodeStatus struct {
 	Name, Zone     string
-	Incarnation    uint64    // number of the node's process; each later process has a greater one and starts with empty memory
-	LeaseEnd       tick.Tick // end of the node's lease by the controller's clock, with drift added; the node does not act later; 0 if unknown
+	Incarnation    uint64    // number of the node's process; each later process has a greater number and starts with empty memory
+	LeaseEnd       tick.Tick // end of the node's lease by the controller's clock, plus clock drift; the node does not act after this time; 0 if unknown
 	Accepting      bool      // the node accepts new instances
 	Limited        bool      // the node accepts only a few new instances
 	Evacuating     bool      // the node's instances have to move away
 	ShuttingDown   bool      // the node terminates on purpose
 	Risk           float64   // how near the node is to failing, from 0 to 1; instances of the nodes most at risk move first
-	FreeSlots      int       // number of additional instances that the node accepts; if negative, the number of instances in excess
+	FreeSlots      int       // number of additional instances that the node accepts; -n if the node has n instances more than slots
 	ListedDraining bool      // the endpoint list says that the node is draining
 	Version        uint16    // software version that the node runs
 	RollingBack    bool      // Version is being rolled back
@@ -36,7 +36,7 @@
 
 	moves    int                    // moves from and to this node that are in progress or proposed
 	incoming map[*instance]struct{} // instances of the moves to this node
-	reserved int                    // number of the FreeSlots that are taken by moves to this node and by starts chosen for it since its last status
+	reserved int                    // number of FreeSlots taken by moves to this node and, since its last status, by instances that start or restart on it
 	recent   recentMoves
 
 	poisonCandidates int // number of this node's instances that may have caused its failure; set when the node fails
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -63,8 +63,8 @@
 	case primary.isLeaving():
 		return primaryLeaving, 0
 	case primary.Evacuating && i.history.streak > 0:
-		// The stay guards against two evacuating nodes that hand an instance back and forth: it doubles with each consecutive
-		// move.
+		// Two evacuating nodes could otherwise hand an instance back and forth. The minimum stay doubles with each
+		// consecutive move (stayUntil).
 		return primaryEvacuating, stay
 	case primary.Evacuating:
 		return primaryEvacuating, 0
@@ -102,7 +102,7 @@
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
 		if c.remote <= p.config.RemoteReplicas && n.isRemoteTo(i.primaryNode) && !n.unreliable() {
-			continue // this remote replica is needed: one in the primary's zone or an unreliable one is dropped instead
+			continue // the instance needs this remote replica; a replica in the primary's zone or an unreliable replica is dropped instead
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
 			worst = n
@@ -221,8 +221,9 @@
 func (p *Planner) copyDeadline(i *instance, target *node) tick.Tick {
 	end := i.copySince + p.config.RestartAfter
 	if p.hasNearerTarget(i, target) && !i.hasReliableReplica() {
-		// The shorter deadline guards against entries that exist on the primary alone while another zone is unreachable. A large
-		// state on a slow link looks the same: the instance is then first copied within its own zone.
+		// Without a reliable replica, entries exist on the primary alone until a copy ends. A copy to an unreachable zone
+		// would not end, so the shorter deadline cancels it, and the instance is copied within its primary's zone. A copy of
+		// a large state over a slow link is cancelled in the same way.
 		end = min(end, i.copySince+unreplicatedCopyLeases*p.config.Lease)
 	}
 	return end
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -41,7 +41,7 @@
 
 	pendingReviews   []*instance    // instances to review now, in order of arrival
 	scheduledReviews reviewQueue    // instances with a scheduled review, by time
-	readyNodes       readyNodeQueue // nodes that have room for a move and instances ready to move
+	readyNodes       readyNodeQueue // nodes with instances in their ready queue and with fewer moves than Config.MaxMovesPerNode
 
 	waitingAnywhere queue // instances that accept any node and found none
 	waitingRemote   queue // instances that need a node in another zone and found none
@@ -108,8 +108,8 @@
 	return p.nodes[name] != nil && p.nodes[name].pendingFailOvers > 0
 }
 
-// processPending does the pending reviews, then the scheduled ones that are due, then the most urgent moves, until the budget,
-// a number of reviews and moves, is used up. It reports whether no work is left that can be done now.
+// processPending does the pending reviews, then the scheduled reviews that are due, then the most urgent moves. It stops
+// after a total of budget reviews and moves. It reports whether no work is left that can be done now.
 func (p *Planner) processPending(budget int) bool {
 	if !p.leads || p.processing {
 		return true
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -117,7 +117,8 @@
 	sim.compareTimeline(t, "zone-evacuates")
 }
 
-// countInstances subtracts the number of a node's instances from its free slots, every lease/50.
+// countInstances updates the node's free slots every lease/50: the slots that were free at the call of countInstances, minus
+// the instances whose primary is this node.
 func (n *simulatedNode) countInstances() {
 	slots := n.FreeSlots
 	var update func()
@@ -153,7 +154,8 @@
 	if n == 0 || n > 8 {
 		t.Errorf("%d moves in ten minutes", n)
 	}
-	// Two nodes at the same risk should not exchange instances. This is not checked: the test ends without another run.
+	// Two nodes at the same risk should not exchange instances. The test does not check this: it does not run the simulation
+	// after it sets the risks.
 	for _, node := range sim.nodes {
 		node.Risk = 0.9
 	}
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -49,8 +49,8 @@
 	return true
 }
 
-// settleProposal clears the pending proposal if the new assignment shows its result, and the pending fail-over once the
-// primary or the epoch has changed.
+// settleProposal clears the pending proposal if the new assignment shows the result of the proposal. It also ends the pending
+// fail-over (endFailOver) if the primary or the epoch has changed.
 func (p *Planner) settleProposal(i *instance, old placement.Assignment) {
 	if i.proposal.pending() && isApplied(i.proposal.operation, i.Assignment) {
 		i.proposal.operation = placement.Operation{}
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// wake queues reviews of at most limit and at most Config.MaxMovesPerNode instances that found no target: the most urgent
-// first, and among equals those most at risk. The scheduled reviews of these instances would not follow that order.
+// wake queues reviews of instances in q, which found no target: the most urgent first, and among equals those most at risk.
+// It queues at most limit reviews and at most Config.MaxMovesPerNode. The scheduled reviews of these instances would not
+// follow that order.
 func (p *Planner) wake(q *queue, limit int) {
 	for range min(limit, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
@@ -71,8 +72,8 @@
 	}
 }
 
-// readyNodeQueue is a heap of nodes with room for a move and instances ready to move. The order is by the urgency of each
-// node's first instance, then by the node's risk, highest first.
+// readyNodeQueue is a heap of nodes that have instances in their ready queue and fewer moves than Config.MaxMovesPerNode. The
+// order is by the urgency of each node's first instance, then by the node's risk, highest first.
 type readyNodeQueue []*node
 
 // Len implements heap.Interface.
@@ -189,8 +190,8 @@
 	return i
 }
 
-// queueReviewsOf queues reviews of all instances of which a node is the primary, then of those of which it is a replica, then
-// of those that are being moved or copied to it. Each group is in order of descending weight.
+// queueReviewsOf queues reviews of all instances of a node: first of those whose primary is the node, then of those with a
+// replica on the node, then of those that are moved or copied to the node. Each group is in order of descending weight.
 func (p *Planner) queueReviewsOf(n *node) {
 	for _, all := range []map[*instance]struct{}{n.primaryOf, n.replicaOf, n.incoming} {
 		for _, i := range byWeight(maps.Keys(all)) {
@@ -199,8 +200,8 @@
 	}
 }
 
-// boundWaiters lists the instances that wait to be copied because the moves in progress or proposed reach the fraction of a
-// bound that copies may use (copiesFull). The instances are in order of arrival.
+// boundWaiters lists instances that wait to be copied, in order of arrival. Copies may use only a fraction of each bound on
+// moves, and the moves in progress or proposed have reached that fraction (copiesFull).
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances that only lack a replica in another zone
@@ -218,9 +219,9 @@
 	}
 }
 
-// reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. If all
-// instances of a node lost a replica, they are therefore copied one after the other, rather than a few at each scheduled
-// review.
+// reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. It is
+// called when a move ends. If all instances of a node lack a replica, each copy that ends thus lets the next copy start.
+// Scheduled reviews alone would start only a few copies at a time.
 func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
 	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
 		list := &waiters.replicas
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -19,7 +19,7 @@
 
 const (
 	// rebuildEpochGap is added to the latest known epoch of an instance when its assignment is rebuilt. The sum exceeds every
-	// epoch that was reported, and every epoch that an unresponsive node may have been assigned without another node learning of it.
+	// epoch that was reported. It also exceeds every later epoch that only an unresponsive node may have learned of.
 	rebuildEpochGap = 1000
 
 	// maxRebuiltStaleCopies bounds the older copies that are recorded for one instance.
@@ -27,10 +27,10 @@
 )
 
 // Rebuild derives assignments from the copies that nodes report and from an earlier state of the table, if there is one. An
-// instance continues on a node that certainly has every acknowledged entry. That is a node that was the primary or a replica in
-// the latest known epoch. If no node is unresponsive, it is the node with the best copy (bestFirst). Otherwise the instance is
-// lost: it waits for a node that has every entry, and is restarted from a known older copy after Config.RestartAfter. The notes
-// name each instance that is lost or may have lost entries.
+// instance continues on a node that certainly has every acknowledged entry. That is a node that was the primary or a replica
+// in the latest known epoch (isAuthoritative) or, if no node is unresponsive, the node with the best copy (bestFirst).
+// Without such a node the instance is lost: it waits for a node that has every entry, and is restarted from a known older
+// copy after Config.RestartAfter. The returned notes name each instance that is lost or may have lost entries.
 func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
 	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
 	for _, n := range nodes {
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -11,7 +11,7 @@
 const (
 	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
 	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
-	skippableZones = 2 // number of zones that the sample skips if it contains them: the device's and the primary's
+	skippableZones = 2 // number of zones beyond sampledZones to go through, because two may be skipped: the device's and the primary's
 )
 
 // Risk margins and limits of targets.
@@ -27,14 +27,14 @@
 // most, then free slots and moves in progress.
 const (
 	riskWeight      = 2.0     // weight of the node's risk
-	freeSlotsWeight = 0.5     // weight of the node's free slots, as a fraction of enoughFreeSlots
+	freeSlotsWeight = 0.5     // weight of the quotient of the node's free slots and enoughFreeSlots, which counts as at most 1
 	enoughFreeSlots = 16      // free slots beyond this number add nothing to the score
-	movesWeight     = 0.5     // weight of the node's moves in progress or proposed, as a fraction of Config.MaxMovesPerNode
+	movesWeight     = 0.5     // weight of the quotient of the node's moves in progress or proposed and Config.MaxMovesPerNode
 	replicaBonus    = 0.5     // added for a replica, which already has the state
-	largeStateBytes = 1 << 20 // bytes of state for which a replica scores 1 more; less state scores proportionally less
+	largeStateBytes = 1 << 20 // bytes of state from which on a replica scores 1 more than replicaBonus; a smaller state adds proportionally less
 	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // weight of the number of replicas on the node per instance of the primary; only for remote replicas; the term may exceed 1
-	tieBreakWeight  = 0.1     // weight of a hash of node and instance; 1 instead if primaries of the instance have failed
+	crowdingWeight  = 0.5     // weight of the quotient of the node's replicas and the primary's instances + 1; only for remote replicas; the quotient may exceed 1
+	tieBreakWeight  = 0.1     // weight of a hash of node and instance; the weight is 1 if primaries of the instance have failed
 )
 
 // Constants of the hash that scatters instances whose primaries have failed (targetSearch.tieBreak).
@@ -200,13 +200,15 @@
 	return true
 }
 
-// isSaferTarget reports whether a node's risk is lower than an evacuating primary's by evacuationMargin. The estimate of both
-// risks includes the recent and the current moves of the two nodes.
+// isSaferTarget reports whether a node's risk is lower than an evacuating primary's risk by at least evacuationMargin. Both
+// risks are estimates that include the recent and the current moves of the two nodes.
 //
-// The estimate guards against two evacuating nodes that hand all their instances to each other. Reports of risk lag behind, so
-// the moves in progress and those of the last one to two lease durations are counted on both nodes, each at the primary's risk
-// per instance. Risk that comes from an empty battery looks the same, but does not go down with each instance that leaves: the
-// instances then leave in several rounds, one per report.
+// By reported risks alone, two evacuating nodes could hand all their instances to each other, because the reports lag behind
+// the moves. The estimates therefore count the moves in progress and the moves of the last one to two lease durations. Each
+// move counts as the primary's risk per instance.
+//
+// Risk that comes from an empty battery does not go down with each instance that leaves, although the estimate assumes so.
+// The instances of such a node leave in several rounds, one per report.
 func isSaferTarget(n, primary *node) bool {
 	riskPerInstance := min(maxRiskPerInstance, primary.Risk/float64(max(1, len(primary.primaryOf))))
 	arriving := float64(len(n.incoming) + n.recent.arrivals[0] + n.recent.arrivals[1] + 1)
@@ -214,8 +216,8 @@
 	return n.Risk+riskPerInstance*arriving <= primary.Risk-riskPerInstance*departing-evacuationMargin
 }
 
-// score rates a node for the instance. Risk counts most, then free slots and moves in progress. A replica scores higher because
-// it already has the state. The larger the state is, the higher a replica scores.
+// score rates a node for the instance. Risk counts most, then free slots and moves in progress. A replica scores higher
+// because it already has the state: by replicaBonus, and by up to 1 more for a large state (largeStateBytes).
 func (s *targetSearch) score(n *node) float64 {
 	i := s.instance
 	score := -riskWeight*n.Risk + freeSlotsWeight*min(1, float64(n.FreeSlots-n.reserved)/enoughFreeSlots) -
@@ -226,15 +228,15 @@
 	if n.Limited {
 		score -= limitedPenalty
 	}
-	if s.remote { // guards against remote replicas of the whole fleet that all go to a few nodes
+	if s.remote { // without this term, the remote replicas of the whole fleet could go to a few nodes
 		score -= crowdingWeight * float64(len(n.replicaOf)) / float64(1+len(i.primaryNode.primaryOf))
 	}
 	return score + s.tieBreak(n)
 }
 
-// tieBreak spreads instances over nodes with similar scores. Instances whose primary has failed get the hash at the weight 1
-// instead of tieBreakWeight. That scatters instances that failed together, one of which may have caused the failure, so that
-// they do not fail together again.
+// tieBreak returns a weighted hash of instance and node, which spreads instances over nodes with similar scores. The weight
+// is tieBreakWeight, or 1 if primaries of the instance have failed. The weight 1 scatters the instances of a failed node. One
+// of them may have caused the failure, and the others should not be on its next node.
 func (s *targetSearch) tieBreak(n *node) float64 {
 	mixed := s.hash ^ xxhash.Sum64String(n.Name)
 	if s.instance.Failures > 0 {
--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -47,8 +47,8 @@
 	return r.assignment, nil
 }
 
-// create adds an instance with an epoch that its name has never had, so that operations of the primary of a deleted instance of
-// the same name have an older epoch and are refused.
+// create adds an instance with an epoch that its name has never had. An operation of the primary of a deleted instance of the
+// same name thus has an older epoch and is refused.
 func (t *Table) create(existing *row, op Operation) (Assignment, error) {
 	if existing != nil {
 		return existing.assignment, ErrExists
@@ -66,7 +66,7 @@
 	switch {
 	case op.Epoch > current.Epoch:
 		return fmt.Errorf("%w: epoch %d is later than the current epoch", ErrInvalid, op.Epoch)
-	case op.Epoch < current.Epoch && op.Kind != OpMoveDevice: // the zone of a device does not depend on the primary
+	case op.Epoch < current.Epoch && op.Kind != OpMoveDevice: // OpMoveDevice may name an earlier epoch: the device's zone does not depend on the primary
 		return ErrStaleEpoch
 	case op.Revision != 0 && op.Revision != current.Revision:
 		return fmt.Errorf("%w: the operation requires revision %d, the current revision is %d", ErrStaleEpoch, op.Revision, current.Revision)
@@ -83,16 +83,16 @@
 		slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.StaleCopies, b.StaleCopies)
 }
 
-// SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record. A reason
-// for a later epoch than the current one, or one that is too long or not valid UTF-8, is ignored.
+// SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record. A call
+// is ignored if the epoch is later than the current one, or if the reason is too long or not valid UTF-8.
 //
-// The record does not count as a change of the assignment: no decision depends on it, and a controller of an earlier version,
-// which ignores it, must arrive at the same revisions and versions. Callers of Since therefore receive the reason with the next
-// change of the instance or with a complete list.
+// The record does not change the revision of the assignment or the version of the table. No decision depends on the record. A
+// controller of an earlier version ignores the record, but must arrive at the same revisions and versions. Callers of Since
+// therefore receive the reason with the next change of the instance or with a complete list.
 func (t *Table) SetUnverified(instance string, epoch uint64, reason string) {
 	r := t.rows[instance]
 	if r == nil || r.assignment.Epoch < epoch || len(reason) > maxReasonBytes || !utf8.ValidString(reason) {
 		return
 	}
-	r.assignment.UnverifiedReason = reason // does not change an assignment that was returned: callers have copies
+	r.assignment.UnverifiedReason = reason // assignments that were returned earlier keep their reason: callers have copies
 }
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -67,8 +67,8 @@
 	Reason   string        `json:"reason,omitempty"`
 }
 
-// Errors with which an operation is refused. A refused operation changes nothing. The texts are sent over the wire, and
-// callers recognize the errors by them (package controllerclient).
+// Errors with which an operation is refused. A refused operation changes nothing. The error texts are sent over the wire, and
+// package controllerclient recognizes the errors by these texts.
 var (
 	ErrNotFound           = errors.New("no instance of this name")
 	ErrExists             = errors.New("an instance of this name is there already")
--- a/internal/placement/operations.go
+++ b/internal/placement/operations.go
@@ -84,7 +84,8 @@
 	return t.next.CopyTarget == t.op.Target && !t.next.CutOver && t.op.CutOver
 }
 
-// replicaReady makes the target a replica, as the primary reports that the target has every acknowledged entry.
+// replicaReady makes the target a replica. The operation is the report of the primary that the target has every acknowledged
+// entry.
 func (t *transition) replicaReady() error {
 	a := &t.next
 	if err := t.requireFromPrimary(); err != nil {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// cutOver makes the target the primary of the next epoch. The old primary has stopped, so it has every acknowledged entry and
+// cutOver makes the target the primary of the next epoch. The old primary has stopped and has every acknowledged entry, and
 // becomes a replica.
 func (t *transition) cutOver() error {
 	a := &t.next
@@ -189,8 +190,8 @@
 	return nil
 }
 
-// reportIncomplete removes a node that lacks entries which a primary or a replica must have. If the node is the primary, a
-// replica becomes the primary of the next epoch, or without a target the instance becomes lost.
+// reportIncomplete removes a node that lacks entries which a primary or a replica must have. If the node is the primary, the
+// operation's Target, a replica, becomes the primary of the next epoch. If Target is empty, the instance becomes lost.
 func (t *transition) reportIncomplete() error {
 	a := &t.next
 	primary := t.running() && t.op.Node != "" && t.op.Node == a.Primary
@@ -231,9 +232,9 @@
 	return nil
 }
 
-// resume makes the target the primary of the next epoch. If the target is not a replica, the instance continues from an older
-// copy. Entries that other nodes have beyond that copy then belong to an abandoned history: the missing entries are counted,
-// and the replicas and the stale copies that reach further are no longer listed.
+// resume makes the target the primary of the next epoch. If the target is not a replica, the instance continues from the
+// target's older copy, which ends at the operation's Index. Entries beyond that index are abandoned, and their number is
+// added to MissingEntries. All replicas, and the stale copies that end beyond that index, are removed from the assignment.
 func (t *transition) resume() {
 	a := &t.next
 	if !t.targetIsReplica() {
@@ -282,8 +283,8 @@
 	return nil
 }
 
-// mayStillServe reports whether the instance is running and the operation does not name the instance's primary as its
-// node. In that case the primary has not been stopped.
+// mayStillServe reports whether the primary may still serve: the instance is running, and the Node of the operation is not
+// the primary. An operation that names the primary as its Node states that the primary has stopped.
 func (t *transition) mayStillServe() bool { return t.running() && t.op.Node != t.next.Primary }
 
 // stopQuarantined makes an instance quarantined. If the instance was running, the quarantine counts as one more failure.
@@ -324,8 +325,8 @@
 	forgetStaleCopy(a, node)
 }
 
-// stop removes the primary of an instance. The old primary becomes a replica: it has every acknowledged entry, as no further
-// entry is acknowledged without a primary.
+// stop removes the primary of an instance. The old primary becomes a replica. No entry is acknowledged without a primary, so
+// the old primary has every acknowledged entry.
 func stop(a *Assignment, state State) {
 	if a.Primary != "" {
 		addReplica(a, a.Primary)
--- a/internal/placement/operations_test.go
+++ b/internal/placement/operations_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestTable_RefusesOperationOfAnotherRevision guards against a replica that lacks entries: an OpReplicaReady that belongs to a
-// cancelled copy arrives while a second copy to the same node, in the same epoch, is under way.
+// TestTable_RefusesOperationOfAnotherRevision guards against a replica that lacks entries. A delayed OpReplicaReady of a
+// cancelled copy arrives while a second copy to the same node is under way in the same epoch. Only the revision tells the two
+// copies apart.
 func TestTable_RefusesOperationOfAnotherRevision(t *testing.T) {
 	tab := New()
 	for _, text := range strings.Split("create c >a; copy c@1 >b !", "; ") {
--- a/internal/placement/table.go
+++ b/internal/placement/table.go
@@ -40,7 +40,7 @@
 	byReplica index           // rows by replica
 	byZone    index           // rows by the zone of the device
 	version   uint64
-	newest    *row // the row that was changed last; row.older leads to the one changed before it
+	newest    *row // the row that was changed last; row.older leads to the row that was changed before that row
 	oldest    *row
 
 	deletions     []deletion          // the latest deletions, ordered by version
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -20,9 +20,9 @@
 // CheckSupported returns ErrUnsupportedVersion if an operation has a later format version or an unknown kind, whatever the state
 // of the table.
 //
-// Table.Apply refuses an unsupported operation, which is sufficient for a single table. If several controllers apply the same
-// log, those that support the operation apply it. A controller that refused the operation and went on would diverge from them,
-// so such a controller must stop applying the log.
+// For a single table it is sufficient that Table.Apply refuses an unsupported operation. If several controllers apply the
+// same log, some may support the operation and apply it. A controller that refused the operation and went on would then
+// diverge from the others. A controller that does not support the operation must therefore stop applying the log.
 func CheckSupported(op Operation) error {
 	if op.Version > FormatVersion {
 		return fmt.Errorf("%w: operation format %d, this program reads up to %d", ErrUnsupportedVersion, op.Version, FormatVersion)
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -35,7 +35,7 @@
 	minPending        = 2             // number of installations that may be pending at once even if maxPendingShare allows fewer
 	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one installation may be pending
 	recentResults     = 16            // upper bound of the number of installations that count as recent
-	roundingTolerance = 1e-9          // added to the cap times the number of servers, so that a rounding error does not lower the floor of the product
+	roundingTolerance = 1e-9          // added to exposureCap times the number of servers before rounding down, so that a rounding error does not cost one server
 )
 
 // Host carries out the decisions of a Rollout. It must not call back into the Rollout.
@@ -104,8 +104,8 @@
 }
 
 // OnListComplete records the end of a list or of an update of the list. A server that is no longer listed is assigned
-// the released version, in case the server still fetches metadata. The server is dropped once it cannot act on metadata
-// that name another version.
+// the released version, because the server may still fetch metadata. The server is dropped once it cannot act on
+// metadata that name another version.
 func (r *Rollout) OnListComplete(now Tick) {
 	for _, s := range r.servers {
 		if !s.listed && s.assigned != s.released {
--- a/internal/stagedrollout/rollout_test.go
+++ b/internal/stagedrollout/rollout_test.go
@@ -351,9 +351,9 @@
 	}
 }
 
-// TestRollout_KeepsExposureCapUnderAnyOrder: for any order of events, the number of assigned servers never exceeds the
-// cap's share of the listed servers, rounded down. An assignment raises the number of servers that may install the
-// version to that share at most.
+// TestRollout_KeepsExposureCapUnderAnyOrder: for any order of events, the number of servers that are assigned the
+// version never exceeds a limit. The limit is the exposure cap's share of the listed servers, rounded down. An
+// assignment never raises the number of servers that may install the version above the limit.
 func TestRollout_KeepsExposureCapUnderAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newTestFleet(rapid.IntRange(1, 40).Draw(rt, "servers"))
--- a/internal/stagedrollout/server.go
+++ b/internal/stagedrollout/server.go
@@ -16,7 +16,7 @@
 	rank            float64 // position in the order of the newest version, from 0 (first) to 1
 	failures        int     // number of failed installations of the newest version
 	retryAt         Tick    // after a failed installation: the server is not assigned the newest version before this time
-	excluded        bool    // whether the server declined the newest version or failed to install it too often, so that it is never assigned again
+	excluded        bool    // whether the server declined the newest version or failed to install it too often; the server is never assigned that version again
 }
 
 // Assigned returns the version that the server's metadata must name; 0 means that there is none.
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -12,8 +12,8 @@
 	Excluded        bool   // whether the server is permanently excluded from the newest version
 	NotBefore       Tick   // the server is not assigned the newest version again before this time; 0 if no installation has failed
 	MayInstallUntil Tick   // after a roll-back: the server may act on the newest version until this time
-	Rank            int    // index in the order of assignment, from 0
-	Servers         int    // number of servers in the order, including servers that are no longer listed but still kept
+	Rank            int    // index of the server, from 0, in the order of assignment (sortServers)
+	Servers         int    // number of servers in the order of assignment, including servers that are no longer listed but still kept
 	MaxAssigned     int    // number of servers that may be assigned the newest version
 	MayInstall      int    // number of servers that may act on metadata that name the newest version
 }
