--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -44,8 +44,8 @@
 }
 
 // updateList moves the session to the list that properList returns. If that list grows beyond MaxIdle, updateList
-// evicts the first session of the list, because each session holds a slot that a request of a new client may need. A
-// low MaxIdle suffices, because clients open few connections. The server's mu must be held.
+// evicts the first session of the list, because each session holds a slot that a request of a new client may need.
+// MaxIdle can be far below MaxSessions, because a client opens few connections. The server's mu must be held.
 func (s *session) updateList() {
 	l := s.properList()
 	if l == s.list {
@@ -85,8 +85,8 @@
 }
 
 // evictFirst evicts the first session of a list and reports whether it did so. It spares a session of the incomplete
-// list whose last activity is less than ContendedTimeout ago, because its message may still be on its way. The server's
-// mu must be held.
+// list whose last activity is less than ContendedTimeout ago, because the client may still be sending the message. The
+// server's mu must be held.
 func (srv *Server) evictFirst(l *list.List) bool {
 	if l.Len() == 0 {
 		return false
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -124,8 +124,8 @@
 	}), backend
 }
 
-// startReplying starts a backend that answers each query with the result of reply. The number that reply gets counts
-// the queries from 1.
+// startReplying starts a backend that answers each query with the result of reply(number). number counts the queries
+// from 1.
 func startReplying(tb testing.TB, reply func(number int) string) *scriptedbackend.Backend {
 	tb.Helper()
 	return scriptedbackend.Start(tb, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
@@ -173,13 +173,13 @@
 	return c.(*net.TCPConn)
 }
 
-// send writes parts as a client does. It ignores a failed write, because the test then fails for want of the expected
-// replies.
+// send sends the given parts in one write. A write error is ignored, because the test then fails when it does not get
+// the expected replies.
 func send(c net.Conn, parts ...string) {
 	_, _ = io.WriteString(c, strings.Join(parts, ""))
 }
 
-// want reads as many bytes as parts hold, and checks that the bytes equal parts.
+// want reads as many bytes as the given parts have together, and checks that the bytes equal the parts.
 func want(tb testing.TB, c net.Conn, parts ...string) {
 	tb.Helper()
 	expected := strings.Join(parts, "")
@@ -197,8 +197,8 @@
 	}
 }
 
-// replyState reads one complete reply and returns its SQLSTATE. Tests use it where a request may be rejected: a backend
-// that has answered few requests gets no more than a few at once, and further requests are rejected.
+// replyState reads one complete reply and returns its SQLSTATE. Tests use it where a request may be rejected: the relay
+// sends only a few requests at a time to a backend that has answered few so far, and rejects further requests.
 func replyState(tb testing.TB, c net.Conn) string {
 	tb.Helper()
 	var in []byte
@@ -218,8 +218,8 @@
 	}
 }
 
-// waitUntil waits until holds returns true. If that takes too long, the test fails with what, a description of the
-// condition.
+// waitUntil waits until the function holds returns true. If that takes too long, the test fails with the parameter
+// what, which describes the condition.
 func waitUntil(tb testing.TB, what string, holds func() bool) {
 	tb.Helper()
 	backends.Eventually(tb, what, holds)
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -72,10 +72,10 @@
 	}
 }
 
-// idleDeadline returns the time until which the session waits for a message. For an aborted session, that time has
-// passed. While requests are in progress, it is IdleTimeout from now. After CloseIdleSessions, a session that has had
-// no request still has ContendedTimeout from its last activity, so that a client that connected just before is not
-// disconnected at once. The server's mu must be held.
+// idleDeadline returns the time until which the session waits for a message. If the session must end now, that time is
+// in the past. While requests are in progress, it is IdleTimeout from now. After CloseIdleSessions, a session that has
+// had no request may wait until ContendedTimeout after its last activity, so that a client that has just connected is
+// not disconnected at once. The server's mu must be held.
 func (s *session) idleDeadline() time.Time {
 	limits := &s.server.limits
 	switch {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -31,9 +31,9 @@
 	return ok
 }
 
-// startRequest starts a goroutine that serves the request of a query and then releases the buffer reservation of size
-// bytes. A query that yields no request is answered at once, and started is false. If ok is false, the session must
-// end.
+// startRequest starts a goroutine that serves the request of a query. The goroutine then releases the size bytes that
+// are reserved for the query's buffer. A query that yields no request is answered at once, and started is false. If ok
+// is false, the session must end.
 func (s *session) startRequest(text []byte, terminated bool, size int) (started, ok bool) {
 	if terminated && len(bytes.Trim(text, " ;\t\r\n")) == 0 {
 		return false, s.reply(pgwire.EmptyQueryResponse())
@@ -50,7 +50,7 @@
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textUnknownClass)
 	}
 	switch s.register(call, query.ID) {
-	case duplicateID: // the ID may be that of another client's request, whose reply this client must not get
+	case duplicateID: // the open request with this ID may be another client's, and this client must not get its reply
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textDuplicateID)
 	case tooManyRequests:
 		return false, s.rejectForSpace()
@@ -65,8 +65,8 @@
 	return true, true
 }
 
-// newRequest returns the dispatcher's request for a query. The request times out before the process may be killed,
-// because a kill would leave it unanswered.
+// newRequest returns the dispatcher's request for a query. After StopBefore, the request times out at stopAt at the
+// latest, because the process may be killed after that time, and the request would get no reply.
 func (s *session) newRequest(query *pgwire.Query) dispatch.Request {
 	timeout := query.Timeout
 	s.server.mu.Lock()
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -41,10 +41,10 @@
 	buffers        *transport.BufferBudget
 	limits         overload.ListenerLimits
 	messageTimeout time.Duration // time limit for a message to arrive completely, and for a client to read a reply
-	retryAfter     string        // Retry-After, in milliseconds, of the replies of rejectForSpace; empty if none is sent
+	retryAfter     string        // Retry-After, in milliseconds, that rejectForSpace sends; empty if it sends none
 
 	mu          sync.Mutex          // guards the fields below up to the counters, and the session fields that are marked as guarded
-	changed     sync.Cond           // uses mu; signalled when a session has ended or has been added to idle or incomplete
+	changed     sync.Cond           // its lock is mu; signalled when a session has ended or has been added to idle or incomplete
 	sessions    int                 // number of open sessions
 	requestIDs  map[string]struct{} // IDs of the requests in progress
 	idle        list.List           // sessions (*session) that wait for a further request, the longest idle first
@@ -85,8 +85,8 @@
 // Serve accepts connections until the listener is closed or its deadline passes, and waits for all its sessions. After
 // the deadline, Serve still takes the connections that the kernel has accepted, and then closes the listener: closing
 // it earlier would reset those connections, and requests may have arrived on them. Serve returns nil if the listener
-// was closed or its deadline has passed. It returns any other error of Accept that concerns the listener itself
-// unchanged.
+// was closed or its deadline has passed. If Accept fails for another reason that concerns the listener itself, Serve
+// returns the error of Accept.
 func (srv *Server) Serve(listener net.Listener) error {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
@@ -159,8 +159,9 @@
 	srv.stopAt = stopAt
 }
 
-// CloseIdleSessions closes each session that is between requests, now or later. A session that has had no request still
-// has ContendedTimeout for its first one.
+// CloseIdleSessions closes every session that has no request in progress and no incomplete message. A session that
+// reaches this state after the call is closed then. A session that has had no request is not closed before
+// ContendedTimeout has passed since its last activity.
 func (srv *Server) CloseIdleSessions() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -31,14 +31,14 @@
 
 	// Only the session's own goroutine uses the fields below.
 	receivedAt     time.Time      // time at which the last bytes arrived
-	lastReply      chan struct{}  // turn of the next reply: closed once all earlier replies have been written
+	lastReply      chan struct{}  // closed once all replies reserved so far have been written; the next reply waits for that
 	pendingReplies chan struct{}  // holds one element for each pending reply; its capacity is MaxPipelined
 	workers        sync.WaitGroup // goroutines of requests in progress and of replies that wait for their turn
 	overLimit      bool           // whether no session slot was free when the client connected: its requests are then rejected
 	skippingToSync bool           // whether an extended query was refused: messages up to the next Sync are then discarded
 
 	// The server's mu guards the fields below.
-	lastActivity    time.Time // time of the latest connect, greeting, end of the last open request, or first byte of a message after the first request
+	lastActivity    time.Time // when the client connected, the greeting was built, the last open request ended, or a message after the first request began, whichever was last
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
 	awaitingMessage bool                        // whether the session waits for the first byte of a message
@@ -120,7 +120,7 @@
 }
 
 // authenticate accepts the client without a password and reports whether the session goes on. If the first query has
-// already arrived, the greeting is sent together with its reply.
+// already arrived, the greeting is sent together with the reply to that query.
 func (s *session) authenticate() bool {
 	s.conn.Append(pgwire.AuthenticationOK())
 	s.server.mu.Lock()
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -17,7 +17,7 @@
 	connection       = "connection"
 )
 
-// Status codes that determine whether there is a body (RFC 9110, section 15).
+// Status codes by which parseHeader and startBody decide whether a response has a body (RFC 9110, section 15).
 const (
 	statusContinue    = 100
 	statusOK          = 200
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// startBody determines where the body ends (RFC 9112, section 6.3). It refuses a response whose body would end with the
-// connection, because an incomplete body could not be recognised.
+// startBody determines where the body ends (RFC 9112, section 6.3). It refuses a response whose body would extend to
+// the end of the connection: if such a body were cut short, the reader could not notice.
 func (r *Response) startBody(framing bodyFraming) error {
 	switch {
 	case framing.chunked && framing.length != unknownLength:
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -73,7 +73,7 @@
 }
 
 // indexWithin returns the index of a separator that ends within the first limit bytes. The index is -1 if the separator
-// has not arrived. The error is ErrTooLong if it can no longer arrive within the limit.
+// has not arrived. The error is ErrTooLong if limit bytes have arrived without the separator.
 func indexWithin(in []byte, separator string, limit int) (int, error) {
 	at := bytes.Index(in[:min(len(in), limit)], []byte(separator))
 	if at < 0 && len(in) >= limit {
--- a/internal/knownred/events.go
+++ b/internal/knownred/events.go
@@ -64,9 +64,9 @@
 	p.output = slices.DeleteFunc(p.output, func(o testEvent) bool { return o.Test == e.Test })
 }
 
-// endedInOrder reports whether the testing package printed lineTestsEnded, with nothing after it but the lines of go
-// test. After a panic, an exit or a timeout, lineTestsEnded is missing. The tests that had not run yet would count as
-// passed without this check.
+// endedInOrder reports whether the testing package printed lineTestsEnded, with nothing after it but the lines that go
+// test adds (lineFailed and lineExitStatus). After a panic, an exit or a timeout, lineTestsEnded is missing. The tests
+// that had not run yet would count as passed without this check.
 func (p *packageRun) endedInOrder() bool {
 	last := -1
 	for i, o := range p.output {
@@ -82,7 +82,7 @@
 	})
 }
 
-// printedByItself reports whether a test printed anything besides its progress and its result.
+// printedByItself reports whether a test printed anything besides its progress lines and its result line.
 func (p *packageRun) printedByItself(test string) bool {
 	return slices.ContainsFunc(p.output, func(o testEvent) bool {
 		return o.Test == test && !strings.HasPrefix(o.Output, lineProgress) &&
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -11,7 +11,8 @@
 // listFile is the name of the file that lists the known failures, in the directory where the test commands run.
 const listFile = "KNOWN-RED.txt"
 
-// knownFailure is one entry of the list: a test that fails because of a real fault until its issue is closed.
+// knownFailure is one entry of the list: a test that fails because of a real fault. The entry stays until the issue of
+// that fault is closed.
 type knownFailure struct {
 	test    testID
 	command string // the go test command that shows the failure
@@ -25,7 +26,8 @@
 	return fmt.Sprintf("%s: %s; command %s; seed %s; issue %d", f.test, f.seen, f.command, f.seed, f.issue)
 }
 
-// testID identifies a test by its package's import path and its name. A subtest's name follows its parent's after "/".
+// testID identifies a test by its package's import path and its name. The name of a subtest is the name of its parent,
+// a "/" and the subtest's own name.
 type testID struct {
 	importPath string
 	name       string
@@ -44,8 +46,9 @@
 
 var fieldNames = []string{fieldTest, fieldCommand, fieldSeed, fieldSeen, fieldIssue}
 
-// testPattern splits a test's full name. The package ends at the first ".Test", ".Fuzz" or ".Example": a subtest's name may contain
-// dots, while no element of an import path contains a dot followed by one of these capitalized words.
+// testPattern splits a test's full name into the import path and the name. The import path ends at the first ".Test",
+// ".Fuzz" or ".Example". Only the first match counts, because the name of a subtest may contain these strings as well.
+// An import path contains none of them.
 var testPattern = regexp.MustCompile(`^(\S+?)\.((?:Test|Fuzz|Example)[^\s/]*(?:/\S+)?)$`)
 
 // block holds the lines of one entry before their values are checked.
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// endPackage prints what go test prints for a package that has ended. That is the last line if the package passed.
-// Otherwise it is the output of the package, without the output of tests that did not fail. endPackage also checks that
-// a failed package has only known failures.
+// endPackage prints what go test prints for a package that has ended. For a package that did not fail, this is only its
+// last line. For a failed package, it is all output except that of tests that did not fail. endPackage also records
+// each failure of the package that is not a known one.
 func (r *results) endPackage(e testEvent, p *packageRun) {
 	if e.Action != actionFail {
 		for _, o := range p.output {
--- a/internal/knownred/script_test.go
+++ b/internal/knownred/script_test.go
@@ -66,7 +66,8 @@
 	wantError  string // substring of the standard error output
 }
 
-// causeEntry returns an entry for the given test, for cases in which the values of the other fields do not matter.
+// causeEntry returns an entry for the given test. It serves the cases in which the other fields of the entry do not
+// matter.
 func causeEntry(test string) string { return entryText(test, "the cause", 7) }
 
 var redEntry = causeEntry("m/red.TestRed")
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -15,7 +15,7 @@
 
 const (
 	maxHello     = 512             // largest size of a hello in bytes
-	helloTimeout = 2 * time.Second // time limit for Dial, for the answer to an accepted connection, and for Accept to take that connection
+	helloTimeout = 2 * time.Second // time limit for Dial, for reading and answering a hello, and then for Accept to take the connection
 )
 
 // hello is the first line on each connection, as JSON. The answer is one line with a JSON string: the reason for which
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -24,9 +24,9 @@
 	return c.Conn.Close()
 }
 
-// Admission admits a connection from a process and counts it until release is called, which must happen once. If it
-// does not admit the connection, it returns the reason as refusal. The reason is part of the error that the process
-// gets from Dial.
+// Admission admits a connection from a process and counts it until release is called, which must happen once. If the
+// connection is not admitted, refusal is the reason. The error that Dial returns in the other process contains that
+// reason.
 type Admission func(from string) (release func(), refusal string)
 
 // Listener is a net.Listener for one kind of connections; each connection that it returns is a *Conn. It is safe for
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -96,7 +96,7 @@
 }
 
 // OverrideSelf makes Dial use the given address if it is called with the process's own name. A tool that runs under the
-// name of another process reaches that process in this way. OverrideSelf must be called before Run.
+// name of a fleet process can thus dial that process. OverrideSelf must be called before Run.
 func (n *Network) OverrideSelf(address string) { n.selfOverride = address }
 
 // Fleet returns the name of the fleet.
--- a/internal/peertransport/network_test.go
+++ b/internal/peertransport/network_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestHandshake_SilentConnectionsBlockNoOther checks that connections on which nothing is sent, even more than
-// maxPendingConns, keep out connections of other processes for little longer than helloTimeout.
+// TestHandshake_SilentConnectionsBlockNoOther checks that connections on which nothing is sent block other connections
+// for little longer than helloTimeout, even if more than maxPendingConns of them are open.
 func TestHandshake_SilentConnectionsBlockNoOther(t *testing.T) {
 	t.Parallel()
 	b := openNetwork(t, "b", Peer{Name: "a", Role: "edge", Address: "127.0.0.1:1"})
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -14,12 +14,12 @@
 
 // Limits on incoming data, in bytes.
 const (
-	MaxValue = 64 << 10           // largest value of a key
-	MaxQuery = 2*MaxValue + 4<<10 // largest query message, which holds its value in hexadecimal
+	MaxValue = 64 << 10           // largest value that is stored under a key
+	MaxQuery = 2*MaxValue + 4<<10 // largest query message; the message holds each byte of a value as two hexadecimal digits
 
 	maxStartup        = 10 << 10         // largest startup message; this is PostgreSQL's own limit
 	maxBackendMessage = MaxValue + 4<<10 // largest message of a backend
-	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; after a larger one, reading cannot go on
+	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; a larger one is ErrTooLong
 )
 
 // maxAuxiliaryMessages is the largest number of authentication, parameter, notice and key messages in one reply.
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -177,8 +177,8 @@
 	return true
 }
 
-// durationBits is the size in bits of the largest number that parseDuration accepts. It is small enough that the
-// duration does not overflow in any unit up to a millisecond.
+// durationBits is the size in bits of the largest number that parseDuration accepts. If the unit is a millisecond or
+// less, no number of this size overflows a time.Duration.
 const durationBits = 40
 
 // parseDuration parses a decimal number of units. It drops a fraction.
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -8,7 +8,7 @@
 
 // Response parses a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
-	SQLState    string // StateSuccess after a complete row or an empty query, or the code of an error; empty until one of them has arrived
+	SQLState    string // StateSuccess once a complete row or an EmptyQueryResponse has arrived; the code of an error once that has arrived; empty before
 	Load        string // the load report, if the reply contains one
 	RowMessages []Span // positions of RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // whether the backend waits for the next query
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// Need returns the number of bytes of the reply, counted from its start, that Read needs to parse the next message. If
-// not even the header of that message has arrived, it returns the number up to the end of the header.
+// Need returns how many bytes of the reply, counted from its start, must be in buf before Read can parse the next
+// message. If the header of that message has not arrived, Need counts up to the end of the header.
 func (r *Response) Need(buf []byte) int {
 	if _, size, err := header(buf[r.Consumed:], maxBackendMessage); err == nil && size > 0 {
 		return r.Consumed + size
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// advanceRow records the next message of a row. The message is valid only if it is well-formed and the row has reached
-// the stage from, and no later one.
+// advanceRow records the next message of a row. The message is valid only if it is well-formed and the row is exactly
+// at the stage given by the parameter from.
 func (r *Response) advanceRow(from rowStage, message Span, wellFormed bool) error {
 	if r.SQLState != "" || r.stage != from || !wellFormed {
 		return ErrMalformed
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -52,8 +52,8 @@
 	return appendMessage(nil, FrontendQuery, append([]byte(text), 0))
 }
 
-// columnDescription is the body of the RowDescription for rows with a single column: no table, type bytea of variable
-// size, no modifier, binary format.
+// columnDescription is the body of the RowDescription for rows with a single column. The column belongs to no table and
+// has the type bytea, a variable size, no type modifier and binary format.
 const columnDescription = "\x00\x01content\x00" + // number of columns, and name of the column
 	"\x00\x00\x00\x00" + "\x00\x00" + // no table, no attribute number
 	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, variable size
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// ringBlockSize is the unit in bytes in which rings grow. A ring of this size keeps its memory when it becomes empty,
-// and a larger one does not.
+// ringBlockSize is the unit in bytes in which rings grow. A ring that becomes empty keeps a buffer of one block, and
+// releases a larger one.
 const ringBlockSize = 2 << 10
 
 // BufferBudget limits the memory, in bytes, that requests may need for their buffers. The memory for a request is
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -84,8 +84,8 @@
 func (c *Conn) InterruptRead() { c.SetReadDeadline(pastDeadline) }
 
 // SetDeadline sets the deadline for reading and writing; the zero time means none. The deadline holds until the next
-// call, or until the connection is bound to a context or released from it. On a closed connection the call fails, which
-// shows at the next read or write.
+// call, or until the connection is bound to a context or released from it. The error for a closed connection is
+// ignored, because the next read or write fails as well.
 func (c *Conn) SetDeadline(at time.Time) { _ = c.conn.SetDeadline(at) }
 
 // SetReadDeadline sets the deadline for reading alone.
@@ -109,10 +109,10 @@
 // Buffered returns the bytes that have arrived, as one slice, which is valid until the next Fill.
 func (c *Conn) Buffered() []byte { return c.input.content() }
 
-// Discard removes the first n bytes of those that have arrived.
+// Discard removes the first n bytes of the input buffer.
 func (c *Conn) Discard(n int) { c.input.discard(n) }
 
-// Append adds bytes to those that the next Flush writes.
+// Append adds bytes to the output buffer, which the next Flush writes.
 func (c *Conn) Append(parts ...[]byte) {
 	total := c.output.length
 	for _, part := range parts {
--- a/internal/transport/kernelstate.go
+++ b/internal/transport/kernelstate.go
@@ -72,8 +72,8 @@
 	return c.input.length > 0 || n > 0
 }
 
-// peek looks at the next byte without consuming it. n is the number of bytes that it found: 1, or 0 at the end of the
-// stream, or negative after an error. wouldBlock reports whether a read would wait.
+// peek looks at the next byte without consuming it. n is 1 if there is a byte, 0 at the end of the stream, and negative
+// after an error. wouldBlock reports whether a read would wait.
 func (c *Conn) peek() (n int, wouldBlock bool) {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -73,8 +73,9 @@
 	return reply, false
 }
 
-// releaseUnused gives back a connection on which nothing was written. The connection becomes idle again. It is closed
-// instead if its context has ended, or if IsCurrent returns false for its backend.
+// releaseUnused gives back a connection on which nothing was written. If the connection's context has ended, or
+// IsCurrent returns false for the backend, releaseUnused closes the connection. Otherwise the connection becomes idle
+// again.
 func (p *Pool) releaseUnused(c *conn) {
 	if c.ReleaseContext() && p.dispatcher.IsCurrent(c.backend) {
 		p.addIdle(c)
@@ -133,8 +134,8 @@
 	return transport.CloseStatus{Reason: transport.Malformed, Flushed: true}
 }
 
-// newReply builds a reply from the buffered bytes of a connection. The connection is reusable only if ready is set and
-// no bytes follow the reply.
+// newReply builds a reply from the buffered bytes of a connection. The connection is reusable only if the parameter
+// ready is true and no bytes follow the reply.
 func (p *Pool) newReply(c *conn, response *pgwire.Response, ready bool) Reply {
 	reply := Reply{
 		SQLState: response.SQLState,
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -51,9 +51,10 @@
 	}
 }
 
-// writtenBefore reports whether the second reply with a key was written before a given moment, at which the next query
-// began. A second reply that was written later, for example because a busy machine delayed its timer, cannot be told
-// from the reply to the next query: nothing in the protocol distinguishes the two.
+// writtenBefore reports whether the second reply with the given key was written before the given moment, at which the
+// next query began. It also returns true if no such reply was written. A second reply may be written later, for example
+// because a busy machine delayed its timer. The pool cannot tell such a reply from the reply to the next query: nothing
+// in the protocol distinguishes the two.
 func writtenBefore(tb testing.TB, secondReplies *sync.Map, key string, moment time.Time) bool {
 	tb.Helper()
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -96,10 +96,11 @@
 }
 
 // Prewarm opens connections to backends that have just been listed, the same number to each backend, so that the first
-// requests after a start need not wait for a dial. relays is the configured number of relays. All of them together open
-// no more connections to a backend than one relay might open alone. Otherwise, many relays that start at the same time
-// would make the backends spend work on connections that few requests use. Prewarm waits at most for the connect
-// timeout and not beyond the context. It then abandons the connections that are not ready.
+// requests after a start need not wait for a dial. relays is the configured number of relays. A relay opens at most
+// cap(slots)/2/relays connections to one backend, so that all relays together open no more than one relay might open
+// alone. Otherwise, many relays that start at the same time would make the backends spend work on connections that few
+// requests use. Prewarm returns at the latest after the connect timeout, or when the context ends. It abandons the
+// connections that are not ready by then.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -126,7 +126,7 @@
 	return s
 }
 
-// endpoint returns the endpoint of the n-th backend, named s-n.
+// endpoint returns an endpoint with the given address. Its name is "s-" followed by n.
 func endpoint(n int, address string) dispatch.Endpoint {
 	return dispatch.Endpoint{Name: fmt.Sprint("s-", n), Address: address, State: "up", Version: 1}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,11 +20,12 @@
 
 // A backend may answer a query twice, with some milliseconds between the replies. If the connection is used for another
 // request before the second reply arrives, the second reply is taken for the reply to that request. The pool therefore
-// prefers connections that have settled, which means that settleTime has passed since their last reply: a second reply
-// would already have arrived and would be noticed. The pool uses a connection that has not settled only if half of the
-// slots are taken, or seven eighths while unsolicited bytes are expected, because a new connection costs less than a
-// wrong reply. A backend that sends an error message before it closes an idle connection also sends unsolicited bytes;
-// the pool then only opens more connections than it needs.
+// prefers connections that have settled, which means that settleTime has passed since their last reply. On a settled
+// connection, a second reply has already arrived, and the pool notices it. If no idle connection has settled, the pool
+// usually opens a new one, because that costs less than a wrong reply. It uses an idle connection that has not settled
+// only if half of the slots are taken. For unsolicitedExpectedTime after unsolicited bytes have arrived, seven eighths
+// must be taken. A backend that sends an error message before it closes an idle connection also sends unsolicited
+// bytes; the pool then only opens more connections than it needs.
 const (
 	settleTime              = 25 * time.Millisecond // a connection has settled when this time has passed since its last reply
 	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes have arrived, more of them are expected for this time
@@ -67,7 +68,7 @@
 
 // New returns a pool of at most maxConnections connections in all. idleTimeout is the time after which a backend closes
 // an idle connection. The pool closes an idle connection earlier, after seven eighths of that time. If idleTimeout is 0
-// or less, it reuses no connection.
+// or less, the pool reuses no connection.
 func New(buffers *transport.BufferBudget, maxConnections int, connectTimeout, idleTimeout time.Duration,
 	dispatcher *dispatch.Dispatcher) *Pool {
 	return &Pool{
@@ -81,8 +82,8 @@
 	}
 }
 
-// Run closes connections that are idle for almost as long as the backends' idle timeout, until the context ends. It
-// then waits for the probes, closes all idle connections and returns nil.
+// Run closes connections that have been idle for maxIdleTime, which is a little less than the backends' idle timeout.
+// When the context ends, Run waits for the probes, closes all idle connections and returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.sweepInterval())
 	defer ticker.Stop()
@@ -99,9 +100,9 @@
 	}
 }
 
-// sweepInterval returns the interval at which idle connections are checked. Without its lower limit, an idle relay
-// would do nothing but sweep if the backends' idle timeout were absent or close to 0. No connection is reused too late
-// because of the limit: acquire checks the idle time itself.
+// sweepInterval returns the interval at which idle connections are checked. Without the minimum, an idle relay would do
+// nothing but sweep if the backends' idle timeout were absent or close to 0. The minimum does not let the pool reuse a
+// connection too late, because acquire checks the idle time itself.
 func (p *Pool) sweepInterval() time.Duration {
 	return max(p.maxIdleTime/sweepsPerIdleTime, minSweepInterval)
 }
@@ -155,8 +156,8 @@
 }
 
 // takeIdle removes and returns an idle connection to a backend: the most recently used one of those that have settled.
-// If none has settled and few slots are free, it returns the connection that has been idle the longest. It returns nil
-// if the caller should open a new connection.
+// If none has settled and at least slotsForUnsettled slots are taken, it returns the connection that has been idle the
+// longest. It returns nil if the caller should open a new connection.
 func (p *Pool) takeIdle(backend string) *conn {
 	now := time.Now()
 	p.mu.Lock()
