--- a/cmd/silvercove-relay/main.go
+++ b/cmd/silvercove-relay/main.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"os"
 
-	_ "silvercove/internal/fdtable" // grows the descriptor table of a process that imports it, before the process has a second thread
+	_ "silvercove/internal/fdtable" // when built with cgo, grows the descriptor table while the process has one thread
 	"silvercove/internal/operatorconfig"
 	"silvercove/internal/relay"
 )
--- a/internal/benchadapter/adapter.go
+++ b/internal/benchadapter/adapter.go
@@ -5,8 +5,9 @@
 // terms. Here, messages.go holds the mapping, with one type per record and the name on the wire in its comment. codec.go reads
 // and writes the fields.
 //
-// A process of the adapter hosts several instances, which share only the numbered endpoint lists. Serve depends on its input
-// alone: it uses no clock and no goroutine, so the same frames always produce the same replies.
+// A process of the adapter hosts several instances. They share only the endpoint lists that CATALOG records define (see
+// endpointLists). Serve depends on its input alone: it uses no clock and no goroutine, so the same frames always produce
+// the same replies.
 package benchadapter
 
 import (
@@ -61,7 +62,7 @@
 // errInputEnded is the error of readFrame if the input ends between two frames, which is its regular end.
 var errInputEnded = errors.New("the input has ended")
 
-// readFrame reads the length of a frame and then the frame. It returns the frame in the memory of buf if the frame fits.
+// readFrame reads the length of a frame, and then appends the frame to buf. It allocates memory only if buf is too small.
 func readFrame(in io.Reader, buf []byte) ([]byte, error) {
 	var length [4]byte
 	if _, err := io.ReadFull(in, length[:]); errors.Is(err, io.EOF) {
--- a/internal/benchadapter/adapter_test.go
+++ b/internal/benchadapter/adapter_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestHandleBatch_PanicBecomesFault checks a panic of the balancer. The reply must end with a FAULT record of the
-// instance whose event was being handled. handleBatch must return an error, as Serve handles no further frame after one.
+// TestHandleBatch_PanicBecomesFault checks a panic of the balancer. The reply must end with a FAULT record of the instance
+// whose event was being handled. handleBatch must also return an error, which makes Serve end.
 func TestHandleBatch_PanicBecomesFault(t *testing.T) {
 	s := newServer()
 	s.instances[3] = &instance{number: 3, out: &s.out} // the nil balancer panics at any event
--- a/internal/benchadapter/codec.go
+++ b/internal/benchadapter/codec.go
@@ -86,8 +86,9 @@
 // tick reads a point in time or a duration, in the balancer's ticks.
 func (r *reader) tick(what string) balancer.Tick { return toTick(r.seconds(what)) }
 
-// toTick converts seconds to ticks. It rounds to the nearest microsecond first, which restores the exact value of every
-// time on the wire. It then rounds down to a tick, so that a deadline is never read as later than it is.
+// toTick converts seconds to ticks. A float64 holds most times on the wire only approximately. toTick therefore first
+// rounds to the nearest microsecond, the resolution of the wire, which restores the exact time. It then rounds down to a
+// tick, so that a deadline is never read as later than it is.
 func toTick(seconds float64) balancer.Tick {
 	return balancer.Tick(math.Floor(math.Round(seconds*microsecondsPerSecond) / microsecondsPerTick))
 }
--- a/internal/benchadapter/script_test.go
+++ b/internal/benchadapter/script_test.go
@@ -52,7 +52,7 @@
 	watching    bool
 }
 
-// scriptEvent is an action of the simulator at a point in time. It adds records to the batch that is sent then.
+// scriptEvent is a function that the simulator runs at a point in time. The function may add records to the next batch.
 type scriptEvent struct {
 	at microseconds
 	do func()
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -25,8 +25,8 @@
 }
 
 // call sends one request, on the open connection or on a new one, and applies the response. skipped reports whether the
-// response held changes that lead to an older version than the known one. Some changes may then be missing. If the call
-// failed, status is closed and holds the reason.
+// response held changes to a version older than r.version. Such a response may omit other changes. If the call failed,
+// status is closed and holds the reason.
 func (r *run) call(ctx context.Context, p poll) (skipped bool, status transport.CloseStatus) {
 	path, wait := endpointsPath, time.Duration(0)
 	if !p.complete {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,14 +14,14 @@
 	"silvercove/internal/transport"
 )
 
-// A watch is broken if its agent stops responding. A relay counts as notified of an update once it is responsible for
-// acting on the update, whether it has received it or not. For the updates that a broken watch misses, this is 6 s after
-// the agent stopped. A new watch must be requested within 4 s, so that 2 s are left for its response.
+// A watch is broken if its agent stops responding. 6 s after the agent stopped, the relay is responsible for acting on
+// the updates that the watch missed, whether it has received them or not. A new watch must be requested within 4 s, so
+// that 2 s are left for its response.
 //
-// An established watch is found broken after at most maxPollWait plus maxAnswerTimeout. If watches have to be requested,
-// the balancer requests another one within a second. A call that begins a watch is found broken after at most
-// maxOpenCallDuration. By then the balancer has requested the next watch or is about to, as it pauses for at most 4 s
-// between two requests.
+// An established watch is found broken after at most maxPollWait plus maxAnswerTimeout. In the mode Subscribe, the
+// balancer requests the next watch within another second. A call that begins a watch is found broken after at most
+// maxOpenCallDuration. By then the balancer has requested the next watch or is about to, because it pauses for at most
+// 4 s between two requests.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
@@ -31,9 +31,9 @@
 	// agent on a busy machine could respond.
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
-	// retryPause is the pause after a call that failed, or that was answered early without a newer version. It keeps Run
-	// from calling an agent that ignores timeout_ms in a tight loop. Discovery continues a watch if its next call arrives
-	// within 200 ms, so the pause is shorter than that.
+	// retryPause is the pause after a call that failed, or that was answered early without a newer version. Without the
+	// pause, Run would call an agent that ignores timeout_ms in a tight loop. Discovery continues a watch only if its
+	// next call arrives within 200 ms, so the pause must be shorter than that.
 	retryPause = 125 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 // responding is found broken in time.
 type Config struct {
 	Address       *transport.Address // address of the agent
-	Version       int64              // version of the list that the dispatcher has already; the first poll asks for newer ones
+	Version       int64              // version of the list that the dispatcher already has; the first poll asks for later versions
 	PollWait      time.Duration      // how long the agent may wait for a newer version; 100 ms to 2 s
 	AnswerTimeout time.Duration      // how long a call may take beyond PollWait; 250 ms to 1 s
 	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
@@ -60,9 +60,10 @@
 	// of SetWatching. The balancer limits these requests, as it knows how often all relays together may call discovery. A
 	// relay that retried at once after a rejection would keep discovery overloaded for all relays.
 	Subscribe Mode = iota
-	// Pushed begins the watch at the start, and again without a request after a failed call. The first call, and each call
-	// after a failed one, asks for the complete list. Such a call need not wait for a newer version, and an agent that has
-	// restarted may number its versions differently.
+	// Pushed begins the watch at the start, and again without a request after a failed call. The first call, and each
+	// call after a failed one, asks for the complete list. The agent answers such a call at once, while a poll may
+	// wait. The complete list also replaces a list of an agent that has restarted and may number its versions
+	// differently.
 	Pushed
 )
 
@@ -108,8 +109,8 @@
 	return w
 }
 
-// WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. A relay counts as notified of
-// the list that the agent has when the first call ends.
+// WaitFirst waits until the first call has ended, successfully or not, or until ctx ends. From the end of the first
+// call on, the relay is responsible for acting on the list that the agent has at that time.
 func (w *Watcher) WaitFirst(ctx context.Context) {
 	select {
 	case <-w.firstDone:
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -298,8 +298,8 @@
 }
 
 // TestSilentWatch_Reopened checks a watch whose agent stops responding, before or within a response. However long the
-// drain grace period is, the watch must begin again on another connection well before the relay counts as notified of the
-// missed updates, which is 6 s after the agent stopped.
+// drain grace period is, the watch must begin again on another connection well within 6 s after the agent stopped.
+// After 6 s, the relay is responsible for acting on the updates that the watch missed.
 func TestSilentWatch_Reopened(t *testing.T) {
 	for _, c := range []struct{ name, part string }{{"at once", ""}, {"within a response", `{"seq":4,"whole":`}} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -12,8 +12,8 @@
 const (
 	diskUnchecked  diskState = iota // no lease response with the controllers' record count has arrived yet
 	diskChecked                     // the result of the check is known; the replica.Manager verifies copies that may be outdated
-	diskConfirming                  // all copies are verified; the store is writing to the disk that the disk is current
-	diskConfirmed                   // the store has written that the disk is current, and counts the records written after it
+	diskConfirming                  // all copies are verified; the store is writing a declaration that the disk is current
+	diskConfirmed                   // the declaration is written; the store counts the records written after it
 )
 
 // diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
@@ -25,7 +25,8 @@
 	maxRecordCount     uint64 // greatest record count in a lease response; 0 before the first response
 }
 
-// checkDisk processes the record count and the number of accepted unverified copies in a lease response. reported is the list of
+// checkDisk processes two fields of a lease response: RecordCount and AcceptedUnverified. AcceptedUnverified is the number of
+// copies, from the start of reported, that the controllers have accepted. The parameter reported is the list of
 // unverified copies in the lease request. The caller holds Node.mu.
 func (n *Node) checkDisk(response controllerclient.LeaseResponse, reported []replica.UnverifiedCopy) {
 	now := controllerclient.Now()
--- a/internal/edgenode/fleet_test.go
+++ b/internal/edgenode/fleet_test.go
@@ -29,8 +29,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testLease is long enough that a node does not lose its lease on a busy machine. If a node lost its lease, failoverPlanner,
-// which most tests use, would make those instances of the node lost that have no replica.
+// testLease is long enough that a node does not lose its lease on a busy machine. Most tests use failoverPlanner, which fails
+// over all instances of a node whose lease expires. An instance without a replica would then be lost.
 const testLease = time.Second
 
 // logBuffer collects the log of all processes. It is safe for concurrent use.
@@ -279,7 +279,7 @@
 func newServingFleet(tb testing.TB, edges int, withDisk bool, replicaNode string) *testFleet {
 	tb.Helper()
 	c := newTestFleet(tb, edges, withDisk)
-	// Without this wait, the new instance could fail over before a slow edge-a has a lease.
+	// Without this wait, a slow edge-a might not have a lease yet, and the new instance could fail over.
 	c.waitFor("edge-a has a lease", func() bool { return c.processes["edge-a"].node.unreadyReason() == "" })
 	c.propose(placement.Operation{Kind: placement.OpCreate, Instance: "camera-7", Target: "edge-a", Zone: "north", Weight: 3})
 	client := dialNode(tb, c.processes["edge-a"].peer.RequestAddress)
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -72,20 +72,23 @@
 	*rollingBack = response.RollingBack
 	lineage, changed := n.onLeaseGranted(response, sentAt, unverified)
 	if changed {
-		// The error is ignored: if the disk is full, the node learns the lineage from the controllers again after a restart.
+		// The error is ignored. If the disk is full, the note on the disk stays as it is, and after a restart the node learns
+		// the lineage from the controllers again.
 		_ = n.writeNote(ctx, lineage)
 	}
 	return true, nil
 }
 
-// onLeaseGranted processes a granted lease. It returns the controllers' lineage, and whether the lineage differs from the stored one.
+// onLeaseGranted processes a granted lease. It returns the lineage of the controllers' assignments (see
+// controllerclient.Lineage). changed reports whether this lineage differs from storedLineage.
 func (n *Node) onLeaseGranted(response controllerclient.LeaseResponse, sentAt tick.Tick,
 	reported []replica.UnverifiedCopy) (lineage controllerclient.Lineage, changed bool) {
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.checkDisk(response, reported)
-	// With a different lineage, the assignments were rebuilt, and the node must load them before it uses a lease.
+	// If the lineages differ, the controllers have rebuilt the assignments. The node must then load the assignments before it
+	// uses a lease.
 	if response.Lineage == n.lineage {
 		n.replicas.OnLease(controllerclient.Now(), sentAt+n.leaseDuration, response.AssignmentsVersion)
 	}
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -65,15 +65,15 @@
 	pendingReplies    map[uint64]chan replica.Message // channels for the answers that handleMessage calls wait for, by Message.ReplyTo
 	lastReplyID       uint64
 	inFlight          int                      // number of requests in progress
-	lineage           controllerclient.Lineage // lineage of the assignments that replicas has
-	storedLineage     controllerclient.Lineage // the lineage in the note on the disk
+	lineage           controllerclient.Lineage // lineage of the assignments that replicas has (see controllerclient.Lineage)
+	storedLineage     controllerclient.Lineage // lineage in the node's note on the disk (see type note)
 	unknownNoteFields placement.UnknownFields
 	disk              diskCheck
 	terminating       bool
 }
 
-// Open reads the node's disk and listens for requests. It fails if the disk cannot be read, if the controller client refuses the
-// lineage in the node's note on the disk, or if the address is in use.
+// Open reads the node's disk and listens for requests. It fails if the disk cannot be read or if the address is in use. It also
+// fails if the controller client refuses the lineage in the node's note on the disk (see type note).
 func Open(o Options) (*Node, error) {
 	o.Log = o.Log.With().Str("component", "edgenode").Logger()
 	leaseSeconds, _ := o.File.Settings["fleet.lease"].(float64)
@@ -108,7 +108,7 @@
 	return n, nil
 }
 
-// openStored restores the node's state from its note, chooses the new incarnation, and listens for requests.
+// openStored restores the node's state from its note (see type note), chooses the new incarnation, and listens for requests.
 func (n *Node) openStored(noteText []byte) error {
 	stored, err := readNote(noteText)
 	if err != nil {
--- a/internal/edgenode/node_test.go
+++ b/internal/edgenode/node_test.go
@@ -49,8 +49,9 @@
 	c.processes["edge-a"] = first
 }
 
-// TestNote_KeepsUnknownFields guards against the loss of fields that a later program of the same format version has added to the
-// node's note: the fields must still be in the note when that program runs again.
+// TestNote_KeepsUnknownFields guards against a loss of fields in the node's note (see type note). A later program may add
+// fields without a new format version. This program must keep them in the note, so that the later program finds them when it
+// runs again.
 func TestNote_KeepsUnknownFields(t *testing.T) {
 	c := newServingFleet(t, 2, true, "edge-b")
 	dir := filepath.Join(c.dir, "edge-b")
--- a/internal/edgenode/note.go
+++ b/internal/edgenode/note.go
@@ -7,7 +7,9 @@
 	"silvercove/internal/placement"
 )
 
-// note is the node's own data in the store, beside the instances' logs. Its JSON names are those of the stored format.
+// note is the record that the node stores about itself, beside the instances' logs. It holds the incarnation of the last start
+// and the lineage of the controllers' assignments (see controllerclient.Lineage). Its JSON names are those of the stored
+// format.
 type note struct {
 	Incarnation uint64                   `json:"run"` // incarnation of the last start
 	Lineage     controllerclient.Lineage `json:"line"`
@@ -22,7 +24,7 @@
 	return stored, err
 }
 
-// writeNote stores the node's incarnation and a lineage, and waits until they are durable or the context ends.
+// writeNote stores a note with the node's incarnation and a lineage. It waits until the note is durable or the context ends.
 func (n *Node) writeNote(ctx context.Context, lineage controllerclient.Lineage) error {
 	text, err := placement.MarshalWithUnknown(note{Incarnation: n.incarnation, Lineage: lineage}, n.unknownNoteFields)
 	if err != nil {
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -10,8 +10,9 @@
 	// maxTerminationLeases limits the time, in lease durations, in which a terminating node hands its instances over.
 	maxTerminationLeases = 10
 
-	// maxReplicaWaitLeases limits the time, in lease durations, for which a terminating node that is no longer primary of any
-	// instance waits to be dropped as a replica. The node then ends anyway, and the primaries continue without it.
+	// maxReplicaWaitLeases limits, in lease durations, how long a terminating node waits to be dropped as a replica. This wait
+	// begins when the node is no longer primary of any instance. After it, the node ends even if it is still a replica, and the
+	// primaries continue without it.
 	maxReplicaWaitLeases = 2
 )
 
--- a/internal/relay/assembly.go
+++ b/internal/relay/assembly.go
@@ -29,11 +29,12 @@
 	backendSocketsDivisor = 6
 	// bufferMemoryDivisor sets the part of the relay's memory that buffers of connections may use: one half.
 	bufferMemoryDivisor = 2
-	// minCallTimeout is the lower limit of two timeouts: the time that a client may take for one message, and the time
-	// that the release platform, or discovery when a watch begins, may take for one response.
+	// minCallTimeout is the smallest value that two timeouts may have. One is the time that a client may take for one
+	// message. The other is the time that the release platform, or discovery when a watch begins, may take for one
+	// response.
 	minCallTimeout = time.Second
-	// maxKillDelay is the longest deadline of a request that the time until SIGKILL allows for. SIGKILL follows SIGTERM
-	// after 0.7 s plus the longest deadline of all request classes, but after no more than 0.7 s plus maxKillDelay.
+	// maxKillDelay limits how far a long request deadline delays SIGKILL. SIGKILL follows SIGTERM after 0.7 s plus the
+	// longest deadline of all request classes, or after 0.7 s plus maxKillDelay if that is shorter.
 	maxKillDelay = 3 * time.Second
 )
 
@@ -96,8 +97,8 @@
 // createPeerClients creates the clients of discovery and the release platform.
 func (r *relay) createPeerClients(config Config, root zerolog.Logger) {
 	callTimeout := max(minCallTimeout, config.site.Balancer.Rollout.VoteTimeout.Duration())
-	// A watch whose agent stops responding may miss the announcement that a backend drains. The timeouts of a call
-	// therefore follow the drain grace period.
+	// A watch whose agent stops responding may miss the announcement that a backend drains. The time to detect such a
+	// watch is therefore derived from the drain grace period: PollWait is equal to it, and AnswerTimeout is half of it.
 	grace := config.site.Balancer.Endpoints.DrainGrace.Duration()
 	if grace == 0 {
 		grace = callTimeout
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -90,8 +90,8 @@
 	if err := c.parse(text); err != nil {
 		return c, fmt.Errorf("%s %s: %w", envConfig, path, err)
 	}
-	// Relays of a fleet may share the configuration file and so the seed, but each needs its own sequence of random
-	// numbers.
+	// Relays of a fleet may share the configuration file and so its seed. Each of them needs its own sequence of random
+	// numbers, so the relay's name is mixed into the seed.
 	if fleet {
 		c.seed ^= xxhash.Sum64String(c.name)
 	}
--- a/internal/relay/config_file.go
+++ b/internal/relay/config_file.go
@@ -105,8 +105,8 @@
 
 // setAddresses sets the addresses of discovery and the release platform. A relay of a fleet needs neither address.
 func (c *Config) setAddresses(file *configFile) error {
-	// The file overrides the environment: the file can be replaced while the relay runs, and is then newer than the
-	// environment.
+	// The discovery address in the file overrides the one in the environment. The file can be replaced while the relay
+	// runs, so its address may be newer.
 	if file.Discovery != "" {
 		c.discovery = file.Discovery
 	}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -9,9 +9,9 @@
 	"silvercove/internal/standin/backends"
 )
 
-// TestCompleteList_OmitsBusyBackend checks a complete list that arrives instead of changes and omits a backend with a
-// request in flight. That request must get its one response on its connection, and new requests must go to other
-// backends.
+// TestCompleteList_OmitsBusyBackend checks that a complete list is applied if discovery answers a poll with it instead
+// of with changes. The list omits a backend with a request in flight. That request must get its one response on its
+// connection, and new requests must go to other backends.
 func TestCompleteList_OmitsBusyBackend(t *testing.T) {
 	first, second := newBlockingBackend(t, "s-1"), newBlockingBackend(t, "s-2")
 	second.release()
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -12,7 +12,7 @@
 )
 
 // evidenceSaver owns the evidence store, which holds the counted outcomes of each version. If the settings name an
-// evidence file, evidenceSaver writes the store to the file and, after a restart, gives the canary's counts from the file
+// evidence file, evidenceSaver writes the store to the file. After a restart, it passes the canary's counts in the file
 // to the balancer.
 type evidenceSaver struct {
 	settings   evidenceSettings
@@ -46,9 +46,9 @@
 	return s
 }
 
-// prepareRestore sets pending to the canary's counts in the loaded file. newRelay calls it before new outcomes are
-// recorded, which the counts must not include. If no version is being tested, pending stays empty. prepareRestore logs a
-// warning if the file could not be loaded.
+// prepareRestore sets pending to the canary's counts in the loaded file. newRelay calls it before the relay records new
+// outcomes, so that pending includes none of them. If no version is being tested, pending stays empty. prepareRestore
+// logs a warning if the file could not be loaded.
 func (s *evidenceSaver) prepareRestore(stage dispatch.RolloutStage) {
 	if s.store.LoadError != "" {
 		s.log.Warn().Str("path", s.settings.path).Str("error", s.store.LoadError).Msg("evidence file not loaded")
@@ -69,8 +69,8 @@
 	return balancer.Tick(at.UnixMicro() / microsecondsPerTick)
 }
 
-// restore gives the pending counts to the balancer. The first call comes only after the first save interval, because the
-// balancer compares the counts with outcomes of the stable version, which it must have first.
+// restore gives the pending counts to the balancer. The balancer compares them with outcomes of the stable version, so
+// it must have such outcomes first. run therefore calls restore only after the first save interval.
 func (s *evidenceSaver) restore() {
 	outcomes, failures := 0, 0
 	for class := range s.pending.outcomes {
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -57,7 +57,8 @@
 	sendSignal(c.tb, os.Getpid(), s)
 }
 
-// waitNotAccepting waits until the relay accepts no new connections. By then it also closes idle sessions.
+// waitNotAccepting waits until the relay accepts no new connections. The relay has begun to close idle sessions before
+// that (see closeStepDelay).
 func (c *runningRelay) waitNotAccepting() {
 	c.tb.Helper()
 	waitNotAccepting(c.tb, c.listen)
@@ -90,8 +91,9 @@
 	return session
 }
 
-// stopAndCheck stops the relay. It checks that no goroutine is left besides those in before, and that the process then
-// has at most mostDescriptors open descriptors.
+// stopAndCheck stops the relay and checks that its goroutines have ended. It ignores the goroutines in the parameter
+// before, which existed before the relay. It also checks that the process then has at most mostDescriptors open
+// descriptors.
 func stopAndCheck(tb testing.TB, ended chan error, before goleak.Option, mostDescriptors int) {
 	tb.Helper()
 	sendSignal(tb, os.Getpid(), syscall.SIGTERM)
@@ -118,7 +120,7 @@
 	return startRelayWithEndpoints(tb, discovery, platform, discovery.page())
 }
 
-// startRelayWithEndpoints is like startRelay, but the endpoint list in the configuration is the page known.
+// startRelayWithEndpoints is like startRelay, but the parameter known is the endpoint list in the configuration.
 func startRelayWithEndpoints(tb testing.TB, discovery, platform *controlPlane, known string) (replace func(text string), listen string, ended chan error) {
 	tb.Helper()
 	replace, listen, env := newEnvironment(tb, discovery, platform, known, func(text string) string { return text })
@@ -137,8 +139,8 @@
 	}
 }
 
-// newEnvironment writes the configuration of a relay and returns the environment that names it. The function change edits
-// the text before it is written. replace atomically replaces the configuration with another text, which change edits too.
+// newEnvironment writes a relay's configuration file, and returns the relay's environment, which names the file.
+// replace atomically replaces the file. The function change edits each text before it is written to the file.
 func newEnvironment(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, env func(string) string) {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "config.json")
@@ -224,8 +226,8 @@
 	}
 }
 
-// startRelayWithoutWaiting runs a relay with a configuration that change has edited. It does not wait for the listener,
-// which the relay may never open.
+// startRelayWithoutWaiting runs a relay. The function change edits the configuration before the relay reads it.
+// startRelayWithoutWaiting does not wait for the listener, which the relay may never open.
 func startRelayWithoutWaiting(tb testing.TB, discovery, platform *controlPlane, known string, change func(string) string) (replace func(string), listen string, ended chan error) {
 	tb.Helper()
 	replace, listen, env := newEnvironment(tb, discovery, platform, known, change)
@@ -247,8 +249,8 @@
 		`"vote_wait":1.0`, `"vote_wait":1e5`, `"idle_close":5.0`, `"idle_close":1e5`, `"ask_every":20.0`, `"ask_every":1e6`).Replace(text)
 }
 
-// checkGoroutines checks that the goroutines of a relay have ended. It ignores the goroutines of controlPlane, and those
-// in before, which existed before the relay.
+// checkGoroutines checks that the goroutines of a relay have ended. It ignores the goroutines of controlPlane, and the
+// goroutines in the parameter before, which existed before the relay.
 func checkGoroutines(tb testing.TB, before goleak.Option) {
 	tb.Helper()
 	if err := goleak.Find(before, goleak.IgnoreAnyFunction("silvercove/internal/relay.(*controlPlane).serve"),
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -160,7 +160,8 @@
 	p.sendConfig(text(first), func() { sendSignal(t, p.Process.Pid, syscall.SIGHUP) })
 	first.want(t, "GET /v1/servers") // the relay has read the first configuration
 	p.sendConfig(text(second), func() {})
-	// The relay listens only after it has applied the second configuration, so the first request is served.
+	// The relay opens its listener only after it has applied the second configuration. Once it listens, it must serve a
+	// request.
 	second.want(t, "GET /v1/servers")
 	waitListening(t, listen)
 	if succeeded, rejected, err := sendRequests(listen, "one", 1); succeeded != 1 {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -147,14 +147,14 @@
 }
 
 // prepareAndListen waits for the first endpoint list and for connections to backends, and then opens the listener. It
-// returns nil if the context has ended. maxStartWait limits both waits together, whatever the timeouts in the settings
-// and whichever peer does not respond: a relay that serves with the endpoints that it knows is better than a relay that
-// does not serve.
+// returns nil if the context has ended. maxStartWait limits both waits together, whichever peer does not respond and
+// however long the timeouts in the settings are. After that time, the relay serves with the endpoints that it knows,
+// because that is better than not serving.
 func (r *relay) prepareAndListen(ctx context.Context, config Config) (net.Listener, error) {
 	limited, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
 	if !config.FollowsPlacements && config.discoveryMode() == discovery.Pushed {
-		// A starting relay counts as notified of the agent's current list, that is, as responsible for acting on it.
+		// From its start on, a relay is responsible for acting on the agent's current list, so it waits for that list.
 		r.watcher.WaitFirst(limited)
 	}
 	relays := min(max(config.site.Balancer.Relays, 1), math.MaxInt32)
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -67,8 +67,8 @@
 	switch {
 	case s == syscall.SIGUSR1:
 		h.relay.logCounters()
-	// The configuration may move discovery to another address. A stopping relay applies that too, because it must follow
-	// the endpoint list, such as drains, until its last request is answered.
+	// A reload can change the discovery address. A stopping relay reloads too: it must follow the endpoint list until
+	// its last request is answered, for example to learn which backends drain.
 	case s == syscall.SIGHUP:
 		h.relay.reload(h.env)
 	case h.listener == nil:
--- a/internal/relay/start_test.go
+++ b/internal/relay/start_test.go
@@ -13,9 +13,10 @@
 	"silvercove/internal/standin/backends"
 )
 
-// TestStart_FetchesAgentList checks a relay whose configuration has an outdated endpoint list. A starting relay counts as
-// notified of the agent's list, so it must request that list before it accepts requests or opens a connection to a
-// backend. If the agent does not respond, the relay must start with the list in its configuration.
+// TestStart_FetchesAgentList checks a relay whose configuration has an outdated endpoint list. From its start on, a
+// relay is responsible for acting on the agent's current list. It must therefore request that list before it accepts
+// requests or opens a connection to a backend. If the agent does not respond, the relay must start with the list in its
+// configuration.
 func TestStart_FetchesAgentList(t *testing.T) {
 	old, accepted := newSilentBackend(t)
 	u := newBackend(t)
@@ -51,8 +52,8 @@
 }
 
 // TestStart_SilentPeers checks that a restarted relay is ready within 5 s even if the agent and the backends do not
-// respond and the timeouts in the settings are long. 6 s is the least time that any scenario allows. The test covers both
-// a pushed list and a requested one.
+// respond and the timeouts in the settings are long. Every scenario allows a restarted relay at least 6 s. The test
+// covers both a pushed list and a requested one.
 func TestStart_SilentPeers(t *testing.T) {
 	for _, word := range []string{"automatic", "subscribe"} {
 		t.Run(word, func(t *testing.T) {
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -59,8 +59,8 @@
 	return c
 }
 
-// Vote queues a vote. Run casts it once every vote before it has its result. Vote does not block. If the queue is full,
-// the vote is dropped; the balancer casts it again later.
+// Vote queues a vote. Run casts one vote at a time, in the order of the queue. Vote does not block. If the queue is
+// full, the vote is dropped; the balancer casts it again later.
 func (c *Client) Vote(vote dispatch.Vote) {
 	select {
 	case c.votes <- vote:
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -25,8 +25,9 @@
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. If a stream ends, it opens the next one at once,
-// or after a pause if the last attempt was shorter than the interval that retryDivisor sets.
+// followChanges keeps the stream of changes open until the context ends. If a stream ends, it opens the next one at
+// once, or after a pause. The pause keeps the beginnings of two attempts to open the stream at least the interval apart
+// that retryDivisor sets. There is no pause if the platform's address has changed.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
@@ -83,7 +84,8 @@
 		if response.Done {
 			return closedAfterSend(transport.ClosedByPeer)
 		}
-		// The end of the context sets a deadline in the past, which applyLines may have replaced by a later one.
+		// When ctx ends, the connection gets a deadline in the past (see BindContext). applyLines may have replaced it
+		// by a later one, which would let Fill wait, so ctx is checked here.
 		if ctx.Err() != nil {
 			return closedAfterSend(transport.Canceled)
 		}
--- a/internal/releaseapi/stream_test.go
+++ b/internal/releaseapi/stream_test.go
@@ -81,8 +81,9 @@
 }
 
 // TestMove_WhileChangeIsApplied changes the platform's address, as a reload on SIGHUP does, while the client applies a
-// change and so does not wait to read. The client must still move to the new platform, and later keep-alive lines of the
-// old platform must not keep the old stream open. In the same way, the end of the relay must close the stream.
+// change instead of waiting to read. The client must still move to the new platform. Later keep-alive lines of the old
+// platform must not keep the old stream open. In the same way, keep-alive lines of the new platform must not keep its
+// stream open when the client stops.
 func TestMove_WhileChangeIsApplied(t *testing.T) {
 	var left sync.WaitGroup
 	left.Add(1)
--- a/internal/releaseapi/vote.go
+++ b/internal/releaseapi/vote.go
@@ -47,7 +47,7 @@
 func (c *Client) castVote(ctx context.Context, vote dispatch.Vote) voteResult {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	address, _, release := c.address.Current(ctx) // the second result is not used: a change of the address does not cancel a vote in flight
+	address, _, release := c.address.Current(ctx) // the returned context is not used: a change of the address must not cancel a vote in flight
 	defer release()
 	conn, status := transport.Dial(limited, address, c.timeout, c.buffers)
 	if status.Closed() {
