--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// makeVariant applies the changes in the file changesPath to the site file from, writes the variant below the directory
-// to, and returns the path of the variant's site file. It reads and checks all input before it writes anything.
+// makeVariant reads the site file at the path from, and the changes at changesPath. It writes the variant to a
+// directory of its own below the directory to, and returns the path of the variant's site file. All input is read and
+// checked before anything is written.
 func makeVariant(from, changesPath, to string) (string, error) {
 	var site map[string]any
 	if err := readTOML(from, &site, false); err != nil {
@@ -103,7 +104,8 @@
 		decoder.DisallowUnknownFields()
 	}
 	if err := decoder.Decode(into); err != nil {
-		// The String methods of both error types show the line in the file; their Error methods do not.
+		// The String methods of StrictMissingError and DecodeError show the line of the file that has the error. Their
+		// Error methods do not.
 		var unknown *toml.StrictMissingError
 		if errors.As(err, &unknown) {
 			return fmt.Errorf("%s: unknown entries:\n%s", path, unknown.String())
@@ -117,9 +119,10 @@
 	return nil
 }
 
-// checkDialect returns an error if a JSON file contains the name of a removed element as a key or as a string. The
-// variant gets an unchanged copy of the file, in which such a word cannot be distinguished from a reference to the
-// element. Other files are not checked.
+// checkDialect returns an error if a JSON file contains the name of a dropped or renamed element as a key or as a
+// string. The variant gets an unchanged copy of the file, so a reference to the element would be wrong in it.
+// checkDialect cannot tell a reference from a word with another meaning, and refuses both. It does not check files that
+// are not JSON.
 func checkDialect(file string, text []byte, removed []element) error {
 	if filepath.Ext(file) != ".json" {
 		return nil
--- a/deploy/sites/main_test.go
+++ b/deploy/sites/main_test.go
@@ -33,8 +33,8 @@
 "tier.front" = "class"
 `
 
-// makeTestVariant makes a variant of the site in testdata. replacements holds the contents of files, by name, that
-// replace files in the directory of the site file.
+// makeTestVariant makes a variant of the site in testdata. replacements holds new contents for files in the directory
+// of the site file, keyed by file name.
 func makeTestVariant(t *testing.T, changes string, replacements map[string]string) (dir, made string, err error) {
 	t.Helper()
 	from, dir := t.TempDir(), filepath.Join(t.TempDir(), "made")
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -108,7 +108,7 @@
 	Issued             int64     // number of issues to servers since the process started
 	Assignments        int64     // number of assignments that the rollout has made since the process started
 	Reports            int64     // number of reports from known servers since the process started
-	LastChangeIssuedAt time.Time // time when Run last finished a pass over a list of pendingIssues that was not empty
+	LastChangeIssuedAt time.Time // time when runDue last finished a non-empty list pendingIssues, with or without errors
 }
 
 // server is the state of one server of the fleet: its part in the rollout, and its last issue.
@@ -121,7 +121,7 @@
 	issueRecord            // record of the last issue
 	issuedAt    tufverify.Tick
 	target      *tufverify.Target // target that the last issue names, nil for none
-	files       map[string][]byte // files of the last issue, keyed by file name; nil if nothing was issued since the process started
+	files       map[string][]byte // files of the last issue, keyed by file name; nil until the process first issues metadata to the server
 }
 
 // New returns a Director with the state that its version store has recorded.
@@ -153,8 +153,8 @@
 	return d, nil
 }
 
-// restore adds each server whose last issue is recorded, with the version that the last issue assigned. If the previous issue
-// assigned a later version, the server may still install that version until the previous issue expires.
+// restore adds each server that has a recorded issue, with the version that its last issue assigned. If the field
+// previous of the issue's record is a later version, the server may still install that version until previousUntil.
 func (d *Director) restore() {
 	for _, e := range d.store.Entries() {
 		name, ok := strings.CutPrefix(e.Key, issuedPrefix)
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -59,8 +59,9 @@
 	return text, nil
 }
 
-// imageAgrees reports whether the issued target equals the target in the image repository. It also returns true if no target was
-// issued or if the image repository refuses the lookup.
+// imageAgrees reports whether the target of the server's last issue has the same digest and length as the image
+// repository's target of that path. It also returns true if the last issue has no target, or if the image repository
+// refuses the lookup.
 func (d *Director) imageAgrees(s *server) bool {
 	if s.target == nil {
 		return true
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -26,8 +26,8 @@
 	previousUntilOffset = 12
 )
 
-// encode returns a digest that begins with the record. The remaining bytes are those of the SHA-256 of content, the issue's
-// timestamp file, so that issues with different content have different digests.
+// encode returns a digest that begins with the encoded record. The bytes after the record are those of the SHA-256 of
+// content, the issue's timestamp file. Issues with different content therefore have different digests.
 func (r issueRecord) encode(content []byte) (digest tufverify.Digest) {
 	digest = sha256.Sum256(content)
 	binary.BigEndian.PutUint16(digest[assignedOffset:], r.assigned)
--- a/internal/director/stored_test.go
+++ b/internal/director/stored_test.go
@@ -23,9 +23,9 @@
 	Servers  map[string]storedIssue `json:"servers"`
 }
 
-// storedIssue is the recorded state of the last issue to one server. Build and End are the version that the issue assigns and
-// its expiry. Before is the version that the previous issue assigned, and Until is the time until which the server may act on
-// it.
+// storedIssue is the recorded state of the last issue to one server. Build is the version that the issue assigns, and
+// End is the expiry of the issue. Before is the version that the previous issue assigned. Until is the time until which
+// the server may act on the previous issue.
 type storedIssue struct {
 	Version int64          `json:"version"`
 	Build   uint16         `json:"build"`
--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -23,12 +23,12 @@
 	accepted bool                  // the response passed verification
 	closed   transport.CloseStatus // how the connection ended; zero if it did not end early
 	err      error                 // why the attempt failed; nil if it succeeded
-	final    bool                  // another mirror must not be asked
+	final    bool                  // no other mirror may be asked: the client has disconnected, or TargetReader.Corrupt reports true
 }
 
-// request has the dispatcher choose mirrors for one request, and calls try for each attempt. It ends if a result is
-// accepted or final, the dispatcher gives up, or ctx ends. It returns nil after a success. Otherwise it returns the
-// error of the last failed attempt, or errNoMirror if there was none.
+// request has the dispatcher choose a mirror for each attempt of one request, and calls try with the attempt. request
+// ends if the result of an attempt is accepted or final, if the dispatcher gives up, or if ctx ends. After a success it
+// returns nil. Otherwise it returns the error of the last failed attempt, or errNoMirror if no attempt failed.
 func (r *Repository) request(ctx context.Context, class string, try func(*dispatch.Attempt) attemptResult) error {
 	lastErr := errNoMirror
 	id, _ := r.dispatcher.Accept(dispatch.Request{Class: class, ReceivedAt: time.Now(), Timeout: r.timeouts[class]})
@@ -38,7 +38,8 @@
 		if attempt == nil {
 			return lastErr
 		}
-		// An attempt that is too late is not sent. It is reported as canceled, as if its mirror had not been chosen.
+		// An attempt is not sent if its mirror was chosen too long ago (see metadatarefresh.AttemptTooLate). The
+		// attempt is reported as canceled, as if the mirror had not been chosen.
 		if metadatarefresh.AttemptTooLate(toTicks(time.Since(attempt.ChosenAt())), 0) {
 			r.dispatcher.ReportMirror(attempt, 0, false, transport.CloseStatus{Reason: transport.Canceled})
 			continue
@@ -60,8 +61,9 @@
 	}
 }
 
-// fetchFile requests a metadata file of at most maxSize bytes. verify checks a mirror's response; after a refusal
-// another mirror is asked. For a root, verify also gets responses with status 404.
+// fetchFile requests a metadata file of at most maxSize bytes, and passes each mirror's response to verify. If verify
+// refuses the response, another mirror is asked. For a root, verify also gets responses with status 404, which mean
+// that no newer root exists.
 func (r *Repository) fetchFile(class string, f tufverify.File, maxSize int,
 	verify func(ctx context.Context, mirror dispatch.Backend, status int, data []byte) *tufverify.RefusalError) error {
 	return r.request(context.Background(), class, func(attempt *dispatch.Attempt) attemptResult {
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -48,9 +48,10 @@
 	return response
 }
 
-// roundTrip requests a file from a mirror, starting at the byte at offset, and calls read with the response. It cancels
-// the request if the body arrives too slowly. status is 0 if there was no response. closed is the result of read,
-// unless the exchange ended early for another reason.
+// roundTrip requests a file from a mirror, beginning with the byte at offset, and calls read with the response. It
+// cancels the request if the body arrives too slowly. The result status is 0 if there was no response. The result
+// closed is the return value of read. If there was no response or the body was too slow, closed holds that reason
+// instead.
 func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, offset int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -110,8 +111,8 @@
 	return n, err
 }
 
-// addClientStall excludes the time since the given time from the measurement of the mirror's rate. In that time the
-// client was slow to accept bytes, not the mirror to send them.
+// addClientStall excludes the time between the parameter since and now from the measurement of the mirror's rate. The
+// client caused that delay, because it was slow to accept bytes.
 func (p *pacedReader) addClientStall(since tufverify.Tick) {
 	now := p.tick()
 	p.transfer.OnClientStall(now - since)
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -52,8 +52,8 @@
 	verifier *tufverify.ReportVerifier
 }
 
-// reportShardCount is the maximum number of reports that are verified concurrently. Concurrent verification lets one
-// write of the version store make the counters of several reports durable.
+// reportShardCount is the maximum number of reports that are verified concurrently. If reports of several servers are
+// verified concurrently, the version store can make their counters durable in one write.
 const reportShardCount = 64
 
 // maxRequestHeader is the maximum size of the header of a client's request, in bytes.
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -23,8 +23,9 @@
 	return r.currentLocked(f)
 }
 
-// currentLocked implements cached; the caller holds r.mu. A timestamp, and the newest root or the answer that there is no
-// newer one, are valid only if mirrors were asked recently.
+// currentLocked implements cached; the caller holds r.mu. It returns a timestamp only if mirrors were asked recently.
+// The same holds for the newest root, and for the answer that no newer root exists (see
+// metadatarefresh.CheckConfirmed).
 func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, refusal := r.verified.Current(now, f)
@@ -49,7 +50,8 @@
 }
 
 // refreshIfDue asks the mirrors for a complete current set of metadata if a refresh is due. Concurrent callers share
-// one refresh. confirm means that even a complete set must be confirmed as the newest.
+// one refresh. If confirm is false, a complete set is not refreshed. If confirm is true, a refresh can be due for a
+// complete set too, to confirm that it is the newest.
 func (r *Repository) refreshIfDue(confirm bool) {
 	r.mu.Lock()
 	now := r.tick()
@@ -182,8 +184,9 @@
 	return refusal
 }
 
-// fetchRole fetches the targets of a delegated role. If metadata that the role depends on are missing, fetchRole fetches the other
-// missing roles, one of which may delegate to the role, and then tries again.
+// fetchRole fetches the targets of a delegated role. If that fails because metadata are missing, another role that is
+// not held may be the one that delegates to this role. fetchRole then fetches all other missing roles, and this role
+// once more.
 func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
 	v, _, _ := r.fetchGroup.Do("role "+role, func() (any, error) {
 		refusal := r.fetchTargets(role)
--- a/internal/metadataproxy/repository.go
+++ b/internal/metadataproxy/repository.go
@@ -62,7 +62,7 @@
 	Settings       settings.Site                             // settings of the dispatcher
 	FreshFor       time.Duration                             // how long a timestamp counts as current
 	UnconfirmedFor time.Duration                             // how long a timestamp counts as current while no mirror can be asked
-	Survey         bool                                      // serve only roots until a majority of the mirrors has shown its timestamp
+	Survey         bool                                      // serve only roots until the survey is complete (see metadatarefresh.MirrorSurvey)
 	Endpoints      []dispatch.Endpoint                       // the mirrors
 	DispatchLog    func(message string, fields ...slog.Attr) // writes the log lines of the mirrors' dispatcher
 }
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// respond sends the final response to a request that gets no file. A Retry-After header has the repository's time, or
-// defaultRetryAfter if r is nil.
+// respond sends the final response to a request that gets no file. If the response has a Retry-After header, its time
+// comes from r.retryAfter, or is defaultRetryAfter if r is nil.
 func (p *Proxy) respond(w http.ResponseWriter, r *Repository, answer metadatarefresh.Response) {
 	p.Counts.Refused.Add(1)
 	header := w.Header()
@@ -191,8 +191,8 @@
 	}
 }
 
-// receiveReport handles a server's version report (Uptane Standard 2.1, section 5.4.2.1). It is idempotent: a report that
-// was accepted before gets the same response and has no further effect.
+// receiveReport handles a server's version report (Uptane Standard 2.1, section 5.4.2.1). It is idempotent: if a server
+// sends its last accepted report again, the report gets the same response and has no further effect.
 func (p *Proxy) receiveReport(w http.ResponseWriter, req *http.Request, server string) {
 	if req.Method != http.MethodPost {
 		w.Header().Set("Allow", "POST")
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -93,9 +93,9 @@
 	counts       *Counts
 }
 
-// newRangeWriter returns a rangeWriter, and moves body to the start of the piece that contains the first requested
-// byte. If the target has no piece digests, only the whole package can be verified, and the response is the whole
-// package.
+// newRangeWriter returns a rangeWriter for a package whose bytes are verified by body. If the package has piece
+// digests, newRangeWriter moves body to the start of the piece that contains the first requested byte. Otherwise only
+// the whole package can be verified, so the response is the whole package.
 func newRangeWriter(w http.ResponseWriter, body *tufverify.TargetReader, length int64, requested byteRange, kind rangeKind,
 	counts *Counts) *rangeWriter {
 	start := int64(0)
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -21,8 +21,9 @@
 	return &ClientLimiter{Limit: limit, perClient: map[string]int{}, maxPerClient: max(1, limit/clientShareDivisor)}
 }
 
-// Acquire admits a request of a client if the limits allow that, and reports whether the request was admitted. A single client
-// cannot use up the limit: once half of the limit is in use, each client may have a quarter of the limit, and one request at least.
+// Acquire admits a request of a client if the limits allow it, and reports whether the request was admitted. At most
+// Limit requests are admitted. Once half of Limit is in use, a client that already has maxPerClient requests is
+// refused. maxPerClient is a quarter of Limit, but at least 1. A single client therefore cannot use up Limit.
 func (l *ClientLimiter) Acquire(client string) bool {
 	if l.inUse >= l.Limit || l.inUse >= l.Limit/2 && l.perClient[client] >= l.maxPerClient {
 		return false
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -26,9 +26,9 @@
 	return i.Exists && i.AssignmentCurrent && now < i.ExpiresAt
 }
 
-// MayServeLastAnswer reports whether the image repository's last answer about a package may be used in place of refusal r. It may
-// be used while the image repository cannot be asked, so that servers can be rolled back, but not if the repository refuses the
-// package for another reason.
+// MayServeLastAnswer reports whether the image repository's last answer about a package may be used in place of refusal
+// r. It may be used if r means that the image repository cannot be asked now, so that servers can still be rolled back.
+// It may not be used after a refusal for another reason.
 func MayServeLastAnswer(r *tufverify.RefusalError) bool {
 	return r.Reason == tufverify.ReasonMissing || r.Reason == tufverify.ReasonExpired
 }
@@ -37,5 +37,5 @@
 const IssueRetryDelay = tufverify.Second / 5
 
 // MustPersistTime reports whether the current time must be recorded before the Director issues metadata whose lifetime
-// begins now. The time is recorded in steps of more than a second.
+// begins now. It must be recorded if it is more than a second after the recorded time.
 func MustPersistTime(now, recorded Tick) bool { return now > recorded+tufverify.Second }
--- a/internal/metadatarefresh/mirror_settings.go
+++ b/internal/metadatarefresh/mirror_settings.go
@@ -6,13 +6,14 @@
 )
 
 // MirrorSettings returns the settings of the dispatcher of one repository's mirrors. The operator configures the
-// parameters: the number of processes that share the mirrors, the connect timeout and the maximum Retry-After in
-// seconds, and the request classes. MirrorSettings makes all request classes idempotent, by changing the elements of
-// classes.
+// parameters. relays is the number of processes that share the mirrors. connectTimeout and maxRetryAfter, the maximum
+// Retry-After time, are in seconds. classes holds the request classes; MirrorSettings changes its elements to make all
+// of them idempotent.
 //
-// The other settings are fixed. A new mirror starts at a tenth of its capacity and is warmed up after ten seconds. In
-// any second of that time, the new mirror gets at most twice the requests that its current capacity allows. Requests to a mirror
-// are excused for one second after the mirror began to drain. A request has at most sixteen attempts.
+// The other settings are fixed. A new mirror starts at a tenth of its capacity and is warmed up after ten seconds.
+// While it warms up, it gets in any second at most twice the requests that its current capacity allows. DrainGrace, the
+// tolerance for requests to a mirror that has begun to drain, is one second (see balancer.EndpointRules). A request has
+// at most sixteen attempts.
 func MirrorSettings(relays, connectTimeout, maxRetryAfter float64, classes []balancer.RequestClass) settings.Site {
 	for i := range classes {
 		classes[i].Idempotency = balancer.Idempotent
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -20,16 +20,16 @@
 	return false
 }
 
-// MirrorBlameless reports whether a refusal is not the fault of the mirror that sent the file. That is so if newer
-// roots that the mirror sent have invalidated the metadata that the file depends on.
+// MirrorBlameless reports whether the mirror that sent a file is not at fault for refusal r of the file. The mirror is
+// not at fault if it also sent newer roots, and these have invalidated the metadata that the file depends on.
 func MirrorBlameless(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	return r != nil && foundNewerRoot && r.Reason == tufverify.ReasonMissing
 }
 
-// CheckConfirmed returns a refusal if the mirrors have not confirmed a file. Otherwise it returns the given refusal,
-// which is tufverify's refusal of the file, or nil. Before the survey is complete, only root files are served. A
-// timestamp, and the newest root or the answer that there is no newer one, are served only if mirrors were asked
-// recently.
+// CheckConfirmed returns a refusal if the mirrors have not confirmed file f. Otherwise it returns the parameter
+// refusal, which is tufverify's refusal of the file, or nil. Before the survey is complete, only root files are served.
+// Three answers are served only if mirrors were asked recently (see Refresh.Stale): a timestamp, the newest root, and
+// the answer that no newer root exists.
 func CheckConfirmed(now Tick, f tufverify.File, refusal *tufverify.RefusalError, s *MirrorSurvey, r *Refresh,
 	repository string) *tufverify.RefusalError {
 	unconfirmed := func(text string) *tufverify.RefusalError {
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -20,7 +20,7 @@
 const (
 	minBackoff       = tufverify.Second / 5  // delay after the first failure until mirrors are asked again
 	maxBackoff       = 10 * tufverify.Second // the backoff doubles up to this maximum
-	retryAfterSpread = 2                     // maximum of a random Retry-After time, as a multiple of its minimum
+	retryAfterSpread = 2                     // ratio of the longest to the shortest time that RetryAfter can draw
 )
 
 // Refresh decides when the mirrors of one repository are asked for newer metadata.
@@ -51,9 +51,9 @@
 // OnRefreshed records that a mirror showed a current timestamp.
 func (r *Refresh) OnRefreshed(now Tick) { r.refreshedAt, r.notBefore, r.backoff = now, 0, 0 }
 
-// OnFailed records that no mirror showed a current timestamp. The mirrors are asked again after a backoff that doubles with each
-// failure; half of the backoff is random. A dead repository is therefore not asked for each client request, nor by all processes
-// at the same time.
+// OnFailed records that no mirror showed a current timestamp. The mirrors are asked again after a backoff that doubles
+// with each failure. During the backoff, client requests cause no requests to the mirrors. Half of the backoff is
+// random, so that the processes do not all ask the mirrors at the same time.
 func (r *Refresh) OnFailed(now Tick) {
 	r.backoff = min(maxBackoff, max(minBackoff, 2*r.backoff))
 	r.notBefore = now + r.backoff/2 + Tick(r.random.Int64N(int64(r.backoff/2)+1))
@@ -61,8 +61,8 @@
 
 // Stale reports whether the metadata that are held may no longer be treated as the newest. They become stale freshFor
 // after the last refresh, because the mirrors must then be asked. If the mirrors failed when they were last asked, the
-// metadata become stale only unconfirmedFor after the last refresh. Between these two times there may be a newer
-// version that no mirror has shown. The expiry of the metadata limits how long they are served in any case; with
+// metadata become stale only unconfirmedFor after the last refresh. Between these two times the metadata are served
+// although a newer version may exist that no mirror has shown. Metadata are never served after their expiry; with
 // unconfirmedFor an operator sets a shorter limit.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
--- a/internal/metadatarefresh/response.go
+++ b/internal/metadatarefresh/response.go
@@ -13,9 +13,9 @@
 	RetryLater bool   // the response has a Retry-After header
 }
 
-// RefusalResponse returns the response for a refusal. A client never gets an old file. The response is 503 with a
-// Retry-After header if the file is not current now, 404 if the file does not exist, and 404 with the advice to begin
-// again if the file was superseded.
+// RefusalResponse returns the response for a refusal. The client never gets an older file instead. The status is 404 if
+// the file does not exist. If a newer version has replaced the file, the status is 404 too, and the text tells the
+// client to begin again with the timestamp. In all other cases the status is 503 with a Retry-After header.
 func RefusalResponse(r *tufverify.RefusalError) Response {
 	switch r.Reason {
 	case tufverify.ReasonOlderVersion:
@@ -23,7 +23,7 @@
 	case tufverify.ReasonNotListed:
 		return Response{http.StatusNotFound, "no such file", false}
 	case tufverify.ReasonMissing:
-		if r.Role == "root" { // clients learn in this way that they have the newest root (TUF specification, section 5.3.3)
+		if r.Role == "root" { // status 404 tells clients that they have the newest root (TUF specification, section 5.3.3)
 			return Response{http.StatusNotFound, "no such root", false}
 		}
 		return Response{http.StatusServiceUnavailable, "not to be had now", true}
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -4,10 +4,11 @@
 	"silvercove/internal/tufverify"
 )
 
-// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. It guards against mirrors that serve older
-// metadata while the newest versions are not recorded, either because the version store was restored from a backup or because
-// there is none. A survey waits for a majority of the mirrors. If a majority of the mirrors has the newest timestamp, at least
-// one mirror of the survey therefore shows it. The survey does not guard against a majority of mirrors that are out of date.
+// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. It guards against mirrors that
+// serve older metadata while the newest versions are not recorded. The versions are not recorded if the version store
+// was restored from a backup, or if there is no version store. A survey waits for a majority of the mirrors. Any two
+// majorities have a mirror in common. If a majority has the newest timestamp, at least one mirror of the survey
+// therefore shows it. The survey does not guard against a majority of mirrors that are out of date.
 type MirrorSurvey struct {
 	shownBy map[string]bool // names of the mirrors that have shown a correctly signed timestamp
 
@@ -20,8 +21,9 @@
 	return &MirrorSurvey{shownBy: map[string]bool{}, Done: !wanted}
 }
 
-// OnTimestamp records the result of verifying a mirror's timestamp. The timestamp counts if it was accepted, was held already or
-// is older than one that was seen, because it is correctly signed in these cases. listed are the names of all mirrors.
+// OnTimestamp records the result of verifying a mirror's timestamp; refusal is nil if the timestamp was accepted. The
+// mirror counts towards the majority if its timestamp is correctly signed. A timestamp that is held already, or is
+// older than a known one, is correctly signed too. listed holds the names of the mirrors of which a majority is needed.
 func (s *MirrorSurvey) OnTimestamp(mirror string, refusal *tufverify.RefusalError, listed []string) {
 	if refusal == nil || refusal.Reason == tufverify.ReasonAlreadyHeld || refusal.Reason == tufverify.ReasonOlderVersion {
 		s.shownBy[mirror] = true
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -150,8 +150,8 @@
 	return endpoints
 }
 
-// markNew sets the start time of each mirror that is not in the earlier list to now, so that the mirror is warmed up.
-// The name and the address identify a mirror.
+// markNew sets the start time of each new mirror to now, so that the mirror is warmed up. A mirror is new if no mirror
+// in earlier has the same name and address.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
 	listedEarlier := map[mirror]bool{}
--- a/internal/metadataservice/director.go
+++ b/internal/metadataservice/director.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// connectDirector connects the Director to the release API and the discovery agent. It uses a separate dispatcher that passes
-// their notifications on to the Director. No requests go through this dispatcher, so it has no evidence and casts no vote.
+// connectDirector connects the Director to the release API and the discovery agent. It uses a separate dispatcher that
+// passes their notifications on to the Director. No requests go through this dispatcher. It therefore has no evidence
+// about any version, and casts no vote of its own.
 func (s *Service) connectDirector(c *directorConfig) {
 	if c.discoveryAddress == "" && c.releaseAPIAddress == "" {
 		return
@@ -122,8 +123,9 @@
 	}
 }
 
-// loadServerKeys returns the servers' public keys by server name. A file that was read before and has not changed is not read
-// again, because reading thousands of files takes long and may delay a change of the exposure cap.
+// loadServerKeys returns the servers' public keys by server name. A file that was read before and has not changed is
+// not read again. Reading thousands of files takes long, and Reload applies a changed exposure cap only after the keys
+// are loaded.
 func (s *Service) loadServerKeys(servers []serverConfig) (map[string]crypto.PublicKey, error) {
 	byServer := map[string]crypto.PublicKey{}
 	byPath := map[string]publicKeyFile{}
@@ -140,8 +142,9 @@
 	return byServer, nil
 }
 
-// loadPublicKey returns the public key in a file. It does not read the file if loaded has the key, or if the file has
-// not changed since an earlier load.
+// loadPublicKey returns the public key in the file at path. loaded holds the keys that the caller has already loaded,
+// by path. loadPublicKey does not read the file if loaded has the path. It also does not read the file if the
+// modification time and the size are those of an earlier load.
 func (s *Service) loadPublicKey(path string, loaded map[string]publicKeyFile) (publicKeyFile, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/metadataservice/helpers_test.go
+++ b/internal/metadataservice/helpers_test.go
@@ -179,7 +179,7 @@
 
 func (w *testService) url() string { return "http://" + w.service.Address() }
 
-// get sends a request to the service as the named client, and checks the response.
+// get sends a request to the service as the named client, and w.checker checks the response.
 func (w *testService) get(client, path string) (int, []byte, http.Header) {
 	w.Helper()
 	transport := w.checker.Transport(client, "/r/image", http.DefaultTransport)
--- a/internal/metadataservice/mirrors_test.go
+++ b/internal/metadataservice/mirrors_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestMirror_OlderVersionIsNotServed guards against mirrors that present an older, validly signed version. In the cases, one
-// mirror, most or all of the mirrors present it: without a restart, after a restart, and (one mirror only) after a restart with the
-// version store restored from a backup.
+// TestMirror_OlderVersionIsNotServed guards against mirrors that present an older, validly signed version. One, two or
+// all of the three mirrors begin to do so, while the service runs or while it is stopped for a restart. In the last
+// case, one mirror does so, and the version store is restored from a backup before the restart.
 func TestMirror_OlderVersionIsNotServed(t *testing.T) {
 	for _, c := range []struct {
 		lagging  int
@@ -139,7 +139,8 @@
 	}
 }
 
-// TestMirror_DrainedGetsNoRequests checks that a draining mirror gets no new requests after one second.
+// TestMirror_DrainedGetsNoRequests checks that a mirror gets no requests from one second after the start of its drain
+// on, and that it gets requests again after it is up again.
 func TestMirror_DrainedGetsNoRequests(t *testing.T) {
 	w := newTestService(t, 3, tufrepo.Lifetimes{})
 	w.must(w.publisher.Add("app/1.tar", 1, content(100_000, 1)))
@@ -174,11 +175,12 @@
 	w.checkNoFindings()
 }
 
-// TestMirror_NewMirrorIsWarmedUp checks that a new mirror gets few requests at first, however many clients ask. The
-// test compares it with a warm mirror in the half second after the reload. The limit is half of the warm mirror's
-// requests in that time, or half of its average per half second before the reload if that is more. The earlier requests
-// count because the budget of a new mirror depends on them too, and because a busy machine may slow the warm mirrors in
-// the half second of the test.
+// TestMirror_NewMirrorIsWarmedUp checks that a new mirror gets few requests at first, however many clients ask. It
+// counts the requests to the new mirror and to a warm one in the half second after a reload adds the new mirror. The
+// new mirror may get at most half as many requests as the warm mirror. If the warm mirror's average per half
+// second before the reload was higher, half of that average is the limit. The earlier requests count because the budget
+// of a new mirror depends on them too. Another reason is that a busy machine may slow the warm mirrors in the half
+// second of the test.
 func TestMirror_NewMirrorIsWarmedUp(t *testing.T) {
 	w := newTestService(t, 3, tufrepo.Lifetimes{})
 	w.must(w.publisher.Add("app/1.tar", 1, content(20_000, 1)))
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // not s.now, because the dispatcher uses real time
+			markNew(c.mirrors, earlier[c.name], time.Now()) // not s.now, which tests replace: the dispatcher uses real time
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/tufrepo/repository_test.go
+++ b/internal/tufrepo/repository_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestRepo_KilledBetweenSigningAndPublishing stops Publish as a crash would, in each case before Publish writes the file of
-// another role. No version number may be published with two different contents, and the next Publish must leave a repository
-// that clients accept.
+// TestRepo_KilledBetweenSigningAndPublishing stops Publish as a crash would. Each case stops Publish before it writes
+// the file of one role. No version number may be published with two different contents, and the next Publish must leave
+// a repository that clients accept.
 func TestRepo_KilledBetweenSigningAndPublishing(t *testing.T) {
 	for _, step := range []string{"root", "targets", "snapshot", "timestamp"} {
 		t.Run("before "+step, func(t *testing.T) {
--- a/internal/tufrepo/staging.go
+++ b/internal/tufrepo/staging.go
@@ -101,8 +101,9 @@
 	return max(newest, recorded) + 1, err
 }
 
-// openForChange returns the metadata of a role for a change. These are the staged metadata if there are any, and otherwise the
-// published metadata, on which setVersion sets the next version. Signatures are removed, because a change invalidates them.
+// openForChange returns the metadata of a role for a change. It removes the signatures, because a change invalidates
+// them. If the role has staged metadata, openForChange returns these. Otherwise it returns the published metadata after
+// it has called setVersion with the next version.
 func openForChange[T metadata.Roles](r *Repo, role string,
 	setVersion func(m *metadata.Metadata[T], version int64)) (*metadata.Metadata[T], error) {
 	m, staged, err := loadMetadata[T](r, role)
--- a/internal/tufrepo/targets.go
+++ b/internal/tufrepo/targets.go
@@ -19,8 +19,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// openTargets returns the targets metadata of a role for a change (see openForChange), with a new version and expiry if they
-// were not staged.
+// openTargets returns the targets metadata of a role for a change (see openForChange). If the role has no staged
+// metadata, the returned metadata have the next version and a new expiry.
 func (r *Repo) openTargets(role string) (*metadata.Metadata[metadata.TargetsType], error) {
 	return openForChange(r, role, func(m *metadata.Metadata[metadata.TargetsType], version int64) {
 		m.Signed.Version, m.Signed.Expires = version, r.expiry(r.Lifetimes.Targets)
--- a/internal/tufverify/current.go
+++ b/internal/tufverify/current.go
@@ -69,8 +69,8 @@
 	return r.checkDelegationChain(metadata.TARGETS)
 }
 
-// checkDelegationChain returns a refusal if the metadata of a targets role have expired or are not held, or those of any role on
-// the delegation path to it.
+// checkDelegationChain checks the metadata of a targets role, and those of each role on the delegation path to it. It
+// returns a refusal if any of these metadata have expired or are not held.
 func (r *Repository) checkDelegationChain(role string) *RefusalError {
 	for name := role; name != metadata.ROOT; name = r.targets[name].delegator {
 		t := r.targets[name]
--- a/internal/tufverify/next_file.go
+++ b/internal/tufverify/next_file.go
@@ -7,9 +7,10 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// NextFile returns the next file to fetch, and its maximum size in bytes. ok is false if the set of root, timestamp, snapshot
-// and top-level targets is complete. If the held root has expired or is older than the recorded one, the next file is the next
-// root. If the held timestamp has expired, the next file is the timestamp.
+// NextFile returns the next file to fetch, and its maximum size in bytes. ok is false if the set of root, timestamp,
+// snapshot and top-level targets is complete. If the held root has expired or is older than the root version in the
+// version store, the next file is the next root. Otherwise, if the held timestamp has expired, the next file is the
+// timestamp.
 func (r *Repository) NextFile(now Tick) (f File, maxSize int, ok bool) {
 	r.advance(now)
 	recorded, _ := r.store.Recorded(r.storeKey(metadata.ROOT))
@@ -49,8 +50,8 @@
 	return File{Role: role}
 }
 
-// lengthLimit returns the length in m, the entry that a timestamp or snapshot has for a file. It returns limit if the entry has
-// no length or a larger one.
+// lengthLimit returns the maximum size of a file in bytes. m is the entry that a timestamp or snapshot has for the
+// file. The maximum size is the length in m, or limit if m has no length or a length above limit.
 func lengthLimit(m *metadata.MetaFiles, limit int) int {
 	if m.Length > 0 && m.Length < int64(limit) {
 		return int(m.Length)
--- a/internal/tufverify/parse.go
+++ b/internal/tufverify/parse.go
@@ -54,9 +54,9 @@
 	return parsed, nil
 }
 
-// canonicalDigest returns the digest of the canonical form of the signed part of a file. It decodes the bytes into generic JSON
-// values instead of the metadata types, as a client may do. An object with a duplicate member is an error, because parsers
-// differ in which of the two values they use.
+// canonicalDigest returns the digest of the canonical form of the signed part of a file. It decodes the bytes into
+// generic JSON values, because clients may do so instead of using the metadata types of go-tuf. An object with a
+// duplicate member is an error, because parsers differ in which of the two values they use.
 func canonicalDigest(data []byte) (digest Digest, err error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -83,9 +83,9 @@
 // maxNestingDepth is the maximum nesting depth of objects and arrays in a metadata file.
 const maxNestingDepth = 32
 
-// checkUniqueMembers reads one JSON value and returns an error if an object in it has a duplicate member. It does not detect names
-// that differ in case alone, which the JSON decoder of go-tuf treats as equal. Such names change the canonical form, so parse
-// detects them when it compares the canonical forms.
+// checkUniqueMembers reads one JSON value and returns an error if an object in it has a duplicate member. It does not
+// detect names that differ in case alone, which the JSON decoder of go-tuf treats as equal. parse refuses a file with
+// such names: the canonical form of what go-tuf decoded then differs from that of the received bytes.
 func checkUniqueMembers(dec *json.Decoder, depth int) error {
 	t, err := dec.Token()
 	if err != nil {
--- a/internal/tufverify/refresh.go
+++ b/internal/tufverify/refresh.go
@@ -22,9 +22,9 @@
 // FetchFunc fetches a file for Refresh or LookUp. If the file does not exist, FetchFunc returns nil data and a nil error.
 type FetchFunc func(f File) ([]byte, error)
 
-// Refresh runs the client workflow (sections 5.3 to 5.6). It first fetches and verifies each next root until there is none. It
-// then fetches the files that are missing (see NextFile). The error is a RefusalError, comes from get, or names the file that
-// was not found.
+// Refresh runs the client workflow (sections 5.3 to 5.6). It first fetches and verifies each next root until there is
+// none. It then fetches the files that are missing (see NextFile). The error is a RefusalError, is an error of the
+// parameter get, or names the file that was not found.
 func (r *Repository) Refresh(now Tick, get FetchFunc) error {
 	for {
 		f := File{metadata.ROOT, r.NextRootVersion()}
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// LookUp finds a target, and fetches the metadata of the delegated roles that the search needs. The error is a RefusalError,
-// comes from get, or names the file that was not found.
+// LookUp finds a target, and fetches the metadata of the delegated roles that the search needs. The error is a
+// RefusalError, is an error of the parameter get, or names the file that was not found.
 func (r *Repository) LookUp(now Tick, path string, get FetchFunc) (*Target, error) {
 	for {
 		t, need, refusal := r.Find(now, path)
--- a/internal/tufverify/report.go
+++ b/internal/tufverify/report.go
@@ -88,9 +88,9 @@
 	return &RefusalError{Reason: reason, Repository: "reports", Role: server, Text: fmt.Sprintf(format, args...)}
 }
 
-// VerifyReport verifies the signed report of a server, and records its counter. The report must be about this server, be signed
-// by the server's key and have a higher counter than every report accepted before. A report that was accepted before is refused
-// with ReasonAlreadyHeld.
+// VerifyReport verifies the signed report of a server, and records the counter of the report. The report must be about
+// this server and be signed by the server's key. Its counter must be higher than that of every report of the server
+// that was accepted before. The last accepted report is refused with ReasonAlreadyHeld if it arrives again.
 func (v *ReportVerifier) VerifyReport(server string, data []byte) (*Report, *RefusalError) {
 	if len(data) > MaxReportSize {
 		return nil, v.refuse(ReasonTooLarge, server, "%d bytes, the limit is %d", len(data), MaxReportSize)
--- a/internal/tufverify/repository.go
+++ b/internal/tufverify/repository.go
@@ -98,9 +98,9 @@
 	return &RefusalError{Reason: reason, Repository: r.name, Role: role, Text: fmt.Sprintf(format, args...)}
 }
 
-// advance sets r.now to now if now is later. This guards against clocks that start in 1970 or are set back, which would make
-// expired metadata valid again; the guard holds because r.now never decreases. If a clock was ever far ahead, all metadata count
-// as expired until an operator sets the time in the version store back.
+// advance sets r.now to now if now is later. r.now therefore never decreases, and expired metadata do not become valid
+// again if a clock starts in 1970 or is set back. If a clock was ever far ahead, all metadata count as expired until an
+// operator sets the time in the version store back.
 func (r *Repository) advance(now Tick) { r.now = max(r.now, now) }
 
 // log writes a log line with the name of this repository.
--- a/internal/tufverify/root.go
+++ b/internal/tufverify/root.go
@@ -36,9 +36,9 @@
 	if refusal = r.recordVersion(metadata.ROOT, next.version, next.digest); refusal != nil {
 		return refusal
 	}
-	// Section 5.3.11: if the keys of timestamp or snapshot change, the files signed by the old keys are dropped, and versions
-	// are recorded under a new key epoch. Otherwise, if a stolen key had signed a version that is far too high, all later
-	// versions would be refused.
+	// Section 5.3.11: if the keys of timestamp or snapshot change, the files signed by the old keys are dropped, and
+	// versions are recorded under a new key epoch. A stolen old key may have signed a version that is far too high.
+	// Without the new key epoch, all later versions would then be refused.
 	if !sameKeys(r.root, next, metadata.TIMESTAMP) || !sameKeys(r.root, next, metadata.SNAPSHOT) {
 		r.keyEpoch, r.timestamp, r.snapshot = next.version, nil, nil
 		clear(r.targets)
--- a/internal/tufverify/snapshot.go
+++ b/internal/tufverify/snapshot.go
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// checkSnapshotRollback refuses a snapshot that no longer lists a file of the held snapshot, or lists an older version of the
-// file (section 5.5.5). It also refuses a snapshot that lists an older version of the top-level targets than the recorded one.
+// checkSnapshotRollback refuses a snapshot that no longer lists a file of the held snapshot, or lists an older version
+// of the file (section 5.5.5). It also refuses a snapshot that lists a version of the top-level targets older than the
+// version that the version store has recorded for them.
 func (r *Repository) checkSnapshotRollback(next *verified[metadata.SnapshotType]) *RefusalError {
 	const role = metadata.SNAPSHOT
 	if r.snapshot != nil {
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// logTimeNotRecorded logs that recording the time failed. Callers do not fail for that reason, because the time in memory has
-// advanced.
+// logTimeNotRecorded logs that the time could not be recorded in the version store. Callers continue after this error,
+// because the time in memory, r.now, has advanced.
 func (r *Repository) logTimeNotRecorded(err error) {
 	r.log(slog.LevelError, "trusted time could not be recorded", slog.String("error", err.Error()))
 }
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// recordVersion records a version of a role, together with the time, before anything depends on the version.
+// recordVersion records a version of a role before anything depends on the version. It also records r.now if the
+// recorded time is more than a second earlier.
 func (r *Repository) recordVersion(role string, version int64, digest Digest) *RefusalError {
 	key := r.storeKey(role)
 	switch recorded, recordedDigest := r.store.Recorded(key); {
--- a/internal/tufverify/target_reader_test.go
+++ b/internal/tufverify/target_reader_test.go
@@ -66,8 +66,9 @@
 		})
 	}
 	b := newTestRepository(t)
-	// If one mirror sends a wrong start of a piece and stops, the piece is invalid although a second mirror completes it with
-	// valid bytes. From then on each piece must come from one mirror alone, so that the second mirror succeeds on the next try.
+	// If one mirror sends a wrong start of a piece and stops, the piece is invalid although a second mirror completes
+	// it with valid bytes. From then on, each piece must come from one mirror alone. On the second try, SwitchMirror
+	// therefore drops the wrong start, and the second mirror sends the whole piece.
 	spliced := b.repo.OpenTarget(&tufverify.Target{Path: "p", Length: int64(len(whole)), Sum: sum, Custom: pieces(4096)})
 	var got []byte
 	deliver := func(p []byte) error { got = append(got, p...); return nil }
--- a/internal/tufverify/targets.go
+++ b/internal/tufverify/targets.go
@@ -47,8 +47,9 @@
 	return nil
 }
 
-// verifyDelegation verifies the signatures of t with the keys that another role lists for role, and returns the name of that
-// delegator: root for the top-level targets, and otherwise a role that delegates to role.
+// verifyDelegation verifies the signatures of t, the targets metadata of role, and returns the name of the delegator
+// whose keys signed them. For the top-level targets, the delegator is root. Otherwise it is a held role that delegates
+// to role.
 func (r *Repository) verifyDelegation(role string, t *verified[metadata.TargetsType]) (delegator string, refusal *RefusalError) {
 	if role == metadata.TARGETS {
 		return metadata.ROOT, r.verifySignatures(r.root.Metadata, role, t.Metadata, t.Signatures)
--- a/internal/tufverify/uptane.go
+++ b/internal/tufverify/uptane.go
@@ -6,9 +6,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// VerifyAssignment refuses a target that a Director assigned if its length, its SHA-256 or its build differs from that of image,
-// the target of the same path in the image repository. It also refuses the target if image does not support the given kind of
-// hardware.
+// VerifyAssignment refuses the target assigned, which comes from a Director, if its length, its SHA-256 or its software
+// version (Custom.Build) differs from that of image. image is the image repository's target of the same path.
+// VerifyAssignment also refuses assigned if image does not support the given kind of hardware.
 func (r *Repository) VerifyAssignment(assigned, image *Target, hardware string) *RefusalError {
 	supported := len(image.Custom.HardwareKinds) == 0 || slices.Contains(image.Custom.HardwareKinds, hardware)
 	switch {
