--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,7 +19,7 @@
 	call     *Call
 	cancel   context.CancelFunc
 	chosenAt time.Time
-	version  uint16 // version that the backend had when the balancer chose it
+	version  uint16 // version of the backend at the time when the balancer chose it
 }
 
 // ChosenAt is when the balancer chose the backend of the attempt.
@@ -29,8 +29,8 @@
 // backend still has the address and start time that it had when it was chosen, and the balancer's rules still allow the
 // attempt. If Begin returns true, the attempt counts as sent.
 //
-// One update of the endpoint list may release many queued requests at once. Some of their clients may have closed their
-// connections without their sessions having run since then. Begin therefore calls Request.ClientClosed itself.
+// One update of the endpoint list may release many queued requests at once. By then a client may have closed its
+// connection, and the session of that client may not have run since. Begin therefore calls Request.ClientClosed itself.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
@@ -54,8 +54,9 @@
 	d.balancer.OnStreamStart(d.clock.now(), a.attempt)
 }
 
-// Report records how an attempt ended. sqlState is the SQLSTATE of the answer, or "" without an answer; status is how the
-// connection ended; load is the load report of the backend, or nil. Report returns whether the attempt succeeded.
+// Report records how an attempt ended. sqlState is the SQLSTATE of the answer, or "" without an answer; status is how
+// the connection ended; load is the load report of the backend, or nil without one. Report returns whether the attempt
+// succeeded.
 func (d *Dispatcher) Report(a *Attempt, sqlState string, status transport.CloseStatus, load []float64) (succeeded bool) {
 	return d.endAttempt(a, AttemptOutcome(sqlState, status), load)
 }
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -93,7 +93,7 @@
 }
 
 // backendOf returns the backend with a name, and creates it when the name is listed for the first time. A new backend
-// gets a free ID if there is one, and otherwise the next ID.
+// gets the smallest ID that a dropped backend has freed, or a new ID if no ID is free.
 func (d *Dispatcher) backendOf(name string) *backend {
 	if b := d.backends[name]; b != nil {
 		return b
@@ -141,9 +141,9 @@
 	d.balancer.OnEndpoint(now, &b.Backend, endpoint)
 }
 
-// forgetRemoved drops removed backends, the longest removed first, while there are more removed than listed ones. It
-// keeps a backend that has an attempt in flight or whose retention has not ended: such a backend may be listed again
-// unchanged, or a late report may name it.
+// forgetRemoved drops removed backends, the longest removed first, while there are more removed backends than listed
+// ones. It stops at the first backend that has an attempt in flight or was removed less than d.retention ago. That
+// backend may be listed again unchanged, or a late report may name it.
 func (d *Dispatcher) forgetRemoved(now balancer.Tick) {
 	for len(d.removed) > len(d.backends)-len(d.removed) {
 		b := d.removed[0]
@@ -156,8 +156,8 @@
 	}
 }
 
-// EndpointFetchFailed records that a call for the endpoint list, which the balancer had asked for, failed. It does
-// nothing if the balancer does not poll for the list.
+// EndpointFetchFailed records that a call for the endpoint list failed. The balancer had asked for this call. If the
+// balancer does not poll the list, EndpointFetchFailed does nothing.
 func (d *Dispatcher) EndpointFetchFailed() {
 	if !d.pollsEndpoints {
 		return
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -20,20 +20,21 @@
 	ClientClosed func() bool
 }
 
-// Call is one accepted request. Only one goroutine at a time may use it, except that Abandon may be called from any
-// other.
+// Call is one accepted request. Only one goroutine at a time may use a Call, but any goroutine may call Abandon at any
+// time.
 type Call struct {
 	request      balancer.Request
 	class        int
 	key          string
 	tenant       string
 	clientClosed func() bool
-	submitted    bool      // whether the balancer has received the call or the fleet policy has shed it
-	abandoned    bool      // whether the client left before the call was submitted; guarded by the dispatcher's lock
-	steps        chan Step // at most one attempt and one final answer wait in it at any time, so that a send never blocks
+	submitted    bool      // the call was handed to the balancer, or the fleet policy shed it
+	abandoned    bool      // the client left before the call was submitted; guarded by the dispatcher's lock
+	steps        chan Step // holds at most one attempt and one final answer at any time, so a send never blocks
 }
 
-// stepBuffer is the capacity of Call.steps. It is larger than the number of steps that can wait for a call.
+// stepBuffer is the capacity of Call.steps. At most two steps wait in the channel at any time: one attempt and one
+// final answer.
 const stepBuffer = 4
 
 // Step is the next thing to do for a call: either an attempt or a final answer.
@@ -113,7 +114,7 @@
 }
 
 // admit asks the fleet policy whether to take a call that has just arrived. No attempt of the call has been sent yet,
-// so a rejection truthfully promises that a retry is harmless.
+// so the final answer Rejected is correct: nothing has run.
 func (d *Dispatcher) admit(c *Call) (retryAfter time.Duration, ok bool) {
 	if d.callbacks.FleetPolicy == nil {
 		return 0, true
--- a/internal/dispatch/callbacks.go
+++ b/internal/dispatch/callbacks.go
@@ -33,16 +33,16 @@
 	// Evidence, if set, records the outcomes of each version.
 	Evidence EvidenceRecorder
 
-	// FleetPolicy, if set, decides for the whole fleet what is shed, retried and probed. It is nil for a relay that
-	// belongs to no fleet.
+	// FleetPolicy, if set, decides for the whole fleet which requests are shed or retried and which backends are
+	// probed. FleetPolicy is nil for a relay that belongs to no fleet.
 	FleetPolicy FleetPolicy
 }
 
 // FleetPolicy makes the decisions that the relays of a fleet make together. Its methods are called with the
 // dispatcher's lock held and must not block.
 type FleetPolicy interface {
-	// Admit reports whether a request goes to the balancer. If not, the request is rejected at once, and its client may
-	// retry after retryAfter.
+	// Admit reports whether a request goes to the balancer. If ok is false, the request is rejected at once, and its
+	// client may retry after retryAfter.
 	Admit(class int, priorityWeight float64, tenant string, clientRetry bool) (ok bool, retryAfter time.Duration)
 	// RecordFirstAttempt records the first attempt of a request that is not a retry by its client.
 	RecordFirstAttempt()
@@ -69,7 +69,8 @@
 	UpdateVersion(now balancer.Tick, version uint16, phase string)
 	// RecordOutcome records the outcome of an attempt of this relay.
 	RecordOutcome(now balancer.Tick, version uint16, class, stage int, bad bool)
-	// RecordWrongAnswer records a client's report of a wrong answer to an attempt that was sent the given delay ago.
+	// RecordWrongAnswer records that a client reported a wrong answer. delay is the time since the attempt that got
+	// this answer was sent.
 	RecordWrongAnswer(now balancer.Tick, version uint16, class, stage int, delay balancer.Tick)
 	// RecordReleaseMetrics records attempts and failures that the release API counted.
 	RecordReleaseMetrics(now balancer.Tick, version uint16, class, stage, attempts, failed int)
--- a/internal/dispatch/clock.go
+++ b/internal/dispatch/clock.go
@@ -9,10 +9,10 @@
 // tickDuration is the length of one tick of the balancer's clock.
 const tickDuration = time.Second / time.Duration(balancer.Second)
 
-// clock gives the balancer's time: the machine's Unix time at the start, plus the time since then on the monotonic
-// clock.
+// clock gives the balancer's time: the machine's Unix time when newClock was called, plus the time since that call on
+// the monotonic clock.
 type clock struct {
-	start     time.Time // time of the start, with its monotonic clock reading
+	start     time.Time // time when newClock was called, with a monotonic clock reading
 	startTick balancer.Tick
 }
 
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -13,8 +13,8 @@
 	Accepted, Succeeded, Rejected, Failed, Abandoned int64
 }
 
-// Counters count what has passed through the dispatcher since it was made. OpenRequests, InFlight and Backends are
-// current values instead.
+// Counters count what has passed through the dispatcher since it was made. OpenRequests, InFlight and Backends are not
+// totals, but the values at the call of Snapshot.
 type Counters struct {
 	Classes         []ClassCounters
 	Outcomes        [balancer.Discarded + 1]int64 // number of attempts by outcome
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatch is the blocking facade of the balancer. It serialises all calls of one balancer, implements the
-// balancer's Host, and is the only package that maps the balancer's requests, attempts and backends to those of
-// clients, connections and the endpoint list.
+// balancer's Host, and is the only package that maps the balancer's requests, attempts and backends to client requests,
+// connections and entries of the endpoint list.
 //
 // A listener uses a Dispatcher as follows. Accept makes a Call from a request. Next blocks until the call has a step:
 // an attempt, or a final answer of the relay itself. Begin announces an attempt before its first byte is written, and
@@ -34,7 +34,7 @@
 	tenants        nameIndex
 	loadColumns    []string
 	maxRetryAfter  time.Duration // upper bound of RetryAfter for shed calls; 0 if rejected clients are told no time
-	pollsEndpoints bool          // whether the balancer polls for changes of the endpoint list, which otherwise arrive unasked
+	pollsEndpoints bool          // whether the balancer polls the endpoint list; if not, changes arrive without a request for them
 	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
 	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
@@ -96,8 +96,9 @@
 	d.classes = newNameIndex(names)
 }
 
-// retention is the sum of the spans within which a removed backend may still matter: it may be listed again unchanged,
-// its slow start and its share of the exposure still count, or a late report may name it.
+// retention returns how long the dispatcher keeps a removed backend: the sum of both slow-start windows and the
+// exposure window. Within that time the backend may be listed again unchanged, its slow start and its share of the
+// exposure still count, or a late report may name it.
 func retention(s balancer.Settings) balancer.Tick {
 	return s.SlowStart.Window.Ticks() + s.SlowStart.OverloadWindow.Ticks() + s.Rollout.ExposureWindow.Ticks()
 }
@@ -110,7 +111,7 @@
 	do()
 }
 
-// Load returns the number of attempts in flight and of queued requests, as a fraction of the balancer's own concurrency
+// Load returns the number of attempts in flight and of queued requests, divided by the balancer's own concurrency
 // limit.
 func (d *Dispatcher) Load() float64 {
 	d.mu.Lock()
--- a/internal/dispatch/fleet_policy_test.go
+++ b/internal/dispatch/fleet_policy_test.go
@@ -31,8 +31,8 @@
 	return p.retries
 }
 
-// RecordOutcome records only the first letter of the backend's name, as the test does not fix which of the two backends is
-// chosen.
+// RecordOutcome records only the first letter of the backend's name, because the balancer may choose either of the two
+// backends.
 func (p *fakePolicy) RecordOutcome(backend string, good bool) {
 	p.note("outcome ", backend[:1], " ", good)
 }
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestFleetPolicy_ExhaustedRetryBudgetEndsRequest: if the fleet policy allows no retry, a request gets the final answer
-// of its idempotency class at once.
+// TestFleetPolicy_ExhaustedRetryBudgetEndsRequest: if the fleet policy allows no retry, a request whose attempt failed
+// gets the final answer of its idempotency class at once.
 func TestFleetPolicy_ExhaustedRetryBudgetEndsRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, class, state   string
--- a/internal/dispatch/names_test.go
+++ b/internal/dispatch/names_test.go
@@ -51,8 +51,9 @@
 }
 
 // TestNext_RetriesStayInDeduplicationZone: a request that may have run at a backend is sent again only to backends in
-// the zone of the first backend, which drops repeated requests. A zone that is missing from the settings must not be
-// taken for the first zone of the settings, and two endpoints without a zone are never in the same zone.
+// the zone of the first backend, because only backends of that zone drop a repeat of the request. A zone that is
+// missing from the settings must not be taken for the first zone of the settings, and two endpoints without a zone are
+// never in the same zone.
 func TestNext_RetriesStayInDeduplicationZone(t *testing.T) {
 	for _, c := range []struct {
 		name, first, second string
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -8,11 +8,11 @@
 	"silvercove/internal/transport"
 )
 
-// The functions of this file are the only place that maps answers and the ends of connections to the balancer's
-// outcomes.
+// Only the functions of this file map answers and the ends of connections to the balancer's outcomes.
 
 // AttemptOutcome maps the end of an attempt to an outcome: by the SQLSTATE of the answer or, without an answer (""), by
-// how the connection ended. If it is unknown whether the request has run, the outcome is one that allows for it.
+// how the connection ended. If it is unknown whether the request has run, the outcome does not rule out that the
+// request has run.
 func AttemptOutcome(sqlState string, status transport.CloseStatus) balancer.Outcome {
 	switch sqlState {
 	case "":
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -36,8 +36,8 @@
 		t.Errorf("an old placement, or one with the same backend, moved %v", moved)
 	}
 
-	// The attempt is refused during a cut-over: the call is queued until the new placement arrives, and is then sent to
-	// the new backend.
+	// A backend refuses an attempt for camera-7, as during a cut-over. The call is queued until the new placement
+	// arrives, and is then sent to the new backend.
 	call := ask("camera-7")
 	step := d.Next(call)
 	d.Report(step.Attempt, stateAtCapacity, answered, nil)
@@ -51,8 +51,8 @@
 	}
 	d.Report(step.Attempt, pgwire.StateSuccess, answered, nil)
 
-	// The instance runs nowhere, or is unknown: the call is rejected after its latency objective, and no entry is kept
-	// for it.
+	// camera-7 has been deleted, and camera-9 is unknown. A call for either instance is rejected after the latency
+	// objective of the call, and the dispatcher keeps no entry for the instance.
 	d.UpdatePlacements(false, nil, []string{"camera-7"})
 	for _, key := range []string{"camera-7", "camera-9"} {
 		if step := d.Next(ask(key)); step.Answer != Rejected || step.RetryAfter == 0 {
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -122,7 +122,7 @@
 }
 
 // RecordWrongAnswer records a report that the named backend answered a request of a class wrongly. age is the time
-// since the attempt was sent.
+// since the attempt that got this answer was sent.
 func (d *Dispatcher) RecordWrongAnswer(backendName, class string, age time.Duration) {
 	index, known := d.classes[class]
 	d.mu.Lock()
@@ -159,14 +159,14 @@
 }
 
 // takeGossipCounts subtracts from outcomes and bad as many outcomes of each class as fit into one gossip message, and
-// returns the subtracted counts. The last of the returned counts, for wrong answers, stays empty. remaining is false if
-// there was nothing to subtract.
+// returns the subtracted counts. counts has one element for each class, and a last one for wrong answers that stays
+// zero. remaining is false if there was nothing to subtract.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		// badPart is the share of bad outcomes among the outcomes in this message, rounded up.
+		// badPart is part times the share of bad outcomes among the outcomes left of the class, rounded up.
 		if outcomes[class] > 0 {
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -14,7 +14,7 @@
 	tag   uint32
 }
 
-// idleWait is how long RunTimers sleeps while no timer is set. SetTimer ends the sleep.
+// idleWait is the longest sleep of RunTimers while no timer is set. A call of SetTimer ends the sleep earlier.
 const idleWait = time.Hour
 
 // RunTimers fires the balancer's timers until the context ends, and then returns nil. It must be called exactly once
--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	compactionSlack = 4 << 20 // bytes by which a file must exceed twice its live content before it is compacted
+	compactionSlack = 4 << 20 // a file is compacted once it exceeds twice its live content by this number of bytes
 	recordOverhead  = 64      // approximate size of a record in the file, in bytes, not counting the size of its log entry
 )
 
@@ -54,7 +54,7 @@
 			out = appendRecord(out, request{kind: kindEntry, instance: name, entry: e})
 		}
 	}
-	return appendRecord(out, countRequest(s.count)) // last: on reading, it replaces the count of the rewritten records before it
+	return appendRecord(out, countRequest(s.count)) // the count comes last: when the file is read, it replaces the count of the records before it
 }
 
 // sizeInFile returns the approximate size of an instance's log in the file, in bytes.
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -29,14 +29,13 @@
 	kindDelete   recordKind = 4
 	kindNote     recordKind = 5
 
-	// kindCount stores the number of records ever written to the file, and whether the records after it are counted. On
-	// disk, the record has the kind kindDelete, an empty instance name and a count above 0. Earlier versions of the
-	// program ignore such a record.
+	// kindCount stores a recordCount. On disk, the record has the kind kindDelete, an empty instance name and a count
+	// above 0. Earlier versions of the program ignore such a record.
 	kindCount recordKind = 1 << 8
 )
 
-// countingEnabled is the value of request.sum in a kindCount request that enables the counting of the records after it.
-// The value 0 disables the counting.
+// countingEnabled is the value of request.sum in a kindCount request if the records after that request are counted.
+// With the value 0 they are not counted.
 const countingEnabled = 1
 
 const numberSize = 8 // size of a number in a payload, in bytes
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -1,6 +1,7 @@
-// Package instancestore persists the logs of an edge node's instances and one short note across restarts. Each log
-// entry is stored with its epoch. The note holds data of the node itself. The store is one append-only file in the
-// node's data directory. Without a directory, the store keeps nothing and only acknowledges requests in order.
+// Package instancestore persists the logs of an edge node's instances across restarts, and one short byte string,
+// called the note, with data of the node itself. Each log entry is stored with its epoch. The store is one append-only
+// file in the node's data directory. Without a directory, the store keeps nothing and only acknowledges requests in
+// order.
 //
 // Usage: Open reads the directory. The request methods (Append, Truncate, Reset, Delete, SetNote, ConfirmCurrent) only
 // queue a request. Run executes queued requests in order, many with one write and one fsync, and calls the done function
@@ -10,10 +11,10 @@
 // Open reject the whole file, since the records after the inconsistency may have been acknowledged. If the disk is
 // full, requests fail and the content of the file does not change.
 //
-// A disk that was restored from an older image looks intact. The file therefore counts all records ever written to it,
-// and the controllers, which store the highest count that a node has reported, detect a restored disk by its lower
-// count. Each time the store is opened, records are counted only after ConfirmCurrent has declared the file to be the
-// newest one known. Until then, the count of a restored file cannot catch up with the reported count.
+// A disk that was restored from an older image looks intact. The file therefore holds a count of the records written to
+// it (see RecordCount). The controllers store the highest count that a node has reported, and detect a restored disk by
+// its lower count. After Open, records are not counted until ConfirmCurrent has declared the file to be the newest one
+// known. The count of a restored file thus cannot catch up with the reported count before ConfirmCurrent.
 //
 // Files: store.go (opening and requests), run.go (the queue), write.go (applying requests in memory and writing them to
 // the file), compaction.go (compaction), format.go (records).
@@ -51,9 +52,8 @@
 	lockName    = "instances.lock"
 	maxQueue    = 1 << 16 // number of queued requests from which on further requests are rejected
 	maxNoteSize = 4 << 10 // largest note, in bytes
-	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. If another process counts
-	// records in a copy of the file at the same time, the count of the copy thus stays lower than the count of this
-	// file.
+	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. The step keeps the count
+	// above the count of a copy of the file in which another process counts records at the same time.
 	confirmStep = 1 << 20
 )
 
@@ -72,8 +72,8 @@
 	logs            map[string]*replica.Log
 	note            []byte
 	count           recordCount
-	runCountWritten bool  // the first kindCount record since Open is durable; it disables the counting until ConfirmCurrent
-	writeFailed     error // if the state of the file is unknown, the error with which all requests fail; otherwise nil
+	runCountWritten bool  // whether the first kindCount record since Open is durable; that record disables the counting until ConfirmCurrent
+	writeFailed     error // error with which all requests fail because the state of the file is unknown; nil if the state is known
 
 	durableCount atomic.Uint64 // durable count of records, which RecordCount returns
 
@@ -82,10 +82,10 @@
 	wake  chan struct{}
 }
 
-// recordCount is the number of records that were ever written to the file while counting was enabled.
+// recordCount is the count that RecordCount describes, and whether the next records increase it.
 type recordCount struct {
 	records  uint64
-	counting bool // whether further records are counted: enabled by ConfirmCurrent, and disabled by the first write after Open
+	counting bool // whether further records are counted; ConfirmCurrent sets it, and the first write after Open clears it
 }
 
 // Open opens the store in a folder and returns its logs and its note, which the caller may modify. If folder is "", the
@@ -210,8 +210,8 @@
 // ErrQueueFull, ErrWriteFailed, an error of the disk, or an error of SetNote because the note is too long.
 
 // ConfirmCurrent enables the counting of records, which is disabled after Open, and raises the count to at least
-// minCount. The caller declares that no file of this node is known to have more than minCount records, or that the
-// entries which this file may lack have been reported.
+// minCount. The caller thereby declares one of two facts: no file of this node is known to have more than minCount
+// records, or the entries that this file may lack have been reported to the controllers.
 func (s *Store) ConfirmCurrent(minCount uint64, done func(error)) {
 	s.enqueue(request{kind: kindCount, number: max(1, minCount), sum: countingEnabled, done: done})
 }
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -135,8 +135,8 @@
 }
 
 // confirmedCount returns the count that ConfirmCurrent(minCount) sets. The first ConfirmCurrent after Open adds
-// confirmStep, so that the count exceeds that of a copy of the file in which another process counts records at the same
-// time.
+// confirmStep, so that the count exceeds the count of a copy of the file in which another process counts records at the
+// same time.
 func (s *Store) confirmedCount(minCount uint64) uint64 {
 	count := max(minCount, s.count.records)
 	if !s.count.counting {
@@ -145,8 +145,9 @@
 	return count
 }
 
-// appendToFile appends out to the file and syncs it. If that fails, it truncates the file to its former size and syncs
-// it. If that fails too, it sets writeFailed, so that nothing more is written.
+// appendToFile appends out to the file and syncs the file. If the write or the sync fails, it truncates the file to its
+// former size and syncs again. If the truncation or this sync fails too, it sets writeFailed, so that nothing more is
+// written.
 func (s *Store) appendToFile(out []byte) error {
 	_, err := s.file.Write(out)
 	if err == nil {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -94,8 +94,9 @@
 	return false, nil
 }
 
-// compact rewrites the files if most of their content is obsolete. It computes the compacted size, for which it visits
-// every entry, only if the files have grown too large by the size computed last.
+// compact rewrites the files if most of their content is obsolete. It first compares the size of a file with the
+// compacted size computed last. Only if the file is too large does it compute the compacted size anew, because that
+// takes a visit to every entry.
 func (s *Store) compact() {
 	if s.size < 2*s.compacted+compactionSlack {
 		return
--- a/internal/monotonic/store.go
+++ b/internal/monotonic/store.go
@@ -1,7 +1,7 @@
-// Package monotonic implements the version store, which persists values that must never decrease: the highest version of
-// each key that was ever trusted, issued or reported, with its checksum, and the latest time ever trusted. It consists of
-// one append-only file, or of several copies of the file on different disks. Open takes the highest version of each key and
-// the latest time from all copies.
+// Package monotonic implements the version store, which persists values that must never decrease: the highest version
+// of each key that was ever trusted, issued or reported, with the checksum of that version's content, and the latest
+// time ever trusted. The store consists of one append-only file, or of several copies of the file on different disks.
+// Open takes the highest version of each key and the latest time from all copies.
 //
 // A record is durable in all copies before Record or AdvanceTime returns. An incomplete record at the end of a file was
 // never acknowledged and is truncated. Any other inconsistency makes Open reject the whole file, since a damaged record
@@ -49,11 +49,11 @@
 	mu        sync.Mutex // guards all fields below
 	committed *sync.Cond // signals that the write of a batch has ended
 	entries   map[string]entry
-	latest    tufverify.Tick   // latest time recorded
+	latest    tufverify.Tick   // latest time that was recorded with AdvanceTime or set by ResetTime
 	pending   map[string]entry // entries that were passed to Record, but are not durable yet
 	next      *batch           // batch that the next commit writes
 	writing   bool             // a batch is being written, with mu released
-	broken    bool             // the state of the files is unknown, or the store is closed: all writes fail
+	broken    bool             // all writes fail, because the state of the files is unknown or the store is closed
 	files     []File
 	locks     []*os.File
 	size      int64 // size of each file, in bytes
@@ -150,8 +150,9 @@
 	return storedCopy{contents: c, exists: true}, nil
 }
 
-// merge adds the entries and the time of a copy that are newer than those of the store. It returns an error if the
-// copy has different content for the same version of a key.
+// merge takes over each entry of a copy that has a higher version than the store's entry, and the time of the copy if
+// it is later than the store's time. It returns an error if the copy has different content for the same version of a
+// key.
 func (s *Store) merge(c contents) error {
 	for key, e := range c.entries {
 		known, ok := s.entries[key]
--- a/internal/monotonic/stored_test.go
+++ b/internal/monotonic/stored_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// writeStored writes a new file at the path stored. The file is not compacted: it also contains a version and a time
-// that later records in it replace.
+// writeStored writes a new file at the path stored. The file is not compacted: it also contains an obsolete version and
+// an obsolete time, each followed by a newer one.
 func writeStored(t *testing.T, stored string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "versions")
--- a/internal/recordlog/file.go
+++ b/internal/recordlog/file.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of locking and writing a record file. After a write that left a file in an unknown state, the writer of the
-// file returns ErrWriteFailed.
+// Errors of locking and writing a record file. The packages that write record files return ErrWriteFailed for every
+// write after one that left the file in an unknown state.
 var (
 	ErrInUse       = errors.New("in use by another process")
 	ErrWriteFailed = errors.New("an earlier write failed partway: restart the process to continue")
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -48,10 +48,10 @@
 	Version      uint32 // format version of new files; files with a later version are rejected
 	MaxPayload   int    // largest payload of a record, in bytes
 	Checksum     func([]byte) uint64
-	WideChecksum bool // store all 8 bytes of a payload's checksum instead of the low 4; other checksums always have 4 bytes
-	// TornTail is set if a crash may leave any part of the last record on disk, and zeros in space that was allocated
-	// for later records. If it is not set, each record is synced before the next, and only the end of the last record
-	// may be missing.
+	WideChecksum bool // store all 8 bytes of a payload's checksum instead of the low 4; checksums of file headers and of lengths always have 4 bytes
+	// TornTail says what a crash may leave at the end of a file. If TornTail is true, any part of the last record may
+	// be missing, and space that was allocated for later records may hold zeros. If TornTail is false, each record is
+	// synced before the next one is written, and only the end of the last record may be missing.
 	TornTail bool
 }
 
@@ -136,7 +136,7 @@
 }
 
 // nextRecord returns the payload of the record at the start of rest, and the size of that record with its header. The
-// size is 0 if rest does not start with a complete record, but may be what an incomplete write left.
+// size is 0 if rest starts with no complete record, but with data that an incomplete write may have left.
 func (f *Format) nextRecord(rest []byte) (payload []byte, size int, err error) {
 	headerSize := f.RecordHeaderSize()
 	if len(rest) < headerSize {
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -20,7 +20,7 @@
 // assignment holds what the controllers have agreed about an instance. The zero value is unassigned.
 type assignment struct {
 	state  assignmentState
-	agreed placement.Assignment // the newest assignment received; empty unless assigned
+	agreed placement.Assignment // the newest assignment received; empty unless state is assigned
 }
 
 func (a *assignment) known() bool { return a.state == assigned }
@@ -122,20 +122,21 @@
 	if p.Primary == m.self && newEpoch {
 		r.confirmedByReplica = false
 		if r.unverified && m.disk == diskRestored {
-			r.startVerification(p.Replicas) // a replica may have more entries than this copy, or show that there are none
+			r.startVerification(p.Replicas) // each replica must show whether it has more entries than this copy
 		}
 		if p.Index > inst.local.log.LastIndex() {
-			r.incomplete = true // entries are missing: the disk was restored, or this node was counted as a replica without having them
+			r.incomplete = true // entries are missing: the disk was restored, or the controllers took this node for a replica that had them
 		}
 	}
 	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
-		r.incomplete = true // there is no copy here: another process with this node's name received it
+		r.incomplete = true // this node has no copy: another process with this node's name received the entries
 	}
 }
 
 // discardOrphan deletes an orphaned log. It is called when an assignment or a message shows that an instance of this
-// name exists now. The instance of the orphaned log was deleted, and the new instance only has the same name. The log
-// is kept until then, because controllers that lost their own log would not know its instance either.
+// name exists now. The instance of the orphaned log was deleted, and the new instance only has the same name. Until
+// then the log is kept: controllers that lost their own log would not know the instance either, even if it was never
+// deleted.
 func (m *Manager) discardOrphan(inst *instance) {
 	if inst.assignment.state != orphaned {
 		return
@@ -155,8 +156,9 @@
 	}
 }
 
-// OnPlacementRebuilt replaces all assignments after the controllers lost their disks and placement was rebuilt from
-// what the nodes have. Epochs and revisions from before the rebuild cannot be compared with the new ones.
+// OnPlacementRebuilt replaces all assignments. It is called when the controllers have lost their disks and the
+// placement was rebuilt from what the nodes have stored. Epochs and revisions from before the rebuild cannot be
+// compared with the new ones.
 func (m *Manager) OnPlacementRebuilt(now tick.Tick, assignments []placement.Assignment, version uint64) {
 	for _, name := range m.KnownInstances() {
 		inst := m.instances[name]
@@ -198,7 +200,7 @@
 }
 
 // OnProposalRefused records that the controllers refused a proposal, or that the caller does not know its result. The
-// next proposal for the instance is made a tenth of a lease duration later at the earliest.
+// next proposal for the instance is made at now + Config.Lease/proposalRetriesPerLease at the earliest.
 func (m *Manager) OnProposalRefused(now tick.Tick, op placement.Operation, err error) {
 	inst := m.instances[op.Instance]
 	if inst == nil || !inst.proposal.inProgress() || inst.proposal.operation != op {
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -11,19 +11,19 @@
 	DefaultLease         = tick.Second
 )
 
-// Divisors of Config.Lease. Each constant is the number of intervals in one lease duration. The quotient of the lease
-// duration and the constant is the interval that the comment names.
+// Divisors of Config.Lease. The lease duration divided by one of these constants is the interval that the comment of
+// the constant describes.
 const (
 	ticksPerLease            = 20 // Lease/ticksPerLease is the longest interval between two calls of OnTick
 	resendsPerLease          = 10 // a message without an answer is sent again after Lease/resendsPerLease
 	proposalRetriesPerLease  = 10 // a refused proposal is made again after Lease/proposalRetriesPerLease
 	proposalTimeoutsPerLease = 2  // a proposal without a result is made again after Lease/proposalTimeoutsPerLease
-	confirmTimeoutsPerLease  = 3  // a primary proposes to drop a replica that has not confirmed for Lease/confirmTimeoutsPerLease
+	confirmTimeoutsPerLease  = 3  // a primary proposes to drop a replica that has confirmed no further entry for Lease/confirmTimeoutsPerLease
 )
 
 // Timeouts as multiples of Config.Lease.
 const (
-	stalledCopyLeases = 2 // a copy without progress for longer than this is cancelled
+	stalledCopyLeases = 2 // a primary proposes to cancel a copy to a copy target without progress for longer than this
 	unusedCopyLeases  = 2 // a copy that is not required and has not been used for this time is deleted
 )
 
@@ -52,8 +52,9 @@
 type InitialState struct {
 	Logs []Log // the logs on the disk
 
-	// Assignments are the controllers' assignments at Version, from before this incarnation first asked for a lease. A
-	// copy that they require on this node was stored by an earlier incarnation, so its log must be in Logs.
+	// Assignments are the controllers' assignments at Version. They date from before this incarnation first asked for a
+	// lease. If an assignment requires a copy on this node, an earlier incarnation stored the copy, and Logs must
+	// contain its log.
 	Assignments []placement.Assignment
 	Version     uint64
 }
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -32,7 +32,7 @@
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // number of further answers until the node has answered an announcement of the last index, which shows the node that its copy is complete
+	announcementsLeft uint8     // number of further answers until the node has answered an announcement of the last index (see announceLog)
 
 	// replacedIndex and replacedChecksum are the index and the checksum of the node's last entry when its log was found
 	// to differ from the primary's. They are used in the states truncating and resetting.
@@ -80,11 +80,10 @@
 
 // recordAnswer processes an answer in which the node's last entry has the given index.
 //
-// It prevents the primary from sending in a tight loop to a node that answers every message and accepts nothing. The
-// cause is a fault of that node or a copy that changes between messages; the fault shows as consecutive answers without
-// progress. The guard holds because, after more than maxAcksWithoutProgress such answers, the next message is delayed
-// as if the last one had been lost. Answers that arrive out of order also count as answers without progress and can
-// cause that delay.
+// A node may answer every message and accept nothing, because of a fault of that node or because its copy changes
+// between messages. The primary must not send to such a node in a tight loop. After more than maxAcksWithoutProgress
+// consecutive answers without progress, recordAnswer therefore delays the next message as if the last one had been
+// lost. Answers that arrive out of order also count as answers without progress and can cause that delay.
 func (f *followerProgress) recordAnswer(now tick.Tick, index uint64) {
 	f.inFlight = false
 	f.acksWithoutProgress++
@@ -206,7 +205,8 @@
 	return MessageAppend
 }
 
-// fill adds the next entries to a message. If the node has to replace entries, fill also adds what identifies them.
+// fill adds the next entries to a message. If the node has to replace entries, fill also adds the fields of the message
+// that identify those entries.
 func (f *followerProgress) fill(msg *Message, log *Log, durable uint64) {
 	if f.next < log.BaseIndex { // log no longer keeps all entries after f.next
 		f.state = resetting
@@ -224,13 +224,13 @@
 	}
 }
 
-// announceLog sends each follower the last index of this log again. It is called once messages are no longer marked as
-// unverified.
+// announceLog sends each follower the last index of this log again, in a message that is not marked as unverified. Such
+// a message lets the follower see whether its copy is complete.
 func (m *Manager) announceLog(now tick.Tick, inst *instance) {
 	for _, f := range inst.followers {
 		f.announcementsLeft = 1
 		if f.inFlight {
-			f.announcementsLeft = 2 // the next answer is to the message in flight, which was sent before the announcement
+			f.announcementsLeft = 2 // the first of two answers belongs to the message in flight, which was sent before the announcement
 		}
 	}
 	inst.idle = false
@@ -241,7 +241,7 @@
 func (m *Manager) onAnswer(now tick.Tick, inst *instance, from string, msg *Message) {
 	p := &inst.assignment.agreed
 	if msg.Kind == MessageStaleEpoch {
-		if msg.Epoch > p.Epoch { // another node is primary in a later epoch; the controllers will send that assignment
+		if msg.Epoch > p.Epoch { // another node is primary in a later epoch; the controllers will send the assignment of that epoch
 			inst.recovery.fencedEpoch = max(inst.recovery.fencedEpoch, msg.Epoch)
 			m.advance(now, inst)
 		}
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -25,8 +25,8 @@
 	// TruncateLog removes the entries of an instance's log after index.
 	TruncateLog(instance string, index uint64)
 
-	// ResetLog replaces an instance's log, if any, by one without entries whose next entry has the index base+1.
-	// checksum is the checksum of the entries up to base.
+	// ResetLog replaces an instance's log, if any, by an empty one. The next entry of the empty log has the index
+	// base+1, and checksum is the checksum of all entries up to base.
 	ResetLog(instance string, base, checksum uint64)
 
 	// DeleteLog removes an instance's log.
@@ -40,12 +40,12 @@
 const (
 	EventLease      = "lease"   // the node's lease was gained or lost, as Reason says
 	EventDisk       = "disk"    // a write failed, or the disk was restored from an older image
-	EventIncomplete = "lacks"   // the copy that the controllers require is incomplete
+	EventIncomplete = "lacks"   // this node's copy of an instance lacks entries that the controllers require
 	EventUnverified = "doubts"  // the node serves from a copy that no other node has shown to be complete
 	EventServing    = "acts"    // the node starts to serve an instance
 	EventStopped    = "stops"   // the node stops serving an instance
 	EventCaughtUp   = "synced"  // the copy target has all acknowledged entries
-	EventDropped    = "drops"   // a replica that does not confirm is to be dropped
+	EventDropped    = "drops"   // the primary proposes to drop a replica that has not confirmed entries in time
 	EventRefused    = "refused" // a proposal was refused
 )
 
--- a/internal/replica/host_test.go
+++ b/internal/replica/host_test.go
@@ -58,7 +58,8 @@
 	return n.sent[len(n.sent)-1]
 }
 
-// entriesAfter returns log entries that follow an index and a checksum.
+// entriesAfter returns one log entry for each request ID. The entries continue a log whose last entry has the given
+// index and checksum.
 func entriesAfter(index, checksum, epoch uint64, node string, ids ...string) (all []replica.LogEntry) {
 	for i, id := range ids {
 		e := replica.LogEntry{Index: index + 1 + uint64(i), Epoch: epoch, Node: node, RequestID: id}
@@ -69,7 +70,7 @@
 	return all
 }
 
-// primaryWithoutReplicas returns a node that is the primary of instance x and holds a lease until 9000.
+// primaryWithoutReplicas returns a node that is the primary of instance x and holds a lease until tick 9000.
 func primaryWithoutReplicas(maxStateBytes float64) *recordingHost {
 	n := &recordingHost{}
 	n.manager = newManager(n, 1, "a", 1, map[string]any{"fleet.state": maxStateBytes}, nil, nil, 0)
@@ -86,8 +87,8 @@
 	return n.responses[len(n.responses)-1]
 }
 
-// afterTakeover returns a node that has become the primary of instance x, with three entries "p", "q" and "z" of the
-// previous primary.
+// afterTakeover returns a node that has become the primary of instance x, and has three entries of the previous
+// primary, c. Their request IDs are p, q and z. It also returns these entries.
 func afterTakeover(p placement.Assignment) (*recordingHost, []replica.LogEntry) {
 	n := &recordingHost{}
 	old := entriesAfter(0, 0, 1, "c", "p", "q", "z")
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -9,7 +9,7 @@
 type nodeLease struct {
 	until           tick.Tick // end of the lease; 0 if none runs
 	previousEnd     tick.Tick
-	requiredVersion uint64 // the node serves only after it has seen the assignments up to this version, since they may name other primaries
+	requiredVersion uint64 // the node serves only after it has seen the assignments up to this version, since these may name another node as primary
 	seenVersion     uint64
 }
 
@@ -52,7 +52,7 @@
 		m.advanceAll(now)
 		return
 	}
-	m.advanceActive(now) // a renewed lease changes nothing for idle instances
+	m.advanceActive(now) // a renewed lease changes nothing for idle instances, so advanceAll is not needed
 }
 
 // expireLease handles the end of the lease, if it has ended: the node stops serving every instance.
--- a/internal/replica/local_log.go
+++ b/internal/replica/local_log.go
@@ -13,15 +13,15 @@
 	diskFullReason = "the disk is full"
 )
 
-// localLog is this node's copy of an instance: the log as it will be once all pending writes are done, and the index up
-// to which it is durable. The zero value means that there is no copy.
+// localLog is this node's copy of an instance. Its field log is the log as it will be once all pending writes are done.
+// The zero value means that there is no copy.
 type localLog struct {
 	log      Log
 	present  bool              // there is a copy, possibly without entries
 	bytes    int               // size of the kept entries, in bytes
 	requests map[string]uint64 // by request ID: index of the kept entry with that ID
-	pending  []diskWrite       // writes requested of the disk, oldest first
-	failed   bool              // a write failed: the writes that are still pending will fail too
+	pending  []diskWrite       // writes that were requested of the disk and have not completed, oldest first
+	failed   bool              // a write failed, so the writes that are still pending will fail too
 	durable  uint64            // index of the last entry on the disk
 }
 
@@ -71,10 +71,11 @@
 	}
 }
 
-// addPending records a write that is requested of the disk. It must be called before the log changes.
+// addPending records a write that is requested of the disk, and the log before the write. It must be called before the
+// log changes.
 func (l *localLog) addPending(index uint64, deletes bool) {
 	before := l.log
-	before.Entries = slices.Clip(before.Entries) // append to a clipped slice allocates, so it cannot overwrite entries of the other log
+	before.Entries = slices.Clip(before.Entries) // without spare capacity, an append to before.Entries cannot overwrite entries of l.log
 	l.pending = append(l.pending, diskWrite{index: index, deletes: deletes, before: before, wasPresent: l.present})
 }
 
@@ -135,15 +136,15 @@
 	return first
 }
 
-// rollBack restores the log from before a write that failed. The writes that are still pending depend on the failed one
-// and will fail too.
+// rollBack restores the log to its state before w, a write that failed. The writes that are still pending depend on the
+// failed one and will fail too.
 func (l *localLog) rollBack(w diskWrite) {
 	l.failed = true
 	l.replace(w.before)
 	l.present = w.wasPresent
 }
 
-// bytesWith returns the size of the log with one more entry.
+// bytesWith returns the size that the kept entries would have after an append of e, in bytes.
 func (l *localLog) bytesWith(e LogEntry) int {
 	bytes := l.bytes + e.Size()
 	if len(l.log.Entries) == LogCapacity {
@@ -186,8 +187,8 @@
 	m.updateTracking(inst)
 }
 
-// OnDiskError records that the first pending write of an instance failed; the writes that depend on it will fail too.
-// An entry that was not written was sent to no node, so its request was never executed.
+// OnDiskError records that the first pending write of an instance failed. The later pending writes depend on the failed
+// one and will fail too. An entry that was not written was sent to no node, so its request was never executed.
 func (m *Manager) OnDiskError(now tick.Tick, name string, err error) {
 	m.expireLease(now)
 	inst := m.instances[name]
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -12,7 +12,7 @@
 	// its first answer again as long as its entry is kept.
 	LogCapacity = 1024
 
-	// entryOverhead is the number of bytes by which the size of a log entry exceeds its body, node and request ID.
+	// entryOverhead is the number of bytes that LogEntry.Size adds to the lengths of the body, node and request ID.
 	entryOverhead = 64
 )
 
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -39,7 +39,7 @@
 	lastUsed    tick.Tick // when the last assignment, or the last message from a primary, was received
 	tracked     bool      // whether the instance is in Manager.tracked
 	scheduled   bool      // whether the instance is in Manager.active
-	idle        bool      // result of isIdle after the last advanceOnce
+	idle        bool      // result of isIdle in the last call of advance
 }
 
 // NewManager returns the manager of a node whose process starts at now.
@@ -147,15 +147,15 @@
 	return max(next, now+1)
 }
 
-// advanceAll does what can be done now for every tracked instance.
+// advanceAll calls advance for every tracked instance.
 func (m *Manager) advanceAll(now tick.Tick) {
 	for _, inst := range m.tracked {
 		m.advance(now, inst)
 	}
 }
 
-// advanceActive does what can be done now for the instances in Manager.active. Idle instances cost nothing, however
-// many a node has.
+// advanceActive calls advance for the instances in Manager.active. It skips idle instances, so its cost does not depend
+// on their number.
 func (m *Manager) advanceActive(now tick.Tick) {
 	due := m.active
 	m.active = nil
@@ -169,10 +169,10 @@
 	}
 }
 
-// advance does what can be done now for one instance, and adds the instance to Manager.active if the passing of time
-// alone may require further actions.
+// advance runs advanceOnce for one instance. It adds the instance to Manager.active if the passing of time alone may
+// require further actions.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
-	if inst.idle { // the replicas of an idle instance had nothing to confirm
+	if inst.idle { // the replicas of an idle instance had nothing to confirm, so their timeouts begin now
 		inst.resetProgressTimes(now)
 	}
 	m.advanceOnce(now, inst)
@@ -231,8 +231,8 @@
 	return true
 }
 
-// hasPendingWork reports whether a write to the disk, a request, an answer or a proposal is pending, or the copy cannot
-// be trusted.
+// hasPendingWork reports whether a write to the disk, a request, an answer to a primary or a proposal is pending, or
+// the copy cannot be trusted.
 func (inst *instance) hasPendingWork() bool {
 	return len(inst.local.pending) > 0 || inst.local.failed || len(inst.serving.pending) > 0 || len(inst.pendingAcks) > 0 ||
 		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -12,7 +12,7 @@
 	maxReasonLength        = 1024      // largest size of the reason of a message, in bytes
 	maxBatchBytes          = 256 << 10 // no entry is added to a message whose entries have this size in bytes or more
 	maxPendingAcks         = 4         // largest number of a primary's messages that wait for this node's disk; if there are more, the oldest stays unanswered
-	maxAcksWithoutProgress = 4         // after more consecutive answers without progress, messages to the answering node are delayed
+	maxAcksWithoutProgress = 4         // after more than this number of consecutive answers without progress, messages to the answering node are delayed
 	maxPendingRequests     = 256       // largest number of an instance's requests that wait for the disk and the replicas
 )
 
@@ -41,14 +41,15 @@
 	LastIndex    uint64     `json:"tip,omitempty"` // last index that is durable at the primary
 
 	// Unverified says that the sender's copy may come from a disk that was restored from an older image, and that no
-	// node has shown it to be complete: the message proves nothing about the receiver's copy. In an answer it is also
-	// set while the sender does not know yet whether its disk was restored, and if entries are missing from its copy.
+	// node has shown the copy to be complete. Such a message does not show that the receiver's copy is complete. An
+	// answer is also marked as unverified while the sender does not know yet whether its disk was restored, and if
+	// entries are missing from the sender's copy.
 	Unverified bool `json:"doubt,omitempty"`
 
-	// Truncate asks the receiver to remove its entries after PrevIndex, or with Reset all its entries, provided that
-	// its last entry is ReplacedIndex with ReplacedChecksum. If the last entry is another one, the receiver's log has
-	// changed and is left alone. A late message thus cannot remove entries that were confirmed after the message was
-	// sent.
+	// Truncate asks the receiver to remove its entries after PrevIndex. With Reset, the receiver is asked to remove all
+	// its entries. It removes them only if its last entry has the index ReplacedIndex and the checksum
+	// ReplacedChecksum. Otherwise its log has changed, and stays as it is. A late message thus cannot remove entries
+	// that were confirmed after the message was sent.
 	Truncate         bool   `json:"replace,omitempty"`
 	Reset            bool   `json:"begin,omitempty"`
 	ReplacedIndex    uint64 `json:"was,omitempty"`
@@ -63,7 +64,8 @@
 	Checksums     []uint64 `json:"sums,omitempty"`
 	Reason        string   `json:"why,omitempty"`
 
-	// ReplyTo is set by the receiver's host to identify the message, and copied into the answer. It is not sent.
+	// ReplyTo identifies the message at the receiver. The receiver's host sets it, and the Manager copies it into the
+	// answer. It is not part of the JSON encoding.
 	ReplyTo uint64 `json:"-"`
 }
 
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -14,7 +14,7 @@
 // proposal is the operation last proposed to the controllers for an instance. The zero value means that there was none.
 type proposal struct {
 	operation placement.Operation
-	at        tick.Tick // when the operation was proposed; 0 if none is in progress
+	at        tick.Tick // when the operation was proposed; 0 if no proposal is in progress
 }
 
 func (p *proposal) inProgress() bool { return p.at != 0 }
@@ -43,13 +43,13 @@
 }
 
 // proposeReportIncomplete proposes to record that this node's copy lacks entries that the controllers require, and
-// reports whether that is necessary. It returns false if the copy lacks no such entries, if the node's lease does not
+// returns true if that is necessary. It returns false if the copy lacks no such entries, if the node's lease does not
 // hold, or if the assignment does not involve the node.
 func (m *Manager) proposeReportIncomplete(now tick.Tick, inst *instance) bool {
 	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
 	}
-	if inst.serving.state != stopped { // the disk failed while serving: another node may be primary before the controllers answer
+	if inst.serving.state != stopped { // the disk failed while serving: stop now, since another node may become primary before the controllers answer
 		m.stopServing(now, inst, "the copy is incomplete")
 	}
 	operation := placement.Operation{Kind: placement.OpReportIncomplete, Reason: "no copy outlived the restart"}
@@ -61,7 +61,8 @@
 }
 
 // proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
-// copy that was lost can be told from one that never existed. It reports whether that record is still missing.
+// copy that was lost can be told from one that never existed. It returns true if that record is missing and this node,
+// as the primary of the running instance, may propose it.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
@@ -76,8 +77,8 @@
 	m.propose(now, inst, placement.Operation{Kind: placement.OpReportIncomplete, Target: replica, Reason: reason})
 }
 
-// proposeNext proposes what has to be agreed next: to drop a replica that does not confirm, or the next step of the
-// copy to another node.
+// proposeNext proposes the operation that is due next: to drop a replica that does not confirm entries, or the next step
+// of the copy to the copy target.
 func (m *Manager) proposeNext(now tick.Tick, inst *instance) {
 	if m.proposeDrop(now, inst) || inst.assignment.agreed.CopyTarget == "" || inst.serving.state == stopped {
 		return
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -42,7 +42,7 @@
 	}
 	inst.recovery.fencedEpoch = msg.Epoch
 	if inst.assignment.known() && msg.Epoch > inst.assignment.agreed.Epoch && inst.serving.state != stopped {
-		m.advance(now, inst) // stops serving: another node is primary, and this node has not received the new assignment yet
+		m.advance(now, inst) // makes this node stop serving: another node is primary, but the new assignment has not arrived yet
 	}
 	m.discardOrphan(inst)
 	inst.lastUsed = now
@@ -51,7 +51,7 @@
 		m.updateTracking(inst)
 		return
 	}
-	if msg.ReceiverIncarnation == m.incarnation { // otherwise the message continues the log of an earlier incarnation
+	if msg.ReceiverIncarnation == m.incarnation { // a message to an earlier incarnation continues the log of that incarnation
 		if reason := m.applyEntries(inst, msg); reason != "" {
 			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, reason))
 			return
@@ -136,8 +136,8 @@
 	}
 }
 
-// queueAck has a message answered once all pending writes are durable. If too many messages wait, the oldest stays
-// unanswered.
+// queueAck queues the answer to a message until all pending writes are durable. If more than maxPendingAcks messages
+// wait, the oldest stays unanswered.
 func (inst *instance) queueAck(ack pendingAck) {
 	inst.pendingAcks = append(inst.pendingAcks, ack)
 	if len(inst.pendingAcks) > maxPendingAcks {
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -13,7 +13,7 @@
 const (
 	current    recoveryState = iota // the copy has all entries that the controllers require
 	unverified                      // the copy is from before the process started, and no other node has shown it to be complete
-	verifying                       // the node restarted as primary: the replicas must first show that none of them has more entries
+	verifying                       // the node, as primary, waits until each replica has shown that it has no more entries than this copy
 	fenced                          // another node has reported a later epoch
 	incomplete                      // the copy lacks entries that the controllers require
 )
@@ -26,13 +26,15 @@
 // recovery holds the facts that decide whether a copy may be trusted. They are separate fields because one fact can outlive
 // another: a copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
 type recovery struct {
-	primaryAtStart     bool // this node was the primary at the start, and OnDiskChecked has not yet shown whether its copy is complete
+	// primaryAtStart is set if this node was the primary at its start. OnDiskChecked clears it if the disk was
+	// restored, and markComplete clears it if a verified primary has shown the copy to be complete.
+	primaryAtStart     bool
 	unverified         bool
 	confirmedByReplica bool // a replica's log has matched this copy in the current epoch
 	incomplete         bool
 	awaitedReplicas    []string // replicas that have yet to show that they have no more entries than this copy
 	fencedEpoch        uint64   // the latest epoch that another node has reported
-	pendingReport      string   // why the copy may lack entries; empty if the controllers have been told or need not be told
+	pendingReport      string   // why the copy may lack entries; empty if nothing has to be reported to the controllers
 }
 
 // state returns the most severe state that applies to a primary of the given epoch.
@@ -90,11 +92,11 @@
 // image: the controllers know of more records on it than there were at the start. Each copy on a restored disk is
 // unverified until a node with a verified copy has shown it to be complete.
 //
-// The check guards against serving without acknowledged entries, and without a report, after a disk was restored. The
-// fault shows as a disk with fewer records than the controllers know of, on the primary and a replica at once or on a
-// primary without replicas. The guard holds because only a node with a later copy can tell which entries are missing,
-// and the copies stay unverified until such a node has shown them to be complete. If the controllers' record count
-// belongs to another disk, complete copies are reported as unverified, which has no other effect.
+// Without the check, a node could serve from a restored disk that lacks acknowledged entries, and report nothing. That
+// happens if the disks of the primary and a replica are restored at once, or the disk of a primary without replicas.
+// Only a node with a later copy can tell which entries are missing. The copies therefore stay unverified until such a
+// node has shown them to be complete. If the controllers' record count belongs to another disk, complete copies are
+// reported as unverified, which has no other effect.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskCurrent
 	if !restored {
@@ -153,8 +155,8 @@
 }
 
 // serveUnverified lets a primary serve from an unverified copy. Only a node with all entries can tell a disk that was
-// restored within an incarnation from a complete one. If no such node can be reached, the primary serves as after a
-// mere restart, and reports that entries may be missing.
+// restored within an incarnation from a complete one. If no such node can be reached, the primary serves all the same,
+// and reports that entries may be missing.
 func (m *Manager) serveUnverified(inst *instance) {
 	epoch := inst.assignment.agreed.Epoch
 	reason := "its copy is of before its restart, and nobody has shown since that it is whole"
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -4,7 +4,7 @@
 
 // Request is a client's request at an edge node.
 type Request struct {
-	ID       string // ID of a write; a write with the ID of a kept log entry gets the answer of the first write with that ID
+	ID       string // ID of a write; a repeated write, whose ID is the ID of a kept log entry, gets the answer of the first write again
 	Instance string
 	Write    bool
 	Body     []byte
@@ -18,7 +18,7 @@
 const (
 	Rejected      Outcome = iota // the request was not executed and never will be
 	Succeeded                    // the write's entry, or the last entry that the read has seen, is durable on every replica
-	Indeterminate                // the write's entry may be kept or dropped
+	Indeterminate                // the write's entry may be kept or dropped, or the log no longer keeps it
 	TooLarge                     // the request was not executed, and its entry would still not fit if the request were repeated
 )
 
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -12,14 +12,14 @@
 const (
 	stopped servingState = iota // the node may not serve the instance
 	leased                      // the node executes requests
-	paused                      // the node may serve the instance, but executes no requests: it has yet to begin, or a cut-over is under way
+	paused                      // the node may serve the instance, but executes no requests: beginServing has just set this state, or a cut-over is under way
 )
 
 // serving holds whether this node serves an instance, and its pending requests. The zero value is in the state stopped.
 type serving struct {
 	state        servingState
 	pending      []pendingRequest
-	acknowledged uint64 // index up to which entries may have been acknowledged: a copy without them is incomplete
+	acknowledged uint64 // index up to which entries may have been acknowledged; a copy that lacks one of these entries is incomplete
 	committed    uint64 // index up to which all entries are durable on this node and on every replica
 }
 
@@ -166,9 +166,9 @@
 	return committed
 }
 
-// mustConfirm reports whether a node must have an entry before the entry is acknowledged. That holds for the agreed
-// replicas and for a copy target that was proposed as a replica, because the controllers may already have
-// agreed to that proposal.
+// mustConfirm reports whether a node must have an entry before the entry is acknowledged. The agreed replicas must have
+// it. So must a copy target that was proposed as a replica, because the controllers may already have agreed to the
+// proposal.
 func (inst *instance) mustConfirm(name string) bool {
 	return inst.assignment.isReplica(name) || name == inst.assignment.agreed.CopyTarget && inst.caughtUp()
 }
