--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// logFunctions are the names of the functions and methods that write a log line. Their first argument is the message, or a log
-// level that the message follows.
+// logFunctions are the names of the functions and methods that write a log line. The message is the first argument, or the second
+// argument if the first is a log level.
 var logFunctions = []string{"Log", "Msg", "log", "logAt", "logSampled"}
 
 // TestOncall_ListsEachLogMessage checks that the table of docs/oncall.md lists each message that the programs log, and that the
--- a/internal/standin/backends/backend.go
+++ b/internal/standin/backends/backend.go
@@ -1,6 +1,6 @@
 // Package backends simulates the peers of a relay on loopback: backends that speak PostgreSQL's wire protocol, the agent that
 // serves the endpoint list, and the release platform. The platform takes votes on a package and rolls the package out or back in
-// stages. The messages of a row are built according to the protocol's documentation (PostgreSQL 15, "Message Formats").
+// stages. A backend's response to a query is built as PostgreSQL's documentation describes it (PostgreSQL 15, "Message Formats").
 package backends
 
 import (
@@ -30,9 +30,9 @@
 	closed      bool
 }
 
-// NewBackend starts a backend that runs a software version. The backend calls answer for each query. answer returns whether the
-// query fails, and how long the query takes. Its parameter since is the time of the backend's last restart by Set, or zero if
-// there was none.
+// NewBackend starts a backend that runs a software version. The backend calls the function answer for each query. The function
+// returns whether the query fails, and how long the query takes. The function's parameter since is the time of the backend's last
+// restart by Set, or the zero time if Set has not restarted the backend.
 func NewBackend(name string, version uint16, answer func(u *Backend, opType string, version uint16, since time.Time) (bool, time.Duration)) (*Backend, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -23,7 +23,7 @@
 
 	mu             sync.Mutex
 	sequence       int64
-	changed        chan struct{} // closed and replaced at each change
+	changed        chan struct{} // closed and replaced at each change of the endpoint list or of the stage
 	Version        uint16
 	stageIndex     int
 	state          string
@@ -32,11 +32,11 @@
 	StagesPassed   int
 	Released       bool
 	RolledBack     bool
-	TimeToVerdict  time.Duration // time from the start of the first stage to the vote to roll back or to the release; 0 before either
+	TimeToVerdict  time.Duration // time from the start of Offer until the package was released or voted to be rolled back; 0 before
 	offered        time.Time
 }
 
-// NewPlatform starts a platform for backends that all run the given version, which counts as released.
+// NewPlatform starts a platform for backends that all run the given version. The platform treats this version as released.
 func NewPlatform(backends []*Backend, version uint16, stages []float64, bake time.Duration) (*Platform, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,9 +208,9 @@
 	}
 }
 
-// Offer rolls a package out in stages. It moves to the next stage once a vote allows it and the stage has lasted for Bake. It
-// returns when the package has been released and the time watch has passed, when the package is rolled back, or when the context
-// ends.
+// Offer rolls a package out in stages. A stage ends once a vote allows the next stage and the duration Platform.Bake has passed.
+// After the last stage, the package is released, and Offer returns after the duration watch. Offer also returns when the package
+// is rolled back or the context ends.
 func (p *Platform) Offer(ctx context.Context, version uint16, watch time.Duration) {
 	p.mu.Lock()
 	p.Version, p.offered = version, time.Now()
@@ -249,8 +249,8 @@
 	waitFor(ctx, watch)
 }
 
-// replaceBackends drains backends for one second and restarts them with a version, so that upTo backends run the version. It
-// returns false if the context has ended.
+// replaceBackends drains some backends for one second and restarts them with a version. It chooses as many backends as are needed
+// so that upTo backends run the version. It returns false if the context has ended.
 func (p *Platform) replaceBackends(ctx context.Context, version uint16, upTo int) bool {
 	var outdated []*Backend
 	updated := 0
--- a/internal/standin/backends/testing.go
+++ b/internal/standin/backends/testing.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// Eventually waits until a condition holds, and fails the test after ten seconds. what describes the condition.
+// Eventually waits until a condition holds, and fails the test after ten seconds. The parameter what describes the
+// condition in the failure message.
 func Eventually(t Test, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
--- a/internal/standin/faultproxy/link.go
+++ b/internal/standin/faultproxy/link.go
@@ -69,8 +69,8 @@
 	return l.opened
 }
 
-// Set puts a fault on one direction. The zero Fault removes the fault. The end of a silent fault resets the connections that
-// have lost bytes.
+// Set puts a fault on one direction. The zero Fault removes the fault. When a fault with Silent ends, the connections whose
+// bytes were discarded are reset.
 func (l *Link) Set(direction Direction, f Fault) {
 	l.mu.Lock()
 	if l.faults[direction] == f {
--- a/internal/standin/faultproxy/network.go
+++ b/internal/standin/faultproxy/network.go
@@ -2,10 +2,10 @@
 // faults that a script sets while it runs. Random faults are drawn from a seed, and each change of a fault is reported with
 // its time.
 //
-// TCP does not lose bytes, so a fault of a network does not show as lost bytes on a connection. The verb cut discards the bytes
-// of a direction; when the link heals, a connection that has lost bytes is reset, like one whose retransmissions ran out. The
-// verb stall makes the bytes wait and arrive later. The verb drop makes each chunk break its connection with a given probability,
-// in the middle of a message.
+// TCP does not lose bytes, so a network fault must not show as missing bytes on a connection. The verb cut discards the bytes of a
+// direction. When the link heals, each connection whose bytes were discarded is reset, as TCP does when its retransmissions run
+// out. The verb stall makes the bytes wait and arrive later. The verb drop breaks a connection with a given probability for each
+// chunk, which is the bytes of one read. The break may be in the middle of a message.
 package faultproxy
 
 import (
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -96,7 +96,8 @@
 	AllowProbe(backend *balancer.Backend) bool
 }
 
-// WrapHost wraps the host of one balancer so that its calls are recorded. If the host also implements fleet, so does the wrapper.
+// WrapHost wraps the host of one balancer, and records the balancer's calls to the host. If the host also implements fleet, so
+// does the wrapper.
 func (t *Trace) WrapHost(host balancer.Host, balancer int, now func() balancer.Tick) balancer.Host {
 	r := &recorder{host: host, trace: t, balancer: balancer, now: now}
 	if f, ok := host.(fleet); ok {
--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -72,7 +72,8 @@
 }
 
 // NewPublisher creates a repository in a directory and publishes it. Root and targets have three keys each, of which
-// two must sign. Snapshot and timestamp have one key each. A zero life means tufrepo.DefaultLifetimes.
+// two must sign. Snapshot and timestamp have one key each. If the parameter life is zero,
+// tufrepo.DefaultLifetimes apply.
 func NewPublisher(dir string, clock *Clock, life tufrepo.Lifetimes, consistent bool) (*Publisher, error) {
 	p := &Publisher{Dir: dir, Clock: clock, Keys: map[string][]*keys.Key{}, content: map[string][]byte{}}
 	roles := map[string]tufrepo.Role{}
@@ -98,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Init sets the first expiry times by the real clock. Renew sets them by the test's clock.
+	// Init has set the first expiry times by the real clock. Renew replaces them by times of the test's clock.
 	r.Now, p.Repo = clock.Now, r
 	for _, role := range []string{"root", "targets"} {
 		if err := r.Renew(role); err != nil {
@@ -233,8 +234,8 @@
 	return newestVersion(p.history[len(p.history)-1].Files, role)
 }
 
-// ShortLifetimes returns lifetimes for tests in which metadata expire. A timestamp is valid for the given time, the
-// other roles for multiples of it.
+// ShortLifetimes returns lifetimes for tests in which metadata expire. A timestamp is valid for the
+// duration each, and the other roles for multiples of this duration.
 func ShortLifetimes(each time.Duration) tufrepo.Lifetimes {
 	return tufrepo.Lifetimes{Root: 1000 * each, Targets: 100 * each, Snapshot: 10 * each, Timestamp: each}
 }
--- a/internal/standin/repository/server.go
+++ b/internal/standin/repository/server.go
@@ -21,9 +21,10 @@
 )
 
 // Checker reads every response that reaches the clients, counts the requests and answers, and records violations of these rules.
-// Metadata passed on with status 200 must be signed correctly and have the version that its name states. It must not have
-// expired, and must not be older than what the same client was given before or than what any client had been given before the
-// request. A root must equal the publisher's, and may have expired. A response with status 503 must have a Retry-After.
+// A metadata file in a response with status 200 must have the version that its name states, if any. A root file must equal the
+// publisher's, and may have expired. Any other file must be signed correctly and must not have expired. Its version must not be
+// lower than a version of the same role that any client, including the same one, had been given when the request was sent.
+// A response with status 503 must have a Retry-After header.
 type Checker struct {
 	Now  func() time.Time
 	Root func(version int) []byte // returns the publisher's root file of a version, or nil if there is none; a nil function disables the checks of roots and signatures
@@ -46,8 +47,8 @@
 	c.Faults = append(c.Faults, fmt.Sprintf(format, args...))
 }
 
-// Reset clears the record of the versions that clients were given. It must be called after publishers have rotated a
-// role's keys, because the role's versions may then start again.
+// Reset clears the record of the versions that clients were given. It must be called after publishers have rotated a role's keys.
+// The role's versions may then start again, and a lower version is no violation.
 func (c *Checker) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +56,8 @@
 	clear(c.newestByClient)
 }
 
-// Transport returns a transport for a client that sends requests through to and checks each response.
+// Transport returns a client's transport. It sends the requests over the transport given as the parameter to, and checks each
+// response.
 func (c *Checker) Transport(client, base string, to http.RoundTripper) http.RoundTripper {
 	return &checkedTransport{c, client, base, to}
 }
@@ -143,7 +145,8 @@
 	}
 }
 
-// checkSignature verifies a file with the keys of any published root, because rotations may be in progress.
+// checkSignature checks that a file is signed by the keys of any published root. The keys of earlier roots are accepted too, because
+// a rotation of keys may be in progress.
 func (c *Checker) checkSignature(client string, f tufverify.File, body []byte) {
 	for v := 1; ; v++ {
 		text := c.Root(v)
--- a/internal/standin/testcluster/binary.go
+++ b/internal/standin/testcluster/binary.go
@@ -17,8 +17,8 @@
 }
 
 // Binary returns the path of one of the project's programs. It builds the program once for each run of a test binary, with -race
-// if the test binary was built with -race. The directory of the programs is kept between runs, one for each checkout, so that
-// unchanged programs are not linked again.
+// if the test binary was built with -race. Each checkout of the repository has its own directory for the built programs. The
+// directory is kept between runs, so that unchanged programs are not linked again.
 func Binary(t Test, name string) string {
 	t.Helper()
 	binaries.Lock()
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -135,8 +135,8 @@
 	return m
 }
 
-// isFirstSuccess reports whether a request is the first acknowledged one in its epoch of the instance. Timelines show only these
-// of the acknowledged requests.
+// isFirstSuccess reports whether a request is the first acknowledged request in its epoch of the instance. Timelines do not show
+// the later acknowledged requests of an epoch.
 func (c *Cluster) isFirstSuccess(m Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/testcluster/cluster_test.go
+++ b/internal/standin/testcluster/cluster_test.go
@@ -40,8 +40,9 @@
 }
 
 // runPeerProcess is the main function of the processes in this package's own tests. It sends a request to each peer every 10 ms,
-// and logs a peer's state at each change and once a second. On a busy machine, a peer may seem dead before a test kills it; the
-// repeated line then still reports the death. The process counts its starts on its disk.
+// and logs a peer's state at each change and once a second. On a busy machine, a peer may be logged as dead before a test kills
+// it. A test that waits for the death after the kill then finds the line that is logged once a second. The process keeps the
+// number of its starts on its disk.
 func runPeerProcess(path string) error {
 	f, err := fleet.Read(path)
 	if err != nil {
--- a/internal/standin/testcluster/event_file.go
+++ b/internal/standin/testcluster/event_file.go
@@ -15,9 +15,9 @@
 
 // RunSummary summarizes a run up to the event that ends it.
 type RunSummary struct {
-	Moves      int           // number of agreed changes of a primary
+	Moves      int           // number of times that the controllers assigned an instance to another primary
 	Idle       time.Duration // longest time for which no node served an instance that had been served before
-	Incomplete bool          // the ending event did not occur
+	Incomplete bool          // the event that ends the run did not occur
 }
 
 // Summarize summarizes a run's events up to the first event e for which e.Is(until) holds.
--- a/internal/standin/testcluster/event_file_test.go
+++ b/internal/standin/testcluster/event_file_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// eventFileDir is the directory into which each test that checks its run writes the events of its processes. The simulation model of
-// the fleet is compared with these files:
+// eventFileDir is the directory into which each test that calls checkRun writes the events of its processes. The simulation model
+// of the fleet is compared with these files. They are written by:
 //
 //	go test -run NAMES -courses ../../lab/fleetsim/testdata/processes ./internal/standin/testcluster
 var eventFileDir = flag.String("courses", "", "directory for the files with the events of each test's processes")
--- a/internal/standin/testcluster/fleet_test.go
+++ b/internal/standin/testcluster/fleet_test.go
@@ -135,8 +135,11 @@
 	}
 }
 
-// playScript executes a script. An ask line is one of cross INSTANCE ZONE, which moves the instance's device, leader VERB, which
-// applies the verb to the leading controller, and load DURATION, which waits.
+// playScript executes a script with Play. The functions of its ask lines are:
+//
+//	cross INSTANCE ZONE  moves the instance's device to the zone
+//	leader VERB          applies the verb to the leading controller
+//	load DURATION        waits
 func (c *Cluster) playScript(t *testing.T, script string) {
 	t.Helper()
 	err := c.Play(t.Context(), script, map[string]func([]string) error{
@@ -331,7 +334,8 @@
 	}
 }
 
-// A request that waits at a primary that was stopped (SIGSTOP) past the end of its lease must be refused when the primary is woken.
+// A primary is stopped (SIGSTOP) until its lease has expired. A request that is sent to the stopped primary must be refused when the
+// primary is woken.
 func TestOwnerStoppedPastItsLeaseAndWoken(t *testing.T) {
 	t.Parallel()
 	c := startFleet(t, 8, 1, 1)
@@ -429,9 +433,9 @@
 	c.checkRun(t)
 }
 
-// The leading controller is stopped (SIGSTOP) until another controller is elected. The primary is cut off, and the new leader
-// gives its instance to another node. Then the former leader is woken. It must confirm nothing from its former term, neither an
-// operation nor a lease.
+// The leading controller is stopped (SIGSTOP) until another controller is elected. The primary is cut off from the controllers
+// that were not stopped, and the new leader assigns the primary's instance to another node. Then the former leader is woken. It
+// must confirm no operation and no lease of its former term.
 func TestLeadingKeeperStoppedAndWoken(t *testing.T) {
 	t.Parallel()
 	c := startFleet(t, 16, 2, 1)
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -41,10 +41,11 @@
 	},
 }
 
-// CheckHistory checks the responses that clients observed against the log of effects that each instance keeps. Each acknowledged
-// effect is in the log once, and the order of the log agrees with the times of the requests. Sequence numbers rise by one, and an
-// epoch never falls. A read returns the last effect, and a retry of an ID returns the first response. An effect whose client does
-// not know its outcome may be in the log or not. requests must contain the requests of all clients that write to the instances.
+// CheckHistory checks the responses that clients observed against the log of effects that each instance keeps. Each
+// acknowledged effect is in the log once. An effect that was acknowledged before another effect was requested comes earlier in
+// the log. Sequence numbers rise by one, and an epoch never falls. A read returns the last effect, and a retry of an ID returns
+// the first response. An effect whose client does not know its outcome may be in the log or not. requests must contain the
+// requests of all clients that write to the instances.
 func CheckHistory(requests []Request) error {
 	var faults []error
 	instances := map[string][]Request{}
@@ -124,9 +125,10 @@
 	return nil
 }
 
-// assignSequenceNumbers gives each sequence number that was acknowledged to no client to a write of unknown outcome, in the order
-// in which these writes began. Such a write must have begun before a client observed the effect with this number or a later
-// effect. The remaining writes of unknown outcome did not run, or ran after all observed effects, and are left out.
+// assignSequenceNumbers assigns the sequence numbers that no client received in an acknowledgement to the writes of unknown
+// outcome. The writes get the numbers in the order in which they began. A write must have begun before a client observed the
+// effect with the write's number or a later effect. The remaining writes of unknown outcome did not run, or ran after all observed
+// effects, and are left out.
 func assignSequenceNumbers(ops []*operation, acked map[uint64]*operation) (all []*operation, err error) {
 	var last uint64
 	for _, o := range ops {
@@ -248,10 +250,10 @@
 // serves no more. A stopped process (SIGSTOP) does not serve while it is stopped; CheckHistory checks the responses that it sends
 // after it is woken.
 //
-// If a busy machine does not schedule a process past the end of its lease, the process logs too late that it stops serving. The
-// log line states how late (Event.Late), and CheckOneServes counts the earlier time. An earlier version of the program does not
-// state how late. For that version, the time counts at which the controllers considered the lease expired, and the responses show
-// whether the process served longer.
+// If a busy machine does not schedule a process until after the end of its lease, the process logs too late that it stops
+// serving. The log line states the delay (Event.Late), and CheckOneServes subtracts the delay from the line's time. Programs of
+// an earlier version do not state the delay. For them, CheckOneServes uses the time at which the controllers considered the
+// lease expired. CheckHistory then shows by the responses whether the process served longer.
 func CheckOneServes(events []Event) error {
 	events = slices.Clone(events)
 	lapsed := map[string]time.Time{}
--- a/internal/standin/testcluster/remote_replicas_test.go
+++ b/internal/standin/testcluster/remote_replicas_test.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/placement"
 )
 
-// startTwoZones starts two edge nodes in each of two zones and the controllers in the south. away is the number of replicas that are kept
-// in another zone.
+// startTwoZones starts two edge nodes in each of two zones and the controllers in the south. The parameter away is the
+// number of replicas of an instance that are kept in another zone.
 func startTwoZones(tb testing.TB, away int) (c *Cluster, nodeNames []string) {
 	tb.Helper()
 	nodeNames = []string{"edge-a", "edge-b", "edge-c", "edge-d"}
--- a/internal/standin/testcluster/restored_disk_test.go
+++ b/internal/standin/testcluster/restored_disk_test.go
@@ -44,7 +44,8 @@
 				c.waitForReplica(t, "cam-1")
 			}
 			var last Request
-			// Writes for longer than a third of a lease, so that a lease request reports the node's record count.
+			// The writes last longer than a third of a lease, so that a lease request during the writes reports the node's
+			// record count.
 			write := func() {
 				for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
 					last = c.writeUntilAcknowledged(t, "cam-1", "edge-a", "edge-b")
@@ -79,8 +80,8 @@
 			if shown, err := c.runControlProgram(t, "show", "edge-a"); err != nil || !strings.Contains(shown, "went on from effect") {
 				t.Errorf("show: %v %s", err, shown)
 			}
-			// The doubt must be logged only once: after a further restart, effects written after the first restart must not be
-			// doubted.
+			// The instance must be doubted only once. After a second restart, no node may log a doubt about effects that were
+			// written after the first restart.
 			for node := range strings.SplitSeq(tc.restoredNodes, ",") {
 				c.Wait(from, node+" disk all copies are verified")
 			}
--- a/internal/standin/testcluster/script.go
+++ b/internal/standin/testcluster/script.go
@@ -83,7 +83,7 @@
 		_ = p.command.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.ended:
-		case <-time.After(waitTimeout): // an edge node may take ten leases to hand over its instances (edgenode.maxTerminationLeases)
+		case <-time.After(waitTimeout): // an edge node may take ten lease durations to hand over its instances (edgenode.maxTerminationLeases)
 			return errors.New("the process does not end on SIGTERM")
 		}
 		p.command = nil
--- a/internal/standin/testcluster/stalls.go
+++ b/internal/standin/testcluster/stalls.go
@@ -8,7 +8,8 @@
 // stall is a span of time in which the test process, and with it its clients, was not scheduled.
 type stall struct{ from, to time.Time }
 
-// recordStalls records stalls, so that a response does not count as late if only its reader was late.
+// recordStalls records stalls for RequestsWithoutStalls, so that a response does not count as late if only the test process was
+// late to read it.
 func (c *Cluster) recordStalls(ctx context.Context) {
 	const every = 20 * time.Millisecond
 	tick := time.NewTicker(every)
@@ -29,8 +30,8 @@
 	}
 }
 
-// RequestsWithoutStalls returns the requests that have ended. Each End is earlier by the time for which this process was stalled during
-// the request.
+// RequestsWithoutStalls returns the requests that have ended. Each request's End is earlier by the time for which the test process was
+// stalled during the request.
 func (c *Cluster) RequestsWithoutStalls() []Request {
 	all := c.Requests()
 	c.mu.Lock()
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -15,8 +15,8 @@
 	"silvercove/internal/standin/backends"
 )
 
-// waitForNode waits until the leading controller's view of an edge node satisfies a condition, and returns it. takes is the time that the
-// condition is expected to take. waitForNode waits for takes plus waitTimeout at most.
+// waitForNode waits until the leading controller's view of an edge node satisfies the condition good, and returns the view. The
+// condition is expected to hold after the duration takes. waitForNode waits for takes plus waitTimeout at most.
 func (c *Cluster) waitForNode(t *testing.T, name, wanted string, takes time.Duration, good func(controllerclient.Node) bool) (u controllerclient.Node) {
 	t.Helper()
 	for end := time.Now().Add(takes + waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -170,7 +170,8 @@
 	t.Helper()
 	t.Parallel()
 	script := ""
-	// The false temperature rises by half a degree a second, but no single reading is hot enough to support the claim.
+	// The false temperature rises by half a degree a second, so the node forecasts that it will overheat and claims that it must
+	// evacuate. No single reading is hot enough to support this claim.
 	for s := range 40 {
 		script += fmt.Sprintf("%d lie temp %.1f\n", s, 41+0.5*float64(s))
 	}
@@ -191,7 +192,7 @@
 	startB()
 	startC()
 	for _, u := range liars {
-		// The state follows 15 s later, because of the rate at which the node's readings rise.
+		// The node's state becomes hands-on 15 s after its script starts, because of the rate at which its readings rise.
 		c.Wait(0, u+" strength hands-on")
 	}
 	moved := 0
