--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -69,15 +69,15 @@
 
 // TestAdmission_RecoversAfterSlowAnswers: sixteen answers take longer than the latency objective, and then one request
 // arrives each second for ten minutes. These requests have to be attempted, so that the relay learns that its backends
-// are healthy. They also have to be attempted if their deadlines are shorter than the slow answers took. The same is
-// true of deadlines shorter than the default estimate, which is a part of the latency objective.
+// are healthy. Requests whose deadlines are shorter than the latency of the slow answers have to be attempted too. So
+// do requests whose deadlines are shorter than the default estimate (see estimateDivisor).
 func TestAdmission_RecoversAfterSlowAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		timeout Tick
-		// maxRejected is how many of 600 requests may be rejected until minLatencySample (16) new answers show that
-		// clients with this timeout can be served. Until then, a request that is expected to be late is attempted at
-		// most once in each lateAttemptInterval.
+		// maxRejected is the maximum number of rejections among 600 requests. Rejections end once minLatencySample (16)
+		// new answers show that requests with this timeout can be answered in time. Until then, a request that is
+		// expected to be late is attempted at most once in each lateAttemptInterval.
 		maxRejected int
 	}{{"long deadline", 2 * Second, 0}, {"below the longest estimate", 35 * Second / 100, 30}, {"hardly any time", 15 * Second / 100, 60}} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balancer/begin_attempt_test.go
+++ b/balancer/begin_attempt_test.go
@@ -91,7 +91,8 @@
 }
 
 // TestBeginAttempt_LateRetry: a retry that is chosen within the deduplication window, but whose connection is
-// established after the end of that window, is not sent. Its request fails, as the first attempt may have run.
+// established after the end of that window, is not sent. The first attempt may have run, so the request is failed and
+// not rejected (see safeToReject).
 func TestBeginAttempt_LateRetry(t *testing.T) {
 	for _, c := range []struct {
 		writeDelay Tick // time from the first attempt to the write of the retry
@@ -171,8 +172,9 @@
 	check(t, "both versions got attempts", canary > 0 && canary < 40, true)
 }
 
-// TestBeginAttempt_LateConnectionsStayWithinTheCap: while connections to the canary come up late and traffic falls, the
-// attempts written in any window stay within the cap on the requests of the same window.
+// TestBeginAttempt_LateConnectionsStayWithinTheCap: connections to the canary come up late while traffic falls. In any
+// window of one second, the attempts sent to the canary stay within the site's tolerance above the exposure cap. The
+// cap is a share of the requests received in the same window.
 func TestBeginAttempt_LateConnectionsStayWithinTheCap(t *testing.T) {
 	for _, lateBy := range []Tick{0, 1, 150, Second / 10, Second / 4} {
 		t.Run(fmt.Sprint(lateBy), func(t *testing.T) {
@@ -224,7 +226,7 @@
 				if len(sent) > 0 && sent[len(sent)-1] < b.now {
 					continue // the cap is checked only at the times at which an attempt is written
 				}
-				// The site tolerates 2 attempts and 4% of the cap above the cap.
+				// The site tolerates two attempts more than 1.04 times the cap of 0.3 allows.
 				worst = max(worst, float64(len(sent))-2-0.3*1.04*float64(len(received)))
 			}
 			if worst > 1e-9 || all < 100 || lateBy < 10 && discarded > 0 {
@@ -250,7 +252,8 @@
 			b.OnRequest(b.now, request)
 			check(t, "attempts", len(b.host.started), 1)
 			first := b.host.started[0]
-			// 100 s from now, the backend has the same age as now, and so the same warm-up fraction.
+			// The backend is one second old now. Its start is moved so that it is one second old again after 100 s. The
+			// warm-up fraction is then the same at both times.
 			backend.StartedAt = b.now + 100*Second - Second
 			first.backendStart = backend.StartedAt
 			if b.now += 100 * Second; sendSecond {
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -4,10 +4,10 @@
 
 // At each backend the relay has at most as many attempts in flight as the backend answers within a share of a latency
 // objective, plus one. At all backends together it has at most concurrencyLimit attempts in flight. Early answers raise
-// this limit by a factor, and late answers lower it by a factor.
+// concurrencyLimit by a factor. Late answers, time-outs and refusals at capacity lower it by a factor.
 //
 // Inputs: the times of a backend's last answers and the shortest latency objective of any class, in ticks; for
-// concurrencyLimit, the share of its allowed time that an attempt took.
+// concurrencyLimit, the outcome of each attempt and its duration as a share of the time from chosenAt to lateAfter.
 //
 // The limits guard against slow backends, overload, and queues at backends in which requests wait for longer than the
 // latency objective. All of these faults make answers late for as long as they last. A backend that answers fewer
@@ -18,17 +18,17 @@
 	// capacityShare is a share of the shortest latency objective. A warm backend may have as many attempts in flight as
 	// it answers within that share, plus one.
 	capacityShare = 0.15
-	// lateAnswerShare is the share of an attempt's allowed time after which its answer counts as a sign of overloaded
-	// backends.
+	// lateAnswerShare is a share of the time from an attempt's chosenAt to its lateAfter. An attempt that takes longer
+	// counts as a sign of overloaded backends.
 	lateAnswerShare = 0.6
-	// limitDecrease and limitIncrease are the shares by which a late answer lowers and an early answer raises the
-	// limit.
+	// limitDecrease is the share by which a late answer, a time-out or a refusal at capacity lowers concurrencyLimit.
+	// limitIncrease is the share by which an early answer raises it.
 	limitDecrease = 0.1
 	limitIncrease = 0.06
 	// rateWindow is the time over which the relay's own rates are measured.
 	rateWindow = 2 * Second
-	// minLimitPerBackend sets the minimum of concurrencyLimit, which is minLimitPerBackend times the warm capacity,
-	// divided by the number of relays. The minimum is at least 1. Late answers do not lower the limit further.
+	// minLimitPerBackend sets the minimum to which adaptConcurrencyLimit lowers concurrencyLimit. The minimum is
+	// minLimitPerBackend times warmCapacity, divided by the number of relays, and at least 1.
 	minLimitPerBackend = 2
 )
 
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -8,8 +8,9 @@
 // Inputs: the poll interval of the settings, and whether the last call succeeded.
 //
 // Backoff guards against an overloaded discovery service, which rejects calls. Relays ask less and less often, and
-// relays that were rejected together do not ask again together. A relay is responsible for a change of the list from
-// 6 s after the discovery service has it (docs/fleet.md). Pauses last at most 4 s, which leaves two seconds for a call.
+// relays that were rejected together do not ask again together. The site holds a relay responsible for a change of the
+// list from 6 s after the discovery service has the change (docs/fleet.md). Pauses last at most 4 s, which leaves two
+// seconds for a call.
 
 const (
 	// maxPollInterval is the longest mean pause between calls. Jitter adds up to a quarter of it.
@@ -58,8 +59,8 @@
 func (b *Balancer) OnListSynced(now Tick, ok bool) {
 	b.now = now
 	if ok && !b.listSynced && b.evaluation != nil {
-		// When the relay starts, backends are listed one by one, so their number is complete only now. Some of them may
-		// already run the canary.
+		// While the first list arrives, backends are added one by one, so a count made earlier was incomplete. The
+		// count made now includes backends that already run the canary.
 		b.evaluation.baselineBackends = float64(len(b.backends))
 	}
 	b.listSynced = b.listSynced || ok
@@ -97,8 +98,8 @@
 	backend.lastAnswer, backend.waitingSince = now, now
 }
 
-// applyListing inserts a ready backend into the list backends at the given position, unless the list contains it
-// already. It removes a backend that is not ready.
+// applyListing inserts a ready backend into the parameter backends at the given position, unless the parameter contains
+// the backend already. If the backend is not ready, applyListing removes it.
 func applyListing(backends []*Backend, backend *Backend, position int) []*Backend {
 	at := slices.Index(backends, backend)
 	switch {
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -173,8 +173,8 @@
 
 // OnMetrics handles the release API's counts of the outcomes at all relays, for one version and class over one period.
 // The counts form a stream of their own, which is the same for all relays. The canary's bad share is tested against
-// that of the baseline's last counts, plus failureMargin and a margin for the higher load of the canary's backends. Bad
-// outcomes are spread evenly among the good ones.
+// that of the baseline's last counts, plus failureMargin and canaryLoadMargin. Bad outcomes are spread evenly among the
+// good ones.
 //
 // The stream detects a version whose backends stop answering. A single relay sees almost no traffic at each backend,
 // and attributes silence to the backend and not to the version; the counts of all relays show the failures. The cost is
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -37,7 +37,7 @@
 // exposureState is the state of the exposure limit.
 type exposureState struct {
 	exposure        []exposureCounter // one counter for all requests, or one per class
-	exposureResetAt Tick              // end of DrainGrace after the cap was last lowered, when counting restarts; 0 if never lowered
+	exposureResetAt Tick              // end of DrainGrace after the cap was last lowered (see trimExposure); 0 if it was never lowered
 	canaryFraction  float64           // share of the requests whose first attempt goes to the canary
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -13,7 +13,7 @@
 // more than backends do on average is degraded and comes last in the relay's order.
 //
 // Inputs: the outcomes of attempts and whether they came in time, the outcomes at all backends, the time since the last
-// answer in ticks; in a fleet, the findings of other relays.
+// answer in ticks; in a fleet, which backends other relays have ejected.
 //
 // The rules guard against backends that fail, fall silent or run out of connections, possibly only as seen by this
 // relay. Such a fault makes attempts fail at one backend among many. The test compares a backend with the relay's last
@@ -76,7 +76,7 @@
 // ejection holds what the relay knows of all its backends together.
 type ejection struct {
 	recentFailures  []float64 // the last outcomes at any backend, 1 for a failure
-	mostOnProbation bool      // nearly every backend is on probation, as when this relay stalls
+	mostOnProbation bool      // nearly every backend is on probation, for instance because this relay stalled
 }
 
 // newEjection returns a state whose sample contains only successes, as backends are assumed to be healthy at the start.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -147,8 +147,8 @@
 // and is retried, its failure is not counted until the retry is answered. If the retry succeeds, the failure counts
 // against the version of the failed attempt. If the retry fails too, the request itself is considered faulty.
 //
-// The delay guards against the rollback of good versions because of requests that fail at any version. The delay does
-// harm if a version fails all attempts of a class at every backend.
+// The delay guards against the rollback of good versions because of requests that fail at any version. The drawback is
+// that the failures of a version which fails all attempts of a class at every backend are attributed to the requests.
 func (b *Balancer) deferFailure(a *Attempt) bool {
 	r, deferred := a.Request, a.Request.deferredFailure
 	switch a.outcome {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -72,8 +72,9 @@
 	check(t, "counted outcomes", n, 1)
 }
 
-// TestRetry_CancelledAttemptTakesOneRetry: an attempt is cancelled only if the fleet allows a retry. When the retry
-// starts, the relay does not ask the fleet again.
+// TestRetry_CancelledAttemptTakesOneRetry: a relay cancels an attempt in order to retry the request at another backend.
+// It therefore asks the fleet for the retry before it cancels, and does not cancel if the fleet declines. When the
+// retry starts, the relay does not ask the fleet a second time.
 func TestRetry_CancelledAttemptTakesOneRetry(t *testing.T) {
 	for _, retries := range []int{0, 1} {
 		b, host := newFleetFixture(retries, true)
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -35,7 +35,7 @@
 	releaseKnown  bool
 	stageStart    Tick
 	answeredKeys  map[uint16]*keyFilter // keys that each of the latest few versions has answered
-	requestFaults []float64             // the last requests that were answered (0) or failed at two backends (1)
+	requestFaults []float64             // one entry for each of the last requests: 0 if it was answered, 1 if it failed twice
 
 	baseline             *samples
 	baselineTimelinessAt Tick // when an attempt at the baseline was last counted as slow or on time
@@ -95,7 +95,7 @@
 	minStageFromReplies int // earliest stage that the version can be in, according to the replies to votes
 
 	// The state when the version appeared:
-	baselineBackends     float64 // backends that run earlier versions
+	baselineBackends     float64 // number of backends that run earlier versions, or of all backends (see OnListSynced)
 	initialWarmCapacity  float64
 	initialSuccesses     float64 // successes within rateWindow
 	initialSlowShare     float64 // slow share of the baseline
@@ -208,9 +208,9 @@
 		maps.DeleteFunc(b.answeredKeys, func(by uint16, _ *keyFilter) bool { return by < status.Version })
 	}
 	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
-		// The lower cap applies at once, also to the attempts counted so far. During DrainGrace, the site still
-		// tolerates attempts over the lower cap. After DrainGrace, trimExposure drops the attempts and arrivals from
-		// before its end.
+		// From now on, exposureAllows compares the attempts counted so far with the lower cap. The site tolerates
+		// attempts over the lower cap until DrainGrace has passed. Once it has passed, trimExposure drops the attempts
+		// and arrivals from before exposureResetAt.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -19,8 +19,8 @@
 	// the cost of the connections would exceed their benefit, and a relay would see almost no traffic at each backend.
 	// A relay with little traffic therefore uses only the first few backends in its own random order.
 	minSubsetSize = 5
-	// minCanarySubsetSize is the least number of a canary's backends that a relay chooses from. The canary's part of
-	// subsetSize is added.
+	// minCanarySubsetSize is the minimum of the number of canary backends that a relay chooses from. The number is
+	// minCanarySubsetSize plus canaryFraction times subsetSize (see eligibleBackends).
 	minCanarySubsetSize = 2
 )
 
@@ -39,7 +39,7 @@
 	RefusedByLimit               // the relay has reached its concurrency limit
 	RefusedByEndpoint            // the backend is not ready, or does not run the request's instance
 	RefusedByIdempotency         // a repeat could have a second effect, or a later version has answered the key
-	RefusedByLastAttempt         // the backend had the last attempt
+	RefusedByLastAttempt         // the last attempt of the request went to the backend
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
 	RefusedBySlowStart           // the backend is warming up, and its slow-start budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
@@ -81,8 +81,8 @@
 }
 
 // eligibleBackends returns the first backends in the relay's order that may take a request, with those of a canary in a
-// separate list. It raises the refusal of the request to the highest Refusal of these backends, which is that of the
-// backend that passed the most checks. Both lists are valid until the next call.
+// separate list. It raises r.refusal to the highest Refusal of the backends that it checked. The backend with the
+// highest Refusal passed the most checks. Both lists are valid until the next call.
 func (b *Balancer) eligibleBackends(r *Request) (stable, canary []*Backend) {
 	stable, canary = b.stableCandidates[:0], b.canaryCandidates[:0]
 	exposure := b.exposureOf(r.Class)
@@ -152,8 +152,8 @@
 	return !r.Pinned || b.now < r.attempts[n-1].chosenAt+timerInterval<<n
 }
 
-// pickVersion returns one of its two lists of eligible backends: stable or canary. The part of the exposure cap that
-// first attempts do not use is reserved for requests that no stable backend can take.
+// pickVersion returns the parameter stable or the parameter canary, which are the lists that eligibleBackends returned.
+// The part of the exposure cap that first attempts do not use is reserved for requests that no stable backend can take.
 func (b *Balancer) pickVersion(r *Request, stable, canary []*Backend) []*Backend {
 	if len(stable) == 0 {
 		return canary
--- a/balancer/sequential/effect.go
+++ b/balancer/sequential/effect.go
@@ -9,15 +9,16 @@
 )
 
 // EffectTest rules out that the mean of a stream exceeds a baseline by an effect. Its wealth is the likelihood ratio of
-// the baseline to the baseline with the effect. If the mean is that of the baseline with the effect or higher, the
-// ratio is a supermartingale, so the probability that it ever reaches 1/missProbability is at most missProbability. Use
-// NewEffectTest to create one.
+// two hypotheses: that the mean equals the baseline, and that the mean equals the baseline plus the effect. If the mean
+// is at least the baseline plus the effect, the ratio is a supermartingale. The probability that it ever reaches
+// 1/missProbability is then at most missProbability. Use NewEffectTest to create one.
 type EffectTest struct{ wealth float64 }
 
 // NewEffectTest returns a test without any outcomes.
 func NewEffectTest() EffectTest { return EffectTest{wealth: 1} }
 
-// Observe adds an outcome between 0 and 1, tested against an effect above a baseline share.
+// Observe adds an outcome between 0 and 1. Until the effect is ruled out, it multiplies the wealth by the likelihood
+// ratio of this outcome. A baseline above maxMeanWithEffect minus the effect is lowered to that difference.
 func (t *EffectTest) Observe(outcome, baseline, effect float64) {
 	b := min(baseline, maxMeanWithEffect-effect)
 	if !t.RuledOut() {
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -24,7 +24,8 @@
 )
 
 const (
-	// Margin is how far the mean may exceed the failure share that it is compared with, as a share of the outcomes.
+	// Margin is the maximum difference by which the mean of the outcomes may exceed the failure share that it is
+	// compared with.
 	Margin = 0.02
 	// FalseAlarmBudget is α, the upper bound on the probability of a false alarm. A caller that tests several streams
 	// of one kind divides it among them.
@@ -34,9 +35,10 @@
 	maxOpenTests = 32
 	// permanentTests is how many of the first tests are never replaced.
 	permanentTests = maxOpenTests / 2
-	// priorMeanMultiple is the mean of the outcomes that a new test expects, as a multiple of the bound.
+	// priorMeanMultiple times the bound is the mean that a test expects before its first outcome, but at most
+	// maxPriorMean.
 	priorMeanMultiple = 4
-	// maxPriorMean is the upper limit of the mean of the outcomes that a new test expects.
+	// maxPriorMean is the maximum of the mean that a test expects before its first outcome.
 	maxPriorMean = 0.5
 )
 
--- a/balancer/sequential/sequential_test.go
+++ b/balancer/sequential/sequential_test.go
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestEffectTest_RulesOut checks that 14 good outcomes at a baseline share of 0.01 rule out the baseline share plus the
-// effect, and that a bad share of at least this sum is not ruled out within 2000 outcomes.
+// TestEffectTest_RulesOut checks within how many outcomes the effect is ruled out. At a baseline failure share of 0.01,
+// 14 good outcomes rule it out. If the share of bad outcomes is at least the baseline plus the effect, 2000 outcomes do
+// not rule it out. That sum is limited to maxMeanWithEffect.
 func TestEffectTest_RulesOut(t *testing.T) {
 	const effect = 0.2
 	for _, c := range []struct {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -68,7 +68,7 @@
 const (
 	// AtMostOnce requests may have an effect that a second attempt would repeat.
 	AtMostOnce Idempotency = iota
-	// IdempotentWithKey requests may be repeated at backends that have seen the request's key, within a window.
+	// IdempotentWithKey requests may be repeated within DedupWindow at the backends of DedupScope.
 	IdempotentWithKey
 	// Idempotent requests may be repeated anywhere and at any time.
 	Idempotent
@@ -124,8 +124,8 @@
 	Window Seconds
 	// InitialFraction is the fraction of its capacity that a backend has when it starts. Range: 0 to 1. If missing: 0.
 	InitialFraction float64
-	// OverloadMultiple is the multiple of its current capacity that overloads a backend that is warming up. Range: 0
-	// and above.
+	// OverloadMultiple times the current capacity of a backend is the load that overloads the backend while it warms
+	// up. Range: 0 and above.
 	OverloadMultiple float64
 	// OverloadWindow is the time over which the load for OverloadMultiple is counted. If missing or 0: Window (set by
 	// the parser).
@@ -161,8 +161,8 @@
 	MetricsPeriod Seconds
 	// VoteLifetime is how long a vote is valid. If missing: 0, which does not mean unlimited.
 	VoteLifetime Seconds
-	// VoteTimeout is how long the reply to a vote may take, besides voteReplyGrace. If missing: 0, which does not mean
-	// unlimited.
+	// VoteTimeout is how long the reply to a vote may take. The relay waits voteReplyGrace longer. If missing: 0, which
+	// does not mean unlimited.
 	VoteTimeout Seconds
 	// VotesPerSecond is the rate of votes from all relays that the release API accepts. Range: 0 and above. If missing:
 	// 0, which counts as one in ten seconds.
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// In any window of the site's length, a backend that warms up gets from all relays together no more than a multiple of
-// its present capacity. No relay knows how much the other relays send, so each relay limits itself to a part of its own
+// While a backend warms up, all relays together send it in any OverloadWindow no more than OverloadMultiple times its
+// present capacity. No relay knows how much the other relays send, so each relay limits itself to a part of its own
 // rate at warm backends. If every relay does so, the sum stays within the limit.
 //
 // Inputs: the start time of a backend and the site's slow-start settings, the relay's rate at a warm backend in
@@ -21,16 +21,17 @@
 	// slowStartDeviations is how many standard deviations of the number of attempts are left free within
 	// slowStartShare, for relays that happen to send in the same window.
 	slowStartDeviations = 3
-	// minSlowStartAttempts is the number of attempts in a window that overload no backend, whatever its capacity: the
-	// site's rule allows two attempts above its limit.
+	// minSlowStartAttempts is the minimum budget of all relays together, in attempts per window, before slowStartBudget
+	// subtracts the deviations. So few attempts overload no backend, whatever its capacity, because the site tolerates
+	// two attempts above its limit.
 	minSlowStartAttempts = 1
 )
 
 // warmUp holds the attempts that a backend has been sent while it warms up.
 type warmUp struct {
 	warmUpSends        []Tick  // times of the attempts within the window
-	lastWarmUpSend     Tick    // time of the last attempt, or if there is none, of the first listing of the present process
-	warmUpCreditNeeded float64 // fraction of one attempt's budget to accrue after lastWarmUpSend before the next attempt
+	lastWarmUpSend     Tick    // time of the last attempt; before the first attempt, when the present process was first listed
+	warmUpCreditNeeded float64 // part of the budget for one attempt that must accrue after lastWarmUpSend before the next attempt
 }
 
 // warmUpFraction returns a lower bound of a backend's current capacity, as a fraction of its warm capacity. It is 1 once
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -70,7 +70,7 @@
 	// The request itself is then considered faulty.
 	failedTwice       bool
 	triedDespiteDelay bool // allowLateAttempt has allowed an attempt although the request was expected to be late
-	retryReserved     bool // the fleet has allowed another attempt, which starts when the last one has ended
+	retryReserved     bool // the fleet has allowed a retry, which starts when the cancelled attempt has ended
 	deferredFailure   *Attempt
 	refusal           Refusal
 }
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -34,7 +34,7 @@
 	minVoteRate = 0.1
 	// voteChanceSteps is the resolution of the random draw that decides whether a vote is cast.
 	voteChanceSteps = 1000
-	// minRecastDelay is the minimum delay before a new draw for a vote that the reply says may not count. A random part
+	// minRecastDelay is the minimum delay before a new draw after a reply whose Outcome is not Succeeded. A random part
 	// of recastJitter is added to the delay.
 	minRecastDelay = Second / 4
 	recastJitter   = Second / 2
@@ -75,7 +75,7 @@
 	voteSkipped                     // the draw decided against casting the vote; drawn again when due
 	voteCast                        // the vote was cast and awaits its reply; drawn again when due if there is none
 	voteCounted                     // the release API accepted the vote; drawn again when due, as the vote has then expired
-	voteNotCounted                  // according to the reply the vote may not count; drawn again when due
+	voteNotCounted                  // the reply's Outcome was not Succeeded, so the vote possibly does not count; drawn again when due
 )
 
 // vote is this relay's vote.
@@ -137,9 +137,10 @@
 	return timedVote && b.now-b.stageStart >= b.settings.Rollout.EvidenceWait.Ticks()
 }
 
-// advanceStage returns the stage that the newest version has reached: the stage that the release API announced, or a
-// later one if more backends run the version than the announced stage allows, or if replies to votes showed that stages
-// have passed. A stage that is recognized in this way starts now, and its outcomes are counted from zero.
+// advanceStage returns the stage that the newest version has reached. This is the stage that the release API announced,
+// or a later stage in two cases: more backends run the version than the announced stage allows, or replies to votes
+// showed that stages have passed. If the returned stage is later than countedStage, advanceStage sets its start to now
+// and counts its outcomes from zero.
 //
 // If restarted backends of the version appear in the list under new names, the returned stage can be too high, and the
 // relay then votes too early.
