--- a/internal/evidence/bounds.go
+++ b/internal/evidence/bounds.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// priorShape is both parameters of the Beta(1/2, 1/2) distribution by which ConfidenceBounds weights the possible
-// shares of failures.
+// priorShape is the value of both parameters of the Beta(1/2, 1/2) distribution. ConfidenceBounds weights the possible
+// shares of failures with this distribution.
 const priorShape = 0.5
 
 // bisections is the number of times that lowestInside halves its interval. More steps would go beyond the precision of
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,7 +19,7 @@
 
 const (
 	maxPacketSize     = 16 << 10 // in bytes
-	retransmitFactor  = 3        // each record is sent retransmitFactor times the logarithm of the number of members
+	retransmitFactor  = 3        // memberlist.Config.RetransmitMult: multiplied by the logarithm of the number of members, it is how often each record is sent
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -32,7 +32,7 @@
 const (
 	undampedRecoveries = 3   // number of recoveries that cause no hold-down
 	maxRecoveries      = 16  // upper bound of the count of recoveries
-	recoveryHalfLife   = 20  // time after which the count of recoveries halves, in silence timeouts
+	recoveryHalfLife   = 20  // half-life of the count of recoveries, in silence timeouts
 	maxHoldDown        = 32  // the longest hold-down, in silence timeouts
 	maxHoldDownShift   = 10  // maximum n in the hold-down of 1<<n silence timeouts; n grows with the count of recoveries, see holdDown
 	minRecoveries      = 0.5 // the count of recoveries is not halved further once it is this low
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -9,7 +9,7 @@
 
 const (
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
-	membersPerSilence        = 32  // number of members that adds one silence timeout to the heartbeat period
+	membersPerSilence        = 32  // the heartbeat period grows by one silence timeout for each membersPerSilence members
 	maxTargets               = 4   // upper bound of the members that are probed in turn in one round
 	maxMissedTargets         = 8   // upper bound of the members with missed probes that are probed again in one round
 	payloadSendsPerHeartbeat = 20  // upper bound of the number of times that changed payloads are sent within a heartbeat period
@@ -78,9 +78,9 @@
 // parameter alive is the number of members that the process considers alive, itself included; gone is the number of the
 // other members; random is drawn from 0 to 1. All live members together make about fleetSyncs exchanges.
 //
-// So few exchanges are enough, because the first one that succeeds after the links are back ends a split. Without the
-// bound, every member on one side of a split would contact every member on the other side when a zone comes back, and
-// whole states of a large fleet are large. If links lose most packets, the bound delays the end of a split, because few
+// fleetSyncs can be low, because the first exchange that succeeds after the links are back ends a split. Without this
+// limit, every member on one side of a split would contact every member on the other side when a zone comes back. The
+// whole states of a large fleet are large. If links lose most packets, the limit delays the end of a split, because few
 // members try.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -58,8 +58,8 @@
 // A record with a smaller incarnation than the known one is refused. Such a record comes from a process whose disk or
 // machine was restored from an older image, or in a delayed message from before a restart. A process that has restarted
 // normally also has a smaller incarnation if its clock was set back, because the clock gives the incarnation. Its
-// records are refused until its incarnation is larger than the known one. This cannot happen to a process with a disk,
-// because its new incarnation is always larger than its stored one.
+// records are refused until a later start gives it an incarnation larger than the known one. A process with a disk is
+// not affected, because its new incarnation is always larger than its stored one.
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
 	r, err := DecodeRecord(raw)
 	if err != nil {
@@ -85,7 +85,7 @@
 	case !e.isOlderThan(r, raw):
 		return ErrStale
 	}
-	if r.Incarnation > e.Incarnation { // the member has restarted: measurements of its earlier incarnation no longer apply
+	if r.Incarnation > e.Incarnation { // the member has restarted: its earlier missed probes and round trips no longer apply
 		e.missedProbes, e.roundTrips, e.markedDown = 0, nil, false
 	}
 	e.Role, e.Zone = r.Role, r.Zone
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -15,7 +15,7 @@
 	n := p.node(status.Name)
 	old, wasReported, leaseHadEnded := n.NodeStatus, n.reported, n.leaseHadEnded(now)
 	if wasReported && status.LeaseEnd < old.LeaseEnd && status.Incarnation == old.Incarnation {
-		status.LeaseEnd = old.LeaseEnd // two renewals were reported out of order: the later lease end stays
+		status.LeaseEnd = old.LeaseEnd // renewals were reported out of order: the later of the two lease ends stays
 	}
 	lostCopies := status.LostCopies && wasReported && status.Incarnation != old.Incarnation
 	p.makeIneligible(n)
@@ -62,7 +62,8 @@
 	}
 }
 
-// markExcess marks instances of a node that has n instances more than slots: the n lightest ones are marked as excess.
+// markExcess marks instances of a node that has n instances more than slots: the n instances with the lowest
+// Weight are marked as excess.
 func (p *Planner) markExcess(n *node) {
 	all := byWeight(maps.Keys(n.primaryOf))
 	for at, i := range all {
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -48,9 +48,11 @@
 // The check guards against an instance that makes each of its primaries fail. Primaries that fail for other reasons look the
 // same if the instance was on all of them: the instance is then quarantined wrongly, and an operator has to release it.
 //
-// If a failed node has several candidates (countPoisonCandidates), all candidates continue, each with its replica on a
-// different node. They continue until a node fails that runs only one candidate, which costs one or two more node failures.
-// After poisonFailureFactor*Config.MaxFailures failures, an instance is quarantined even if there are other candidates.
+// A candidate is an instance that may have caused the failure of a node (countPoisonCandidates). A failed node may have
+// several candidates. They all continue, and their new replicas are spread over different nodes (scattersPoisonCandidates,
+// tieBreak), so that they fail over to different nodes. They continue until a node fails that runs only one candidate: that
+// candidate is presumed to be the cause. This costs one or two more node failures. After
+// poisonFailureFactor*Config.MaxFailures failures, an instance is quarantined even if there are other candidates.
 func (p *Planner) failsItsPrimaries(i *instance) bool {
 	failures := i.Failures + 1
 	if failures < p.config.MaxFailures {
@@ -119,7 +121,8 @@
 	return 3
 }
 
-// recoverLost restarts a lost instance: at once if a replica is back, and after Config.RestartAfter from the best older copy.
+// recoverLost restarts a lost instance: at once if a replica is back, and after Config.RestartAfter from the best
+// older copy or, without such a copy, on a node that chooseTarget finds.
 func (p *Planner) recoverLost(i *instance) {
 	if n := p.successor(i); n != nil {
 		p.propose(i, placement.Operation{Kind: placement.OpRestart, Target: n.Name, Index: i.Index,
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -20,7 +20,7 @@
 	copySince       tick.Tick // when the copy in progress started, or the time of OnElected if that is later
 	deviceZone      string    // reported zone of the instance's device if the assignment has another zone, else empty
 	primaryLostCopy bool      // the primary restarted without its copy of this instance
-	excess          bool      // the instance is among the lightest ones of a node that has more instances than slots
+	excess          bool      // the primary has n instances more than slots, and this one is among its n instances with the lowest Weight
 	emptyReplicas   []*node   // replicas that restarted without their copy of this instance
 
 	history       moveHistory
@@ -37,7 +37,7 @@
 // moveHistory records the migrations of an instance.
 type moveHistory struct {
 	last   tick.Tick // time of the last cut-over, 0 for none
-	streak int       // number of consecutive cut-overs that each came soon after the previous one (recordMove); 0 if the last cut-over did not
+	streak int       // number of consecutive cut-overs that each came soon after the previous one; see recordMove
 }
 
 // stayUntil returns the time before which an instance makes no move that is not urgent. The minimum stay after a cut-over is
@@ -64,7 +64,7 @@
 // copy there did not end in time (backOffRemote).
 type remoteBackoff struct {
 	until    tick.Tick
-	failures int // number of consecutive failures
+	failures int // number of consecutive failures after the first one, at most maxMoveStreak
 }
 
 // proposal is an operation whose result is pending.
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -11,7 +11,7 @@
 type NodeStatus struct {
 	Name, Zone     string
 	Incarnation    uint64    // number of the node's process; each later process has a greater number and starts with empty memory
-	LeaseEnd       tick.Tick // end of the node's lease by the controller's clock, plus clock drift; the node does not act after this time; 0 if unknown
+	LeaseEnd       tick.Tick // end of the node's lease by the controller's clock, with clock drift added; the node does not act after this time; 0 if unknown
 	Accepting      bool      // the node accepts new instances
 	Limited        bool      // the node accepts only a few new instances
 	Evacuating     bool      // the node's instances have to move away
@@ -91,7 +91,8 @@
 	return n.leaseExpired || n.LeaseEnd != 0 && n.LeaseEnd <= now
 }
 
-// isRemoteTo reports whether a node is in a zone other than the primary's. A node whose zone is unknown counts as remote.
+// isRemoteTo reports whether a node's Zone differs from the primary's. An unknown zone is empty: it differs from each known
+// zone, but equals another unknown zone.
 func (n *node) isRemoteTo(primary *node) bool { return n.Zone != primary.Zone }
 
 // qualifies reports whether a node's status allows it to receive an instance.
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -63,8 +63,8 @@
 	case primary.isLeaving():
 		return primaryLeaving, 0
 	case primary.Evacuating && i.history.streak > 0:
-		// Two evacuating nodes could otherwise hand an instance back and forth. The minimum stay doubles with each
-		// consecutive move (stayUntil).
+		// Without a minimum stay, two evacuating nodes could hand an instance back and forth. The minimum stay doubles with
+		// each consecutive move (stayUntil).
 		return primaryEvacuating, stay
 	case primary.Evacuating:
 		return primaryEvacuating, 0
@@ -229,7 +229,8 @@
 	return end
 }
 
-// hasNearerTarget reports whether a copy that makes a remote replica could go to another node in the primary's zone instead.
+// hasNearerTarget reports whether a copy that makes a remote replica could go to a node in the primary's zone instead: the
+// zone must have an eligible node other than the primary.
 func (p *Planner) hasNearerTarget(i *instance, target *node) bool {
 	primary := i.primaryNode
 	if p.config.RemoteReplicas == 0 || i.CutOver || primary.zone == nil || !target.isRemoteTo(primary) {
--- a/internal/migration/planner.go
+++ b/internal/migration/planner.go
@@ -55,7 +55,8 @@
 }
 
 // OnElected tells the planner that this controller leads from now on. The planner forgets pending proposals and treats every
-// node's lease as unknown. It counts the time that each instance has stayed with its primary from now.
+// node's lease as unknown. For each instance, primarySince and copySince start again at now. The minimum stay also
+// counts from now, unless the instance is in its first epoch (lastMoveOf).
 func (p *Planner) OnElected(now tick.Tick) {
 	p.now, p.leads = now, true
 	for _, n := range p.nodes {
--- a/internal/migration/planner_test.go
+++ b/internal/migration/planner_test.go
@@ -117,8 +117,8 @@
 	sim.compareTimeline(t, "zone-evacuates")
 }
 
-// countInstances updates the node's free slots every lease/50: the slots that were free at the call of countInstances, minus
-// the instances whose primary is this node.
+// countInstances updates the node's free slots now and every lease/50. It subtracts the number of instances whose primary is
+// this node from the value that FreeSlots had at the call of countInstances.
 func (n *simulatedNode) countInstances() {
 	slots := n.FreeSlots
 	var update func()
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -61,8 +61,8 @@
 }
 
 // wake queues reviews of instances in q, which found no target: the most urgent first, and among equals those most at risk.
-// It queues at most limit reviews and at most Config.MaxMovesPerNode. The scheduled reviews of these instances would not
-// follow that order.
+// It queues at most limit reviews and at most Config.MaxMovesPerNode. The scheduled reviews of these instances would
+// follow the order of their times instead.
 func (p *Planner) wake(q *queue, limit int) {
 	for range min(limit, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
--- a/internal/migration/rebuild.go
+++ b/internal/migration/rebuild.go
@@ -19,7 +19,7 @@
 
 const (
 	// rebuildEpochGap is added to the latest known epoch of an instance when its assignment is rebuilt. The sum exceeds every
-	// epoch that was reported. It also exceeds every later epoch that only an unresponsive node may have learned of.
+	// epoch that was reported. The gap leaves room for later epochs that only an unresponsive node may know.
 	rebuildEpochGap = 1000
 
 	// maxRebuiltStaleCopies bounds the older copies that are recorded for one instance.
@@ -29,8 +29,8 @@
 // Rebuild derives assignments from the copies that nodes report and from an earlier state of the table, if there is one. An
 // instance continues on a node that certainly has every acknowledged entry. That is a node that was the primary or a replica
 // in the latest known epoch (isAuthoritative) or, if no node is unresponsive, the node with the best copy (bestFirst).
-// Without such a node the instance is lost: it waits for a node that has every entry, and is restarted from a known older
-// copy after Config.RestartAfter. The returned notes name each instance that is lost or may have lost entries.
+// Without such a node the instance is lost: it waits for a node that has every entry. After Config.RestartAfter it is
+// restarted from an older copy. The returned notes name each instance that is lost or may have lost entries.
 func Rebuild(nodes []NodeInventory, unresponsive []string, previous []placement.Assignment) (all []placement.Assignment, notes []string) {
 	r := &rebuild{unresponsive: unresponsive, copies: map[string][]foundCopy{}}
 	for _, n := range nodes {
@@ -94,8 +94,8 @@
 	return (c.IsPrimary || c.IsReplica) && !c.Incomplete && c.Epoch == latestEpoch
 }
 
-// bestFirst removes incomplete copies without entries and orders the remaining ones: authoritative ones first, then those of
-// primaries, then those whose last entry has the latest epoch, then those with the most entries.
+// bestFirst removes incomplete copies without entries and orders the remaining ones: authoritative ones (isAuthoritative)
+// first, then those of primaries, then those whose last entry has the latest epoch, then those with the most entries.
 func bestFirst(all []foundCopy, latestEpoch uint64) []foundCopy {
 	copies := slices.DeleteFunc(slices.Clone(all), func(c foundCopy) bool { return c.Incomplete && c.Index == 0 })
 	slices.SortFunc(copies, func(a, b foundCopy) int {
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -19,7 +19,7 @@
 	evacuationMargin       = 0.2 // margin by which a target's risk has to be lower than an evacuating primary's
 	excessMargin           = 0.1 // margin by which a target's risk may exceed that of a primary with too many instances
 	maxRiskPerInstance     = 0.1 // upper bound of the estimate of the risk that one instance adds
-	maxVoluntaryTargetRisk = 0.7 // limit on the risk of a target of a copy, or of a move to the device's zone from a primary with less risk than the target
+	maxVoluntaryTargetRisk = 0.7 // a copy, or a move to the device's zone that raises the risk, needs a target whose risk is below this limit
 	maxLimitedIncoming     = 1   // limit on the instances in transit to a node that accepts only a few instances
 )
 
@@ -27,13 +27,13 @@
 // most, then free slots and moves in progress.
 const (
 	riskWeight      = 2.0     // weight of the node's risk
-	freeSlotsWeight = 0.5     // weight of the quotient of the node's free slots and enoughFreeSlots, which counts as at most 1
+	freeSlotsWeight = 0.5     // weight of the node's free slots divided by enoughFreeSlots; the quotient is capped at 1
 	enoughFreeSlots = 16      // free slots beyond this number add nothing to the score
-	movesWeight     = 0.5     // weight of the quotient of the node's moves in progress or proposed and Config.MaxMovesPerNode
+	movesWeight     = 0.5     // weight of the node's moves in progress or proposed, divided by Config.MaxMovesPerNode
 	replicaBonus    = 0.5     // added for a replica, which already has the state
 	largeStateBytes = 1 << 20 // bytes of state from which on a replica scores 1 more than replicaBonus; a smaller state adds proportionally less
 	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // weight of the quotient of the node's replicas and the primary's instances + 1; only for remote replicas; the quotient may exceed 1
+	crowdingWeight  = 0.5     // weight of the number of the node's replicas divided by (1 + the number of the primary's instances); only for remote replicas; the quotient may exceed 1
 	tieBreakWeight  = 0.1     // weight of a hash of node and instance; the weight is 1 if primaries of the instance have failed
 )
 
@@ -113,7 +113,8 @@
 }
 
 // scattersPoisonCandidates reports whether a replica may go to any zone, because the instance may have caused the failures of
-// its primaries. Such instances get their replicas on different nodes, so that the next failure shows which instance causes it.
+// its primaries. Such instances get their replicas on different nodes, so that the next node that fails shows which instance is
+// the cause.
 func (s *targetSearch) scattersPoisonCandidates() bool {
 	i := s.instance
 	return s.reason == tooFewReplicas && i.Failures > 0 && i.Failures+1 >= s.planner.config.MaxFailures
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -25,8 +25,8 @@
 	// reports its load to the other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction is a fraction of the requests. If the relay admits less, the log says that the relay sheds
-	// requests. The log shows the admitted fraction rounded to two digits.
+	// sheddingFraction is a lower limit of the admitted fraction of the requests. Below it, the log says that the relay
+	// sheds requests. The log shows the admitted fraction rounded to two digits.
 	sheddingFraction = 0.99
 )
 
@@ -96,8 +96,8 @@
 	a.manager.RecordFirstAttempt(a.membership.Now())
 }
 
-// AllowRetry reports whether a request may have one more attempt. clientRetry is whether the client has sent the
-// request before.
+// AllowRetry reports whether a request may have one more attempt. The parameter clientRetry says whether the
+// client has sent the request before.
 func (a *OverloadAgent) AllowRetry(clientRetry bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/stagedrollout/installation.go
+++ b/internal/stagedrollout/installation.go
@@ -8,8 +8,8 @@
 // installTimeout is installWindow as a time.Duration.
 const installTimeout = time.Duration(installWindow) * (time.Second / time.Duration(Second))
 
-// OnReport records a server's report. running is the version that the server runs. tried is the version that the server
-// last tried to install, and result is the result of that installation; they are 0 and InstallPending if unknown.
+// OnReport records a server's report. running is the version that the server runs. triedVersion is the version that the
+// server last tried to install, 0 if unknown. result is the result of that installation, InstallPending if unknown.
 func (r *Rollout) OnReport(now Tick, s *Server, running, triedVersion uint16, result InstallResult) {
 	s.running = running
 	if triedVersion == r.version && s.assigned == r.version && result != InstallPending && r.version != r.releasedVersion {
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -29,8 +29,8 @@
 		slices.SortFunc(members, func(a, b *Server) int {
 			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
-		// Without the offset, the first server of each group would have the rank 0, so the servers of all groups with
-		// one server would come first.
+		// Without the offset, the first server of each group would have the rank 0. All servers that are alone in their
+		// group would then come first.
 		offset := float64(mixBits(hashes[members[0]])%1024) / 1024
 		for i, s := range members {
 			s.rank = (float64(i) + offset) / float64(len(members))
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // MayInstall already includes the server, which may still act on metadata of its earlier assignment
+			counts.MayInstall-- // the server is in MayInstall already, because it may still act on metadata of its earlier assignment
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -135,7 +135,7 @@
 			case s.assigned == released, s.assigned == r.version && r.phase == Released:
 				s.released = s.assigned
 			case s.assigned == s.released: // the server was excluded from a released version, and stays on its older version
-			case s.assigned != version: // the server is assigned a version that was never released
+			case s.assigned != version: // the cases above cover released versions, so the assigned version was never released
 				s.released = released
 				r.rollBack(now, s)
 			default:
