--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -159,7 +159,7 @@
 	superseded bool
 }
 
-// runRound advances the table to the current time, and marks the members that are to be pinged in pinging.
+// runRound advances the table to the current time, and adds the members to ping to the field pinging.
 func (a *Agent) runRound() roundResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -125,9 +125,9 @@
 }
 
 // Sync exchanges whole states with other members until the context ends. A whole state is all records that a member
-// knows. Sync begins with initialSyncs members. After each further interval of length every, it goes on in turn with
-// some of the members that the library does not consider alive (see SyncCount). The library itself does not contact
-// such members, so without Sync a split would never heal.
+// knows. Sync begins with initialSyncs members. The parameter every is the interval after which Sync goes on, each time
+// with the next few of the members that the library does not consider alive (see SyncCount). The library itself does
+// not contact such members, so without Sync a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -139,7 +139,7 @@
 // cutsOverTo reports whether a migration to a node is in progress.
 func (i *instance) cutsOverTo(n *node) bool { return i.CutOver && i.CopyTarget == n.Name }
 
-// hasReliableReplica reports whether any replica is reliable.
+// hasReliableReplica reports whether any replica is reliable (see node.unreliable).
 func (i *instance) hasReliableReplica() bool {
 	return slices.ContainsFunc(i.replicaNodes, func(n *node) bool { return !n.unreliable() })
 }
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -77,7 +77,8 @@
 	waiting queue // instances that wait until fewer moves use the link
 }
 
-// unreliable reports whether a node can't be relied upon to keep its copies.
+// unreliable reports whether a node can't be relied upon to keep its copies: its lease has expired, or its reported
+// status says that it is leaving (isLeaving). The replicas on all other nodes are called reliable.
 func (n *node) unreliable() bool {
 	return n.leaseExpired || n.reported && n.isLeaving()
 }
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -78,7 +78,7 @@
 
 // replicaCount summarizes the replicas of an instance.
 type replicaCount struct {
-	reliable   int  // number of reliable replicas
+	reliable   int  // number of reliable replicas (see node.unreliable)
 	remote     int  // number of reliable replicas in a zone other than the primary's
 	zonesKnown bool // the zones of all reliable replicas are known
 }
