--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,7 +19,7 @@
 
 const (
 	maxPacketSize     = 16 << 10 // in bytes
-	retransmitFactor  = 3        // each record is sent retransmitFactor times the logarithm of the number of members
+	retransmitFactor  = 3        // memberlist.Config.RetransmitMult: multiplied by the logarithm of the number of members, it is how often each record is sent
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
@@ -125,9 +125,9 @@
 }
 
 // Sync exchanges whole states with other members until the context ends. A whole state is all records that a member
-// knows. Sync begins with initialSyncs members. After each further interval of length every, it goes on in turn with
-// some of the members that the library does not consider alive (see SyncCount). The library itself does not contact
-// such members, so without Sync a split would never heal.
+// knows. Sync begins with initialSyncs members. The parameter every is the interval after which Sync goes on, each time
+// with the next few of the members that the library does not consider alive (see SyncCount). The library itself does
+// not contact such members, so without Sync a split would never heal.
 func (g *gossipLibrary) Sync(ctx context.Context, names []string, every time.Duration) {
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
