--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -7,10 +7,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Limits on the connections that carry calls. Each connection costs a goroutine, a file descriptor and about 10 KiB. With a
-// thousand edge nodes and three hundred relays, each of these processes has up to six connections when idle: one for its lease,
-// two for watches and a few for operations. maxConnsPerProcess has room for all operations that one process proposes at once
-// after a failover, and keeps that process from taking the connections that other processes need for their leases.
+// Limits on the connections that carry calls. Each connection costs a goroutine, a file descriptor and about 10 KiB. An idle
+// edge node or relay has up to six connections: one for its lease, two for watches and a few for operations. maxConns has room
+// for the idle connections of a thousand edge nodes and three hundred relays. maxConnsPerProcess has room for all operations
+// that one process proposes at once after a failover. It also keeps one process from taking the connections that other
+// processes need for their leases.
 const (
 	maxConns           = 8192 // connections of all processes except controllers
 	maxConnsPerProcess = 256  // connections of any one process, whether it is a controller or not
@@ -52,7 +53,8 @@
 	return nil, refusal
 }
 
-// remove stops counting a connection of a process. counted is the connection's share in total: 1, or 0 for a controller.
+// remove stops counting a connection of a process. The parameter counted is what the connection added to l.total: 1, or 0 for
+// a controller.
 func (l *connLimiter) remove(from string, counted int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -58,8 +58,8 @@
 				Str("why", "the disk is outdated: other controllers know a later disk of this one, or later entries on it").
 				Msg("outdated store set aside")
 		case errors.Is(err, ErrCorrupt) && len(c.peers) > 0:
-			// Entries that this disk acknowledged are lost. The disk is therefore treated like an emptied one, and the leader
-			// has to readmit it.
+			// Entries that this disk acknowledged are lost. The log is therefore set aside, and the controller starts again
+			// with an empty disk, which the leader has to admit.
 			c.Log.Error().Err(err).Str("event", "aside").Str("why", "the directory's log is damaged and is set aside").
 				Msg("damaged store set aside")
 		default:
@@ -159,8 +159,8 @@
 	return config
 }
 
-// startRaft starts raft. It first creates the log on this disk if the log's origin names the disk (storeMarker.Founding) and
-// the disk has no stored entries yet (storeMarker.Started).
+// startRaft starts raft. It first creates the log on this disk if the disk is one of those on which the log begins
+// (storeMarker.Founding) and has no stored entries yet (storeMarker.Started).
 func (c *Controller) startRaft(config *raft.Config, transport positionTransport, opened openedStore) (*raft.Raft, error) {
 	if marker := c.disk.currentMarker(); marker.Founding && !marker.Started {
 		if opened.last.Index == 0 {
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -111,7 +111,7 @@
 		l.lessor.OnIncarnationAgreed(request.Node, request.Incarnation)
 	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
 		l.lessor.OnIncarnationDropped(request.Node)
-	} // after any other error the result is unknown and this leadership, with its lessor, has ended
+	} // after any other error the entry may have been agreed; this leadership has ended and its lessor is no longer used
 	c.mu.Unlock()
 	if errors.Is(err, leases.ErrStaleIncarnation) {
 		return refuse(http.StatusConflict, "%s: %v", request.Node, err)
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tick"
 )
 
-// maxOutcomeCount is the maximum number of successes, and of failures, that one report can state for a node. Larger numbers are
-// reduced to this maximum.
+// maxOutcomeCount limits the number of successes and the number of failures that a report contains for a node. A larger number
+// is reduced to maxOutcomeCount.
 const maxOutcomeCount = 1 << 20
 
 // handleOutcomes records a relay's counts of successful and failed requests to edge nodes. The leader verifies the nodes' own
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -14,13 +14,14 @@
 
 // requestJoin asks the leader to admit this disk or, if caughtUp is set, to make it a voter.
 func (c *Controller) requestJoin(ctx context.Context, caughtUp bool) (controllerclient.JoinResponse, error) {
-	// admitDisk may commit three entries, each within ProposalTimeout. The fourth ProposalTimeout is a margin.
+	// admitDisk commits at most three entries. The timeout has one ProposalTimeout for each of them,
+	// and one more as a margin.
 	ctx, cancel := context.WithTimeout(ctx, 4*c.timings.ProposalTimeout.Duration())
 	defer cancel()
 	return c.client.Join(ctx, controllerclient.JoinRequest{Node: c.name, StoreID: c.disk.currentMarker().StoreID, CaughtUp: caughtUp})
 }
 
-// catchUpAndJoin sends join requests until this disk is a voter. It does nothing if the log's origin names the disk
+// catchUpAndJoin sends join requests until this disk is a voter. It does nothing for a disk on which the log was created
 // (storeMarker.Founding), because such a disk is a voter from the start.
 func (c *Controller) catchUpAndJoin(ctx context.Context, r *raft.Raft) {
 	if c.disk.currentMarker().Founding {
@@ -34,8 +35,8 @@
 		}
 		caughtUp := needed > 0 && r.AppliedIndex()+maxJoinLag >= needed && r.LastIndex() > 0
 		if caughtUp && !marker.Started {
-			// Started is set before the disk becomes a voter. If a voter's log is empty at a later start, its entries are lost,
-			// and openStore reports the log as damaged because Started is set.
+			// Started is set before the disk becomes a voter. If the log is empty at a later start, the voter has lost its
+			// entries. openStore then reports the log as damaged, because Started is set.
 			marker.Started = true
 			if err := c.disk.putMarker(marker); err != nil {
 				c.noteDiskResult(explainDiskError(err))
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -34,7 +34,7 @@
 	planner        Planner
 	verifier       *devicehealth.Verifier
 	recordCounts   *leases.RecordCounts
-	rollingBack    map[uint16]bool          // by software version: whether relays reported in this term that it is rolled back
+	rollingBack    map[uint16]bool          // by software version: whether the version is rolled back, as relays reported in this term
 	rolloutReports map[string]rolloutReport // by relay: the relay's last report
 
 	nodes map[string]*controllerclient.LeaseRequest // by edge node: the node's last granted request
@@ -138,8 +138,8 @@
 	}
 	now := c.Now()
 	// A rebuilt controller begins as the only voter. Until there are enough voters for a majority, leadershipConfirmer.confirm
-	// fails, and no node can renew its lease. Therefore no lease expires in that time. Once there are enough voters, OnElected
-	// counts all leases as renewed.
+	// fails, and no node can renew its lease. To keep the leases from expiring in that time, runTimers returns here. Once
+	// there are enough voters, OnElected treats all leases as renewed.
 	if voters, err := c.voters(c.raft.Load()); err != nil || len(voters) < c.majority(voters) {
 		l.lackedMajority = true
 		return c.timings.ConfirmTimeout.Duration()
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -35,8 +35,8 @@
 	Controller string `json:"node,omitempty"`
 	StoreID    string `json:"store,omitempty"`
 
-	// An earlier version of the program ignores the fields below if it does not know them. That is safe, because no state that
-	// such a version has depends on these fields.
+	// An earlier version of the program that does not know the fields below ignores them. That is safe, because the fields
+	// change no part of the state that the earlier version has.
 	RecordCounts map[string]uint64        `json:"kept,omitempty"`   // by edge node: its record count, see leases.RecordCounts
 	Unverified   []replica.UnverifiedCopy `json:"doubts,omitempty"` // unverified copies of one edge node
 }
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -16,14 +16,14 @@
 // queuedProposal is an operation of the planner that waits to be proposed.
 type queuedProposal struct {
 	operation placement.Operation
-	refusal   error // why the operation must not be proposed, or nil
+	refusal   error // error of blockRenewal, because of which the operation is not proposed; nil if it may be proposed
 }
 
 // proposalBatch holds the proposals and record counts of one log entry.
 type proposalBatch struct {
 	leadership   *leadership
 	proposals    []queuedProposal
-	recordCounts map[string]uint64 // by edge node; nil if none are due
+	recordCounts map[string]uint64 // by edge node, from leases.RecordCounts.Due; nil if there are none
 }
 
 // wakeProposer wakes runProposer to check the queue and the record counts.
@@ -53,8 +53,8 @@
 	}
 }
 
-// nextBatch takes the next proposals from the queue, and the record counts that are due. ok is false if there is nothing to
-// propose or this controller does not lead.
+// nextBatch takes the next proposals from the queue, and the record counts from leases.RecordCounts.Due. ok is false if there
+// is nothing to propose or this controller does not lead.
 func (c *Controller) nextBatch() (batch proposalBatch, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,8 +126,8 @@
 }
 
 // knownNotAgreed reports whether an error of proposeEntry proves that the entry was not agreed. It recognizes only the two
-// errors after which the leadership may continue. Either the entry waited too long for raft's queue, or a leadership transfer
-// was in progress, which may fail.
+// errors after which the leadership may continue. One means that the entry waited too long for raft's queue. The other means
+// that a leadership transfer was in progress; if the transfer fails, this controller continues to lead.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
--- a/internal/controller/rebuild_test.go
+++ b/internal/controller/rebuild_test.go
@@ -98,8 +98,8 @@
 	checkEmptiedControllersRefused(t, c)
 }
 
-// checkEmptiedControllersRefused checks that a node refuses a lease if all controllers restart with empty disks and without a
-// rebuild, because their lineage differs from the lineage that the node accepted before.
+// checkEmptiedControllersRefused checks that a node refuses a lease after all controllers have restarted with empty disks and
+// without a rebuild. Their new log has another origin than the log that the node accepted before (controllerclient.Lineage).
 func checkEmptiedControllersRefused(t *testing.T, c *testFleet) {
 	t.Helper()
 	for _, name := range controllerNames {
--- a/internal/controller/rollout_state_test.go
+++ b/internal/controller/rollout_state_test.go
@@ -30,7 +30,8 @@
 	renew("edge-a", 7)
 	for _, test := range []struct {
 		state string
-		// immediately: the planner is told before the node's next lease request; want: RollingBack of the node after the report
+		// immediately is true if the planner is told before the node's next lease request. want is the node's RollingBack
+		// after the report.
 		immediately, want bool
 	}{{"testing", false, false}, {"recalling", true, true}, {"recalled", false, true}, {"live", true, false}, {"recalling", true, true},
 		{"", false, true}, {"live", true, false}, {"another relay: recalled", true, true}, {"live", false, true}, {"another relay: live", true, false}} {
--- a/internal/controller/single_writer_test.go
+++ b/internal/controller/single_writer_test.go
@@ -149,7 +149,9 @@
 	c.waitFor("a node serves", func() bool { return highest.Load() > 0 })
 	random := rand.New(rand.NewPCG(29, 2))
 	faults := []faultproxy.Fault{{Silent: true}, {Stall: true}, {Delay: lease / 2}, {BreakChance: 0.3}}
-	// On a busy machine, the faults may need more than 12 seconds to change the primary this often.
+	// minEpochs is the minimum epoch that the instance has to reach, so that the faults have changed its primary several
+	// times. Faults are injected for 12 seconds, or on a busy machine until minEpochs is reached, but for no longer than a
+	// minute.
 	const minEpochs = 4
 	began := time.Now()
 	for violation.Load() == nil && (time.Since(began) < 12*time.Second || highest.Load() < minEpochs && time.Since(began) < time.Minute) {
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -11,8 +11,8 @@
 // Limits on a controller's disk and log.
 const (
 	lowFreeFraction = 0.05 // a disk is low on space if its free fraction is at most this
-	// A disk that is low on space recovers when its free fraction is at least this; the gap between the two fractions keeps the
-	// state from flapping.
+	// A disk that is low on space recovers when its free fraction is at least this; the gap to lowFreeFraction keeps the state
+	// from flapping.
 	recoveredFreeFraction = 0.08
 
 	maxDiskCheckInterval     = tick.Second
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -28,8 +28,9 @@
 //
 // The wait keeps a majority of emptied or outdated disks from agreeing on a different history. Two rules ensure that:
 //   - An empty disk creates a log only if all other controllers in the configuration file answer and none belongs to a log, or
-//     if the log's origin names the disk. Otherwise the leader has to admit the disk. The leader first removes the former disk
-//     of this controller from the voters. The removal takes a majority of the remaining voters, which have their logs.
+//     if LogOrigin.Stores of an existing log contains the disk's identity. Otherwise the leader has to admit the disk. The
+//     leader first removes the former disk of this controller from the voters. A majority of the remaining voters, which have
+//     their logs, has to agree on the removal.
 //   - A disk that belongs to a log waits until enough other controllers answer to form a majority with this one. Without a
 //     majority, this controller could not make progress anyway.
 //
@@ -66,8 +67,8 @@
 	}
 }
 
-// putOrigin writes the origin and the generation of the disk's log to the marker. founding tells whether the origin names the
-// disk.
+// putOrigin writes the origin and the generation of the disk's log to the marker. The parameter founding is the value for
+// storeMarker.Founding.
 func (c *Controller) putOrigin(marker storeMarker, origin *controllerclient.LogOrigin, founding bool, generation uint64) error {
 	marker.Origin = origin
 	marker.Founding = founding
@@ -80,8 +81,8 @@
 	unreachable []string) (startDecision, error) {
 
 	// Statuses of controllers whose disk is from before a rebuild are ignored, so that these controllers do not keep this one
-	// from starting. They were stopped or partitioned during the rebuild. Their own start fails, because their log has another
-	// origin.
+	// from starting. They were stopped or partitioned during the rebuild. decideStarted fails at these controllers, because
+	// their log has another origin than the log of the rebuilt controllers.
 	statuses = slices.DeleteFunc(statuses, func(s controllerclient.Status) bool {
 		return s.Origin != nil && s.Origin.ID != marker.Origin.ID && s.Generation < marker.Generation
 	})
@@ -102,9 +103,9 @@
 	return startLater, nil
 }
 
-// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may take part if the log's
-// origin names the disk, if the leader of an existing log admits the disk, or if no controller belongs to a log and they create
-// one (decideFounding).
+// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may take part if
+// LogOrigin.Stores of an existing log contains the disk's identity, or if the leader of an existing log admits the disk. If no
+// controller belongs to a log, the controllers create one (decideFounding).
 func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -134,8 +135,8 @@
 }
 
 // decideFounding decides whether this disk may take part in a new log. It is called if all controllers answer and none belongs
-// to a log yet. The controller whose name sorts first creates the log's origin, which names the disks of all controllers. The
-// other controllers wait until a later status query returns that origin.
+// to a log yet. The controller whose name sorts first creates the log's origin, whose field Stores contains the identities of
+// all controllers' disks. The other controllers wait until a later status query returns that origin.
 func (c *Controller) decideFounding(marker storeMarker, statuses []controllerclient.Status) (startDecision, error) {
 	names := append([]string{c.name}, c.peers...)
 	slices.Sort(names)
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -48,7 +48,7 @@
 	Node          string                      `json:"node"`
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
-	Founding      bool                        `json:"found,omitempty"` // the origin names the disk; if false, the disk was admitted later
+	Founding      bool                        `json:"found,omitempty"` // the log was created on this disk, see LogOrigin.Stores; if false, the disk was admitted later
 	// Started means that the disk has stored entries. If the log is empty at a later start, openStore reports it as damaged.
 	Started    bool                    `json:"begun,omitempty"`
 	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
--- a/internal/controllerclient/client.go
+++ b/internal/controllerclient/client.go
@@ -19,7 +19,7 @@
 // inventoryTimeout is how long an edge node may take to answer with its inventory.
 const inventoryTimeout = time.Minute
 
-// randomStream is the second word of the seed of Client.random. The first word is the parameter seed of New.
+// randomStream is the second of the two words with which New seeds Client.random. The first word is New's parameter seed.
 const randomStream = 29
 
 // Client calls the leading controller. It is safe for concurrent use. Each call ends at the latest when its context ends.
@@ -124,7 +124,8 @@
 // has caught up.
 func (c *Client) Join(ctx context.Context, request JoinRequest) (response JoinResponse, err error) {
 	request.Version = Version
-	// The leader may make three proposals; the timeout allows for more than these.
+	// The leader commits at most three entries for a join request. The timeout has one ProposalTimeout for each of them,
+	// and one more as a margin.
 	_, err = c.call(ctx, http.MethodPost, "/v1/join", request, &response, 4*c.timings.ProposalTimeout)
 	return response, err
 }
--- a/internal/controllerclient/lineage.go
+++ b/internal/controllerclient/lineage.go
@@ -10,13 +10,13 @@
 	return c.lineage
 }
 
-// CheckLineage accepts a controller's lineage as the current one. It fails with ErrOtherLineage if the generation is lower than
-// the generation accepted last, or if the generations are equal and the log has another origin.
+// CheckLineage accepts a controller's lineage as the current one. It fails with ErrOtherLineage if the generation is lower
+// than the generation accepted last, or if the generations are equal and the log's origin is not the origin accepted last.
 //
-// Controllers whose disks were emptied, or are from before a rebuild of the assignments, have no record of a primary. The check
-// protects the primary against such controllers. It can't tell whether disks were emptied by mistake or on purpose. After disks
-// were emptied on purpose, the command "silvercovectl fleet rebuild" raises the generation, and every client accepts the higher
-// generation.
+// The check protects a primary against controllers that have no record of the primary. The disks of such controllers were
+// emptied, or are from before a rebuild of the assignments. CheckLineage can't tell whether disks were emptied by mistake or
+// on purpose. After disks were emptied on purpose, the command "silvercovectl fleet rebuild" raises the generation, and every
+// client accepts the higher generation.
 func (c *Client) CheckLineage(lineage Lineage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -74,9 +74,9 @@
 }
 
 // Lineage identifies the history of the assignments that a controller has. Generation is raised when the assignments are
-// rebuilt after a loss of disks; assignments of a lower generation are no longer valid. OriginID identifies the start of the
-// log: if controllers have the same generation but another origin, all their disks were emptied, and their assignments are not
-// valid either.
+// rebuilt after a loss of disks; assignments of a lower generation are no longer valid. OriginID is the identity of the log's
+// origin (LogOrigin). If OriginID changes and Generation does not, the disks of all controllers were emptied, and the
+// controllers' assignments are not valid either.
 type Lineage struct {
 	Generation uint64 `json:"generation"`
 	OriginID   string `json:"birth"`
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -25,8 +25,9 @@
 }
 
 // call sends one request, on the open connection or on a new one, and applies the response. skipped reports whether the
-// response held changes to a version older than r.version. Such a response may omit other changes. If the call failed,
-// status is closed and holds the reason.
+// response contains changes, not the complete list, and has a version lower than r.version. Such a response may omit
+// other changes. It occurs after the agent or discovery has restarted with older data. If the call failed, status is
+// closed and holds the reason.
 func (r *run) call(ctx context.Context, p poll) (skipped bool, status transport.CloseStatus) {
 	path, wait := endpointsPath, time.Duration(0)
 	if !p.complete {
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -71,8 +71,8 @@
 		fetch = true
 	default:
 		if r.state == suspended && r.agent != "" && address != r.agent {
-			// A relay is responsible for acting on the updates that the new agent has, whether it has received them or
-			// not. The watch therefore begins without waiting for SetWatching.
+			// A relay is responsible for acting on the new agent's updates, even if the relay has not received them.
+			// The watch therefore begins at once, without waiting for SetWatching.
 			r.state = watching
 		}
 		if r.state != watching {
--- a/internal/discovery/silent_agent_test.go
+++ b/internal/discovery/silent_agent_test.go
@@ -199,10 +199,10 @@
 }
 
 // TestNew_TimeoutsDetectSilentWatch checks that New limits the timeouts, whatever durations are configured. An
-// established watch whose agent stops responding must be found broken within 3 s. If the watch is just beginning, the
-// limit is 4 s. Either way, the next watch is requested within 4 s after the agent stopped. This leaves 2 s for its
-// response, because the relay is responsible for acting on the missed updates 6 s after the agent stopped. No timeout
-// may be so short that calls are abandoned at once.
+// established watch whose agent stops responding must be found broken within 3 s. A watch that is just beginning must
+// be found broken within 4 s. Either way, the next watch is requested within 4 s after the agent stopped. The relay is
+// responsible for acting on the missed updates 6 s after the agent stopped, so 2 s are left for the response. No
+// timeout may be so short that calls are abandoned at once.
 func TestNew_TimeoutsDetectSilentWatch(t *testing.T) {
 	sizes := []time.Duration{math.MinInt64, -time.Second, 0, 1, time.Millisecond, 100 * time.Millisecond, time.Second,
 		2500 * time.Millisecond, 5 * time.Second, time.Minute, time.Hour * 1e5, math.MaxInt64}
@@ -275,8 +275,9 @@
 	}
 }
 
-// TestSilentAgent_MidResponse checks responses that stop in the header or in the body, or continue there with single
-// bytes. The single bytes must not extend the time limit of the call, and no part of the response may be applied.
+// TestSilentAgent_MidResponse checks responses that stop in the header or in the body, and responses of which the rest
+// arrives byte by byte. These bytes must not extend the time limit of the call, and no part of the response may be
+// applied.
 func TestSilentAgent_MidResponse(t *testing.T) {
 	const head, body = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n", `{"seq":60,"whole":true,"hosts":[` + entry + `]}`
 	for _, c := range []struct {
@@ -342,8 +343,8 @@
 }
 
 // TestMove_WhileSuspended changes the agent's address while a requested watch is suspended after a rejected call. The
-// watch must begin at the new address without waiting for the balancer's request. The reason is that 4 s after the
-// change, the relay is responsible for acting on discovery's current list.
+// watch must begin at the new address without waiting for the balancer's request. 4 s after the change of the address,
+// the relay is responsible for acting on discovery's current list.
 func TestMove_WhileSuspended(t *testing.T) {
 	checkLeaks(t)
 	first, second := newAgent(t), newAgent(t)
@@ -421,9 +422,9 @@
 	f.waitReady(t, "one")
 }
 
-// TestEarlyAnswers_RateLimited checks an agent that answers polls at once, although it has nothing newer. The answer is
-// empty, or the complete list, or alternates between the versions of two states. The relay must poll such an agent
-// several times a second, so that the watch continues, but not in a tight loop.
+// TestEarlyAnswers_RateLimited checks an agent that answers polls at once, although it has no version later than
+// 50. The answers contain no changes, or the complete list, or changes whose versions alternate between 50 and 49.
+// The relay must poll such an agent several times a second, so that the watch continues, but not in a tight loop.
 func TestEarlyAnswers_RateLimited(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -456,8 +457,9 @@
 }
 
 // TestSilentAgent_RecoversWithinSixSeconds checks an update that a broken watch misses. The update must arrive within
-// 6 s after the agent stopped responding, even with the longest timeouts and pauses that settings allow. The balancer
-// itself requests the watches. The test covers an established watch, and a watch that begins after four rejected calls.
+// 6 s after the agent stopped responding, even with the longest timeouts and pauses that settings allow. A balancer
+// requests the watches, as in a relay. The test covers an established watch, and a watch that begins after four
+// rejected calls.
 func TestSilentAgent_RecoversWithinSixSeconds(t *testing.T) {
 	for _, established := range []bool{true, false} {
 		t.Run(fmt.Sprint("stood ", established), func(t *testing.T) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,20 +15,20 @@
 )
 
 // A watch is broken if its agent stops responding. 6 s after the agent stopped, the relay is responsible for acting on
-// the updates that the watch missed, whether it has received them or not. A new watch must be requested within 4 s, so
-// that 2 s are left for its response.
+// the updates that the watch missed, even if the relay has not received them. The limits below ensure that a new watch
+// is requested within 4 s, which leaves 2 s for its response.
 //
-// An established watch is found broken after at most maxPollWait plus maxAnswerTimeout. In the mode Subscribe, the
-// balancer requests the next watch within another second. A call that begins a watch is found broken after at most
-// maxOpenCallDuration. By then the balancer has requested the next watch or is about to, because it pauses for at most
-// 4 s between two requests.
+// An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
+// Subscribe, the balancer requests the next watch within one more second. A call that begins a watch is found broken
+// after at most maxOpenCallDuration. The balancer pauses for at most 4 s between two requests, so it has by then
+// requested the next watch or is about to.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
 	maxOpenCallDuration = 4 * time.Second
-	// minPollWait and minAnswerTimeout are lower limits for a drain grace period close to 0, from which the relay derives
-	// both durations. Without the limits, the relay would call in a tight loop, and each call would time out before the
-	// agent on a busy machine could respond.
+	// minPollWait and minAnswerTimeout are the lower bounds of PollWait and AnswerTimeout. The relay derives both
+	// durations from the drain grace period, which may be close to 0. Without the bounds, the relay would call in a tight
+	// loop, and each call would time out before the agent on a busy machine could respond.
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
 	// retryPause is the pause after a call that failed, or that was answered early without a newer version. Without the
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -42,7 +42,7 @@
 
 // The decisions that Request returns without an error.
 const (
-	Renew              Decision = iota // the incarnation is the agreed one, and Grant may be called
+	Renew              Decision = iota // the request's incarnation is already agreed, and Grant may be called
 	ProposeIncarnation                 // the controllers must agree on the incarnation first
 )
 
--- a/internal/leases/lessor_test.go
+++ b/internal/leases/lessor_test.go
@@ -175,8 +175,9 @@
 	}
 }
 
-// TestLessor_ExpectedNodeHasNoLease guards against ExpectRenewal acting like a lease: the next incarnation of a node whose lease
-// is over must be admitted without a wait, even if instances were assigned to the node while it was away.
+// TestLessor_ExpectedNodeHasNoLease guards against a call of ExpectRenewal that has the effect of a lease. The next
+// incarnation of a node whose lease has expired must be admitted without a wait, even if instances were assigned to the node
+// after the expiry.
 func TestLessor_ExpectedNodeHasNoLease(t *testing.T) {
 	l := newLessor()
 	_, _ = l.Request(0, "a", 1)
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -21,7 +21,7 @@
 type RecordCounts struct {
 	interval tick.Tick         // time between two proposals of counts: one lease duration
 	known    map[string]uint64 // the greatest count of each node, agreed or not
-	pending  map[string]uint64 // counts that wait to be proposed; 0 means that the agreed count is to be deleted
+	pending  map[string]uint64 // counts that wait to be proposed; 0 means that the node's agreed count is to be deleted
 	nextDue  tick.Tick
 }
 
