--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,7 +47,7 @@
 const (
 	maxEntryOperations  = 256     // operations in one log entry
 	maxQueuedOperations = 1 << 17 // operations of the planner that wait to be proposed
-	maxLongPolls        = 4096    // concurrent long polls, which are calls that wait for a change
+	maxLongPolls        = 4096    // concurrent long polls (see longPoll)
 )
 
 // Controller is one controller of a fleet. Open creates it, and it serves while Run runs.
--- a/internal/controller/handle_outcomes.go
+++ b/internal/controller/handle_outcomes.go
@@ -43,8 +43,8 @@
 	return none, nil
 }
 
-// recordOutcomes records at most controllerclient.MaxOutcomes outcomes of a node, with the reported fraction of failures and
-// the failures spread evenly. It is called with Controller.mu held.
+// recordOutcomes records at most controllerclient.MaxOutcomes outcomes of a node, one by one. If more are reported, it keeps the
+// fraction of failures. The failures are spread evenly among the successes. It is called with Controller.mu held.
 func (l *leadership) recordOutcomes(now tick.Tick, outcomes controllerclient.NodeOutcomes) {
 	successes, failures := min(outcomes.Successes, maxOutcomeCount), min(outcomes.Failures, maxOutcomeCount)
 	count := min(successes+failures, controllerclient.MaxOutcomes)
--- a/internal/controller/node_status.go
+++ b/internal/controller/node_status.go
@@ -57,8 +57,8 @@
 	return status
 }
 
-// decodeHealthReport returns a node's health report. If the report can't be decoded, the result has StateHolding: the node gets
-// no new instances and keeps those that it has.
+// decodeHealthReport returns a node's health report. If the report can't be decoded, the result has StateHolding, with which
+// the node gets no new instances and keeps those that it has.
 func decodeHealthReport(request controllerclient.LeaseRequest) controllerclient.HealthReport {
 	var report controllerclient.HealthReport
 	if err := json.Unmarshal(request.Report, &report); err != nil {
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -218,7 +218,7 @@
 	return state.Persist(sink)
 }
 
-// addressCodec is a raft.Transport that implements only EncodePeer, the only method that a snapshot store calls.
+// addressCodec is a raft.Transport that implements only EncodePeer. A snapshot store calls no other method.
 type addressCodec struct{ raft.Transport }
 
 // EncodePeer returns the bytes of an address unchanged.
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -22,7 +22,7 @@
 	StoreIDs      map[string]string           `json:"stores,omitempty"` // by controller: the identity of the controller's disk
 	Incarnations  map[string]uint64           `json:"runs,omitempty"`   // by edge node: the newest incarnation
 	RecordCounts  map[string]uint64           `json:"kept,omitempty"`   // by edge node: the greatest record count
-	unknown       placement.UnknownFields     // fields that a later version of the program added
+	unknown       placement.UnknownFields     // fields that a later version of the program added; kept in later snapshots
 }
 
 // frozenState is an immutable copy of the state machine's state. It implements raft.FSMSnapshot.
--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// backoff delays the retries of a failed action by a pause that doubles from minPause to maxPause. next is the time from which
-// the action may be tried again.
+// backoff delays the retries of a failed action. The pause doubles after each failure, from minPause to maxPause. next is the
+// time from which the action may be tried again.
 type backoff struct{ minPause, maxPause, pause, next tick.Tick }
 
 func (b *backoff) due(now tick.Tick) bool { return now >= b.next }
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -52,7 +52,7 @@
 	// Started means that the disk has stored entries. If the log is empty at a later start, openStore reports it as damaged.
 	Started    bool                    `json:"begun,omitempty"`
 	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
-	unknown    placement.UnknownFields // fields that a later version of the program added
+	unknown    placement.UnknownFields // fields that a later version of the program added; putMarker keeps them
 }
 
 // Errors of Open and Run that concern the data directory or the log.
--- a/internal/controller/stored_test.go
+++ b/internal/controller/stored_test.go
@@ -13,8 +13,8 @@
 
 var updateStored = flag.Bool("update", false, "rewrite testdata/stored")
 
-// storedEntries are the log entries that precede raft's snapshot in testdata/stored. storedLaterEntries follow the snapshot in
-// the stored log. Together they contain every kind of entry and operation.
+// storedEntries are the log entries that precede raft's snapshot in testdata/stored. storedLaterEntries are the
+// log entries that follow the snapshot. The two lists together contain every kind of entry and operation.
 var (
 	storedEntries = []string{
 		`{"v":1,"unit":"edge-a","run":5}`,
--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -49,8 +49,9 @@
 		}
 		lastErr = err
 		redirected := c.chooseNext(active.controller, refusal)
-		// The next attempt after a redirect follows without a pause, except after every (len(c.controllers)+1)th attempt.
-		// Without that exception, controllers that redirect to each other would be called in a loop without pauses.
+		// An attempt that follows a redirect begins without a pause. The exception is that a pause follows every
+		// (len(c.controllers)+1)th attempt. Without the exception, controllers that redirect to each other would
+		// be called in a loop without pauses.
 		if redirected && attempt%(len(c.controllers)+1) < len(c.controllers) {
 			continue
 		}
