--- a/internal/controller/space_policy.go
+++ b/internal/controller/space_policy.go
@@ -11,8 +11,8 @@
 // Limits on a controller's disk and log.
 const (
 	lowFreeFraction = 0.05 // a disk is low on space if its free fraction is at most this
-	// A disk that is low on space recovers when its free fraction is at least this; the gap between the two fractions keeps the
-	// state from flapping.
+	// A disk that is low on space recovers when its free fraction is at least this; the gap to lowFreeFraction keeps the state
+	// from flapping.
 	recoveredFreeFraction = 0.08
 
 	maxDiskCheckInterval     = tick.Second
@@ -47,8 +47,8 @@
 	}
 }
 
-// backoff delays the retries of a failed action by a pause that doubles from minPause to maxPause. next is the time from which
-// the action may be tried again.
+// backoff delays the retries of a failed action. The pause doubles after each failure, from minPause to maxPause. next is the
+// time from which the action may be tried again.
 type backoff struct{ minPause, maxPause, pause, next tick.Tick }
 
 func (b *backoff) due(now tick.Tick) bool { return now >= b.next }
