--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -30,7 +30,8 @@
 // attempt. If Begin returns true, the attempt counts as sent.
 //
 // One update of the endpoint list may release many queued requests at once. By then a client may have closed its
-// connection, and the session of that client may not have run since. Begin therefore calls Request.ClientClosed itself.
+// connection, and the goroutine that serves the client may not have noticed. Begin therefore calls Request.ClientClosed
+// itself.
 func (d *Dispatcher) Begin(a *Attempt) bool {
 	if c := a.call; c != nil && c.clientClosed != nil && c.clientClosed() {
 		d.Abandon(c)
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -35,8 +35,8 @@
 	return known && e.Name != "" && e.Address != "" && e.StartedAtMs >= 0
 }
 
-// Backend identifies the process that an attempt goes to. A connection to another address, or to a process with another
-// start time, does not lead to this backend.
+// Backend identifies the process that an attempt goes to. A process at another address, or with another start time, is
+// a different one.
 type Backend struct {
 	Name, Address string
 	StartedAt     int64 // in ticks; 0 means that the start time is long ago
@@ -93,7 +93,7 @@
 }
 
 // backendOf returns the backend with a name, and creates it when the name is listed for the first time. A new backend
-// gets the smallest ID that a dropped backend has freed, or a new ID if no ID is free.
+// gets the smallest ID that forgetRemoved has freed, or a new ID if no ID is free.
 func (d *Dispatcher) backendOf(name string) *backend {
 	if b := d.backends[name]; b != nil {
 		return b
@@ -141,9 +141,9 @@
 	d.balancer.OnEndpoint(now, &b.Backend, endpoint)
 }
 
-// forgetRemoved drops removed backends, the longest removed first, while there are more removed backends than listed
-// ones. It stops at the first backend that has an attempt in flight or was removed less than d.retention ago. That
-// backend may be listed again unchanged, or a late report may name it.
+// forgetRemoved drops backends that were removed from the endpoint list, in the order of their removal, while more
+// backends are removed than listed. It stops at the first backend that has an attempt in flight or was removed less
+// than d.retention ago. Such a backend may be listed again unchanged, or a late report may name it.
 func (d *Dispatcher) forgetRemoved(now balancer.Tick) {
 	for len(d.removed) > len(d.backends)-len(d.removed) {
 		b := d.removed[0]
@@ -156,8 +156,8 @@
 	}
 }
 
-// EndpointFetchFailed records that a call for the endpoint list failed. The balancer had asked for this call. If the
-// balancer does not poll the list, EndpointFetchFailed does nothing.
+// EndpointFetchFailed tells the balancer that a call for the endpoint list failed. It does nothing if the balancer does
+// not request the list itself (see Dispatcher.pollsEndpoints).
 func (d *Dispatcher) EndpointFetchFailed() {
 	if !d.pollsEndpoints {
 		return
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -34,7 +34,7 @@
 	tenants        nameIndex
 	loadColumns    []string
 	maxRetryAfter  time.Duration // upper bound of RetryAfter for shed calls; 0 if rejected clients are told no time
-	pollsEndpoints bool          // whether the balancer polls the endpoint list; if not, changes arrive without a request for them
+	pollsEndpoints bool          // whether the balancer requests the endpoint list itself (balancer.DiscoverySubscribe); if not, changes arrive without a request for them
 	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
 	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
@@ -97,8 +97,8 @@
 }
 
 // retention returns how long the dispatcher keeps a removed backend: the sum of both slow-start windows and the
-// exposure window. Within that time the backend may be listed again unchanged, its slow start and its share of the
-// exposure still count, or a late report may name it.
+// exposure window. Within that time the backend's slow start and its share of the exposure still count. The backend may
+// also be listed again unchanged, or a late report may name it.
 func retention(s balancer.Settings) balancer.Tick {
 	return s.SlowStart.Window.Ticks() + s.SlowStart.OverloadWindow.Ticks() + s.Rollout.ExposureWindow.Ticks()
 }
@@ -111,7 +111,7 @@
 	do()
 }
 
-// Load returns the number of attempts in flight and of queued requests, divided by the balancer's own concurrency
+// Load returns the sum of the attempts in flight and the queued requests, divided by the balancer's own concurrency
 // limit.
 func (d *Dispatcher) Load() float64 {
 	d.mu.Lock()
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -159,14 +159,15 @@
 }
 
 // takeGossipCounts subtracts from outcomes and bad as many outcomes of each class as fit into one gossip message, and
-// returns the subtracted counts. counts has one element for each class, and a last one for wrong answers that stays
-// zero. remaining is false if there was nothing to subtract.
+// returns the subtracted counts. The last element of counts is for wrong answers and stays zero. The elements before it
+// are one for each class. remaining is false if there was nothing to subtract.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		// badPart is part times the share of bad outcomes among the outcomes left of the class, rounded up.
+		// badPart is the number of bad outcomes in part: part times the share of bad outcomes in outcomes[class],
+		// rounded up.
 		if outcomes[class] > 0 {
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -54,7 +54,7 @@
 	return earliest
 }
 
-// timerStats measure how late timers fire and how long the balancer takes for them.
+// timerStats holds sums and maxima of the delays with which timers fired, and of the durations of OnTimer calls.
 type timerStats struct {
 	timers   int64
 	delaySum time.Duration
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -4,8 +4,8 @@
 // order.
 //
 // Usage: Open reads the directory. The request methods (Append, Truncate, Reset, Delete, SetNote, ConfirmCurrent) only
-// queue a request. Run executes queued requests in order, many with one write and one fsync, and calls the done function
-// of each.
+// queue a request. Run executes queued requests in order, many with one write and one fsync, and calls the done
+// function of each.
 //
 // An incomplete record at the end of the file was never acknowledged and is truncated. Any other inconsistency makes
 // Open reject the whole file, since the records after the inconsistency may have been acknowledged. If the disk is
@@ -14,7 +14,8 @@
 // A disk that was restored from an older image looks intact. The file therefore holds a count of the records written to
 // it (see RecordCount). The controllers store the highest count that a node has reported, and detect a restored disk by
 // its lower count. After Open, records are not counted until ConfirmCurrent has declared the file to be the newest one
-// known. The count of a restored file thus cannot catch up with the reported count before ConfirmCurrent.
+// known. Otherwise the count of a restored file could catch up with the reported count, and the restore would not be
+// detected.
 //
 // Files: store.go (opening and requests), run.go (the queue), write.go (applying requests in memory and writing them to
 // the file), compaction.go (compaction), format.go (records).
@@ -52,8 +53,8 @@
 	lockName    = "instances.lock"
 	maxQueue    = 1 << 16 // number of queued requests from which on further requests are rejected
 	maxNoteSize = 4 << 10 // largest note, in bytes
-	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. The step keeps the count
-	// above the count of a copy of the file in which another process counts records at the same time.
+	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. Another process may
+	// count records in a copy of the file at the same time. The step keeps this count above the count in the copy.
 	confirmStep = 1 << 20
 )
 
--- a/internal/lab/day_backend.go
+++ b/internal/lab/day_backend.go
@@ -47,8 +47,8 @@
 }
 
 // run advances the attempts at a backend to the current time. It is used only if fleetDay.cores is above 0. It
-// completes the attempts whose work is done and drops those that their relay has ended. It then adds the attempt added,
-// if that is not nil, and schedules the next completion.
+// completes the attempts whose work is done and drops those that their relay has ended. If the parameter added is not
+// nil, it adds that attempt. It then schedules the next completion.
 func (u *dayBackend) run(f *fleetDay, added *dayAttempt) {
 	speed := min(1, f.cores/float64(max(1, len(u.work)))) // progress of each attempt, in seconds of work per second
 	if u.StartedAt > 0 {
--- a/internal/lab/day_relay.go
+++ b/internal/lab/day_relay.go
@@ -19,7 +19,7 @@
 	attempts      map[*balancer.Request][]*dayAttempt
 	dead          bool
 	draining      bool
-	drainSince    []balancer.Tick // by backend: time at which this relay was notified that the backend is not ready; 0: the relay knows the backend as ready
+	drainSince    []balancer.Tick // by backend: when this relay was notified that the backend is not ready; 0 if the backend is ready as far as this relay knows
 	rate          float64
 }
 
--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -61,8 +61,8 @@
 
 // FullSizeDay has the largest fleet of all days and is the most likely to overload cold backends. The request rate of a
 // relay is between about a quarter of the mean rate of all relays and about three times that mean. A fifth of the
-// backends restarts and is cold. Half a second later the other backends pause for 3 s, so that all relays turn to the
-// few cold backends.
+// backends restarts and is cold. Half a second later the other backends stop answering for 3 s, so that all relays turn
+// to the few cold backends.
 var FullSizeDay = Day{Name: "whole", relays: 300, backends: 150, plan: func(f *fleetDay) {
 	for i, n := range f.relays {
 		n.rate = dayRate * []float64{0.3, 0.5, 0.7, 1, 4}[i%5] / 1.3
@@ -117,7 +117,7 @@
 	dayRelays   = 60
 	dayBackends = 30
 	dayRate     = 3.0  // requests a second at one relay
-	dayCapacity = 10   // requests a second that a warm backend can serve; on average six arrive
+	dayCapacity = 10   // requests a second that a warm backend can serve; on average, six a second arrive at each backend
 	daySpan     = 30.0 // duration of a day in seconds
 )
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -51,7 +51,7 @@
 
 // TestExperiment_DeclaredRates checks, with a fixed set of seeds, that the measured rates of false alarms and misses
 // are compatible with the declared rates (see Rate.Held). It covers the packages and conditions for which these rates
-// are promised. Every rollout must end with a verdict and keep the exposure rule.
+// are promised. Every rollout must end with a verdict and keep the exposure rule (see checkExposure).
 func TestExperiment_DeclaredRates(t *testing.T) {
 	for _, c := range []struct{ name, packages, conditions string }{
 		{"good packages", "same within_margin", "calm burst slow_zone blind_zone restarts earlier_fails"},
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestExperiment_WithoutEvidenceWait shows a known gap. With an EvidenceWait of 0, a timed vote can promote a package
+// TestExperiment_WithoutEvidenceWait shows a known gap. With an EvidenceWait of 0, relays may vote to promote a package
 // without evidence on rare request classes. A package that is bad for such a class is then released.
 func TestExperiment_WithoutEvidenceWait(t *testing.T) {
 	e := shippedExperiment(t, 8, "rare_op_type", "calm")
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -96,7 +96,7 @@
 func (r Rollout) backendAnswers() func(u *backends.Backend, class string, version uint16, since time.Time) (fails bool, latency time.Duration) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(r.Seed, 7))
-	work := distuv.LogNormal{Mu: -4.6, Sigma: 0.5, Src: rand.NewPCG(r.Seed, 8)} // median of 10 ms
+	work := distuv.LogNormal{Mu: -4.6, Sigma: 0.5, Src: rand.NewPCG(r.Seed, 8)} // service time in seconds, with a median of 10 ms
 	return func(_ *backends.Backend, class string, version uint16, since time.Time) (bool, time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/lab/metadata.go
+++ b/internal/lab/metadata.go
@@ -146,8 +146,8 @@
 	return func(body io.Reader) error { return json.NewDecoder(body).Decode(v) }
 }
 
-// measureVerification compares the time to verify a whole set of metadata with the time to check a cached timestamp, and
-// all that it depends on, before the timestamp is served.
+// measureVerification compares the time to verify a whole set of metadata with the time to check a cached timestamp
+// before that timestamp is served. The check covers all metadata that the timestamp depends on.
 func (m Metadata) measureVerification(to io.Writer) error {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -12,9 +12,9 @@
 
 // measureCapDecrease measures how fast servers get the earlier package back after the exposure cap is lowered. All
 // servers poll until 35% of them are assigned the later package. The cap is then lowered to 10%. count is the number of
-// servers that are assigned the earlier package again. issued is the number of versions of metadata that the Director
-// issued in that time. For each of these servers, h holds the time from the change of the cap until the server fetched
-// its new assignment.
+// servers that are assigned the earlier package again. For each of these servers, h holds the time from the change of
+// the cap until the server fetched its new assignment. issued is the number of versions of metadata that the Director
+// issued from the change of the cap until the last server had stopped polling.
 func (m Metadata) measureCapDecrease(ctx context.Context, w *proxyFixture, n int) (count int, issued int64, h latencies, err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: m.Width, MaxConnsPerHost: m.Width}
 	defer transport.CloseIdleConnections()
@@ -116,9 +116,10 @@
 	}
 }
 
-// waitForEarlierPackage has a server poll until it is assigned the earlier package. The first polls of the servers are
-// spread over the time Poll. It returns false if the lower cap is reached and the server still has the later package.
-// It also returns false if the server is not assigned the earlier package within 20 x Poll + 5 s, or if ctx ends.
+// waitForEarlierPackage has a server poll until it is assigned the earlier package, and then returns true. The first
+// polls of different servers are spread over the time Poll. The result is false if the lower cap is reached while the
+// server still has the later package. The result is also false if the server is not assigned the earlier package within
+// 20 x Poll + 5 s, or if ctx ends.
 func (p *pollers) waitForEarlierPackage(ctx context.Context, server int, began time.Time) bool {
 	wait := time.Duration(server%97) * p.Poll / 97
 	for time.Since(began) < 20*p.Poll+5*time.Second && ctx.Err() == nil {
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -169,8 +169,8 @@
 var idempotencyOf = map[string]balancer.Idempotency{"redeliverable": balancer.Idempotent,
 	"deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.AtMostOnce}
 
-// restartRelay restarts a relay without its state. The index of the relay is the parameter no modulo Relays. After
-// RestartInterval, the next relay restarts.
+// restartRelay restarts a relay without its state. The parameter no, taken modulo Relays, is the index of the relay.
+// After RestartInterval, the next relay restarts.
 func (m *model) restartRelay(no int) {
 	n := m.relays[no%m.Relays]
 	n.start()
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -59,10 +59,10 @@
 	m.replaceBackends(m.newest, int(math.Ceil(m.Stages[stage].Share*float64(m.Backends))))
 }
 
-// replaceBackends moves backends to a version until target backends run it. failureShare depends on the number of a
-// backend modulo six. In steps of seven, backends that are replaced one after the other mostly differ in that
-// remainder. If the number of backends is divisible by seven, such steps would not reach every backend, and
-// replaceBackends goes through the backends in their order.
+// replaceBackends moves backends to a version until target backends run it. It replaces every seventh backend, so that
+// backends replaced in sequence mostly have different numbers modulo six. failureShare depends on that remainder. If
+// the number of backends is divisible by seven, steps of seven would not reach every backend. replaceBackends then goes
+// through the backends in their order.
 func (m *model) replaceBackends(version uint16, target int) {
 	updated := 0
 	for _, u := range m.backends {
@@ -102,7 +102,7 @@
 	for _, n := range m.relays {
 		incarnation, lag := n.incarnation, listLag
 		if n.updatesLate {
-			lag = 0.9 * replaceSpan // the relay is notified of the drain before the backend is replaced, which takes replaceSpan
+			lag = 0.9 * replaceSpan // late, but before the backend is replaced, which happens replaceSpan after the start of the drain
 		}
 		m.after(lag, func() {
 			if n.incarnation == incarnation {
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -102,9 +102,10 @@
 	return w.err
 }
 
-// ejectionRow returns a row of a table on sickBackendDay. The first cells of the row are the parameter names. The next
-// four cells are the mean attempts a second at the sick backend from 0 to 5 s, 5 to 20 s, 20 to 30 s and 34 to 50 s after
-// Onset. The last cell is the time from Recovery until the backend gets half of its share of the load again.
+// ejectionRow returns a row of a table on sickBackendDay. The first cells of the row are the elements of the parameter
+// names. The next four cells are the mean attempts a second at the sick backend from 0 to 5 s, 5 to 20 s, 20 to 30 s
+// and 34 to 50 s after Onset. The last cell is the time from Recovery until the backend again gets half of an equal
+// share of the load.
 func (o Overload) ejectionRow(r OverloadResult, names ...any) []any {
 	at := func(from, to int) float64 { return perSecond(r.SickAttempts, int(o.Onset)+from, int(o.Onset)+to) }
 	recovered := math.Inf(1)
--- a/internal/recordlog/recordlog.go
+++ b/internal/recordlog/recordlog.go
@@ -136,7 +136,8 @@
 }
 
 // nextRecord returns the payload of the record at the start of rest, and the size of that record with its header. The
-// size is 0 if rest starts with no complete record, but with data that an incomplete write may have left.
+// size is 0, without an error, if rest is too short for a complete record or holds only what a crash may have left (see
+// Format.TornTail).
 func (f *Format) nextRecord(rest []byte) (payload []byte, size int, err error) {
 	headerSize := f.RecordHeaderSize()
 	if len(rest) < headerSize {
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -134,9 +134,9 @@
 }
 
 // discardOrphan deletes an orphaned log. It is called when an assignment or a message shows that an instance of this
-// name exists now. The instance of the orphaned log was deleted, and the new instance only has the same name. Until
-// then the log is kept: controllers that lost their own log would not know the instance either, even if it was never
-// deleted.
+// name exists now. That instance is a new one with the same name: the instance of the orphaned log was deleted. Before
+// such an assignment or message the log must be kept. Controllers that lost their own log would not know the instance
+// either, even if it was never deleted.
 func (m *Manager) discardOrphan(inst *instance) {
 	if inst.assignment.state != orphaned {
 		return
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -32,7 +32,7 @@
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // number of further answers until the node has answered an announcement of the last index (see announceLog)
+	announcementsLeft uint8     // number of answers that the node still has to give; the last of them answers the announcement of the last index (see announceLog)
 
 	// replacedIndex and replacedChecksum are the index and the checksum of the node's last entry when its log was found
 	// to differ from the primary's. They are used in the states truncating and resetting.
@@ -230,7 +230,7 @@
 	for _, f := range inst.followers {
 		f.announcementsLeft = 1
 		if f.inFlight {
-			f.announcementsLeft = 2 // the first of two answers belongs to the message in flight, which was sent before the announcement
+			f.announcementsLeft = 2 // the node first answers the message in flight, which was sent before the announcement
 		}
 	}
 	inst.idle = false
@@ -241,7 +241,7 @@
 func (m *Manager) onAnswer(now tick.Tick, inst *instance, from string, msg *Message) {
 	p := &inst.assignment.agreed
 	if msg.Kind == MessageStaleEpoch {
-		if msg.Epoch > p.Epoch { // another node is primary in a later epoch; the controllers will send the assignment of that epoch
+		if msg.Epoch > p.Epoch { // another node is primary in a later epoch, so this node stops serving; the controllers will send the assignment of that epoch
 			inst.recovery.fencedEpoch = max(inst.recovery.fencedEpoch, msg.Epoch)
 			m.advance(now, inst)
 		}
--- a/internal/replica/golden_node_test.go
+++ b/internal/replica/golden_node_test.go
@@ -230,7 +230,7 @@
 }
 
 // enqueueDiskOp queues an operation on the log of an instance on the disk. The operations are executed in order, after
-// a delay. do returns false if the operation fails.
+// a delay. The parameter do executes the operation, and returns false if the operation fails.
 func (n *goldenNode) enqueueDiskOp(name string, index uint64, do func(rec *replica.Log) bool) {
 	n.diskOps = append(n.diskOps, func() func() {
 		ok := !n.diskFull && do(n.disk[name])
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -49,7 +49,7 @@
 	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
 	}
-	if inst.serving.state != stopped { // the disk failed while serving: stop now, since another node may become primary before the controllers answer
+	if inst.serving.state != stopped { // the node still serves, for example because its disk has just failed: stop now, since another node may become primary before the controllers answer
 		m.stopServing(now, inst, "the copy is incomplete")
 	}
 	operation := placement.Operation{Kind: placement.OpReportIncomplete, Reason: "no copy outlived the restart"}
@@ -61,8 +61,8 @@
 }
 
 // proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
-// copy that was lost can be told from one that never existed. It returns true if that record is missing and this node,
-// as the primary of the running instance, may propose it.
+// copy that was lost can be told from one that never existed. It returns true if it makes this proposal: the record is
+// missing, the instance runs, this node is its primary, and the node's lease holds.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
@@ -86,9 +86,9 @@
 	m.proposeCopyStep(now, inst)
 }
 
-// proposeDrop proposes to drop the first replica that does not confirm in time, and reports whether there is one. Such
-// a replica delays each entry, whether it is dead, disconnected, slow or its disk is full. If it was merely slow,
-// dropping it costs a new copy.
+// proposeDrop proposes to drop the first replica that does not confirm in time, and reports whether there is one. Each
+// entry waits for such a replica, whether the replica is dead, disconnected, slow or its disk is full. Dropping a
+// replica that was merely slow costs a new copy.
 func (m *Manager) proposeDrop(now tick.Tick, inst *instance) bool {
 	for _, name := range inst.assignment.agreed.Replicas {
 		f := inst.followers[name]
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -42,7 +42,7 @@
 	}
 	inst.recovery.fencedEpoch = msg.Epoch
 	if inst.assignment.known() && msg.Epoch > inst.assignment.agreed.Epoch && inst.serving.state != stopped {
-		m.advance(now, inst) // makes this node stop serving: another node is primary, but the new assignment has not arrived yet
+		m.advance(now, inst) // stops serving: another node is primary in msg.Epoch, although its assignment has not arrived here yet
 	}
 	m.discardOrphan(inst)
 	inst.lastUsed = now
@@ -51,7 +51,7 @@
 		m.updateTracking(inst)
 		return
 	}
-	if msg.ReceiverIncarnation == m.incarnation { // a message to an earlier incarnation continues the log of that incarnation
+	if msg.ReceiverIncarnation == m.incarnation { // a message to an earlier incarnation is not applied: it continues the log of that incarnation, which may differ from this log
 		if reason := m.applyEntries(inst, msg); reason != "" {
 			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, reason))
 			return
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -89,14 +89,14 @@
 )
 
 // OnDiskChecked records, before the first lease of this incarnation, whether the node's disk was restored from an older
-// image: the controllers know of more records on it than there were at the start. Each copy on a restored disk is
-// unverified until a node with a verified copy has shown it to be complete.
+// image. The disk was restored if the controllers know of more records on it than it had at the start. Each copy on a
+// restored disk is unverified until a node with a verified copy has shown it to be complete.
 //
 // Without the check, a node could serve from a restored disk that lacks acknowledged entries, and report nothing. That
-// happens if the disks of the primary and a replica are restored at once, or the disk of a primary without replicas.
-// Only a node with a later copy can tell which entries are missing. The copies therefore stay unverified until such a
-// node has shown them to be complete. If the controllers' record count belongs to another disk, complete copies are
-// reported as unverified, which has no other effect.
+// could happen if the disks of the primary and of a replica were restored at once, or if the disk of a primary without
+// replicas was restored. Only a node with a later copy can tell which entries are missing. The copies therefore stay
+// unverified until such a node has shown them to be complete. If the controllers' record count belongs to another disk,
+// complete copies are reported as unverified, which has no other effect.
 func (m *Manager) OnDiskChecked(now tick.Tick, restored bool) {
 	m.disk = diskCurrent
 	if !restored {
@@ -123,8 +123,9 @@
 	Reason   string `json:"why"`
 }
 
-// AllVerified reports whether no copy on this disk is unverified or has yet to be reported as unverified. If so, the
-// caller may call ConfirmCurrent of the instance store.
+// AllVerified reports whether the disk was not restored, or each copy on the restored disk is verified or has been
+// reported as unverified. It returns false until OnDiskChecked is called. If it returns true, the caller may call
+// ConfirmCurrent of the instance store.
 func (m *Manager) AllVerified() bool {
 	return m.disk == diskCurrent || m.disk == diskRestored && !slices.ContainsFunc(m.tracked, func(inst *instance) bool {
 		return inst.recovery.pendingReport != "" || inst.recovery.unverified && inst.assignment.involves(m.self)
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -136,7 +136,8 @@
 	s.pending = remaining
 }
 
-// successResponse returns the answer that belongs to the entry at index. A repeated write thus gets its first answer again.
+// successResponse returns the answer that belongs to the entry at index. A repeated write gets its first answer again
+// while its entry is kept.
 func (m *Manager) successResponse(inst *instance, index uint64) Response {
 	log := &inst.local.log
 	switch {
@@ -173,8 +174,8 @@
 	return inst.assignment.isReplica(name) || name == inst.assignment.agreed.CopyTarget && inst.caughtUp()
 }
 
-// caughtUp reports whether the copy target was proposed as a replica at the current revision, because it has all
-// acknowledged entries.
+// caughtUp reports whether the copy target was proposed as a replica at the current revision. proposeCopyStep makes
+// that proposal once the copy target has all acknowledged entries.
 func (inst *instance) caughtUp() bool {
 	return inst.catchUp.readyRevision != 0 && inst.catchUp.readyRevision == inst.assignment.agreed.Revision
 }
