--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -7,11 +7,11 @@
 	"silvercove/internal/tick"
 )
 
-// The constants bound a ratio: the time left until the battery is empty or the machine too hot, divided by the time for
-// migrating all instances. Below limitedRatio the node takes few new instances. Below holdingRatio it takes none, as a
-// new instance would have to migrate again at once. Below evacuatingRatio its instances migrate away. evacuatingRatio
-// is 2 rather than 1, as migrations from other nodes of the zone may be under way. Below shuttingDownRatio no migration
-// can be finished.
+// Each constant is the lower bound of a ratio: the time left until the battery is empty or the machine too hot, divided
+// by the time for migrating all instances. Below limitedRatio the node takes few new instances. Below holdingRatio the
+// node takes none: a new instance would have to migrate again at once. Below evacuatingRatio the node's instances
+// migrate away. evacuatingRatio is 2 rather than 1 because other nodes of the zone may be migrating instances at the
+// same time. Below shuttingDownRatio no migration can be finished.
 const (
 	shuttingDownRatio = 0.5
 	evacuatingRatio   = 2.0
@@ -23,7 +23,7 @@
 type assessment struct {
 	timeToEmpty        tick.Tick // time until the battery is empty at the present load; Never if not foreseeable
 	timeToOverheat     tick.Tick // time until the machine is too hot at the present load; Never if not foreseeable
-	timeToLimitOffered tick.Tick // shorter of the times until the battery is empty and until the machine is too hot, both at the offered load; Never if not foreseeable
+	timeToLimitOffered tick.Tick // time until the battery is empty or the machine too hot, whichever is shorter, at the offered load (see Monitor.SetLoad); Never if not foreseeable
 	migrationTime      tick.Tick // time to reserve for migrating all instances
 	unknown            []string  // labels of the unknown readings
 	readings           KeyReadings
@@ -35,7 +35,7 @@
 // constraint is the highest level that one reading or condition allows.
 type constraint struct {
 	level  level
-	reason string // why no higher level is allowed; empty if strictness is above 1: Assess uses only the level of such an assessment
+	reason string // why no higher level is allowed; empty if assessment.strictness is above 1, since Assess uses only the level of such an assessment
 }
 
 // addConstraint adds a constraint with the given level and reason. It adds none for levelAccepting, the highest level,
@@ -84,8 +84,8 @@
 	return a
 }
 
-// findUntrustedReadings marks the readings that have no trustworthy value. For each of them it adds the constraint
-// levelHolding, so the node takes no new instances. A temperature sensor that has no value adds no constraint while
+// findUntrustedReadings marks the readings that have no trustworthy value. For each of them it adds a constraint of
+// levelHolding, so that the node takes no new instances. The exception is a temperature sensor that has no value while
 // another temperature sensor has one: the sensor without a value may belong to a radio that is off.
 func (m *Monitor) findUntrustedReadings(a *assessment) {
 	hasTemperature := slices.ContainsFunc(m.series, func(s *series) bool { return s.kind == KindTemperature && s.hasValue() })
@@ -129,8 +129,8 @@
 }
 
 // levelFor returns the level that is allowed by the time left until the battery is empty or the machine too hot.
-// present and offered are that time at the present and at the offered load; migration is the time for migrating all
-// instances. strictness multiplies the required ratios.
+// The parameters present and offered are the time left at the present and at the offered load. The parameter migration
+// is the time for migrating all instances. The required ratios are multiplied by strictness.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -3,7 +3,7 @@
 import "silvercove/internal/tick"
 
 const (
-	holdingCharge    = 0.05 // fraction of full, above the empty level; with less charge, a node could not migrate its instances if mains or sun failed
+	holdingCharge    = 0.05 // fraction of the full charge, counted from the empty level; with less, a node could not migrate its instances if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
 	mainsOnThreshold = 0.5  // a mains reading of this value or more counts as on
 )
@@ -77,7 +77,7 @@
 	for _, s := range charges {
 		full := m.fullCharge(s.name)
 		if full == 0 {
-			b.drawUsable, full = false, 1 // 1 replaces the unknown joules: the forecast then uses only the slope of the charge
+			b.drawUsable, full = false, 1 // full charge unknown: this battery counts as 1 in the sums, and the forecast uses the slope of the charge, not the draw
 		}
 		if a.untrusted[s] {
 			return batteryTotals{}, false
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -9,13 +9,14 @@
 
 const (
 	maxClaimShare  = 0.5               // maximum share of a zone's nodes that may evacuate without support for their claims; a faulty version could make all nodes claim
-	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted; it keeps the nodes of a zone from evacuating one after the other
+	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted; without this, the nodes of a zone could evacuate one after the other
 )
 
 // verifyClaim checks a claim to evacuate that neither readings nor outcomes support. It grants such claims to at most
-// maxClaimShare of a zone's nodes; the other claiming nodes are verified as holding. The limit guards against a fault
-// that makes all nodes of a zone claim to evacuate, which would empty the zone. It also applies to claims because of
-// readings that the controller cannot check: the controller cannot tell these claims from claims caused by a fault.
+// maxClaimShare of a zone's nodes. For the other claiming nodes it returns the report with StateHolding, so they keep
+// their instances. The limit guards against a fault that makes all nodes of a zone claim to evacuate, which would empty
+// the zone. The limit also applies to claims that rest on readings which the controller cannot check: the controller
+// cannot tell these claims from claims caused by a fault.
 func (n *node) verifyClaim(now tick.Tick) Report {
 	if n.claimGranted {
 		return n.report
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	riseMargin = 1.5               // to rise to a level, a node must have the level's margins multiplied by this factor
+	riseMargin = 1.5               // a node rises to a level only if its readings allow the level with the required margins multiplied by this factor
 	minDwell   = 60 * tick.Second  // shortest dwell time: how long a higher level must be allowed before it is reported
-	maxDwell   = 960 * tick.Second // longest dwell time; a fall less than maxDwell after a rise doubles the dwell time up to this, so there are at most 8 rises an hour
+	maxDwell   = 960 * tick.Second // longest dwell time; fall doubles the dwell time up to this value, so there are at most 8 rises an hour
 )
 
 // hysteresis keeps the reported level from following every reading. The level falls at once. It rises once higher
@@ -28,7 +28,7 @@
 // pendingRise is a higher level that has not yet been allowed for the dwell time.
 type pendingRise struct {
 	since  tick.Tick // time since which a higher level has been allowed; 0 if none is
-	lowest level     // lowest strictTarget that update has received since then
+	lowest level     // lowest strictTarget that was passed to update since that time
 }
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
--- a/internal/devicehealth/hysteresis_test.go
+++ b/internal/devicehealth/hysteresis_test.go
@@ -12,8 +12,8 @@
 )
 
 // However the temperature swings around a limit, the state changes at most 44 times in an hour. The dwell time doubles,
-// so there are at most 8 rises. There are at most 4 falls before the first rise and 4 after each rise, which makes 8 +
-// 9*4 changes.
+// so there are at most 8 rises. There are at most 4 falls before the first rise, and at most 4 after each rise. That makes
+// at most 8 + 9*4 = 44 changes.
 func TestAssess_TemperatureSwingsDoNotFlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/internal/devicehealth/last_resort.go
+++ b/internal/devicehealth/last_resort.go
@@ -9,7 +9,7 @@
 // Instance is one of the instances that LastResort ranks while all nodes of a zone must evacuate.
 type Instance struct {
 	Name           string
-	Node           string  // in the argument of LastResort the node that has the instance; in its result the node that serves it, "" for none
+	Node           string  // as input to LastResort: the node that has the instance; in the result of LastResort: the node to serve it, "" for none
 	PriorityWeight float64 // from 1 to 100; the higher, the earlier the instance is ranked
 }
 
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -151,9 +151,9 @@
 // RecordOutcome records whether one of the node's requests succeeded in time. A rejected request is not an outcome and is
 // not to be recorded.
 //
-// RecordOutcome guards against a node whose requests fail although its readings are good. Outcomes do not tell such a
-// node from one that runs a bad version. The relays' votes decide about the version; until then, the only cost is that
-// nodes that would fail new work get none.
+// RecordOutcome guards against a node whose requests fail although its readings are good. Outcomes do not show whether
+// the node or the version that it runs is at fault. The relays' votes decide about the version. Until the votes have
+// decided, the only cost is that nodes that would fail new work get none.
 func (m *Monitor) RecordOutcome(now tick.Tick, succeeded bool) {
 	m.now = now
 	m.failures.record(now, succeeded, maxOwnFailureShare)
@@ -233,9 +233,9 @@
 	return r
 }
 
-// risk returns the node's risk of failing, 0 to 1. It rises from 0 toward 1 as the time left falls from limitedRatio
-// times the migration time toward 0. It is at least unknownRisk if readings are unknown or requests fail, and 1 after a
-// shutdown request.
+// risk returns the node's risk of failing, 0 to 1. The risk follows from the time left until the battery is empty or the
+// machine too hot: it is 0 at limitedRatio times the migration time and rises to 1 as the time left falls to 0. The risk
+// is at least unknownRisk if readings are unknown or requests fail, and 1 after a shutdown request.
 func (m *Monitor) risk(a *assessment) float64 {
 	if m.shutdownRequested {
 		return 1
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -29,7 +29,7 @@
 	Name   string // name of the source, such as BAT0; Name and Kind together identify a reading over time
 	Kind   Kind
 	Value  float64
-	Limit  float64   // degrees C: limit of a temperature; 0 for none
+	Limit  float64   // degrees C: the limit of a temperature reading; 0 if there is none
 	Age    tick.Tick // age of the value when the reading is passed to the Monitor
 	OK     bool      // whether the value was read
 	Reason string    // why the value was not read, "" if the source gave no reason or the value was read
@@ -39,7 +39,7 @@
 type bounds struct {
 	min, max       float64   // range of possible values
 	slack          float64   // maximum plausible change between two readings, however short the time between them
-	rate           float64   // maximum plausible change per second between two readings, in addition to slack; see maxJumpSpan
+	rate           float64   // maximum plausible change per second between two readings, in addition to slack; isJump counts at most maxJumpSpan
 	sampleInterval tick.Tick // minimum time between two samples that a series keeps; series.slope uses at most maxSamples samples
 }
 
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -11,20 +11,20 @@
 // Constants for accepting readings and for computing slopes and quartiles. If a value is rejected, the last accepted one
 // stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
-	staleAfter          = 10 * tick.Second // age above which a value is not used; at a reading a second, a single failure or jump has no effect
-	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; about as long as the samples of a temperature slope
-	jumpMinMoves        = 2                // fewest changes of the value in jumpConfirmTime; the values of a working sensor change
+	staleAfter          = 10 * tick.Second // maximum age of a value that is used; with one reading a second, a single failed reading or jump has no effect
+	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; about the time that the samples of a temperature slope span
+	jumpMinMoves        = 2                // minimum number of changes of the value in jumpConfirmTime; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
-	stuckIntervalFactor = 10.0             // multiple of a reading's mean interval between changes; a reading counts as stuck after this time or minStuckTime, whichever is longer
+	stuckIntervalFactor = 10.0             // a reading counts as stuck once it has not changed for this many of its mean intervals between changes, and for minStuckTime
 	stuckMinMoves       = 8                // minimum number of changes for using the mean interval; with fewer, a temperature or a draw never counts as stuck
-	stuckDrainShare     = 0.03             // fraction of the full charge; a charge counts as stuck if more than this is drawn while it stays the same; 3 steps of the coarsest gauge
+	stuckDrainShare     = 0.03             // fraction of the full charge: a charge reading counts as stuck if more than this is drawn while the reading stays the same; equals 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // number of standard errors from a slope to its one-sided 95% confidence bound
 	maxSamples          = 32               // largest number of samples of a regression
 	minSamples          = 12               // smallest number of samples of a regression
 	quartileSamples     = 16               // number of newest samples from which an upper quartile is computed
 )
 
-// series holds the accepted samples of one reading, and the state by which the next value is accepted or rejected.
+// series holds the accepted samples of one reading, and the state that decides whether the next value is accepted.
 type series struct {
 	name         string
 	kind         Kind
@@ -122,8 +122,8 @@
 	return at-j.since >= jumpConfirmTime && j.moves >= jumpMinMoves
 }
 
-// recordMove records a change of the value: it updates the mean interval between changes and resets the state that is
-// kept from one change to the next.
+// recordMove records a change of the value. It updates the mean interval between changes and resets stuck,
+// workedSinceMove and drainedSinceMove.
 func (s *series) recordMove(at tick.Tick) {
 	if s.stuck { // slope must not include the values that were repeated while the reading was stuck
 		s.clear()
--- a/internal/devicehealth/verifier_test.go
+++ b/internal/devicehealth/verifier_test.go
@@ -73,8 +73,8 @@
 }
 
 // If all nodes of a zone claim without support that they must evacuate, at most half of the claims are granted.
-// Withdrawn claims count for claimRetention, so the nodes cannot evacuate one after the other by withdrawing claims and
-// making new ones.
+// A withdrawn claim still counts as granted for claimRetention. The nodes therefore cannot evacuate one after the other
+// by withdrawing claims and making new ones.
 func TestVerify_ClaimsAloneNeverDrainZone(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		verifier := devicehealth.NewVerifier()
@@ -98,7 +98,7 @@
 			t.Errorf("%d of %d nodes evacuate on claims alone", got, n)
 		}
 		// All nodes withdraw their claims and claim again in reverse order. No claim is granted, as the withdrawn claims
-		// still count.
+		// still count as granted.
 		for i := range n {
 			verifier.Verify(2*second, fmt.Sprint("u", i), "north", reportClaiming(devicehealth.StateAccepting))
 		}
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -13,8 +13,8 @@
 	micro          = 1e-6
 	secondsPerHour = 3600
 
-	// maxAgedCharge bounds the charges above full that batteryCharge treats as full; it is a fraction of the full
-	// charge. The gauge of an aged battery may report such charges.
+	// maxAgedCharge is a fraction of the full charge. The gauge of an aged battery may report a charge above 1;
+	// batteryCharge treats a charge between 1 and maxAgedCharge as 1.
 	maxAgedCharge = 1.1
 )
 
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -13,8 +13,8 @@
 const (
 	rateWindow           = 1.0             // seconds: time constant with which the counts of requests decay
 	admittedWindow       = 4.0             // seconds: time constant with which the target work and the admitted work decay
-	maxRetryAfterExtra   = 4 * tick.Second // increase of the longest Retry-After over baseRetryAfter if all requests are shed
-	baseRetryAfter       = tick.Second     // longest Retry-After if few requests are shed; the shortest is then half of this
+	maxRetryAfterExtra   = 4 * tick.Second // if all requests are shed, the longest Retry-After is baseRetryAfter plus this
+	baseRetryAfter       = tick.Second     // longest Retry-After if almost no requests are shed; the shortest is then half of this
 	maxClasses           = 64              // number of request classes that are tracked; requests of any other class are always admitted
 	serviceTimeSmoothing = 64              // a new service time enters the average with a weight of 1/serviceTimeSmoothing
 	minServiceTime       = 1e-3            // seconds: lower bound of the work of one request in targetWork and admittedWork
@@ -23,11 +23,11 @@
 
 // admission holds the admitted fractions and the thresholds that implement them.
 type admission struct {
-	localFraction     float64 // fraction of the offered work that this process's own capacity admits
-	sharedFraction    float64 // fraction of the offered work that the backends' capacity admits
+	localFraction     float64 // fraction of the offered work (see offeredWork) to admit because of the load of this process
+	sharedFraction    float64 // fraction of the offered work to admit because of the load of the backends
 	pressureUpdatedAt tick.Tick
 
-	targetWork   float64 // seconds of work that the thresholds should admit: the sum of each request's work times the threshold of its class, decayed over admittedWindow
+	targetWork   float64 // seconds of work that the thresholds should admit: for each request, its work times the threshold of its class; decayed over admittedWindow
 	admittedWork float64 // seconds of work of the requests that the thresholds admitted, decayed over admittedWindow
 
 	classes    []classState
@@ -81,7 +81,8 @@
 	return min(1, max(minAdmittedShare, a.admittedWork/a.targetWork))
 }
 
-// offeredWork returns the work of the class that is offered to this relay, in seconds of work per second.
+// offeredWork returns the work of all requests of the class that reach this relay, admitted or shed. The unit is seconds
+// of work per second.
 func (c *classState) offeredWork() float64 {
 	serviceTime := c.serviceTime
 	if serviceTime == 0 {
@@ -165,7 +166,7 @@
 		total += a.classes[i].offeredWork() + m.fleet.offeredWork[i]
 	}
 	floor := m.settings.admissionFloor
-	remaining := total * (fraction - floor) // work to admit in addition to the floors of all classes
+	remaining := total * (fraction - floor) // work to admit in addition to what the admission floor admits in every class
 	for _, i := range a.byPriority {
 		aboveFloor := (a.classes[i].offeredWork() + m.fleet.offeredWork[i]) * (1 - floor)
 		share := 1.0
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -4,7 +4,7 @@
 
 // ListenerLimits bounds the sessions of a listener and their requests.
 type ListenerLimits struct {
-	// MaxSessions is the number of sessions that are served.
+	// MaxSessions is the maximum number of sessions that are served at the same time.
 	MaxSessions int
 	// SpareSessions is the number of sessions that are accepted beyond MaxSessions, to reject their requests or to finish
 	// closing. Without spare sessions, no client could be told why it is rejected.
@@ -25,7 +25,7 @@
 }
 
 const (
-	spareDivisor       = 8 // one of this many sessions is spare
+	spareDivisor       = 8 // one of this many sessions is a spare session (see ListenerLimits.SpareSessions)
 	idleDivisor        = 4 // one of this many served sessions may be idle
 	requestsPerSession = 4
 	maxPipelined       = 64
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -48,7 +48,7 @@
 	budget    retryBudget
 
 	suspects        map[uint64]*suspectBackend // suspected backends, by the hash of the backend's name
-	byVerdict       []*suspectBackend          // the backends in suspects, the one with the newest verdict last
+	byVerdict       []*suspectBackend          // the backends in suspects; addSuspect and setVerdict put a backend at the end
 	window          outcomeWindow
 	retryAfterPhase float64 // phase of the last Retry-After, in [0, 1)
 }
@@ -79,7 +79,7 @@
 	retryShare     float64   // retries per first attempt
 	admissionFloor float64   // share of each class's tenants that is always admitted
 	probesPerSec   float64   // probes per second at one failing backend, by the whole fleet
-	startupWindow  tick.Tick // time over which a common restart is spread
+	startupWindow  tick.Tick // time over which StartupDelay spreads the startup steps of all relays after a common restart
 }
 
 // parseSettings reads the directives. A directive that is missing or not a number counts as 0.
@@ -112,8 +112,8 @@
 // fleetSize returns the number of relays in the fleet: fleet.relays, or the number of known relays if that is larger.
 func (m *Manager) fleetSize() float64 { return max(m.settings.relays, float64(len(m.fleet.peers)+1)) }
 
-// coverage returns the part of the fleet whose reports are fresh, including this relay. The lower the coverage, the more
-// slowly the admitted fractions rise.
+// coverage returns the fraction of the fleet's relays whose reports are fresh; this relay counts as one of them. The
+// lower the coverage, the more slowly the admitted fractions rise.
 func (m *Manager) coverage() float64 { return float64(len(m.fleet.fresh)+1) / m.fleetSize() }
 
 // advance moves the clock forward and removes expired reports. If recomputeInterval has passed, it also decays the counts
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -29,7 +29,7 @@
 	// backend.
 	commonFailureRate = 0.3
 	// windowSize is the number of this relay's last outcomes from which the failure rate at other backends is computed.
-	// The divisor of that rate is at least minWindowOutcomes, so the rate comes out too low if there are fewer outcomes.
+	// The divisor of that rate is at least minWindowOutcomes, so with fewer outcomes the rate comes out too low.
 	windowSize        = 64
 	minWindowOutcomes = 5
 	// evidenceTTL is how long an outcome counts as evidence.
@@ -51,8 +51,8 @@
 const (
 	healthyRun = 2 // successes in a row for a verdict of healthy
 	failingRun = 2 // failures in a row for a verdict of failing
-	// maxRunProbability limits which runs of failures lead to a verdict of failing. The probability that a backend with
-	// the failure rate of the others has such a run by chance must be lower than maxRunProbability.
+	// maxRunProbability limits which runs of failures lead to a verdict of failing. It is compared with the probability
+	// that a backend with the failure rate of the other backends has such a run by chance. That probability must be lower.
 	maxRunProbability = 1.0 / 8
 )
 
@@ -64,15 +64,15 @@
 
 	// The verdict, which is reported for relays of an earlier version and is used by AllowProbe.
 	healthy    bool
-	ownVerdict bool      // true if this relay made the verdict; received verdicts are not passed on, as they would seem to come from many relays
-	verdictAt  tick.Tick // when the verdict was made, here or at another relay
+	ownVerdict bool      // true if this relay made the verdict itself; only such verdicts are reported, as one passed on would seem to come from many relays
+	verdictAt  tick.Tick // when the verdict was made, here or at another relay; before the first verdict, when this relay added the suspect, or never if another relay's report did
 	successRun int       // number of this relay's successes since its last failure
 	failureRun int
 
 	// The state of probing.
 	nextProbe    tick.Tick // earliest time at which this relay may probe
 	lastProbe    tick.Tick // when this relay last probed; 0 if never
-	higherRanked int       // number of living peers that rank before this relay for the backend
+	higherRanked int       // number of living peers whose rendezvous weight for the backend is above ownWeight
 	prober       bool      // true if this relay was one of the backend's probers when isProber was last called
 
 	// Outcomes of the last evidenceTTL, which are the evidence.
@@ -196,8 +196,8 @@
 	}
 }
 
-// addSuspect adds a backend to the suspects. If there are maxSuspects already, it drops the one with the oldest verdict
-// among those that are not ejected, or among all if all are ejected.
+// addSuspect adds a backend to the suspects. If there are maxSuspects already, it first drops one: the first backend in
+// byVerdict that is not ejected, or the first of all if all are ejected.
 func (m *Manager) addSuspect(backend uint64) *suspectBackend {
 	if len(m.suspects) >= maxSuspects {
 		i := max(0, slices.IndexFunc(m.byVerdict, func(b *suspectBackend) bool { return !b.ejected }))
@@ -252,13 +252,14 @@
 // which is a little higher than the failure rate at other backends. The evidence is the last two outcomes of each
 // relay. assessEvidence ejects the backend or takes it back, and returns the odds.
 //
-// The report of one relay, true or not, contributes less than half of ejectionLogOdds. The reports of three relays
-// suffice if they contain only failures. Each relay counts outcomes, including successes, only from the time when the
-// backend became a suspect there. No relay's choice of what to report then makes a backend look worse. At
-// ejectionLogOdds the backend is ejected. It is taken back once two conditions hold: successes outweigh failures by
-// what one relay can contribute, and permittedRelays has reached the size of the fleet. Until then, permittedRelays
-// rises step by step, so that the relays do not all return at once. A backend without any outcome for maxEjection is
-// taken back too.
+// At ejectionLogOdds the backend is ejected, unless the failure rate at other backends is above commonFailureRate. The
+// report of one relay, true or not, contributes less than half of ejectionLogOdds. The reports of three relays suffice
+// for an ejection if they contain only failures. Each relay counts outcomes, including successes, only from the time when the
+// backend became a suspect at that relay. A relay's choice of what to report then makes no backend look worse.
+//
+// An ejected backend is taken back once two conditions hold: successes outweigh failures by what one relay can
+// contribute, and permittedRelays has reached the size of the fleet. Until then, permittedRelays rises step by step, so
+// that the relays do not all return at once. An ejected backend without any outcome for maxEjection is taken back too.
 func (m *Manager) assessEvidence(b *suspectBackend) odds {
 	baseline := min(max(minBaselineRate, baselineMultiple*m.failureRateElsewhere(b)), maxBaselineRate)
 	perFailure := math.Log(failingRate / baseline)
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -111,7 +111,7 @@
 func (m *Manager) evidenceToReport() []Evidence {
 	type candidate struct {
 		Evidence
-		surplus int // failures minus successes at other relays
+		surplus int // failures at the backend minus successes, both as counted by other relays
 	}
 	var candidates []candidate
 	for _, b := range slices.Backward(m.byVerdict) {
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -13,7 +13,7 @@
 	isolationTimeout = 5 * tick.Second  // a relay that has heard of no other relay for this long is isolated
 	departedTTL      = 60 * tick.Second // how long a relay that left or died is remembered, so that its retry credit is not inherited twice
 	maxPeers         = 1 << 14
-	fractionBuckets  = 256 // number of buckets in the histogram of the peers' admitted fractions, from which the median is taken
+	fractionBuckets  = 256 // number of buckets in fractionHistogram, from which medianFraction takes the median
 )
 
 // PeerState is the state of a peer in the fleet's membership. A value other than the constants below means that the peer
@@ -31,7 +31,7 @@
 // PeerUpdate is what is known of another relay.
 type PeerUpdate struct {
 	Name        string
-	Incarnation uint64 // identifies the relay's process; it grows with each restart, and an update with a smaller number than the known one is ignored as outdated
+	Incarnation uint64 // number of the relay's process, which grows with each restart; an update with a lower number than the known one is ignored
 	Report      Report
 	Age         tick.Tick // age of the report; a negative age counts as 0
 	State       PeerState
@@ -68,7 +68,7 @@
 	fresh             reportQueue
 	warmedUp          int // number of fresh peers that have run for longer than the startup window
 	fractionHistogram [fractionBuckets]int
-	voters            int                 // number of peers counted in fractionHistogram, which are those with requests
+	voters            int                 // number of peers counted in fractionHistogram: the fresh peers that have requests
 	offeredWork       [maxClasses]float64 // seconds of work per second that are offered to fresh peers, by class
 	completedWork     float64             // seconds of work per second that backends complete for fresh peers
 }
@@ -188,7 +188,7 @@
 		v.offeredWork[class] += work
 		offered += work
 	}
-	if offered > 0 { // a relay without requests has no vote on the admitted fraction
+	if offered > 0 { // the admitted fraction of a relay without requests does not enter the median
 		p.bucket = min(fractionBuckets-1, int(p.report.SharedFraction*fractionBuckets))
 		v.fractionHistogram[p.bucket]++
 		v.voters++
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -10,12 +10,12 @@
 	maxSchedulingDelay = 50 * tick.Second / 1000 // 50 ms, at which the pressure is 1: an event loop whose timers fire this late is at its limit
 	maxUtilization     = 0.9                     // fraction of CPU or memory in use at which the pressure is 1
 	lowPressure        = 0.95                    // below this pressure the admitted fraction rises
-	completedMargin    = 1.25                    // minimum of the admitted work under pressure, as a multiple of the work that backends complete, so that backends never lack work
-	decreaseRate       = 2.0                     // relative decrease of the admitted fraction per second at a pressure of 2 or more; from 1 to 2, the decrease is proportional to the excess over 1
-	increaseRate       = 1.5                     // relative increase of the admitted fraction per second, at full coverage
-	consensusRate      = 1.0                     // part of the distance to the relays' median by which the shared fraction moves per second
+	completedMargin    = 1.25                    // pressure does not lower the admitted work below this multiple of the work that backends complete, so that the backends never lack work
+	decreaseRate       = 2.0                     // relative decrease of the admitted fraction per second at a pressure of 2 or more; at a pressure from 1 to 2, it is multiplied by the pressure minus 1
+	increaseRate       = 1.5                     // relative increase of the admitted fraction per second at a coverage of 1 (see Manager.coverage)
+	consensusRate      = 1.0                     // per second, sharedFraction moves by this part of its distance to the median of the other relays' shared fractions
 	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates is treated as this long
-	minCoverage        = 0.25                    // lower bound of the coverage that increases are multiplied by
+	minCoverage        = 0.25                    // lower bound of the coverage by which UpdatePressure multiplies increases of the admitted fractions
 	minFraction        = 0.01                    // lower bound of the admitted fraction
 	minAdmittedShare   = 0.25                    // lower bound of admittedShare, the part of the target work that is admitted
 	minWork            = 1e-9                    // lower bound of divisors, to avoid a division by 0
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -11,15 +11,15 @@
 // second.
 type Report struct {
 	Uptime         tick.Tick  // time since the relay's start
-	LocalFraction  float64    // fraction of the offered work that the relay's own capacity admits
-	SharedFraction float64    // fraction of the offered work that the backends' capacity admits
+	LocalFraction  float64    // fraction of the offered work to admit because of the load of the relay's process
+	SharedFraction float64    // fraction of the offered work to admit because of the load of the backends
 	CompletedWork  float64    // work that backends completed for the relay
 	FirstAttempts  float64    // first attempts per second
 	RetryCredit    float64    // retries that the relay may make
-	SpilledCredit  float64    // total credit above the relay's limit since its start; the other relays divide each increase (see retryBudget)
+	SpilledCredit  float64    // total retry credit spilled since the relay's start; the other relays divide each increase of the total among them (see retryBudget)
 	OfferedWork    []float64  // work offered to the relay, by request class, for the first 12 classes
-	Verdicts       []Verdict  // at most 8, the newest first; relays of an earlier version know these but not Evidence
-	Evidence       []Evidence // on at most 6 suspected backends, those that look worst; nil in a report of an earlier version
+	Verdicts       []Verdict  // at most 8 verdicts, the newest first; relays of an earlier version know Verdicts but not Evidence
+	Evidence       []Evidence // evidence on the suspected backends that look worst, at most 6; nil in a report of an earlier version
 	UnknownFields  []byte     // fields of a later version, as received
 }
 
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -8,7 +8,7 @@
 
 const (
 	budgetWindow = 10.0 // seconds: time constant with which firstAttempts decays
-	earnedShare  = 0.95 // fraction of retryBudget.share that a first attempt earns; the rest keeps the fleet within the share when dead relays pass on credit
+	earnedShare  = 0.95 // a first attempt earns this fraction of retryBudget.share; the remaining 5% keep the fleet within the share when dead relays pass on credit
 )
 
 // retryBudget is this relay's part of the fleet's retry budget.
@@ -19,8 +19,8 @@
 // creates more credit than was spilled. The credit that a relay had left when it died passes to one successor.
 //
 // The budget guards against retries that amplify an overload. It also limits the retries after a fault of a single
-// backend, where retries cost little. That does harm if more attempts fail, before the backend is ejected, than the
-// budget allows to retry.
+// backend, where retries cost little. That restriction does harm if the backend fails more attempts before its ejection
+// than the budget allows to retry.
 type retryBudget struct {
 	share         float64 // retries per first attempt
 	credit        float64 // retries that the relay may make
@@ -76,16 +76,17 @@
 	return true
 }
 
-// absorbSpilled adds this relay's part of the credit that another relay spilled between two of its reports, which have
-// the totals before and after.
+// absorbSpilled adds this relay's part of the credit that another relay spilled between two of its reports. The
+// parameters before and after are the SpilledCredit of the older and of the newer report.
 func (m *Manager) absorbSpilled(before, after float64) {
 	if after > before {
 		m.budget.receive((after - before) / m.fleetSize())
 	}
 }
 
-// inheritCredit adds the credit that a dead relay had left if this relay is its successor. The successor is the first of
-// the living relays by rendezvous hashing, so that each side of a network partition has at most one.
+// inheritCredit adds the credit that a dead relay had left, provided that this relay is the dead relay's successor. The
+// successor is the living relay with the highest rendezvous weight for the dead one. Each side of a network partition
+// therefore has at most one successor.
 func (m *Manager) inheritCredit(dead *peer) {
 	if dead.creditInherited {
 		return
--- a/internal/overload/startup.go
+++ b/internal/overload/startup.go
@@ -25,10 +25,10 @@
 
 // StartupDelay returns how long a relay that has just started waits before a step.
 //
-// The delays are spread over the startup window, scaled by the part of the fleet that has not warmed up: relays that
-// also started recently, that are dead, or that have not been heard of yet. For StepAccept and StepListEndpoints, the
-// delay follows the relay's position in the order of IDs; for StepConnect it is random. The delay shrinks as reports
-// arrive, so a relay that waits may call StartupDelay again.
+// The delays are spread over the startup window times the fraction of the fleet that has not warmed up. Relays that
+// also started recently, that are dead, or that have not been heard of yet count as not warmed up. For StepAccept and
+// StepListEndpoints, the delay follows the relay's position in the order of IDs; for StepConnect it is random. The
+// delay shrinks as reports arrive, so a relay that waits may call StartupDelay again.
 //
 // StartupDelay guards against the combined load of a common restart, when all relays start at once. A relay that
 // restarts alone hardly waits: the other relays have warmed up, so its delay is close to 0 once it has their reports.
