--- a/internal/edgenode/doc.go
+++ b/internal/edgenode/doc.go
@@ -10,6 +10,6 @@
 //
 // Run owns all goroutines and returns after they have ended. There are goroutines for the store, for the SQL server and each of
 // its connections, for the HTTP server for other processes, for the message senders, for the proposers, and for the reader of
-// power data. One goroutine each renews the lease, runs the timers, watches the assignments, and waits for termination. Events
-// are passed to the replica.Manager one at a time, under Node.mu.
+// power data. There is also one goroutine for each of these tasks: renewing the lease, running the timers, watching the
+// assignments, and waiting for termination. Events are passed to the replica.Manager one at a time, under Node.mu.
 package edgenode
--- a/internal/edgenode/lease.go
+++ b/internal/edgenode/lease.go
@@ -72,8 +72,8 @@
 	*rollingBack = response.RollingBack
 	lineage, changed := n.onLeaseGranted(response, sentAt, unverified)
 	if changed {
-		// The error is ignored. If the disk is full, the note on the disk stays as it is, and after a restart the node learns
-		// the lineage from the controllers again.
+		// The error is ignored. If the disk is full, the node's note (see type note) keeps the earlier lineage. After a
+		// restart, the node then learns the current lineage from the controllers.
 		_ = n.writeNote(ctx, lineage)
 	}
 	return true, nil
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -54,7 +54,7 @@
 	outgoing      map[string]chan replica.Message // messages waiting to be sent, by the receiving node
 	proposals     chan placement.Operation
 	renewNow      chan struct{} // holds an element if renewLease must request the lease at once
-	changed       chan struct{} // holds an element if terminate must check the remaining duties again
+	changed       chan struct{} // holds an element if terminate must check remainingDuties again
 
 	mu                sync.Mutex       // guards the fields below; is never held during a blocking operation
 	replicas          *replica.Manager // nil until the first assignments are loaded
--- a/internal/edgenode/terminate.go
+++ b/internal/edgenode/terminate.go
@@ -10,9 +10,9 @@
 	// maxTerminationLeases limits the time, in lease durations, in which a terminating node hands its instances over.
 	maxTerminationLeases = 10
 
-	// maxReplicaWaitLeases limits, in lease durations, how long a terminating node waits to be dropped as a replica. This wait
-	// begins when the node is no longer primary of any instance. After it, the node ends even if it is still a replica, and the
-	// primaries continue without it.
+	// maxReplicaWaitLeases limits, in lease durations, how long a terminating node waits to be dropped as a replica. The wait
+	// begins when the node is no longer primary of any instance. When the wait is over, the node ends even if it is still a
+	// replica. The primaries then continue without the node.
 	maxReplicaWaitLeases = 2
 )
 
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -12,10 +12,12 @@
 	"silvercove/internal/tick"
 )
 
-// checker checks the numbered rules of the fleet during a run, and ends the run when one is broken. Rule 1: at most one node
-// serves an instance. Rule 2: the acknowledged effects of requests are neither lost nor applied twice. Rule 4: instances go to
-// nodes that accept them, each copy completes or is canceled, and Fleet.Quiet reports true in the end. Rule 5: moves are
-// bounded. Rule 6: snapshots and operations of a later version are handled safely. A failure without a number is an error
+// checker checks the numbered rules of the fleet during a run, and ends the run when one is broken. There is no rule 3. Rule 1:
+// at most one node serves an instance. Rule 2: the acknowledged effects of requests are neither lost nor applied twice. Rule 4:
+// instances go to nodes that accept them, each copy completes or is canceled, and Fleet.Quiet reports true in the end. Rule 5:
+// the number of moves is limited, both the moves under way at once (see checkMovesBounded) and the moves of each instance (see
+// checkMoveCount). Rule 6: a restored snapshot equals the original, with the fields that a later version added (see
+// checkSnapshot), and an operation that the leader does not know changes nothing. A failure without a number is an error
 // outside these rules, such as a request with two responses.
 type checker struct {
 	fleet  *Fleet
@@ -48,14 +50,14 @@
 // their causes. The checks of rules 2 and 5 use these records.
 type requestHistory struct {
 	requests        int
-	highestIndex    uint64                      // highest log index of an acknowledged write; 0: none since the last reported loss
+	highestIndex    uint64                      // highest log index of an acknowledged write; 0: none since the last reported loss of effects
 	byRequest       map[string]replica.Response // by request ID: responses to the last 64 acknowledged writes
 	recentRequests  []string
 	byIndex         map[uint64]replica.Response
 	reportedLosses  int // number of reported losses of effects; each one clears highestIndex, byRequest and byIndex
 	moves           []tick.Tick
 	zoneChanges     int
-	otherMoveCauses int // number of failovers and of reports of incomplete copies; each may cause moves, as a zone change of the device does
+	otherMoveCauses int // number of failovers plus number of reports of incomplete copies (see onUnverified); the limit on moves grows with it, as with zoneChanges
 }
 
 func (k *checker) start(f *Fleet) {
@@ -210,8 +212,8 @@
 	}
 }
 
-// checkCopyEnds checks rule 4: a copy that starts has completed or been canceled after restart_after plus 8 leases. The check
-// applies only if the leader has not changed, and the last fault ended more than 4 leases ago.
+// checkCopyEnds checks rule 4: when restart_after plus 8 leases have passed since a copy started, the copy has completed or
+// been canceled. The check applies only if the leader has not changed, and the last fault ended more than 4 leases ago.
 func (k *checker) checkCopyEnds(p placement.Assignment) {
 	f := k.fleet
 	epoch, change, to, began, elections := p.Epoch, p.Revision, p.CopyTarget, f.now, f.cluster.Elections
@@ -227,16 +229,16 @@
 }
 
 // checkStartedEmpty checks rule 2 when an instance restarts on a node that is not one of its replicas. The instance then loses
-// the effects of its requests. This is allowed only if more than one fault occurred, and no replica has been available for
-// longer than two leases.
+// the effects of its requests. The rule allows this under two conditions. More than one fault must have occurred. Each replica
+// must be unavailable, or have been available for at most two leases.
 func (k *checker) checkStartedEmpty(c *device, e placement.Operation, before placement.Assignment) {
 	f := k.fleet
 	k.Lost++
 	f.ReportedLosses = append(f.ReportedLosses, c.name)
 	c.reportedLosses++
 	c.highestIndex, c.byRequest, c.byIndex = 0, nil, nil
-	// The check fails if a replica has run with its data, without a stall or a duplicate, and has held its lease for longer
-	// than two leases. The leader must also have led for longer than two leases.
+	// A replica is available if its process runs with its data, is not stalled, has no duplicate and holds its lease. The check
+	// fails only if the current leader has also led for longer than two leases.
 	for _, name := range before.Replicas {
 		u := f.nodeByName[name]
 		span := 2 * tick.Tick(f.Lease*float64(tick.Second))
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -117,8 +117,8 @@
 }
 
 // blockGrants delays new grants of a lease to a node, as a controller does, while an operation is proposed that requires the
-// lease of the node to have expired. unblockGrants ends the delay. blockGrants fails if the node holds a lease and has not
-// reported lost copies.
+// lease of the node to have expired. unblockGrants ends the delay. blockGrants fails if the node holds a lease, unless the node
+// has reported that it lost its copies.
 func (l *leadership) blockGrants(node string) error {
 	if _, held := l.lessor.LeaseEnd(l.now(), node); held && !l.cluster.fleet.disabled.grantWhileExpiring {
 		if u, known := l.nodeStatus[node]; !known || !u.LostCopies {
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -58,8 +58,8 @@
 	laterOperationAgreed bool // whether an operation was agreed that only later versions know
 }
 
-// reportedRecord holds the serial of the last record of a node that a leader knows of (see recordCount). election is the value
-// of cluster.Elections while that leader leads.
+// reportedRecord holds the serial (see recordCount) of the last record of a node that a leader knows of. election is the value
+// of cluster.Elections while this leader leads.
 type reportedRecord struct {
 	serial   uint64
 	election int
@@ -75,8 +75,8 @@
 	c.becomeLeader(c.controllers[0])
 }
 
-// majorityDelay returns the time until a majority has answered a controller. If disks is set, this includes a write to their
-// disks. The bool result reports whether a majority answers.
+// majorityDelay returns the time until a majority has answered a controller. If disks is set, the time includes a write to the
+// disks of this majority. The bool result reports whether a majority answers.
 func (c *cluster) majorityDelay(k *controller, disks bool) (tick.Tick, bool) {
 	if k.downCount > 0 {
 		return 0, false
--- a/internal/lab/fleetsim/device.go
+++ b/internal/lab/fleetsim/device.go
@@ -15,7 +15,7 @@
 	weight     float64
 	poisoned   bool        // whether the device's instance crashes each node that serves it
 	interested []*edgeNode // nodes that are or were in the instance's assignment, sorted by id
-	primaries  []ownership // the last primaries, at most 6; a relay that lacks the newest assignment routes to an earlier one
+	primaries  []ownership // the last primaries, at most 6; a relay that lacks the newest assignment routes to an earlier primary
 	requestHistory
 }
 
--- a/internal/lab/fleetsim/fault_kinds.go
+++ b/internal/lab/fleetsim/fault_kinds.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// drainBattery sets the battery of a node to 5.15 percent and cuts its mains supply. At the end of the fault the charge is at
-// least 50 percent, and the mains supply is as before.
+// drainBattery sets the battery of a node to 5.15 percent and cuts its mains supply. The end of the fault restores the earlier
+// charge, but at least 50 percent, and the earlier state of the mains supply.
 func drainBattery(f *Fleet, u *edgeNode) func() {
 	charge, mains := u.battery.Charge, u.battery.Mains
 	u.battery.Charge, u.battery.Mains = 0.0515, false
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -164,8 +164,8 @@
 }
 
 // replicaCandidate returns the n-th candidate node for the next replica of the instance with the given number. copies is the
-// number of nodes that already hold the instance, with its primary. Nodes of other zones are the candidates until
-// Size.RemoteReplicas replicas exist. After that, the nodes of zone z come first, then all nodes.
+// number of nodes that already hold the instance, including its primary. Until the instance has Size.RemoteReplicas replicas,
+// the candidates are nodes of other zones. After that, the nodes of zone z come first, then all nodes.
 func (f *Fleet) replicaCandidate(z *zone, instance, n, copies int) *edgeNode {
 	round := instance / f.Zones
 	if copies <= f.RemoteReplicas && f.Zones > 1 {
--- a/internal/lab/fleetsim/golden_test.go
+++ b/internal/lab/fleetsim/golden_test.go
@@ -137,7 +137,7 @@
 	return g
 }
 
-// goldenSchedule returns the case for a schedule as Search runs it, up to the time at which the fleet should be quiet.
+// goldenSchedule returns the case for a schedule as Search runs it. The case ends quietSpan after the end of the last fault.
 func goldenSchedule(name string, s Schedule) goldenCase {
 	last := tick.Tick(0)
 	for _, x := range s.Script {
--- a/internal/lab/fleetsim/hard_test.go
+++ b/internal/lab/fleetsim/hard_test.go
@@ -8,9 +8,9 @@
 	"silvercove/internal/tick"
 )
 
-// playUntilQuiet runs a script in a fleet. The parameter until is the length of this run in seconds. The run then continues for
-// up to as many seconds as the parameter quiet says, until Fleet.Quiet reports true. The test fails if that does not happen, or
-// if a rule is broken.
+// playUntilQuiet runs a script in a fleet for the number of seconds in the parameter until. The run then continues until
+// Fleet.Quiet reports true, for at most the number of seconds in the parameter quiet. The test fails if Fleet.Quiet reports
+// false at the end, or if a rule is broken.
 func playUntilQuiet(t *testing.T, s Size, text string, until, quiet int) *Fleet {
 	t.Helper()
 	f := New(11, s)
@@ -61,8 +61,8 @@
 	}
 }
 
-// A third of the nodes is cut off again and again for ten minutes. No effects may be lost, and at most 64 moves may be under
-// way at once.
+// A third of the nodes is cut off from all other processes again and again for ten minutes. No effects may be lost, and at most
+// 64 moves may be under way at once.
 func TestFleet_ThirdOfNodesFlapsForTenMinutes(t *testing.T) {
 	text := ""
 	for i := range 10 {
--- a/internal/lab/fleetsim/member_gossip.go
+++ b/internal/lab/fleetsim/member_gossip.go
@@ -48,7 +48,7 @@
 // packet returns the updates for the next packet to one member, and their size in bytes. The updates that were sent the fewest
 // times come first.
 func (m *member) packet() (updates []*update, size int) {
-	var tierEnds [maxTiers]int // by tier of the queue: number of updates in the packet after those of the tier were added; the updates of a tier then move to the next tier
+	var tierEnds [maxTiers]int // by tier of the queue: length of updates after this tier; the last loop moves the sent updates of each tier to the next tier
 	for i := range m.group.maxTransmissions {
 		q := m.queue[i]
 		n := 0
@@ -125,7 +125,7 @@
 	}
 	seen, known := m.table.Member(name)
 	switch {
-	case name == m.endpoint.name: // the update is about this member, which refutes a report that it is down
+	case name == m.endpoint.name: // the update is about this member: if it reports this member down, this member reports itself up
 		if w.isDown && f.now-m.lastRefuted > m.group.timeout {
 			m.lastRefuted = f.now
 			m.enqueue(&update{member: w.member, isUp: true, since: f.now})
--- a/internal/lab/fleetsim/member_sync.go
+++ b/internal/lab/fleetsim/member_sync.go
@@ -4,7 +4,8 @@
 	"silvercove/internal/membership"
 )
 
-// rejoin exchanges full states with members that m considers dead. membership.SyncCount determines with how many.
+// rejoin exchanges full states with members that m considers dead. membership.SyncCount determines the number of these
+// exchanges.
 func (m *member) rejoin() {
 	c, f := m.group, m.group.fleet
 	f.after(c.timeout, m.rejoin)
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -21,7 +21,7 @@
 	updateOverheadBytes = 8 // bytes of an update besides its record
 	pingBytes           = 60
 	maxTiers            = 16 // upper limit of memberGroup.maxTransmissions
-	timeoutsPerSync     = 10 // silence timeouts between two exchanges of full states with a random member; in large fleets a multiple, see syncInterval
+	timeoutsPerSync     = 10 // silence timeouts between two exchanges of full states with a random member; more in large fleets (see syncInterval)
 	maxProbes           = 16 // maximum number of pings that a member has under way
 )
 
@@ -37,7 +37,7 @@
 
 	Messages, Bytes             int // number of messages and bytes that all members have sent since resetCounts
 	secondMessages, secondBytes int // number of messages and bytes that all members have sent in the current second
-	WorstMessages, WorstOne     int // WorstMessages: maximum number of messages that all members sent in one second; WorstOne: maximum number of bytes that one member sent and received in one second
+	WorstMessages, WorstOne     int // WorstMessages: maximum number of messages that all members sent in one second; WorstOne: maximum number of bytes, sent plus received, of one member in one second
 	WorstBytes                  int // maximum over all seconds of the bytes that all members sent
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// start starts a process of the member. At first its table knows only the names, roles and zones of the other members, as if
-// read from a file. fresh tells whether the process starts with an empty disk.
+// start starts a process of the member. At first its table knows only the names, roles and zones of the other members, as a
+// real process knows them from its configuration file. fresh tells whether the process starts with an empty disk.
 func (m *member) start(incarnation uint64, fresh bool) {
 	c := m.group
 	zone := func(n *endpoint) string {
@@ -152,7 +152,8 @@
 	}
 }
 
-// isRunning reports whether the process answers. If the process was down and no longer is, isRunning starts it again.
+// isRunning reports whether the process answers. A process that has ended or is stalled does not. If the fault that ended the
+// process is over, isRunning first starts the process again.
 func (m *member) isRunning() bool {
 	down, frozen := m.condition()
 	switch {
--- a/internal/lab/fleetsim/membership_views_test.go
+++ b/internal/lab/fleetsim/membership_views_test.go
@@ -9,10 +9,10 @@
 	"silvercove/internal/tick"
 )
 
-// Members must detect each change in time. The number of messages per member must not grow with the size of the fleet. With
-// more than 32 members, the limit on the bytes grows only because each update is sent more often in a larger fleet
-// (memberGroup.maxTransmissions). The limits follow from the number of pings and packets per silence timeout, which is one
-// second, and from the size of the records.
+// Members must detect each change in time. The number of messages per member must not grow with the size of the fleet. The
+// limit on the bytes grows with the number of members up to 32. In larger fleets it grows only because each update is sent more
+// often (memberGroup.maxTransmissions). The limits follow from the number of pings and packets per silence timeout, which is
+// one second, and from the size of the records.
 func TestObserveMembers_StatesDetectedInTimeAtBoundedCost(t *testing.T) {
 	for _, n := range []int{30, 60} {
 		s := ObserveMembers(5, n)
@@ -26,14 +26,15 @@
 				t.Errorf("%d members: %s is detected by all after %d ms", n, name, c[0]/milli)
 			}
 		}
-		// Messages per member and second: in each of the 8 heartbeats per second a member pings up to 4 members in turn and up
-		// to 8 members that missed probes. Each ping has a reply. Packets of gossip add gossipFanOut*gossipsPerTimeout
-		// messages, and 8 more messages are allowed for everything else.
+		// Messages per member and second: there are 8 heartbeats per second. In each of them, a member pings up to 4 members in
+		// turn and up to 8 members that missed probes. Each ping has a reply. Packets of gossip add
+		// gossipFanOut*gossipsPerTimeout messages, because the silence timeout is one second. Everything else may add 8
+		// messages.
 		maxMessages := 8*2*(4+8) + gossipFanOut*gossipsPerTimeout + 8.0
 		passes := 3 * math.Ceil(math.Log10(float64(n+1)))
 		// Bytes per member and second: a heartbeat period is 1+n/32 s, so the records of at most 32 members are due per second.
-		// Each record has up to 300 bytes. In a heartbeat period it is sent up to 20 times because of changed payloads, and
-		// once more in full states.
+		// Each record has up to 300 bytes. In a heartbeat period, changed payloads cause up to 20 updates of a record, and full
+		// states count as one more. The factor passes is the number of times that a member sends each update.
 		maxBytes := passes * (20 + 1) * float64(min(n, 32)) * 300
 		for when, l := range map[string]Load{"baseline": s.Baseline, "after a partition": s.AfterPartition} {
 			if l.Messages > maxMessages || l.Bytes > maxBytes || l.Bytes > gossipFanOut*gossipsPerTimeout*maxPacketBytes {
@@ -44,8 +45,9 @@
 		if n < 60 || testing.Short() {
 			continue
 		}
-		// Without the bound of SyncCount, each member exchanges full states with up to 4 members that it considers dead, and the
-		// traffic after a partition grows with the square of the fleet's size.
+		// A member exchanges full states with members that it considers dead, and membership.SyncCount limits their number.
+		// Without this limit, there are up to 4 of them, and the traffic after a partition grows with the square of the fleet's
+		// size.
 		if unbounded := observeMembers(5, n, disabledDefences{rejoinAll: true}); s.AfterPartition.MaxMemberBytes*3/2 > unbounded.AfterPartition.MaxMemberBytes {
 			t.Errorf("after a partition one member sends and receives %d bytes in a second; without the bound of SyncCount %d", s.AfterPartition.MaxMemberBytes, unbounded.AfterPartition.MaxMemberBytes)
 		}
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -66,8 +66,8 @@
 // recordCount is the record count of a disk. count is the number that instancestore.Store keeps. serial exists only in the
 // simulation, and no process knows it. The records that are written under the node's name are numbered, and the disk has all
 // records up to the number serial. Once all copies on the disk are verified, records that the disk lacks no longer matter, and
-// serial is the newest number (see onLeaseGranted). settled reports whether that has happened since the process started. Only
-// while settled is set does each written record raise count.
+// onLeaseGranted sets serial to the newest number. onLeaseGranted also sets settled, which the next start of the process
+// clears. Only while settled is set does each written record raise count.
 type recordCount struct {
 	count, serial uint64
 	settled       bool
@@ -153,7 +153,7 @@
 	}
 	lease := tick.Tick(f.Lease * float64(tick.Second))
 	c.call(u.endpoint, lease, func(l *leadership, answer func(func())) {
-		var assignments []placement.Assignment // only the assignments that concern the node, which has no logs of other instances
+		var assignments []placement.Assignment // assignments of the instances that the node has a log of, or is the primary or a replica of
 		assignments = append(assignments, c.table.ByPrimary(u.name)...)
 		assignments = append(assignments, c.table.ByReplica(u.name)...)
 		for _, name := range slices.Sorted(maps.Keys(u.logs)) {
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -63,8 +63,8 @@
 			f.checker.fail("publishing the load report of %s: %v", r.endpoint.name, err)
 		}
 	}
-	// If no relay has been under pressure for 10 s, the reports only show whether a relay is cut off. In that case only a sample
-	// of the relays gets a report.
+	// If no relay has been under pressure for 10 s, a load report only shows whether its sender is cut off. Only a sample of
+	// the relays then gets the report.
 	peers := f.relays
 	if r.member != nil {
 		peers = nil
--- a/internal/lab/fleetsim/report.go
+++ b/internal/lab/fleetsim/report.go
@@ -99,8 +99,9 @@
 
 func seconds(t tick.Tick) float64 { return float64(t) / float64(tick.Second) }
 
-// EventScript returns the script of a public event that lasts for span. Devices arrive, cross to another zone halfway and
-// leave. Meanwhile nodes, the leading controller and a zone fail.
+// EventScript returns the script of a public event that lasts for span. Some devices of zone-1 move to zone-2 and return near
+// the end. In between, half of the devices of zone-2 move to zone-1 for a tenth of the span. Meanwhile nodes, the leading
+// controller and a zone fail.
 func EventScript(f *Fleet, span tick.Tick) (s Script) {
 	at := func(part float64) tick.Tick { return tick.Tick(part * float64(span)) }
 	s = append(s, Fault{At: at(0.1), Kind: "swarm", Target: "zone-1", To: "zone-2", Duration: at(0.8), Amount: 0.3},
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -57,12 +57,12 @@
 	s := Schedule{Seed: seed}
 	r := rand.New(rand.NewPCG(seed, 6))
 	f := New(seed, s.size())
-	within := []tick.Tick{faultsWithin, faultsWithin, 2 * tick.Second}[r.IntN(3)] // within 2 s, the faults start at almost the same time
+	within := []tick.Tick{faultsWithin, faultsWithin, 2 * tick.Second}[r.IntN(3)] // in a third of the schedules, all faults start within a span of 2 s
 	for range 1 + r.IntN(maxFaults) {
 		s.Script = append(s.Script, drawFault(r, f, within))
 	}
-	// Half of the schedules with remote replicas cut one zone off once or twice, each time for restart_after or longer. They have
-	// no faults of nodes, devices or links.
+	// Half of the schedules with remote replicas cut one zone off once or twice, each time for restart_after or longer. These
+	// schedules have no faults of nodes, devices or links.
 	if s.RemoteReplicas = r.IntN(2); s.RemoteReplicas > 0 && r.IntN(2) == 0 {
 		s.Script = slices.DeleteFunc(s.Script, func(x Fault) bool {
 			kind := faultKinds[x.Kind]
--- a/internal/lab/fleetsim/timer_wheel.go
+++ b/internal/lab/fleetsim/timer_wheel.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// next removes and returns the first event, if that event is due at the time given by the parameter by, or before. The bool
-// result reports whether there is such an event.
+// next removes and returns the first event if it is due no later than the time in the parameter by. The bool result reports
+// whether there is such an event.
 func (w *wheel) next(by tick.Tick) (event, bool) {
 	for len(w.current) == 0 {
 		switch {
--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -208,9 +208,9 @@
 	}
 }
 
-// Offer rolls a package out in stages. A stage ends once a vote allows the next stage and the duration Platform.Bake has passed.
-// After the last stage, the package is released, and Offer returns after the duration watch. Offer also returns when the package
-// is rolled back or the context ends.
+// Offer rolls a package out in stages. A stage ends once a vote allows the next stage and the duration Platform.Bake has
+// passed. After the last stage, the package is released. Offer then waits for the duration in the parameter watch and returns.
+// Offer also returns when the package is rolled back or the context ends.
 func (p *Platform) Offer(ctx context.Context, version uint16, watch time.Duration) {
 	p.mu.Lock()
 	p.Version, p.offered = version, time.Now()
--- a/internal/standin/faultproxy/script.go
+++ b/internal/standin/faultproxy/script.go
@@ -118,7 +118,7 @@
 			return f
 		}, err == nil && percent && !(share < 0) && !(share > 100)
 	}
-	return func(Fault) Fault { return Fault{} }, true // the verb is heal or reset; reset does not use the change
+	return func(Fault) Fault { return Fault{} }, true // the verb heal removes all faults; the verb reset does not use this function
 }
 
 // directions reports which directions of a link the line applies to.
--- a/internal/standin/repository/publisher.go
+++ b/internal/standin/repository/publisher.go
@@ -234,8 +234,8 @@
 	return newestVersion(p.history[len(p.history)-1].Files, role)
 }
 
-// ShortLifetimes returns lifetimes for tests in which metadata expire. A timestamp is valid for the
-// duration each, and the other roles for multiples of this duration.
+// ShortLifetimes returns lifetimes for tests in which metadata expire. The parameter each is the lifetime of a timestamp. A
+// snapshot lives 10 times as long, targets metadata 100 times, and a root 1000 times.
 func ShortLifetimes(each time.Duration) tufrepo.Lifetimes {
 	return tufrepo.Lifetimes{Root: 1000 * each, Targets: 100 * each, Snapshot: 10 * each, Timestamp: each}
 }
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -184,7 +184,8 @@
 			select {
 			case <-p.ended:
 				p.command = nil
-			// An edge node waits until other nodes have taken over its instances. A second SIGTERM makes it end at once.
+			// After the first SIGTERM, an edge node waits until other nodes have taken over its instances. A second SIGTERM
+			// makes it end at once.
 			case <-again.C:
 				for _, q := range c.nodes {
 					if q.command != nil && q.Role == "edge" {
--- a/internal/standin/testcluster/events.go
+++ b/internal/standin/testcluster/events.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// parseEvent parses a line of a process's log. ok is false if the line has no event. The event's time is now if the line states
-// no precise time.
+// parseEvent parses a line of a process's log. ok is false if the line has no event. If the line has neither a time in
+// microseconds nor a time with a fraction of a second, the event gets the time in the parameter now.
 func parseEvent(line []byte, now time.Time) (e Event, ok bool) {
 	var l struct {
 		Event, Node, Instance, Name, From, To, Why string
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -28,7 +28,7 @@
 	Step: func(state, input, _ any) (bool, any) {
 		s, o := state.(history), input.(operation)
 		switch {
-		case o.outcomeUnknown: // assignSequenceNumbers gave the request a sequence number that no acknowledged request has
+		case o.outcomeUnknown: // assignSequenceNumbers set o.Seq to a sequence number that no client received in an acknowledgement
 			return o.Seq == s.lastIndex+1, history{o.Seq, s.epoch}
 		case o.Write:
 			return o.Seq == s.lastIndex+1 && o.Epoch >= s.epoch, history{o.Seq, o.Epoch}
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// assignSequenceNumbers assigns the sequence numbers that no client received in an acknowledgement to the writes of unknown
-// outcome. The writes get the numbers in the order in which they began. A write must have begun before a client observed the
-// effect with the write's number or a later effect. The remaining writes of unknown outcome did not run, or ran after all observed
+// assignSequenceNumbers assigns sequence numbers to the writes of unknown outcome, in the order in which the writes began. It
+// assigns the numbers that no client received in an acknowledgement. A write must have begun before a client first observed the
+// effect with its number or a later effect. The remaining writes of unknown outcome did not run, or ran after all observed
 // effects, and are left out.
 func assignSequenceNumbers(ops []*operation, acked map[uint64]*operation) (all []*operation, err error) {
 	var last uint64
--- a/internal/standin/testcluster/layout.go
+++ b/internal/standin/testcluster/layout.go
@@ -90,9 +90,8 @@
 	return l.Address(), nil
 }
 
-// openNetwork connects the test to the controllers over links that no process uses. A process accepts connections only from the
-// peers in its configuration file, and the test is not a member of the fleet. The test therefore uses the name of a process that
-// is not a controller.
+// openNetwork connects the test to the controllers over links of its own. A process accepts connections only from the peers in
+// its configuration file, which does not list the test. The test therefore uses the name of a process that is not a controller.
 func (c *Cluster) openNetwork() (err error) {
 	self := c.nodes[len(c.nodes)-1]
 	var controllers []peertransport.Peer
--- a/internal/standin/testcluster/relay_test.go
+++ b/internal/standin/testcluster/relay_test.go
@@ -82,7 +82,8 @@
 	surgeEnd := time.Now()
 	shareBefore, countBefore := goodput(c.Requests(), before, before.Add(time.Second))
 	shareAfter, countAfter := 0.0, 0
-	// One second with good goodput within waitTimeout is enough, because the machine may be busy.
+	// One second with a good goodput before the end of waitTimeout is enough, because a busy machine may delay the requests of
+	// other seconds.
 	for end := surgeEnd.Add(waitTimeout); shareAfter < 0.95 || countAfter < 20; {
 		if time.Now().After(end) {
 			t.Errorf("goodput does not recover: %.3f of %d requests", shareAfter, countAfter)
--- a/internal/standin/testcluster/restored_disk_test.go
+++ b/internal/standin/testcluster/restored_disk_test.go
@@ -9,8 +9,9 @@
 )
 
 // Disks are replaced by an older copy from the same run, which lacks some effects. If another node can prove which effects the
-// disk held, no effect may be lost. Otherwise, the node that serves the instance next must log that effects may be missing before
-// any client can notice the loss. The controllers must then show that the instance is in doubt.
+// disk held, no effect may be lost. Otherwise, the node that serves the instance next must log that effects may be missing
+// before any client can notice the loss. The assignment that the controllers return must then state the reason in
+// UnverifiedReason.
 func TestRestoredDisk_IsDetected(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -80,8 +81,8 @@
 			if shown, err := c.runControlProgram(t, "show", "edge-a"); err != nil || !strings.Contains(shown, "went on from effect") {
 				t.Errorf("show: %v %s", err, shown)
 			}
-			// The instance must be doubted only once. After a second restart, no node may log a doubt about effects that were
-			// written after the first restart.
+			// Missing effects must be reported only after the restart with the replaced disks. After a second restart with the
+			// same disks, no node may report missing effects again.
 			for node := range strings.SplitSeq(tc.restoredNodes, ",") {
 				c.Wait(from, node+" disk all copies are verified")
 			}
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -16,7 +16,8 @@
 )
 
 // waitForNode waits until the leading controller's view of an edge node satisfies the condition good, and returns the view. The
-// condition is expected to hold after the duration takes. waitForNode waits for takes plus waitTimeout at most.
+// parameter takes is the time after which the condition is expected to hold. waitForNode waits for at most this time plus
+// waitTimeout.
 func (c *Cluster) waitForNode(t *testing.T, name, wanted string, takes time.Duration, good func(controllerclient.Node) bool) (u controllerclient.Node) {
 	t.Helper()
 	for end := time.Now().Add(takes + waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
