--- a/internal/benchadapter/adapter_test.go
+++ b/internal/benchadapter/adapter_test.go
@@ -17,8 +17,8 @@
  "family_info": {"most_shares": [0.17, 1.0], "counted_by": "per_lane"},
  "limits": {"send_cap": 3}, "rules": {"cold": 4.0, "cold_from": 0.3}}`
 
-// The example records of the wire protocol's documentation, each under its name on the wire. LEFT is addressed to
-// instance 5, and every other record that has an instance number to instance 3.
+// The example records of the wire protocol's documentation, each under its name on the wire. LEFT has the instance
+// number 5. All other records that have an instance number have the number 3.
 const (
 	submit  = "02 03000000 c4913a5d708d0e00 00 00000000 640ad2557c3bf091 cba145b6f34d2540 fa7e6abc7493883f 01"
 	alarm   = "06 03000000 4d000000"
--- a/internal/benchadapter/golden_test.go
+++ b/internal/benchadapter/golden_test.go
@@ -12,8 +12,9 @@
 	"silvercove/internal/standin/golden"
 )
 
-// The golden trace guards the adapter's replies to scripts of frames. A simulator (script_test.go) generates each script
-// from a seed. It has its own implementation of the bench's wire protocol and shares no code with the adapter.
+// The golden trace guards the adapter's replies to scripts of frames. A simulator (script_test.go) generates each
+// script from a seed. The simulator has its own implementation of the bench's wire protocol and shares no code with the
+// adapter.
 //
 // The trace holds one line for each seed, with a hash of all replies. The hash covers the number, position and order of
 // log records. It leaves out their texts, and the length of a reply, which depends on the texts.
--- a/internal/benchadapter/messages.go
+++ b/internal/benchadapter/messages.go
@@ -65,10 +65,11 @@
 // voteReply is the value of the field "code" of PROMOTION if the record is the reply to a vote.
 const voteReply = 1
 
-// The types below are the events. Their fields have the balancer's types where the balancer defines one. The codes of
-// outcomes, rollout phases and endpoint states on the wire equal the balancer's constants. Times are in ticks.
+// Each type below whose name ends in Event holds the fields of an incoming record. Its comment gives the name of the
+// record on the wire. The fields have the balancer's types where the balancer defines one. The codes of outcomes,
+// rollout phases and endpoint states on the wire equal the balancer's constants. Times are in ticks.
 
-// startEvent is BORN: an instance has just started.
+// startEvent is the record BORN, which reports that an instance has just started.
 type startEvent struct {
 	seed     uint64
 	settings []byte
@@ -81,8 +82,8 @@
 	}
 }
 
-// endpointUpdateEvent is ROSTER_CHANGE: an update of the endpoint list. The updated endpoints are in a numbered list,
-// which an earlier CATALOG record defines.
+// endpointUpdateEvent is the record ROSTER_CHANGE, which updates the endpoint list. The updated endpoints are in a
+// numbered list, which an earlier CATALOG record defines.
 type endpointUpdateEvent struct {
 	kind endpointUpdateKind
 	list uint32
@@ -94,7 +95,7 @@
 	return endpointUpdateEvent{kind: kind, list: r.u32("page")}
 }
 
-// requestEvent is SUBMIT: a client's request.
+// requestEvent is the record SUBMIT, which holds a client's request.
 type requestEvent struct {
 	id       uint64
 	class    int
@@ -144,7 +145,7 @@
 	return attemptID{request: r.u64("corr"), number: int(r.u8("send_no"))}
 }
 
-// streamStartEvent is STREAMING: the answer to an attempt has begun.
+// streamStartEvent is the record STREAMING, which reports that the answer to an attempt has begun.
 type streamStartEvent struct {
 	attempt attemptID
 }
@@ -156,7 +157,7 @@
 	return event
 }
 
-// outcomeEvent is FINISHED: how an attempt ended.
+// outcomeEvent is the record FINISHED, which reports how an attempt ended.
 type outcomeEvent struct {
 	attempt     attemptID
 	outcome     balancer.Outcome
@@ -175,7 +176,7 @@
 	return event
 }
 
-// probeEvent is ECHO: how a probe ended.
+// probeEvent is the record ECHO, which reports how a probe ended.
 type probeEvent struct {
 	outcome balancer.Outcome
 	elapsed balancer.Tick
@@ -192,7 +193,7 @@
 	}
 }
 
-// gossipEvent is MEMO: a message from another relay.
+// gossipEvent is the record MEMO, which holds a message from another relay.
 type gossipEvent struct {
 	sender uint32
 	data   []byte
@@ -205,7 +206,7 @@
 	}
 }
 
-// releaseStatus reads PROMOTION: the status of the newest version.
+// releaseStatus reads the record PROMOTION, which holds the status of the newest version.
 func (r *reader) releaseStatus() balancer.ReleaseStatus {
 	return balancer.ReleaseStatus{
 		Version:     r.u16("ver"),
@@ -218,7 +219,8 @@
 	}
 }
 
-// metricsEvent is DIGEST: the release platform's counts for one version and class, over all relays.
+// metricsEvent is the record DIGEST. It holds the release platform's counts of one version's attempts in one class,
+// over all relays.
 type metricsEvent struct {
 	version  uint16
 	class    int
@@ -239,7 +241,7 @@
 	}
 }
 
-// wrongAnswerEvent is DISPUTED: a client has reported an answer as wrong.
+// wrongAnswerEvent is the record DISPUTED, which reports that a client has called an answer wrong.
 type wrongAnswerEvent struct {
 	backend uint32
 	class   int
@@ -254,13 +256,13 @@
 	}
 }
 
-// listedEndpoint is one entry of CATALOG.
+// listedEndpoint is one entry of the record CATALOG.
 type listedEndpoint struct {
 	backend  uint32
 	endpoint balancer.Endpoint
 }
 
-// listedEndpointSize is the size of an entry of CATALOG in bytes.
+// listedEndpointSize is the size in bytes of an entry of the record CATALOG.
 const listedEndpointSize = 26
 
 func (r *reader) listedEndpoint() listedEndpoint {
--- a/internal/benchadapter/script_test.go
+++ b/internal/benchadapter/script_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// scriptBackend is a backend of the simulated site.
+// scriptBackend is a backend that the simulator lists to the adapter.
 type scriptBackend struct {
 	id            uint32
 	zone          uint16
@@ -97,7 +97,7 @@
 
 func (b *simulator) after(span microseconds, do func()) { b.at(b.now+span, do) }
 
-// newSimulator generates a site from the seed.
+// newSimulator generates the settings and the first backends from the seed.
 func newSimulator(t *testing.T, seed uint64) *simulator {
 	t.Helper()
 	b := &simulator{t: t, random: rand.New(rand.NewPCG(seed, 0x601d)), now: scriptStart, replyHash: sha256.New(), version: 3, phase: 2, exposureCap: 1}
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -15,8 +15,8 @@
 }
 
 // open creates the session of a connection. If all session slots are taken, open evicts a session that has no request
-// in progress. If it can evict none, the new session takes a spare slot, and its requests are rejected. open blocks
-// only while all spare slots are taken as well.
+// in progress. If it can evict none, the new session takes a spare slot (see overload.ListenerLimits), and its requests
+// are rejected. open blocks only while all spare slots are taken as well.
 func (srv *Server) open(conn net.Conn) *session {
 	s := newSession(srv, conn)
 	srv.mu.Lock()
@@ -43,9 +43,10 @@
 	srv.changed.Signal()
 }
 
-// updateList moves the session to the list that properList returns. If that list grows beyond MaxIdle, updateList
-// evicts the first session of the list, because each session holds a slot that a request of a new client may need.
-// MaxIdle can be far below MaxSessions, because a client opens few connections. The server's mu must be held.
+// updateList moves the session to the list that properList returns. If that list then has more than MaxIdle sessions,
+// updateList evicts the first of them, because each session takes a slot that a new client may need. MaxIdle can be far
+// below MaxSessions: few idle sessions are needed, because a client opens few connections. The server's mu must be
+// held.
 func (s *session) updateList() {
 	l := s.properList()
 	if l == s.list {
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// waitUntil waits until the function holds returns true. If that takes too long, the test fails with the parameter
-// what, which describes the condition.
+// waitUntil calls the function holds until it returns true. If that takes too long, the test fails with the text in the
+// parameter what, which describes the condition.
 func waitUntil(tb testing.TB, what string, holds func() bool) {
 	tb.Helper()
 	backends.Eventually(tb, what, holds)
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -180,8 +180,8 @@
 }
 
 // watchForClose discards the client's messages until the client disconnects or the read is interrupted. The read is
-// interrupted when all replies have been written or the session is aborted. In each case, the client gets no further
-// reply, so the remaining requests are abandoned.
+// interrupted when all replies have been written or the session is aborted. In all three cases, the client gets no
+// further reply, so the remaining requests are abandoned.
 func (s *session) watchForClose() {
 	for !s.conn.Fill(0).Closed() {
 		s.conn.Discard(len(s.conn.Buffered()))
--- a/internal/operatorconfig/checks.go
+++ b/internal/operatorconfig/checks.go
@@ -12,9 +12,9 @@
 	roleEdge       = "edge"
 )
 
-// maxClockDrift is the exclusive upper bound of the drift between two clocks, as a fraction of the elapsed time. For
-// this drift, internal/leases adds an allowance to the lease duration: twice the drift times that duration. Below the
-// bound, the allowance is shorter than the lease duration.
+// maxClockDrift is the exclusive upper bound of the directive drift, the fraction by which one process's clock may run
+// faster than another's. A controller adds an allowance to the lease duration: 2 * drift * lease duration (see
+// internal/leases). Below the bound, the allowance is shorter than the lease duration.
 const maxClockDrift = 0.5
 
 // checkFleet is the Rule of the fleet block.
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -20,8 +20,9 @@
 // path returns the names of the enclosing blocks and the name of the directive, joined by dots.
 func (d *Directive) path() string { return strings.TrimPrefix(d.Parent+"."+d.Name, ".") }
 
-// Rule is a check between directives of a file, whose values all has. It returns the path of the directive at fault and a
-// description of the fault. The description is empty if there is no fault.
+// Rule is a check between directives of a file. The parameter all holds the values of all directives (see Table.Read).
+// A Rule returns the path of the directive at fault and a description of the fault. The description is empty if there
+// is no fault.
 type Rule func(all map[string]any) (directive, fault string)
 
 // Table holds all directives and rules of one kind of configuration file.
@@ -41,8 +42,8 @@
 	return t.evaluate(path, lines)
 }
 
-// ReadText is like Read, but reads the text content, in which include is not allowed. Errors give name as the name of the
-// file.
+// ReadText is like Read, but reads the text in the parameter content, in which include is not allowed. Errors give the
+// parameter name as the name of the file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
@@ -51,7 +52,8 @@
 	return t.evaluate(name, lines)
 }
 
-// find returns the directive name of the block path, or nil if the block has no such directive.
+// find returns the directive with the given name in the block at path. It returns nil if that block has no such
+// directive.
 func (t *Table) find(path, name string) *Directive {
 	for i := range t.Directives {
 		if d := &t.Directives[i]; d.Parent == path && d.Name == name {
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -149,7 +149,8 @@
 }
 
 // expandIncludes replaces each include directive in lines by the lines of the file that the directive names. dir is the
-// folder from which relative paths start. chain holds the paths of the enclosing files, including the file of lines.
+// folder from which relative paths start. chain holds the paths of the file that contains the lines and of the files
+// that include it, the outermost file first.
 func expandIncludes(lines []*line, dir string, chain []string) (out []*line, err error) {
 	for _, l := range lines {
 		if l.Name != "include" {
--- a/internal/operatorconfig/reader.go
+++ b/internal/operatorconfig/reader.go
@@ -107,8 +107,9 @@
 	r.faults = append(r.faults, errorAt(position, directive, format, args...))
 }
 
-// unknownDirective returns the text of the fault that the block at path does not allow the directive name. If other
-// blocks allow that directive, the text lists them. Otherwise it lists the directives that the block at path allows.
+// unknownDirective returns the text of the fault for a directive that the block at path does not allow. The parameter
+// name is the directive's name. If other blocks allow the directive, the text lists those blocks. Otherwise the text
+// lists the directives that the block at path allows.
 func (r *evaluator) unknownDirective(path, name string) string {
 	var here, elsewhere []string
 	for _, d := range r.table.Directives {
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -113,7 +113,7 @@
 	return peers
 }
 
-// Peer returns the process with the given name, which may be this one.
+// Peer returns the process with the given name. The name can also be that of this process.
 func (n *Network) Peer(name string) (Peer, bool) {
 	if name == n.self.Name {
 		return n.Self(), true
@@ -130,7 +130,7 @@
 // Each connection has a goroutine until its hello has arrived and a listener has accepted the connection.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.listener.Close() // Close fails only on a closed listener, and this is its only close
+		_ = n.listener.Close() // Close fails only on a closed listener, and no other call closes this one
 		for _, listener := range n.listeners {
 			_ = listener.Close() // Listener.Close never fails
 		}
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -2,9 +2,10 @@
 // needs: simple queries of one statement each, without a password. The messages are described in the PostgreSQL manual,
 // "Message Formats".
 //
-// The package works on bytes alone: no I/O, clock or goroutine. Readers are incremental: each call is given all bytes
-// from the start of a message, or of a reply for a Response, until the reader reports that the message or reply is
-// complete. Functions may be called from any goroutine; a Response or a Query belongs to one goroutine.
+// The package works on bytes alone: no I/O, clock or goroutine. Readers are incremental. A caller passes all bytes that
+// have arrived since the start of the message, and calls the reader again until the message is complete. For a
+// Response, the bytes start at the reply, and the caller goes on until the reply is complete. Functions may be called
+// from any goroutine; a Response or a Query belongs to one goroutine.
 package pgwire
 
 import (
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -181,7 +181,7 @@
 // less, no number of this size overflows a time.Duration.
 const durationBits = 40
 
-// parseDuration parses a decimal number of units. It drops a fraction.
+// parseDuration parses a decimal number of units. It ignores the digits after the decimal point.
 func parseDuration(value []byte, unit time.Duration) (d time.Duration, ok bool) {
 	whole, fraction, _ := bytes.Cut(value, []byte("."))
 	if !isDigits(whole) || !isDigits(fraction) {
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// readError reads an ErrorResponse, which may also follow a part of a row.
+// readError reads an ErrorResponse. An ErrorResponse can also arrive after a part of a row.
 func (r *Response) readError(body []byte) error {
 	sqlState, severity := errorFields(body)
 	if r.SQLState != "" || len(sqlState) != sqlStateSize || sqlState == StateSuccess {
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// sendRequests sends up to most requests one after the other on one connection, until the relay closes the connection
-// between two requests. It returns how many succeeded and were rejected, and an error if a response was incomplete.
+// sendRequests sends requests one after the other on one connection. It stops when the relay closes the connection
+// between two requests, and after as many requests as the parameter most says. It returns how many succeeded and were
+// rejected, and an error if a response was incomplete.
 func sendRequests(listen string, name string, most int) (succeeded, rejected int, lost error) {
 	c, err := net.Dial("tcp", listen)
 	if err != nil {
--- a/internal/relay/evidence_saver.go
+++ b/internal/relay/evidence_saver.go
@@ -20,8 +20,8 @@
 	dispatcher *dispatch.Dispatcher
 	log        zerolog.Logger
 
-	// pending holds the canary's counts from before the restart until the balancer has received them. newRelay sets
-	// pending; after that, only the goroutine in run uses it.
+	// pending holds the canary's counts that an earlier process saved, until the balancer has received them. newRelay
+	// sets pending; after that, only the goroutine in run uses it.
 	pending canaryCounts
 }
 
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// sendConfig waits until the process opens its configuration. It then calls first, and sends the text after that.
+// sendConfig waits until the process opens its configuration. It then calls the function first, and sends the text when
+// first has returned.
 func (p *process) sendConfig(text string, first func()) {
 	p.tb.Helper()
 	opened := make(chan *os.File, 1)
@@ -226,7 +227,7 @@
 		t.Errorf("peak memory is %d kB", kb)
 	}
 	// spent returns the processor time of the relay in hundredths of a second. A thread that waits in a busy loop would
-	// use a whole second of it per second.
+	// add 100 of them per second.
 	spent := func() (ticks int) {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 		if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -54,9 +54,9 @@
 }
 
 // Run runs a relay until a signal has stopped it and every accepted request is answered. env looks up environment
-// variables; on SIGHUP, Run reads the configuration that they name again. Run calls each of components in a goroutine,
-// with a context that ends with the relay. Run waits for all goroutines that it starts. It returns the error of a
-// listener that cannot be opened, or the first error of a component.
+// variables; on SIGHUP, Run reads the configuration that they name again. Run calls each function in the parameter
+// components in a goroutine, with a context that ends with the relay. Run waits for all goroutines that it starts. It
+// returns the error of a listener that cannot be opened, or the first error of a component.
 func Run(config Config, env func(string) string, components ...func(context.Context, *dispatch.Dispatcher) error) error {
 	signals := config.signals
 	if signals == nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// startComponents starts a goroutine of the group for each component of the relay except the listener, and for each of
-// components.
+// startComponents starts one goroutine of the group for each component of the relay except the listener. It also starts
+// one for each function in the parameter components.
 func (r *relay) startComponents(ctx context.Context, group *errgroup.Group, config Config, components []func(context.Context, *dispatch.Dispatcher) error) {
 	group.Go(func() error { return r.dispatcher.RunTimers(ctx) })
 	group.Go(func() error { return r.pool.Run(ctx) })
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -96,8 +96,8 @@
 }
 
 // closeListener waits until the context ends and closes the listener. A listener that was opened while the relay was
-// being stopped may still be in the channel. closeListener tells the server to stop before it closes that listener, which
-// has accepted no client.
+// being stopped may still be in the channel, and has accepted no client. closeListener then tells the server to stop
+// before it closes this listener.
 func (h *signalHandler) closeListener(ctx context.Context) {
 	<-ctx.Done()
 	select {
--- a/internal/releaseapi/client_test.go
+++ b/internal/releaseapi/client_test.go
@@ -52,7 +52,7 @@
 	return client, dispatcher, address
 }
 
-// waitStage receives stages until holds returns true for one of them.
+// waitStage receives stages until the function holds returns true for one of them.
 func waitStage(tb testing.TB, stages chan dispatch.RolloutStage, what string, holds func(dispatch.RolloutStage) bool) {
 	tb.Helper()
 	for timer := time.After(10 * time.Second); ; {
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -26,8 +26,8 @@
 )
 
 // followChanges keeps the stream of changes open until the context ends. If a stream ends, it opens the next one at
-// once, or after a pause. The pause keeps the beginnings of two attempts to open the stream at least the interval apart
-// that retryDivisor sets. There is no pause if the platform's address has changed.
+// once, or after a pause. With the pause, two attempts to open the stream begin at least the shortest interval apart
+// (see retryDivisor). There is no pause if the platform's address has changed.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
--- a/internal/settings/decisions_test.go
+++ b/internal/settings/decisions_test.go
@@ -15,8 +15,8 @@
 	"silvercove/balancer"
 )
 
-// generatedSite is a random site without names. It holds only the numbers of its classes, zones, tenants and machine
-// kinds; document adds the names.
+// generatedSite is a random site without names. It holds how many classes, zones, tenants and machine kinds the site
+// has; document adds their names.
 type generatedSite struct {
 	classes, zones, tenants, kinds int
 	topLevel                       map[string]any // top-level members of the document, except the lists that contain names
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -14,8 +14,8 @@
 	errNoObjectiveOrDeadline = errors.New("has neither on_time nor deadline")
 )
 
-// applyDefaults sets the default of each missing setting whose zero value would keep the relay from working or break a
-// rule of the site.
+// applyDefaults sets the default of each missing setting whose zero value would keep the relay from working or make it
+// exceed a limit that the site sets.
 func applyDefaults(s *balancer.Settings) error {
 	longestDeadline, err := applyClassDefaults(s.Classes)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 // The fields of Site and of balancer.Settings document the unit, the range and the default of each setting. In addition:
 //
 //   - null counts as missing. A value of a wrong type is an error for each setting that the schema checks.
-//   - A duration is a number of seconds that is not negative. A duration above 100 hours is read as 100 hours. It is an
-//     error instead if 100 hours in its place would break a rule of the site; see boundedDuration.
+//   - A duration is a number of seconds that is not negative. A duration above 100 hours is read as 100 hours. In a
+//     setting for a window over which the site enforces a limit, such a duration is an error; see boundedDuration.
 //   - A name that occurs twice in one object, text that is not UTF-8, and a number beyond the range of a float64 are
 //     errors.
 //
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,8 +13,8 @@
 	"silvercove/balancer"
 )
 
-// Upper bounds of values. They keep durations in ticks within the range of the balancer's integers. The same holds for
-// random numbers that are drawn up to a duration.
+// Upper bounds of values. They keep the balancer's integers from overflowing. This holds for durations in ticks, and
+// for random numbers that are drawn up to such a duration.
 const (
 	maxDurationSeconds = 360_000.0
 	maxRelays          = 1e6
@@ -95,9 +95,9 @@
 	return 0, unexpectedValue("a number of seconds that is not negative", value)
 }
 
-// boundedDuration parses a number of seconds and refuses a number above maxDurationSeconds. It is for durations in
-// rules of a site. A relay that read such a duration as maxDurationSeconds, as clampedDuration does, would break the
-// rule.
+// boundedDuration parses a number of seconds and refuses a number above maxDurationSeconds. It is for a window over
+// which the site enforces a limit, such as Rollout.ExposureWindow. A relay that used maxDurationSeconds in place of a
+// longer window, as clampedDuration does, would exceed the limit.
 func boundedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 && v <= maxDurationSeconds {
 		return balancer.Seconds(v), nil
