--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -61,8 +61,9 @@
 }
 
 // withClient calls call with a client of the controllers. The client has the name and the peers of the process whose
-// configuration file is c.File. That process may run at the same time. The client therefore listens on a port of its
-// own, and connections that other processes open to the name go to that process.
+// configuration file is c.File. That process may run at the same time. The client therefore listens on a free port.
+// Connections that the client or other processes open to the name go to that process (see
+// peertransport.Network.OverrideSelf).
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
 	if err != nil {
--- a/cmd/silvercovectl/fleet_node.go
+++ b/cmd/silvercovectl/fleet_node.go
@@ -27,7 +27,7 @@
 }
 
 // serve runs the edge node. The first SIGTERM or SIGINT starts the node's drain. A second signal stops the node at
-// once, and so does the cancellation of the context alive.
+// once. The end of the context alive also stops it at once.
 func (c *fleetNodeCmd) serve(p *fleetProcess, alive context.Context) error {
 	node, err := edgenode.Open(edgenode.Options{File: p.file, Network: p.net, Log: p.log, Seed: uint64(time.Now().UnixNano())})
 	if err != nil {
--- a/cmd/silvercovectl/fleet_process.go
+++ b/cmd/silvercovectl/fleet_process.go
@@ -112,8 +112,8 @@
 	return errors.Join(err, <-done)
 }
 
-// runWhile calls do, with run in the background until do returns. If run returns first, the context that do got is
-// cancelled. The result joins the errors of both.
+// runWhile calls the function do, and runs p.run in the background until do returns. If p.run returns first, the
+// context that do got is cancelled. The result joins the errors of do and p.run.
 func (p *fleetProcess) runWhile(do func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/cmd/silvercovectl/fleet_rebuild.go
+++ b/cmd/silvercovectl/fleet_rebuild.go
@@ -48,8 +48,9 @@
 	Without []string `help:"Edge nodes that need not answer."`
 }
 
-// Run rebuilds a controller's disk from the copies that the edge nodes hold, after a majority of the controllers' disks
-// was lost. The configuration file must be that of the controller whose disk is rebuilt.
+// Run rebuilds a controller's disk after a majority of the controllers' disks was lost. It derives the assignments from
+// the copies of the instances on the edge nodes (see controller.Rebuild). The configuration file must be that of the
+// controller whose disk is rebuilt.
 func (c *fleetRebuildCmd) Run() error {
 	c.Wait = max(c.Wait, 10*time.Minute)
 	var backup io.Reader
--- a/cmd/silvercovectl/fleetsim.go
+++ b/cmd/silvercovectl/fleetsim.go
@@ -30,7 +30,7 @@
 	if c.RemoteReplicas < 0 || c.RemoteReplicas > 1 {
 		return fmt.Errorf("--away %d: simulated fleets have one replica of each instance, so 0 or 1 is allowed", c.RemoteReplicas)
 	}
-	debug.SetGCPercent(400) // fewer garbage collections, because the heap is large and most of it is long-lived
+	debug.SetGCPercent(400) // collect garbage less often, because the heap is large and most of it is long-lived
 	switch {
 	case c.Play != "":
 		text, err := os.ReadFile(c.Play)
--- a/cmd/silvercovectl/quickstart_test.go
+++ b/cmd/silvercovectl/quickstart_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// The ports that tests choose from are the portRange ports from firstPort on. They are below the kernel's ephemeral
-// ports, so that the kernel gives no other process a chosen port before the test uses it.
+// Tests choose their ports at random from portRange consecutive ports. The lowest of them is firstPort. All are below
+// the kernel's ephemeral ports, so the kernel gives no other process a chosen port before the test uses it.
 const (
 	firstPort = 20000
 	portRange = 12000
--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// writeFile creates a file and calls write to write its content.
+// writeFile creates a file and calls the function write to write the content of the file.
 func writeFile(path string, write func(io.Writer) error) error {
 	out, err := os.Create(path)
 	if err != nil {
--- a/cmd/silvercovectl/standin.go
+++ b/cmd/silvercovectl/standin.go
@@ -72,8 +72,8 @@
 	Poll         time.Duration `default:"200ms" help:"Pause between two rounds of updating."`
 }
 
-// Run updates the server until it runs the build Until. If the server does not run that build within the time For, Run
-// returns an error. If Until is 0, Run always ends after the time For with an error.
+// Run updates the server until it runs the build c.Until. If the server does not run that build within c.For, Run
+// returns an error. If c.Until is 0, Run always returns an error after c.For.
 func (c *standinServerCmd) Run() error {
 	if err := requireLoopback(c.Front); err != nil {
 		return err
--- a/cmd/silvercovectl/verdict.go
+++ b/cmd/silvercovectl/verdict.go
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// verdictPlanCmd is the sub-command that estimates how long it takes to gather enough evidence.
+// verdictPlanCmd is the sub-command that estimates how long a relay takes to gather enough evidence to rule out a failure
+// share.
 type verdictPlanCmd struct {
 	Rates  map[string]float64 `arg:"" help:"Requests per second of each request class at all relays together, such as read=300 sell=2."`
 	Relays int                `default:"1" help:"Number of relays that share these requests and exchange no evidence."`
@@ -44,8 +45,8 @@
 	Miss   float64            `default:"0.05" help:"Probability of a miss, for one request class at one relay."`
 }
 
-// Run prints how many outcomes a relay needs to rule out a failure share of Base+Effect. For each request class and
-// stage, it also prints how long a relay takes to get these outcomes.
+// Run prints how many request outcomes a relay needs to rule out a failure share of c.Base+c.Effect. For each request
+// class and stage, it also prints how long a relay takes to get these outcomes.
 func (c *verdictPlanCmd) Run() error {
 	switch {
 	case len(c.Rates) == 0 || c.Relays < 1:
--- a/deploy/sites/main.go
+++ b/deploy/sites/main.go
@@ -1,6 +1,6 @@
-// Command sites derives variants of a site file. The bench is the program that tests the balancer through cmd/bench-adapter. A site
-// file describes a deployment to the bench: its tiers, request classes, tenants, load and limits. A short file of changes lists the
-// differences of a variant from the original site file.
+// Command sites derives variants of a site file. A site file describes a deployment to the bench, which is the program that tests
+// the balancer through cmd/bench-adapter. The site file gives the tiers, request classes, tenants, load and limits of the
+// deployment. A short file of changes lists how a variant differs from the original site file.
 //
 //	go run ./deploy/sites -from SITE.toml deploy/sites/harbour-radio.toml ...
 //
--- a/deploy/sites/variant.go
+++ b/deploy/sites/variant.go
@@ -205,10 +205,10 @@
 }
 
 // rename gives the elements their new names and updates the references to them. A string is a reference to an element
-// if its key equals the key of the element's list. A string in a list is a reference if the key of that list is the
-// same, or is the same with s or es appended. An element's own name is never a reference. rename returns an error if a
-// reference to a dropped element is left. It also returns an error if the name of a dropped or renamed element occurs
-// at any other place, because its meaning there is unknown.
+// if its key equals the key of the element's list. A string in a list is a reference if the key of that list is the key
+// of the element's list, or is that key with s or es appended. An element's own name is never a reference. rename
+// returns an error if a reference to a dropped element is left. It also returns an error if the name of a dropped or
+// renamed element occurs at any other place, because the meaning of the name there is unknown.
 func rename(node map[string]any, location string, names map[element]string, removed []element) error {
 	for _, key := range sortedKeys(node) {
 		below := strings.TrimPrefix(location+"."+key, ".")
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -38,7 +38,7 @@
 var (
 	ErrUnknownServer = errors.New("no such server")
 	ErrUnknownFile   = errors.New("no such file")
-	ErrUnavailable   = errors.New("not available now") // the image repository or the version store cannot be used, or the version has no package path
+	ErrUnavailable   = errors.New("not available now") // the image repository or the version store cannot be used, or no package is configured for the assigned version
 )
 
 // minLifetime is the minimum lifetime of issued metadata.
@@ -100,7 +100,7 @@
 	stage                dispatch.RolloutStage
 	stageKinds           []string               // hardware kinds that the package of stage.Version supports; empty for all
 	loggedMissingVersion uint16                 // version whose package was last logged as missing, 0 for none
-	deferredStage        *dispatch.RolloutStage // stage whose package the image repository does not have yet; nil for none
+	deferredStage        *dispatch.RolloutStage // stage of a version whose package the image repository does not have yet; nil for none
 	released             uint16                 // newest released version, 0 for none
 	timerAt              stagedrollout.Tick     // time at which Run must call the rollout's OnTimer, 0 for none
 	pendingIssues        []*server              // servers whose metadata Run must issue again
@@ -108,10 +108,10 @@
 	Issued             int64     // number of issues to servers since the process started
 	Assignments        int64     // number of assignments that the rollout has made since the process started
 	Reports            int64     // number of reports from known servers since the process started
-	LastChangeIssuedAt time.Time // time when runDue last finished a non-empty list pendingIssues, with or without errors
+	LastChangeIssuedAt time.Time // when runDue last finished a pass over a non-empty list pendingIssues, with or without errors
 }
 
-// server is the state of one server of the fleet: its part in the rollout, and its last issue.
+// server is the state of one server of the fleet: its state in the rollout (see stagedrollout.Server), and its last issue.
 type server struct {
 	stagedrollout.Server      // guarded by Director.mu
 	needsReissue         bool // guarded by Director.mu; the metadata must be issued again before they are served
@@ -153,8 +153,10 @@
 	return d, nil
 }
 
-// restore adds each server that has a recorded issue, with the version that its last issue assigned. If the field
-// previous of the issue's record is a later version, the server may still install that version until previousUntil.
+// restore adds each server that has a recorded issue, with the version that its last issue assigned. The record of that
+// issue can also name a version that an earlier issue assigned (see issueRecord.previous). If this version is later
+// than the assigned one, the server may still install it until previousUntil, and restore passes this time to the
+// rollout.
 func (d *Director) restore() {
 	for _, e := range d.store.Entries() {
 		name, ok := strings.CutPrefix(e.Key, issuedPrefix)
--- a/internal/director/errors_test.go
+++ b/internal/director/errors_test.go
@@ -18,8 +18,8 @@
 	h.logLines = append(h.logLines, level.String()+" "+balancer.LogLine(message, fields...))
 }
 
-// TestDirector_FileIsUnavailable checks the errors that a caller of File can tell apart. If the image repository cannot be asked and
-// has not answered before, the error wraps ErrUnavailable and the refusal.
+// TestDirector_FileIsUnavailable checks the errors that a caller of File can tell apart. If the image repository cannot be asked
+// and has not returned the target before, the error wraps ErrUnavailable and the refusal.
 func TestDirector_FileIsUnavailable(t *testing.T) {
 	h := newTestDirector(t)
 	h.image = func(path string) (*tufverify.Target, *tufverify.RefusalError) {
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -28,7 +28,8 @@
 	d.rollout.OnListComplete(now)
 }
 
-// updateServer adds or changes one server. The rollout is not told of a server that was unknown and is listed as removed.
+// updateServer adds or changes one server. A server that was unknown and is listed as removed is added, but the rollout is not
+// told of it.
 func (d *Director) updateServer(now stagedrollout.Tick, endpoint dispatch.Endpoint) {
 	s := d.servers[endpoint.Name]
 	added := s == nil
@@ -79,7 +80,7 @@
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
-	if stage.Version == d.released { // the newest version is the released one
+	if stage.Version == d.released { // the stage is of the released version: it is passed on with an exposure cap of 1
 		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
 		return
 	}
--- a/internal/keys/key_file.go
+++ b/internal/keys/key_file.go
@@ -97,7 +97,7 @@
 // PublicPath returns the path of the public key file beside a key file.
 func PublicPath(path string) string { return strings.TrimSuffix(path, Suffix) + PublicSuffix }
 
-// cipher returns the cipher that encrypts the private key. Its key is derived from a passphrase with scrypt.
+// cipher returns the cipher that encrypts the private key. The key of the cipher is derived from the passphrase with scrypt.
 func (f *keyFile) cipher(passphrase []byte) (cipher.AEAD, error) {
 	secret, err := scrypt.Key(passphrase, f.Salt, f.ScryptN, f.ScryptR, f.ScryptP, chacha20poly1305.KeySize)
 	if err != nil {
@@ -109,8 +109,9 @@
 // associatedData returns the unencrypted fields that the encryption of the private key authenticates.
 func (f *keyFile) associatedData() []byte { return []byte(f.Format + "/" + f.Type + "/" + f.ID) }
 
-// Load reads a key file. It calls passphrase only if the private key is encrypted. The error of Load wraps ErrInsecureMode,
-// ErrNotKeyFile, ErrNoPassphrase or ErrWrongPassphrase, or comes from passphrase or the file system.
+// Load reads a key file. It calls the function passphrase only if the private key is encrypted. The error of Load wraps
+// ErrInsecureMode, ErrNotKeyFile, ErrNoPassphrase or ErrWrongPassphrase, or comes from the function passphrase or the file
+// system.
 func Load(path string, passphrase func() ([]byte, error)) (*Key, error) {
 	f, err := readFile(path)
 	if err != nil {
--- a/internal/keys/passphrase.go
+++ b/internal/keys/passphrase.go
@@ -7,8 +7,8 @@
 )
 
 // PassphraseFrom returns a function that reads the passphrase. If the environment variable COVE_PASSPHRASE_FILE is set, the
-// passphrase is read from the file that it names; otherwise it is the value of COVE_PASSPHRASE. A file that other users can read
-// is refused with ErrInsecureMode. env returns the value of an environment variable.
+// passphrase is read from the file that it names. If it is not set, the passphrase is the value of COVE_PASSPHRASE. A file that
+// other users can read is refused with ErrInsecureMode. env returns the value of an environment variable.
 func PassphraseFrom(env func(string) string) func() ([]byte, error) {
 	return func() ([]byte, error) {
 		if path := env("COVE_PASSPHRASE_FILE"); path != "" {
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -11,7 +11,7 @@
 type results struct {
 	listed         []knownFailure
 	out            io.Writer
-	outcomes       map[testID][]string    // the final action of each run of a listed test
+	outcomes       map[testID][]string    // for each listed test, the action of the last event of each run (see testEvent.ended)
 	running        map[string]*packageRun // packages that have started and not ended, by import path
 	failedPackages int
 	problems       []error
--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -26,9 +26,10 @@
 	final    bool                  // no other mirror may be asked: the client has disconnected, or TargetReader.Corrupt reports true
 }
 
-// request has the dispatcher choose a mirror for each attempt of one request, and calls try with the attempt. request
-// ends if the result of an attempt is accepted or final, if the dispatcher gives up, or if ctx ends. After a success it
-// returns nil. Otherwise it returns the error of the last failed attempt, or errNoMirror if no attempt failed.
+// request has the dispatcher choose a mirror for each attempt of one request, and calls the function try with each
+// attempt. request ends if the result of an attempt is accepted or final, if the dispatcher gives up, or if ctx ends.
+// After a success it returns nil. Otherwise it returns the error of the last failed attempt, or errNoMirror if no
+// attempt failed.
 func (r *Repository) request(ctx context.Context, class string, try func(*dispatch.Attempt) attemptResult) error {
 	lastErr := errNoMirror
 	id, _ := r.dispatcher.Accept(dispatch.Request{Class: class, ReceivedAt: time.Now(), Timeout: r.timeouts[class]})
--- a/internal/metadataproxy/byte_range.go
+++ b/internal/metadataproxy/byte_range.go
@@ -10,7 +10,7 @@
 type rangeKind uint8
 
 const (
-	rangeIgnored       rangeKind = iota // no range, a malformed one or several ranges: the response is the whole file
+	rangeIgnored       rangeKind = iota // no range, a malformed range, or more than one range: the response is the whole file
 	rangePartial                        // one range: the response is that part of the file
 	rangeUnsatisfiable                  // the range begins after the end of the file: the response has status 416
 )
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -48,10 +48,10 @@
 	return response
 }
 
-// roundTrip requests a file from a mirror, beginning with the byte at offset, and calls read with the response. It
-// cancels the request if the body arrives too slowly. The result status is 0 if there was no response. The result
-// closed is the return value of read. If there was no response or the body was too slow, closed holds that reason
-// instead.
+// roundTrip requests a file from a mirror, beginning with the byte at offset, and calls the function read with the
+// response. It cancels the request if the body arrives too slowly. The result status is 0 if there was no response. The
+// result closed is the return value of read. If there was no response, or the body arrived too slowly, closed holds
+// that failure instead.
 func (r *Repository) roundTrip(ctx context.Context, mirror dispatch.Backend, path string, offset int64,
 	read func(status int, length int64, body io.Reader) transport.CloseStatus) (status int, closed transport.CloseStatus) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// RequireAgreement makes the proxy serve the targets of the mirrored Director repository named director only while the
-// repository named image lists each of them with the same content and version (Uptane Standard 2.1, section 5.4.4.2).
-// It must be called before Run.
+// RequireAgreement sets a condition for the targets metadata of the repository named director, a mirrored Director
+// repository. The proxy serves these metadata only while the repository named image lists each target in them with the
+// same content and version (Uptane Standard 2.1, section 5.4.4.2). RequireAgreement must be called before Run.
 func (p *Proxy) RequireAgreement(director, image string) error {
 	directorRepository, imageRepository := p.repositories[director], p.repositories[image]
 	if directorRepository == nil || imageRepository == nil || directorRepository == imageRepository {
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -12,8 +12,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// errKeysKeepChanging is the error of a refresh that has fetched MaxFilesPerRefresh files without completing the set of
-// metadata. New keys can invalidate files that the refresh has already fetched.
+// errKeysKeepChanging is the error of a refresh that has fetched MaxFilesPerRefresh files and still does not have a
+// complete set of metadata. New keys can invalidate files that the refresh has already fetched.
 var errKeysKeepChanging = errors.New("keys keep changing during the refresh")
 
 // cached returns a file if it may be served without asking a mirror.
@@ -49,9 +49,10 @@
 	return data, refusal
 }
 
-// refreshIfDue asks the mirrors for a complete current set of metadata if a refresh is due. Concurrent callers share
-// one refresh. If confirm is false, a complete set is not refreshed. If confirm is true, a refresh can be due for a
-// complete set too, to confirm that it is the newest.
+// refreshIfDue asks the mirrors for a complete current set of metadata if a refresh is due (see
+// metadatarefresh.Refresh.Due). Concurrent callers share one refresh. If confirm is false, only an incomplete set is
+// refreshed. If confirm is true, a complete set is refreshed too, so that the mirrors confirm that the set is the
+// newest.
 func (r *Repository) refreshIfDue(confirm bool) {
 	r.mu.Lock()
 	now := r.tick()
@@ -184,9 +185,9 @@
 	return refusal
 }
 
-// fetchRole fetches the targets of a delegated role. If that fails because metadata are missing, another role that is
-// not held may be the one that delegates to this role. fetchRole then fetches all other missing roles, and this role
-// once more.
+// fetchRole fetches the targets of a delegated role. The fetch fails with ReasonMissing if the metadata of the role
+// that delegates to this role are not held. fetchRole then fetches all other missing roles, because each of them may be
+// that delegating role. After that it fetches this role once more.
 func (r *Repository) fetchRole(role string) *tufverify.RefusalError {
 	v, _, _ := r.fetchGroup.Do("role "+role, func() (any, error) {
 		refusal := r.fetchTargets(role)
--- a/internal/metadatarefresh/mirrors.go
+++ b/internal/metadatarefresh/mirrors.go
@@ -4,9 +4,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// ShouldFetchNewerRoots reports whether to ask a mirror for newer roots after a file from the mirror was refused, because the file
-// may be signed by keys of a newer root. foundNewerRoot means that the mirror has already sent a newer root, which may have
-// invalidated the metadata that are held.
+// ShouldFetchNewerRoots reports whether to ask a mirror for newer roots after a file from that mirror got refusal r.
+// The file may be signed by keys of a newer root. foundNewerRoot means that the mirror has already sent a newer root.
+// That root may have invalidated the metadata that are held.
 func ShouldFetchNewerRoots(r *tufverify.RefusalError, foundNewerRoot bool) bool {
 	if r == nil {
 		return false
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -60,10 +60,10 @@
 }
 
 // Stale reports whether the metadata that are held may no longer be treated as the newest. They become stale freshFor
-// after the last refresh, because the mirrors must then be asked. If the mirrors failed when they were last asked, the
-// metadata become stale only unconfirmedFor after the last refresh. Between these two times the metadata are served
-// although a newer version may exist that no mirror has shown. Metadata are never served after their expiry; with
-// unconfirmedFor an operator sets a shorter limit.
+// after the last refresh. The mirrors must then be asked. If the mirrors failed when they were last asked, the metadata
+// become stale only unconfirmedFor after the last refresh. Between these two times the metadata are served although a
+// newer version may exist that no mirror has shown. Metadata are never served after their expiry. With unconfirmedFor
+// an operator can set an earlier limit than the expiry.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
 		return now >= r.refreshedAt+r.unconfirmedFor
--- a/internal/metadatarefresh/survey.go
+++ b/internal/metadatarefresh/survey.go
@@ -4,11 +4,11 @@
 	"silvercove/internal/tufverify"
 )
 
-// MirrorSurvey decides when enough mirrors have shown their timestamp after a start. It guards against mirrors that
-// serve older metadata while the newest versions are not recorded. The versions are not recorded if the version store
-// was restored from a backup, or if there is no version store. A survey waits for a majority of the mirrors. Any two
-// majorities have a mirror in common. If a majority has the newest timestamp, at least one mirror of the survey
-// therefore shows it. The survey does not guard against a majority of mirrors that are out of date.
+// MirrorSurvey decides when enough mirrors have shown their timestamp after a start of the proxy. It guards against
+// mirrors that serve older metadata while the version store does not have the newest versions. The version store lacks
+// them if it was restored from a backup, or if it was kept in memory alone. A survey waits for a majority of the
+// mirrors. Any two majorities have a mirror in common. Therefore, if a majority has the newest timestamp, at least one
+// mirror of the survey shows it. The survey does not guard against a majority of mirrors that are out of date.
 type MirrorSurvey struct {
 	shownBy map[string]bool // names of the mirrors that have shown a correctly signed timestamp
 
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -17,7 +17,7 @@
 	versionStoreEntries int
 	freshFor            time.Duration // how long a timestamp counts as current
 	unconfirmedFor      time.Duration // how long a timestamp counts as current while no mirror can be asked
-	survey              bool          // require the timestamps of a majority of the mirrors after the start
+	survey              bool          // after the start, serve only roots until a majority of the mirrors have shown their timestamps
 	proxyCount          float64       // number of processes that share the mirrors
 	connectTimeout      float64       // seconds
 	maxRetryAfter       float64       // seconds
@@ -150,8 +150,8 @@
 	return endpoints
 }
 
-// markNew sets the start time of each new mirror to now, so that the mirror is warmed up. A mirror is new if no mirror
-// in earlier has the same name and address.
+// markNew sets the start time of each new mirror to now, so that the mirror is warmed up. A mirror is new if the
+// parameter earlier has no mirror of the same name and address.
 func markNew(mirrors, earlier []dispatch.Endpoint, now time.Time) {
 	type mirror struct{ name, address string }
 	listedEarlier := map[mirror]bool{}
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // not s.now, which tests replace: the dispatcher uses real time
+			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now because the dispatcher uses real time; tests replace s.now
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
@@ -108,8 +108,8 @@
 	return ""
 }
 
-// differingDirective returns the name of a directive that differs between two blocks and is not in except, or "" if there is
-// none.
+// differingDirective returns the name of a directive that differs between two blocks, or "" if there is none. It ignores the
+// directives that the parameter except lists.
 func differingDirective(old, changed any, except ...string) string {
 	a, b := old.(map[string]any), changed.(map[string]any)
 	for _, block := range []map[string]any{a, b} {
--- a/internal/metadataservice/service.go
+++ b/internal/metadataservice/service.go
@@ -27,7 +27,7 @@
 // bufferBudget is the maximum size of the buffers of all connections to discovery agents and the release API, in bytes.
 const bufferBudget = 64 << 20
 
-// errNoMetadataBlock is the error of New for a file without a metadata block, which enables the proxy.
+// errNoMetadataBlock is the error of New for a file without a metadata block. That block enables the proxy.
 var errNoMetadataBlock = errors.New("no metadata block: the metadata proxy is not enabled")
 
 // errProxyEnded is the error of Run if the proxy ended before the context did.
@@ -63,7 +63,8 @@
 }
 
 // New reads an operator's file and assembles the service. The service listens once New has returned; the caller must call Run,
-// which closes the listener and the version store. env returns the value of an environment variable, now the current time.
+// which closes the listener and the version store. env returns the value of an environment variable, and now returns the current
+// time.
 func New(path string, env func(string) string, now func() time.Time, log zerolog.Logger) (*Service, error) {
 	blocks, err := operatorconfig.OperatorTable.Read(path)
 	if err != nil {
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -21,9 +21,9 @@
 	text    []byte
 }
 
-// Publish publishes the staged metadata, together with a new snapshot and a new timestamp, which are signed by the online keys.
-// A file is written before any file that lists it, and the timestamp last, so that a client never finds a file listed that does
-// not exist yet. If any staged file has fewer signatures than its threshold, nothing is published and the error wraps
+// Publish publishes the staged metadata, together with a new snapshot and a new timestamp, which are signed by the online keys. A
+// file is written before any file that lists it, and the timestamp is written last. A client therefore never finds a file listed
+// that does not exist yet. If any staged file has fewer signatures than its threshold, nothing is published and the error wraps
 // ErrUnsigned.
 func (r *Repo) Publish(online []*keys.Key) error {
 	root, staged, err := r.rootToPublish()
@@ -41,7 +41,7 @@
 		return err
 	}
 	files = append(files, targets...)
-	for _, f := range files { // Record fails if the version was recorded with other content
+	for _, f := range files { // Record returns an error if this version of the role is already recorded with other content
 		if err := r.versions.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
 			return err
 		}
@@ -57,8 +57,8 @@
 	return r.publishFiles(append(files, snapshot, timestamp))
 }
 
-// targetsToPublish returns the staged files of the targets roles, and a map with the snapshot's entries for all targets roles,
-// staged or published, keyed by file name.
+// targetsToPublish returns the staged files of the targets roles. It also returns the entries of the new snapshot for all targets
+// roles, staged or published, keyed by file name.
 func (r *Repo) targetsToPublish(root *metadata.Metadata[metadata.RootType]) ([]pendingFile, map[string]*metadata.MetaFiles, error) {
 	names, err := r.targetsRoles()
 	if err != nil {
@@ -202,9 +202,10 @@
 	return root, true, nil
 }
 
-// checkTargetsThreshold returns ErrUnsigned unless m, the metadata of the targets role name, have as many valid signatures as
-// the threshold of the role requires. The root sets the threshold of the top-level targets role. A delegated role is accepted if
-// it meets the threshold of any delegation to it by one of the roles in names.
+// checkTargetsThreshold returns ErrUnsigned unless the targets metadata m have a threshold of valid signatures. The parameter
+// name is the role of m. The root sets the threshold of the top-level targets role. A delegated role is accepted if m meet the
+// threshold of at least one delegation to that role. The parameter names lists the targets roles whose metadata are searched for
+// such delegations.
 func (r *Repo) checkTargetsThreshold(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
--- a/internal/tufrepo/repository.go
+++ b/internal/tufrepo/repository.go
@@ -57,7 +57,7 @@
 	CrashBefore func(role string) bool // for tests: Publish stops before it writes the file of a role for which CrashBefore returns true
 
 	dir      string
-	versions *monotonic.Store // last version of each role, keyed by role
+	versions *monotonic.Store // version last recorded for each role, keyed by role
 }
 
 // Init creates the folders of a repository and stages its first root and targets. If consistent is true, the repository uses
--- a/internal/tufrepo/stored_test.go
+++ b/internal/tufrepo/stored_test.go
@@ -19,8 +19,9 @@
 
 var storedRoles = []string{"root", "targets", "snapshot", "timestamp"}
 
-// TestRepo_ContinuesStoredRepository checks that a repository written by an earlier version can be opened and changed. Its
-// targets can still be looked up afterwards, and the files that were published before stay unchanged, except the timestamp.
+// TestRepo_ContinuesStoredRepository checks that a repository that an earlier version of this package wrote can be opened and
+// changed. The targets of the repository can still be looked up after the change. The files that were published before the change
+// stay as they were, except the timestamp.
 func TestRepo_ContinuesStoredRepository(t *testing.T) {
 	stored := filepath.Join("testdata", "stored")
 	if *updateStored {
@@ -86,7 +87,7 @@
 	return byRole
 }
 
-// checkTarget refreshes a new client, looks up a target and checks that it is as long as content.
+// checkTarget refreshes a new client, looks up a target and checks that the length of the target is that of content.
 func checkTarget(t *testing.T, dir string, clock *repository.Clock, path, content string) {
 	t.Helper()
 	now := tufverify.FromTime(clock.Now())
--- a/internal/tufrepo/targets.go
+++ b/internal/tufrepo/targets.go
@@ -127,9 +127,9 @@
 	return stageMetadata(r, role, m)
 }
 
-// Delegate stages targets metadata of role that delegate paths to delegatedRole. public and threshold are the public keys and
-// the threshold of delegatedRole. An earlier delegation from role to delegatedRole is replaced. If delegatedRole has no metadata
-// yet, empty ones are staged.
+// Delegate stages new targets metadata of role, which delegate the given paths to delegatedRole. public and threshold are the
+// public keys and the threshold of delegatedRole. An earlier delegation from role to delegatedRole is replaced. If delegatedRole
+// has no metadata yet, empty ones are staged.
 func (r *Repo) Delegate(role, delegatedRole string, public []*metadata.Key, threshold int, paths []string, terminating bool) error {
 	if len(public) < threshold || threshold < 1 || len(paths) == 0 || delegatedRole == "" ||
 		slices.Contains(metadata.TOP_LEVEL_ROLE_NAMES[:], delegatedRole) || strings.ContainsAny(delegatedRole, `/\`) {
--- a/internal/tufverify/helpers_test.go
+++ b/internal/tufverify/helpers_test.go
@@ -155,8 +155,8 @@
 	return sign(b, m, b.keys["snapshot"]...)
 }
 
-// timestamp creates a timestamp that lists a version of the snapshot. If snapshotFile, the content of the snapshot, is not nil,
-// the entry also has a length and a hash. If signers is empty, the keys of the timestamp role sign.
+// timestamp creates a timestamp that lists a version of the snapshot. snapshotFile is the content of the snapshot. If it is not
+// nil, the entry of the snapshot also has a length and a hash. If signers is empty, the keys of the timestamp role sign.
 func (b *testRepository) timestamp(version int64, lifetime time.Duration, snapshot int64, snapshotFile []byte, signers ...*keys.Key) []byte {
 	b.Helper()
 	m := metadata.Timestamp(start.Add(lifetime))
--- a/internal/tufverify/lookup_test.go
+++ b/internal/tufverify/lookup_test.go
@@ -11,8 +11,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// withDelegations returns a function that adds delegations to the given roles, in this order, to targets metadata. The key k
-// signs for every delegated role.
+// withDelegations returns a function that changes targets metadata: it sets their delegations to the given roles, in this order.
+// The key k signs for every delegated role.
 func withDelegations(k *keys.Key, roles ...metadata.DelegatedRole) func(m *metadata.TargetsType) {
 	return func(m *metadata.TargetsType) {
 		id, _ := k.Public.ID()
--- a/internal/tufverify/uptane.go
+++ b/internal/tufverify/uptane.go
@@ -6,9 +6,9 @@
 	"github.com/theupdateframework/go-tuf/v2/metadata"
 )
 
-// VerifyAssignment refuses the target assigned, which comes from a Director, if its length, its SHA-256 or its software
-// version (Custom.Build) differs from that of image. image is the image repository's target of the same path.
-// VerifyAssignment also refuses assigned if image does not support the given kind of hardware.
+// VerifyAssignment compares assigned, a target that comes from a Director, with image, the image repository's target of
+// the same path. It refuses assigned if its length, its SHA-256 or its software version (Custom.Build) differs from
+// that of image. It also refuses assigned if image does not support the given kind of hardware.
 func (r *Repository) VerifyAssignment(assigned, image *Target, hardware string) *RefusalError {
 	supported := len(image.Custom.HardwareKinds) == 0 || slices.Contains(image.Custom.HardwareKinds, hardware)
 	switch {
