--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -80,7 +80,7 @@
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
-	if stage.Version == d.released { // the stage is of the released version: it is passed on with an exposure cap of 1
+	if stage.Version == d.released { // the rollout gets the stage of the released version with an exposure cap of 1
 		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
 		return
 	}
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -86,8 +86,8 @@
 }
 
 // evictFirst evicts the first session of a list and reports whether it did so. It spares a session of the incomplete
-// list whose last activity is less than ContendedTimeout ago, because the client may still be sending the message. The
-// server's mu must be held.
+// list whose last activity is less than ContendedTimeout ago, because its client may still be sending the
+// startup or a message. The server's mu must be held.
 func (srv *Server) evictFirst(l *list.List) bool {
 	if l.Len() == 0 {
 		return false
--- a/internal/fdtable/fdtable_test.go
+++ b/internal/fdtable/fdtable_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestTable_GrownAtStart checks the size of the kernel's table in a process that has opened only a few descriptors.
+// TestTable_GrownAtStart checks that the kernel's table of this process's file descriptors has its full size, although the
+// process has opened only a few descriptors.
 func TestTable_GrownAtStart(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -120,7 +120,7 @@
 // fetchMetadata fetches a timestamp, and then each file that a complete set lacks.
 func (r *Repository) fetchMetadata() error {
 	fetchedTimestamp := false
-	for range metadatarefresh.MaxFilesPerRefresh { // limited, because new keys may make the set incomplete again
+	for range metadatarefresh.MaxFilesPerRefresh { // the number of files is limited, because new keys can make the set incomplete again and again
 		r.mu.Lock()
 		f, maxSize, ok := r.verified.NextFile(r.tick())
 		r.mu.Unlock()
--- a/internal/metadataservice/mirrors_test.go
+++ b/internal/metadataservice/mirrors_test.go
@@ -85,7 +85,7 @@
 
 // TestMirror_OlderVersionIsNotServed guards against mirrors that present an older, validly signed version. One, two or
 // all of the three mirrors begin to do so, while the service runs or while it is stopped for a restart. In the last
-// case, one mirror does so, and the version store is restored from a backup before the restart.
+// entry of the table, one mirror does so, and the version store is restored from a backup before the restart.
 func TestMirror_OlderVersionIsNotServed(t *testing.T) {
 	for _, c := range []struct {
 		lagging  int
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestMirror_DrainedGetsNoRequests checks that a mirror gets no requests from one second after the start of its drain
-// on, and that it gets requests again after it is up again.
+// TestMirror_DrainedGetsNoRequests checks that a draining mirror gets no requests once one second has passed since the
+// start of its drain. When the mirror is up again, it must get requests again.
 func TestMirror_DrainedGetsNoRequests(t *testing.T) {
 	w := newTestService(t, 3, tufrepo.Lifetimes{})
 	w.must(w.publisher.Add("app/1.tar", 1, content(100_000, 1)))
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now because the dispatcher uses real time; tests replace s.now
+			markNew(c.mirrors, earlier[c.name], time.Now()) // s.now is not used here: tests replace it, but the dispatcher uses real time
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/metadataservice/reload_test.go
+++ b/internal/metadataservice/reload_test.go
@@ -8,8 +8,8 @@
 	"silvercove/internal/tufrepo"
 )
 
-// TestReload_NamesTheFixedDirective checks that a file that changes a directive that cannot change while the service runs is rejected
-// with the name of the directive, so that the caller knows that a restart is needed.
+// TestReload_NamesTheFixedDirective changes a directive that cannot change while the service runs. Reload must reject the changed
+// file with the name of the directive, so that the caller knows that a restart is needed.
 func TestReload_NamesTheFixedDirective(t *testing.T) {
 	w := newTestService(t, 1, tufrepo.Lifetimes{})
 	w.start()
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -95,7 +95,7 @@
 		_, err = conn.Write(append(answer, '\n'))
 	}
 	if err != nil || refusal != "" {
-		_ = accepted.Close() // the other process has the reason, or has disconnected
+		_ = accepted.Close() // the other process has received the reason for the refusal, or has disconnected
 		return
 	}
 	_ = conn.SetDeadline(time.Time{}) // SetDeadline fails only on a closed connection, and the caller of Accept notices that at the first read
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -19,7 +19,7 @@
 	MaxQuery = 2*MaxValue + 4<<10 // largest query message; the message holds each byte of a value as two hexadecimal digits
 
 	maxStartup        = 10 << 10         // largest startup message; this is PostgreSQL's own limit
-	maxBackendMessage = MaxValue + 4<<10 // largest message of a backend
+	maxBackendMessage = MaxValue + 4<<10 // largest message that is accepted from a backend
 	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; a larger one is ErrTooLong
 )
 
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -106,8 +106,8 @@
 	return start + size + len(suffix), true
 }
 
-// skipValue checks the value of an INSERT, which is whole bytes in hexadecimal, and returns the index at which the
-// comment starts.
+// skipValue checks the value of an INSERT. The value must have two hexadecimal digits for each byte. skipValue returns
+// the index at which the statement's comment starts.
 func (q *Query) skipValue(start int) (commentStart int, queryErr *QueryError) {
 	digits := 0
 	for start+digits < len(q.text) && isHexDigit(q.text[start+digits]) {
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -8,7 +8,7 @@
 
 // Response parses a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
-	SQLState    string // StateSuccess once a complete row or an EmptyQueryResponse has arrived; the code of an error once that has arrived; empty before
+	SQLState    string // StateSuccess after a complete row or an EmptyQueryResponse; the error's code after an ErrorResponse; empty until one of these has arrived
 	Load        string // the load report, if the reply contains one
 	RowMessages []Span // positions of RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // whether the backend waits for the next query
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -57,7 +57,7 @@
 const columnDescription = "\x00\x01content\x00" + // number of columns, and name of the column
 	"\x00\x00\x00\x00" + "\x00\x00" + // no table, no attribute number
 	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, variable size
-	"\xff\xff\xff\xff" + "\x00\x01" // no modifier, binary format
+	"\xff\xff\xff\xff" + "\x00\x01" // no type modifier; the format code 1 means binary
 
 // DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the
 // command tag, and ReadyForQuery.
--- a/internal/standin/backends/platform.go
+++ b/internal/standin/backends/platform.go
@@ -32,7 +32,7 @@
 	StagesPassed   int
 	Released       bool
 	RolledBack     bool
-	TimeToVerdict  time.Duration // time from the start of Offer until the package was released or voted to be rolled back; 0 before
+	TimeToVerdict  time.Duration // time from the start of Offer until the package was released or a vote rolled it back; 0 until then
 	offered        time.Time
 }
 
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -205,7 +205,7 @@
 
 // Row returns the protocol messages of a result with one row of one column, without ReadyForQuery.
 func Row(value string) string {
-	const attributes = 18 // bytes that describe a column after its name
+	const attributes = 18 // size in bytes of a column's description after the column's name
 	return Message(pgwire.BackendRowDescription, "\x00\x01content\x00"+strings.Repeat("\x00", attributes)) +
 		Message(pgwire.BackendDataRow, "\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(len(value))))+value) +
 		Message(pgwire.BackendCommandComplete, "SELECT 1\x00")
--- a/internal/standin/testcluster/fleet_test.go
+++ b/internal/standin/testcluster/fleet_test.go
@@ -13,8 +13,8 @@
 	"silvercove/internal/placement"
 )
 
-// shortLeaseSettings are settings for tests: short leases, and no dwell time. Leases are doubled with -race, because the processes
-// then run several times as slowly.
+// shortLeaseSettings returns lines of the block fleet with short times for tests. The dwell time, which is the setting
+// fleet.dwell, is 0. With the race detector, the lease duration is doubled, because the processes run several times as slowly.
 func shortLeaseSettings() []string {
 	lease := scaled(time.Second)
 	if raceDetector {
@@ -362,8 +362,9 @@
 	c.checkEventOrder(t, "edge-a stop", "* placed cam-1@2 edge-b", "edge-b acts cam-1@2", "edge-a wake", "edge-a stops cam-1@1")
 }
 
-// The zones are partitioned for ten seconds while devices cross between them. The traffic between the nodes is delayed and then arrives
-// all at once.
+// Two zones are partitioned for ten seconds while devices cross between them. The traffic between the nodes of the two zones is
+// held back and then arrives all at once. The instances of the two devices that are then in the south must be served
+// there.
 func TestTwoZonesApartWhileCamerasCross(t *testing.T) {
 	t.Parallel()
 	c := startFleet(t, 9, 2, 2)
--- a/internal/standin/testcluster/relay_test.go
+++ b/internal/standin/testcluster/relay_test.go
@@ -34,8 +34,8 @@
 	return float64(good) / float64(max(1, n)), n
 }
 
-// At ten times the load, seven of ten relays are killed and started again. Once the load has returned to its former level, the goodput
-// must recover as well.
+// The load rises to ten times its first level, and seven of ten relays are killed and started again. Once the load has returned to
+// its first level, the goodput must recover.
 func TestTenfoldLoadWithSevenInTenRelaysKilled(t *testing.T) {
 	t.Parallel()
 	const n = 10
@@ -82,8 +82,8 @@
 	surgeEnd := time.Now()
 	shareBefore, countBefore := goodput(c.Requests(), before, before.Add(time.Second))
 	shareAfter, countAfter := 0.0, 0
-	// One second with a good goodput before the end of waitTimeout is enough, because a busy machine may delay the requests of
-	// other seconds.
+	// The goodput has recovered if at least 95 per cent of the requests of one second are acknowledged. The second must have at
+	// least 20 requests. One such second within waitTimeout is enough: in others, a busy machine may delay requests.
 	for end := surgeEnd.Add(waitTimeout); shareAfter < 0.95 || countAfter < 20; {
 		if time.Now().After(end) {
 			t.Errorf("goodput does not recover: %.3f of %d requests", shareAfter, countAfter)
--- a/internal/standin/testcluster/restored_disk_test.go
+++ b/internal/standin/testcluster/restored_disk_test.go
@@ -45,8 +45,8 @@
 				c.waitForReplica(t, "cam-1")
 			}
 			var last Request
-			// The writes last longer than a third of a lease, so that a lease request during the writes reports the node's
-			// record count.
+			// A node requests a lease each third of the lease duration, and reports its record count in the request. The
+			// writes last longer than that, so at least one such request is sent during the writes.
 			write := func() {
 				for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
 					last = c.writeUntilAcknowledged(t, "cam-1", "edge-a", "edge-b")
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -115,7 +115,8 @@
 	c.checkRun(t)
 }
 
-// False claims of nodes about their health or their power must have a limited effect. Relays' outcomes disprove a claim of good health.
+// False claims of nodes about their health or their power must have a limited effect. If the requests that relays send to a node
+// fail, a claim of good health must not keep the node from being evacuated.
 // If the readings of several nodes of a zone do not support their claims of low power, only one of these nodes may be evacuated.
 func TestNodeHealth_FalseReports(t *testing.T) {
 	t.Run("says it is well and fails", testClaimsHealth)
@@ -260,8 +261,8 @@
 	c.checkRun(t)
 }
 
-// The power of all nodes of a zone fails at the same moment and returns. Their instances must wait for them, because no other node has
-// all of their effects, and no acknowledged effect may be lost. The other zone must continue.
+// The power of all nodes of a zone fails at the same moment and returns. The instances of these nodes must not start elsewhere before the
+// power returns, because no other node has all of their effects. No acknowledged effect may be lost. The other zone must continue.
 func TestFailover_PowerFailureOfZone(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/standin/testcluster/zone_test.go
+++ b/internal/standin/testcluster/zone_test.go
@@ -38,7 +38,7 @@
 	return startFleet(t, seed, 0, 0, more...)
 }
 
-// heatingScript warms a node as if it stood in the sun, but much faster. Near 85 degrees a node hands over its instances.
+// heatingScript warms a node as if it stood in the sun, but much faster. Near 85 degrees Celsius a node hands over its instances.
 const heatingScript = "0 temp 50\n1 temp 58\n2 temp 66\n3 temp 74\n4 temp 82\n5 temp 88\n6 temp 89\n7 temp 88\n8 temp 89\n"
 
 // Both nodes of the north overheat within the same two seconds. Their instances must move to the south, and service must continue.
@@ -102,8 +102,8 @@
 	c.checkRun(t)
 }
 
-// The temperature oscillates around the limit. The node must hand over its instance once and then keep its health state for the
-// dwell time. No instance may move back and forth.
+// The temperature oscillates around the limit. The node must hand over its instance once. Its health state must then not improve
+// before the dwell time of package devicehealth has passed. No instance may move back and forth.
 func TestNodeHealth_TemperatureOscillatesAroundLimit(t *testing.T) {
 	t.Parallel()
 	north, startOscillation := newBattery(t, 4, "0 temp 52\n1 temp 64\n2 temp 76\n3 temp 88\n5 temp 80\n7 temp 88\n9 temp 80\n11 temp 88\n")
--- a/internal/transport/address.go
+++ b/internal/transport/address.go
@@ -9,7 +9,7 @@
 type Address struct {
 	mu      sync.Mutex
 	address string
-	current context.Context // context that is canceled when the peer moves
+	current context.Context // context that is canceled when Update changes the address
 	cancel  context.CancelFunc
 }
 
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,8 +17,8 @@
 	"silvercove/internal/standin/scriptedbackend"
 )
 
-// TestPool_LateSecondReplies checks that, if a backend answers each query a second time some milliseconds later, the
-// second reply is never taken for the reply to the next query, however soon that query is sent.
+// TestPool_LateSecondReplies uses a backend that answers each query a second time some milliseconds later. The second
+// reply must never be taken for the reply to the next query, however soon the next query is sent.
 func TestPool_LateSecondReplies(t *testing.T) {
 	var secondReplies sync.Map // time at which the second reply was written, by the key in the reply
 	backend := scriptedbackend.Start(t, func(b *scriptedbackend.Backend, _ int, conn *net.TCPConn) {
@@ -52,9 +52,10 @@
 }
 
 // writtenBefore reports whether the second reply with the given key was written before the given moment, at which the
-// next query began. It also returns true if no such reply was written. A second reply may be written later, for example
-// because a busy machine delayed its timer. The pool cannot tell such a reply from the reply to the next query: nothing
-// in the protocol distinguishes the two.
+// next query began. It also returns true if no second reply with the key was written. If it returns false, a request that
+// got the second reply is no fault of the pool. A busy machine may delay the timer of a second reply until the next query
+// has begun. The pool cannot tell a second reply that late from the reply to the next query, because nothing in the
+// protocol distinguishes the two replies.
 func writtenBefore(tb testing.TB, secondReplies *sync.Map, key string, moment time.Time) bool {
 	tb.Helper()
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
--- a/internal/upstream/interruption_test.go
+++ b/internal/upstream/interruption_test.go
@@ -17,9 +17,9 @@
 	"silvercove/internal/standin/scriptedbackend"
 )
 
-// interruption is the state of a test in which one attempt at a scripted backend is interrupted. The backend closes
-// reached when it arrives at the point of the interruption. It goes on when proceed is closed, or when finished is
-// closed, which happens once the request is over.
+// interruption is the state of a test in which one attempt at a scripted backend is interrupted. When the backend arrives
+// at the point of the interruption, it closes the channel reached. Depending on the test case, it then waits until the
+// channel proceed or the channel finished is closed. The channel finished is closed once the request is over.
 type interruption struct {
 	*testPool
 	reached, proceed, finished chan struct{}
@@ -29,8 +29,8 @@
 // event is a function that is called just before an attempt begins.
 type event func(*interruption, *dispatch.Call)
 
-// onReached returns an event that waits until the backend closes reached, then calls the function do, and then lets the
-// backend go on.
+// onReached returns an event that starts a goroutine and returns at once. The goroutine waits until the backend has
+// closed the channel interruption.reached, calls the function do, and then lets the backend go on.
 func onReached(do event) event {
 	return func(x *interruption, call *dispatch.Call) {
 		x.background.Go(func() {
@@ -43,8 +43,8 @@
 
 func clientDisconnects(x *interruption, call *dispatch.Call) { x.dispatcher.Abandon(call) }
 
-// endpointChanged returns an event that waits until the backend closes reached, and then applies the function change to
-// the endpoint of the scripted backend.
+// endpointChanged returns an event that starts a goroutine (see onReached). Once the backend is at the point of the
+// interruption, the goroutine applies the function change to the endpoint of the scripted backend.
 func endpointChanged(change func(*dispatch.Endpoint)) event {
 	return onReached(func(x *interruption, _ *dispatch.Call) {
 		changed := endpoint(0, x.dispatcher.ReadyBackends()[0].Address)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,9 +23,10 @@
 // prefers connections that have settled, which means that settleTime has passed since their last reply. On a settled
 // connection, a second reply has already arrived, and the pool notices it. If no idle connection has settled, the pool
 // usually opens a new one, because that costs less than a wrong reply. It uses an idle connection that has not settled
-// only if half of the slots are taken. For unsolicitedExpectedTime after unsolicited bytes have arrived, seven eighths
-// must be taken. A backend that sends an error message before it closes an idle connection also sends unsolicited
-// bytes; the pool then only opens more connections than it needs.
+// only if half of the pool's slots are taken (see Pool.slots). For unsolicitedExpectedTime after unsolicited bytes have
+// arrived, it does so only if seven eighths of the slots are taken. A backend that sends an error message before it
+// closes an idle connection also sends unsolicited bytes. This does no harm: the pool only opens more connections than
+// it needs.
 const (
 	settleTime              = 25 * time.Millisecond // a connection has settled when this time has passed since its last reply
 	unsolicitedExpectedTime = time.Minute           // after unsolicited bytes have arrived, more of them are expected for this time
