--- a/internal/benchadapter/adapter.go
+++ b/internal/benchadapter/adapter.go
@@ -23,7 +23,7 @@
 
 const (
 	bufferBytes  = 64 << 10 // size in bytes of the input buffer and of the output buffer
-	maxReadBytes = 1 << 20  // largest part of a frame in bytes that is read at once
+	maxReadBytes = 1 << 20  // maximum number of bytes of a frame that are read at once
 )
 
 // server holds the state of one adapter process.
--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -131,7 +131,7 @@
 	for {
 		count, changed := l.countConfirmations(voters, round, term)
 		if count >= majority {
-			if !leadsInTerm(r, term) { // this controller is counted in the majority; its own term is checked last
+			if !leadsInTerm(r, term) { // this controller counts towards the majority without a query, so its own term is checked here
 				return raft.ErrLeadershipLost
 			}
 			return nil
--- a/internal/controller/conn_limiter.go
+++ b/internal/controller/conn_limiter.go
@@ -13,8 +13,8 @@
 // that one process proposes at once after a failover. It also keeps one process from taking the connections that other
 // processes need for their leases.
 const (
-	maxConns           = 8192 // connections of all processes except controllers
-	maxConnsPerProcess = 256  // connections of any one process, whether it is a controller or not
+	maxConns           = 8192 // maximum number of connections of all processes except controllers
+	maxConnsPerProcess = 256  // maximum number of connections of any one process, whether it is a controller or not
 )
 
 // connLimiter limits the connections that carry calls. Connections of other controllers do not count towards the total. If they
@@ -26,7 +26,7 @@
 	isController           func(name string) bool
 
 	mu        sync.Mutex     // guards the fields below
-	total     int            // connections of all processes except controllers
+	total     int            // number of connections of all processes except controllers
 	byProcess map[string]int // by process, including controllers: number of its connections
 }
 
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -195,7 +195,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case leads := <-r.LeaderCh(): // true may follow true if the leadership was lost and regained
+		case leads := <-r.LeaderCh(): // the value true can come twice in a row if the leadership was lost and regained
 			c.stopLeading()
 			if leads {
 				c.startLeading(r)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -21,7 +21,7 @@
 
 // Options configures a Controller. Network, DataDir and Settings are required.
 type Options struct {
-	Network  *peertransport.Network // the caller runs the network
+	Network  *peertransport.Network // network of this controller; the caller runs it
 	DataDir  string                 // directory of the log, its snapshots and the disk's marker; created if missing
 	Settings map[string]any         // settings by their names, as in fleet.File.Settings
 	Log      zerolog.Logger         // the zero value logs nothing
@@ -45,9 +45,9 @@
 
 // Bounds on the controller's memory and on the size of a log entry.
 const (
-	maxEntryOperations  = 256     // operations in one log entry
-	maxQueuedOperations = 1 << 17 // operations of the planner that wait to be proposed
-	maxLongPolls        = 4096    // concurrent long polls (see longPoll)
+	maxEntryOperations  = 256     // maximum number of operations in one log entry
+	maxQueuedOperations = 1 << 17 // maximum number of the planner's operations that wait to be proposed
+	maxLongPolls        = 4096    // maximum number of concurrent long polls (see longPoll)
 )
 
 // Controller is one controller of a fleet. Open creates it, and it serves while Run runs.
@@ -140,7 +140,7 @@
 	}
 }
 
-// Run takes part in the log and answers calls until the context ends. Then Run transfers the leadership if this controller
+// Run runs raft and answers calls until the context ends. Then Run transfers the leadership if this controller
 // leads, and waits for all goroutines. It returns nil after the context has ended. If the controller can't continue, Run
 // returns ErrNewerVersion, ErrCorrupt, ErrLogWentBack or an error of the disk or the network.
 func (c *Controller) Run(ctx context.Context) error {
--- a/internal/controller/handle_status.go
+++ b/internal/controller/handle_status.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/controllerclient"
 )
 
-// handleStatus returns this controller's status. It also answers while the controller does not take part in the log yet.
+// handleStatus returns this controller's status. It also answers before raft runs on the controller's disk (see awaitStart).
 func (c *Controller) handleStatus(call[struct{}]) (controllerclient.Status, error) {
 	marker := c.disk.currentMarker()
 	status := controllerclient.Status{
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -9,8 +9,9 @@
 // Planner decides at the leading controller which operations to propose. Outside tests, the implementation is
 // migration.Planner. A new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
 type Planner interface {
-	// OnElected is called after the election. It is called again when there are enough voters for a majority after a time with
-	// too few. From then on, every lease that may have been granted counts as renewed at the time in the parameter now.
+	// OnElected is called after this controller is elected. It is called again when there are enough voters for a majority
+	// after a time with too few. At each call, every lease that may have been granted before counts as renewed at the time in
+	// the parameter now.
 	OnElected(now tick.Tick)
 
 	// OnNodeStatus is called for each granted lease, and when the rollback of a node's version begins or ends.
@@ -30,7 +31,7 @@
 	// OnDeviceMoved is called when an instance's device has entered a zone.
 	OnDeviceMoved(now tick.Tick, instance, zone string)
 
-	// OnTick performs the work that is due. It returns the time of the next call, which is at most a lease later.
+	// OnTick performs the work that is due. It returns the time of the next call, which is at most a lease duration later.
 	OnTick(now tick.Tick) (next tick.Tick)
 }
 
--- a/internal/controller/rebuild_test.go
+++ b/internal/controller/rebuild_test.go
@@ -120,8 +120,8 @@
 func checkRebuiltAssignments(t *testing.T, assignments []placement.Assignment) {
 	t.Helper()
 	for i, want := range []struct {
-		// node is the primary. If there is no primary because its lease has expired, node is the first replica, or "" if there
-		// is none.
+		// node is the primary. If there is no primary because the former primary's lease has expired, node is the first
+		// replica, or "" if there is no replica.
 		node  string
 		epoch uint64
 	}{{"edge-a", 1004}, {"", 1001}, {"edge-a", 1002}} {
--- a/internal/controller/rollout_state_test.go
+++ b/internal/controller/rollout_state_test.go
@@ -8,9 +8,9 @@
 	"silvercove/internal/controllerclient"
 )
 
-// When a relay reports that a version's rollback begins or ends, the planner is told at once that the nodes with that version
-// are rolling back or no longer are, and not only with their next lease. After a change of leader, the nodes' requests tell the
-// new leader the state before any relay reports it.
+// When a relay reports that a version's rollback begins or ends, the planner is told the new state of the nodes with that
+// version at once, before their next lease requests. After a change of leader, the nodes' requests tell the new leader the state
+// before any relay reports it.
 func TestRolloutState_IsToldToThePlannerAtOnce(t *testing.T) {
 	c, plan := newRecordingFleet(t, 3*time.Second, 2)
 	rollingBack := map[string]bool{}
@@ -30,8 +30,8 @@
 	renew("edge-a", 7)
 	for _, test := range []struct {
 		state string
-		// immediately is true if the planner is told before the node's next lease request. want is the node's RollingBack
-		// after the report.
+		// immediately is true if the planner must be told the state before the next lease request of edge-a. want is the
+		// value of RollingBack that edge-a must have after the report.
 		immediately, want bool
 	}{{"testing", false, false}, {"recalling", true, true}, {"recalled", false, true}, {"live", true, false}, {"recalling", true, true},
 		{"", false, true}, {"live", true, false}, {"another relay: recalled", true, true}, {"live", false, true}, {"another relay: live", true, false}} {
--- a/internal/controller/single_writer_test.go
+++ b/internal/controller/single_writer_test.go
@@ -40,7 +40,8 @@
 		cancel()
 		if err == nil {
 			n.mu.Lock()
-			// If the previous lease had expired, another node may have become primary of this node's instances.
+			// If the previous lease had expired, another node may have become primary of this node's instances. The node
+			// therefore does not serve before it has the assignments of the response's version.
 			if now := controllerclient.Now(); now >= n.leaseEnd {
 				n.minVersion = response.AssignmentsVersion
 			}
@@ -127,7 +128,7 @@
 	servedEpochs := func() (bothServe bool, epochs [2]uint64) {
 		epochs = [2]uint64{nodes[0].servedEpoch("camera-7"), 0}
 		epochs[1] = nodes[1].servedEpoch("camera-7")
-		// The first node may have stopped serving between the two calls, so it is asked again.
+		// The first node may have stopped serving between the two calls of servedEpoch, so it is asked again.
 		if epochs[0] > 0 && epochs[1] > 0 {
 			bothServe = nodes[0].servedEpoch("camera-7") > 0
 		}
@@ -150,8 +151,8 @@
 	random := rand.New(rand.NewPCG(29, 2))
 	faults := []faultproxy.Fault{{Silent: true}, {Stall: true}, {Delay: lease / 2}, {BreakChance: 0.3}}
 	// minEpochs is the minimum epoch that the instance has to reach, so that the faults have changed its primary several
-	// times. Faults are injected for 12 seconds, or on a busy machine until minEpochs is reached, but for no longer than a
-	// minute.
+	// times. Faults are injected for at least 12 seconds. On a busy machine, they continue until minEpochs is reached, but for
+	// at most a minute.
 	const minEpochs = 4
 	began := time.Now()
 	for violation.Load() == nil && (time.Since(began) < 12*time.Second || highest.Load() < minEpochs && time.Since(began) < time.Minute) {
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -11,15 +11,15 @@
 	"silvercove/internal/controllerclient"
 )
 
-// startDecision is the decision whether this controller's disk may take part in the log (awaitStart). It results from one round
-// of status queries to the other controllers.
+// startDecision is the decision whether raft may run on this controller's disk (see awaitStart). It results from one round of
+// status queries to the other controllers.
 type startDecision uint8
 
 const (
 	startLater startDecision = iota // the decision is not possible yet: the controller queries the other controllers again
-	startNow                        // the disk may take part in the log
-	// storeOutdated means that the disk must not take part in the log. Either the disk lacks entries that it had acknowledged,
-	// or another disk of this controller was admitted later.
+	startNow                        // raft may run on the disk
+	// storeOutdated means that raft must not run on the disk. Either the disk lacks entries that it had acknowledged, or
+	// another disk of this controller was admitted later.
 	storeOutdated
 )
 
--- a/internal/controller/state_machine.go
+++ b/internal/controller/state_machine.go
@@ -163,8 +163,8 @@
 	return &frozenState{header, m.table.Freeze()}
 }
 
-// Snapshot freezes the state for raft. It fails with raft.ErrRaftShutdown if the state machine has failed and any entry was
-// applied before.
+// Snapshot freezes the state for raft. It fails with raft.ErrRaftShutdown if the state contains applied entries and the state
+// machine has failed.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	state := m.freeze()
 	if state.header.Applied > 0 && m.hasFailed() {
--- a/internal/controller/store_dir_test.go
+++ b/internal/controller/store_dir_test.go
@@ -32,7 +32,8 @@
 	return last, errors.Join(err, log.Close())
 }
 
-// storedFiles returns the paths of a directory's files, relative to the directory, except the marker.
+// storedFiles returns the paths of all files in the data directory dir except the marker (markerFile). The paths are relative
+// to dir.
 func storedFiles(t *testing.T, dir string) (files []string) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -25,7 +25,7 @@
 		return 0, errNoControllerConfigured
 	}
 	pause, maxPause := c.timings.RetryDelayMin, c.timings.RetryDelayMax
-	if method == http.MethodGet { // a call that only reads may pause for longer than a lease request
+	if method == http.MethodGet { // calls that only read are retried with longer pauses than lease requests
 		maxPause *= 4
 	}
 	var lastErr error
--- a/internal/controllerclient/messages.go
+++ b/internal/controllerclient/messages.go
@@ -229,7 +229,7 @@
 
 // The values of Status.Role.
 const (
-	RoleWaiting   = "waits" // the controller does not take part in the agreed log yet
+	RoleWaiting   = "waits" // the controller has not started raft on its disk yet
 	RoleFollower  = "follower"
 	RoleCandidate = "candidate"
 	RoleLeader    = "leader"
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -71,8 +71,9 @@
 		fetch = true
 	default:
 		if r.state == suspended && r.agent != "" && address != r.agent {
-			// A relay is responsible for acting on the new agent's updates, even if the relay has not received them.
-			// The watch therefore begins at once, without waiting for SetWatching.
+			// The agent's address has changed. 4 s later, the relay is responsible for acting on the list of the agent
+			// at the new address. The balancer's next call of SetWatching may come too late for that, so the watch
+			// begins at once.
 			r.state = watching
 		}
 		if r.state != watching {
--- a/internal/discovery/silent_agent_test.go
+++ b/internal/discovery/silent_agent_test.go
@@ -359,8 +359,8 @@
 }
 
 // TestListVersion_GoesBack checks that the watch continues after the agent or discovery has restarted with older data.
-// Changes that lead to an older version than the relay's may omit other changes. They are applied, but the next call
-// asks for the complete list. The watch continues from the version of that list.
+// A response with changes that lead to an older version than the relay's may lack some of these changes. The response
+// is applied, but the next call asks for the complete list. The watch continues from the version of that list.
 func TestListVersion_GoesBack(t *testing.T) {
 	for _, mode := range []Mode{Pushed, Subscribe} {
 		t.Run(fmt.Sprint("changes, pushed ", mode == Pushed), func(t *testing.T) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,12 +16,14 @@
 
 // A watch is broken if its agent stops responding. 6 s after the agent stopped, the relay is responsible for acting on
 // the updates that the watch missed, even if the relay has not received them. The limits below ensure that a new watch
-// is requested within 4 s, which leaves 2 s for its response.
+// is requested at most 4 s after the agent stopped, which leaves 2 s for the response.
 //
 // An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
-// Subscribe, the balancer requests the next watch within one more second. A call that begins a watch is found broken
-// after at most maxOpenCallDuration. The balancer pauses for at most 4 s between two requests, so it has by then
-// requested the next watch or is about to.
+// Subscribe, the balancer requests the next watch (SetWatching) at most 1 s later.
+//
+// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer pauses for at
+// most 4 s between two requests for a watch. When the call is found broken, the balancer has therefore made its next
+// request or is about to make it.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
--- a/internal/leases/lessor.go
+++ b/internal/leases/lessor.go
@@ -32,8 +32,8 @@
 	ErrOtherIncarnation = errors.New("this name is held by another run whose lease is not over")
 	ErrStaleIncarnation = errors.New("an old copy: a later run of this name has had a lease")
 	ErrExpired          = errors.New("the lease was over before it was granted")
-	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. If the first request of an incarnation
-	// was abandoned, its next request may get this error, too. The node should repeat the request.
+	// ErrIncarnationPending is temporary: an incarnation of this name is being agreed. This can be the incarnation that sent
+	// the request, if it had abandoned an earlier request. The node should repeat the request.
 	ErrIncarnationPending = errors.New("a start of this name is being agreed")
 )
 
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -41,7 +41,7 @@
 	memoryBytes      int64
 	sockets          int // number of descriptors that the process may have open
 	stage            dispatch.RolloutStage
-	listVersion      int64               // discovery's version of the list in endpoints
+	listVersion      int64               // version that discovery gave the list in the field endpoints
 	endpoints        []dispatch.Endpoint // endpoint list that the relay uses until discovery has answered
 	site             settings.Site
 	evidenceSettings *evidenceSettings // nil without a verdicts block in the operator's file; no evidence is then kept
--- a/internal/relay/evidence_saver_test.go
+++ b/internal/relay/evidence_saver_test.go
@@ -12,8 +12,8 @@
 	"silvercove/balancer"
 )
 
-// TestEvidence_SurvivesRestart checks that evidence is saved and, after a restart, loaded and prepared for the balancer.
-// If the file is damaged, LoadError must report it, and the file must yield no outcomes.
+// TestEvidence_SurvivesRestart checks that evidence is saved and that, after a restart, evidenceSaver.pending holds the
+// canary's counts. If the evidence file is damaged, LoadError must report it, and the file must yield no outcomes.
 func TestEvidence_SurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	file, path := filepath.Join(dir, "cove.conf"), filepath.Join(dir, "ledger")
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -57,8 +57,8 @@
 	sendSignal(c.tb, os.Getpid(), s)
 }
 
-// waitNotAccepting waits until the relay accepts no new connections. The relay begins to close idle sessions
-// closeStepDelay earlier.
+// waitNotAccepting waits until the relay accepts no new connections. This is closeStepDelay after the relay begins to
+// close idle sessions.
 func (c *runningRelay) waitNotAccepting() {
 	c.tb.Helper()
 	waitNotAccepting(c.tb, c.listen)
--- a/internal/relay/process_test.go
+++ b/internal/relay/process_test.go
@@ -182,8 +182,8 @@
 }
 
 // TestLimits_AtMaxConnections opens twice as many connections as a relay may have descriptors. The relay must be ready
-// within 15 s, and stay within its limits of descriptors and memory. Once the connections are closed and it is idle, it
-// must use little processor time.
+// within 15 s, and stay within its limits of descriptors and memory. Once the connections are closed and the relay is
+// idle, the relay must use little processor time.
 func TestLimits_AtMaxConnections(t *testing.T) {
 	u := newBackend(t)
 	d := newControlPlane(t, u.Address())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -87,7 +87,7 @@
 			_ = listener.Close()
 		}
 		group.Go(func() error {
-			defer cancel() // sessions need the components, so the context of the components ends only after Serve
+			defer cancel() // sessions need the components, whose context must not end before Serve returns
 			return r.server.Serve(listener)
 		})
 		r.log.Info().Str("name", config.name).Str("listen", config.listen).Int("backends", len(config.endpoints)).
--- a/internal/releaseapi/stream.go
+++ b/internal/releaseapi/stream.go
@@ -25,9 +25,8 @@
 	retryDivisor = 8
 )
 
-// followChanges keeps the stream of changes open until the context ends. If a stream ends, it opens the next one at
-// once, or after a pause. With the pause, two attempts to open the stream begin at least the shortest interval apart
-// (see retryDivisor). There is no pause if the platform's address has changed.
+// followChanges keeps the stream of changes open until the context ends. When a stream ends, it opens the next one
+// after the pause of followOnce.
 func (c *Client) followChanges(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.followOnce(ctx)
@@ -35,7 +34,8 @@
 }
 
 // followOnce opens the stream and reads it until it ends. If that took less than the shortest interval between two
-// attempts, followOnce waits for the rest of the interval, unless the platform's address has changed.
+// attempts (see retryDivisor), followOnce waits for the rest of the interval. It does not wait if the platform's address
+// has changed.
 func (c *Client) followOnce(ctx context.Context) {
 	began := time.Now()
 	address, addressCtx, release := c.address.Current(ctx)
@@ -96,8 +96,10 @@
 }
 
 // applyLines applies the whole lines of a text. It returns the incomplete line that follows them, or nil if there is
-// none. It calls extend after each whole line only, as bytes without a line end do not show that the platform is alive.
-// ok is false if a line is invalid.
+// none. ok is false if a line is invalid.
+//
+// After each whole line, applyLines calls the parameter extend, which restarts the idle timeout. Bytes without a line
+// end do not show that the platform is alive, so they do not restart it.
 func (c *Client) applyLines(text []byte, extend func()) (rest []byte, ok bool) {
 	for {
 		line, after, found := bytes.Cut(text, []byte("\n"))
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -29,8 +29,8 @@
 	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
-	// If the overload window is missing, the load is counted over the whole slow-start window. This is the widest
-	// possible overload window. With it, the rule on overload (see OverloadMultiple) holds for any overload window.
+	// If the overload window is missing, the load (see OverloadMultiple) is counted over the whole slow-start window. A
+	// backend warms up for no longer than that.
 	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
--- a/internal/settings/odd_values_test.go
+++ b/internal/settings/odd_values_test.go
@@ -43,7 +43,7 @@
 )
 
 // valueCase sets one setting of sampleDocument to a JSON value. The value "" removes the setting instead. The function
-// field selects a part of the resulting Site, which must equal want.
+// in the field named field selects the part of the resulting Site that must equal want.
 type valueCase struct {
 	path, value string
 	field       func(Site) any
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,10 +37,10 @@
 	Err error
 }
 
-// Error returns the path and the reason.
+// Error returns the path of the setting and the reason.
 func (e *Error) Error() string { return e.Setting + ": " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason, Err.
 func (e *Error) Unwrap() error { return e.Err }
 
 // Read parses a settings document. The returned Site shares no memory with text.
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,8 +13,8 @@
 	"silvercove/balancer"
 )
 
-// Upper bounds of values. They keep the balancer's integers from overflowing. This holds for durations in ticks, and
-// for random numbers that are drawn up to such a duration.
+// Upper bounds of values. They keep the balancer's integers from overflowing. maxDurationSeconds does so for durations
+// in ticks, and for random numbers that are drawn up to such a duration.
 const (
 	maxDurationSeconds = 360_000.0
 	maxRelays          = 1e6
@@ -160,8 +160,8 @@
 type unknownWordRule uint8
 
 const (
-	unknownIsZero  unknownWordRule = iota // the string is read as the zero value
-	unknownIsError                        // the string is an error
+	unknownIsZero  unknownWordRule = iota // a string that is not in the set is read as the zero value
+	unknownIsError                        // a string that is not in the set is an error
 )
 
 // wordOf returns a parser for one string out of a set. rule applies to a string that is not in the set. The parser's
@@ -243,7 +243,8 @@
 	namesUniqueNonEmpty
 )
 
-// objects parses a list of objects that each have a name, which nameOf returns. It checks the names against the rule.
+// objects parses a list of objects that each have a name, which the parameter nameOf returns. The parameter rule says
+// whether a name may be empty or occur twice.
 func objects[T any](value any, schema object[T], nameOf func(*T) string, rule nameRule) ([]T, error) {
 	list, ok := value.([]any)
 	if !ok {
