--- a/internal/controllerclient/call.go
+++ b/internal/controllerclient/call.go
@@ -83,9 +83,10 @@
 // endCall removes a call that has ended. If final is set, the call's controller gave a final answer, and endCall cancels the
 // polls at all other controllers.
 //
-// This guards against a former leader that hangs with its connections open. A poll at such a controller would last for its
-// whole timeout. Meanwhile, the next leader already grants leases, and the client would miss all changes that are agreed. If a
-// former leader gives a late answer, endCall may also cancel a poll at the current leader; the client then polls again.
+// The cancellation guards against a former leader that hangs with its connections open. A poll at such a controller would last
+// for the poll's whole timeout. Meanwhile, the next leader already grants leases, and the client would miss all changes that
+// are agreed. If a former leader gives a late answer, endCall may also cancel a poll at the current leader; the client then
+// polls again.
 func (c *Client) endCall(ended *activeCall, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -46,8 +46,8 @@
 	Version       int64              // version of the list that the dispatcher already has; the first poll asks for later versions
 	PollWait      time.Duration      // how long the agent may wait for a newer version; 100 ms to 2 s
 	AnswerTimeout time.Duration      // how long a call may take beyond PollWait; 250 ms to 1 s
-	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
-	// discovery. Its range is from AnswerTimeout to 4 s minus PollWait.
+	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, because the call may wait in a queue
+	// at discovery. The range of OpenTimeout is from AnswerTimeout to 4 s minus PollWait.
 	OpenTimeout time.Duration
 	Buffers     *transport.BufferBudget
 	// Log, if not nil, writes a log line for the operators: a constant message with fields.
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -113,8 +113,8 @@
 	return replace, listen, func() { stopAndCheck(tb, ended, before, open) }
 }
 
-// startRelay runs a relay with these servers as discovery and platform, and with the endpoint list of discovery in its
-// configuration. It returns once the relay accepts connections.
+// startRelay runs a relay. The parameters discovery and platform are its discovery agent and release platform. Its
+// configuration has the endpoint list of discovery. startRelay returns once the relay accepts connections.
 func startRelay(tb testing.TB, discovery, platform *controlPlane) (replace func(text string), listen string, ended chan error) {
 	tb.Helper()
 	return startRelayWithEndpoints(tb, discovery, platform, discovery.page())
--- a/internal/settings/decisions_test.go
+++ b/internal/settings/decisions_test.go
@@ -84,7 +84,8 @@
 }
 
 // document encodes the site as a settings document with the names n. It also adds the members of the parameter more at
-// the top level, but a member of the site takes precedence over one of the same name.
+// the top level, but a member of the site takes precedence over a member of more with
+// the same name.
 func (s generatedSite) document(t *rapid.T, n siteNames, more map[string]any) []byte {
 	doc := map[string]any{}
 	for name, value := range more {
