--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,12 +16,14 @@
 
 // A watch is broken if its agent stops responding. 6 s after the agent stopped, the relay is responsible for acting on
 // the updates that the watch missed, even if the relay has not received them. The limits below ensure that a new watch
-// is requested within 4 s, which leaves 2 s for its response.
+// is requested at most 4 s after the agent stopped, which leaves 2 s for the response.
 //
 // An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
-// Subscribe, the balancer requests the next watch within one more second. A call that begins a watch is found broken
-// after at most maxOpenCallDuration. The balancer pauses for at most 4 s between two requests, so it has by then
-// requested the next watch or is about to.
+// Subscribe, the balancer requests the next watch (SetWatching) at most 1 s later.
+//
+// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer pauses for at
+// most 4 s between two requests for a watch. When the call is found broken, the balancer has therefore made its next
+// request or is about to make it.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
@@ -44,8 +46,8 @@
 	Version       int64              // version of the list that the dispatcher already has; the first poll asks for later versions
 	PollWait      time.Duration      // how long the agent may wait for a newer version; 100 ms to 2 s
 	AnswerTimeout time.Duration      // how long a call may take beyond PollWait; 250 ms to 1 s
-	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, as such calls wait in a queue at
-	// discovery. Its range is from AnswerTimeout to 4 s minus PollWait.
+	// OpenTimeout replaces AnswerTimeout for a call that begins a requested watch, because the call may wait in a queue
+	// at discovery. The range of OpenTimeout is from AnswerTimeout to 4 s minus PollWait.
 	OpenTimeout time.Duration
 	Buffers     *transport.BufferBudget
 	// Log, if not nil, writes a log line for the operators: a constant message with fields.
