--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -76,7 +76,7 @@
 		name    string
 		timeout Tick
 		// maxRejected is the maximum number of rejections among 600 requests. Rejections end once minLatencySample (16)
-		// new answers show that requests with this timeout can be answered in time. Until then, a request that is
+		// new answers show that requests with the given timeout can be answered in time. Until then, a request that is
 		// expected to be late is attempted at most once in each lateAttemptInterval.
 		maxRejected int
 	}{{"long deadline", 2 * Second, 0}, {"below the longest estimate", 35 * Second / 100, 30}, {"hardly any time", 15 * Second / 100, 60}} {
--- a/balancer/endpoint_polling_test.go
+++ b/balancer/endpoint_polling_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// TestEndpointPolling_PollsInTime: whatever the settings say, a relay that did not get the list asks again within 4 s
-// plus a timer interval, from the first call on. The site holds a relay responsible for a change of the list from 6 s
-// after the discovery service has the change. A pause of 4 s leaves 2 s for the call. Relays that were rejected
-// together do not ask again together.
+// TestEndpointPolling_PollsInTime: whatever the settings say, a relay whose call for the list has failed calls again
+// within 4 s plus timerInterval. This holds from the first call on. The site holds a relay responsible for a change of
+// the list from 6 s after the discovery service has the change. A pause of 4 s leaves 2 s for the call. Relays that
+// were rejected together do not ask again together.
 func TestEndpointPolling_PollsInTime(t *testing.T) {
 	const maxPause = 4*Second + timerInterval
 	for _, pollInterval := range []Seconds{-1e300, -5, 0, 0.1, 1, 3, 10, 20, 600, 1e6, 1e300} {
--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -209,9 +209,10 @@
 	}
 }
 
-// missingEvidence returns the first stream for which ruledOutEffect is not ruled out yet. It checks each class that has
-// had answers. It also checks wrong answers if FoundShare and ReportWithin are above 0. For that check, an answer
-// without a report counts only once countUnreportedAnswers has included it.
+// missingEvidence returns the first stream whose effect test has not ruled out its effect yet (see ruledOutEffect). It
+// checks each class that has had answers. It also checks wrong answers if FoundShare and ReportWithin are above 0. The
+// effect test of wrong answers includes an answer without a report only after countUnreportedAnswers has counted the
+// answer as correct.
 func (b *Balancer) missingEvidence() (s stream, missing bool) {
 	e := b.evaluation
 	for class := range e.effects {
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -18,9 +18,9 @@
 	// exposureTolerance is subtracted from the computed limit on canary attempts. It keeps a rounding error from
 	// allowing one more attempt when the exact limit is close to an integer.
 	exposureTolerance = 1e-5
-	// canarySlowdownMargin is the difference between the slow shares of the canary and the baseline from which
-	// updateCanaryFraction reduces the slack to 1. The canary then gets no more than its backends' share of the warm
-	// capacity.
+	// canarySlowdownMargin is a margin on slow shares. If the canary's slow share exceeds the baseline's by at least
+	// this margin, updateCanaryFraction reduces its factor slack to 1. The canary then gets no more than its backends'
+	// share of the warm capacity.
 	canarySlowdownMargin = 0.1
 	// minStageShare is the lower limit of the first stage's share of backends in updateCanaryFraction, which divides by
 	// that share. It also replaces a missing share.
@@ -84,8 +84,8 @@
 	return float64(len(e.attempts)+1) <= allowance+share*float64(len(e.arrivals))-exposureTolerance
 }
 
-// trimExposure drops arrivals and attempts outside the window. Within about a tick of the boundary, it keeps attempts
-// longer and drops arrivals sooner, which allows less exposure.
+// trimExposure drops arrivals and attempts outside the window. At the edge of the window, it keeps attempts one tick
+// longer and drops arrivals two ticks sooner. Both lower the number of attempts that exposureAllows permits.
 func (b *Balancer) trimExposure(e *exposureCounter, window Tick) {
 	e.attempts = dropBefore(e.attempts, b.now-window-1)
 	e.arrivals = dropBefore(e.arrivals, b.now-window+2)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// The latencies of a class are estimated from its last answers, whatever their version. An attempt that takes several
-// times the median from before the rollout is slow, and counts against its version like a time-out. The share of slow
-// attempts at a canary is compared with that of the version before it, with an allowance for the load and the warm-up
-// of the canary's backends.
+// The latencies of a class are estimated from its last answers, whatever their version. An attempt is slow if it takes
+// slowMultiple times the median latency that its class had before the rollout, or the latency objective if that is
+// shorter. A slow attempt counts against its version like a time-out. The share of slow attempts at a canary is
+// compared with that of the version before it, with an allowance for the load and the warm-up of the canary's backends.
 //
 // Inputs: the latencies of a class's last answers and its latency objective, in ticks; the rate of successes before the
 // rollout and now.
@@ -20,7 +20,8 @@
 // version, because they have another cause.
 
 const (
-	// slowMultiple is the multiple of the median from before the rollout at which an attempt is slow.
+	// An attempt is slow if it takes longer than slowMultiple times the median latency that its class had before the
+	// rollout.
 	slowMultiple = 3
 	// canaryLoadMargin is the share of attempts that may be slow because the backends of a canary carry more load.
 	canaryLoadMargin = 0.22
@@ -110,7 +111,8 @@
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, outcome := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	// A busy relay makes sampleSize attempts in a small part of a second, so it keeps more outcomes than that.
+	// A busy relay makes sampleSize attempts in a small part of a second. It therefore keeps one more outcome for each
+	// success within rateWindow.
 	size := sampleSize + len(b.successTimes)
 	switch {
 	case a.version < e.version:
@@ -124,7 +126,8 @@
 	}
 }
 
-// inBurst reports whether far more attempts succeed than before the rollout, in proportion to the warm capacity.
+// inBurst reports whether far more attempts succeed now than before the rollout, each number relative to the warm
+// capacity of its time.
 func (b *Balancer) inBurst() bool {
 	e := b.evaluation
 	maxSuccesses := max(1, b.warmCapacity) * (burstMultiple*e.initialSuccesses + burstDeviations*math.Sqrt(e.initialSuccesses)) / e.initialWarmCapacity
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -20,7 +20,8 @@
 // outcomes at all backends, so a failure that affects all backends ejects none.
 
 const (
-	// ejectionFailureShare is the failure share that the test assumes of a backend that should be ejected.
+	// ejectionFailureShare is the failure share of a backend that should be ejected, as assumed by the sequential test
+	// on the outcomes at a backend.
 	ejectionFailureShare = 0.75
 	// ejectionWealth is the wealth of the test at which a backend is ejected. With a null share of minNullShare, two
 	// failures in a row reach a wealth of 14, and three reach 53. The threshold lies between these values.
@@ -70,7 +71,7 @@
 	ejected              bool
 	probationInterval    Tick // time between attempts while the backend is ejected
 	nextProbationAttempt Tick
-	avoidedUntil         Tick // the relay avoids the backend until this time, as the fleet declined a probe
+	avoidedUntil         Tick // the fleet declined a probe, so the relay avoids the backend until this time
 }
 
 // ejection holds what the relay knows of all its backends together.
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -71,8 +71,8 @@
 	Phase RolloutPhase
 	// VoteReply reports whether the message is the reply to this relay's vote. Outcome then says how the vote ended.
 	VoteReply bool
-	// Outcome is Succeeded if the other fields are valid. For any other value, such as that of a vote that does not
-	// count, only VoteReply and Outcome are read.
+	// Outcome is Succeeded if the other fields are valid. If Outcome has any other value, as in the reply to a vote
+	// that does not count, only VoteReply and Outcome are read.
 	Outcome Outcome
 	// ExposureCap is the share of the requests whose attempts may go to the version.
 	ExposureCap float64
@@ -95,7 +95,7 @@
 	minStageFromReplies int // earliest stage that the version can be in, according to the replies to votes
 
 	// The state when the version appeared:
-	baselineBackends     float64 // number of backends that run earlier versions, or of all backends (see OnListSynced)
+	baselineBackends     float64 // number of backends that ran earlier versions; the number of all backends if the version appeared before the first list was complete (see OnListSynced)
 	initialWarmCapacity  float64
 	initialSuccesses     float64 // successes within rateWindow
 	initialSlowShare     float64 // slow share of the baseline
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -69,7 +69,7 @@
 // smoothedShare returns a share of bad outcomes that is never 0 or 1. Without any outcomes the share is one half.
 func smoothedShare(bad, n float64) float64 { return (bad + 0.5) / (n + 1) }
 
-// failureShare returns the share of bad outcomes among those of all classes, or of one class.
+// failureShare returns the share of bad outcomes among the outcomes of all classes, or of one class.
 func (s *samples) failureShare(of stream) float64 {
 	if of.kind == allRequests {
 		return smoothedShare(s.totalFailures())
--- a/balancer/sequential/sequential_test.go
+++ b/balancer/sequential/sequential_test.go
@@ -15,9 +15,9 @@
 }
 
 func TestDetector_Wealth(t *testing.T) {
-	// With a bound of 0.1, a new test expects a mean of 4 x 0.1. A first failure bets (0.4-0.1)/(0.1*0.9), so wealth
-	// becomes 0.4/0.1; a first good outcome leaves 0.6/0.9. The next expected mean is (failures+0.4)/(n+1) after n
-	// outcomes.
+	// With a bound of 0.1, a new test expects a mean of 4 x 0.1. Its first bet is (0.4-0.1)/(0.1*0.9). A first failure
+	// therefore raises the wealth to 0.4/0.1, and a first good outcome lowers it to 0.6/0.9. After n outcomes, the test
+	// expects a mean of (failures+0.4)/(n+1).
 	for _, c := range []struct {
 		name     string
 		outcomes []float64
@@ -82,7 +82,8 @@
 
 // TestEffectTest_RulesOut checks within how many outcomes the effect is ruled out. At a baseline failure share of 0.01,
 // 14 good outcomes rule it out. If the share of bad outcomes is at least the baseline plus the effect, 2000 outcomes do
-// not rule it out. That sum is limited to maxMeanWithEffect.
+// not rule it out. In the case "baseline near one", the baseline plus the effect would exceed 1, so Observe limits the
+// sum to maxMeanWithEffect.
 func TestEffectTest_RulesOut(t *testing.T) {
 	const effect = 0.2
 	for _, c := range []struct {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -35,9 +35,9 @@
 
 // The discovery modes.
 const (
-	// DiscoveryAutomatic sends changes to every relay without a request.
+	// DiscoveryAutomatic means that the discovery service sends changes to every relay without a request.
 	DiscoveryAutomatic DiscoveryMode = iota
-	// DiscoverySubscribe sends changes only to relays that have requested them.
+	// DiscoverySubscribe means that the discovery service sends changes only to relays that have requested them.
 	DiscoverySubscribe
 )
 
@@ -151,8 +151,8 @@
 	ExposureWindow Seconds
 	// ExposurePerClass reports whether exposure is counted per class. If missing: one count for all classes.
 	ExposurePerClass bool
-	// ForwardOnly forbids asking an earlier version for a key once a later version has answered for that key. If
-	// missing: false.
+	// ForwardOnly forbids sending a request to an earlier version once a later version has answered a request with the
+	// same Request.Key. If missing: false.
 	ForwardOnly bool
 	// FoundShare is the share of the wrong answers that clients detect and report. Range: 0 to 1. If missing: 0.
 	FoundShare float64
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -259,7 +259,8 @@
 	}
 }
 
-// minServed returns the least number of requests of a class that must be served within the window.
+// minServed returns the minimum number of requests of a class that the relay must serve within the window that is
+// checked.
 func (g *simulation) minServed(r *simulatedRelay, class int) int {
 	least := 3
 	if g.clientTimeout[class]-2*timerInterval <= r.settings.Classes[class].LatencyObjective.Ticks()/4 {
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -16,14 +16,15 @@
 // happen to send in the same window.
 
 const (
-	// slowStartShare is the share of the site's allowance that is used.
+	// slowStartShare is a share of the attempts that the site allows at a backend that warms up (see
+	// SlowStart.OverloadMultiple). The slow-start budget of all relays together is computed from this share.
 	slowStartShare = 0.85
 	// slowStartDeviations is how many standard deviations of the number of attempts are left free within
 	// slowStartShare, for relays that happen to send in the same window.
 	slowStartDeviations = 3
 	// minSlowStartAttempts is the minimum budget of all relays together, in attempts per window, before slowStartBudget
-	// subtracts the deviations. So few attempts overload no backend, whatever its capacity, because the site tolerates
-	// two attempts above its limit.
+	// subtracts the deviations. One attempt per window stays within the site's tolerance whatever the capacity of the
+	// backend: the site tolerates two attempts above its limit.
 	minSlowStartAttempts = 1
 )
 
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -71,11 +71,11 @@
 
 const (
 	voteNone       voteState = iota // no vote is due
-	voteScheduled                   // the vote is cast when due
-	voteSkipped                     // the draw decided against casting the vote; drawn again when due
-	voteCast                        // the vote was cast and awaits its reply; drawn again when due if there is none
-	voteCounted                     // the release API accepted the vote; drawn again when due, as the vote has then expired
-	voteNotCounted                  // the reply's Outcome was not Succeeded, so the vote possibly does not count; drawn again when due
+	voteScheduled                   // the vote is cast at vote.due
+	voteSkipped                     // the draw decided against casting the vote; at vote.due the relay draws again
+	voteCast                        // the vote was cast and awaits its reply; if none has arrived at vote.due, the relay draws again
+	voteCounted                     // the release API accepted the vote; at vote.due the vote has expired, and the relay draws again
+	voteNotCounted                  // the reply's Outcome was not Succeeded, so the vote possibly does not count; at vote.due the relay draws again
 )
 
 // vote is this relay's vote.
@@ -84,7 +84,7 @@
 	stage   int
 	verdict Verdict
 	state   voteState
-	due     Tick // when the state ends, as described at each voteState
+	due     Tick // time of the next step, which the comment on each voteState describes
 }
 
 // verdict returns the verdict that the evidence supports at the moment.
@@ -118,8 +118,8 @@
 	return b.now-b.stageStart >= timedVoteAfter && float64(b.evaluation.detectors.all.Outcomes()) >= minimum
 }
 
-// slowdownObserved reports whether the baseline is much slower than before the rollout, or the canary's slow share
-// exceeds its bound so far.
+// slowdownObserved reports whether the baseline is much slower than before the rollout, or the canary's slow share so
+// far exceeds slownessBound.
 func (b *Balancer) slowdownObserved() bool {
 	e := b.evaluation
 	return b.baseline.slowShare() > e.initialSlowShare+baselineSlowdownMargin || mean(e.samples.slow) > b.slownessBound()
@@ -139,8 +139,8 @@
 
 // advanceStage returns the stage that the newest version has reached. This is the stage that the release API announced,
 // or a later stage in two cases: more backends run the version than the announced stage allows, or replies to votes
-// showed that stages have passed. If the returned stage is later than countedStage, advanceStage sets its start to now
-// and counts its outcomes from zero.
+// showed that stages have passed. If the returned stage is later than countedStage, advanceStage sets stageStart to now
+// and outcomesInStage to 0.
 //
 // If restarted backends of the version appear in the list under new names, the returned stage can be too high, and the
 // relay then votes too early.
