--- a/internal/devicehealth/assessment.go
+++ b/internal/devicehealth/assessment.go
@@ -63,7 +63,8 @@
 // trusts reports whether a reading has a value that findUntrustedReadings has not marked as untrusted.
 func (a *assessment) trusts(s *series) bool { return s.hasValue() && !a.untrusted[s] }
 
-// assess computes what the readings allow, with the required margins multiplied by strictness.
+// assess computes what the readings allow. It multiplies the ratios of levelFor, holdingCharge and holdingMargin by
+// strictness.
 func (m *Monitor) assess(strictness float64) *assessment {
 	a := &assessment{
 		timeToEmpty:        Never,
@@ -128,9 +129,10 @@
 	}
 }
 
-// levelFor returns the level that is allowed by the time left until the battery is empty or the machine too hot.
-// The parameters present and offered are the time left at the present and at the offered load. The parameter migration
-// is the time for migrating all instances. The required ratios are multiplied by strictness.
+// levelFor returns the level that is allowed by the time left until the battery is empty or the machine too hot. The
+// parameters present and offered are the time left at the present and at the offered load. The parameter migration is
+// the time for migrating all instances. Each level requires a minimum ratio of the time left to migration (see
+// shuttingDownRatio). The minimum ratios are multiplied by strictness.
 func levelFor(present, offered, migration tick.Tick, strictness float64) level {
 	suffices := func(left tick.Tick, ratio float64) bool { return float64(left) >= ratio*strictness*float64(migration) }
 	switch {
--- a/internal/devicehealth/battery.go
+++ b/internal/devicehealth/battery.go
@@ -5,7 +5,7 @@
 const (
 	holdingCharge    = 0.05 // fraction of the full charge, counted from the empty level; with less, a node could not migrate its instances if mains or sun failed
 	idleDrawFraction = 0.5  // draw of an idle node, as a fraction of the draw at full load
-	mainsOnThreshold = 0.5  // a mains reading of this value or more counts as on
+	mainsOnThreshold = 0.5  // a mains reading of this value or more means that the node is on mains
 )
 
 // batteryTotals holds the sums over all batteries of a node.
--- a/internal/devicehealth/failure_detector.go
+++ b/internal/devicehealth/failure_detector.go
@@ -14,9 +14,10 @@
 )
 
 // failureDetector detects that a node's requests fail more often than a baseline, by the sequential test that a relay
-// applies to a canary. From an alarm until its recovery, the node is failing. A failing node is not tried again before
-// the end of the wait. It has recovered after recoveryOutcomes outcomes without an alarm, if the wait is over. Each alarm
-// before the recovery doubles the wait, up to maxDwell.
+// applies to a canary. From an alarm until its recovery, the node is failing. A failing node is not tried again until
+// the field wait, a duration, has passed since the last alarm. The node has recovered once this duration is over,
+// recoveryOutcomes outcomes have raised no alarm, and test is not suspicious. Each alarm before the recovery doubles
+// wait, up to maxDwell.
 type failureDetector struct {
 	test     sequential.Detector
 	failedAt tick.Tick // time of the last alarm; 0 if there was none or the node has recovered
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -33,8 +33,8 @@
 
 func newHysteresis() hysteresis { return hysteresis{dwell: minDwell} }
 
-// update sets the level. target is the level that the readings allow. strictTarget is the level that they allow with
-// margins multiplied by riseMargin. unknown reports whether any reading is unknown.
+// update sets the level. target is the level that the readings allow. strictTarget is the level that the readings allow
+// if the required margins are multiplied by riseMargin. unknown reports whether any reading is unknown.
 func (h *hysteresis) update(now tick.Tick, target, strictTarget level, unknown bool) {
 	switch {
 	case !h.settled: // the level follows target without a dwell time until all readings were known once
@@ -48,9 +48,9 @@
 	}
 }
 
-// fall lowers the level at once and adapts the dwell time. The dwell time doubles, up to maxDwell, if the level last rose
-// less than maxDwell ago. Otherwise the dwell time halves, down to minDwell, if the level has not changed for at least
-// maxDwell.
+// fall lowers the level at once and adapts the dwell time. The dwell time doubles, up to maxDwell, if the level last
+// rose less than maxDwell ago and has not fallen since. Otherwise the dwell time halves, down to minDwell, if the level
+// has not changed for at least maxDwell.
 func (h *hysteresis) fall(now tick.Tick, target level) {
 	switch {
 	case h.roseAt > 0 && now-h.roseAt < maxDwell:
--- a/internal/devicehealth/last_resort_test.go
+++ b/internal/devicehealth/last_resort_test.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/devicehealth"
 )
 
-// Instances are ranked by priority weight. As many are served as all nodes together have capacity for, and no node serves more
-// than its own capacity.
+// Instances are ranked by priority weight. The first instances in the ranking are served, as many as the nodes'
+// capacities add up to. No node serves more than its own capacity.
 func TestLastResort_RanksByPriorityWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := map[string]devicehealth.Report{}
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -12,15 +12,15 @@
 // stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
 	staleAfter          = 10 * tick.Second // maximum age of a value that is used; with one reading a second, a single failed reading or jump has no effect
-	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; about the time that the samples of a temperature slope span
+	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; the samples of a temperature slope span about the same time
 	jumpMinMoves        = 2                // minimum number of changes of the value in jumpConfirmTime; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
 	stuckIntervalFactor = 10.0             // a reading counts as stuck once it has not changed for this many of its mean intervals between changes, and for minStuckTime
 	stuckMinMoves       = 8                // minimum number of changes for using the mean interval; with fewer, a temperature or a draw never counts as stuck
 	stuckDrainShare     = 0.03             // fraction of the full charge: a charge reading counts as stuck if more than this is drawn while the reading stays the same; equals 3 steps of the coarsest gauge
 	confidenceStdErrors = 1.6              // number of standard errors from a slope to its one-sided 95% confidence bound
-	maxSamples          = 32               // largest number of samples of a regression
-	minSamples          = 12               // smallest number of samples of a regression
+	maxSamples          = 32               // maximum number of samples from which a slope is computed
+	minSamples          = 12               // minimum number of samples from which a slope is computed
 	quartileSamples     = 16               // number of newest samples from which an upper quartile is computed
 )
 
@@ -37,7 +37,7 @@
 	jump             jump
 	movement         movement
 	workedSinceMove  bool    // true if the node was busy at any time since the value last changed
-	stuck            bool    // unknownReason found the reading stuck, and the value has not changed since
+	stuck            bool    // true if unknownReason found the reading stuck and the value has not changed since then
 	drainedSinceMove float64 // joules drawn from the battery since the value last changed
 }
 
--- a/internal/devicehealth/temperature.go
+++ b/internal/devicehealth/temperature.go
@@ -15,7 +15,7 @@
 // assessTemperature adds the constraints of all temperature sensors. The report shows the temperature and the limit of
 // the sensor that is closest to its limit.
 func (m *Monitor) assessTemperature(a *assessment) {
-	extraRate := 0.0 // degrees C per second: initial additional rise of the temperature at the offered load, compared with the present load
+	extraRate := 0.0 // degrees C per second: how much faster the temperature rises at first at the offered load than at the present load
 	if draw := a.readings.Draw; draw != nil && *draw > 0 {
 		extraRate = *draw * (m.drawFactor(m.offeredLoad) - 1) / heatCapacity
 	}
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -170,7 +170,8 @@
 	n.zone, n.claimGranted = nil, false
 }
 
-// Verified returns the verified form of a node's last report at the time now, and whether the node has reported at all.
+// Verified returns a node's last report, verified at the time now (see Verify), and whether the node has reported at
+// all.
 func (v *Verifier) Verified(now tick.Tick, name string) (Report, bool) {
 	n := v.nodes[name]
 	if n == nil {
@@ -182,7 +183,7 @@
 	}
 	switch {
 	case r.ShutdownRequested:
-		return r, true // a shutdown request needs no support, as it is a fact and not a forecast
+		return r, true // neither readings nor outcomes need to support a shutdown request: it is a fact and not a forecast
 	case !r.MustEvacuate():
 		return n.verifyHealthy(now), true
 	case n.isClaimSupported():
@@ -211,8 +212,8 @@
 }
 
 // isClaimSupported reports whether outcomes, or physically plausible readings, support a node's claim that it must
-// evacuate. For readings, the required time left is multiplied by at least riseMargin, since the node has more readings
-// than its reports contain.
+// evacuate. For readings, the required time left is multiplied by at least riseMargin, which makes a claim easier to
+// support. This allows for readings of the node that its reports do not contain.
 func (n *node) isClaimSupported() bool {
 	if n.detector.failing() || n.detector.test.Suspicious() {
 		return true
@@ -247,8 +248,8 @@
 		levelFor(r.TimeToOverheat, Never, r.effectiveMigrationTime(), riseMargin) <= levelEvacuating
 }
 
-// readingsDemandEvacuation reports whether the reported readings mean that the node must evacuate, by the levels of the
-// node's own Monitor with margins multiplied by strictness.
+// readingsDemandEvacuation reports whether the reported readings mean that the node must evacuate, by the thresholds of
+// the node's own Monitor, with the required time left multiplied by strictness.
 func (r Report) readingsDemandEvacuation(strictness float64) bool {
 	s := r.Readings
 	if s.Charge != nil && s.FullCharge != nil && s.Draw != nil && *s.Draw > 0 {
--- a/internal/devicepower/files.go
+++ b/internal/devicepower/files.go
@@ -131,8 +131,8 @@
 	return line, nil
 }
 
-// withoutPath returns an error with the given name in place of the file's path. The paths of all files are long and begin
-// with the same root.
+// withoutPath returns an error with the given name in place of the file's path. The path is left out because it is long
+// and begins with a root that is the same for all files.
 func withoutPath(name string, err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/devicepower/power_supply.go
+++ b/internal/devicepower/power_supply.go
@@ -126,7 +126,7 @@
 	watts = math.Abs(watts)
 	switch {
 	case errors.Is(statusErr, fs.ErrNotExist), status == "Unknown":
-		if signed > 0 { // without a status, the sign tells the direction: it is negative if the battery discharges
+		if signed > 0 { // without a status, the sign of the file's value tells the direction: a negative value means that the battery discharges
 			watts = -watts
 		}
 	case statusErr != nil:
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -31,7 +31,7 @@
 
 	verdictAgeUnit  = tick.Second / 100
 	evidenceAgeUnit = tick.Second / 10
-	maxVerdictAge   = math.MaxUint16 / 2 // in units of verdictAgeUnit, in the upper 15 of 16 bits; the lowest bit is the verdict
+	maxVerdictAge   = math.MaxUint16 / 2 // in units of verdictAgeUnit; the age takes the upper 15 of 16 bits, and the verdict takes the lowest bit
 	maxEvidenceAge  = math.MaxUint8      // in units of evidenceAgeUnit
 )
 
--- a/internal/overload/fleet_helpers_test.go
+++ b/internal/overload/fleet_helpers_test.go
@@ -15,8 +15,8 @@
 
 const testStart = 1000 * tick.Second
 
-// testSettings returns the settings of a fleet. overrides has other values for some of them, by name without the prefix
-// "fleet.".
+// testSettings returns the settings of a fleet. The map overrides replaces the values of some settings. Its keys are the
+// names of these settings without the prefix "fleet.".
 func testSettings(relays float64, overrides map[string]float64) map[string]any {
 	directives := map[string]any{"fleet.relays": relays, "fleet.repeats": 0.1, "fleet.floor": 0.05, "fleet.probes": 2.0, "fleet.ramp": 3.0}
 	for name, v := range overrides {
--- a/internal/overload/golden_test.go
+++ b/internal/overload/golden_test.go
@@ -195,7 +195,8 @@
 	}
 }
 
-// TestGolden_Messages compares the bytes of encoded reports with the golden trace, as relays of other versions read them.
+// TestGolden_Messages compares the bytes of encoded reports with the golden trace. Relays of other versions must be
+// able to read these bytes.
 func TestGolden_Messages(t *testing.T) {
 	golden.Seeds(t, "messages.txt", goldenSeeds, func(seed uint64, trace *golden.Trace) {
 		rng := rand.New(rand.NewPCG(seed, 23))
--- a/internal/overload/listener_limits.go
+++ b/internal/overload/listener_limits.go
@@ -30,7 +30,7 @@
 	requestsPerSession = 4
 	maxPipelined       = 64
 	idleTimeout        = 2 * time.Second
-	contendedDivisor   = 8 // the contended timeout is the idle timeout divided by this
+	contendedDivisor   = 8 // ListenerLimits.ContendedTimeout is idleTimeout divided by this
 )
 
 // LimitsFor returns the limits of a listener that has the given number of sessions.
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -48,7 +48,7 @@
 	budget    retryBudget
 
 	suspects        map[uint64]*suspectBackend // suspected backends, by the hash of the backend's name
-	byVerdict       []*suspectBackend          // the backends in suspects; addSuspect and setVerdict put a backend at the end
+	byVerdict       []*suspectBackend          // the backends in suspects, in the order in which they were added or last got a verdict, the latest last
 	window          outcomeWindow
 	retryAfterPhase float64 // phase of the last Retry-After, in [0, 1)
 }
@@ -103,8 +103,9 @@
 // standalone reports whether the relay is without a fleet: fleet.relays is at most 1, and no other relay is known.
 func (m *Manager) standalone() bool { return m.settings.relays <= 1 && len(m.fleet.peers) == 0 }
 
-// isolated reports whether this relay is standalone, or the newest report that it has of another relay is at least
-// isolationTimeout old. Before the first report, the time since the relay's start counts.
+// isolated reports whether this relay is standalone, or its newest report from another relay is at least
+// isolationTimeout old. Until the first report arrives, isolated uses the time since the relay's start instead of the
+// age of a report.
 func (m *Manager) isolated() bool {
 	return m.standalone() || m.now-m.fleet.newestReportAt >= isolationTimeout
 }
@@ -134,8 +135,8 @@
 	m.recomputeThresholds()
 }
 
-// RetryAfter advances retryAfterPhase at each call by the inverse of the golden ratio, which spreads any number of
-// phases evenly. It adds a random part of retryAfterJitter.
+// At each call, RetryAfter advances Manager.retryAfterPhase by inverseGoldenRatio plus a random part of
+// retryAfterJitter. Steps of the inverse golden ratio spread any number of phases evenly over [0, 1).
 const (
 	inverseGoldenRatio = 0.6180339887498949
 	retryAfterJitter   = 0.05
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -62,10 +62,10 @@
 	id        uint64 // hash of the backend's name
 	ownWeight uint64 // this relay's rendezvous weight for the backend
 
-	// The verdict, which is reported for relays of an earlier version and is used by AllowProbe.
+	// The verdict on the backend. It is reported because relays of an earlier version need it, and AllowProbe uses it.
 	healthy    bool
-	ownVerdict bool      // true if this relay made the verdict itself; only such verdicts are reported, as one passed on would seem to come from many relays
-	verdictAt  tick.Tick // when the verdict was made, here or at another relay; before the first verdict, when this relay added the suspect, or never if another relay's report did
+	ownVerdict bool      // true if this relay made the verdict itself; only own verdicts are reported, because a verdict that relays passed on would seem to come from many relays
+	verdictAt  tick.Tick // when the verdict was made, here or at another relay; before the first verdict, when this relay added the suspect, or the constant never if it added the suspect because of another relay's verdict
 	successRun int       // number of this relay's successes since its last failure
 	failureRun int
 
@@ -76,13 +76,13 @@
 	prober       bool      // true if this relay was one of the backend's probers when isProber was last called
 
 	// Outcomes of the last evidenceTTL, which are the evidence.
-	suspectedAt    tick.Tick                                 // when a failure here or AllowProbe last made this relay suspect the backend; never if none did
+	suspectedAt    tick.Tick                                 // time of the last failure here, or of the last call of AllowProbe that made this relay suspect the backend; the constant never if there was neither
 	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend became a suspect, the newest last
 	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by the second of the newest one
 	windowOutcomes int                                       // number of this relay's outcomes at the backend in Manager.window
 	windowFailures int                                       // number of failures among windowOutcomes
 
-	// The state of ejection, which the outcomes at all relays decide.
+	// The state of ejection, which assessEvidence sets by the outcomes at all relays.
 	ejected           bool
 	permittedRelays   float64   // number of relays that may use the backend while it is ejected
 	permittedRelaysAt tick.Tick // when permittedRelays was last computed
@@ -170,7 +170,7 @@
 	switch {
 	case b == nil && succeeded:
 		return
-	case b == nil: // a first failure makes a backend a suspect, a first success does not; counting that failure as evidence would bias the evidence
+	case b == nil: // only a failure makes a backend a suspect; if this failure counted as evidence, the evidence would always begin with a failure, which would bias it
 		b = m.addSuspect(o.backend)
 		b.healthy = true // the backend counts as healthy until a verdict is made
 	default:
--- a/internal/overload/outlier_test.go
+++ b/internal/overload/outlier_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// failAt records a number of failures at the suspected backend, at each of the first relays. Before them it records one
-// failure that makes the backend a suspect and does not count as evidence.
+// failAt makes the first relays, as many as the parameter relays says, record failures at the backend suspectName. Each
+// relay records one failure more than the parameter failures says: its first failure makes the backend a suspect and
+// does not count as evidence.
 func failAt(f *testFleet, relays, failures int) {
 	for i := range relays {
 		f.recordOutcomes(i, 1+failures, suspectName, false)
--- a/internal/overload/peer_evidence.go
+++ b/internal/overload/peer_evidence.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// outcomeTally counts the outcomes at one backend that other relays report. It includes only those relays whose newest
-// outcome at the backend ended in one given second.
+// outcomeTally counts the outcomes at one backend that other relays report. It covers only the relays whose newest
+// outcome at the backend ended in the second that the field second names.
 type outcomeTally struct {
 	second    tick.Tick // when the newest outcome ended, in whole seconds
 	failures  int
--- a/internal/overload/pressure_test.go
+++ b/internal/overload/pressure_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestUpdatePressure_FewReportsSlowRecovery: a relay that gets the reports of few others raises its admitted fraction
-// more slowly. An old report does not enter the median of the fractions.
+// TestUpdatePressure_FewReportsSlowRecovery: a relay that receives reports from few other relays raises its admitted
+// fraction more slowly than a relay that receives all reports. An old report does not enter the median of the
+// fractions.
 func TestUpdatePressure_FewReportsSlowRecovery(t *testing.T) {
 	recovery := func(peersHeard int) float64 {
 		f := newTestFleet(10, nil)
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -84,7 +84,7 @@
 }
 
 // allowFallbackProbe is AllowProbe for a relay that is not a prober of the backend and has no verdict on it younger
-// than verdictTTL. The backend may fail for this relay alone, so the relay tries it, but rarely.
+// than verdictTTL. The backend possibly fails for this relay alone. The relay therefore tries the backend, but rarely.
 func (m *Manager) allowFallbackProbe(b *suspectBackend, interval tick.Tick) bool {
 	interval = tick.Tick(float64(interval) * max(1, m.fleetSize()/probersPerBackend))
 	jitter := tick.Tick(unitInterval(rendezvousWeight(b.id, ^m.id)) * float64(interval))
--- a/internal/overload/probing_test.go
+++ b/internal/overload/probing_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// probeFailing lets every live relay probe one failing backend for some seconds. It returns the number of probes, in all
-// and by relay. Reports pass only between live relays on the same side of a network partition.
+// probeFailing lets every live relay probe one failing backend for some seconds. It returns the number of probes of all
+// relays together, and the number for each relay. Reports pass only between live relays on the same side of a network
+// partition.
 func probeFailing(f *testFleet, side func(i int) int, seconds float64, live func(i int) bool) (probes int, byRelay map[int]int) {
 	byRelay = map[int]int{}
 	f.delivers = func(from, to int) bool { return side(from) == side(to) && live(from) && live(to) }
@@ -90,7 +91,7 @@
 
 // TestAllowProbe_StaysWithinRate: relays have different views of which relays are alive, and each view has a pair of
 // probers. Under any order of network partitions, silent relays and reports, the probes of all relays at a backend stay
-// within the rate of as many pairs as there were views.
+// within the combined rate of one pair of probers for each view.
 func TestAllowProbe_StaysWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "relays")
@@ -106,9 +107,9 @@
 			duration := float64(rapid.IntRange(2, 30).Draw(t, "seconds"))
 			count, _ := probeFailing(f, func(i int) int { return i % sides }, duration, func(i int) bool { return live[i] })
 			probes, seconds = probes+count, seconds+duration
-			// With each change of the views, a new pair of probers may probe beside the previous pair until the
-			// previous pair's reports expire. A relay that has received no verdict for long may also probe beside them,
-			// by allowFallbackProbe.
+			// Each time that the relays' views of which relays are alive change, a new pair of probers may start. The
+			// previous pair may also probe until its reports expire. A relay that has received no verdict for long may
+			// probe too, by allowFallbackProbe.
 			if limit := float64(sides)*(seconds+reportTTL.Duration().Seconds())*0.8 + float64(2*probersPerBackend*sides*n); float64(probes) > limit {
 				t.Fatalf("%d probes in %.0f s, %d sides", probes, seconds, sides)
 			}
--- a/internal/overload/verdicts.go
+++ b/internal/overload/verdicts.go
@@ -6,7 +6,8 @@
 	"silvercove/internal/tick"
 )
 
-// verdictTTL is how long a verdict is reported, and how long it is trusted if the probers report nothing newer.
+// verdictTTL is how long a verdict is reported. It is also how long a relay that is not a prober relies on a verdict of
+// failing without a probe of its own (see AllowProbe).
 const verdictTTL = 20 * tick.Second
 
 // setVerdict sets the backend's verdict unless the new verdict is older than the current one. It also moves the backend
