--- a/cmd/silvercovectl/rollouts.go
+++ b/cmd/silvercovectl/rollouts.go
@@ -24,7 +24,7 @@
 	Rollouts int    `help:"Rollouts of each package under each condition, instead of the file's number."`
 }
 
-// Run runs the experiment, writes its results and prints their rates.
+// Run runs the experiment, writes its results and prints a summary of them.
 func (c *labRunCmd) Run() error {
 	e, err := lab.ReadExperiment(c.File, "")
 	if err != nil {
--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -137,7 +137,7 @@
 	var content struct {
 		Classes []string `json:"ops"`
 	}
-	_ = json.Unmarshal(body, &content) // Restore reports damaged JSON
+	_ = json.Unmarshal(body, &content) // the error is ignored: the call of Restore below reports damaged JSON
 	s := New(content.Classes)
 	return s, s.Restore(text)
 }
--- a/internal/lab/day_backend.go
+++ b/internal/lab/day_backend.go
@@ -7,9 +7,9 @@
 	"silvercove/balancer"
 )
 
-// dayBackend is a simulated backend. Its latency grows with the number of attempts in progress. Attempts that start
-// before silentUntil time out. If fleetDay.cores is above 0, attempts share the cores of the backend instead (see run),
-// and silentUntil has no effect on them.
+// dayBackend is a simulated backend. Its latency grows with the number of attempts in progress. An attempt that starts
+// before silentUntil gets no answer and ends in a timeout. If fleetDay.cores is above 0, attempts share the cores of the
+// backend instead (see run), and silentUntil has no effect on them.
 type dayBackend struct {
 	balancer.Endpoint
 	inFlight       int
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -14,8 +14,8 @@
 	goldenFile  = "golden_decisions.txt"
 )
 
-// goldenDayNames are the names of the days in the recorded file, in the order of Days, followed by those of the days
-// that goldenRuns adds.
+// goldenDayNames are the names of the days in the recorded file. The names of the days in Days come first, in the order
+// of Days. The names of the days that goldenRuns adds follow.
 var goldenDayNames = []string{"calm", "rolling-restart", "relays-killed", "zone-lost", "partition", "pauses-and-errors",
 	"uneven-traffic", "release", "all-cold"}
 
--- a/internal/lab/metadata_front.go
+++ b/internal/lab/metadata_front.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// start runs the metadata proxy until w.stop is called, which also closes the mirrors.
+// start runs the metadata proxy until w.stop is called. w.stop also closes the mirrors.
 func (w *proxyFixture) start(mirrors []*repository.Mirror) (err error) {
 	w.proxy, err = metadataservice.New(filepath.Join(w.dir, "cove.conf"), func(string) string { return "" }, w.clock.Now,
 		zerolog.Nop())
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -45,7 +45,7 @@
 	metrics        map[uint16][]outcomeCounts // outcomes that the platform has counted in the current metrics period, by version and request class
 	packages       map[uint16]Package
 	newest         uint16    // version of the package whose rollout started last; 0 before the first rollout
-	stable         uint16    // version of the backends that do not run the newest version: stableVersion, or that of the last package whose release was not rolled back within WatchSpan
+	stable         uint16    // version of the backends that do not run the newest version: stableVersion at first, then the version of the last package that was released and not rolled back within WatchSpan
 	offers         []Package // packages whose rollout has not started; offerPackage starts the next one
 	offeredAt      balancer.Tick
 	stage          int
--- a/internal/lab/overload_relay.go
+++ b/internal/lab/overload_relay.go
@@ -234,8 +234,8 @@
 // Fail ends a request with an error. The client retries after a random pause.
 func (n *overloadRelay) Fail(c *balancer.Request) { n.endRequest(c, 0) }
 
-// endRequest ends a request without success. The client retries after retryAfter seconds, or after a random pause if
-// that is 0.
+// endRequest ends a request without success. The client retries after retryAfter seconds. If retryAfter is 0, the client
+// retries after a random pause.
 func (n *overloadRelay) endRequest(c *balancer.Request, retryAfter float64) {
 	a, open := n.requests[c]
 	if !open {
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -45,7 +45,8 @@
 	if b := withoutReports.RecoverySeconds(days[4]); b > 5 {
 		t.Errorf("without any load reports: recovered after %.1f s", b)
 	}
-	// The goodput must not stay low after the trigger: backends would have too little work although clients retry.
+	// The goodput must not stay low after the trigger. A low goodput would mean that backends have too little work although
+	// clients retry.
 	if g := MeanPerSecond(r[7].Goodput, 14, 21) / r[7].Capacity; g < 0.93 {
 		t.Errorf("split in two: goodput is %.2f of the capacity of the backends after the trigger", g)
 	}
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -26,26 +26,25 @@
 	PriorPackage string             // name of a package that is rolled out before this one, and then rolled back or released; "": none
 }
 
-// Condition describes the faults and the changes of load during a rollout. The first offer is the start of the rollout
-// of the first package.
+// Condition describes the faults and the changes of load during a rollout. In the experiment's file, "the first offer"
+// is the start of the rollout of the first package.
 type Condition struct {
 	Name                                  string
 	FlagDelay                             float64 // median delay of reports of wrong answers, in seconds
 	LostFlags                             float64 // share of the reports of wrong answers that are lost
-	BurstFactor, BurstFrom, BurstDuration float64 // BurstFactor: factor on the usual traffic during a burst; BurstFrom: start of the burst in seconds after the first offer; BurstDuration: its duration in seconds
+	BurstFactor, BurstFrom, BurstDuration float64 // BurstFactor: factor on the usual traffic during a burst; BurstFrom: seconds from the start of the first package's rollout to the burst; BurstDuration: duration of the burst in seconds
 	BlindShare                            float64 // share of the relays that are notified late of stages, endpoints and the platform's counts
 	RestartInterval                       float64 // seconds between two restarts of relays; the relays restart in turn; 0: no relay restarts
 	ClumpShare                            float64 // share of a package's failures that occur at one backend of every six; 0: the failures are spread evenly
 	GarbageRelays                         int     // number of relays that read every tenth outcome as an error, whichever version it came from
-	GarbageFrom                           float64 // time in seconds after the first offer at which GarbageRelays begin to misread outcomes
+	GarbageFrom                           float64 // seconds from the start of the first package's rollout until GarbageRelays relays begin to misread outcomes
 	MoreBaseFailures                      float64 // share of requests that fail at the stable version, in addition to BaseFailures
 	SlowZoneFactor                        float64 // factor on the usual service time in zone 0; 0: no change
 	SickShare, SickFailures               float64 // SickShare: share of the backends that are sick; SickFailures: share of the requests that a sick backend fails, at any version
-	SickFrom                              float64 // time in seconds after the first offer at which sick backends begin to fail requests
+	SickFrom                              float64 // seconds from the start of the first package's rollout until sick backends begin to fail requests
 }
 
-// Rollout holds the parameters of a rollout, which is either simulated or run with real relays on loopback. The first
-// offer is the start of the rollout of the first package.
+// Rollout holds the parameters of a rollout, which is either simulated or run with real relays on loopback.
 type Rollout struct {
 	Relays, Backends, Zones int
 	Rate                    float64 // requests a second at all relays together
@@ -55,7 +54,7 @@
 	BaseFailures            float64 // share of requests that fail whichever version a backend runs
 	FoundShare              float64 // share of the wrong answers that clients detect and report
 	WatchSpan               float64 // seconds for which the simulation continues after the release
-	MaxSpan                 float64 // seconds from the first offer until a rollout without a verdict ends as undecided
+	MaxSpan                 float64 // seconds from the start of the first package's rollout until a rollout without a verdict ends as undecided
 	EvidenceWait            float64 // seconds that a stage lasts before relays may vote to promote without all evidence; see balancer.Rollout
 	ReportWithin            float64 // seconds within which reports of wrong answers are expected
 	MetricsPeriod           float64 // seconds between two reports of the platform's counts of outcomes; 0: the platform counts no outcomes
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -19,7 +19,7 @@
 
 const (
 	maxPacketSize     = 16 << 10 // in bytes
-	retransmitFactor  = 3        // memberlist.Config.RetransmitMult: multiplied by the logarithm of the number of members, it is how often each record is sent
+	retransmitFactor  = 3        // memberlist.Config.RetransmitMult: each record is sent n times, where n is this factor multiplied by the logarithm of the number of members
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
 	minGossipInterval = 10 * time.Millisecond
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -10,9 +10,9 @@
 const (
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
 	membersPerSilence        = 32  // the heartbeat period grows by one silence timeout for each membersPerSilence members
-	maxTargets               = 4   // upper bound of the members that are probed in turn in one round
+	maxTargets               = 4   // maximum number of members that one round probes because it is their turn (see ProbeTargets)
 	maxMissedTargets         = 8   // upper bound of the members with missed probes that are probed again in one round
-	payloadSendsPerHeartbeat = 20  // upper bound of the number of times that changed payloads are sent within a heartbeat period
+	payloadSendsPerHeartbeat = 20  // maximum number of times that one member sends changed payloads within a heartbeat period
 	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members on one side of a split together
 	maxSyncs                 = 4.0 // upper bound of the exchanges of whole states within a silence timeout, by one member
 )
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -15,10 +15,10 @@
 
 // Limits of a record.
 const (
-	MaxKinds       = 8    // number of payloads
-	MaxPayloadSize = 512  // size of one payload, in bytes
-	MaxRecordSize  = 8192 // size of an encoded record, in bytes
-	maxKindSize    = 64   // size of the name of a payload's kind, in bytes
+	MaxKinds       = 8    // maximum number of payloads in a record
+	MaxPayloadSize = 512  // maximum size of one payload, in bytes
+	MaxRecordSize  = 8192 // maximum size of an encoded record, in bytes
+	maxKindSize    = 64   // maximum length of the name of a payload's kind, in bytes
 )
 
 // Record is a member's description of itself. Of two records, the one with the larger Incarnation is newer; within an
--- a/internal/migration/facts.go
+++ b/internal/migration/facts.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// OnLeaseExpired tells the planner that a node's lease has expired by the controller's clock, and therefore by the node's own:
-// the node no longer acts.
+// OnLeaseExpired tells the planner that a node's lease has expired by the controller's clock. The end of the lease includes
+// clock drift (NodeStatus.LeaseEnd), so the lease has expired by the node's own clock too, and the node no longer acts.
 func (p *Planner) OnLeaseExpired(now tick.Tick, name string) {
 	p.now = now
 	n := p.node(name)
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -100,7 +100,7 @@
 }
 
 // canTakeOver reports whether a replica is live and has every acknowledged entry. A replica still counts as live for
-// Lease/shortLeaseDivisor after the lease end that it last reported, unless OnLeaseExpired was called for it.
+// Lease/shortLeaseDivisor after the lease end that it last reported, unless OnLeaseExpired was called for that replica.
 func (p *Planner) canTakeOver(i *instance, n *node) bool {
 	if !n.reported || n.leaseExpired || slices.Contains(i.emptyReplicas, n) {
 		return false
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -103,7 +103,7 @@
 	remoteReplica bool // the instance has too few replicas in zones other than its primary's
 }
 
-// wait says where an instance waits for a move: its position in a queue, and whether it is in a boundWaiters.
+// wait says where an instance waits for a move: its position in a queue, and whether it is in a list of type boundWaiters.
 type wait struct {
 	queue    *queue // nil if the instance waits in no queue
 	position int
--- a/internal/migration/moves.go
+++ b/internal/migration/moves.go
@@ -5,8 +5,8 @@
 // Fractions of the bounds Config.MaxMoves, MaxMovesPerNode and MaxMovesPerLink that copies may use. The rest of each bound is
 // kept for migrations.
 const (
-	replicaCopiesShare       = 0.75 // fraction for copies that restore replicas
-	remoteReplicaCopiesShare = 0.5  // fraction for copies that make a replica in another zone
+	replicaCopiesShare       = 0.75 // fraction of each bound for copies of instances with too few replicas
+	remoteReplicaCopiesShare = 0.5  // fraction of each bound for copies that only add a replica in another zone
 )
 
 // Intervals between scheduled reviews of waiting instances. When capacity becomes free, only a few waiting instances are
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -35,7 +35,7 @@
 	replicaOf    map[*instance]struct{}
 
 	moves    int                    // moves from and to this node that are in progress or proposed
-	incoming map[*instance]struct{} // instances of the moves to this node
+	incoming map[*instance]struct{} // instances that are moved or copied to this node, by moves in progress or proposed
 	reserved int                    // number of FreeSlots taken by moves to this node and, since its last status, by instances that start or restart on it
 	recent   recentMoves
 
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -8,7 +8,7 @@
 	"silvercove/internal/tick"
 )
 
-// Constants of planning for running instances.
+// Constants of the decisions on moves and replicas of running instances (see planMove).
 const (
 	resetFailuresAfter     = 60 * tick.Second // time without a failure after which an instance's failure count is reset
 	remoteBackOffLeases    = 4                // lease durations to wait after a failed copy to another zone before the next one; doubled with each consecutive failure
@@ -53,7 +53,8 @@
 	p.updateReadyNode(primary)
 }
 
-// reasonToLeave returns why an instance should leave its primary, or noMove. The instance should stay until the time notBefore.
+// reasonToLeave returns why an instance should leave its primary, or noMove. The instance should not leave before the time
+// notBefore; 0 means that it may leave at once.
 func (p *Planner) reasonToLeave(i *instance) (reason moveReason, notBefore tick.Tick) {
 	primary := i.primaryNode
 	stay := i.history.stayUntil(p.config.Dwell)
@@ -96,13 +97,14 @@
 	return c
 }
 
-// surplusReplicas returns the replica to drop first, and how many replicas an instance has beyond Config.Replicas. The surplus
-// is negative if there are too few replicas, and 0 if dropping that replica would leave too few reliable ones.
+// surplusReplicas returns the replica to drop first, worst, and how many replicas an instance has beyond Config.Replicas. The
+// surplus is negative if there are too few replicas. Instead of a positive surplus it returns 0 if no replica may be dropped,
+// or if fewer than Config.Replicas reliable replicas would remain without worst.
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
 		if c.remote <= p.config.RemoteReplicas && n.isRemoteTo(i.primaryNode) && !n.unreliable() {
-			continue // the instance needs this remote replica; a replica in the primary's zone or an unreliable replica is dropped instead
+			continue // the instance has no remote replica to spare; a replica in the primary's zone or an unreliable replica is dropped instead
 		}
 		if worst == nil || droppedBefore(i, n, worst) {
 			worst = n
--- a/internal/migration/proposals.go
+++ b/internal/migration/proposals.go
@@ -9,9 +9,9 @@
 // Constants of proposals and of the waits after them.
 const (
 	proposalTimeoutLeases = 2 // lease durations to wait for the result of a proposal
-	avoidDroppedLeases    = 2 // lease durations for which a node that was dropped as a replica is no target
+	avoidDroppedLeases    = 2 // after a node is dropped as a replica of an instance, it is not a target for that instance for this many lease durations
 	maxBackOffDoublings   = 10
-	backOffDivisor        = 8 // the first wait of backOff is 2*Lease/backOffDivisor
+	backOffDivisor        = 8 // backOff waits (1<<n)*Lease/backOffDivisor after the n-th consecutive failed attempt, n from 1, up to a limit
 )
 
 // propose submits an operation for an instance, unless one is pending or the planner does not lead.
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -61,8 +61,8 @@
 }
 
 // wake queues reviews of instances in q, which found no target: the most urgent first, and among equals those most at risk.
-// It queues at most limit reviews and at most Config.MaxMovesPerNode. The scheduled reviews of these instances would
-// follow the order of their times instead.
+// It queues at most limit reviews and at most Config.MaxMovesPerNode. The scheduled reviews would take place in the order
+// of their times, not in the order of urgency.
 func (p *Planner) wake(q *queue, limit int) {
 	for range min(limit, p.config.MaxMovesPerNode, len(*q)) {
 		i := (*q)[0]
@@ -204,7 +204,7 @@
 // moves, and the moves in progress or proposed have reached that fraction (copiesFull).
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
-	remoteReplicas []*instance // instances that only lack a replica in another zone
+	remoteReplicas []*instance // instances with enough replicas, but too few in zones other than the primary's
 }
 
 // waitForBound adds an instance to waiters unless it is in a boundWaiters already.
@@ -220,7 +220,7 @@
 }
 
 // reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. It is
-// called when a move ends. If all instances of a node lack a replica, each copy that ends thus lets the next copy start.
+// called when a move ends. If all instances of a node lack a replica, the end of each copy lets the next copy start.
 // Scheduled reviews alone would start only a few copies at a time.
 func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
 	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -11,16 +11,16 @@
 const (
 	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
 	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
-	skippableZones = 2 // number of zones beyond sampledZones to go through, because two may be skipped: the device's and the primary's
+	skippableZones = 2 // number of zones to go through in addition to sampledZones, since the device's zone and the primary's can be among these and are skipped
 )
 
 // Risk margins and limits of targets.
 const (
 	evacuationMargin       = 0.2 // margin by which a target's risk has to be lower than an evacuating primary's
 	excessMargin           = 0.1 // margin by which a target's risk may exceed that of a primary with too many instances
-	maxRiskPerInstance     = 0.1 // upper bound of the estimate of the risk that one instance adds
-	maxVoluntaryTargetRisk = 0.7 // a copy, or a move to the device's zone that raises the risk, needs a target whose risk is below this limit
-	maxLimitedIncoming     = 1   // limit on the instances in transit to a node that accepts only a few instances
+	maxRiskPerInstance     = 0.1 // maximum of the estimated risk that one instance adds to its node (see isSaferTarget)
+	maxVoluntaryTargetRisk = 0.7 // a copy needs a target with a risk below this limit; so does a move to the device's zone, unless the target's risk is at most the primary's
+	maxLimitedIncoming     = 1   // maximum number of moves in progress or proposed to a node that accepts only a few instances
 )
 
 // Weights of the terms of a node's score (targetSearch.score). Each term is from 0 to 1 unless noted otherwise. Risk counts
@@ -33,7 +33,7 @@
 	replicaBonus    = 0.5     // added for a replica, which already has the state
 	largeStateBytes = 1 << 20 // bytes of state from which on a replica scores 1 more than replicaBonus; a smaller state adds proportionally less
 	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // weight of the number of the node's replicas divided by (1 + the number of the primary's instances); only for remote replicas; the quotient may exceed 1
+	crowdingWeight  = 0.5     // weight of r/(1+i), which may exceed 1: the node is a replica of r instances, and the primary serves i instances; only for remote replicas
 	tieBreakWeight  = 0.1     // weight of a hash of node and instance; the weight is 1 if primaries of the instance have failed
 )
 
@@ -204,9 +204,11 @@
 // isSaferTarget reports whether a node's risk is lower than an evacuating primary's risk by at least evacuationMargin. Both
 // risks are estimates that include the recent and the current moves of the two nodes.
 //
-// By reported risks alone, two evacuating nodes could hand all their instances to each other, because the reports lag behind
-// the moves. The estimates therefore count the moves in progress and the moves of the last one to two lease durations. Each
-// move counts as the primary's risk per instance.
+// If only the reported risks were compared, two evacuating nodes could hand all their instances to each other, because the
+// reports lag behind the moves. The estimates therefore count the moves in progress and the moves of the last one to two lease
+// durations. Each arrival at the node adds riskPerInstance to the node's risk, and each departure from the primary subtracts
+// it from the primary's risk. riskPerInstance is the primary's risk divided by the number of its instances, but at most
+// maxRiskPerInstance.
 //
 // Risk that comes from an empty battery does not go down with each instance that leaves, although the estimate assumes so.
 // The instances of such a node leave in several rounds, one per report.
@@ -236,8 +238,8 @@
 }
 
 // tieBreak returns a weighted hash of instance and node, which spreads instances over nodes with similar scores. The weight
-// is tieBreakWeight, or 1 if primaries of the instance have failed. The weight 1 scatters the instances of a failed node. One
-// of them may have caused the failure, and the others should not be on its next node.
+// is tieBreakWeight, or 1 if primaries of the instance have failed. The weight 1 scatters the instances of a failed node over
+// different nodes. One of the instances may have caused the failure, and its next node should not run the others.
 func (s *targetSearch) tieBreak(n *node) float64 {
 	mixed := s.hash ^ xxhash.Sum64String(n.Name)
 	if s.instance.Failures > 0 {
--- a/internal/placement/operations.go
+++ b/internal/placement/operations.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	if !t.targetIsReplica() && t.op.Target != a.CopyTarget {
-		return ErrWrongState // the copy was cancelled
+		return ErrWrongState // the copy to the target was cancelled
 	}
 	if t.op.Target == a.CopyTarget && !a.CutOver {
 		a.CopyTarget = ""
@@ -112,7 +112,7 @@
 	case t.op.Node != a.Primary && t.op.Node != "":
 		return ErrNotPrimary
 	case t.op.Node == "" && a.CutOver && a.CopyTarget == t.op.Target:
-		return ErrWrongState // the controllers must cancel the cut-over first, with OpCancelCopy
+		return ErrWrongState // the target of a cut-over: the controllers must cancel the cut-over first, with OpCancelCopy
 	}
 	a.Index = max(a.Index, t.op.Index)
 	if t.targetIsReplica() {
@@ -131,7 +131,7 @@
 	}
 	switch {
 	case !a.CutOver || a.CopyTarget != t.op.Target:
-		return ErrWrongState // the copy was cancelled
+		return ErrWrongState // the cut-over to the target was cancelled
 	case !t.targetIsReplica():
 		return ErrNotReplica
 	case t.op.Index < a.Index:
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -32,7 +32,7 @@
 }
 
 // measure returns the load since its last call, or since newPressureMeter. The parameter backendUtilization is the
-// result of the dispatcher's Load method; delay is how much later than intended the caller runs.
+// result of the dispatcher's Load method. The parameter delay says how much later than intended the caller runs.
 func (m *pressureMeter) measure(backendUtilization float64, delay time.Duration) overload.Pressure {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// assignMore assigns the newest version to servers in their order, within the limit of assignments and of pending
-// installations.
+// assignMore assigns the newest version to servers in the order of r.servers. It stops once maxPending installations are
+// pending or, in the phase Canary, once limit servers may install the version.
 func (r *Rollout) assignMore(now Tick, counts Counts, limit int) {
 	maxPending := r.maxPending(counts.Servers)
 	for _, s := range r.servers {
@@ -75,7 +75,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // the server is in MayInstall already, because it may still act on metadata of its earlier assignment
+			counts.MayInstall-- // the server may still act on metadata of its earlier assignment, so MayInstall already includes it; the increment below must not count it twice
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -66,7 +66,7 @@
 	metadataLifetime Tick // how long metadata are valid after they are issued
 	servers          []*Server
 	version          uint16 // the newest version
-	releasedVersion  uint16 // last released version; equal to version if no newer version is being rolled out
+	releasedVersion  uint16 // last released version; equal to the field version if no newer version is being rolled out
 	phase            Phase
 	exposureCap      float64   // maximum share of the listed servers that may be assigned the newest version
 	hardwareKinds    []string  // kinds of hardware that the newest version's package fits; empty means all
