--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -23,7 +23,7 @@
 const (
 	snapshotMagic  = "silvercove-ledger"
 	snapshotFormat = 1
-	maxCount       = 1e15 // upper bound of a valid number of outcomes
+	maxCount       = 1e15 // a valid number of outcomes is below this
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -43,7 +43,7 @@
 // the relays that probe ejected backends. Ramp spreads the start of relays over time after a common restart.
 type Features struct{ Shed, Budget, Probes, Ramp bool }
 
-// WithoutFleet has no features, as a relay without a fleet. AllFeatures has every feature.
+// WithoutFleet has no features, like a relay that belongs to no fleet. AllFeatures has every feature.
 var (
 	WithoutFleet = Features{}
 	AllFeatures  = Features{true, true, true, true}
@@ -355,7 +355,7 @@
 }
 
 // startWork has the free workers of a backend take attempts from its queue. The backend also works on attempts that
-// have ended at their relay, because it is not told of their end.
+// have ended at their relay, because the relay does not tell the backend that an attempt has ended.
 func (m *overloadModel) startWork(u *overloadBackend) {
 	for u.working < workersPerBackend && len(u.queue) > 0 {
 		s := u.queue[0]
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -66,7 +66,7 @@
 	Undecided          Rate
 	P50, P95           float64   // median and 95th percentile of Verdicts
 	Harm               float64   // share of the requests that failed
-	Broken             int       // violations of the exposure rule
+	Broken             int       // number of violations of the exposure rule (see checkExposure)
 	Verdicts           []float64 // seconds from the start of each decided rollout to its verdict, in ascending order
 }
 
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxPings     = 16                     // upper bound of the pings under way at once
-	leaveTimeout = 500 * time.Millisecond // upper bound of the time to deliver the leave message
+	maxPings     = 16                     // maximum number of pings under way at once
+	leaveTimeout = 500 * time.Millisecond // maximum time to deliver the leave message
 )
 
 // gossip is the interface of the gossip library that an Agent uses. The calls of the interface may block; none is made
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -24,14 +24,14 @@
 	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
 	slowDivisor    = 8 // a round trip is slow if it takes the silence timeout divided by slowDivisor, or longer
 	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
-	keptChanges    = 4 // upper bound of the changes that wait for a call of Changes, per member of the fleet
+	keptChanges    = 4 // maximum number of changes that wait for a call of Changes, per member of the fleet
 )
 
 // Limits of the hold-down: if a member repeatedly stops answering and recovers, it stays suspect for longer after each
 // recovery.
 const (
 	undampedRecoveries = 3   // number of recoveries that cause no hold-down
-	maxRecoveries      = 16  // upper bound of the count of recoveries
+	maxRecoveries      = 16  // maximum of the count of recoveries
 	recoveryHalfLife   = 20  // half-life of the count of recoveries, in silence timeouts
 	maxHoldDown        = 32  // the longest hold-down, in silence timeouts
 	maxHoldDownShift   = 10  // maximum n in the hold-down of 1<<n silence timeouts; n grows with the count of recoveries, see holdDown
@@ -43,7 +43,7 @@
 	wasHealthy   bool // whether the member has ever been alive or slow
 	healthy      bool
 	healthySince tick.Tick
-	recoveries   float64 // number of changes to alive or slow, without the first one; halves each recoveryHalfLife
+	recoveries   float64 // number of changes to alive or slow, without the first one; halved once per recoveryHalfLife silence timeouts
 	recoveredAt  tick.Tick
 }
 
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -15,7 +15,7 @@
 
 const (
 	packetHeaderSize = 4                 // in bytes; the header is the packet's length, big endian
-	maxInboundSize   = 4 * maxPacketSize // upper bound of the bytes of a received packet, which may combine several packets of the library
+	maxInboundSize   = 4 * maxPacketSize // maximum size in bytes of a received packet, which can combine several packets of the library
 	redialDivisor    = 8                 // a failed connection is tried again after the silence timeout divided by redialDivisor
 )
 
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -11,10 +11,10 @@
 	probesPerSilence         = 8   // rounds of probing within a silence timeout
 	membersPerSilence        = 32  // the heartbeat period grows by one silence timeout for each membersPerSilence members
 	maxTargets               = 4   // maximum number of members that one round probes because it is their turn (see ProbeTargets)
-	maxMissedTargets         = 8   // upper bound of the members with missed probes that are probed again in one round
+	maxMissedTargets         = 8   // maximum number of members with missed probes that one round probes again
 	payloadSendsPerHeartbeat = 20  // maximum number of times that one member sends changed payloads within a heartbeat period
 	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members on one side of a split together
-	maxSyncs                 = 4.0 // upper bound of the exchanges of whole states within a silence timeout, by one member
+	maxSyncs                 = 4.0 // maximum number of exchanges of whole states within a silence timeout, by one member
 )
 
 // ProbeTargets returns the members to probe now. It is called every ProbeInterval. The targets are members that have
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -56,10 +56,10 @@
 // be passed on; otherwise the error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
 // A record with a smaller incarnation than the known one is refused. Such a record comes from a process whose disk or
-// machine was restored from an older image, or in a delayed message from before a restart. A process that has restarted
-// normally also has a smaller incarnation if its clock was set back, because the clock gives the incarnation. Its
-// records are refused until a later start gives it an incarnation larger than the known one. A process with a disk is
-// not affected, because its new incarnation is always larger than its stored one.
+// machine was restored from an older image, or in a delayed message from before a restart. If a process has no disk, its
+// clock alone gives the incarnation. After the clock was set back, such a process restarts with a smaller incarnation,
+// and its records are refused until a later start gives it an incarnation larger than the known one. A process with a
+// disk is not affected, because its new incarnation is always larger than its stored one (see NextIncarnation).
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
 	r, err := DecodeRecord(raw)
 	if err != nil {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	packetQueue      = 64               // packets queued for one member; further packets are dropped, and the library tolerates the loss
-	inboundQueue     = 4 * packetQueue  // upper bound of received packets that the library has not taken yet
+	packetQueue      = 64               // maximum number of packets queued for one member; further packets are dropped, and the library tolerates the loss
+	inboundQueue     = 4 * packetQueue  // maximum number of received packets that the library has not taken yet
 	idleTimeout      = 30 * time.Second // a connection for packets is closed after this time without a packet to send
 	purposeReadSlack = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
 
--- a/internal/migration/fail_over.go
+++ b/internal/migration/fail_over.go
@@ -121,8 +121,9 @@
 	return 3
 }
 
-// recoverLost restarts a lost instance: at once if a replica is back, and after Config.RestartAfter from the best
-// older copy or, without such a copy, on a node that chooseTarget finds.
+// recoverLost restarts a lost instance. If a replica is back, the instance restarts there at once. Otherwise it restarts
+// after Config.RestartAfter, on the node with the latest older copy (bestStaleCopy). If there is no older copy on an
+// eligible node, it restarts on a node that chooseTarget finds.
 func (p *Planner) recoverLost(i *instance) {
 	if n := p.successor(i); n != nil {
 		p.propose(i, placement.Operation{Kind: placement.OpRestart, Target: n.Name, Index: i.Index,
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -42,7 +42,7 @@
 }
 
 // enqueue adds an instance to a queue. Among instances with the same reason to move, those with more risk come first. In the
-// ready queue of a node the risk is 0 for all.
+// ready queue of a node, every instance has the risk 0.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -10,7 +10,7 @@
 // Bounds on the search for a target, which keep its cost independent of the size of the fleet.
 const (
 	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
-	sampledZones   = 3 // other zones to search if neither the device's zone nor the primary's has room
+	sampledZones   = 3 // maximum number of other zones to search if neither the device's zone nor the primary's has room
 	skippableZones = 2 // number of zones to go through in addition to sampledZones, since the device's zone and the primary's can be among these and are skipped
 )
 
--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -47,8 +47,8 @@
 	return r.assignment, nil
 }
 
-// create adds an instance with an epoch that its name has never had. An operation of the primary of a deleted instance of the
-// same name thus has an older epoch and is refused.
+// create adds an instance with an epoch that its name has never had. If an instance of the same name was deleted, an operation
+// of that instance's primary has an older epoch and is refused.
 func (t *Table) create(existing *row, op Operation) (Assignment, error) {
 	if existing != nil {
 		return existing.assignment, ErrExists
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -25,7 +25,7 @@
 	// reports its load to the other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction is a lower limit of the admitted fraction of the requests. Below it, the log says that the relay
+	// sheddingFraction is a threshold: if the admitted fraction of the requests is smaller, the log says that the relay
 	// sheds requests. The log shows the admitted fraction rounded to two digits.
 	sheddingFraction = 0.99
 )
@@ -154,8 +154,8 @@
 	return a.manager.IsEjected(a.membership.Now(), node)
 }
 
-// Wait blocks until this relay may take a startup step, or until the context ends. The arrival of reports of other
-// relays may shorten the wait.
+// Wait blocks until this relay may take a startup step, or until the context ends. Reports that arrive from other
+// relays can shorten the wait.
 func (a *OverloadAgent) Wait(ctx context.Context, step overload.StartupStep) {
 	for ctx.Err() == nil {
 		a.updatePeers()
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -29,12 +29,12 @@
 const (
 	maxFailures       = 3             // number of failed installations of a version after which a server is excluded
 	minRetryDelay     = 60 * Second   // retry delay after the first failed installation; each further failure doubles it
-	maxRetryDelay     = 1800 * Second // upper bound of the retry delay
+	maxRetryDelay     = 1800 * Second // maximum retry delay
 	installWindow     = 300 * Second  // an installation whose result is not reported within this time counts as failed
-	maxPendingShare   = 0.1           // upper bound of the installations that may be pending at once, as a share of the listed servers
+	maxPendingShare   = 0.1           // maximum number of installations that may be pending at once, as a share of the listed servers
 	minPending        = 2             // number of installations that may be pending at once even if maxPendingShare allows fewer
 	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one installation may be pending
-	recentResults     = 16            // upper bound of the number of installations that count as recent
+	recentResults     = 16            // maximum number of installations that count as recent
 	roundingTolerance = 1e-9          // added to exposureCap times the number of servers before rounding down, so that a rounding error does not cost one server
 )
 
