--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -39,7 +39,7 @@
 // a different one.
 type Backend struct {
 	Name, Address string
-	StartedAt     int64 // in ticks; 0 means that the start time is long ago
+	StartedAt     int64 // start time of the process, in ticks; 0 means that it started long ago
 }
 
 // backend holds what the dispatcher knows about a backend of the endpoint list.
@@ -143,7 +143,8 @@
 
 // forgetRemoved drops backends that were removed from the endpoint list, in the order of their removal, while more
 // backends are removed than listed. It stops at the first backend that has an attempt in flight or was removed less
-// than d.retention ago. Such a backend may be listed again unchanged, or a late report may name it.
+// than d.retention ago. The state of such a backend is still needed if the backend is listed again unchanged, or if a
+// late report names it.
 func (d *Dispatcher) forgetRemoved(now balancer.Tick) {
 	for len(d.removed) > len(d.backends)-len(d.removed) {
 		b := d.removed[0]
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -34,7 +34,7 @@
 	tenants        nameIndex
 	loadColumns    []string
 	maxRetryAfter  time.Duration // upper bound of RetryAfter for shed calls; 0 if rejected clients are told no time
-	pollsEndpoints bool          // whether the balancer requests the endpoint list itself (balancer.DiscoverySubscribe); if not, changes arrive without a request for them
+	pollsEndpoints bool          // whether the balancer requests the endpoint list itself (balancer.DiscoverySubscribe); if not, changes of the list arrive unrequested
 	retention      balancer.Tick // how long the dispatcher keeps a removed backend
 
 	timerWaker *wakeup.Waker // woken when the earliest timer may have changed
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -3,7 +3,7 @@
 // nameIndex maps the names of a list in the settings to their indexes in the list.
 type nameIndex map[string]int
 
-// newNameIndex indexes a list of names. If a name occurs twice, its last index counts.
+// newNameIndex indexes a list of names. A name that occurs twice gets the index of its last occurrence.
 func newNameIndex(names []string) nameIndex {
 	index := make(nameIndex, len(names))
 	for i, name := range names {
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Vote is one vote, with the values that the release API uses.
+// Vote is one vote on a stage of a version. Verdict is one of the names in releaseVerdicts.
 type Vote struct {
 	Version uint16
 	Stage   int
@@ -66,7 +66,7 @@
 	balancer.RollBack: "go back",
 }
 
-// UpdateStage takes the current stage of the newest version, which must be valid.
+// UpdateStage applies s, the current stage of the newest version. RolloutStage.Valid must be true for s.
 func (d *Dispatcher) UpdateStage(s RolloutStage) {
 	if d.callbacks.OnStage != nil {
 		d.callbacks.OnStage(s)
@@ -142,9 +142,9 @@
 // Outcomes that do not fit into this number of messages are dropped.
 const maxGossipMessages = 64
 
-// RestoreEvidence gives the balancer what was known about a version before a restart: the number of outcomes of each
-// class, in the order of the settings, and how many of them were bad. The counts reach the balancer in the same way as
-// the counts of another relay, as gossip messages of limited size.
+// RestoreEvidence gives the balancer what was known about a version before a restart. For each class, in the order of
+// the settings, the parameter outcomes holds the number of outcomes, and the parameter bad holds how many of them were
+// bad. The counts reach the balancer as gossip messages of limited size, like the counts of another relay.
 func (d *Dispatcher) RestoreEvidence(version uint16, outcomes, bad []int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,16 +158,17 @@
 	}
 }
 
-// takeGossipCounts subtracts from outcomes and bad as many outcomes of each class as fit into one gossip message, and
-// returns the subtracted counts. The last element of counts is for wrong answers and stays zero. The elements before it
-// are one for each class. remaining is false if there was nothing to subtract.
+// takeGossipCounts moves as many outcomes of each class as fit into one gossip message from the parameters outcomes and
+// bad to the result counts. For each class, the parameter bad holds how many of the outcomes are bad. counts has one
+// element for each class, and a last element for wrong answers, which stays zero. The result remaining is false if
+// there was nothing to move.
 func takeGossipCounts(classes int, outcomes, bad []int) (counts []balancer.GossipCount, remaining bool) {
 	counts = make([]balancer.GossipCount, classes+1)
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		// badPart is the number of bad outcomes in part: part times the share of bad outcomes in outcomes[class],
-		// rounded up.
+		// badPart is how many of the outcomes counted by part are bad: part times the share of bad outcomes in the
+		// class, rounded up.
 		if outcomes[class] > 0 {
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -13,7 +13,7 @@
 	diskUnchecked  diskState = iota // no lease response with the controllers' record count has arrived yet
 	diskChecked                     // the result of the check is known; the replica.Manager verifies copies that may be outdated
 	diskConfirming                  // all copies are verified; the store is writing a declaration that the disk is current
-	diskConfirmed                   // the declaration is written; the store counts the records written after it
+	diskConfirmed                   // the declaration that the disk is current is written; the store counts the records written after the declaration
 )
 
 // diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
@@ -25,9 +25,9 @@
 	maxRecordCount     uint64 // greatest record count in a lease response; 0 before the first response
 }
 
-// checkDisk processes two fields of a lease response: RecordCount and AcceptedUnverified. AcceptedUnverified is the number of
-// copies, from the start of reported, that the controllers have accepted. The parameter reported is the list of
-// unverified copies in the lease request. The caller holds Node.mu.
+// checkDisk processes the fields RecordCount and AcceptedUnverified of a lease response. The parameter reported is the list of
+// unverified copies in the lease request. AcceptedUnverified is the number of copies, counted from the start of that list, that
+// the controllers have accepted. The caller holds Node.mu.
 func (n *Node) checkDisk(response controllerclient.LeaseResponse, reported []replica.UnverifiedCopy) {
 	now := controllerclient.Now()
 	if n.disk.state == diskUnchecked {
--- a/internal/edgenode/fleet_test.go
+++ b/internal/edgenode/fleet_test.go
@@ -29,8 +29,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testLease is long enough that a node does not lose its lease on a busy machine. Most tests use failoverPlanner. If a lease
-// expired, it would fail over all instances of the node, and the instances without a replica would be lost.
+// testLease is long enough that a node does not lose its lease on a busy machine. Most tests use failoverPlanner. If a node's
+// lease expired, this planner would fail over all instances of the node. The instances without a replica would be lost.
 const testLease = time.Second
 
 // logBuffer collects the log of all processes. It is safe for concurrent use.
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -25,10 +25,10 @@
 
 // Limits of one process.
 const (
-	maxQueuedProposals       = 1024 // operations that wait for a proposer, at most one for each instance
-	maxQueuedMessagesPerPeer = 256  // messages that wait to be sent to one other node; further messages are dropped
-	sendersPerPeer           = 4    // concurrent messages to one other node
-	proposers                = 16   // concurrent proposals to the controllers
+	maxQueuedProposals       = 1024 // maximum number of operations that wait for a proposer; at most one waits for each instance
+	maxQueuedMessagesPerPeer = 256  // maximum number of messages that wait to be sent to one other node; further messages are dropped
+	sendersPerPeer           = 4    // maximum number of concurrent messages to one other node
+	proposers                = 16   // maximum number of concurrent proposals to the controllers
 
 	powerReadInterval = time.Second
 )
--- a/internal/edgenode/peer_server.go
+++ b/internal/edgenode/peer_server.go
@@ -18,7 +18,7 @@
 
 // Limits of the HTTP server for other processes.
 const (
-	maxPeerCalls       = 1024 // concurrent calls
+	maxPeerCalls       = 1024 // maximum number of concurrent calls
 	peerHeaderTimeout  = 2 * time.Second
 	peerIdleTimeout    = 30 * time.Second
 	maxPeerHeaderBytes = 8 << 10
@@ -71,7 +71,7 @@
 	})
 }
 
-// writeJSON writes a JSON response. Write errors are ignored, as they mean that the caller has gone.
+// writeJSON writes a JSON response. It ignores write errors, which mean that the caller has disconnected.
 func writeJSON(w http.ResponseWriter, statusCode int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -38,7 +38,8 @@
 	"silvercove/internal/replica"
 )
 
-// Open returns errors that wrap one of these errors, and so do the errors that are passed to done functions.
+// The errors of Open and of done functions wrap one of these errors, unless they are errors of the disk or of a note that
+// is too long.
 var (
 	ErrCorrupt      = recordlog.ErrCorrupt
 	ErrNewerVersion = recordlog.ErrNewerVersion
@@ -73,7 +74,7 @@
 	logs            map[string]*replica.Log
 	note            []byte
 	count           recordCount
-	runCountWritten bool  // whether the first kindCount record since Open is durable; that record disables the counting until ConfirmCurrent
+	runCountWritten bool  // whether the first kindCount record since Open is durable; that record ends the counting of records until ConfirmCurrent
 	writeFailed     error // error with which all requests fail because the state of the file is unknown; nil if the state is known
 
 	durableCount atomic.Uint64 // durable count of records, which RecordCount returns
@@ -201,9 +202,10 @@
 	return all
 }
 
-// RecordCount returns the durable count of records: the count that the last ConfirmCurrent set, plus the records
-// written between that call and the next Open. For a store with a file, the count is above 0, and it decreases only if
-// the disk is restored from an older image. For a store without a file, the count is always 0.
+// RecordCount returns the durable count of records. ConfirmCurrent sets the count, and each record that is written
+// afterwards raises it by one. The first write after a later Open ends the counting until ConfirmCurrent is called
+// again. For a store with a file, the count is above 0, and it decreases only if the disk is restored from an older
+// image. For a store without a file, the count is always 0.
 func (s *Store) RecordCount() uint64 { return s.durableCount.Load() }
 
 // The methods below queue a request. Run calls the done functions that are not nil, in the order of the requests. done
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -51,7 +51,7 @@
 
 // undo holds the part of the state that a batch of requests may change, as it was before the batch.
 type undo struct {
-	logs  map[string]*replica.Log // by instance; nil for an instance that did not exist
+	logs  map[string]*replica.Log // logs before the batch, by instance; nil for an instance that did not exist
 	note  []byte
 	count recordCount
 }
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -228,17 +228,17 @@
 	})
 }
 
-// checkStartedEmpty checks rule 2 when an instance restarts on a node that is not one of its replicas. The instance then loses
-// the effects of its requests. The rule allows this under two conditions. More than one fault must have occurred. Each replica
-// must be unavailable, or have been available for at most two leases.
+// checkStartedEmpty checks rule 2 (see checker) when an instance restarts on a node that is not one of its replicas. The
+// instance then loses the effects of its requests. The rule allows this under two conditions. More than one fault must have
+// occurred. Each replica must be unavailable, or have been available for at most two leases.
 func (k *checker) checkStartedEmpty(c *device, e placement.Operation, before placement.Assignment) {
 	f := k.fleet
 	k.Lost++
 	f.ReportedLosses = append(f.ReportedLosses, c.name)
 	c.reportedLosses++
 	c.highestIndex, c.byRequest, c.byIndex = 0, nil, nil
-	// A replica is available if its process runs with its data, is not stalled, has no duplicate and holds its lease. The check
-	// fails only if the current leader has also led for longer than two leases.
+	// A replica is available if its process runs with its data, is not stalled, has no duplicate and holds its lease. This
+	// check does not fail if there is no leader, or if the leader has led for two leases or less.
 	for _, name := range before.Replicas {
 		u := f.nodeByName[name]
 		span := 2 * tick.Tick(f.Lease*float64(tick.Second))
@@ -283,10 +283,10 @@
 	}
 }
 
-// onDiskChecked checks rule 2 when a node has determined whether its disk was restored from a backup. A node must not take the
-// newest disk for a restored one. A restored disk may stay undetected only if the current leader does not know of the records
-// that the disk lacks. A new leader knows only the record counts that the controllers last agreed on, and so does not know of
-// the records written later.
+// onDiskChecked checks rule 2 (see checker) when a node has determined whether its disk was restored from a backup. A node must
+// not treat a disk that has all its records as restored. A restored disk may stay undetected only if the current leader does
+// not know of the records that the disk lacks. A new leader knows only the record counts that the controllers last agreed on,
+// and so does not know of the records written later.
 func (k *checker) onDiskChecked(u *edgeNode, restored bool) {
 	switch older := u.startRecords.serial < *u.recordsWritten; {
 	case restored && !older:
@@ -303,8 +303,9 @@
 	}
 }
 
-// onUnverified checks rule 2 when a node reports that its own copy of an instance may lack effects of requests. The checker
-// then forgets the acknowledged effects that it has recorded for the instance. A single fault must not lead to such a report.
+// onUnverified checks rule 2 (see checker) when a node reports that its own copy of an instance may lack effects of requests.
+// The checker then forgets the acknowledged effects that it has recorded for the instance. A single fault must not lead to such
+// a report.
 func (k *checker) onUnverified(u *edgeNode, name string) {
 	c := k.fleet.deviceByName[name]
 	k.UnverifiedCopies++
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -24,7 +24,7 @@
 	nodeStatus     map[string]migration.NodeStatus // last status of each node, as passed to the planner
 	proposals      []queuedProposal
 	reportedStatus map[string]migration.NodeStatus // last status of each node, as the node sent it
-	blockedGrants  map[string]int                  // by node: number of operations under way that require that its lease has expired
+	blockedGrants  map[string]int                  // by node: number of operations under way that require that the node's lease has expired
 	waitingGrants  map[string][]func()             // by node: grants that wait until blockedGrants of the node is 0
 	proposing      bool
 	wakeAt         tick.Tick // simulated time of the next time-driven checks; 0: none are scheduled
@@ -116,9 +116,9 @@
 		e.Node != ""
 }
 
-// blockGrants delays new grants of a lease to a node, as a controller does, while an operation is proposed that requires the
-// lease of the node to have expired. unblockGrants ends the delay. blockGrants fails if the node holds a lease, unless the node
-// has reported that it lost its copies.
+// blockGrants delays new grants of a lease to a node, as a controller does, until unblockGrants ends the delay. It is called
+// before an operation is proposed that requires the lease of the node to have expired. blockGrants fails if the node holds a
+// lease, unless the node has reported that it lost its copies.
 func (l *leadership) blockGrants(node string) error {
 	if _, held := l.lessor.LeaseEnd(l.now(), node); held && !l.cluster.fleet.disabled.grantWhileExpiring {
 		if u, known := l.nodeStatus[node]; !known || !u.LostCopies {
--- a/internal/lab/fleetsim/controller_log.go
+++ b/internal/lab/fleetsim/controller_log.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// apply applies an agreed entry. If led is set and the leader that appended the entry still leads, apply informs its planner of
-// the results.
+// apply applies an agreed entry. The parameter led is false if a new leader applies an entry of the earlier leader. If led is
+// true and the leader that appended the entry still leads, apply informs the planner of this leader of the results.
 func (c *cluster) apply(o *logEntry, led bool) (results []proposalResult, err error) {
 	f := c.fleet
 	c.Entries++
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -58,8 +58,8 @@
 	laterOperationAgreed bool // whether an operation was agreed that only later versions know
 }
 
-// reportedRecord holds the serial (see recordCount) of the last record of a node that a leader knows of. election is the value
-// of cluster.Elections while this leader leads.
+// reportedRecord identifies the last record on a node's disk that a leader knows of. serial is the number of this record (see
+// recordCount). election is the value of cluster.Elections while this leader leads.
 type reportedRecord struct {
 	serial   uint64
 	election int
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -53,7 +53,7 @@
 	activeFaults                        map[string]int      // by kind: number of faults under way
 	faultsUnderway                      int                 // number of faults under way
 	lastFaultEnd                        tick.Tick           // time when the last fault ended
-	refusedOperations, snapshotsChecked int                 // number of operations refused as unknown; number of snapshots compared after a restore
+	refusedOperations, snapshotsChecked int                 // refusedOperations: number of operations refused as unknown; snapshotsChecked: number of snapshots compared after a restore
 	forcedDrains                        int                 // number of faults that make nodes hand over all their instances
 	ReportedLosses                      []string            // names of instances that restarted without a current replica, once per restart
 	disabled                            disabledDefences
--- a/internal/lab/fleetsim/later_versions_test.go
+++ b/internal/lab/fleetsim/later_versions_test.go
@@ -25,8 +25,8 @@
 	if f.Run(20 * tick.Second); !strings.HasPrefix(f.Broken(), "rule 6") {
 		t.Errorf("a controller that accepts an unknown operation does not break rule 6: %q", f.Broken())
 	}
-	// A leader of the later version knows the operation. The other controllers end before they apply the operation, and restart
-	// with the later version.
+	// A leader of the later version knows the operation that edge-1 proposes. The other controllers end before they apply this
+	// operation, and restart with the later version.
 	f = playUntilQuiet(t, Small(), "5000 laterkeeper keeper-1 for 30000\n10000 later edge-1 for 3000", 36, 60)
 	if !f.cluster.laterOperationAgreed || f.cluster.Elections < 2 || !strings.Contains(f.Timeline(), "ends (an entry of a later") {
 		t.Errorf("later operation agreed: %v, %d elections", f.cluster.laterOperationAgreed, f.cluster.Elections)
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -15,13 +15,13 @@
 // unreachable or slow, and how often a member's own record is gossiped. membership.SyncCount decides on the exchanges of full
 // states.
 const (
-	gossipFanOut        = 3  // members that get a packet in one round of gossip, drawn from those that the sender does not consider dead or left
+	gossipFanOut        = 3  // number of members that get a packet in one round of gossip, drawn from the members that the sender does not consider dead or left
 	gossipsPerTimeout   = 10 // rounds of gossip per silence timeout
 	maxPacketBytes      = 16 << 10
 	updateOverheadBytes = 8 // bytes of an update besides its record
 	pingBytes           = 60
 	maxTiers            = 16 // upper limit of memberGroup.maxTransmissions
-	timeoutsPerSync     = 10 // silence timeouts between two exchanges of full states with a random member; more in large fleets (see syncInterval)
+	timeoutsPerSync     = 10 // number of silence timeouts between two exchanges of full states with a random member; more in large fleets (see syncInterval)
 	maxProbes           = 16 // maximum number of pings that a member has under way
 )
 
--- a/internal/lab/fleetsim/membership_views_test.go
+++ b/internal/lab/fleetsim/membership_views_test.go
@@ -33,8 +33,9 @@
 		maxMessages := 8*2*(4+8) + gossipFanOut*gossipsPerTimeout + 8.0
 		passes := 3 * math.Ceil(math.Log10(float64(n+1)))
 		// Bytes per member and second: a heartbeat period is 1+n/32 s, so the records of at most 32 members are due per second.
-		// Each record has up to 300 bytes. In a heartbeat period, changed payloads cause up to 20 updates of a record, and full
-		// states count as one more. The factor passes is the number of times that a member sends each update.
+		// Each record has up to 300 bytes. In a heartbeat period, changed payloads cause up to 20 updates of a record. The full
+		// states count as one more update of each record. The factor passes is the number of times that a member sends each
+		// update.
 		maxBytes := passes * (20 + 1) * float64(min(n, 32)) * 300
 		for when, l := range map[string]Load{"baseline": s.Baseline, "after a partition": s.AfterPartition} {
 			if l.Messages > maxMessages || l.Bytes > maxBytes || l.Bytes > gossipFanOut*gossipsPerTimeout*maxPacketBytes {
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -36,7 +36,7 @@
 	waiting          []func() // calls that deliver holds back until the process resumes from its stall
 	logs             map[string]*replica.Log
 	backupLogs       map[string]*replica.Log // backup of logs, taken up to 6 s before the fault that restores it
-	diskRecords      recordCount             // record count of the disk, which holds logs
+	diskRecords      recordCount             // record count of the disk; the field logs holds the logs on the disk
 	backupRecords    recordCount
 	recordsWritten   *uint64     // number of records ever written by all processes with this name
 	startRecords     recordCount // diskRecords at the start of the process
@@ -50,7 +50,7 @@
 	watching         bool
 	watchNumber      int
 	leaseEnd         tick.Tick // end of the last lease, by the node's own clock
-	instances        int       // agreed number of instances of which the node is the primary
+	instances        int       // number of instances whose agreed primary is the node
 	leaseSince       tick.Tick // simulated time since which the node has held its lease without a gap
 	serving          map[string]bool
 	duplicate        *edgeNode // second process under the same name; nil: there is none
--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -29,7 +29,7 @@
 		ok := u.diskFull == 0 && do(u.logs[name])
 		if ok {
 			if *u.recordsWritten++; u.diskRecords.serial == *u.recordsWritten-1 {
-				u.diskRecords.serial++ // the disk has all earlier records as well
+				u.diskRecords.serial++ // serial rises only if the disk also has all earlier records (see recordCount)
 			}
 			if u.diskRecords.settled {
 				u.diskRecords.count++
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -18,7 +18,7 @@
 	faultsWithin  = 15 * tick.Second   // length of the span in which the faults of a script start
 	maxFaults     = 12                 // maximum number of randomly drawn faults in a script
 	quietSpan     = 20 * tick.Second   // minimum time for which a run continues after the end of the last fault
-	quietDeadline = 1100 * tick.Second // maximum time from the end of the last fault until Fleet.Quiet reports true; a node with a drained battery is accepted again within 960 s
+	quietDeadline = 1100 * tick.Second // maximum time from the end of the last fault until Fleet.Quiet reports true; a node with a drained battery accepts instances again within 960 s (devicehealth.maxDwell)
 )
 
 // Schedule is a script with the fleet in which it runs. Seed determines the fleet's size and the random choices.
@@ -113,7 +113,8 @@
 	return n
 }
 
-// Play runs the schedule until the fleet is quiet, a rule is broken or quietDeadline has passed.
+// Play runs the schedule for quietSpan after the end of the last fault, and then until Fleet.Quiet reports true. The run also
+// ends when a rule is broken, or when quietDeadline has passed since the end of the last fault.
 func (s Schedule) Play() ScheduleResult { return s.play(disabledDefences{}) }
 
 func (s Schedule) play(disabled disabledDefences) (p ScheduleResult) {
--- a/internal/monotonic/commit.go
+++ b/internal/monotonic/commit.go
@@ -78,9 +78,9 @@
 	s.compact()
 }
 
-// write appends records to every copy and syncs it. After a failed write, it truncates the file to its former size.
-// unusable is true if the state of the files is unknown: the truncation failed, a sync failed, or another copy already
-// has the records.
+// write appends records to every copy and syncs each copy. After a failed write, it truncates the copy that was being
+// written to its former size. unusable is true if the state of the files is unknown: the truncation failed, a sync
+// failed, or another copy already has the records.
 func (s *Store) write(records []byte) (unusable bool, err error) {
 	for i, file := range s.files {
 		if _, err := file.Write(records); err != nil {
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -110,7 +110,8 @@
 }
 
 // updateRecovery adapts the recovery state to a new assignment. newEpoch says that the epoch has changed. unconfirmed
-// says that under the previous assignment this node was waiting for replicas to confirm its copy, and that none had.
+// says that under the previous assignment this node was waiting for replicas to confirm its copy, and that no replica
+// had confirmed it.
 func (m *Manager) updateRecovery(inst *instance, newEpoch, unconfirmed bool) {
 	p, r := &inst.assignment.agreed, &inst.recovery
 	required := inst.assignment.requiresCopyOn(m.self)
@@ -129,7 +130,7 @@
 		}
 	}
 	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
-		r.incomplete = true // this node has no copy: another process with this node's name received the entries
+		r.incomplete = true // a replica of a served instance has received entries; this process has no copy, so another process with this node's name received them
 	}
 }
 
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -23,8 +23,8 @@
 
 // Timeouts as multiples of Config.Lease.
 const (
-	stalledCopyLeases = 2 // a primary proposes to cancel a copy to a copy target without progress for longer than this
-	unusedCopyLeases  = 2 // a copy that is not required and has not been used for this time is deleted
+	stalledCopyLeases = 2 // a primary proposes to cancel a copy to a copy target that makes no progress for more than this number of leases
+	unusedCopyLeases  = 2 // a copy that is not required and has not been used for this number of leases is deleted
 )
 
 // Config identifies the node that a Manager runs on and limits its instances.
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -14,7 +14,7 @@
 	probing     progressState = iota // the node's current process has not answered yet: the node is asked for its last entry
 	replicating                      // the node is sent the entries that follow its last one
 	truncating                       // the node's entries after next differ from the primary's and are to be removed
-	resetting                        // the node's whole log is to be replaced by the primary's log, which begins after its BaseIndex
+	resetting                        // the node's whole log is to be replaced by the primary's log, which begins after the primary's BaseIndex
 )
 
 // String returns the name of the state.
--- a/internal/replica/lease_holder.go
+++ b/internal/replica/lease_holder.go
@@ -55,7 +55,7 @@
 	m.advanceActive(now) // a renewed lease changes nothing for idle instances, so advanceAll is not needed
 }
 
-// expireLease handles the end of the lease, if it has ended: the node stops serving every instance.
+// expireLease makes the node stop serving every instance if the lease has ended.
 func (m *Manager) expireLease(now tick.Tick) {
 	if !m.lease.expired(now) {
 		return
@@ -109,7 +109,7 @@
 	if !inst.local.present && !inst.local.failed {
 		m.resetLog(inst, 0, 0)
 	}
-	inst.resetProgressTimes(now) // followers were sent nothing while the node did not serve
+	inst.resetProgressTimes(now) // the confirmation timeouts begin now, because followers were sent nothing while the node did not serve
 }
 
 // stopServing ends serving an instance. The outcome of pending writes is Indeterminate, since the next primary may keep
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -47,8 +47,8 @@
 	return d.Sum64()
 }
 
-// Log is the log of an instance on a node: its last entries, at most LogCapacity, and the checksum of those before
-// them. The zero value is an empty log.
+// Log is the log of an instance on a node: the last entries, at most LogCapacity, and the checksum of all earlier
+// entries. The zero value is an empty log.
 type Log struct {
 	Instance     string     `json:"name"`
 	BaseIndex    uint64     `json:"base"` // index of the last entry before Entries
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -32,7 +32,7 @@
 	local       localLog
 	recovery    recovery
 	serving     serving
-	followers   map[string]*followerProgress // by node name; used by a primary
+	followers   map[string]*followerProgress // progress of the followers, by node name; used by a primary
 	catchUp     catchUp                      // progress of the copy target; used by a primary
 	proposal    proposal
 	pendingAcks []pendingAck
@@ -184,8 +184,8 @@
 	}
 }
 
-// advanceOnce makes one pass over an instance. It handles the copy, then whether the node may serve, and on a primary
-// the replicas, requests and proposals, in that order.
+// advanceOnce makes one pass over an instance. It first handles the copy, and then decides whether the node may serve
+// the instance. On a primary it then handles replicas, requests and proposals, in that order.
 func (m *Manager) advanceOnce(now tick.Tick, inst *instance) {
 	m.deleteUnusedCopy(now, inst)
 	if m.proposeReportIncomplete(now, inst) || m.proposeMarkServed(now, inst) {
@@ -238,8 +238,9 @@
 		inst.proposal.inProgress() || !inst.recovery.trusted(inst.assignment.agreed.Epoch)
 }
 
-// deleteUnusedCopy deletes a copy that has not been used for unusedCopyLeases. It does so only if the instance runs
-// with at least one replica, and its assignment neither involves this node nor lists the copy as stale.
+// deleteUnusedCopy deletes a copy that has not been used for unusedCopyLeases lease durations. It keeps the copy unless
+// the instance runs with at least one replica. It also keeps the copy if the assignment involves this node or lists the
+// copy as stale.
 func (m *Manager) deleteUnusedCopy(now tick.Tick, inst *instance) {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 || inst.assignment.involves(m.self) ||
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -23,7 +23,7 @@
 	MessageFinalAppend = "stop"   // entries as in MessageAppend, from a primary that has stopped for a cut-over
 	MessageAck         = "held"   // an answer: the state of the sender's log, all of which is durable
 	MessageStaleEpoch  = "old"    // an answer: the answered message has an epoch before Epoch, or its sender is not the primary of Epoch
-	MessageRejected    = "unfit"  // an answer: the answered message was refused, for Reason
+	MessageRejected    = "unfit"  // an answer: the answered message was refused; Message.Reason says why
 )
 
 // Message is a message between edge nodes. It may be lost, duplicated or overtaken by another one.
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -60,9 +60,9 @@
 	return true
 }
 
-// proposeMarkServed has the controllers record that the instance is about to be served for the first time, so that a
-// copy that was lost can be told from one that never existed. It returns true if it makes this proposal: the record is
-// missing, the instance runs, this node is its primary, and the node's lease holds.
+// proposeMarkServed proposes to record that the instance is about to be served for the first time. This record tells a
+// copy that was lost from one that never existed. The result is true if the proposal is due: the record is missing, the
+// instance runs, this node is its primary, and the node's lease holds.
 func (m *Manager) proposeMarkServed(now tick.Tick, inst *instance) bool {
 	p := &inst.assignment.agreed
 	if !inst.assignment.known() || p.State != placement.Running || p.Primary != m.self || p.EverServed || !m.lease.holds(now) {
--- a/internal/replica/recovery.go
+++ b/internal/replica/recovery.go
@@ -23,8 +23,9 @@
 	return [...]string{"current", "unverified", "verifying", "fenced", "incomplete"}[s]
 }
 
-// recovery holds the facts that decide whether a copy may be trusted. They are separate fields because one fact can outlive
-// another: a copy that is both incomplete and unverified is unverified once it is complete. The zero value is current.
+// recovery holds the facts that decide whether a copy may be trusted. They are separate fields because one fact can
+// outlive another: a copy that is incomplete and unverified may still be unverified once it is complete. The zero value
+// gives the recoveryState current.
 type recovery struct {
 	// primaryAtStart is set if this node was the primary at its start. OnDiskChecked clears it if the disk was
 	// restored, and markComplete clears it if a verified primary has shown the copy to be complete.
@@ -83,7 +84,7 @@
 type diskState uint8
 
 const (
-	diskUnchecked diskState = iota // not known yet
+	diskUnchecked diskState = iota // it is not known yet whether the disk is an older image
 	diskCurrent                    // no later state of the disk is known
 	diskRestored                   // the disk is an older image
 )
@@ -115,7 +116,7 @@
 	}
 }
 
-// UnverifiedCopy is an instance that its primary serves although its copy may lack acknowledged entries.
+// UnverifiedCopy is an instance that its primary serves although the primary's copy may lack acknowledged entries.
 type UnverifiedCopy struct {
 	Instance string `json:"name"`
 	Epoch    uint64 `json:"epoch"`
@@ -132,9 +133,9 @@
 	})
 }
 
-// UnverifiedCopies returns the instances that the node serves although their copies may lack entries, if the
-// controllers have not been told of that. It returns at most limit instances, sorted by name. OnUnverifiedReported
-// confirms that the controllers have been told.
+// UnverifiedCopies returns the instances that the node serves although their copies may lack entries. It omits the
+// instances whose report the controllers have received (see OnUnverifiedReported). It returns at most limit instances,
+// sorted by name.
 func (m *Manager) UnverifiedCopies(limit int) (copies []UnverifiedCopy) {
 	for _, inst := range m.tracked {
 		if inst.recovery.pendingReport != "" && len(copies) < limit {
--- a/internal/replica/recovery_test.go
+++ b/internal/replica/recovery_test.go
@@ -44,7 +44,7 @@
 // TestManager_PrimaryOnRestoredDisk checks what a primary does whose disk may have been restored, so that its copy may
 // lack acknowledged entries. The primary serves without a report if a replica with a verified copy shows that the
 // primary's copy is complete. It yields to a replica with more entries. Otherwise it serves and reports that entries
-// may be missing. Until the controllers have been told, its messages are marked as unverified.
+// may be missing. Until the controllers have received this report, the primary's messages are marked as unverified.
 func TestManager_PrimaryOnRestoredDisk(t *testing.T) {
 	log, third := twoEntries()
 	second := log.Entries[1]
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -4,7 +4,7 @@
 
 // Request is a client's request at an edge node.
 type Request struct {
-	ID       string // ID of a write; a repeated write, whose ID is the ID of a kept log entry, gets the answer of the first write again
+	ID       string // ID of a write; if a kept log entry has this ID, the write is a repeat and gets the answer of the first write again
 	Instance string
 	Write    bool
 	Body     []byte
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// rejectionReason returns why the node does not start a request although it may serve the instance, or "" if it can
-// start it.
+// rejectionReason returns why the node does not start a request although it may serve the instance, or "" if the node
+// can start the request.
 func (inst *instance) rejectionReason(now tick.Tick, request *Request) (reason string) {
 	switch {
 	case inst.assignment.cuttingOver():
