--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// stepDown ends the leadership. The next leader takes over a random number of the entries under way, from the first on. The
-// rest are lost.
+// stepDown ends the leadership. The next leader takes over the first entries under way, a random number of them. The other
+// entries under way are lost.
 func (c *cluster) stepDown() {
 	l := c.leader
 	c.leader = nil
--- a/internal/lab/fleetsim/request.go
+++ b/internal/lab/fleetsim/request.go
@@ -199,7 +199,8 @@
 	m.end("nacked")
 }
 
-// end records the final outcome of the request. The device sends half of its unsuccessful writes again, up to 4 times in all.
+// end records the final outcome of the request. The device sends half of its unsuccessful writes again, but no write more than
+// 4 times in all.
 func (m *request) end(outcome string) {
 	f := m.fleet
 	if m.final {
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -21,11 +21,11 @@
 // runs. A replica confirms an entry only after the entry is on its disk. A request that is answered with Rejected was
 // never sent to any node.
 //
-// A copy that the controllers require is complete, or the node reports that it may not be. A node whose copy lacks
-// entries that the controllers require reports that (recovery state incomplete), does not serve, and marks its answers
-// as unverified. A node that restarted as primary waits for all replicas to show that none of them has more entries
-// (verifying). A node whose disk was restored from an older image reports its copy as unverified until a node with a
-// verified copy has shown it to be complete.
+// A copy that the controllers require is complete, or the node reports that the copy may lack entries. A node whose
+// copy lacks entries that the controllers require (recovery state incomplete) reports the copy as incomplete, does not
+// serve, and marks its answers as unverified. A node that restarted as primary waits for all replicas to show that none
+// of them has more entries (recovery state verifying). A node whose disk was restored from an older image reports its
+// copy as unverified until a node with a verified copy has shown it to be complete.
 //
 // # Parts of an instance
 //
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -7,8 +7,8 @@
 	"silvercove/internal/tick"
 )
 
-// maxCatchUpLag is the number of entries that the copy target may still lack when it is proposed as a replica. The
-// target receives these entries as a replica.
+// maxCatchUpLag is the maximum number of entries that the copy target may still lack when it is proposed as a replica.
+// The target receives these entries as a replica.
 const maxCatchUpLag = 32
 
 // proposal is the operation last proposed to the controllers for an instance. The zero value means that there was none.
--- a/internal/replica/serving.go
+++ b/internal/replica/serving.go
@@ -85,8 +85,8 @@
 	s.pending = append(s.pending, pendingRequest{request, index})
 }
 
-// execute executes a write whose ID is not the ID of a kept entry. It appends the write's entry, or answers the write
-// if the entry cannot be appended.
+// execute executes a write with an ID that no kept entry has. It appends the write's entry, or answers the write if the
+// entry cannot be appended.
 func (m *Manager) execute(now tick.Tick, inst *instance, request *Request) {
 	e := LogEntry{Index: inst.local.log.LastIndex() + 1, Epoch: inst.assignment.agreed.Epoch, Node: m.self, RequestID: request.ID,
 		Body: request.Body}
