--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -118,8 +118,9 @@
 }
 
 // shed answers a request at once: it rejects the request if a retry by the client is safe, and fails it otherwise. If
-// clients honour a retry-after time, a rejection names half a latency objective plus a random part of another half, so
-// that clients whose requests were shed at the same time do not all retry at the same time.
+// clients honour a retry-after time (Limits.RetryAfter), a rejection names half a latency objective plus a random time
+// of up to another half, but at most MaxRetryAfter. The random part keeps clients whose requests were shed at the same
+// time from all retrying at the same time.
 func (b *Balancer) shed(r *Request) {
 	r.state = requestAnswered
 	if !b.safeToReject(r) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -190,7 +190,8 @@
 }
 
 // checkOverdue handles an attempt in flight. It counts the attempt as slow for its version after slowAfter, and as a
-// failure of its backend if the backend is silent. It may also cancel the attempt.
+// failure of its backend if the backend is silent. It then calls cancelAndRetry, which cancels the attempt if the
+// backend is silent and another backend can serve the request.
 func (b *Balancer) checkOverdue(a *Attempt) {
 	if b.now > a.slowAfter && !a.countedAsSlow && !a.newConnection && !b.attributedToBackend(a, true) {
 		b.recordTimeliness(a, true)
--- a/balancer/concurrency_limit.go
+++ b/balancer/concurrency_limit.go
@@ -77,8 +77,8 @@
 	case a.outcome == AtCapacity || a.outcome <= TimedOut && took > lateAnswerShare*due:
 		minLimit := max(1, minLimitPerBackend*b.warmCapacity/max(1, b.settings.Relays))
 		b.concurrencyLimit = max(minLimit, b.concurrencyLimit*(1-limitDecrease))
-	// An early answer raises the limit only if at least half of the limit was in use, counting the attempt that has
-	// ended.
+	// The answer was early, since the case above handles late ones. It raises the limit only if at least half of the
+	// limit was in use, counting the attempt that has ended.
 	case a.outcome == Succeeded && b.openAttempts()+1 >= b.concurrencyLimit/2:
 		b.concurrencyLimit *= 1 + limitIncrease
 	}
@@ -104,8 +104,8 @@
 }
 
 // updateRatePerBackend recomputes ratePerBackend. While most backends are warm, ratePerBackend is the present rate of
-// successes divided by the warm capacity. Otherwise it is the greater of its previous value and the present rate
-// divided by the number of backends.
+// successes divided by the warm capacity. Otherwise it is the greater of two values: its previous value, and the
+// present rate of successes divided by the number of backends.
 func (b *Balancer) updateRatePerBackend(warm, all float64) {
 	rate := float64(len(b.successTimes)) * float64(Second) / float64(rateWindow)
 	b.ratePerBackend = max(b.ratePerBackend, rate/max(all, 1))
--- a/balancer/endpoint_polling.go
+++ b/balancer/endpoint_polling.go
@@ -59,8 +59,8 @@
 func (b *Balancer) OnListSynced(now Tick, ok bool) {
 	b.now = now
 	if ok && !b.listSynced && b.evaluation != nil {
-		// While the first list arrives, backends are added one by one, so a count made earlier was incomplete. The
-		// count made now includes backends that already run the canary.
+		// While the first list arrives, backends are added one by one. If the evaluation started in that time,
+		// startEvaluation counted only some of them. The count made now includes backends that already run the canary.
 		b.evaluation.baselineBackends = float64(len(b.backends))
 	}
 	b.listSynced = b.listSynced || ok
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -85,7 +85,7 @@
 }
 
 // trimExposure drops arrivals and attempts outside the window. At the edge of the window, it keeps attempts one tick
-// longer and drops arrivals two ticks sooner. Both lower the number of attempts that exposureAllows permits.
+// longer and drops arrivals two ticks sooner. Either way, exposureAllows permits fewer attempts and never more.
 func (b *Balancer) trimExposure(e *exposureCounter, window Tick) {
 	e.attempts = dropBefore(e.attempts, b.now-window-1)
 	e.arrivals = dropBefore(e.arrivals, b.now-window+2)
@@ -99,7 +99,8 @@
 // part of the warm capacity, times a factor that is called the slack. The slack is the ratio of the first stage's
 // exposure cap to the first stage's share of backends, and at least 1. The result is limited by the exposure cap and
 // then scaled by firstAttemptCapShare. While the canary's slow share exceeds the baseline's, the slack is reduced
-// towards 1 in proportion to the difference. The canary is then judged under the same load per backend as the baseline.
+// towards 1 in proportion to the difference. With a slack of 1, the canary is judged under the same load per backend as
+// the baseline.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
 	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
--- a/balancer/golden_world_test.go
+++ b/balancer/golden_world_test.go
@@ -295,7 +295,7 @@
 	return true
 }
 
-// Reject ends a request. Half of the clients retry at the time that they are given.
+// Reject ends a request. Half of the clients that have not retried yet retry after the time retryAfter.
 func (n *simulatedRelay) Reject(req *balancer.Request, retryAfter balancer.Tick) {
 	delete(n.unanswered, req)
 	if n.rand.IntN(2) == 0 && !req.ClientRetry {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -111,8 +111,8 @@
 func (b *Balancer) recordTimeliness(a *Attempt, slow bool) {
 	e, outcome := b.evaluation, indicator(slow)
 	a.countedAsSlow = a.countedAsSlow || slow
-	// A busy relay makes sampleSize attempts in a small part of a second. It therefore keeps one more outcome for each
-	// success within rateWindow.
+	// A busy relay makes sampleSize attempts in a small part of a second. The sample is therefore enlarged by the
+	// number of successes within rateWindow.
 	size := sampleSize + len(b.successTimes)
 	switch {
 	case a.version < e.version:
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -71,7 +71,7 @@
 	ejected              bool
 	probationInterval    Tick // time between attempts while the backend is ejected
 	nextProbationAttempt Tick
-	avoidedUntil         Tick // the fleet declined a probe, so the relay avoids the backend until this time
+	avoidedUntil         Tick // the relay avoids the backend until this time, because the host's AllowProbe has returned false for the backend
 }
 
 // ejection holds what the relay knows of all its backends together.
@@ -113,10 +113,10 @@
 		b.class(r).Idempotency != AtMostOnce
 }
 
-// mayProbe reports whether this relay may try a backend. It asks the fleet if the backend is on probation here or
-// ejected by other relays. If the fleet declines, the relay avoids the backend for initialProbationInterval. If one in
-// avoidedDivisor backends or more is ejected here or avoided, the cause is no single backend, and ejections by other
-// relays are ignored.
+// mayProbe reports whether this relay may try a backend. It asks the fleet (AllowProbe) if the backend is on probation
+// here or ejected by other relays. If AllowProbe returns false, the relay avoids the backend for
+// initialProbationInterval. While at least one in avoidedDivisor backends is ejected here or avoided, the cause is no
+// single backend, and ejections by other relays are ignored.
 func (b *Balancer) mayProbe(backend *Backend) bool {
 	policy, ok := b.host.(fleetPolicy)
 	if !ok {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -127,8 +127,9 @@
 	return b.class(r).Idempotency != AtMostOnce && a.Number+1 < b.settings.Limits.MaxAttempts
 }
 
-// recordOutcome counts the end of an attempt towards the concurrency limit and the health of its backend, and as
-// evidence on its version or the request itself.
+// recordOutcome counts the end of an attempt towards the concurrency limit and the health of the attempt's backend. It
+// also counts the end as evidence on the attempt's version, unless deferFailure defers the failure or attributes it to
+// the request.
 func (b *Balancer) recordOutcome(a *Attempt) {
 	if a.outcome == AtCapacity && a.Request.Pinned {
 		return // the instance runs elsewhere: the placement was outdated, and the backend is not at fault
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -98,7 +98,7 @@
 	baselineBackends     float64 // number of backends that ran earlier versions; the number of all backends if the version appeared before the first list was complete (see OnListSynced)
 	initialWarmCapacity  float64
 	initialSuccesses     float64 // successes within rateWindow
-	initialSlowShare     float64 // slow share of the baseline
+	initialSlowShare     float64 // share of slow attempts at the baseline
 	initialMedianLatency []Tick  // median latency of each class
 }
 
--- a/balancer/rollout_test.go
+++ b/balancer/rollout_test.go
@@ -109,8 +109,8 @@
 	b.OnWrongAnswer(b.now, b.backends[0], idempotent, Second)
 }
 
-// TestRollout_UnknownBaselineRulesNothingOut checks that a few good outcomes do not rule out the effect without data on
-// the baseline.
+// TestRollout_UnknownBaselineRulesNothingOut checks that 12 good outcomes of the canary do not rule out ruledOutEffect
+// while there is no data on the baseline.
 func TestRollout_UnknownBaselineRulesNothingOut(t *testing.T) {
 	b := newFixture(nil)
 	b.addBackend(1, 1, 0)
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -61,7 +61,7 @@
 // route starts an attempt of a request if any backend may take it, and reports whether an attempt started.
 func (b *Balancer) route(r *Request) bool {
 	for {
-		r.refusal = RefusedByEndpoint // the refusal of backends that are not listed as ready
+		r.refusal = RefusedByEndpoint // stays if no backend is ready; eligibleBackends can only raise it
 		if b.openAttempts() >= b.concurrencyLimit {
 			r.refusal = RefusedByLimit
 			return false
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -76,8 +76,8 @@
 func (d *Detector) Outcomes() int { return d.outcomes }
 
 // Observe adds an outcome between 0 (good) and 1 (bad) and tests whether the mean exceeds bound, which must be above 0
-// and below 1. It opens a test that begins with this outcome, and reports whether any test rejects. The alarm is that
-// of the first such test.
+// and below 1. It opens a test that begins with this outcome, and reports whether any test rejects. The alarm
+// identifies the first test in d.tests that rejects.
 func (d *Detector) Observe(outcome, bound float64) (alarm Alarm, raised bool) {
 	d.outcomes++
 	d.openTest(bettingTest{start: d.outcomes, wealth: 1})
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -19,8 +19,9 @@
 	// slowStartShare is a share of the attempts that the site allows at a backend that warms up (see
 	// SlowStart.OverloadMultiple). The slow-start budget of all relays together is computed from this share.
 	slowStartShare = 0.85
-	// slowStartDeviations is how many standard deviations of the number of attempts are left free within
-	// slowStartShare, for relays that happen to send in the same window.
+	// slowStartDeviations is a number of standard deviations of the attempts that the relays together send in one
+	// window. The budget leaves this many free within slowStartShare, for relays that happen to send in the same
+	// window.
 	slowStartDeviations = 3
 	// minSlowStartAttempts is the minimum budget of all relays together, in attempts per window, before slowStartBudget
 	// subtracts the deviations. One attempt per window stays within the site's tolerance whatever the capacity of the
@@ -32,7 +33,7 @@
 type warmUp struct {
 	warmUpSends        []Tick  // times of the attempts within the window
 	lastWarmUpSend     Tick    // time of the last attempt; before the first attempt, when the present process was first listed
-	warmUpCreditNeeded float64 // part of the budget for one attempt that must accrue after lastWarmUpSend before the next attempt
+	warmUpCreditNeeded float64 // fraction of one attempt that the budget must accrue after lastWarmUpSend before the next attempt
 }
 
 // warmUpFraction returns a lower bound of a backend's current capacity, as a fraction of its warm capacity. It is 1 once
--- a/balancer/voting.go
+++ b/balancer/voting.go
@@ -182,7 +182,7 @@
 	}
 	if v.state == voteScheduled {
 		b.castVote()
-	} else { // the next call of considerVote draws again
+	} else { // v.due has passed without a scheduled vote: the next call of considerVote draws again
 		v.state = voteNone
 	}
 }
--- a/internal/instancestore/compaction.go
+++ b/internal/instancestore/compaction.go
@@ -54,7 +54,7 @@
 			out = appendRecord(out, request{kind: kindEntry, instance: name, entry: e})
 		}
 	}
-	return appendRecord(out, countRequest(s.count)) // the count comes last: if counting is enabled, a reader would add the records that follow it
+	return appendRecord(out, countRequest(s.count)) // the count comes last: if counting is enabled, a reader adds 1 to the count for each record that follows it
 }
 
 // sizeInFile returns the approximate size of an instance's log in the file, in bytes.
--- a/internal/instancestore/format.go
+++ b/internal/instancestore/format.go
@@ -52,7 +52,7 @@
 	done     func(error)
 }
 
-// countRequest returns a kindCount request that stores c.
+// countRequest returns a kindCount request that stores the record count c.
 func countRequest(c recordCount) request {
 	r := request{kind: kindCount, number: c.records}
 	if c.counting {
--- a/internal/instancestore/store.go
+++ b/internal/instancestore/store.go
@@ -54,8 +54,9 @@
 	lockName    = "instances.lock"
 	maxQueue    = 1 << 16 // number of queued requests from which on further requests are rejected
 	maxNoteSize = 4 << 10 // largest note, in bytes
-	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. Another process may
-	// count records in a copy of the file at the same time. The step keeps this count above the count in the copy.
+	// confirmStep is the number that the first ConfirmCurrent after Open adds to the count. Another process may have a
+	// copy of the file and count records in that copy at the same time. The step keeps this store's count above the
+	// count in the copy.
 	confirmStep = 1 << 20
 )
 
@@ -74,7 +75,7 @@
 	logs            map[string]*replica.Log
 	note            []byte
 	count           recordCount
-	runCountWritten bool  // whether the first kindCount record since Open is durable; that record ends the counting of records until ConfirmCurrent
+	runCountWritten bool  // whether the first kindCount record since Open is durable; it says that records are not counted until ConfirmCurrent
 	writeFailed     error // error with which all requests fail because the state of the file is unknown; nil if the state is known
 
 	durableCount atomic.Uint64 // durable count of records, which RecordCount returns
--- a/internal/instancestore/write.go
+++ b/internal/instancestore/write.go
@@ -134,9 +134,8 @@
 	}
 }
 
-// confirmedCount returns the count that ConfirmCurrent(minCount) sets. The first ConfirmCurrent after Open adds
-// confirmStep. Another process may count records in a copy of the file at the same time. The added step keeps this count
-// above the count in the copy.
+// confirmedCount returns the count that ConfirmCurrent(minCount) sets. The first ConfirmCurrent after Open also adds
+// confirmStep (see there).
 func (s *Store) confirmedCount(minCount uint64) uint64 {
 	count := max(minCount, s.count.records)
 	if !s.count.counting {
--- a/internal/leases/config.go
+++ b/internal/leases/config.go
@@ -4,8 +4,8 @@
 
 // Config holds the lease duration and the clock drift. All processes of a fleet must use the same values.
 type Config struct {
-	Seconds    float64 // lease duration by the node's clock, in seconds; set by lease in the operator's fleet block
-	ClockDrift float64 // maximum fraction by which one process's clock may run faster than another's, 0 for exact clocks; set by drift in the fleet block
+	Seconds    float64 // lease duration by the node's clock, in seconds; set by the directive lease in the operator's fleet block
+	ClockDrift float64 // maximum fraction by which one process's clock may run faster than another's, 0 for exact clocks; set by the directive drift in the fleet block
 }
 
 // ConfigFrom reads the configuration from the settings "fleet.lease", in seconds, and "fleet.drift", a fraction. The lease
--- a/internal/leases/lessor_test.go
+++ b/internal/leases/lessor_test.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestRecordCounts_AreAgreedInBoundedOperations checks that an operation has at most maxCountsPerOperation counts if more nodes
-// report, and that the remaining counts are due at once. Counts that were not agreed must be due again, except those of nodes
-// that have reported a newer count.
+// TestRecordCounts_AreAgreedInBoundedOperations checks that an operation has at most maxCountsPerOperation counts even if more
+// nodes have reported, and that the remaining counts are due at once. After Requeue, counts that were not agreed must be due
+// again. If a node has reported a newer count before Requeue, the newer count must be due instead.
 func TestRecordCounts_AreAgreedInBoundedOperations(t *testing.T) {
 	c := NewRecordCounts(0, Config{Seconds: 1}, nil)
 	const nodes = 2*maxCountsPerOperation + 10
--- a/internal/leases/record_counts.go
+++ b/internal/leases/record_counts.go
@@ -33,7 +33,7 @@
 
 // Report records the count that a node sent with its lease request, and returns the greatest count known before this report, 0
 // for none. A node that sends no count (0) runs an earlier version or has no disk. Such a node may write records without
-// counting them. The count known before is then no longer meaningful, and Report deletes it.
+// counting them. The known count then no longer says how many records the node has written, so Report deletes it.
 func (c *RecordCounts) Report(node string, count uint64) (previous uint64) {
 	previous = c.known[node]
 	switch {
@@ -65,7 +65,7 @@
 	for node := range counts {
 		delete(c.pending, node)
 	}
-	if len(c.pending) == 0 { // otherwise nextDue stays in the past, and the remaining counts are due immediately
+	if len(c.pending) == 0 { // while counts remain, nextDue stays in the past, so that they are due immediately
 		c.nextDue = now + c.interval
 	}
 	return counts
--- a/internal/replica/assignment.go
+++ b/internal/replica/assignment.go
@@ -59,9 +59,10 @@
 	return slices.ContainsFunc(a.agreed.StaleCopies, func(c placement.StaleCopy) bool { return c.Node == node })
 }
 
-// cuttingOver reports whether the primary must not execute requests, so that the copy target, which is already a
-// replica, can take over. Only a newer assignment ends this state. OpCutOver is proposed with the revision of this
-// assignment, so it cannot be agreed after a newer assignment has let the primary resume.
+// cuttingOver reports whether the assignment asks for a cut-over (CutOver) and its copy target is already a replica.
+// The primary then executes no requests, so that the copy target can take over. Only a newer assignment ends this
+// state. The operation OpCutOver is proposed with the revision of this assignment. Once a newer assignment has let the
+// primary resume, the operation can no longer be agreed.
 func (a *assignment) cuttingOver() bool { return a.agreed.CutOver && a.isReplica(a.agreed.CopyTarget) }
 
 // OnAssignment handles an assignment, either news from the controllers or the result of a proposal. An assignment that
@@ -130,14 +131,14 @@
 		}
 	}
 	if p.Primary != "" && p.Primary != m.self && p.EverServed && inst.local.isAbsent() && inst.assignment.isReplica(m.self) {
-		r.incomplete = true // a replica of a served instance has received entries; this process has no copy, so another process with this node's name received them
+		r.incomplete = true // a replica of an instance that was ever served has received entries; without a copy here, another process with this node's name received them
 	}
 }
 
 // discardOrphan deletes an orphaned log. It is called when an assignment or a message shows that an instance of this
-// name exists now. That instance is a new one with the same name: the instance of the orphaned log was deleted. Before
-// such an assignment or message the log must be kept. Controllers that lost their own log would not know the instance
-// either, even if it was never deleted.
+// name exists now. The controllers did not know the name when this node started. The existing instance is therefore a
+// new one, and the orphaned log belongs to a deleted instance of the same name. Before such an assignment or message
+// the log must be kept: controllers that lost their own log would not know an instance that still exists either.
 func (m *Manager) discardOrphan(inst *instance) {
 	if inst.assignment.state != orphaned {
 		return
--- a/internal/replica/doc.go
+++ b/internal/replica/doc.go
@@ -5,9 +5,9 @@
 //
 // The package contains no clock, goroutine, disk or connection. A caller makes a Manager from the logs on the disk and
 // the controllers' assignments, calls one method for each event (OnLease, OnAssignment, OnRequest, OnDurable, OnMessage
-// and the other methods whose names begin with On), and calls OnTick no later than at the time that the previous call
-// of OnTick returned. The Manager acts through the Host that it was made with. Calls must not overlap: a Manager is not
-// safe for concurrent use.
+// and the other methods whose names begin with On). It calls OnTick again no later than at the time next, which is the
+// result of the previous OnTick. The Manager acts through the Host that it was made with. Calls must not overlap: a
+// Manager is not safe for concurrent use.
 //
 // # Invariants
 //
--- a/internal/replica/follower.go
+++ b/internal/replica/follower.go
@@ -32,7 +32,7 @@
 	inFlight          bool      // the last message has not been answered yet
 	sentAt            tick.Tick // when the last message was sent
 	progressAt        tick.Tick // when the node last made progress or had nothing left to confirm
-	announcementsLeft uint8     // number of answers that the node still has to give; the last of them answers the announcement of the last index (see announceLog)
+	announcementsLeft uint8     // number of answers until the node has answered the announcement of the last index, including that answer (see announceLog)
 
 	// replacedIndex and replacedChecksum are the index and the checksum of the node's last entry when its log was found
 	// to differ from the primary's. They are used in the states truncating and resetting.
--- a/internal/replica/lease_holder_test.go
+++ b/internal/replica/lease_holder_test.go
@@ -15,8 +15,8 @@
 		t.Fatalf("%+v", n.responses)
 	}
 	n.manager.OnRequest(9001, &replica.Request{Instance: "x", ID: "w", Write: true, Deadline: 99999})
-	// Between the two leases, the controllers have changed the assignments. The new lease requires version 5 of them,
-	// which the node has not seen.
+	// The controllers have changed the assignments between the two leases. The new lease requires version 5 of the
+	// assignments, which the node has not seen.
 	n.manager.OnLease(9002, 20000, 5)
 	n.manager.OnRequest(9003, &replica.Request{Instance: "x", ID: "w", Write: true, Deadline: 99999})
 	if len(n.responses) != 3 || n.responses[1].Outcome != replica.Rejected || n.responses[2].Outcome != replica.Rejected {
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -211,7 +211,7 @@
 		return false
 	}
 	p := &inst.assignment.agreed
-	if !inst.assignment.involves(m.self) { // idle unless the copy is to be deleted after unusedCopyLeases
+	if !inst.assignment.involves(m.self) { // not idle if deleteUnusedCopy is to delete the copy after unusedCopyLeases lease durations
 		return !inst.local.present || !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 ||
 			inst.assignment.hasStaleCopyOn(m.self)
 	}
--- a/internal/replica/message.go
+++ b/internal/replica/message.go
@@ -41,9 +41,9 @@
 	LastIndex    uint64     `json:"tip,omitempty"` // last index that is durable at the primary
 
 	// Unverified says that the sender's copy may come from a disk that was restored from an older image, and that no
-	// node has shown the copy to be complete. Such a message does not show that the receiver's copy is complete. An
-	// answer is also marked as unverified while the sender does not know yet whether its disk was restored, and if
-	// entries are missing from the sender's copy.
+	// node has shown the copy to be complete. The receiver cannot conclude from such a message that its own copy is
+	// complete. An answer is also marked as unverified in two other cases: the sender does not know yet whether its
+	// disk was restored, or the sender's copy lacks entries that the controllers require.
 	Unverified bool `json:"doubt,omitempty"`
 
 	// Truncate asks the receiver to remove its entries after PrevIndex. With Reset, the receiver is asked to remove all
--- a/internal/replica/proposal.go
+++ b/internal/replica/proposal.go
@@ -49,7 +49,7 @@
 	if !inst.recovery.incomplete || !m.lease.holds(now) || !inst.assignment.involves(m.self) {
 		return false
 	}
-	if inst.serving.state != stopped { // the node still serves, for example because its disk has just failed: stop now, since another node may become primary before the controllers answer
+	if inst.serving.state != stopped { // the node still serves, for example because its disk has just failed; another node may become primary before the controllers answer
 		m.stopServing(now, inst, "the copy is incomplete")
 	}
 	operation := placement.Operation{Kind: placement.OpReportIncomplete, Reason: "no copy outlived the restart"}
@@ -87,7 +87,7 @@
 }
 
 // proposeDrop proposes to drop the first replica that does not confirm in time, and reports whether there is one. Each
-// entry waits for such a replica, whether the replica is dead, disconnected, slow or its disk is full. Dropping a
+// entry waits for such a replica: the replica may be dead, disconnected or slow, or its disk may be full. Dropping a
 // replica that was merely slow costs a new copy.
 func (m *Manager) proposeDrop(now tick.Tick, inst *instance) bool {
 	for _, name := range inst.assignment.agreed.Replicas {
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -51,7 +51,7 @@
 		m.updateTracking(inst)
 		return
 	}
-	if msg.ReceiverIncarnation == m.incarnation { // a message to an earlier incarnation is not applied: it continues the log of that incarnation, which may differ from this log
+	if msg.ReceiverIncarnation == m.incarnation { // otherwise the message continues the log of an earlier incarnation, which may differ from this log, and is not applied
 		if reason := m.applyEntries(inst, msg); reason != "" {
 			m.host.Send(from, m.answer(msg, MessageRejected, msg.Epoch, reason))
 			return
--- a/internal/replica/receive_test.go
+++ b/internal/replica/receive_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%+v", e)
 	}
 
-	// Entries sent to this incarnation, up to the primary's last one, make the copy complete.
+	// The primary sends its entries to this incarnation. With the primary's last entry, the copy is complete.
 	n = &recordingHost{}
 	assignment = placement.Assignment{Instance: "x", State: placement.Running, Primary: "a", EverServed: true, Epoch: 1, Revision: 3, Replicas: []string{"b"}}
 	n.manager = newManager(n, 1, "b", 2, nil, nil, []placement.Assignment{assignment}, 7)
