--- a/balancer/evidence.go
+++ b/balancer/evidence.go
@@ -200,7 +200,7 @@
 // spread evenly.
 func spreadOutcome(i, bad, n int) float64 { return float64((i+1)*bad/n - i*bad/n) }
 
-// countUnreportedAnswers counts answers as correct once the time within which a report would have arrived has passed.
+// countUnreportedAnswers counts each answer as correct once Rollout.ReportWithin has passed since the answer.
 func (b *Balancer) countUnreportedAnswers() {
 	e, within := b.evaluation, b.settings.Rollout.ReportWithin.Ticks()
 	for n := 0; len(e.awaitingReports) > 0 && n < rareSampleSize && e.awaitingReports[0]+within <= b.now; n++ {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -23,20 +23,22 @@
 	// ejectionFailureShare is the failure share of a backend that should be ejected, as assumed by the sequential test
 	// on the outcomes at a backend.
 	ejectionFailureShare = 0.75
-	// ejectionWealth is the wealth of the test at which a backend is ejected. With a null share of minNullShare, two
-	// failures in a row reach a wealth of 14, and three reach 53. The threshold lies between these values.
+	// ejectionWealth is the wealth of a backend's test (failureWealth) at which the backend is ejected. With a null
+	// share of minNullShare, two failures in a row reach a wealth of 14, and three reach 53. The threshold lies between
+	// these values.
 	ejectionWealth = 27.0
-	// minNullShare and maxNullShare bound the failure share under the null hypothesis, which is nullShareMultiple times
-	// the relay's own failure share. The lower bound keeps few failures in a small sample from ejecting a backend.
-	// Without the upper bound, the null share could come so close to ejectionFailureShare that failures would hardly
-	// raise the wealth.
+	// minNullShare and maxNullShare bound the null share: the failure share under the null hypothesis. Within the
+	// bounds, it is nullShareMultiple times the failure share of the relay's last attempts at all backends. The lower
+	// bound keeps few failures in a small sample from ejecting a backend. Without the upper bound, the null share could
+	// come so close to ejectionFailureShare that failures would hardly raise the wealth.
 	minNullShare      = 0.2
 	maxNullShare      = 0.7
 	nullShareMultiple = 1.5
 	// silenceShare is a share of the shortest latency objective: a warm backend that leaves all attempts unanswered for
 	// longer is silent.
 	silenceShare = 0.6
-	// degradedMargin is how far the failure share of a degraded backend exceeds that of all backends.
+	// degradedMargin is a margin on failure shares: a backend is degraded only if its failure share exceeds that of all
+	// backends by more than this margin.
 	degradedMargin = 0.25
 	// initialProbationInterval and maxProbationInterval bound the time between attempts on probation after failures.
 	// Each failure doubles the interval and each success halves it. Below probationExitInterval the backend is
--- a/balancer/routing.go
+++ b/balancer/routing.go
@@ -43,7 +43,7 @@
 	RefusedByEjection            // the backend is on probation, and not due for an attempt
 	RefusedBySlowStart           // the backend is warming up, and its slow-start budget is used up
 	RefusedByCapacity            // the backend has as much in flight as it can answer
-	RefusedByDegradation         // the backend is degraded, and at least minSubsetSize others may take the request
+	RefusedByDegradation         // the backend is degraded, and at least minSubsetSize stable backends before it in the order may take the request
 	RefusedByExposure            // the backend runs a canary that has reached its exposure cap
 )
 
