--- a/balancer/begin_attempt_test.go
+++ b/balancer/begin_attempt_test.go
@@ -226,8 +226,8 @@
 				if len(sent) > 0 && sent[len(sent)-1] < b.now {
 					continue // the cap is checked only at the times at which an attempt is written
 				}
-				// The cap is 0.3 of the requests received. The site tolerates two attempts more than 1.04 times the
-				// cap.
+				// The cap is 0.3 times the number of requests received. The site tolerates 1.04 times the cap, plus
+				// two attempts.
 				worst = max(worst, float64(len(sent))-2-0.3*1.04*float64(len(received)))
 			}
 			if worst > 1e-9 || all < 100 || lateBy < 10 && discarded > 0 {
@@ -253,8 +253,9 @@
 			b.OnRequest(b.now, request)
 			check(t, "attempts", len(b.host.started), 1)
 			first := b.host.started[0]
-			// The backend is one second old now. Its start is moved so that it is one second old again after 100 s. The
-			// warm-up fraction is then the same at both times.
+			// The backend is one second old now. StartedAt is moved so that the backend is one second old again after
+			// 100 s, when the connection of the first attempt comes up. The warm-up fraction is then the same at both
+			// times.
 			backend.StartedAt = b.now + 100*Second - Second
 			first.backendStart = backend.StartedAt
 			if b.now += 100 * Second; sendSecond {
--- a/balancer/rollout.go
+++ b/balancer/rollout.go
@@ -35,7 +35,7 @@
 	releaseKnown  bool
 	stageStart    Tick
 	answeredKeys  map[uint16]*keyFilter // keys that each of the latest few versions has answered
-	requestFaults []float64             // one entry for each of the last requests: 0 if it was answered, 1 if it failed twice
+	requestFaults []float64             // one entry for each of the last requests: 0 if it was answered, 1 if it failed twice (see Request.failedTwice)
 
 	baseline             *samples
 	baselineTimelinessAt Tick // when an attempt at the baseline was last counted as slow or on time
@@ -209,8 +209,8 @@
 	}
 	if previousCap, _ := b.exposureCapOf(status.Version); b.releaseKnown && old.Phase != Released && status.ExposureCap < previousCap {
 		// From now on, exposureAllows compares the attempts counted so far with the lower cap. The site tolerates
-		// attempts over the lower cap until DrainGrace has passed. Once it has passed, trimExposure drops the attempts
-		// and arrivals from before exposureResetAt.
+		// attempts over the lower cap until DrainGrace has passed. After that, trimExposure drops the attempts and
+		// arrivals from before exposureResetAt.
 		b.exposureResetAt = b.now + b.settings.Endpoints.DrainGrace.Ticks() + 1
 	}
 	b.release, b.releaseKnown = status, true
--- a/balancer/sequential/sequential.go
+++ b/balancer/sequential/sequential.go
@@ -123,8 +123,8 @@
 	return math.Pi * math.Pi * float64(t.start) * float64(t.start) / (6 * d.level)
 }
 
-// Suspicious reports whether the wealth of any test exceeds the square root of its threshold. On the scale of the
-// logarithm of wealth, this is half of the evidence that an alarm needs.
+// Suspicious reports whether the wealth of any test exceeds the square root of its threshold. The logarithm of the
+// wealth is then more than half of the logarithm of the threshold, at which the test rejects.
 func (d *Detector) Suspicious() bool {
 	return slices.ContainsFunc(d.tests, func(t bettingTest) bool { return t.wealth > math.Sqrt(d.threshold(&t)) })
 }
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -172,7 +172,7 @@
 // advance runs advanceOnce for one instance. It adds the instance to Manager.active if the passing of time alone may
 // require further actions.
 func (m *Manager) advance(now tick.Tick, inst *instance) {
-	if inst.idle { // the replicas of an idle instance had nothing to confirm, so their timeouts begin now
+	if inst.idle { // the replicas of an idle instance had nothing to confirm, so their confirmation timeouts begin now
 		inst.resetProgressTimes(now)
 	}
 	m.advanceOnce(now, inst)
