--- a/cmd/silvercovectl/fleet_controller.go
+++ b/cmd/silvercovectl/fleet_controller.go
@@ -60,9 +60,9 @@
 	Wait time.Duration `default:"10s" help:"How long to wait for the controllers."`
 }
 
-// withClient calls call with a client of the controllers. The client has the name and the peers of the process whose
-// configuration file is c.File. That process may run at the same time. The client therefore listens on a free port.
-// Connections that the client or other processes open to the name go to that process (see
+// withClient calls call with a client of the controllers. The client uses the name and the peers of the fleet process
+// whose configuration file is c.File. The fleet process may be running, so the client listens on a free port instead of
+// the address in the file. Connections to the shared name still go to the fleet process (see
 // peertransport.Network.OverrideSelf).
 func (c *controllerCommand) withClient(call func(ctx context.Context, client *controllerclient.Client, file *fleet.File, net *peertransport.Network) error) error {
 	file, err := fleet.Read(c.File)
--- a/internal/devicehealth/claims.go
+++ b/internal/devicehealth/claims.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxClaimShare  = 0.5               // maximum share of a zone's nodes that may evacuate without support for their claims; a faulty version could make all nodes claim
+	maxClaimShare  = 0.5               // maximum share of a zone's nodes that may evacuate on claims without support (see isClaimSupported); a faulty version could make all nodes claim
 	claimRetention = 600 * tick.Second // how long a withdrawn claim still counts as granted; without this, the nodes of a zone could evacuate one after the other
 )
 
--- a/internal/devicehealth/condition.go
+++ b/internal/devicehealth/condition.go
@@ -2,7 +2,7 @@
 
 const (
 	holdingThrottle   = 0.3 // at this throttle reading or more, the node takes no new instances, as their responses would be late
-	switchOnThreshold = 0.5 // a lid reading of this value or more means open, a radio reading on
+	switchOnThreshold = 0.5 // a lid whose reading is at least this is open; a radio whose reading is at least this is on
 )
 
 // assessCondition adds the constraints of throttling, the lid and the radios.
--- a/internal/devicehealth/hysteresis.go
+++ b/internal/devicehealth/hysteresis.go
@@ -25,7 +25,7 @@
 	dwell     tick.Tick
 }
 
-// pendingRise is a higher level that has not yet been allowed for the dwell time.
+// pendingRise is a rise of the level that waits until a higher level has been allowed for the whole dwell time.
 type pendingRise struct {
 	since  tick.Tick // time since which a higher level has been allowed; 0 if none is
 	lowest level     // lowest strictTarget that was passed to update since that time
--- a/internal/devicehealth/monitor.go
+++ b/internal/devicehealth/monitor.go
@@ -97,7 +97,7 @@
 }
 
 // NewMonitor returns the Monitor of one node. It uses the settings fleet.reserve, fleet.hot, fleet.empty, fleet.places
-// and fleet.moves.unit. A setting that the map set does not contain takes its value from defaultSettings.
+// and fleet.moves.unit. A setting that is missing from the parameter set takes its value from defaultSettings.
 func NewMonitor(now tick.Tick, set map[string]any) *Monitor {
 	return &Monitor{
 		settings:     parseSettings(set),
--- a/internal/devicehealth/reading.go
+++ b/internal/devicehealth/reading.go
@@ -39,8 +39,8 @@
 type bounds struct {
 	min, max       float64   // range of possible values
 	slack          float64   // maximum plausible change between two readings, however short the time between them
-	rate           float64   // maximum plausible change per second between two readings, in addition to slack; isJump counts at most maxJumpSpan
-	sampleInterval tick.Tick // minimum time between two samples that a series keeps; series.slope uses at most maxSamples samples
+	rate           float64   // maximum plausible change per second between two readings, in addition to slack; isJump multiplies it by at most maxJumpSpan
+	sampleInterval tick.Tick // minimum time between two samples that a series keeps; with maxSamples, it sets how much time the samples of a slope span
 }
 
 // plausibility has the bounds of each kind. The fastest batteries empty in minutes, and gauges correct themselves by a few
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -13,7 +13,7 @@
 const (
 	staleAfter          = 10 * tick.Second // maximum age of a value that is used; with one reading a second, a single failed reading or jump has no effect
 	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; the samples of a temperature slope span about the same time
-	jumpMinMoves        = 2                // minimum number of changes of the value in jumpConfirmTime; the values of a working sensor change
+	jumpMinMoves        = 2                // minimum number of changes of the value in jumpConfirmTime for accepting a jump; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
 	stuckIntervalFactor = 10.0             // a reading counts as stuck once it has not changed for this many of its mean intervals between changes, and for minStuckTime
 	stuckMinMoves       = 8                // minimum number of changes for using the mean interval; with fewer, a temperature or a draw never counts as stuck
--- a/internal/devicehealth/verifier.go
+++ b/internal/devicehealth/verifier.go
@@ -37,7 +37,7 @@
 	temperature  series // reported temperatures, checked for physical plausibility
 	detector     failureDetector
 	outcomes     outcomeWindow
-	claimGranted bool // true if verifyClaim granted the node's claim: the node may evacuate although neither readings nor outcomes support this
+	claimGranted bool // true if verifyClaim granted the node's claim: the node may evacuate although neither readings nor outcomes support the claim
 }
 
 // zone holds the nodes of one zone, and the claims to evacuate that were granted and withdrawn in it.
--- a/internal/devicehealth/verifier_test.go
+++ b/internal/devicehealth/verifier_test.go
@@ -13,7 +13,8 @@
 const second = tick.Second
 
 // Mains fails for a whole zone of four nodes whose batteries are nearly empty. Their readings support their claims to
-// evacuate, so all four are verified as evacuating within 2 s of the first. LastResort then ranks their instances.
+// evacuate. The last node is verified as evacuating within 2 s of the first node. LastResort then ranks the nodes'
+// instances.
 func TestVerifier_WholeZoneDrainsWithinTwoSeconds(t *testing.T) {
 	var nodes []*simulatedNode
 	for i := range 4 {
@@ -97,8 +98,8 @@
 		if got := evacuating(); got != n/2 {
 			t.Errorf("%d of %d nodes evacuate on claims alone", got, n)
 		}
-		// All nodes withdraw their claims and claim again in reverse order. No claim is granted, as the withdrawn claims
-		// still count as granted.
+		// All nodes withdraw their claims and claim again in reverse order. No claim is granted: the withdrawn claims
+		// count as granted for claimRetention and use up maxClaimShare.
 		for i := range n {
 			verifier.Verify(2*second, fmt.Sprint("u", i), "north", reportClaiming(devicehealth.StateAccepting))
 		}
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -141,9 +141,9 @@
 	d.balancer.OnEndpoint(now, &b.Backend, endpoint)
 }
 
-// forgetRemoved drops backends that were removed from the endpoint list, in the order of their removal, while more
-// backends are removed than listed. It stops at the first backend that has an attempt in flight or was removed less
-// than d.retention ago. The state of such a backend is still needed if the backend is listed again unchanged, or if a
+// forgetRemoved drops backends that are no longer in the endpoint list, in the order of their removal, while they
+// outnumber the listed backends. It stops at the first backend that has an attempt in flight or was removed less than
+// d.retention ago. The state of such a backend is still needed if the backend is listed again unchanged, or if a
 // late report names it.
 func (d *Dispatcher) forgetRemoved(now balancer.Tick) {
 	for len(d.removed) > len(d.backends)-len(d.removed) {
--- a/internal/dispatch/evidence_test.go
+++ b/internal/dispatch/evidence_test.go
@@ -9,8 +9,8 @@
 	"silvercove/internal/pgwire"
 )
 
-// TestRestoreEvidence_CountsInVote: outcomes that were known before a restart count in a vote as if they had just been
-// seen.
+// TestRestoreEvidence_CountsInVote: outcomes from before a restart, passed to RestoreEvidence, count in a vote like new
+// outcomes.
 func TestRestoreEvidence_CountsInVote(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -21,8 +21,8 @@
 	return -1 - int(hashKey(name)>>1)
 }
 
-// zoneNumber returns the number of an endpoint's zone. An endpoint without a zone gets a zone of its own, because no
-// other endpoint is known to recognise a repeat of a request that this endpoint got.
+// zoneNumber returns the number of an endpoint's zone. Endpoints of one zone recognise a repeat of a request that one of
+// them got. An endpoint without a zone gets a zone of its own, because no other endpoint is known to do so.
 func (d *Dispatcher) zoneNumber(e Endpoint) int {
 	if _, listed := d.zones[e.Zone]; e.Zone == "" && !listed {
 		return d.zones.number("\x00" + e.Name)
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -38,7 +38,7 @@
 	case status.Reason == transport.Canceled:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // also if the answer cannot be read
+	return balancer.Reset // any other end, for example with an answer that cannot be read
 }
 
 // VoteOutcome maps the result of sending a vote to an outcome. httpStatus is the HTTP status of the answer, or 0 if
--- a/internal/dispatch/rollout.go
+++ b/internal/dispatch/rollout.go
@@ -167,8 +167,8 @@
 	for class := range min(len(outcomes), len(bad), classes) {
 		part := min(outcomes[class], balancer.MaxGossipOutcomes)
 		badPart := 0
-		// badPart is how many of the outcomes counted by part are bad: part times the share of bad outcomes in the
-		// class, rounded up.
+		// badPart is the number of bad outcomes to send with part: part times the share of bad outcomes in the class,
+		// rounded up.
 		if outcomes[class] > 0 {
 			badPart = min(part, (bad[class]*part+outcomes[class]-1)/outcomes[class])
 		}
--- a/internal/lab/days_test.go
+++ b/internal/lab/days_test.go
@@ -43,9 +43,7 @@
 }
 
 // TestDay_Release checks that no backend is overloaded while two thirds of the backends are cold. It also checks that
-// at least a share of 0.45 of the requests is answered in time; the actual share is 0.66. In an alternative balancer,
-// which is not in use, each relay also adds to its subset of backends every cold backend whose slow-start budget is
-// due. For a balancer whose share is 0.53, that addition raises the share to 0.89; see docs/design.md.
+// at least a share of 0.45 of the requests is answered in time. For an alternative balancer, see docs/capacity.md.
 func TestDay_Release(t *testing.T) {
 	r := ReleaseDay.Run(1)
 	for what, n := range r.Violations {
--- a/internal/lab/metadata_pollers.go
+++ b/internal/lab/metadata_pollers.go
@@ -117,10 +117,11 @@
 }
 
 // waitForEarlierPackage has a server poll until it is assigned the earlier package, and then returns true. The first
-// polls of different servers are spread over the time Poll. The result is false if the server keeps the later package
-// although the lowered cap has taken effect: at most a tenth of the servers are still assigned the later package, more
-// than 3 x Poll + 1 s after began. The result is also false if the server is not assigned the earlier package within
-// 20 x Poll + 5 s, or if ctx ends.
+// polls of different servers are spread over the time Poll. The parameter began is the time at which the proxy began to
+// load the lowered cap. The result is false if the server keeps the later package although two conditions hold: more
+// than 3 x Poll + 1 s have passed since began, and at most a tenth of the servers are still assigned the later package.
+// The result is also false if the server is not assigned the earlier package within 20 x Poll + 5 s after began, or if
+// ctx ends.
 func (p *pollers) waitForEarlierPackage(ctx context.Context, server int, began time.Time) bool {
 	wait := time.Duration(server%97) * p.Poll / 97
 	for time.Since(began) < 20*p.Poll+5*time.Second && ctx.Err() == nil {
--- a/internal/lab/model_release.go
+++ b/internal/lab/model_release.go
@@ -102,7 +102,7 @@
 	for _, n := range m.relays {
 		incarnation, lag := n.incarnation, listLag
 		if n.updatesLate {
-			lag = 0.9 * replaceSpan // late, but before the replacement of the backend, which ends replaceSpan after the start of the drain
+			lag = 0.9 * replaceSpan // late, but before the backend is ready with another version, replaceSpan after its drain began
 		}
 		m.after(lag, func() {
 			if n.incarnation == incarnation {
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -266,8 +266,8 @@
 	return m.rand.ExpFloat64() / rate
 }
 
-// nextRequest sends a new request of a client and schedules the next one. Tenants differ in size: those with low
-// numbers send the most requests.
+// nextRequest sends a new request of a client and schedules the next one. Tenants differ in size: the tenants
+// with the lowest numbers send the most requests.
 func (m *overloadModel) nextRequest() {
 	m.after(m.nextArrival(), m.nextRequest)
 	a := &clientRequest{tenant: int(tenants * math.Pow(m.rand.Float64(), 1.5)), relay: m.rand.IntN(m.Relays)}
--- a/internal/overload/outlier.go
+++ b/internal/overload/outlier.go
@@ -78,7 +78,7 @@
 	// Outcomes of the last evidenceTTL, which are the evidence.
 	suspectedAt    tick.Tick                                 // time of the last failure here, or of the last call of AllowProbe that made this relay suspect the backend; the constant never if there was neither
 	ownOutcomes    [maxOutcomesPerRelay]outcome              // this relay's last outcomes since the backend became a suspect, the newest last
-	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes at the other relays, by the second of the newest one
+	peerTallies    [evidenceTTL/tick.Second + 2]outcomeTally // outcomes reported by other relays, by the second in which the relay's newest outcome ended
 	windowOutcomes int                                       // number of this relay's outcomes at the backend in Manager.window
 	windowFailures int                                       // number of failures among windowOutcomes
 
@@ -283,9 +283,10 @@
 }
 
 // updatePermittedRelays computes how many relays may use the backend while it is ejected: from probersPerBackend to
-// all. The ratio of logOdds to perFailure is the weight of the evidence, in failures. The permitted number doubles for
-// each failure by which this weight is below maxOutcomesPerRelay. A success lowers the weight by at least 1; a failure
-// that expires lowers it by 1. maxDoublingsPerSec bounds how fast the number rises.
+// all. The ratio of logOdds to perFailure is the weight of the evidence, in failures. probersPerBackend relays are
+// permitted at a weight of maxOutcomesPerRelay or more, and twice as many for each failure less. A success lowers the
+// weight by at least 1; a failure that expires lowers it by 1. maxDoublingsPerSec bounds how fast the number of
+// permitted relays rises.
 func (m *Manager) updatePermittedRelays(b *suspectBackend, o odds) {
 	limit := min(m.fleetSize(), probersPerBackend*math.Exp2(max(0, maxOutcomesPerRelay-o.logOdds/o.perFailure)))
 	b.permittedRelays = min(limit, max(probersPerBackend, b.permittedRelays)*
--- a/internal/overload/peers.go
+++ b/internal/overload/peers.go
@@ -42,7 +42,7 @@
 	id              uint64 // hash of the peer's name
 	incarnation     uint64
 	state           PeerState
-	alive           bool // whether the peer counts as alive in the ranks for the suspected backends
+	alive           bool // whether the peer counts as alive for suspectBackend.higherRanked
 	departedAt      tick.Tick
 	creditInherited bool // true if the peer's retry credit has passed to its successor, which need not be this relay
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// updateLiveness updates this relay's ranks for the suspected backends if the peer has come alive or fallen silent. The
-// cost does not grow with the number of peers.
+// updateLiveness updates whether the peer is alive. If that has changed, it also updates suspectBackend.higherRanked of
+// each suspected backend. The cost does not grow with the number of peers.
 func (m *Manager) updateLiveness(p *peer) {
 	alive := p.fresh || p.state == PeerUnreachable
 	if alive == p.alive {
--- a/internal/overload/pressure.go
+++ b/internal/overload/pressure.go
@@ -13,7 +13,7 @@
 	completedMargin    = 1.25                    // pressure does not lower the admitted work below this multiple of the work that backends complete, so that the backends never lack work
 	decreaseRate       = 2.0                     // relative decrease of the admitted fraction per second at a pressure of 2 or more; at a pressure from 1 to 2, it is multiplied by the pressure minus 1
 	increaseRate       = 1.5                     // relative increase of the admitted fraction per second at a coverage of 1 (see Manager.coverage)
-	consensusRate      = 1.0                     // part of the distance between sharedFraction and the median of the other relays' shared fractions by which sharedFraction moves per second
+	consensusRate      = 1.0                     // per second, sharedFraction moves by this part of its distance from the median of the other relays' shared fractions
 	maxUpdateInterval  = 0.5                     // seconds; a longer interval between two updates is treated as this long
 	minCoverage        = 0.25                    // lower bound of the coverage by which UpdatePressure multiplies increases of the admitted fractions
 	minFraction        = 0.01                    // lower bound of the admitted fraction
--- a/internal/overload/report.go
+++ b/internal/overload/report.go
@@ -19,7 +19,7 @@
 	SpilledCredit  float64    // total retry credit spilled since the relay's start; the other relays divide each increase of the total among them (see retryBudget)
 	OfferedWork    []float64  // work offered to the relay, by request class, for the first 12 classes
 	Verdicts       []Verdict  // at most 8 verdicts, the newest first; relays of an earlier version know Verdicts but not Evidence
-	Evidence       []Evidence // evidence on the suspected backends that look worst, at most 6; nil in a report of an earlier version
+	Evidence       []Evidence // evidence on the suspected backends that look worst (see Manager.evidenceToReport), at most 6; nil in a report of an earlier version
 	UnknownFields  []byte     // fields of a later version, as received
 }
 
