--- a/internal/lab/days.go
+++ b/internal/lab/days.go
@@ -12,7 +12,7 @@
 // 0 on.
 type Day struct {
 	Name             string
-	plan             func(f *fleetDay) // schedules the events of the day
+	plan             func(f *fleetDay) // function that schedules the events of the day
 	relays, backends int               // size of the fleet; 0: dayRelays or dayBackends
 	span             float64           // duration in seconds; 0: daySpan
 	wrapHost         hostWrapper
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -28,7 +28,8 @@
 	return o
 }
 
-// runAll simulates overloads, as many at once as GOMAXPROCS allows, and returns their results in the order of days.
+// runAll simulates overloads, as many at once as GOMAXPROCS allows, and returns their results in the order of
+// the parameter days.
 func runAll(days []Overload) []OverloadResult {
 	results := make([]OverloadResult, len(days))
 	var group errgroup.Group
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -37,7 +37,7 @@
 // classState is the state of one request class. Its counts decay over rateWindow.
 type classState struct {
 	priorityWeight float64
-	offered        float64 // number of requests, decayed
+	offered        float64 // number of requests of the class that reached this relay, admitted or shed; decayed
 	completed      float64 // number of requests that a backend answered, decayed
 	serviceTime    float64 // seconds of work per request; 0 if unknown
 	threshold      float64 // a tenant is admitted if its hash, mapped to [0, 1), is below this
--- a/internal/overload/codec.go
+++ b/internal/overload/codec.go
@@ -26,8 +26,8 @@
 	fractionsSize   = 8
 	budgetSize      = 16
 	workSize        = 4  // bytes per request class
-	verdictSize     = 10 // bytes per backend
-	evidenceSize    = 10 // bytes per backend
+	verdictSize     = 10 // bytes per verdict on a backend
+	evidenceSize    = 10 // bytes per evidence on a backend
 
 	verdictAgeUnit  = tick.Second / 100
 	evidenceAgeUnit = tick.Second / 10
--- a/internal/overload/manager.go
+++ b/internal/overload/manager.go
@@ -76,7 +76,7 @@
 // settings are the values of the fleet's directives, in the units of this package.
 type settings struct {
 	relays         float64   // number of relays in the fleet, at least 1
-	retryShare     float64   // retries per first attempt
+	retryShare     float64   // maximum number of retries per first attempt, over the whole fleet
 	admissionFloor float64   // share of each class's tenants that is always admitted
 	probesPerSec   float64   // probes per second at one failing backend, by the whole fleet
 	startupWindow  tick.Tick // time over which StartupDelay spreads the startup steps of all relays after a common restart
--- a/internal/overload/probing.go
+++ b/internal/overload/probing.go
@@ -120,7 +120,7 @@
 	return b.prober
 }
 
-// updateRanks updates this relay's rank for each suspected backend after a peer has come alive or fallen silent.
+// updateRanks updates higherRanked of each suspected backend after a peer has come alive or fallen silent.
 func (m *Manager) updateRanks(p *peer) {
 	for _, b := range m.byVerdict {
 		if rendezvousWeight(b.id, p.id) <= b.ownWeight {
--- a/internal/overload/retry_budget.go
+++ b/internal/overload/retry_budget.go
@@ -22,7 +22,7 @@
 // backend, where retries cost little. That restriction does harm if the backend fails more attempts before its ejection
 // than the budget allows to retry.
 type retryBudget struct {
-	share         float64 // retries per first attempt
+	share         float64 // maximum number of retries per first attempt, over the whole fleet
 	credit        float64 // retries that the relay may make
 	spilled       float64 // credit above the limit, summed since the relay's start
 	firstAttempts float64 // number of first attempts, decayed over budgetWindow
