--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -54,7 +54,7 @@
 	byRequest       map[string]replica.Response // by request ID: responses to the last 64 acknowledged writes
 	recentRequests  []string
 	byIndex         map[uint64]replica.Response
-	reportedLosses  int // number of reported losses of effects; each one clears highestIndex, byRequest and byIndex
+	reportedLosses  int // number of reported losses of effects; each report clears highestIndex, byRequest and byIndex
 	moves           []tick.Tick
 	zoneChanges     int
 	otherMoveCauses int // number of failovers plus number of reports of incomplete copies (see onUnverified); like zoneChanges, this number raises the limit on moves (see checkMoveCount)
@@ -212,7 +212,7 @@
 	}
 }
 
-// checkCopyEnds checks rule 4: when restart_after plus 8 leases have passed since a copy started, the copy has completed or
+// checkCopyEnds checks rule 4 (see checker): when Size.RestartAfter plus 8 leases have passed since a copy started, the copy has completed or
 // been canceled. The check applies only if the leader has not changed, and the last fault ended more than 4 leases ago.
 func (k *checker) checkCopyEnds(p placement.Assignment) {
 	f := k.fleet
@@ -237,8 +237,8 @@
 	f.ReportedLosses = append(f.ReportedLosses, c.name)
 	c.reportedLosses++
 	c.highestIndex, c.byRequest, c.byIndex = 0, nil, nil
-	// A replica is available if its process runs with its data, is not stalled, has no duplicate and holds its lease. This
-	// check does not fail if there is no leader, or if the leader has led for two leases or less.
+	// A replica is available if its process runs with its data, is not stalled, has no duplicate and holds its lease. The
+	// rule is broken only if a controller has led for more than two leases.
 	for _, name := range before.Replicas {
 		u := f.nodeByName[name]
 		span := 2 * tick.Tick(f.Lease*float64(tick.Second))
--- a/internal/lab/fleetsim/controller_leader.go
+++ b/internal/lab/fleetsim/controller_leader.go
@@ -116,9 +116,9 @@
 		e.Node != ""
 }
 
-// blockGrants delays new grants of a lease to a node, as a controller does, until unblockGrants ends the delay. It is called
-// before an operation is proposed that requires the lease of the node to have expired. blockGrants fails if the node holds a
-// lease, unless the node has reported that it lost its copies.
+// blockGrants delays new grants of a lease to a node until unblockGrants is called, as a real controller does. It is called
+// before the proposal of an operation that requires the lease of the node to have expired. blockGrants fails if the node holds
+// a lease, unless the node has reported that it lost its copies.
 func (l *leadership) blockGrants(node string) error {
 	if _, held := l.lessor.LeaseEnd(l.now(), node); held && !l.cluster.fleet.disabled.grantWhileExpiring {
 		if u, known := l.nodeStatus[node]; !known || !u.LostCopies {
--- a/internal/lab/fleetsim/fleet.go
+++ b/internal/lab/fleetsim/fleet.go
@@ -178,7 +178,7 @@
 	return f.nodes[n%f.Nodes]
 }
 
-// scheduleStarts schedules the starts of the nodes one after the other, within a twelfth of a lease. It also schedules the
+// scheduleStarts spreads the starts of the nodes evenly over a twelfth of the lease duration. It also schedules the
 // requests and the load reports, and adds the members if membership is simulated.
 func (f *Fleet) scheduleStarts() {
 	for i, u := range f.nodes {
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -125,7 +125,7 @@
 		if k.laterVersion > 0 {
 			continue
 		}
-		k.laterVersion++ // takes effect at the controller's next start
+		k.laterVersion++ // the controller runs the later version from its next start
 		if k.downCount > 0 {
 			continue
 		}
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -18,7 +18,7 @@
 	gossipFanOut        = 3  // number of members that get a packet in one round of gossip, drawn from the members that the sender does not consider dead or left
 	gossipsPerTimeout   = 10 // rounds of gossip per silence timeout
 	maxPacketBytes      = 16 << 10
-	updateOverheadBytes = 8 // bytes of an update besides its record
+	updateOverheadBytes = 8 // size of an update without its record, in bytes
 	pingBytes           = 60
 	maxTiers            = 16 // upper limit of memberGroup.maxTransmissions
 	timeoutsPerSync     = 10 // number of silence timeouts between two exchanges of full states with a random member; more in large fleets (see syncInterval)
--- a/internal/lab/fleetsim/membership_views_test.go
+++ b/internal/lab/fleetsim/membership_views_test.go
@@ -27,9 +27,9 @@
 			}
 		}
 		// Messages per member and second: there are 8 heartbeats per second. In each of them, a member pings up to 4 members in
-		// turn and up to 8 members that missed probes. Each ping has a reply. Packets of gossip add
-		// gossipFanOut*gossipsPerTimeout messages, because the silence timeout is one second. Everything else may add 8
-		// messages.
+		// turn and up to 8 members that missed probes. Each ping has a reply. The silence timeout is one second here, so each
+		// member also sends gossipFanOut*gossipsPerTimeout packets of gossip per second. All other messages together are
+		// limited to 8 per second.
 		maxMessages := 8*2*(4+8) + gossipFanOut*gossipsPerTimeout + 8.0
 		passes := 3 * math.Ceil(math.Log10(float64(n+1)))
 		// Bytes per member and second: a heartbeat period is 1+n/32 s, so the records of at most 32 members are due per second.
--- a/internal/lab/fleetsim/remote_replicas_test.go
+++ b/internal/lab/fleetsim/remote_replicas_test.go
@@ -6,7 +6,7 @@
 	"silvercove/internal/tick"
 )
 
-// A zone of 10 nodes and 500 instances is cut off twice, each time for six times restart_after, while devices move into it.
+// A zone of 10 nodes and 500 instances is cut off twice, each time for six times Size.RestartAfter, while devices move into it.
 // With remote replicas no effects are lost, and no instance is without a primary for longer than three leases of 2 s. Without
 // remote replicas the zone's instances restart without their effects.
 func TestRemoteReplicas_LongZonePartitionLosesNothing(t *testing.T) {
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -64,7 +64,7 @@
 // copy there did not end in time (backOffRemote).
 type remoteBackoff struct {
 	until    tick.Tick
-	failures int // number of consecutive failures after the first one, at most maxMoveStreak
+	failures int // number of consecutive dropped replicas and late copies after the first one, at most maxMoveStreak
 }
 
 // proposal is an operation whose result is pending.
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -97,9 +97,9 @@
 	return c
 }
 
-// surplusReplicas returns the replica to drop first, worst, and how many replicas an instance has beyond Config.Replicas. The
-// surplus is negative if there are too few replicas. Instead of a positive surplus it returns 0 if no replica may be dropped,
-// or if fewer than Config.Replicas reliable replicas would remain without worst.
+// surplusReplicas returns worst, which is the replica to drop first, and surplus, which is the number of replicas that an
+// instance has beyond Config.Replicas. The surplus is negative if there are too few replicas. A positive surplus is returned as
+// 0 if no replica may be dropped, or if fewer than Config.Replicas reliable replicas would remain without worst.
 func (p *Planner) surplusReplicas(i *instance, c replicaCount) (worst *node, surplus int) {
 	surplus = len(i.replicaNodes) - p.config.Replicas
 	for _, n := range i.replicaNodes {
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// boundWaiters lists instances that wait to be copied, in order of arrival. Copies may use only a fraction of each bound on
-// moves, and the moves in progress or proposed have reached that fraction (copiesFull).
+// boundWaiters lists instances that wait to be copied because too many moves are in progress or proposed, in order of arrival.
+// Copies are started only up to a fraction of each bound on moves (see copiesFull).
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances with enough replicas, but too few in zones other than the primary's
--- a/internal/migration/target.go
+++ b/internal/migration/target.go
@@ -11,7 +11,7 @@
 const (
 	sampledNodes   = 4 // random nodes per zone, in addition to the same number of nodes with the least risk
 	sampledZones   = 3 // maximum number of other zones to search if neither the device's zone nor the primary's has room
-	skippableZones = 2 // number of zones to go through in addition to sampledZones, since the device's zone and the primary's can be among these and are skipped
+	skippableZones = 2 // number of zones to go through in addition to sampledZones, because the device's zone and the primary's are skipped if they are among the zones
 )
 
 // Risk margins and limits of targets.
@@ -33,7 +33,7 @@
 	replicaBonus    = 0.5     // added for a replica, which already has the state
 	largeStateBytes = 1 << 20 // bytes of state from which on a replica scores 1 more than replicaBonus; a smaller state adds proportionally less
 	limitedPenalty  = 0.5     // subtracted for a node that accepts only a few instances
-	crowdingWeight  = 0.5     // weight of r/(1+i), which may exceed 1: the node is a replica of r instances, and the primary serves i instances; only for remote replicas
+	crowdingWeight  = 0.5     // weight of r/(1+i) in the search for a remote replica, where the node is a replica of r instances and the primary serves i instances; r/(1+i) may exceed 1
 	tieBreakWeight  = 0.1     // weight of a hash of node and instance; the weight is 1 if primaries of the instance have failed
 )
 
--- a/internal/placement/table_test.go
+++ b/internal/placement/table_test.go
@@ -120,7 +120,7 @@
 		missing, index        uint64
 		replicas, staleCopies int
 	}{
-		// Node b is a replica, so the restart there loses no entry, and the old primary a stays a replica.
+		// Node b is a replica, so the restart there loses no entry. The failed primary a becomes a replica.
 		{"fail c@1 a>; restart c@1 >b", 0, 9, 1, 0},
 		{"fail c@1 a>; restart c@1 >d #4", 5, 4, 0, 0},
 		{"drop c@1 a>b #9; fail c@1 a>; restart c@1 >b #9", 0, 9, 0, 0},
--- a/internal/placement/validate.go
+++ b/internal/placement/validate.go
@@ -53,7 +53,7 @@
 		return "the format version is missing"
 	case op.Instance == "":
 		return "the instance name is missing"
-	case !(op.Weight >= 0 && op.Weight <= maxWeight): // written so that NaN is refused too
+	case !(op.Weight >= 0 && op.Weight <= maxWeight): // the negated form refuses NaN too
 		return "the weight is not between 0 and 100"
 	case op.Size < 0:
 		return "the size is negative"
--- a/internal/standin/faultproxy/script.go
+++ b/internal/standin/faultproxy/script.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// listHas reports whether a list a,b, or *, contains a name.
+// listHas reports whether a list contains a name. The list has the form a,b, or is * and then contains all names.
 func listHas(list, name string) bool {
 	return list == "*" || slices.Contains(strings.Split(list, ","), name)
 }
--- a/internal/standin/goldentrace/goldentrace.go
+++ b/internal/standin/goldentrace/goldentrace.go
@@ -225,7 +225,7 @@
 	return 0
 }
 
-// Float returns the bits of a number, for Note.
+// Float returns the bits of a number, as a value to pass to Trace.Note.
 func Float(v float64) uint64 { return math.Float64bits(v) }
 
 // String returns the number of calls, the final hash, and the shorter hashes of the checkpoints.
--- a/internal/standin/leakcheck/leakcheck.go
+++ b/internal/standin/leakcheck/leakcheck.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	_ = listener.Close() // the error does not matter: the listener is unused
+	_ = listener.Close() // an error of Close is ignored: the listener was opened only to start the poller
 }
 
 // Descriptors returns the number of file descriptors that the process has open.
--- a/internal/standin/scriptedbackend/backend.go
+++ b/internal/standin/scriptedbackend/backend.go
@@ -77,7 +77,7 @@
 }
 
 func (b *Backend) close(conn *net.TCPConn) {
-	_ = conn.Close() // the script may have closed it already
+	_ = conn.Close() // fails if the script has closed the connection already
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.open, conn)
--- a/internal/standin/testcluster/client.go
+++ b/internal/standin/testcluster/client.go
@@ -111,7 +111,7 @@
 			break
 		}
 		if outcome == Unknown {
-			m.Outcome = Unknown // a later refusal by another node does not change this outcome; an acknowledgement does
+			m.Outcome = Unknown // if another node then refuses the request, the outcome stays Unknown; if a node acknowledges it, the outcome becomes Succeeded
 			k.dropConnection(k.next)
 		}
 		if outcome == Rejected { // a relay's refusal is final
--- a/internal/standin/testcluster/cluster.go
+++ b/internal/standin/testcluster/cluster.go
@@ -40,7 +40,7 @@
 func machineLoad() float64 {
 	var load float64
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		_, _ = fmt.Sscan(string(text), &load) // the first number of the file is the load average of the last minute
+		_, _ = fmt.Sscan(string(text), &load) // the first number in /proc/loadavg is the load average of the last minute
 	}
 	return min(4, max(1, load/float64(2*runtime.NumCPU())))
 }
--- a/internal/standin/testcluster/recovery_test.go
+++ b/internal/standin/testcluster/recovery_test.go
@@ -54,7 +54,7 @@
 }
 
 // Two of three controllers lose their disks under load. The third controller, which leads, is stopped, and so is the primary. The
-// assignments are rebuilt from the edge nodes. The former leader with its old disk and the former primary come back later and
+// assignments are rebuilt from the edge nodes. Later the stopped leader, with its old disk, and the stopped primary resume. They
 // must change nothing.
 func TestRebuild_MajorityOfControllerDisksLost(t *testing.T) {
 	t.Parallel()
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -172,8 +172,8 @@
 	t.Helper()
 	t.Parallel()
 	script := ""
-	// The false temperature rises by half a degree a second, so the node forecasts that it will overheat and claims that it must
-	// evacuate. No single reading is hot enough to support this claim.
+	// The sensors report a false temperature that rises by half a degree a second. The node therefore forecasts that it will
+	// overheat, and claims that it must evacuate. No single reading is hot enough to support this claim.
 	for s := range 40 {
 		script += fmt.Sprintf("%d lie temp %.1f\n", s, 41+0.5*float64(s))
 	}
--- a/internal/standin/testcluster/zone_test.go
+++ b/internal/standin/testcluster/zone_test.go
@@ -126,7 +126,8 @@
 			t.Errorf("%s: the instance moves back and forth", e.Text())
 		}
 	}
-	// The first change sets the state to accepting. Up to four changes may then lower the state step by step to the lowest state.
+	// The first change sets the node's health state to accepting. Up to four changes may then lower it step by step to the lowest
+	// state.
 	if changes > 5 {
 		t.Errorf("%d changes of state", changes)
 	}
