--- a/internal/lab/fleetsim/bench_test.go
+++ b/internal/lab/fleetsim/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkEvent measures the cost of simulating a public event (see EventScript) in a fleet of 1,000 nodes, for 5 minutes and
-// for 1 hour. Run it with GOGC=400 go test -run - -bench Event/1h -benchtime 1x -cpuprofile FILE.
+// for 1 hour of simulated time. Run it with GOGC=400 go test -run - -bench Event/1h -benchtime 1x -cpuprofile FILE.
 func BenchmarkEvent(b *testing.B) {
 	for _, span := range []time.Duration{5 * time.Minute, time.Hour} {
 		b.Run(span.String()[:2], func(b *testing.B) {
--- a/internal/lab/fleetsim/later_versions.go
+++ b/internal/lab/fleetsim/later_versions.go
@@ -156,7 +156,7 @@
 	for _, k := range f.cluster.controllers {
 		steps = append(steps, func(span tick.Tick) {
 			if k.downCount > 0 {
-				return // an operator would not restart a controller that is down
+				return // a controller that is down is skipped, as an operator would not restart it
 			}
 			f.cluster.checkSnapshot()
 			undo := stopControllers(f, []*controller{k})
--- a/internal/lab/fleetsim/node.go
+++ b/internal/lab/fleetsim/node.go
@@ -198,8 +198,8 @@
 }
 
 // baseline returns the assignments that a node starts with (see replica.InitialState): the controllers made them before this
-// incarnation first asked for a lease. If w.noBaseline is set, baseline returns none. If w.trustDisk is set, baseline clears
-// the replicas and the index of each assignment.
+// incarnation first asked for a lease. With noBaseline, baseline returns none. With trustDisk, it returns the assignments with
+// empty replicas and the index 0.
 func (w disabledDefences) baseline(assignments []placement.Assignment) []placement.Assignment {
 	if w.noBaseline {
 		return nil
--- a/internal/lab/fleetsim/node_lease.go
+++ b/internal/lab/fleetsim/node_lease.go
@@ -53,8 +53,8 @@
 	f.after(u.simulatedSpan(lease/3), func() { u.deliver(incarnation, func() { u.renewLease(incarnation) }) })
 }
 
-// onLeaseGranted handles the record count of the node that comes with a lease, as the process of a node does. The parameter
-// known is the highest record count that the controllers know of for the node. If the process started with a lower count, its
+// onLeaseGranted handles the record count that the controllers send with a lease, as a real node process does. The parameter
+// known is the highest record count of the node that the controllers know of. If the process started with a lower count, its
 // disk was restored from a backup. Once all copies are verified, onLeaseGranted raises the disk's record count by
 // countsPerIncarnation, once per incarnation.
 func (u *edgeNode) onLeaseGranted(incarnation, known uint64, reported []replica.UnverifiedCopy) {
--- a/internal/lab/fleetsim/search.go
+++ b/internal/lab/fleetsim/search.go
@@ -32,7 +32,7 @@
 type ScheduleResult struct {
 	Schedule
 	Broken           string
-	Quiet            tick.Tick // time from the end of the last fault until the fleet became quiet
+	Quiet            tick.Tick // time from the end of the last fault until Fleet.Quiet reported true
 	ReportedLosses   int       // number of instances that restarted without a current replica, once per restart
 	UnverifiedCopies int       // number of times that a node reported its own copy of an instance as possibly incomplete; see checker.onUnverified
 	RestoredDisks    int       // number of restored disks that were detected
--- a/internal/migration/instance.go
+++ b/internal/migration/instance.go
@@ -120,7 +120,7 @@
 
 // move is an instance's migration or copy that is in progress or proposed.
 type move struct {
-	source, target *node // both nil if there is no move
+	source, target *node // source and target are both nil if there is no move
 	link           *link // nil for a move within a zone
 }
 
--- a/internal/migration/node.go
+++ b/internal/migration/node.go
@@ -20,7 +20,7 @@
 	FreeSlots      int       // number of additional instances that the node accepts; -n if the node has n instances more than slots
 	ListedDraining bool      // the endpoint list says that the node is draining
 	Version        uint16    // software version that the node runs
-	RollingBack    bool      // Version is being rolled back
+	RollingBack    bool      // whether the version in the field Version is being rolled back
 	WarmingUp      bool      // the node has just started, and FreeSlots is its slow-start budget
 	LostCopies     bool      // this incarnation started without the copies of the previous one
 }
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -220,8 +220,8 @@
 }
 
 // reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. It is
-// called when a move ends. If all instances of a node lack a replica, the end of each copy lets the next copy start.
-// Scheduled reviews alone would start only a few copies at a time.
+// called when a move ends, so that the end of each copy lets the next copy start. If all instances of a node lacked a replica,
+// scheduled reviews alone would start only a few copies at a time.
 func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
 	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
 		list := &waiters.replicas
--- a/internal/placement/apply.go
+++ b/internal/placement/apply.go
@@ -86,9 +86,10 @@
 // SetUnverified records why the copy that a primary serves from may lack entries. An empty reason clears the record. A call
 // is ignored if the epoch is later than the current one, or if the reason is too long or not valid UTF-8.
 //
-// The record does not change the revision of the assignment or the version of the table. No decision depends on the record. A
-// controller of an earlier version ignores the record, but must arrive at the same revisions and versions. Callers of Since
-// therefore receive the reason with the next change of the instance or with a complete list.
+// The record does not change the revision of the assignment or the version of the table, because controllers of an earlier
+// program version ignore the record but must arrive at the same revisions and table versions. No decision depends on the
+// record. Since lists changes by table version, so it returns the reason only with the next change of the instance or in a
+// complete list.
 func (t *Table) SetUnverified(instance string, epoch uint64, reason string) {
 	r := t.rows[instance]
 	if r == nil || r.assignment.Epoch < epoch || len(reason) > maxReasonBytes || !utf8.ValidString(reason) {
--- a/internal/standin/battery/machine.go
+++ b/internal/standin/battery/machine.go
@@ -35,7 +35,7 @@
 // Machine is one simulated edge node. It is not safe for concurrent use.
 type Machine struct {
 	Charge, Temperature     float64 // the charge from 0 to 1; the temperature in degrees Celsius
-	Load, Sun               float64 // each from 0 to 1
+	Load, Sun               float64 // load of the machine and strength of the sun, each from 0 to 1
 	Air                     float64 // outside temperature in the shade, degrees Celsius
 	Mains                   bool
 	Now                     time.Duration
--- a/internal/standin/testcluster/history.go
+++ b/internal/standin/testcluster/history.go
@@ -151,7 +151,7 @@
 	var unknown []*operation
 	for _, o := range ops {
 		if o.outcomeUnknown {
-			unknown = append(unknown, o) // unknown is sorted by start time, because ops are
+			unknown = append(unknown, o) // the slice unknown is sorted by start time, because ops is
 		} else {
 			all = append(all, o)
 		}
