--- a/internal/lab/fleetsim/node_disk.go
+++ b/internal/lab/fleetsim/node_disk.go
@@ -96,8 +96,8 @@
 	})
 }
 
-// ResetLog queues the replacement of a log by an empty one, whose first entry will follow the index base. The parameter sum is
-// the checksum of the log at that index.
+// ResetLog queues the replacement of a log by an empty one. The parameter base is the index before the first entry of the new
+// log, and the parameter sum is the checksum of the log at that index.
 func (u *edgeNode) ResetLog(name string, base, sum uint64) {
 	u.queueWrite(name, base, func(*replica.Log) bool {
 		u.logs[name] = &replica.Log{Instance: name, BaseIndex: base, BaseChecksum: sum}
--- a/internal/lab/fleetsim/replay.go
+++ b/internal/lab/fleetsim/replay.go
@@ -185,8 +185,7 @@
 	if !seen {
 		return testcluster.RunSummary{}, fmt.Errorf("no %q", w.From)
 	}
-	// Only two of the events before From are kept: the placement of the primary, and the last event at which a node started to
-	// serve.
+	// Only two of the events before From are kept: the last assignment, and the last event at which a node started to serve.
 	first := slices.IndexFunc(relevant, func(e testcluster.Event) bool { return e.Is(w.From) })
 	head := []testcluster.Event{placedEvent}
 	for _, e := range slices.Backward(relevant[:first]) {
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -40,7 +40,7 @@
 type disabledDefences struct {
 	longLease               bool // a node assumes that its lease is longer than granted
 	ignoreNodeStatus        bool // the planner assumes that all nodes are healthy
-	ackWithoutReplicas      bool // a primary assumes that each replica has all entries
+	ackWithoutReplicas      bool // a primary takes entries as acknowledged by a replica as soon as it sends them
 	ignoreRecordCounts      bool // a node does not check whether its disk was restored from a backup
 	acceptUnknownOperations bool // controllers accept operations that they do not know
 	rejoinAll               bool // a member exchanges full states with up to 4 dead members instead of the number that membership.SyncCount returns
--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -41,8 +41,8 @@
 	return i
 }
 
-// enqueue adds an instance to a queue. Among instances with the same reason to move, those with more risk come first. In the
-// ready queue of a node, every instance has the risk 0.
+// enqueue adds an instance to a queue. The parameter risk is the risk of the instance's primary, or 0 for the ready queue of
+// a node. Among instances with the same reason to move, those with the higher risk come first.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
