--- a/internal/migration/queue.go
+++ b/internal/migration/queue.go
@@ -41,8 +41,8 @@
 	return i
 }
 
-// enqueue adds an instance to a queue. Among instances with the same reason to move, those with more risk come first. In the
-// ready queue of a node, every instance has the risk 0.
+// enqueue adds an instance to a queue. The parameter risk is the risk of the instance's primary, or 0 for the ready queue of
+// a node. Among instances with the same reason to move, those with the higher risk come first.
 func (p *Planner) enqueue(q *queue, i *instance, risk float64) {
 	i.wait.queue, i.wait.risk = q, risk
 	heap.Push(q, i)
@@ -200,8 +200,8 @@
 	}
 }
 
-// boundWaiters lists instances that wait to be copied, in order of arrival. Copies may use only a fraction of each bound on
-// moves, and the moves in progress or proposed have reached that fraction (copiesFull).
+// boundWaiters lists instances that wait to be copied because too many moves are in progress or proposed, in order of arrival.
+// Copies are started only up to a fraction of each bound on moves (see copiesFull).
 type boundWaiters struct {
 	replicas       []*instance // instances with too few replicas
 	remoteReplicas []*instance // instances with enough replicas, but too few in zones other than the primary's
@@ -220,8 +220,8 @@
 }
 
 // reviewNextWaiting queues a review of the first instance in waiters; instances with too few replicas come first. It is
-// called when a move ends. If all instances of a node lack a replica, the end of each copy lets the next copy start.
-// Scheduled reviews alone would start only a few copies at a time.
+// called when a move ends, so that the end of each copy lets the next copy start. If all instances of a node lacked a replica,
+// scheduled reviews alone would start only a few copies at a time.
 func (p *Planner) reviewNextWaiting(waiters *boundWaiters) {
 	for len(waiters.replicas)+len(waiters.remoteReplicas) > 0 {
 		list := &waiters.replicas
