--- a/internal/benchadapter/messages.go
+++ b/internal/benchadapter/messages.go
@@ -49,7 +49,7 @@
 
 // The kinds of endpoint list updates in the order of their codes, each with its name on the wire.
 const (
-	updateComplete endpointUpdateKind = iota // full
+	updateComplete endpointUpdateKind = iota // full: the complete list
 	updateFailed                             // failed: a fetch of the list failed, and the list is unchanged
 	updateCached                             // cached: a complete list that may be stale
 	updateDelta                              // delta: only the endpoints that changed
--- a/internal/controller/consensus.go
+++ b/internal/controller/consensus.go
@@ -90,8 +90,8 @@
 	return opened, nil
 }
 
-// runRaft runs raft and all goroutines that use raft until the context ends. It is called once this disk may take part in the
-// log (awaitStart). The goroutines have ended when runRaft returns.
+// runRaft runs raft and all goroutines that use raft until the context ends. It is called once raft may run on this disk
+// (see awaitStart). The goroutines have ended when runRaft returns.
 func (c *Controller) runRaft(ctx context.Context, opened openedStore, logger hclog.Logger) error {
 	c.store = &guardedStore{
 		Store:             opened.log,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -74,7 +74,7 @@
 	// mu guards the fields below, and the fields of the leadership that change. No goroutine blocks while it holds mu.
 	mu           sync.Mutex
 	leadership   *leadership // nil while this controller does not lead
-	waitReason   string      // what the controller waits for before it takes part in the log, see setWaitReason; "" if it does not wait
+	waitReason   string      // what the controller waits for before raft may run on its disk, see setWaitReason; "" if it does not wait
 	diskFault    string      // error of the last write to the log; "" if the write succeeded
 	diskSpace    controllerclient.DiskSpace
 	logPositions map[string]controllerclient.LogPosition // by controller: last entry that the controller acknowledged as stored
--- a/internal/controller/disk_space_test.go
+++ b/internal/controller/disk_space_test.go
@@ -32,7 +32,7 @@
 	c.adjustOptions = func(name string, o *Options) {
 		free.adjust(name, o)
 		o.spacePolicy = newSpacePolicy()
-		// Numbers of log entries. While a disk is low on space, an eighth of them applies: 50 and 10.
+		// Both are numbers of log entries. While a disk is low on space, an eighth of each number applies: 50 and 10.
 		o.spacePolicy.snapshotEntries, o.spacePolicy.trailingEntries = 400, 80
 	}
 	c.start()
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -46,8 +46,8 @@
 // StoreLog stores one entry, as StoreLogs does.
 func (g *guardedStore) StoreLog(entry *raft.Log) error { return g.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs stores all entries, or none of them if it fails. It fails with os.ErrClosed after closed is closed. After a failure
-// raft steps down if it leads, and does not acknowledge the entries if it follows.
+// StoreLogs stores all entries, or none of them if it fails. It fails with os.ErrClosed once the channel g.closed is closed. After a
+// failure, raft steps down if it leads, and does not acknowledge the entries if it follows.
 func (g *guardedStore) StoreLogs(entries []*raft.Log) error {
 	select {
 	case <-g.closed:
@@ -81,7 +81,7 @@
 	return g.Store.DeleteRange(low, high)
 }
 
-// SetUint64 writes a term and retries until it succeeds. After closed is closed, SetUint64 writes nothing and returns nil.
+// SetUint64 writes a term and retries until it succeeds. Once the channel g.closed is closed, it writes nothing and returns nil.
 func (g *guardedStore) SetUint64(key []byte, value uint64) error {
 	for {
 		select {
--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -27,7 +27,7 @@
 	if c.disk.currentMarker().Founding {
 		return
 	}
-	var needed uint64 // this disk becomes a voter within maxJoinLag entries of this log index; 0 until the leader has answered
+	var needed uint64 // log index that this disk must reach, to within maxJoinLag entries, before it becomes a voter; 0 until the leader has answered
 	for ; ctx.Err() == nil; c.pauseBeforeRetry(ctx) {
 		marker := c.disk.currentMarker()
 		if marker.Started && c.isVoter(r) {
--- a/internal/controller/log_entry.go
+++ b/internal/controller/log_entry.go
@@ -31,7 +31,7 @@
 	// is nil.
 	Origin *controllerclient.LogOrigin `json:"birth,omitempty"`
 
-	// If Controller is set, StoreID is the identity of this controller's disk after the entry is applied.
+	// If Controller is set, StoreID is the identity of the named controller's disk after the entry is applied.
 	Controller string `json:"node,omitempty"`
 	StoreID    string `json:"store,omitempty"`
 
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -31,7 +31,7 @@
 	// OnDeviceMoved is called when an instance's device has entered a zone.
 	OnDeviceMoved(now tick.Tick, instance, zone string)
 
-	// OnTick performs the work that is due. It returns the time of the next call, which is at most a lease duration later.
+	// OnTick performs the work that is due. It returns the time of the next call, which is at most a lease duration after now.
 	OnTick(now tick.Tick) (next tick.Tick)
 }
 
--- a/internal/controller/proposals_test.go
+++ b/internal/controller/proposals_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// An entry of an earlier term is refused. If the leadership was lost and won again in between, the node may have renewed its
-// lease, and a failover that required an expired lease would no longer be safe.
+// An entry that was proposed in an earlier term is refused. Since the proposal, this controller may have lost and regained the
+// leadership, and the primary may have renewed its lease. A failover is safe only while that lease has expired.
 func TestProposal_IsFencedByItsTerm(t *testing.T) {
 	c := newTestFleet(t, time.Second, 1, 1)
 	c.start()
--- a/internal/controller/rebuild.go
+++ b/internal/controller/rebuild.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// checkControllersStopped fails if another controller knows a leader, or takes part in a log with its disk from before the
-// rebuild. It treats a controller that does not answer as stopped.
+// checkControllersStopped fails if another controller knows a leader, or runs raft on its disk from before the rebuild. It
+// treats a controller that does not answer as stopped.
 func checkControllersStopped(ctx context.Context, o RebuildOptions) error {
 	for _, peer := range o.Network.Peers(peertransport.RoleController) {
 		statusContext, cancel := context.WithTimeout(ctx, statusTimeout)
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -21,7 +21,7 @@
 	callHeaderTimeout = 5 * time.Second
 	callReadTimeout   = 10 * time.Second
 	callIdleTimeout   = time.Minute
-	maxCallHeader     = 8 << 10 // bytes
+	maxCallHeader     = 8 << 10 // maximum size of a call's HTTP header in bytes
 )
 
 // callError is the error response to a refused call.
@@ -113,7 +113,7 @@
 			return context.WithValue(ctx, callerKey{}, conn.(*peertransport.Conn).From)
 		},
 	}
-	// An error of Close does not matter, because ctx, from which the contexts of all calls derive, has ended anyway.
+	// An error of Close does not matter, because ctx has ended. The contexts of all calls derive from ctx.
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	listener := c.Network.Listener(peertransport.KindHTTP)
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -76,7 +76,7 @@
 	return c.disk.putMarker(marker)
 }
 
-// decideStarted decides whether a disk that already belongs to a log may take part in it.
+// decideStarted decides whether raft may run on a disk that already belongs to a log.
 func (c *Controller) decideStarted(marker storeMarker, last controllerclient.LogPosition, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -103,9 +103,9 @@
 	return startLater, nil
 }
 
-// decideEmpty decides whether a disk that belongs to no log yet may take part in one. The disk may take part if
-// LogOrigin.Stores of an existing log contains the disk's identity, or if the leader of an existing log admits the disk. If no
-// controller belongs to a log, the controllers create one (decideFounding).
+// decideEmpty decides whether raft may run on a disk that belongs to no log yet. Raft may run if LogOrigin.Stores of an existing
+// log contains the disk's identity, or if the leader of an existing log admits the disk. If no controller belongs to a log, the
+// controllers create one (decideFounding).
 func (c *Controller) decideEmpty(ctx context.Context, marker storeMarker, statuses []controllerclient.Status,
 	unreachable []string) (startDecision, error) {
 
@@ -134,8 +134,8 @@
 	return c.decideFounding(marker, statuses)
 }
 
-// decideFounding decides whether this disk may take part in a new log. It is called if all controllers answer and none belongs
-// to a log yet. The controller whose name sorts first creates the log's origin, whose field Stores contains the identities of
+// decideFounding decides whether raft may run on this disk with a new log. It is called if all controllers answer and none
+// belongs to a log yet. The controller whose name sorts first creates the log's origin, whose field Stores contains the identities of
 // all controllers' disks. The other controllers wait until a later status query returns that origin.
 func (c *Controller) decideFounding(marker storeMarker, statuses []controllerclient.Status) (startDecision, error) {
 	names := append([]string{c.name}, c.peers...)
@@ -166,7 +166,7 @@
 	}
 }
 
-// setWaitReason records what this controller waits for before it takes part in the log. The reason is the text that follows
+// setWaitReason records what this controller waits for before raft may run on its disk. The reason is the text that follows
 // "waiting" in the log line, or "" if the controller does not wait. setWaitReason logs a reason that differs from the recorded
 // one.
 func (c *Controller) setWaitReason(reason string) {
--- a/internal/controller/start_test.go
+++ b/internal/controller/start_test.go
@@ -55,8 +55,8 @@
 	restore := c.copyStore(name)
 	c.start(name)
 	c.create("edge-a", "camera-1", "edge-a")
-	// The controller has acknowledged the entry of camera-1, and the leader may have counted it among the majority that stores
-	// the entry.
+	// The controller has acknowledged the entry of camera-1, and the leader may have counted the controller among the
+	// majority that stores the entry.
 	c.waitForInstance(name, "camera-1")
 	store := c.processes[name].controller.disk.currentMarker().StoreID
 	_ = c.stop(name)
--- a/internal/controllerclient/errors.go
+++ b/internal/controllerclient/errors.go
@@ -21,8 +21,8 @@
 var errNoControllerConfigured = errors.New("the configuration file lists no process of role keeper")
 
 // RefusalError is a controller's final refusal of a call, with status 400, 404 or 409. errors.Is matches an error of package
-// placement or leases, such as placement.ErrStaleEpoch, if the controller's error text contains its text. Client.Status,
-// Confirm and Inventory, which call a single process, return a RefusalError for any status other than 200.
+// placement or leases, such as placement.ErrStaleEpoch, if the controller's error text contains the text of that error.
+// Client.Status, Confirm and Inventory, which call a single process, return a RefusalError for any status other than 200.
 type RefusalError struct {
 	Code int // HTTP status code
 	ErrorBody
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -27,9 +27,10 @@
 // call sends one request, on the open connection or on a new one, and applies the response. If the call failed,
 // status is closed and holds the reason.
 //
-// skipped is true for a response that is not the complete list and has a version lower than r.version. The agent sends
-// such a response after the agent or discovery has restarted with older data. Its changes are applied, but it may lack
-// some of the changes that lead to its version. The caller then has to ask for the complete list.
+// skipped reports that changes may have been skipped: the response is not the complete list, and its version is lower
+// than r.version. The agent sends such a response after the agent or discovery has restarted with older data. The
+// response is applied, but it may lack some of the changes that lead to its version. The caller then has to ask for the
+// complete list.
 func (r *run) call(ctx context.Context, p poll) (skipped bool, status transport.CloseStatus) {
 	path, wait := endpointsPath, time.Duration(0)
 	if !p.complete {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -34,8 +34,8 @@
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
 	// retryPause is the pause after a call that failed, or that was answered early without a newer version. Without the
-	// pause, Run would call an agent that ignores timeout_ms in a tight loop. Discovery continues a watch only if its
-	// next call arrives within 200 ms, so the pause must be shorter than that.
+	// pause, Run would call an agent that ignores timeout_ms in a tight loop. Discovery continues a watch only if the
+	// watch's next call arrives within 200 ms, so the pause must be shorter than that.
 	retryPause = 125 * time.Millisecond
 )
 
--- a/internal/edgenode/cut_over_test.go
+++ b/internal/edgenode/cut_over_test.go
@@ -18,8 +18,8 @@
 		}
 	}
 	c.startCopy("camera-7", "edge-b", true)
-	// lastID is the ID of the last write that the former primary answered. The test repeats only this write at its end, because
-	// an instance may forget its answers to older writes.
+	// lastID is the ID of the last write that the former primary answered. At the end, the test repeats only this write, because an
+	// instance may forget its answers to older writes.
 	client, movedValue, lastID, lastValue := a, "", "w7", "9 1 edge-a"
 	for i := 0; ; i++ {
 		id := fmt.Sprint("m", i)
--- a/internal/edgenode/query.go
+++ b/internal/edgenode/query.go
@@ -107,8 +107,8 @@
 	case replica.Succeeded:
 		n.health.RecordOutcome(now, true)
 	case replica.Indeterminate:
-		// With LeaseLost, the controllers were unreachable or another node has become the primary. Neither says anything about this
-		// node's health.
+		// If LeaseLost is set, the controllers were unreachable or another node has become the primary. Neither says anything about
+		// this node's health.
 		if !response.LeaseLost {
 			n.health.RecordOutcome(now, false)
 		}
--- a/internal/edgenode/request_server.go
+++ b/internal/edgenode/request_server.go
@@ -28,7 +28,7 @@
 	// The listener may be closed twice. The error of the second Close is ignored.
 	stop := context.AfterFunc(ctx, func() { _ = n.listener.Close() })
 	defer stop()
-	// If serveRequests returns before the function above has run, this call closes the listener.
+	// If serveRequests returns before ctx ends, this call closes the listener.
 	defer func() { _ = n.listener.Close() }()
 	slots := make(chan struct{}, maxRequestConns)
 	for {
@@ -41,7 +41,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // for example too many open file descriptors
+		case err != nil: // Accept failed, for example because too many file descriptors are open
 			n.options.Log.Warn().Str("why", err.Error()).Msg("request connection not accepted")
 			sleep(ctx, acceptRetryDelay)
 			continue
--- a/internal/operatorconfig/grammar.go
+++ b/internal/operatorconfig/grammar.go
@@ -43,8 +43,8 @@
 	Lines []*line `parser:"@@*"`
 }
 
-// line is one line of a file with a directive, and with the block of the directive if there is one. Name is empty if the
-// line has no directive.
+// line is one line of a file, which may have a directive. Name is the name of the directive, or "" if the line has none.
+// Block is nil unless the directive opens a block.
 type line struct {
 	Pos   lexer.Position
 	Name  string   `parser:"( @Word"`
--- a/internal/operatorconfig/stored_test.go
+++ b/internal/operatorconfig/stored_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// collectPaths adds entries to the map given: the paths of all values of a block and of the blocks in it. The parameter
-// in is the path of the block, and all holds its values.
+// collectPaths adds the paths of all values of a block, and of the blocks in it, to the parameter given. The parameter in is
+// the path of the block, and the parameter all holds the block's values.
 func collectPaths(given map[string]bool, in string, all map[string]any) {
 	for name, value := range all {
 		path := strings.TrimPrefix(in+"."+name, ".")
--- a/internal/relay/start_test.go
+++ b/internal/relay/start_test.go
@@ -52,8 +52,8 @@
 }
 
 // TestStart_SilentPeers checks that a restarted relay is ready within 5 s even if the agent and the backends do not
-// respond and the timeouts in the settings are long. Every scenario allows a restarted relay at least 6 s. The test
-// covers both a pushed list and a requested one.
+// respond and the timeouts in the settings are long. Every scenario allows a restarted relay at least 6 s
+// to become ready. The test covers both a pushed list and a requested one.
 func TestStart_SilentPeers(t *testing.T) {
 	for _, word := range []string{"automatic", "subscribe"} {
 		t.Run(word, func(t *testing.T) {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -24,8 +24,8 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	// Without a connect timeout, only the deadline of the request limits a connection attempt. The longest deadline of
-	// all classes is at least that deadline, so as a connect timeout it does not shorten the limit.
+	// Without a connect timeout, only the deadline of the request limits a connection attempt. The longest
+	// deadline of all classes is therefore used as the connect timeout: it is never shorter than the request's deadline.
 	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
