--- a/internal/controller/confirmer.go
+++ b/internal/controller/confirmer.go
@@ -88,8 +88,8 @@
 	return true
 }
 
-// retryLater is called after a query without an answer. If a call of confirm is in progress when retryLater begins, it requests
-// another query of the controller after a pause of CommitInterval (leases.Timings). Otherwise it only waits for that pause.
+// retryLater is called after a query without an answer. It waits for CommitInterval (leases.Timings). It then requests another
+// query of the controller if a call of confirm was in progress when retryLater began.
 func (l *leadershipConfirmer) retryLater(ctx context.Context, name string) {
 	l.mu.Lock()
 	hasPendingCalls := l.pendingCalls > 0
--- a/internal/controller/confirmer_test.go
+++ b/internal/controller/confirmer_test.go
@@ -24,8 +24,8 @@
 		}
 	}
 	// The test simulates answers that were still in flight when another leader was elected; raft's VerifyLeader would count
-	// them. Before the partition, it records that each follower has confirmed lastRound, the newest round that began before the
-	// call of confirm.
+	// them. Before the partition, the test records that each follower has confirmed lastRound. That is the newest round that began
+	// before the call of confirm.
 	for _, name := range followers {
 		ctrl.confirmer.mu.Lock()
 		ctrl.confirmer.confirmations[name] = confirmation{round: ctrl.confirmer.lastRound, term: term}
--- a/internal/controller/guarded_store.go
+++ b/internal/controller/guarded_store.go
@@ -30,7 +30,7 @@
 	fatal             func(error)
 	onDiskResult      func(error)   // called with the error of each write, or nil if it succeeded
 	termRetryInterval time.Duration // pause before a failed write of the term is retried
-	closed            chan struct{} // ends the retries; closed after raft's transport, when raft can no longer send
+	closed            chan struct{} // ends the retries; closed once raft's transport is closed and raft can no longer send
 
 	mu   sync.Mutex
 	last controllerclient.LogPosition // position of the last entry; guarded by mu
--- a/internal/controller/handle_lease.go
+++ b/internal/controller/handle_lease.go
@@ -52,8 +52,8 @@
 	}
 	request.Unverified = nil
 	request = l.withVerifiedReport(now, c.zoneOf(request), request)
-	// If this leader has no report of the version's rollout state, request.RollingBack keeps the value that the node received
-	// from an earlier leader and repeats in its requests.
+	// If this leader has no report of the version's rollout state, request.RollingBack stays unchanged. The node repeats in it
+	// the value that an earlier leader sent.
 	if rollingBack, known := l.rollingBack[request.SoftwareVersion]; known {
 		request.RollingBack = rollingBack
 	}
@@ -111,7 +111,7 @@
 		l.lessor.OnIncarnationAgreed(request.Node, request.Incarnation)
 	case knownNotAgreed(err), errors.Is(err, errTermEnded), errors.Is(err, leases.ErrStaleIncarnation):
 		l.lessor.OnIncarnationDropped(request.Node)
-	} // after any other error the entry may have been agreed; this leadership has ended and its lessor is no longer used
+	} // any other error means that this leadership has ended and its lessor is no longer used; the entry may have been agreed
 	c.mu.Unlock()
 	if errors.Is(err, leases.ErrStaleIncarnation) {
 		return refuse(http.StatusConflict, "%s: %v", request.Node, err)
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -10,8 +10,8 @@
 // migration.Planner. A new Planner is created each time that a controller begins to lead. Its methods are called one at a time.
 type Planner interface {
 	// OnElected is called after this controller is elected. It is called again when there are enough voters for a majority
-	// after a time with too few. At each call, every lease that may have been granted before counts as renewed at the time in
-	// the parameter now.
+	// after a time with too few. At each call, the Planner has to treat every lease that may have been granted before as
+	// renewed at the time in the parameter now.
 	OnElected(now tick.Tick)
 
 	// OnNodeStatus is called for each granted lease, and when the rollback of a node's version begins or ends.
--- a/internal/controller/proposals.go
+++ b/internal/controller/proposals.go
@@ -126,8 +126,8 @@
 }
 
 // knownNotAgreed reports whether an error of proposeEntry proves that the entry was not agreed. It recognizes only the two
-// errors after which the leadership may continue. One means that the entry waited too long for raft's queue. The other means
-// that a leadership transfer was in progress; if the transfer fails, this controller continues to lead.
+// errors after which the leadership may continue. One means that the entry waited too long for a place in raft's queue. The
+// other means that a leadership transfer was in progress; if the transfer fails, this controller continues to lead.
 func knownNotAgreed(err error) bool {
 	return errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
--- a/internal/controller/store_dir.go
+++ b/internal/controller/store_dir.go
@@ -49,7 +49,8 @@
 	StoreID       string                      `json:"store"`           // the disk's identity
 	Origin        *controllerclient.LogOrigin `json:"birth,omitempty"` // origin of the disk's log, or nil if it has none yet
 	Founding      bool                        `json:"found,omitempty"` // the log was created on this disk, see LogOrigin.Stores; if false, the disk was admitted later
-	// Started means that the disk has stored entries. If the log is empty at a later start, openStore reports it as damaged.
+	// Started means that the disk has stored entries. If the log is nevertheless empty at a later start, openStore fails with
+	// ErrCorrupt.
 	Started    bool                    `json:"begun,omitempty"`
 	Generation uint64                  `json:"line,omitempty"` // generation of the log; may be 0 for the first generation
 	unknown    placement.UnknownFields // fields that a later version of the program added; putMarker keeps them
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,9 +21,9 @@
 // An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
 // Subscribe, the balancer requests the next watch (SetWatching) at most 1 s later.
 //
-// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer pauses for at
-// most 4 s between two requests for a watch. When the call is found broken, the balancer has therefore made its next
-// request or is about to make it.
+// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer makes its next
+// request for a watch at most 4 s after the request that began the call. When the call is found broken, that next
+// request has therefore been made or is about to be made.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
--- a/internal/edgenode/disk_check.go
+++ b/internal/edgenode/disk_check.go
@@ -12,8 +12,8 @@
 const (
 	diskUnchecked  diskState = iota // no lease response with the controllers' record count has arrived yet
 	diskChecked                     // the result of the check is known; the replica.Manager verifies copies that may be outdated
-	diskConfirming                  // all copies are verified; the store is writing a declaration that the disk is current
-	diskConfirmed                   // the declaration that the disk is current is written; the store counts the records written after the declaration
+	diskConfirming                  // all copies are verified; the store is writing the declaration of Store.ConfirmCurrent
+	diskConfirmed                   // the declaration of Store.ConfirmCurrent is written; the store counts the records written after it
 )
 
 // diskCheck compares the number of records written to the disk with the greatest number that this node has reported to the
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -139,7 +139,7 @@
 			return succeeded, rejected, nil
 		}
 		// A relay may close a session between two requests, while the next request is on its way. A real client would then
-		// send that request to another relay, so it counts neither as succeeded nor as rejected.
+		// send that request to another relay. The request is therefore counted neither as succeeded nor as rejected.
 		switch a, err := read(); {
 		case err != nil && len(in) > 0:
 			return succeeded, rejected, fmt.Errorf("incomplete response: %w", err)
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// closeListener waits until the context ends and closes the listener. If the relay was stopped while the
-// listener was being opened, the listener may still be in the channel listeners. It has then accepted no client, and
-// closeListener tells the server to stop before it closes the listener.
+// closeListener waits until the context ends and closes the listener. If the relay was stopped while the listener was
+// being opened, the listener may still be in the channel listeners. Such a listener has accepted no client, and
+// closeListener tells the server to stop before closing the listener.
 func (h *signalHandler) closeListener(ctx context.Context) {
 	<-ctx.Done()
 	select {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -34,8 +34,8 @@
 	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
-	// The exposure cap does not count ExposureFree attempts per window. With a window of zero length, the number of
-	// these attempts would be unlimited.
+	// In each window, ExposureFree attempts are exempt from the exposure cap. With a window of zero length, the number of
+	// exempt attempts would be unlimited.
 	if s.Rollout.ExposureWindow == 0 {
 		s.Rollout.ExposureFree = 0
 	}
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -96,8 +96,8 @@
 }
 
 // boundedDuration parses a number of seconds and refuses a number above maxDurationSeconds. It is for a window over
-// which the site enforces a limit, such as Rollout.ExposureWindow. A relay that used maxDurationSeconds in place of a
-// longer window, as clampedDuration does, would exceed the limit.
+// which the site enforces a limit, such as Rollout.ExposureWindow. clampedDuration would replace a longer window by
+// maxDurationSeconds, and the relay would then exceed the limit.
 func boundedDuration(value any) (balancer.Seconds, error) {
 	if v, ok := value.(float64); ok && v >= 0 && v <= maxDurationSeconds {
 		return balancer.Seconds(v), nil
