--- a/internal/controller/join.go
+++ b/internal/controller/join.go
@@ -27,7 +27,9 @@
 	if c.disk.currentMarker().Founding {
 		return
 	}
-	var needed uint64 // log index that this disk must reach, to within maxJoinLag entries, before it becomes a voter; 0 until the leader has answered
+	// needed is the log index that this disk must reach, to within maxJoinLag entries, before it becomes a voter. It is 0 until
+	// the leader has answered.
+	var needed uint64
 	for ; ctx.Err() == nil; c.pauseBeforeRetry(ctx) {
 		marker := c.disk.currentMarker()
 		if marker.Started && c.isVoter(r) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -72,7 +72,7 @@
 // Watcher follows the endpoint list. SetWatching, Fetch and WaitFirst may be called from any goroutine, also before Run;
 // Run may be called once.
 type Watcher struct {
-	// New sets the fields up to log, and they do not change afterwards.
+	// New sets the fields from address to log, which do not change afterwards.
 	address       *transport.Address
 	version       int64
 	pollWait      time.Duration
--- a/internal/edgenode/assignments.go
+++ b/internal/edgenode/assignments.go
@@ -40,8 +40,9 @@
 	n.logsAtStart = nil
 }
 
-// onAssignmentChanges passes changed assignments to the replica.Manager. If the changes contain all assignments and have a higher
-// generation than the previous ones, the controllers have rebuilt the assignments, and the new ones replace all of them.
+// onAssignmentChanges passes changed assignments to the replica.Manager. If the changes contain all assignments,
+// with a higher generation than the node's current assignments, the controllers have rebuilt the assignments. The node then
+// replaces all its assignments.
 func (n *Node) onAssignmentChanges(changes controllerclient.AssignmentChanges) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/relay/control_plane_test.go
+++ b/internal/relay/control_plane_test.go
@@ -66,8 +66,8 @@
 // controlPlane returns a controlPlane at the address of s, for startRelay.
 func (s *scriptedDiscovery) controlPlane() *controlPlane { return &controlPlane{Listener: s.Listener} }
 
-// publish makes the entries the next version, which answers the waiting poll. It then waits until the relay polls with
-// the new version.
+// publish serves the entries as the next version of the list, which answers the waiting poll. It then waits until the
+// relay polls with the new version.
 func (s *scriptedDiscovery) publish(tb testing.TB, complete bool, entries ...string) {
 	tb.Helper()
 	s.mu.Lock()
--- a/internal/releaseapi/client.go
+++ b/internal/releaseapi/client.go
@@ -30,7 +30,7 @@
 
 // Client is a client of the release platform. Vote may be called from any goroutine, also before Run; Run may be called once.
 type Client struct {
-	// New sets the fields up to log, and they do not change afterwards.
+	// New sets the fields from address to log, which do not change afterwards.
 	address *transport.Address
 	timeout time.Duration
 	buffers *transport.BufferBudget
