--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,9 +21,9 @@
 // An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
 // Subscribe, the balancer requests the next watch (SetWatching) at most 1 s later.
 //
-// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer pauses for at
-// most 4 s between two requests for a watch. When the call is found broken, the balancer has therefore made its next
-// request or is about to make it.
+// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer makes its next
+// request for a watch at most 4 s after the request that began the call. When the call is found broken, that next
+// request has therefore been made or is about to be made.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
@@ -34,8 +34,8 @@
 	minPollWait      = 100 * time.Millisecond
 	minAnswerTimeout = 250 * time.Millisecond
 	// retryPause is the pause after a call that failed, or that was answered early without a newer version. Without the
-	// pause, Run would call an agent that ignores timeout_ms in a tight loop. Discovery continues a watch only if its
-	// next call arrives within 200 ms, so the pause must be shorter than that.
+	// pause, Run would call an agent that ignores timeout_ms in a tight loop. Discovery continues a watch only if the
+	// watch's next call arrives within 200 ms, so the pause must be shorter than that.
 	retryPause = 125 * time.Millisecond
 )
 
@@ -72,7 +72,7 @@
 // Watcher follows the endpoint list. SetWatching, Fetch and WaitFirst may be called from any goroutine, also before Run;
 // Run may be called once.
 type Watcher struct {
-	// New sets the fields up to log, and they do not change afterwards.
+	// New sets the fields from address to log, which do not change afterwards.
 	address       *transport.Address
 	version       int64
 	pollWait      time.Duration
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -24,8 +24,8 @@
 	if s.Limits.MaxAttempts == 0 {
 		s.Limits.MaxAttempts = 1
 	}
-	// Without a connect timeout, only the deadline of the request limits a connection attempt. The longest deadline of
-	// all classes is at least that deadline, so as a connect timeout it does not shorten the limit.
+	// Without a connect timeout, only the deadline of the request limits a connection attempt. The longest
+	// deadline of all classes is therefore used as the connect timeout: it is never shorter than the request's deadline.
 	if s.Limits.ConnectTimeout == 0 {
 		s.Limits.ConnectTimeout = longestDeadline
 	}
@@ -34,8 +34,8 @@
 	if s.SlowStart.Window > 0 && s.SlowStart.OverloadWindow == 0 {
 		s.SlowStart.OverloadWindow = s.SlowStart.Window
 	}
-	// The exposure cap does not count ExposureFree attempts per window. With a window of zero length, the number of
-	// these attempts would be unlimited.
+	// In each window, ExposureFree attempts are exempt from the exposure cap. With a window of zero length, the number of
+	// exempt attempts would be unlimited.
 	if s.Rollout.ExposureWindow == 0 {
 		s.Rollout.ExposureFree = 0
 	}
