--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -71,7 +71,7 @@
 	Now            func() time.Time
 	Lifetime       time.Duration     // lifetime of issued metadata, truncated to whole seconds; must be at least minLifetime
 	Packages       map[uint16]string // path of each version's package in the image repository, keyed by version
-	InitialVersion uint16            // version that counts as released if no newer one is recorded; 0 means none
+	InitialVersion uint16            // version that is treated as released unless a newer released version is recorded; 0 for none
 	Log            logging.Func
 }
 
@@ -105,23 +105,24 @@
 	timerAt              stagedrollout.Tick     // time at which Run must call the rollout's OnTimer, 0 for none
 	pendingIssues        []*server              // servers whose metadata Run must issue again
 
-	Issued             int64     // number of issues to servers since the process started
+	Issued             int64     // how many times metadata were issued to a server since the process started
 	Assignments        int64     // number of assignments that the rollout has made since the process started
 	Reports            int64     // number of reports from known servers since the process started
 	LastChangeIssuedAt time.Time // when runDue last finished a pass over a non-empty list pendingIssues, with or without errors
 }
 
-// server is the state of one server of the fleet: its state in the rollout (see stagedrollout.Server), and its last issue.
+// server is the state of one server of the fleet: its state in the rollout (see stagedrollout.Server), and the metadata
+// last issued to it.
 type server struct {
 	stagedrollout.Server      // guarded by Director.mu
 	needsReissue         bool // guarded by Director.mu; the metadata must be issued again before they are served
 
 	mu          sync.Mutex // guards the fields below; held while metadata are issued
-	version     int64      // version of the last issue, 0 for none
-	issueRecord            // record of the last issue
+	version     int64      // version number of the metadata last issued to the server, 0 for none
+	issueRecord            // record of the metadata last issued
 	issuedAt    tufverify.Tick
-	target      *tufverify.Target // target that the last issue names, nil for none
-	files       map[string][]byte // files of the last issue, keyed by file name; nil until the process first issues metadata to the server
+	target      *tufverify.Target // target that the metadata last issued name, nil for none
+	files       map[string][]byte // metadata files last issued, keyed by file name; nil until the process first issues metadata to the server
 }
 
 // New returns a Director with the state that its version store has recorded.
--- a/internal/director/errors_test.go
+++ b/internal/director/errors_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestDirector_LogsMissingPackageOnce checks that a package that the image repository does not have is logged once, with the fields
-// of the refusal.
+// TestDirector_LogsMissingPackageOnce checks that the Director writes one log line about a package that the image repository
+// does not have. The line has the fields of the image repository's refusal.
 func TestDirector_LogsMissingPackageOnce(t *testing.T) {
 	h := newTestDirector(t)
 	h.setStage(9, "testing", 1)
--- a/internal/director/events.go
+++ b/internal/director/events.go
@@ -80,7 +80,7 @@
 		d.deferredStage = &stage
 		d.setTimer(now + stagedrollout.Tick(metadatarefresh.IssueRetryDelay))
 	}
-	if stage.Version == d.released { // the rollout gets the stage of the released version with an exposure cap of 1
+	if stage.Version == d.released { // a released version is for the whole fleet: its exposure cap is 1
 		d.rollout.OnStage(now, stage.Version, stage.Version, stagedrollout.Released, 1, kinds)
 		return
 	}
@@ -105,8 +105,8 @@
 	return noHardwareKind, false
 }
 
-// recordReleased records a version as released in the version store. If that fails, the version counts as released until the
-// process restarts.
+// recordReleased records a version as released in the version store. If recording fails, the Director treats the
+// version as released only until the process restarts.
 func (d *Director) recordReleased(version uint16) {
 	if version <= d.released {
 		return
--- a/internal/director/explain.go
+++ b/internal/director/explain.go
@@ -29,7 +29,7 @@
 	return d.rollout.Count(d.tick())
 }
 
-// IssuedCount returns the number of issues to servers since the process started.
+// IssuedCount returns how many times metadata were issued to a server since the process started.
 func (d *Director) IssuedCount() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/director/issue.go
+++ b/internal/director/issue.go
@@ -43,7 +43,7 @@
 	}
 	if current.MustRenew(now) {
 		if err := d.issue(s, now); err != nil && !current.MayServeStale(now) {
-			return nil, err // return the error, because an outdated file must not be served
+			return nil, err // there are no files, or they have expired or name an earlier assignment, so none may be served
 		}
 	}
 	text := s.files[f.String()]
@@ -59,9 +59,9 @@
 	return text, nil
 }
 
-// imageAgrees reports whether the target of the server's last issue has the same digest and length as the image
-// repository's target of that path. It also returns true if the last issue has no target, or if the image repository
-// refuses the lookup.
+// imageAgrees reports whether the target in the metadata last issued to a server has the same digest and length as the
+// image repository's target of that path. It also returns true if those metadata name no target, or if the image
+// repository refuses the lookup.
 func (d *Director) imageAgrees(s *server) bool {
 	if s.target == nil {
 		return true
@@ -88,7 +88,7 @@
 			return failed(fmt.Errorf("%w: trusted time could not be recorded: %w", ErrUnavailable, err))
 		}
 	}
-	now = max(now, d.store.TrustedTime()) // a clock that was set back must not shorten the lifetime of issued metadata
+	now = max(now, d.store.TrustedTime()) // if the clock was set back, the lifetime begins at the trusted time, so that the metadata do not expire too early
 	expiresAt := now + tufverify.Tick(d.lifetime/time.Second)*tufverify.Second
 	target, err := d.assignedTarget(s.Name, hardware, assigned)
 	if err != nil {
@@ -139,9 +139,9 @@
 	return &target, nil
 }
 
-// lookUp looks up a target in the image repository. While the image repository cannot be asked, lookUp returns the last known
-// target, so that servers can still be rolled back. This is safe because servers ask the image repository themselves before
-// they install anything.
+// lookUp looks up a target in the image repository. While the image repository cannot be asked, lookUp returns the last
+// known target, so that servers can still be rolled back. An outdated answer causes no wrong installation, because each
+// server verifies the package against the image repository itself.
 func (d *Director) lookUp(path string) (*tufverify.Target, *tufverify.RefusalError) {
 	target, refusal := d.lookUpImage(path)
 	d.cachedTargetsMu.Lock()
--- a/internal/director/issue_record.go
+++ b/internal/director/issue_record.go
@@ -7,9 +7,9 @@
 	"silvercove/internal/tufverify"
 )
 
-// issueRecord is the part of an issue that must survive a restart. It contains the version that the issue assigns, and its
-// expiry. If the server may still act on an earlier issue, previous is the version that the earlier issue assigned, and
-// previousUntil is the expiry of the earlier issue.
+// issueRecord is the part of an issue (see package director) that must survive a restart. assigned is the version that the
+// issue assigns, and expiresAt is the expiry of the issue. If the server can still install from an earlier issue, previous
+// is the version that the earlier issue assigned, and previousUntil is the expiry of the earlier issue.
 type issueRecord struct {
 	assigned      uint16
 	previous      uint16
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -75,7 +75,8 @@
 // idleDeadline returns the time until which the session waits for a message. If the session must end now, that time is
 // in the past. While requests are in progress, it is IdleTimeout from now. After CloseIdleSessions, a session that has
 // had no request may wait until ContendedTimeout after its last activity, so that a client that has just connected is
-// not disconnected at once. The server's mu must be held.
+// not disconnected at once. In all other cases, the time is IdleTimeout after the last activity. The server's mu must be
+// held.
 func (s *session) idleDeadline() time.Time {
 	limits := &s.server.limits
 	switch {
--- a/internal/downstream/reply.go
+++ b/internal/downstream/reply.go
@@ -34,7 +34,7 @@
 	defer poll.Stop()
 	for {
 		select {
-		case s.pendingReplies <- struct{}{}: // there is space for one more reply, and no other goroutine can take it, because only this one adds replies
+		case s.pendingReplies <- struct{}{}: // one more reply fits; the place stays free, because only this goroutine adds replies
 			<-s.pendingReplies
 			return true
 		case <-poll.C:
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -50,7 +50,7 @@
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textUnknownClass)
 	}
 	switch s.register(call, query.ID) {
-	case duplicateID: // the open request with this ID may be another client's, and this client must not get its reply
+	case duplicateID: // refuse: the request in progress with this ID may be another client's, whose reply this client must not get
 		return false, s.refuseQuery(pgwire.StateInvalidParameter, textDuplicateID)
 	case tooManyRequests:
 		return false, s.rejectForSpace()
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -44,7 +44,7 @@
 	retryAfter     string        // Retry-After, in milliseconds, that rejectForSpace sends; empty if it sends none
 
 	mu          sync.Mutex          // guards the fields below up to the counters, and the session fields that are marked as guarded
-	changed     sync.Cond           // its lock is mu; signalled when a session has ended or has been added to idle or incomplete
+	changed     sync.Cond           // uses mu as its lock; signalled when a session has ended or has been added to idle or incomplete
 	sessions    int                 // number of open sessions
 	requestIDs  map[string]struct{} // IDs of the requests in progress
 	idle        list.List           // sessions (*session) that wait for a further request, the longest idle first
@@ -110,7 +110,7 @@
 			}
 			deadlinePassed = true
 		case isResourceExhausted(err):
-			if !srv.endOneSession() { // no session holds a descriptor, so ending sessions cannot help; Accept would fail again at once
+			if !srv.endOneSession() { // no session can be ended to free a descriptor; wait, because Accept would fail again at once
 				time.Sleep(srv.pollInterval())
 			}
 		case isConnectionLost(err):
@@ -126,7 +126,7 @@
 	if !ok {
 		return false
 	}
-	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // SetDeadline fails only on a closed listener, on which the next Accept fails too
+	_ = l.SetDeadline(time.Now().Add(finalAcceptTime)) // an error means that the listener is closed; the next Accept then reports it
 	return true
 }
 
--- a/internal/downstream/session.go
+++ b/internal/downstream/session.go
@@ -20,8 +20,8 @@
 
 const (
 	serving                closingState = iota
-	closingBetweenRequests              // requests in progress are answered, then the session ends
-	aborted                             // the client does not read its replies: the session ends at once
+	closingBetweenRequests              // the session ends once its requests in progress are answered
+	aborted                             // the session ends at once, because the client does not read its replies
 )
 
 // session is one client connection.
@@ -31,14 +31,14 @@
 
 	// Only the session's own goroutine uses the fields below.
 	receivedAt     time.Time      // time at which the last bytes arrived
-	lastReply      chan struct{}  // closed once all replies reserved so far have been written; the next reply waits for that
+	lastReply      chan struct{}  // closed once all replies reserved so far have been written; the next reply is written after that
 	pendingReplies chan struct{}  // holds one element for each pending reply; its capacity is MaxPipelined
 	workers        sync.WaitGroup // goroutines of requests in progress and of replies that wait for their turn
 	overLimit      bool           // whether no session slot was free when the client connected: its requests are then rejected
 	skippingToSync bool           // whether an extended query was refused: messages up to the next Sync are then discarded
 
 	// The server's mu guards the fields below.
-	lastActivity    time.Time // when the client connected, the greeting was built, the last open request ended, or a message after the first request began, whichever was last
+	lastActivity    time.Time // time of the latest of these events: the client connected, the greeting was built, the last open request ended, a message after the first request began
 	hadRequest      bool
 	calls           map[*dispatch.Call]struct{} // requests in progress
 	awaitingMessage bool                        // whether the session waits for the first byte of a message
@@ -151,7 +151,7 @@
 		pgwire.FrontendFlush, pgwire.FrontendFunctionCall, pgwire.FrontendSync:
 		return s.refuseExtended(kind, size)
 	case pgwire.FrontendCopyData, pgwire.FrontendCopyDone, pgwire.FrontendCopyFail:
-		return s.skipMessage(size) // the message belongs to a COPY operation, which this server never starts
+		return s.skipMessage(size) // skip the message, because this server never starts the COPY operation to which it would belong
 	}
 	s.refuseProtocol(textUnknownMessage)
 	return false
--- a/internal/evidence/bounds_test.go
+++ b/internal/evidence/bounds_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestConfidenceBounds_HoldAtAllTimes: the fraction of runs in which the true share is ever outside the bounds is at
-// most the level.
+// TestConfidenceBounds_HoldAtAllTimes: in at most 5% of the runs, the true share of failures is ever outside the bounds.
+// 5% is the level that the test passes to ConfidenceBounds.
 func TestConfidenceBounds_HoldAtAllTimes(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, p := range []float64{0.01, 0.2, 0.5} {
--- a/internal/evidence/snapshot.go
+++ b/internal/evidence/snapshot.go
@@ -23,7 +23,7 @@
 const (
 	snapshotMagic  = "silvercove-ledger"
 	snapshotFormat = 1
-	maxCount       = 1e15 // a valid number of outcomes is below this
+	maxCount       = 1e15 // each count of outcomes in a valid snapshot is below this
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -137,7 +137,7 @@
 	var content struct {
 		Classes []string `json:"ops"`
 	}
-	_ = json.Unmarshal(body, &content) // the error is ignored: the call of Restore below reports damaged JSON
+	_ = json.Unmarshal(body, &content) // an error is ignored here, because Restore reports damaged JSON
 	s := New(content.Classes)
 	return s, s.Restore(text)
 }
--- a/internal/evidence/store.go
+++ b/internal/evidence/store.go
@@ -38,9 +38,9 @@
 // The sources. Reports of wrong answers and the counts of the release platform may concern outcomes that this relay has
 // observed itself. Explain therefore describes the three sources separately, and Estimates counts SourceRelay alone.
 const (
-	SourceRelay       Source = iota // observed by this relay
-	SourceWrongAnswer               // reported by a client as a wrong answer
-	SourcePlatform                  // counted by the release platform
+	SourceRelay       Source = iota // outcomes that this relay has observed
+	SourceWrongAnswer               // wrong answers, as clients have reported them
+	SourcePlatform                  // outcomes that the release platform has counted
 	sourceCount
 )
 
@@ -94,7 +94,7 @@
 // Store keeps the evidence of one relay. It is not safe for concurrent use.
 type Store struct {
 	classes   []string
-	level     float64    // probability that the bounds of one class are ever wrong
+	level     float64    // maximum probability that the bounds of one request class are ever wrong (see ConfidenceBounds)
 	versions  []*Version // in the order in which the store was told of them
 	Orphans   int64      // number of reports and votes on versions or classes that are not kept
 	LoadError string     // why Load could not read the snapshot; "" if it could, or if there was none
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -109,7 +109,7 @@
 func (r *Response) startBody(framing bodyFraming) error {
 	switch {
 	case framing.chunked && framing.length != unknownLength:
-		return ErrMalformed // the fields give both a length and chunks
+		return ErrMalformed // the header fields give both a Content-Length and a chunked Transfer-Encoding
 	case framing.chunked:
 		r.state = inChunkSize
 	case framing.length > MaxBody:
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,10 +12,10 @@
 
 // Limits on a response, in bytes.
 const (
-	MaxHeader = 8 << 10 // largest status line and header fields together
-	MaxBody   = 4 << 20 // largest body; a list of tens of thousands of backends fits
+	MaxHeader = 8 << 10 // maximum size of the status line and header fields together
+	MaxBody   = 4 << 20 // maximum size of a body; a list of tens of thousands of backends fits
 
-	maxChunkLine = 1 << 10 // longest size line of a chunk, and longest trailer field
+	maxChunkLine = 1 << 10 // maximum size of the line with a chunk's size, and of one trailer field
 )
 
 // Errors in a response. After any of them, nothing more can be read from the response.
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -24,11 +24,11 @@
 
 const (
 	inHeader    state = iota // the status line and the header fields
-	inBody                   // a body whose length is known
+	inBody                   // a body that is not chunked
 	inChunkSize              // the size line of a chunk
 	inChunk                  // a chunk's data
 	inChunkEnd               // the line end after a chunk's data
-	inTrailer                // trailer fields, up to an empty line
+	inTrailer                // trailer fields, or the empty line that ends them
 )
 
 // NewStream returns a Response for a stream: a chunked body of any size.
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -54,7 +54,7 @@
 // block holds the lines of one entry before their values are checked.
 type block struct {
 	firstLine int               // number of the entry's first line in the file, counted from 1
-	values    map[string]string // values by field name
+	values    map[string]string // value of each field, keyed by the name of the field
 }
 
 // parseList reads the list: blocks of "field: value" lines, separated by blank lines. It returns all errors joined; each names
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -148,5 +148,5 @@
 	r.problems = append(r.problems, fmt.Errorf(format, args...))
 }
 
-// print writes to CI's log. A write error is ignored, as there is no other place to report it.
+// print writes to CI's log. A write error is ignored, because there is no other place to report it.
 func (r *results) print(text string) { _, _ = io.WriteString(r.out, text) }
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -22,7 +22,7 @@
 type gossip interface {
 	Ping(name string) (time.Duration, error)                       // probes a member; blocks for the probe timeout at most
 	Broadcast(name string, record []byte)                          // sends a record to all members; replaces a queued record of the same member
-	Reconnect(name string)                                         // closes the open connection to a member, since the connection may be broken
+	Reconnect(name string)                                         // closes the open connection to a member, which may be broken, so that the next packet uses a new one
 	Leave(timeout time.Duration)                                   // tells the other members that this process leaves
 	Close()                                                        // shuts the library down and waits for its goroutines
 	Sync(ctx context.Context, names []string, every time.Duration) // exchanges all records with members that the library does not consider alive
@@ -48,7 +48,7 @@
 
 	mu           sync.Mutex // guards the fields below
 	table        *Table
-	broadcastSeq uint64          // sequence of this process's record that was broadcast last
+	broadcastSeq uint64          // sequence number of the last broadcast record of this process
 	pinging      map[string]bool // members with a ping under way
 }
 
@@ -116,7 +116,7 @@
 	defer func() {
 		stopSync()
 		a.library.Close()
-		_ = group.Wait() // none of the group's functions returns an error
+		_ = group.Wait() // always nil: no function in the group returns an error
 	}()
 	var names []string
 	for _, p := range a.net.Peers("") {
@@ -154,12 +154,12 @@
 
 // roundResult holds the results of one call of runRound. Run acts on these results.
 type roundResult struct {
-	targets    []string // members to ping
+	targets    []string // names of the members to ping in this round
 	changes    []Member
 	superseded bool
 }
 
-// runRound advances the table to the current time, and adds the members to ping to the field pinging.
+// runRound advances the table to the current time, and chooses the members to ping, which it adds to the field pinging.
 func (a *Agent) runRound() roundResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxPacketSize     = 16 << 10 // in bytes
+	maxPacketSize     = 16 << 10 // maximum size in bytes of a packet that the library sends
 	retransmitFactor  = 3        // memberlist.Config.RetransmitMult: each record is sent n times, where n is this factor multiplied by the logarithm of the number of members
 	initialSyncs      = 3        // number of members with which whole states are exchanged at the start
 	concurrentSyncs   = 4
@@ -85,8 +85,8 @@
 	raw  []byte
 }
 
-// Invalidates implements memberlist.Broadcast. It always returns false, as the queue itself replaces a broadcast by a
-// later one with the same Name.
+// Invalidates implements memberlist.Broadcast. It always returns false. The library's queue itself replaces a queued
+// broadcast by a later one with the same Name.
 func (b broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
 // Name implements memberlist.NamedBroadcast. It returns the name of the member that the record describes.
@@ -132,7 +132,7 @@
 	g.syncAtStart(ctx, names)
 	var group errgroup.Group
 	group.SetLimit(concurrentSyncs)
-	defer func() { _ = group.Wait() }() // none of the group's functions returns an error
+	defer func() { _ = group.Wait() }() // always nil: no function in the group returns an error
 	next := 0
 	for {
 		select {
@@ -156,7 +156,7 @@
 			}
 			remaining--
 			started := group.TryGo(func() error {
-				_ = g.join(name) // a member that does not answer is tried again when its turn comes again
+				_ = g.join(name) // an error is ignored: a member that does not answer is tried again at its next turn
 				return nil
 			})
 			if !started {
@@ -184,8 +184,8 @@
 	return err
 }
 
-// NodeMeta implements memberlist.Delegate. It returns nil, as members exchange records instead of metadata of the
-// library.
+// NodeMeta implements memberlist.Delegate. It returns nil, because members exchange records instead of metadata of
+// the library.
 func (g *gossipLibrary) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg implements memberlist.Delegate.
@@ -206,7 +206,7 @@
 	return state
 }
 
-// MergeRemoteState implements memberlist.Delegate. It merges the records in a LocalState of another member.
+// MergeRemoteState implements memberlist.Delegate. It merges the records that another member's LocalState returned.
 func (g *gossipLibrary) MergeRemoteState(state []byte, _ bool) {
 	for len(state) > 0 {
 		length, size := binary.Uvarint(state)
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -12,7 +12,7 @@
 // The states of a member.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "suspect" // the member neither answers nor sends records, has not been heard yet, or is in its hold-down
+	StateSuspect     State = "suspect" // the member neither answers nor sends records, has never done so, or is in its hold-down (see undampedRecoveries)
 	StateUnreachable State = "cut"     // the member does not answer this process, but other members pass on its records
 	StateSlow        State = "slow"    // the median round trip to the member is an eighth of the silence timeout or longer
 	StateDead        State = "dead"
@@ -20,18 +20,18 @@
 )
 
 const (
-	keptRoundTrips = 5 // number of answers whose round trips are kept
+	keptRoundTrips = 5 // number of last answers of a member whose round trips are kept
 	suspectProbes  = 2 // consecutive missed probes before a member counts as not answering
 	slowDivisor    = 8 // a round trip is slow if it takes the silence timeout divided by slowDivisor, or longer
-	deadPeriods    = 3 // heartbeat periods without a sign of life after which a member that does not answer is dead
+	deadPeriods    = 3 // number of heartbeat periods without an answer or a record after which a member that misses its probes is dead
 	keptChanges    = 4 // maximum number of changes that wait for a call of Changes, per member of the fleet
 )
 
-// Limits of the hold-down: if a member repeatedly stops answering and recovers, it stays suspect for longer after each
-// recovery.
+// Limits of the hold-down: a member that repeatedly stops answering and recovers stays suspect for longer after each
+// recovery. The count of recoveries is flapping.recoveries.
 const (
 	undampedRecoveries = 3   // number of recoveries that cause no hold-down
-	maxRecoveries      = 16  // maximum of the count of recoveries
+	maxRecoveries      = 16  // maximum value of the count of recoveries
 	recoveryHalfLife   = 20  // half-life of the count of recoveries, in silence timeouts
 	maxHoldDown        = 32  // the longest hold-down, in silence timeouts
 	maxHoldDownShift   = 10  // maximum n in the hold-down of 1<<n silence timeouts; n grows with the count of recoveries, see holdDown
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// checkCutOff cuts the link between the first two nodes, one way or both ways. The first node must see the second as
-// unreachable in the end, and never as dead, while others hear the second.
+// checkCutOff cuts the link from the first node to the second, and also the way back if bothWays is true. The other nodes
+// still get records of the second node. The first node must therefore see it as unreachable in the end, and never as dead.
 func checkCutOff(t *testing.T, sim *simulation, bothWays bool) {
 	t.Helper()
 	const from, to = 0, 1
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -135,8 +135,7 @@
 		}
 		select {
 		case t.packets <- &memberlist.Packet{Buf: packet, From: memberAddr(from), Timestamp: time.Now()}:
-		// The queue is full and the packet is dropped. The library on the sending side repeats the messages that have
-		// to arrive.
+		// The queue is full, so the packet is dropped. The gossip library of the sender repeats messages that must arrive.
 		default:
 		}
 	}
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -49,8 +49,8 @@
 // Heartbeat reports whether this process's record must be sent again, and if so renews the record. The record is due
 // one heartbeat period after it was last sent, so that other members know that this process is alive. Changed payloads
 // are sent sooner, but at most payloadSendsPerHeartbeat times within a heartbeat period. A relay's load report is a
-// payload that changes with each measurement, and every member passes it on. Without the maximum, such payloads would
-// fill the links between members of a large fleet.
+// payload that changes with each measurement, and every member passes it on. Without the maximum, the load reports
+// would fill the links between members of a large fleet.
 func (t *Table) Heartbeat(now tick.Tick) bool {
 	changed := len(t.unsent) > 0 && now >= t.lastSentAt+t.heartbeatPeriod()/payloadSendsPerHeartbeat
 	if now < t.heartbeatDue && !changed {
@@ -75,13 +75,13 @@
 }
 
 // SyncCount returns the number of members with which a process exchanges whole states within a silence timeout. The
-// parameter alive is the number of members that the process considers alive, itself included; gone is the number of the
-// other members; random is drawn from 0 to 1. All live members together make about fleetSyncs exchanges.
+// parameter alive is the number of members that the process considers alive, itself included. The parameter gone is the
+// number of the other members. The parameter random is a random number from 0 to 1. All live members together make about
+// fleetSyncs exchanges within a silence timeout.
 //
-// fleetSyncs can be low, because the first exchange that succeeds after the links are back ends a split. Without this
-// limit, every member on one side of a split would contact every member on the other side when a zone comes back. The
-// whole states of a large fleet are large. If links lose most packets, the limit delays the end of a split, because few
-// members try.
+// A low fleetSyncs is enough, because the first exchange that succeeds after the links are back ends a split. It limits
+// the load: otherwise every member on one side of a split would send its whole state, which is large in a large fleet, to
+// every member on the other side. If links lose most packets, the low number delays the end of a split.
 func SyncCount(alive, gone int, random float64) int {
 	each := min(maxSyncs, fleetSyncs/float64(max(1, alive)))
 	return min(gone, int(each+random))
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -55,11 +55,11 @@
 // Merge applies a received record, no matter which member sent it. A nil error means that the record is new and should
 // be passed on; otherwise the error is ErrMalformed, ErrUnknownMember, ErrOldIncarnation or ErrStale.
 //
-// A record with a smaller incarnation than the known one is refused. Such a record comes from a process whose disk or
+// A record with a smaller incarnation than the member's known one is refused. It comes from a process whose disk or
 // machine was restored from an older image, or in a delayed message from before a restart. If a process has no disk, its
-// clock alone gives the incarnation. After the clock was set back, such a process restarts with a smaller incarnation,
-// and its records are refused until a later start gives it an incarnation larger than the known one. A process with a
-// disk is not affected, because its new incarnation is always larger than its stored one (see NextIncarnation).
+// clock alone gives the incarnation. If that clock is set back, the process restarts with a smaller incarnation. Its
+// records are then refused until a later start gives it an incarnation larger than the known one. A process with a disk
+// is not affected, because its new incarnation is always larger than its stored one (see NextIncarnation).
 func (t *Table) Merge(now tick.Tick, raw []byte) error {
 	r, err := DecodeRecord(raw)
 	if err != nil {
@@ -116,8 +116,8 @@
 	case r.Incarnation > t.self.Incarnation:
 		t.superseded = true
 	case r.Incarnation == t.self.Incarnation && r.Sequence > t.self.Sequence:
-		// Either two processes have this incarnation, or this process sent the record r but does not remember it. The
-		// next record must have a larger sequence, or the other members refuse it as stale.
+		// Either two processes have this incarnation, or this process sent the record r and no longer knows it. Other
+		// members refuse this process's next record as stale unless its sequence is larger than that of r.
 		t.self.Sequence = r.Sequence + 1
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -50,8 +50,8 @@
 
 	hasAnswered  bool
 	answeredAt   tick.Tick // when the last probe was answered
-	missedProbes int       // consecutive probes without an answer
-	missedSince  tick.Tick // when the first of the missed probes failed
+	missedProbes int       // number of consecutive probes without an answer
+	missedSince  tick.Tick // when the first of the missedProbes probes failed
 	roundTrips   []tick.Tick
 	markedDown   bool // the library considers the member dead; a later answer or record overrides this
 	markedDownAt tick.Tick
@@ -78,8 +78,8 @@
 // defaultSilence is the silence timeout, in seconds, if the setting fleet.silence is missing.
 const defaultSilence = 1
 
-// NewTable makes a table in which all other members are suspect, as nothing but their configuration is known. settings
-// may have fleet.silence, the silence timeout in seconds.
+// NewTable makes a table in which all other members are suspect, because nothing but their configuration is known.
+// settings may have fleet.silence, the silence timeout in seconds.
 func NewTable(now tick.Tick, self Record, others []Record, settings map[string]any) *Table {
 	silence, ok := settings["fleet.silence"].(float64)
 	if !ok || silence <= 0 {
@@ -106,7 +106,7 @@
 	slices.SortFunc(t.byName, func(a, b *entry) int { return cmp.Compare(a.Name, b.Name) })
 	own := t.entries[self.Name]
 	own.Incarnation, own.StartedEmpty, own.State = self.Incarnation, self.StartedEmpty, StateAlive
-	t.nextTarget = int(self.Incarnation % uint64(len(t.byName))) // so that not all processes probe the same member first
+	t.nextTarget = int(self.Incarnation % uint64(len(t.byName))) // the start differs between processes, so that they do not all probe the same member first
 	return t
 }
 
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -18,7 +18,7 @@
 	packetQueue      = 64               // maximum number of packets queued for one member; further packets are dropped, and the library tolerates the loss
 	inboundQueue     = 4 * packetQueue  // maximum number of received packets that the library has not taken yet
 	idleTimeout      = 30 * time.Second // a connection for packets is closed after this time without a packet to send
-	purposeReadSlack = time.Second      // added to the silence timeout to bound the wait for the first byte of an inbound connection
+	purposeReadSlack = time.Second      // the first byte of an inbound connection must arrive within the silence timeout plus this time
 
 	// The first byte of a connection gives the purpose of the connection.
 	packetPurpose = byte('p')
@@ -184,7 +184,7 @@
 }
 
 // errNoName is returned by the methods of memberlist.Transport that get an address without a member's name. The library
-// does not call these methods, as RequireNodeNames is set.
+// does not call these methods, because memberlist.Config.RequireNodeNames is set.
 var errNoName = errors.New("members are reached by name")
 
 // WriteTo implements memberlist.Transport. It is not used.
--- a/internal/metadataproxy/attempt.go
+++ b/internal/metadataproxy/attempt.go
@@ -20,10 +20,10 @@
 // attemptResult is the outcome of one attempt at a mirror.
 type attemptResult struct {
 	status   int                   // HTTP status code; 0 if the response is missing or incomplete, or if bytes of a package are invalid
-	accepted bool                  // the response passed verification
+	accepted bool                  // whether the response passed verification
 	closed   transport.CloseStatus // how the connection ended; zero if it did not end early
 	err      error                 // why the attempt failed; nil if it succeeded
-	final    bool                  // no other mirror may be asked: the client has disconnected, or TargetReader.Corrupt reports true
+	final    bool                  // whether no other mirror may be asked, because the client has disconnected or TargetReader.Corrupt reports true
 }
 
 // request has the dispatcher choose a mirror for each attempt of one request, and calls the function try with each
--- a/internal/metadataproxy/exchange.go
+++ b/internal/metadataproxy/exchange.go
@@ -98,7 +98,7 @@
 	timer    *time.Timer
 	cancel   func()
 	tick     func() tufverify.Tick
-	slow     atomic.Bool // the request was canceled because the body arrived too slowly
+	slow     atomic.Bool // whether the request was canceled because the body arrived too slowly
 }
 
 func (p *pacedReader) Read(b []byte) (int, error) {
@@ -111,8 +111,8 @@
 	return n, err
 }
 
-// addClientStall excludes the time between the parameter since and now from the measurement of the mirror's rate. The
-// client caused that delay, because it was slow to accept bytes.
+// addClientStall excludes the time from the tick in the parameter since until the present from the measurement of the
+// mirror's rate. During that time the exchange waited for the client to accept bytes.
 func (p *pacedReader) addClientStall(since tufverify.Tick) {
 	now := p.tick()
 	p.transfer.OnClientStall(now - since)
--- a/internal/metadataproxy/lookup.go
+++ b/internal/metadataproxy/lookup.go
@@ -20,7 +20,7 @@
 }
 
 // lookUpWatched looks up the paths of WatchTargets immediately and then periodically. The interval is half of freshFor,
-// the time for which a timestamp counts as current, but at least minLookUpInterval.
+// the time for which a timestamp is served without asking a mirror again, but at least minLookUpInterval.
 func (r *Repository) lookUpWatched(ctx context.Context) error {
 	ticker := time.NewTicker(max(r.freshFor/2, minLookUpInterval))
 	defer ticker.Stop()
@@ -58,7 +58,7 @@
 		r.mu.Lock()
 		now := r.tick()
 		t, need, refusal := r.verified.Find(now, path)
-		// The timestamp must be confirmed as the newest, because the target depends on the timestamp.
+		// An older timestamp could lead to an older target, so the mirrors must have confirmed the timestamp as the newest.
 		timestamp := tufverify.File{Role: "timestamp"}
 		if refusal = metadatarefresh.CheckConfirmed(now, timestamp, refusal, r.survey, r.refresh, r.name); refusal != nil {
 			t, need = nil, ""
--- a/internal/metadataproxy/proxy.go
+++ b/internal/metadataproxy/proxy.go
@@ -34,7 +34,7 @@
 type Proxy struct {
 	now             func() time.Time
 	log             logging.Func
-	repositories    map[string]*Repository // by name
+	repositories    map[string]*Repository // keyed by repository name
 	director        *director.Director     // nil if there is none
 	imageRepository string                 // name of the image repository of the Director's packages
 	reportShards    []*reportShard
--- a/internal/metadataproxy/refresh.go
+++ b/internal/metadataproxy/refresh.go
@@ -23,9 +23,8 @@
 	return r.currentLocked(f)
 }
 
-// currentLocked implements cached; the caller holds r.mu. It returns a timestamp only if mirrors were asked recently.
-// The same holds for the newest root, and for the answer that no newer root exists (see
-// metadatarefresh.CheckConfirmed).
+// currentLocked implements cached; the caller holds r.mu. It returns a timestamp, the newest root, or the answer that
+// no newer root exists, only if mirrors were asked recently (see metadatarefresh.CheckConfirmed).
 func (r *Repository) currentLocked(f tufverify.File) ([]byte, *tufverify.RefusalError) {
 	now := r.tick()
 	data, refusal := r.verified.Current(now, f)
@@ -68,7 +67,7 @@
 		_, _, incomplete := r.verified.NextFile(now)
 		due := r.refresh.Due(now, incomplete)
 		r.mu.Unlock()
-		if !due { // another caller has just refreshed the metadata
+		if !due { // another caller has refreshed the metadata since the check above
 			return nil, nil
 		}
 		err := r.refreshMetadata()
@@ -144,7 +143,7 @@
 	return errKeysKeepChanging
 }
 
-// acceptTimestamp verifies a mirror's timestamp, and stores the timestamp if it is newer than the one that is held.
+// acceptTimestamp verifies a mirror's timestamp, and holds it if it is newer than the held timestamp.
 func (r *Repository) acceptTimestamp(ctx context.Context, mirror dispatch.Backend, data []byte) *tufverify.RefusalError {
 	return r.accept(ctx, mirror, func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTimestamp(now, data) })
 }
@@ -219,7 +218,7 @@
 	err := r.fetchFile(classTargets, f, maxSize, func(_ context.Context, _ dispatch.Backend, _ int, data []byte) *tufverify.RefusalError {
 		refusal = r.update(func(now tufverify.Tick) *tufverify.RefusalError { return r.verified.UpdateTargets(now, role, data) })
 		if refusal != nil && refusal.Reason == tufverify.ReasonMissing {
-			return nil // the metadata that delegate to the role are missing: the mirror is not at fault
+			return nil // accept the response: the proxy lacks the metadata that delegate to the role, and the mirror is not at fault
 		}
 		return refusal
 	})
--- a/internal/metadataproxy/repository.go
+++ b/internal/metadataproxy/repository.go
@@ -38,7 +38,7 @@
 	log             logging.Func
 	timeouts        map[string]time.Duration // timeouts of requests to mirrors, by request class
 	connectTimeout  time.Duration
-	freshFor        time.Duration // how long a timestamp counts as current
+	freshFor        time.Duration // how long a timestamp is served without asking a mirror again
 	dispatcher      *dispatch.Dispatcher
 	imageRepository *Repository // image repository that must agree with this mirrored Director repository; nil if none must agree
 	counts          *Counts
@@ -60,8 +60,8 @@
 type MirrorConfig struct {
 	Seed           uint64                                    // seed of the random numbers of the dispatcher and the backoff
 	Settings       settings.Site                             // settings of the dispatcher
-	FreshFor       time.Duration                             // how long a timestamp counts as current
-	UnconfirmedFor time.Duration                             // how long a timestamp counts as current while no mirror can be asked
+	FreshFor       time.Duration                             // how long a timestamp is served without asking a mirror again
+	UnconfirmedFor time.Duration                             // how long a timestamp is served while no mirror can be asked
 	Survey         bool                                      // serve only roots until the survey is complete (see metadatarefresh.MirrorSurvey)
 	Endpoints      []dispatch.Endpoint                       // the mirrors
 	DispatchLog    func(message string, fields ...slog.Attr) // writes the log lines of the mirrors' dispatcher
--- a/internal/metadataproxy/repository_status.go
+++ b/internal/metadataproxy/repository_status.go
@@ -15,7 +15,7 @@
 	Snapshot  int64
 	Targets   int64
 	Expires   time.Time        // the earliest expiry of the metadata that are held
-	Surveyed  bool             // the mirror survey is complete
+	Surveyed  bool             // whether the survey of the mirrors is complete (see metadatarefresh.MirrorSurvey)
 	Refused   map[string]int64 // number of refusals by reason
 	Mirrors   int              // number of mirrors that may be asked now
 	Attempts  int64            `json:"Deliveries"` // requests sent to mirrors
--- a/internal/metadataproxy/routes.go
+++ b/internal/metadataproxy/routes.go
@@ -130,7 +130,7 @@
 	header := w.Header()
 	header.Set("Etag", fmt.Sprintf(`"%x"`, sum[:16]))
 	header.Set("Content-Type", "application/json")
-	header.Set("Cache-Control", "no-cache") // without this header, an intermediate cache might serve the file after its expiry
+	header.Set("Cache-Control", "no-cache") // otherwise a cache between client and proxy could serve the file after the metadata have expired
 	p.Counts.Served.Add(1)
 	p.Counts.Bytes.Add(int64(len(data)))
 	http.ServeContent(w, req, "", time.Time{}, bytes.NewReader(data))
--- a/internal/metadataproxy/serve_target.go
+++ b/internal/metadataproxy/serve_target.go
@@ -84,8 +84,8 @@
 	response     http.ResponseWriter
 	control      *http.ResponseController
 	requested    byteRange
-	offset       int64 // offset in the package of the next byte passed to write
-	length       int64 // length of the response body
+	offset       int64 // offset in the package of the first byte of the next call of write
+	length       int64 // length of the response body in bytes
 	status       int
 	contentRange string // Content-Range header of a partial response; empty if the response is the whole package
 	headerSent   bool
--- a/internal/metadataproxy/stream.go
+++ b/internal/metadataproxy/stream.go
@@ -27,7 +27,7 @@
 		body.SwitchMirror()
 		offset := body.NextOffset()
 		result.status, result.closed = r.roundTrip(attempt.Context, attempt.Backend, "targets/"+stored, offset, func(status int, _ int64, in io.Reader) transport.CloseStatus {
-			if status == http.StatusOK && offset > 0 { // the mirror ignored the range: skip the bytes already received
+			if status == http.StatusOK && offset > 0 { // the mirror sent the whole file instead of the range: skip the bytes that body already has
 				if _, err := io.CopyN(io.Discard, in, offset); err != nil {
 					return closeStatus(attempt.Context, err, true)
 				}
--- a/internal/metadatarefresh/client_limiter.go
+++ b/internal/metadatarefresh/client_limiter.go
@@ -9,7 +9,7 @@
 type ClientLimiter struct {
 	Limit        int // maximum number of admitted requests
 	inUse        int
-	perClient    map[string]int // admitted requests by client address; a client without admitted requests has no entry
+	perClient    map[string]int // number of admitted requests, keyed by client address; a client without admitted requests has no entry
 	maxPerClient int            // maximum number of admitted requests per client while half of Limit or more is in use
 }
 
--- a/internal/metadatarefresh/issue.go
+++ b/internal/metadatarefresh/issue.go
@@ -27,8 +27,8 @@
 }
 
 // MayServeLastAnswer reports whether the image repository's last answer about a package may be used in place of refusal
-// r. It may be used if r means that the image repository cannot be asked now, so that servers can still be rolled back.
-// It may not be used after a refusal for another reason.
+// r. It may be used only if r means that the image repository cannot be asked now. Servers can then still be rolled back
+// to the package that this answer describes.
 func MayServeLastAnswer(r *tufverify.RefusalError) bool {
 	return r.Reason == tufverify.ReasonMissing || r.Reason == tufverify.ReasonExpired
 }
--- a/internal/metadatarefresh/refresh.go
+++ b/internal/metadatarefresh/refresh.go
@@ -20,13 +20,13 @@
 const (
 	minBackoff       = tufverify.Second / 5  // delay after the first failure until mirrors are asked again
 	maxBackoff       = 10 * tufverify.Second // the backoff doubles up to this maximum
-	retryAfterSpread = 2                     // ratio of the longest to the shortest time that RetryAfter can draw
+	retryAfterSpread = 2                     // ratio of the longest to the shortest time that RetryAfter can choose at random
 )
 
 // Refresh decides when the mirrors of one repository are asked for newer metadata.
 type Refresh struct {
-	freshFor       Tick // how long a timestamp counts as current
-	unconfirmedFor Tick // how long a timestamp counts as current while no mirror can be asked
+	freshFor       Tick // how long a timestamp is served without asking a mirror again
+	unconfirmedFor Tick // how long a timestamp is served while no mirror can be asked
 	refreshedAt    Tick // when a mirror last showed a current timestamp
 	notBefore      Tick // mirrors are not asked before this time; set after a failure
 	backoff        Tick
@@ -36,8 +36,8 @@
 // neverRefreshed is the value of refreshedAt before the first refresh: a time long before any real time.
 const neverRefreshed Tick = -1 << 40
 
-// NewRefresh returns a Refresh for a repository that was never refreshed. A timestamp counts as current for freshFor, and for
-// unconfirmedFor while no mirror can be asked. seed initializes the random numbers.
+// NewRefresh returns a Refresh for a repository that was never refreshed. A timestamp is served for freshFor without
+// asking a mirror again, and for unconfirmedFor while no mirror can be asked. seed initializes the random numbers.
 func NewRefresh(freshFor, unconfirmedFor Tick, seed uint64) *Refresh {
 	return &Refresh{freshFor: freshFor, unconfirmedFor: max(freshFor, unconfirmedFor), refreshedAt: neverRefreshed, random: rand.New(rand.NewPCG(seed, seed>>32))}
 }
@@ -60,9 +60,9 @@
 }
 
 // Stale reports whether the metadata that are held may no longer be treated as the newest. They become stale freshFor
-// after the last refresh. The mirrors must then be asked. If the mirrors failed when they were last asked, the metadata
-// become stale only unconfirmedFor after the last refresh. Between these two times the metadata are served although a
-// newer version may exist that no mirror has shown. Metadata are never served after their expiry. With unconfirmedFor
+// after the last refresh, and the mirrors must then be asked. If the mirrors failed when they were last asked, the
+// metadata become stale only unconfirmedFor after the last refresh. Between freshFor and unconfirmedFor, the metadata are
+// served although a newer version may exist that no mirror has shown. Metadata are never served after their expiry. With unconfirmedFor
 // an operator can set an earlier limit than the expiry.
 func (r *Refresh) Stale(now Tick) bool {
 	if r.backoff > 0 {
--- a/internal/metadatarefresh/transfer.go
+++ b/internal/metadatarefresh/transfer.go
@@ -41,7 +41,8 @@
 	return tooSlow
 }
 
-// OnClientStall excludes a time span from the current rateWindow, because the client, not the mirror, was slow.
+// OnClientStall excludes a time span from the current rateWindow. During that time, the transfer waited for the client
+// and not for the mirror.
 func (t *Transfer) OnClientStall(span Tick) { t.windowStart += span }
 
 // NextCheck returns the time from which the transfer counts as too slow if no more bytes have arrived by then.
--- a/internal/metadataservice/config.go
+++ b/internal/metadataservice/config.go
@@ -15,8 +15,8 @@
 	maxInFlight         int // maximum number of requests that are waiting for mirrors or downloading a package
 	versionStorePaths   []string
 	versionStoreEntries int
-	freshFor            time.Duration // how long a timestamp counts as current
-	unconfirmedFor      time.Duration // how long a timestamp counts as current while no mirror can be asked
+	freshFor            time.Duration // how long a timestamp is served without asking a mirror again
+	unconfirmedFor      time.Duration // how long a timestamp is served while no mirror can be asked
 	survey              bool          // after the start, serve only roots until a majority of the mirrors have shown their timestamps
 	proxyCount          float64       // number of processes that share the mirrors
 	connectTimeout      float64       // seconds
--- a/internal/metadataservice/reload.go
+++ b/internal/metadataservice/reload.go
@@ -66,7 +66,7 @@
 	}
 	for _, c := range next.repositories {
 		if c.discoveryAddress == "" {
-			markNew(c.mirrors, earlier[c.name], time.Now()) // s.now is not used here: tests replace it, but the dispatcher uses real time
+			markNew(c.mirrors, earlier[c.name], time.Now()) // time.Now and not s.now, because the dispatcher uses real time and tests replace s.now
 			s.repositories[c.name].UpdateMirrors(c.mirrors)
 		}
 	}
--- a/internal/peertransport/handshake.go
+++ b/internal/peertransport/handshake.go
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // a deadline in the past interrupts exchange
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) }) // if ctx ends, a deadline in the past interrupts the function exchange
 	refusal, err := exchange(conn, hello{Version, kind, n.fleet, n.self.Name, to})
 	if err == nil && refusal != "" {
 		err = fmt.Errorf("%s: %w: %s", to, ErrRefused, refusal)
@@ -53,7 +53,8 @@
 	return conn.SetDeadline(time.Time{})
 }
 
-// exchange writes a hello and returns the reason for which it is refused, or "" if it is accepted.
+// exchange writes a hello and reads the answer. refusal is the reason why the connection is refused, or "" if it is
+// accepted.
 func exchange(conn net.Conn, h hello) (refusal string, err error) {
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -73,14 +74,14 @@
 // accept reads a hello and hands the connection to the listener of its kind, or answers with the reason for a refusal.
 // A connection without a readable hello is closed.
 func (n *Network) accept(ctx context.Context, conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // SetDeadline fails only on a closed connection, from which readLine fails too
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout)) // an error means that the connection is closed; readLine then fails too
 	var h hello
 	text, err := readLine(conn)
 	if err == nil {
 		err = json.Unmarshal(text, &h)
 	}
 	if err != nil {
-		_ = conn.Close() // no valid hello was read
+		_ = conn.Close() // an error is ignored: the connection is not used
 		return
 	}
 	accepted := &Conn{Conn: conn, From: h.From}
@@ -98,7 +99,7 @@
 		_ = accepted.Close() // the other process has received the reason for the refusal, or has disconnected
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // SetDeadline fails only on a closed connection, and the caller of Accept notices that at the first read
+	_ = conn.SetDeadline(time.Time{}) // an error means that the connection is closed; the first read after Accept then fails
 	n.listeners[h.Kind].deliver(ctx, accepted)
 }
 
@@ -117,7 +118,7 @@
 		return fmt.Sprintf("no process named %s is in the file of %s", h.From, n.self.Name)
 	}
 	listener := n.listeners[h.Kind]
-	if listener == nil || !listener.enabled.Load() { // no one calls Accept for this kind: the connection would occupy a place in Network.pending until helloTimeout
+	if listener == nil || !listener.enabled.Load() { // refuse: nothing calls Accept for this kind, so the connection would occupy a place in Network.pending for helloTimeout
 		return fmt.Sprintf("no connections of kind %q are taken", h.Kind)
 	}
 	return ""
--- a/internal/peertransport/listener.go
+++ b/internal/peertransport/listener.go
@@ -63,7 +63,7 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	_ = conn.Close() // nobody has accepted the connection
+	_ = conn.Close() // Accept has not taken the connection
 }
 
 // Accept waits for a connection. It fails with net.ErrClosed once the listener is closed.
--- a/internal/peertransport/network.go
+++ b/internal/peertransport/network.go
@@ -50,7 +50,7 @@
 // for concurrent use, except for OverrideSelf.
 type Network struct {
 	self         Peer
-	selfOverride string // address for connections to the process's own name; if "", the address at which the process listens
+	selfOverride string // address that Dial uses for the process's own name (see OverrideSelf); if "", Dial uses the address in self
 	fleet        string
 	log          zerolog.Logger
 	peers        []Peer
@@ -130,7 +130,7 @@
 // Each connection has a goroutine until its hello has arrived and a listener has accepted the connection.
 func (n *Network) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		_ = n.listener.Close() // Close fails only on a closed listener, and no other call closes this one
+		_ = n.listener.Close() // never fails: Close fails only on a closed listener, and only this call closes n.listener
 		for _, listener := range n.listeners {
 			_ = listener.Close() // Listener.Close never fails
 		}
@@ -145,7 +145,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // for example, too many open descriptors
+		case err != nil: // for example, the process has too many open descriptors; Accept is tried again
 			n.log.Warn().Err(err).Msg("connection not accepted")
 			select {
 			case <-ctx.Done():
@@ -156,7 +156,7 @@
 		select {
 		case n.pending <- struct{}{}:
 		default:
-			_ = conn.Close() // maxPendingConns is reached
+			_ = conn.Close() // maxPendingConns connections are pending; an error is ignored
 			continue
 		}
 		group.Go(func() error {
@@ -184,7 +184,7 @@
 		return nil, err
 	}
 	if err := n.sendHello(ctx, conn, name, kind); err != nil {
-		_ = conn.Close() // nothing was sent but the hello
+		_ = conn.Close() // an error is ignored: only the hello was sent
 		return nil, err
 	}
 	return conn, nil
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -15,12 +15,12 @@
 
 // Limits on incoming data, in bytes.
 const (
-	MaxValue = 64 << 10           // largest value that is stored under a key
-	MaxQuery = 2*MaxValue + 4<<10 // largest query message; the message holds each byte of a value as two hexadecimal digits
+	MaxValue = 64 << 10           // maximum size of a value that is stored under a key
+	MaxQuery = 2*MaxValue + 4<<10 // maximum size of a query message, which holds each byte of a value as two hexadecimal digits
 
-	maxStartup        = 10 << 10         // largest startup message; this is PostgreSQL's own limit
-	maxBackendMessage = MaxValue + 4<<10 // largest message that is accepted from a backend
-	maxClientMessage  = 1 << 20          // largest message of a client that can be skipped and refused; a larger one is ErrTooLong
+	maxStartup        = 10 << 10         // maximum size of a startup message, the same as in PostgreSQL's server
+	maxBackendMessage = MaxValue + 4<<10 // maximum size of a message from a backend
+	maxClientMessage  = 1 << 20          // maximum size of a client message that can be skipped and refused; a larger message is ErrTooLong
 )
 
 // maxAuxiliaryMessages is the largest number of authentication, parameter, notice and key messages in one reply.
@@ -31,7 +31,7 @@
 
 const (
 	typeSize   = 1
-	lengthSize = 4 // a length field also counts its own bytes
+	lengthSize = 4 // size in bytes of a length field, whose value includes this size
 )
 
 // Errors in incoming messages. After any of them, the start of the next message is unknown, and reading cannot go on.
@@ -44,7 +44,7 @@
 const (
 	StateSuccess            = "00000"
 	StateTooManyConnections = "53300" // the relay rejects a request, or a backend is at its capacity
-	StateCannotConnectNow   = "57P03" // sent by an edge node that is not ready, only to the health check
+	StateCannotConnectNow   = "57P03" // an edge node that is not ready sends this code, but only to the health check
 	StateInternalError      = "XX000"
 	StateSyntaxError        = "42601"
 	StateNotSupported       = "0A000"
--- a/internal/pgwire/query.go
+++ b/internal/pgwire/query.go
@@ -21,7 +21,7 @@
 	ClientRetry   bool          // whether the client has already sent this request
 
 	text    []byte // the statement
-	timeout Span   // position of the timeout's value in text
+	timeout Span   // the part of text that holds the timeout's value
 }
 
 // Names in the statement's comment.
--- a/internal/pgwire/response.go
+++ b/internal/pgwire/response.go
@@ -8,7 +8,7 @@
 
 // Response parses a backend's reply to one query or to the startup message. Its zero value is ready for the first byte.
 type Response struct {
-	SQLState    string // StateSuccess after a complete row or an EmptyQueryResponse; the error's code after an ErrorResponse; empty until one of these has arrived
+	SQLState    string // StateSuccess after a complete row or an EmptyQueryResponse; the error's code after an ErrorResponse; empty before
 	Load        string // the load report, if the reply contains one
 	RowMessages []Span // positions of RowDescription, DataRow and CommandComplete, relative to the reply's start
 	Ready       bool   // whether the backend waits for the next query
@@ -216,7 +216,7 @@
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		for i, column := range columns {
 			if column == string(name) {
-				values[i], _ = strconv.ParseFloat(string(value), 64) // a value that is not a number counts as 0
+				values[i], _ = strconv.ParseFloat(string(value), 64) // on an error, ParseFloat returns 0 for text that is not a number
 			}
 		}
 	}
--- a/internal/pgwire/startup.go
+++ b/internal/pgwire/startup.go
@@ -8,7 +8,7 @@
 	cancelRequestCode  = 1234<<16 | 5678
 	sslRequestCode     = 1234<<16 | 5679
 	gssEncRequestCode  = 1234<<16 | 5680
-	startupHeaderSize  = 8 // size in bytes of the length and the code
+	startupHeaderSize  = 8 // size in bytes of the length field and the request code at the start of a startup message
 	majorVersionOffset = 16
 )
 
@@ -17,9 +17,9 @@
 
 // Kinds of first messages.
 const (
-	StartSession   StartupKind = iota // StartupMessage: a session
-	StartEncrypted                    // SSLRequest or GSSENCRequest: an encrypted connection
-	StartCancel                       // CancelRequest: the cancellation of another session's query
+	StartSession   StartupKind = iota // StartupMessage: the client requests a session
+	StartEncrypted                    // SSLRequest or GSSENCRequest: the client requests encryption
+	StartCancel                       // CancelRequest: the client requests the cancellation of another session's query
 )
 
 // ParseStartup reads the first message of a client. It returns what the message requests and its size in bytes. If size
--- a/internal/pgwire/write.go
+++ b/internal/pgwire/write.go
@@ -54,9 +54,9 @@
 
 // columnDescription is the body of the RowDescription for rows with a single column. The column belongs to no table and
 // has the type bytea, a variable size, no type modifier and binary format.
-const columnDescription = "\x00\x01content\x00" + // number of columns, and name of the column
-	"\x00\x00\x00\x00" + "\x00\x00" + // no table, no attribute number
-	"\x00\x00\x00\x11" + "\xff\xff" + // type bytea, variable size
+const columnDescription = "\x00\x01content\x00" + // one column with the name content
+	"\x00\x00\x00\x00" + "\x00\x00" + // the column belongs to no table and has no attribute number there
+	"\x00\x00\x00\x11" + "\xff\xff" + // the type is bytea, and its size is variable
 	"\xff\xff\xff\xff" + "\x00\x01" // no type modifier; the format code 1 means binary
 
 // DataRow returns a reply with one row of one column, in binary: RowDescription, DataRow, CommandComplete with the
--- a/internal/routing/outcome_reports.go
+++ b/internal/routing/outcome_reports.go
@@ -18,7 +18,8 @@
 }
 
 // Report reports the outcomes of requests at edge nodes to the controllers until the context ends, and then returns
-// nil. If a report fails, its outcomes are dropped and not sent again, since outcomes describe the current state only.
+// nil. If a report fails, its outcomes are dropped and not sent again, because they
+// describe only the state at that time.
 func (a *OverloadAgent) Report(ctx context.Context, to OutcomeReporter) error {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
--- a/internal/routing/overload_agent.go
+++ b/internal/routing/overload_agent.go
@@ -25,8 +25,8 @@
 	// reports its load to the other relays.
 	measureInterval = 100 * time.Millisecond
 
-	// sheddingFraction is a threshold: if the admitted fraction of the requests is smaller, the log says that the relay
-	// sheds requests. The log shows the admitted fraction rounded to two digits.
+	// sheddingFraction is the admitted fraction of the requests below which the log says that the relay sheds requests.
+	// The log shows the admitted fraction rounded to two digits.
 	sheddingFraction = 0.99
 )
 
@@ -55,7 +55,7 @@
 	mu       sync.Mutex // guards the fields below
 	manager  *overload.Manager
 	outcomes map[string]*controllerclient.NodeOutcomes // outcomes since the last report to the controllers, keyed by edge node
-	stage    dispatch.RolloutStage                     // stage of the newest version, as last received from the release API
+	stage    dispatch.RolloutStage                     // rollout stage of the newest software version, as last received from the release API
 
 	// The fields below belong to the goroutine of Run.
 	meter    pressureMeter
--- a/internal/routing/pressure_meter.go
+++ b/internal/routing/pressure_meter.go
@@ -9,7 +9,7 @@
 	"silvercove/internal/tick"
 )
 
-// minCores and minMemory are lower bounds of a relay's resources, which prevent a division by zero.
+// minCores and minMemory replace smaller values of a relay's resources, to prevent a division by zero.
 const (
 	minCores  = 0.01
 	minMemory = 1 // in bytes
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -31,7 +31,7 @@
 	log         zerolog.Logger
 
 	mu       sync.Mutex
-	hadLease map[string]bool // whether each known edge node held a lease when the controllers last listed it; guarded by mu
+	hadLease map[string]bool // by edge node: whether it held a lease when the controllers last listed it; guarded by mu
 }
 
 // New makes a router. It sends the requests for an edge node to the address in this process's own configuration file
--- a/internal/stagedrollout/order.go
+++ b/internal/stagedrollout/order.go
@@ -29,8 +29,8 @@
 		slices.SortFunc(members, func(a, b *Server) int {
 			return cmp.Or(cmp.Compare(hashes[a], hashes[b]), cmp.Compare(a.Name, b.Name))
 		})
-		// Without the offset, the first server of each group would have the rank 0. All servers that are alone in their
-		// group would then come first.
+		// The offset keeps a server that is alone in its group from always getting rank 0, and thus from being among the
+		// first to get each version.
 		offset := float64(mixBits(hashes[members[0]])%1024) / 1024
 		for i, s := range members {
 			s.rank = (float64(i) + offset) / float64(len(members))
--- a/internal/stagedrollout/reconcile.go
+++ b/internal/stagedrollout/reconcile.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// rollBack assigns a server the released version again. The server may still act on metadata that name the newest
-// version until those metadata expire or the server has fetched newer ones.
+// rollBack assigns a server the released version again. The server may still install the newest version until the
+// metadata that name that version expire or the server has fetched newer metadata.
 func (r *Rollout) rollBack(now Tick, s *Server) {
 	if s.assigned == s.released {
 		return
@@ -20,7 +20,8 @@
 	return r.version != r.releasedVersion && s.listed && s.assigned == r.version && s.running != r.version
 }
 
-// mayInstall reports whether a server may still act on metadata that name the newest version.
+// mayInstall reports whether a server may still install the newest version: the version is assigned to the server, or the
+// server was rolled back from it and mayInstallUntil has not passed.
 func (r *Rollout) mayInstall(now Tick, s *Server) bool {
 	return s.assigned == r.version || now < s.mayInstallUntil
 }
@@ -75,7 +76,7 @@
 			continue
 		}
 		if r.phase == Canary && now < s.mayInstallUntil {
-			counts.MayInstall-- // the server may still act on metadata of its earlier assignment, so MayInstall already includes it; the increment below must not count it twice
+			counts.MayInstall-- // the server was rolled back and may still install the version, so MayInstall already includes it; the increment below must not count it twice
 		}
 		s.assigned, s.assignedAt, s.mayInstallUntil = r.version, now, 0
 		r.host.Assign(s, r.version)
@@ -98,7 +99,7 @@
 	return len(r.hardwareKinds) == 0 || slices.Contains(r.hardwareKinds, s.Kind)
 }
 
-// scheduleTimer sets the timer to the next time at which a decision changes without any other event.
+// scheduleTimer sets the timer to the next time at which the passing of time alone can change an assignment.
 func (r *Rollout) scheduleTimer(now Tick) {
 	next := Tick(math.MaxInt64)
 	for _, s := range r.servers {
--- a/internal/stagedrollout/rollout.go
+++ b/internal/stagedrollout/rollout.go
@@ -32,7 +32,7 @@
 	maxRetryDelay     = 1800 * Second // maximum retry delay
 	installWindow     = 300 * Second  // an installation whose result is not reported within this time counts as failed
 	maxPendingShare   = 0.1           // maximum number of installations that may be pending at once, as a share of the listed servers
-	minPending        = 2             // number of installations that may be pending at once even if maxPendingShare allows fewer
+	minPending        = 2             // number of installations that may be pending at once in a small fleet, where maxPendingShare allows fewer
 	maxFailedShare    = 0.5           // if more than this share of the recent installations failed, only one installation may be pending
 	recentResults     = 16            // maximum number of installations that count as recent
 	roundingTolerance = 1e-9          // added to exposureCap times the number of servers before rounding down, so that a rounding error does not cost one server
@@ -70,8 +70,8 @@
 	phase            Phase
 	exposureCap      float64   // maximum share of the listed servers that may be assigned the newest version
 	hardwareKinds    []string  // kinds of hardware that the newest version's package fits; empty means all
-	paused           bool      // whether Pause was called since OnStage last allowed further assignments
-	results          []float64 // results of the recent installations of the newest version: 1 if failed or declined, 0 if succeeded
+	paused           bool      // whether assignments have been paused by Pause and not been allowed again by OnStage
+	results          []float64 // result of each recent installation of the newest version: 1 if it failed or was declined, 0 if it succeeded
 	ordered          bool      // whether the servers are sorted in the order of the newest version
 	timerAt          Tick      // time of the timer that was last requested; 0 if no timer is set
 }
@@ -83,8 +83,8 @@
 }
 
 // Restore adds a server with its state before a restart. assigned is the version that the server was assigned, and
-// mayInstallUntil is the time until which it may act on metadata that name a later version. Restore must be called
-// before OnStage and OnListed.
+// mayInstallUntil is the time until which it may still install a later version. Restore must be called before OnStage
+// and OnListed.
 func (r *Rollout) Restore(now Tick, s *Server, assigned uint16, mayInstallUntil Tick) {
 	s.assigned, s.released, s.mayInstallUntil, s.assignedAt = assigned, r.releasedVersion, mayInstallUntil, now
 	r.servers, s.tracked = append(r.servers, s), true
@@ -104,8 +104,8 @@
 }
 
 // OnListComplete records the end of a list or of an update of the list. A server that is no longer listed is assigned
-// the released version, because the server may still fetch metadata. The server is dropped once it cannot act on
-// metadata that name another version.
+// the released version, because the server may still fetch metadata. The server is dropped once it can no
+// longer install another version.
 func (r *Rollout) OnListComplete(now Tick) {
 	for _, s := range r.servers {
 		if !s.listed && s.assigned != s.released {
@@ -116,7 +116,7 @@
 	r.reconcile(now)
 }
 
-// dropUnlisted drops the servers that are not listed and can no longer act on metadata that name the newest version.
+// dropUnlisted drops the servers that are not listed and whose mayInstallUntil has passed.
 func (r *Rollout) dropUnlisted(now Tick) {
 	r.servers = slices.DeleteFunc(r.servers, func(s *Server) bool {
 		s.tracked = s.listed || now < s.mayInstallUntil
@@ -134,8 +134,8 @@
 			switch {
 			case s.assigned == released, s.assigned == r.version && r.phase == Released:
 				s.released = s.assigned
-			case s.assigned == s.released: // the server was excluded from a released version, and stays on its older version
-			case s.assigned != version: // the cases above cover released versions, so the assigned version was never released
+			case s.assigned == s.released: // the server was excluded from a version that has been released, and stays on its older version
+			case s.assigned != version: // the assigned version was never released, because the cases above cover released versions
 				s.released = released
 				r.rollBack(now, s)
 			default:
@@ -156,8 +156,8 @@
 // no effect. The caller calls Pause for a vote to hold or to roll back.
 func (r *Rollout) Pause(now Tick) { r.paused = true }
 
-// OnFetched records that a server has fetched metadata that name a version. The server can no longer act on earlier
-// metadata.
+// OnFetched records that a server has fetched metadata that name a version. From then on, the server can no longer
+// install a version that only earlier metadata name.
 func (r *Rollout) OnFetched(now Tick, s *Server, version uint16) {
 	if s.assigned == version && version != r.version {
 		s.mayInstallUntil = 0
@@ -165,8 +165,8 @@
 	}
 }
 
-// OnTimer must be called at the time that SetTimer requested. Installations that were not reported in time then count
-// as failed, servers may retry, and metadata that a roll-back has replaced expire.
+// OnTimer must be called at the time that SetTimer requested. It records installations that were not reported in time as
+// failed. It also applies what the time allows: a retry after retryAt, or the end of mayInstallUntil.
 func (r *Rollout) OnTimer(now Tick) {
 	r.timerAt = 0
 	for _, s := range r.servers {
--- a/internal/stagedrollout/status.go
+++ b/internal/stagedrollout/status.go
@@ -11,11 +11,11 @@
 	Failures        int    // number of failed installations of the newest version
 	Excluded        bool   // whether the server is permanently excluded from the newest version
 	NotBefore       Tick   // the server is not assigned the newest version again before this time; 0 if no installation has failed
-	MayInstallUntil Tick   // after a roll-back: the server may act on the newest version until this time
+	MayInstallUntil Tick   // after a roll-back: until this time, the server may still install the newest version from metadata that it already has
 	Rank            int    // index of the server, from 0, in the order of assignment (sortServers)
 	Servers         int    // number of servers in the order of assignment, including servers that are no longer listed but still kept
 	MaxAssigned     int    // number of servers that may be assigned the newest version
-	MayInstall      int    // number of servers that may act on metadata that name the newest version
+	MayInstall      int    // number of servers that may still install the newest version, including servers rolled back from it (see MayInstallUntil)
 }
 
 // Explain returns the state that determines the assignment of a server.
@@ -32,7 +32,7 @@
 type Counts struct {
 	Servers    int // listed servers
 	Assigned   int // servers that are assigned the newest version; 0 once that version is released
-	MayInstall int // servers that may act on metadata that name the newest version; 0 once that version is released
+	MayInstall int // assigned servers, and rolled-back servers before their MayInstallUntil; 0 once the newest version is released
 
 	pending int // servers that are assigned the newest version and have not reported that they run it
 }
--- a/internal/transport/closestatus.go
+++ b/internal/transport/closestatus.go
@@ -20,7 +20,7 @@
 	Malformed                           // the peer sent malformed data
 	TooLarge                            // the peer sent more bytes than are allowed
 	ClosedLocally                       // this side closed the connection when it was no longer needed
-	PeerBusy                            // the peer is reachable but takes no more work at present
+	PeerBusy                            // the peer answered, but cannot serve the request at present
 	CloseReasonCount                    // number of reasons
 )
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -57,7 +57,7 @@
 func (c *Conn) BindContext(ctx context.Context) {
 	c.ReleaseContext()
 	c.bound = ctx
-	deadline, _ := ctx.Deadline() // a context without a deadline yields the zero time, which sets no deadline
+	deadline, _ := ctx.Deadline() // without a deadline in ctx, this is the zero time, and SetDeadline then removes the deadline
 	c.SetDeadline(deadline)
 	c.unbind = context.AfterFunc(ctx, c.Interrupt)
 }
--- a/internal/transport/kernelstate.go
+++ b/internal/transport/kernelstate.go
@@ -22,8 +22,8 @@
 	}
 	ago = time.Duration(info.Last_data_recv) * time.Millisecond
 	established := info.State == unix.BPF_TCP_ESTABLISHED
-	// A kernel that does not report states always returns the same state. The second condition therefore requires a
-	// change from ESTABLISHED, which never occurs on such a kernel.
+	// Some kernels do not report states and always return the same one. A state other than ESTABLISHED therefore shows a
+	// close only if ESTABLISHED was reported before.
 	closed = info.State == unix.BPF_TCP_CLOSE_WAIT || c.established && !established
 	c.established = c.established || established
 	return ago, closed
--- a/internal/tufrepo/publish.go
+++ b/internal/tufrepo/publish.go
@@ -16,7 +16,7 @@
 // pendingFile is a file that Publish is about to write.
 type pendingFile struct {
 	role    string
-	name    string // file name in the metadata folder
+	name    string // name of the file in the folder metadata/
 	version int64
 	text    []byte
 }
@@ -41,7 +41,7 @@
 		return err
 	}
 	files = append(files, targets...)
-	for _, f := range files { // Record returns an error if this version of the role is already recorded with other content
+	for _, f := range files { // Record returns an error if the version of the file is already recorded with other content
 		if err := r.versions.Record(f.role, f.version, sha256.Sum256(f.text)); err != nil {
 			return err
 		}
@@ -205,7 +205,7 @@
 // checkTargetsThreshold returns ErrUnsigned unless the targets metadata m have a threshold of valid signatures. The parameter
 // name is the role of m. The root sets the threshold of the top-level targets role. A delegated role is accepted if m meet the
 // threshold of at least one delegation to that role. The parameter names lists the targets roles whose metadata are searched for
-// such delegations.
+// delegations to m's role.
 func (r *Repo) checkTargetsThreshold(root *metadata.Metadata[metadata.RootType], name string,
 	m *metadata.Metadata[metadata.TargetsType], names []string) error {
 	if name == metadata.TARGETS {
--- a/internal/tufverify/refresh.go
+++ b/internal/tufverify/refresh.go
@@ -23,8 +23,8 @@
 type FetchFunc func(f File) ([]byte, error)
 
 // Refresh runs the client workflow (sections 5.3 to 5.6). It first fetches and verifies each next root until there is
-// none. It then fetches the files that are missing (see NextFile). The error is a RefusalError, is an error of the
-// parameter get, or names the file that was not found.
+// none. It then fetches the files that are missing (see NextFile). Refresh returns a RefusalError, an error that get
+// returned, or an error that names the file that was not found.
 func (r *Repository) Refresh(now Tick, get FetchFunc) error {
 	for {
 		f := File{metadata.ROOT, r.NextRootVersion()}
--- a/internal/tufverify/store.go
+++ b/internal/tufverify/store.go
@@ -80,7 +80,7 @@
 	key := r.storeKey(role)
 	switch recorded, recordedDigest := r.store.Recorded(key); {
 	case version == recorded && digest == recordedDigest, role == metadata.ROOT && version < recorded:
-		return nil // the version is recorded already, or is a root older than the recorded one
+		return nil // this content of the version is recorded already, or the version is a root version below the recorded one
 	case version == recorded:
 		return r.refuse(ReasonConflict, role, "version %d", version)
 	}
--- a/internal/tufverify/target.go
+++ b/internal/tufverify/target.go
@@ -33,7 +33,7 @@
 	t := &Target{Path: path, Length: file.Length, Role: role}
 	copy(t.Sum[:], file.Hashes["sha256"])
 	if file.Custom != nil {
-		_ = json.Unmarshal(*file.Custom, &t.Custom) // a field that another tool wrote in another format is ignored
+		_ = json.Unmarshal(*file.Custom, &t.Custom) // an error is ignored: another tool may have written a field of Custom in another format
 	}
 	return t
 }
--- a/internal/tufverify/uptane.go
+++ b/internal/tufverify/uptane.go
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// VerifyPartial performs partial verification (Uptane Standard 2.1, section 5.4.4.1), for servers that hold only the Director's
-// keys for targets. The targets metadata in data must be signed, not expired and no older than the recorded version. If they
-// list any targets, at least one must be for server. VerifyPartial returns the targets for server. It records the version of the
-// metadata in store, under keys that begin with name.
+// VerifyPartial performs partial verification (Uptane Standard 2.1, section 5.4.4.1), for servers that hold only the
+// Director's keys for targets. The targets metadata in data must be signed, not expired and no older than the recorded
+// version. If they list any targets, at least one must be for server. VerifyPartial returns the targets for server. It
+// records the version of the metadata in store, under keys that begin with the parameter name.
 func VerifyPartial(now Tick, store VersionStore, name string, root *metadata.Metadata[metadata.RootType], data []byte,
 	server string) ([]*Target, *RefusalError) {
 	r := &Repository{name: name, store: store, now: store.TrustedTime(), root: &verified[metadata.RootType]{Metadata: root}}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -49,7 +49,7 @@
 		return reply, false
 	}
 	c.BindContext(attempt.Context)
-	mayBegin := p.dispatcher.Begin(attempt) // the wait for a slot or a dial may have taken so long that the attempt must not begin
+	mayBegin := p.dispatcher.Begin(attempt) // false if acquiring the connection took so long that the attempt must not begin any more
 	timeLeft := time.Until(attempt.Deadline)
 	if !mayBegin || timeLeft < time.Millisecond {
 		p.releaseUnused(c)
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -48,7 +48,7 @@
 	case p.slots <- struct{}{}:
 		return transport.StillOpen
 	case <-ctx.Done():
-		return transport.Canceled // unlike the other reasons, Canceled is not counted against the backend
+		return transport.Canceled // the attempt's context has ended, which is not counted against the backend
 	}
 }
 
@@ -72,8 +72,8 @@
 	case reply.SQLState == pgwire.StateTooManyConnections:
 		return nil, Reply{SQLState: reply.SQLState}
 	case reply.Status.Closed():
-		return nil, unsentReply(reply.Status.Reason) // only the startup message was written, and no query
-	case errors.Is(ctx.Err(), context.Canceled): // unlike ConnectTimeout, Canceled is not counted against the backend
+		return nil, unsentReply(reply.Status.Reason) // no query was written, only the startup message
+	case errors.Is(ctx.Err(), context.Canceled): // the attempt was canceled, which is not counted against the backend
 		return nil, unsentReply(transport.Canceled)
 	}
 	return nil, unsentReply(transport.ConnectTimeout)
@@ -97,10 +97,10 @@
 
 // Prewarm opens connections to backends that have just been listed, the same number to each backend, so that the first
 // requests after a start need not wait for a dial. relays is the configured number of relays. A relay opens at most
-// cap(slots)/2/relays connections to one backend, so that all relays together open no more than one relay might open
-// alone. Otherwise, many relays that start at the same time would make the backends spend work on connections that few
-// requests use. Prewarm returns at the latest after the connect timeout, or when the context ends. It abandons the
-// connections that are not ready by then.
+// cap(slots)/2/relays connections to one backend. All relays together therefore open at most cap(slots)/2 connections
+// to it, as a single relay would. Without this limit, many relays that start at the same time would make the backends
+// spend work on connections that few requests use. Prewarm returns at the latest after the connect timeout, or when the
+// context ends. It abandons the connections that are not ready by then.
 func (p *Pool) Prewarm(ctx context.Context, targets []dispatch.Backend, relays int) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	idleMarginDivisor   = 8  // a connection is closed when an eighth of the backends' idle timeout is left
+	idleMarginDivisor   = 8  // an idle connection is closed when an eighth (1/idleMarginDivisor) of the backends' idle timeout is left
 	sweepsPerIdleTime   = 16 // number of checks of the idle connections per Pool.maxIdleTime
 	minSweepInterval    = 50 * time.Millisecond
-	prewarmSlotsDivisor = 2 // Prewarm uses half of the slots
+	prewarmSlotsDivisor = 2 // Prewarm opens connections on at most half of the slots
 )
 
 // Pool holds the connections to all backends. New creates one. Its exported methods may be called from any goroutine.
@@ -64,7 +64,7 @@
 type conn struct {
 	*transport.Conn
 	backend   dispatch.Backend
-	idleSince time.Time // time at which the connection last became idle; zero if it never was
+	idleSince time.Time // time at which the connection last became idle; zero if it has never been idle
 }
 
 // New returns a pool of at most maxConnections connections in all. idleTimeout is the time after which a backend closes
