--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -111,7 +111,8 @@
 }
 
 // TestAdmission_AttemptsSomeWithShortDeadlines: some of the requests whose deadlines are shorter than the present
-// latencies are attempted. A relay that rejects every request for 4 s without an attempt in between counts as dead.
+// latencies are attempted. A relay that makes no attempt for 4 s, because it rejects every request, is considered dead.
+// The test therefore requires that less than 3 s pass without an attempt.
 func TestAdmission_AttemptsSomeWithShortDeadlines(t *testing.T) {
 	for _, timeout := range []Tick{35 * Second / 100, 15 * Second / 100} {
 		b := newFixture(nil)
--- a/balancer/exposure.go
+++ b/balancer/exposure.go
@@ -98,9 +98,9 @@
 // updateCanaryFraction computes the share of first attempts that goes to the canary. The share starts as the canary's
 // part of the warm capacity, times a factor that is called the slack. The slack is the ratio of the first stage's
 // exposure cap to the first stage's share of backends, and at least 1. The result is limited by the exposure cap and
-// then scaled by firstAttemptCapShare. While the canary's slow share exceeds the baseline's, the slack is reduced
-// towards 1 in proportion to the difference. With a slack of 1, the canary is judged under the same load per backend as
-// the baseline.
+// then scaled by firstAttemptCapShare. The slow share of a version is the share of its attempts that count as slow (see
+// slowAfter). While the canary's slow share exceeds the baseline's, the slack is reduced towards 1 in proportion to the
+// difference. With a slack of 1, the canary is judged under the same load per backend as the baseline.
 func (b *Balancer) updateCanaryFraction() {
 	rollout := &b.settings.Rollout
 	slack := max(1, firstOrZero(rollout.StageCaps)/max(firstOrZero(rollout.StageShares), minStageShare))
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -112,7 +112,8 @@
 	DrainGrace Seconds
 	// PollInterval is the longest time that the site allows between two requests for the endpoint list by a relay
 	// without a subscription. Once this time has passed since the last request, the site treats the relay as informed
-	// of the entries that are listed at that moment. After a failed request, the site waits four times as long.
+	// of the entries that are listed at that moment. If that request failed, the site does so only once four times
+	// PollInterval has passed.
 	// schedulePoll limits its mean pause to half of PollInterval. If half of PollInterval is below one second, or if
 	// PollInterval is missing, the limit is one second.
 	PollInterval Seconds
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -94,8 +94,8 @@
 	Number  int
 	Backend *Backend
 
-	version      uint16 // version of the backend when it was chosen
-	backendStart Tick   // start time of the backend when it was chosen
+	version      uint16 // version that the backend ran at chosenAt
+	backendStart Tick   // Backend.StartedAt as of chosenAt; differs from the present value if the backend has restarted since
 	chosenAt     Tick   // when the backend was chosen
 	slowAfter    Tick   // an answer after this time counts as slow for the version
 	lateAfter    Tick   // an answer after this time counts as late for the backend
--- a/internal/devicehealth/series.go
+++ b/internal/devicehealth/series.go
@@ -11,7 +11,7 @@
 // Constants for accepting readings and for computing slopes and quartiles. If a value is rejected, the last accepted one
 // stays valid for staleAfter; then the reading is unknown, and the node takes no new instances.
 const (
-	staleAfter          = 10 * tick.Second // maximum age of a value that is used; with one reading a second, a single failed reading or jump has no effect
+	staleAfter          = 10 * tick.Second // maximum age of a value that is used; with one reading a second, the last accepted value is still used after a single failed reading or jump
 	jumpConfirmTime     = 60 * tick.Second // how long the values after a jump must stay near each other until they are accepted; the samples of a temperature slope span about the same time
 	jumpMinMoves        = 2                // minimum number of changes of the value in jumpConfirmTime for accepting a jump; the values of a working sensor change
 	minStuckTime        = 30 * tick.Second // shortest time without a change after which a reading counts as stuck
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,9 +21,10 @@
 // An established watch is found broken after at most maxPollWait plus maxAnswerTimeout, that is, 3 s. In the mode
 // Subscribe, the balancer requests the next watch (SetWatching) at most 1 s later.
 //
-// A call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer makes its next
-// request for a watch at most 4 s after the request that began the call. When the call is found broken, that next
-// request has therefore been made or is about to be made.
+// An HTTP call that begins a watch is found broken after at most maxOpenCallDuration, that is, 4 s. The balancer requests
+// the next watch (SetWatching) at most 4 s after it requested the broken one: after maxPollInterval of package balancer,
+// which is 3.2 s, plus at most a quarter of it. When the HTTP call is found broken, the next watch has therefore been
+// requested or is about to be.
 const (
 	maxPollWait         = 2 * time.Second
 	maxAnswerTimeout    = time.Second
--- a/internal/lab/fleetsim/controllers.go
+++ b/internal/lab/fleetsim/controllers.go
@@ -40,7 +40,7 @@
 	controllers          []*controller
 	table                *placement.Table
 	incarnations         map[string]uint64
-	recordCounts         map[string]uint64 // by node: agreed record count
+	recordCounts         map[string]uint64 // by node: agreed record count of the node's disk (see recordCount)
 	reportedRecords      map[string]reportedRecord
 	term                 uint64
 	leader               *leadership
--- a/internal/lab/fleetsim/membership_views.go
+++ b/internal/lab/fleetsim/membership_views.go
@@ -110,8 +110,8 @@
 	s.result.Baseline = Load{Messages: float64(s.group.Messages) / memberSeconds, Bytes: float64(s.group.Bytes) / memberSeconds, MaxMemberBytes: s.group.WorstOne}
 }
 
-// playMembers applies the changes of single members. It records when members learn of the second incarnations of
-// restartedMember and wipedMember.
+// playMembers crashes, cuts off, slows and restarts single members (see deadMember and the constants after it). It records
+// when other members learn of the second incarnations of restartedMember and wipedMember.
 func (s *memberObservation) playMembers() {
 	f := s.fleet
 	f.Play(mustScript("30100 crash edge-1 for 9000000\n30100 part edge-2 edge-3 for 9000000\n30100 crash edge-5 for 2000\n30100 wipe edge-6 for 2000"))
--- a/internal/lab/fleetsim/relay.go
+++ b/internal/lab/fleetsim/relay.go
@@ -63,8 +63,8 @@
 			f.checker.fail("publishing the load report of %s: %v", r.endpoint.name, err)
 		}
 	}
-	// If no relay has been under pressure for 10 s, a load report only shows whether its sender is cut off. Only a sample of
-	// the relays then gets the report.
+	// If no relay has been under pressure for 10 s, the arrival of a load report matters, not its content: it shows that the
+	// sender is not cut off from the receiver. Only a sample of the relays then gets the report.
 	peers := f.relays
 	if r.member != nil {
 		peers = nil
--- a/internal/lab/fleetsim/size.go
+++ b/internal/lab/fleetsim/size.go
@@ -45,7 +45,7 @@
 	acceptUnknownOperations bool // controllers accept operations that they do not know
 	rejoinAll               bool // a member exchanges full states with up to 4 dead members instead of the number that membership.SyncCount returns
 	grantWhileExpiring      bool // a controller grants a lease while an operation that requires its expiry is being agreed on
-	noBaseline              bool // a restarted node does not get its assignments before it starts
+	noBaseline              bool // a restarted node starts without the assignments that the method baseline otherwise returns
 	staleAssignments        bool // a node serves as soon as it has a lease, even if newer assignments have not arrived yet
 	trustDisk               bool // a restarted primary trusts its disk, which may have been restored from a backup
 }
--- a/internal/lab/model_relay.go
+++ b/internal/lab/model_relay.go
@@ -217,8 +217,9 @@
 	if n.now < n.capSince+ticksOf(1+exposureWindow) {
 		stageCap = max(stageCap, n.previousCap)
 	}
-	// The exposure rule does not apply with a cap of 1. All backends may then run the package, so retries go to such
-	// backends too, and the attempts may exceed the bound.
+	// The exposure rule does not apply with a cap of 1, because all backends may then run the package. Retries then go to
+	// backends with the package too. A request with retries counts once in acceptedAt, but each of its attempts may count in
+	// canarySent. The attempts may therefore exceed the bound.
 	if stageCap < 1 && float64(len(n.canarySent)) > 4+stageCap*float64(len(n.acceptedAt))+1e-9 && n.now > n.capSince+ticksOf(1) {
 		n.result.ExposureBreaks++
 	}
--- a/internal/lab/overload.go
+++ b/internal/lab/overload.go
@@ -175,7 +175,7 @@
 	relay     int
 	tries     int
 	reached   bool // a relay has started an attempt for the request
-	triggered bool // the request was first sent during the trigger, more than 2 s after its start
+	triggered bool // the request was first sent while the trigger was active (see overloadModel.triggered) and more than 2 s after the trigger began
 }
 
 // classWeights are the priority weights of the request classes.
--- a/internal/lab/overload_tables.go
+++ b/internal/lab/overload_tables.go
@@ -148,7 +148,8 @@
 	t.Print(to)
 }
 
-// perSecond returns the mean per second, between the seconds from and to, of counts per half second.
+// perSecond returns the mean count per second in a period. The parameter halves holds the counts per half second. The
+// parameters from and to are the start and the end of the period in seconds.
 func perSecond(halves []int, from, to int) float64 {
 	n := 0
 	for _, h := range halves[2*from : min(len(halves), 2*to)] {
--- a/internal/lab/overload_test.go
+++ b/internal/lab/overload_test.go
@@ -13,7 +13,7 @@
 }
 
 // TestOverload_RecoversAfterTrigger checks that the goodput recovers after ten times the load with seven in ten relays
-// killed and restarted. It also checks that each feature has its intended effect.
+// killed and restarted. It also checks the effects of the features Shed, Budget and Ramp, by runs without one of them.
 func TestOverload_RecoversAfterTrigger(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes some seconds")
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -13,7 +13,7 @@
 	maxTargets               = 4   // maximum number of members that one round probes because it is their turn (see ProbeTargets)
 	maxMissedTargets         = 8   // maximum number of members with missed probes that one round probes again
 	payloadSendsPerHeartbeat = 20  // maximum number of times that one member sends changed payloads within a heartbeat period
-	fleetSyncs               = 8.0 // exchanges of whole states within a silence timeout, by all live members on one side of a split together
+	fleetSyncs               = 8.0 // target for the mean number of exchanges of whole states within a silence timeout, by all live members on one side of a split together (see SyncCount)
 	maxSyncs                 = 4.0 // maximum number of exchanges of whole states within a silence timeout, by one member
 )
 
--- a/internal/metadataproxy/exchange_test.go
+++ b/internal/metadataproxy/exchange_test.go
@@ -16,8 +16,8 @@
 	"silvercove/internal/tufverify"
 )
 
-// newTestRepository returns a repository with one mirror that has the given faults, the mirror, and a function that sets the
-// mirror's state in the endpoint list.
+// newTestRepository returns three values: a repository with one mirror, that mirror, and a function that sets the mirror's
+// state in the endpoint list. The mirror has the given faults.
 func newTestRepository(tb testing.TB, faults ...repository.Fault) (*Repository, *repository.Mirror, func(state string)) {
 	tb.Helper()
 	publisher, err := repository.NewPublisher(tb.TempDir()+"/r", repository.NewClock(false), tufrepo.Lifetimes{}, true)
--- a/internal/operatorconfig/directives.go
+++ b/internal/operatorconfig/directives.go
@@ -43,7 +43,7 @@
 }
 
 // ReadText is like Read, but reads the text in the parameter content, in which include is not allowed. Errors give the
-// parameter name as the name of the file.
+// value of the parameter called name as the name of the file.
 func (t *Table) ReadText(name, content string) (map[string]any, error) {
 	lines, err := parse(name, []byte(content))
 	if err != nil {
--- a/internal/placement/operation.go
+++ b/internal/placement/operation.go
@@ -15,8 +15,8 @@
 	OpStartCopy OperationKind = "copy"
 	// OpReplicaReady makes Target a replica. The primary Node reports that Target has every acknowledged entry.
 	OpReplicaReady OperationKind = "synced"
-	// OpDropReplica removes the replica Target. The primary Node cannot reach Target and acknowledges entries without Target
-	// from now on. An empty Node stands for the controllers.
+	// OpDropReplica removes the replica Target. If Node is set, it is the primary, which cannot reach Target and acknowledges
+	// entries without Target from now on. If Node is empty, the controllers remove Target.
 	OpDropReplica OperationKind = "drop"
 	// OpCutOver makes the replica Target the primary of the next epoch. The old primary Node has stopped at Index, and Target
 	// has all entries.
--- a/internal/replica/manager.go
+++ b/internal/replica/manager.go
@@ -211,7 +211,9 @@
 		return false
 	}
 	p := &inst.assignment.agreed
-	if !inst.assignment.involves(m.self) { // not idle if deleteUnusedCopy is to delete the copy after unusedCopyLeases lease durations
+	if !inst.assignment.involves(m.self) {
+		// The instance is idle if deleteUnusedCopy will not delete its copy. Otherwise deleteUnusedCopy deletes the copy
+		// after unusedCopyLeases lease durations without use.
 		return !inst.local.present || !inst.assignment.known() || p.State != placement.Running || len(p.Replicas) == 0 ||
 			inst.assignment.hasStaleCopyOn(m.self)
 	}
--- a/internal/standin/testcluster/event_file.go
+++ b/internal/standin/testcluster/event_file.go
@@ -55,8 +55,8 @@
 	return c
 }
 
-// WriteEvents writes the compared events, one a line, in the format that ReadEvents reads. The first line is a comment with the
-// text head.
+// WriteEvents writes the events whose names are in comparedEvents, one a line, in the format that ReadEvents reads. The first
+// line is a comment with the text in the parameter head.
 func WriteEvents(w io.Writer, head string, began time.Time, events []Event) error {
 	b := bufio.NewWriter(w)
 	_, _ = fmt.Fprintf(b, "# %s\n", head)
--- a/internal/standin/testcluster/process.go
+++ b/internal/standin/testcluster/process.go
@@ -51,7 +51,8 @@
 
 var addresses atomic.Uint32
 
-// freeAddress returns a loopback address on which nothing listens, so that the process's ports are free whenever it starts.
+// freeAddress returns a loopback address where fleetPort and requestPort are free. Each process of a cluster has an address of
+// its own, so that its ports are free at each start and restart.
 func freeAddress() (string, error) {
 	for range 1000 {
 		n := uint32(os.Getpid())*61 + addresses.Add(1)
--- a/internal/standin/testcluster/untrusted_reports_test.go
+++ b/internal/standin/testcluster/untrusted_reports_test.go
@@ -262,7 +262,7 @@
 }
 
 // The power of all nodes of a zone fails at the same moment and returns. The instances of these nodes must not start elsewhere before the
-// power returns, because no other node has all of their effects. No acknowledged effect may be lost. The other zone must continue.
+// power returns, because no running node has all effects of these instances. No acknowledged effect may be lost. The other zone must continue.
 func TestFailover_PowerFailureOfZone(t *testing.T) {
 	t.Parallel()
 	if testing.Short() {
--- a/internal/tufverify/refusal.go
+++ b/internal/tufverify/refusal.go
@@ -12,7 +12,7 @@
 	ReasonNone            Reason = iota
 	ReasonAlreadyHeld            // the file is held already, or the report is the last accepted one
 	ReasonOlderVersion           // a newer version is known; or, for a root, the held version has other content
-	ReasonExpired                // the metadata had expired at the latest time that the caller ever passed or the version store recorded
+	ReasonExpired                // the metadata has expired; the time used is the latest that the caller has passed to the Repository or the version store has recorded
 	ReasonBadSignature           // a signature by a key of the role is invalid
 	ReasonBelowThreshold         // fewer keys of the role have signed than the threshold of the role requires
 	ReasonUnknownKey             // no key of the role has signed, for example because another repository's or a revoked key signed
